--- a/crates/adapter/src/acts.rs
+++ b/crates/adapter/src/acts.rs
@@ -27,7 +27,12 @@
     }
     let sidecar = f.whole("sidecar")?;
     match line.verb.as_str() {
-        "ATTEMPT" => acts.forward(sidecar, f.text("opId")?, f.text("pod")?, f.whole("patienceNs")?),
+        "ATTEMPT" => acts.forward(
+            sidecar,
+            f.text("opId")?,
+            f.text("pod")?,
+            f.whole("patienceNs")?,
+        ),
         "RETRACT" => acts.cancel(sidecar, f.text("opId")?, f.whole("trial")? as u32),
         "REFUSE" => acts.bounce(sidecar, f.text("opId")?, f.whole_or("waitNs", 0)?),
         "LOSE" => acts.error(sidecar, f.text("opId")?),
@@ -39,7 +44,12 @@
                 3 => Voice::Back,
                 _ => return Err(f.complain("sense", "not 0 to 3")),
             };
-            acts.vote(sidecar, f.whole("release")? as Build, f.whole("wave")? as usize, voice);
+            acts.vote(
+                sidecar,
+                f.whole("release")? as Build,
+                f.whole("wave")? as usize,
+                voice,
+            );
         }
         "TOUCH" => acts.probe(sidecar, f.text("pod")?),
         "QUERY_ALL" => acts.ask_list(sidecar),
--- a/crates/adapter/src/door.rs
+++ b/crates/adapter/src/door.rs
@@ -90,13 +90,24 @@
 impl<H> Default for Wire<H> {
     fn default() -> Wire<H> {
         let (banks, instances, strange) = (BTreeMap::new(), BTreeMap::new(), HashSet::new());
-        Wire { now: 0, turn: 0, banks, instances, strange, out: String::new() }
+        Wire {
+            now: 0,
+            turn: 0,
+            banks,
+            instances,
+            strange,
+            out: String::new(),
+        }
     }
 }
 
 impl Door {
     fn act(&mut self, verb: &str) -> &mut String {
-        let _ = write!(self.out, "{{\"verb\":\"{verb}\",\"sidecar\":{}", self.sidecar);
+        let _ = write!(
+            self.out,
+            "{{\"verb\":\"{verb}\",\"sidecar\":{}",
+            self.sidecar
+        );
         &mut self.out
     }
 
@@ -105,8 +116,11 @@
     }
 
     fn on_hit(&mut self, verb: &str, hit: HitId) -> &mut String {
-        let name =
-            self.hits.get(&hit).map(|held| Value::from(held.name.as_str()).to_string()).unwrap_or_default();
+        let name = self
+            .hits
+            .get(&hit)
+            .map(|held| Value::from(held.name.as_str()).to_string())
+            .unwrap_or_default();
         let out = self.act(verb);
         let _ = write!(out, ",\"opId\":{name}");
         out
@@ -120,7 +134,11 @@
     }
 
     fn sweep(&mut self, hit: HitId) {
-        if self.hits.get(&hit).is_some_and(|held| !held.open && held.forwards.iter().all(Option::is_none)) {
+        if self
+            .hits
+            .get(&hit)
+            .is_some_and(|held| !held.open && held.forwards.iter().all(Option::is_none))
+        {
             if let Some(held) = self.hits.remove(&hit) {
                 self.hit_ids.remove(&held.name);
             }
@@ -148,9 +166,15 @@
 }
 
 fn load(names: &Names, fields: &Fields) -> Result<Option<Load>, String> {
-    let Some(row) = fields.maybe_numbers("gauge")? else { return Ok(None) };
+    let Some(row) = fields.maybe_numbers("gauge")? else {
+        return Ok(None);
+    };
     let mut load = Load::default();
-    names.load.iter().zip(row).for_each(|(name, value)| gauge(&mut load, name, value));
+    names
+        .load
+        .iter()
+        .zip(row)
+        .for_each(|(name, value)| gauge(&mut load, name, value));
     Ok(Some(load))
 }
 
@@ -170,7 +194,11 @@
 pub fn load_of(columns: &[String], text: &[u8]) -> Option<Load> {
     let told: Value = serde_json::from_slice(text).ok()?;
     let mut load = Load::default();
-    for (column, value) in told.as_object()?.iter().filter(|(column, _)| columns.contains(column)) {
+    for (column, value) in told
+        .as_object()?
+        .iter()
+        .filter(|(column, _)| columns.contains(column))
+    {
         gauge(&mut load, column, value.as_f64()?);
     }
     Some(load)
@@ -199,7 +227,11 @@
     }
 
     fn cancel(&mut self, hit: HitId, forward: u32) {
-        if self.hits.get(&hit).is_some_and(|held| (forward as usize) < held.forwards.len()) {
+        if self
+            .hits
+            .get(&hit)
+            .is_some_and(|held| (forward as usize) < held.forwards.len())
+        {
             let _ = write!(self.on_hit("RETRACT", hit), ",\"trial\":{forward}");
             self.end();
         }
@@ -228,7 +260,10 @@
             Voice::Hold => 2,
             Voice::Back => 3,
         };
-        let _ = write!(self.act("VERDICT"), ",\"release\":{build},\"wave\":{stage},\"sense\":{sense}");
+        let _ = write!(
+            self.act("VERDICT"),
+            ",\"release\":{build},\"wave\":{stage},\"sense\":{sense}"
+        );
         self.end();
         self.votes.push_back(then);
     }
@@ -254,7 +289,10 @@
         let id = self.next_wake;
         self.next_wake += 1;
         self.wakes.insert(id, then);
-        let _ = write!(self.act("TIMER"), ",\"keyBack\":\"{id}\",\"fromNowNs\":{after}");
+        let _ = write!(
+            self.act("TIMER"),
+            ",\"keyBack\":\"{id}\",\"fromNowNs\":{after}"
+        );
         self.end();
     }
 
@@ -300,17 +338,23 @@
     Ok(Row {
         pod: fields.text("pod")?.to_string(),
         zone: fields.text("az")?.to_string(),
-        machine: fields.maybe_text("machine")?.unwrap_or_default().to_string(),
+        machine: fields
+            .maybe_text("machine")?
+            .unwrap_or_default()
+            .to_string(),
         entry,
     })
 }
 
 /// The position of a name, giving a new one the next place.
 fn place(names: &mut Vec<String>, name: &str) -> usize {
-    names.iter().position(|known| known == name).unwrap_or_else(|| {
-        names.push(name.to_string());
-        names.len() - 1
-    })
+    names
+        .iter()
+        .position(|known| known == name)
+        .unwrap_or_else(|| {
+            names.push(name.to_string());
+            names.len() - 1
+        })
 }
 
 fn stage(fields: &Fields) -> Result<Stage, String> {
@@ -332,7 +376,9 @@
 
 impl Hears for Instance {
     fn attach(now: Ns, sidecar: u64, seed: u64, s: Setup) -> Instance {
-        let logic = Logic::new(now, seed, s.place, s.groups, s.forwards, s.pods, s.exposure, s.votes, s.list);
+        let logic = Logic::new(
+            now, seed, s.place, s.groups, s.forwards, s.pods, s.exposure, s.votes, s.list,
+        );
         let door = Door {
             now,
             sidecar,
@@ -393,14 +439,25 @@
         let id = door.next_hit;
         door.next_hit += 1;
         door.hit_ids.insert(name.to_string(), id);
-        door.hits.insert(id, Held { name: name.to_string(), open: true, forwards: Vec::new() });
+        door.hits.insert(
+            id,
+            Held {
+                name: name.to_string(),
+                open: true,
+                forwards: Vec::new(),
+            },
+        );
         self.logic.hit(door, Hit { id, ..hit });
     }
 
     fn ended(&mut self, name: &str, nth: usize, outcome: Outcome) {
         let door = &mut self.door;
-        let Some(hit) = door.hit_ids.get(name).copied() else { return };
-        let Some(held) = door.hits.get_mut(&hit) else { return };
+        let Some(hit) = door.hit_ids.get(name).copied() else {
+            return;
+        };
+        let Some(held) = door.hits.get_mut(&hit) else {
+            return;
+        };
         held.open &= !outcome.over;
         if let Some(then) = held.forwards.get_mut(nth).and_then(Option::take) {
             then(&mut self.logic, door, outcome);
@@ -441,14 +498,22 @@
     }
 
     fn probed(&mut self, pod: &str, end: ProbeEnd) {
-        let probes = self.door.pods.get(pod).and_then(|pod| self.door.probes.get_mut(pod));
+        let probes = self
+            .door
+            .pods
+            .get(pod)
+            .and_then(|pod| self.door.probes.get_mut(pod));
         if let Some(then) = probes.and_then(VecDeque::pop_front) {
             then(&mut self.logic, &mut self.door, end);
         }
     }
 }
 
-fn event(heard: &mut impl Hears, line: &Line, banks: &BTreeMap<u64, Vec<Row>>) -> Result<(), String> {
+fn event(
+    heard: &mut impl Hears,
+    line: &Line,
+    banks: &BTreeMap<u64, Vec<Row>>,
+) -> Result<(), String> {
     let f = line.of();
     match line.verb.as_str() {
         "ROSTER_CHANGE" => {
@@ -461,21 +526,29 @@
                 }
                 _ => return Err(f.complain("how", "not delta, full, cached or failed")),
             };
-            let rows = banks.get(&f.whole("bank")?).ok_or_else(|| f.complain("bank", "a list never sent"))?;
+            let rows = banks
+                .get(&f.whole("bank")?)
+                .ok_or_else(|| f.complain("bank", "a list never sent"))?;
             heard.list(whole, rows);
         }
         "KNOCK" => {
             let name = f.text("opId")?;
             let group = f.named("grade", &heard.names().groups)?;
             let customer = match f.maybe_name("clientGroup")? {
-                Some(name) => heard.names().customers.iter().position(|known| *known == name),
+                Some(name) => heard
+                    .names()
+                    .customers
+                    .iter()
+                    .position(|known| *known == name),
                 None => None,
             };
             let hit = Hit {
                 id: 0,
                 group,
                 customer,
-                key: f.maybe_text("entity")?.map_or(0, |key| mark_of(key.as_bytes())),
+                key: f
+                    .maybe_text("entity")?
+                    .map_or(0, |key| mark_of(key.as_bytes())),
                 left: f.whole("graceNs")?,
                 cost_hint: f.maybe_whole("sizeHintNs")?,
                 repeat: f.flag("repeat")?,
@@ -521,7 +594,10 @@
                     303 => Heard::Unknown,
                     _ => Heard::Refused,
                 };
-                heard.voted(StageNews { heard: answer, stage: told });
+                heard.voted(StageNews {
+                    heard: answer,
+                    stage: told,
+                });
             }
         }
         "DIGEST" => {
@@ -543,7 +619,14 @@
         "PING_RESULT" => {
             let pod = known_pod(heard, &f)?;
             let load = load(heard.names(), &f)?;
-            heard.probed(pod, ProbeEnd { end: ended(&f)?, took: f.whole("latencyNs")?, load });
+            heard.probed(
+                pod,
+                ProbeEnd {
+                    end: ended(&f)?,
+                    took: f.whole("latencyNs")?,
+                    load,
+                },
+            );
         }
         // Nothing here sends to peers; what one says is read for its form alone.
         _ => {
@@ -565,7 +648,11 @@
             }
             "GO" => return Ok(Some(self.turn)),
             "LIST" => {
-                let rows = f.objects("records")?.iter().map(row).collect::<Result<_, _>>()?;
+                let rows = f
+                    .objects("records")?
+                    .iter()
+                    .map(row)
+                    .collect::<Result<_, _>>()?;
                 self.banks.insert(f.whole("bank")?, rows);
             }
             "ATTACH" => self.attach(&f)?,
@@ -578,7 +665,8 @@
             | "ROLLOUT_STATE" | "RETURNED" | "HANGUP" | "PING_RESULT" | "HEADERS" => {
                 let sidecar = f.whole("sidecar")?;
                 let known = self.instances.get_mut(&sidecar);
-                let instance = known.ok_or_else(|| f.complain("sidecar", "an instance never started"))?;
+                let instance =
+                    known.ok_or_else(|| f.complain("sidecar", "an instance never started"))?;
                 if let Some(instance) = instance {
                     instance.at(self.now);
                     instance.swap(&mut self.out);
@@ -589,7 +677,10 @@
             }
             other => {
                 if self.strange.insert(other.to_string()) {
-                    eprintln!("havenplank-adapter: line {}: {other}: unknown verb, skipped", line.number);
+                    eprintln!(
+                        "havenplank-adapter: line {}: {other}: unknown verb, skipped",
+                        line.number
+                    );
                 }
             }
         }
--- a/crates/adapter/src/line.rs
+++ b/crates/adapter/src/line.rs
@@ -10,8 +10,8 @@
 
 impl Line {
     pub fn read(number: u64, text: &[u8]) -> Result<Line, String> {
-        let value: Value =
-            serde_json::from_slice(text).map_err(|e| format!("line {number}: not a JSON object ({e})"))?;
+        let value: Value = serde_json::from_slice(text)
+            .map_err(|e| format!("line {number}: not a JSON object ({e})"))?;
         let Value::Object(fields) = value else {
             return Err(format!("line {number}: not a JSON object"));
         };
@@ -20,7 +20,11 @@
             Some(_) => return Err(format!("line {number}: field verb: not text")),
             None => return Err(format!("line {number}: field verb: missing")),
         };
-        Ok(Line { number, verb, fields })
+        Ok(Line {
+            number,
+            verb,
+            fields,
+        })
     }
 
     pub fn complain(&self, field: &str, what: &str) -> String {
@@ -28,7 +32,11 @@
     }
 
     pub fn of(&self) -> Fields<'_> {
-        Fields { line: self, path: String::new(), map: &self.fields }
+        Fields {
+            line: self,
+            path: String::new(),
+            map: &self.fields,
+        }
     }
 }
 
@@ -48,7 +56,12 @@
         self.line.complain(&format!("{}{field}", self.path), what)
     }
 
-    fn want<T>(&self, field: &str, read: impl Fn(&'a Value) -> Option<T>, what: &str) -> Result<T, String> {
+    fn want<T>(
+        &self,
+        field: &str,
+        read: impl Fn(&'a Value) -> Option<T>,
+        what: &str,
+    ) -> Result<T, String> {
         let value = present(self.map.get(field)).ok_or_else(|| self.complain(field, "missing"))?;
         read(value).ok_or_else(|| self.complain(field, what))
     }
@@ -61,7 +74,9 @@
     ) -> Result<Option<T>, String> {
         match present(self.map.get(field)) {
             None => Ok(None),
-            Some(value) => read(value).map(Some).ok_or_else(|| self.complain(field, what)),
+            Some(value) => read(value)
+                .map(Some)
+                .ok_or_else(|| self.complain(field, what)),
         }
     }
 
@@ -70,7 +85,9 @@
     }
 
     pub fn whole_or(&self, field: &str, other: u64) -> Result<u64, String> {
-        Ok(self.may(field, Value::as_u64, "not a whole number")?.unwrap_or(other))
+        Ok(self
+            .may(field, Value::as_u64, "not a whole number")?
+            .unwrap_or(other))
     }
 
     pub fn maybe_whole(&self, field: &str) -> Result<Option<u64>, String> {
@@ -82,7 +99,9 @@
     }
 
     pub fn number_or(&self, field: &str, other: f64) -> Result<f64, String> {
-        Ok(self.may(field, Value::as_f64, "not a number")?.unwrap_or(other))
+        Ok(self
+            .may(field, Value::as_f64, "not a number")?
+            .unwrap_or(other))
     }
 
     pub fn text(&self, field: &str) -> Result<&'a str, String> {
@@ -102,12 +121,18 @@
     }
 
     pub fn flag(&self, field: &str) -> Result<bool, String> {
-        Ok(self.may(field, Value::as_bool, "not true or false")?.unwrap_or(false))
+        Ok(self
+            .may(field, Value::as_bool, "not true or false")?
+            .unwrap_or(false))
     }
 
     pub fn object(&self, field: &str) -> Result<Fields<'a>, String> {
         let map = self.want(field, Value::as_object, "not an object")?;
-        Ok(Fields { line: self.line, path: format!("{}{field}.", self.path), map })
+        Ok(Fields {
+            line: self.line,
+            path: format!("{}{field}.", self.path),
+            map,
+        })
     }
 
     pub fn maybe_has(&self, field: &str) -> bool {
@@ -120,13 +145,21 @@
     }
 
     pub fn numbers(&self, field: &str) -> Result<Vec<f64>, String> {
-        self.maybe_numbers(field)?.ok_or_else(|| self.complain(field, "missing"))
+        self.maybe_numbers(field)?
+            .ok_or_else(|| self.complain(field, "missing"))
     }
 
     pub fn words(&self, field: &str) -> Result<Vec<String>, String> {
-        let read =
-            |value: &'a Value| value.as_array()?.iter().map(|v| v.as_str().map(String::from)).collect();
-        Ok(self.may(field, read, "not a row of names")?.unwrap_or_default())
+        let read = |value: &'a Value| {
+            value
+                .as_array()?
+                .iter()
+                .map(|v| v.as_str().map(String::from))
+                .collect()
+        };
+        Ok(self
+            .may(field, read, "not a row of names")?
+            .unwrap_or_default())
     }
 
     pub fn objects(&self, field: &str) -> Result<Vec<Fields<'a>>, String> {
@@ -134,7 +167,11 @@
         let object = |(n, row): (usize, &'a Value)| {
             let path = format!("{}{field}[{n}]", self.path);
             match row.as_object() {
-                Some(map) => Ok(Fields { line: self.line, path: path + ".", map }),
+                Some(map) => Ok(Fields {
+                    line: self.line,
+                    path: path + ".",
+                    map,
+                }),
                 None => Err(self.line.complain(&path, "not an object")),
             }
         };
--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -23,7 +23,11 @@
     let mut number = 0u64;
     loop {
         text.clear();
-        if input.read_until(b'\n', &mut text).map_err(|e| format!("reading: {e}"))? == 0 {
+        if input
+            .read_until(b'\n', &mut text)
+            .map_err(|e| format!("reading: {e}"))?
+            == 0
+        {
             return Ok(());
         }
         number += 1;
--- a/crates/adapter/src/setup.rs
+++ b/crates/adapter/src/setup.rs
@@ -59,8 +59,10 @@
     if instances == 0 {
         return Err(settings.complain("instances", "zero instances"));
     }
-    let group_names =
-        rows.iter().map(|row| Ok(row.text("name")?.to_string())).collect::<Result<_, String>>()?;
+    let group_names = rows
+        .iter()
+        .map(|row| Ok(row.text("name")?.to_string()))
+        .collect::<Result<_, String>>()?;
     let zones = settings.words("azs")?;
     let zone = settings.named("locality", &zones)?;
     let mut customers = Vec::new();
@@ -73,7 +75,13 @@
         true => settings.object("loadReport")?.words("columns")?,
         false => Vec::new(),
     };
-    let names = Names { groups: group_names, customers, zones, machines: settings.words("skus")?, load };
+    let names = Names {
+        groups: group_names,
+        customers,
+        zones,
+        machines: settings.words("skus")?,
+        load,
+    };
     let limits = settings.object("limits")?;
     let rules = settings.object("rules")?;
     let trial = settings.object("familyInfo")?;
@@ -81,7 +89,11 @@
         true => settings.object("prices")?.number_or("crossZone", 0.0)?,
         false => 0.0,
     };
-    let max_come_back = if limits.flag("retryAfter")? { limits.whole_or("maxRetryAfterNs", 0)? } else { 0 };
+    let max_come_back = if limits.flag("retryAfter")? {
+        limits.whole_or("maxRetryAfterNs", 0)?
+    } else {
+        0
+    };
     let must_ask = match settings.text("discovery")? {
         "automatic" => false,
         "subscribe" => true,
@@ -100,7 +112,11 @@
     };
     Ok(Setup {
         names,
-        place: Place { rank: settings.whole_or("rank", 0)? as usize, instances, zone },
+        place: Place {
+            rank: settings.whole_or("rank", 0)? as usize,
+            instances,
+            zone,
+        },
         groups,
         forwards: ForwardRules {
             max_forwards: limits.whole_or("maxAttempts", 1)?.min(u32::MAX as u64) as u32,
@@ -135,6 +151,9 @@
             calls_per_s: trial.number_or("votesPerS", 0.0)?,
             step: trial.whole_or("autoAfterNs", 0)?,
         },
-        list: ListRules { must_ask, ask_within: rules.whole_or("mustAskInNs", 0)? },
+        list: ListRules {
+            must_ask,
+            ask_within: rules.whole_or("mustAskInNs", 0)?,
+        },
     })
 }
--- a/crates/capacity/examples/membership.rs
+++ b/crates/capacity/examples/membership.rs
@@ -5,22 +5,32 @@
 use havenplank_capacity::membership_sockets::{self, membership_on_sockets};
 
 fn numbers<T: std::str::FromStr>(text: &str) -> Vec<T> {
-    text.split(',').filter_map(|number| number.parse().ok()).collect()
+    text.split(',')
+        .filter_map(|number| number.parse().ok())
+        .collect()
 }
 
 fn main() -> std::io::Result<()> {
     let arguments: Vec<String> = std::env::args().skip(1).collect();
     let words: Vec<&str> = arguments.iter().map(String::as_str).collect();
     if let ["sockets", sizes, windows] = words.as_slice() {
-        let options = membership_sockets::Options { sizes: numbers(sizes), windows_s: numbers(windows) };
-        membership_on_sockets(&options)?.iter().for_each(|section| println!("{section}"));
+        let options = membership_sockets::Options {
+            sizes: numbers(sizes),
+            windows_s: numbers(windows),
+        };
+        membership_on_sockets(&options)?
+            .iter()
+            .for_each(|section| println!("{section}"));
         return Ok(());
     }
     let options = match words.as_slice() {
         ["full"] => Options::full(),
-        ["start", sizes, windows] => {
-            Options { sizes: numbers(sizes), windows_s: numbers(windows), phase_s: 10, faults: false }
-        }
+        ["start", sizes, windows] => Options {
+            sizes: numbers(sizes),
+            windows_s: numbers(windows),
+            phase_s: 10,
+            faults: false,
+        },
         ["faults", sizes, phase] => Options {
             sizes: numbers(sizes),
             windows_s: vec![60],
--- a/crates/capacity/src/configuration/fleet.rs
+++ b/crates/capacity/src/configuration/fleet.rs
@@ -53,23 +53,40 @@
 /// A configuration of so many tenants.
 pub fn tenants(count: usize) -> Snapshot {
     let records = (0..count).map(|n| tenant(n, 100));
-    let snapshot = Snapshot::from_records(Version { epoch: 1, number: 1 }, records);
+    let snapshot = Snapshot::from_records(
+        Version {
+            epoch: 1,
+            number: 1,
+        },
+        records,
+    );
     snapshot.unwrap_or_else(|_| Snapshot::empty())
 }
 
 fn tenant(n: usize, requests_per_s: u32) -> Record {
-    let limits = TenantLimits { requests_per_s: Some(requests_per_s), in_flight: Some(50) };
-    Record::Tenant(Tenant { name: format!("tenant-{n:06}"), limits })
+    let limits = TenantLimits {
+        requests_per_s: Some(requests_per_s),
+        in_flight: Some(50),
+    };
+    Record::Tenant(Tenant {
+        name: format!("tenant-{n:06}"),
+        limits,
+    })
 }
 
 /// A change of some tenants, other with each number.
 pub fn change(number: u64, tenants: usize, width: usize) -> Vec<Change> {
     let first = number as usize * 7_919;
-    let mut places: Vec<usize> = (0..width).map(|n| (first + n * 31) % tenants.max(width * 31)).collect();
+    let mut places: Vec<usize> = (0..width)
+        .map(|n| (first + n * 31) % tenants.max(width * 31))
+        .collect();
     places.sort_unstable();
     places.dedup();
     let value = 1_000 + (number % 1_000_000) as u32;
-    places.into_iter().map(|n| Change::Put(tenant(n, value))).collect()
+    places
+        .into_iter()
+        .map(|n| Change::Put(tenant(n, value)))
+        .collect()
 }
 
 pub struct Fleet {
@@ -115,7 +132,11 @@
             width: 5,
         };
         for id in 0..count {
-            let role = if id == 0 { Role::Writer { epoch: 1 } } else { Role::Sidecar };
+            let role = if id == 0 {
+                Role::Writer { epoch: 1 }
+            } else {
+                Role::Sidecar
+            };
             fleet.join(clock(id), role, base.clone());
         }
         fleet.tell_everyone();
@@ -126,24 +147,41 @@
         let id = self.lives.len();
         self.lives.insert(id, 1);
         let (seed, me, rules) = (self.seed_of(id), self.peer(id), self.rules.clone());
-        let kept = Kept { snapshot, deltas: Vec::new() };
-        self.net.join(clock, |now, _| Process::new(now, seed, me, role, kept, rules));
+        let kept = Kept {
+            snapshot,
+            deltas: Vec::new(),
+        };
+        self.net.join(clock, |now, _| {
+            Process::new(now, seed, me, role, kept, rules)
+        });
     }
 
     /// Starts a process anew, under a later life, with what it kept.
     pub fn restart(&mut self, id: Id, role: Role, kept: Snapshot) {
         *self.lives.entry(id).or_default() += 1;
         let (seed, me, rules) = (self.seed_of(id), self.peer(id), self.rules.clone());
-        let kept = Kept { snapshot: kept, deltas: Vec::new() };
-        self.net.restart(id, |now, _| Process::new(now, seed, me, role, kept, rules));
+        let kept = Kept {
+            snapshot: kept,
+            deltas: Vec::new(),
+        };
+        self.net
+            .restart(id, |now, _| Process::new(now, seed, me, role, kept, rules));
     }
 
     fn seed_of(&self, id: Id) -> u64 {
-        self.seed.wrapping_mul(1_000_003).wrapping_add(id as u64 * 64 + self.lives[&id])
+        self.seed
+            .wrapping_mul(1_000_003)
+            .wrapping_add(id as u64 * 64 + self.lives[&id])
     }
 
     pub fn peer(&self, id: Id) -> Peer {
-        Peer { life: Life { name: name(id), life: self.lives[&id] }, zone: zone(id) }
+        Peer {
+            life: Life {
+                name: name(id),
+                life: self.lives[&id],
+            },
+            zone: zone(id),
+        }
     }
 
     /// The list of these processes.
@@ -178,7 +216,9 @@
     pub fn publish(&mut self, id: Id, epoch: u64) -> Result<Version, PublishError> {
         let changes = self.next_change();
         let (now, own) = (self.net.now(), self.net.own_time(id));
-        let Some(writer) = self.net.part_mut(id) else { return Err(PublishError::NotWriter) };
+        let Some(writer) = self.net.part_mut(id) else {
+            return Err(PublishError::NotWriter);
+        };
         let version = writer.publish(own, epoch, changes)?;
         let digest = writer.in_force.digest();
         self.digests.entry(version).or_default().push(digest);
@@ -195,11 +235,18 @@
     /// For each publication by the first process since `from` and up to now, how long it took until it or a newer one
     /// was in force at each of these processes; `None` where it is not yet. For clocks that stand at the network's time.
     pub fn latencies(&self, from: Ns, ids: &[Id]) -> Vec<Option<Ns>> {
-        let published = self.published.iter().filter(|(at, _, writer)| *at >= from && *writer == 0);
+        let published = self
+            .published
+            .iter()
+            .filter(|(at, _, writer)| *at >= from && *writer == 0);
         let mut latencies = Vec::new();
         for (at, version, _) in published {
             for id in ids {
-                let log = self.net.part(*id).map(|process| process.log.as_slice()).unwrap_or_default();
+                let log = self
+                    .net
+                    .part(*id)
+                    .map(|process| process.log.as_slice())
+                    .unwrap_or_default();
                 let first = log.partition_point(|(_, there, _)| there < version);
                 latencies.push(log.get(first).map(|(came, _, _)| came.saturating_sub(*at)));
             }
--- a/crates/capacity/src/configuration/process.rs
+++ b/crates/capacity/src/configuration/process.rs
@@ -4,7 +4,9 @@
 use havenplank_configuration::digest::Digest;
 use havenplank_configuration::message::Message;
 use havenplank_configuration::snapshot::Snapshot;
-use havenplank_configuration::spread::{Effect, Event, Kept, Ns, Peer, PublishError, Role, Rules, Spreader};
+use havenplank_configuration::spread::{
+    Effect, Event, Kept, Ns, Peer, PublishError, Role, Rules, Spreader,
+};
 use havenplank_configuration::version::Version;
 use havenplank_fellows::wire::Life;
 use havenplank_stand::net::{Id, Net, Part};
@@ -80,8 +82,16 @@
     /// What [`Process::publish`] would publish next.
     pub fn next(&self, epoch: u64, changes: Vec<Change>) -> Option<(Delta, Snapshot)> {
         let from = self.in_force.version();
-        let to = Version { epoch, number: from.number + 1 };
-        let mut delta = Delta { from, to, digest: Digest::default(), changes };
+        let to = Version {
+            epoch,
+            number: from.number + 1,
+        };
+        let mut delta = Delta {
+            from,
+            to,
+            digest: Digest::default(),
+            changes,
+        };
         // The digest is that of the result, which only an application shows: its refusal states it.
         delta.digest = match self.in_force.apply(&delta) {
             Ok(snapshot) => snapshot.digest(),
@@ -96,14 +106,28 @@
     ///
     /// # Errors
     /// Why the spreader refuses.
-    pub fn publish(&mut self, now: Ns, epoch: u64, changes: Vec<Change>) -> Result<Version, PublishError> {
-        if let Some(by) = self.spreader.glance().writer.and_then(|writer| writer.superseded) {
+    pub fn publish(
+        &mut self,
+        now: Ns,
+        epoch: u64,
+        changes: Vec<Change>,
+    ) -> Result<Version, PublishError> {
+        if let Some(by) = self
+            .spreader
+            .glance()
+            .writer
+            .and_then(|writer| writer.superseded)
+        {
             return Err(PublishError::Superseded { by });
         }
-        let Some((delta, snapshot)) = self.next(epoch, changes) else { return Err(PublishError::NotWriter) };
+        let Some((delta, snapshot)) = self.next(epoch, changes) else {
+            return Err(PublishError::NotWriter);
+        };
         let version = snapshot.version();
         let began = Instant::now();
-        let result = self.spreader.published(now, Arc::new(delta), snapshot.clone());
+        let result = self
+            .spreader
+            .published(now, Arc::new(delta), snapshot.clone());
         self.traffic.processor += began.elapsed();
         result?;
         self.take_over(now, snapshot);
@@ -113,7 +137,11 @@
 
     fn take_over(&mut self, now: Ns, snapshot: Snapshot) {
         let (before, after) = (self.in_force.version(), snapshot.version());
-        assert!(after > before, "{}: version {after} came into force after {before}", self.me.life.name);
+        assert!(
+            after > before,
+            "{}: version {after} came into force after {before}",
+            self.me.life.name
+        );
         self.log.push((now, after, snapshot.digest()));
         self.in_force = snapshot;
     }
@@ -147,7 +175,11 @@
         self.traffic.sent_bytes += bytes;
         self.traffic.longest = self.traffic.longest.max(bytes);
         let Some(id) = id_of(&to.name) else { return };
-        let envelope = Envelope { from: self.me.life.clone(), to, body };
+        let envelope = Envelope {
+            from: self.me.life.clone(),
+            to,
+            body,
+        };
         if let Ok(datagram) = postcard::to_stdvec(&envelope) {
             self.out.push_back((Net::<Process>::address(id), datagram));
         }
@@ -156,7 +188,9 @@
 
 impl Part for Process {
     fn heard(&mut self, now: Ns, bytes: &[u8]) {
-        let Ok(envelope) = postcard::from_bytes::<Envelope>(bytes) else { return };
+        let Ok(envelope) = postcard::from_bytes::<Envelope>(bytes) else {
+            return;
+        };
         if envelope.to != self.me.life {
             return;
         }
@@ -164,7 +198,9 @@
         self.traffic.heard_bytes += envelope.body.len() as u64 + OVERHEAD;
         let began = Instant::now();
         match Message::decode(&envelope.body) {
-            Ok(message) => self.spreader.heard(now, &envelope.from, message, envelope.body.len()),
+            Ok(message) => self
+                .spreader
+                .heard(now, &envelope.from, message, envelope.body.len()),
             Err(_) => self.spreader.unreadable(),
         }
         self.traffic.processor += began.elapsed();
--- a/crates/capacity/src/configuration/scenarios.rs
+++ b/crates/capacity/src/configuration/scenarios.rs
@@ -50,13 +50,19 @@
     /// The time within which this share was reached.
     pub fn quantile(&self, share: f64) -> f64 {
         let last = self.seconds.len().saturating_sub(1);
-        self.seconds.get((last as f64 * share).ceil() as usize).copied().unwrap_or(f64::NAN)
+        self.seconds
+            .get((last as f64 * share).ceil() as usize)
+            .copied()
+            .unwrap_or(f64::NAN)
     }
 }
 
 fn fleet(count: usize, seed: u64) -> (Fleet, Snapshot) {
     let base = tenants(TENANTS);
-    let weather = Weather { loss: LOSS, ..Weather::default() };
+    let weather = Weather {
+        loss: LOSS,
+        ..Weather::default()
+    };
     let mut fleet = Fleet::new(count, seed, &base, weather);
     fleet.run_for(2 * SECOND);
     (fleet, base)
@@ -64,7 +70,13 @@
 
 /// Traffic of every process, to tell later what a span has cost.
 fn traffic(fleet: &Fleet) -> Vec<Traffic> {
-    let of = |id| fleet.net.part(id).map(|process| process.traffic).unwrap_or_default();
+    let of = |id| {
+        fleet
+            .net
+            .part(id)
+            .map(|process| process.traffic)
+            .unwrap_or_default()
+    };
     fleet.net.ids().map(of).collect()
 }
 
@@ -109,10 +121,16 @@
 fn restart(count: usize, seed: u64, keeps: bool) -> Outcome {
     let (mut fleet, base) = fleet(count, seed);
     hour_of_changes(&mut fleet);
-    let restarted: Vec<Id> = (1..=count.div_ceil(100)).map(|n| n * 97 % count.max(2)).collect();
+    let restarted: Vec<Id> = (1..=count.div_ceil(100))
+        .map(|n| n * 97 % count.max(2))
+        .collect();
     let (began, mut before) = (fleet.net.now(), traffic(&fleet));
     for &id in restarted.iter().filter(|id| **id != WRITER) {
-        let kept = if keeps { base.clone() } else { Snapshot::empty() };
+        let kept = if keeps {
+            base.clone()
+        } else {
+            Snapshot::empty()
+        };
         fleet.restart(id, Role::Sidecar, kept);
         before[id] = Traffic::default();
     }
@@ -155,19 +173,31 @@
 
 fn publish(fleet: &mut Fleet) {
     let published = fleet.publish(WRITER, 1);
-    assert!(published.is_ok(), "the only writer may publish: {published:?}");
+    assert!(
+        published.is_ok(),
+        "the only writer may publish: {published:?}"
+    );
 }
 
 /// Plays until these have what the writer has. When each did, in seconds, and how many did not.
 fn catch_up(fleet: &mut Fleet, ids: &[Id]) -> (Vec<f64>, usize) {
     let began = fleet.net.now();
-    let newest = fleet.net.part(WRITER).map(|writer| writer.in_force.version());
+    let newest = fleet
+        .net
+        .part(WRITER)
+        .map(|writer| writer.in_force.version());
     let mut behind: Vec<Id> = ids.iter().copied().filter(|id| *id != WRITER).collect();
     let mut seconds = Vec::new();
     while !behind.is_empty() && fleet.net.now() < began + GRACE {
         fleet.run_for(LOOK);
         let elapsed = (fleet.net.now() - began) as f64 / SECOND as f64;
-        let caught_up = |id: &Id| fleet.net.part(*id).map(|process| process.in_force.version()) == newest;
+        let caught_up = |id: &Id| {
+            fleet
+                .net
+                .part(*id)
+                .map(|process| process.in_force.version())
+                == newest
+        };
         let before = behind.len();
         behind.retain(|id| !caught_up(id));
         seconds.extend(std::iter::repeat_n(elapsed, before - behind.len()));
@@ -177,15 +207,25 @@
 
 fn reached(outcome: &mut Outcome, latencies: Vec<Option<Ns>>) {
     outcome.not_reached = latencies.iter().filter(|latency| latency.is_none()).count();
-    outcome.seconds = latencies.into_iter().flatten().map(|ns| ns as f64 / SECOND as f64).collect();
+    outcome.seconds = latencies
+        .into_iter()
+        .flatten()
+        .map(|ns| ns as f64 / SECOND as f64)
+        .collect();
     outcome.seconds.sort_by(f64::total_cmp);
 }
 
 /// What the writer's last round says.
 fn acknowledged(fleet: &Fleet) -> String {
-    let writer = fleet.net.part(WRITER).and_then(|writer| writer.spreader.glance().writer);
+    let writer = fleet
+        .net
+        .part(WRITER)
+        .and_then(|writer| writer.spreader.glance().writer);
     match writer.and_then(|writer| writer.round) {
-        Some(round) => format!("last round: {} of {} have {}", round.have, round.of, round.version),
+        Some(round) => format!(
+            "last round: {} of {} have {}",
+            round.have, round.of, round.version
+        ),
         None => "no round has ended".to_string(),
     }
 }
@@ -193,15 +233,26 @@
 fn costs(fleet: &Fleet, before: &[Traffic], began: Ns) -> Outcome {
     let span = (fleet.net.now() - began) as f64 / SECOND as f64;
     let since = |id: Id, process: &Process| spent(&process.traffic, &before[id]);
-    let all: Vec<(Id, Traffic)> =
-        fleet.net.ids().filter_map(|id| Some((id, since(id, fleet.net.part(id)?)))).collect();
-    let sidecars = || all.iter().filter(|(id, _)| *id != WRITER).map(|(_, traffic)| traffic);
+    let all: Vec<(Id, Traffic)> = fleet
+        .net
+        .ids()
+        .filter_map(|id| Some((id, since(id, fleet.net.part(id)?))))
+        .collect();
+    let sidecars = || {
+        all.iter()
+            .filter(|(id, _)| *id != WRITER)
+            .map(|(_, traffic)| traffic)
+    };
     let count = sidecars().count().max(1) as f64;
     let sum = sidecars().fold(Traffic::default(), |sum, traffic| added(&sum, traffic));
     let rate = |most: Option<u64>| most.unwrap_or(0) as f64 / span;
     Outcome {
         mean: cost(&sum, span * count),
-        writer: all.iter().find(|(id, _)| *id == WRITER).map(|(_, own)| cost(own, span)).unwrap_or_default(),
+        writer: all
+            .iter()
+            .find(|(id, _)| *id == WRITER)
+            .map(|(_, own)| cost(own, span))
+            .unwrap_or_default(),
         busiest_bytes_per_s: rate(sidecars().map(|traffic| traffic.sent_bytes).max()),
         busiest_heard_bytes_per_s: rate(sidecars().map(|traffic| traffic.heard_bytes).max()),
         longest_message: sidecars().map(|traffic| traffic.longest).max().unwrap_or(0),
--- a/crates/capacity/src/discovery.rs
+++ b/crates/capacity/src/discovery.rs
@@ -35,7 +35,12 @@
 
 impl Options {
     pub fn quick() -> Options {
-        Options { pods: vec![100, 1_000], sidecars: vec![100, 400], subsets: vec![52], rounds: 2 }
+        Options {
+            pods: vec![100, 1_000],
+            sidecars: vec![100, 400],
+            subsets: vec![52],
+            rounds: 2,
+        }
     }
 
     pub fn full() -> Options {
@@ -74,12 +79,22 @@
 }
 
 pub fn control_bytes() -> ControlBytes {
-    let stage = Stage { build: 1_042, stage: 2, phase: Phase::Trial, cap: 0.25, age: 90_000_000_000 };
+    let stage = Stage {
+        build: 1_042,
+        stage: 2,
+        phase: Phase::Trial,
+        cap: 0.25,
+        age: 90_000_000_000,
+    };
     let (mut news, mut answer) = (String::new(), String::new());
     desk::tell_stage(&mut news, 10_000, &stage);
     desk::tell_voted(&mut answer, 10_000, 500, Heard::Counted, Some(&stage));
     let vote = desk::ask_vote(500, stage.build, stage.stage, Voice::On);
-    ControlBytes { news: news.len(), vote: vote.len(), answer: answer.len() }
+    ControlBytes {
+        news: news.len(),
+        vote: vote.len(),
+        answer: answer.len(),
+    }
 }
 
 /// All sections of service discovery and of the control plane.
@@ -87,11 +102,22 @@
 /// # Errors
 /// A list that its own codec does not read back.
 pub fn discovery(options: &Options) -> Result<Vec<Section>, CapacityError> {
-    Ok(vec![lists(options), sent_by_one_machine(options), codec_time(options)?, control_plane(options)])
+    Ok(vec![
+        lists(options),
+        sent_by_one_machine(options),
+        codec_time(options)?,
+        control_plane(options),
+    ])
 }
 
 fn points(sizes: &[usize], value: impl Fn(usize) -> f64) -> Vec<Point> {
-    sizes.iter().map(|size| Point { size: *size as f64, value: value(*size) }).collect()
+    sizes
+        .iter()
+        .map(|size| Point {
+            size: *size as f64,
+            value: value(*size),
+        })
+        .collect()
 }
 
 fn lists(options: &Options) -> Section {
@@ -126,12 +152,29 @@
             let points = points(&options.sidecars, |sidecars| sidecars as f64 * each);
             Series::new(&name, "sidecars", "encoded", points)
         };
-        series.push(by_sidecars(format!("rolling_release_sent_bytes_per_s, {subset} pods each"), received));
-        series.push(by_sidecars(format!("restart_sent_bytes, {subset} pods each"), whole));
+        series.push(by_sidecars(
+            format!("rolling_release_sent_bytes_per_s, {subset} pods each"),
+            received,
+        ));
+        series.push(by_sidecars(
+            format!("restart_sent_bytes, {subset} pods each"),
+            whole,
+        ));
         let wire = whole / ETHERNET_BYTES_PER_S;
-        series.push(by_sidecars(format!("restart_at_1_gbit_s, {subset} pods each"), wire));
-        let points = vec![Point { size: subset as f64, value: received }];
-        series.push(Series::new("rolling_release_received_bytes_per_s", "pods", "encoded", points));
+        series.push(by_sidecars(
+            format!("restart_at_1_gbit_s, {subset} pods each"),
+            wire,
+        ));
+        let points = vec![Point {
+            size: subset as f64,
+            value: received,
+        }];
+        series.push(Series::new(
+            "rolling_release_received_bytes_per_s",
+            "pods",
+            "encoded",
+            points,
+        ));
     }
     Section {
         title: "Service discovery: one machine for all sidecars".to_string(),
@@ -153,15 +196,24 @@
     for count in &options.pods {
         let pods = samples::pods(*count);
         let began = Instant::now();
-        let text = (0..options.rounds).map(|_| nodes::keep(&pods)).next_back().unwrap_or_default();
+        let text = (0..options.rounds)
+            .map(|_| nodes::keep(&pods))
+            .next_back()
+            .unwrap_or_default();
         let wrote = began.elapsed().as_secs_f64() / options.rounds.max(1) as f64;
         let began = Instant::now();
         for _ in 0..options.rounds {
             nodes::read_kept(&text).map_err(CapacityError::Encoding)?;
         }
         let read = began.elapsed().as_secs_f64() / options.rounds.max(1) as f64;
-        writing.push(Point { size: *count as f64, value: wrote * 1e3 });
-        reading.push(Point { size: *count as f64, value: read * 1e3 });
+        writing.push(Point {
+            size: *count as f64,
+            value: wrote * 1e3,
+        });
+        reading.push(Point {
+            size: *count as f64,
+            value: read * 1e3,
+        });
     }
     Ok(Section {
         title: "Service discovery: processor time of the codec".to_string(),
@@ -170,7 +222,8 @@
             Series::new("read_whole_list_ms", "pods", "process", reading),
         ],
         notes: vec![
-            "timed in this process, without sockets; written anew for each sidecar as today".to_string()
+            "timed in this process, without sockets; written anew for each sidecar as today"
+                .to_string(),
         ],
     })
 }
@@ -180,7 +233,12 @@
     let repeated = |sidecars: usize| sidecars as f64 * bytes.news as f64 / NEWS_REPEATED_EVERY_S;
     let votes = |sidecars: usize| sidecars as f64 / VOTE_CAST_AGAIN_AFTER_S;
     let by_sidecars = |name, value: &dyn Fn(usize) -> f64| {
-        Series::new(name, "sidecars", "encoded", points(&options.sidecars, value))
+        Series::new(
+            name,
+            "sidecars",
+            "encoded",
+            points(&options.sidecars, value),
+        )
     };
     Section {
         title: "Control plane: one machine for all sidecars".to_string(),
@@ -204,5 +262,8 @@
 
 /// The change that takes a pod off the list.
 pub fn removal(pod: &Listed) -> Listed {
-    Listed { state: PodState::Gone, ..pod.clone() }
+    Listed {
+        state: PodState::Gone,
+        ..pod.clone()
+    }
 }
--- a/crates/capacity/src/error.rs
+++ b/crates/capacity/src/error.rs
@@ -18,6 +18,9 @@
 impl CapacityError {
     /// For `map_err`, with what was tried.
     pub fn io(what: &str) -> impl FnOnce(io::Error) -> CapacityError + '_ {
-        move |source| CapacityError::Io { what: what.to_string(), source }
+        move |source| CapacityError::Io {
+            what: what.to_string(),
+            source,
+        }
     }
 }
--- a/crates/capacity/src/hollow.rs
+++ b/crates/capacity/src/hollow.rs
@@ -43,12 +43,34 @@
 }
 
 /// The membership node of the nth sidecar, as the program makes it.
-pub fn node(now: Ns, at: SocketAddr, number: usize, incarnation: u64, seeds: Vec<SocketAddr>) -> Node {
-    let who = Life { name: name(number), life: incarnation };
+pub fn node(
+    now: Ns,
+    at: SocketAddr,
+    number: usize,
+    incarnation: u64,
+    seeds: Vec<SocketAddr>,
+) -> Node {
+    let who = Life {
+        name: name(number),
+        life: incarnation,
+    };
     let zone = format!("zone-{:02}", number % ZONES);
-    let me = News { who, at, zone, round: 0, state: State::Lives };
+    let me = News {
+        who,
+        at,
+        zone,
+        round: 0,
+        state: State::Lives,
+    };
     let seed = (number as u64) << 32 | incarnation;
-    let mut node = Node::new(now, seed, me, seeds, Rules::default(), vec![Key::new([7; 32])]);
+    let mut node = Node::new(
+        now,
+        seed,
+        me,
+        seeds,
+        Rules::default(),
+        vec![Key::new([7; 32])],
+    );
     node.reads(VIEWS);
     node
 }
@@ -57,7 +79,14 @@
     pub fn new(now: Ns, node: Node, cost: Cost) -> HollowSidecar {
         let views = Views::new(now, node.fellows().me().who.clone(), QuorumRules::default());
         let earlier_rows = cost.rows_visited;
-        HollowSidecar { node, views, period: Rules::default().period, next_tick: now, cost, earlier_rows }
+        HollowSidecar {
+            node,
+            views,
+            period: Rules::default().period,
+            next_tick: now,
+            cost,
+            earlier_rows,
+        }
     }
 
     pub fn cost(&self) -> &Cost {
@@ -96,7 +125,11 @@
     fn take_events(&mut self, now: Ns) {
         while let Some(happened) = self.node.happened() {
             match happened {
-                Happened::Came { from, kind: VIEWS, body } => {
+                Happened::Came {
+                    from,
+                    kind: VIEWS,
+                    body,
+                } => {
                     let _ = self.views.receive(now, &from, &body);
                 }
                 Happened::Came { .. } => {}
@@ -132,7 +165,11 @@
     }
 
     fn next_wake(&self) -> Option<Ns> {
-        self.node.next_wake().into_iter().chain([self.next_tick]).min()
+        self.node
+            .next_wake()
+            .into_iter()
+            .chain([self.next_tick])
+            .min()
     }
 
     fn datagram(&mut self) -> Option<(SocketAddr, Vec<u8>)> {
--- a/crates/capacity/src/membership.rs
+++ b/crates/capacity/src/membership.rs
@@ -41,7 +41,12 @@
 impl Options {
     /// A minute or two.
     pub fn quick() -> Options {
-        Options { sizes: vec![50, 100, 200, 400], windows_s: vec![60, 120, 180], phase_s: 120, faults: true }
+        Options {
+            sizes: vec![50, 100, 200, 400],
+            windows_s: vec![60, 120, 180],
+            phase_s: 120,
+            faults: true,
+        }
     }
 
     /// Up to the target's size.
@@ -63,27 +68,56 @@
 
 impl Figures {
     pub(crate) fn new(measured_on: &str) -> Figures {
-        Figures { measured_on: measured_on.to_string(), sections: Vec::new() }
+        Figures {
+            measured_on: measured_on.to_string(),
+            sections: Vec::new(),
+        }
     }
 
     pub(crate) fn add(&mut self, section: &str, series: &str, size: usize, value: f64) {
-        let at = self.sections.iter().position(|known| known.title == section).unwrap_or_else(|| {
-            let title = section.to_string();
-            self.sections.push(Section { title, series: Vec::new(), notes: Vec::new() });
-            self.sections.len() - 1
-        });
+        let at = self
+            .sections
+            .iter()
+            .position(|known| known.title == section)
+            .unwrap_or_else(|| {
+                let title = section.to_string();
+                self.sections.push(Section {
+                    title,
+                    series: Vec::new(),
+                    notes: Vec::new(),
+                });
+                self.sections.len() - 1
+            });
         let all = &mut self.sections[at].series;
-        let at = all.iter().position(|known| known.name == series).unwrap_or_else(|| {
-            all.push(Series::new(series, "sidecars", &self.measured_on, Vec::new()));
-            all.len() - 1
+        let at = all
+            .iter()
+            .position(|known| known.name == series)
+            .unwrap_or_else(|| {
+                all.push(Series::new(
+                    series,
+                    "sidecars",
+                    &self.measured_on,
+                    Vec::new(),
+                ));
+                all.len() - 1
+            });
+        all[at].points.push(Point {
+            size: size as f64,
+            value,
         });
-        all[at].points.push(Point { size: size as f64, value });
     }
 
     /// All sections, with lines fitted and these notes.
     pub(crate) fn sections(self, notes: &[String]) -> Vec<Section> {
         let finish = |section: Section| Section {
-            series: section.series.into_iter().map(|s| Series { fit: fit(&s.points), ..s }).collect(),
+            series: section
+                .series
+                .into_iter()
+                .map(|s| Series {
+                    fit: fit(&s.points),
+                    ..s
+                })
+                .collect(),
             notes: notes.to_vec(),
             ..section
         };
@@ -107,12 +141,19 @@
 impl Fleet {
     /// All start at once.
     pub fn start(size: usize) -> Fleet {
-        let mut fleet = Fleet { net: Net::new(SEED, Weather::default()), incarnations: vec![1; size] };
+        let mut fleet = Fleet {
+            net: Net::new(SEED, Weather::default()),
+            incarnations: vec![1; size],
+        };
         for number in 0..size {
             // Clocks that never agree: other starts, and up to a thousandth fast or slow.
-            let clock =
-                Clock { began: number as Ns * 77 * SECOND, drift_ppm: (number as i64 % 3 - 1) * 1_000 };
-            fleet.net.join(clock, |now, at| sidecar(now, at, number, 1, Cost::default()));
+            let clock = Clock {
+                began: number as Ns * 77 * SECOND,
+                drift_ppm: (number as i64 % 3 - 1) * 1_000,
+            };
+            fleet.net.join(clock, |now, at| {
+                sidecar(now, at, number, 1, Cost::default())
+            });
         }
         fleet
     }
@@ -128,13 +169,21 @@
 
     /// Of each sidecar that runs.
     pub fn costs(&self) -> impl Iterator<Item = &Cost> {
-        self.net.ids().filter_map(|id| self.net.part(id)).map(HollowSidecar::cost)
+        self.net
+            .ids()
+            .filter_map(|id| self.net.part(id))
+            .map(HollowSidecar::cost)
     }
 
     fn spent(&self) -> Spent {
         let mut spent = Spent::default();
         for id in self.net.ids() {
-            let cost = self.net.part(id).map(HollowSidecar::cost).cloned().unwrap_or_default();
+            let cost = self
+                .net
+                .part(id)
+                .map(HollowSidecar::cost)
+                .cloned()
+                .unwrap_or_default();
             spent.received.push(cost.received);
             spent.all.received += cost.received;
             spent.all.received_bytes += cost.received_bytes;
@@ -149,7 +198,10 @@
     }
 
     fn running(&self) -> Vec<Id> {
-        self.net.ids().filter(|id| self.net.part(*id).is_some()).collect()
+        self.net
+            .ids()
+            .filter(|id| self.net.part(*id).is_some())
+            .collect()
     }
 
     fn share(&self, holds: impl Fn(&HollowSidecar) -> bool) -> f64 {
@@ -192,7 +244,12 @@
     }
 
     fn kill(&mut self, id: Id) -> Cost {
-        let cost = self.net.part(id).map(HollowSidecar::cost).cloned().unwrap_or_default();
+        let cost = self
+            .net
+            .part(id)
+            .map(HollowSidecar::cost)
+            .cloned()
+            .unwrap_or_default();
         self.net.kill(id);
         cost
     }
@@ -200,7 +257,8 @@
     fn revive(&mut self, id: Id, cost: Cost) {
         self.incarnations[id] += 1;
         let incarnation = self.incarnations[id];
-        self.net.restart(id, |now, at| sidecar(now, at, id, incarnation, cost));
+        self.net
+            .restart(id, |now, at| sidecar(now, at, id, incarnation, cost));
     }
 }
 
@@ -221,18 +279,33 @@
     play(fleet);
     let (after, size) = (fleet.spent(), fleet.size());
     let seconds = (fleet.net.now() - began) as f64 / SECOND as f64;
-    let each =
-        |of: fn(&Cost) -> u64| of(&after.all).saturating_sub(of(&before.all)) as f64 / seconds / size as f64;
-    let busiest =
-        after.received.iter().zip(&before.received).map(|(after, before)| after.saturating_sub(*before));
-    let processor = after.all.processor.saturating_sub(before.all.processor).as_secs_f64();
-    let mut add = |name: &str, value: f64| figures.add(section, &format!("{phase}: {name}"), size, value);
+    let each = |of: fn(&Cost) -> u64| {
+        of(&after.all).saturating_sub(of(&before.all)) as f64 / seconds / size as f64
+    };
+    let busiest = after
+        .received
+        .iter()
+        .zip(&before.received)
+        .map(|(after, before)| after.saturating_sub(*before));
+    let processor = after
+        .all
+        .processor
+        .saturating_sub(before.all.processor)
+        .as_secs_f64();
+    let mut add =
+        |name: &str, value: f64| figures.add(section, &format!("{phase}: {name}"), size, value);
     add("received_bytes_per_s", each(|cost| cost.received_bytes));
     add("received_messages_per_s", each(|cost| cost.received));
     add("sent_bytes_per_s", each(|cost| cost.sent_bytes));
-    add("busiest_received_messages_per_s", busiest.max().unwrap_or(0) as f64 / seconds);
+    add(
+        "busiest_received_messages_per_s",
+        busiest.max().unwrap_or(0) as f64 / seconds,
+    );
     add("rows_visited_per_s", each(|cost| cost.rows_visited));
-    add("processor_share_percent", 100.0 * processor / seconds / size as f64);
+    add(
+        "processor_share_percent",
+        100.0 * processor / seconds / size as f64,
+    );
     add("share_seeing_all", fleet.share_whole());
     add("share_agreed", fleet.share_agreed());
 }
@@ -243,7 +316,9 @@
     let mut from = 0;
     for until in windows_s {
         let phase = format!("{from} to {until} s");
-        measure(fleet, figures, SECTION, &phase, |fleet| fleet.run((until - from) * SECOND));
+        measure(fleet, figures, SECTION, &phase, |fleet| {
+            fleet.run((until - from) * SECOND)
+        });
         from = *until;
     }
 }
@@ -264,7 +339,13 @@
         }
         fleet.run(until - fleet.net.now());
     };
-    measure(fleet, figures, "Membership: restarts at the target's rate", "restarts", play);
+    measure(
+        fleet,
+        figures,
+        "Membership: restarts at the target's rate",
+        "restarts",
+        play,
+    );
 }
 
 /// How long until one killed sidecar is known lost.
@@ -274,12 +355,19 @@
     let (name, incarnation) = (hollow::name(victim), fleet.incarnations[victim]);
     let cost = fleet.kill(victim);
     let began = fleet.net.now();
-    for (series, share) in
-        [("known_lost_to_half_s", 0.5), ("known_lost_to_99_percent_s", 0.99), ("known_lost_to_all_s", 1.0)]
-    {
+    for (series, share) in [
+        ("known_lost_to_half_s", 0.5),
+        ("known_lost_to_99_percent_s", 0.99),
+        ("known_lost_to_all_s", 1.0),
+    ] {
         let known = |fleet: &Fleet| fleet.share(|part| !part.sees(&name, incarnation)) >= share;
         if fleet.until(known).is_some() {
-            figures.add(SECTION, series, size, (fleet.net.now() - began) as f64 / SECOND as f64);
+            figures.add(
+                SECTION,
+                series,
+                size,
+                (fleet.net.now() - began) as f64 / SECOND as f64,
+            );
         }
     }
     fleet.revive(victim, cost);
@@ -296,8 +384,18 @@
     measure(fleet, figures, SECTION, "1% lost", |fleet| fleet.run(span));
     fleet.net.weather.loss = 0.0;
     let (after, size) = (fleet.spent().all, fleet.size());
-    figures.add(SECTION, "false_losses_in_all", size, (after.lost - before.lost) as f64);
-    figures.add(SECTION, "suspicions_in_all", size, (after.suspected - before.suspected) as f64);
+    figures.add(
+        SECTION,
+        "false_losses_in_all",
+        size,
+        (after.lost - before.lost) as f64,
+    );
+    figures.add(
+        SECTION,
+        "suspicions_in_all",
+        size,
+        (after.suspected - before.suspected) as f64,
+    );
 }
 
 /// Fourteen at once.
@@ -307,14 +405,24 @@
     let victims: Vec<Id> = (0..ZONE_LOST).map(|n| SEEDS + 2 * n).collect();
     let costs: Vec<Cost> = victims.iter().map(|id| fleet.kill(*id)).collect();
     let began = fleet.net.now();
-    measure(fleet, figures, SECTION, "first 60 s", |fleet| fleet.run(60 * SECOND));
+    measure(fleet, figures, SECTION, "first 60 s", |fleet| {
+        fleet.run(60 * SECOND)
+    });
     if fleet.until(|fleet| fleet.share_whole() >= 1.0).is_some() {
         let seconds = (fleet.net.now() - began) as f64 / SECOND as f64;
         figures.add(SECTION, "lost_to_all_s_at_least_60", size, seconds);
     }
-    victims.iter().zip(costs).for_each(|(id, cost)| fleet.revive(*id, cost));
+    victims
+        .iter()
+        .zip(costs)
+        .for_each(|(id, cost)| fleet.revive(*id, cost));
     if let Some(seconds) = fleet.until(|fleet| fleet.share_whole() >= 1.0) {
-        figures.add(SECTION, "seen_by_all_after_their_next_start_s", size, seconds);
+        figures.add(
+            SECTION,
+            "seen_by_all_after_their_next_start_s",
+            size,
+            seconds,
+        );
     }
 }
 
@@ -323,25 +431,36 @@
     const SECTION: &str = "Membership: four regions parted, and joined again";
     let size = fleet.size();
     let region = |id: &Id| id % ZONES % REGIONS;
-    let groups: Vec<Vec<Id>> =
-        (0..REGIONS).map(|wanted| fleet.net.ids().filter(|id| region(id) == wanted).collect()).collect();
-    fleet.net.split(&groups.iter().map(Vec::as_slice).collect::<Vec<_>>());
+    let groups: Vec<Vec<Id>> = (0..REGIONS)
+        .map(|wanted| fleet.net.ids().filter(|id| region(id) == wanted).collect())
+        .collect();
+    fleet
+        .net
+        .split(&groups.iter().map(Vec::as_slice).collect::<Vec<_>>());
     measure(fleet, figures, SECTION, "parted", |fleet| fleet.run(span));
     fleet.net.heal();
     let joined = fleet.net.now();
-    measure(fleet, figures, SECTION, "first 60 s joined", |fleet| fleet.run(60 * SECOND));
+    measure(fleet, figures, SECTION, "first 60 s joined", |fleet| {
+        fleet.run(60 * SECOND)
+    });
     if fleet.until(|fleet| fleet.share_whole() >= 1.0).is_some() {
         let seconds = (fleet.net.now() - joined) as f64 / SECOND as f64;
         figures.add(SECTION, "all_see_all_s_at_least_60", size, seconds);
     }
-    measure(fleet, figures, SECTION, "the 60 s after that", |fleet| fleet.run(60 * SECOND));
+    measure(fleet, figures, SECTION, "the 60 s after that", |fleet| {
+        fleet.run(60 * SECOND)
+    });
 }
 
 /// Resident memory of this process, in bytes; 0 where the system does not say.
 pub(crate) fn resident_bytes() -> u64 {
     const PAGE: u64 = 4_096;
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
-    text.split_whitespace().nth(1).and_then(|pages| pages.parse::<u64>().ok()).unwrap_or(0) * PAGE
+    text.split_whitespace()
+        .nth(1)
+        .and_then(|pages| pages.parse::<u64>().ok())
+        .unwrap_or(0)
+        * PAGE
 }
 
 /// Everything, for each size.
@@ -352,7 +471,12 @@
         let mut fleet = Fleet::start(*size);
         common_start(&mut fleet, &mut figures, &options.windows_s);
         let memory = resident_bytes().saturating_sub(empty) as f64 / *size as f64;
-        figures.add("Membership: memory", "resident_bytes_per_sidecar", *size, memory);
+        figures.add(
+            "Membership: memory",
+            "resident_bytes_per_sidecar",
+            *size,
+            memory,
+        );
         let span = options.phase_s * SECOND;
         restarts(&mut fleet, &mut figures, span);
         if options.faults {
--- a/crates/capacity/src/membership_sockets.rs
+++ b/crates/capacity/src/membership_sockets.rs
@@ -34,12 +34,18 @@
 impl Options {
     /// Half a minute for each size.
     pub fn quick() -> Options {
-        Options { sizes: vec![50, 100], windows_s: vec![30] }
+        Options {
+            sizes: vec![50, 100],
+            windows_s: vec![30],
+        }
     }
 
     /// Two minutes for each size.
     pub fn full() -> Options {
-        Options { sizes: vec![50, 100, 200, 400], windows_s: vec![60, 120] }
+        Options {
+            sizes: vec![50, 100, 200, 400],
+            windows_s: vec![60, 120],
+        }
     }
 }
 
@@ -87,10 +93,18 @@
         let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
         let talker = Talker::bind(any, |now, at| hollow::node(now, at, number, 1, seeds)).await?;
         let me = talker.call(|node, _| node.fellows().me().who.clone());
-        let views = Rc::new(RefCell::new(Views::new(talker.now(), me, QuorumRules::default())));
+        let views = Rc::new(RefCell::new(Views::new(
+            talker.now(),
+            me,
+            QuorumRules::default(),
+        )));
         let heard = views.clone();
         spawn_local(talker.clone().run(move |talker, happened| match happened {
-            Happened::Came { from, kind: VIEWS, body } => {
+            Happened::Came {
+                from,
+                kind: VIEWS,
+                body,
+            } => {
                 let _ = heard.borrow_mut().receive(talker.now(), &from, &body);
             }
             Happened::Came { .. } => {}
@@ -106,7 +120,8 @@
 
     /// Messages that came, messages sent, and their bytes.
     fn counts(&self) -> [u64; 3] {
-        self.talker.call(|node, _| [node.came, node.sent, node.sent_bytes])
+        self.talker
+            .call(|node, _| [node.came, node.sent, node.sent_bytes])
     }
 }
 
@@ -131,7 +146,10 @@
         running.push(sidecar);
     }
     let sums = |running: &[Running]| {
-        running.iter().map(Running::counts).fold([0; 3], |sum, each| [0, 1, 2].map(|n| sum[n] + each[n]))
+        running
+            .iter()
+            .map(Running::counts)
+            .fold([0; 3], |sum, each| [0, 1, 2].map(|n| sum[n] + each[n]))
     };
     let (mut from, mut before) = (0, sums(&running));
     for until in windows_s {
@@ -139,16 +157,29 @@
         let after = sums(&running);
         let each = |n: usize| (after[n] - before[n]) as f64 / (until - from) as f64 / size as f64;
         let mut add = |name: &str, value: f64| {
-            figures.add(SECTION, &format!("{from} to {until} s: {name}"), size, value);
+            figures.add(
+                SECTION,
+                &format!("{from} to {until} s: {name}"),
+                size,
+                value,
+            );
         };
         add("received_messages_per_s", each(0));
         add("sent_messages_per_s", each(1));
         add("sent_bytes_per_s", each(2));
-        let whole = running.iter().filter(|sidecar| sidecar.living() + 1 == size).count();
+        let whole = running
+            .iter()
+            .filter(|sidecar| sidecar.living() + 1 == size)
+            .count();
         add("share_seeing_all", whole as f64 / size as f64);
         (from, before) = (*until, after);
     }
-    figures.add(SECTION, "resident_bytes_per_sidecar", size, resident_bytes() as f64 / size as f64);
+    figures.add(
+        SECTION,
+        "resident_bytes_per_sidecar",
+        size,
+        resident_bytes() as f64 / size as f64,
+    );
     Ok(())
 }
 
@@ -161,7 +192,9 @@
     let mut notes = vec!["all sidecars in one thread of one process, on loopback".to_string()];
     for size in &options.sizes {
         // A runtime for each size: whatever runs in it ends with it.
-        let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+        let runtime = tokio::runtime::Builder::new_current_thread()
+            .enable_all()
+            .build()?;
         let work = measure(*size, &options.windows_s, &mut figures);
         let done = check(*size).and_then(|()| LocalSet::new().block_on(&runtime, work));
         notes.extend(done.err().map(|refusal| format!("not measured: {refusal}")));
--- a/crates/capacity/src/report.rs
+++ b/crates/capacity/src/report.rs
@@ -49,8 +49,17 @@
 
     /// What the line says of a size, and by which factor that lies beyond the largest measured one.
     pub fn at(&self, size: f64) -> Option<(f64, f64)> {
-        let largest = self.points.iter().map(|point| point.size).fold(0.0, f64::max);
-        self.fit.map(|fit| (fit.intercept + fit.slope * size, size / largest.max(f64::MIN_POSITIVE)))
+        let largest = self
+            .points
+            .iter()
+            .map(|point| point.size)
+            .fold(0.0, f64::max);
+        self.fit.map(|fit| {
+            (
+                fit.intercept + fit.slope * size,
+                size / largest.max(f64::MIN_POSITIVE),
+            )
+        })
     }
 }
 
@@ -68,31 +77,55 @@
     let count = points.len() as f64;
     let mean_size = points.iter().map(|point| point.size).sum::<f64>() / count;
     let mean_value = points.iter().map(|point| point.value).sum::<f64>() / count;
-    let variance: f64 = points.iter().map(|point| (point.size - mean_size).powi(2)).sum();
+    let variance: f64 = points
+        .iter()
+        .map(|point| (point.size - mean_size).powi(2))
+        .sum();
     if points.len() < 2 || variance <= 0.0 {
         return None;
     }
-    let together: f64 =
-        points.iter().map(|point| (point.size - mean_size) * (point.value - mean_value)).sum();
+    let together: f64 = points
+        .iter()
+        .map(|point| (point.size - mean_size) * (point.value - mean_value))
+        .sum();
     let slope = together / variance;
     let intercept = mean_value - slope * mean_size;
     let distance = |point: &Point| (point.value - intercept - slope * point.size).abs();
-    let largest = points.iter().map(|point| point.value.abs()).fold(0.0, f64::max);
+    let largest = points
+        .iter()
+        .map(|point| point.value.abs())
+        .fold(0.0, f64::max);
     let spread = points.iter().map(distance).fold(0.0, f64::max) / largest.max(f64::MIN_POSITIVE);
-    Some(Fit { slope, intercept, spread })
+    Some(Fit {
+        slope,
+        intercept,
+        spread,
+    })
 }
 
 impl fmt::Display for Section {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         writeln!(f, "## {}", self.title)?;
         for series in &self.series {
-            writeln!(f, "{} by {} ({})", series.name, series.size_of, series.measured_on)?;
+            writeln!(
+                f,
+                "{} by {} ({})",
+                series.name, series.size_of, series.measured_on
+            )?;
             for point in &series.points {
                 writeln!(f, "  {:>10} {:>16.4}", point.size, point.value)?;
             }
             if let Some(fit) = series.fit {
-                let Fit { slope, intercept, spread } = fit;
-                writeln!(f, "  slope {slope:.6}, at 0 {intercept:.4}, spread {:.1}%", 100.0 * spread)?;
+                let Fit {
+                    slope,
+                    intercept,
+                    spread,
+                } = fit;
+                writeln!(
+                    f,
+                    "  slope {slope:.6}, at 0 {intercept:.4}, spread {:.1}%",
+                    100.0 * spread
+                )?;
             }
         }
         for note in &self.notes {
--- a/crates/capacity/src/tables.rs
+++ b/crates/capacity/src/tables.rs
@@ -125,7 +125,14 @@
         engine.begin(EPOCH);
         engine.list(EPOCH, true, pods);
         let (routes, chance) = (site.groups.len().max(1) as u64, Rand64::new(seed as u128));
-        Driver { engine, now: EPOCH, routes, chance, due: VecDeque::new(), counted: Counts::default() }
+        Driver {
+            engine,
+            now: EPOCH,
+            routes,
+            chance,
+            due: VecDeque::new(),
+            counted: Counts::default(),
+        }
     }
 
     pub fn counts(&self) -> Counts {
@@ -183,14 +190,29 @@
 
     /// One request and all that it leaves to do at once.
     pub fn request(&mut self) {
-        let (group, key) = (self.chance.rand_range(0..self.routes) as usize, self.chance.rand_u64().max(1));
-        let asked = Asked { group, customer: None, key, left: TIME_LEFT, cost_hint: None, repeat: false };
+        let (group, key) = (
+            self.chance.rand_range(0..self.routes) as usize,
+            self.chance.rand_u64().max(1),
+        );
+        let asked = Asked {
+            group,
+            customer: None,
+            key,
+            left: TIME_LEFT,
+            cost_hint: None,
+            repeat: false,
+        };
         let began = Instant::now();
         self.engine.hit(self.now, asked);
         let sent = self.drain();
         let spent = began.elapsed();
         let at = self.now + ANSWERS_AFTER;
-        self.due.extend(sent.into_iter().map(|(hit, nth)| Answer { at, hit, nth, spent }));
+        self.due.extend(sent.into_iter().map(|(hit, nth)| Answer {
+            at,
+            hit,
+            nth,
+            spent,
+        }));
     }
 
     /// Requests at a rate, and the time that each took in all, with its answer.
@@ -215,11 +237,23 @@
     fn answer(&mut self, due: Answer) -> Duration {
         self.now = self.now.max(due.at);
         let began = Instant::now();
-        self.engine.ended(self.now, due.hit, due.nth, Ended::Delivered, ANSWERS_AFTER, None);
+        self.engine.ended(
+            self.now,
+            due.hit,
+            due.nth,
+            Ended::Delivered,
+            ANSWERS_AFTER,
+            None,
+        );
         let sent = self.drain();
         let spent = due.spent + began.elapsed();
         let at = self.now + ANSWERS_AFTER;
-        self.due.extend(sent.into_iter().map(|(hit, nth)| Answer { at, hit, nth, spent }));
+        self.due.extend(sent.into_iter().map(|(hit, nth)| Answer {
+            at,
+            hit,
+            nth,
+            spent,
+        }));
         spent
     }
 }
@@ -234,7 +268,11 @@
 impl Timed {
     fn new() -> Result<Timed, CapacityError> {
         let each_ns = Histogram::new_with_bounds(1, 60 * S, 3)?;
-        Ok(Timed { each_ns, ticks: Duration::ZERO, span: Duration::ZERO })
+        Ok(Timed {
+            each_ns,
+            ticks: Duration::ZERO,
+            span: Duration::ZERO,
+        })
     }
 
     fn record(&mut self, spent: Duration) {
@@ -258,11 +296,17 @@
 
 impl Table {
     fn new(size_of: &'static str) -> Table {
-        Table { size_of, columns: Vec::new() }
+        Table {
+            size_of,
+            columns: Vec::new(),
+        }
     }
 
     fn put(&mut self, name: &str, size: usize, value: f64) {
-        let point = Point { size: size as f64, value };
+        let point = Point {
+            size: size as f64,
+            value,
+        };
         match self.columns.iter_mut().find(|(known, _)| known == name) {
             Some((_, points)) => points.push(point),
             None => self.columns.push((name.to_string(), vec![point])),
@@ -276,7 +320,8 @@
 
     fn section(self, title: &str, notes: &[&str]) -> Section {
         let size_of = self.size_of;
-        let series = |(name, points): (String, Vec<Point>)| Series::new(&name, size_of, "process", points);
+        let series =
+            |(name, points): (String, Vec<Point>)| Series::new(&name, size_of, "process", points);
         Section {
             title: title.to_string(),
             series: self.columns.into_iter().map(series).collect(),
@@ -288,7 +333,11 @@
 /// Memory of this process in pages that are there, 0 where the system does not tell.
 fn resident_bytes() -> u64 {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
-    let pages: u64 = text.split(' ').nth(1).and_then(|pages| pages.parse().ok()).unwrap_or(0);
+    let pages: u64 = text
+        .split(' ')
+        .nth(1)
+        .and_then(|pages| pages.parse().ok())
+        .unwrap_or(0);
     pages * PAGE_BYTES
 }
 
@@ -313,12 +362,20 @@
     for (size_of, sizes) in [("routes", &options.routes), ("tenants", &options.tenants)] {
         let mut table = Table::new(size_of);
         for size in sizes {
-            let site = if size_of == "routes" { samples::site(*size, 1)? } else { samples::site(1, *size)? };
+            let site = if size_of == "routes" {
+                samples::site(*size, 1)?
+            } else {
+                samples::site(1, *size)?
+            };
             let before = resident_bytes();
             let copy = site.clone();
             let engine = Engine::new(EPOCH, options.seed, &Terms::from(&copy));
             let grown = resident_bytes().saturating_sub(before);
-            table.put(&format!("settings_and_engine_with_{size_of}_mb"), *size, grown as f64 / BYTES_PER_MB);
+            table.put(
+                &format!("settings_and_engine_with_{size_of}_mb"),
+                *size,
+                grown as f64 / BYTES_PER_MB,
+            );
             sites.push((site, copy, engine));
         }
         section.series.extend(table.section("", &[]).series);
@@ -334,8 +391,20 @@
 fn replacement(number: usize, count: usize) -> [Vec<Listed>; 2] {
     let old = samples::pod(number % count.max(1));
     let new = samples::pod_of(count + number, 1, MS);
-    let drains = Listed { state: PodState::Draining, ..old.clone() };
-    [vec![drains], vec![Listed { state: PodState::Gone, ..old }, new]]
+    let drains = Listed {
+        state: PodState::Draining,
+        ..old.clone()
+    };
+    [
+        vec![drains],
+        vec![
+            Listed {
+                state: PodState::Gone,
+                ..old
+            },
+            new,
+        ],
+    ]
 }
 
 fn lists(options: &Options) -> Result<Section, CapacityError> {
@@ -362,8 +431,16 @@
         }
         table.put_times("one_change", *count, &timed);
         let calls = 2.0 * options.changes.max(1) as f64;
-        table.put("one_change_visited_pods", *count, visits.passed as f64 / calls);
-        table.put("one_change_sorted_pods", *count, visits.sorted as f64 / calls);
+        table.put(
+            "one_change_visited_pods",
+            *count,
+            visits.passed as f64 / calls,
+        );
+        table.put(
+            "one_change_sorted_pods",
+            *count,
+            visits.sorted as f64 / calls,
+        );
     }
     let notes = [
         "whole list: an engine made and its first list taken in; one change: one pod that drains, or one that is \
@@ -382,16 +459,29 @@
         driver.requests(100, RATES_PER_S[0])?;
         let (first, mut spent) = (driver.now, Duration::ZERO);
         let visits = driver.visits_of(|driver| {
-            spent = (1..=ticks).map(|tick| driver.pass(first + tick * 200 * MS)).sum();
+            spent = (1..=ticks)
+                .map(|tick| driver.pass(first + tick * 200 * MS))
+                .sum();
         });
         let span = Duration::from_nanos(driver.now - first);
         let share = 100.0 * spent.as_secs_f64() / span.as_secs_f64();
         table.put("tick_us", *count, spent.as_secs_f64() * 1e6 / ticks as f64);
         table.put("tick_percent_of_core", *count, share);
-        table.put("tick_visited_pods", *count, visits.passed as f64 / ticks as f64);
-        table.put("tick_fetched_pods", *count, visits.fetched as f64 / ticks as f64);
+        table.put(
+            "tick_visited_pods",
+            *count,
+            visits.passed as f64 / ticks as f64,
+        );
+        table.put(
+            "tick_fetched_pods",
+            *count,
+            visits.fetched as f64 / ticks as f64,
+        );
     }
-    Ok(table.section("Tick of one engine, five a second", &["time of calls, at rest between requests"]))
+    Ok(table.section(
+        "Tick of one engine, five a second",
+        &["time of calls, at rest between requests"],
+    ))
 }
 
 fn requests_by_pods(options: &Options) -> Result<Section, CapacityError> {
@@ -412,9 +502,17 @@
             }
             table.put_times(&format!("request_at_{rate}_per_s"), *count, &timed);
             let each = visits.fetched as f64 / options.requests.max(1) as f64;
-            table.put(&format!("request_at_{rate}_per_s_fetched_pods"), *count, each);
+            table.put(
+                &format!("request_at_{rate}_per_s_fetched_pods"),
+                *count,
+                each,
+            );
             let share = 100.0 * timed.tick_share_of_core();
-            table.put(&format!("ticks_at_{rate}_per_s_percent_of_core"), *count, share);
+            table.put(
+                &format!("ticks_at_{rate}_per_s_percent_of_core"),
+                *count,
+                share,
+            );
         }
         let mut cold = Driver::new(&site, options.seed, cold_pods(*count));
         table.put_times(
@@ -432,14 +530,18 @@
 }
 
 fn cold_pods(count: usize) -> Vec<Listed> {
-    (0..count).map(|number| samples::pod_of(number, 1, MS)).collect()
+    (0..count)
+        .map(|number| samples::pod_of(number, 1, MS))
+        .collect()
 }
 
 /// So many sides of one table: the builds differ, as the zones alone would be too few.
 fn sided_pods(count: usize, sides: usize) -> Vec<Listed> {
     let builds = (sides / samples::ZONES).max(1);
     let build = |number: usize| 1 + (number / samples::ZONES % builds) as u32;
-    (0..count).map(|number| samples::pod_of(number, build(number), 0)).collect()
+    (0..count)
+        .map(|number| samples::pod_of(number, build(number), 0))
+        .collect()
 }
 
 fn requests_by_sides(options: &Options) -> Result<Section, CapacityError> {
@@ -449,11 +551,21 @@
     for sides in &options.sides {
         let mut driver = Driver::new(&site, options.seed, sided_pods(count, *sides));
         let build = (*sides / samples::ZONES).max(1) as u32;
-        driver.news(Stage { build, stage: 1, phase: Phase::Released, cap: 1.0, age: 60 * S });
+        driver.news(Stage {
+            build,
+            stage: 1,
+            phase: Phase::Released,
+            cap: 1.0,
+            age: 60 * S,
+        });
         driver.requests(options.requests / 5, RATES_PER_S[0])?;
         let timed = driver.requests(options.requests, RATES_PER_S[0])?;
         table.put_times("request", *sides, &timed);
-        table.put("ticks_percent_of_core", *sides, 100.0 * timed.tick_share_of_core());
+        table.put(
+            "ticks_percent_of_core",
+            *sides,
+            100.0 * timed.tick_share_of_core(),
+        );
     }
     let notes = [
         "the engine has no services: all pods are one table, parted by zone and build into sides; a sidecar of \
@@ -471,9 +583,16 @@
         driver.requests(options.requests / 5, RATES_PER_S[0])?;
         let timed = driver.requests(options.requests, RATES_PER_S[0])?;
         table.put_times("request", *routes, &timed);
-        table.put("ticks_percent_of_core", *routes, 100.0 * timed.tick_share_of_core());
+        table.put(
+            "ticks_percent_of_core",
+            *routes,
+            100.0 * timed.tick_share_of_core(),
+        );
     }
-    Ok(table.section("A request in one engine, by routes", &["52 pods, 137 requests/s, routes drawn evenly"]))
+    Ok(table.section(
+        "A request in one engine, by routes",
+        &["52 pods, 137 requests/s, routes drawn evenly"],
+    ))
 }
 
 /// The table in which the proxy finds routes and tenants, and its engine, which gives each route its index.
--- a/crates/capacity/tests/membership.rs
+++ b/crates/capacity/tests/membership.rs
@@ -28,13 +28,21 @@
     let after = counts(&fleet);
     let [messages, bytes, rows] =
         [0, 1, 2].map(|n| (after[n] - before[n]) as f64 / (size as u64 * MEASURED_S) as f64);
-    Steady { messages, bytes, rows }
+    Steady {
+        messages,
+        bytes,
+        rows,
+    }
 }
 
 /// Messages, bytes and rows of the whole fleet.
 fn counts(fleet: &Fleet) -> [u64; 3] {
     let sum = |of: fn(&Cost) -> u64| fleet.costs().map(of).sum();
-    [sum(|cost| cost.received), sum(|cost| cost.received_bytes), sum(|cost| cost.rows_visited)]
+    [
+        sum(|cost| cost.received),
+        sum(|cost| cost.received_bytes),
+        sum(|cost| cost.rows_visited),
+    ]
 }
 
 #[test]
--- a/crates/capacity/tests/tables.rs
+++ b/crates/capacity/tests/tables.rs
@@ -31,7 +31,11 @@
         let before = driver.counts().forwards;
         let visits = driver.visits_of(|driver| (0..AT_ONCE).for_each(|_| driver.request()));
         assert_eq!(driver.counts().forwards - before, AT_ONCE);
-        assert_eq!(visits.sorted + visits.passed, 0, "a pass over the table within a request");
+        assert_eq!(
+            visits.sorted + visits.passed,
+            0,
+            "a pass over the table within a request"
+        );
         visits.fetched as f64 / AT_ONCE as f64
     };
     let (few, many) = (fetched(FEW), fetched(MANY));
@@ -49,7 +53,10 @@
         driver.pass(EPOCH + S + 200 * MS);
     });
     assert!(visits.passed <= 2 * MANY as u64, "{visits:?}");
-    assert!(visits.fetched <= 200, "a tick fetches the pods that the sidecar keeps to: {visits:?}");
+    assert!(
+        visits.fetched <= 200,
+        "a tick fetches the pods that the sidecar keeps to: {visits:?}"
+    );
     assert_eq!(visits.sorted, 0);
 }
 
@@ -57,8 +64,14 @@
 fn one_change_sorts_one_pod_and_passes_over_its_side_alone() {
     let mut driver = driver(MANY);
     let old = samples::pod(1);
-    let drained = Listed { state: PodState::Draining, ..old.clone() };
-    let gone = Listed { state: PodState::Gone, ..old };
+    let drained = Listed {
+        state: PodState::Draining,
+        ..old.clone()
+    };
+    let gone = Listed {
+        state: PodState::Gone,
+        ..old
+    };
     let new = samples::pod_of(MANY + 2, 1, MS);
     // The look at all pods that follows each list comes on top: two passes.
     let survey = 2 * (MANY as u64 + 1);
@@ -68,7 +81,10 @@
             driver.change(change);
         });
         assert!(visits.sorted <= 1, "{visits:?}");
-        assert!(visits.passed <= survey + side + 1, "{visits:?}, survey {survey}, side {side}");
+        assert!(
+            visits.passed <= survey + side + 1,
+            "{visits:?}, survey {survey}, side {side}"
+        );
     }
 }
 
@@ -89,11 +105,20 @@
 fn a_change_on_the_line_costs_the_same_in_any_list_and_a_whole_list_its_pods() {
     let one = change_bytes(&samples::pod(MANY - 1));
     assert!(one <= 160, "{one} bytes for one change");
-    let (few, many) = (whole_list_bytes(&samples::pods(FEW)), whole_list_bytes(&samples::pods(MANY)));
+    let (few, many) = (
+        whole_list_bytes(&samples::pods(FEW)),
+        whole_list_bytes(&samples::pods(MANY)),
+    );
     let each = (many - few) as f64 / (MANY - FEW) as f64;
-    assert!(each <= one as f64, "{each} bytes for a pod of a whole list, {one} for a change");
+    assert!(
+        each <= one as f64,
+        "{each} bytes for a pod of a whole list, {one} for a change"
+    );
     let control = control_bytes();
-    assert!(control.news.max(control.vote).max(control.answer) <= 64, "{control:?}");
+    assert!(
+        control.news.max(control.vote).max(control.answer) <= 64,
+        "{control:?}"
+    );
     let read = nodes::read_kept(&nodes::keep(&samples::pods(MANY))).expect("its own list");
     assert_eq!(read, samples::pods(MANY));
 }
@@ -103,16 +128,32 @@
     let site = samples::site(4_500, 150_000).expect("the size to plan for");
     assert_eq!((site.groups.len(), site.customers.len()), (4_500, 150_000));
     let table = route_table(&site);
-    let route = table.find("GET", &samples::route_path(4_499)).expect("the last route");
+    let route = table
+        .find("GET", &samples::route_path(4_499))
+        .expect("the last route");
     assert_eq!((route.name.as_str(), route.group()), ("route-4499", 4_499));
-    assert_eq!(table.tenant("tenant-149999").and_then(|tenant| tenant.index), Some(149_999));
+    assert_eq!(
+        table
+            .tenant("tenant-149999")
+            .and_then(|tenant| tenant.index),
+        Some(149_999)
+    );
     let folder = tempfile::tempdir().expect("a folder");
     let file = folder.path().join("large.star");
     std::fs::write(&file, samples::script(20_000, 1)).expect("a file");
-    let problems = load(&file, &Given::new()).expect_err("more records than a script may call for").0;
+    let problems = load(&file, &Given::new())
+        .expect_err("more records than a script may call for")
+        .0;
     let problem = &problems[0];
-    assert!(problem.file.ends_with("large.star") && problem.line == 6, "{problem}");
-    for part in ["path_group(...) is record 16385", "16384 at most", "paths = [...]"] {
+    assert!(
+        problem.file.ends_with("large.star") && problem.line == 6,
+        "{problem}"
+    );
+    for part in [
+        "path_group(...) is record 16385",
+        "16384 at most",
+        "paths = [...]",
+    ] {
         assert!(problem.found.contains(part), "{problem} lacks {part:?}");
     }
 }
@@ -128,12 +169,18 @@
 impl Pair {
     fn compare(&mut self, call: impl Fn(&mut Engine, Ns)) {
         let mut effects = [Vec::new(), Vec::new()];
-        for (engine, effects) in [&mut self.by_changes, &mut self.by_wholes].into_iter().zip(&mut effects) {
+        for (engine, effects) in [&mut self.by_changes, &mut self.by_wholes]
+            .into_iter()
+            .zip(&mut effects)
+        {
             call(engine, self.now);
             effects.extend(std::iter::from_fn(|| engine.effect()));
         }
         assert_eq!(effects[0], effects[1], "at {} ms", (self.now - EPOCH) / MS);
-        self.attempts += effects[0].iter().filter(|effect| matches!(effect, Effect::Forward { .. })).count();
+        self.attempts += effects[0]
+            .iter()
+            .filter(|effect| matches!(effect, Effect::Forward { .. }))
+            .count();
     }
 }
 
@@ -141,7 +188,10 @@
 fn any_pod(number: usize, chance: &mut Rand64) -> Listed {
     let build = 1 + chance.rand_range(0..2) as u32;
     let age = chance.rand_range(0..2) * chance.rand_range(1..8) * S;
-    Listed { size: 0.1 + 0.7 * chance.rand_float(), ..samples::pod_of(number, build, age) }
+    Listed {
+        size: 0.1 + 0.7 * chance.rand_float(),
+        ..samples::pod_of(number, build, age)
+    }
 }
 
 /// Lets one pod drain, go, come back as another incarnation or build, change its size, or be a new one.
@@ -150,10 +200,18 @@
     let number = 100 + step as usize;
     match chance.rand_range(0..5) {
         0 => pods[at].state = PodState::Draining,
-        1 if pods.len() > 20 => return Listed { state: PodState::Gone, ..pods.remove(at) },
+        1 if pods.len() > 20 => {
+            return Listed {
+                state: PodState::Gone,
+                ..pods.remove(at)
+            }
+        }
         2 => {
             let renewed = any_pod(number, chance);
-            pods[at] = Listed { name: pods[at].name.clone(), ..renewed };
+            pods[at] = Listed {
+                name: pods[at].name.clone(),
+                ..renewed
+            };
         }
         3 => pods[at].size = 0.1 + chance.rand_float(),
         _ => {
@@ -172,7 +230,12 @@
         let engine = || Engine::new(EPOCH, seed, &Terms::from(&site));
         let mut chance = Rand64::new(seed as u128);
         let mut pods: Vec<Listed> = (0..60).map(|number| any_pod(number, &mut chance)).collect();
-        let mut pair = Pair { by_changes: engine(), by_wholes: engine(), now: EPOCH, attempts: 0 };
+        let mut pair = Pair {
+            by_changes: engine(),
+            by_wholes: engine(),
+            now: EPOCH,
+            attempts: 0,
+        };
         pair.compare(|engine, now| engine.begin(now));
         pair.compare(|engine, now| drop(engine.list(now, true, pods.clone())));
         for step in 0..1_500u64 {
@@ -185,17 +248,32 @@
                 pair.by_wholes.list(pair.now, true, pods.clone());
             }
             let (key, left) = (step + 1, S);
-            let asked = Asked { group: 0, customer: None, key, left, cost_hint: None, repeat: false };
+            let asked = Asked {
+                group: 0,
+                customer: None,
+                key,
+                left,
+                cost_hint: None,
+                repeat: false,
+            };
             pair.compare(|engine, now| {
                 engine.hit(now, asked.clone());
             });
-            let end = if chance.rand_range(0..10) == 0 { Ended::Error } else { Ended::Delivered };
+            let end = if chance.rand_range(0..10) == 0 {
+                Ended::Error
+            } else {
+                Ended::Delivered
+            };
             if let Some(hit) = step.checked_sub(5) {
                 pair.compare(|engine, now| {
                     engine.ended(now, hit, 0, end, 100 * MS, None);
                 });
             }
         }
-        assert!(pair.attempts >= 500, "only {} attempts compared", pair.attempts);
+        assert!(
+            pair.attempts >= 500,
+            "only {} attempts compared",
+            pair.attempts
+        );
     }
 }
--- a/crates/cli/src/bench.rs
+++ b/crates/cli/src/bench.rs
@@ -38,9 +38,20 @@
 "#;
 
 /// A sidecar of the bench's own settings, as a child process.
-fn sidecar(nodes: SocketAddr, target: &str, trace: Option<&Path>, folder: &Path) -> anyhow::Result<Process> {
-    let trace = trace.map(|folder| folder.display().to_string()).unwrap_or_default();
-    let given = [("nodes", nodes.to_string()), ("target", target.to_string()), ("trace", trace)];
+fn sidecar(
+    nodes: SocketAddr,
+    target: &str,
+    trace: Option<&Path>,
+    folder: &Path,
+) -> anyhow::Result<Process> {
+    let trace = trace
+        .map(|folder| folder.display().to_string())
+        .unwrap_or_default();
+    let given = [
+        ("nodes", nodes.to_string()),
+        ("target", target.to_string()),
+        ("trace", trace),
+    ];
     Process::sidecar(SETTINGS, &given, folder)
 }
 
@@ -136,12 +147,18 @@
         warm.open_loop(rate, Duration::from_secs(1), 0).await;
         let load = Load::new(part.address)?;
         load.take_connections(&warm);
-        rows.push(Row { name, load, cpu_ns: 0 });
+        rows.push(Row {
+            name,
+            load,
+            cpu_ns: 0,
+        });
     }
     for _ in 0..rounds {
         for ((_, part), row) in parts.iter().zip(&mut rows) {
             let before = part.cpu_ns()?;
-            row.load.open_loop(rate, Duration::from_secs(seconds), 0).await;
+            row.load
+                .open_loop(rate, Duration::from_secs(seconds), 0)
+                .await;
             row.cpu_ns += part.cpu_ns()? - before;
         }
     }
@@ -178,7 +195,10 @@
 }
 
 async fn in_flights(bare: &Process, sidecar: &Process) -> anyhow::Result<Vec<serde_json::Value>> {
-    Ok(vec![in_flight("bare", bare).await?, in_flight("sidecar", sidecar).await?])
+    Ok(vec![
+        in_flight("bare", bare).await?,
+        in_flight("sidecar", sidecar).await?,
+    ])
 }
 
 /// Memory a hit that waits; 9,000 take 18,000 descriptors of a proxy, which is about what a process may have.
@@ -235,7 +255,11 @@
         measured.push(json!({ "through": name, "hits_in_flight": held, "bytes_in_flight": bytes }));
         while tasks.join_next().await.is_some() {}
     }
-    println!("{name:<8} bounced {} failed {}", load.rejected.get(), load.failed.get());
+    println!(
+        "{name:<8} bounced {} failed {}",
+        load.rejected.get(),
+        load.failed.get()
+    );
     Ok(json!(measured))
 }
 
@@ -276,15 +300,24 @@
     let took = |quantile| flooded.quantile_us(quantile);
     sleep(Duration::from_secs(2)).await;
     let after = sidecar.resident_bytes()?;
-    let (delivered, bounced, failed) =
-        (flooded.succeeded.get(), flooded.rejected.get(), flooded.failed.get());
-    println!("it can do {most:.0} hits/s; asked for {:.0}/s over {seconds} s:", 3.0 * most);
+    let (delivered, bounced, failed) = (
+        flooded.succeeded.get(),
+        flooded.rejected.get(),
+        flooded.failed.get(),
+    );
+    println!(
+        "it can do {most:.0} hits/s; asked for {:.0}/s over {seconds} s:",
+        3.0 * most
+    );
     println!(
         "delivered {delivered}, bounced {bounced}, failed {failed}, p50 {} us, p99 {} us",
         took(0.5),
         took(0.99)
     );
-    println!("memory_bytes before {before}, during {}, after {after}", peak.get());
+    println!(
+        "memory_bytes before {before}, during {}, after {after}",
+        peak.get()
+    );
     Ok(json!({
         "can_do_per_s": most, "asked_per_s": 3.0 * most, "delivered": delivered, "bounced": bounced,
         "failed": failed, "took_p50_us": took(0.5), "took_p99_us": took(0.99),
--- a/crates/cli/src/bench/load.rs
+++ b/crates/cli/src/bench/load.rs
@@ -40,7 +40,10 @@
             RequestMix::OnePath => ("/x".to_string(), None),
             RequestMix::Spread { routes, tenants } => {
                 let step = number * MIX_STRIDE;
-                (samples::route_path(step % routes), Some(samples::tenant(step % tenants)))
+                (
+                    samples::route_path(step % routes),
+                    Some(samples::tenant(step % tenants)),
+                )
             }
         };
         let mut request = Request::get(path).header("host", "h").header(HOLD, hold_ms);
@@ -127,7 +130,10 @@
     pub async fn request(&self, due: Instant, hold_ms: u64) {
         let count = match self.status(hold_ms).await {
             Ok(200) => {
-                let _ = self.latency_us.borrow_mut().record(due.elapsed().as_micros() as u64);
+                let _ = self
+                    .latency_us
+                    .borrow_mut()
+                    .record(due.elapsed().as_micros() as u64);
                 &self.succeeded
             }
             Ok(503) => &self.rejected,
--- a/crates/cli/src/bench/processes.rs
+++ b/crates/cli/src/bench/processes.rs
@@ -20,7 +20,9 @@
 
 /// Runs a measured part in this process, for the bench that started it, and prints the addresses it listens on.
 pub fn part(kind: &str, addresses: Vec<SocketAddr>) -> anyhow::Result<u8> {
-    let runtime = Builder::new_current_thread().enable_all().build_local(LocalOptions::default())?;
+    let runtime = Builder::new_current_thread()
+        .enable_all()
+        .build_local(LocalOptions::default())?;
     runtime.block_on(async {
         if kind == "pods" {
             return serve_pods(&addresses).await;
@@ -31,7 +33,9 @@
             "pod" => bare::pod(listener, None).await,
             "small-pod" => bare::pod(listener, Some(SMALL_POD_SLOTS)).await,
             "bare" if !addresses.is_empty() => bare::proxy(listener, addresses).await,
-            _ => bail!("part {kind:?}: expected pod, small-pod, pods with addresses, or bare with pods"),
+            _ => bail!(
+                "part {kind:?}: expected pod, small-pod, pods with addresses, or bare with pods"
+            ),
         }
         Ok(0)
     })
@@ -42,7 +46,9 @@
     let mut pods = JoinSet::new();
     let mut bound = Vec::new();
     for address in addresses {
-        let listener = TcpListener::bind(address).await.with_context(|| address.to_string())?;
+        let listener = TcpListener::bind(address)
+            .await
+            .with_context(|| address.to_string())?;
         bound.push(listener.local_addr()?.to_string());
         pods.spawn_local(bare::pod(listener, None));
     }
@@ -71,39 +77,68 @@
     /// Starts this program as a measured part.
     pub fn part(args: &[&str]) -> anyhow::Result<Process> {
         let program = std::env::current_exe()?;
-        let mut child =
-            Command::new(program).args(["bench-part"]).args(args).stdout(Stdio::piped()).spawn()?;
+        let mut child = Command::new(program)
+            .args(["bench-part"])
+            .args(args)
+            .stdout(Stdio::piped())
+            .spawn()?;
         let mut line = String::new();
         BufReader::new(child.stdout.take().context("its output")?).read_line(&mut line)?;
         let addresses: Vec<SocketAddr> = line
             .split_whitespace()
-            .map(|address| address.parse().with_context(|| format!("a part said {line:?}")))
+            .map(|address| {
+                address
+                    .parse()
+                    .with_context(|| format!("a part said {line:?}"))
+            })
             .collect::<anyhow::Result<_>>()?;
-        let address = *addresses.first().context("a part ended before it listened")?;
-        Ok(Process { child, address, addresses })
+        let address = *addresses
+            .first()
+            .context("a part ended before it listened")?;
+        Ok(Process {
+            child,
+            address,
+            addresses,
+        })
     }
 
     /// Starts a sidecar with this settings script, and waits until it listens.
-    pub fn sidecar(settings: &str, given: &[(&str, String)], folder: &Path) -> anyhow::Result<Process> {
+    pub fn sidecar(
+        settings: &str,
+        given: &[(&str, String)],
+        folder: &Path,
+    ) -> anyhow::Result<Process> {
         let file = folder.join("bench.star");
         std::fs::write(&file, settings)?;
         let mut command = Command::new(std::env::current_exe()?);
-        command.args(["--log-format", "json", "serve"]).arg(&file).args(["--seed", "1"]);
+        command
+            .args(["--log-format", "json", "serve"])
+            .arg(&file)
+            .args(["--seed", "1"]);
         for (name, value) in given {
             command.args(["--given", &format!("{name}={value}")]);
         }
         let mut child = command.stderr(Stdio::piped()).spawn()?;
         let mut lines = BufReader::new(child.stderr.take().context("its log")?).lines();
         let address = loop {
-            let line = lines.next().context("the sidecar ended before it listened")??;
+            let line = lines
+                .next()
+                .context("the sidecar ended before it listened")??;
             let entry: serde_json::Value = serde_json::from_str(&line).context("its log")?;
             if entry["fields"]["message"] == "listening" {
-                break entry["fields"]["listen"].as_str().unwrap_or_default().parse()?;
+                break entry["fields"]["listen"]
+                    .as_str()
+                    .unwrap_or_default()
+                    .parse()?;
             }
         };
         // Whatever it logs later must not fill its pipe.
         std::thread::spawn(move || lines.for_each(drop));
-        Ok(Process { child, address, addresses: vec![address] })
+        Ok(Process {
+            child,
+            address,
+            addresses: vec![address],
+        })
     }
 
     /// CPU time over all threads, in nanoseconds.
@@ -125,8 +160,15 @@
     /// Resident memory, in bytes.
     pub fn resident_bytes(&self) -> anyhow::Result<u64> {
         let text = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()))?;
-        let line = text.lines().find_map(|line| line.strip_prefix("VmRSS:")).context("status: no VmRSS")?;
-        let kb: u64 = line.trim().trim_end_matches(" kB").parse().context("VmRSS: expected kB")?;
+        let line = text
+            .lines()
+            .find_map(|line| line.strip_prefix("VmRSS:"))
+            .context("status: no VmRSS")?;
+        let kb: u64 = line
+            .trim()
+            .trim_end_matches(" kB")
+            .parse()
+            .context("VmRSS: expected kB")?;
         Ok(kb * 1024)
     }
 }
--- a/crates/cli/src/bench_capacity.rs
+++ b/crates/cli/src/bench_capacity.rs
@@ -35,7 +35,11 @@
 
 /// Runs the named scale tests, or all of them, and prints each as it ends.
 pub fn bench(parts: &[Part], quick: bool, json: Option<&Path>) -> anyhow::Result<u8> {
-    let parts = if parts.is_empty() { Part::value_variants() } else { parts };
+    let parts = if parts.is_empty() {
+        Part::value_variants()
+    } else {
+        parts
+    };
     let mut sections = Vec::new();
     for part in parts {
         let progress = progress(*part);
@@ -75,7 +79,11 @@
 fn measure(part: Part, quick: bool) -> anyhow::Result<Vec<Section>> {
     Ok(match part {
         Part::Membership => {
-            let options = if quick { membership::Options::quick() } else { membership::Options::full() };
+            let options = if quick {
+                membership::Options::quick()
+            } else {
+                membership::Options::full()
+            };
             membership::membership(&options)
         }
         Part::Sockets => {
@@ -87,12 +95,20 @@
             membership_sockets::membership_on_sockets(&options)?
         }
         Part::Tables => {
-            let options = if quick { tables::Options::quick() } else { tables::Options::full() };
+            let options = if quick {
+                tables::Options::quick()
+            } else {
+                tables::Options::full()
+            };
             tables::tables(&options)?
         }
         Part::Proxy => bench_proxy_capacity::measure(quick)?,
         Part::Discovery => {
-            let options = if quick { discovery::Options::quick() } else { discovery::Options::full() };
+            let options = if quick {
+                discovery::Options::quick()
+            } else {
+                discovery::Options::full()
+            };
             discovery::discovery(&options)?
         }
         Part::Configuration => {
--- a/crates/cli/src/bench_proxy_capacity.rs
+++ b/crates/cli/src/bench_proxy_capacity.rs
@@ -36,9 +36,21 @@
     pods: usize,
 }
 
-const SMALL: TableSizes = TableSizes { routes: 10, tenants: 100, pods: 16 };
-const MIDDLE: TableSizes = TableSizes { routes: 100, tenants: 1_000, pods: 64 };
-const LARGE: TableSizes = TableSizes { routes: 4_500, tenants: 150_000, pods: 5_000 };
+const SMALL: TableSizes = TableSizes {
+    routes: 10,
+    tenants: 100,
+    pods: 16,
+};
+const MIDDLE: TableSizes = TableSizes {
+    routes: 100,
+    tenants: 1_000,
+    pods: 64,
+};
+const LARGE: TableSizes = TableSizes {
+    routes: 4_500,
+    tenants: 150_000,
+    pods: 5_000,
+};
 
 /// One steady rate, in rounds in which both proxies take their turn.
 #[derive(Clone, Copy)]
@@ -57,12 +69,22 @@
     fn new(quick: bool) -> Plan {
         let turns = |requests_per_s, rounds, seconds| {
             let length = Duration::from_secs(seconds);
-            Turns { requests_per_s, rounds, length }
+            Turns {
+                requests_per_s,
+                rounds,
+                length,
+            }
         };
         if quick {
-            Plan { sizes: [SMALL, MIDDLE], turns: [turns(137.0, 1, 1), turns(700.0, 1, 1)] }
+            Plan {
+                sizes: [SMALL, MIDDLE],
+                turns: [turns(137.0, 1, 1), turns(700.0, 1, 1)],
+            }
         } else {
-            Plan { sizes: [SMALL, LARGE], turns: [turns(137.0, 3, 3), turns(700.0, 3, 2)] }
+            Plan {
+                sizes: [SMALL, LARGE],
+                turns: [turns(137.0, 3, 3), turns(700.0, 3, 2)],
+            }
         }
     }
 }
@@ -104,20 +126,31 @@
     let runtime = Builder::new_current_thread().enable_all().build()?;
     let mut measured = Vec::new();
     for sizes in plan.sizes {
-        measured.push(runtime.block_on(LocalSet::new().run_until(measure_size(sizes, &plan.turns)))?);
+        measured
+            .push(runtime.block_on(LocalSet::new().run_until(measure_size(sizes, &plan.turns)))?);
     }
     let start = start_section(&measured);
     let mut by_rate: Vec<Vec<Comparison>> = plan.turns.iter().map(|_| Vec::new()).collect();
-    for comparison in measured.into_iter().flat_map(|of_size| of_size.by_rate.into_iter().enumerate()) {
+    for comparison in measured
+        .into_iter()
+        .flat_map(|of_size| of_size.by_rate.into_iter().enumerate())
+    {
         by_rate[comparison.0].push(comparison.1);
     }
-    let rates = plan.turns.iter().zip(&by_rate).map(|(turns, comparisons)| rate_section(turns, comparisons));
+    let rates = plan
+        .turns
+        .iter()
+        .zip(&by_rate)
+        .map(|(turns, comparisons)| rate_section(turns, comparisons));
     Ok(std::iter::once(start).chain(rates).collect())
 }
 
 async fn measure_size(sizes: TableSizes, turns: &[Turns]) -> anyhow::Result<Measured> {
     let pod_processes = start_pods(sizes.pods)?;
-    let pods: Vec<SocketAddr> = pod_processes.iter().flat_map(|process| process.addresses.clone()).collect();
+    let pods: Vec<SocketAddr> = pod_processes
+        .iter()
+        .flat_map(|process| process.addresses.clone())
+        .collect();
     let bare = start_bare(&pods)?;
     let folder = tempfile::tempdir()?;
     let listener = TcpListener::bind("127.0.0.1:0").await?;
@@ -125,7 +158,11 @@
     spawn_local(serve_node_list(listener, listed(&pods)));
     let began = Instant::now();
     let settings = samples::script(sizes.routes, sizes.tenants);
-    let sidecar = Process::sidecar(&settings, &[("nodes", nodes.clone()), ("desk", nodes)], folder.path())?;
+    let sidecar = Process::sidecar(
+        &settings,
+        &[("nodes", nodes.clone()), ("desk", nodes)],
+        folder.path(),
+    )?;
     let start_s = began.elapsed().as_secs_f64();
     tokio::time::sleep(SETTLING).await;
     let idle_bytes = sidecar.resident_bytes()? as f64;
@@ -133,30 +170,47 @@
     for turns in turns {
         by_rate.push(compare(sizes, *turns, &bare, &sidecar).await?);
     }
-    Ok(Measured { sizes, start_s, idle_bytes, by_rate })
+    Ok(Measured {
+        sizes,
+        start_s,
+        idle_bytes,
+        by_rate,
+    })
 }
 
 /// Starts processes that listen on one address for each pod.
 fn start_pods(count: usize) -> anyhow::Result<Vec<Process>> {
     let address = |number: usize| Ipv4Addr::from(u32::from(FIRST_POD_ADDRESS) + number as u32);
-    let addresses: Vec<String> = (0..count).map(|number| format!("{}:0", address(number))).collect();
+    let addresses: Vec<String> = (0..count)
+        .map(|number| format!("{}:0", address(number)))
+        .collect();
     let start = |share: &[String]| {
         let mut args = vec!["pods"];
         args.extend(share.iter().map(String::as_str));
         Process::part(&args)
     };
-    addresses.chunks(count.div_ceil(POD_PROCESSES)).map(start).collect()
+    addresses
+        .chunks(count.div_ceil(POD_PROCESSES))
+        .map(start)
+        .collect()
 }
 
 fn start_bare(pods: &[SocketAddr]) -> anyhow::Result<Process> {
-    let pods: Vec<String> = pods.iter().take(BARE_PROXY_PODS).map(ToString::to_string).collect();
+    let pods: Vec<String> = pods
+        .iter()
+        .take(BARE_PROXY_PODS)
+        .map(ToString::to_string)
+        .collect();
     let mut args = vec!["bare"];
     args.extend(pods.iter().map(String::as_str));
     Process::part(&args)
 }
 
 fn listed(addresses: &[SocketAddr]) -> Vec<Listed> {
-    let pod = |(number, address): (usize, &SocketAddr)| Listed { address: *address, ..samples::pod(number) };
+    let pod = |(number, address): (usize, &SocketAddr)| Listed {
+        address: *address,
+        ..samples::pod(number)
+    };
     addresses.iter().enumerate().map(pod).collect()
 }
 
@@ -167,9 +221,15 @@
     bare: &Process,
     sidecar: &Process,
 ) -> anyhow::Result<Comparison> {
-    let mix = RequestMix::Spread { routes: sizes.routes, tenants: sizes.tenants };
+    let mix = RequestMix::Spread {
+        routes: sizes.routes,
+        tenants: sizes.tenants,
+    };
     let proxies = [bare, sidecar];
-    let loads = [warmed_up(bare, turns, mix).await?, warmed_up(sidecar, turns, mix).await?];
+    let loads = [
+        warmed_up(bare, turns, mix).await?,
+        warmed_up(sidecar, turns, mix).await?,
+    ];
     let mut cpu_ns = [0, 0];
     for _ in 0..turns.rounds {
         for ((proxy, load), cpu_ns) in proxies.iter().zip(&loads).zip(&mut cpu_ns) {
@@ -195,7 +255,8 @@
 }
 
 fn figures(proxy: &Process, load: &Load, cpu_ns: u64) -> anyhow::Result<ProxyFigures> {
-    let (succeeded, rejected, failed) = (load.succeeded.get(), load.rejected.get(), load.failed.get());
+    let (succeeded, rejected, failed) =
+        (load.succeeded.get(), load.rejected.get(), load.failed.get());
     let requests = (succeeded + rejected + failed).max(1);
     Ok(ProxyFigures {
         p50_us: load.quantile_us(0.5) as f64,
@@ -211,12 +272,26 @@
 
 fn start_section(measured: &[Measured]) -> Section {
     let series = |name: &str, value: fn(&Measured) -> f64| {
-        let point = |of_size: &Measured| Point { size: of_size.sizes.routes as f64, value: value(of_size) };
-        Series::new(name, "routes", "process", measured.iter().map(point).collect())
+        let point = |of_size: &Measured| Point {
+            size: of_size.sizes.routes as f64,
+            value: value(of_size),
+        };
+        Series::new(
+            name,
+            "routes",
+            "process",
+            measured.iter().map(point).collect(),
+        )
     };
-    let mut notes: Vec<String> = measured.iter().map(|of_size| size_note(of_size.sizes)).collect();
+    let mut notes: Vec<String> = measured
+        .iter()
+        .map(|of_size| size_note(of_size.sizes))
+        .collect();
     notes.push("start: from its process's start to its log line that it listens".to_string());
-    notes.push("tables grow together, so a slope between two sizes is no cost of one more route".to_string());
+    notes.push(
+        "tables grow together, so a slope between two sizes is no cost of one more route"
+            .to_string(),
+    );
     notes.push(format!(
         "each listed pod has its own loopback address and listener, held by {POD_PROCESSES} processes"
     ));
@@ -231,20 +306,39 @@
 }
 
 fn size_note(sizes: TableSizes) -> String {
-    let TableSizes { routes, tenants, pods } = sizes;
+    let TableSizes {
+        routes,
+        tenants,
+        pods,
+    } = sizes;
     format!("at {routes} routes: {tenants} tenants, {pods} listed pods")
 }
 
 fn rate_section(turns: &Turns, comparisons: &[Comparison]) -> Section {
     let series = |name: &str, value: fn(&Comparison) -> f64| {
-        let point = |one: &Comparison| Point { size: one.sizes.routes as f64, value: value(one) };
-        Series::new(name, "routes", "process", comparisons.iter().map(point).collect())
+        let point = |one: &Comparison| Point {
+            size: one.sizes.routes as f64,
+            value: value(one),
+        };
+        Series::new(
+            name,
+            "routes",
+            "process",
+            comparisons.iter().map(point).collect(),
+        )
     };
-    let Turns { requests_per_s, rounds, length } = turns;
-    let mut notes =
-        vec![format!("{rounds} rounds of {length:?} for each proxy, after {WARM_UP:?} of warm-up")];
+    let Turns {
+        requests_per_s,
+        rounds,
+        length,
+    } = turns;
+    let mut notes = vec![format!(
+        "{rounds} rounds of {length:?} for each proxy, after {WARM_UP:?} of warm-up"
+    )];
     notes.extend(comparisons.iter().flat_map(comparison_notes));
-    notes.push(format!("the bare proxy goes to {BARE_PROXY_PODS} pods at each size"));
+    notes.push(format!(
+        "the bare proxy goes to {BARE_PROXY_PODS} pods at each size"
+    ));
     notes.push("the sidecar's CPU time includes its background work".to_string());
     notes.push("no control plane answers the sidecar".to_string());
     Section {
@@ -259,11 +353,15 @@
             series("added_p99_us", added_p99_us),
             series("ratio_p99", |one| one.sidecar.p99_us / one.bare.p99_us),
             series("bare_cpu_us_per_request", |one| one.bare.cpu_us_per_request),
-            series("sidecar_cpu_us_per_request", |one| one.sidecar.cpu_us_per_request),
+            series("sidecar_cpu_us_per_request", |one| {
+                one.sidecar.cpu_us_per_request
+            }),
             series("bare_resident_bytes", |one| one.bare.resident_bytes),
             series("sidecar_resident_bytes", |one| one.sidecar.resident_bytes),
             series("bare_open_descriptors", |one| one.bare.open_descriptors),
-            series("sidecar_open_descriptors", |one| one.sidecar.open_descriptors),
+            series("sidecar_open_descriptors", |one| {
+                one.sidecar.open_descriptors
+            }),
         ],
         notes,
     }
@@ -276,9 +374,18 @@
 /// Whether the limit was kept, and what came back.
 fn comparison_notes(comparison: &Comparison) -> Vec<String> {
     let routes = comparison.sizes.routes;
-    let kept = if added_p99_us(comparison) <= ADDED_P99_LIMIT_US { "within" } else { "beyond" };
+    let kept = if added_p99_us(comparison) <= ADDED_P99_LIMIT_US {
+        "within"
+    } else {
+        "beyond"
+    };
     let answers = |name: &str, figures: &ProxyFigures| {
-        let ProxyFigures { succeeded, rejected, failed, .. } = figures;
+        let ProxyFigures {
+            succeeded,
+            rejected,
+            failed,
+            ..
+        } = figures;
         format!("at {routes} routes, {name}: {succeeded} succeeded, {rejected} rejected, {failed} failed")
     };
     vec![
--- a/crates/cli/src/bench_takeover.rs
+++ b/crates/cli/src/bench_takeover.rs
@@ -48,10 +48,13 @@
                 sender
             }
         };
-        let request =
-            Request::post(path).header("host", "bench").header("idempotency-key", format!("\"{name}\""));
+        let request = Request::post(path)
+            .header("host", "bench")
+            .header("idempotency-key", format!("\"{name}\""));
         sender.ready().await?;
-        let answer = sender.send_request(request.body(Full::from(vec![7; 200]))?).await?;
+        let answer = sender
+            .send_request(request.body(Full::from(vec![7; 200]))?)
+            .await?;
         let status = answer.status();
         answer.into_body().collect().await?;
         anyhow::ensure!(status.is_success(), "a sidecar answered {status}");
@@ -66,8 +69,18 @@
 /// Processor time of a process so far, in ms: whole hundredths of a second, as the system counts it.
 fn cpu_ms(pid: u32) -> anyhow::Result<u64> {
     let text = std::fs::read_to_string(format!("/proc/{pid}/stat"))?;
-    let fields: Vec<&str> = text.rsplit(')').next().unwrap_or("").split_whitespace().collect();
-    let ticks = |at: usize| fields.get(at).and_then(|field| field.parse::<u64>().ok()).context("its times");
+    let fields: Vec<&str> = text
+        .rsplit(')')
+        .next()
+        .unwrap_or("")
+        .split_whitespace()
+        .collect();
+    let ticks = |at: usize| {
+        fields
+            .get(at)
+            .and_then(|field| field.parse::<u64>().ok())
+            .context("its times")
+    };
     Ok((ticks(11)? + ticks(12)?) * 10)
 }
 
@@ -91,7 +104,10 @@
     length: Duration,
     round: u64,
 ) -> anyhow::Result<(Histogram<u64>, u64)> {
-    let (times, failed) = (Rc::new(RefCell::new(Histogram::<u64>::new(3)?)), Rc::new(Cell::new(0)));
+    let (times, failed) = (
+        Rc::new(RefCell::new(Histogram::<u64>::new(3)?)),
+        Rc::new(Cell::new(0)),
+    );
     let (began, many) = (Instant::now(), (length.as_secs_f64() * RATE) as u64);
     let mut asked = JoinSet::new();
     for n in 0..many {
@@ -113,8 +129,17 @@
 }
 
 fn doors(group: &Group) -> Vec<Rc<Door>> {
-    let door = |at| Rc::new(Door { at, idle: RefCell::default() });
-    group.sidecars.iter().map(|sidecar| door(sidecar.at)).collect()
+    let door = |at| {
+        Rc::new(Door {
+            at,
+            idle: RefCell::default(),
+        })
+    };
+    group
+        .sidecars
+        .iter()
+        .map(|sidecar| door(sidecar.at))
+        .collect()
 }
 
 /// The three ways by turns, on one run of the same processes.
@@ -124,8 +149,11 @@
     for path in ["/off", "/behind", "/before"] {
         load(&doors, path, Duration::from_secs(1), u64::MAX).await?;
     }
-    let mut sums_of =
-        [(Histogram::<u64>::new(3)?, 0, 0, 0), (Histogram::new(3)?, 0, 0, 0), (Histogram::new(3)?, 0, 0, 0)];
+    let mut sums_of = [
+        (Histogram::<u64>::new(3)?, 0, 0, 0),
+        (Histogram::new(3)?, 0, 0, 0),
+        (Histogram::new(3)?, 0, 0, 0),
+    ];
     for round in 0..ROUNDS {
         for (path, sum) in ["/off", "/behind", "/before"].into_iter().zip(&mut sums_of) {
             let before = sums(group).await?;
@@ -165,7 +193,9 @@
         let asked = group.begun(id, 4, round).await?;
         let count = |group: &mut Group| -> usize {
             let others = (0..SIDECARS).filter(|other| *other != id);
-            others.map(|other| group.sidecars[other].said("work taken over")).sum()
+            others
+                .map(|other| group.sidecars[other].said("work taken over"))
+                .sum()
         };
         let before = count(group);
         group.sidecars[id].signal(Signal::KILL)?;
@@ -182,7 +212,10 @@
             });
         }
         while count(group) == before {
-            anyhow::ensure!(killed.elapsed() < Duration::from_secs(20), "nobody took over in round {round}");
+            anyhow::ensure!(
+                killed.elapsed() < Duration::from_secs(20),
+                "nobody took over in round {round}"
+            );
             sleep(Duration::from_millis(1)).await;
         }
         begins.record(killed.elapsed().as_millis() as u64)?;
@@ -194,25 +227,45 @@
             }
         }
         twice += names.iter().filter(|name| group.pods.ran(name) > 1).count();
-        let joined: Vec<usize> =
-            group.sidecars.iter_mut().map(|sidecar| sidecar.said("fellow joined")).collect();
+        let joined: Vec<usize> = group
+            .sidecars
+            .iter_mut()
+            .map(|sidecar| sidecar.said("fellow joined"))
+            .collect();
         group.sidecars[id] = group.launch(id).await?;
-        group.sidecars[id].until("fellow joined", SIDECARS - 1).await?;
+        group.sidecars[id]
+            .until("fellow joined", SIDECARS - 1)
+            .await?;
         for other in (0..SIDECARS).filter(|other| *other != id) {
-            group.sidecars[other].until("fellow joined", joined[other] + 1).await?;
+            group.sidecars[other]
+                .until("fellow joined", joined[other] + 1)
+                .await?;
         }
     }
-    let of =
-        |times: &Histogram<u64>| (times.value_at_quantile(0.5), times.value_at_quantile(0.99), times.max());
+    let of = |times: &Histogram<u64>| {
+        (
+            times.value_at_quantile(0.5),
+            times.value_at_quantile(0.99),
+            times.max(),
+        )
+    };
     println!("\n{many} kills of a sidecar with 4 hits in the middle of 300 ms of work; ms from the kill:");
-    println!("  to the first takeover    p50 {} p99 {} most {}", of(&begins).0, of(&begins).1, of(&begins).2);
+    println!(
+        "  to the first takeover    p50 {} p99 {} most {}",
+        of(&begins).0,
+        of(&begins).1,
+        of(&begins).2
+    );
     println!(
         "  to the client's answer   p50 {} p99 {} most {}",
         of(&answers).0,
         of(&answers).1,
         of(&answers).2
     );
-    println!("  effects twice {twice}, clients without an answer {unanswered}, of {}", 4 * many);
+    println!(
+        "  effects twice {twice}, clients without an answer {unanswered}, of {}",
+        4 * many
+    );
     let figures = |(p50, p99, most)| json!({"p50_ms": p50, "p99_ms": p99, "most_ms": most});
     Ok(json!({
         "kills": many, "first_takeover": figures(of(&begins)), "answer": figures(of(&answers)),
@@ -224,10 +277,17 @@
 async fn unneeded(group: &mut Group, seconds: u64) -> anyhow::Result<Value> {
     group.pods.work.set(Duration::from_millis(20));
     let mut rows = Vec::new();
-    let troubles = [("10% lost", 0.1, false), ("30% lost", 0.3, false), ("a stall of 1 s", 0.0, true)];
+    let troubles = [
+        ("10% lost", 0.1, false),
+        ("30% lost", 0.3, false),
+        ("a stall of 1 s", 0.0, true),
+    ];
     for (round, (what, loss, stalls)) in (900..).zip(troubles) {
         if let Some(relays) = &group.relays {
-            relays.weather(Weather { loss, ..Weather::default() });
+            relays.weather(Weather {
+                loss,
+                ..Weather::default()
+            });
         }
         let (doors, before) = (doors(group), sums(group).await?);
         let stall = async {
@@ -239,8 +299,10 @@
             }
             std::io::Result::Ok(())
         };
-        let (loaded, stalled) =
-            tokio::join!(load(&doors, "/before", Duration::from_secs(seconds), round), stall);
+        let (loaded, stalled) = tokio::join!(
+            load(&doors, "/before", Duration::from_secs(seconds), round),
+            stall
+        );
         stalled?;
         let (times, failed) = loaded?;
         sleep(Duration::from_secs(2)).await;
@@ -259,7 +321,9 @@
 /// that was killed. With hits guarded the same at each size: 100 a second over all.
 pub fn growth(seconds: u64, json: Option<&Path>) -> anyhow::Result<u8> {
     const SIZES: [usize; 5] = [3, 8, 16, 32, 64];
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
     let program = std::env::current_exe()?;
     println!(
         "{:>8} {:>16} {:>18} {:>16} {:>16}",
@@ -319,7 +383,9 @@
 }
 
 pub fn bench(seconds: u64, many: usize, json: Option<&Path>) -> anyhow::Result<u8> {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
     let program = std::env::current_exe()?;
     let measured = runtime.block_on(LocalSet::new().run_until(async {
         let (first, second) = (tempfile::tempdir()?, tempfile::tempdir()?);
--- a/crates/cli/src/bench_trace.rs
+++ b/crates/cli/src/bench_trace.rs
@@ -59,16 +59,39 @@
     let until = u64::MAX;
     let (terms, wall) = (terms.clone(), 1_700_000_000 * S);
     let mut engine = Engine::new(EPOCH, 1, &terms);
-    let source =
-        Source { terms, seed: 1, life: 1, part: 0, began: EPOCH, wall, share: 1.0, whole: true, until };
-    let limits =
-        Limits { share: 1.0, queue: 1 << 30, longest: 3 * S, file_bytes: u64::MAX, file_age: u64::MAX };
+    let source = Source {
+        terms,
+        seed: 1,
+        life: 1,
+        part: 0,
+        began: EPOCH,
+        wall,
+        share: 1.0,
+        whole: true,
+        until,
+    };
+    let limits = Limits {
+        share: 1.0,
+        queue: 1 << 30,
+        longest: 3 * S,
+        file_bytes: u64::MAX,
+        file_age: u64::MAX,
+    };
     let shelf = Folder::new(folder, "bench", wall, u64::MAX)?;
     let (recorder, writing) = Recorder::start(source, limits, Box::new(shelf));
     engine = engine.watched_by(Box::new(recorder));
     engine.begin(EPOCH);
     engine.list(EPOCH, true, pods(true));
-    engine.news(EPOCH, Stage { build: 2, stage: 1, phase: Phase::Trial, cap: 0.5, age: S });
+    engine.news(
+        EPOCH,
+        Stage {
+            build: 2,
+            stage: 1,
+            phase: Phase::Trial,
+            cap: 0.5,
+            age: S,
+        },
+    );
     let mut chance = Rand64::new(1);
     // When, hit, forward, and when it was sent.
     let mut due: BinaryHeap<Reverse<(Ns, HitId, u32, Ns)>> = BinaryHeap::new();
@@ -83,20 +106,45 @@
             engine.wake(now);
         } else if end <= now {
             if let Some(Reverse((_, hit, nth, sent))) = due.pop() {
-                let end = if chance.rand_range(0..50) == 0 { Ended::Error } else { Ended::Delivered };
+                let end = if chance.rand_range(0..50) == 0 {
+                    Ended::Error
+                } else {
+                    Ended::Delivered
+                };
                 let busy = chance.rand_range(0..1000) as f64 / 1000.0;
-                let load =
-                    Load { in_flight: Some((busy * 8.0).round()), busy: Some(busy), ..Load::default() };
-                engine.ended(now, hit, nth, end, now - sent + chance.rand_range(20_000..90_000), Some(load));
+                let load = Load {
+                    in_flight: Some((busy * 8.0).round()),
+                    busy: Some(busy),
+                    ..Load::default()
+                };
+                engine.ended(
+                    now,
+                    hit,
+                    nth,
+                    end,
+                    now - sent + chance.rand_range(20_000..90_000),
+                    Some(load),
+                );
             }
         } else {
             asked += 1;
             next += chance.rand_range(0..2 * S / RATE);
             let group = [0, 0, 0, 1, 2][chance.rand_range(0..5) as usize];
-            let key = ((chance.rand_float() * 10.0).exp() as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+            let key =
+                ((chance.rand_float() * 10.0).exp() as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
             let left = [2 * S, 3 * S, 3 * S][group] - 20 * MS - chance.rand_range(20_000..70_000);
             let customer = Some(chance.rand_range(0..3) as usize);
-            engine.hit(now, Asked { group, customer, key, left, cost_hint: None, repeat: false });
+            engine.hit(
+                now,
+                Asked {
+                    group,
+                    customer,
+                    key,
+                    left,
+                    cost_hint: None,
+                    repeat: false,
+                },
+            );
         }
         while let Some(effect) = engine.effect() {
             match effect {
@@ -104,10 +152,22 @@
                     let sent = now;
                     now += chance.rand_range(5_000..40_000);
                     engine.may_go(now, hit, nth);
-                    due.push(Reverse((now + chance.rand_range(8 * MS..50 * MS), hit, nth, sent)));
+                    due.push(Reverse((
+                        now + chance.rand_range(8 * MS..50 * MS),
+                        hit,
+                        nth,
+                        sent,
+                    )));
                 }
                 Effect::Vote { vote, .. } => {
-                    engine.voted(now, vote, StageNews { heard: Heard::Counted, stage: None });
+                    engine.voted(
+                        now,
+                        vote,
+                        StageNews {
+                            heard: Heard::Counted,
+                            stage: None,
+                        },
+                    );
                 }
                 _ => {}
             }
@@ -128,7 +188,10 @@
 /// Runs this program with these arguments: how long it took, and the most memory that it held.
 fn child(args: &[&str]) -> anyhow::Result<(Duration, u64)> {
     let began = Instant::now();
-    let mut child = Command::new(std::env::current_exe()?).args(args).stdout(Stdio::null()).spawn()?;
+    let mut child = Command::new(std::env::current_exe()?)
+        .args(args)
+        .stdout(Stdio::null())
+        .spawn()?;
     let mut most = 0;
     loop {
         if let Some(status) = child.try_wait()? {
@@ -137,8 +200,12 @@
             }
             return Ok((began.elapsed(), most));
         }
-        let status = std::fs::read_to_string(format!("/proc/{}/status", child.id())).unwrap_or_default();
-        let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).unwrap_or_default();
+        let status =
+            std::fs::read_to_string(format!("/proc/{}/status", child.id())).unwrap_or_default();
+        let line = status
+            .lines()
+            .find_map(|line| line.strip_prefix("VmHWM:"))
+            .unwrap_or_default();
         let kb: u64 = line.trim().trim_end_matches(" kB").parse().unwrap_or(0);
         most = most.max(kb * 1024);
         std::thread::sleep(Duration::from_millis(2));
@@ -154,7 +221,10 @@
     let began = Instant::now();
     let file = live(&terms, hits, &traces)?;
     let bytes = std::fs::metadata(&file)?.len();
-    println!("{hits} hits recorded in {:.1} s of decisions: {bytes} bytes", began.elapsed().as_secs_f64());
+    println!(
+        "{hits} hits recorded in {:.1} s of decisions: {bytes} bytes",
+        began.elapsed().as_secs_f64()
+    );
     println!("bytes_a_hit {:.1}", bytes as f64 / hits as f64);
 
     let mut reader = open(&file)?;
@@ -193,7 +263,9 @@
 
     let path = file.display().to_string();
     let out = folder.path().join("cut.hpt").display().to_string();
-    let (_, cut_memory) = child(&["trace", "cut", &path, "--from", "60s", "--to", "120s", "-o", &out])?;
+    let (_, cut_memory) = child(&[
+        "trace", "cut", &path, "--from", "60s", "--to", "120s", "-o", &out,
+    ])?;
     let (summarised, memory) = child(&["trace", "summarise", &path])?;
     println!(
         "summarised in {:.1} s within {memory} bytes; 60 s cut within {cut_memory} bytes",
--- a/crates/cli/src/day.rs
+++ b/crates/cli/src/day.rs
@@ -18,7 +18,9 @@
     match notation::read(&text) {
         Ok(day) => Ok(Some(day)),
         Err(problems) => {
-            problems.iter().for_each(|problem| eprintln!("{}: {problem}", file.display()));
+            problems
+                .iter()
+                .for_each(|problem| eprintln!("{}: {problem}", file.display()));
             Ok(None)
         }
     }
@@ -38,20 +40,29 @@
     std::fs::create_dir_all(&folder).with_context(|| format!("{}", folder.display()))?;
     let program = std::env::current_exe().context("this program's own path")?;
     let trace = trace.map(Path::to_path_buf);
-    let launch = Launch { program, settings, folder, trace };
+    let launch = Launch {
+        program,
+        settings,
+        folder,
+        trace,
+    };
     // Hidden where standard error is no terminal.
     let bar = ProgressBar::new(script.length / 1_000_000_000);
     bar.set_style(
-        ProgressStyle::with_template("{pos:>3}/{len} s {wide_msg}").unwrap_or(ProgressStyle::default_bar()),
+        ProgressStyle::with_template("{pos:>3}/{len} s {wide_msg}")
+            .unwrap_or(ProgressStyle::default_bar()),
     );
     let tell = |at: u64, line: String| {
         bar.set_position(at / 1_000_000_000);
         bar.set_message(line);
     };
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
     let local = tokio::task::LocalSet::new();
     let begun = std::time::Instant::now();
-    let played = runtime.block_on(local.run_until(day::play(script.clone(), site, launch, seed, tell)))?;
+    let played =
+        runtime.block_on(local.run_until(day::play(script.clone(), site, launch, seed, tell)))?;
     bar.finish_and_clear();
     if let Some(folder) = kept {
         ledger::write(folder, "day", &played.entries)?;
@@ -67,7 +78,10 @@
     }
     match (broken, played.lost, played.troubles.is_empty()) {
         (0, 0, true) => Ok(0),
-        (0, 0, false) => bail!("{} troubles that the script did not make", played.troubles.len()),
+        (0, 0, false) => bail!(
+            "{} troubles that the script did not make",
+            played.troubles.len()
+        ),
         (0, lost, _) => bail!("{lost} entries did not fit into the ledger, so it proves nothing"),
         _ => Ok(BROKEN),
     }
@@ -89,9 +103,22 @@
 fn print_rules(verdicts: &[Verdict]) -> usize {
     println!();
     for verdict in verdicts {
-        let Verdict { rule, tested, broken, nearest, cases } = verdict;
-        let how = if *broken == 0 { "kept".to_string() } else { format!("BROKEN {broken} times") };
-        println!("rule {rule:<9} {how}, {tested} times tested, nearest to its limit {:.0}%", nearest * 100.0);
+        let Verdict {
+            rule,
+            tested,
+            broken,
+            nearest,
+            cases,
+        } = verdict;
+        let how = if *broken == 0 {
+            "kept".to_string()
+        } else {
+            format!("BROKEN {broken} times")
+        };
+        println!(
+            "rule {rule:<9} {how}, {tested} times tested, nearest to its limit {:.0}%",
+            nearest * 100.0
+        );
         for case in cases.iter().take(5) {
             println!("     at {:.1} ms: {}", case.at_ms, case.what);
         }
@@ -103,15 +130,39 @@
 
 /// Benefit delivered within the target latency, of the benefit asked for.
 fn service(fared: &[Fared]) -> f64 {
-    let sum = |of: fn(&Fared) -> u64| fared.iter().map(|group| group.benefit * of(group) as f64).sum::<f64>();
+    let sum = |of: fn(&Fared) -> u64| {
+        fared
+            .iter()
+            .map(|group| group.benefit * of(group) as f64)
+            .sum::<f64>()
+    };
     sum(|group| group.in_time) / sum(|group| group.asked).max(1e-9)
 }
 
 fn report(script: &Day, played: &Played, seed: u64, took_s: f64) {
-    let Day { sidecars, pods, rate, .. } = script;
-    println!("{sidecars} sidecars, {pods} pods, {rate} hits/s, seed {seed}, played in {took_s:.1} s\n");
+    let Day {
+        sidecars,
+        pods,
+        rate,
+        ..
+    } = script;
+    println!(
+        "{sidecars} sidecars, {pods} pods, {rate} hits/s, seed {seed}, played in {took_s:.1} s\n"
+    );
     println!("path group      asked  in time  late  bounced  errored  left  wrong  p50 ms  p99 ms");
-    for Fared { group, asked, in_time, late, bounced, errored, left, wrong, took_us, .. } in &played.fared {
+    for Fared {
+        group,
+        asked,
+        in_time,
+        late,
+        bounced,
+        errored,
+        left,
+        wrong,
+        took_us,
+        ..
+    } in &played.fared
+    {
         let ms = |quantile| took_us.value_at_quantile(quantile) as f64 / 1e3;
         println!(
             "{group:<12} {asked:>8} {in_time:>8} {late:>5} {bounced:>8} {errored:>8} {left:>5} {wrong:>6} {:>7.1} {:>7.1}",
@@ -119,7 +170,13 @@
             ms(0.99)
         );
     }
-    let count = |of: fn(&Seen) -> bool| played.entries.iter().filter(|entry| of(&entry.seen)).count();
+    let count = |of: fn(&Seen) -> bool| {
+        played
+            .entries
+            .iter()
+            .filter(|entry| of(&entry.seen))
+            .count()
+    };
     println!(
         "\nservice {:.3}; {} tries by clients, {} forwards, {} turned away unseen, votes {:?}",
         service(&played.fared),
--- a/crates/cli/src/distribute.rs
+++ b/crates/cli/src/distribute.rs
@@ -51,8 +51,9 @@
 
 pub fn distribute(args: Distribute) -> anyhow::Result<u8> {
     let settings = settings_of(args)?;
-    let runtime =
-        tokio::runtime::Builder::new_current_thread().enable_all().build_local(LocalOptions::default())?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build_local(LocalOptions::default())?;
     let ended = runtime.block_on(async {
         let mut terminate = signal(SignalKind::terminate()).context("SIGTERM")?;
         let mut interrupt = signal(SignalKind::interrupt()).context("SIGINT")?;
--- a/crates/cli/src/fellow.rs
+++ b/crates/cli/src/fellow.rs
@@ -40,9 +40,15 @@
 pub fn fellow(args: Fellow) -> anyhow::Result<u8> {
     let period = Duration::from(args.period);
     let wrong = [
-        (args.name.is_empty() || args.name.len() > NAME, "--name: expected 1 to 64 bytes"),
+        (
+            args.name.is_empty() || args.name.len() > NAME,
+            "--name: expected 1 to 64 bytes",
+        ),
         (args.zone.len() > NAME, "--zone: expected 64 bytes at most"),
-        (!(10..=60_000).contains(&period.as_millis()), "--period: expected 10ms to 60s"),
+        (
+            !(10..=60_000).contains(&period.as_millis()),
+            "--period: expected 10ms to 60s",
+        ),
     ];
     if let Some((_, why)) = wrong.iter().find(|(wrong, _)| *wrong) {
         eprintln!("havenplank: {why}");
@@ -55,17 +61,34 @@
             return Ok(crate::USAGE);
         }
     };
-    let runtime =
-        tokio::runtime::Builder::new_current_thread().enable_all().build_local(LocalOptions::default())?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build_local(LocalOptions::default())?;
     runtime.block_on(async {
         let mut terminate = signal(SignalKind::terminate()).context("SIGTERM")?;
         let mut interrupt = signal(SignalKind::interrupt()).context("SIGINT")?;
         let mut reload = signal(SignalKind::hangup()).context("SIGHUP")?;
-        let (period, who) = (period.as_nanos() as u64, Life { name: args.name.clone(), life: new_life() });
-        let rules = Rules { period, answer: period * 3 / 10, ..Rules::default() };
+        let (period, who) = (
+            period.as_nanos() as u64,
+            Life {
+                name: args.name.clone(),
+                life: new_life(),
+            },
+        );
+        let rules = Rules {
+            period,
+            answer: period * 3 / 10,
+            ..Rules::default()
+        };
         let talker = Talker::bind(args.listen, |now, bound| {
             let at = args.advertise.unwrap_or(bound);
-            let me = News { who, at, zone: args.zone.clone(), round: 0, state: State::Lives };
+            let me = News {
+                who,
+                at,
+                zone: args.zone.clone(),
+                round: 0,
+                state: State::Lives,
+            };
             let seed = me.who.life ^ u64::from(bound.port()) << 48;
             Node::new(now, seed, me, args.meet.clone(), rules, read)
         });
@@ -102,7 +125,11 @@
 /// Once a second, what this one believes beside what came over the wire.
 fn state(talker: &Rc<Talker>) {
     talker.call(|node, _| {
-        let living: Vec<&str> = node.fellows().living().map(|news| news.who.name.as_str()).collect();
+        let living: Vec<&str> = node
+            .fellows()
+            .living()
+            .map(|news| news.who.name.as_str())
+            .collect();
         tracing::info!(
             living = living.join(","),
             slowness = node.fellows().slowness(),
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -118,7 +118,10 @@
     },
     /// A part that the bench starts: pod, or bare with the pods' addresses.
     #[command(hide = true)]
-    BenchPart { kind: String, pods: Vec<std::net::SocketAddr> },
+    BenchPart {
+        kind: String,
+        pods: Vec<std::net::SocketAddr>,
+    },
     /// Read, cut, merge, anonymise, summarise and replay recorded traces.
     Trace {
         #[command(subcommand)]
@@ -138,7 +141,11 @@
         Err(error) => {
             let _ = error.print();
             // Help and version are no mistakes.
-            return if error.use_stderr() { ExitCode::from(USAGE) } else { ExitCode::SUCCESS };
+            return if error.use_stderr() {
+                ExitCode::from(USAGE)
+            } else {
+                ExitCode::SUCCESS
+            };
         }
     };
     let runs = matches!(
@@ -155,8 +162,10 @@
         }
     };
     let colour = std::io::IsTerminal::is_terminal(&std::io::stderr());
-    let log =
-        tracing_subscriber::fmt().with_ansi(colour).with_env_filter(filter).with_writer(std::io::stderr);
+    let log = tracing_subscriber::fmt()
+        .with_ansi(colour)
+        .with_env_filter(filter)
+        .with_writer(std::io::stderr);
     match args.log_format {
         LogFormat::Text => log.init(),
         LogFormat::Json => log.json().init(),
@@ -172,7 +181,11 @@
 
 fn run(command: Command) -> anyhow::Result<u8> {
     match command {
-        Command::Serve { settings, given, seed } => match settings_of(&settings, &given)? {
+        Command::Serve {
+            settings,
+            given,
+            seed,
+        } => match settings_of(&settings, &given)? {
             Some(site) => serve::serve(site, seed),
             None => Ok(USAGE),
         },
@@ -191,8 +204,19 @@
             None => Ok(USAGE),
         },
         Command::Trace { what } => traces::run(what),
-        Command::Day { day, seed, json, ledger, trace, sidecars, pods, rate } => {
-            let Some(mut script) = day::read(&day)? else { return Ok(USAGE) };
+        Command::Day {
+            day,
+            seed,
+            json,
+            ledger,
+            trace,
+            sidecars,
+            pods,
+            rate,
+        } => {
+            let Some(mut script) = day::read(&day)? else {
+                return Ok(USAGE);
+            };
             script.sidecars = sidecars.unwrap_or(script.sidecars).max(1);
             script.pods = pods.unwrap_or(script.pods).max(1);
             script.rate = rate.unwrap_or(script.rate);
@@ -201,24 +225,49 @@
                 .iter()
                 .map(|(name, value)| format!("{name}={value}"))
                 .collect();
-            let Some(site) = settings_of(&settings, &given)? else { return Ok(USAGE) };
-            day::play(script, site, settings, seed, json.as_deref(), ledger.as_deref(), trace.as_deref())
-        }
-        Command::Bench { bench, what, quick, json, .. } if bench == "capacity" => {
-            bench_capacity::bench(&what, quick, json.as_deref())
-        }
-        Command::Bench { bench, hits, json, .. } if bench == "trace-file" => {
-            bench_trace::bench(hits, json.as_deref())
-        }
-        Command::Bench { bench, seconds, kills, json, .. } if bench == "takeover" => {
-            bench_takeover::bench(seconds, kills, json.as_deref())
-        }
-        Command::Bench { bench, seconds, json, .. } if bench == "growth" => {
-            bench_takeover::growth(seconds, json.as_deref())
-        }
-        Command::Bench { bench, seconds, rounds, json, .. } => {
-            bench::bench(&bench, seconds, rounds, json.as_deref())
+            let Some(site) = settings_of(&settings, &given)? else {
+                return Ok(USAGE);
+            };
+            day::play(
+                script,
+                site,
+                settings,
+                seed,
+                json.as_deref(),
+                ledger.as_deref(),
+                trace.as_deref(),
+            )
         }
+        Command::Bench {
+            bench,
+            what,
+            quick,
+            json,
+            ..
+        } if bench == "capacity" => bench_capacity::bench(&what, quick, json.as_deref()),
+        Command::Bench {
+            bench, hits, json, ..
+        } if bench == "trace-file" => bench_trace::bench(hits, json.as_deref()),
+        Command::Bench {
+            bench,
+            seconds,
+            kills,
+            json,
+            ..
+        } if bench == "takeover" => bench_takeover::bench(seconds, kills, json.as_deref()),
+        Command::Bench {
+            bench,
+            seconds,
+            json,
+            ..
+        } if bench == "growth" => bench_takeover::growth(seconds, json.as_deref()),
+        Command::Bench {
+            bench,
+            seconds,
+            rounds,
+            json,
+            ..
+        } => bench::bench(&bench, seconds, rounds, json.as_deref()),
         Command::BenchPart { kind, pods } => bench::part(&kind, pods),
         Command::Rules { ledger, json } => day::rules(&ledger, json.as_deref()),
     }
--- a/crates/cli/src/platform.rs
+++ b/crates/cli/src/platform.rs
@@ -17,8 +17,9 @@
         eprintln!("havenplank: {FILE}: not set, expected the path of a configuration file");
         return Ok(USAGE);
     };
-    let runtime =
-        tokio::runtime::Builder::new_current_thread().enable_all().build_local(LocalOptions::default())?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build_local(LocalOptions::default())?;
     runtime.block_on(async {
         // Before all else: a signal that comes while we start must not end us.
         let mut reload = signal(SignalKind::hangup()).context("SIGHUP")?;
@@ -31,8 +32,11 @@
                 return Ok(USAGE);
             }
         };
-        let (name, sockets, votes) =
-            (config.terms.name.clone(), config.sockets, format!("{:?}", config.terms.votes));
+        let (name, sockets, votes) = (
+            config.terms.name.clone(),
+            config.sockets,
+            format!("{:?}", config.terms.votes),
+        );
         let instances = config.terms.place.instances;
         let (orders, ordered) = mpsc::channel(ORDERS);
         tokio::task::spawn_local(async move {
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -14,22 +14,40 @@
 const WRITES: Duration = Duration::from_secs(5);
 
 fn wall() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(1, |since| since.as_nanos() as u64)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(1, |since| since.as_nanos() as u64)
 }
 
 /// The recorder that the settings ask for, if they do.
 fn recorder(site: &Site, seed: u64) -> anyhow::Result<Option<(Recorder, Writing)>> {
-    let Some(trace) = &site.trace else { return Ok(None) };
+    let Some(trace) = &site.trace else {
+        return Ok(None);
+    };
     let wall = wall();
     let folder = Folder::new(&trace.folder, &site.name, wall, trace.total_bytes);
     let folder = folder.with_context(|| format!("trace.folder: {}", trace.folder.display()))?;
     let (terms, life) = (Terms::from(site), wall ^ (std::process::id() as u64) << 32);
-    let source =
-        Source { terms, seed, life, part: 0, began: EPOCH, wall, share: 1.0, whole: true, until: u64::MAX };
+    let source = Source {
+        terms,
+        seed,
+        life,
+        part: 0,
+        began: EPOCH,
+        wall,
+        share: 1.0,
+        whole: true,
+        until: u64::MAX,
+    };
     let limits = Limits {
         share: trace.share,
         queue: trace.queue_bytes,
-        longest: site.groups.iter().map(|group| group.rules.client_timeout).max().unwrap_or(0),
+        longest: site
+            .groups
+            .iter()
+            .map(|group| group.rules.client_timeout)
+            .max()
+            .unwrap_or(0),
         file_bytes: trace.file_bytes,
         file_age: trace.file_age,
     };
@@ -42,8 +60,9 @@
         Some((recorder, writing)) => (Some(Box::new(recorder) as Box<dyn Witness>), Some(writing)),
         None => (None, None),
     };
-    let runtime =
-        tokio::runtime::Builder::new_current_thread().enable_all().build_local(LocalOptions::default())?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build_local(LocalOptions::default())?;
     runtime.block_on(async {
         let mut terminate = signal(SignalKind::terminate()).context("SIGTERM")?;
         let mut interrupt = signal(SignalKind::interrupt()).context("SIGINT")?;
--- a/crates/cli/src/traces.rs
+++ b/crates/cli/src/traces.rs
@@ -92,13 +92,17 @@
 
 fn open(file: &Path) -> anyhow::Result<Opened> {
     let opened = File::open(file).with_context(|| format!("{}", file.display()))?;
-    let reader = Reader::open(BufReader::new(opened)).with_context(|| format!("{}", file.display()))?;
+    let reader =
+        Reader::open(BufReader::new(opened)).with_context(|| format!("{}", file.display()))?;
     if let Some(why) = &reader.rebuilt {
         eprintln!("{}: {why}; read by its blocks", file.display());
     }
     if reader.minor > havenplank_trace::file::MINOR {
         let minor = reader.minor;
-        eprintln!("{}: version {MAJOR}.{minor} is newer; what is new in it is passed over", file.display());
+        eprintln!(
+            "{}: version {MAJOR}.{minor} is newer; what is new in it is passed over",
+            file.display()
+        );
     }
     Ok(reader)
 }
@@ -146,7 +150,9 @@
     let Ok(at) = humantime::parse_rfc3339_weak(text) else {
         bail!("{text:?}: expected a span since the beginning such as \"90s\", or a time such as 2026-12-01T08:30:00Z");
     };
-    let wall = at.duration_since(UNIX_EPOCH).map_or(0, |since| since.as_nanos() as u64);
+    let wall = at
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |since| since.as_nanos() as u64);
     Ok(reader.head.clock(wall))
 }
 
@@ -158,7 +164,12 @@
 pub fn run(what: Trace) -> anyhow::Result<u8> {
     match what {
         Trace::Info { file } => info(&file),
-        Trace::Cut { file, from, to, output } => {
+        Trace::Cut {
+            file,
+            from,
+            to,
+            output,
+        } => {
             let mut reader = open(&file)?;
             let (from, to) = (time(&reader, &from)?, time(&reader, &to)?);
             if from >= to {
@@ -166,18 +177,36 @@
                 return Ok(USAGE);
             }
             let (cut, met) = write(&output, |out| cut::cut(&mut reader, out, from, to))?;
-            let cut::Cut { hits, records, blocks, unfinished } = cut;
-            println!("{hits} hits, {records} records, {blocks} of {} blocks read", reader.index.len());
+            let cut::Cut {
+                hits,
+                records,
+                blocks,
+                unfinished,
+            } = cut;
+            println!(
+                "{hits} hits, {records} records, {blocks} of {} blocks read",
+                reader.index.len()
+            );
             if unfinished > 0 {
                 println!("{unfinished} hits are not followed to their end");
             }
             Ok(damage(&file, met))
         }
         Trace::Merge { files, output } => {
-            let readers = files.iter().map(|file| open(file)).collect::<anyhow::Result<Vec<_>>>()?;
+            let readers = files
+                .iter()
+                .map(|file| open(file))
+                .collect::<anyhow::Result<Vec<_>>>()?;
             let clocks = write(&output, |out| merge::merge(readers, out))?;
             for clock in clocks {
-                let merge::Clock { name, offset, drift, events, spread, .. } = clock;
+                let merge::Clock {
+                    name,
+                    offset,
+                    drift,
+                    events,
+                    spread,
+                    ..
+                } = clock;
                 println!(
                     "{name}: {:+.3} ms, {:+.1} ppm, by {events} shared events, half of them within {:.3} ms",
                     offset as f64 / 1e6,
@@ -191,22 +220,30 @@
             let mut reader = open(&file)?;
             let key = key_of(key.as_deref())?;
             let mut met = None;
-            let count = write(&output, |out| match veil::anonymise(&mut reader, out, key) {
-                Err(error @ TraceError::Damage { .. }) => {
-                    met = Some(error);
-                    Ok(None)
+            let count = write(&output, |out| {
+                match veil::anonymise(&mut reader, out, key) {
+                    Err(error @ TraceError::Damage { .. }) => {
+                        met = Some(error);
+                        Ok(None)
+                    }
+                    other => other.map(Some),
                 }
-                other => other.map(Some),
             })?;
             if let Some(count) = count {
                 println!("{count} records");
             }
             Ok(damage(&file, met))
         }
-        Trace::Summarise { file, span: told, json } => {
+        Trace::Summarise {
+            file,
+            span: told,
+            json,
+        } => {
             let mut reader = open(&file)?;
             let told = match told.as_deref().map(|text| (text, span(text))) {
-                Some((text, None | Some(0))) => bail!("--span {text:?}: expected a span such as \"10s\""),
+                Some((text, None | Some(0))) => {
+                    bail!("--span {text:?}: expected a span such as \"10s\"")
+                }
                 told => told.and_then(|(_, span)| span),
             };
             let (summary, met) = summary::summarise(&mut reader, told)?;
@@ -219,7 +256,9 @@
         Trace::Export { file } => {
             let mut out = BufWriter::new(std::io::stdout().lock());
             let mut reader = open(&file)?;
-            let met = each(&mut reader, |record, head| writeln!(out, "{}", show::line(&record, head)))?;
+            let met = each(&mut reader, |record, head| {
+                writeln!(out, "{}", show::line(&record, head))
+            })?;
             out.flush()?;
             Ok(damage(&file, met))
         }
@@ -228,7 +267,8 @@
             let mut shown = 0;
             let met = each(&mut reader, |record, head| {
                 let name = &head.sources[record.source].terms.name;
-                if record.hit() == Some(hit) && source.as_ref().is_none_or(|source| source == name) {
+                if record.hit() == Some(hit) && source.as_ref().is_none_or(|source| source == name)
+                {
                     println!("{}", show::line(&record, head));
                     shown += 1;
                 }
@@ -241,29 +281,49 @@
             Ok(damage(&file, met))
         }
         Trace::Drive { file, source, json } => drive(&file, source.as_deref(), json.as_deref()),
-        Trace::FromBench { input, output, trace } => {
+        Trace::FromBench {
+            input,
+            output,
+            trace,
+        } => {
             let read = |file: &Path| {
-                File::open(file).map(BufReader::new).with_context(|| format!("{}", file.display()))
+                File::open(file)
+                    .map(BufReader::new)
+                    .with_context(|| format!("{}", file.display()))
             };
-            let sources =
-                from_wire::sources(read(&input)?).with_context(|| format!("{}", input.display()))?;
+            let sources = from_wire::sources(read(&input)?)
+                .with_context(|| format!("{}", input.display()))?;
             let (heard, said) = (read(&input)?, read(&output)?);
             let records = write(&trace, |out| from_wire::write(heard, said, sources, out))?;
             println!("{records} records");
             Ok(0)
         }
         Trace::Replay { files } => {
-            let readers = files.iter().map(|file| open(file)).collect::<anyhow::Result<Vec<_>>>()?;
+            let readers = files
+                .iter()
+                .map(|file| open(file))
+                .collect::<anyhow::Result<Vec<_>>>()?;
             let (played, met) = replay::replay(readers)?;
             let mut code = 0;
             for (name, outcome) in played {
-                let replay::Outcome { hits, compared, records, differs, stopped } = outcome;
+                let replay::Outcome {
+                    hits,
+                    compared,
+                    records,
+                    differs,
+                    stopped,
+                } = outcome;
                 println!("{name}: {hits} hits, {records} records, {compared} decisions compared");
                 if let Some(at) = stopped {
                     println!("{name}: played up to {at}, from where records are missing");
                 }
                 match differs {
-                    Some(replay::Difference { record, at, recorded, now }) => {
+                    Some(replay::Difference {
+                        record,
+                        at,
+                        recorded,
+                        now,
+                    }) => {
                         println!("{name}: differs first at record {record}, time {at}:");
                         println!("  recorded {recorded}\n  now      {now}");
                         code = BROKEN;
@@ -282,7 +342,12 @@
 
 fn drive(file: &Path, source: Option<&str>, json: Option<&Path>) -> anyhow::Result<u8> {
     let mut reader = open(file)?;
-    let names: Vec<&str> = reader.head.sources.iter().map(|source| source.terms.name.as_str()).collect();
+    let names: Vec<&str> = reader
+        .head
+        .sources
+        .iter()
+        .map(|source| source.terms.name.as_str())
+        .collect();
     let number = match source {
         Some(name) => names.iter().position(|known| *known == name),
         None if names.len() == 1 => Some(0),
@@ -299,7 +364,9 @@
         bar.set_length(of / 1_000_000_000);
         bar.set_position(at / 1_000_000_000);
     };
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
     let driving = drive::drive(&mut reader, number, program, folder.path(), tell);
     let driven = runtime.block_on(tokio::task::LocalSet::new().run_until(driving))?;
     bar.finish_and_clear();
@@ -315,8 +382,18 @@
         })
     };
     for (name, fared) in [("recorded", &driven.recorded), ("driven", &driven.driven)] {
-        let drive::Fared { hits, delivered, bounced, errored, left, forwards, .. } = fared;
-        println!("{name:<9} {hits:>7} {delivered:>10} {bounced:>8} {errored:>8} {left:>8} {forwards:>9}");
+        let drive::Fared {
+            hits,
+            delivered,
+            bounced,
+            errored,
+            left,
+            forwards,
+            ..
+        } = fared;
+        println!(
+            "{name:<9} {hits:>7} {delivered:>10} {bounced:>8} {errored:>8} {left:>8} {forwards:>9}"
+        );
     }
     for (name, fared) in [("recorded", &driven.recorded), ("driven", &driven.driven)] {
         for ((build, stage, voice), count) in &fared.votes {
@@ -327,7 +404,10 @@
         "{} forwards ended as recorded, {} as their build's did then",
         driven.as_recorded, driven.as_build
     );
-    driven.troubles.iter().for_each(|trouble| eprintln!("{trouble}"));
+    driven
+        .troubles
+        .iter()
+        .for_each(|trouble| eprintln!("{trouble}"));
     if let Some(file) = json {
         let value = json!({
             "recorded": figures(&driven.recorded), "driven": figures(&driven.driven),
@@ -335,7 +415,11 @@
         });
         write_json(file, &value)?;
     }
-    Ok(if driven.troubles.is_empty() { 0 } else { crate::FAILED })
+    Ok(if driven.troubles.is_empty() {
+        0
+    } else {
+        crate::FAILED
+    })
 }
 
 /// Hands out every record; the damage that ended it, if any did.
@@ -353,7 +437,9 @@
 }
 
 fn key_of(file: Option<&Path>) -> anyhow::Result<veil::Key> {
-    let Some(file) = file else { return Ok(veil::draw_key()?) };
+    let Some(file) = file else {
+        return Ok(veil::draw_key()?);
+    };
     if !file.exists() {
         let key = veil::draw_key()?;
         let text: String = key.iter().map(|byte| format!("{byte:02x}")).collect();
@@ -368,7 +454,9 @@
         bail!(wanted());
     }
     for (byte, at) in key.iter_mut().zip((0..64).step_by(2)) {
-        *byte = u8::from_str_radix(&text[at..at + 2], 16).ok().with_context(wanted)?;
+        *byte = u8::from_str_radix(&text[at..at + 2], 16)
+            .ok()
+            .with_context(wanted)?;
     }
     Ok(key)
 }
@@ -387,23 +475,37 @@
     let sum = |of: fn(&havenplank_trace::file::Entry) -> u32| {
         reader.index.iter().map(|e| of(e) as u64).sum::<u64>()
     };
-    println!("version {MAJOR}.{}, written by {}, settings {}", reader.minor, head.program, head.settings);
+    println!(
+        "version {MAJOR}.{}, written by {}, settings {}",
+        reader.minor, head.program, head.settings
+    );
     if head.anonymised {
         println!("anonymised: names are stand-ins");
     }
     for source in &head.sources {
         let (name, share) = (&source.terms.name, source.share);
-        let whole = if source.whole { "" } else { ", not all records" };
+        let whole = if source.whole {
+            ""
+        } else {
+            ", not all records"
+        };
         println!(
             "{name}: life {:016x} part {}, seed {}, share {share}{whole}",
             source.life, source.part, source.seed
         );
     }
     if let Some((first, last)) = reader.span() {
-        println!("{} to {}", day_time(&reader, first), day_time(&reader, last));
+        println!(
+            "{} to {}",
+            day_time(&reader, first),
+            day_time(&reader, last)
+        );
     }
     let (hits, records, packed) = (sum(|e| e.hits), sum(|e| e.records), sum(|e| e.packed));
-    println!("{hits} hits, {records} records in {} blocks", reader.index.len());
+    println!(
+        "{hits} hits, {records} records in {} blocks",
+        reader.index.len()
+    );
     println!("{packed} bytes packed, {} unpacked", sum(|e| e.unpacked));
     if hits > 0 {
         println!("{:.1} bytes a hit", packed as f64 / hits as f64);
@@ -412,19 +514,32 @@
 }
 
 fn ends(ends: &BTreeMap<&'static str, u64>) -> String {
-    ends.iter().map(|(end, count)| format!("{end} {count}")).collect::<Vec<_>>().join(", ")
+    ends.iter()
+        .map(|(end, count)| format!("{end} {count}"))
+        .collect::<Vec<_>>()
+        .join(", ")
 }
 
 /// The figures as a text, which goes out at once: whoever reads it may stop early.
 fn summary_text(reader: &Opened, summary: &Summary) -> Result<String, std::fmt::Error> {
     let mut out = String::new();
-    let (first, last) = (day_time(reader, summary.first), day_time(reader, summary.last));
-    writeln!(out, "{first} to {last}: {} hits, {} records", summary.hits, summary.records)?;
+    let (first, last) = (
+        day_time(reader, summary.first),
+        day_time(reader, summary.last),
+    );
+    writeln!(
+        out,
+        "{first} to {last}: {} hits, {} records",
+        summary.hits, summary.records
+    )?;
     for (count, what) in [
         (summary.lost_hits, "hits were left out when recorded"),
         (summary.lost_records, "records were lost when recorded"),
         (summary.unfinished, "hits are not followed to their end"),
-        (summary.skipped, "records of a newer version were passed over"),
+        (
+            summary.skipped,
+            "records of a newer version were passed over",
+        ),
     ] {
         if count > 0 {
             writeln!(out, "{count} {what}")?;
@@ -432,7 +547,15 @@
     }
     writeln!(out, "\nbuild  path group        hits  delivered    in time  bounced  errored     left   p50 ms   p99 ms  forwards")?;
     for ((build, group), figures) in &summary.builds {
-        let Figures { hits, delivered, in_time, bounced, errored, left, .. } = figures;
+        let Figures {
+            hits,
+            delivered,
+            in_time,
+            bounced,
+            errored,
+            left,
+            ..
+        } = figures;
         writeln!(
             out,
             "{build:<6} {group:<14} {hits:>8} {delivered:>10} {in_time:>10} {bounced:>8} {errored:>8} {left:>8} {:>8.1} {:>8.1}  {}",
@@ -444,18 +567,28 @@
         writeln!(out, "{:<20} {}", format!("{pod} ({build})"), ends(figures))?;
     }
     if !summary.exposed.is_empty() {
-        writeln!(out, "\nsidecar (build)      exposed    taken   share  most of the cap in a window")?;
+        writeln!(
+            out,
+            "\nsidecar (build)      exposed    taken   share  most of the cap in a window"
+        )?;
     }
     for ((name, build), exposed) in &summary.exposed {
         let share = exposed.hits as f64 / exposed.taken.max(1) as f64;
         let at = format!("{name} ({build})");
-        writeln!(out, "{at:<20} {:>7} {:>8} {share:>7.3}  {:.2}", exposed.hits, exposed.taken, exposed.most)?;
+        writeln!(
+            out,
+            "{at:<20} {:>7} {:>8} {share:>7.3}  {:.2}",
+            exposed.hits, exposed.taken, exposed.most
+        )?;
     }
     for ((build, stage, voice), count) in &summary.votes {
         writeln!(out, "votes: build {build} stage {stage} {voice}: {count}")?;
     }
     if !summary.spans.is_empty() {
-        writeln!(out, "\nfrom                      build     hits  delivered    in time  bounced  errored")?;
+        writeln!(
+            out,
+            "\nfrom                      build     hits  delivered    in time  bounced  errored"
+        )?;
     }
     for ((at, build), [hits, delivered, in_time, bounced, errored]) in &summary.spans {
         let at = day_time(reader, *at);
@@ -475,8 +608,10 @@
             "forwards": f.forwards, "p50_ms": f.latency_ms(0.5), "p99_ms": f.latency_ms(0.99),
         })
     });
-    let pods =
-        summary.pods.iter().map(|((pod, build), ends)| json!({"pod": pod, "build": build, "forwards": ends}));
+    let pods = summary
+        .pods
+        .iter()
+        .map(|((pod, build), ends)| json!({"pod": pod, "build": build, "forwards": ends}));
     let exposed = summary.exposed.iter().map(|((name, build), e)| {
         json!({
             "sidecar": name, "build": build, "exposed": e.hits, "taken": e.taken, "windows": e.windows,
@@ -486,12 +621,14 @@
     let votes = summary.votes.iter().map(|((build, stage, voice), count)| {
         json!({"build": build, "stage": stage, "voice": voice, "votes": count})
     });
-    let spans = summary.spans.iter().map(|((at, build), [hits, delivered, in_time, bounced, errored])| {
-        json!({
-            "at": at, "build": build, "hits": hits, "delivered": delivered, "in_time": in_time,
-            "bounced": bounced, "errored": errored,
-        })
-    });
+    let spans = summary.spans.iter().map(
+        |((at, build), [hits, delivered, in_time, bounced, errored])| {
+            json!({
+                "at": at, "build": build, "hits": hits, "delivered": delivered, "in_time": in_time,
+                "bounced": bounced, "errored": errored,
+            })
+        },
+    );
     json!({
         "hits": summary.hits, "records": summary.records, "skipped": summary.skipped,
         "unfinished": summary.unfinished, "lost_hits": summary.lost_hits, "lost_records": summary.lost_records,
--- a/crates/cli/tests/bench_proxy_capacity.rs
+++ b/crates/cli/tests/bench_proxy_capacity.rs
@@ -18,7 +18,9 @@
 
 fn answer(address: SocketAddr) -> String {
     let mut stream = TcpStream::connect(address).expect("a listener");
-    stream.write_all(b"GET /x HTTP/1.1\r\nhost: h\r\nconnection: close\r\n\r\n").expect("it takes a request");
+    stream
+        .write_all(b"GET /x HTTP/1.1\r\nhost: h\r\nconnection: close\r\n\r\n")
+        .expect("it takes a request");
     let mut text = String::new();
     stream.read_to_string(&mut text).expect("an answer");
     text
@@ -35,13 +37,20 @@
     let output = child.stdout.take().expect("its output");
     let _ended = Ended(child);
     let mut line = String::new();
-    BufReader::new(output).read_line(&mut line).expect("its addresses");
-    let bound: Vec<SocketAddr> =
-        line.split_whitespace().map(|address| address.parse().expect("an address")).collect();
+    BufReader::new(output)
+        .read_line(&mut line)
+        .expect("its addresses");
+    let bound: Vec<SocketAddr> = line
+        .split_whitespace()
+        .map(|address| address.parse().expect("an address"))
+        .collect();
     let wanted = ADDRESSES.map(|address| address.parse::<SocketAddr>().expect("an address").ip());
     assert_eq!(bound.iter().map(SocketAddr::ip).collect::<Vec<_>>(), wanted);
     for address in bound {
         let text = answer(address);
-        assert!(text.starts_with("HTTP/1.1 200") && text.ends_with("ok"), "{address}: {text}");
+        assert!(
+            text.starts_with("HTTP/1.1 200") && text.ends_with("ok"),
+            "{address}: {text}"
+        );
     }
 }
--- a/crates/cli/tests/configuration.rs
+++ b/crates/cli/tests/configuration.rs
@@ -29,8 +29,13 @@
 /// Runs with sidecars that know each other and have no configuration yet.
 fn test(work: impl AsyncFnOnce(Fleet)) {
     let folder = tempfile::tempdir().expect("a folder");
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    runtime.block_on(LocalSet::new().run_until(async { work(Fleet::start(folder.path()).await).await }));
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("a runtime");
+    runtime.block_on(
+        LocalSet::new().run_until(async { work(Fleet::start(folder.path()).await).await }),
+    );
 }
 
 /// Waits until it holds.
@@ -48,7 +53,11 @@
     let keyed =
         "kind = \"keyed\", idempotency_window = \"30s\", latency_target = \"50ms\", deadline = \"60ms\"";
     let free = "kind = \"idempotent\", latency_target = \"3s\", deadline = \"8s\"";
-    let (a, b) = if swapped { (free, keyed) } else { (keyed, free) };
+    let (a, b) = if swapped {
+        (free, keyed)
+    } else {
+        (keyed, free)
+    };
     format!(
         "service(name = \"search\", zones = [\"room-1\"])\n\
          route(name = \"a\", service = \"search\", paths = [\"/a\"], {a})\n\
@@ -80,13 +89,21 @@
         let relays = Relays::bind(SIDECARS + 2, 7).await.expect("relays");
         relays.carry_streams().await.expect("relays of streams");
         let folder = folder.to_path_buf();
-        let mut fleet = Fleet { folder, relays, sidecars: Vec::new(), _pods: pods };
+        let mut fleet = Fleet {
+            folder,
+            relays,
+            sidecars: Vec::new(),
+            _pods: pods,
+        };
         for id in 0..SIDECARS {
             let sidecar = fleet.launch(id).await;
             fleet.sidecars.push(sidecar);
         }
         for sidecar in &mut fleet.sidecars {
-            sidecar.until("fellow joined", SIDECARS - 1).await.expect("all meet");
+            sidecar
+                .until("fellow joined", SIDECARS - 1)
+                .await
+                .expect("all meet");
         }
         fleet
     }
@@ -109,19 +126,31 @@
         let file = self.folder.join(format!("s-{id}.star"));
         std::fs::write(&file, text).expect("written");
         let arguments = ["serve".to_string(), file.display().to_string()];
-        let mut sidecar =
-            Sidecar::spawn(Path::new(env!("CARGO_BIN_EXE_havenplank")), &arguments).expect("a process");
+        let mut sidecar = Sidecar::spawn(Path::new(env!("CARGO_BIN_EXE_havenplank")), &arguments)
+            .expect("a process");
         sidecar.until("admin=", 1).await.expect("it listens");
         sidecar.at = sidecar.address("admin=", "listen=").expect("its address");
-        sidecar.admin = sidecar.address("admin=", "admin=").expect("its admin address");
-        self.relays.serves(id, sidecar.address("fellowship", "listen=").expect("its peers' address"));
+        sidecar.admin = sidecar
+            .address("admin=", "admin=")
+            .expect("its admin address");
+        self.relays.serves(
+            id,
+            sidecar
+                .address("fellowship", "listen=")
+                .expect("its peers' address"),
+        );
         sidecar
     }
 
     fn write(&self, text: &str) {
         // At once, as an operator's tools would.
-        let (new, file) = (self.folder.join("fleet.star.new"), self.folder.join("fleet.star"));
-        std::fs::write(&new, text).and_then(|()| std::fs::rename(new, file)).expect("written");
+        let (new, file) = (
+            self.folder.join("fleet.star.new"),
+            self.folder.join("fleet.star"),
+        );
+        std::fs::write(&new, text)
+            .and_then(|()| std::fs::rename(new, file))
+            .expect("written");
     }
 
     /// A process that may end at once, with a store of its own.
@@ -142,8 +171,15 @@
 
     async fn distributor(&self, relay: usize, options: &[&str]) -> Sidecar {
         let mut distributor = self.spawn_distributor(relay, options);
-        distributor.until("distributor listening", 1).await.expect("it listens");
-        let address = |name: &str| distributor.address("distributor listening", name).expect(name);
+        distributor
+            .until("distributor listening", 1)
+            .await
+            .expect("it listens");
+        let address = |name: &str| {
+            distributor
+                .address("distributor listening", name)
+                .expect(name)
+        };
         let (peers, admin) = (address("peers="), address("admin="));
         self.relays.serves(relay, peers);
         distributor.admin = admin;
@@ -167,7 +203,10 @@
             .await;
             digests.push(self.configuration(*id).await["digest"].clone());
         }
-        assert!(digests.windows(2).all(|pair| pair[0] == pair[1]), "{digests:?}");
+        assert!(
+            digests.windows(2).all(|pair| pair[0] == pair[1]),
+            "{digests:?}"
+        );
     }
 
     async fn everybody_at(&self, version: &str) {
@@ -178,14 +217,20 @@
     /// The statuses of both paths at a sidecar, without a key.
     async fn routed(&self, id: usize) -> (u16, u16) {
         let at = self.sidecars[id].at;
-        let status = async |path| ask_without_key(at, path, "probe").await.map_or(0, |(status, _)| status);
+        let status = async |path| {
+            ask_without_key(at, path, "probe")
+                .await
+                .map_or(0, |(status, _)| status)
+        };
         (status("/a").await, status("/b").await)
     }
 }
 
 /// What the distributor's polls say of its newest version.
 async fn writer(distributor: &Sidecar) -> Value {
-    state(distributor.admin).await.map_or(Value::Null, |mut state| state["writer"].take())
+    state(distributor.admin)
+        .await
+        .map_or(Value::Null, |mut state| state["writer"].take())
 }
 
 #[test]
@@ -199,7 +244,8 @@
         let over = Rc::new(Cell::new(false));
         let clients: Vec<_> = (0..SIDECARS * 2)
             .map(|n| {
-                let (at, path, over) = (fleet.sidecars[n / 2].at, ["/a", "/b"][n % 2], over.clone());
+                let (at, path, over) =
+                    (fleet.sidecars[n / 2].at, ["/a", "/b"][n % 2], over.clone());
                 spawn_local(async move {
                     let mut seen = [0, 0];
                     while !over.get() {
@@ -218,13 +264,20 @@
             fleet.write(&script(change % 2 == 1, &change.to_string()));
             distributor.signal(Signal::HUP).expect("told");
             fleet.everybody_at(&format!("1.{}", change + 1)).await;
-            let wanted = if change % 2 == 1 { (200, 400) } else { (400, 200) };
+            let wanted = if change % 2 == 1 {
+                (200, 400)
+            } else {
+                (400, 200)
+            };
             assert_eq!(fleet.routed(change % SIDECARS).await, wanted);
         }
         over.set(true);
         for client in clients {
             let seen = client.await.expect("a client");
-            assert!(seen.iter().all(|count| *count > 0), "both versions were seen: {seen:?}");
+            assert!(
+                seen.iter().all(|count| *count > 0),
+                "both versions were seen: {seen:?}"
+            );
         }
         until("a poll of all", async || {
             let round = writer(&distributor).await["round"].take();
@@ -246,8 +299,14 @@
             match kill {
                 // Before anything, right after the write, and at whatever point lies between.
                 0 => {}
-                1 => distributor.until("stored version", 1).await.expect("stored"),
-                2 => distributor.until("published version", 1).await.expect("published"),
+                1 => distributor
+                    .until("stored version", 1)
+                    .await
+                    .expect("stored"),
+                2 => distributor
+                    .until("published version", 1)
+                    .await
+                    .expect("published"),
                 later => sleep(Duration::from_millis(2 * later)).await,
             }
             distributor.signal(Signal::KILL).expect("killed");
@@ -259,11 +318,17 @@
             assert_eq!(distributor.exit_code().await.expect("over"), Some(0));
             fleet.write(&script(kill % 2 == 0, &format!("kill-{kill}")));
             distributor = fleet.distributor(FIRST, &[]).await;
-            distributor.until("the script has not changed", 1).await.expect("nothing new");
+            distributor
+                .until("the script has not changed", 1)
+                .await
+                .expect("nothing new");
         }
         // What a sidecar kept is in force at its next start, whoever else is there.
         distributor.signal(Signal::KILL).expect("killed");
-        until("1.7 on disk", async || fleet.configuration(5).await["kept"] == "1.7").await;
+        until("1.7 on disk", async || {
+            fleet.configuration(5).await["kept"] == "1.7"
+        })
+        .await;
         fleet.relays.isolate(5);
         fleet.sidecars[5].signal(Signal::KILL).expect("killed");
         fleet.sidecars[5].over().await.expect("gone");
@@ -276,22 +341,38 @@
 #[test]
 fn a_stopped_sidecar_and_one_that_hears_nothing_end_where_all_others_are() {
     test(async |fleet| {
-        fleet.relays.weather(Weather { loss: 0.1, repeat: 0.2, delay: Duration::from_millis(20) });
+        fleet.relays.weather(Weather {
+            loss: 0.1,
+            repeat: 0.2,
+            delay: Duration::from_millis(20),
+        });
         fleet.write(&script(false, "0"));
         let distributor = fleet.distributor(FIRST, &[]).await;
         fleet.everybody_at("1.1").await;
         let (stopped, deaf) = (2, 4);
-        fleet.sidecars[stopped].signal(Signal::STOP).expect("stopped");
-        (0..SIDECARS + 2).filter(|from| *from != deaf).for_each(|from| fleet.relays.cut(from, deaf));
+        fleet.sidecars[stopped]
+            .signal(Signal::STOP)
+            .expect("stopped");
+        (0..SIDECARS + 2)
+            .filter(|from| *from != deaf)
+            .for_each(|from| fleet.relays.cut(from, deaf));
         for change in 1..=10 {
             fleet.write(&script(change % 2 == 1, &change.to_string()));
             distributor.signal(Signal::HUP).expect("told");
-            fleet.all_at(&[0, 1, 3, 5], &format!("1.{}", change + 1)).await;
+            fleet
+                .all_at(&[0, 1, 3, 5], &format!("1.{}", change + 1))
+                .await;
         }
         assert_eq!(fleet.configuration(deaf).await["version"], "1.1");
-        assert_eq!(fleet.routed(deaf).await, (400, 200), "what it had stays in force");
+        assert_eq!(
+            fleet.routed(deaf).await,
+            (400, 200),
+            "what it had stays in force"
+        );
         fleet.relays.heal();
-        fleet.sidecars[stopped].signal(Signal::CONT).expect("goes on");
+        fleet.sidecars[stopped]
+            .signal(Signal::CONT)
+            .expect("goes on");
         fleet.everybody_at("1.11").await;
     });
 }
@@ -303,13 +384,19 @@
             .write("service(name = \"search\")\nroute(name = \"a\", service = \"serch\", paths = [\"a\"])\n");
         let mut refused = fleet.spawn_distributor(FIRST, &[]);
         assert_eq!(refused.exit_code().await.expect("over"), Some(64));
-        until("the mistake with its line", async || refused.said("fleet.star:2: route.service") == 1).await;
+        until("the mistake with its line", async || {
+            refused.said("fleet.star:2: route.service") == 1
+        })
+        .await;
         fleet.write(&script(false, "0"));
         let mut distributor = fleet.distributor(FIRST, &[]).await;
         fleet.everybody_at("1.1").await;
         fleet.write(&format!("{}nonsense(\n", script(true, "1")));
         distributor.signal(Signal::HUP).expect("told");
-        distributor.until("nothing published", 1).await.expect("refused");
+        distributor
+            .until("nothing published", 1)
+            .await
+            .expect("refused");
         // No sidecar has such a zone, nor a takeover: each says so, and the writer knows of all.
         for (number, bad) in [("1.2", "room-1\", \"room-9"), ("1.3", "")] {
             let text = match bad {
@@ -349,7 +436,10 @@
         fleet.everybody_at("2.1").await;
         fleet.write(&script(true, "1"));
         let mut second = fleet.distributor(SECOND, &["--epoch", "1"]).await;
-        second.until("superseded", 1).await.expect("it hears of the higher epoch");
+        second
+            .until("superseded", 1)
+            .await
+            .expect("it hears of the higher epoch");
         assert_eq!(writer(&second).await["superseded_by"], "2.1");
         second.signal(Signal::HUP).expect("told");
         fleet.everybody_at("2.1").await;
@@ -361,7 +451,10 @@
         first.until("superseded", 1).await.expect("it is replaced");
         fleet.write(&script(false, "4"));
         first.signal(Signal::HUP).expect("told");
-        first.until("nothing published", 1).await.expect("it publishes no more");
+        first
+            .until("nothing published", 1)
+            .await
+            .expect("it publishes no more");
         third.signal(Signal::HUP).expect("told");
         fleet.everybody_at("3.3").await;
         assert_eq!(fleet.routed(0).await, (400, 200));
@@ -371,7 +464,9 @@
         std::fs::remove_dir_all(fleet.folder.join(format!("store-{SECOND}"))).expect("lost");
         fleet.write(&script(true, "5"));
         let mut lost = fleet.distributor(SECOND, &["--epoch", "3"]).await;
-        lost.until("start this one with --replace-writer", 1).await.expect("it hears of the newer one");
+        lost.until("start this one with --replace-writer", 1)
+            .await
+            .expect("it hears of the newer one");
         lost.signal(Signal::HUP).expect("told");
         lost.until("nothing published", 1).await.expect("refused");
         fleet.everybody_at("3.3").await;
--- a/crates/cli/tests/fellows.rs
+++ b/crates/cli/tests/fellows.rs
@@ -21,17 +21,28 @@
 impl Fellow {
     fn signal(&self, name: &str) {
         let kill = format!("kill -{name} {}", self.process.id());
-        assert!(Command::new("sh").args(["-c", &kill]).status().expect("a shell").success());
+        assert!(Command::new("sh")
+            .args(["-c", &kill])
+            .status()
+            .expect("a shell")
+            .success());
     }
 
     fn said(&self, what: &str, of: &str) -> usize {
         let of = format!("fellow=\"{of}\"");
-        self.told.iter().filter(|line| line.contains(what) && line.contains(&of)).count()
+        self.told
+            .iter()
+            .filter(|line| line.contains(what) && line.contains(&of))
+            .count()
     }
 
     /// Those that it took for living in its last state line.
     fn living(&self) -> Option<String> {
-        let line = self.told.iter().rev().find(|line| line.contains("living="))?;
+        let line = self
+            .told
+            .iter()
+            .rev()
+            .find(|line| line.contains("living="))?;
         let list = line.split("living=\"").nth(1)?.split('"').next()?;
         Some(list.to_string())
     }
@@ -55,7 +66,11 @@
         let keys = folder.join("keys");
         std::fs::write(&keys, "0123456789abcdef".repeat(4)).expect("written");
         let relays = Relays::bind(many, 7).await.expect("relays");
-        let mut group = Group { relays, keys, fellows: Vec::new() };
+        let mut group = Group {
+            relays,
+            keys,
+            fellows: Vec::new(),
+        };
         for id in 0..many {
             let fellow = group.launch(id).await;
             group.fellows.push(fellow);
@@ -80,19 +95,41 @@
             "--meet",
             &self.relays.at(0).to_string(),
         ]);
-        command.arg("--keys").arg(&self.keys).env("NO_COLOR", "1").stderr(Stdio::piped());
+        command
+            .arg("--keys")
+            .arg(&self.keys)
+            .env("NO_COLOR", "1")
+            .stderr(Stdio::piped());
         let mut process = command.spawn().expect("the program starts");
         let (lines, log) = channel();
         let from = BufReader::new(process.stderr.take().expect("its log"));
-        std::thread::spawn(move || from.lines().map_while(Result::ok).all(|line| lines.send(line).is_ok()));
-        let mut fellow = Fellow { process, log, told: Vec::new() };
+        std::thread::spawn(move || {
+            from.lines()
+                .map_while(Result::ok)
+                .all(|line| lines.send(line).is_ok())
+        });
+        let mut fellow = Fellow {
+            process,
+            log,
+            told: Vec::new(),
+        };
         self.wait(std::slice::from_mut(&mut fellow), "it listens", |all| {
-            all[0].told.iter().any(|line| line.contains("fellow listening"))
+            all[0]
+                .told
+                .iter()
+                .any(|line| line.contains("fellow listening"))
         })
         .await;
-        let line = fellow.told.iter().find(|line| line.contains("fellow listening")).expect("that line");
-        let at =
-            line.split("listen=").nth(1).and_then(|rest| rest.split_whitespace().next()).expect("an address");
+        let line = fellow
+            .told
+            .iter()
+            .find(|line| line.contains("fellow listening"))
+            .expect("that line");
+        let at = line
+            .split("listen=")
+            .nth(1)
+            .and_then(|rest| rest.split_whitespace().next())
+            .expect("an address");
         self.relays.serves(id, at.parse().expect("an address"));
         fellow
     }
@@ -106,8 +143,13 @@
                     fellow.told.push(line);
                 }
             }
-            let told =
-                || fellows.iter().map(|fellow| fellow.told.join("\n")).collect::<Vec<_>>().join("\n--\n");
+            let told = || {
+                fellows
+                    .iter()
+                    .map(|fellow| fellow.told.join("\n"))
+                    .collect::<Vec<_>>()
+                    .join("\n--\n")
+            };
             assert!(began.elapsed() < PATIENCE, "never came: {what}\n{}", told());
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
@@ -124,7 +166,11 @@
         let ids = ids.to_vec();
         self.until(&format!("{ids:?} agree"), move |fellows| {
             ids.iter().all(|id| {
-                let others: Vec<String> = ids.iter().filter(|n| *n != id).map(|n| format!("s-{n}")).collect();
+                let others: Vec<String> = ids
+                    .iter()
+                    .filter(|n| *n != id)
+                    .map(|n| format!("s-{n}"))
+                    .collect();
                 fellows[*id].living() == Some(others.join(","))
             })
         })
@@ -134,7 +180,10 @@
 
 fn test(work: impl AsyncFnOnce(&Path)) {
     let folder = tempfile::tempdir().expect("a folder");
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("a runtime");
     runtime.block_on(LocalSet::new().run_until(work(folder.path())));
 }
 
@@ -145,13 +194,19 @@
         group.agree(&[0, 1, 2, 3]).await;
         group.fellows[2].signal("KILL");
         group.agree(&[0, 1, 3]).await;
-        assert!([0, 1, 3].iter().all(|id| group.fellows[*id].said("fellow lost", "s-2") == 1));
+        assert!([0, 1, 3]
+            .iter()
+            .all(|id| group.fellows[*id].said("fellow lost", "s-2") == 1));
         group.fellows[2] = group.launch(2).await;
         group.agree(&[0, 1, 2, 3]).await;
         let lives = |fellow: &Fellow| -> Vec<String> {
-            let joined =
-                fellow.told.iter().filter(|line| line.contains("joined") && line.contains("\"s-2\""));
-            joined.filter_map(|line| Some(line.split("life=").nth(1)?.to_string())).collect()
+            let joined = fellow
+                .told
+                .iter()
+                .filter(|line| line.contains("joined") && line.contains("\"s-2\""));
+            joined
+                .filter_map(|line| Some(line.split("life=").nth(1)?.to_string()))
+                .collect()
         };
         assert!([0, 1, 3].iter().all(|id| {
             let lives = lives(&group.fellows[*id]);
@@ -160,7 +215,9 @@
         // One that says goodbye is known to have left, not lost.
         group.fellows[1].signal("TERM");
         group.agree(&[0, 2, 3]).await;
-        assert!([0, 2, 3].iter().all(|id| group.fellows[*id].said("fellow lost", "s-1") == 0));
+        assert!([0, 2, 3]
+            .iter()
+            .all(|id| group.fellows[*id].said("fellow lost", "s-1") == 0));
     });
 }
 
@@ -172,14 +229,18 @@
         group.fellows[1].signal("STOP");
         group
             .until("it is lost", |fellows| {
-                [0, 2, 3].iter().all(|id| fellows[*id].said("fellow lost", "s-1") > 0)
+                [0, 2, 3]
+                    .iter()
+                    .all(|id| fellows[*id].said("fellow lost", "s-1") > 0)
             })
             .await;
         group.fellows[1].signal("CONT");
         group.agree(&[0, 1, 2, 3]).await;
         let woken = &group.fellows[1];
         assert!(
-            [0, 2, 3].iter().all(|id| woken.said("fellow lost", &format!("s-{id}")) == 0),
+            [0, 2, 3]
+                .iter()
+                .all(|id| woken.said("fellow lost", &format!("s-{id}")) == 0),
             "{:?}",
             woken.told
         );
@@ -198,7 +259,11 @@
         // Nothing from 1 reaches 2, and of all the rest a third is lost, some twice, none in order.
         group.relays.cut(1, 2);
         let delay = Duration::from_millis(30);
-        group.relays.weather(Weather { loss: 0.3, repeat: 0.1, delay });
+        group.relays.weather(Weather {
+            loss: 0.3,
+            repeat: 0.1,
+            delay,
+        });
         let (carried, _) = group.relays.counts();
         while group.relays.counts().0 < carried + 600 {
             tokio::time::sleep(Duration::from_millis(10)).await;
@@ -219,10 +284,16 @@
         ] {
             std::fs::write(&file, keys).expect("written");
             let mut command = Command::new(env!("CARGO_BIN_EXE_havenplank"));
-            command.args(["fellow", "--name", name, "--listen", "127.0.0.1:0"]).arg("--keys").arg(&file);
+            command
+                .args(["fellow", "--name", name, "--listen", "127.0.0.1:0"])
+                .arg("--keys")
+                .arg(&file);
             let output = command.output().expect("the program runs");
             let text = String::from_utf8_lossy(&output.stderr).into_owned();
-            assert!(output.status.code() == Some(64) && text.contains(wanted), "{text}");
+            assert!(
+                output.status.code() == Some(64) && text.contains(wanted),
+                "{text}"
+            );
         }
     });
 }
