--- a/crates/cli/tests/program.rs
+++ b/crates/cli/tests/program.rs
@@ -5,7 +5,10 @@
 use std::process::{Command, Output};
 
 fn run(args: &[&str]) -> Output {
-    Command::new(env!("CARGO_BIN_EXE_havenplank")).args(args).output().expect("the program runs")
+    Command::new(env!("CARGO_BIN_EXE_havenplank"))
+        .args(args)
+        .output()
+        .expect("the program runs")
 }
 
 fn said(output: &Output) -> String {
@@ -13,7 +16,10 @@
 }
 
 fn day(rule: &str) -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/days").join(rule).with_extension("day")
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("tests/days")
+        .join(rule)
+        .with_extension("day")
 }
 
 /// Plays the short day of a rule, which must be tested there and kept, as all others must.
@@ -25,8 +31,14 @@
     let output = run(&["day", day, "--ledger", kept, "--trace", trace]);
     let text = said(&output);
     assert_eq!(output.status.code(), Some(0), "{text}");
-    assert!(text.trim_end().ends_with("rules: 5 kept, 0 broken"), "{text}");
-    let line = text.lines().find(|line| line.starts_with(&format!("rule {rule}"))).unwrap_or_default();
+    assert!(
+        text.trim_end().ends_with("rules: 5 kept, 0 broken"),
+        "{text}"
+    );
+    let line = text
+        .lines()
+        .find(|line| line.starts_with(&format!("rule {rule}")))
+        .unwrap_or_default();
     assert!(!line.contains(" 0 times tested"), "{line}");
     let again = run(&["rules", ledger.to_str().expect("a path")]);
     assert_eq!(again.status.code(), Some(0), "{}", said(&again));
@@ -36,7 +48,11 @@
         // The same ledger under figures that allow next to nothing must be found broken.
         let file = ledger.join("day.ledger");
         let text = std::fs::read_to_string(&file).expect("a ledger");
-        let strict = text.replacen("\"window\":6000000000,\"free\":3.0", "\"window\":1,\"free\":0.0", 1);
+        let strict = text.replacen(
+            "\"window\":6000000000,\"free\":3.0",
+            "\"window\":1,\"free\":0.0",
+            1,
+        );
         assert_ne!(text, strict);
         std::fs::write(&file, strict).expect("written");
         let broken = run(&["rules", ledger.to_str().expect("a path")]);
@@ -47,7 +63,9 @@
 /// What the daemons recorded, which must play through the library as it did in them.
 fn recorded(folder: &Path) -> Vec<String> {
     let files = std::fs::read_dir(folder).expect("a folder of traces");
-    let path = |file: std::io::Result<std::fs::DirEntry>| file.expect("a trace").path().display().to_string();
+    let path = |file: std::io::Result<std::fs::DirEntry>| {
+        file.expect("a trace").path().display().to_string()
+    };
     let mut files: Vec<String> = files.map(path).collect();
     files.sort();
     assert!(files.len() >= 2, "one of each sidecar: {files:?}");
@@ -55,7 +73,10 @@
         let replayed = run(&["trace", "replay", file]);
         let text = said(&replayed);
         // A killed sidecar may leave half a block, which is 1; a difference would be 2.
-        assert!(matches!(replayed.status.code(), Some(0 | 1)) && text.contains("identical"), "{text}");
+        assert!(
+            matches!(replayed.status.code(), Some(0 | 1)) && text.contains("identical"),
+            "{text}"
+        );
         assert!(!text.contains(" 0 decisions compared"), "{text}");
     }
     files
@@ -76,18 +97,51 @@
     assert!(done(&merge).contains("shared events"));
     done(&["trace", "anonymise", &merged, "-o", &veiled]);
     let replayed = done(&["trace", "replay", &veiled]);
-    assert_eq!(replayed.matches(": identical").count(), traces.len(), "{replayed}");
+    assert_eq!(
+        replayed.matches(": identical").count(),
+        traces.len(),
+        "{replayed}"
+    );
     assert!(!done(&["trace", "export", &veiled]).contains("pod-0\""));
-    assert!(done(&["trace", "summarise", &merged, "--span", "1s", "--json", &out]).contains("query"));
-    assert!(done(&["trace", "show", &merged, "--hit", "3", "--source", "sidecar-1"]).contains("\"forward\""));
-    done(&["trace", "cut", &traces[0], "--from", "0s", "--to", "3s", "-o", &cut]);
+    assert!(done(&[
+        "trace",
+        "summarise",
+        &merged,
+        "--span",
+        "1s",
+        "--json",
+        &out
+    ])
+    .contains("query"));
+    assert!(done(&[
+        "trace",
+        "show",
+        &merged,
+        "--hit",
+        "3",
+        "--source",
+        "sidecar-1"
+    ])
+    .contains("\"forward\""));
+    done(&[
+        "trace", "cut", &traces[0], "--from", "0s", "--to", "3s", "-o", &cut,
+    ]);
     done(&["trace", "drive", &cut, "--json", &out]);
     let text = std::fs::read_to_string(&out).expect("figures");
     let figures: serde_json::Value = serde_json::from_str(&text).expect("figures");
     let count = |side: &str, of: &str| figures[side][of].as_u64().unwrap_or_default();
-    assert!(count("recorded", "hits") > 50 && count("recorded", "hits") == count("driven", "hits"), "{text}");
-    assert!(count("driven", "delivered") > count("recorded", "delivered") / 2, "{text}");
-    assert!(figures["as_recorded"].as_u64() > figures["as_build"].as_u64(), "{text}");
+    assert!(
+        count("recorded", "hits") > 50 && count("recorded", "hits") == count("driven", "hits"),
+        "{text}"
+    );
+    assert!(
+        count("driven", "delivered") > count("recorded", "delivered") / 2,
+        "{text}"
+    );
+    assert!(
+        figures["as_recorded"].as_u64() > figures["as_build"].as_u64(),
+        "{text}"
+    );
 }
 
 #[test]
@@ -124,23 +178,44 @@
         file.to_str().expect("a path").to_string()
     };
     let settings = path("bad.star", "votes(control = 'loud', life = '6s')\n");
-    let bad_day = path("bad.day", "length 3s\nsing 4\nat 3s for 1s pods two hang\nrate 30 40\n");
+    let bad_day = path(
+        "bad.day",
+        "length 3s\nsing 4\nat 3s for 1s pods two hang\nrate 30 40\n",
+    );
     let settings_checked = run(&["check", &settings]);
     let text = said(&settings_checked);
     assert!(
-        text.contains("bad.star:1: votes.control: found \"loud\"; expected one of any, count, clock"),
+        text.contains(
+            "bad.star:1: votes.control: found \"loud\"; expected one of any, count, clock"
+        ),
         "{text}"
     );
     let day_read = run(&["day", &bad_day]);
     let text = said(&day_read);
-    for wanted in ["bad.day: line 2: column 6", "line 3: column 19", "line 4: column 8", "no work"] {
+    for wanted in [
+        "bad.day: line 2: column 6",
+        "line 3: column 19",
+        "line 4: column 8",
+        "no work",
+    ] {
         assert!(text.contains(wanted), "{wanted} not in {text}");
     }
-    for output in [settings_checked, day_read, run(&["serve", &settings]), run(&["sing"]), run(&[])] {
+    for output in [
+        settings_checked,
+        day_read,
+        run(&["serve", &settings]),
+        run(&["sing"]),
+        run(&[]),
+    ] {
         assert_eq!(output.status.code(), Some(64), "{}", said(&output));
     }
     assert_eq!(run(&["check", "/no/such.star"]).status.code(), Some(64));
-    assert_eq!(run(&["rules", folder.path().to_str().expect("a path")]).status.code(), Some(1));
+    assert_eq!(
+        run(&["rules", folder.path().to_str().expect("a path")])
+            .status
+            .code(),
+        Some(1)
+    );
     assert_eq!(run(&["--help"]).status.code(), Some(0));
 }
 
@@ -154,16 +229,26 @@
 impl Sidecar {
     fn start(file: &Path) -> Sidecar {
         let mut command = Command::new(env!("CARGO_BIN_EXE_havenplank"));
-        command.arg("platform").env("PROXY_CONFIG", file).stderr(std::process::Stdio::piped());
+        command
+            .arg("platform")
+            .env("PROXY_CONFIG", file)
+            .stderr(std::process::Stdio::piped());
         let mut process = command.spawn().expect("the program starts");
         let log = std::io::BufReader::new(process.stderr.take().expect("its log")).lines();
-        Sidecar { process, log, told: String::new() }
+        Sidecar {
+            process,
+            log,
+            told: String::new(),
+        }
     }
 
     /// Reads on to the line that says this; the end of the log without it fails.
     fn says(&mut self, what: &str) -> String {
         loop {
-            let line = self.log.next().unwrap_or_else(|| panic!("no {what:?} in {}", self.told));
+            let line = self
+                .log
+                .next()
+                .unwrap_or_else(|| panic!("no {what:?} in {}", self.told));
             let line = line.expect("text");
             self.told += &(line.clone() + "\n");
             if line.contains(what) {
@@ -181,8 +266,12 @@
             std::fs::read_to_string(&file).unwrap_or_else(|error| panic!("{file}: {error}"))
         };
         let maps = read("maps");
-        assert!(maps.lines().any(|line| line.contains("/libc.so")), "no C library among {maps}");
-        let tasks = std::fs::read_dir(format!("/proc/{}/task", self.process.id())).expect("its threads");
+        assert!(
+            maps.lines().any(|line| line.contains("/libc.so")),
+            "no C library among {maps}"
+        );
+        let tasks =
+            std::fs::read_dir(format!("/proc/{}/task", self.process.id())).expect("its threads");
         for task in tasks {
             let task = task.expect("a thread").file_name();
             let children = read(&format!("task/{}/children", task.to_string_lossy()));
@@ -190,12 +279,20 @@
         }
         let stat = read("stat");
         let (_, fields) = stat.rsplit_once(')').expect("a name in brackets");
-        assert_eq!(fields.split_whitespace().nth(8), Some("0"), "page faults of children in {stat}");
+        assert_eq!(
+            fields.split_whitespace().nth(8),
+            Some("0"),
+            "page faults of children in {stat}"
+        );
     }
 
     fn signal(&self, name: &str) {
         let kill = format!("kill -{name} {}", self.process.id());
-        assert!(Command::new("sh").args(["-c", &kill]).status().expect("a shell").success());
+        assert!(Command::new("sh")
+            .args(["-c", &kill])
+            .status()
+            .expect("a shell")
+            .success());
     }
 
     fn ends(mut self) -> Option<i32> {
@@ -221,20 +318,33 @@
     use havenplank_stand::scripted::{configuration, entry};
     let folder = tempfile::tempdir().expect("a folder");
     let file = folder.path().join("config.json");
-    let unset =
-        Command::new(env!("CARGO_BIN_EXE_havenplank")).arg("platform").env_remove("PROXY_CONFIG").output();
+    let unset = Command::new(env!("CARGO_BIN_EXE_havenplank"))
+        .arg("platform")
+        .env_remove("PROXY_CONFIG")
+        .output();
     let unset = unset.expect("the program runs");
-    assert!(unset.status.code() == Some(64) && said(&unset).contains("PROXY_CONFIG"), "{}", said(&unset));
-    for (text, field) in [(None, "config.json"), (Some("{\"settings\": {}}"), "settings.")] {
+    assert!(
+        unset.status.code() == Some(64) && said(&unset).contains("PROXY_CONFIG"),
+        "{}",
+        said(&unset)
+    );
+    for (text, field) in [
+        (None, "config.json"),
+        (Some("{\"settings\": {}}"), "settings."),
+    ] {
         if let Some(text) = text {
             std::fs::write(&file, text).expect("written");
         }
         let mut refused = Sidecar::start(&file);
         let line = refused.says("havenplank: ");
-        assert!(line.contains("config.json") && line.contains(field), "{line}");
+        assert!(
+            line.contains("config.json") && line.contains(field),
+            "{line}"
+        );
         assert_eq!(refused.ends(), Some(64));
     }
-    let [nodes, desk] = [(); 2].map(|()| std::net::TcpListener::bind("127.0.0.1:0").expect("a port"));
+    let [nodes, desk] =
+        [(); 2].map(|()| std::net::TcpListener::bind("127.0.0.1:0").expect("a port"));
     let [nodes_at, desk_at] = [&nodes, &desk].map(|peer| peer.local_addr().expect("an address"));
     let whole = configuration(nodes_at, desk_at, &[entry("p", nodes_at, 7, "active")]);
     std::fs::write(&file, whole.to_string()).expect("written");
@@ -247,7 +357,11 @@
     // Still the old desk; a vote that is out there when it is told to stop must not keep it from ending well.
     let (mut talk, _) = desk.accept().expect("a follower");
     let mut lines = std::io::BufReader::new(talk.try_clone().expect("a second handle")).lines();
-    assert!(lines.next().expect("a line").expect("text").contains("follow"));
+    assert!(lines
+        .next()
+        .expect("a line")
+        .expect("text")
+        .contains("follow"));
     let news = r#"{"image": 7, "ring": 0, "progress": "canary", "ceiling": 0.5, "lag_ms": 9000}"#;
     let told = format!(
         r#"{{"jsonrpc":"2.0","id":0,"result":true}}
@@ -255,7 +369,11 @@
 "#
     );
     talk.write_all(told.as_bytes()).expect("written");
-    assert!(lines.next().expect("a line").expect("text").contains("castBallot"));
+    assert!(lines
+        .next()
+        .expect("a line")
+        .expect("text")
+        .contains("castBallot"));
     sidecar.is_one_process_linked_dynamically();
     sidecar.signal("TERM");
     sidecar.says("stopped");
--- a/crates/cli/tests/standing.rs
+++ b/crates/cli/tests/standing.rs
@@ -12,9 +12,17 @@
 fn test(many: usize, work: impl AsyncFnOnce(Group)) {
     let folder = tempfile::tempdir().expect("a folder");
     let program = Path::new(env!("CARGO_BIN_EXE_havenplank"));
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("a runtime");
     runtime.block_on(LocalSet::new().run_until(async {
-        work(Group::start(program, folder.path(), many, true).await.expect("sidecars")).await
+        work(
+            Group::start(program, folder.path(), many, true)
+                .await
+                .expect("sidecars"),
+        )
+        .await
     }));
 }
 
@@ -64,7 +72,10 @@
             standing["is"] == "Agreed" && standing["belong"] == 6
         })
         .await;
-        assert!(group.sidecars[0].said("standing was=Agreed is=Few") >= 1, "the fall is logged");
+        assert!(
+            group.sidecars[0].said("standing was=Agreed is=Few") >= 1,
+            "the fall is logged"
+        );
     });
 }
 
@@ -85,6 +96,9 @@
             standing["is"] == "Agreed" && standing["belong"] == 4
         })
         .await;
-        until(&group, &[2], "the one that began anew", |standing| standing["is"] != "Alone").await;
+        until(&group, &[2], "the one that began anew", |standing| {
+            standing["is"] != "Alone"
+        })
+        .await;
     });
 }
--- a/crates/cli/tests/takeover.rs
+++ b/crates/cli/tests/takeover.rs
@@ -13,9 +13,17 @@
 fn test(many: usize, relayed: bool, work: impl AsyncFnOnce(Group)) {
     let folder = tempfile::tempdir().expect("a folder");
     let program = Path::new(env!("CARGO_BIN_EXE_havenplank"));
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("a runtime");
     runtime.block_on(LocalSet::new().run_until(async {
-        work(Group::start(program, folder.path(), many, relayed).await.expect("sidecars")).await
+        work(
+            Group::start(program, folder.path(), many, relayed)
+                .await
+                .expect("sidecars"),
+        )
+        .await
     }));
 }
 
@@ -27,9 +35,16 @@
         let mut back = Vec::new();
         for (n, asked) in asked.into_iter().enumerate() {
             let (name, path) = (asked.name, asked.path);
-            assert_eq!(asked.answer.await.expect("a task"), None, "{name}: killed in the middle");
+            assert_eq!(
+                asked.answer.await.expect("a task"),
+                None,
+                "{name}: killed in the middle"
+            );
             // Some come back before the loss is noticed, some later, each to another sidecar.
-            let (at, after) = (group.sidecars[1 + n % 3].at, Duration::from_millis(n as u64 % 4 * 400));
+            let (at, after) = (
+                group.sidecars[1 + n % 3].at,
+                Duration::from_millis(n as u64 % 4 * 400),
+            );
             let sent = name.clone();
             let answer = spawn_local(async move {
                 sleep(after).await;
@@ -46,8 +61,10 @@
                 _ => assert_eq!(status, 502, "{name}: {body}"),
             }
         }
-        let taken: usize =
-            group.sidecars[1..].iter_mut().map(|sidecar| sidecar.said("work taken over")).sum();
+        let taken: usize = group.sidecars[1..]
+            .iter_mut()
+            .map(|sidecar| sidecar.said("work taken over"))
+            .sum();
         assert_eq!(taken, 16, "each once");
     });
 }
@@ -58,8 +75,16 @@
         let asked = group.begun(2, 8, 0).await.expect("hits");
         group.sidecars[2].signal(Signal::STOP).expect("paused");
         let began = Instant::now();
-        while [0, 1, 3].iter().map(|id| group.sidecars[*id].said("work finished")).sum::<usize>() < 8 {
-            assert!(began.elapsed() < PATIENCE, "not all was finished by the others");
+        while [0, 1, 3]
+            .iter()
+            .map(|id| group.sidecars[*id].said("work finished"))
+            .sum::<usize>()
+            < 8
+        {
+            assert!(
+                began.elapsed() < PATIENCE,
+                "not all was finished by the others"
+            );
             sleep(Duration::from_millis(5)).await;
         }
         group.sidecars[2].signal(Signal::CONT).expect("goes on");
@@ -67,7 +92,11 @@
             let answer = asked.answer.await.expect("a task").expect("an answer");
             assert_eq!(group.pods.ran(&asked.name), 1, "{} ran once", asked.name);
             // What the pods had answered lay in its sockets when it woke, and is as good.
-            assert!(answer.0 == 200 || asked.path == "/mutating", "{}: {answer:?}", asked.name);
+            assert!(
+                answer.0 == 200 || asked.path == "/mutating",
+                "{}: {answer:?}",
+                asked.name
+            );
         }
     });
 }
@@ -90,11 +119,18 @@
                 assert_eq!(answer.await.expect("a task"), Some(wanted));
             }
             assert_eq!(group.pods.ran(&name), 1);
-            let other = ask(group.sidecars[3].at, path, &name, vec![8; 20_000]).await.expect("an answer");
+            let other = ask(group.sidecars[3].at, path, &name, vec![8; 20_000])
+                .await
+                .expect("an answer");
             assert_eq!(other.0, 422, "{other:?}");
         }
         let at = group.sidecars[0].at;
-        assert_eq!(ask(at, "/behind", "query", Vec::new()).await.map(|answer| answer.0), Some(200));
+        assert_eq!(
+            ask(at, "/behind", "query", Vec::new())
+                .await
+                .map(|answer| answer.0),
+            Some(200)
+        );
     });
 }
 
@@ -115,7 +151,11 @@
             // Two at one moment die together in the middle, which may be a holder and its guardian.
             if n == 40 || n == 70 {
                 let many = if n == 40 { 1 } else { 2 };
-                (0..many).for_each(|k| group.sidecars[n / 20 + k].signal(Signal::KILL).expect("killed"));
+                (0..many).for_each(|k| {
+                    group.sidecars[n / 20 + k]
+                        .signal(Signal::KILL)
+                        .expect("killed")
+                });
             }
             let ats: Vec<_> = group.sidecars.iter().map(|sidecar| sidecar.at).collect();
             let mut at = chance.rand_range(0..6) as usize;
@@ -140,14 +180,25 @@
             let ran = group.pods.ran(&name);
             assert!(ran <= 1, "{name} ran {ran} times");
             match status {
-                200 => assert_eq!((ran, delivered += 1).0, 1, "{name} was delivered but never ran"),
+                200 => assert_eq!(
+                    (ran, delivered += 1).0,
+                    1,
+                    "{name} was delivered but never ran"
+                ),
                 502 | 504 => errored += 1,
                 status => panic!("{name}: {status}"),
             }
         }
-        let taken: usize = group.sidecars.iter_mut().map(|sidecar| sidecar.said("work taken over")).sum();
+        let taken: usize = group
+            .sidecars
+            .iter_mut()
+            .map(|sidecar| sidecar.said("work taken over"))
+            .sum();
         assert!(taken > 0, "the kills found no work in hand");
-        assert!(delivered >= 100 && delivered + errored == 120, "{delivered} delivered, {errored} errored");
+        assert!(
+            delivered >= 100 && delivered + errored == 120,
+            "{delivered} delivered, {errored} errored"
+        );
     });
 }
 
@@ -155,9 +206,14 @@
 async fn back(group: &Group, asked: Vec<Asked>, ats: &[usize]) -> Vec<(String, &'static str, u16)> {
     let mut answers = Vec::new();
     for (n, asked) in asked.into_iter().enumerate() {
-        let (name, path, at) = (asked.name, asked.path, group.sidecars[ats[n % ats.len()]].at);
+        let (name, path, at) = (
+            asked.name,
+            asked.path,
+            group.sidecars[ats[n % ats.len()]].at,
+        );
         let sent = name.clone();
-        let answer = spawn_local(async move { ask(at, path, &sent, vec![7; 20]).await.expect("an answer") });
+        let answer =
+            spawn_local(async move { ask(at, path, &sent, vec![7; 20]).await.expect("an answer") });
         answers.push((name, path, answer));
     }
     let mut statuses = Vec::new();
@@ -170,7 +226,10 @@
 fn once(group: &Group, statuses: &[(String, &str, u16)]) {
     for (name, path, status) in statuses {
         assert_eq!(group.pods.ran(name), 1, "{name} ran once");
-        assert!(*status == 200 || (*path == "/mutating" && *status == 502), "{name}: {status}");
+        assert!(
+            *status == 200 || (*path == "/mutating" && *status == 502),
+            "{name}: {status}"
+        );
     }
 }
 
@@ -179,7 +238,9 @@
     test(6, true, async |mut group| {
         let asked = group.begun(0, 12, 0).await.expect("hits");
         // Two of six die together: three guardians of five others lose one at most.
-        [0, 1].iter().for_each(|id| group.sidecars[*id].signal(Signal::KILL).expect("killed"));
+        [0, 1]
+            .iter()
+            .for_each(|id| group.sidecars[*id].signal(Signal::KILL).expect("killed"));
         let began = Instant::now();
         let taking = loop {
             assert!(began.elapsed() < PATIENCE, "nobody took over");
@@ -195,10 +256,17 @@
         // nobody can say and a retry does no harm.
         for (name, path, status) in &statuses {
             assert!(group.pods.ran(name) <= 1, "{name} ran twice");
-            assert!([200, 502, 503, 504].contains(status), "{name} at {path}: {status}");
+            assert!(
+                [200, 502, 503, 504].contains(status),
+                "{name} at {path}: {status}"
+            );
         }
         assert!(
-            statuses.iter().filter(|(_, path, status)| *path == "/tagged" && *status == 200).count() >= 3
+            statuses
+                .iter()
+                .filter(|(_, path, status)| *path == "/tagged" && *status == 200)
+                .count()
+                >= 3
         );
     });
 }
@@ -210,7 +278,9 @@
             let asked = group.begun(id, 8, round).await.expect("hits");
             let relays = group.relays.as_ref().expect("relays");
             match one_way {
-                true => (0..5).filter(|other| *other != id).for_each(|other| relays.cut(other, id)),
+                true => (0..5)
+                    .filter(|other| *other != id)
+                    .for_each(|other| relays.cut(other, id)),
                 false => relays.isolate(id),
             }
             // Its pods answer all the same, and its clients get that, or what the others made of it.
@@ -224,7 +294,9 @@
             // may be in hand elsewhere, for all that it knows.
             for (path, wanted) in [("/tagged", (200, 1)), ("/mutating", (503, 0))] {
                 let name = format!("alone-{round}-{}", &path[1..]);
-                let alone = ask(group.sidecars[id].at, path, &name, vec![7; 20]).await.expect("an answer");
+                let alone = ask(group.sidecars[id].at, path, &name, vec![7; 20])
+                    .await
+                    .expect("an answer");
                 assert_eq!((alone.0, group.pods.ran(&name)), wanted, "{path}");
             }
             let state = state(group.sidecars[id].admin).await.expect("its state");
@@ -237,7 +309,11 @@
 #[test]
 fn a_fellowship_paused_one_after_the_other_under_late_and_repeated_letters_runs_nothing_twice() {
     test(4, true, async |group| {
-        let late = Weather { loss: 0.1, repeat: 0.2, delay: Duration::from_millis(80) };
+        let late = Weather {
+            loss: 0.1,
+            repeat: 0.2,
+            delay: Duration::from_millis(80),
+        };
         group.relays.as_ref().expect("relays").weather(late);
         let ats: Vec<_> = group.sidecars.iter().map(|sidecar| sidecar.at).collect();
         let mut answers = Vec::new();
@@ -277,18 +353,32 @@
     test(4, true, async |mut group| {
         for id in 0..4 {
             let asked = group.begun(id, 6, id).await.expect("hits");
-            group.sidecars[id].signal(Signal::TERM).expect("told to stop");
+            group.sidecars[id]
+                .signal(Signal::TERM)
+                .expect("told to stop");
             for asked in asked {
                 let answer = asked.answer.await.expect("a task").expect("an answer");
-                assert_eq!((answer.0, group.pods.ran(&asked.name)), (200, 1), "{}", asked.name);
+                assert_eq!(
+                    (answer.0, group.pods.ran(&asked.name)),
+                    (200, 1),
+                    "{}",
+                    asked.name
+                );
             }
             group.sidecars[id].over().await.expect("it ends");
-            let taken: usize = group.sidecars.iter_mut().map(|sidecar| sidecar.said("work taken over")).sum();
+            let taken: usize = group
+                .sidecars
+                .iter_mut()
+                .map(|sidecar| sidecar.said("work taken over"))
+                .sum();
             assert_eq!(taken, 0);
             let next = group.launch(id).await.expect("its next life");
             group.sidecars[id] = next;
             // The first one has nobody but itself to meet; the others find it again by themselves.
-            group.sidecars[id].until("fellow joined", 3).await.expect("known again");
+            group.sidecars[id]
+                .until("fellow joined", 3)
+                .await
+                .expect("known again");
         }
     });
 }
@@ -305,8 +395,13 @@
         // Most work lost two of its three guardians: it may wait in vain, but nobody runs it again in doubt.
         for (name, path, status) in &statuses {
             assert_eq!(group.pods.ran(name), 1, "{name} ran once, before the kill");
-            assert!([200, 502, 503, 504].contains(status), "{name} at {path}: {status}");
+            assert!(
+                [200, 502, 503, 504].contains(status),
+                "{name} at {path}: {status}"
+            );
         }
-        assert!(statuses.iter().all(|(_, path, status)| *path == "/tagged" || *status != 200));
+        assert!(statuses
+            .iter()
+            .all(|(_, path, status)| *path == "/tagged" || *status != 200));
     });
 }
--- a/crates/configuration/examples/figures.rs
+++ b/crates/configuration/examples/figures.rs
@@ -26,12 +26,22 @@
 
 fn resident_bytes() -> usize {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
-    text.split_whitespace().nth(1).and_then(|pages| pages.parse().ok()).unwrap_or(0) * PAGE_BYTES
+    text.split_whitespace()
+        .nth(1)
+        .and_then(|pages| pages.parse().ok())
+        .unwrap_or(0)
+        * PAGE_BYTES
 }
 
 fn tenant(number: usize, requests_per_s: u32) -> Tenant {
-    let limits = TenantLimits { requests_per_s: Some(requests_per_s), in_flight: Some(50) };
-    Tenant { name: format!("tenant-{number:06}"), limits }
+    let limits = TenantLimits {
+        requests_per_s: Some(requests_per_s),
+        in_flight: Some(50),
+    };
+    Tenant {
+        name: format!("tenant-{number:06}"),
+        limits,
+    }
 }
 
 fn lookups_per_s(snapshot: &Snapshot, tenants: usize) -> f64 {
@@ -49,11 +59,25 @@
     let folder = tempfile::tempdir()?;
     let script = folder.path().join("fleet.star");
     std::fs::write(&script, SCRIPT)?;
-    let line =
-        |n| format!("{{\"name\": \"tenant-{n:06}\", \"requests_per_s\": {}, \"in_flight\": 50}}\n", n % 977);
-    std::fs::write(folder.path().join("tenants.jsonl"), (0..TENANTS).map(line).collect::<String>())?;
+    let line = |n| {
+        format!(
+            "{{\"name\": \"tenant-{n:06}\", \"requests_per_s\": {}, \"in_flight\": 50}}\n",
+            n % 977
+        )
+    };
+    std::fs::write(
+        folder.path().join("tenants.jsonl"),
+        (0..TENANTS).map(line).collect::<String>(),
+    )?;
     let begun = Instant::now();
-    let compiled = compile(&script, &Given::new(), Version { epoch: 1, number: 1 })?;
+    let compiled = compile(
+        &script,
+        &Given::new(),
+        Version {
+            epoch: 1,
+            number: 1,
+        },
+    )?;
     println!("compile_ms {}", begun.elapsed().as_millis());
 
     let whole = Delta::between(&Snapshot::empty(), &compiled, compiled.version());
@@ -64,13 +88,19 @@
         sent += piece.buckets.len();
         pieces.push(piece);
     }
-    println!("compressed_bytes {}", pieces.iter().map(|piece| piece.body.len()).sum::<usize>());
+    println!(
+        "compressed_bytes {}",
+        pieces.iter().map(|piece| piece.body.len()).sum::<usize>()
+    );
     println!("chunks {}", pieces.len());
 
     let records: Vec<Record> = compiled.records().cloned().collect();
     let before = resident_bytes();
     let copy = Snapshot::from_records(compiled.version(), records.iter().cloned())?;
-    println!("snapshot_resident_bytes {}", resident_bytes().saturating_sub(before));
+    println!(
+        "snapshot_resident_bytes {}",
+        resident_bytes().saturating_sub(before)
+    );
 
     let mut held = copy;
     let mut bytes = 0;
@@ -89,16 +119,30 @@
             Change::Remove(_) => held.digest(),
         };
         let to = held.version().next();
-        let delta = Delta { from: held.version(), to, digest: target, changes: vec![change] };
+        let delta = Delta {
+            from: held.version(),
+            to,
+            digest: target,
+            changes: vec![change],
+        };
         bytes = delta.encode().len();
         let begun = Instant::now();
         held = held.apply(&delta)?;
         took += begun.elapsed();
     }
     println!("one_tenant_delta_bytes {bytes}");
-    println!("apply_one_change_us {:.1}", took.as_secs_f64() * 1e6 / APPLIES as f64);
-    println!("lookups_per_s_of_150000 {:.0}", lookups_per_s(&held, TENANTS));
-    let small = Snapshot::from_records(Version::NONE, (0..100).map(|number| tenant(number, 1).into()))?;
+    println!(
+        "apply_one_change_us {:.1}",
+        took.as_secs_f64() * 1e6 / APPLIES as f64
+    );
+    println!(
+        "lookups_per_s_of_150000 {:.0}",
+        lookups_per_s(&held, TENANTS)
+    );
+    let small = Snapshot::from_records(
+        Version::NONE,
+        (0..100).map(|number| tenant(number, 1).into()),
+    )?;
     println!("lookups_per_s_of_100 {:.0}", lookups_per_s(&small, 100));
     Ok(())
 }
--- a/crates/configuration/src/bucket.rs
+++ b/crates/configuration/src/bucket.rs
@@ -23,12 +23,16 @@
         const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
         const FNV_PRIME: u64 = 0x0100_0000_01b3;
         let start = (FNV_OFFSET ^ kind as u64).wrapping_mul(FNV_PRIME);
-        let mut hash =
-            name.bytes().fold(start, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME));
+        let mut hash = name.bytes().fold(start, |hash, byte| {
+            (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME)
+        });
         hash = (hash ^ (hash >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         hash = (hash ^ (hash >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
         hash ^= hash >> 31;
-        Place { bucket: (hash >> (u64::BITS - BUCKET_BITS)) as usize, hash: hash as u32 }
+        Place {
+            bucket: (hash >> (u64::BITS - BUCKET_BITS)) as usize,
+            hash: hash as u32,
+        }
     }
 }
 
@@ -59,7 +63,9 @@
     }
 
     pub fn get(&self, kind: RecordKind, name: &str, hash: u32) -> Option<&Record> {
-        self.position(kind, name, hash).ok().map(|at| &self.records[at])
+        self.position(kind, name, hash)
+            .ok()
+            .map(|at| &self.records[at])
     }
 
     /// Puts a record in, in place of one with the same key. Returns whether there was none.
@@ -98,7 +104,9 @@
 
     /// Takes a record out. Returns whether it was there.
     pub fn remove(&mut self, key: &RecordKey, hash: u32) -> bool {
-        let Ok(at) = self.position(key.kind, &key.name, hash) else { return false };
+        let Ok(at) = self.position(key.kind, &key.name, hash) else {
+            return false;
+        };
         self.digest.remove(&self.records[at]);
         self.counts[key.kind as usize] -= 1;
         self.hashes.remove(at);
@@ -121,8 +129,12 @@
     fn position(&self, kind: RecordKind, name: &str, hash: u32) -> Result<usize, usize> {
         let Range { start, end } = self.range(kind);
         let first = start + self.hashes[start..end].partition_point(|known| *known < hash);
-        let equal = self.hashes[first..end].iter().take_while(|known| **known == hash).count();
-        let found = self.records[first..first + equal].binary_search_by(|record| record.name().cmp(name));
+        let equal = self.hashes[first..end]
+            .iter()
+            .take_while(|known| **known == hash)
+            .count();
+        let found =
+            self.records[first..first + equal].binary_search_by(|record| record.name().cmp(name));
         found.map(|at| first + at).map_err(|at| first + at)
     }
 }
--- a/crates/configuration/src/chunk.rs
+++ b/crates/configuration/src/chunk.rs
@@ -51,7 +51,9 @@
     let mut raw = Vec::new();
     let mut gathered: Vec<(u16, usize)> = Vec::new();
     for &number in wanted {
-        let Some(bucket) = snapshot.buckets().get(usize::from(number)) else { continue };
+        let Some(bucket) = snapshot.buckets().get(usize::from(number)) else {
+            continue;
+        };
         let start = raw.len();
         append_bucket(bucket, &mut raw);
         if raw.len() > GATHER_BYTES && !gathered.is_empty() {
@@ -64,7 +66,11 @@
         let body = compress(&raw[..end])?;
         if body.len() <= CHUNK_BYTES || gathered.len() == 1 {
             let buckets = gathered.iter().map(|(number, _)| *number).collect();
-            return Some(Chunk { version: snapshot.version(), buckets, body });
+            return Some(Chunk {
+                version: snapshot.version(),
+                buckets,
+                body,
+            });
         }
         let fitting = gathered.len() * CHUNK_BYTES / body.len();
         gathered.truncate(fitting.clamp(1, gathered.len() - 1));
@@ -86,20 +92,37 @@
     /// A manifest that is older than `base` or does not fit itself.
     pub fn new(base: &Snapshot, manifest: Manifest) -> Result<Assembly, ChunkError> {
         if manifest.version < base.version() {
-            return Err(ChunkError::OlderVersion { have: base.version(), offered: manifest.version });
+            return Err(ChunkError::OlderVersion {
+                have: base.version(),
+                offered: manifest.version,
+            });
         }
         if manifest.buckets.len() != BUCKETS {
-            return Err(ChunkError::BucketCount { found: manifest.buckets.len(), expected: BUCKETS });
+            return Err(ChunkError::BucketCount {
+                found: manifest.buckets.len(),
+                expected: BUCKETS,
+            });
         }
         let mut found = Digest::default();
-        manifest.buckets.iter().for_each(|bucket| found.add_all(bucket));
+        manifest
+            .buckets
+            .iter()
+            .for_each(|bucket| found.add_all(bucket));
         if found != manifest.digest {
-            return Err(ChunkError::ManifestDiffers { expected: manifest.digest, found });
+            return Err(ChunkError::ManifestDiffers {
+                expected: manifest.digest,
+                found,
+            });
         }
         let reused = |(bucket, digest): (&Arc<Bucket>, &Digest)| {
             (bucket.digest() == *digest).then(|| Arc::clone(bucket))
         };
-        let buckets = base.buckets().iter().zip(&manifest.buckets).map(reused).collect();
+        let buckets = base
+            .buckets()
+            .iter()
+            .zip(&manifest.buckets)
+            .map(reused)
+            .collect();
         Ok(Assembly { manifest, buckets })
     }
 
@@ -110,7 +133,10 @@
     /// The buckets that are not there yet, in order.
     pub fn missing(&self) -> Vec<u16> {
         let numbered = self.buckets.iter().zip(0..);
-        numbered.filter(|(bucket, _)| bucket.is_none()).map(|(_, number)| number).collect()
+        numbered
+            .filter(|(bucket, _)| bucket.is_none())
+            .map(|(_, number)| number)
+            .collect()
     }
 
     /// Takes a chunk in; one that was taken before changes nothing.
@@ -119,7 +145,10 @@
     /// A chunk of another version, or with a bucket that is not what the manifest states. Nothing of it is kept.
     pub fn take(&mut self, chunk: Chunk) -> Result<(), ChunkError> {
         if chunk.version != self.manifest.version {
-            return Err(ChunkError::WrongVersion { expected: self.manifest.version, found: chunk.version });
+            return Err(ChunkError::WrongVersion {
+                expected: self.manifest.version,
+                found: chunk.version,
+            });
         }
         check_numbers(&chunk.buckets)?;
         let raw = decompress_chunk(&chunk.body)?;
@@ -130,7 +159,11 @@
             rest = after;
             let (expected, found) = (self.manifest.buckets[usize::from(number)], bucket.digest());
             if found != expected {
-                return Err(ChunkError::DigestDiffers { bucket: number, expected, found });
+                return Err(ChunkError::DigestDiffers {
+                    bucket: number,
+                    expected,
+                    found,
+                });
             }
             taken.push((usize::from(number), Arc::new(bucket)));
         }
@@ -148,12 +181,19 @@
     /// # Errors
     /// Buckets are missing, or there are too many records.
     pub fn finish(self) -> Result<Snapshot, ChunkError> {
-        let missing = self.buckets.iter().filter(|bucket| bucket.is_none()).count();
+        let missing = self
+            .buckets
+            .iter()
+            .filter(|bucket| bucket.is_none())
+            .count();
         if missing > 0 {
             return Err(ChunkError::Incomplete { missing });
         }
         // Each bucket has the digest of the manifest, and those have its digest together.
-        Ok(Snapshot::from_buckets(self.manifest.version, self.buckets.into_iter().flatten().collect())?)
+        Ok(Snapshot::from_buckets(
+            self.manifest.version,
+            self.buckets.into_iter().flatten().collect(),
+        )?)
     }
 }
 
@@ -171,7 +211,12 @@
 
 fn decompress_chunk(body: &[u8]) -> Result<Vec<u8>, ChunkError> {
     if body.len() > MAX_CHUNK_BYTES {
-        return Err(ChunkError::TooLong { found: body.len(), most: MAX_CHUNK_BYTES });
+        return Err(ChunkError::TooLong {
+            found: body.len(),
+            most: MAX_CHUNK_BYTES,
+        });
     }
-    decompress(body, MAX_CHUNK_RAW_BYTES).ok_or(ChunkError::Decompress { most: MAX_CHUNK_RAW_BYTES })
+    decompress(body, MAX_CHUNK_RAW_BYTES).ok_or(ChunkError::Decompress {
+        most: MAX_CHUNK_RAW_BYTES,
+    })
 }
--- a/crates/configuration/src/compile.rs
+++ b/crates/configuration/src/compile.rs
@@ -3,8 +3,8 @@
 use crate::error::InvalidRecord;
 use crate::patterns;
 use crate::record::{
-    BackupMode, IdempotencyScope, Record, RecordKind, RequestKind, RequestRules, Route, Service, Tenant,
-    TenantLimits, MAX_BENEFIT, MAX_IN_FLIGHT, MAX_REQUESTS_PER_S,
+    BackupMode, IdempotencyScope, Record, RecordKind, RequestKind, RequestRules, Route, Service,
+    Tenant, TenantLimits, MAX_BENEFIT, MAX_IN_FLIGHT, MAX_REQUESTS_PER_S,
 };
 use crate::snapshot::Snapshot;
 use crate::tenant_file;
@@ -22,10 +22,16 @@
     ("keyed", RequestKind::Keyed),
     ("non-idempotent", RequestKind::NonIdempotent),
 ];
-const SCOPES: [(&str, IdempotencyScope); 3] =
-    [("all", IdempotencyScope::All), ("zone", IdempotencyScope::Zone), ("cell", IdempotencyScope::Cell)];
-const BACKUP_MODES: [(&str, BackupMode); 3] =
-    [("off", BackupMode::Off), ("before-attempt", BackupMode::BeforeAttempt), ("behind", BackupMode::Behind)];
+const SCOPES: [(&str, IdempotencyScope); 3] = [
+    ("all", IdempotencyScope::All),
+    ("zone", IdempotencyScope::Zone),
+    ("cell", IdempotencyScope::Cell),
+];
+const BACKUP_MODES: [(&str, BackupMode); 3] = [
+    ("off", BackupMode::Off),
+    ("before-attempt", BackupMode::BeforeAttempt),
+    ("behind", BackupMode::Behind),
+];
 /// Fields of a path group of the settings, by the names they have in a route.
 const RENAMED_FIELDS: [(&str, &str); 4] = [
     ("target_latency", "latency_target"),
@@ -41,7 +47,10 @@
 pub fn compile(script: &Path, given: &Given, version: Version) -> Result<Snapshot, Problems> {
     let rows = configuration_rows(script, given)?;
     let folder = script.parent().unwrap_or(Path::new("")).to_path_buf();
-    let mut compiler = Compiler { folder, ..Compiler::default() };
+    let mut compiler = Compiler {
+        folder,
+        ..Compiler::default()
+    };
     rows.iter().for_each(|row| compiler.read(row));
     compiler.check_services();
     compiler.check_patterns();
@@ -57,12 +66,26 @@
 
 impl Location {
     fn of(row: &Row) -> Location {
-        Location { file: row.file.as_str().into(), line: row.line }
+        Location {
+            file: row.file.as_str().into(),
+            line: row.line,
+        }
     }
 
-    fn problem(&self, field: String, found: impl Into<String>, expected: impl Into<String>) -> Problem {
+    fn problem(
+        &self,
+        field: String,
+        found: impl Into<String>,
+        expected: impl Into<String>,
+    ) -> Problem {
         let (file, line) = (self.file.to_string(), self.line);
-        Problem { file, line, field, found: found.into(), expected: expected.into() }
+        Problem {
+            file,
+            line,
+            field,
+            found: found.into(),
+            expected: expected.into(),
+        }
     }
 }
 
@@ -93,21 +116,31 @@
     fn refuse_static(&mut self, row: &Row, kind: &str) {
         let expected = match kind {
             "path_group" => {
-                "route(name = ..., service = ..., ...), the form of a class that may change".to_string()
+                "route(name = ..., service = ..., ...), the form of a class that may change"
+                    .to_string()
             }
             _ => format!("{kind}(...) in the settings of each sidecar, which a restart reads"),
         };
         let found = "what cannot change in a running process";
-        self.problems.push(Location::of(row).problem(kind.to_string(), found, expected));
+        self.problems
+            .push(Location::of(row).problem(kind.to_string(), found, expected));
     }
 
     fn read_service(&mut self, row: &Row) {
         let mut reader = Reader::new(row, &mut self.problems);
-        let service = Service { name: reader.text("name"), zones: reader.texts_or_none("zones") };
+        let service = Service {
+            name: reader.text("name"),
+            zones: reader.texts_or_none("zones"),
+        };
         reader.finish();
         let location = Location::of(row);
         let record = Record::Service(service.clone());
-        if accept(&record, &location, &mut self.service_locations, &mut self.problems) {
+        if accept(
+            &record,
+            &location,
+            &mut self.service_locations,
+            &mut self.problems,
+        ) {
             self.services.push(service);
         }
     }
@@ -118,7 +151,12 @@
         reader.finish();
         let location = Location::of(row);
         let record = Record::from(route.clone());
-        if accept(&record, &location, &mut self.route_names, &mut self.problems) {
+        if accept(
+            &record,
+            &location,
+            &mut self.route_names,
+            &mut self.problems,
+        ) {
             self.routes.push(route);
             self.route_locations.push(location);
         }
@@ -126,7 +164,10 @@
 
     fn read_tenant(&mut self, row: &Row) {
         let mut reader = Reader::new(row, &mut self.problems);
-        let tenant = Tenant { name: reader.text("name"), limits: limits(&mut reader) };
+        let tenant = Tenant {
+            name: reader.text("name"),
+            limits: limits(&mut reader),
+        };
         reader.finish();
         self.add_tenant(tenant, &Location::of(row));
     }
@@ -140,9 +181,16 @@
         if reader.has("names") == reader.has("file") {
             reader.complain("names", "names and file both, or neither", "one of the two");
         }
-        if file.as_ref().is_some_and(|file| !tenant_file::is_beside(file)) {
+        if file
+            .as_ref()
+            .is_some_and(|file| !tenant_file::is_beside(file))
+        {
             let found = format!("found {:?}", file.as_deref().unwrap_or_default());
-            reader.complain("file", found, "a file beside the script, with no .. and no leading /");
+            reader.complain(
+                "file",
+                found,
+                "a file beside the script, with no .. and no leading /",
+            );
             return reader.finish();
         }
         reader.finish();
@@ -161,17 +209,31 @@
             Ok(text) => text,
             Err(error) => {
                 let found = format!("{} cannot be read ({error})", path.display());
-                let problem = location.problem("tenants.file".to_string(), found, "a file of JSON lines");
+                let problem =
+                    location.problem("tenants.file".to_string(), found, "a file of JSON lines");
                 return self.problems.push(problem);
             }
         };
         let shown: Rc<str> = path.display().to_string().into();
         for parsed in tenant_file::parse(&text, limits) {
             match parsed {
-                Ok((line, tenant)) => self.add_tenant(tenant, &Location { file: shown.clone(), line }),
+                Ok((line, tenant)) => self.add_tenant(
+                    tenant,
+                    &Location {
+                        file: shown.clone(),
+                        line,
+                    },
+                ),
                 Err(error) => {
-                    let location = Location { file: shown.clone(), line: error.line };
-                    self.problems.push(location.problem("tenant".to_string(), error.found, error.expected));
+                    let location = Location {
+                        file: shown.clone(),
+                        line: error.line,
+                    };
+                    self.problems.push(location.problem(
+                        "tenant".to_string(),
+                        error.found,
+                        error.expected,
+                    ));
                 }
             }
         }
@@ -179,7 +241,12 @@
 
     fn add_tenant(&mut self, tenant: Tenant, location: &Location) {
         let record = Record::Tenant(tenant.clone());
-        if accept(&record, location, &mut self.tenant_locations, &mut self.problems) {
+        if accept(
+            &record,
+            location,
+            &mut self.tenant_locations,
+            &mut self.problems,
+        ) {
             self.tenants.push(tenant);
         }
     }
@@ -188,16 +255,22 @@
         for (route, location) in self.routes.iter().zip(&self.route_locations) {
             if !route.service.is_empty() && !self.service_locations.contains_key(&route.service) {
                 let found = format!("found {:?}, which is no service", route.service);
-                let expected = format!("the name of one, or service(name = {:?}) as well", route.service);
-                self.problems.push(location.problem("route.service".to_string(), found, expected));
+                let expected = format!(
+                    "the name of one, or service(name = {:?}) as well",
+                    route.service
+                );
+                self.problems
+                    .push(location.problem("route.service".to_string(), found, expected));
             }
         }
     }
 
     fn check_patterns(&mut self) {
         for conflict in patterns::conflicts(&self.routes) {
-            let (earlier, location) =
-                (&self.routes[conflict.earlier], &self.route_locations[conflict.earlier]);
+            let (earlier, location) = (
+                &self.routes[conflict.earlier],
+                &self.route_locations[conflict.earlier],
+            );
             let Location { file, line } = location;
             let found = format!(
                 "found {:?} again, as in route {:?} at {file}:{line}",
@@ -205,20 +278,34 @@
             );
             let expected = "another path or other methods, as both would take the same requests";
             let location = &self.route_locations[conflict.later];
-            self.problems.push(location.problem("route.paths".to_string(), found, expected));
+            self.problems
+                .push(location.problem("route.paths".to_string(), found, expected));
         }
     }
 
     fn finish(mut self, script: &Path, version: Version) -> Result<Snapshot, Problems> {
-        let whole = Location { file: script.display().to_string().into(), line: 0 };
+        let whole = Location {
+            file: script.display().to_string().into(),
+            line: 0,
+        };
         let counts = [
             (RecordKind::Service, self.services.len()),
             (RecordKind::Route, self.routes.len()),
             (RecordKind::Tenant, self.tenants.len()),
         ];
-        for (kind, count) in counts.into_iter().filter(|(kind, count)| *count > kind.limit()) {
-            let expected = format!("{} at most; share the rest out to another fleet", kind.limit());
-            self.problems.push(whole.problem(kind.to_string(), format!("{count} of them"), expected));
+        for (kind, count) in counts
+            .into_iter()
+            .filter(|(kind, count)| *count > kind.limit())
+        {
+            let expected = format!(
+                "{} at most; share the rest out to another fleet",
+                kind.limit()
+            );
+            self.problems.push(whole.problem(
+                kind.to_string(),
+                format!("{count} of them"),
+                expected,
+            ));
         }
         if !self.problems.is_empty() {
             return Err(Problems(in_order(self.problems)));
@@ -228,7 +315,11 @@
         let tenants = self.tenants.into_iter().map(Record::from);
         Snapshot::from_records(version, services.chain(routes).chain(tenants)).map_err(|error| {
             let expected = "records that fit together";
-            Problems(vec![whole.problem("configuration".to_string(), error.to_string(), expected)])
+            Problems(vec![whole.problem(
+                "configuration".to_string(),
+                error.to_string(),
+                expected,
+            )])
         })
     }
 }
@@ -241,7 +332,13 @@
     problems: &mut Vec<Problem>,
 ) -> bool {
     let (kind, name) = (record.kind(), record.name());
-    if let Err(InvalidRecord { field, found, expected, .. }) = record.check() {
+    if let Err(InvalidRecord {
+        field,
+        found,
+        expected,
+        ..
+    }) = record.check()
+    {
         // What the reader has refused is told once.
         let field = format!("{kind}.{field}");
         let told = |problem: &Problem| problem.line == location.line && problem.field == field;
@@ -265,7 +362,10 @@
     let requests_per_s = reader.maybe_whole("requests_per_s", 0..=MAX_REQUESTS_PER_S.into());
     let in_flight = reader.maybe_whole("in_flight", 0..=MAX_IN_FLIGHT.into());
     let narrow = |limit: Option<u64>| limit.and_then(|limit| u32::try_from(limit).ok());
-    TenantLimits { requests_per_s: narrow(requests_per_s), in_flight: narrow(in_flight) }
+    TenantLimits {
+        requests_per_s: narrow(requests_per_s),
+        in_flight: narrow(in_flight),
+    }
 }
 
 fn route(reader: &mut Reader) -> Route {
@@ -283,18 +383,35 @@
             reader.complain("paths", format!("found {path:?}"), expected);
         }
     }
-    Route { name, service, methods, paths, rules: rules(reader) }
+    Route {
+        name,
+        service,
+        methods,
+        paths,
+        rules: rules(reader),
+    }
 }
 
 fn methods(reader: &mut Reader) -> Vec<String> {
     let mut methods: Vec<String> = Vec::new();
     for method in reader.texts_or_none("methods") {
         let method = method.to_ascii_uppercase();
-        if !method.bytes().all(|byte| byte.is_ascii_alphanumeric() || b"-_".contains(&byte)) {
-            reader.complain("methods", format!("found {method:?}"), "methods such as \"GET\"");
+        if !method
+            .bytes()
+            .all(|byte| byte.is_ascii_alphanumeric() || b"-_".contains(&byte))
+        {
+            reader.complain(
+                "methods",
+                format!("found {method:?}"),
+                "methods such as \"GET\"",
+            );
         }
         if methods.contains(&method) {
-            reader.complain("methods", format!("found {method:?} again"), "each method once");
+            reader.complain(
+                "methods",
+                format!("found {method:?} again"),
+                "each method once",
+            );
             continue;
         }
         methods.push(method);
@@ -303,7 +420,9 @@
 }
 
 fn rules(reader: &mut Reader) -> RequestRules {
-    let kind = reader.choice("kind", &REQUEST_KINDS).unwrap_or(RequestKind::NonIdempotent);
+    let kind = reader
+        .choice("kind", &REQUEST_KINDS)
+        .unwrap_or(RequestKind::NonIdempotent);
     let idempotency_window = match kind {
         RequestKind::Keyed => reader.span("idempotency_window"),
         _ => reader.span_or("idempotency_window", 0),
@@ -311,7 +430,11 @@
     let latency_target = reader.span_above_0("latency_target");
     let deadline = reader.span_above_0("deadline");
     if latency_target > deadline && deadline > 0 {
-        reader.complain("latency_target", "longer than deadline", "a span within the deadline");
+        reader.complain(
+            "latency_target",
+            "longer than deadline",
+            "a span within the deadline",
+        );
     }
     let scope = maybe_choice(reader, "scope", &SCOPES).unwrap_or(IdempotencyScope::All);
     let backup = maybe_choice(reader, "backup", &BACKUP_MODES).unwrap_or(BackupMode::Off);
@@ -329,9 +452,16 @@
     }
 }
 
-fn maybe_choice<T: Copy>(reader: &mut Reader, field: &'static str, choices: &[(&str, T)]) -> Option<T> {
+fn maybe_choice<T: Copy>(
+    reader: &mut Reader,
+    field: &'static str,
+    choices: &[(&str, T)],
+) -> Option<T> {
     // Marks the field as known where it is absent.
-    reader.moved(field).then(|| reader.choice(field, choices)).flatten()
+    reader
+        .moved(field)
+        .then(|| reader.choice(field, choices))
+        .flatten()
 }
 
 /// By file and line, bounded.
@@ -339,9 +469,16 @@
     problems.sort_by(|a, b| (&a.file, a.line).cmp(&(&b.file, b.line)));
     if problems.len() > MAX_PROBLEMS {
         let more = problems.len() - MAX_PROBLEMS;
-        let last = Location { file: problems[MAX_PROBLEMS].file.as_str().into(), line: 0 };
+        let last = Location {
+            file: problems[MAX_PROBLEMS].file.as_str().into(),
+            line: 0,
+        };
         problems.truncate(MAX_PROBLEMS);
-        problems.push(last.problem("script".to_string(), format!("{more} more mistakes"), "none"));
+        problems.push(last.problem(
+            "script".to_string(),
+            format!("{more} more mistakes"),
+            "none",
+        ));
     }
     problems
 }
--- a/crates/configuration/src/delta.rs
+++ b/crates/configuration/src/delta.rs
@@ -64,11 +64,19 @@
                     changes.push(Change::Put(record.clone()));
                 }
             }
-            let gone = before.records().iter().filter(|record| new_records.find_record(record).is_none());
+            let gone = before
+                .records()
+                .iter()
+                .filter(|record| new_records.find_record(record).is_none());
             changes.extend(gone.map(|record| Change::Remove(record.key())));
         }
         changes.sort_by_cached_key(Change::key);
-        Delta { from: old.version(), to, digest: new_records.digest(), changes }
+        Delta {
+            from: old.version(),
+            to,
+            digest: new_records.digest(),
+            changes,
+        }
     }
 
     /// The bytes that [`Delta::decode`] reads.
@@ -82,7 +90,9 @@
         };
         let mut bytes = Vec::new();
         append(&header, &mut bytes);
-        self.changes.iter().for_each(|change| append(change, &mut bytes));
+        self.changes
+            .iter()
+            .for_each(|change| append(change, &mut bytes));
         bytes
     }
 
@@ -92,14 +102,21 @@
     /// Bytes that [`Delta::encode`] does not write, or a record out of bounds.
     pub fn decode(bytes: &[u8]) -> Result<Delta, DecodeError> {
         if bytes.len() > MAX_DELTA_BYTES {
-            return Err(DecodeError::TooLong { found: bytes.len(), most: MAX_DELTA_BYTES });
+            return Err(DecodeError::TooLong {
+                found: bytes.len(),
+                most: MAX_DELTA_BYTES,
+            });
         }
         let (header, mut rest) = postcard::take_from_bytes::<Header>(bytes)?;
         if header.format != FORMAT {
-            return Err(DecodeError::UnknownFormat { found: header.format, known: FORMAT });
+            return Err(DecodeError::UnknownFormat {
+                found: header.format,
+                known: FORMAT,
+            });
         }
         let stated = header.changes as usize;
-        let mut changes: Vec<Change> = Vec::with_capacity(stated.min(rest.len() / MIN_CHANGE_BYTES));
+        let mut changes: Vec<Change> =
+            Vec::with_capacity(stated.min(rest.len() / MIN_CHANGE_BYTES));
         let mut last_key = None;
         for _ in 0..stated {
             let (change, after) = postcard::take_from_bytes::<Change>(rest)?;
@@ -115,7 +132,12 @@
         if !rest.is_empty() {
             return Err(DecodeError::Trailing { found: rest.len() });
         }
-        Ok(Delta { from: header.from, to: header.to, digest: header.digest, changes })
+        Ok(Delta {
+            from: header.from,
+            to: header.to,
+            digest: header.digest,
+            changes,
+        })
     }
 }
 
--- a/crates/configuration/src/digest.rs
+++ b/crates/configuration/src/digest.rs
@@ -50,8 +50,14 @@
         debug_assert!(written.is_ok(), "a record always has canonical bytes");
         let hash = hasher.finalize();
         let mut lanes = [0; LANES];
-        for (lane, bytes) in lanes.iter_mut().zip(hash.as_bytes().chunks_exact(LANE_BYTES)) {
-            *lane = bytes.iter().rev().fold(0, |value, byte| value << 8 | u64::from(*byte));
+        for (lane, bytes) in lanes
+            .iter_mut()
+            .zip(hash.as_bytes().chunks_exact(LANE_BYTES))
+        {
+            *lane = bytes
+                .iter()
+                .rev()
+                .fold(0, |value, byte| value << 8 | u64::from(*byte));
         }
         Digest(lanes)
     }
--- a/crates/configuration/src/encoding.rs
+++ b/crates/configuration/src/encoding.rs
@@ -11,13 +11,19 @@
 /// Appends the canonical bytes of a value; a vector takes every byte and no type here has a part that postcard refuses.
 pub(crate) fn append<T: Serialize>(value: &T, bytes: &mut Vec<u8>) {
     let written = postcard::to_io(value, bytes);
-    debug_assert!(written.is_ok(), "the types of a configuration always have canonical bytes");
+    debug_assert!(
+        written.is_ok(),
+        "the types of a configuration always have canonical bytes"
+    );
 }
 
 /// Appends the records of a bucket after their count.
 pub(crate) fn append_bucket(bucket: &Bucket, raw: &mut Vec<u8>) {
     append(&bucket.records().len(), raw);
-    bucket.records().iter().for_each(|record| append(record, raw));
+    bucket
+        .records()
+        .iter()
+        .for_each(|record| append(record, raw));
 }
 
 /// Reads one bucket and returns what follows it. Its records are checked, belong there and stand in their order.
@@ -30,7 +36,9 @@
         record.check()?;
         let place = Place::of(record.kind(), record.name());
         if place.bucket != number || !bucket.follows(&record, place.hash) {
-            return Err(DecodeError::OutOfOrder { record: record.key() });
+            return Err(DecodeError::OutOfOrder {
+                record: record.key(),
+            });
         }
         bucket.push(record, place.hash);
     }
--- a/crates/configuration/src/error.rs
+++ b/crates/configuration/src/error.rs
@@ -23,14 +23,20 @@
     WrongBase { have: Version, wants: Version },
     #[error("the delta leads from version {from} back to {to}; it is dropped")]
     NotNewer { from: Version, to: Version },
-    #[error("the result has digest {found}, the delta states {expected}; ask for the whole snapshot")]
+    #[error(
+        "the result has digest {found}, the delta states {expected}; ask for the whole snapshot"
+    )]
     DigestDiffers { expected: Digest, found: Digest },
     #[error(transparent)]
     Invalid(#[from] InvalidRecord),
     #[error("{record} stands there twice")]
     Duplicate { record: RecordKey },
     #[error("{found} records of kind {kind}, {most} at most")]
-    TooMany { kind: RecordKind, found: usize, most: usize },
+    TooMany {
+        kind: RecordKind,
+        found: usize,
+        most: usize,
+    },
 }
 
 /// Why bytes are no delta or manifest.
@@ -69,8 +75,14 @@
     Decompress { most: usize },
     #[error(transparent)]
     Decode(#[from] DecodeError),
-    #[error("bucket {bucket} has digest {found}, the manifest states {expected}; ask for it again")]
-    DigestDiffers { bucket: u16, expected: Digest, found: Digest },
+    #[error(
+        "bucket {bucket} has digest {found}, the manifest states {expected}; ask for it again"
+    )]
+    DigestDiffers {
+        bucket: u16,
+        expected: Digest,
+        found: Digest,
+    },
     #[error("{missing} buckets are missing yet")]
     Incomplete { missing: usize },
     #[error(transparent)]
--- a/crates/configuration/src/history.rs
+++ b/crates/configuration/src/history.rs
@@ -23,12 +23,21 @@
 impl History {
     /// A history of at most `most` deltas and `most_bytes` encoded bytes.
     pub fn new(most: usize, most_bytes: usize) -> History {
-        History { most, most_bytes, bytes: 0, deltas: VecDeque::new() }
+        History {
+            most,
+            most_bytes,
+            bytes: 0,
+            deltas: VecDeque::new(),
+        }
     }
 
     /// Adds the next delta. One that does not begin where the last ends begins a new chain.
     pub fn push(&mut self, delta: Arc<Delta>) {
-        if self.deltas.back().is_some_and(|last| last.delta.to != delta.from) {
+        if self
+            .deltas
+            .back()
+            .is_some_and(|last| last.delta.to != delta.from)
+        {
             self.deltas.clear();
             self.bytes = 0;
         }
@@ -36,7 +45,9 @@
         self.bytes += bytes;
         self.deltas.push_back(Entry { delta, bytes });
         while self.deltas.len() > self.most || self.bytes > self.most_bytes {
-            let Some(oldest) = self.deltas.pop_front() else { return };
+            let Some(oldest) = self.deltas.pop_front() else {
+                return;
+            };
             self.bytes -= oldest.bytes;
         }
     }
@@ -47,7 +58,15 @@
         if self.deltas.back()?.delta.to == have {
             return Some(Vec::new());
         }
-        let first = self.deltas.iter().position(|entry| entry.delta.from == have)?;
-        Some(self.deltas.range(first..).map(|entry| Arc::clone(&entry.delta)).collect())
+        let first = self
+            .deltas
+            .iter()
+            .position(|entry| entry.delta.from == have)?;
+        Some(
+            self.deltas
+                .range(first..)
+                .map(|entry| Arc::clone(&entry.delta))
+                .collect(),
+        )
     }
 }
--- a/crates/configuration/src/interval.rs
+++ b/crates/configuration/src/interval.rs
@@ -21,7 +21,10 @@
 impl Interval {
     /// Every name there can be.
     pub fn all() -> Interval {
-        Interval { from: String::new(), to: None }
+        Interval {
+            from: String::new(),
+            to: None,
+        }
     }
 
     pub fn contains(&self, name: &str) -> bool {
@@ -31,7 +34,10 @@
     /// The places of this interval's names in a sorted list.
     pub fn places<'a>(&self, count: usize, name: impl Fn(usize) -> &'a str) -> Range<usize> {
         let first = partition_point(count, |place| name(place) < self.from.as_str());
-        let end = self.to.as_deref().map_or(count, |to| partition_point(count, |place| name(place) < to));
+        let end = self
+            .to
+            .as_deref()
+            .map_or(count, |to| partition_point(count, |place| name(place) < to));
         first..end.max(first)
     }
 
@@ -53,10 +59,17 @@
             let starts: Vec<usize> = places.clone().step_by(size).collect();
             for (at, &start) in starts.iter().enumerate() {
                 let next = starts.get(at + 1).copied();
-                let from = if at == 0 { side.from.clone() } else { name(start).to_string() };
+                let from = if at == 0 {
+                    side.from.clone()
+                } else {
+                    name(start).to_string()
+                };
                 let to = next.map_or(side.to.clone(), |next| Some(name(next).to_string()));
                 let names = start..next.unwrap_or(places.end);
-                split.push(Part { interval: Interval { from, to }, names });
+                split.push(Part {
+                    interval: Interval { from, to },
+                    names,
+                });
             }
         }
         split
@@ -67,9 +80,15 @@
         if !self.contains(own) {
             return (Some(self.clone()), None);
         }
-        let below = Interval { from: self.from.clone(), to: Some(own.to_string()) };
+        let below = Interval {
+            from: self.from.clone(),
+            to: Some(own.to_string()),
+        };
         // No string lies between a name and the same one with the lowest character behind it.
-        let above = Interval { from: format!("{own}\0"), to: self.to.clone() };
+        let above = Interval {
+            from: format!("{own}\0"),
+            to: self.to.clone(),
+        };
         (Some(below), Some(above))
     }
 }
--- a/crates/configuration/src/log_file.rs
+++ b/crates/configuration/src/log_file.rs
@@ -48,10 +48,18 @@
 /// Reads a whole log.
 pub(crate) fn read(bytes: &[u8]) -> Result<Contents, Damage> {
     if !bytes.starts_with(MAGIC) {
-        return Err(Damage { offset: 0, found: "not a log of this release".to_string() });
+        return Err(Damage {
+            offset: 0,
+            found: "not a log of this release".to_string(),
+        });
     }
-    let mut contents = Contents { deltas: Vec::new(), whole_bytes: MAGIC.len() };
-    while let Some((delta, length)) = read_frame(contents.whole_bytes, &bytes[contents.whole_bytes..])? {
+    let mut contents = Contents {
+        deltas: Vec::new(),
+        whole_bytes: MAGIC.len(),
+    };
+    while let Some((delta, length)) =
+        read_frame(contents.whole_bytes, &bytes[contents.whole_bytes..])?
+    {
         contents.deltas.push((contents.whole_bytes, delta));
         contents.whole_bytes += length;
     }
@@ -60,20 +68,33 @@
 
 /// The frame that begins `rest` and its length; `None` at the end, or where it is torn.
 fn read_frame(offset: usize, rest: &[u8]) -> Result<Option<(Delta, usize)>, Damage> {
-    let damage = |found: &str| Damage { offset, found: found.to_string() };
+    let damage = |found: &str| Damage {
+        offset,
+        found: found.to_string(),
+    };
     // Nothing, or room that was never written.
     if rest.iter().all(|byte| *byte == 0) {
         return Ok(None);
     }
-    let Some((length, after)) = rest.split_first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
-    let Some((checksum, after)) = after.split_first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
+    let Some((length, after)) = rest.split_first_chunk::<LENGTH_BYTES>() else {
+        return Ok(None);
+    };
+    let Some((checksum, after)) = after.split_first_chunk::<LENGTH_BYTES>() else {
+        return Ok(None);
+    };
     if *checksum != length_checksum(offset as u64, *length) {
         return Err(damage("the length of a delta has another checksum"));
     }
     let body_bytes = u32::from_le_bytes(*length) as usize;
-    let Some((hash, after)) = after.split_first_chunk::<HASH_BYTES>() else { return Ok(None) };
-    let Some((body, after)) = after.split_at_checked(body_bytes) else { return Ok(None) };
-    let Some((end, after)) = after.split_first() else { return Ok(None) };
+    let Some((hash, after)) = after.split_first_chunk::<HASH_BYTES>() else {
+        return Ok(None);
+    };
+    let Some((body, after)) = after.split_at_checked(body_bytes) else {
+        return Ok(None);
+    };
+    let Some((end, after)) = after.split_first() else {
+        return Ok(None);
+    };
     if *end == 0 && after.is_empty() {
         return Ok(None);
     }
--- a/crates/configuration/src/message.rs
+++ b/crates/configuration/src/message.rs
@@ -185,17 +185,28 @@
 }
 
 fn ensure(holds: bool, field: &'static str) -> Result<(), MessageError> {
-    holds.then_some(()).ok_or(MessageError::OutOfBounds { field })
+    holds
+        .then_some(())
+        .ok_or(MessageError::OutOfBounds { field })
 }
 
 fn check_interval(interval: &Interval) -> Result<(), MessageError> {
     let fits = |end: &str| end.len() <= MAX_PEER_NAME_BYTES + 1;
-    ensure(fits(&interval.from) && interval.to.as_deref().is_none_or(fits), "interval")
+    ensure(
+        fits(&interval.from) && interval.to.as_deref().is_none_or(fits),
+        "interval",
+    )
 }
 
 fn check_tally(tally: &Tally, interval: &Interval) -> Result<(), MessageError> {
     ensure(tally.behind.len() <= MAX_BEHIND, "behind")?;
-    ensure(tally.behind.iter().all(|peer| interval.contains(&peer.name)), "behind")?;
+    ensure(
+        tally
+            .behind
+            .iter()
+            .all(|peer| interval.contains(&peer.name)),
+        "behind",
+    )?;
     let behind = tally.more.checked_add(tally.behind.len() as u32);
     let sum = behind.and_then(|behind| behind.checked_add(tally.have));
     ensure(sum == Some(tally.of), "of")
@@ -211,7 +222,10 @@
     /// Counts one peer that does not.
     pub fn add_behind(&mut self, name: &str, standing: Standing) {
         self.of = self.of.saturating_add(1);
-        self.name_behind(PeerBehind { name: name.to_string(), standing });
+        self.name_behind(PeerBehind {
+            name: name.to_string(),
+            standing,
+        });
     }
 
     /// Counts what another has counted in an interval of its own.
@@ -219,7 +233,10 @@
         self.have = self.have.saturating_add(other.have);
         self.of = self.of.saturating_add(other.of);
         self.more = self.more.saturating_add(other.more);
-        other.behind.into_iter().for_each(|peer| self.name_behind(peer));
+        other
+            .behind
+            .into_iter()
+            .for_each(|peer| self.name_behind(peer));
     }
 
     fn name_behind(&mut self, peer: PeerBehind) {
--- a/crates/configuration/src/patterns.rs
+++ b/crates/configuration/src/patterns.rs
@@ -13,7 +13,9 @@
         return Some("* at the end only, where it stands for any rest of the path");
     }
     if body.contains(['{', '}']) || body.contains("/:") {
-        return Some("a whole path, or the start of one before a * at the end; there are no named parts");
+        return Some(
+            "a whole path, or the start of one before a * at the end; there are no named parts",
+        );
     }
     if body.contains(['?', '#']) || body.contains(|c: char| c.is_whitespace() || c.is_control()) {
         return Some("a path alone, without query, fragment, blanks or control characters");
@@ -35,9 +37,14 @@
     for (later, route) in routes.iter().enumerate() {
         for pattern in &route.paths {
             let owners = owners.entry(pattern).or_default();
-            let shared = |earlier: &&usize| **earlier == later || share_method(&routes[**earlier], route);
+            let shared =
+                |earlier: &&usize| **earlier == later || share_method(&routes[**earlier], route);
             if let Some(&earlier) = owners.iter().find(shared) {
-                found.push(Conflict { pattern, earlier, later });
+                found.push(Conflict {
+                    pattern,
+                    earlier,
+                    later,
+                });
             }
             owners.push(later);
         }
@@ -47,5 +54,8 @@
 
 fn share_method(one: &Route, other: &Route) -> bool {
     let any = one.methods.is_empty() || other.methods.is_empty();
-    any || one.methods.iter().any(|method| other.methods.contains(method))
+    any || one
+        .methods
+        .iter()
+        .any(|method| other.methods.contains(method))
 }
--- a/crates/configuration/src/record.rs
+++ b/crates/configuration/src/record.rs
@@ -150,7 +150,10 @@
     }
 
     pub fn key(&self) -> RecordKey {
-        RecordKey { kind: self.kind(), name: self.name().to_string() }
+        RecordKey {
+            kind: self.kind(),
+            name: self.name().to_string(),
+        }
     }
 
     /// Checks the bounds of each field.
@@ -269,27 +272,57 @@
     if valid {
         return Ok(());
     }
-    let record = RecordKey { kind: key.0, name: key.1.chars().take(MAX_NAME_BYTES).collect() };
-    Err(InvalidRecord { record, field, found: found(), expected: expected() })
+    let record = RecordKey {
+        kind: key.0,
+        name: key.1.chars().take(MAX_NAME_BYTES).collect(),
+    };
+    Err(InvalidRecord {
+        record,
+        field,
+        found: found(),
+        expected: expected(),
+    })
 }
 
 fn check_name(kind: RecordKind, name: &str) -> Result<(), InvalidRecord> {
     let valid = (1..=MAX_NAME_BYTES).contains(&name.len());
     let expected = || format!("a name of 1 to {MAX_NAME_BYTES} bytes");
-    ensure(valid, (kind, name), "name", || format!("{} bytes", name.len()), expected)?;
+    ensure(
+        valid,
+        (kind, name),
+        "name",
+        || format!("{} bytes", name.len()),
+        expected,
+    )?;
     let expected = || "a name without control characters".to_string();
-    ensure(!name.contains(char::is_control), (kind, name), "name", || format!("{name:?}"), expected)
+    ensure(
+        !name.contains(char::is_control),
+        (kind, name),
+        "name",
+        || format!("{name:?}"),
+        expected,
+    )
 }
 
 fn check_tenant(tenant: &Tenant) -> Result<(), InvalidRecord> {
     let limits = [
-        ("requests_per_s", tenant.limits.requests_per_s, MAX_REQUESTS_PER_S),
+        (
+            "requests_per_s",
+            tenant.limits.requests_per_s,
+            MAX_REQUESTS_PER_S,
+        ),
         ("in_flight", tenant.limits.in_flight, MAX_IN_FLIGHT),
     ];
     for (field, limit, most) in limits {
         let limit = limit.unwrap_or(0);
         let key = (RecordKind::Tenant, tenant.name.as_str());
-        ensure(limit <= most, key, field, || limit.to_string(), || format!("{most} at most"))?;
+        ensure(
+            limit <= most,
+            key,
+            field,
+            || limit.to_string(),
+            || format!("{most} at most"),
+        )?;
     }
     Ok(())
 }
@@ -302,8 +335,16 @@
     most_bytes: usize,
 ) -> Result<(), InvalidRecord> {
     let expected = || format!("{most} at most, each of 1 to {most_bytes} bytes");
-    ensure(list.len() <= most, key, field, || format!("{} of them", list.len()), expected)?;
-    let wrong = list.iter().find(|text| !(1..=most_bytes).contains(&text.len()));
+    ensure(
+        list.len() <= most,
+        key,
+        field,
+        || format!("{} of them", list.len()),
+        expected,
+    )?;
+    let wrong = list
+        .iter()
+        .find(|text| !(1..=most_bytes).contains(&text.len()));
     let found = || format!("one of {} bytes", wrong.map_or(0, String::len));
     ensure(wrong.is_none(), key, field, found, expected)
 }
@@ -318,10 +359,28 @@
     let service_bytes = route.service.len();
     let expected = || format!("a name of 1 to {MAX_NAME_BYTES} bytes");
     let valid = (1..=MAX_NAME_BYTES).contains(&service_bytes);
-    ensure(valid, key, "service", || format!("{service_bytes} bytes"), expected)?;
-    check_list(key, "methods", &route.methods, MAX_METHODS, MAX_METHOD_BYTES)?;
+    ensure(
+        valid,
+        key,
+        "service",
+        || format!("{service_bytes} bytes"),
+        expected,
+    )?;
+    check_list(
+        key,
+        "methods",
+        &route.methods,
+        MAX_METHODS,
+        MAX_METHOD_BYTES,
+    )?;
     check_list(key, "paths", &route.paths, MAX_PATHS, MAX_PATH_BYTES)?;
-    ensure(!route.paths.is_empty(), key, "paths", || "none".to_string(), || "one at least".to_string())?;
+    ensure(
+        !route.paths.is_empty(),
+        key,
+        "paths",
+        || "none".to_string(),
+        || "one at least".to_string(),
+    )?;
     check_rules(key, &route.rules)
 }
 
@@ -333,10 +392,19 @@
     ];
     for (field, span, least) in spans {
         let expected = || format!("{least} to {MAX_SPAN} ns");
-        ensure((least..=MAX_SPAN).contains(&span), key, field, || format!("{span} ns"), expected)?;
+        ensure(
+            (least..=MAX_SPAN).contains(&span),
+            key,
+            field,
+            || format!("{span} ns"),
+            expected,
+        )?;
     }
     // NaN is in no range.
-    let shares = [("benefit", rules.benefit, MAX_BENEFIT), ("late_benefit", rules.late_benefit, 1.0)];
+    let shares = [
+        ("benefit", rules.benefit, MAX_BENEFIT),
+        ("late_benefit", rules.late_benefit, 1.0),
+    ];
     for (field, share, most) in shares {
         let expected = || format!("a number from 0 to {most}");
         // -0.0 equals 0.0 and has another digest: a delta between the two would hold no change and never apply.
--- a/crates/configuration/src/snapshot.rs
+++ b/crates/configuration/src/snapshot.rs
@@ -44,7 +44,11 @@
     pub fn empty() -> Snapshot {
         let bucket = Arc::new(Bucket::default());
         let buckets = Arc::new(vec![bucket; BUCKETS]);
-        Snapshot { version: Version::NONE, digest: Digest::default(), buckets }
+        Snapshot {
+            version: Version::NONE,
+            digest: Digest::default(),
+            buckets,
+        }
     }
 
     /// A snapshot of these records.
@@ -60,8 +64,13 @@
             record.check()?;
             let place = Place::of(record.kind(), record.name());
             let bucket = &mut buckets[place.bucket];
-            if bucket.get(record.kind(), record.name(), place.hash).is_some() {
-                return Err(ApplyError::Duplicate { record: record.key() });
+            if bucket
+                .get(record.kind(), record.name(), place.hash)
+                .is_some()
+            {
+                return Err(ApplyError::Duplicate {
+                    record: record.key(),
+                });
             }
             bucket.put(record, place.hash);
         }
@@ -70,10 +79,19 @@
     }
 
     /// A snapshot of whole buckets, which the caller has made of checked records.
-    pub(crate) fn from_buckets(version: Version, buckets: Vec<Arc<Bucket>>) -> Result<Snapshot, ApplyError> {
+    pub(crate) fn from_buckets(
+        version: Version,
+        buckets: Vec<Arc<Bucket>>,
+    ) -> Result<Snapshot, ApplyError> {
         let mut digest = Digest::default();
-        buckets.iter().for_each(|bucket| digest.add_all(&bucket.digest()));
-        let snapshot = Snapshot { version, digest, buckets: Arc::new(buckets) };
+        buckets
+            .iter()
+            .for_each(|bucket| digest.add_all(&bucket.digest()));
+        let snapshot = Snapshot {
+            version,
+            digest,
+            buckets: Arc::new(buckets),
+        };
         for kind in RecordKind::ALL {
             let (found, most) = (snapshot.count(kind), kind.limit());
             if found > most {
@@ -89,7 +107,10 @@
 
     /// The same records as another version.
     pub fn with_version(&self, version: Version) -> Snapshot {
-        Snapshot { version, ..self.clone() }
+        Snapshot {
+            version,
+            ..self.clone()
+        }
     }
 
     pub fn digest(&self) -> Digest {
@@ -123,26 +144,29 @@
 
     /// All services, in no useful order.
     pub fn services(&self) -> impl Iterator<Item = &Service> {
-        self.of_kind(RecordKind::Service).filter_map(|record| match record {
-            Record::Service(service) => Some(service),
-            _ => None,
-        })
+        self.of_kind(RecordKind::Service)
+            .filter_map(|record| match record {
+                Record::Service(service) => Some(service),
+                _ => None,
+            })
     }
 
     /// All routes, in no useful order.
     pub fn routes(&self) -> impl Iterator<Item = &Route> {
-        self.of_kind(RecordKind::Route).filter_map(|record| match record {
-            Record::Route(route) => Some(&**route),
-            _ => None,
-        })
+        self.of_kind(RecordKind::Route)
+            .filter_map(|record| match record {
+                Record::Route(route) => Some(&**route),
+                _ => None,
+            })
     }
 
     /// All tenants, in no useful order.
     pub fn tenants(&self) -> impl Iterator<Item = &Tenant> {
-        self.of_kind(RecordKind::Tenant).filter_map(|record| match record {
-            Record::Tenant(tenant) => Some(tenant),
-            _ => None,
-        })
+        self.of_kind(RecordKind::Tenant)
+            .filter_map(|record| match record {
+                Record::Tenant(tenant) => Some(tenant),
+                _ => None,
+            })
     }
 
     /// All records, in no useful order.
@@ -160,10 +184,16 @@
     /// The delta begins elsewhere, holds a record out of bounds, or does not lead to the digest that it states.
     pub fn apply(&self, delta: &Delta) -> Result<Snapshot, ApplyError> {
         if delta.from != self.version {
-            return Err(ApplyError::WrongBase { have: self.version, wants: delta.from });
+            return Err(ApplyError::WrongBase {
+                have: self.version,
+                wants: delta.from,
+            });
         }
         if delta.to <= delta.from {
-            return Err(ApplyError::NotNewer { from: delta.from, to: delta.to });
+            return Err(ApplyError::NotNewer {
+                from: delta.from,
+                to: delta.to,
+            });
         }
         let mut buckets = Vec::clone(&self.buckets);
         for change in &delta.changes {
@@ -171,7 +201,10 @@
         }
         let next = Snapshot::from_buckets(delta.to, buckets)?;
         if next.digest != delta.digest {
-            return Err(ApplyError::DigestDiffers { expected: delta.digest, found: next.digest });
+            return Err(ApplyError::DigestDiffers {
+                expected: delta.digest,
+                found: next.digest,
+            });
         }
         Ok(next)
     }
@@ -196,7 +229,9 @@
     }
 
     fn of_kind(&self, kind: RecordKind) -> impl Iterator<Item = &Record> {
-        self.buckets.iter().flat_map(move |bucket| bucket.of_kind(kind))
+        self.buckets
+            .iter()
+            .flat_map(move |bucket| bucket.of_kind(kind))
     }
 }
 
@@ -219,10 +254,14 @@
 impl fmt::Debug for Snapshot {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let mut shown = f.debug_struct("Snapshot");
-        shown.field("version", &self.version).field("digest", &self.digest.to_string());
+        shown
+            .field("version", &self.version)
+            .field("digest", &self.digest.to_string());
         shown.field("services", &self.count(RecordKind::Service));
         shown.field("routes", &self.count(RecordKind::Route));
-        shown.field("tenants", &self.count(RecordKind::Tenant)).finish()
+        shown
+            .field("tenants", &self.count(RecordKind::Tenant))
+            .finish()
     }
 }
 
@@ -230,7 +269,8 @@
 impl PartialEq for Snapshot {
     fn eq(&self, other: &Snapshot) -> bool {
         let pairs = || self.buckets.iter().zip(other.buckets.iter());
-        let same = |(a, b): (&Arc<Bucket>, &Arc<Bucket>)| Arc::ptr_eq(a, b) || a.records() == b.records();
+        let same =
+            |(a, b): (&Arc<Bucket>, &Arc<Bucket>)| Arc::ptr_eq(a, b) || a.records() == b.records();
         self.version == other.version && self.digest == other.digest && pairs().all(same)
     }
 }
--- a/crates/configuration/src/snapshot_file.rs
+++ b/crates/configuration/src/snapshot_file.rs
@@ -19,7 +19,10 @@
 pub(crate) fn encode(snapshot: &Snapshot) -> Option<Vec<u8>> {
     let mut raw = Vec::new();
     append(&(snapshot.version(), snapshot.digest()), &mut raw);
-    snapshot.buckets().iter().for_each(|bucket| append_bucket(bucket, &mut raw));
+    snapshot
+        .buckets()
+        .iter()
+        .for_each(|bucket| append_bucket(bucket, &mut raw));
     let body = compress(&raw)?;
     let mut bytes = Vec::with_capacity(HEADER_BYTES + body.len());
     bytes.extend_from_slice(MAGIC);
@@ -36,12 +39,17 @@
 pub(crate) fn decode(bytes: &[u8]) -> Result<Snapshot, String> {
     let (magic, rest) = bytes.split_first_chunk().ok_or("shorter than its header")?;
     let (length, rest) = rest.split_first_chunk().ok_or("shorter than its header")?;
-    let (hash, body) = rest.split_first_chunk::<HASH_BYTES>().ok_or("shorter than its header")?;
+    let (hash, body) = rest
+        .split_first_chunk::<HASH_BYTES>()
+        .ok_or("shorter than its header")?;
     if magic != MAGIC {
         return Err("not a snapshot of this release".to_string());
     }
     if u64::from_le_bytes(*length) != body.len() as u64 {
-        return Err(format!("{} bytes of body, its header states others", body.len()));
+        return Err(format!(
+            "{} bytes of body, its header states others",
+            body.len()
+        ));
     }
     if blake3::hash(body) != *hash {
         return Err("its checksum differs".to_string());
@@ -64,7 +72,10 @@
     }
     let snapshot = Snapshot::from_buckets(version, buckets).map_err(|error| error.to_string())?;
     if snapshot.digest() != digest {
-        return Err(format!("its records have digest {}, it states {digest}", snapshot.digest()));
+        return Err(format!(
+            "its records have digest {}, it states {digest}",
+            snapshot.digest()
+        ));
     }
     Ok(snapshot)
 }
--- a/crates/configuration/src/spread/acknowledge.rs
+++ b/crates/configuration/src/spread/acknowledge.rs
@@ -27,8 +27,14 @@
 
 impl Polling {
     pub(super) fn new(now: Ns, role: Role, rules: &Rules) -> Polling {
-        let next = matches!(role, Role::Writer { .. }).then(|| now.saturating_add(rules.first_poll));
-        Polling { round: 0, next, wait: rules.first_poll, last: None }
+        let next =
+            matches!(role, Role::Writer { .. }).then(|| now.saturating_add(rules.first_poll));
+        Polling {
+            round: 0,
+            next,
+            wait: rules.first_poll,
+            last: None,
+        }
     }
 
     /// Begins with short waits anew; a poll that is due sooner stays.
@@ -49,7 +55,10 @@
     fn finished(&mut self, now: Ns, version: Version, tally: &Tally, rules: &Rules) {
         let before = self.last.take();
         let since = |name: &str| {
-            let known = before.iter().flat_map(|round| &round.behind).find(|peer| peer.name == name);
+            let known = before
+                .iter()
+                .flat_map(|round| &round.behind)
+                .find(|peer| peer.name == name);
             known.map_or(now, |peer| peer.since)
         };
         let behind = tally.behind.iter().map(|peer| BehindSince {
@@ -58,8 +67,14 @@
             since: since(&peer.name),
         });
         let behind = behind.collect();
-        self.last =
-            Some(RoundGlance { version, at: now, have: tally.have, of: tally.of, behind, more: tally.more });
+        self.last = Some(RoundGlance {
+            version,
+            at: now,
+            have: tally.have,
+            of: tally.of,
+            behind,
+            more: tally.more,
+        });
         if tally.have == tally.of {
             self.wait = rules.last_poll;
         }
@@ -94,7 +109,15 @@
         self.polling.round += 1;
         let patience_ms = u32::try_from(self.rules.poll_patience / 1_000_000).unwrap_or(u32::MAX);
         let (round, claim) = (self.polling.round, self.held.claim());
-        self.open(None, Poll { round, claim, interval: Interval::all(), patience_ms });
+        self.open(
+            None,
+            Poll {
+                round,
+                claim,
+                interval: Interval::all(),
+                patience_ms,
+            },
+        );
     }
 
     fn open(&mut self, parent: Option<Life>, poll: Poll) {
@@ -104,7 +127,14 @@
         }
         let own = self.installation.standing(poll.claim);
         let (peers, branches) = (self.peers.clone(), self.rules.poll_branches);
-        self.polls.push_back(OpenPoll::new(poll, parent, &self.me.life.name, own, peers, branches));
+        self.polls.push_back(OpenPoll::new(
+            poll,
+            parent,
+            &self.me.life.name,
+            own,
+            peers,
+            branches,
+        ));
     }
 
     pub(super) fn heard_poll(&mut self, now: Ns, from: &Life, poll: Poll) {
@@ -147,7 +177,8 @@
                 Some(parent) => self.send(&parent, Message::Report(poll.into_report())),
                 None => {
                     let version = poll.poll.claim.version;
-                    self.polling.finished(now, version, poll.tally(), &self.rules);
+                    self.polling
+                        .finished(now, version, poll.tally(), &self.rules);
                 }
             }
         }
--- a/crates/configuration/src/spread/budget.rs
+++ b/crates/configuration/src/spread/budget.rs
@@ -39,12 +39,14 @@
     /// When something is left again.
     pub fn ready_at(&self) -> Ns {
         let debt = u64::try_from(1 - self.left).unwrap_or(0);
-        self.refilled_at.saturating_add(debt.saturating_mul(SECOND).div_ceil(self.bytes_per_s))
+        self.refilled_at
+            .saturating_add(debt.saturating_mul(SECOND).div_ceil(self.bytes_per_s))
     }
 
     fn refill(&mut self, now: Ns) {
         let elapsed = now.saturating_sub(self.refilled_at);
-        let gained = (u128::from(elapsed) * u128::from(self.bytes_per_s) / u128::from(SECOND)) as u64;
+        let gained =
+            (u128::from(elapsed) * u128::from(self.bytes_per_s) / u128::from(SECOND)) as u64;
         if self.left >= self.burst {
             self.refilled_at = now.max(self.refilled_at);
         } else if gained > 0 {
--- a/crates/configuration/src/spread/glance.rs
+++ b/crates/configuration/src/spread/glance.rs
@@ -104,7 +104,13 @@
     }
 
     fn writer_glance(&self) -> Option<WriterGlance> {
-        let Role::Writer { epoch } = self.role else { return None };
-        Some(WriterGlance { epoch, superseded: self.superseded, round: self.polling.last.clone() })
+        let Role::Writer { epoch } = self.role else {
+            return None;
+        };
+        Some(WriterGlance {
+            epoch,
+            superseded: self.superseded,
+            round: self.polling.last.clone(),
+        })
     }
 }
--- a/crates/configuration/src/spread/gossip.rs
+++ b/crates/configuration/src/spread/gossip.rs
@@ -23,19 +23,32 @@
 impl Spreader {
     /// Tells a few random peers what is held, with the delta that led to it where it fits a datagram.
     pub(super) fn announce(&mut self, delta: Option<&Delta>) {
-        let claim =
-            delta.map_or(self.held.claim(), |delta| Claim { version: delta.to, digest: delta.digest });
-        let encoded =
-            delta.map(Delta::encode).filter(|bytes| bytes.len() + DELTAS_OVERHEAD <= DATAGRAM_BYTES);
-        let mut told: Vec<Life> = Vec::with_capacity(self.rules.fan_out_near + self.rules.fan_out_far);
-        for (reach, count) in [(Reach::Near, self.rules.fan_out_near), (Reach::Far, self.rules.fan_out_far)] {
+        let claim = delta.map_or(self.held.claim(), |delta| Claim {
+            version: delta.to,
+            digest: delta.digest,
+        });
+        let encoded = delta
+            .map(Delta::encode)
+            .filter(|bytes| bytes.len() + DELTAS_OVERHEAD <= DATAGRAM_BYTES);
+        let mut told: Vec<Life> =
+            Vec::with_capacity(self.rules.fan_out_near + self.rules.fan_out_far);
+        for (reach, count) in [
+            (Reach::Near, self.rules.fan_out_near),
+            (Reach::Far, self.rules.fan_out_far),
+        ] {
             for _ in 0..count {
                 let drawn = self.peers.draw(&mut self.chance, &self.me, reach);
                 told.extend(drawn.filter(|peer| !told.contains(peer)));
             }
         }
         for peer in told {
-            self.send(&peer, Message::Announce { claim, delta: encoded.clone() });
+            self.send(
+                &peer,
+                Message::Announce {
+                    claim,
+                    delta: encoded.clone(),
+                },
+            );
         }
     }
 
@@ -54,7 +67,11 @@
             self.next_pull = now.saturating_add(scattered);
         }
         // Every second one near: that is cheap and quick; the other one crosses what the first cannot.
-        let reach = if self.chance.rand_range(0..2) == 0 { Reach::Near } else { Reach::Any };
+        let reach = if self.chance.rand_range(0..2) == 0 {
+            Reach::Near
+        } else {
+            Reach::Any
+        };
         if let Some(peer) = self.peers.draw(&mut self.chance, &self.me, reach) {
             self.ask(now, &peer);
         }
@@ -68,8 +85,15 @@
         let fetches = self.transfer.is_some();
         let left = if fetches { 0 } else { self.fetching.left(now) };
         let room = u32::try_from(left).unwrap_or(u32::MAX);
-        self.asked = Some(Asked { peer: peer.clone(), until: now.saturating_add(self.rules.answer) });
-        let message = Message::Pull { claim: self.held.claim(), room, whole: self.wants_whole };
+        self.asked = Some(Asked {
+            peer: peer.clone(),
+            until: now.saturating_add(self.rules.answer),
+        });
+        let message = Message::Pull {
+            claim: self.held.claim(),
+            room,
+            whole: self.wants_whole,
+        };
         self.send(peer, message);
     }
 
@@ -92,7 +116,12 @@
             self.counts.conflicts += 1;
             if self.conflict.replace(claim) != Some(claim) {
                 let (version, other, from) = (claim.version, claim.digest, from.clone());
-                self.tell(Event::Conflict { version, held, other, from });
+                self.tell(Event::Conflict {
+                    version,
+                    held,
+                    other,
+                    from,
+                });
             }
         }
         self.stop_if_superseded(claim, contradiction.is_some());
@@ -106,8 +135,11 @@
 
     /// A writer stops where a higher epoch is known, or its own epoch has another writer.
     fn stop_if_superseded(&mut self, claim: Claim, contradicts: bool) {
-        let Role::Writer { epoch } = self.role else { return };
-        let foreign = claim.version.epoch == epoch && (contradicts || claim.version > self.held.version());
+        let Role::Writer { epoch } = self.role else {
+            return;
+        };
+        let foreign =
+            claim.version.epoch == epoch && (contradicts || claim.version > self.held.version());
         if self.superseded.is_none() && (claim.version.epoch > epoch || foreign) {
             self.superseded = Some(claim);
             self.polling.stop();
@@ -115,7 +147,13 @@
         }
     }
 
-    pub(super) fn heard_announce(&mut self, now: Ns, from: &Life, claim: Claim, delta: Option<Vec<u8>>) {
+    pub(super) fn heard_announce(
+        &mut self,
+        now: Ns,
+        from: &Life,
+        claim: Claim,
+        delta: Option<Vec<u8>>,
+    ) {
         self.note(now, from, claim);
         if claim.version <= self.held.version() {
             self.refuse_lower_epoch(from, claim);
@@ -139,7 +177,9 @@
         let lower = claim.version.epoch < self.held.version().epoch;
         if lower {
             self.counts.lower_epochs += 1;
-            let message = Message::Superseded { by: self.held.claim() };
+            let message = Message::Superseded {
+                by: self.held.claim(),
+            };
             self.send(to, message);
         }
         lower
@@ -172,7 +212,14 @@
         self.offer(now);
     }
 
-    pub(super) fn heard_pull(&mut self, now: Ns, from: &Life, claim: Claim, room: u32, whole: bool) {
+    pub(super) fn heard_pull(
+        &mut self,
+        now: Ns,
+        from: &Life,
+        claim: Claim,
+        room: u32,
+        whole: bool,
+    ) {
         self.note(now, from, claim);
         let held = self.held.claim();
         if claim.version > held.version {
@@ -187,9 +234,14 @@
     /// Gives what leads on from there: deltas as far as there is room, else the manifest.
     fn serve(&mut self, now: Ns, to: &Life, claim: Claim, room: u32, whole: bool) {
         let chain = if whole { None } else { self.held.since(claim) };
-        let deltas = chain.map(|chain| first_that_fit(&chain, room)).filter(|deltas| !deltas.is_empty());
+        let deltas = chain
+            .map(|chain| first_that_fit(&chain, room))
+            .filter(|deltas| !deltas.is_empty());
         let message = match deltas {
-            Some(deltas) => Message::Deltas { claim: self.held.claim(), deltas },
+            Some(deltas) => Message::Deltas {
+                claim: self.held.claim(),
+                deltas,
+            },
             None => self.manifest(),
         };
         self.send_served(now, to, message);
@@ -281,8 +333,11 @@
     for delta in chain.iter().take(MAX_DELTAS) {
         let bytes = delta.encode();
         used += bytes.len() + DELTA_OVERHEAD;
-        let fits =
-            if encoded.is_empty() { used + DELTAS_OVERHEAD <= MAX_MESSAGE_BYTES } else { used <= room };
+        let fits = if encoded.is_empty() {
+            used + DELTAS_OVERHEAD <= MAX_MESSAGE_BYTES
+        } else {
+            used <= room
+        };
         if !fits {
             break;
         }
--- a/crates/configuration/src/spread/held.rs
+++ b/crates/configuration/src/spread/held.rs
@@ -40,7 +40,12 @@
 impl Held {
     pub fn new(head: Snapshot, history: History) -> Held {
         let recent = VecDeque::from([head.clone()]);
-        Held { head, recent, history, early: BTreeMap::new() }
+        Held {
+            head,
+            recent,
+            history,
+            early: BTreeMap::new(),
+        }
     }
 
     pub fn head(&self) -> &Snapshot {
@@ -52,18 +57,26 @@
     }
 
     pub fn claim(&self) -> Claim {
-        Claim { version: self.head.version(), digest: self.head.digest() }
+        Claim {
+            version: self.head.version(),
+            digest: self.head.digest(),
+        }
     }
 
     /// The digest under which a recent version is held, where it is another than the claimed one.
     pub fn contradiction(&self, claim: Claim) -> Option<Digest> {
-        let same = self.recent.iter().rev().find(|snapshot| snapshot.version() == claim.version)?;
+        let same = self
+            .recent
+            .iter()
+            .rev()
+            .find(|snapshot| snapshot.version() == claim.version)?;
         (same.digest() != claim.digest).then(|| same.digest())
     }
 
     /// The recent snapshot of exactly this version and digest.
     pub fn snapshot(&self, claim: Claim) -> Option<&Snapshot> {
-        let fits = |held: &&Snapshot| held.version() == claim.version && held.digest() == claim.digest;
+        let fits =
+            |held: &&Snapshot| held.version() == claim.version && held.digest() == claim.digest;
         self.recent.iter().rev().find(fits)
     }
 
--- a/crates/configuration/src/spread/install.rs
+++ b/crates/configuration/src/spread/install.rs
@@ -27,7 +27,13 @@
 
 impl Installation {
     pub(super) fn new(now: Ns, in_force: Snapshot) -> Installation {
-        Installation { in_force, since: now, offered: None, rejected: None, again: None }
+        Installation {
+            in_force,
+            since: now,
+            offered: None,
+            rejected: None,
+            again: None,
+        }
     }
 
     pub(super) fn version(&self) -> Version {
@@ -50,10 +56,15 @@
     /// `None` where the claimed version or a newer one is in force.
     pub(super) fn standing(&self, claim: Claim) -> Option<Standing> {
         let version = self.version();
-        if version > claim.version || (version == claim.version && self.in_force.digest() == claim.digest) {
+        if version > claim.version
+            || (version == claim.version && self.in_force.digest() == claim.digest)
+        {
             return None;
         }
-        let rejected = self.rejected.as_ref().is_some_and(|rejected| rejected.version == claim.version);
+        let rejected = self
+            .rejected
+            .as_ref()
+            .is_some_and(|rejected| rejected.version == claim.version);
         Some(match (version == claim.version, rejected) {
             (true, _) => Standing::Differs,
             (false, true) => Standing::Rejected,
@@ -66,7 +77,9 @@
     /// The host has taken over the version that was offered last. Any other is passed over.
     pub fn installed(&mut self, now: Ns, version: Version) {
         let fits = |offered: &mut Snapshot| offered.version() == version;
-        let Some(snapshot) = self.installation.offered.take_if(fits) else { return };
+        let Some(snapshot) = self.installation.offered.take_if(fits) else {
+            return;
+        };
         self.installation.replace(now, snapshot);
         if self.newest_heard.version <= version {
             self.behind_since = None;
@@ -80,14 +93,21 @@
         if self.installation.offered.take_if(fits).is_none() {
             return;
         }
-        let again = self.installation.rejected.as_ref().is_some_and(|before| before.version == version);
+        let again = self
+            .installation
+            .rejected
+            .as_ref()
+            .is_some_and(|before| before.version == version);
         let wait = match self.installation.again {
             Some((_, wait)) if again => wait,
             _ => self.rules.first_offer,
         };
         let doubled = wait.saturating_mul(2).min(self.rules.last_offer);
         self.installation.again = Some((now.saturating_add(wait), doubled));
-        let rejection = Rejection { version, reason: shortened(reason) };
+        let rejection = Rejection {
+            version,
+            reason: shortened(reason),
+        };
         self.installation.rejected = Some(rejection.clone());
         self.counts.rejected += 1;
         self.tell(Event::Rejected(rejection));
@@ -98,7 +118,8 @@
         let head = self.held.head().clone();
         self.behind_since.get_or_insert(now);
         self.installation.offered = Some(head.clone());
-        self.effects.retain(|effect| !matches!(effect, Effect::Install(_)));
+        self.effects
+            .retain(|effect| !matches!(effect, Effect::Install(_)));
         self.effects.push_back(Effect::Install(head));
     }
 
@@ -113,6 +134,8 @@
 
 /// At most [`MAX_REASON_BYTES`] of a text, in whole characters.
 fn shortened(reason: &str) -> String {
-    let end = (0..=MAX_REASON_BYTES.min(reason.len())).rev().find(|end| reason.is_char_boundary(*end));
+    let end = (0..=MAX_REASON_BYTES.min(reason.len()))
+        .rev()
+        .find(|end| reason.is_char_boundary(*end));
     reason[..end.unwrap_or(0)].to_string()
 }
--- a/crates/configuration/src/spread/mod.rs
+++ b/crates/configuration/src/spread/mod.rs
@@ -180,10 +180,16 @@
 impl Spreader {
     pub fn new(now: Ns, seed: u64, me: Peer, role: Role, kept: Kept, rules: Rules) -> Spreader {
         let mut history = History::new(rules.history_deltas, rules.history_bytes);
-        kept.deltas.into_iter().for_each(|delta| history.push(delta));
+        kept.deltas
+            .into_iter()
+            .for_each(|delta| history.push(delta));
         let held = Held::new(kept.snapshot.clone(), history);
         let starts_empty = kept.snapshot.version() == Version::NONE;
-        let first = if starts_empty { rules.fetch_start_bytes } else { rules.fetch_burst_bytes };
+        let first = if starts_empty {
+            rules.fetch_start_bytes
+        } else {
+            rules.fetch_burst_bytes
+        };
         let mut chance = Rand64::new(u128::from(seed));
         let next_pull = now.saturating_add(chance.rand_range(0..FIRST_PULL));
         Spreader {
@@ -233,8 +239,15 @@
     ///
     /// # Errors
     /// Why it is not passed on; nothing has changed then.
-    pub fn published(&mut self, now: Ns, delta: Arc<Delta>, snapshot: Snapshot) -> Result<(), PublishError> {
-        let Role::Writer { epoch } = self.role else { return Err(PublishError::NotWriter) };
+    pub fn published(
+        &mut self,
+        now: Ns,
+        delta: Arc<Delta>,
+        snapshot: Snapshot,
+    ) -> Result<(), PublishError> {
+        let Role::Writer { epoch } = self.role else {
+            return Err(PublishError::NotWriter);
+        };
         if let Some(by) = self.superseded {
             return Err(PublishError::Superseded { by });
         }
@@ -258,10 +271,19 @@
 
     /// When [`Spreader::wake`] is due.
     pub fn next_wake(&self) -> Option<Ns> {
-        let transfer = self.transfer.as_ref().map(|transfer| transfer.next_wake(&self.fetching));
+        let transfer = self
+            .transfer
+            .as_ref()
+            .map(|transfer| transfer.next_wake(&self.fetching));
         let polls = self.polls.iter().filter_map(OpenPoll::next_wake).min();
         let next_round = self.polling.next_wake().filter(|_| !self.has_open_round());
-        let others = [self.retry_at, transfer, polls, next_round, self.installation.next_wake()];
+        let others = [
+            self.retry_at,
+            transfer,
+            polls,
+            next_round,
+            self.installation.next_wake(),
+        ];
         others.into_iter().flatten().chain([self.next_pull]).min()
     }
 
@@ -280,11 +302,15 @@
             Message::Announce { claim, delta } => self.heard_announce(now, from, claim, delta),
             Message::Pull { claim, room, whole } => self.heard_pull(now, from, claim, room, whole),
             Message::Current { claim } => self.heard_current(now, from, claim),
-            Message::Deltas { claim, deltas } => self.heard_deltas(now, from, claim, &deltas, bytes),
+            Message::Deltas { claim, deltas } => {
+                self.heard_deltas(now, from, claim, &deltas, bytes)
+            }
             Message::Manifest(manifest) => self.heard_manifest(now, from, manifest, bytes),
             Message::Want { claim, buckets } => self.heard_want(now, from, claim, &buckets),
             Message::Chunk(chunk) => self.heard_chunk(now, from, chunk, bytes),
-            Message::Unavailable { wanted, claim } => self.heard_unavailable(now, from, wanted, claim),
+            Message::Unavailable { wanted, claim } => {
+                self.heard_unavailable(now, from, wanted, claim)
+            }
             Message::Poll(poll) => self.heard_poll(now, from, poll),
             Message::Report(report) => self.heard_report(now, from, report),
             Message::Superseded { by } => self.heard_superseded(now, from, by),
@@ -297,7 +323,10 @@
     }
 
     fn send(&mut self, to: &Life, message: Message) {
-        self.effects.push_back(Effect::Send { to: to.clone(), message });
+        self.effects.push_back(Effect::Send {
+            to: to.clone(),
+            message,
+        });
     }
 
     fn tell(&mut self, event: Event) {
--- a/crates/configuration/src/spread/poll.rs
+++ b/crates/configuration/src/spread/poll.rs
@@ -60,22 +60,41 @@
             None => tally.add_having(),
             Some(standing) => tally.add_behind(own_name, standing),
         }
-        let parts = poll.interval.split_around(own_name, branches, peers.len(), |place| peers.name(place));
-        let child = |part| Child { part, heads: Vec::new(), expires: 0, closed: false };
+        let parts = poll
+            .interval
+            .split_around(own_name, branches, peers.len(), |place| peers.name(place));
+        let child = |part| Child {
+            part,
+            heads: Vec::new(),
+            expires: 0,
+            closed: false,
+        };
         let children = parts.into_iter().map(child).collect();
         let margin = MARGIN_MS.min(poll.patience_ms / 2);
         let attempt_ms = (poll.patience_ms - margin) / ATTEMPTS as u32;
-        OpenPoll { parent, poll, peers, children, tally, attempt_ms }
+        OpenPoll {
+            parent,
+            poll,
+            peers,
+            children,
+            tally,
+            attempt_ms,
+        }
     }
 
     /// Asks the heads that are due, and gives up on intervals where all were silent.
     pub fn due(&mut self, now: Ns, chance: &mut Rand64) -> Vec<(Life, Poll)> {
         let mut asked = Vec::new();
-        for child in self.children.iter_mut().filter(|child| !child.closed && child.expires <= now) {
+        for child in self
+            .children
+            .iter_mut()
+            .filter(|child| !child.closed && child.expires <= now)
+        {
             if child.heads.len() == ATTEMPTS {
                 child.closed = true;
                 for place in child.part.names.clone() {
-                    self.tally.add_behind(self.peers.name(place), Standing::Silent);
+                    self.tally
+                        .add_behind(self.peers.name(place), Standing::Silent);
                 }
                 continue;
             }
@@ -83,7 +102,14 @@
             child.expires = now.saturating_add(u64::from(self.attempt_ms) * MS);
             child.heads.push(head.clone());
             let interval = child.part.interval.clone();
-            asked.push((head, Poll { interval, patience_ms: self.attempt_ms, ..self.poll.clone() }));
+            asked.push((
+                head,
+                Poll {
+                    interval,
+                    patience_ms: self.attempt_ms,
+                    ..self.poll.clone()
+                },
+            ));
         }
         asked
     }
@@ -93,8 +119,14 @@
     /// # Errors
     /// Why it was not counted.
     pub fn report(&mut self, from: &Life, report: Report) -> Result<(), Uncounted> {
-        let asked = |child: &&mut Child| child.part.interval == report.interval && child.heads.contains(from);
-        let child = self.children.iter_mut().find(asked).ok_or(Uncounted::NotAsked)?;
+        let asked = |child: &&mut Child| {
+            child.part.interval == report.interval && child.heads.contains(from)
+        };
+        let child = self
+            .children
+            .iter_mut()
+            .find(asked)
+            .ok_or(Uncounted::NotAsked)?;
         if child.closed {
             return Err(Uncounted::Closed);
         }
@@ -104,7 +136,11 @@
     }
 
     pub fn next_wake(&self) -> Option<Ns> {
-        self.children.iter().filter(|child| !child.closed).map(|child| child.expires).min()
+        self.children
+            .iter()
+            .filter(|child| !child.closed)
+            .map(|child| child.expires)
+            .min()
     }
 
     pub fn finished(&self) -> bool {
@@ -116,8 +152,18 @@
     }
 
     pub fn into_report(self) -> Report {
-        let Poll { round, claim, interval, .. } = self.poll;
-        Report { round, version: claim.version, interval, tally: self.tally }
+        let Poll {
+            round,
+            claim,
+            interval,
+            ..
+        } = self.poll;
+        Report {
+            round,
+            version: claim.version,
+            interval,
+            tally: self.tally,
+        }
     }
 }
 
@@ -126,7 +172,11 @@
     let names = &child.part.names;
     let drawn = names.start + chance.rand_range(0..names.len() as u64) as usize;
     let tried = child.heads.contains(peers.life(drawn));
-    let following = if drawn + 1 < names.end { drawn + 1 } else { names.start };
+    let following = if drawn + 1 < names.end {
+        drawn + 1
+    } else {
+        names.start
+    };
     peers.life(if tried { following } else { drawn }).clone()
 }
 
--- a/crates/configuration/src/spread/transfer.rs
+++ b/crates/configuration/src/spread/transfer.rs
@@ -42,8 +42,17 @@
         Message::Manifest(Manifest::of(self.held.head()))
     }
 
-    pub(super) fn heard_manifest(&mut self, now: Ns, from: &Life, manifest: Manifest, bytes: usize) {
-        let claim = Claim { version: manifest.version, digest: manifest.digest };
+    pub(super) fn heard_manifest(
+        &mut self,
+        now: Ns,
+        from: &Life,
+        manifest: Manifest,
+        bytes: usize,
+    ) {
+        let claim = Claim {
+            version: manifest.version,
+            digest: manifest.digest,
+        };
         self.note(now, from, claim);
         self.fetching.spend(now, bytes);
         let asked = self.answered_by(from);
@@ -53,9 +62,18 @@
         match Assembly::new(self.held.head(), manifest) {
             Ok(assembly) => {
                 let missing = assembly.missing().len();
-                self.tell(Event::TransferBegan { version: claim.version, missing });
+                self.tell(Event::TransferBegan {
+                    version: claim.version,
+                    missing,
+                });
                 let source = from.clone();
-                self.transfer = Some(Transfer { claim, assembly, source, until: None, failures: 0 });
+                self.transfer = Some(Transfer {
+                    claim,
+                    assembly,
+                    source,
+                    until: None,
+                    failures: 0,
+                });
                 self.finish_or_fetch(now);
             }
             Err(_) => {
@@ -67,7 +85,9 @@
 
     /// Asks for the next chunk where the budget allows, and changes a silent source.
     pub(super) fn fetch_where_due(&mut self, now: Ns) {
-        let Some(transfer) = &self.transfer else { return };
+        let Some(transfer) = &self.transfer else {
+            return;
+        };
         match transfer.until {
             Some(until) if until <= now => self.change_source(now),
             Some(_) => {}
@@ -77,9 +97,14 @@
 
     fn want(&mut self, now: Ns) {
         let left = self.fetching.left(now);
-        let Some(transfer) = self.transfer.as_mut().filter(|_| left > 0) else { return };
+        let Some(transfer) = self.transfer.as_mut().filter(|_| left > 0) else {
+            return;
+        };
         transfer.until = Some(now.saturating_add(self.rules.answer));
-        let message = Message::Want { claim: transfer.claim, buckets: transfer.assembly.missing() };
+        let message = Message::Want {
+            claim: transfer.claim,
+            buckets: transfer.assembly.missing(),
+        };
         let source = transfer.source.clone();
         self.send(&source, message);
     }
@@ -96,16 +121,24 @@
 
     fn finish(&mut self, now: Ns, transfer: Transfer) {
         let (claim, source) = (transfer.claim, transfer.source);
-        let whole = transfer.assembly.finish().ok().filter(|snapshot| snapshot.digest() == claim.digest);
+        let whole = transfer
+            .assembly
+            .finish()
+            .ok()
+            .filter(|snapshot| snapshot.digest() == claim.digest);
         let Some(snapshot) = whole else {
             self.counts.bad_chunks += 1;
-            self.tell(Event::TransferFailed { version: claim.version });
+            self.tell(Event::TransferFailed {
+                version: claim.version,
+            });
             self.retry(now);
             return;
         };
         if self.held.replace(snapshot) {
             self.head_changed(now);
-            self.tell(Event::TransferDone { version: claim.version });
+            self.tell(Event::TransferDone {
+                version: claim.version,
+            });
             self.announce(None);
         }
         // Deltas since the transfer began.
@@ -114,7 +147,9 @@
 
     /// Takes another source; where many failed, the transfer ends and the next pull may begin another.
     fn change_source(&mut self, now: Ns) {
-        let Some(mut transfer) = self.transfer.take() else { return };
+        let Some(mut transfer) = self.transfer.take() else {
+            return;
+        };
         transfer.failures += 1;
         let version = transfer.version();
         if transfer.failures > self.rules.transfer_failures {
@@ -122,8 +157,15 @@
             self.retry(now);
             return;
         }
-        self.tell(Event::SourceChanged { version, from: transfer.source.clone() });
-        let reach = if transfer.failures % 2 == 1 { Reach::Near } else { Reach::Any };
+        self.tell(Event::SourceChanged {
+            version,
+            from: transfer.source.clone(),
+        });
+        let reach = if transfer.failures % 2 == 1 {
+            Reach::Near
+        } else {
+            Reach::Any
+        };
         if let Some(source) = self.peers.draw(&mut self.chance, &self.me, reach) {
             transfer.source = source;
         }
@@ -134,17 +176,29 @@
 
     pub(super) fn heard_want(&mut self, now: Ns, from: &Life, claim: Claim, buckets: &[u16]) {
         let allowed = self.serving.left(now) > 0;
-        let found = self.held.snapshot(claim).filter(|_| allowed).and_then(|held| chunk(held, buckets));
+        let found = self
+            .held
+            .snapshot(claim)
+            .filter(|_| allowed)
+            .and_then(|held| chunk(held, buckets));
         let held = self.held.claim();
         match found {
             Some(chunk) => self.send_served(now, from, Message::Chunk(chunk)),
-            None => self.send(from, Message::Unavailable { wanted: claim.version, claim: held }),
+            None => self.send(
+                from,
+                Message::Unavailable {
+                    wanted: claim.version,
+                    claim: held,
+                },
+            ),
         }
     }
 
     pub(super) fn heard_chunk(&mut self, now: Ns, from: &Life, chunk: Chunk, bytes: usize) {
         self.fetching.spend(now, bytes);
-        let fits = |transfer: &&mut Transfer| transfer.source == *from && transfer.version() == chunk.version;
+        let fits = |transfer: &&mut Transfer| {
+            transfer.source == *from && transfer.version() == chunk.version
+        };
         let Some(transfer) = self.transfer.as_mut().filter(fits) else {
             self.counts.repeats += 1;
             return;
@@ -159,7 +213,13 @@
         self.finish_or_fetch(now);
     }
 
-    pub(super) fn heard_unavailable(&mut self, now: Ns, from: &Life, wanted: Version, claim: Claim) {
+    pub(super) fn heard_unavailable(
+        &mut self,
+        now: Ns,
+        from: &Life,
+        wanted: Version,
+        claim: Claim,
+    ) {
         self.note(now, from, claim);
         let fits = |transfer: &Transfer| transfer.source == *from && transfer.version() == wanted;
         if self.transfer.as_ref().is_some_and(fits) {
--- a/crates/configuration/src/store.rs
+++ b/crates/configuration/src/store.rs
@@ -36,19 +36,30 @@
     #[error("{} is used by another process; end that one, or give this one a folder of its own", .folder.display())]
     Locked { folder: PathBuf },
     #[error("cannot {action} {}: {source}; mend the disk, then start again", .path.display())]
-    Disk { action: &'static str, path: PathBuf, source: io::Error },
+    Disk {
+        action: &'static str,
+        path: PathBuf,
+        source: io::Error,
+    },
     #[error(
         "{} is damaged at byte {offset}: {found}; move its folder aside and start again: a sidecar fetches the \
          configuration from a peer, a distributor compiles its script under a higher epoch",
         .path.display()
     )]
-    Damaged { path: PathBuf, offset: usize, found: String },
+    Damaged {
+        path: PathBuf,
+        offset: usize,
+        found: String,
+    },
     #[error(
         "{} is missing beside {present}; put it back, or move the folder aside and start again: a sidecar fetches \
          the configuration from a peer, a distributor compiles its script under a higher epoch",
         .path.display()
     )]
-    Missing { path: PathBuf, present: &'static str },
+    Missing {
+        path: PathBuf,
+        present: &'static str,
+    },
     #[error("an earlier error of the disk was final; mend the disk, then start again")]
     Failed,
     #[error("version {offered} is not newer than {have}")]
@@ -106,22 +117,44 @@
         let mut snapshot = read_snapshot(&folder.join(SNAPSHOT))?;
         let log_path = folder.join(LOG);
         let log_bytes = read_bounded(&log_path, MAX_LOG_BYTES)?;
-        let damaged = |offset, found| StoreError::Damaged { path: log_path.clone(), offset, found };
-        let contents = log_file::read(&log_bytes).map_err(|damage| damaged(damage.offset, damage.found))?;
+        let damaged = |offset, found| StoreError::Damaged {
+            path: log_path.clone(),
+            offset,
+            found,
+        };
+        let contents =
+            log_file::read(&log_bytes).map_err(|damage| damaged(damage.offset, damage.found))?;
         let base = snapshot.version();
         let mut deltas = Vec::new();
         for (offset, delta) in contents.deltas {
             if delta.to > base {
-                snapshot = snapshot.apply(&delta).map_err(|error| damaged(offset, error.to_string()))?;
+                snapshot = snapshot
+                    .apply(&delta)
+                    .map_err(|error| damaged(offset, error.to_string()))?;
                 deltas.push(Arc::new(delta));
             }
         }
-        let log = OpenOptions::new().append(true).open(&log_path).map_err(failed("open", &log_path))?;
+        let log = OpenOptions::new()
+            .append(true)
+            .open(&log_path)
+            .map_err(failed("open", &log_path))?;
         let whole = contents.whole_bytes as u64;
         let torn_tail = cut_torn_tail(&log, &log_path, whole, log_bytes.len() as u64, &mut *disk)?;
         let folder = folder.to_path_buf();
-        let store = Store { folder, disk, snapshot, log, log_bytes: whole, failed: false, _lock: lock };
-        Ok(Opened { store, deltas, torn_tail })
+        let store = Store {
+            folder,
+            disk,
+            snapshot,
+            log,
+            log_bytes: whole,
+            failed: false,
+            _lock: lock,
+        };
+        Ok(Opened {
+            store,
+            deltas,
+            torn_tail,
+        })
     }
 
     /// The newest version that is on disk.
@@ -137,7 +170,9 @@
         self.ensure_usable()?;
         let next = self.snapshot.apply(delta)?;
         let frame = log_file::frame(self.log_bytes, delta);
-        let Some(frame) = frame else { return self.replace(&next) };
+        let Some(frame) = frame else {
+            return self.replace(&next);
+        };
         let path = self.folder.join(LOG);
         let written = self.disk.write(&mut self.log, &frame);
         self.note(written, "write", &path)?;
@@ -200,14 +235,23 @@
     }
 
     /// Passes the result of a step on the disk; an error is final.
-    fn note(&mut self, result: io::Result<()>, action: &'static str, path: &Path) -> Result<(), StoreError> {
+    fn note(
+        &mut self,
+        result: io::Result<()>,
+        action: &'static str,
+        path: &Path,
+    ) -> Result<(), StoreError> {
         self.failed |= result.is_err();
         result.map_err(failed(action, path))
     }
 }
 
 fn failed<'a>(action: &'static str, path: &'a Path) -> impl FnOnce(io::Error) -> StoreError + 'a {
-    move |source| StoreError::Disk { action, path: path.to_path_buf(), source }
+    move |source| StoreError::Disk {
+        action,
+        path: path.to_path_buf(),
+        source,
+    }
 }
 
 fn make_folder(folder: &Path, disk: &mut dyn Disk) -> Result<(), StoreError> {
@@ -215,7 +259,10 @@
         return Ok(());
     }
     fs::create_dir_all(folder).map_err(failed("make", folder))?;
-    match folder.parent().filter(|parent| !parent.as_os_str().is_empty()) {
+    match folder
+        .parent()
+        .filter(|parent| !parent.as_os_str().is_empty())
+    {
         Some(parent) => sync_folder(parent, disk),
         None => sync_folder(Path::new("."), disk),
     }
@@ -228,11 +275,17 @@
 
 fn lock(folder: &Path) -> Result<File, StoreError> {
     let path = folder.join(LOCK);
-    let opened = OpenOptions::new().create(true).truncate(false).write(true).open(&path);
+    let opened = OpenOptions::new()
+        .create(true)
+        .truncate(false)
+        .write(true)
+        .open(&path);
     let file = opened.map_err(failed("open", &path))?;
     match file.try_lock() {
         Ok(()) => Ok(file),
-        Err(TryLockError::WouldBlock) => Err(StoreError::Locked { folder: folder.to_path_buf() }),
+        Err(TryLockError::WouldBlock) => Err(StoreError::Locked {
+            folder: folder.to_path_buf(),
+        }),
         Err(TryLockError::Error(error)) => Err(failed("lock", &path)(error)),
     }
 }
@@ -243,9 +296,15 @@
     let exists = |path: &Path| path.try_exists().map_err(failed("look for", path));
     match (exists(&snapshot)?, exists(&log)?) {
         (true, true) => Ok(()),
-        (true, false) => Err(StoreError::Missing { path: log, present: SNAPSHOT }),
+        (true, false) => Err(StoreError::Missing {
+            path: log,
+            present: SNAPSHOT,
+        }),
         (false, true) if read_bounded(&log, MAX_LOG_BYTES)? != log_file::MAGIC => {
-            Err(StoreError::Missing { path: snapshot, present: LOG })
+            Err(StoreError::Missing {
+                path: snapshot,
+                present: LOG,
+            })
         }
         (false, _) => {
             write_empty_log(folder, disk)?;
@@ -256,17 +315,27 @@
 
 fn read_snapshot(path: &Path) -> Result<Snapshot, StoreError> {
     let bytes = read_bounded(path, snapshot_file::MAX_FILE_BYTES)?;
-    let damaged = |found| StoreError::Damaged { path: path.to_path_buf(), offset: 0, found };
+    let damaged = |found| StoreError::Damaged {
+        path: path.to_path_buf(),
+        offset: 0,
+        found,
+    };
     snapshot_file::decode(&bytes).map_err(damaged)
 }
 
 fn read_bounded(path: &Path, most: u64) -> Result<Vec<u8>, StoreError> {
     let mut bytes = Vec::new();
     let file = File::open(path).map_err(failed("open", path))?;
-    file.take(most + 1).read_to_end(&mut bytes).map_err(failed("read", path))?;
+    file.take(most + 1)
+        .read_to_end(&mut bytes)
+        .map_err(failed("read", path))?;
     if bytes.len() as u64 > most {
         let found = format!("more than {most} bytes");
-        return Err(StoreError::Damaged { path: path.to_path_buf(), offset: 0, found });
+        return Err(StoreError::Damaged {
+            path: path.to_path_buf(),
+            offset: 0,
+            found,
+        });
     }
     Ok(bytes)
 }
@@ -283,10 +352,17 @@
         disk.truncate(log, whole).map_err(failed("cut", path))?;
     }
     disk.sync(log).map_err(failed("sync", path))?;
-    Ok((whole < length).then_some(TornTail { offset: whole, bytes: length - whole }))
+    Ok((whole < length).then_some(TornTail {
+        offset: whole,
+        bytes: length - whole,
+    }))
 }
 
-fn write_snapshot(folder: &Path, snapshot: &Snapshot, disk: &mut dyn Disk) -> Result<(), StoreError> {
+fn write_snapshot(
+    folder: &Path,
+    snapshot: &Snapshot,
+    disk: &mut dyn Disk,
+) -> Result<(), StoreError> {
     let bytes = snapshot_file::encode(snapshot).unwrap_or_default();
     let length = bytes.len() as u64;
     if length == 0 || length > snapshot_file::MAX_FILE_BYTES {
@@ -300,13 +376,20 @@
 }
 
 /// Writes a file beside its place, syncs it, renames it and syncs the folder. Returns it, open at its end.
-fn write_file(folder: &Path, name: &str, bytes: &[u8], disk: &mut dyn Disk) -> Result<File, StoreError> {
+fn write_file(
+    folder: &Path,
+    name: &str,
+    bytes: &[u8],
+    disk: &mut dyn Disk,
+) -> Result<File, StoreError> {
     let path = folder.join(name);
     let unfinished = path.with_extension(UNFINISHED);
     let mut file = File::create(&unfinished).map_err(failed("make", &unfinished))?;
-    disk.write(&mut file, bytes).map_err(failed("write", &unfinished))?;
+    disk.write(&mut file, bytes)
+        .map_err(failed("write", &unfinished))?;
     disk.sync(&file).map_err(failed("sync", &unfinished))?;
-    disk.rename(&unfinished, &path).map_err(failed("rename", &unfinished))?;
+    disk.rename(&unfinished, &path)
+        .map_err(failed("rename", &unfinished))?;
     sync_folder(folder, disk)?;
     Ok(file)
 }
--- a/crates/configuration/src/tenant_file.rs
+++ b/crates/configuration/src/tenant_file.rs
@@ -8,7 +8,8 @@
 
 /// The longest file of tenants: room for the most tenants that a configuration may have.
 const MAX_FILE_BYTES: u64 = 64 << 20;
-const EXPECTED_LINE: &str = r#"{"name": "...", "requests_per_s": 100, "in_flight": 10}, the limits if any"#;
+const EXPECTED_LINE: &str =
+    r#"{"name": "...", "requests_per_s": 100, "in_flight": 10}, the limits if any"#;
 
 /// A line that is no tenant.
 pub(crate) struct LineError {
@@ -38,7 +39,9 @@
 pub(crate) fn read(path: &Path) -> Result<String, String> {
     let mut text = String::new();
     let file = File::open(path).map_err(|error| error.to_string())?;
-    file.take(MAX_FILE_BYTES + 1).read_to_string(&mut text).map_err(|error| error.to_string())?;
+    file.take(MAX_FILE_BYTES + 1)
+        .read_to_string(&mut text)
+        .map_err(|error| error.to_string())?;
     if text.len() as u64 > MAX_FILE_BYTES {
         return Err(format!("more than {MAX_FILE_BYTES} bytes"));
     }
@@ -52,14 +55,24 @@
 ) -> impl Iterator<Item = Result<(usize, Tenant), LineError>> + '_ {
     let numbered = (1..).zip(text.lines());
     let full = numbered.filter(|(_, text)| !text.trim().is_empty());
-    full.map(move |(line, text)| match serde_json::from_str::<Line>(text) {
-        Ok(Line { name, requests_per_s, in_flight }) => {
-            let limits = TenantLimits {
-                requests_per_s: requests_per_s.or(absent.requests_per_s),
-                in_flight: in_flight.or(absent.in_flight),
-            };
-            Ok((line, Tenant { name, limits }))
-        }
-        Err(error) => Err(LineError { line, found: error.to_string(), expected: EXPECTED_LINE }),
-    })
+    full.map(
+        move |(line, text)| match serde_json::from_str::<Line>(text) {
+            Ok(Line {
+                name,
+                requests_per_s,
+                in_flight,
+            }) => {
+                let limits = TenantLimits {
+                    requests_per_s: requests_per_s.or(absent.requests_per_s),
+                    in_flight: in_flight.or(absent.in_flight),
+                };
+                Ok((line, Tenant { name, limits }))
+            }
+            Err(error) => Err(LineError {
+                line,
+                found: error.to_string(),
+                expected: EXPECTED_LINE,
+            }),
+        },
+    )
 }
--- a/crates/configuration/src/version.rs
+++ b/crates/configuration/src/version.rs
@@ -5,7 +5,9 @@
 
 /// The place of one configuration in the order of all. A higher epoch is newer whatever the numbers say: it belongs to a
 /// writer that has replaced the one before.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
 pub struct Version {
     /// Raised by an operator when another distributor becomes the writer.
     pub epoch: u64,
@@ -15,11 +17,17 @@
 
 impl Version {
     /// Before the first configuration.
-    pub const NONE: Version = Version { epoch: 0, number: 0 };
+    pub const NONE: Version = Version {
+        epoch: 0,
+        number: 0,
+    };
 
     /// The version that the same writer makes next.
     pub fn next(self) -> Version {
-        Version { number: self.number.saturating_add(1), ..self }
+        Version {
+            number: self.number.saturating_add(1),
+            ..self
+        }
     }
 }
 
--- a/crates/configuration/tests/compile.rs
+++ b/crates/configuration/tests/compile.rs
@@ -6,7 +6,10 @@
 use havenplank_configuration::version::Version;
 use havenplank_settings::{Given, Problem, Problems};
 
-const VERSION: Version = Version { epoch: 1, number: 1 };
+const VERSION: Version = Version {
+    epoch: 1,
+    number: 1,
+};
 const GOOD: &str = r#"
 service(name = "search", zones = ["a"])
 def read(name, paths):
@@ -19,7 +22,8 @@
 tenants(names = ["t%d" % n for n in range(1000)], requests_per_s = 100, in_flight = 10)
 tenants(file = "more.jsonl", in_flight = 3)
 "#;
-const MORE: &str = "{\"name\": \"free\", \"requests_per_s\": 1}\n\n{\"name\": \"large\", \"in_flight\": 9}\n";
+const MORE: &str =
+    "{\"name\": \"free\", \"requests_per_s\": 1}\n\n{\"name\": \"large\", \"in_flight\": 9}\n";
 
 fn run(script: &str, more: &str) -> Result<Snapshot, Problems> {
     let folder = tempfile::tempdir().expect("a folder");
@@ -37,16 +41,25 @@
 fn a_good_script_gives_its_records() {
     let snapshot = run(GOOD, MORE).expect("it is right");
     assert_eq!(snapshot.version(), VERSION);
-    assert_eq!(RecordKind::ALL.map(|kind| snapshot.count(kind)), [1, 2, 1003]);
+    assert_eq!(
+        RecordKind::ALL.map(|kind| snapshot.count(kind)),
+        [1, 2, 1003]
+    );
     let query = snapshot.route("query").expect("a route");
     assert_eq!(
         (query.methods.as_slice(), query.rules.kind),
         (&["GET".to_string()][..], RequestKind::Idempotent)
     );
     let write = snapshot.route("write").expect("a route");
-    assert_eq!((write.rules.scope, write.rules.benefit), (IdempotencyScope::Zone, 5.0));
+    assert_eq!(
+        (write.rules.scope, write.rules.benefit),
+        (IdempotencyScope::Zone, 5.0)
+    );
     let limits = |name: &str| snapshot.tenant(name).expect("a tenant").limits;
-    let of = |requests_per_s, in_flight| TenantLimits { requests_per_s, in_flight };
+    let of = |requests_per_s, in_flight| TenantLimits {
+        requests_per_s,
+        in_flight,
+    };
     assert_eq!(limits("one"), of(Some(7), None));
     assert_eq!(limits("t999"), of(Some(100), Some(10)));
     assert_eq!(limits("free"), of(Some(1), Some(3)));
@@ -111,18 +124,30 @@
         let shown = found[0].to_string();
         assert_eq!(found[0].field, field, "{line}: {shown}");
         assert!(shown.contains(said), "{line}: {shown}");
-        assert!(found[0].file.ends_with(".star") && found[0].line > 0 || said.starts_with("more"), "{shown}");
+        assert!(
+            found[0].file.ends_with(".star") && found[0].line > 0 || said.starts_with("more"),
+            "{shown}"
+        );
     }
 }
 
 #[test]
 fn what_cannot_change_while_running_is_refused_by_name() {
-    let fixed = ["sidecar", "headers", "limits", "pods", "exposure", "votes", "nodes", "desk", "trace"];
+    let fixed = [
+        "sidecar", "headers", "limits", "pods", "exposure", "votes", "nodes", "desk", "trace",
+    ];
     for kind in fixed.into_iter().chain(["fellowship", "takeover"]) {
         let found = problems(&format!("{GOOD}{kind}(listen = '127.0.0.1:1')\n"), MORE);
         let shown = found[0].to_string();
-        assert_eq!((found.len(), found[0].field.as_str(), found[0].line), (1, kind, 12), "{shown}");
-        assert!(shown.contains("in the settings of each sidecar, which a restart reads"), "{shown}");
+        assert_eq!(
+            (found.len(), found[0].field.as_str(), found[0].line),
+            (1, kind, 12),
+            "{shown}"
+        );
+        assert!(
+            shown.contains("in the settings of each sidecar, which a restart reads"),
+            "{shown}"
+        );
     }
 }
 
@@ -132,8 +157,10 @@
         "tenants(file = 'more.jsonl')\ntenant(name = '')\nroute(name = 'r', target_latency = '1s')\n";
     let more = "{\"name\": \"a\"}\n{\"nam\": \"b\"}\nno json\n{\"name\": \"a\"}\n";
     let found = problems(script, more);
-    let told: Vec<(bool, usize, &str)> =
-        found.iter().map(|p| (p.file.ends_with(".jsonl"), p.line, p.field.as_str())).collect();
+    let told: Vec<(bool, usize, &str)> = found
+        .iter()
+        .map(|p| (p.file.ends_with(".jsonl"), p.line, p.field.as_str()))
+        .collect();
     let wanted = [
         (false, 2, "tenant.name"),
         (false, 3, "route.target_latency"),
@@ -152,7 +179,9 @@
 #[test]
 fn too_many_of_a_kind_and_too_many_mistakes_are_bounded() {
     let found = problems("for n in range(2001):\n    service(name = 's%d' % n)\n", "");
-    assert!(found[0].to_string().contains("2001 of them; expected 2000 at most"));
+    assert!(found[0]
+        .to_string()
+        .contains("2001 of them; expected 2000 at most"));
     let found = problems("for n in range(1500):\n    tenant(name = 'same')\n", "");
     assert_eq!(found.len(), 1001);
     assert_eq!(found[1000].found, "499 more mistakes");
--- a/crates/configuration/tests/data.rs
+++ b/crates/configuration/tests/data.rs
@@ -9,7 +9,8 @@
 use havenplank_configuration::error::{ApplyError, ChunkError, DecodeError};
 use havenplank_configuration::history::History;
 use havenplank_configuration::record::{
-    BackupMode, IdempotencyScope, Record, RecordKey, RecordKind, RequestKind, RequestRules, Route, Service,
+    BackupMode, IdempotencyScope, Record, RecordKey, RecordKind, RequestKind, RequestRules, Route,
+    Service,
 };
 use havenplank_configuration::snapshot::Snapshot;
 use havenplank_configuration::version::Version;
@@ -26,7 +27,11 @@
 }
 
 fn service(name: &str, zones: &[&str]) -> Record {
-    Service { name: name.to_string(), zones: zones.iter().map(ToString::to_string).collect() }.into()
+    Service {
+        name: name.to_string(),
+        zones: zones.iter().map(ToString::to_string).collect(),
+    }
+    .into()
 }
 
 fn route(name: &str, path: &str, benefit: f64) -> Record {
@@ -59,7 +64,11 @@
     let name = "[a-f]{1,2}";
     prop_oneof![
         (name, "[xyz]").prop_map(|(name, zone)| service(&name, &[&zone])),
-        (name, 0u32..4).prop_map(|(name, benefit)| route(&name, &format!("/{name}"), benefit.into())),
+        (name, 0u32..4).prop_map(|(name, benefit)| route(
+            &name,
+            &format!("/{name}"),
+            benefit.into()
+        )),
         (name, 0u32..4).prop_map(|(name, rate)| tenant(&name, rate)),
     ]
 }
@@ -67,7 +76,8 @@
 /// Records with a key of their own each.
 fn any_records() -> impl Strategy<Value = Vec<Record>> {
     prop::collection::vec(any_record(), 0..120).prop_map(|records| {
-        let by_key: BTreeMap<RecordKey, Record> = records.into_iter().map(|r| (r.key(), r)).collect();
+        let by_key: BTreeMap<RecordKey, Record> =
+            records.into_iter().map(|r| (r.key(), r)).collect();
         by_key.into_values().collect()
     })
 }
@@ -210,10 +220,19 @@
     let (old, new) = (snapshot(1, tenants(5)), snapshot(2, tenants(6)));
     let delta = Delta::between(&old, &new, version(2));
     let newer = new.apply(&delta);
-    assert_eq!(newer, Err(ApplyError::WrongBase { have: version(2), wants: version(1) }));
+    assert_eq!(
+        newer,
+        Err(ApplyError::WrongBase {
+            have: version(2),
+            wants: version(1)
+        })
+    );
     let mut wrong = delta.clone();
     wrong.changes.clear();
-    assert!(matches!(old.apply(&wrong), Err(ApplyError::DigestDiffers { .. })));
+    assert!(matches!(
+        old.apply(&wrong),
+        Err(ApplyError::DigestDiffers { .. })
+    ));
     let mut back = delta.clone();
     back.to = version(1);
     assert!(matches!(old.apply(&back), Err(ApplyError::NotNewer { .. })));
@@ -249,24 +268,39 @@
             digest: Digest::default(),
             changes: vec![Change::Put(record)],
         };
-        assert!(matches!(Delta::decode(&bare.encode()), Err(DecodeError::Invalid(_))));
+        assert!(matches!(
+            Delta::decode(&bare.encode()),
+            Err(DecodeError::Invalid(_))
+        ));
     }
     let twice = Snapshot::from_records(version(1), [tenant("a", 1), tenant("a", 2)]);
     assert!(matches!(twice, Err(ApplyError::Duplicate { .. })));
     let too_many = (0..2001).map(|number| service(&number.to_string(), &[]));
     assert!(matches!(
         Snapshot::from_records(version(1), too_many),
-        Err(ApplyError::TooMany { kind: RecordKind::Service, found: 2001, most: 2000 })
+        Err(ApplyError::TooMany {
+            kind: RecordKind::Service,
+            found: 2001,
+            most: 2000
+        })
     ));
 }
 
 #[test]
 fn a_delta_that_states_many_changes_and_holds_none_is_refused() {
-    let bare = Delta { from: version(1), to: version(2), digest: Digest::default(), changes: Vec::new() };
+    let bare = Delta {
+        from: version(1),
+        to: version(2),
+        digest: Digest::default(),
+        changes: Vec::new(),
+    };
     let mut bytes = bare.encode();
     assert_eq!(bytes.pop(), Some(0), "the number of changes is last");
     bytes.extend([0xff, 0xff, 0xff, 0xff, 0x0f]);
-    assert!(matches!(Delta::decode(&bytes), Err(DecodeError::Malformed(_))));
+    assert!(matches!(
+        Delta::decode(&bytes),
+        Err(DecodeError::Malformed(_))
+    ));
 }
 
 #[test]
@@ -274,12 +308,23 @@
     let old = snapshot(1, tenants(5000));
     let with_one_more = old.records().cloned().chain([tenant("one more", 1)]);
     let new = snapshot(2, with_one_more);
-    let changed = Assembly::new(&old, Manifest::of(&new)).expect("it fits").missing();
+    let changed = Assembly::new(&old, Manifest::of(&new))
+        .expect("it fits")
+        .missing();
     assert_eq!(changed.len(), 1);
     assert_eq!(fetch(&old, &new), Ok(new.clone()));
-    assert_eq!(Delta::between(&old, &new, version(2)).changes, [Change::Put(tenant("one more", 1))]);
+    assert_eq!(
+        Delta::between(&old, &new, version(2)).changes,
+        [Change::Put(tenant("one more", 1))]
+    );
     let older = Assembly::new(&new, Manifest::of(&old)).map(drop);
-    assert_eq!(older, Err(ChunkError::OlderVersion { have: version(2), offered: version(1) }));
+    assert_eq!(
+        older,
+        Err(ChunkError::OlderVersion {
+            have: version(2),
+            offered: version(1)
+        })
+    );
 }
 
 #[test]
@@ -288,25 +333,43 @@
     let wanted: Vec<u16> = (0..1024).collect();
     let mut assembly = Assembly::new(&Snapshot::empty(), Manifest::of(&whole)).expect("it fits");
     let mut foreign = chunk(&other, &wanted).expect("a piece");
-    assert!(matches!(assembly.take(foreign.clone()), Err(ChunkError::WrongVersion { .. })));
+    assert!(matches!(
+        assembly.take(foreign.clone()),
+        Err(ChunkError::WrongVersion { .. })
+    ));
     foreign.version = whole.version();
-    assert!(matches!(assembly.take(foreign), Err(ChunkError::DigestDiffers { .. })));
+    assert!(matches!(
+        assembly.take(foreign),
+        Err(ChunkError::DigestDiffers { .. })
+    ));
     let mut doubled = chunk(&whole, &[3]).expect("a piece");
     doubled.buckets = vec![3, 3];
-    assert_eq!(assembly.take(doubled), Err(ChunkError::BadBucket { bucket: 3 }));
+    assert_eq!(
+        assembly.take(doubled),
+        Err(ChunkError::BadBucket { bucket: 3 })
+    );
     let mut outside = chunk(&whole, &[3, 5000]).expect("a piece of what exists");
     assert_eq!(outside.buckets, [3]);
     outside.buckets = vec![1024];
-    assert_eq!(assembly.take(outside), Err(ChunkError::BadBucket { bucket: 1024 }));
+    assert_eq!(
+        assembly.take(outside),
+        Err(ChunkError::BadBucket { bucket: 1024 })
+    );
     assert_eq!(chunk(&whole, &[]), None);
     let mut manifest = Manifest::of(&whole);
     manifest.buckets[0] = manifest.digest;
-    assert!(matches!(Assembly::new(&other, manifest.clone()), Err(ChunkError::OlderVersion { .. })));
+    assert!(matches!(
+        Assembly::new(&other, manifest.clone()),
+        Err(ChunkError::OlderVersion { .. })
+    ));
     let differs = Assembly::new(&Snapshot::empty(), manifest.clone());
     assert!(matches!(differs, Err(ChunkError::ManifestDiffers { .. })));
     manifest.buckets.pop();
     let short = Assembly::new(&Snapshot::empty(), manifest);
-    assert!(matches!(short, Err(ChunkError::BucketCount { found: 1023, .. })));
+    assert!(matches!(
+        short,
+        Err(ChunkError::BucketCount { found: 1023, .. })
+    ));
 }
 
 #[test]
@@ -314,12 +377,24 @@
     let whole = snapshot(7, tenants(50));
     let mut assembly = Assembly::new(&Snapshot::empty(), Manifest::of(&whole)).expect("it fits");
     let body = zstd::bulk::compress(&vec![0; 64 << 20], 3).expect("compressed");
-    let forged = Chunk { version: whole.version(), buckets: vec![0], body };
-    assert!(matches!(assembly.take(forged), Err(ChunkError::Decompress { .. })));
+    let forged = Chunk {
+        version: whole.version(),
+        buckets: vec![0],
+        body,
+    };
+    assert!(matches!(
+        assembly.take(forged),
+        Err(ChunkError::Decompress { .. })
+    ));
 }
 
 fn link(from: u64, to: u64) -> Arc<Delta> {
-    Arc::new(Delta { from: version(from), to: version(to), digest: Digest::default(), changes: Vec::new() })
+    Arc::new(Delta {
+        from: version(from),
+        to: version(to),
+        digest: Digest::default(),
+        changes: Vec::new(),
+    })
 }
 
 #[test]
@@ -328,7 +403,10 @@
     assert_eq!(history.since(version(1)), None);
     (1..=5).for_each(|number| history.push(link(number, number + 1)));
     assert_eq!(history.since(version(2)), None, "dropped past the bound");
-    assert_eq!(history.since(version(3)), Some(vec![link(3, 4), link(4, 5), link(5, 6)]));
+    assert_eq!(
+        history.since(version(3)),
+        Some(vec![link(3, 4), link(4, 5), link(5, 6)])
+    );
     assert_eq!(history.since(version(6)), Some(Vec::new()));
     assert_eq!(history.since(version(7)), None);
     history.push(link(8, 9));
--- a/crates/configuration/tests/spread.rs
+++ b/crates/configuration/tests/spread.rs
@@ -32,15 +32,24 @@
 const TWO_ROUNDS: Ns = 40 * SECOND;
 
 fn calm() -> Weather {
-    Weather { loss: 0.01, ..Weather::default() }
+    Weather {
+        loss: 0.01,
+        ..Weather::default()
+    }
 }
 
 fn number_from_env(name: &str, default: u64) -> u64 {
-    std::env::var(name).ok().and_then(|value| value.parse().ok()).unwrap_or(default)
+    std::env::var(name)
+        .ok()
+        .and_then(|value| value.parse().ok())
+        .unwrap_or(default)
 }
 
 fn version_at(fleet: &Fleet, id: Id) -> Version {
-    fleet.net.part(id).map_or(Version::NONE, |process| process.in_force.version())
+    fleet
+        .net
+        .part(id)
+        .map_or(Version::NONE, |process| process.in_force.version())
 }
 
 fn digest_at(fleet: &Fleet, id: Id) -> Digest {
@@ -56,8 +65,14 @@
     let began = fleet.net.now();
     let newest = version_at(fleet, WRITER);
     while ids.iter().any(|id| version_at(fleet, *id) != newest) {
-        let late: Vec<_> = ids.iter().filter(|id| version_at(fleet, **id) != newest).collect();
-        assert!(fleet.net.now() < began + at_most, "still not at {newest}: {late:?}");
+        let late: Vec<_> = ids
+            .iter()
+            .filter(|id| version_at(fleet, **id) != newest)
+            .collect();
+        assert!(
+            fleet.net.now() < began + at_most,
+            "still not at {newest}: {late:?}"
+        );
         fleet.run_for(20 * MS);
     }
     fleet.net.now() - began
@@ -80,7 +95,9 @@
         for id in 0..count {
             self.record(&fleet.net, id);
         }
-        fleet.net.run(until, |net, moved| self.check(net, moved, count, digests));
+        fleet
+            .net
+            .run(until, |net, moved| self.check(net, moved, count, digests));
     }
 
     fn check(
@@ -90,30 +107,55 @@
         count: usize,
         digests: &BTreeMap<Version, Vec<Digest>>,
     ) {
-        let Some(process) = net.part(moved) else { return };
+        let Some(process) = net.part(moved) else {
+            return;
+        };
         let (version, digest) = (process.in_force.version(), process.in_force.digest());
-        let written =
-            version == Version::NONE || digests.get(&version).is_some_and(|all| all.contains(&digest));
-        assert!(written, "{} has {version} with a content that nobody wrote", name(moved));
+        let written = version == Version::NONE
+            || digests
+                .get(&version)
+                .is_some_and(|all| all.contains(&digest));
+        assert!(
+            written,
+            "{} has {version} with a content that nobody wrote",
+            name(moved)
+        );
         self.record(net, moved);
-        if let Some(round) = process.spreader.glance().writer.and_then(|writer| writer.round) {
+        if let Some(round) = process
+            .spreader
+            .glance()
+            .writer
+            .and_then(|writer| writer.round)
+        {
             self.rounds += 1;
             self.check_round(&round, count);
         }
     }
 
     fn record(&mut self, net: &Net<Process>, id: Id) {
-        let version = net.part(id).map_or(Version::NONE, |process| process.in_force.version());
+        let version = net
+            .part(id)
+            .map_or(Version::NONE, |process| process.in_force.version());
         let ever = self.ever.entry(id).or_default();
         *ever = version.max(*ever);
     }
 
     /// A report claims no more than is true: those that have a version had it, and nobody is counted twice.
     fn check_round(&self, round: &RoundGlance, count: usize) {
-        let had = self.ever.values().filter(|version| **version >= round.version).count();
-        assert!(round.have as usize <= had, "{round:?}, but only {had} ever had it");
+        let had = self
+            .ever
+            .values()
+            .filter(|version| **version >= round.version)
+            .count();
+        assert!(
+            round.have as usize <= had,
+            "{round:?}, but only {had} ever had it"
+        );
         assert!(round.of as usize <= count, "{round:?} of {count} processes");
-        assert_eq!(round.have as usize + round.behind.len() + round.more as usize, round.of as usize);
+        assert_eq!(
+            round.have as usize + round.behind.len() + round.more as usize,
+            round.of as usize
+        );
         let names: BTreeSet<_> = round.behind.iter().map(|peer| &peer.name).collect();
         assert_eq!(names.len(), round.behind.len(), "{round:?}");
     }
@@ -141,10 +183,20 @@
             ..Weather::default()
         };
         let base = tenants(200);
-        let clock = |id: Id| Clock { began: id as Ns * 77 * SECOND, drift_ppm: (id as i64 % 3 - 1) * 1_000 };
+        let clock = |id: Id| Clock {
+            began: id as Ns * 77 * SECOND,
+            drift_ppm: (id as i64 % 3 - 1) * 1_000,
+        };
         let fleet = Fleet::with_clocks(count, seed, &base, weather, clock);
         let writers = BTreeMap::from([(WRITER, 1)]);
-        Storm { fleet, invariants: Invariants::default(), chance, base, writers, top_epoch: 1 }
+        Storm {
+            fleet,
+            invariants: Invariants::default(),
+            chance,
+            base,
+            writers,
+            top_epoch: 1,
+        }
     }
 
     fn count(&self) -> usize {
@@ -206,7 +258,11 @@
     /// One starts again: with what it has, with an old version or with none. The others hear of it at once or later.
     fn restart(&mut self) {
         let id = self.any();
-        let in_force = self.fleet.net.part(id).map(|process| process.in_force.clone());
+        let in_force = self
+            .fleet
+            .net
+            .part(id)
+            .map(|process| process.in_force.clone());
         let kept = match self.chance.rand_range(0..3) {
             0 => in_force.unwrap_or_else(Snapshot::empty),
             1 => self.base.clone(),
@@ -235,20 +291,39 @@
             _ => self.top_epoch + 1,
         };
         self.top_epoch = self.top_epoch.max(epoch);
-        let kept = self.fleet.net.part(id).map(|process| process.in_force.clone());
+        let kept = self
+            .fleet
+            .net
+            .part(id)
+            .map(|process| process.in_force.clone());
         self.writers.insert(id, epoch);
-        self.start(id, Role::Writer { epoch }, kept.unwrap_or_else(Snapshot::empty));
+        self.start(
+            id,
+            Role::Writer { epoch },
+            kept.unwrap_or_else(Snapshot::empty),
+        );
     }
 
     /// A writer dies before its disk has the next version, or after that and before it told anybody.
     fn kill_writer(&mut self) {
-        let Some((&id, &epoch)) = self.writers.iter().next() else { return };
+        let Some((&id, &epoch)) = self.writers.iter().next() else {
+            return;
+        };
         let changes = self.fleet.next_change();
-        let Some(process) = self.fleet.net.part(id) else { return };
+        let Some(process) = self.fleet.net.part(id) else {
+            return;
+        };
         let before = process.in_force.clone();
-        let stored = process.next(epoch, changes).filter(|_| self.one_in(2)).map(|(_, snapshot)| snapshot);
+        let stored = process
+            .next(epoch, changes)
+            .filter(|_| self.one_in(2))
+            .map(|(_, snapshot)| snapshot);
         if let Some(stored) = &stored {
-            self.fleet.digests.entry(stored.version()).or_default().push(stored.digest());
+            self.fleet
+                .digests
+                .entry(stored.version())
+                .or_default()
+                .push(stored.digest());
         }
         self.fleet.net.kill(id);
         self.invariants.run(&mut self.fleet, SECOND);
@@ -272,13 +347,23 @@
                 process.rejects = false;
             }
         }
-        let (epoch, kept) = (self.top_epoch + 1, self.fleet.net.part(WRITER).map(|own| own.in_force.clone()));
-        self.fleet.restart(WRITER, Role::Writer { epoch }, kept.unwrap_or_else(Snapshot::empty));
+        let (epoch, kept) = (
+            self.top_epoch + 1,
+            self.fleet.net.part(WRITER).map(|own| own.in_force.clone()),
+        );
+        self.fleet.restart(
+            WRITER,
+            Role::Writer { epoch },
+            kept.unwrap_or_else(Snapshot::empty),
+        );
         self.fleet.tell_everyone();
         self.invariants.run(&mut self.fleet, 2 * WITHIN);
         self.fleet.publish(WRITER, epoch).unwrap();
         self.invariants.run(&mut self.fleet, WITHIN);
-        let (version, digest) = (version_at(&self.fleet, WRITER), digest_at(&self.fleet, WRITER));
+        let (version, digest) = (
+            version_at(&self.fleet, WRITER),
+            digest_at(&self.fleet, WRITER),
+        );
         for id in 0..self.count() {
             let found = (version_at(&self.fleet, id), digest_at(&self.fleet, id));
             let glance = self.fleet.net.part(id).unwrap().spreader.glance();
@@ -287,7 +372,11 @@
         self.invariants.run(&mut self.fleet, TWO_ROUNDS);
         let round = round_at(&self.fleet, WRITER).unwrap();
         let all = self.count() as u32;
-        assert_eq!((round.version, round.have, round.of), (version, all, all), "{round:?}");
+        assert_eq!(
+            (round.version, round.have, round.of),
+            (version, all, all),
+            "{round:?}"
+        );
     }
 }
 
@@ -297,7 +386,10 @@
 impl Drop for Naming {
     fn drop(&mut self) {
         if std::thread::panicking() {
-            eprintln!("failed with HAVENPLANK_SPREAD_FIRST={} HAVENPLANK_SPREAD_SEEDS=1", self.0);
+            eprintln!(
+                "failed with HAVENPLANK_SPREAD_FIRST={} HAVENPLANK_SPREAD_SEEDS=1",
+                self.0
+            );
         }
     }
 }
@@ -332,7 +424,11 @@
     }
     fleet.run_for(WITHIN);
     let everyone: Vec<Id> = fleet.net.ids().collect();
-    let worst = fleet.latencies(0, &everyone).into_iter().map(|latency| latency.expect("not reached")).max();
+    let worst = fleet
+        .latencies(0, &everyone)
+        .into_iter()
+        .map(|latency| latency.expect("not reached"))
+        .max();
     assert!(worst.unwrap() < WITHIN, "{worst:?}");
 }
 
@@ -347,11 +443,20 @@
     }
     assert!(cut.iter().all(|id| version_at(&fleet, *id).number == 1));
     fleet.net.heal();
-    let before: u64 = cut.iter().map(|id| fleet.net.part(*id).unwrap().traffic.sent).sum();
+    let before: u64 = cut
+        .iter()
+        .map(|id| fleet.net.part(*id).unwrap().traffic.sent)
+        .sum();
     catch_up(&mut fleet, &cut, WITHIN);
-    let after: u64 = cut.iter().map(|id| fleet.net.part(*id).unwrap().traffic.sent).sum();
+    let after: u64 = cut
+        .iter()
+        .map(|id| fleet.net.part(*id).unwrap().traffic.sent)
+        .sum();
     let each = (after - before) / cut.len() as u64;
-    assert!(each < 150, "each sent {each} messages to catch up on 283 versions");
+    assert!(
+        each < 150,
+        "each sent {each} messages to catch up on 283 versions"
+    );
     // Without any, and with a version whose deltas nobody has any more.
     for (id, kept) in [(5, Snapshot::empty()), (11, tenants(1_000))] {
         fleet.restart(id, Role::Sidecar, kept);
@@ -379,7 +484,9 @@
     // One silence, and not as many as end a transfer.
     catch_up(&mut fleet, &[9], 2 * SECOND);
     let events = &fleet.net.part(9).unwrap().events;
-    let changed = events.iter().any(|event| matches!(event, Event::SourceChanged { .. }));
+    let changed = events
+        .iter()
+        .any(|event| matches!(event, Event::SourceChanged { .. }));
     assert!(changed, "{events:?}");
 }
 
@@ -391,7 +498,10 @@
     let kept = fleet.net.part(20).unwrap().in_force.clone();
     fleet.restart(20, Role::Writer { epoch: 1 }, kept);
     fleet.tell_everyone();
-    let (one, other) = (fleet.publish(WRITER, 1).unwrap(), fleet.publish(20, 1).unwrap());
+    let (one, other) = (
+        fleet.publish(WRITER, 1).unwrap(),
+        fleet.publish(20, 1).unwrap(),
+    );
     assert_eq!(one, other);
     fleet.run_for(WITHIN);
     let digests: Vec<Digest> = fleet.net.ids().map(|id| digest_at(&fleet, id)).collect();
@@ -407,7 +517,10 @@
     };
     assert!(fleet.net.part(3).unwrap().events.iter().any(conflict));
     for id in [WRITER, 20] {
-        assert!(matches!(fleet.publish(id, 1), Err(PublishError::Superseded { .. })));
+        assert!(matches!(
+            fleet.publish(id, 1),
+            Err(PublishError::Superseded { .. })
+        ));
     }
     // Only a higher epoch mends it.
     let kept = fleet.net.part(4).unwrap().in_force.clone();
@@ -416,7 +529,10 @@
     let mended = fleet.publish(4, 2).unwrap();
     fleet.run_for(WITHIN);
     assert!(fleet.net.ids().all(|id| version_at(&fleet, id) == mended));
-    assert!(fleet.net.ids().all(|id| digest_at(&fleet, id) == digest_at(&fleet, 4)));
+    assert!(fleet
+        .net
+        .ids()
+        .all(|id| digest_at(&fleet, id) == digest_at(&fleet, 4)));
 }
 
 #[test]
@@ -435,9 +551,14 @@
     fleet.run_for(WITHIN);
     fleet.net.heal();
     fleet.run_for(WITHIN);
-    assert!(matches!(fleet.publish(WRITER, 1), Err(PublishError::Superseded { by }) if by.version == newer));
+    assert!(
+        matches!(fleet.publish(WRITER, 1), Err(PublishError::Superseded { by }) if by.version == newer)
+    );
     let writer = fleet.net.part(WRITER).unwrap();
-    assert!(writer.events.iter().any(|event| matches!(event, Event::Superseded { .. })));
+    assert!(writer
+        .events
+        .iter()
+        .any(|event| matches!(event, Event::Superseded { .. })));
     assert!(fleet.net.ids().all(|id| version_at(&fleet, id) == newer));
 }
 
@@ -450,8 +571,15 @@
     fleet.run_for(20 * SECOND);
     assert_eq!(version_at(&fleet, 7), old);
     let round = round_at(&fleet, WRITER).unwrap();
-    assert_eq!((round.version, round.have, round.of), (new, 39, 40), "{round:?}");
-    assert_eq!((round.behind[0].name.as_str(), round.behind[0].standing), ("p-00007", Standing::Rejected));
+    assert_eq!(
+        (round.version, round.have, round.of),
+        (new, 39, 40),
+        "{round:?}"
+    );
+    assert_eq!(
+        (round.behind[0].name.as_str(), round.behind[0].standing),
+        ("p-00007", Standing::Rejected)
+    );
     assert!(round.behind[0].since < round.at, "{round:?}");
     let process = fleet.net.part_mut(7).unwrap();
     // Offered after 0, 5 and 15 s, as the waits double.
@@ -466,15 +594,30 @@
 
 #[test]
 fn the_silent_are_named_and_nobody_is_counted_twice_where_messages_repeat() {
-    let mut fleet = Fleet::new(200, 11, &tenants(100), Weather { repeat: 0.5, ..calm() });
+    let mut fleet = Fleet::new(
+        200,
+        11,
+        &tenants(100),
+        Weather {
+            repeat: 0.5,
+            ..calm()
+        },
+    );
     let mut invariants = Invariants::default();
     invariants.run(&mut fleet, SECOND);
     fleet.net.kill(42);
     let version = fleet.publish(WRITER, 1).unwrap();
     invariants.run(&mut fleet, 30 * SECOND);
     let round = round_at(&fleet, WRITER).unwrap();
-    assert_eq!((round.version, round.have, round.of, round.more), (version, 199, 200, 0), "{round:?}");
-    assert_eq!((round.behind[0].name.as_str(), round.behind[0].standing), ("p-00042", Standing::Silent));
+    assert_eq!(
+        (round.version, round.have, round.of, round.more),
+        (version, 199, 200, 0),
+        "{round:?}"
+    );
+    assert_eq!(
+        (round.behind[0].name.as_str(), round.behind[0].standing),
+        ("p-00042", Standing::Silent)
+    );
     assert!(invariants.rounds > 0);
 }
 
@@ -489,12 +632,25 @@
         let traffic = |id| fleet.net.part(id).map(|process| process.traffic).unwrap();
         let all: u64 = (1..count).map(|id| traffic(id).sent).sum();
         let longest = (0..count).map(|id| traffic(id).longest).max().unwrap();
-        (all as f64 / (count - 1) as f64, traffic(WRITER).sent, longest)
+        (
+            all as f64 / (count - 1) as f64,
+            traffic(WRITER).sent,
+            longest,
+        )
     };
     let (small, large) = (sent(50), sent(400));
-    assert!(large.0 < 1.1 * small.0, "a sidecar: {small:?}, then {large:?}");
-    assert!(large.1 < 2 * small.1, "the writer: {small:?}, then {large:?}");
-    assert!(large.2 < 1_500, "the longest message while all is well: {large:?}");
+    assert!(
+        large.0 < 1.1 * small.0,
+        "a sidecar: {small:?}, then {large:?}"
+    );
+    assert!(
+        large.1 < 2 * small.1,
+        "the writer: {small:?}, then {large:?}"
+    );
+    assert!(
+        large.2 < 1_500,
+        "the longest message while all is well: {large:?}"
+    );
 }
 
 /// A sidecar alone, to which a test speaks itself.
@@ -506,12 +662,25 @@
 
 impl Alone {
     fn new() -> Alone {
-        let peer = |name: &str| Peer { life: Life { name: name.into(), life: 1 }, zone: "r/z".into() };
+        let peer = |name: &str| Peer {
+            life: Life {
+                name: name.into(),
+                life: 1,
+            },
+            zone: "r/z".into(),
+        };
         let base = tenants(50);
-        let kept = Kept { snapshot: base.clone(), deltas: Vec::new() };
+        let kept = Kept {
+            snapshot: base.clone(),
+            deltas: Vec::new(),
+        };
         let mut spreader = Spreader::new(0, 1, peer("a"), Role::Sidecar, kept, Rules::default());
         spreader.peers(Peers::new(vec![peer("a"), peer("b")]));
-        Alone { spreader, base, peer: peer("b").life }
+        Alone {
+            spreader,
+            base,
+            peer: peer("b").life,
+        }
     }
 
     /// A good delta from one snapshot to the next.
@@ -533,7 +702,10 @@
     }
 
     fn announce(&mut self, claim: Claim, delta: &Delta) -> Vec<Effect> {
-        self.hears(Message::Announce { claim, delta: Some(delta.encode()) })
+        self.hears(Message::Announce {
+            claim,
+            delta: Some(delta.encode()),
+        })
     }
 
     fn hears(&mut self, message: Message) -> Vec<Effect> {
@@ -555,12 +727,21 @@
 fn a_delta_that_is_not_what_its_claim_says_changes_nothing() {
     let mut alone = Alone::new();
     let (good, next) = Alone::delta(&alone.base);
-    let claim = Claim { version: good.to, digest: good.digest };
-    let other = Claim { digest: Digest::default(), ..claim };
+    let claim = Claim {
+        version: good.to,
+        digest: good.digest,
+    };
+    let other = Claim {
+        digest: Digest::default(),
+        ..claim
+    };
     assert!(installs(&alone.announce(other, &good)).is_empty());
     assert_eq!(alone.spreader.glance().counts.unreadable, 1);
     // Consistent, but with a digest that its result does not have.
-    let wrong = Delta { digest: Digest::default(), ..good.clone() };
+    let wrong = Delta {
+        digest: Digest::default(),
+        ..good.clone()
+    };
     assert!(installs(&alone.announce(other, &wrong)).is_empty());
     assert_eq!(alone.spreader.glance().counts.unfit_deltas, 1);
     assert_eq!(alone.spreader.glance().held, alone.base.version());
@@ -576,9 +757,15 @@
     let mut alone = Alone::new();
     let (first, one) = Alone::delta(&alone.base);
     let (second, two) = Alone::delta(&one);
-    let claim = |delta: &Delta| Claim { version: delta.to, digest: delta.digest };
+    let claim = |delta: &Delta| Claim {
+        version: delta.to,
+        digest: delta.digest,
+    };
     assert!(installs(&alone.announce(claim(&second), &second)).is_empty());
-    assert_eq!(installs(&alone.announce(claim(&first), &first)), [two.version()]);
+    assert_eq!(
+        installs(&alone.announce(claim(&first), &first)),
+        [two.version()]
+    );
     assert!(installs(&alone.announce(claim(&first), &first)).is_empty());
     assert_eq!(alone.spreader.glance().held, two.version());
 }
@@ -586,9 +773,20 @@
 #[test]
 fn an_older_snapshot_changes_nothing_even_as_the_answer_to_a_pull() {
     let mut alone = Alone::new();
-    let older = tenants(10).with_version(Version { epoch: 1, number: 0 });
+    let older = tenants(10).with_version(Version {
+        epoch: 1,
+        number: 0,
+    });
     alone.spreader.wake(SECOND);
-    let asks = |effect: &Effect| matches!(effect, Effect::Send { message: Message::Pull { .. }, .. });
+    let asks = |effect: &Effect| {
+        matches!(
+            effect,
+            Effect::Send {
+                message: Message::Pull { .. },
+                ..
+            }
+        )
+    };
     assert!(std::iter::from_fn(|| alone.spreader.effect()).any(|effect| asks(&effect)));
     let mut effects = alone.hears(Message::Manifest(Manifest::of(&older)));
     if let Some(chunk) = chunk(&older, &(0..1_024).collect::<Vec<u16>>()) {
@@ -596,7 +794,10 @@
     }
     assert!(installs(&effects).is_empty());
     let (delta, next) = Alone::delta(&alone.base);
-    let claim = Claim { version: delta.to, digest: delta.digest };
+    let claim = Claim {
+        version: delta.to,
+        digest: delta.digest,
+    };
     assert_eq!(installs(&alone.announce(claim, &delta)), [next.version()]);
     assert!(installs(&alone.announce(claim, &delta)).is_empty());
     assert_eq!(alone.spreader.glance().held, next.version());
@@ -605,16 +806,50 @@
 #[test]
 fn announcements_and_polls_of_a_lower_epoch_are_answered_with_the_higher_one() {
     let mut alone = Alone::new();
-    let held = alone.base.clone().with_version(Version { epoch: 2, number: 9 });
-    let kept = Kept { snapshot: held.clone(), deltas: Vec::new() };
-    let me = Peer { life: Life { name: "a".into(), life: 1 }, zone: "r/z".into() };
+    let held = alone.base.clone().with_version(Version {
+        epoch: 2,
+        number: 9,
+    });
+    let kept = Kept {
+        snapshot: held.clone(),
+        deltas: Vec::new(),
+    };
+    let me = Peer {
+        life: Life {
+            name: "a".into(),
+            life: 1,
+        },
+        zone: "r/z".into(),
+    };
     alone.spreader = Spreader::new(0, 1, me, Role::Sidecar, kept, Rules::default());
-    let claim = Claim { version: Version { epoch: 1, number: 50 }, digest: Digest::default() };
-    let poll = Poll { round: 1, claim, interval: Interval::all(), patience_ms: 1_000 };
-    for message in [Message::Announce { claim, delta: None }, Message::Poll(poll)] {
+    let claim = Claim {
+        version: Version {
+            epoch: 1,
+            number: 50,
+        },
+        digest: Digest::default(),
+    };
+    let poll = Poll {
+        round: 1,
+        claim,
+        interval: Interval::all(),
+        patience_ms: 1_000,
+    };
+    for message in [
+        Message::Announce { claim, delta: None },
+        Message::Poll(poll),
+    ] {
         let effects = alone.hears(message);
-        let by = Claim { version: held.version(), digest: held.digest() };
-        let [Effect::Send { message: answer, .. }] = effects.as_slice() else { panic!("{effects:?}") };
+        let by = Claim {
+            version: held.version(),
+            digest: held.digest(),
+        };
+        let [Effect::Send {
+            message: answer, ..
+        }] = effects.as_slice()
+        else {
+            panic!("{effects:?}")
+        };
         assert_eq!(*answer, Message::Superseded { by });
     }
     assert_eq!(alone.spreader.glance().counts.lower_epochs, 2);
--- a/crates/configuration/tests/store.rs
+++ b/crates/configuration/tests/store.rs
@@ -24,7 +24,11 @@
 fn wanted(number: u64) -> Snapshot {
     let names = (1..=number).map(|each| format!("tenant-{each}"));
     let records = names.map(|name| tenant(&name, 5));
-    let version = if number == 0 { Version::NONE } else { version(number) };
+    let version = if number == 0 {
+        Version::NONE
+    } else {
+        version(number)
+    };
     Snapshot::from_records(version, records).expect("records within bounds")
 }
 
@@ -102,7 +106,9 @@
 
 /// Opens, appends, compacts and replaces; returns the last version that was acknowledged and whether a step failed.
 fn work_until_failure(folder: &Path, disk: FaultyDisk) -> (u64, bool) {
-    let Ok(Opened { mut store, .. }) = Store::open_on(folder, Box::new(disk)) else { return (0, true) };
+    let Ok(Opened { mut store, .. }) = Store::open_on(folder, Box::new(disk)) else {
+        return (0, true);
+    };
     let mut acknowledged = 0;
     for number in 1..=VERSIONS {
         let result = match number {
@@ -111,9 +117,16 @@
         };
         if let Err(error) = result {
             assert!(matches!(error, StoreError::Disk { .. }), "{error}");
-            assert_eq!(store.snapshot(), &wanted(acknowledged), "memory is not ahead of the disk");
+            assert_eq!(
+                store.snapshot(),
+                &wanted(acknowledged),
+                "memory is not ahead of the disk"
+            );
             assert!(matches!(store.compact(), Err(StoreError::Failed)), "final");
-            assert!(matches!(store.append(&step(number)), Err(StoreError::Failed)), "final");
+            assert!(
+                matches!(store.append(&step(number)), Err(StoreError::Failed)),
+                "final"
+            );
             return (acknowledged, true);
         }
         acknowledged = number;
@@ -131,10 +144,19 @@
         loop {
             let folder = tempfile::tempdir().expect("a folder");
             let path = folder.path().join("store");
-            let (acknowledged, failed) = work_until_failure(&path, FaultyDisk { steps_left: steps, fault });
+            let (acknowledged, failed) = work_until_failure(
+                &path,
+                FaultyDisk {
+                    steps_left: steps,
+                    fault,
+                },
+            );
             let opened = Store::open(&path).expect("what is there is whole or torn");
             let number = opened.store.snapshot().version().number;
-            assert!((acknowledged..=acknowledged + 1).contains(&number), "{fault:?} at step {steps}");
+            assert!(
+                (acknowledged..=acknowledged + 1).contains(&number),
+                "{fault:?} at step {steps}"
+            );
             assert_eq!(opened.store.snapshot(), &wanted(number));
             let mut store = opened.store;
             for next in number + 1..=VERSIONS {
@@ -171,7 +193,10 @@
     for length in 0..=whole.len() {
         fs::write(&log, &whole[..length]).expect("cut");
         if length < 8 {
-            assert!(matches!(Store::open(folder.path()), Err(StoreError::Damaged { offset: 0, .. })));
+            assert!(matches!(
+                Store::open(folder.path()),
+                Err(StoreError::Damaged { offset: 0, .. })
+            ));
             continue;
         }
         let opened = Store::open(folder.path()).expect("a cut log is torn at most");
@@ -179,7 +204,10 @@
         assert_eq!(opened.store.snapshot(), &wanted(number));
         assert!(number == last_number || number == last_number + 1);
         let kept = fs::metadata(&log).expect("a log").len();
-        let torn = (kept < length as u64).then_some(TornTail { offset: kept, bytes: length as u64 - kept });
+        let torn = (kept < length as u64).then_some(TornTail {
+            offset: kept,
+            bytes: length as u64 - kept,
+        });
         assert_eq!(opened.torn_tail, torn);
         last_number = number;
     }
@@ -196,7 +224,13 @@
     unwritten.extend([0; 300]);
     fs::write(&log, &unwritten).expect("extended");
     let opened = Store::open(folder.path()).expect("torn");
-    assert_eq!(opened.torn_tail, Some(TornTail { offset: whole.len() as u64, bytes: 300 }));
+    assert_eq!(
+        opened.torn_tail,
+        Some(TornTail {
+            offset: whole.len() as u64,
+            bytes: 300
+        })
+    );
     drop(opened);
     let mut half = whole.clone();
     let half_of_last = whole.len() - 30;
@@ -218,13 +252,23 @@
             changed[at] ^= mask;
             fs::write(&path, &changed).expect("changed");
             let error = Store::open(folder.path()).map(drop).expect_err("damage");
-            assert!(matches!(error, StoreError::Damaged { .. }), "{name} at {at}: {error}");
+            assert!(
+                matches!(error, StoreError::Damaged { .. }),
+                "{name} at {at}: {error}"
+            );
             assert!(error.to_string().contains("move its folder aside"));
-            assert_eq!(fs::read(&path).expect("a file"), changed, "nothing was cut off");
+            assert_eq!(
+                fs::read(&path).expect("a file"),
+                changed,
+                "nothing was cut off"
+            );
         }
         fs::write(&path, &whole).expect("mended");
     }
-    assert_eq!(Store::open(folder.path()).expect("whole").store.snapshot(), &wanted(VERSIONS));
+    assert_eq!(
+        Store::open(folder.path()).expect("whole").store.snapshot(),
+        &wanted(VERSIONS)
+    );
 }
 
 #[test]
@@ -235,7 +279,10 @@
     let whole = fs::read(&path).expect("a file");
     for length in 0..whole.len() {
         fs::write(&path, &whole[..length]).expect("cut");
-        assert!(matches!(Store::open(folder.path()), Err(StoreError::Damaged { .. })));
+        assert!(matches!(
+            Store::open(folder.path()),
+            Err(StoreError::Damaged { .. })
+        ));
     }
 }
 
@@ -258,7 +305,11 @@
     let folder = tempfile::tempdir().expect("a folder");
     fill(folder.path(), 1);
     let old_log = fs::read(folder.path().join("log")).expect("a log");
-    Store::open(folder.path()).expect("opened").store.compact().expect("compacted");
+    Store::open(folder.path())
+        .expect("opened")
+        .store
+        .compact()
+        .expect("compacted");
     fs::write(folder.path().join("log"), old_log).expect("as before");
     let opened = Store::open(folder.path()).expect("opened");
     assert_eq!(opened.store.snapshot(), &wanted(VERSIONS));
@@ -269,7 +320,10 @@
 fn one_process_at_a_time() {
     let folder = tempfile::tempdir().expect("a folder");
     let first = Store::open(folder.path()).expect("opened");
-    assert!(matches!(Store::open(folder.path()), Err(StoreError::Locked { .. })));
+    assert!(matches!(
+        Store::open(folder.path()),
+        Err(StoreError::Locked { .. })
+    ));
     drop(first);
     assert!(Store::open(folder.path()).is_ok());
 }
@@ -280,7 +334,10 @@
     let mut store = Store::open(folder.path()).expect("opened").store;
     assert!(matches!(store.append(&step(2)), Err(StoreError::Apply(_))));
     store.append(&step(1)).expect("appended");
-    assert!(matches!(store.replace(&wanted(1)), Err(StoreError::NotNewer { .. })));
+    assert!(matches!(
+        store.replace(&wanted(1)),
+        Err(StoreError::NotNewer { .. })
+    ));
     store.replace(&wanted(3)).expect("replaced");
     store.append(&step(4)).expect("appended");
 }
@@ -298,9 +355,14 @@
         let delta = Delta::between(store.snapshot(), &next, version(number));
         store.append(&delta).expect("appended");
     }
-    let log_bytes = fs::metadata(folder.path().join("log")).expect("a log").len();
+    let log_bytes = fs::metadata(folder.path().join("log"))
+        .expect("a log")
+        .len();
     assert_eq!(log_bytes, 8);
     let held = store.snapshot().clone();
     drop(store);
-    assert_eq!(Store::open(folder.path()).expect("opened").store.snapshot(), &held);
+    assert_eq!(
+        Store::open(folder.path()).expect("opened").store.snapshot(),
+        &held
+    );
 }
--- a/crates/configuration/tests/unit/poll.rs
+++ b/crates/configuration/tests/unit/poll.rs
@@ -8,19 +8,49 @@
 use crate::version::Version;
 
 fn peers(count: u64) -> Peers {
-    let life = |n| Life { name: format!("s-{n:03}"), life: 1 };
-    Peers::new((0..count).map(|n| Peer { life: life(n), zone: "r/z".into() }).collect())
+    let life = |n| Life {
+        name: format!("s-{n:03}"),
+        life: 1,
+    };
+    Peers::new(
+        (0..count)
+            .map(|n| Peer {
+                life: life(n),
+                zone: "r/z".into(),
+            })
+            .collect(),
+    )
 }
 
 fn root(count: u64) -> OpenPoll {
-    let claim = Claim { version: Version { epoch: 1, number: 4 }, digest: Digest::default() };
-    let poll = Poll { round: 1, claim, interval: Interval::all(), patience_ms: 8_000 };
+    let claim = Claim {
+        version: Version {
+            epoch: 1,
+            number: 4,
+        },
+        digest: Digest::default(),
+    };
+    let poll = Poll {
+        round: 1,
+        claim,
+        interval: Interval::all(),
+        patience_ms: 8_000,
+    };
     OpenPoll::new(poll, None, "s-000", None, peers(count), 4)
 }
 
 fn answer(poll: &Poll, have: u32) -> Report {
-    let tally = Tally { have, of: have, ..Tally::default() };
-    Report { round: poll.round, version: poll.claim.version, interval: poll.interval.clone(), tally }
+    let tally = Tally {
+        have,
+        of: have,
+        ..Tally::default()
+    };
+    Report {
+        round: poll.round,
+        version: poll.claim.version,
+        interval: poll.interval.clone(),
+        tally,
+    }
 }
 
 #[test]
@@ -40,10 +70,19 @@
     assert_ne!(first, second);
     assert_eq!(poll.interval, same.interval);
     // A stranger's report counts nothing; the late one of the first head counts, the second one's no more.
-    let stranger = Life { name: "s-040".into(), life: 9 };
-    assert_eq!(open.report(&stranger, answer(poll, 10)), Err(Uncounted::NotAsked));
+    let stranger = Life {
+        name: "s-040".into(),
+        life: 9,
+    };
+    assert_eq!(
+        open.report(&stranger, answer(poll, 10)),
+        Err(Uncounted::NotAsked)
+    );
     assert_eq!(open.report(first, answer(poll, 10)), Ok(()));
-    assert_eq!(open.report(second, answer(same, 10)), Err(Uncounted::Closed));
+    assert_eq!(
+        open.report(second, answer(same, 10)),
+        Err(Uncounted::Closed)
+    );
     assert!(open.finished());
     assert_eq!((open.tally().have, open.tally().of), (41, 41));
 }
@@ -57,6 +96,12 @@
         open.due(wake, &mut chance);
     }
     let tally = open.tally();
-    assert_eq!((tally.have, tally.of, tally.behind.len(), tally.more), (1, 41, 16, 24));
-    assert!(tally.behind.iter().all(|peer| peer.standing == Standing::Silent));
+    assert_eq!(
+        (tally.have, tally.of, tally.behind.len(), tally.more),
+        (1, 41, 16, 24)
+    );
+    assert!(tally
+        .behind
+        .iter()
+        .all(|peer| peer.standing == Standing::Silent));
 }
--- a/crates/feeds/src/desk.rs
+++ b/crates/feeds/src/desk.rs
@@ -13,8 +13,12 @@
     ("released", Phase::Released),
     ("withdrawn", Phase::Withdrawn),
 ];
-const VOICES: [(&str, Voice); 4] =
-    [("none", Voice::None), ("on", Voice::On), ("hold", Voice::Hold), ("back", Voice::Back)];
+const VOICES: [(&str, Voice); 4] = [
+    ("none", Voice::None),
+    ("on", Voice::On),
+    ("hold", Voice::Hold),
+    ("back", Voice::Back),
+];
 const HEARD: [(&str, Heard); 4] = [
     ("counted", Heard::Counted),
     ("moot", Heard::Moot),
@@ -51,12 +55,21 @@
     let (build, stage, phase, cap, age) = (
         lines::small("a build"),
         lines::then(lines::small("a stage")),
-        lines::then(lines::one_of(&PHASES, "trial, going-back, released or withdrawn")),
+        lines::then(lines::one_of(
+            &PHASES,
+            "trial, going-back, released or withdrawn",
+        )),
         lines::then(lines::number("a cap from 0 to 1").verify(|cap| *cap <= 1.0)),
         lines::then(lines::count("an age in ns")),
     )
         .parse_next(input)?;
-    Ok(Stage { build, stage: stage as usize, phase, cap, age })
+    Ok(Stage {
+        build,
+        stage: stage as usize,
+        phase,
+        cap,
+        age,
+    })
 }
 
 impl Speech for Telling {
@@ -83,7 +96,15 @@
                     opt(lines::then(stage)),
                 );
                 let (vote, how, told) = lines::whole(rest, answer)?;
-                Box::new(move |heard| heard.voted(vote, StageNews { heard: how, stage: told }))
+                Box::new(move |heard| {
+                    heard.voted(
+                        vote,
+                        StageNews {
+                            heard: how,
+                            stage: told,
+                        },
+                    )
+                })
             }
             "tally" => {
                 let counts = (
@@ -99,7 +120,11 @@
                 Box::new(move |heard| heard.tally(build, group, (all, failed), mean, age))
             }
             "flagged" => {
-                let what = (lines::word, lines::then(lines::word), lines::then(lines::count("an age in ns")));
+                let what = (
+                    lines::word,
+                    lines::then(lines::word),
+                    lines::then(lines::count("an age in ns")),
+                );
                 let (pod, group, ago) = lines::whole(rest, what)?;
                 let (pod, group) = (pod.to_string(), group.to_string());
                 Box::new(move |heard| heard.flagged(pod, group, ago))
@@ -137,17 +162,32 @@
             lines::then(lines::one_of(&VOICES, "none, on, hold or back")),
         );
         let (vote, build, stage, voice) = lines::whole(line, vote)?;
-        Ok(Some(Box::new(move |asked| asked.vote(vote, build, stage as usize, voice))))
+        Ok(Some(Box::new(move |asked| {
+            asked.vote(vote, build, stage as usize, voice)
+        })))
     }
 }
 
 fn name<T: PartialEq>(choices: &[(&'static str, T)], it: T) -> &'static str {
-    choices.iter().find(|(_, known)| *known == it).map_or("?", |(name, _)| name)
+    choices
+        .iter()
+        .find(|(_, known)| *known == it)
+        .map_or("?", |(name, _)| name)
 }
 
 fn put_stage(out: &mut String, stage: &Stage) {
-    let Stage { build, stage, phase, cap, age } = stage;
-    let _ = write!(out, " {build} {stage} {} {cap} {age}", name(&PHASES, *phase));
+    let Stage {
+        build,
+        stage,
+        phase,
+        cap,
+        age,
+    } = stage;
+    let _ = write!(
+        out,
+        " {build} {stage} {} {cap} {age}",
+        name(&PHASES, *phase)
+    );
 }
 
 pub fn tell_stage(out: &mut String, seq: u64, stage: &Stage) {
@@ -173,7 +213,11 @@
     mean: Ns,
     age: Ns,
 ) {
-    let _ = writeln!(out, "tally {seq} {build} {group} {} {} {mean} {age}", counts.0, counts.1);
+    let _ = writeln!(
+        out,
+        "tally {seq} {build} {group} {} {} {mean} {age}",
+        counts.0, counts.1
+    );
 }
 
 pub fn tell_flagged(out: &mut String, seq: u64, pod: &str, group: &str, ago: Ns) {
--- a/crates/feeds/src/follow.rs
+++ b/crates/feeds/src/follow.rs
@@ -28,7 +28,12 @@
 
 impl Waits {
     pub fn new(seed: u64, first: Duration, longest: Duration) -> Waits {
-        Waits { chance: Rand64::new(seed as u128), first, longest, last: Some(first) }
+        Waits {
+            chance: Rand64::new(seed as u128),
+            first,
+            longest,
+            last: Some(first),
+        }
     }
 
     /// The connection that ended was a good one: the next wait starts short again.
@@ -37,7 +42,9 @@
     }
 
     pub fn next_wait(&mut self) -> Duration {
-        let span = self.last.map_or(self.first, |last| (last * 2).min(self.longest));
+        let span = self
+            .last
+            .map_or(self.first, |last| (last * 2).min(self.longest));
         self.last = Some(span);
         span.mul_f64(0.5 + 0.5 * self.chance.rand_float())
     }
@@ -92,10 +99,14 @@
     link: &mut impl Link<S::Call>,
 ) -> Result<(), FeedError> {
     let no_greeting = |_| FeedError::NoGreeting(CONNECT.as_millis() as u64);
-    let stream = timeout(CONNECT, TcpStream::connect(address)).await.map_err(no_greeting)??;
+    let stream = timeout(CONNECT, TcpStream::connect(address))
+        .await
+        .map_err(no_greeting)??;
     stream.set_nodelay(true)?;
     let mut framed = Framed::new(stream, Lines::new(S::default(), line_bytes));
-    timeout(CONNECT, framed.send(hello(feed, Some(name)))).await.map_err(no_greeting)??;
+    timeout(CONNECT, framed.send(hello(feed, Some(name))))
+        .await
+        .map_err(no_greeting)??;
     link.up();
     loop {
         tokio::select! {
--- a/crates/feeds/src/lines.rs
+++ b/crates/feeds/src/lines.rs
@@ -48,7 +48,12 @@
 
 impl<S> Lines<S> {
     pub fn new(speech: S, most: usize) -> Lines<S> {
-        Lines { speech, most, count: 0, seen: 0 }
+        Lines {
+            speech,
+            most,
+            count: 0,
+            seen: 0,
+        }
     }
 }
 
@@ -58,10 +63,16 @@
 
     fn decode(&mut self, buffer: &mut BytesMut) -> Result<Option<S::Call>, FeedError> {
         loop {
-            let end = buffer[self.seen..].iter().position(|byte| *byte == b'\n').map(|at| at + self.seen);
+            let end = buffer[self.seen..]
+                .iter()
+                .position(|byte| *byte == b'\n')
+                .map(|at| at + self.seen);
             let line = self.count + 1;
             if end.unwrap_or(buffer.len()) > self.most {
-                return Err(FeedError::TooLong { line, most: self.most });
+                return Err(FeedError::TooLong {
+                    line,
+                    most: self.most,
+                });
             }
             let Some(end) = end else {
                 self.seen = buffer.len();
@@ -70,8 +81,10 @@
             let bytes = buffer.split_to(end);
             buffer.advance(1);
             (self.seen, self.count) = (0, line);
-            let text = std::str::from_utf8(&bytes)
-                .map_err(|_| FeedError::Malformed { line, what: "not UTF-8".to_string() })?;
+            let text = std::str::from_utf8(&bytes).map_err(|_| FeedError::Malformed {
+                line,
+                what: "not UTF-8".to_string(),
+            })?;
             let said = self.speech.line(text.strip_suffix('\r').unwrap_or(text));
             if let Some(call) = said.map_err(|what| FeedError::Malformed { line, what })? {
                 return Ok(Some(call));
@@ -101,12 +114,23 @@
 pub(crate) type Failed = ContextError;
 
 /// Runs a parser over a whole line and words its complaint.
-pub(crate) fn whole<'a, T>(line: &'a str, parser: impl Parser<In<'a>, T, Failed>) -> Result<T, String> {
+pub(crate) fn whole<'a, T>(
+    line: &'a str,
+    parser: impl Parser<In<'a>, T, Failed>,
+) -> Result<T, String> {
     let mut parser = parser;
     parser.parse(line).map_err(|error| {
         let wanted = error.inner().to_string();
-        let wanted = if wanted.is_empty() { "expected nothing more".to_string() } else { wanted };
-        format!("column {}: {}", error.offset() + 1, wanted.replace('\n', "; "))
+        let wanted = if wanted.is_empty() {
+            "expected nothing more".to_string()
+        } else {
+            wanted
+        };
+        format!(
+            "column {}: {}",
+            error.offset() + 1,
+            wanted.replace('\n', "; ")
+        )
     })
 }
 
@@ -115,7 +139,9 @@
 }
 
 pub(crate) fn word<'a>(input: &mut In<'a>) -> Parsed<&'a str> {
-    take_while(1..=128, |c: char| c.is_ascii_graphic()).context(wanted("a word")).parse_next(input)
+    take_while(1..=128, |c: char| c.is_ascii_graphic())
+        .context(wanted("a word"))
+        .parse_next(input)
 }
 
 pub(crate) type Parsed<T> = Result<T, Failed>;
@@ -125,12 +151,19 @@
     choices: &'static [(&'static str, T)],
     what: &'static str,
 ) -> impl Parser<In<'a>, T, Failed> {
-    word.verify_map(move |word| choices.iter().find(|(name, _)| *name == word).map(|(_, it)| *it))
-        .context(wanted(what))
+    word.verify_map(move |word| {
+        choices
+            .iter()
+            .find(|(name, _)| *name == word)
+            .map(|(_, it)| *it)
+    })
+    .context(wanted(what))
 }
 
 /// The next word after a space.
-pub(crate) fn then<'a, T>(parser: impl Parser<In<'a>, T, Failed>) -> impl Parser<In<'a>, T, Failed> {
+pub(crate) fn then<'a, T>(
+    parser: impl Parser<In<'a>, T, Failed>,
+) -> impl Parser<In<'a>, T, Failed> {
     preceded(' ', parser)
 }
 
@@ -148,12 +181,17 @@
 
 /// A finite number that is not negative.
 pub(crate) fn number<'a>(what: &'static str) -> impl Parser<In<'a>, f64, Failed> {
-    float.verify(|n: &f64| n.is_finite() && *n >= 0.0).context(wanted(what))
+    float
+        .verify(|n: &f64| n.is_finite() && *n >= 0.0)
+        .context(wanted(what))
 }
 
 /// `hello FEED VERSION NAME`, where only the client tells a name.
 pub(crate) fn greeting(line: &str, feed: &'static str) -> Result<String, String> {
-    let name = whole(line, preceded("hello ", (word, then(small("a version")), opt(then(word)))))?;
+    let name = whole(
+        line,
+        preceded("hello ", (word, then(small("a version")), opt(then(word)))),
+    )?;
     match name {
         (told, _, _) if told != feed => Err(format!("a feed of {told:?}, expected {feed:?}")),
         (_, VERSION, name) => Ok(name.unwrap_or_default().to_string()),
--- a/crates/feeds/src/nodes.rs
+++ b/crates/feeds/src/nodes.rs
@@ -8,8 +8,11 @@
 use winnow::prelude::*;
 
 pub const FEED: &str = "nodes";
-const STATES: [(&str, PodState); 3] =
-    [("running", PodState::Running), ("draining", PodState::Draining), ("gone", PodState::Gone)];
+const STATES: [(&str, PodState); 3] = [
+    ("running", PodState::Running),
+    ("draining", PodState::Draining),
+    ("gone", PodState::Gone),
+];
 
 /// A pod as the list tells it. `life` is any number that changes when the process starts anew; `age` is the
 /// time since then, 0 for long ago, so that no two machines need the same clock.
@@ -100,7 +103,9 @@
         );
         let (whole, seq, count) = lines::whole(line, start)?;
         self.order(seq)?;
-        let count = usize::try_from(count).ok().filter(|count| *count <= MOST_PODS);
+        let count = usize::try_from(count)
+            .ok()
+            .filter(|count| *count <= MOST_PODS);
         let count = count.ok_or_else(|| format!("too many pods, expected {MOST_PODS} at most"))?;
         self.block = Some((whole, count));
         Ok(self.end())
@@ -126,7 +131,18 @@
     )
         .parse_next(input)?;
     let (name, zone, machine) = (name.to_string(), zone.to_string(), machine.to_string());
-    Ok(Listed { name, address, state, build, life, age, zone, machine, cell, size })
+    Ok(Listed {
+        name,
+        address,
+        state,
+        build,
+        life,
+        age,
+        zone,
+        machine,
+        cell,
+        size,
+    })
 }
 
 /// The followers' lines: the greeting with a name, then `whole` or `watch on|off`.
@@ -155,12 +171,33 @@
 
 /// Writes a list as the service tells it.
 pub fn tell_list(out: &mut String, seq: u64, whole: bool, pods: &[Listed]) {
-    let _ = writeln!(out, "{} {seq} {}", if whole { "whole" } else { "changes" }, pods.len());
+    let _ = writeln!(
+        out,
+        "{} {seq} {}",
+        if whole { "whole" } else { "changes" },
+        pods.len()
+    );
     for pod in pods {
-        let Listed { name, address, state, build, life, age, zone, machine, cell, size } = pod;
-        let state = STATES.iter().find(|(_, known)| known == state).map_or("gone", |(name, _)| name);
-        let _ =
-            writeln!(out, "pod {name} {address} {state} {build} {life} {age} {zone} {machine} {cell} {size}");
+        let Listed {
+            name,
+            address,
+            state,
+            build,
+            life,
+            age,
+            zone,
+            machine,
+            cell,
+            size,
+        } = pod;
+        let state = STATES
+            .iter()
+            .find(|(_, known)| known == state)
+            .map_or("gone", |(name, _)| name);
+        let _ = writeln!(
+            out,
+            "pod {name} {address} {state} {build} {life} {age} {zone} {machine} {cell} {size}"
+        );
     }
 }
 
@@ -194,11 +231,15 @@
     }
     let (mut telling, mut kept) = (Telling::default(), Kept(None));
     for (n, line) in text.lines().enumerate() {
-        if let Some(call) = telling.line(line).map_err(|what| format!("line {}: {what}", n + 1))? {
+        if let Some(call) = telling
+            .line(line)
+            .map_err(|what| format!("line {}: {what}", n + 1))?
+        {
             call(&mut kept);
         }
     }
-    kept.0.ok_or_else(|| "cut short, expected one whole list".to_string())
+    kept.0
+        .ok_or_else(|| "cut short, expected one whole list".to_string())
 }
 
 /// Writes a list for [`read_kept`].
