--- a/crates/feeds/tests/feeds.rs
+++ b/crates/feeds/tests/feeds.rs
@@ -43,7 +43,8 @@
         self.0.push(format!("{vote} {news:?}"));
     }
     fn tally(&mut self, build: Build, group: String, counts: (u64, u64), mean: Ns, age: Ns) {
-        self.0.push(format!("{build} {group} {counts:?} {mean} {age}"));
+        self.0
+            .push(format!("{build} {group} {counts:?} {mean} {age}"));
     }
     fn flagged(&mut self, pod: String, group: String, ago: Ns) {
         self.0.push(format!("{pod} {group} {ago}"));
@@ -60,7 +61,10 @@
 }
 
 fn hear(text: &str, most: usize) -> (Heart, Option<FeedError>) {
-    let (mut heart, mut lines) = (Heart::default(), Lines::new(nodes::Telling::default(), most));
+    let (mut heart, mut lines) = (
+        Heart::default(),
+        Lines::new(nodes::Telling::default(), most),
+    );
     let mut buffer = BytesMut::from(text.as_bytes());
     loop {
         match lines.decode(&mut buffer) {
@@ -88,7 +92,10 @@
         format!("false {}", nodes::keep(&[])),
     ];
     assert_eq!(heart.0, wanted);
-    assert_eq!(nodes::read_kept(&nodes::keep(&all)).expect("it was kept"), all);
+    assert_eq!(
+        nodes::read_kept(&nodes::keep(&all)).expect("it was kept"),
+        all
+    );
 }
 
 #[test]
@@ -96,26 +103,60 @@
     let mut text = hello(nodes::FEED, None);
     nodes::tell_list(&mut text, 1, true, &[pod(0), pod(1)]);
     for (garbled, wanted) in [
-        (text.replace("pod-1 127.0.0.1:4001 draining", "pod-1 127.0.0.1:4001 asleep"), "line 4: column 26"),
-        (text.replace("whole 1 2", "whole 2 2"), "line 2: number 2, expected 1"),
-        (text.replace("whole 1 2", "whole 1 99999999"), "line 2: too many pods"),
-        (text.replace("hello nodes 1", "hello nodes 2"), "line 1: version 2, expected 1"),
-        (text.replace("three-core -2", "three-core -2 -2"), "line 3: column"),
-        (text.replace("pod-0", &"p".repeat(600)), "line 3: longer than 256 bytes"),
+        (
+            text.replace(
+                "pod-1 127.0.0.1:4001 draining",
+                "pod-1 127.0.0.1:4001 asleep",
+            ),
+            "line 4: column 26",
+        ),
+        (
+            text.replace("whole 1 2", "whole 2 2"),
+            "line 2: number 2, expected 1",
+        ),
+        (
+            text.replace("whole 1 2", "whole 1 99999999"),
+            "line 2: too many pods",
+        ),
+        (
+            text.replace("hello nodes 1", "hello nodes 2"),
+            "line 1: version 2, expected 1",
+        ),
+        (
+            text.replace("three-core -2", "three-core -2 -2"),
+            "line 3: column",
+        ),
+        (
+            text.replace("pod-0", &"p".repeat(600)),
+            "line 3: longer than 256 bytes",
+        ),
     ] {
         let (heart, why) = hear(&garbled, 256);
         let why = why.map(|why| why.to_string()).unwrap_or_default();
-        assert!(why.starts_with(wanted) && heart.0.is_empty(), "{why} {:?}", heart.0);
+        assert!(
+            why.starts_with(wanted) && heart.0.is_empty(),
+            "{why} {:?}",
+            heart.0
+        );
     }
     for cut in 0..text.len() - 1 {
         assert!(hear(&text[..cut], 256).0 .0.is_empty(), "cut at {cut}");
-        assert!(nodes::read_kept(&text[..cut]).is_err(), "kept, cut at {cut}");
+        assert!(
+            nodes::read_kept(&text[..cut]).is_err(),
+            "kept, cut at {cut}"
+        );
     }
 }
 
 #[test]
 fn the_desk_is_heard_as_it_spoke() {
-    let stage = Stage { build: 9, stage: 2, phase: Phase::GoingBack, cap: 0.425, age: 77 };
+    let stage = Stage {
+        build: 9,
+        stage: 2,
+        phase: Phase::GoingBack,
+        cap: 0.425,
+        age: 77,
+    };
     let mut text = hello(desk::FEED, None);
     desk::tell_stage(&mut text, 1, &stage);
     desk::tell_voted(&mut text, 2, 5, Heard::Moot, Some(&stage));
@@ -207,19 +248,28 @@
 
 #[tokio::test]
 async fn a_follower_comes_back_after_a_garbled_line_and_a_lost_one() {
-    let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
+    let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
+        .await
+        .expect("a port");
     let address = listener.local_addr().expect("an address");
     let (ask, asks) = tokio::sync::mpsc::channel(4);
     let service = async move {
         let mut ask = Some(ask);
-        let texts = ["whole 1 1\nnonsense\n", "whole 1 0\nchanges 3 0\n", "whole 1 0\n"];
+        let texts = [
+            "whole 1 1\nnonsense\n",
+            "whole 1 0\nchanges 3 0\n",
+            "whole 1 0\n",
+        ];
         for (n, text) in texts.iter().enumerate() {
             let (stream, _) = listener.accept().await.expect("a follower");
             let mut stream = BufReader::new(stream);
             let mut line = String::new();
             stream.read_line(&mut line).await.expect("a greeting");
             assert_eq!(line, "hello nodes 1 s-1\n");
-            stream.write_all(format!("hello nodes 1\n{text}").as_bytes()).await.expect("heard");
+            stream
+                .write_all(format!("hello nodes 1\n{text}").as_bytes())
+                .await
+                .expect("heard");
             line.clear();
             if n == 2 {
                 let asker = ask.take().expect("there once");
@@ -227,14 +277,24 @@
                 stream.read_line(&mut line).await.expect("a line");
                 assert_eq!(line, "watch on\n");
             }
-            assert_eq!(stream.read_line(&mut line).await.unwrap_or(0), 0, "the follower hung up");
+            assert_eq!(
+                stream.read_line(&mut line).await.unwrap_or(0),
+                0,
+                "the follower hung up"
+            );
         }
     };
     let mut kept = Kept::default();
     let feed = (nodes::FEED, address, 256);
-    tokio::join!(service, follow::follow::<nodes::Telling>(feed, "s-1", 1, asks, &mut kept));
+    tokio::join!(
+        service,
+        follow::follow::<nodes::Telling>(feed, "s-1", 1, asks, &mut kept)
+    );
     let told = kept.1.join("; ");
     assert!(told.starts_with("up; line 3: column 1"), "{told}");
-    assert!(told.contains("up; said; line 3: number 3, expected 2"), "{told}");
+    assert!(
+        told.contains("up; said; line 3: number 3, expected 2"),
+        "{told}"
+    );
     assert!(told.ends_with("up; said") && kept.0 .0.len() == 2, "{told}");
 }
--- a/crates/fellows/src/follow_ups.rs
+++ b/crates/fellows/src/follow_ups.rs
@@ -29,7 +29,10 @@
         if self.waiting.len() >= MOST_WAITING {
             self.waiting.pop_front();
         }
-        self.waiting.push_back(FollowUp { to: to.clone(), due });
+        self.waiting.push_back(FollowUp {
+            to: to.clone(),
+            due,
+        });
     }
 
     /// The peer whose view is due and was planned first.
--- a/crates/fellows/src/node.rs
+++ b/crates/fellows/src/node.rs
@@ -51,7 +51,14 @@
 
 impl Node {
     /// The first key seals, all open; there must be one.
-    pub fn new(now: Ns, seed: u64, me: News, seeds: Vec<SocketAddr>, rules: Rules, keys: Vec<Key>) -> Node {
+    pub fn new(
+        now: Ns,
+        seed: u64,
+        me: News,
+        seeds: Vec<SocketAddr>,
+        rules: Rules,
+        keys: Vec<Key>,
+    ) -> Node {
         Node {
             fellows: Fellows::new(now, seed, me, seeds, rules),
             keys,
@@ -105,7 +112,9 @@
     pub fn happened(&mut self) -> Option<Happened> {
         let happened = self.happened.pop_front();
         if let Some(Happened::Came { kind, .. }) = &happened {
-            self.waiting.entry(*kind).and_modify(|waiting| *waiting -= 1);
+            self.waiting
+                .entry(*kind)
+                .and_modify(|waiting| *waiting -= 1);
         }
         happened
     }
@@ -127,7 +136,9 @@
     /// Sends a message of another package to a fellow that lives, as a datagram or over a stream by its length; false
     /// where none of that life is known or it is too long for either.
     pub fn send(&mut self, to: &Life, kind: u8, body: Vec<u8>) -> bool {
-        let Some(news) = self.fellows.get(&to.name).filter(|news| news.who == *to) else { return false };
+        let Some(news) = self.fellows.get(&to.name).filter(|news| news.who == *to) else {
+            return false;
+        };
         let at = news.at;
         self.seal(to.clone(), at, kind, body)
     }
@@ -151,7 +162,13 @@
     }
 
     fn take(&mut self, now: Ns, bytes: &[u8], way: Way) -> Result<(), Refused> {
-        let Letter { from, to, count, kind, body } = wire::open(&self.keys, bytes, way)?;
+        let Letter {
+            from,
+            to,
+            count,
+            kind,
+            body,
+        } = wire::open(&self.keys, bytes, way)?;
         let me = &self.fellows.me().who;
         let hello = to.name.is_empty() && kind == TALK;
         if from == *me || !(hello || to == *me) {
@@ -162,7 +179,11 @@
             return Err(Refused::OldLife);
         }
         if known.is_some_and(|news| news.who == from) {
-            let seen = if way == Way::Stream { &mut self.seen_streams } else { &mut self.seen };
+            let seen = if way == Way::Stream {
+                &mut self.seen_streams
+            } else {
+                &mut self.seen
+            };
             let row = seen.entry(from.name.clone()).or_default();
             if row.0 != from.life {
                 *row = (from.life, Seen::default());
@@ -176,7 +197,11 @@
             if hello && !matches!(talk, Talk::Hello { .. }) {
                 return Err(Refused::NotForUs);
             }
-            return self.fellows.heard(now, &from, talk).then_some(()).ok_or(Refused::Stranger);
+            return self
+                .fellows
+                .heard(now, &from, talk)
+                .then_some(())
+                .ok_or(Refused::Stranger);
         }
         if !self.kinds.contains(&kind) {
             return Err(Refused::UnknownKind);
@@ -212,8 +237,13 @@
     }
 
     fn seal(&mut self, to: Life, at: SocketAddr, kind: u8, body: Vec<u8>) -> bool {
-        let mut letter =
-            Letter { from: self.fellows.me().who.clone(), to, count: self.count + 1, kind, body };
+        let mut letter = Letter {
+            from: self.fellows.me().who.clone(),
+            to,
+            count: self.count + 1,
+            kind,
+            body,
+        };
         if let Some(bytes) = wire::seal(&self.keys[0], &letter, Way::Datagram) {
             self.count += 1;
             self.note_sent(&bytes);
@@ -221,7 +251,9 @@
             return true;
         }
         letter.count = self.count_streams + 1;
-        let Some(bytes) = wire::seal(&self.keys[0], &letter, Way::Stream) else { return false };
+        let Some(bytes) = wire::seal(&self.keys[0], &letter, Way::Stream) else {
+            return false;
+        };
         self.count_streams += 1;
         self.note_sent(&bytes);
         self.streams.push_back((at, bytes));
--- a/crates/fellows/src/peers.rs
+++ b/crates/fellows/src/peers.rs
@@ -83,13 +83,18 @@
     /// All that live, by name.
     pub fn living(&self) -> impl Iterator<Item = &News> {
         let rows = self.by_name.values().inspect(|_| self.visit(1));
-        rows.map(|row| &row.peer.news).filter(|news| news.is_there())
+        rows.map(|row| &row.peer.news)
+            .filter(|news| news.is_there())
     }
 
     /// Those that live behind a name, by name.
     pub fn living_after<'a>(&'a self, name: &str) -> impl Iterator<Item = (&'a News, usize)> {
-        let rows = self.by_name.range::<str, _>((Bound::Excluded(name), Bound::Unbounded));
-        let rows = rows.inspect(|_| self.visit(1)).map(|(_, row)| (&row.peer.news, row.size));
+        let rows = self
+            .by_name
+            .range::<str, _>((Bound::Excluded(name), Bound::Unbounded));
+        let rows = rows
+            .inspect(|_| self.visit(1))
+            .map(|(_, row)| (&row.peer.news, row.size));
         rows.filter(|(news, _)| news.is_there())
     }
 
@@ -132,14 +137,19 @@
     pub fn insert(&mut self, peer: Peer) {
         let name = peer.news.who.name.clone();
         self.remove(&name);
-        let row = Row { size: encoded_size(&peer.news), peer };
+        let row = Row {
+            size: encoded_size(&peer.news),
+            peer,
+        };
         self.index(&name, &row.peer.news);
         self.by_name.insert(name, row);
     }
 
     /// Changes a peer; nothing happens where none has that name.
     pub fn update(&mut self, name: &str, change: impl FnOnce(&mut Peer)) {
-        let Some(mut row) = self.by_name.remove(name) else { return };
+        let Some(mut row) = self.by_name.remove(name) else {
+            return;
+        };
         self.unindex(name, &row.peer.news);
         change(&mut row.peer);
         row.size = encoded_size(&row.peer.news);
@@ -148,7 +158,9 @@
     }
 
     pub fn remove(&mut self, name: &str) -> bool {
-        let Some(row) = self.by_name.remove(name) else { return false };
+        let Some(row) = self.by_name.remove(name) else {
+            return false;
+        };
         self.unindex(name, &row.peer.news);
         true
     }
@@ -191,7 +203,9 @@
     fn unindex(&mut self, name: &str, news: &News) {
         self.note_change(name);
         self.gone.remove(name);
-        let Some(position) = self.positions.remove(name) else { return };
+        let Some(position) = self.positions.remove(name) else {
+            return;
+        };
         self.living.swap_remove(position);
         if let Some(moved) = self.living.get(position) {
             self.positions.insert(moved.clone(), position);
--- a/crates/fellows/src/roster.rs
+++ b/crates/fellows/src/roster.rs
@@ -43,7 +43,10 @@
 
 impl From<&View> for Digests {
     fn from(view: &View) -> Digests {
-        Digests { roster: view.roster, living: view.living }
+        Digests {
+            roster: view.roster,
+            living: view.living,
+        }
     }
 }
 
@@ -83,7 +86,10 @@
     /// Whether time alone may change what it counts for, or it is not as it should be.
     fn is_notable(&self) -> bool {
         let as_it_should_be = self.lives && self.row.belongs && self.flaps == 0;
-        !as_it_should_be || self.misses_us.is_some() || self.differs.is_some() || !self.out.is_empty()
+        !as_it_should_be
+            || self.misses_us.is_some()
+            || self.differs.is_some()
+            || !self.out.is_empty()
     }
 }
 
@@ -138,7 +144,9 @@
 
     /// Members behind a name, by name.
     pub fn behind(&self, name: &str) -> impl Iterator<Item = &Member> {
-        let members = self.members.range::<str, _>((Bound::Excluded(name), Bound::Unbounded));
+        let members = self
+            .members
+            .range::<str, _>((Bound::Excluded(name), Bound::Unbounded));
         members.map(|(_, member)| member).inspect(|_| self.visit(1))
     }
 
@@ -164,7 +172,9 @@
 
     /// Changes a member; nothing happens where none has that name.
     pub fn update(&mut self, name: &str, change: impl FnOnce(&mut Member)) {
-        let Some(mut member) = self.members.remove(name) else { return };
+        let Some(mut member) = self.members.remove(name) else {
+            return;
+        };
         self.count_out(name, &member);
         let (row, lives) = (member.row.clone(), member.lives);
         change(&mut member);
@@ -181,7 +191,10 @@
 
     /// Both digests, as a view says them.
     pub fn digests(&self, me: &Row) -> Digests {
-        Digests { roster: self.digest_roster(me), living: self.digest_living(me) }
+        Digests {
+            roster: self.digest_roster(me),
+            living: self.digest_living(me),
+        }
     }
 
     /// Of all who belong, and of us.
@@ -196,8 +209,14 @@
     /// while.
     pub fn digest_living(&self, me: &Row) -> u64 {
         kept(&self.living_digest, || {
-            let rows = self.belonging().filter(|member| member.lives).map(|member| &member.row);
-            digest(rows.chain([me]).map(|row| (row.who.name.as_str(), row.who.life, 0)))
+            let rows = self
+                .belonging()
+                .filter(|member| member.lives)
+                .map(|member| &member.row);
+            digest(
+                rows.chain([me])
+                    .map(|row| (row.who.name.as_str(), row.who.life, 0)),
+            )
         })
     }
 
@@ -210,7 +229,10 @@
     }
 
     fn belonging(&self) -> impl Iterator<Item = &Member> {
-        self.members.values().inspect(|_| self.visit(1)).filter(|member| member.row.belongs)
+        self.members
+            .values()
+            .inspect(|_| self.visit(1))
+            .filter(|member| member.row.belongs)
     }
 
     fn visit(&self, rows: u64) {
@@ -224,7 +246,8 @@
         if member.is_notable() {
             self.notable.insert(name.to_string());
         }
-        self.views.extend(member.said.as_ref().map(|(at, _)| (*at, name.to_string())));
+        self.views
+            .extend(member.said.as_ref().map(|(at, _)| (*at, name.to_string())));
     }
 
     fn count_out(&mut self, name: &str, member: &Member) {
--- a/crates/fellows/src/shell.rs
+++ b/crates/fellows/src/shell.rs
@@ -62,13 +62,21 @@
 /// A file that cannot be read, or a line that is no key.
 pub fn read_keys(file: &Path) -> Result<Vec<Key>, KeysError> {
     let text = std::fs::read_to_string(file);
-    let text = text.map_err(|error| KeysError::Unreadable { file: file.to_path_buf(), error })?;
-    Key::read(&text).map_err(|error| KeysError::NotAKey { file: file.to_path_buf(), error })
+    let text = text.map_err(|error| KeysError::Unreadable {
+        file: file.to_path_buf(),
+        error,
+    })?;
+    Key::read(&text).map_err(|error| KeysError::NotAKey {
+        file: file.to_path_buf(),
+        error,
+    })
 }
 
 /// A number that grows with each start under a name.
 pub fn new_life() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(1, |since| since.as_millis() as u64)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(1, |since| since.as_millis() as u64)
 }
 
 /// Logs who came and went.
@@ -85,7 +93,9 @@
 }
 
 fn codec() -> LengthDelimitedCodec {
-    LengthDelimitedCodec::builder().max_frame_length(LONGEST_STREAM).new_codec()
+    LengthDelimitedCodec::builder()
+        .max_frame_length(LONGEST_STREAM)
+        .new_codec()
 }
 
 impl Talker {
@@ -93,14 +103,31 @@
     ///
     /// # Errors
     /// An address that cannot be bound.
-    pub async fn bind(at: SocketAddr, make: impl FnOnce(Ns, SocketAddr) -> Node) -> io::Result<Rc<Talker>> {
+    pub async fn bind(
+        at: SocketAddr,
+        make: impl FnOnce(Ns, SocketAddr) -> Node,
+    ) -> io::Result<Rc<Talker>> {
         let (socket, listener) = Talker::both(at).await?;
         let bound = socket.local_addr()?;
-        let (node, rearm, streams) = (RefCell::new(make(0, bound)), Notify::new(), RefCell::default());
+        let (node, rearm, streams) = (
+            RefCell::new(make(0, bound)),
+            Notify::new(),
+            RefCell::default(),
+        );
         let (heard, hears) = mpsc::channel(LETTERS);
         let (began, hears) = (Instant::now(), RefCell::new(Some(hears)));
         let lost = Cell::new(0);
-        Ok(Rc::new(Talker { node, socket, listener, streams, began, rearm, heard, hears, lost }))
+        Ok(Rc::new(Talker {
+            node,
+            socket,
+            listener,
+            streams,
+            began,
+            rearm,
+            heard,
+            hears,
+            lost,
+        }))
     }
 
     /// One port for both.
@@ -143,13 +170,17 @@
     /// What a full socket does not take is lost, as the network might have lost it.
     fn flush(self: &Rc<Self>) {
         loop {
-            let Some((at, bytes)) = self.node.borrow_mut().datagram() else { break };
+            let Some((at, bytes)) = self.node.borrow_mut().datagram() else {
+                break;
+            };
             if self.socket.try_send_to(&bytes, at).is_err() {
                 self.lost.set(self.lost.get() + 1);
             }
         }
         loop {
-            let Some((at, bytes)) = self.node.borrow_mut().stream() else { break };
+            let Some((at, bytes)) = self.node.borrow_mut().stream() else {
+                break;
+            };
             let mut streams = self.streams.borrow_mut();
             let letters = streams.entry(at).or_insert_with(|| {
                 let (letters, waiting) = mpsc::channel(LETTERS);
@@ -181,7 +212,9 @@
         let places = Rc::new(Semaphore::new(STREAMS));
         let mut open = JoinSet::new();
         loop {
-            let Ok(place) = places.acquire().await else { return };
+            let Ok(place) = places.acquire().await else {
+                return;
+            };
             tokio::select! {
                 accepted = self.listener.accept() => match accepted {
                     Ok((stream, _)) => {
@@ -209,11 +242,17 @@
     pub async fn run(self: Rc<Self>, mut on: impl FnMut(&Rc<Talker>, Happened)) {
         // One byte more than the longest, so that a longer one shows as such.
         let mut bytes = [0; LONGEST + 1];
-        let Some(mut hears) = self.hears.borrow_mut().take() else { return };
+        let Some(mut hears) = self.hears.borrow_mut().take() else {
+            return;
+        };
         let listening = self.listen();
         tokio::pin!(listening);
         loop {
-            let due = self.node.borrow().next_wake().map(|at| self.began + Duration::from_nanos(at));
+            let due = self
+                .node
+                .borrow()
+                .next_wake()
+                .map(|at| self.began + Duration::from_nanos(at));
             let due = due.unwrap_or_else(|| Instant::now() + Duration::from_secs(3_600));
             tokio::select! {
                 _ = self.socket.readable() => {}
@@ -243,7 +282,9 @@
     fn read(&self, bytes: &mut [u8]) {
         for _ in 0..TURN {
             // Where the system tells of an earlier datagram that nobody took, there is nothing to read.
-            let Ok((length, _)) = self.socket.try_recv_from(bytes) else { return };
+            let Ok((length, _)) = self.socket.try_recv_from(bytes) else {
+                return;
+            };
             let now = self.now();
             self.node.borrow_mut().heard(now, &bytes[..length]);
         }
--- a/crates/fellows/src/standing.rs
+++ b/crates/fellows/src/standing.rs
@@ -40,7 +40,13 @@
 impl Default for Rules {
     fn default() -> Rules {
         let s = 1_000_000_000;
-        Rules { settles: 10 * s, calms: 3 * s, leaves: 600 * s, word: 300 * s, most: 4_096 }
+        Rules {
+            settles: 10 * s,
+            calms: 3 * s,
+            leaves: 600 * s,
+            word: 300 * s,
+            most: 4_096,
+        }
     }
 }
 
@@ -100,7 +106,11 @@
 
 impl Place {
     pub fn new(now: Ns, me: Life, rules: Rules) -> Place {
-        let me = Row { who: me, entry: 0, belongs: true };
+        let me = Row {
+            who: me,
+            entry: 0,
+            belongs: true,
+        };
         Place {
             me,
             rules,
@@ -130,17 +140,23 @@
 
     /// Who belongs and is not reached.
     pub fn missing(&self, now: Ns) -> impl Iterator<Item = &str> {
-        self.members().filter(move |m| !self.reaches(now, m)).map(|m| m.row.who.name.as_str())
+        self.members()
+            .filter(move |m| !self.reaches(now, m))
+            .map(|m| m.row.who.name.as_str())
     }
 
     /// Who is heard here but says that it does not hear us.
     pub fn deaf_to_us(&self, now: Ns) -> impl Iterator<Item = &str> {
-        self.members().filter(move |m| m.lives && self.misses_us(now, m)).map(|m| m.row.who.name.as_str())
+        self.members()
+            .filter(move |m| m.lives && self.misses_us(now, m))
+            .map(|m| m.row.who.name.as_str())
     }
 
     /// Who came back too often or too lately to count.
     pub fn unsteady(&self, now: Ns) -> impl Iterator<Item = &str> {
-        self.members().filter(move |m| m.lives && !self.steady(now, m)).map(|m| m.row.who.name.as_str())
+        self.members()
+            .filter(move |m| m.lives && !self.steady(now, m))
+            .map(|m| m.row.who.name.as_str())
     }
 
     pub fn disputes(&self, now: Ns) -> Vec<Dispute> {
@@ -151,18 +167,33 @@
             let (since, (_, view)) = (member.differs?.since, member.said.as_ref()?);
             let theirs: BTreeSet<&str> = view.missing.iter().map(String::as_str).collect();
             let only = |one: &BTreeSet<&str>, other: &BTreeSet<&str>| {
-                one.difference(other).take(NAMED).map(|name| name.to_string()).collect()
+                one.difference(other)
+                    .take(NAMED)
+                    .map(|name| name.to_string())
+                    .collect()
             };
             let with = member.row.who.name.clone();
             let (it_misses, we_miss) = (only(&theirs, &ours), only(&ours, &theirs));
-            Some(Dispute { with, since, it_misses, we_miss, roster: view.roster != roster })
+            Some(Dispute {
+                with,
+                since,
+                it_misses,
+                we_miss,
+                roster: view.roster != roster,
+            })
         };
-        self.members().filter(|member| self.disputes_with(now, member)).filter_map(of).collect()
+        self.members()
+            .filter(|member| self.disputes_with(now, member))
+            .filter_map(of)
+            .collect()
     }
 
     /// Whether one that is reached has seen it otherwise for long enough, and said so again.
     fn disputes_with(&self, now: Ns, member: &Member) -> bool {
-        member.differs.is_some_and(|difference| difference.confirmed) && self.reaches(now, member)
+        member
+            .differs
+            .is_some_and(|difference| difference.confirmed)
+            && self.reaches(now, member)
     }
 
     /// Whether its last view differed when it was heard, and is what we see by now.
@@ -173,7 +204,10 @@
 
     /// Differences that our own news has ended since.
     fn drop_settled(&mut self) {
-        let settled = self.roster.notable().filter(|member| self.has_settled(member));
+        let settled = self
+            .roster
+            .notable()
+            .filter(|member| self.has_settled(member));
         let settled: Vec<String> = settled.map(|member| member.row.who.name.clone()).collect();
         for name in settled {
             self.roster.update(&name, |member| member.differs = None);
@@ -204,7 +238,9 @@
     }
 
     fn misses_us(&self, now: Ns, member: &Member) -> bool {
-        member.misses_us.is_some_and(|at| now.saturating_sub(at) < self.rules.word)
+        member
+            .misses_us
+            .is_some_and(|at| now.saturating_sub(at) < self.rules.word)
     }
 
     fn reaches(&self, now: Ns, member: &Member) -> bool {
@@ -240,14 +276,26 @@
 
     /// One that lives belongs, unless its row says otherwise.
     fn meet(&mut self, now: Ns, who: &Life) {
-        let known = self.roster.get(&who.name).is_some_and(|member| member.row.who.life >= who.life);
+        let known = self
+            .roster
+            .get(&who.name)
+            .is_some_and(|member| member.row.who.life >= who.life);
         if !known {
-            self.learn(now, Row { who: who.clone(), entry: 0, belongs: true });
+            self.learn(
+                now,
+                Row {
+                    who: who.clone(),
+                    entry: 0,
+                    belongs: true,
+                },
+            );
         }
     }
 
     fn set_lives(&mut self, now: Ns, name: &str, who: Option<&Life>) {
-        let Some(member) = self.roster.get(name) else { return };
+        let Some(member) = self.roster.get(name) else {
+            return;
+        };
         let lives = who.is_some_and(|who| *who == member.row.who);
         if lives == member.lives {
             return;
@@ -265,7 +313,9 @@
     /// Who lives need not go; who has been steady for far longer than it had to be is forgiven a step.
     fn forgive(&mut self, now: Ns) {
         for name in self.roster.notable_names() {
-            let Some(member) = self.roster.get(&name).filter(|member| member.lives) else { continue };
+            let Some(member) = self.roster.get(&name).filter(|member| member.lives) else {
+                continue;
+            };
             let wait = self.steady_after(member);
             let steady = member.flaps > 0 && now.saturating_sub(member.since) > 8 * wait;
             if !steady && member.out.is_empty() {
@@ -282,15 +332,29 @@
 
     /// Our name was known under a later life: ours is this one now.
     pub fn reborn(&mut self, who: &Life) {
-        self.me = Row { who: who.clone(), entry: 0, belongs: true };
+        self.me = Row {
+            who: who.clone(),
+            entry: 0,
+            belongs: true,
+        };
         self.roster.forget_digests(true);
     }
 
     /// It said goodbye.
     pub fn left(&mut self, now: Ns, who: &Life) {
-        let row = self.roster.get(&who.name).map(|member| member.row.clone()).filter(|row| row.who == *who);
+        let row = self
+            .roster
+            .get(&who.name)
+            .map(|member| member.row.clone())
+            .filter(|row| row.who == *who);
         if let Some(row) = row {
-            self.learn(now, Row { belongs: false, ..row });
+            self.learn(
+                now,
+                Row {
+                    belongs: false,
+                    ..row
+                },
+            );
         }
     }
 
@@ -337,18 +401,28 @@
     /// differ, so that both learn whether they still do; at once where they agree and what we told it last does not, so
     /// that it learns that they do.
     pub fn heard(&mut self, now: Ns, from: &Life, mut view: View) -> Option<Ns> {
-        view.rows.drain(..).take(ROWS).for_each(|row| self.learn(now, row));
+        view.rows
+            .drain(..)
+            .take(ROWS)
+            .for_each(|row| self.learn(now, row));
         view.missing.truncate(NAMED);
         view.missing.retain(|name| name.len() <= NAME);
         for (name, life, entry) in std::mem::take(&mut view.out).into_iter().take(NAMED) {
             let meant = |member: &Member| (member.row.who.life, member.row.entry) == (life, entry);
-            if self.roster.get(&name).is_some_and(|member| !member.lives && meant(member)) {
+            if self
+                .roster
+                .get(&name)
+                .is_some_and(|member| !member.lives && meant(member))
+            {
                 self.roster.update(&name, |member| {
                     member.out.insert(from.name.clone(), now);
                 });
             }
         }
-        let member = self.roster.get(&from.name).filter(|member| member.row.who == *from)?;
+        let member = self
+            .roster
+            .get(&from.name)
+            .filter(|member| member.row.who == *from)?;
         let misses_us = view.missing.contains(&self.me.who.name);
         let ours = self.roster.digests(&self.me);
         let differs = Digests::from(&view) != ours;
@@ -370,11 +444,19 @@
     pub fn view(&mut self, now: Ns, to: &Life) -> View {
         let missing = self.members().filter(|member| !member.lives);
         let missing: Vec<String> = missing.map(|member| member.row.who.name.clone()).collect();
-        let out = self.members().filter(|member| self.long_missed(now, member));
-        let out = out.take(NAMED).map(|m| (m.row.who.name.clone(), m.row.who.life, m.row.entry)).collect();
+        let out = self
+            .members()
+            .filter(|member| self.long_missed(now, member));
+        let out = out
+            .take(NAMED)
+            .map(|m| (m.row.who.name.clone(), m.row.who.life, m.row.entry))
+            .collect();
         let digests = self.roster.digests(&self.me);
         let Digests { roster, living } = digests;
-        let said = self.roster.get(&to.name).and_then(|member| member.said.as_ref());
+        let said = self
+            .roster
+            .get(&to.name)
+            .and_then(|member| member.said.as_ref());
         let alike = said.is_some_and(|(_, view)| view.roster == roster);
         let many = if alike { 1 } else { ROWS };
         let mut rows = vec![self.me.clone()];
@@ -382,11 +464,23 @@
         rows.extend(behind.take(many - 1).map(|member| member.row.clone()));
         if !alike {
             let through = rows.len() < ROWS;
-            self.told = if through { String::new() } else { rows[ROWS - 1].who.name.clone() };
+            self.told = if through {
+                String::new()
+            } else {
+                rows[ROWS - 1].who.name.clone()
+            };
         }
-        self.roster.update(&to.name, |member| member.told = Some(digests));
+        self.roster
+            .update(&to.name, |member| member.told = Some(digests));
         let missed = missing.len() as u32;
-        View { roster, living, missing: missing.into_iter().take(NAMED).collect(), missed, out, rows }
+        View {
+            roster,
+            living,
+            missing: missing.into_iter().take(NAMED).collect(),
+            missed,
+            out,
+            rows,
+        }
     }
 
     fn long_missed(&self, now: Ns, member: &Member) -> bool {
@@ -426,20 +520,32 @@
         let (leaves, word) = (self.rules.leaves, self.rules.word);
         let old = |at: Ns| now.saturating_sub(at) >= word;
         for name in self.roster.notable_names() {
-            let Some(member) = self.roster.get(&name) else { continue };
+            let Some(member) = self.roster.get(&name) else {
+                continue;
+            };
             if !member.row.belongs && now.saturating_sub(member.since) >= leaves {
                 self.roster.remove(&name);
             } else if member.out.values().any(|at| old(*at)) {
-                self.roster.update(&name, |member| member.out.retain(|_, at| !old(*at)));
+                self.roster
+                    .update(&name, |member| member.out.retain(|_, at| !old(*at)));
             }
         }
-        while let Some(name) = self.roster.oldest_view().filter(|(at, _)| old(*at)).map(|(_, name)| name) {
-            self.roster.update(&name, |member| (member.said, member.differs) = (None, None));
+        while let Some(name) = self
+            .roster
+            .oldest_view()
+            .filter(|(at, _)| old(*at))
+            .map(|(_, name)| name)
+        {
+            self.roster
+                .update(&name, |member| (member.said, member.differs) = (None, None));
         }
     }
 
     fn seen(&self, now: Ns) -> Standing {
-        let unreached = self.members().filter(|member| member.lives && !self.reaches(now, member)).count();
+        let unreached = self
+            .members()
+            .filter(|member| member.lives && !self.reaches(now, member))
+            .count();
         let reached = 1 + self.roster.count_living() - unreached;
         if reached == 1 {
             Standing::Alone
@@ -456,12 +562,27 @@
     fn vote_out(&mut self, now: Ns) {
         let (belong, word) = (self.belong(), self.rules.word);
         let lasts = |at: &Ns| now.saturating_sub(*at) < word;
-        let belongs = |name: &str| self.roster.get(name).is_some_and(|member| member.row.belongs);
-        let out = self.members().filter(|member| self.long_missed(now, member)).filter(|member| {
-            let by = member.out.iter().filter(|(name, at)| belongs(name) && lasts(at));
-            2 * (1 + by.count()) > belong
-        });
-        let out: Vec<Row> = out.map(|member| Row { belongs: false, ..member.row.clone() }).collect();
+        let belongs = |name: &str| {
+            self.roster
+                .get(name)
+                .is_some_and(|member| member.row.belongs)
+        };
+        let out = self
+            .members()
+            .filter(|member| self.long_missed(now, member))
+            .filter(|member| {
+                let by = member
+                    .out
+                    .iter()
+                    .filter(|(name, at)| belongs(name) && lasts(at));
+                2 * (1 + by.count()) > belong
+            });
+        let out: Vec<Row> = out
+            .map(|member| Row {
+                belongs: false,
+                ..member.row.clone()
+            })
+            .collect();
         out.into_iter().for_each(|row| self.learn(now, row));
     }
 }
--- a/crates/fellows/src/swim.rs
+++ b/crates/fellows/src/swim.rs
@@ -49,7 +49,13 @@
 impl Default for Rules {
     fn default() -> Rules {
         let ms = 1_000_000;
-        Rules { period: 500 * ms, answer: 150 * ms, helpers: 3, most: 4_096, keep_gone: 600_000 * ms }
+        Rules {
+            period: 500 * ms,
+            answer: 150 * ms,
+            helpers: 3,
+            most: 4_096,
+            keep_gone: 600_000 * ms,
+        }
     }
 }
 
@@ -111,7 +117,11 @@
         let peers = Peers::new(rules.most);
         let mut fellows = Fellows {
             rules,
-            me: News { round: 0, state: State::Lives, ..me },
+            me: News {
+                round: 0,
+                state: State::Lives,
+                ..me
+            },
             peers,
             seeds,
             turn: Vec::new(),
@@ -144,7 +154,11 @@
 
     /// The one that lives and follows this name; behind the last one, the first.
     pub fn living_after(&self, name: &str) -> Option<&News> {
-        let next = self.peers.living_after(name).chain(self.peers.living_after("")).next();
+        let next = self
+            .peers
+            .living_after(name)
+            .chain(self.peers.living_after(""))
+            .next();
         next.map(|(news, _)| news)
     }
 
@@ -154,7 +168,8 @@
 
     /// Whether this life is known and not gone.
     pub fn lives(&self, who: &Life) -> bool {
-        self.get(&who.name).is_some_and(|news| news.who == *who && news.is_there())
+        self.get(&who.name)
+            .is_some_and(|news| news.who == *who && news.is_there())
     }
 
     /// Of whom something changed since this was last asked.
@@ -203,7 +218,14 @@
         self.me.state = State::Left;
         let about = vec![self.me.clone()];
         for (to, at) in self.some(self.rules.helpers.max(3), None) {
-            self.say(to, at, Talk::Table { about: about.clone(), more: false });
+            self.say(
+                to,
+                at,
+                Talk::Table {
+                    about: about.clone(),
+                    more: false,
+                },
+            );
         }
     }
 
@@ -216,7 +238,9 @@
                 let (to, at) = (from.clone(), me.at);
                 if fellow {
                     self.learn(now, me, from);
-                    about.into_iter().for_each(|news| self.learn(now, news, from));
+                    about
+                        .into_iter()
+                        .for_each(|news| self.learn(now, news, from));
                 } else {
                     self.challenge(now, from, at);
                     // What a stranger holds against us may be refuted all the same.
@@ -227,7 +251,15 @@
                         .for_each(|news| self.learn_of_us(news));
                 }
                 let about = self.pack(&to);
-                self.say(to, at, Talk::Ack { nonce, me: self.me.clone(), about });
+                self.say(
+                    to,
+                    at,
+                    Talk::Ack {
+                        nonce,
+                        me: self.me.clone(),
+                        about,
+                    },
+                );
             }
             Talk::Ack { nonce, me, about } if me.who == *from => {
                 return self.answered(now, from, nonce, me, about)
@@ -242,7 +274,9 @@
             Talk::Want { after } => self.tell_table(from, &after),
             Talk::Table { about, more } => {
                 let last = about.last().map(|news| news.who.name.clone());
-                about.into_iter().for_each(|news| self.learn(now, news, from));
+                about
+                    .into_iter()
+                    .for_each(|news| self.learn(now, news, from));
                 self.fetch_next(from, last.filter(|_| more));
             }
             Talk::Hello { .. } | Talk::Ping { .. } | Talk::Ack { .. } => return false,
@@ -285,7 +319,11 @@
             } else {
                 self.slower(1 + probe.unheard as u32);
                 let by = State::Suspected(self.me.who.name.clone());
-                if let Some(news) = self.get(&probe.who.name).filter(|news| news.who == probe.who).cloned() {
+                if let Some(news) = self
+                    .get(&probe.who.name)
+                    .filter(|news| news.who == probe.who)
+                    .cloned()
+                {
                     let by_us = self.me.who.clone();
                     self.learn(now, News { state: by, ..news }, &by_us);
                 }
@@ -297,9 +335,25 @@
         self.look_round();
         if let Some((who, at)) = self.next_in_turn() {
             let (nonce, about) = (self.nonce(), self.pack(&who));
-            self.say(who.clone(), at, Talk::Ping { nonce, me: self.me.clone(), about });
-            self.probe = Some(Probe { nonce, who, answered: false, unheard: 0 });
-            self.at(now + self.stretched(self.rules.answer), Due::NoAnswer(nonce));
+            self.say(
+                who.clone(),
+                at,
+                Talk::Ping {
+                    nonce,
+                    me: self.me.clone(),
+                    about,
+                },
+            );
+            self.probe = Some(Probe {
+                nonce,
+                who,
+                answered: false,
+                unheard: 0,
+            });
+            self.at(
+                now + self.stretched(self.rules.answer),
+                Due::NoAnswer(nonce),
+            );
         }
         self.at(now + self.stretched(self.rules.period), Due::Period);
     }
@@ -325,13 +379,29 @@
     fn look_round(&mut self) {
         let alone = self.peers.count_living() == 0;
         if alone || self.periods.is_multiple_of(LOOK) {
-            let gone = self.peers.gone().filter(|peer| peer.news.state == State::Gone);
-            let places = self.seeds.iter().copied().chain(gone.map(|peer| peer.news.at));
+            let gone = self
+                .peers
+                .gone()
+                .filter(|peer| peer.news.state == State::Gone);
+            let places = self
+                .seeds
+                .iter()
+                .copied()
+                .chain(gone.map(|peer| peer.news.at));
             let met = |at: &SocketAddr| *at == self.me.at || self.peers.lives_at(at);
             let places: Vec<SocketAddr> = places.filter(|at| !met(at)).collect();
             if let Some(at) = self.pick(&places) {
-                let nobody = Life { name: String::new(), life: 0 };
-                self.say(nobody, at, Talk::Hello { me: self.me.clone() });
+                let nobody = Life {
+                    name: String::new(),
+                    life: 0,
+                };
+                self.say(
+                    nobody,
+                    at,
+                    Talk::Hello {
+                        me: self.me.clone(),
+                    },
+                );
             }
         }
         if self.periods.is_multiple_of(REFRESH) {
@@ -339,9 +409,19 @@
             // A fetch that lost a message ends here.
             self.catching_up.clear();
             let from = self.some(1, None);
-            let after = from.into_iter().next().map(|(who, _)| who.name).unwrap_or_default();
+            let after = from
+                .into_iter()
+                .next()
+                .map(|(who, _)| who.name)
+                .unwrap_or_default();
             for (to, at) in self.some(1, None) {
-                self.say(to, at, Talk::Want { after: after.clone() });
+                self.say(
+                    to,
+                    at,
+                    Talk::Want {
+                        after: after.clone(),
+                    },
+                );
             }
         }
     }
@@ -355,24 +435,41 @@
     fn some(&mut self, many: usize, without: Option<&Life>) -> Vec<(Life, SocketAddr)> {
         let without = without.map(|who| who.name.as_str());
         let drawn = self.peers.draw(&mut self.chance, many, without);
-        drawn.into_iter().map(|news| (news.who.clone(), news.at)).collect()
+        drawn
+            .into_iter()
+            .map(|news| (news.who.clone(), news.at))
+            .collect()
     }
 
     fn no_answer(&mut self, nonce: u64, late: bool) {
-        let Some(probe) = self.probe.as_ref().filter(|probe| probe.nonce == nonce && !probe.answered) else {
+        let Some(probe) = self
+            .probe
+            .as_ref()
+            .filter(|probe| probe.nonce == nonce && !probe.answered)
+        else {
             return;
         };
         if late {
             return;
         }
         let who = probe.who.clone();
-        let Some(at) = self.get(&who.name).map(|news| news.at) else { return };
+        let Some(at) = self.get(&who.name).map(|news| news.at) else {
+            return;
+        };
         let helpers = self.some(self.rules.helpers, Some(&who));
         if let Some(probe) = &mut self.probe {
             probe.unheard = helpers.len();
         }
         for (helper, its) in helpers {
-            self.say(helper, its, Talk::Ask { nonce, who: who.clone(), at });
+            self.say(
+                helper,
+                its,
+                Talk::Ask {
+                    nonce,
+                    who: who.clone(),
+                    at,
+                },
+            );
         }
     }
 
@@ -381,8 +478,22 @@
             return;
         }
         let (own, about) = (self.nonce(), self.pack(&who));
-        self.waits.insert(own, Waits::For { asker: asker.clone(), nonce });
-        self.say(who, at, Talk::Ping { nonce: own, me: self.me.clone(), about });
+        self.waits.insert(
+            own,
+            Waits::For {
+                asker: asker.clone(),
+                nonce,
+            },
+        );
+        self.say(
+            who,
+            at,
+            Talk::Ping {
+                nonce: own,
+                me: self.me.clone(),
+                about,
+            },
+        );
         self.at(now + self.rules.answer, Due::Nack(own));
         self.at(now + 4 * self.rules.period, Due::Expires(own));
     }
@@ -407,10 +518,26 @@
         let (nonce, about) = (self.nonce(), self.pack(who));
         if there {
             // It does not know us, or thinks us gone: our ping is its reason to ask us.
-            return self.say(who.clone(), at, Talk::Ping { nonce, me: self.me.clone(), about });
+            return self.say(
+                who.clone(),
+                at,
+                Talk::Ping {
+                    nonce,
+                    me: self.me.clone(),
+                    about,
+                },
+            );
         }
         self.waits.insert(nonce, Waits::Stranger(who.clone()));
-        self.say(who.clone(), at, Talk::Ping { nonce, me: self.me.clone(), about });
+        self.say(
+            who.clone(),
+            at,
+            Talk::Ping {
+                nonce,
+                me: self.me.clone(),
+                about,
+            },
+        );
         self.at(now + 4 * self.rules.period, Due::Expires(nonce));
     }
 
@@ -419,19 +546,38 @@
             Some(Waits::Stranger(who)) if who == *from => {
                 let at = me.at;
                 self.learn(now, me, from);
-                if self.get(&from.name).is_some_and(|news| news.who == *from && news.is_there()) {
-                    about.into_iter().for_each(|news| self.learn(now, news, from));
+                if self
+                    .get(&from.name)
+                    .is_some_and(|news| news.who == *from && news.is_there())
+                {
+                    about
+                        .into_iter()
+                        .for_each(|news| self.learn(now, news, from));
                     // What happened while we did not know each other.
                     if self.catching_up.len() < WAITING {
                         self.catching_up.insert(from.clone());
                     }
-                    self.say(from.clone(), at, Talk::Want { after: String::new() });
+                    self.say(
+                        from.clone(),
+                        at,
+                        Talk::Want {
+                            after: String::new(),
+                        },
+                    );
                 }
                 return true;
             }
             Some(Waits::For { asker, nonce }) => {
                 if let Some(at) = self.get(&asker.name).map(|news| news.at) {
-                    self.say(asker, at, Talk::Ack { nonce, me: self.me.clone(), about: vec![me] });
+                    self.say(
+                        asker,
+                        at,
+                        Talk::Ack {
+                            nonce,
+                            me: self.me.clone(),
+                            about: vec![me],
+                        },
+                    );
                 }
                 return true;
             }
@@ -441,7 +587,9 @@
             }
             None => {}
         }
-        let Some(probe) = self.probe.as_mut().filter(|probe| probe.nonce == nonce) else { return false };
+        let Some(probe) = self.probe.as_mut().filter(|probe| probe.nonce == nonce) else {
+            return false;
+        };
         // From itself, or a helper's word for it.
         let itself = probe.who == *from;
         let for_it = about.first().is_some_and(|news| news.who == probe.who);
@@ -450,7 +598,9 @@
         }
         probe.answered = true;
         self.learn(now, me, from);
-        about.into_iter().for_each(|news| self.learn(now, news, from));
+        about
+            .into_iter()
+            .for_each(|news| self.learn(now, news, from));
         true
     }
 
@@ -468,7 +618,9 @@
     }
 
     fn tell_table(&mut self, to: &Life, after: &str) {
-        let Some(at) = self.get(&to.name).map(|news| news.at) else { return };
+        let Some(at) = self.get(&to.name).map(|news| news.at) else {
+            return;
+        };
         let mut left = crate::wire::room(&self.me.who, to);
         let mut about = Vec::new();
         let mut rest = self.peers.living_after(after).peekable();
@@ -494,7 +646,9 @@
             }
         }
         self.gossip.fill(often, |name| {
-            let Some((news, size)) = peers.news_with_size(name) else { return Offer::Obsolete };
+            let Some((news, size)) = peers.news_with_size(name) else {
+                return Offer::Obsolete;
+            };
             if name == to.name {
                 return Offer::Skipped;
             }
@@ -592,8 +746,8 @@
             let us = self.me.who.clone();
             return self.told(Event::Reborn(us));
         }
-        let refutes =
-            matches!(news.state, State::Suspected(_) | State::Gone) && self.me.state == State::Lives;
+        let refutes = matches!(news.state, State::Suspected(_) | State::Gone)
+            && self.me.state == State::Lives;
         if news.who.life == self.me.who.life && refutes && news.round >= self.me.round {
             // Our own pings and answers carry it from now on.
             self.me.round = news.round.saturating_add(1);
@@ -608,7 +762,12 @@
             State::Suspected(by) => BTreeSet::from([by.clone()]),
             _ => BTreeSet::new(),
         };
-        self.peers.insert(Peer { news, since: now, doubted, doubted_at: now });
+        self.peers.insert(Peer {
+            news,
+            since: now,
+            doubted,
+            doubted_at: now,
+        });
         self.gossip.add(&who.name);
         if !there {
             self.forget_later(now, &who.name);
@@ -629,7 +788,11 @@
         if self.peers.len() < self.rules.most {
             return true;
         }
-        let longest = self.peers.gone().min_by_key(|peer| peer.since).map(|peer| peer.news.who.name.clone());
+        let longest = self
+            .peers
+            .gone()
+            .min_by_key(|peer| peer.since)
+            .map(|peer| peer.news.who.name.clone());
         match longest {
             Some(name) => {
                 self.remove(&name);
@@ -663,20 +826,29 @@
 
     /// Until when one is suspected: the more others confirm it, the shorter, by Lifeguard's logarithm.
     fn suspicion(&mut self, now: Ns, who: Life, round: u32) {
-        let Some(peer) = self.peers.get(&who.name) else { return };
+        let Some(peer) = self.peers.get(&who.name) else {
+            return;
+        };
         let many = self.peers.count_living() as f64 + 1.0;
         let least = SUSPECTED * many.log10().max(1.0) * self.rules.period as f64;
         let most = SUSPECTED_AT_MOST * least;
         let confirm = CONFIRM.min((many as usize).saturating_sub(2));
         let others = peer.doubted.len().saturating_sub(1) as f64;
-        let shorter = if confirm == 0 { 1.0 } else { (others + 1.0).ln() / (confirm as f64 + 1.0).ln() };
+        let shorter = if confirm == 0 {
+            1.0
+        } else {
+            (others + 1.0).ln() / (confirm as f64 + 1.0).ln()
+        };
         let wait = (most - (most - least) * shorter).max(least);
         let until = (peer.doubted_at + wait as Ns).max(now);
         self.at(until, Due::Suspicion(who, round));
     }
 
     fn condemn(&mut self, now: Ns, who: Life, round: u32, late: bool) {
-        let Some(news) = self.get(&who.name).filter(|news| news.who == who && news.round == round) else {
+        let Some(news) = self
+            .get(&who.name)
+            .filter(|news| news.who == who && news.round == round)
+        else {
             return;
         };
         if !matches!(news.state, State::Suspected(_)) {
@@ -686,14 +858,22 @@
             // A refutation may lie unread: one more period.
             return self.at(now + self.rules.period, Due::Suspicion(who, round));
         }
-        let (gone, us) = (News { state: State::Gone, ..news.clone() }, self.me.who.clone());
+        let (gone, us) = (
+            News {
+                state: State::Gone,
+                ..news.clone()
+            },
+            self.me.who.clone(),
+        );
         self.learn(now, gone, &us);
     }
 }
 
 /// Whether this is one more suspicion of the same life and round, of the first few.
 fn confirms(news: &News, known: &Peer) -> bool {
-    let (State::Suspected(one), State::Suspected(_)) = (&news.state, &known.news.state) else { return false };
+    let (State::Suspected(one), State::Suspected(_)) = (&news.state, &known.news.state) else {
+        return false;
+    };
     news.round == known.news.round && known.doubted.len() < CONFIRM && !known.doubted.contains(one)
 }
 
--- a/crates/fellows/src/views.rs
+++ b/crates/fellows/src/views.rs
@@ -34,7 +34,12 @@
 impl Views {
     pub fn new(now: Ns, me: Life, rules: Rules) -> Views {
         let told = me.name.clone();
-        Views { place: Place::new(now, me, rules), periods: 0, told, follow_ups: FollowUps::default() }
+        Views {
+            place: Place::new(now, me, rules),
+            periods: 0,
+            told,
+            follow_ups: FollowUps::default(),
+        }
     }
 
     pub fn place(&self) -> &Place {
@@ -67,11 +72,19 @@
     pub fn tick(&mut self, now: Ns, node: &mut Node) -> Option<Change> {
         self.learn_who_lives(now, node);
         let change = self.place.look(now).map(|(was, is)| Change { was, is });
-        if let Some(to) = node.fellows().living_after(&self.told).map(|news| news.who.clone()) {
+        if let Some(to) = node
+            .fellows()
+            .living_after(&self.told)
+            .map(|news| news.who.clone())
+        {
             self.tell(now, node, &to);
             self.told = to.name;
         }
-        if let Some(to) = self.follow_ups.take_due(now).filter(|to| node.fellows().lives(to)) {
+        if let Some(to) = self
+            .follow_ups
+            .take_due(now)
+            .filter(|to| node.fellows().lives(to))
+        {
             self.tell(now, node, &to);
         }
         change
@@ -89,8 +102,12 @@
         let peers = node.fellows();
         match changes {
             Changes::Names(names) if !self.periods.is_multiple_of(RESYNC) => {
-                let who =
-                    |name: &String| peers.get(name).map(|news| &news.who).filter(|who| peers.lives(who));
+                let who = |name: &String| {
+                    peers
+                        .get(name)
+                        .map(|news| &news.who)
+                        .filter(|who| peers.lives(who))
+                };
                 let changed = names.iter().map(|name| (name.as_str(), who(name)));
                 self.place.living_changed(now, changed);
             }
--- a/crates/fellows/src/wire.rs
+++ b/crates/fellows/src/wire.rs
@@ -168,7 +168,11 @@
     if bytes.len() > way.longest() {
         return Err(Refused::TooLong);
     }
-    let Some((body, sum)) = bytes.len().checked_sub(SUM).filter(|at| *at > 1).map(|at| bytes.split_at(at))
+    let Some((body, sum)) = bytes
+        .len()
+        .checked_sub(SUM)
+        .filter(|at| *at > 1)
+        .map(|at| bytes.split_at(at))
     else {
         return Err(Refused::TooShort);
     };
@@ -178,7 +182,11 @@
     let fits = |key: &&Key| {
         let own = blake3::keyed_hash(&key.0, body);
         // In the same time wherever they differ.
-        own.as_bytes()[..SUM].iter().zip(sum).fold(0, |differ, (a, b)| differ | (a ^ b)) == 0
+        own.as_bytes()[..SUM]
+            .iter()
+            .zip(sum)
+            .fold(0, |differ, (a, b)| differ | (a ^ b))
+            == 0
     };
     keys.iter().find(fits).ok_or(Refused::BadSum)?;
     let letter: Letter = postcard::from_bytes(&body[1..]).map_err(|_| Refused::Unreadable)?;
@@ -198,7 +206,10 @@
 
 impl Default for Seen {
     fn default() -> Seen {
-        Seen { newest: 0, ring: Box::new([0; WORDS]) }
+        Seen {
+            newest: 0,
+            ring: Box::new([0; WORDS]),
+        }
     }
 }
 
@@ -212,7 +223,10 @@
         let passed = word.saturating_sub(last).min(WORDS as u64);
         (0..passed).for_each(|n| self.ring[((word - n) % WORDS as u64) as usize] = 0);
         self.newest = self.newest.max(count);
-        let (at, bit) = (&mut self.ring[(word % WORDS as u64) as usize], 1 << (count % 64));
+        let (at, bit) = (
+            &mut self.ring[(word % WORDS as u64) as usize],
+            1 << (count % 64),
+        );
         let first = *at & bit == 0;
         *at |= bit;
         first
@@ -226,8 +240,17 @@
     use std::collections::HashSet;
 
     fn letter(body: Vec<u8>) -> Letter {
-        let life = |name: &str, life| Life { name: name.into(), life };
-        Letter { from: life("s-1", 7), to: life("s-2", 9), count: 3, kind: 1, body }
+        let life = |name: &str, life| Life {
+            name: name.into(),
+            life,
+        };
+        Letter {
+            from: life("s-1", 7),
+            to: life("s-2", 9),
+            count: 3,
+            kind: 1,
+            body,
+        }
     }
 
     #[test]
@@ -236,23 +259,44 @@
         let keys = std::slice::from_ref(&key);
         let whole = letter(vec![1, 2, 3]);
         let bytes = seal(&key, &whole, Way::Datagram).unwrap();
-        assert_eq!(open(&[Key::new([8; 32]), key.clone()], &bytes, Way::Datagram), Ok(whole));
+        assert_eq!(
+            open(&[Key::new([8; 32]), key.clone()], &bytes, Way::Datagram),
+            Ok(whole)
+        );
         for at in 0..bytes.len() {
             assert!(open(keys, &bytes[..at], Way::Datagram).is_err());
             for bit in 0..8 {
                 let mut changed = bytes.clone();
                 changed[at] ^= 1 << bit;
-                assert!(open(keys, &changed, Way::Datagram).is_err(), "byte {at}, bit {bit}");
+                assert!(
+                    open(keys, &changed, Way::Datagram).is_err(),
+                    "byte {at}, bit {bit}"
+                );
             }
         }
-        assert_eq!(open(&[Key::new([8; 32])], &bytes, Way::Datagram), Err(Refused::BadSum));
+        assert_eq!(
+            open(&[Key::new([8; 32])], &bytes, Way::Datagram),
+            Err(Refused::BadSum)
+        );
         for way in [Way::Datagram, Way::Stream] {
-            assert_eq!(open(keys, &vec![1; way.longest() + 1], way), Err(Refused::TooLong));
+            assert_eq!(
+                open(keys, &vec![1; way.longest() + 1], way),
+                Err(Refused::TooLong)
+            );
             assert_eq!(seal(&key, &letter(vec![0; way.longest()]), way), None);
         }
         assert_eq!(open(keys, &bytes, Way::Stream), Err(Refused::OtherVersion));
         // A name from the wire may be longer than any of ours: no room, and no panic.
-        assert_eq!(room(&letter(vec![]).from, &Life { name: "n".repeat(LONGEST), life: 1 }), 0);
+        assert_eq!(
+            room(
+                &letter(vec![]).from,
+                &Life {
+                    name: "n".repeat(LONGEST),
+                    life: 1
+                }
+            ),
+            0
+        );
         let most = room(&letter(vec![]).from, &letter(vec![]).to);
         assert!(seal(&key, &letter(vec![0; most]), Way::Datagram).is_some());
     }
@@ -260,8 +304,14 @@
     #[test]
     fn keys_are_read_line_by_line() {
         let line = "0f".repeat(32);
-        assert_eq!(Key::read(&format!("# the new one\n{line}\n\n")), Ok(vec![Key::new([15; 32])]));
-        assert_eq!(Key::read(&format!("{line}\nshort\n")), Err(NotAKey { line: 2 }));
+        assert_eq!(
+            Key::read(&format!("# the new one\n{line}\n\n")),
+            Ok(vec![Key::new([15; 32])])
+        );
+        assert_eq!(
+            Key::read(&format!("{line}\nshort\n")),
+            Err(NotAKey { line: 2 })
+        );
         assert_eq!(Key::read("\n"), Err(NotAKey { line: 1 }));
         assert_eq!(format!("{:?}", Key::new([15; 32])), "Key(..)");
     }
--- a/crates/fellows/tests/follow_up.rs
+++ b/crates/fellows/tests/follow_up.rs
@@ -20,12 +20,22 @@
 impl Sidecar {
     fn new(now: Ns, at: SocketAddr, id: Id) -> Sidecar {
         let who = life(id);
-        let news = News { who: who.clone(), at, zone: "zone".into(), round: 0, state: State::Lives };
+        let news = News {
+            who: who.clone(),
+            at,
+            zone: "zone".into(),
+            round: 0,
+            state: State::Lives,
+        };
         let seeds = vec![Net::<Sidecar>::address(0)];
         let keys = vec![Key::new([7; 32])];
         let mut node = Node::new(now, id as u64, news, seeds, Membership::default(), keys);
         node.reads(VIEWS);
-        Sidecar { node, views: Views::new(now, who, Rules::default()), next_tick: now }
+        Sidecar {
+            node,
+            views: Views::new(now, who, Rules::default()),
+            next_tick: now,
+        }
     }
 
     fn take_events(&mut self, now: Ns) {
@@ -54,7 +64,11 @@
     }
 
     fn next_wake(&self) -> Option<Ns> {
-        self.node.next_wake().into_iter().chain([self.next_tick]).min()
+        self.node
+            .next_wake()
+            .into_iter()
+            .chain([self.next_tick])
+            .min()
     }
 
     fn datagram(&mut self) -> Option<(SocketAddr, Vec<u8>)> {
@@ -63,12 +77,22 @@
 }
 
 fn life(id: Id) -> Life {
-    Life { name: format!("s-{id:03}"), life: 1 }
+    Life {
+        name: format!("s-{id:03}"),
+        life: 1,
+    }
 }
 
 /// A view whose digests are nobody's.
 fn differing_view() -> View {
-    View { roster: 0, living: 0, missed: 0, missing: Vec::new(), out: Vec::new(), rows: Vec::new() }
+    View {
+        roster: 0,
+        living: 0,
+        missed: 0,
+        missing: Vec::new(),
+        out: Vec::new(),
+        rows: Vec::new(),
+    }
 }
 
 /// The place of sidecar 0 among five, and when it came to agree.
@@ -87,7 +111,11 @@
     let (mut place, now) = agreed_place();
     place.heard(now, &life(1), differing_view());
     for seconds in 0..290 {
-        assert_eq!(place.look(now + seconds * SECOND), None, "after {seconds} s");
+        assert_eq!(
+            place.look(now + seconds * SECOND),
+            None,
+            "after {seconds} s"
+        );
     }
     assert!(place.disputes(now + 290 * SECOND).is_empty());
 }
@@ -96,11 +124,15 @@
 fn agreed_after_a_common_start(size: usize, seconds: u64) -> Vec<f64> {
     let mut net = Net::new(1, Weather::default());
     for id in 0..size {
-        let clock = Clock { began: id as Ns * 77 * SECOND, drift_ppm: (id as i64 % 3 - 1) * 1_000 };
+        let clock = Clock {
+            began: id as Ns * 77 * SECOND,
+            drift_ppm: (id as i64 % 3 - 1) * 1_000,
+        };
         net.join(clock, |now, at| Sidecar::new(now, at, id));
     }
-    let agrees =
-        |net: &Net<Sidecar>, id: Id| net.part(id).unwrap().views.place().standing().0 == Standing::Agreed;
+    let agrees = |net: &Net<Sidecar>, id: Id| {
+        net.part(id).unwrap().views.place().standing().0 == Standing::Agreed
+    };
     let ends = (1..=seconds / 10).map(|tens| tens * 10 * SECOND);
     ends.map(|end| {
         net.run(end, |_, _| {});
@@ -112,18 +144,32 @@
 #[test]
 fn a_fleet_agrees_soon_after_a_common_start() {
     let shares = agreed_after_a_common_start(120, 60);
-    assert!(shares[3..].iter().all(|share| *share >= 0.95), "each ten seconds: {shares:?}");
+    assert!(
+        shares[3..].iter().all(|share| *share >= 0.95),
+        "each ten seconds: {shares:?}"
+    );
 }
 
 #[test]
 fn a_difference_that_stays_is_a_dispute_once_a_second_view_says_so() {
     let (mut place, now) = agreed_place();
     let settles = Rules::default().settles;
-    assert_eq!(place.heard(now, &life(1), differing_view()), Some(now + settles), "asked again later");
+    assert_eq!(
+        place.heard(now, &life(1), differing_view()),
+        Some(now + settles),
+        "asked again later"
+    );
     place.heard(now + settles - 1, &life(1), differing_view());
-    assert_eq!(place.look(now + settles), None, "too early to say that it stays");
+    assert_eq!(
+        place.look(now + settles),
+        None,
+        "too early to say that it stays"
+    );
     place.heard(now + settles, &life(1), differing_view());
-    assert_eq!(place.look(now + settles), Some((Standing::Agreed, Standing::Disputed)));
+    assert_eq!(
+        place.look(now + settles),
+        Some((Standing::Agreed, Standing::Disputed))
+    );
 }
 
 #[test]
@@ -169,11 +215,21 @@
 
     let at = now + settles;
     let asked = place.heard(at, &life(1), peer.view(at, &life(0))).unwrap();
-    let answered = peer.heard(asked, &life(0), place.view(asked, &life(1))).unwrap();
+    let answered = peer
+        .heard(asked, &life(0), place.view(asked, &life(1)))
+        .unwrap();
     assert_eq!((asked - at, answered - asked), (settles, settles));
-    let asked_again = place.heard(answered, &life(1), peer.view(answered, &life(0))).unwrap();
-    assert_eq!(place.look(answered), Some((Standing::Agreed, Standing::Disputed)));
+    let asked_again = place
+        .heard(answered, &life(1), peer.view(answered, &life(0)))
+        .unwrap();
+    assert_eq!(
+        place.look(answered),
+        Some((Standing::Agreed, Standing::Disputed))
+    );
     peer.heard(asked_again, &life(0), place.view(asked_again, &life(1)));
-    assert_eq!(peer.look(asked_again), Some((Standing::Agreed, Standing::Disputed)));
+    assert_eq!(
+        peer.look(asked_again),
+        Some((Standing::Agreed, Standing::Disputed))
+    );
     assert_eq!(asked_again - at, 3 * settles);
 }
--- a/crates/fellows/tests/simulated.rs
+++ b/crates/fellows/tests/simulated.rs
@@ -35,13 +35,36 @@
 
 impl Fellow {
     fn new(now: Ns, at: SocketAddr, name: &str, life: u64, key: u8) -> Fellow {
-        let who = Life { name: name.into(), life };
-        let me = News { who, at, zone: "z".into(), round: 0, state: State::Lives };
+        let who = Life {
+            name: name.into(),
+            life,
+        };
+        let me = News {
+            who,
+            at,
+            zone: "z".into(),
+            round: 0,
+            state: State::Lives,
+        };
         let seeds = vec![Net::<Fellow>::address(0)];
-        let seed =
-            u64::from(key) << 32 | at.ip().to_string().bytes().fold(life, |sum, byte| sum * 31 + byte as u64);
-        let node = Node::new(now, seed, me, seeds, Rules::default(), vec![Key::new([key; 32])]);
-        Fellow { node, told: Vec::new(), came: Vec::new() }
+        let seed = u64::from(key) << 32
+            | at.ip()
+                .to_string()
+                .bytes()
+                .fold(life, |sum, byte| sum * 31 + byte as u64);
+        let node = Node::new(
+            now,
+            seed,
+            me,
+            seeds,
+            Rules::default(),
+            vec![Key::new([key; 32])],
+        );
+        Fellow {
+            node,
+            told: Vec::new(),
+            came: Vec::new(),
+        }
     }
 
     fn look(&mut self, now: Ns) {
@@ -53,11 +76,18 @@
     }
 
     fn names(&self) -> Vec<String> {
-        self.node.fellows().living().map(|news| news.who.name.clone()).collect()
+        self.node
+            .fellows()
+            .living()
+            .map(|news| news.who.name.clone())
+            .collect()
     }
 
     fn lost(&self) -> usize {
-        self.told.iter().filter(|(_, event)| matches!(event, Event::Lost(_))).count()
+        self.told
+            .iter()
+            .filter(|(_, event)| matches!(event, Event::Lost(_)))
+            .count()
     }
 }
 
@@ -69,7 +99,10 @@
     let mut net = Net::new(seed, weather);
     for id in 0..many {
         // Clocks that never agree: other starts, and up to a thousandth fast or slow.
-        let clock = Clock { began: id as Ns * 77 * S, drift_ppm: (id as i64 % 3 - 1) * 1_000 };
+        let clock = Clock {
+            began: id as Ns * 77 * S,
+            drift_ppm: (id as i64 % 3 - 1) * 1_000,
+        };
         net.join(clock, |now, at| Fellow::new(now, at, &name(id), 1, 7));
     }
     net
@@ -79,7 +112,11 @@
 fn agree(net: &Net<Fellow>, ids: &[Id]) -> bool {
     let all: Vec<String> = ids.iter().map(|id| name(*id)).collect();
     ids.iter().all(|id| {
-        let others: Vec<String> = all.iter().filter(|other| **other != name(*id)).cloned().collect();
+        let others: Vec<String> = all
+            .iter()
+            .filter(|other| **other != name(*id))
+            .cloned()
+            .collect();
         net.part(*id).is_some_and(|part| part.names() == others)
     })
 }
@@ -88,13 +125,28 @@
 fn all_meet_through_one_address_and_nobody_is_lost_while_a_tenth_of_all_datagrams_is() {
     let mut lost = 0;
     for seed in 0..8 {
-        let mut net = fleet(16, seed, Weather { loss: 0.1, repeat: 0.05, delay: (100_000, 30_000_000) });
+        let mut net = fleet(
+            16,
+            seed,
+            Weather {
+                loss: 0.1,
+                repeat: 0.05,
+                delay: (100_000, 30_000_000),
+            },
+        );
         net.run(20 * S, |_, _| {});
         let all: Vec<Id> = net.ids().collect();
-        assert!(agree(&net, &all), "seed {seed}: {:?}", net.part(3).map(Fellow::names));
+        assert!(
+            agree(&net, &all),
+            "seed {seed}: {:?}",
+            net.part(3).map(Fellow::names)
+        );
         net.run(120 * S, |_, _| {});
         assert!(agree(&net, &all), "seed {seed}");
-        lost += net.ids().map(|id| net.part(id).unwrap().lost()).sum::<usize>();
+        lost += net
+            .ids()
+            .map(|id| net.part(id).unwrap().lost())
+            .sum::<usize>();
     }
     assert_eq!(lost, 0);
 }
@@ -102,7 +154,14 @@
 #[test]
 fn a_dead_fellow_is_gone_at_all_others_and_its_next_life_is_another() {
     for seed in 0..8 {
-        let mut net = fleet(24, seed, Weather { loss: 0.05, ..Weather::default() });
+        let mut net = fleet(
+            24,
+            seed,
+            Weather {
+                loss: 0.05,
+                ..Weather::default()
+            },
+        );
         net.run(20 * S, |_, _| {});
         let old = net.part(5).unwrap().came.clone();
         net.kill(5);
@@ -114,14 +173,27 @@
         let all: Vec<Id> = net.ids().collect();
         assert!(agree(&net, &all), "seed {seed}");
         for id in &others {
-            assert_eq!(net.part(*id).unwrap().node.fellows().get(&name(5)).unwrap().who.life, 2);
+            assert_eq!(
+                net.part(*id)
+                    .unwrap()
+                    .node
+                    .fellows()
+                    .get(&name(5))
+                    .unwrap()
+                    .who
+                    .life,
+                2
+            );
         }
         // What was sent to its first life, played to the second, changes nothing.
         let now = net.own_time(5);
         let part = net.part_mut(5).unwrap();
         let (told, before) = (part.told.len(), part.node.refused.total());
         old.iter().for_each(|bytes| part.heard(now, bytes));
-        assert_eq!((part.told.len(), part.node.refused.total() - before), (told, old.len() as u64));
+        assert_eq!(
+            (part.told.len(), part.node.refused.total() - before),
+            (told, old.len() as u64)
+        );
     }
 }
 
@@ -138,14 +210,23 @@
     let all: Vec<Id> = net.ids().collect();
     assert!(agree(&net, &all), "{:?}", net.part(4).map(Fellow::names));
     let blamed = |id: &Id| {
-        net.part(*id).unwrap().told.iter().any(|(_, event)| match event {
-            Event::Lost(who) | Event::Suspected(who) => who.name != name(4),
-            _ => false,
-        })
+        net.part(*id)
+            .unwrap()
+            .told
+            .iter()
+            .any(|(_, event)| match event {
+                Event::Lost(who) | Event::Suspected(who) => who.name != name(4),
+                _ => false,
+            })
     };
     assert!(!others.iter().any(blamed), "somebody else was suspected");
     let woken = &net.part(4).unwrap().told;
-    assert!(!woken.iter().any(|(_, event)| matches!(event, Event::Lost(_))), "{woken:?}");
+    assert!(
+        !woken
+            .iter()
+            .any(|(_, event)| matches!(event, Event::Lost(_))),
+        "{woken:?}"
+    );
 }
 
 #[test]
@@ -160,7 +241,11 @@
         net.heal();
         net.run(130 * S, |_, _| {});
         let all: Vec<Id> = net.ids().collect();
-        assert!(agree(&net, &all), "seed {seed}: {:?}", net.part(0).map(Fellow::names));
+        assert!(
+            agree(&net, &all),
+            "seed {seed}: {:?}",
+            net.part(0).map(Fellow::names)
+        );
     }
 }
 
@@ -171,7 +256,9 @@
     for life in [1, 9] {
         let id = net.ids().count();
         let taken = if life == 1 { name(id) } else { name(2) };
-        net.join(Clock::default(), |now, at| Fellow::new(now, at, &taken, life, 8));
+        net.join(Clock::default(), |now, at| {
+            Fellow::new(now, at, &taken, life, 8)
+        });
     }
     net.run(30 * S, |_, _| {});
     let all: Vec<Id> = (0..6).collect();
@@ -199,7 +286,11 @@
     let mut net = fleet(6, 2, Weather::default());
     net.run(20 * S, |_, _| {});
     let (old, new) = (Key::new([7; 32]), Key::new([9; 32]));
-    for keys in [vec![old.clone(), new.clone()], vec![new.clone(), old], vec![new]] {
+    for keys in [
+        vec![old.clone(), new.clone()],
+        vec![new.clone(), old],
+        vec![new],
+    ] {
         for id in 0..6 {
             net.part_mut(id).unwrap().node.rekey(keys.clone());
             net.run(net.now() + 3 * S, |_, _| {});
@@ -208,7 +299,12 @@
     net.run(net.now() + 60 * S, |_, _| {});
     let all: Vec<Id> = net.ids().collect();
     assert!(agree(&net, &all));
-    assert_eq!(net.ids().map(|id| net.part(id).unwrap().lost()).sum::<usize>(), 0);
+    assert_eq!(
+        net.ids()
+            .map(|id| net.part(id).unwrap().lost())
+            .sum::<usize>(),
+        0
+    );
 }
 
 /// A kind of message that nobody reads in time keeps neither the fellowship's own nor another kind waiting.
@@ -217,7 +313,10 @@
     let mut net = fleet(2, 1, Weather::default());
     net.run(10 * S, |_, _| {});
     let now = net.own_time(1);
-    let to = Life { name: name(1), life: 1 };
+    let to = Life {
+        name: name(1),
+        life: 1,
+    };
     let sender = net.part_mut(0).unwrap();
     let mut letters = Vec::new();
     let burst = WAITING + 50;
@@ -229,7 +328,9 @@
     let hears = &mut net.part_mut(1).unwrap().node;
     hears.reads(2);
     hears.reads(3);
-    letters.iter().for_each(|(_, letter)| hears.heard(now, letter));
+    letters
+        .iter()
+        .for_each(|(_, letter)| hears.heard(now, letter));
     assert_eq!(hears.overrun, [(2, 50)].into());
     // In the order in which they came, the newest lost; then there is room again.
     let mut came = Vec::new();
@@ -239,14 +340,19 @@
             Happened::Told(_) => None,
         });
     }
-    let wanted = (0..WAITING).map(|n| (2, n as u8)).chain([(3, burst as u8), (3, burst as u8 + 1)]);
+    let wanted = (0..WAITING)
+        .map(|n| (2, n as u8))
+        .chain([(3, burst as u8), (3, burst as u8 + 1)]);
     assert_eq!(came, wanted.collect::<Vec<_>>());
     let sender = &mut net.part_mut(0).unwrap().node;
     assert!(sender.send(&to, 2, vec![9]));
     let (_, letter) = sender.datagram().unwrap();
     let hears = &mut net.part_mut(1).unwrap().node;
     hears.heard(now, &letter);
-    assert!(matches!(hears.happened(), Some(Happened::Came { kind: 2, .. })));
+    assert!(matches!(
+        hears.happened(),
+        Some(Happened::Came { kind: 2, .. })
+    ));
     assert_eq!(hears.overrun, [(2, 50)].into());
 }
 
@@ -258,8 +364,14 @@
         let (sent, bytes) = (net.carried, net.carried_bytes);
         net.run(60 * S, |_, _| {});
         let a_second = |all: u64| all as f64 / many as f64 / 20.0;
-        (a_second(net.carried - sent), a_second(net.carried_bytes - bytes))
+        (
+            a_second(net.carried - sent),
+            a_second(net.carried_bytes - bytes),
+        )
     };
     let (few, many) = (each(4), each(96));
-    assert!(many.0 < 1.2 * few.0 && many.1 < 2.0 * few.1, "{few:?} to {many:?}");
+    assert!(
+        many.0 < 1.2 * few.0 && many.1 < 2.0 * few.1,
+        "{few:?} to {many:?}"
+    );
 }
--- a/crates/fellows/tests/standing.rs
+++ b/crates/fellows/tests/standing.rs
@@ -30,7 +30,12 @@
         self.node.wake(now);
         if now >= self.next {
             self.next = now + BEAT;
-            let living: Vec<Life> = self.node.fellows().living().map(|news| news.who.clone()).collect();
+            let living: Vec<Life> = self
+                .node
+                .fellows()
+                .living()
+                .map(|news| news.who.clone())
+                .collect();
             self.place.living(now, living.iter());
             if !living.is_empty() {
                 self.turn = (self.turn + 1) % living.len();
@@ -51,13 +56,36 @@
 impl Fellow {
     fn new(now: Ns, at: SocketAddr, name: String, life: u64, rules: Rules) -> Fellow {
         let who = Life { name, life };
-        let me = News { who: who.clone(), at, zone: "z".into(), round: 0, state: State::Lives };
-        let seed = at.ip().to_string().bytes().fold(life, |sum, byte| sum * 31 + byte as u64);
+        let me = News {
+            who: who.clone(),
+            at,
+            zone: "z".into(),
+            round: 0,
+            state: State::Lives,
+        };
+        let seed = at
+            .ip()
+            .to_string()
+            .bytes()
+            .fold(life, |sum, byte| sum * 31 + byte as u64);
         let seeds = vec![Net::<Fellow>::address(0)];
-        let mut node = Node::new(now, seed, me, seeds, Membership::default(), vec![Key::new([7; 32])]);
+        let mut node = Node::new(
+            now,
+            seed,
+            me,
+            seeds,
+            Membership::default(),
+            vec![Key::new([7; 32])],
+        );
         node.reads(KIND);
         let place = Place::new(now, who, rules);
-        Fellow { node, place, next: now, turn: 0, changes: Vec::new() }
+        Fellow {
+            node,
+            place,
+            next: now,
+            turn: 0,
+            changes: Vec::new(),
+        }
     }
 
     fn look(&mut self, now: Ns) {
@@ -83,10 +111,21 @@
 }
 
 fn fleet(many: usize, seed: u64, rules: &Rules) -> Net<Fellow> {
-    let mut net = Net::new(seed, Weather { loss: 0.05, ..Weather::default() });
+    let mut net = Net::new(
+        seed,
+        Weather {
+            loss: 0.05,
+            ..Weather::default()
+        },
+    );
     for id in 0..many {
-        let clock = Clock { began: id as Ns * 77 * S, drift_ppm: (id as i64 % 3 - 1) * 1_000 };
-        net.join(clock, |now, at| Fellow::new(now, at, name(id), 1, rules.clone()));
+        let clock = Clock {
+            began: id as Ns * 77 * S,
+            drift_ppm: (id as i64 % 3 - 1) * 1_000,
+        };
+        net.join(clock, |now, at| {
+            Fellow::new(now, at, name(id), 1, rules.clone())
+        });
     }
     net
 }
@@ -102,7 +141,14 @@
 #[test]
 fn a_whole_fleet_agrees_and_a_minority_knows_that_it_is_one_however_long_it_lasts() {
     for seed in 0..6 {
-        let mut net = fleet(9, seed, &Rules { leaves: 40 * S, ..Rules::default() });
+        let mut net = fleet(
+            9,
+            seed,
+            &Rules {
+                leaves: 40 * S,
+                ..Rules::default()
+            },
+        );
         let (few, many): (Vec<Id>, Vec<Id>) = ((0..4).collect(), (4..9).collect());
         net.run(60 * S, |_, _| {});
         let ids: Vec<Id> = net.ids().collect();
@@ -113,17 +159,33 @@
         );
         net.split(&[&few, &many]);
         net.run(120 * S, |_, _| {});
-        assert!(all(&net, &few).iter().all(|is| *is == Standing::Few), "seed {seed}: {:?}", all(&net, &few));
+        assert!(
+            all(&net, &few).iter().all(|is| *is == Standing::Few),
+            "seed {seed}: {:?}",
+            all(&net, &few)
+        );
         // Far longer than it takes the others to vote them out: they still count all nine.
         net.run(700 * S, |_, _| {});
-        assert!(all(&net, &few).iter().all(|is| *is == Standing::Few), "seed {seed}: {:?}", all(&net, &few));
-        assert!(few.iter().all(|id| net.part(*id).unwrap().place.belong() == 9), "seed {seed}");
+        assert!(
+            all(&net, &few).iter().all(|is| *is == Standing::Few),
+            "seed {seed}: {:?}",
+            all(&net, &few)
+        );
+        assert!(
+            few.iter()
+                .all(|id| net.part(*id).unwrap().place.belong() == 9),
+            "seed {seed}"
+        );
         assert!(
             all(&net, &many).iter().all(|is| *is == Standing::Agreed),
             "seed {seed}: {:?}",
             all(&net, &many)
         );
-        assert!(many.iter().all(|id| net.part(*id).unwrap().place.belong() == 5), "seed {seed}: voted out");
+        assert!(
+            many.iter()
+                .all(|id| net.part(*id).unwrap().place.belong() == 5),
+            "seed {seed}: voted out"
+        );
         net.heal();
         net.run(900 * S, |_, _| {});
         assert!(
@@ -132,7 +194,8 @@
             all(&net, &ids)
         );
         assert!(
-            ids.iter().all(|id| net.part(*id).unwrap().place.belong() == 9),
+            ids.iter()
+                .all(|id| net.part(*id).unwrap().place.belong() == 9),
             "seed {seed}: they are back"
         );
     }
@@ -159,7 +222,11 @@
                 (_, true) => Standing::Agreed,
                 (_, false) => Standing::Few,
             };
-            assert!(all(&net, group).iter().all(|is| *is == wanted), "{parts:?}: {:?}", all(&net, group));
+            assert!(
+                all(&net, group).iter().all(|is| *is == wanted),
+                "{parts:?}: {:?}",
+                all(&net, group)
+            );
         }
     }
 }
@@ -175,12 +242,19 @@
     net.run(300 * S, |_, _| {});
     let changes = &net.part(0).unwrap().changes[from..];
     let ways: Vec<(Standing, Standing)> = changes.iter().map(|(_, was, is)| (*was, *is)).collect();
-    assert_eq!(ways.first(), Some(&(Standing::Agreed, Standing::Few)), "{ways:?}");
+    assert_eq!(
+        ways.first(),
+        Some(&(Standing::Agreed, Standing::Few)),
+        "{ways:?}"
+    );
     assert_eq!(standing(&net, 0), Standing::Agreed, "{ways:?}");
     // Straight to the worse, never from one better to another within less than it must hold.
     for pair in changes.windows(2) {
         let ((at, _, was), (then, _, is)) = (pair[0], pair[1]);
-        assert!(is > was || then - at >= Rules::default().calms, "{changes:?}");
+        assert!(
+            is > was || then - at >= Rules::default().calms,
+            "{changes:?}"
+        );
     }
 }
 
@@ -199,22 +273,47 @@
     assert_eq!((belong(&net), standing(&net, 0)), (5, Standing::Agreed));
     [2, 3, 4].into_iter().for_each(|id| net.kill(id));
     net.run(200 * S, |_, _| {});
-    assert_eq!((belong(&net), standing(&net, 0)), (5, Standing::Few), "two of five, for good");
-    net.restart(2, |now, at| Fellow::new(now, at, name(2), 2, Rules::default()));
+    assert_eq!(
+        (belong(&net), standing(&net, 0)),
+        (5, Standing::Few),
+        "two of five, for good"
+    );
+    net.restart(2, |now, at| {
+        Fellow::new(now, at, name(2), 2, Rules::default())
+    });
     net.run(260 * S, |_, _| {});
-    assert_eq!((belong(&net), standing(&net, 0)), (5, Standing::Agreed), "a restart belongs as it did");
-    let missing: Vec<String> =
-        net.part(0).unwrap().place.missing(net.own_time(0)).map(str::to_string).collect();
+    assert_eq!(
+        (belong(&net), standing(&net, 0)),
+        (5, Standing::Agreed),
+        "a restart belongs as it did"
+    );
+    let missing: Vec<String> = net
+        .part(0)
+        .unwrap()
+        .place
+        .missing(net.own_time(0))
+        .map(str::to_string)
+        .collect();
     assert_eq!(missing, [name(3), name(4)]);
 }
 
 fn view(missing: &[&str], rows: Vec<Row>) -> View {
     let missing: Vec<String> = missing.iter().map(|name| name.to_string()).collect();
-    View { roster: 0, living: 0, missed: missing.len() as u32, missing, out: Vec::new(), rows }
+    View {
+        roster: 0,
+        living: 0,
+        missed: missing.len() as u32,
+        missing,
+        out: Vec::new(),
+        rows,
+    }
 }
 
 fn life(id: Id) -> Life {
-    Life { name: name(id), life: 1 }
+    Life {
+        name: name(id),
+        life: 1,
+    }
 }
 
 #[test]
@@ -228,21 +327,42 @@
     assert_eq!(place.look(2 * S), None, "it never rose");
     place.living(2 * S + 1, both.iter());
     // They came back: steady after 3 s, and then it must hold for as long.
-    assert_eq!((place.look(4 * S), place.look(5 * S + 2), place.look(7 * S)), (None, None, None));
-    assert_eq!(place.look(8 * S + 2), Some((Standing::Alone, Standing::Agreed)));
+    assert_eq!(
+        (place.look(4 * S), place.look(5 * S + 2), place.look(7 * S)),
+        (None, None, None)
+    );
+    assert_eq!(
+        place.look(8 * S + 2),
+        Some((Standing::Alone, Standing::Agreed))
+    );
 }
 
 #[test]
 fn one_that_was_voted_out_comes_back_by_an_entry_of_its_own() {
     let mut out = Place::new(0, life(0), Rules::default());
-    let gone = Row { who: life(0), entry: 0, belongs: false };
+    let gone = Row {
+        who: life(0),
+        entry: 0,
+        belongs: false,
+    };
     out.heard(0, &life(1), view(&[], vec![gone.clone()]));
     let own = out.view(0, &life(1)).rows[0].clone();
-    assert_eq!(own, Row { who: life(0), entry: 1, belongs: true });
+    assert_eq!(
+        own,
+        Row {
+            who: life(0),
+            entry: 1,
+            belongs: true
+        }
+    );
     let mut other = Place::new(0, life(1), Rules::default());
     other.heard(0, &life(2), view(&[], vec![gone.clone()]));
     other.living(0, [life(0)].iter());
-    assert_eq!(other.belong(), 1, "that it lives brings it back for nobody who knows that it is out");
+    assert_eq!(
+        other.belong(),
+        1,
+        "that it lives brings it back for nobody who knows that it is out"
+    );
     other.heard(0, &life(0), view(&[], vec![own]));
     other.heard(0, &life(2), view(&[], vec![gone]));
     assert_eq!(other.belong(), 2);
@@ -267,7 +387,13 @@
 fn of_an_absurd_view_only_as_much_is_read_as_anyone_says() {
     let mut place = Place::new(0, life(0), Rules::default());
     place.living(0, [life(1)].iter());
-    let rows = (100..10_100).map(|id| Row { who: life(id), entry: 0, belongs: true }).collect();
+    let rows = (100..10_100)
+        .map(|id| Row {
+            who: life(id),
+            entry: 0,
+            belongs: true,
+        })
+        .collect();
     let names: Vec<String> = (0..10_000).map(|n| format!("{n:060}")).collect();
     let mut missing: Vec<&str> = names.iter().map(String::as_str).collect();
     missing.push("s-00");
@@ -285,9 +411,15 @@
     place.heard(5 * S, &life(1), view(&["s-03"], Vec::new()));
     assert_eq!(place.look(5 * S), None, "news takes its time");
     place.heard(16 * S, &life(1), view(&["s-03"], Vec::new()));
-    assert_eq!(place.look(16 * S), Some((Standing::Agreed, Standing::Disputed)));
+    assert_eq!(
+        place.look(16 * S),
+        Some((Standing::Agreed, Standing::Disputed))
+    );
     let disputes = place.disputes(16 * S);
-    assert_eq!((disputes.len(), disputes[0].with.as_str(), disputes[0].since), (1, "s-01", 5 * S));
+    assert_eq!(
+        (disputes.len(), disputes[0].with.as_str(), disputes[0].since),
+        (1, "s-01", 5 * S)
+    );
     assert_eq!(disputes[0].it_misses, ["s-03"]);
     assert!(disputes[0].roster && disputes[0].we_miss.is_empty());
 }
@@ -331,23 +463,45 @@
         for _ in 0..3 {
             for voter in &five[..voters] {
                 let out = vec![(name(4), 1, 0)];
-                place.heard(now, voter, View { out, ..view(&[], Vec::new()) });
+                place.heard(
+                    now,
+                    voter,
+                    View {
+                        out,
+                        ..view(&[], Vec::new())
+                    },
+                );
             }
             // A stranger has no word in it.
             let out = vec![(name(4), 1, 0)];
-            place.heard(now, &life(9), View { out, ..view(&[], Vec::new()) });
+            place.heard(
+                now,
+                &life(9),
+                View {
+                    out,
+                    ..view(&[], Vec::new())
+                },
+            );
             place.look(now);
         }
-        assert_eq!(place.belong() == 4, gone, "{voters} voters beside us, of five");
+        assert_eq!(
+            place.belong() == 4,
+            gone,
+            "{voters} voters beside us, of five"
+        );
     }
 }
 
 fn rows() -> impl Strategy<Value = Vec<Row>> {
-    let row = (1..5usize, 1..3u64, 0..3u32, any::<bool>()).prop_map(|(id, life, entry, belongs)| Row {
-        who: Life { name: name(id), life },
-        entry,
-        belongs,
-    });
+    let row =
+        (1..5usize, 1..3u64, 0..3u32, any::<bool>()).prop_map(|(id, life, entry, belongs)| Row {
+            who: Life {
+                name: name(id),
+                life,
+            },
+            entry,
+            belongs,
+        });
     prop::collection::vec(row, 0..10)
 }
 
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -46,7 +46,8 @@
 
 /// Takes a JSON object apart field by field; `what` names it in complaints.
 pub fn object(what: &str, text: &[u8]) -> Result<Line, String> {
-    let value: Value = serde_json::from_slice(text).map_err(|e| format!("{what}: not JSON ({e})"))?;
+    let value: Value =
+        serde_json::from_slice(text).map_err(|e| format!("{what}: not JSON ({e})"))?;
     match value {
         Value::Object(fields) => Ok(line(what, fields)),
         _ => Err(format!("{what}: expected a JSON object")),
@@ -54,11 +55,18 @@
 }
 
 pub fn line(what: &str, fields: Map<String, Value>) -> Line {
-    Line { number: 1, verb: what.to_string(), fields }
+    Line {
+        number: 1,
+        verb: what.to_string(),
+        fields,
+    }
 }
 
 fn address(fields: &Fields, field: &str) -> Result<SocketAddr, String> {
-    fields.text(field)?.parse().map_err(|_| fields.complain(field, "expected an IP address with a port"))
+    fields
+        .text(field)?
+        .parse()
+        .map_err(|_| fields.complain(field, "expected an IP address with a port"))
 }
 
 impl Config {
@@ -89,7 +97,8 @@
             return Err(machine.complain("memory_mb", "expected 16 to 65536"));
         }
         let seed = f.text("seed")?;
-        let seed = u64::from_str_radix(seed, 16).map_err(|_| f.complain("seed", "expected 16 hex digits"))?;
+        let seed = u64::from_str_radix(seed, 16)
+            .map_err(|_| f.complain("seed", "expected 16 hex digits"))?;
         let deployer = f.object("deployer")?;
         let stage = match deployer.maybe_has("news") {
             true => Some(control_plane::stage(&deployer.object("news")?)?),
--- a/crates/platform/src/control_plane.rs
+++ b/crates/platform/src/control_plane.rs
@@ -41,7 +41,11 @@
         "reverting" => Phase::GoingBack,
         "stable" => Phase::Released,
         "reverted" => Phase::Withdrawn,
-        _ => return Err(fields.complain("progress", "expected canary, reverting, stable or reverted")),
+        _ => {
+            return Err(
+                fields.complain("progress", "expected canary, reverting, stable or reverted")
+            )
+        }
     };
     let cap = fields.number("ceiling")?;
     if !(0.0..=1.0).contains(&cap) {
@@ -78,12 +82,17 @@
             Voice::Back => "back",
         };
         let params = json!({"image": build, "ring": stage, "opinion": opinion});
-        let call =
-            json!({"jsonrpc": "2.0", "id": vote + FOLLOW + 1, "method": "castBallot", "params": params});
-        let ballot = Ballot { vote, line: format!("{call}\n") };
+        let call = json!({"jsonrpc": "2.0", "id": vote + FOLLOW + 1, "method": "castBallot", "params": params});
+        let ballot = Ballot {
+            vote,
+            line: format!("{call}\n"),
+        };
         let to = self.to.borrow().clone();
         let sent = to.is_some_and(|to| to.try_send(ballot).is_ok());
-        let (shell, wait) = (shell.clone(), Duration::from_nanos(shell.votes.call_time_out));
+        let (shell, wait) = (
+            shell.clone(),
+            Duration::from_nanos(shell.votes.call_time_out),
+        );
         // In a task of its own, as the engine may be in the middle of what asked for it.
         spawn_local(async move {
             if sent {
@@ -121,10 +130,16 @@
 
 async fn follow_once(shell: Rc<Shell>, address: SocketAddr, up: Up) -> String {
     let (to, mut ballots) = mpsc::channel(VOTES);
-    let mut session = Session { shell: shell.clone(), asked: VecDeque::new() };
+    let mut session = Session {
+        shell: shell.clone(),
+        asked: VecDeque::new(),
+    };
     let ended = followed(&mut session, address, &up, to.clone(), &mut ballots).await;
     let mut current = shell.ballots.to.borrow_mut();
-    if current.as_ref().is_some_and(|current| current.same_channel(&to)) {
+    if current
+        .as_ref()
+        .is_some_and(|current| current.same_channel(&to))
+    {
         *current = None;
     }
     drop(current);
@@ -132,7 +147,9 @@
     while let Ok(ballot) = ballots.try_recv() {
         voted(&shell, ballot.vote, Heard::Refused, None);
     }
-    ended.err().unwrap_or_else(|| "closed by the desk".to_string())
+    ended
+        .err()
+        .unwrap_or_else(|| "closed by the desk".to_string())
 }
 
 async fn followed(
@@ -144,7 +161,9 @@
 ) -> Result<(), String> {
     let late = |what: &'static str| move |_| format!("{what}: no answer in time");
     let text = |error: std::io::Error| error.to_string();
-    let stream = timeout(CONNECT, TcpStream::connect(address)).await.map_err(late("connect"))?;
+    let stream = timeout(CONNECT, TcpStream::connect(address))
+        .await
+        .map_err(late("connect"))?;
     let mut stream = stream.map_err(text)?;
     let _ = stream.set_nodelay(true);
     let (lines, mut out) = stream.split();
@@ -194,7 +213,13 @@
         match method {
             "progress" => {
                 let stage = stage(&f.object("params")?)?;
-                let Stage { build, stage: number, phase, cap, .. } = stage;
+                let Stage {
+                    build,
+                    stage: number,
+                    phase,
+                    cap,
+                    ..
+                } = stage;
                 tracing::info!(build, stage = number, ?phase, cap, "stage");
                 shell.call(|engine, now| engine.news(now, stage));
             }
@@ -203,7 +228,11 @@
                 let (pod, group) = (told.text("host")?, told.text("type")?);
                 let ago = told.whole("lag_ms")?.saturating_mul(1_000_000);
                 if !shell.flagged(pod, group, ago) {
-                    tracing::info!(pod, group, "flagged answer of an unknown pod or path group passed over");
+                    tracing::info!(
+                        pod,
+                        group,
+                        "flagged answer of an unknown pod or path group passed over"
+                    );
                 }
             }
             _ => {}
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -39,7 +39,9 @@
 
 /// Unix time.
 pub fn wall() -> Ns {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_nanos() as Ns)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |since| since.as_nanos() as Ns)
 }
 
 pub struct Told {
@@ -57,8 +59,15 @@
     if hosts.len() > MOST_PODS {
         return Err(fields.complain("hosts", "expected fewer pods"));
     }
-    let pods = hosts.iter().map(|host| pod(host, wall)).collect::<Result<_, _>>()?;
-    Ok(Told { seq: fields.whole("seq")?, whole: fields.flag("whole")?, pods })
+    let pods = hosts
+        .iter()
+        .map(|host| pod(host, wall))
+        .collect::<Result<_, _>>()?;
+    Ok(Told {
+        seq: fields.whole("seq")?,
+        whole: fields.flag("whole")?,
+        pods,
+    })
 }
 
 fn pod(host: &Fields, wall: Ns) -> Result<Listed, String> {
@@ -109,16 +118,28 @@
         let (to, words) = mpsc::channel(WORDS);
         let task = spawn_local(async move {
             let ended = watched(address, base, &to).await;
-            let why = ended.err().unwrap_or_else(|| "closed by the service".to_string());
+            let why = ended
+                .err()
+                .unwrap_or_else(|| "closed by the service".to_string());
             // Where nobody listens any more nobody asks why.
             let _ = to.send(Err(why)).await;
         });
-        Watch { _task: Task(task), words, address, base, opened: Instant::now() }
+        Watch {
+            _task: Task(task),
+            words,
+            address,
+            base,
+            opened: Instant::now(),
+        }
     }
 
     async fn word(watch: &mut Option<Watch>) -> Result<Word, String> {
         match watch {
-            Some(watch) => watch.words.recv().await.unwrap_or_else(|| Err("its task ended".to_string())),
+            Some(watch) => watch
+                .words
+                .recv()
+                .await
+                .unwrap_or_else(|| Err("its task ended".to_string())),
             None => std::future::pending().await,
         }
     }
@@ -145,8 +166,16 @@
     let waits = Waits::new(seed, FIRST_WAIT, LONGEST_WAIT);
     let now = Instant::now();
     let address = *at.borrow_and_update();
-    let mut watches =
-        Watches { shell, address, version: since, force: None, next: None, heard: now, retry: now, waits };
+    let mut watches = Watches {
+        shell,
+        address,
+        version: since,
+        force: None,
+        next: None,
+        heard: now,
+        retry: now,
+        waits,
+    };
     loop {
         let due = watches.due();
         tokio::select! {
@@ -171,7 +200,9 @@
         let lost = self.force.as_ref().map(|_| self.heard + SILENCE);
         let opens = match (&self.next, &self.force) {
             (Some(next), _) => next.opened + ANSWER,
-            (None, Some(force)) if force.address == self.address => self.retry.max(self.heard + LATE),
+            (None, Some(force)) if force.address == self.address => {
+                self.retry.max(self.heard + LATE)
+            }
             (None, _) => self.retry,
         };
         lost.map_or(opens, |lost| lost.min(opens))
@@ -212,7 +243,9 @@
         let Some(next) = self.next.take() else { return };
         match word {
             // A whole list may go back, but not by a word that was on its way when a later one was heard.
-            Ok(Word::Told(told)) if told.whole && told.seq < self.version && next.base != self.version => {
+            Ok(Word::Told(told))
+                if told.whole && told.seq < self.version && next.base != self.version =>
+            {
                 self.open();
             }
             Ok(word) => {
@@ -230,13 +263,19 @@
     fn take(&mut self, word: Word) {
         self.heard = Instant::now();
         let Word::Told(told) = word else { return };
-        tracing::debug!(seq = told.seq, whole = told.whole, pods = told.pods.len(), "node list");
+        tracing::debug!(
+            seq = told.seq,
+            whole = told.whole,
+            pods = told.pods.len(),
+            "node list"
+        );
         // Changes up to a version that is known already: they would set back what was told since.
         if !told.whole && told.seq < self.version {
             return;
         }
         self.version = told.seq;
-        self.shell.call(|engine, now| engine.list(now, told.whole, told.pods));
+        self.shell
+            .call(|engine, now| engine.list(now, told.whole, told.pods));
     }
 }
 
@@ -246,10 +285,15 @@
     to: &mpsc::Sender<Result<Word, String>>,
 ) -> Result<(), String> {
     let text = |error: hyper::Error| error.to_string();
-    let stream = TcpStream::connect(address).await.map_err(|error| error.to_string())?;
+    let stream = TcpStream::connect(address)
+        .await
+        .map_err(|error| error.to_string())?;
     let _ = stream.set_nodelay(true);
-    let (mut sender, connection) =
-        http1::Builder::new().max_buf_size(64 << 10).handshake(TokioIo::new(stream)).await.map_err(text)?;
+    let (mut sender, connection) = http1::Builder::new()
+        .max_buf_size(64 << 10)
+        .handshake(TokioIo::new(stream))
+        .await
+        .map_err(text)?;
     let _connection = Task(spawn_local(connection));
     let request = Request::get(format!("/v1/servers?follow=1&since={since}"))
         .header(HOST, address.to_string())
@@ -261,12 +305,16 @@
     }
     let (mut body, mut objects) = (response.into_body(), Objects::new(OBJECT_BYTES));
     while let Some(frame) = body.frame().await {
-        let Ok(data) = frame.map_err(text)?.into_data() else { continue };
+        let Ok(data) = frame.map_err(text)?.into_data() else {
+            continue;
+        };
         objects.feed(&data);
         while let Some(piece) = objects.cut().map_err(|error| error.to_string())? {
             let word = match piece {
                 Piece::Line => Word::Alive,
-                Piece::Object(object) => Word::Told(read(&config::object("list", &object)?.of(), wall())?),
+                Piece::Object(object) => {
+                    Word::Told(read(&config::object("list", &object)?.of(), wall())?)
+                }
             };
             if to.send(Ok(word)).await.is_err() {
                 return Ok(());
--- a/crates/platform/src/idle_timeout.rs
+++ b/crates/platform/src/idle_timeout.rs
@@ -43,7 +43,11 @@
 impl IdleTimeout {
     /// `most`: the longest that is right by the settings.
     pub fn new(now: Instant, most: Duration) -> IdleTimeout {
-        IdleTimeout { most, spans: [Span::default(); SPANS], faded: now }
+        IdleTimeout {
+            most,
+            spans: [Span::default(); SPANS],
+            faded: now,
+        }
     }
 
     /// A request went out on a connection that had been idle so long; `broke` where it ended before any byte
@@ -52,15 +56,21 @@
         let seconds = now.saturating_duration_since(self.faded).as_secs_f64();
         if seconds >= 1.0 {
             let left = FADES.powf(seconds);
-            self.spans
-                .iter_mut()
-                .for_each(|span| *span = Span { used: span.used * left, broke: span.broke * left });
+            self.spans.iter_mut().for_each(|span| {
+                *span = Span {
+                    used: span.used * left,
+                    broke: span.broke * left,
+                }
+            });
             self.faded = now;
         }
         let octave = (idle.as_secs_f64() / FIRST.as_secs_f64()).max(1.0).log2() as usize;
         let span = &mut self.spans[octave.min(SPANS - 1)];
         if span.used >= MOST {
-            *span = Span { used: span.used * 0.5, broke: span.broke * 0.5 };
+            *span = Span {
+                used: span.used * 0.5,
+                broke: span.broke * 0.5,
+            };
         }
         span.used += 1.0;
         span.broke += broke as u8 as f64;
@@ -71,7 +81,10 @@
         let (mut used, mut broke) = (0.0, 0.0);
         for (octave, span) in self.spans.iter().enumerate() {
             let usual = broke / f64::max(used, 1.0);
-            if span.used >= ENOUGH && used >= ENOUGH && span.broke / span.used > TIMES * usual + MORE {
+            if span.used >= ENOUGH
+                && used >= ENOUGH
+                && span.broke / span.used > TIMES * usual + MORE
+            {
                 return self.most.min(FIRST * (1 << octave));
             }
             (used, broke) = (used + span.used, broke + span.broke);
--- a/crates/platform/src/listener.rs
+++ b/crates/platform/src/listener.rs
@@ -11,7 +11,9 @@
 use havenplank_sidecar::{heads, queued};
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
-use hyper::header::{HeaderMap, HeaderName, HeaderValue, CONTENT_LENGTH, COOKIE, TRANSFER_ENCODING};
+use hyper::header::{
+    HeaderMap, HeaderName, HeaderValue, CONTENT_LENGTH, COOKIE, TRANSFER_ENCODING,
+};
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
@@ -53,9 +55,17 @@
 impl Client {
     fn slot(&self) -> Slot {
         if let Some(since) = self.tap.take_written() {
-            self.slot.set(Slot { since, serving: false, write_by: None, ..self.slot.get() });
+            self.slot.set(Slot {
+                since,
+                serving: false,
+                write_by: None,
+                ..self.slot.get()
+            });
+        }
+        Slot {
+            began: self.tap.began(),
+            ..self.slot.get()
         }
-        Slot { began: self.tap.began(), ..self.slot.get() }
     }
 
     fn end(&self) {
@@ -100,18 +110,28 @@
     }
 
     fn slots(&self) -> Vec<(u64, Slot)> {
-        self.clients.borrow().iter().map(|(id, client)| (*id, client.slot())).collect()
+        self.clients
+            .borrow()
+            .iter()
+            .map(|(id, client)| (*id, client.slot()))
+            .collect()
     }
 
     /// Connections on which nothing was asked yet, and those among them that began to.
     pub fn unasked(&self) -> (usize, usize) {
         let (slots, half) = (self.slots(), |slot: &Slot| slot.began.is_some() as usize);
         let unasked = slots.iter().filter(|(_, slot)| !slot.asked);
-        unasked.fold((0, 0), |(all, begun), (_, slot)| (all + 1, begun + half(slot)))
+        unasked.fold((0, 0), |(all, begun), (_, slot)| {
+            (all + 1, begun + half(slot))
+        })
     }
 
     pub fn serving(&self) -> usize {
-        self.clients.borrow().values().filter(|client| client.slot().serving).count()
+        self.clients
+            .borrow()
+            .values()
+            .filter(|client| client.slot().serving)
+            .count()
     }
 
     /// Closes the connection that is chosen to go; whether one was. One on which a hit has just come is none to go:
@@ -206,7 +226,11 @@
     *client.task.borrow_mut() = Some(task.abort_handle());
 }
 
-async fn connection(shell: &Rc<Shell>, client: &Rc<Client>, stop: watch::Receiver<Option<Instant>>) {
+async fn connection(
+    shell: &Rc<Shell>,
+    client: &Rc<Client>,
+    stop: watch::Receiver<Option<Instant>>,
+) {
     let by_http = speak(shell, client, stop).await;
     // What was spoken is dropped by now, and a hit that was on it has ended. Bytes beyond an answer, or a hit that
     // crosses our close, are read and dropped first. One that was silent from the start, and one that does not read
@@ -217,15 +241,26 @@
 }
 
 /// Speaks HTTP until either side ends it; whether HTTP did.
-async fn speak(shell: &Rc<Shell>, client: &Rc<Client>, stop: watch::Receiver<Option<Instant>>) -> bool {
+async fn speak(
+    shell: &Rc<Shell>,
+    client: &Rc<Client>,
+    stop: watch::Receiver<Option<Instant>>,
+) -> bool {
     let service = service_fn(|request| {
         // The answer before it is settled first.
-        client.slot.set(Slot { serving: true, write_by: None, ..client.slot() });
+        client.slot.set(Slot {
+            serving: true,
+            write_by: None,
+            ..client.slot()
+        });
         let served = serve(shell.clone(), client.clone(), request);
         async move {
             let (answer, deadline) = served.await;
             let write_by = Some(Slot::written_by(Instant::now(), deadline));
-            client.slot.set(Slot { write_by, ..client.slot.get() });
+            client.slot.set(Slot {
+                write_by,
+                ..client.slot.get()
+            });
             Ok::<_, Infallible>(answer.map(|body| client.tap.tell(body)))
         }
     });
@@ -244,7 +279,9 @@
             if connection.as_mut().poll(cx).is_ready() {
                 return Poll::Ready(true);
             }
-            let Some(at) = client.slot().closes(*stop.borrow()) else { return Poll::Pending };
+            let Some(at) = client.slot().closes(*stop.borrow()) else {
+                return Poll::Pending;
+            };
             let at = at.max(not_before).into();
             if look.deadline() != at {
                 look.as_mut().reset(at);
@@ -305,8 +342,18 @@
 impl Named {
     /// A client whose connection ended under a hit that it takes for unread sends that hit once more, and its close
     /// may be heard here after that: then the first is ended in favour of the second, unless it may have run.
-    fn new(shell: &Rc<Shell>, client: &Rc<Client>, id: &HeaderValue, kind: Kind) -> Result<Named, Taken> {
-        let earlier = shell.listener.ids.borrow().get(id).map(|holder| (holder.client.clone(), holder.hit));
+    fn new(
+        shell: &Rc<Shell>,
+        client: &Rc<Client>,
+        id: &HeaderValue,
+        kind: Kind,
+    ) -> Result<Named, Taken> {
+        let earlier = shell
+            .listener
+            .ids
+            .borrow()
+            .get(id)
+            .map(|holder| (holder.client.clone(), holder.hit));
         if let Some((earlier, hit)) = earlier {
             if !earlier.tap.is_closed() {
                 return Err(Taken::Waits);
@@ -317,9 +364,16 @@
             earlier.end();
             hit.into_iter().for_each(|hit| shell.gone(hit));
         }
-        let holder = Holder { client: client.clone(), hit: None };
+        let holder = Holder {
+            client: client.clone(),
+            hit: None,
+        };
         shell.listener.ids.borrow_mut().insert(id.clone(), holder);
-        Ok(Named { shell: shell.clone(), client: client.clone(), id: id.clone() })
+        Ok(Named {
+            shell: shell.clone(),
+            client: client.clone(),
+            id: id.clone(),
+        })
     }
 
     fn taken(&self, hit: HitId) {
@@ -332,7 +386,10 @@
 impl Drop for Named {
     fn drop(&mut self) {
         let mut ids = self.shell.listener.ids.borrow_mut();
-        if ids.get(&self.id).is_some_and(|holder| Rc::ptr_eq(&holder.client, &self.client)) {
+        if ids
+            .get(&self.id)
+            .is_some_and(|holder| Rc::ptr_eq(&holder.client, &self.client))
+        {
             ids.remove(&self.id);
         }
     }
@@ -347,7 +404,10 @@
     let began = client.tap.take_began().unwrap_or_else(Instant::now);
     let stopping = shell.stopping.get();
     if request.method() == Method::GET && request.uri().path() == "/healthz" {
-        client.slot.set(Slot { asked: true, ..client.slot.get() });
+        client.slot.set(Slot {
+            asked: true,
+            ..client.slot.get()
+        });
         let answer = match stopping {
             false => plain(StatusCode::OK, "ready\n"),
             true => and_close(plain(StatusCode::SERVICE_UNAVAILABLE, "stopping\n")),
@@ -362,12 +422,21 @@
             return (and_close(plain(status, why)), None);
         }
     };
-    client.slot.set(Slot { asked: true, ..client.slot.get() });
+    client.slot.set(Slot {
+        asked: true,
+        ..client.slot.get()
+    });
     let deadline = began + Duration::from_nanos(asked.left);
     let spent = began.elapsed().as_nanos() as Ns + shell.answer_margin;
-    let asked = Asked { left: asked.left.saturating_sub(spent), ..asked };
+    let asked = Asked {
+        left: asked.left.saturating_sub(spent),
+        ..asked
+    };
     let (answer, answered) = oneshot::channel();
-    let owed = Owed { hit: shell.take(asked, ask, answer), shell };
+    let owed = Owed {
+        hit: shell.take(asked, ask, answer),
+        shell,
+    };
     named.taken(owed.hit);
     let answer = tokio::select! {
         // An engine that stops with a hit in hand is a fault; the client is told that nothing is promised.
@@ -375,7 +444,14 @@
         // HTTP looks for its close only while no other bytes lie in front of that. Nobody reads this answer.
         () = client.tap.closed() => and_close(errored(false)),
     };
-    (if owed.shell.stopping.get() { and_close(answer) } else { answer }, Some(deadline))
+    (
+        if owed.shell.stopping.get() {
+            and_close(answer)
+        } else {
+            answer
+        },
+        Some(deadline),
+    )
 }
 
 /// Why a hit was refused before it was taken.
@@ -402,14 +478,21 @@
 fn time_left(text: &HeaderValue) -> Option<Ns> {
     let text = text.to_str().ok()?;
     let digits = (1..=9).contains(&text.len()) && text.bytes().all(|byte| byte.is_ascii_digit());
-    digits.then(|| text.parse::<Ns>().ok()).flatten()?.checked_mul(1_000_000)
+    digits
+        .then(|| text.parse::<Ns>().ok())
+        .flatten()?
+        .checked_mul(1_000_000)
 }
 
 /// Where the deployment has keys; a cookie that cannot be read is none.
 fn key(headers: &HeaderMap) -> Option<&[u8]> {
-    let mut cookies =
-        headers.get_all(COOKIE).iter().flat_map(|line| line.as_bytes().split(|byte| *byte == b';'));
-    cookies.find_map(|cookie| cookie.trim_ascii().strip_prefix(KEY)).filter(|key| !key.is_empty())
+    let mut cookies = headers
+        .get_all(COOKIE)
+        .iter()
+        .flat_map(|line| line.as_bytes().split(|byte| *byte == b';'));
+    cookies
+        .find_map(|cookie| cookie.trim_ascii().strip_prefix(KEY))
+        .filter(|key| !key.is_empty())
 }
 
 fn group(shell: &Shell, path: &str) -> Option<GroupId> {
@@ -436,9 +519,16 @@
         return Err((StatusCode::NOT_FOUND, "no path group has this name\n"));
     };
     let rules = shell.groups[group].1;
-    let method = if rules.kind == Kind::Repeatable { Method::GET } else { Method::POST };
+    let method = if rules.kind == Kind::Repeatable {
+        Method::GET
+    } else {
+        Method::POST
+    };
     if parts.method != method {
-        return Err((StatusCode::METHOD_NOT_ALLOWED, "not the method of this path group\n"));
+        return Err((
+            StatusCode::METHOD_NOT_ALLOWED,
+            "not the method of this path group\n",
+        ));
     }
     if body.size_hint().lower() > BODY_BYTES as u64 {
         return Err((StatusCode::PAYLOAD_TOO_LARGE, "the body is over 64 KiB\n"));
@@ -447,36 +537,55 @@
         return bad("expected no body\n");
     }
     let id = one(headers, &ID, "X-Correlation-Id: expected one\n")?;
-    let id =
-        id.filter(|id| (1..=ID_BYTES).contains(&id.len()) && id.as_bytes().iter().all(u8::is_ascii_graphic));
-    let Some(id) = id else { return bad("X-Correlation-Id: expected 1 to 128 visible characters\n") };
+    let id = id.filter(|id| {
+        (1..=ID_BYTES).contains(&id.len()) && id.as_bytes().iter().all(u8::is_ascii_graphic)
+    });
+    let Some(id) = id else {
+        return bad("X-Correlation-Id: expected 1 to 128 visible characters\n");
+    };
     let mark = one(headers, &MARK, "Idempotency-Key: expected one\n")?;
     if rules.kind == Kind::Tagged && mark.is_none_or(HeaderValue::is_empty) {
         return bad("Idempotency-Key: needed by this path group\n");
     }
     let left = one(headers, &TIME_LEFT, "X-Time-Left-Ms: expected one\n")?.and_then(time_left);
-    let Some(left) = left else { return bad("X-Time-Left-Ms: expected whole milliseconds\n") };
+    let Some(left) = left else {
+        return bad("X-Time-Left-Ms: expected whole milliseconds\n");
+    };
     let asked = Asked {
         group,
-        customer: headers.get(TENANT).and_then(|name| shell.customers.iter().position(|known| name == known)),
+        customer: headers
+            .get(TENANT)
+            .and_then(|name| shell.customers.iter().position(|known| name == known)),
         key: key(headers).map_or(0, mark_of),
         left: left.min(rules.client_timeout),
-        cost_hint: headers.get(HINT).and_then(|text| heads::cost_hint(text.to_str().ok()?)),
+        cost_hint: headers
+            .get(HINT)
+            .and_then(|text| heads::cost_hint(text.to_str().ok()?)),
         repeat: headers.get(REPEAT).is_some_and(|value| value == "1"),
     };
     let named = match Named::new(shell, client, id, rules.kind) {
         Ok(named) => named,
         Err(Taken::Waits) => {
-            return Err((StatusCode::CONFLICT, "X-Correlation-Id: of another hit in flight\n"))
+            return Err((
+                StatusCode::CONFLICT,
+                "X-Correlation-Id: of another hit in flight\n",
+            ))
         }
         Err(Taken::MayHaveRun) => {
-            return Err((StatusCode::BAD_GATEWAY, "X-Correlation-Id: sent before, and may have run\n"))
+            return Err((
+                StatusCode::BAD_GATEWAY,
+                "X-Correlation-Id: sent before, and may have run\n",
+            ))
         }
     };
     let body = if body.is_end_stream() {
         Bytes::new()
     } else {
-        match timeout_at(client.slot().read_by(began).into(), Limited::new(body, BODY_BYTES).collect()).await
+        match timeout_at(
+            client.slot().read_by(began).into(),
+            Limited::new(body, BODY_BYTES).collect(),
+        )
+        .await
         {
             Ok(Ok(whole)) => whole.to_bytes(),
             Ok(Err(error)) if error.downcast_ref::<LengthLimitError>().is_some() => {
@@ -492,7 +601,14 @@
     for name in [CONTENT_LENGTH, TIME_LEFT] {
         onward.remove(name);
     }
-    Ok((asked, Ask { head: head(&method, path, &onward, body.len()), body }, named))
+    Ok((
+        asked,
+        Ask {
+            head: head(&method, path, &onward, body.len()),
+            body,
+        },
+        named,
+    ))
 }
 
 /// The head of a forward as far as it is the same each time.
--- a/crates/platform/src/node.rs
+++ b/crates/platform/src/node.rs
@@ -150,7 +150,12 @@
     // Until it has taken what had come by then.
     let _ = accepting.await;
     // Each connection that is left ends by its own times; this bounds them all.
-    let longest = shell.groups.iter().map(|(_, rules)| rules.client_timeout).max().unwrap_or(0);
+    let longest = shell
+        .groups
+        .iter()
+        .map(|(_, rules)| rules.client_timeout)
+        .max()
+        .unwrap_or(0);
     let until = Instant::now() + Duration::from_nanos(longest) + LEFT;
     while shell.listener.open() > 0 && Instant::now() < until {
         sleep(Duration::from_millis(10)).await;
@@ -162,14 +167,17 @@
 async fn sweep(shell: Rc<Shell>) {
     loop {
         sleep(Duration::from_secs(1)).await;
-        let listed: HashSet<SocketAddr> = shell.listed().into_iter().map(|pod| pod.address).collect();
+        let listed: HashSet<SocketAddr> =
+            shell.listed().into_iter().map(|pod| pod.address).collect();
         shell.pods.sweep(&listed);
     }
 }
 
 fn resident_kb() -> Option<u64> {
     let status = std::fs::read_to_string("/proc/self/status").ok()?;
-    let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"))?;
+    let line = status
+        .lines()
+        .find_map(|line| line.strip_prefix("VmRSS:"))?;
     line.trim().trim_end_matches("kB").trim().parse().ok()
 }
 
--- a/crates/platform/src/objects.rs
+++ b/crates/platform/src/objects.rs
@@ -15,7 +15,9 @@
 /// Why a stream cannot be read on.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum Spoilt {
-    #[error("byte {byte:#04x} between two objects: expected white space or the start of an object")]
+    #[error(
+        "byte {byte:#04x} between two objects: expected white space or the start of an object"
+    )]
     Stray { byte: u8 },
     #[error("an object of over {most} bytes")]
     Long { most: usize },
@@ -34,7 +36,14 @@
 
 impl Objects {
     pub fn new(most: usize) -> Objects {
-        Objects { read: BytesMut::new(), most, seen: 0, depth: 0, quoted: false, escaped: false }
+        Objects {
+            read: BytesMut::new(),
+            most,
+            seen: 0,
+            depth: 0,
+            quoted: false,
+            escaped: false,
+        }
     }
 
     pub fn feed(&mut self, more: &[u8]) {
--- a/crates/platform/src/pods.rs
+++ b/crates/platform/src/pods.rs
@@ -11,7 +11,9 @@
 use havenplank_adapter::door::load_of;
 use havenplank_sidecar::hub::End;
 use http_body_util::Full;
-use hyper::header::{HeaderMap, HeaderName, HeaderValue, CONNECTION, CONTENT_LENGTH, TRANSFER_ENCODING};
+use hyper::header::{
+    HeaderMap, HeaderName, HeaderValue, CONNECTION, CONTENT_LENGTH, TRANSFER_ENCODING,
+};
 use hyper::{Response, StatusCode};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
@@ -127,7 +129,11 @@
         if length <= BODY_BYTES {
             return None;
         }
-        self.large.clone().acquire_many_owned(length as u32).await.ok()
+        self.large
+            .clone()
+            .acquire_many_owned(length as u32)
+            .await
+            .ok()
     }
 
     /// How long a connection is kept idle.
@@ -137,7 +143,9 @@
 
     fn used(&self, connection: &Connection, broke: bool) {
         if let Some(idle) = connection.idle {
-            self.idle_timeout.borrow_mut().used(Instant::now(), idle, broke);
+            self.idle_timeout
+                .borrow_mut()
+                .used(Instant::now(), idle, broke);
         }
     }
 
@@ -150,7 +158,10 @@
     fn idle_one(&self, address: SocketAddr) -> Option<Connection> {
         let (most, mut idle) = (self.idle_timeout(), self.idle.borrow_mut());
         let kept = idle.get_mut(&address)?;
-        while let Some(last) = kept.iter().rposition(|(_, since)| idle_timeout::has_rested(since.elapsed())) {
+        while let Some(last) = kept
+            .iter()
+            .rposition(|(_, since)| idle_timeout::has_rested(since.elapsed()))
+        {
             let (mut connection, since) = kept.remove(last);
             let age = since.elapsed();
             if age < most && connection.is_clean() {
@@ -164,8 +175,12 @@
     /// Closes the connection that was idle the longest, whichever pod it goes to.
     fn close_oldest(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
-        let oldest = idle.iter().filter_map(|(at, kept)| Some((*at, kept.first()?.1)));
-        let Some((at, _)) = oldest.min_by_key(|(_, since)| *since) else { return false };
+        let oldest = idle
+            .iter()
+            .filter_map(|(at, kept)| Some((*at, kept.first()?.1)));
+        let Some((at, _)) = oldest.min_by_key(|(_, since)| *since) else {
+            return false;
+        };
         idle.get_mut(&at).map(|kept| kept.remove(0)).is_some()
     }
 
@@ -183,16 +198,28 @@
             Ok(permit) => permit,
             Err(_) => {
                 let _waits = Counted::new(&self.waiting);
-                let permit = timeout(self.rules.connect_time, self.permits.clone().acquire_owned()).await;
-                permit.map_err(|_| NoConnection::Permits)?.map_err(|_| NoConnection::Permits)?
+                let permit = timeout(
+                    self.rules.connect_time,
+                    self.permits.clone().acquire_owned(),
+                )
+                .await;
+                permit
+                    .map_err(|_| NoConnection::Permits)?
+                    .map_err(|_| NoConnection::Permits)?
             }
         };
         let left = self.rules.connect_time.saturating_sub(began.elapsed());
         let stream = timeout(left, TcpStream::connect(address)).await;
-        let stream = stream.map_err(|_| NoConnection::Pod)?.map_err(|_| NoConnection::Pod)?;
+        let stream = stream
+            .map_err(|_| NoConnection::Pod)?
+            .map_err(|_| NoConnection::Pod)?;
         let _ = stream.set_nodelay(true);
         self.seen.opened.set(self.seen.opened.get() + 1);
-        Ok(Connection { stream, idle: None, _permit: permit })
+        Ok(Connection {
+            stream,
+            idle: None,
+            _permit: permit,
+        })
     }
 
     /// Keeps a connection for its next request. While others wait for a place it is closed: its place would
@@ -202,14 +229,18 @@
             return;
         }
         let mut idle = self.idle.borrow_mut();
-        idle.entry(address).or_default().push((connection, Instant::now()));
+        idle.entry(address)
+            .or_default()
+            .push((connection, Instant::now()));
     }
 
     /// Closes idle connections to pods no longer listed, and those that were idle too long or were closed.
     pub fn sweep(&self, listed: &HashSet<SocketAddr>) {
         let idle_timeout = self.idle_timeout();
         self.idle.borrow_mut().retain(|address, kept| {
-            kept.retain(|(connection, since)| since.elapsed() < idle_timeout && connection.is_clean());
+            kept.retain(|(connection, since)| {
+                since.elapsed() < idle_timeout && connection.is_clean()
+            });
             listed.contains(address) && !kept.is_empty()
         });
     }
@@ -237,7 +268,14 @@
 pub async fn forward(shell: Rc<Shell>, ask: Rc<Ask>, nth: (HitId, u32), pod: PodId, time_out: Ns) {
     // Set once the last byte is written: before that the pod cannot have begun.
     let (whole, time) = (Cell::new(false), Duration::from_nanos(time_out));
-    shell.timed(nth, time, &whole, exchange(&shell, &ask, nth, pod, time, &whole)).await;
+    shell
+        .timed(
+            nth,
+            time,
+            &whole,
+            exchange(&shell, &ask, nth, pod, time, &whole),
+        )
+        .await;
 }
 
 async fn exchange(
@@ -249,7 +287,9 @@
     whole: &Cell<bool>,
 ) -> End<Answer> {
     let (began, pods) = (Instant::now(), &shell.pods);
-    let Some(address) = shell.address(pod) else { return Ended::NotSent.into() };
+    let Some(address) = shell.address(pod) else {
+        return Ended::NotSent.into();
+    };
     let mut fresh = false;
     let mut connection = loop {
         let mut connection = match pods.take(address, fresh).await {
@@ -295,8 +335,10 @@
     };
     let load = came.headers.get(LOAD).filter(|_| !pods.load.is_empty());
     let load = load.and_then(|text| load_of(&pods.load, text.as_bytes()));
-    let never = matches!(came.status, StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT)
-        && came.headers.get(UNSEEN).is_some_and(|value| value == "1");
+    let never = matches!(
+        came.status,
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT
+    ) && came.headers.get(UNSEEN).is_some_and(|value| value == "1");
     if came.reusable {
         pods.give_back(address, connection);
     }
@@ -380,9 +422,13 @@
     let coded: Vec<&HeaderValue> = headers.get_all(TRANSFER_ENCODING).iter().collect();
     let body = match (&lengths[..], &coded[..]) {
         ([length], []) => {
-            let text = length.to_str().ok().filter(|text| text.bytes().all(|byte| byte.is_ascii_digit()));
-            let length =
-                text.and_then(|text| text.parse::<usize>().ok()).ok_or(Spoilt("its length is no number"))?;
+            let text = length
+                .to_str()
+                .ok()
+                .filter(|text| text.bytes().all(|byte| byte.is_ascii_digit()));
+            let length = text
+                .and_then(|text| text.parse::<usize>().ok())
+                .ok_or(Spoilt("its length is no number"))?;
             if length > pods.answer_bytes {
                 return Err(Spoilt("its length is beyond what memory allows"));
             }
@@ -406,7 +452,12 @@
             .split(|byte| *byte == b',')
             .any(|word| word.trim_ascii().eq_ignore_ascii_case(b"close"))
     });
-    Ok(Came { status, headers, body, reusable: read.is_empty() && !closes })
+    Ok(Came {
+        status,
+        headers,
+        body,
+        reusable: read.is_empty() && !closes,
+    })
 }
 
 /// Takes one head off the front of what was read; none where it is not whole yet.
@@ -423,16 +474,21 @@
     let status = status.ok_or(Spoilt("a status that is not HTTP"))?;
     let mut headers = HeaderMap::with_capacity(parsed.headers.len());
     for line in parsed.headers.iter() {
-        let name =
-            HeaderName::from_bytes(line.name.as_bytes()).map_err(|_| Spoilt("a header that is not HTTP"))?;
-        let value = HeaderValue::from_bytes(line.value).map_err(|_| Spoilt("a header that is not HTTP"))?;
+        let name = HeaderName::from_bytes(line.name.as_bytes())
+            .map_err(|_| Spoilt("a header that is not HTTP"))?;
+        let value =
+            HeaderValue::from_bytes(line.value).map_err(|_| Spoilt("a header that is not HTTP"))?;
         headers.append(name, value);
     }
     read.advance(end);
     Ok(Some((status, headers)))
 }
 
-async fn chunks(pods: &Pods, connection: &mut Connection, read: &mut BytesMut) -> Result<Bytes, Spoilt> {
+async fn chunks(
+    pods: &Pods,
+    connection: &mut Connection,
+    read: &mut BytesMut,
+) -> Result<Bytes, Spoilt> {
     let (mut body, mut room) = (BytesMut::new(), None);
     loop {
         let (head, size) = match httparse::parse_chunk_size(read) {
@@ -469,28 +525,53 @@
 /// Asks a pod how it is, on a connection like any other.
 pub async fn probe(shell: Rc<Shell>, probe: u64, pod: PodId) {
     let (began, pods) = (Instant::now(), &shell.pods);
-    let path = if pods.load.is_empty() { "/healthz" } else { "/load" };
+    let path = if pods.load.is_empty() {
+        "/healthz"
+    } else {
+        "/load"
+    };
     let asked = async {
-        let Some(address) = shell.address(pod) else { return End::<Answer>::from(Ended::NotSent) };
+        let Some(address) = shell.address(pod) else {
+            return End::<Answer>::from(Ended::NotSent);
+        };
         let mut connection = match pods.take(address, false).await {
             Ok(connection) => connection,
             Err(NoConnection::Pod) => return Ended::NoConnection.into(),
             Err(NoConnection::Permits) => return Ended::NotSent.into(),
         };
         let request = format!("GET {path} HTTP/1.1\r\nHost: {address}\r\n\r\n");
-        if connection.stream.write_all(request.as_bytes()).await.is_err() {
+        if connection
+            .stream
+            .write_all(request.as_bytes())
+            .await
+            .is_err()
+        {
             return Ended::NoConnection.into();
         }
-        let Ok(came) = read(pods, &mut connection).await else { return Ended::Reset.into() };
+        let Ok(came) = read(pods, &mut connection).await else {
+            return Ended::Reset.into();
+        };
         if came.reusable {
             pods.give_back(address, connection);
         }
-        let end = if came.status == StatusCode::OK { Ended::Delivered } else { Ended::Error };
-        End { end, load: load_of(&pods.load, &came.body).filter(|_| !pods.load.is_empty()), answer: None }
+        let end = if came.status == StatusCode::OK {
+            Ended::Delivered
+        } else {
+            Ended::Error
+        };
+        End {
+            end,
+            load: load_of(&pods.load, &came.body).filter(|_| !pods.load.is_empty()),
+            answer: None,
+        }
     };
     let ended = timeout(pods.rules.connect_time, asked).await;
     let End { end, load, .. }: End<Answer> = ended.unwrap_or_else(|_| Ended::TimeOut.into());
-    let end = ProbeEnd { end, took: began.elapsed().as_nanos() as Ns, load };
+    let end = ProbeEnd {
+        end,
+        took: began.elapsed().as_nanos() as Ns,
+        load,
+    };
     shell.call(|engine, now| engine.probed(now, probe, end));
 }
 
--- a/crates/platform/src/slots.rs
+++ b/crates/platform/src/slots.rs
@@ -37,7 +37,11 @@
     pub fn of(sockets: usize) -> Shares {
         let places = sockets.saturating_sub(OTHERS);
         let clients = places * CLIENTS / 100;
-        Shares { clients, asked: sockets * 4 / 15, pods: places - clients }
+        Shares {
+            clients,
+            asked: sockets * 4 / 15,
+            pods: places - clients,
+        }
     }
 }
 
@@ -59,7 +63,14 @@
 
 impl Slot {
     pub fn new(now: Instant) -> Slot {
-        Slot { connected: now, since: now, began: None, serving: false, write_by: None, asked: false }
+        Slot {
+            connected: now,
+            since: now,
+            began: None,
+            serving: false,
+            write_by: None,
+            asked: false,
+        }
     }
 
     /// By when a hit that began then must be read whole.
@@ -120,5 +131,6 @@
         (true, true) => 3,
     };
     let free = slots.iter().filter(|(_, slot)| !slot.serving);
-    free.min_by_key(|(_, slot)| (class(slot), slot.since)).map(|(id, _)| *id)
+    free.min_by_key(|(_, slot)| (class(slot), slot.since))
+        .map(|(id, _)| *id)
 }
--- a/crates/platform/src/steady.rs
+++ b/crates/platform/src/steady.rs
@@ -33,7 +33,11 @@
 
 impl Up {
     fn new(before: Option<Task<String>>, linger: Duration) -> Up {
-        Up { before: Rc::new(RefCell::new(before)), spoke: Rc::default(), linger }
+        Up {
+            before: Rc::new(RefCell::new(before)),
+            spoke: Rc::default(),
+            linger,
+        }
     }
 
     /// The service said something: the session at the earlier address is no longer needed.
--- a/crates/platform/tests/beneath.rs
+++ b/crates/platform/tests/beneath.rs
@@ -12,7 +12,10 @@
 
 #[test]
 fn hyper_gives_the_second_copy_of_an_answer_to_the_next_request() {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("a runtime");
     let work = async {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         let stream = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
@@ -20,12 +23,20 @@
         let (look, mut heard) = (stream.try_clone().unwrap(), [0; 512]);
         stream.set_nonblocking(true).unwrap();
         let stream = tokio::net::TcpStream::from_std(stream).unwrap();
-        let (mut sender, connection) =
-            http1::handshake::<_, Empty<Bytes>>(TokioIo::new(stream)).await.unwrap();
+        let (mut sender, connection) = http1::handshake::<_, Empty<Bytes>>(TokioIo::new(stream))
+            .await
+            .unwrap();
         tokio::task::spawn_local(connection);
         let get = || Request::get("/").body(Empty::<Bytes>::new()).unwrap();
         pod.write_all(&[OK, b"1a"].concat()).unwrap();
-        let first = sender.send_request(get()).await.unwrap().into_body().collect().await.unwrap();
+        let first = sender
+            .send_request(get())
+            .await
+            .unwrap()
+            .into_body()
+            .collect()
+            .await
+            .unwrap();
         assert_eq!(&first.to_bytes()[..], b"1a");
         assert!(pod.read(&mut heard).unwrap() > 0);
         sender.ready().await.unwrap();
@@ -36,7 +47,12 @@
             std::thread::yield_now();
         }
         let second = sender.send_request(get()).await;
-        let second = second.expect("no error: this is the trap").into_body().collect().await.unwrap();
+        let second = second
+            .expect("no error: this is the trap")
+            .into_body()
+            .collect()
+            .await
+            .unwrap();
         assert_eq!(&second.to_bytes()[..], b"1a");
     };
     runtime.block_on(tokio::task::LocalSet::new().run_until(work));
--- a/crates/platform/tests/common/mod.rs
+++ b/crates/platform/tests/common/mod.rs
@@ -52,10 +52,20 @@
         let ((ready, at), (end, ended)) = (oneshot::channel(), oneshot::channel());
         let sidecar = Sidecar(spawn_local(async move {
             let ready = |at| ready.send(at).expect("the test waits");
-            serve(config(&whole), ordered, ready).await.expect("a sidecar that starts");
+            serve(config(&whole), ordered, ready)
+                .await
+                .expect("a sidecar that starts");
             let _ = end.send(());
         }));
-        Rig { at: at.await.expect("a sidecar"), nodes, desk, pod, orders, ended, _sidecar: sidecar }
+        Rig {
+            at: at.await.expect("a sidecar"),
+            nodes,
+            desk,
+            pod,
+            orders,
+            ended,
+            _sidecar: sidecar,
+        }
     }
 
     pub async fn client(&self) -> Talk {
@@ -73,7 +83,11 @@
 }
 
 pub fn hit(line: &str, id: &str, more: &str, body: &str) -> String {
-    let length = if body.is_empty() { String::new() } else { format!("content-length: {}\r\n", body.len()) };
+    let length = if body.is_empty() {
+        String::new()
+    } else {
+        format!("content-length: {}\r\n", body.len())
+    };
     format!("{line} HTTP/1.1\r\nhost: h\r\nx-correlation-id: {id}\r\nx-time-left-ms: 800\r\n{length}{more}\r\n{body}")
 }
 
@@ -82,7 +96,10 @@
 }
 
 pub fn test(work: impl Future<Output = ()>) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("a runtime");
     runtime.block_on(LocalSet::new().run_until(work));
 }
 
--- a/crates/platform/tests/crossings.rs
+++ b/crates/platform/tests/crossings.rs
@@ -57,10 +57,16 @@
                 stream
             })
             .collect();
-        let answers =
-            off_thread(|| late.into_iter().map(whole_answer).collect::<std::io::Result<Vec<_>>>()).await;
+        let answers = off_thread(|| {
+            late.into_iter()
+                .map(whole_answer)
+                .collect::<std::io::Result<Vec<_>>>()
+        })
+        .await;
         let answers = answers.expect("none is reset");
-        assert!(answers.iter().all(|answer| answer.starts_with("HTTP/1.1 503 ")));
+        assert!(answers
+            .iter()
+            .all(|answer| answer.starts_with("HTTP/1.1 503 ")));
         rig.ended.await.unwrap();
     });
 }
@@ -68,10 +74,16 @@
 /// A client that has asked for more than the sockets between hold and reads none of it yet.
 async fn slow_reader(rig: &Rig, body: &str) -> TcpStream {
     let mut slow = unheard(rig);
-    slow.write_all(get("slow").replace("800", "8000").as_bytes()).unwrap();
+    slow.write_all(get("slow").replace("800", "8000").as_bytes())
+        .unwrap();
     let mut pod = rig.pod.accept().await.unwrap();
     pod.message().await.unwrap();
-    pod.say(format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{body}", body.len())).await.unwrap();
+    pod.say(format!(
+        "HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{body}",
+        body.len()
+    ))
+    .await
+    .unwrap();
     // Its first byte is here, so it was handed over; the rest does not fit.
     let peeked = slow.try_clone().unwrap();
     off_thread(move || peeked.peek(&mut [0]).unwrap()).await;
@@ -93,7 +105,10 @@
         text
     })
     .await;
-    assert!(String::from_utf8(read).unwrap().ends_with(&body), "cut short");
+    assert!(
+        String::from_utf8(read).unwrap().ends_with(&body),
+        "cut short"
+    );
 }
 
 fn large() -> String {
@@ -184,7 +199,11 @@
             pod.message().await.unwrap();
             pod.say(OK).await.unwrap();
             let (status, head, _) = client.answer().await.unwrap();
-            assert_eq!((status, header(&head, "connection")), (200, Some("close")), "kept: {kept}");
+            assert_eq!(
+                (status, header(&head, "connection")),
+                (200, Some("close")),
+                "kept: {kept}"
+            );
             rig.ended.await.unwrap();
         }
     });
@@ -233,7 +252,10 @@
         assert_eq!(kept[0].answer().await.unwrap().0, 200);
         newcomer.write_all(HEALTH.as_bytes()).unwrap();
         let mut byte = [0];
-        assert_eq!(off_thread(move || newcomer.read(&mut byte).unwrap()).await, 1);
+        assert_eq!(
+            off_thread(move || newcomer.read(&mut byte).unwrap()).await,
+            1
+        );
     });
 }
 
@@ -301,7 +323,11 @@
             drop(client);
             let began = Instant::now();
             assert!(pod.ends().await);
-            assert!(began.elapsed() < 300 * MS, "{:?} behind {behind:.9}", began.elapsed());
+            assert!(
+                began.elapsed() < 300 * MS,
+                "{:?} behind {behind:.9}",
+                began.elapsed()
+            );
         }
     });
 }
@@ -336,7 +362,14 @@
             pod.say(OK).await.unwrap();
             assert_eq!(client.answer().await.unwrap().0, 200);
             rested().await;
-            client.say(if class == "read" { get("i1") } else { post(class, "i1") }).await.unwrap();
+            client
+                .say(if class == "read" {
+                    get("i1")
+                } else {
+                    post(class, "i1")
+                })
+                .await
+                .unwrap();
             // Read to the last byte on the kept connection, then no answer.
             pod.message().await.unwrap();
             drop(pod);
@@ -369,7 +402,11 @@
         client.write_all(get("i1").as_bytes()).unwrap();
         client.shutdown(Shutdown::Write).unwrap();
         let end = off_thread(move || client.read(&mut [0; 16])).await;
-        assert!(!end.as_ref().is_err_and(|error| error.kind() == ErrorKind::ConnectionReset), "{end:?}");
+        assert!(
+            !end.as_ref()
+                .is_err_and(|error| error.kind() == ErrorKind::ConnectionReset),
+            "{end:?}"
+        );
         rig.ended.await.unwrap();
     });
 }
@@ -416,7 +453,9 @@
     fn new() -> Busy {
         use socket2::{Domain, Socket, Type};
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
-        socket.bind(&std::net::SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
+        socket
+            .bind(&std::net::SocketAddr::from(([127, 0, 0, 1], 0)).into())
+            .unwrap();
         socket.listen(0).unwrap();
         let listener: std::net::TcpListener = socket.into();
         let (at, mut fill) = (listener.local_addr().unwrap(), Vec::new());
--- a/crates/platform/tests/lists.rs
+++ b/crates/platform/tests/lists.rs
@@ -19,7 +19,10 @@
 async fn watching(rig: &Rig, seq: u64) -> Talk {
     let mut watch = rig.nodes.accept().await.unwrap();
     watch.message().await.unwrap();
-    watch.say(WATCH.to_string() + &chunk(&list(seq, false, &[]))).await.unwrap();
+    watch
+        .say(WATCH.to_string() + &chunk(&list(seq, false, &[])))
+        .await
+        .unwrap();
     turns(rig).await;
     watch
 }
@@ -28,7 +31,10 @@
 async fn reaches(rig: &Rig, pod: &Peer, id: &str) {
     let mut client = rig.client().await;
     client.say(get(id)).await.unwrap();
-    let mut pod = pod.accept().await.unwrap_or_else(|error| panic!("{id}: {error}"));
+    let mut pod = pod
+        .accept()
+        .await
+        .unwrap_or_else(|error| panic!("{id}: {error}"));
     pod.message().await.unwrap();
     // Not kept, so that the next one shows where it goes.
     pod.say(OK_CLOSE).await.unwrap();
@@ -92,9 +98,15 @@
         let mut last = tokio::select! { last = next => last, () = dribble => unreachable!() };
         let other = Peer::new().await.unwrap();
         let moved = entry("p", other.at().unwrap(), 7, "active");
-        last.say(WATCH.to_string() + &chunk(&list(5, false, &[moved]))).await.unwrap();
+        last.say(WATCH.to_string() + &chunk(&list(5, false, &[moved])))
+            .await
+            .unwrap();
         turns(&rig).await;
-        assert!(silent.elapsed() < Duration::from_secs(6), "{:?}", silent.elapsed());
+        assert!(
+            silent.elapsed() < Duration::from_secs(6),
+            "{:?}",
+            silent.elapsed()
+        );
         reaches(&rig, &other, "i1").await;
     });
 }
@@ -114,7 +126,9 @@
         reaches(&rig, &other, "i1").await;
         // The second speaks of what lies before that: it sets nothing back, and is in force from then on.
         let back = entry("p", rig.pod.at().unwrap(), 7, "active");
-        next.say(WATCH.to_string() + &chunk(&list(5, false, std::slice::from_ref(&back)))).await.unwrap();
+        next.say(WATCH.to_string() + &chunk(&list(5, false, std::slice::from_ref(&back))))
+            .await
+            .unwrap();
         assert!(old.ends().await);
         reaches(&rig, &other, "i2").await;
         next.say(chunk(&list(7, false, &[back]))).await.unwrap();
@@ -131,17 +145,27 @@
         let mut old = watching(&rig, 8).await;
         let (nodes, desk) = (Peer::new().await.unwrap(), Peer::new().await.unwrap());
         let here = entry("p", rig.pod.at().unwrap(), 7, "active");
-        let whole = configuration(nodes.at().unwrap(), desk.at().unwrap(), std::slice::from_ref(&here));
+        let whole = configuration(
+            nodes.at().unwrap(),
+            desk.at().unwrap(),
+            std::slice::from_ref(&here),
+        );
         // Twice: the second takes the place of the first, which has not spoken.
         for _ in 0..2 {
-            rig.orders.send(Orders::Reload(Box::new(config(&whole)))).await.ok().unwrap();
+            rig.orders
+                .send(Orders::Reload(Box::new(config(&whole))))
+                .await
+                .ok()
+                .unwrap();
         }
         let mut new = nodes.accept().await.unwrap();
         assert!(new.message().await.unwrap().0.contains("since=8 "));
         let [one, two] = [Peer::new().await, Peer::new().await].map(Result::unwrap);
         let at = |peer: &Peer| entry("p", peer.at().unwrap(), 7, "active");
         // The new one's word is in force, and the old one speaks after it.
-        new.say(WATCH.to_string() + &chunk(&list(3, true, &[at(&one)]))).await.unwrap();
+        new.say(WATCH.to_string() + &chunk(&list(3, true, &[at(&one)])))
+            .await
+            .unwrap();
         turns(&rig).await;
         let late = old.say(chunk(&list(9, false, &[at(&two)]))).await;
         turns(&rig).await;
@@ -152,7 +176,10 @@
         turns(&rig).await;
         reaches(&rig, &two, "i2").await;
         // SIGHUP, then SIGTERM at once.
-        rig.orders.try_send(Orders::Reload(Box::new(config(&whole)))).ok().unwrap();
+        rig.orders
+            .try_send(Orders::Reload(Box::new(config(&whole))))
+            .ok()
+            .unwrap();
         rig.orders.try_send(Orders::Stop).ok().unwrap();
         rig.ended.await.unwrap();
     });
@@ -166,11 +193,17 @@
         let mut old = watching(&rig, 4).await;
         // Held, so that no other test is given it, and not listened on: connects are refused.
         let closed = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
-        closed.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).unwrap();
+        closed
+            .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
+            .unwrap();
         let at = closed.local_addr().unwrap().as_socket().unwrap();
         let desk = Peer::new().await.unwrap();
         let whole = configuration(at, desk.at().unwrap(), &[]);
-        rig.orders.send(Orders::Reload(Box::new(config(&whole)))).await.ok().unwrap();
+        rig.orders
+            .send(Orders::Reload(Box::new(config(&whole))))
+            .await
+            .ok()
+            .unwrap();
         sleep(100 * MS).await;
         let other = Peer::new().await.unwrap();
         let moved = entry("p", other.at().unwrap(), 7, "active");
@@ -180,7 +213,10 @@
         closed.listen(1).unwrap();
         closed.set_nonblocking(true).unwrap();
         let opened = tokio::net::TcpListener::from_std(closed.into()).unwrap();
-        tokio::time::timeout(Duration::from_secs(2), opened.accept()).await.expect("tried again").unwrap();
+        tokio::time::timeout(Duration::from_secs(2), opened.accept())
+            .await
+            .expect("tried again")
+            .unwrap();
     });
 }
 
@@ -202,7 +238,14 @@
             Piece::Object(object) => Some(serde_json::from_slice(object).unwrap()),
         })
         .collect();
-    assert_eq!(objects, [json!({"a": [{"b\"}": "]{\\"}, 1]}), json!({}), json!({"c": {}})]);
+    assert_eq!(
+        objects,
+        [
+            json!({"a": [{"b\"}": "]{\\"}, 1]}),
+            json!({}),
+            json!({"c": {}})
+        ]
+    );
     assert_eq!(whole.len(), 6);
     for cut in 0..STREAM.len() {
         let mut parts = Objects::new(100);
--- a/crates/platform/tests/slots.rs
+++ b/crates/platform/tests/slots.rs
@@ -11,7 +11,14 @@
     let now = start + 1000 * MS;
     let slot = |at: u32, asked, serving, half: bool| {
         let since = start + at * MS;
-        Slot { connected: since, since, began: half.then_some(since), serving, write_by: None, asked }
+        Slot {
+            connected: since,
+            since,
+            began: half.then_some(since),
+            serving,
+            write_by: None,
+            asked,
+        }
     };
     let mut slots = vec![
         (1, slot(990, false, false, false)),
@@ -33,8 +40,19 @@
 fn those_that_stay_thin_out_before_they_hold_the_clients_third() {
     let start = Instant::now();
     let shares = Shares::of(384);
-    assert_eq!(shares, Shares { clients: 160, asked: 102, pods: 196 });
-    let asked = |n: u32| Slot { since: start + n * MS, asked: true, ..Slot::new(start) };
+    assert_eq!(
+        shares,
+        Shares {
+            clients: 160,
+            asked: 102,
+            pods: 196
+        }
+    );
+    let asked = |n: u32| Slot {
+        since: start + n * MS,
+        asked: true,
+        ..Slot::new(start)
+    };
     let mut slots: Vec<(u64, Slot)> = (0..101).map(|n| (n as u64, asked(n))).collect();
     slots.push((200, Slot::new(start)));
     assert_eq!(longest_idle(&slots, shares), None);
--- a/crates/platform/tests/traps.rs
+++ b/crates/platform/tests/traps.rs
@@ -14,8 +14,10 @@
 fn a_hit_goes_on_unchanged_and_its_time_runs_from_its_first_byte() {
     test(async {
         let rig = Rig::new(|_| {}).await;
-        let (mut client, hit) =
-            (rig.client().await, hit("POST /mark/a?b=1", "i1", "idempotency-key: k\r\n", "{body}"));
+        let (mut client, hit) = (
+            rig.client().await,
+            hit("POST /mark/a?b=1", "i1", "idempotency-key: k\r\n", "{body}"),
+        );
         client.say(&hit[..9]).await.unwrap();
         sleep(Duration::from_millis(150)).await;
         client.say(&hit[9..]).await.unwrap();
@@ -56,12 +58,20 @@
         // One hit stays in flight all the while.
         let rig = Rig::new(|whole| {
             for group in whole["settings"]["classes"].as_array_mut().unwrap() {
-                (group["onTimeNs"], group["giveUpNs"]) = (json!(60_000_000_000u64), json!(90_000_000_000u64));
+                (group["onTimeNs"], group["giveUpNs"]) =
+                    (json!(60_000_000_000u64), json!(90_000_000_000u64));
             }
         })
         .await;
         let (mut busy, mut pod) = rig.hit(&get("busy").replace("800", "60000")).await;
-        let post = |more: &str| hit("POST /mark", "i", &format!("idempotency-key: k\r\n{more}"), "");
+        let post = |more: &str| {
+            hit(
+                "POST /mark",
+                "i",
+                &format!("idempotency-key: k\r\n{more}"),
+                "",
+            )
+        };
         let bad = [
             "no http at all\r\n\r\n".to_string(),
             format!("GET /read HTTP/1.1\r\nx: {}\r\n\r\n", "x".repeat(40_000)),
@@ -86,7 +96,10 @@
             let mut client = rig.client().await;
             // It may be refused before its last byte is written.
             let _ = client.say(&bytes).await;
-            let (status, ..) = client.answer().await.unwrap_or_else(|error| panic!("{bytes:.90}: {error}"));
+            let (status, ..) = client
+                .answer()
+                .await
+                .unwrap_or_else(|error| panic!("{bytes:.90}: {error}"));
             assert!((400..500).contains(&status), "{status} to {bytes:.90}");
             assert!(client.ends().await, "{bytes:.90}");
         }
@@ -146,9 +159,13 @@
 fn each_answer_of_a_pod_is_told_rightly() {
     let cases = [
         (OK.to_string(), 200),
-        (format!("HTTP/1.1 100 Go on\r\n\r\nHTTP/1.1 103 Hints\r\nx: y\r\n\r\n{OK}"), 200),
         (
-            "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n1\r\no\r\n1\r\nk\r\n0\r\n\r\n".to_string(),
+            format!("HTTP/1.1 100 Go on\r\n\r\nHTTP/1.1 103 Hints\r\nx: y\r\n\r\n{OK}"),
+            200,
+        ),
+        (
+            "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n1\r\no\r\n1\r\nk\r\n0\r\n\r\n"
+                .to_string(),
             200,
         ),
         (NEVER.to_string(), 503),
@@ -160,9 +177,18 @@
         (OK.replace(": 2", ": 3"), 502),
         (OK.replace(": 2", ": -2"), 502),
         (OK.replace(": 2", ": 3000000000"), 502),
-        (OK.replace("content-length: 2", "content-length: 2\r\ncontent-length: 1"), 502),
+        (
+            OK.replace(
+                "content-length: 2",
+                "content-length: 2\r\ncontent-length: 1",
+            ),
+            502,
+        ),
         (OK.replace("content-length: 2\r\n", ""), 502),
-        ("HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\nzz\r\nok\r\n".to_string(), 502),
+        (
+            "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\nzz\r\nok\r\n".to_string(),
+            502,
+        ),
         (String::new(), 502),
     ];
     test(async {
@@ -192,10 +218,19 @@
         let report = json!({"how": "piggyback", "columns": ["busy_reqs"]});
         let rig = Rig::new(|whole| whole["settings"]["loadReport"] = report).await;
         let (mut client, mut pod) = rig.hit(&get("i0")).await;
-        for (n, told) in
-            ["{\"busy_reqs\": 3}", "{\"busy_reqs\": \"x\"}", "{", "\u{ff}", ""].iter().enumerate()
+        for (n, told) in [
+            "{\"busy_reqs\": 3}",
+            "{\"busy_reqs\": \"x\"}",
+            "{",
+            "\u{ff}",
+            "",
+        ]
+        .iter()
+        .enumerate()
         {
-            pod.say(OK.replace("\r\n\r\n", &format!("\r\nx-backend-load: {told}\r\n\r\n"))).await.unwrap();
+            pod.say(OK.replace("\r\n\r\n", &format!("\r\nx-backend-load: {told}\r\n\r\n")))
+                .await
+                .unwrap();
             assert_eq!(client.answer().await.unwrap().0, 200, "{told}");
             // On the same connection: it was not taken for spoilt.
             rested().await;
@@ -211,7 +246,11 @@
         let rig = Rig::new(|_| {}).await;
         let (mut client, mut pod) = rig.hit(&get("i1")).await;
         let body = "y".repeat(400_000);
-        pod.say(format!("HTTP/1.1 200 OK\r\ncontent-length: 400000\r\n\r\n{body}")).await.unwrap();
+        pod.say(format!(
+            "HTTP/1.1 200 OK\r\ncontent-length: 400000\r\n\r\n{body}"
+        ))
+        .await
+        .unwrap();
         let (status, _, got) = client.answer().await.unwrap();
         assert!(status == 200 && got == body);
     });
@@ -222,7 +261,9 @@
     test(async {
         let rig = Rig::new(|_| {}).await;
         let (mut client, mut pod) = rig.hit(&hit("POST /write", "i", "", "x")).await;
-        pod.say("HTTP/1.1 200 OK\r\ncontent-length: 3000000000\r\n\r\n").await.unwrap();
+        pod.say("HTTP/1.1 200 OK\r\ncontent-length: 3000000000\r\n\r\n")
+            .await
+            .unwrap();
         assert_eq!(client.answer().await.unwrap().0, 502);
         assert!(pod.ends().await);
     });
@@ -235,7 +276,13 @@
             let rig = Rig::new(|_| {}).await;
             let (mut client, mut pod) = rig.hit(&get("i1")).await;
             let extra = OK.replace("ok", "no");
-            pod.say(if late { OK.to_string() } else { format!("{OK}{extra}") }).await.unwrap();
+            pod.say(if late {
+                OK.to_string()
+            } else {
+                format!("{OK}{extra}")
+            })
+            .await
+            .unwrap();
             assert_eq!(client.answer().await.unwrap().2, "ok");
             if late {
                 pod.say(&extra).await.unwrap();
@@ -259,7 +306,8 @@
 #[test]
 fn an_idle_connection_is_closed_before_the_pod_does() {
     test(async {
-        let rig = Rig::new(|whole| whole["settings"]["limits"]["connIdleNs"] = json!(400_000_000)).await;
+        let rig =
+            Rig::new(|whole| whole["settings"]["limits"]["connIdleNs"] = json!(400_000_000)).await;
         let (mut client, mut pod) = rig.hit(&get("i1")).await;
         pod.say(OK).await.unwrap();
         assert_eq!(client.answer().await.unwrap().0, 200);
@@ -276,11 +324,22 @@
     test(async {
         let rig = Rig::new(|_| {}).await;
         let mut watch = rig.nodes.accept().await.unwrap();
-        assert!(watch.message().await.unwrap().0.starts_with("get /v1/servers?follow=1&since=3 "));
+        assert!(watch
+            .message()
+            .await
+            .unwrap()
+            .0
+            .starts_with("get /v1/servers?follow=1&since=3 "));
         let other = Peer::new().await.unwrap();
         let moved = entry("p", other.at().unwrap(), 7, "active");
-        watch.say(WATCH.to_string() + &chunk(&list(5, false, &[moved]))).await.unwrap();
-        watch.say(chunk("{\"seq\": 6, \"hosts\": [{}]}\n")).await.unwrap();
+        watch
+            .say(WATCH.to_string() + &chunk(&list(5, false, &[moved])))
+            .await
+            .unwrap();
+        watch
+            .say(chunk("{\"seq\": 6, \"hosts\": [{}]}\n"))
+            .await
+            .unwrap();
         assert!(watch.ends().await);
         // Known to the last line that could be read, and the pod is where that said.
         let mut watch = rig.nodes.accept().await.unwrap();
@@ -311,9 +370,11 @@
 async fn vote(talk: &mut Talk) -> Value {
     let news = json!({"image": 7, "ring": 0, "progress": "canary", "ceiling": 0.5, "lag_ms": 0});
     let wrong = json!({"host": "p", "type": "read", "lag_ms": 5});
-    let mut told = json!({"jsonrpc": "2.0", "method": "progress", "params": news}).to_string() + "\n";
+    let mut told =
+        json!({"jsonrpc": "2.0", "method": "progress", "params": news}).to_string() + "\n";
     for _ in 0..40 {
-        told += &(json!({"jsonrpc": "2.0", "method": "complaint", "params": wrong}).to_string() + "\n");
+        told +=
+            &(json!({"jsonrpc": "2.0", "method": "complaint", "params": wrong}).to_string() + "\n");
     }
     talk.say(told).await.unwrap();
     serde_json::from_str(&talk.line().await.unwrap()).unwrap()
@@ -324,19 +385,24 @@
     test(async {
         let older = Peer::new().await.unwrap();
         let more = entry("o", older.at().unwrap(), 6, "active");
-        let rig = Rig::new(|whole| whole["known"]["hosts"].as_array_mut().unwrap().push(more)).await;
+        let rig =
+            Rig::new(|whole| whole["known"]["hosts"].as_array_mut().unwrap().push(more)).await;
         // Share of both builds, without which the test has nothing to compare.
         for (n, pod) in [(0, &rig.pod), (1, &rig.pod), (2, &rig.pod)] {
             let mut client = rig.client().await;
             client.say(get(&format!("i{n}"))).await.unwrap();
-            let mut pod = tokio::select! { pod = pod.accept() => pod, pod = older.accept() => pod }.unwrap();
+            let mut pod =
+                tokio::select! { pod = pod.accept() => pod, pod = older.accept() => pod }.unwrap();
             pod.message().await.unwrap();
             pod.say(OK).await.unwrap();
             assert_eq!(client.answer().await.unwrap().0, 200);
         }
         let mut talk = followed(&rig.desk).await;
         let call = vote(&mut talk).await;
-        assert_eq!((&call["method"], &call["params"]["image"]), (&json!("castBallot"), &json!(7)));
+        assert_eq!(
+            (&call["method"], &call["params"]["image"]),
+            (&json!("castBallot"), &json!(7))
+        );
         assert_eq!(call["params"]["opinion"], "back");
         // Not to be read: it may count. The vote is cast again where the desk speaks clearly.
         talk.say("{\"jsonrpc\":\"2.0\",\"id\":\n").await.unwrap();
@@ -372,13 +438,19 @@
         let mut old = rig.nodes.accept().await.unwrap();
         old.message().await.unwrap();
         let here = entry("p", rig.pod.at().unwrap(), 7, "active");
-        old.say(WATCH.to_string() + &chunk(&list(4, false, &[]))).await.unwrap();
+        old.say(WATCH.to_string() + &chunk(&list(4, false, &[])))
+            .await
+            .unwrap();
         let (nodes, desk) = (Peer::new().await.unwrap(), Peer::new().await.unwrap());
         let whole = configuration(nodes.at().unwrap(), desk.at().unwrap(), &[here]);
         let (mut client, mut pod) = rig.hit(&get("i0")).await;
         pod.say(OK).await.unwrap();
         assert_eq!(client.answer().await.unwrap().0, 200);
-        rig.orders.send(Orders::Reload(Box::new(config(&whole)))).await.ok().unwrap();
+        rig.orders
+            .send(Orders::Reload(Box::new(config(&whole))))
+            .await
+            .ok()
+            .unwrap();
         let mut new = nodes.accept().await.unwrap();
         assert!(new.message().await.unwrap().0.contains("since=4 "));
         followed(&desk).await;
@@ -440,12 +512,18 @@
         for n in 0..60 {
             let more = "cookie: other=1; sid=k1\r\nx-account: t\r\nx-weight-hint: 5\r\n";
             let mut client = rig.client().await;
-            client.say(hit("GET /read", &format!("i{n}"), more, "")).await.unwrap();
+            client
+                .say(hit("GET /read", &format!("i{n}"), more, ""))
+                .await
+                .unwrap();
             let (mut pod, is_newer) = tokio::select! {
                 pod = rig.pod.accept() => (pod.unwrap(), false),
                 pod = newer.accept() => (pod.unwrap(), true),
             };
-            assert!(is_newer || !answered, "request {n} went back to the earlier build");
+            assert!(
+                is_newer || !answered,
+                "request {n} went back to the earlier build"
+            );
             pod.message().await.unwrap();
             pod.say(OK_CLOSE).await.unwrap();
             assert_eq!(client.answer().await.unwrap().0, 200);
@@ -466,12 +544,18 @@
         ("/limits/sockets", json!(u64::MAX / 4), "limits.sockets"),
         ("/limits/memory_mb", json!(1), "limits.memory_mb"),
         ("/deployer/news/progress", json!("soon"), "progress"),
-        ("/settings/classes/0/semantics", json!("odd"), "settings.classes[0].semantics"),
+        (
+            "/settings/classes/0/semantics",
+            json!("odd"),
+            "settings.classes[0].semantics",
+        ),
         ("/known/hosts", json!(5), "hosts"),
     ] {
         let mut whole = whole.clone();
         *whole.pointer_mut(path).unwrap() = value;
-        let why = Config::read(whole.to_string().as_bytes()).err().expect("refused");
+        let why = Config::read(whole.to_string().as_bytes())
+            .err()
+            .expect("refused");
         assert!(why.contains(told), "{why}");
     }
     assert!(Config::read(b"{").is_err() && Config::read(b"[]").is_err());
--- a/crates/rules/src/check.rs
+++ b/crates/rules/src/check.rs
@@ -29,7 +29,13 @@
 
 impl Verdict {
     fn new(rule: &'static str) -> Verdict {
-        Verdict { rule, tested: 0, broken: 0, nearest: 0.0, cases: Vec::new() }
+        Verdict {
+            rule,
+            tested: 0,
+            broken: 0,
+            nearest: 0.0,
+            cases: Vec::new(),
+        }
     }
 
     fn near(&mut self, share: f64) {
@@ -40,7 +46,10 @@
     fn break_it(&mut self, at: Ns, what: String) {
         self.broken += 1;
         if self.cases.len() < CASES {
-            self.cases.push(Case { at_ms: at as f64 / 1e6, what });
+            self.cases.push(Case {
+                at_ms: at as f64 / 1e6,
+                what,
+            });
         }
     }
 }
@@ -165,10 +174,19 @@
         end: entries.last().map_or(0, |entry| entry.at),
     };
     for entry in entries {
-        court.hear(entry).map_err(|what| format!("at {} ns: {what}", entry.at))?;
+        court
+            .hear(entry)
+            .map_err(|what| format!("at {} ns: {what}", entry.at))?;
     }
     court.close();
-    let Court { answered, once, drains, cold, exposed, .. } = court;
+    let Court {
+        answered,
+        once,
+        drains,
+        cold,
+        exposed,
+        ..
+    } = court;
     Ok(vec![answered, once, drains, cold, exposed])
 }
 
@@ -185,53 +203,125 @@
                 sidecar.bound.clear();
             }
             Seen::SidecarKilled { sidecar } => {
-                self.sidecars.entry(sidecar.clone()).or_default().killed.push(at);
+                self.sidecars
+                    .entry(sidecar.clone())
+                    .or_default()
+                    .killed
+                    .push(at);
             }
             Seen::SidecarStops { sidecar } => {
-                self.sidecars.entry(sidecar.clone()).or_default().stops.push(at);
+                self.sidecars
+                    .entry(sidecar.clone())
+                    .or_default()
+                    .stops
+                    .push(at);
             }
-            Seen::Asked { ask, hit, sidecar, group, key, left } => {
+            Seen::Asked {
+                ask,
+                hit,
+                sidecar,
+                group,
+                key,
+                left,
+            } => {
                 if *group >= self.figures.groups.len() {
                     return Err(format!("path group {group}, which the figures do not name"));
                 }
                 let taken = &mut self.sidecars.entry(sidecar.clone()).or_default().taken;
-                let bucket = if self.figures.exposure.per_group { *group } else { 0 };
+                let bucket = if self.figures.exposure.per_group {
+                    *group
+                } else {
+                    0
+                };
                 taken.entry(bucket).or_default().push_back(at);
                 let (hit, group, key, left) = (*hit, *group, *key, *left);
                 let (sidecar, answered, forwards) = (sidecar.clone(), None, Vec::new());
-                self.asks.insert(*ask, Ask { at, hit, sidecar, group, key, left, answered, forwards });
+                self.asks.insert(
+                    *ask,
+                    Ask {
+                        at,
+                        hit,
+                        sidecar,
+                        group,
+                        key,
+                        left,
+                        answered,
+                        forwards,
+                    },
+                );
             }
-            Seen::Answered { ask, answer, come_back } => self.answered(at, *ask, *answer, *come_back)?,
-            Seen::PodUp { pod, life, build, zone, cell, cold } => {
+            Seen::Answered {
+                ask,
+                answer,
+                come_back,
+            } => self.answered(at, *ask, *answer, *come_back)?,
+            Seen::PodUp {
+                pod,
+                life,
+                build,
+                zone,
+                cell,
+                cold,
+            } => {
                 let (zone, work) = (zone.clone(), VecDeque::new());
-                let new = Pod { build: *build, zone, cell: *cell, up: at, cold: *cold, work, sum: 0.0 };
+                let new = Pod {
+                    build: *build,
+                    zone,
+                    cell: *cell,
+                    up: at,
+                    cold: *cold,
+                    work,
+                    sum: 0.0,
+                };
                 self.pods.insert((pod.clone(), *life), new);
             }
             Seen::PodFell { pod, life } => {
-                self.cold.break_it(at, format!("{pod} (life {life}) was pushed over while cold"));
+                self.cold.break_it(
+                    at,
+                    format!("{pod} (life {life}) was pushed over while cold"),
+                );
             }
-            Seen::Arrived { ask, sidecar, pod, life, work } => {
+            Seen::Arrived {
+                ask,
+                sidecar,
+                pod,
+                life,
+                work,
+            } => {
                 self.arrived(at, *ask, sidecar, &(pod.clone(), *life), *work)?;
             }
             Seen::Unseen { ask, pod, life } => {
                 let ask = self.asks.get_mut(ask).ok_or("a forward of nothing asked")?;
                 let place = (pod.clone(), *life);
-                let found = ask.forwards.iter_mut().rev().find(|forward| forward.pod == place);
+                let found = ask
+                    .forwards
+                    .iter_mut()
+                    .rev()
+                    .find(|forward| forward.pod == place);
                 found.ok_or("turned away, but never arrived")?.unseen = true;
             }
             Seen::Ran { ask, pod, .. } => {
                 let ask = self.asks.get(ask).ok_or("an effect of nothing asked")?;
                 // Clients ask again for such a hit only after a bounce, so that one effect is all it may have.
                 if self.figures.groups[ask.group].is(Kind::Mutating) && !self.ran.insert(ask.hit) {
-                    self.once.break_it(at, format!("hit {}: took effect again, at {pod}", ask.hit));
+                    self.once
+                        .break_it(at, format!("hit {}: took effect again, at {pod}", ask.hit));
                 }
             }
             Seen::Gave { ask, pod, life } => self.gave(at, *ask, &(pod.clone(), *life))?,
-            Seen::Told { sidecar, pod, life, state } => {
+            Seen::Told {
+                sidecar,
+                pod,
+                life,
+                state,
+            } => {
                 let place = (pod.clone(), *life);
                 let build = self.pods.get(&place).map(|pod| pod.build);
                 let sidecar = self.sidecars.entry(sidecar.clone()).or_default();
-                if let Some(before) = sidecar.lives.insert(pod.clone(), *life).filter(|before| before != life)
+                if let Some(before) = sidecar
+                    .lives
+                    .insert(pod.clone(), *life)
+                    .filter(|before| before != life)
                 {
                     // Its place is another's now: whoever goes there by the old address goes to a gone pod.
                     sidecar.closed.entry((pod.clone(), before)).or_insert(at);
@@ -249,13 +339,24 @@
                     }
                 }
             }
-            Seen::News { sidecar, build, stage, phase, cap } => {
+            Seen::News {
+                sidecar,
+                build,
+                stage,
+                phase,
+                cap,
+            } => {
                 let grace = self.figures.drain_grace;
                 let figures = &self.figures;
                 let sidecar = self.sidecars.entry(sidecar.clone()).or_default();
                 let was = sidecar.cap(figures, *build);
                 let (stage, phase) = (*stage, phase.clone());
-                sidecar.news = Some(News { build: *build, stage, phase: phase.clone(), cap: *cap });
+                sidecar.news = Some(News {
+                    build: *build,
+                    stage,
+                    phase: phase.clone(),
+                    cap: *cap,
+                });
                 let now = sidecar.cap(figures, *build).unwrap_or(1.0);
                 let was = was.unwrap_or(1.0);
                 if now < was {
@@ -271,9 +372,13 @@
 
     fn answered(&mut self, at: Ns, ask: u64, answer: Answer, come_back: Ns) -> Result<(), String> {
         let number = ask;
-        let ask = self.asks.get_mut(&ask).ok_or("an answer to nothing asked")?;
+        let ask = self
+            .asks
+            .get_mut(&ask)
+            .ok_or("an answer to nothing asked")?;
         if let Some((_, first)) = ask.answered {
-            self.answered.break_it(at, format!("ask {number}: {answer:?} after {first:?}"));
+            self.answered
+                .break_it(at, format!("ask {number}: {answer:?} after {first:?}"));
             return Ok(());
         }
         ask.answered = Some((at, answer));
@@ -286,14 +391,22 @@
                     && group.scoped(Scope::All)
                     && again < first.at + group.repeat_window + self.figures.transit);
             if !harmless {
-                self.once
-                    .break_it(at, format!("ask {number} ({}): bounced, but it may have run", group.name));
+                self.once.break_it(
+                    at,
+                    format!(
+                        "ask {number} ({}): bounced, but it may have run",
+                        group.name
+                    ),
+                );
             }
         }
         match answer {
             Answer::Left | Answer::NotTaken => {}
             Answer::Broken | Answer::Missing => {
-                let excused = self.sidecars.get(&ask.sidecar).is_some_and(|s| s.excuses(ask, &self.figures));
+                let excused = self
+                    .sidecars
+                    .get(&ask.sidecar)
+                    .is_some_and(|s| s.excuses(ask, &self.figures));
                 if !excused {
                     let what = format!("ask {number} to {}: {answer:?}", ask.sidecar);
                     self.answered.break_it(at, what);
@@ -304,7 +417,8 @@
                 let most = ask.left + self.figures.answer_slack;
                 self.answered.near(took as f64 / most as f64);
                 if took > most {
-                    let what = format!("ask {number}: {answer:?} {} us late", (took - most) / 1_000);
+                    let what =
+                        format!("ask {number}: {answer:?} {} us late", (took - most) / 1_000);
                     self.answered.break_it(at, what);
                 }
             }
@@ -322,21 +436,40 @@
     ) -> Result<(), String> {
         let transit = self.figures.transit;
         let number = ask;
-        let ask = self.asks.get_mut(&ask).ok_or("a forward of nothing asked")?;
-        let pod = self.pods.get_mut(place).ok_or("a forward to a pod that never started")?;
+        let ask = self
+            .asks
+            .get_mut(&ask)
+            .ok_or("a forward of nothing asked")?;
+        let pod = self
+            .pods
+            .get_mut(place)
+            .ok_or("a forward to a pod that never started")?;
         let group = &self.figures.groups[ask.group];
-        if ask.answered.is_some_and(|(answered, how)| how != Answer::Left && at > answered + transit) {
-            self.answered.break_it(at, format!("ask {number}: forwarded to {} after its answer", place.0));
+        if ask
+            .answered
+            .is_some_and(|(answered, how)| how != Answer::Left && at > answered + transit)
+        {
+            self.answered.break_it(
+                at,
+                format!("ask {number}: forwarded to {} after its answer", place.0),
+            );
         }
 
-        let ran: Vec<&Forward> = ask.forwards.iter().filter(|forward| !forward.unseen).collect();
+        let ran: Vec<&Forward> = ask
+            .forwards
+            .iter()
+            .filter(|forward| !forward.unseen)
+            .collect();
         if !group.is(Kind::Repeatable) {
             self.once.tested += 1;
         }
         if let Some(first) = ran.first().filter(|_| !group.is(Kind::Repeatable)) {
             let whole = group.repeat_window.max(1);
             let (zone, cell) = (pod.zone.clone(), pod.cell);
-            let old = self.pods.get(&first.pod).ok_or("a forward to a pod that never started")?;
+            let old = self
+                .pods
+                .get(&first.pod)
+                .ok_or("a forward to a pod that never started")?;
             let shares = group.scoped(Scope::All)
                 || (group.scoped(Scope::Zone) && old.zone == zone)
                 || (group.scoped(Scope::Cell) && old.cell == cell);
@@ -345,26 +478,41 @@
                 self.once.nearest = self.once.nearest.max(late as f64 / whole as f64);
             }
             if group.is(Kind::Mutating) || !shares || late > whole + transit {
-                let what =
-                    format!("ask {number} ({}): again at {} {} us later", group.name, place.0, late / 1_000);
+                let what = format!(
+                    "ask {number} ({}): again at {} {} us later",
+                    group.name,
+                    place.0,
+                    late / 1_000
+                );
                 self.once.break_it(at, what);
             }
         }
-        ask.forwards.push(Forward { at, pod: place.clone(), unseen: false });
+        ask.forwards.push(Forward {
+            at,
+            pod: place.clone(),
+            unseen: false,
+        });
 
         let sidecar = self.sidecars.entry(name.to_string()).or_default();
         if let Some(told) = sidecar.closed.get(place) {
             let since = at.saturating_sub(*told);
-            self.drains.near(since as f64 / (self.figures.drain_grace + transit).max(1) as f64);
+            self.drains
+                .near(since as f64 / (self.figures.drain_grace + transit).max(1) as f64);
             if since > self.figures.drain_grace + transit {
-                let what =
-                    format!("ask {number}: {name} to {} {} us after it was told", place.0, since / 1_000);
+                let what = format!(
+                    "ask {number}: {name} to {} {} us after it was told",
+                    place.0,
+                    since / 1_000
+                );
                 self.drains.break_it(at, what);
             }
         }
 
         let (window, multiple) = (self.figures.fall_window, self.figures.fall_multiple);
-        let pod = self.pods.get_mut(place).ok_or("a forward to a pod that never started")?;
+        let pod = self
+            .pods
+            .get_mut(place)
+            .ok_or("a forward to a pod that never started")?;
         pod.work.push_back((at, work));
         pod.sum += work as f64;
         while let Some((_, old)) = pod.work.pop_front_if(|(then, _)| *then + window < at) {
@@ -376,7 +524,10 @@
             self.cold.near(pod.sum / budget.max(1.0));
             if pod.sum > budget {
                 let over = pod.sum / budget.max(1.0);
-                self.cold.break_it(at, format!("{}: {over:.2} times what a cold pod bears", place.0));
+                self.cold.break_it(
+                    at,
+                    format!("{}: {over:.2} times what a cold pod bears", place.0),
+                );
             }
         }
         let (build, group, key) = (pod.build, ask.group, ask.key);
@@ -385,23 +536,47 @@
     }
 
     fn exposure(&mut self, at: Ns, ask: u64, name: &str, build: Build, group: usize, key: u64) {
-        let Figures { exposure, transit, groups, .. } = &self.figures;
+        let Figures {
+            exposure,
+            transit,
+            groups,
+            ..
+        } = &self.figures;
         let sidecar = self.sidecars.entry(name.to_string()).or_default();
-        let newer = sidecar.bound.get(&key).filter(|(bound, since)| build < *bound && at > since + transit);
+        let newer = sidecar
+            .bound
+            .get(&key)
+            .filter(|(bound, since)| build < *bound && at > since + transit);
         if let Some((bound, _)) = newer.filter(|_| exposure.one_way && key != 0) {
-            self.exposed.break_it(at, format!("ask {ask}: key {key} to build {build}, answered by {bound}"));
+            self.exposed.break_it(
+                at,
+                format!("ask {ask}: key {key} to build {build}, answered by {bound}"),
+            );
         }
-        let Some(cap) = sidecar.cap(&self.figures, build) else { return };
-        let before = sidecar.before.filter(|(lowered, _, until)| *lowered == build && at <= until + transit);
+        let Some(cap) = sidecar.cap(&self.figures, build) else {
+            return;
+        };
+        let before = sidecar
+            .before
+            .filter(|(lowered, _, until)| *lowered == build && at <= until + transit);
         let cap = before.map_or(cap, |(_, was, _)| was.max(cap));
         let news = sidecar.news.as_ref().filter(|news| news.build == build);
         let stage = news.map_or(0, |news| news.stage);
-        if stage < exposure.guarded_stages && !groups[group].is(Kind::Repeatable) && before.is_none() {
-            let what = format!("ask {ask} ({}): to build {build} in stage {stage}", groups[group].name);
+        if stage < exposure.guarded_stages
+            && !groups[group].is(Kind::Repeatable)
+            && before.is_none()
+        {
+            let what = format!(
+                "ask {ask} ({}): to build {build} in stage {stage}",
+                groups[group].name
+            );
             self.exposed.break_it(at, what);
         }
         if cap <= 0.0 {
-            self.exposed.break_it(at, format!("ask {ask}: {name} to build {build}, which is closed"));
+            self.exposed.break_it(
+                at,
+                format!("ask {ask}: {name} to build {build}, which is closed"),
+            );
             return;
         }
         let bucket = if exposure.per_group { group } else { 0 };
@@ -412,13 +587,17 @@
         let sent = sidecar.sent.entry((build, bucket)).or_default();
         sent.push_back(at);
         // A lower cap counts anew from where it began to bind.
-        let lowered = sidecar.before.filter(|(lowered, ..)| *lowered == build).map_or(0, |(.., until)| until);
+        let lowered = sidecar
+            .before
+            .filter(|(lowered, ..)| *lowered == build)
+            .map_or(0, |(.., until)| until);
         forget(sent, from.max(if at > lowered { lowered } else { 0 }));
         let count = sent.len() as f64;
         self.exposed.near(count / most.max(1e-9));
         if count > most {
-            let what =
-                format!("ask {ask}: {name} sent {count} to build {build}, {most:.1} allowed (cap {cap})");
+            let what = format!(
+                "ask {ask}: {name} sent {count} to build {build}, {most:.1} allowed (cap {cap})"
+            );
             self.exposed.break_it(at, what);
         }
     }
@@ -428,9 +607,16 @@
             return Ok(());
         }
         let ask = self.asks.get(&ask).ok_or("an answer to nothing asked")?;
-        let build = self.pods.get(place).ok_or("an answer of a pod that never started")?.build;
+        let build = self
+            .pods
+            .get(place)
+            .ok_or("an answer of a pod that never started")?
+            .build;
         let sidecar = self.sidecars.entry(ask.sidecar.clone()).or_default();
-        let bound = sidecar.news.as_ref().is_some_and(|news| build >= news.build);
+        let bound = sidecar
+            .news
+            .as_ref()
+            .is_some_and(|news| build >= news.build);
         if bound && ask.key != 0 {
             sidecar.bound.entry(ask.key).or_insert((build, at));
         }
@@ -439,14 +625,21 @@
 
     /// What only the end shows: hits never answered.
     fn close(&mut self) {
-        let mut owed: Vec<(&u64, &Ask)> =
-            self.asks.iter().filter(|(_, ask)| ask.answered.is_none()).collect();
+        let mut owed: Vec<(&u64, &Ask)> = self
+            .asks
+            .iter()
+            .filter(|(_, ask)| ask.answered.is_none())
+            .collect();
         owed.sort_by_key(|(_, ask)| ask.at);
         for (number, ask) in owed {
             let due = ask.at + ask.left + self.figures.answer_slack;
-            let excused = self.sidecars.get(&ask.sidecar).is_some_and(|s| s.excuses(ask, &self.figures));
+            let excused = self
+                .sidecars
+                .get(&ask.sidecar)
+                .is_some_and(|s| s.excuses(ask, &self.figures));
             if due < self.end && !excused {
-                self.answered.break_it(due, format!("ask {number} to {}: no answer", ask.sidecar));
+                self.answered
+                    .break_it(due, format!("ask {number} to {}: no answer", ask.sidecar));
             }
         }
     }
--- a/crates/rules/src/ledger.rs
+++ b/crates/rules/src/ledger.rs
@@ -48,7 +48,12 @@
 
 impl Group {
     pub fn new(name: &str, kind: Kind, scope: Scope, repeat_window: Ns) -> Group {
-        Group { name: name.to_string(), kind: kind as u8, scope: scope as u8, repeat_window }
+        Group {
+            name: name.to_string(),
+            kind: kind as u8,
+            scope: scope as u8,
+            repeat_window,
+        }
     }
 
     pub fn is(&self, kind: Kind) -> bool {
@@ -72,8 +77,23 @@
 
 impl From<&ExposureRules> for Exposure {
     fn from(rules: &ExposureRules) -> Exposure {
-        let ExposureRules { window, free, per_group, guarded_stages, one_way, caps, .. } = rules.clone();
-        Exposure { window, free, per_group, guarded_stages, one_way, caps }
+        let ExposureRules {
+            window,
+            free,
+            per_group,
+            guarded_stages,
+            one_way,
+            caps,
+            ..
+        } = rules.clone();
+        Exposure {
+            window,
+            free,
+            per_group,
+            guarded_stages,
+            one_way,
+            caps,
+        }
     }
 }
 
@@ -201,7 +221,11 @@
     #[error("{0}: {1}")]
     Io(String, std::io::Error),
     #[error("{file}:{line}: {what}; expected a ledger entry")]
-    Line { file: String, line: usize, what: String },
+    Line {
+        file: String,
+        line: usize,
+        what: String,
+    },
     #[error("more than {MOST} entries")]
     TooLong,
     #[error("{0}: no ledger there; expected files that end in .ledger")]
--- a/crates/rules/tests/doctored.rs
+++ b/crates/rules/tests/doctored.rs
@@ -20,8 +20,14 @@
         Group::new("write", Kind::Mutating, Scope::All, 0),
     ];
     let caps = vec![0.1, 0.5];
-    let exposure =
-        Exposure { window: 6_000 * MS, free: 2.0, per_group: false, guarded_stages: 1, one_way: true, caps };
+    let exposure = Exposure {
+        window: 6_000 * MS,
+        free: 2.0,
+        per_group: false,
+        guarded_stages: 1,
+        one_way: true,
+        caps,
+    };
     Figures {
         groups,
         drain_grace: 500 * MS,
@@ -36,17 +42,27 @@
 /// The entries of one line; `xN` at its end repeats it, each a ms after the other and with the next ask.
 fn line(text: &str) -> Vec<Entry> {
     let mut words: Vec<&str> = text.split_whitespace().collect();
-    let times = words.last().and_then(|word| word.strip_prefix('x')).and_then(|n| n.parse().ok());
+    let times = words
+        .last()
+        .and_then(|word| word.strip_prefix('x'))
+        .and_then(|n| n.parse().ok());
     if times.is_some() {
         words.pop();
     }
-    let number =
-        |n: usize| words[n].parse::<f64>().unwrap_or_else(|_| panic!("{text}: word {n} is no number"));
+    let number = |n: usize| {
+        words[n]
+            .parse::<f64>()
+            .unwrap_or_else(|_| panic!("{text}: word {n} is no number"))
+    };
     let name = |n: usize| words[n].to_string();
     (0..times.unwrap_or(1))
         .map(|n| {
             let ask = |at: usize| number(at) as u64 + n;
-            let group = |at: usize| ["read", "mark", "cell", "write"].iter().position(|g| *g == words[at]);
+            let group = |at: usize| {
+                ["read", "mark", "cell", "write"]
+                    .iter()
+                    .position(|g| *g == words[at])
+            };
             let seen = match words[1] {
                 "up" => Seen::SidecarUp { sidecar: name(2) },
                 "killed" => Seen::SidecarKilled { sidecar: name(2) },
@@ -63,8 +79,16 @@
                 "answered" => {
                     let answer = serde_json::from_str::<Answer>(&format!("\"{}\"", words[3]));
                     let answer = answer.unwrap_or_else(|_| panic!("{text}: no such answer"));
-                    let come_back = if words.len() > 4 { number(4) as u64 * MS } else { 0 };
-                    Seen::Answered { ask: ask(2), answer, come_back }
+                    let come_back = if words.len() > 4 {
+                        number(4) as u64 * MS
+                    } else {
+                        0
+                    };
+                    Seen::Answered {
+                        ask: ask(2),
+                        answer,
+                        come_back,
+                    }
                 }
                 // pod life build cell; a capacity of one core, cold at half for 4 s
                 "pod" => Seen::PodUp {
@@ -73,19 +97,44 @@
                     build: number(4) as u32,
                     zone: "z".to_string(),
                     cell: number(5) as i64,
-                    cold: Cold { capacity: 1e9, share: 0.5, warm_up: 4_000 * MS },
+                    cold: Cold {
+                        capacity: 1e9,
+                        share: 0.5,
+                        warm_up: 4_000 * MS,
+                    },
                 },
                 "arrived" => Seen::Arrived {
                     ask: ask(2),
                     sidecar: name(3),
                     pod: name(4),
                     life: 1,
-                    work: if words.len() > 5 { number(5) as u64 * MS } else { MS },
+                    work: if words.len() > 5 {
+                        number(5) as u64 * MS
+                    } else {
+                        MS
+                    },
+                },
+                "unseen" => Seen::Unseen {
+                    ask: ask(2),
+                    pod: name(3),
+                    life: 1,
+                },
+                "ran" => Seen::Ran {
+                    ask: ask(2),
+                    pod: name(3),
+                    life: 1,
+                },
+                "gave" => Seen::Gave {
+                    ask: ask(2),
+                    pod: name(3),
+                    life: 1,
+                },
+                "told" => Seen::Told {
+                    sidecar: name(2),
+                    pod: name(3),
+                    life: 1,
+                    state: name(4),
                 },
-                "unseen" => Seen::Unseen { ask: ask(2), pod: name(3), life: 1 },
-                "ran" => Seen::Ran { ask: ask(2), pod: name(3), life: 1 },
-                "gave" => Seen::Gave { ask: ask(2), pod: name(3), life: 1 },
-                "told" => Seen::Told { sidecar: name(2), pod: name(3), life: 1, state: name(4) },
                 // sidecar build stage phase cap
                 "news" => Seen::News {
                     sidecar: name(2),
@@ -96,7 +145,10 @@
                 },
                 _ => panic!("{text}: no such entry"),
             };
-            Entry { at: (number(0) * MS as f64) as u64 + n * MS, seen }
+            Entry {
+                at: (number(0) * MS as f64) as u64 + n * MS,
+                seen,
+            }
         })
         .collect()
 }
@@ -111,37 +163,69 @@
         let common = text.split("\n# ").next().unwrap_or("");
         for part in text.split("\n# ").skip(1) {
             let (title, lines) = part.split_once('\n').expect("a title and lines");
-            let mut entries = vec![Entry { at: 0, seen: Seen::Figures(figures()) }];
-            for text in common.lines().chain(lines.lines()).filter(|line| !line.trim().is_empty()) {
+            let mut entries = vec![Entry {
+                at: 0,
+                seen: Seen::Figures(figures()),
+            }];
+            for text in common
+                .lines()
+                .chain(lines.lines())
+                .filter(|line| !line.trim().is_empty())
+            {
                 entries.extend(line(text));
             }
             entries.sort_by_key(|entry| entry.at);
-            let verdicts =
-                check(&entries).unwrap_or_else(|what| panic!("{}: {title}: {what}", file.display()));
-            let broken: Vec<&str> = verdicts.iter().filter(|v| v.broken > 0).map(|v| v.rule).collect();
-            let wanted: Vec<&str> =
-                title.strip_prefix("breaks ").and_then(|rest| rest.split(',').next()).into_iter().collect();
+            let verdicts = check(&entries)
+                .unwrap_or_else(|what| panic!("{}: {title}: {what}", file.display()));
+            let broken: Vec<&str> = verdicts
+                .iter()
+                .filter(|v| v.broken > 0)
+                .map(|v| v.rule)
+                .collect();
+            let wanted: Vec<&str> = title
+                .strip_prefix("breaks ")
+                .and_then(|rest| rest.split(',').next())
+                .into_iter()
+                .collect();
             assert_eq!(broken, wanted, "{}: {title}: {verdicts:#?}", file.display());
-            let rule = rules.entry(file.file_stem().map(|stem| stem.to_os_string())).or_insert((0, 0));
-            *if wanted.is_empty() { &mut rule.0 } else { &mut rule.1 } += 1;
+            let rule = rules
+                .entry(file.file_stem().map(|stem| stem.to_os_string()))
+                .or_insert((0, 0));
+            *if wanted.is_empty() {
+                &mut rule.0
+            } else {
+                &mut rule.1
+            } += 1;
         }
     }
     assert_eq!(rules.len(), 5, "a file for each rule");
-    assert!(rules.values().all(|(kept, broken)| *kept > 0 && *broken > 0), "both for each: {rules:?}");
+    assert!(
+        rules
+            .values()
+            .all(|(kept, broken)| *kept > 0 && *broken > 0),
+        "both for each: {rules:?}"
+    );
 }
 
 #[test]
 fn a_ledger_reads_back_as_written_and_a_wrong_line_is_told() {
     let folder = tempfile::tempdir().expect("a folder");
-    let mut entries = vec![Entry { at: 0, seen: Seen::Figures(figures()) }];
+    let mut entries = vec![Entry {
+        at: 0,
+        seen: Seen::Figures(figures()),
+    }];
     entries.extend(line("3 asked 1 s read 7 100"));
     entries.extend(line("5 answered 1 bounced 1000"));
     ledger::write(folder.path(), "day", &entries).expect("written");
     assert_eq!(ledger::read(folder.path()).expect("read"), entries);
     std::fs::write(folder.path().join("worse.ledger"), "{\"at\":1}\n").expect("written");
-    let error = ledger::read(folder.path()).expect_err("no entry").to_string();
+    let error = ledger::read(folder.path())
+        .expect_err("no entry")
+        .to_string();
     assert!(error.contains("worse.ledger:1:"), "{error}");
     assert!(check(&[]).is_err() && check(&line("1 answered 9 delivered")).is_err());
     let unknown = [entries[0].clone(), line("1 answered 9 delivered").remove(0)];
-    assert!(check(&unknown).expect_err("never asked").contains("nothing asked"));
+    assert!(check(&unknown)
+        .expect_err("never asked")
+        .contains("nothing asked"));
 }
