--- a/crates/settings/src/reader.rs
+++ b/crates/settings/src/reader.rs
@@ -20,7 +20,13 @@
 
 impl fmt::Display for Problem {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let Problem { file, line, field, found, expected } = self;
+        let Problem {
+            file,
+            line,
+            field,
+            found,
+            expected,
+        } = self;
         write!(f, "{file}:{line}: {field}: {found}; expected {expected}")
     }
 }
@@ -49,7 +55,11 @@
 
 impl<'a> Reader<'a> {
     pub fn new(row: &'a Row, problems: &'a mut Vec<Problem>) -> Reader<'a> {
-        Reader { row, asked: BTreeSet::new(), problems }
+        Reader {
+            row,
+            asked: BTreeSet::new(),
+            problems,
+        }
     }
 
     pub fn complain(&mut self, field: &str, found: impl Into<String>, expected: impl Into<String>) {
@@ -63,7 +73,10 @@
     }
 
     pub fn has(&self, field: &str) -> bool {
-        self.row.fields.get(field).is_some_and(|value| !value.is_null())
+        self.row
+            .fields
+            .get(field)
+            .is_some_and(|value| !value.is_null())
     }
 
     /// Whether a field stands here that has another place now: it is complained of as that, not as unknown.
@@ -92,7 +105,10 @@
         if parsed.is_none() {
             let mut found = value.to_string();
             if found.len() > 60 {
-                let cut = (0..=57).rev().find(|at| found.is_char_boundary(*at)).unwrap_or(0);
+                let cut = (0..=57)
+                    .rev()
+                    .find(|at| found.is_char_boundary(*at))
+                    .unwrap_or(0);
                 found.truncate(cut);
                 found.push_str("...");
             }
@@ -102,8 +118,14 @@
     }
 
     pub fn text(&mut self, field: &'static str) -> String {
-        let full = |value: &Value| value.as_str().filter(|text| !text.is_empty()).map(str::to_string);
-        self.take(field, "a text that is not empty", full).unwrap_or_default()
+        let full = |value: &Value| {
+            value
+                .as_str()
+                .filter(|text| !text.is_empty())
+                .map(str::to_string)
+        };
+        self.take(field, "a text that is not empty", full)
+            .unwrap_or_default()
     }
 
     pub fn maybe_text(&mut self, field: &'static str) -> Option<String> {
@@ -123,7 +145,12 @@
         self.has(field).then(|| self.whole(field, range))
     }
 
-    pub fn whole_or(&mut self, field: &'static str, range: RangeInclusive<u64>, absent: u64) -> u64 {
+    pub fn whole_or(
+        &mut self,
+        field: &'static str,
+        range: RangeInclusive<u64>,
+        absent: u64,
+    ) -> u64 {
         self.asked.insert(field);
         if self.has(field) {
             self.whole(field, range)
@@ -138,7 +165,12 @@
         self.take(field, &wanted, within).unwrap_or(*range.start())
     }
 
-    pub fn number_or(&mut self, field: &'static str, range: RangeInclusive<f64>, absent: f64) -> f64 {
+    pub fn number_or(
+        &mut self,
+        field: &'static str,
+        range: RangeInclusive<f64>,
+        absent: f64,
+    ) -> f64 {
         self.asked.insert(field);
         if self.has(field) {
             self.number(field, range)
@@ -152,7 +184,8 @@
         if !self.has(field) {
             return absent;
         }
-        self.take(field, "True or False", Value::as_bool).unwrap_or(absent)
+        self.take(field, "True or False", Value::as_bool)
+            .unwrap_or(absent)
     }
 
     /// A span such as "250ms" or "1m 30s", in whole nanoseconds; one day at most, as no wait here is longer.
@@ -169,7 +202,9 @@
         const DAY: Ns = 86_400_000_000_000;
         let parse = |value: &Value| {
             let span = humantime::parse_duration(value.as_str()?).ok()?;
-            Ns::try_from(span.as_nanos()).ok().filter(|ns| (least..=DAY).contains(ns))
+            Ns::try_from(span.as_nanos())
+                .ok()
+                .filter(|ns| (least..=DAY).contains(ns))
         };
         let above = if least > 0 { " above 0" } else { "" };
         let wanted = format!("a span{above} of a day at most, such as \"250ms\" or \"1m 30s\"");
@@ -191,10 +226,19 @@
         if !self.has(field) {
             return absent;
         }
-        let wanted = format!("a size such as \"64KiB\", from {} to {} bytes", range.start(), range.end());
+        let wanted = format!(
+            "a size such as \"64KiB\", from {} to {} bytes",
+            range.start(),
+            range.end()
+        );
         let parse = |value: &Value| {
-            let told = value.as_str().and_then(|text| text.parse::<bytesize::ByteSize>().ok());
-            value.as_u64().or(told.map(|size| size.as_u64())).filter(|n| range.contains(n))
+            let told = value
+                .as_str()
+                .and_then(|text| text.parse::<bytesize::ByteSize>().ok());
+            value
+                .as_u64()
+                .or(told.map(|size| size.as_u64()))
+                .filter(|n| range.contains(n))
         };
         self.take(field, &wanted, parse).unwrap_or(absent)
     }
@@ -203,17 +247,30 @@
         let names: Vec<&str> = choices.iter().map(|(name, _)| *name).collect();
         let one = |value: &Value| {
             let name = value.as_str()?;
-            choices.iter().find(|(known, _)| *known == name).map(|(_, choice)| *choice)
+            choices
+                .iter()
+                .find(|(known, _)| *known == name)
+                .map(|(_, choice)| *choice)
         };
         self.take(field, &format!("one of {}", names.join(", ")), one)
     }
 
     pub fn texts(&mut self, field: &'static str) -> Vec<String> {
         let all = |value: &Value| {
-            let full = |text: &Value| text.as_str().filter(|text| !text.is_empty()).map(str::to_string);
-            value.as_array()?.iter().map(full).collect::<Option<Vec<_>>>().filter(|all| !all.is_empty())
+            let full = |text: &Value| {
+                text.as_str()
+                    .filter(|text| !text.is_empty())
+                    .map(str::to_string)
+            };
+            value
+                .as_array()?
+                .iter()
+                .map(full)
+                .collect::<Option<Vec<_>>>()
+                .filter(|all| !all.is_empty())
         };
-        self.take(field, "a list of texts, one at least", all).unwrap_or_default()
+        self.take(field, "a list of texts, one at least", all)
+            .unwrap_or_default()
     }
 
     pub fn texts_or_none(&mut self, field: &'static str) -> Vec<String> {
@@ -228,9 +285,15 @@
     pub fn shares(&mut self, field: &'static str) -> Vec<f64> {
         let all = |value: &Value| {
             let share = |n: &Value| n.as_f64().filter(|n| (0.0..=1.0).contains(n));
-            value.as_array()?.iter().map(share).collect::<Option<Vec<_>>>().filter(|all| !all.is_empty())
+            value
+                .as_array()?
+                .iter()
+                .map(share)
+                .collect::<Option<Vec<_>>>()
+                .filter(|all| !all.is_empty())
         };
-        self.take(field, "a list of numbers from 0 to 1, one at least", all).unwrap_or_else(|| vec![0.0])
+        self.take(field, "a list of numbers from 0 to 1, one at least", all)
+            .unwrap_or_else(|| vec![0.0])
     }
 
     /// A field by the type's own parser, such as a socket address or a header name.
--- a/crates/settings/src/records.rs
+++ b/crates/settings/src/records.rs
@@ -21,7 +21,9 @@
 }
 
 fn header(reader: &mut Reader, field: &'static str, absent: &str) -> String {
-    let Some(name) = reader.maybe_text(field) else { return absent.to_string() };
+    let Some(name) = reader.maybe_text(field) else {
+        return absent.to_string();
+    };
     let token = |c: char| c.is_ascii_alphanumeric() || "!#$%&'*+-.^_`|~".contains(c);
     if !name.chars().all(token) {
         reader.complain(field, format!("found {name:?}"), "a header name");
@@ -31,26 +33,58 @@
 
 fn feed(reader: &mut Reader) -> Feed {
     let address = address(reader, "address");
-    Feed { address, line_bytes: reader.size_or("line_bytes", 128..=1 << 20, 4 * KIB) as usize }
+    Feed {
+        address,
+        line_bytes: reader.size_or("line_bytes", 128..=1 << 20, 4 * KIB) as usize,
+    }
 }
 
 fn group(r: &mut Reader) -> Group {
     let name = r.text("name");
-    let methods = r.texts_or_none("methods").iter().map(|m| m.to_ascii_uppercase()).collect();
+    let methods = r
+        .texts_or_none("methods")
+        .iter()
+        .map(|m| m.to_ascii_uppercase())
+        .collect();
     let paths = r.texts("paths");
     for path in paths.iter().filter(|path| !path.starts_with('/')) {
-        r.complain("paths", format!("found {path:?}"), "paths that start with /");
+        r.complain(
+            "paths",
+            format!("found {path:?}"),
+            "paths that start with /",
+        );
     }
-    let kinds = [("repeatable", Kind::Repeatable), ("tagged", Kind::Tagged), ("mutating", Kind::Mutating)];
+    let kinds = [
+        ("repeatable", Kind::Repeatable),
+        ("tagged", Kind::Tagged),
+        ("mutating", Kind::Mutating),
+    ];
     let kind = r.choice("kind", &kinds).unwrap_or(Kind::Mutating);
-    let scopes = [("all", Scope::All), ("zone", Scope::Zone), ("cell", Scope::Cell)];
-    let scope = if r.has("scope") { r.choice("scope", &scopes) } else { r.maybe_text("scope").and(None) };
-    let repeat_window =
-        if kind == Kind::Tagged { r.span("repeat_window") } else { r.span_or("repeat_window", 0) };
-    let (target_latency, client_timeout) =
-        (r.span_above_0("target_latency"), r.span_above_0("client_timeout"));
+    let scopes = [
+        ("all", Scope::All),
+        ("zone", Scope::Zone),
+        ("cell", Scope::Cell),
+    ];
+    let scope = if r.has("scope") {
+        r.choice("scope", &scopes)
+    } else {
+        r.maybe_text("scope").and(None)
+    };
+    let repeat_window = if kind == Kind::Tagged {
+        r.span("repeat_window")
+    } else {
+        r.span_or("repeat_window", 0)
+    };
+    let (target_latency, client_timeout) = (
+        r.span_above_0("target_latency"),
+        r.span_above_0("client_timeout"),
+    );
     if target_latency > client_timeout && client_timeout > 0 {
-        r.complain("target_latency", "longer than client_timeout", "a span that clients still wait for");
+        r.complain(
+            "target_latency",
+            "longer than client_timeout",
+            "a span that clients still wait for",
+        );
     }
     let rules = PathGroup {
         kind,
@@ -62,13 +96,31 @@
         late_benefit: r.number_or("late_benefit", 0.0..=1.0, 0.0),
         stream: r.flag_or("stream", false),
     };
-    let guards = [("off", Guard::Off), ("before-forward", Guard::BeforeForward), ("behind", Guard::Behind)];
-    let guard = if r.has("guard") { r.choice("guard", &guards) } else { r.maybe_text("guard").and(None) };
+    let guards = [
+        ("off", Guard::Off),
+        ("before-forward", Guard::BeforeForward),
+        ("behind", Guard::Behind),
+    ];
+    let guard = if r.has("guard") {
+        r.choice("guard", &guards)
+    } else {
+        r.maybe_text("guard").and(None)
+    };
     let guard = guard.unwrap_or(Guard::Off);
     if guard == Guard::Behind && kind != Kind::Repeatable {
-        r.complain("guard", "found \"behind\"", "\"before-forward\", as a repeat could do harm");
+        r.complain(
+            "guard",
+            "found \"behind\"",
+            "\"before-forward\", as a repeat could do harm",
+        );
+    }
+    Group {
+        name,
+        methods,
+        paths,
+        rules,
+        guard,
     }
-    Group { name, methods, paths, rules, guard }
 }
 
 fn fellowship(r: &mut Reader) -> Fellowship {
@@ -82,17 +134,32 @@
         parsed
     };
     let meet = r.texts_or_none("meet");
-    let meet = meet.iter().filter_map(|text| parse(r, "meet", text)).collect();
-    let advertise = r.maybe_text("advertise").and_then(|text| parse(r, "advertise", &text));
+    let meet = meet
+        .iter()
+        .filter_map(|text| parse(r, "meet", text))
+        .collect();
+    let advertise = r
+        .maybe_text("advertise")
+        .and_then(|text| parse(r, "advertise", &text));
     let keys = PathBuf::from(r.text("keys"));
     let period = r.span_or("period", 500 * MS);
     bounded_span(r, "period", period);
-    Fellowship { listen, advertise, meet, keys, period }
+    Fellowship {
+        listen,
+        advertise,
+        meet,
+        keys,
+        period,
+    }
 }
 
 fn bounded_span(r: &mut Reader, field: &'static str, span: Ns) {
     if !(50 * MS..=60 * S).contains(&span) {
-        r.complain(field, format!("found {}ms", span / MS), "a span from 50ms to 60s");
+        r.complain(
+            field,
+            format!("found {}ms", span / MS),
+            "a span from 50ms to 60s",
+        );
     }
 }
 
@@ -100,7 +167,11 @@
     // What the fellowship's own call has now, as more than work in hand hangs on it.
     for moved in ["listen", "advertise", "meet", "keys", "period"] {
         if r.moved(moved) {
-            r.complain(moved, "found here", format!("it in fellowship({moved} = ...), beside takeover(...)"));
+            r.complain(
+                moved,
+                "found here",
+                format!("it in fellowship({moved} = ...), beside takeover(...)"),
+            );
         }
     }
     let takeover = Takeover {
@@ -139,13 +210,23 @@
         ("trace", Some("folder"), "no trace beside configuration(...), as a trace holds one set of routes"),
     ];
     for (kind, field, expected) in MOVED {
-        let stands =
-            |row: &&Row| row.kind == kind && field.is_none_or(|field| row.fields.contains_key(field));
+        let stands = |row: &&Row| {
+            row.kind == kind && field.is_none_or(|field| row.fields.contains_key(field))
+        };
         for row in rows.iter().filter(stands) {
             let field = field.map_or(kind.to_string(), |field| format!("{kind}.{field}"));
             let (file, line) = (row.file.clone(), row.line);
-            let (found, expected) = ("found beside configuration(...)".to_string(), expected.to_string());
-            problems.push(Problem { file, line, field, found, expected });
+            let (found, expected) = (
+                "found beside configuration(...)".to_string(),
+                expected.to_string(),
+            );
+            problems.push(Problem {
+                file,
+                line,
+                field,
+                found,
+                expected,
+            });
         }
     }
 }
@@ -190,7 +271,9 @@
         unseen_status: r.whole_or("unseen_status", 400..=599, 503) as u16,
         unseen_header: header(r, "unseen_header", "x-never-ran"),
         load: r.flag_or("load_reports", false),
-        probe_path: r.maybe_text("probe_path").unwrap_or_else(|| "/".to_string()),
+        probe_path: r
+            .maybe_text("probe_path")
+            .unwrap_or_else(|| "/".to_string()),
     };
     (rules, links)
 }
@@ -210,12 +293,20 @@
 }
 
 fn votes(r: &mut Reader, instances: usize) -> VoteRules {
-    let controls = [("any", Control::Any), ("count", Control::Count), ("clock", Control::Clock)];
+    let controls = [
+        ("any", Control::Any),
+        ("count", Control::Count),
+        ("clock", Control::Clock),
+    ];
     let control = r.choice("control", &controls).unwrap_or(Control::Any);
     let back_needs = r.whole_or("back_needs", 1..=1_000_000, 1) as usize;
     let on_needs = r.whole_or("on_needs", 0..=1_000_000, 0) as usize;
     if on_needs > instances.max(1) {
-        r.complain("on_needs", format!("found {on_needs}"), format!("{instances} at most, the instances"));
+        r.complain(
+            "on_needs",
+            format!("found {on_needs}"),
+            format!("{instances} at most, the instances"),
+        );
     }
     if back_needs > instances.max(1) {
         r.complain(
@@ -231,7 +322,11 @@
         life: r.span("life"),
         call_time_out: r.span_or("call_time_out", S),
         calls_per_s: r.number_or("calls_per_s", 0.0..=1e6, 0.0),
-        step: if control == Control::Clock { r.span("step") } else { r.span_or("step", 0) },
+        step: if control == Control::Clock {
+            r.span("step")
+        } else {
+            r.span_or("step", 0)
+        },
     }
 }
 
@@ -239,7 +334,11 @@
     let must_ask = r.flag_or("must_ask", false);
     ListRules {
         must_ask,
-        ask_within: if must_ask { r.span("ask_within") } else { r.span_or("ask_within", 0) },
+        ask_within: if must_ask {
+            r.span("ask_within")
+        } else {
+            r.span_or("ask_within", 0)
+        },
     }
 }
 
@@ -259,7 +358,11 @@
         total_bytes: r.size_or("total_bytes", 64 * KIB..=1 << 44, 4 << 30),
     };
     if trace.total_bytes < trace.file_bytes {
-        r.complain("total_bytes", format!("found {}", trace.total_bytes), "file_bytes at least");
+        r.complain(
+            "total_bytes",
+            format!("found {}", trace.total_bytes),
+            "file_bytes at least",
+        );
     }
     folder.map(|_| trace)
 }
@@ -285,42 +388,81 @@
         for row in rows.iter().filter(|row| row.kind == kind).skip(1) {
             let (found, expected) = ("a second one".to_string(), "it once".to_string());
             let (file, field) = (row.file.clone(), kind.to_string());
-            problems.push(Problem { file, line: row.line, field, found, expected });
+            problems.push(Problem {
+                file,
+                line: row.line,
+                field,
+                found,
+                expected,
+            });
         }
     }
     let missing = |kind: &str, problems: &mut Vec<Problem>| {
         let (found, expected) = ("missing".to_string(), format!("a call of {kind}(...)"));
-        problems.push(Problem { file: file.to_string(), line: 0, field: kind.to_string(), found, expected });
+        problems.push(Problem {
+            file: file.to_string(),
+            line: 0,
+            field: kind.to_string(),
+            found,
+            expected,
+        });
     };
     let is_configured = rows.iter().any(|row| row.kind == "configuration");
     if is_configured {
         refuse_static(rows, problems);
     }
-    let routes = if is_configured { None } else { Some("path_group") };
+    let routes = if is_configured {
+        None
+    } else {
+        Some("path_group")
+    };
     for kind in NEEDED.iter().copied().chain(routes) {
         if !rows.iter().any(|row| row.kind == kind) {
             missing(kind, problems);
         }
     }
-    let empty = |kind| Row { kind, file: file.to_string(), line: 0, fields: Default::default() };
+    let empty = |kind| Row {
+        kind,
+        file: file.to_string(),
+        line: 0,
+        fields: Default::default(),
+    };
     let mut read = |kind: &'static str, with: &mut dyn FnMut(&mut Reader)| {
         let blank = empty(kind);
         let row = rows.iter().find(|row| row.kind == kind);
         let mut unheard = Vec::new();
         // One that is missing was told once already, not once a field.
-        let to = if row.is_some() || !NEEDED.contains(&kind) { &mut *problems } else { &mut unheard };
+        let to = if row.is_some() || !NEEDED.contains(&kind) {
+            &mut *problems
+        } else {
+            &mut unheard
+        };
         let mut reader = Reader::new(row.unwrap_or(&blank), to);
         with(&mut reader);
         reader.finish();
     };
 
-    let (mut name, mut place) = (String::new(), Place { rank: 0, instances: 1, zone: 0 });
+    let (mut name, mut place) = (
+        String::new(),
+        Place {
+            rank: 0,
+            instances: 1,
+            zone: 0,
+        },
+    );
     let (mut zones, mut machines, mut customers) = (Vec::new(), Vec::new(), Vec::new());
     let (mut listen, mut admin) = (None, None);
     read("sidecar", &mut |r| {
         name = r.text("name");
-        if !name.chars().all(|c| c.is_ascii_alphanumeric() || "-._".contains(c)) {
-            r.complain("name", format!("found {name:?}"), "letters, digits, -, . and _");
+        if !name
+            .chars()
+            .all(|c| c.is_ascii_alphanumeric() || "-._".contains(c))
+        {
+            r.complain(
+                "name",
+                format!("found {name:?}"),
+                "letters, digits, -, . and _",
+            );
         }
         place.instances = r.whole("instances", 1..=1_000_000) as usize;
         // Which pods it keeps to follows from it: with one number at all sidecars all would keep to the same.
@@ -378,7 +520,11 @@
         read("takeover", &mut |r| {
             guarded = Some(takeover(r));
             if met.is_none() {
-                r.complain("fellowship", "no call of fellowship(...)", "one, as guardians are fellows");
+                r.complain(
+                    "fellowship",
+                    "no call of fellowship(...)",
+                    "one, as guardians are fellows",
+                );
             }
         });
     }
@@ -400,10 +546,18 @@
         let mut reader = Reader::new(row, problems);
         let next = group(&mut reader);
         if !names.insert(next.name.clone()) {
-            reader.complain("name", format!("found {:?} again", next.name), "a name of its own");
+            reader.complain(
+                "name",
+                format!("found {:?} again", next.name),
+                "a name of its own",
+            );
         }
         if next.guard != Guard::Off && guarded.is_none() {
-            reader.complain("guard", "no call of takeover(...)", "one, as nobody guards without it");
+            reader.complain(
+                "guard",
+                "no call of takeover(...)",
+                "one, as nobody guards without it",
+            );
         }
         groups.push(next);
         reader.finish();
--- a/crates/settings/src/script.rs
+++ b/crates/settings/src/script.rs
@@ -35,12 +35,20 @@
     records: usize,
 }
 
-const SETTINGS_BOUNDS: Bounds =
-    Bounds { ticks: TICKS, heap_bytes: HEAP, file_bytes: FILE_BYTES, records: RECORDS };
+const SETTINGS_BOUNDS: Bounds = Bounds {
+    ticks: TICKS,
+    heap_bytes: HEAP,
+    file_bytes: FILE_BYTES,
+    records: RECORDS,
+};
 /// A configuration is compiled by one process and may have every service and route on a line of its own. Tenants
 /// have a form in bulk, and as many lines again are left for those that have not.
-const CONFIGURATION_BOUNDS: Bounds =
-    Bounds { ticks: 2_000_000, heap_bytes: 256 << 20, file_bytes: 8 << 20, records: 200_000 };
+const CONFIGURATION_BOUNDS: Bounds = Bounds {
+    ticks: 2_000_000,
+    heap_bytes: 256 << 20,
+    file_bytes: 8 << 20,
+    records: 200_000,
+};
 
 /// Values handed to the script from outside, which it reads with `given(name, otherwise)`.
 pub type Given = BTreeMap<String, String>;
@@ -70,11 +78,18 @@
     eval: &Evaluator<'v, '_, '_>,
 ) -> anyhow::Result<NoneType> {
     let at = eval.call_stack_top_location();
-    let (file, line) = at
-        .map_or((String::new(), 0), |span| (span.filename().to_string(), span.resolve_span().begin.line + 1));
+    let (file, line) = at.map_or((String::new(), 0), |span| {
+        (
+            span.filename().to_string(),
+            span.resolve_span().begin.line + 1,
+        )
+    });
     let read = |(name, value): (String, Value<'v>)| {
         let json = value.to_json_value();
-        (name, json.unwrap_or_else(|_| Json::from(format!("<{}>", value.get_type()))))
+        (
+            name,
+            json.unwrap_or_else(|_| Json::from(format!("<{}>", value.get_type()))),
+        )
     };
     let fields = fields.into_iter().map(read).collect();
     with_sheet(|sheet| {
@@ -85,7 +100,12 @@
             sheet.rows.len() + 1,
             sheet.most_rows,
         );
-        sheet.rows.push(Row { kind, file, line, fields });
+        sheet.rows.push(Row {
+            kind,
+            file,
+            line,
+            fields,
+        });
         Ok(NoneType)
     })
 }
@@ -117,7 +137,13 @@
         #[starlark(require = pos)] name: &str,
         #[starlark(require = pos)] otherwise: &str,
     ) -> anyhow::Result<String> {
-        with_sheet(|sheet| Ok(sheet.given.get(name).cloned().unwrap_or_else(|| otherwise.to_string())))
+        with_sheet(|sheet| {
+            Ok(sheet
+                .given
+                .get(name)
+                .cloned()
+                .unwrap_or_else(|| otherwise.to_string()))
+        })
     }
 }
 
@@ -132,14 +158,21 @@
 
 impl FileLoader for Beside<'_> {
     fn load(&self, path: &str) -> starlark::Result<FrozenModule> {
-        let refuse =
-            |why: String| Err(starlark::Error::new_other(anyhow::anyhow!("load of {path:?}: {why}")));
+        let refuse = |why: String| {
+            Err(starlark::Error::new_other(anyhow::anyhow!(
+                "load of {path:?}: {why}"
+            )))
+        };
         if let Some(module) = self.done.borrow().get(path) {
             return Ok(module.clone());
         }
-        let plain = Path::new(path).components().all(|part| matches!(part, Component::Normal(_)));
+        let plain = Path::new(path)
+            .components()
+            .all(|part| matches!(part, Component::Normal(_)));
         if !plain {
-            return refuse("expected a file beside the script, with no .. and no leading /".to_string());
+            return refuse(
+                "expected a file beside the script, with no .. and no leading /".to_string(),
+            );
         }
         if self.open.borrow().iter().any(|name| name == path) {
             return refuse("it loads itself, by way of others".to_string());
@@ -156,7 +189,9 @@
         let module = run(&file.display().to_string(), text, self.globals, self);
         self.open.borrow_mut().pop();
         let module = module?;
-        self.done.borrow_mut().insert(path.to_string(), module.clone());
+        self.done
+            .borrow_mut()
+            .insert(path.to_string(), module.clone());
         Ok(module)
     }
 }
@@ -178,34 +213,55 @@
             bytes if bytes <= self.heap_bytes => Ok(()),
             bytes => {
                 let most = self.heap_bytes;
-                Err(starlark::Error::new_other(anyhow::anyhow!("{bytes} bytes of values, {most} at most")))
+                Err(starlark::Error::new_other(anyhow::anyhow!(
+                    "{bytes} bytes of values, {most} at most"
+                )))
             }
         }
     }
 }
 
 fn read(file: &Path, most_bytes: u64) -> Result<String, String> {
-    let size = std::fs::metadata(file).map_err(|e| format!("cannot be read ({e})"))?.len();
+    let size = std::fs::metadata(file)
+        .map_err(|e| format!("cannot be read ({e})"))?
+        .len();
     if size > most_bytes {
         return Err(format!("{size} bytes, expected {most_bytes} at most"));
     }
     std::fs::read_to_string(file).map_err(|e| format!("cannot be read ({e})"))
 }
 
-fn run(name: &str, text: String, globals: &Globals, loader: &Beside) -> starlark::Result<FrozenModule> {
-    let dialect = Dialect { enable_top_level_stmt: true, enable_f_strings: true, ..Dialect::Standard };
+fn run(
+    name: &str,
+    text: String,
+    globals: &Globals,
+    loader: &Beside,
+) -> starlark::Result<FrozenModule> {
+    let dialect = Dialect {
+        enable_top_level_stmt: true,
+        enable_f_strings: true,
+        ..Dialect::Standard
+    };
     let ast = AstModule::parse(name, text, &dialect)?;
     Module::with_temp_heap(|module| {
         {
             let mut eval = Evaluator::new(&module);
-            let Bounds { ticks, heap_bytes, .. } = loader.bounds;
-            let bounded = eval.set_max_tick_count(ticks).and_then(|()| eval.set_max_heap_size(heap_bytes));
-            bounded.and_then(|()| eval.set_max_callstack_size(64)).map_err(starlark::Error::new_other)?;
+            let Bounds {
+                ticks, heap_bytes, ..
+            } = loader.bounds;
+            let bounded = eval
+                .set_max_tick_count(ticks)
+                .and_then(|()| eval.set_max_heap_size(heap_bytes));
+            bounded
+                .and_then(|()| eval.set_max_callstack_size(64))
+                .map_err(starlark::Error::new_other)?;
             eval.set_loader(loader);
             eval.before_stmt_for_dap(BeforeStmtFunc::from_dyn(Box::new(Frugal { heap_bytes })));
             eval.eval_module(ast, globals)?;
         }
-        module.freeze().map_err(|e| starlark::Error::new_other(anyhow::anyhow!("{e:?}")))
+        module
+            .freeze()
+            .map_err(|e| starlark::Error::new_other(anyhow::anyhow!("{e:?}")))
     })
 }
 
@@ -233,7 +289,10 @@
 /// # Errors
 /// The script does not run to its end.
 pub fn configuration_rows(file: &Path, given: &Given) -> Result<Vec<Row>, Problems> {
-    let globals = globals().with(settings_functions).with(configuration_functions).build();
+    let globals = globals()
+        .with(settings_functions)
+        .with(configuration_functions)
+        .build();
     collect(file, given, &globals, CONFIGURATION_BOUNDS)
 }
 
@@ -243,28 +302,61 @@
 }
 
 /// Runs a script and returns the calls of its record functions, in order.
-fn collect(file: &Path, given: &Given, globals: &Globals, bounds: Bounds) -> Result<Vec<Row>, Problems> {
+fn collect(
+    file: &Path,
+    given: &Given,
+    globals: &Globals,
+    bounds: Bounds,
+) -> Result<Vec<Row>, Problems> {
     let shown = file.display().to_string();
     let problem = |line: usize, field: &str, found: String, expected: &str| {
         let (file, field, expected) = (shown.clone(), field.to_string(), expected.to_string());
-        Problem { file, line, field, found, expected }
+        Problem {
+            file,
+            line,
+            field,
+            found,
+            expected,
+        }
     };
     let text = read(file, bounds.file_bytes)
         .map_err(|why| Problems(vec![problem(0, "script", why, "a readable file")]))?;
     let folder = file.parent().unwrap_or(Path::new("")).to_path_buf();
     let (done, open) = (RefCell::default(), RefCell::default());
-    let beside = Beside { folder, globals, bounds, done, open };
-    SHEET.set(Some(Sheet { rows: Vec::new(), given: given.clone(), most_rows: bounds.records }));
+    let beside = Beside {
+        folder,
+        globals,
+        bounds,
+        done,
+        open,
+    };
+    SHEET.set(Some(Sheet {
+        rows: Vec::new(),
+        given: given.clone(),
+        most_rows: bounds.records,
+    }));
     // A value past what the interpreter can hold at all makes it panic.
     let ran = catch_unwind(AssertUnwindSafe(|| run(&shown, text, globals, &beside)));
     let rows = SHEET.take().map_or_else(Vec::new, |sheet| sheet.rows);
     let Ok(ran) = ran else {
         let found = "a value too large for the interpreter".to_string();
-        return Err(Problems(vec![problem(0, "script", found, "a script that runs")]));
+        return Err(Problems(vec![problem(
+            0,
+            "script",
+            found,
+            "a script that runs",
+        )]));
     };
     if let Err(error) = ran {
-        let line = error.span().map_or(0, |span| span.resolve_span().begin.line + 1);
-        let mut found = problem(line, "script", error.without_diagnostic().to_string(), "a script that runs");
+        let line = error
+            .span()
+            .map_or(0, |span| span.resolve_span().begin.line + 1);
+        let mut found = problem(
+            line,
+            "script",
+            error.without_diagnostic().to_string(),
+            "a script that runs",
+        );
         if let Some(span) = error.span() {
             found.file = span.filename().to_string();
         }
--- a/crates/settings/src/site.rs
+++ b/crates/settings/src/site.rs
@@ -116,7 +116,8 @@
             Some(start) => path.starts_with(start),
             None => path == pattern,
         };
-        (self.methods.is_empty() || self.methods.iter().any(|m| m == method)) && self.paths.iter().any(fits)
+        (self.methods.is_empty() || self.methods.iter().any(|m| m == method))
+            && self.paths.iter().any(fits)
     }
 }
 
--- a/crates/settings/tests/script.rs
+++ b/crates/settings/tests/script.rs
@@ -23,13 +23,19 @@
     for (name, text) in files {
         std::fs::write(folder.path().join(name), text).expect("a file");
     }
-    let given: Given = given.iter().map(|(name, value)| (name.to_string(), value.to_string())).collect();
+    let given: Given = given
+        .iter()
+        .map(|(name, value)| (name.to_string(), value.to_string()))
+        .collect();
     load(&folder.path().join(files[0].0), &given)
 }
 
 fn said(text: &str) -> Vec<(usize, String, String)> {
     let problems = run(&[("site.star", text)], &[]).expect_err("it is wrong").0;
-    problems.into_iter().map(|p| (p.line, p.field, format!("{}; {}", p.found, p.expected))).collect()
+    problems
+        .into_iter()
+        .map(|p| (p.line, p.field, format!("{}; {}", p.found, p.expected)))
+        .collect()
 }
 
 #[test]
@@ -42,13 +48,30 @@
     let text = format!(
         "load('more.star', 'tagged')\n{WHOLE}{GROUP}\nfor n in range(3):\n    tagged('t%d' % n, '%ds' % (n + 1))\n"
     );
-    let site = run(&[("site.star", &text), ("more.star", more)], &[("name", "s-7")]).expect("it is right");
-    assert_eq!((site.name.as_str(), site.place.instances, site.place.zone), ("s-7", 3, 1));
-    let names: Vec<&str> = site.groups.iter().map(|group| group.name.as_str()).collect();
+    let site = run(
+        &[("site.star", &text), ("more.star", more)],
+        &[("name", "s-7")],
+    )
+    .expect("it is right");
+    assert_eq!(
+        (site.name.as_str(), site.place.instances, site.place.zone),
+        ("s-7", 3, 1)
+    );
+    let names: Vec<&str> = site
+        .groups
+        .iter()
+        .map(|group| group.name.as_str())
+        .collect();
     assert_eq!(names, ["query", "t0", "t1", "t2"]);
     let last = &site.groups[3];
-    assert_eq!((last.rules.kind, last.rules.scope), (Kind::Tagged, Scope::Zone));
-    assert_eq!((last.rules.repeat_window, last.rules.client_timeout), (3_000_000_000, 3_000_000_000));
+    assert_eq!(
+        (last.rules.kind, last.rules.scope),
+        (Kind::Tagged, Scope::Zone)
+    );
+    assert_eq!(
+        (last.rules.repeat_window, last.rules.client_timeout),
+        (3_000_000_000, 3_000_000_000)
+    );
     assert!(last.fits("POST", "/t2") && !last.fits("GET", "/t2") && !last.fits("POST", "/t2/x"));
     assert!(site.groups[0].fits("DELETE", "/query/deep"));
     assert_eq!(site.desk.line_bytes, 1024);
@@ -61,7 +84,10 @@
          client_timeout = '2 sheep', benfit = 1)\nlimits(forwards = 0, body_bytes = 'much')\n"
     );
     let found = said(&text);
-    let fields: Vec<(usize, &str)> = found.iter().map(|(line, field, _)| (*line, field.as_str())).collect();
+    let fields: Vec<(usize, &str)> = found
+        .iter()
+        .map(|(line, field, _)| (*line, field.as_str()))
+        .collect();
     for wanted in [
         (11, "path_group.name"),
         (11, "path_group.paths"),
@@ -74,7 +100,9 @@
         assert!(fields.contains(&wanted), "{wanted:?} not among {found:?}");
     }
     assert!(
-        found.iter().any(|(_, _, text)| text.contains("one of repeatable, tagged, mutating")),
+        found
+            .iter()
+            .any(|(_, _, text)| text.contains("one of repeatable, tagged, mutating")),
         "{found:?}"
     );
 }
@@ -85,14 +113,25 @@
     let both = "fellowship(listen = \"127.0.0.1:0\", keys = \"keys\")\ntakeover(guardians = 2)\n";
     let site = run(&[("site", &format!("{WHOLE}{GROUP}{both}"))], &[]).expect("a site");
     assert_eq!(
-        (site.takeover.map(|takeover| takeover.guardians), site.fellowship.is_some()),
+        (
+            site.takeover.map(|takeover| takeover.guardians),
+            site.fellowship.is_some()
+        ),
         (Some(2), true)
     );
     let old = "takeover(listen = \"127.0.0.1:0\", keys = \"keys\", period = \"200ms\")\n";
     let told = said(&format!("{WHOLE}{GROUP}{old}"));
     let at = format!("{WHOLE}{GROUP}").lines().count() + 1;
-    let fields: Vec<(usize, &str)> = told.iter().map(|(line, field, _)| (*line, field.as_str())).collect();
-    let wanted = ["takeover.listen", "takeover.keys", "takeover.period", "takeover.fellowship"];
+    let fields: Vec<(usize, &str)> = told
+        .iter()
+        .map(|(line, field, _)| (*line, field.as_str()))
+        .collect();
+    let wanted = [
+        "takeover.listen",
+        "takeover.keys",
+        "takeover.period",
+        "takeover.fellowship",
+    ];
     assert_eq!(fields, wanted.map(|field| (at, field)), "{told:?}");
     assert!(told[0].2.contains("fellowship(listen = ...)"), "{told:?}");
 }
@@ -104,34 +143,76 @@
     let configured = "configuration(keep = \"kept\", fetch_bytes_per_s = \"64KiB\")\n";
     let site = run(&[("site", &format!("{WHOLE}{peers}{configured}"))], &[]).expect("a site");
     let configuration = site.configuration.expect("a configuration");
-    assert_eq!((configuration.fetch_bytes_per_s, configuration.serve_bytes_per_s), (65_536, 8_000));
+    assert_eq!(
+        (
+            configuration.fetch_bytes_per_s,
+            configuration.serve_bytes_per_s
+        ),
+        (65_536, 8_000)
+    );
     assert!(site.groups.is_empty());
     let without = run(&[("site", &format!("{WHOLE}{GROUP}"))], &[]).expect("a site");
     assert!(without.configuration.is_none(), "off by default");
     let line = |text: &str| text.lines().count() + 1;
     let both = format!("{WHOLE}{GROUP}{peers}{configured}");
     let told = said(&format!("{both}trace(folder = \"traces\")\n"));
-    let fields: Vec<(usize, &str)> = told.iter().map(|(line, field, _)| (*line, field.as_str())).collect();
-    assert_eq!(fields, [(line(WHOLE) + 1, "path_group"), (line(&both), "trace.folder")], "{told:?}");
-    assert!(told[0].2.contains("route(...) in the script of `havenplank distribute`"), "{told:?}");
+    let fields: Vec<(usize, &str)> = told
+        .iter()
+        .map(|(line, field, _)| (*line, field.as_str()))
+        .collect();
+    assert_eq!(
+        fields,
+        [
+            (line(WHOLE) + 1, "path_group"),
+            (line(&both), "trace.folder")
+        ],
+        "{told:?}"
+    );
+    assert!(
+        told[0]
+            .2
+            .contains("route(...) in the script of `havenplank distribute`"),
+        "{told:?}"
+    );
     let customers = WHOLE.replacen("sidecar(", "sidecar(customers = [\"a\"], ", 1);
     let told = said(&format!("{customers}{peers}{configured}"));
-    assert_eq!(told.iter().map(|(_, field, _)| field.as_str()).collect::<Vec<_>>(), ["sidecar.customers"]);
+    assert_eq!(
+        told.iter()
+            .map(|(_, field, _)| field.as_str())
+            .collect::<Vec<_>>(),
+        ["sidecar.customers"]
+    );
     let told = said(&format!("{WHOLE}{configured}"));
     assert_eq!(
-        told.iter().map(|(_, field, _)| field.as_str()).collect::<Vec<_>>(),
+        told.iter()
+            .map(|(_, field, _)| field.as_str())
+            .collect::<Vec<_>>(),
         ["configuration.fellowship"]
     );
     let zones = WHOLE.replacen("zones = [", "zones = [\"distributor\", ", 1);
     let told = said(&format!("{zones}{GROUP}"));
-    assert!(told.iter().any(|(_, field, _)| field == "sidecar.zones"), "{told:?}");
+    assert!(
+        told.iter().any(|(_, field, _)| field == "sidecar.zones"),
+        "{told:?}"
+    );
 }
 
 #[test]
 fn what_is_missing_is_told_once() {
     let found = said("votes(control = 'clock', life = '6s')\n");
     let fields: Vec<&str> = found.iter().map(|(_, field, _)| field.as_str()).collect();
-    assert_eq!(fields, ["sidecar", "pods", "exposure", "nodes", "desk", "path_group", "votes.step"]);
+    assert_eq!(
+        fields,
+        [
+            "sidecar",
+            "pods",
+            "exposure",
+            "nodes",
+            "desk",
+            "path_group",
+            "votes.step"
+        ]
+    );
 }
 
 #[test]
@@ -156,7 +237,11 @@
     ] {
         assert_eq!(said(text).len(), 1, "{text}");
     }
-    assert!(began.elapsed() < Duration::from_secs(60), "bounded, not hanging: {:?}", began.elapsed());
+    assert!(
+        began.elapsed() < Duration::from_secs(60),
+        "bounded, not hanging: {:?}",
+        began.elapsed()
+    );
 }
 
 #[test]
--- a/crates/sidecar/examples/route_lookup.rs
+++ b/crates/sidecar/examples/route_lookup.rs
@@ -25,7 +25,10 @@
         late_benefit: 0.0,
         stream: false,
     };
-    let changed = PathGroup { target_latency: SECOND + version, ..rules };
+    let changed = PathGroup {
+        target_latency: SECOND + version,
+        ..rules
+    };
     let route = |n: usize| Group {
         name: format!("route-{n}"),
         methods: Vec::new(),
@@ -37,8 +40,10 @@
 }
 
 fn put_in_force(engine: &mut Engine, groups: &[Group]) -> RouteTable {
-    let rules: Vec<(String, PathGroup)> =
-        groups.iter().map(|group| (group.name.clone(), group.rules)).collect();
+    let rules: Vec<(String, PathGroup)> = groups
+        .iter()
+        .map(|group| (group.name.clone(), group.rules))
+        .collect();
     let slots = engine.set_routes(EPOCH, &rules);
     RouteTable::from_settings(groups, slots, &[])
 }
@@ -51,7 +56,13 @@
         let mut engine = Engine::new(EPOCH, 1, &terms);
         let mut table = put_in_force(&mut engine, &routes(many, 0));
         let paths: Vec<String> = (0..1_024)
-            .map(|n| format!("/service-{}/api/route-{}/item/7", n * 7 % many % 400, n * 7 % many))
+            .map(|n| {
+                format!(
+                    "/service-{}/api/route-{}/item/7",
+                    n * 7 % many % 400,
+                    n * 7 % many
+                )
+            })
             .collect();
         let began = Instant::now();
         for n in 0..LOOKUPS {
@@ -59,7 +70,9 @@
             black_box(table.find("GET", path).map(|route| route.group()));
         }
         let lookup_ns = began.elapsed().as_nanos() as f64 / LOOKUPS as f64;
-        let versions: Vec<Vec<Group>> = (1..=u64::from(SWAPS)).map(|version| routes(many, version)).collect();
+        let versions: Vec<Vec<Group>> = (1..=u64::from(SWAPS))
+            .map(|version| routes(many, version))
+            .collect();
         let began = Instant::now();
         for groups in &versions {
             table = put_in_force(&mut engine, groups);
--- a/crates/sidecar/src/admin.rs
+++ b/crates/sidecar/src/admin.rs
@@ -18,7 +18,10 @@
 const BODY_TIME: Duration = Duration::from_secs(2);
 
 /// `GET /state`, and `POST /flagged` with `{"pod": ..., "path_group": ..., "ago_ms": ...}`.
-pub async fn serve(shell: Rc<Shell>, request: Request<Incoming>) -> Result<Response<Body>, Infallible> {
+pub async fn serve(
+    shell: Rc<Shell>,
+    request: Request<Incoming>,
+) -> Result<Response<Body>, Infallible> {
     let (method, path) = (request.method().clone(), request.uri().path().to_string());
     Ok(match (method, path.as_str()) {
         (Method::GET, "/state") => state(&shell),
@@ -29,7 +32,10 @@
                 plain(StatusCode::BAD_REQUEST, why)
             }
         },
-        _ => plain(StatusCode::NOT_FOUND, "expected GET /state or POST /flagged\n"),
+        _ => plain(
+            StatusCode::NOT_FOUND,
+            "expected GET /state or POST /flagged\n",
+        ),
     })
 }
 
@@ -74,17 +80,26 @@
         });
     }
     let mut response = Response::new(Body::Whole(Full::new(format!("{state}\n").into())));
-    response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
+    response
+        .headers_mut()
+        .insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     response
 }
 
 async fn flagged(shell: &Rc<Shell>, request: Request<Incoming>) -> Result<(), &'static str> {
     let body = timeout(BODY_TIME, Limited::new(request.into_body(), BODY).collect()).await;
-    let body = body.map_err(|_| "the body took too long\n")?.map_err(|_| "expected 4096 bytes at most\n")?;
-    let told: Value = serde_json::from_slice(&body.to_bytes()).map_err(|_| "expected a JSON object\n")?;
+    let body = body
+        .map_err(|_| "the body took too long\n")?
+        .map_err(|_| "expected 4096 bytes at most\n")?;
+    let told: Value =
+        serde_json::from_slice(&body.to_bytes()).map_err(|_| "expected a JSON object\n")?;
     let pod = told["pod"].as_str().ok_or("pod: expected a text\n")?;
-    let group = told["path_group"].as_str().ok_or("path_group: expected a text\n")?;
-    let ago = told["ago_ms"].as_u64().ok_or("ago_ms: expected a whole number\n")?;
+    let group = told["path_group"]
+        .as_str()
+        .ok_or("path_group: expected a text\n")?;
+    let ago = told["ago_ms"]
+        .as_u64()
+        .ok_or("ago_ms: expected a whole number\n")?;
     let ago: Ns = ago.checked_mul(1_000_000).ok_or("ago_ms: too long ago\n")?;
     match shell.flagged(pod, group, ago) {
         true => Ok(()),
--- a/crates/sidecar/src/answers.rs
+++ b/crates/sidecar/src/answers.rs
@@ -11,7 +11,10 @@
 
 /// A retry is harmless; when to come back in the protocol's own form, none for no advice.
 pub fn bounced<B: From<&'static str>>(come_back: Option<HeaderValue>) -> Response<B> {
-    let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "bounced: a retry is harmless\n");
+    let mut response = plain(
+        StatusCode::SERVICE_UNAVAILABLE,
+        "bounced: a retry is harmless\n",
+    );
     if let Some(come_back) = come_back {
         response.headers_mut().insert(RETRY_AFTER, come_back);
     }
@@ -28,6 +31,8 @@
 
 /// The rest of the connection is of no use.
 pub fn and_close<B>(mut response: Response<B>) -> Response<B> {
-    response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+    response
+        .headers_mut()
+        .insert(CONNECTION, HeaderValue::from_static("close"));
     response
 }
--- a/crates/sidecar/src/configuration.rs
+++ b/crates/sidecar/src/configuration.rs
@@ -21,7 +21,9 @@
 /// Why a version cannot be put in force here.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InstallError {
-    #[error("route {route:?} asks for backups, but the settings of this sidecar have no takeover(...)")]
+    #[error(
+        "route {route:?} asks for backups, but the settings of this sidecar have no takeover(...)"
+    )]
     NoTakeover { route: String },
     #[error("service {service:?} names zone {zone:?}, which is none of this sidecar's zones")]
     UnknownZone { service: String, zone: String },
@@ -39,7 +41,11 @@
     /// # Errors
     /// A folder that another process uses, or that cannot be read.
     pub fn open(folder: &Path) -> Result<Kept, StoreError> {
-        let Opened { store, deltas, torn_tail } = Store::open(folder)?;
+        let Opened {
+            store,
+            deltas,
+            torn_tail,
+        } = Store::open(folder)?;
         if let Some(torn) = torn_tail {
             tracing::info!(
                 bytes = torn.bytes,
@@ -68,21 +74,42 @@
 /// no configuration or no peers.
 pub fn start(shell: &Rc<Shell>, kept: Kept, seed: u64) {
     let site = &shell.site;
-    let settings = (site.configuration.as_ref(), site.fellowship.as_ref(), shell.fellowship.as_ref());
-    let (Some(settings), Some(membership), Some(fellowship)) = settings else { return };
+    let settings = (
+        site.configuration.as_ref(),
+        site.fellowship.as_ref(),
+        shell.fellowship.as_ref(),
+    );
+    let (Some(settings), Some(membership), Some(fellowship)) = settings else {
+        return;
+    };
     let held = begin(shell, &kept);
     let zone = site.zones.get(site.place.zone).cloned().unwrap_or_default();
-    let me = Peer { life: fellowship.me().clone(), zone };
+    let me = Peer {
+        life: fellowship.me().clone(),
+        zone,
+    };
     let rules = Rules {
         fetch_bytes_per_s: settings.fetch_bytes_per_s,
         serve_bytes_per_s: settings.serve_bytes_per_s,
         ..Rules::default()
     };
-    let spreader = Spreader::new(fellowship.now(), seed ^ me.life.life, me, Role::Sidecar, held, rules);
-    let host = InForce { shell: Rc::downgrade(shell), keeper: Keeper::start(kept.store) };
+    let spreader = Spreader::new(
+        fellowship.now(),
+        seed ^ me.life.life,
+        me,
+        Role::Sidecar,
+        held,
+        rules,
+    );
+    let host = InForce {
+        shell: Rc::downgrade(shell),
+        keeper: Keeper::start(kept.store),
+    };
     let period = Duration::from_nanos(membership.period);
     let spreading = Spreading::start(fellowship, spreader, host, period);
-    let _ = shell.configuration.set(Rc::new(Configuration { spreading }));
+    let _ = shell
+        .configuration
+        .set(Rc::new(Configuration { spreading }));
 }
 
 /// Puts the kept version in force; an empty one where that is not possible any more, so that it is fetched and offered
@@ -93,7 +120,10 @@
     match install(shell, &snapshot) {
         Ok(()) => {
             tracing::info!(%version, digest = %snapshot.digest(), "kept configuration in force");
-            Held { snapshot, deltas: kept.deltas.clone() }
+            Held {
+                snapshot,
+                deltas: kept.deltas.clone(),
+            }
         }
         Err(reason) => {
             tracing::error!(%version, %reason, "the kept configuration cannot be put in force");
@@ -101,7 +131,10 @@
             if let Err(reason) = install(shell, &empty) {
                 tracing::error!(%reason, "no configuration");
             }
-            Held { snapshot: empty, deltas: Vec::new() }
+            Held {
+                snapshot: empty,
+                deltas: Vec::new(),
+            }
         }
     }
 }
@@ -128,8 +161,10 @@
 fn install(shell: &Shell, snapshot: &Snapshot) -> Result<(), InstallError> {
     check(&shell.site, snapshot)?;
     let groups = routes_of(snapshot);
-    let rules: Vec<(String, PathGroup)> =
-        groups.iter().map(|group| (group.name.clone(), group.rules)).collect();
+    let rules: Vec<(String, PathGroup)> = groups
+        .iter()
+        .map(|group| (group.name.clone(), group.rules))
+        .collect();
     let slots = shell.set_routes(&rules);
     let table = RouteTable::from_snapshot(snapshot.clone(), &groups, slots);
     shell.routes.replace(Rc::new(table));
@@ -138,9 +173,13 @@
 
 /// Whether this sidecar has all that the version asks of it.
 fn check(site: &Site, snapshot: &Snapshot) -> Result<(), InstallError> {
-    let backed_up = snapshot.routes().find(|route| route.rules.backup != BackupMode::Off);
+    let backed_up = snapshot
+        .routes()
+        .find(|route| route.rules.backup != BackupMode::Off);
     if let Some(route) = backed_up.filter(|_| site.takeover.is_none()) {
-        return Err(InstallError::NoTakeover { route: route.name.clone() });
+        return Err(InstallError::NoTakeover {
+            route: route.name.clone(),
+        });
     }
     for service in snapshot.services() {
         if let Some(zone) = service.zones.iter().find(|zone| !site.zones.contains(zone)) {
--- a/crates/sidecar/src/daemon.rs
+++ b/crates/sidecar/src/daemon.rs
@@ -51,7 +51,10 @@
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
     #[error("listen on {address}: {error}; expected a free address of this machine")]
-    Listen { address: SocketAddr, error: std::io::Error },
+    Listen {
+        address: SocketAddr,
+        error: std::io::Error,
+    },
     #[error("{0:?}: not a name that a Via header can carry")]
     Name(String),
     #[error("{0}")]
@@ -77,7 +80,9 @@
         let address = listener.local_addr()?;
         Ok((listener, address))
     };
-    bound.await.map_err(|error| StartError::Listen { address, error })
+    bound
+        .await
+        .map_err(|error| StartError::Listen { address, error })
 }
 
 /// What the system has accepted at a listener that closes. Asked of the system itself: dropped with its listener,
@@ -91,7 +96,11 @@
         });
         match accepted {
             Ok(stream) => return Some(stream),
-            Err(error) if matches!(error.kind(), ErrorKind::ConnectionAborted | ErrorKind::Interrupted) => {}
+            Err(error)
+                if matches!(
+                    error.kind(),
+                    ErrorKind::ConnectionAborted | ErrorKind::Interrupted
+                ) => {}
             Err(_) => return None,
         }
     })
@@ -116,7 +125,11 @@
     if let Some(witness) = witness {
         engine = engine.watched_by(witness);
     }
-    let kept = site.configuration.as_ref().map(|settings| Kept::open(&settings.keep)).transpose()?;
+    let kept = site
+        .configuration
+        .as_ref()
+        .map(|settings| Kept::open(&settings.keep))
+        .transpose()?;
     let (hits, at) = listen(site.door.listen).await?;
     let (admins, admin) = listen(site.door.admin).await?;
     let via = HeaderValue::from_str(&format!("1.1 {}", site.name));
@@ -213,7 +226,11 @@
     if let Some(fellowship) = &shell.fellowship {
         fellowship.leave();
     }
-    tracing::info!(all_closed = closed.is_ok(), hits_in_flight = left, "stopped");
+    tracing::info!(
+        all_closed = closed.is_ok(),
+        hits_in_flight = left,
+        "stopped"
+    );
     Ok(())
 }
 
@@ -347,7 +364,10 @@
         let text = std::fs::read_to_string(path).map_err(|error| error.to_string())?;
         let mut pods = nodes::read_kept(&text)?;
         let written = std::fs::metadata(path).and_then(|meta| meta.modified());
-        let age = written.ok().and_then(|at| SystemTime::now().duration_since(at).ok()).unwrap_or_default();
+        let age = written
+            .ok()
+            .and_then(|at| SystemTime::now().duration_since(at).ok())
+            .unwrap_or_default();
         for pod in pods.iter_mut().filter(|pod| pod.age > 0) {
             pod.age = pod.age.saturating_add(age.as_nanos() as Ns);
         }
@@ -366,14 +386,17 @@
     let period = Duration::from_nanos(shell.site.links.idle / 2).max(Duration::from_millis(100));
     loop {
         sleep(period).await;
-        let listed: HashSet<SocketAddr> = shell.listed().into_iter().map(|pod| pod.address).collect();
+        let listed: HashSet<SocketAddr> =
+            shell.listed().into_iter().map(|pod| pod.address).collect();
         shell.links.sweep(&listed);
     }
 }
 
 /// Writes the list beside its file and moves it there, so that a kill leaves the old one or the new one.
 async fn keep_list(shell: Rc<Shell>) {
-    let Some(path) = shell.site.kept_list.clone() else { return };
+    let Some(path) = shell.site.kept_list.clone() else {
+        return;
+    };
     loop {
         shell.keep.notified().await;
         let text = nodes::keep(&shell.listed());
@@ -451,7 +474,13 @@
 
 impl desk::Hears for DeskHeard<'_> {
     fn stage(&mut self, stage: Stage) {
-        let Stage { build, stage: number, phase, cap, .. } = stage;
+        let Stage {
+            build,
+            stage: number,
+            phase,
+            cap,
+            ..
+        } = stage;
         tracing::info!(build, stage = number, ?phase, cap, "stage");
         self.0.call(|engine, now| engine.news(now, stage));
     }
@@ -462,14 +491,21 @@
     }
 
     fn tally(&mut self, build: Build, group: String, counts: (u64, u64), mean: Ns, age: Ns) {
-        if !self.0.call(|engine, now| engine.tally(now, build, &group, counts, mean, age)) {
+        if !self
+            .0
+            .call(|engine, now| engine.tally(now, build, &group, counts, mean, age))
+        {
             tracing::info!(group, "tally of an unknown path group passed over");
         }
     }
 
     fn flagged(&mut self, pod: String, group: String, ago: Ns) {
         if !self.0.flagged(&pod, &group, ago) {
-            tracing::info!(pod, group, "flagged answer of an unknown pod or path group passed over");
+            tracing::info!(
+                pod,
+                group,
+                "flagged answer of an unknown pod or path group passed over"
+            );
         }
     }
 }
--- a/crates/sidecar/src/distributor.rs
+++ b/crates/sidecar/src/distributor.rs
@@ -8,7 +8,9 @@
 use havenplank_configuration::compile::compile;
 use havenplank_configuration::delta::Delta;
 use havenplank_configuration::snapshot::Snapshot;
-use havenplank_configuration::spread::{Kept, Peer, PublishError, Role, RoundGlance, Rules, Spreader};
+use havenplank_configuration::spread::{
+    Kept, Peer, PublishError, Role, RoundGlance, Rules, Spreader,
+};
 use havenplank_configuration::store::{Opened, Store, StoreError};
 use havenplank_configuration::version::Version;
 use havenplank_settings::{Fellowship as Membership, Given, Problems, DISTRIBUTOR_ZONE};
@@ -80,7 +82,9 @@
     Fellowship(#[from] FellowshipError),
     #[error("{0}")]
     Listen(#[from] StartError),
-    #[error("--epoch {asked}: the store holds version {stored}; expected its epoch or a higher one")]
+    #[error(
+        "--epoch {asked}: the store holds version {stored}; expected its epoch or a higher one"
+    )]
     LowerEpoch { asked: u64, stored: Version },
     #[error(
         "--replace-writer: no peer told of a configuration within {} s; expected peers at --meet, or --epoch N above the \
@@ -140,9 +144,16 @@
     stop: impl Future<Output = ()>,
 ) -> Result<(), DistributorError> {
     let compiled = compile(&settings.script, &settings.given, Version::NONE)?;
-    let Opened { store, deltas, torn_tail } = Store::open(&settings.store)?;
+    let Opened {
+        store,
+        deltas,
+        torn_tail,
+    } = Store::open(&settings.store)?;
     if let Some(torn) = torn_tail {
-        tracing::info!(bytes = torn.bytes, "the end of an unfinished write was cut off the store");
+        tracing::info!(
+            bytes = torn.bytes,
+            "the end of an unfinished write was cut off the store"
+        );
     }
     let stored = store.snapshot().version();
     let epoch = match settings.epoch {
@@ -160,13 +171,23 @@
         EpochChoice::ReplaceWriter => Role::Sidecar,
         EpochChoice::AsStored | EpochChoice::Number(_) => Role::Writer { epoch },
     };
-    let kept = Kept { snapshot: store.snapshot().clone(), deltas };
+    let kept = Kept {
+        snapshot: store.snapshot().clone(),
+        deltas,
+    };
     let spreader = spreader(&fellowship, role, kept);
     let period = Duration::from_nanos(membership.period);
     let spreading = Spreading::start(&fellowship, spreader, Newest::default(), period);
     fellowship.run(membership.keys.clone());
     let replaces = settings.epoch == EpochChoice::ReplaceWriter;
-    let mut distributor = Distributor { settings, store, epoch, spreading, last_round: None, ahead: None };
+    let mut distributor = Distributor {
+        settings,
+        store,
+        epoch,
+        spreading,
+        last_round: None,
+        ahead: None,
+    };
     spawn_local(serve_operators(
         admin_listener,
         distributor.settings.name.clone(),
@@ -188,7 +209,10 @@
 }
 
 fn spreader(fellowship: &Fellowship, role: Role, kept: Kept) -> Spreader {
-    let me = Peer { life: fellowship.me().clone(), zone: DISTRIBUTOR_ZONE.to_string() };
+    let me = Peer {
+        life: fellowship.me().clone(),
+        zone: DISTRIBUTOR_ZONE.to_string(),
+    };
     let seed = me.life.life;
     Spreader::new(fellowship.now(), seed, me, role, kept, Rules::default())
 }
@@ -196,16 +220,26 @@
 impl Distributor {
     /// Fetches the newest version that peers have, and becomes the writer of the next epoch.
     async fn replace_writer(&mut self, fellowship: &Fellowship) -> Result<(), DistributorError> {
-        let newest =
-            timeout(REPLACE_PATIENCE, self.newest()).await.map_err(|_| DistributorError::NobodyHeard)?;
-        if let Some(newest) = newest.filter(|newest| newest.version() > self.store.snapshot().version()) {
+        let newest = timeout(REPLACE_PATIENCE, self.newest())
+            .await
+            .map_err(|_| DistributorError::NobodyHeard)?;
+        if let Some(newest) =
+            newest.filter(|newest| newest.version() > self.store.snapshot().version())
+        {
             self.store.replace(&newest)?;
         }
         let snapshot = self.store.snapshot().clone();
         self.epoch = snapshot.version().epoch.saturating_add(1);
         tracing::info!(epoch = self.epoch, after = %snapshot.version(), "replaces the writer");
-        let kept = Kept { snapshot, deltas: Vec::new() };
-        self.spreading.replace_spreader(spreader(fellowship, Role::Writer { epoch: self.epoch }, kept));
+        let kept = Kept {
+            snapshot,
+            deltas: Vec::new(),
+        };
+        self.spreading.replace_spreader(spreader(
+            fellowship,
+            Role::Writer { epoch: self.epoch },
+            kept,
+        ));
         Ok(())
     }
 
@@ -229,10 +263,18 @@
 
     /// Publishes what was compiled where it differs from the newest version: on disk first, then told.
     fn publish(&mut self, compiled: &Snapshot) -> Result<(), DistributorError> {
-        if let Some(by) = self.spreading.glance().writer.and_then(|writer| writer.superseded) {
+        if let Some(by) = self
+            .spreading
+            .glance()
+            .writer
+            .and_then(|writer| writer.superseded)
+        {
             return Err(PublishError::Superseded { by }.into());
         }
-        let (ours, theirs) = (self.store.snapshot().version(), self.spreading.glance().newest_heard);
+        let (ours, theirs) = (
+            self.store.snapshot().version(),
+            self.spreading.glance().newest_heard,
+        );
         if theirs > ours {
             return Err(DistributorError::NewerElsewhere { ours, theirs });
         }
@@ -241,12 +283,16 @@
             tracing::info!(version = %have.version(), "the script has not changed");
             return Ok(());
         }
-        let to = Version { epoch: self.epoch, number: have.version().number.saturating_add(1) };
+        let to = Version {
+            epoch: self.epoch,
+            number: have.version().number.saturating_add(1),
+        };
         let delta = Delta::between(&have, compiled, to);
         let changes = delta.changes.len();
         let snapshot = self.store.append(&delta)?.clone();
         tracing::info!(version = %to, digest = %snapshot.digest(), changes, "stored");
-        self.spreading.call(|spreader, now| spreader.published(now, Arc::new(delta), snapshot))?;
+        self.spreading
+            .call(|spreader, now| spreader.published(now, Arc::new(delta), snapshot))?;
         tracing::info!(version = %to, "published");
         Ok(())
     }
@@ -287,16 +333,25 @@
 
     /// Logs a finished poll that tells something new, and peers that are ahead.
     fn report(&mut self) {
-        let (ours, theirs) = (self.store.snapshot().version(), self.spreading.glance().newest_heard);
+        let (ours, theirs) = (
+            self.store.snapshot().version(),
+            self.spreading.glance().newest_heard,
+        );
         if theirs > ours && self.ahead.replace(theirs) != Some(theirs) {
             let error = DistributorError::NewerElsewhere { ours, theirs };
             tracing::error!(%error, "not the newest");
         }
-        let Some(round) = self.spreading.glance().writer.and_then(|writer| writer.round) else { return };
-        let told = self
-            .last_round
-            .as_ref()
-            .is_some_and(|last| (last.version, last.have, last.of) == (round.version, round.have, round.of));
+        let Some(round) = self
+            .spreading
+            .glance()
+            .writer
+            .and_then(|writer| writer.round)
+        else {
+            return;
+        };
+        let told = self.last_round.as_ref().is_some_and(|last| {
+            (last.version, last.have, last.of) == (round.version, round.have, round.of)
+        });
         if !told {
             let behind: Vec<&str> = round.behind.iter().map(|peer| peer.name.as_str()).collect();
             let (have, of, more) = (round.have, round.of, round.more);
@@ -324,16 +379,22 @@
 }
 
 async fn operator(stream: TcpStream, name: &str, spreading: &Spreading<Newest>) {
-    let service = service_fn(|request| async move { Ok::<_, Infallible>(answer(&request, name, spreading)) });
-    let connection =
-        http1::Builder::new().timer(TokioTimer::new()).serve_connection(TokioIo::new(stream), service);
+    let service =
+        service_fn(|request| async move { Ok::<_, Infallible>(answer(&request, name, spreading)) });
+    let connection = http1::Builder::new()
+        .timer(TokioTimer::new())
+        .serve_connection(TokioIo::new(stream), service);
     if let Err(error) = connection.await {
         tracing::debug!(%error, "operator's connection ended");
     }
 }
 
 /// `GET /state`.
-fn answer(request: &Request<Incoming>, name: &str, spreading: &Spreading<Newest>) -> Response<Full<Bytes>> {
+fn answer(
+    request: &Request<Incoming>,
+    name: &str,
+    spreading: &Spreading<Newest>,
+) -> Response<Full<Bytes>> {
     if (request.method(), request.uri().path()) != (&Method::GET, "/state") {
         let mut response = Response::new(Full::new(Bytes::from_static(b"expected GET /state\n")));
         *response.status_mut() = StatusCode::NOT_FOUND;
@@ -345,6 +406,8 @@
         "writer": spreading.writer_state(),
     });
     let mut response = Response::new(Full::new(Bytes::from(format!("{state}\n"))));
-    response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
+    response
+        .headers_mut()
+        .insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     response
 }
--- a/crates/sidecar/src/engine.rs
+++ b/crates/sidecar/src/engine.rs
@@ -115,7 +115,11 @@
     }
 
     fn sweep(&mut self, hit: HitId) {
-        if self.hits.get(&hit).is_some_and(|held| !held.open && held.forwards.iter().all(Option::is_none)) {
+        if self
+            .hits
+            .get(&hit)
+            .is_some_and(|held| !held.open && held.forwards.iter().all(Option::is_none))
+        {
             self.hits.remove(&hit);
         }
     }
@@ -136,16 +140,32 @@
     }
 
     fn forward(&mut self, hit: HitId, pod: PodId, time_out: Ns, then: Then<Outcome>) {
-        let Some(held) = self.hits.get_mut(&hit).filter(|held| held.open) else { return };
+        let Some(held) = self.hits.get_mut(&hit).filter(|held| held.open) else {
+            return;
+        };
         let nth = held.forwards.len() as u32;
         let chosen = self.entries.get(pod).copied().flatten();
-        held.forwards.push(Some(Out { pod, chosen, at: self.now, then }));
+        held.forwards.push(Some(Out {
+            pod,
+            chosen,
+            at: self.now,
+            then,
+        }));
         self.roll.sent(pod);
-        self.effects.push_back(Effect::Forward { hit, nth, pod, time_out });
+        self.effects.push_back(Effect::Forward {
+            hit,
+            nth,
+            pod,
+            time_out,
+        });
     }
 
     fn cancel(&mut self, hit: HitId, nth: u32) {
-        if self.hits.get(&hit).is_some_and(|held| (nth as usize) < held.forwards.len()) {
+        if self
+            .hits
+            .get(&hit)
+            .is_some_and(|held| (nth as usize) < held.forwards.len())
+        {
             self.effects.push_back(Effect::Cancel { hit, nth });
         }
     }
@@ -159,7 +179,10 @@
 
     fn error(&mut self, hit: HitId) {
         if let Some(held) = self.hits.get(&hit).filter(|held| held.open) {
-            self.effects.push_back(Effect::Error { hit, late: self.now >= held.deadline });
+            self.effects.push_back(Effect::Error {
+                hit,
+                late: self.now >= held.deadline,
+            });
             self.close(hit);
         }
     }
@@ -167,7 +190,12 @@
     fn vote(&mut self, build: Build, stage: usize, voice: Voice, then: Then<StageNews>) {
         let vote = self.call();
         self.votes.insert(vote, then);
-        self.effects.push_back(Effect::Vote { vote, build, stage, voice });
+        self.effects.push_back(Effect::Vote {
+            vote,
+            build,
+            stage,
+            voice,
+        });
     }
 
     fn probe(&mut self, pod: PodId, then: Then<ProbeEnd>) {
@@ -186,7 +214,8 @@
 
     fn wake(&mut self, after: Ns, then: Then<()>) {
         self.next_wake += 1;
-        self.wakes.push(Reverse((self.now.saturating_add(after), self.next_wake)));
+        self.wakes
+            .push(Reverse((self.now.saturating_add(after), self.next_wake)));
         self.waking.insert(self.next_wake, then);
     }
 
@@ -245,7 +274,14 @@
             terms.list.clone(),
         );
         let slots = Slots::new(terms.groups.iter().cloned());
-        Engine { logic, desk, slots, stage: None, witness: None, resumed: None }
+        Engine {
+            logic,
+            desk,
+            slots,
+            stage: None,
+            witness: None,
+            resumed: None,
+        }
     }
 
     /// Puts these routes in force in place of all before, between two requests: each ends by the rules it began with.
@@ -296,9 +332,14 @@
             }
             Told::Resumed { past, .. } => self.resumed(now, past),
             Told::MayGo { hit, nth, .. } => return Some(self.may_go(now, hit, nth)),
-            Told::Ended { hit, nth, end, took, load, .. } => {
-                return Some(self.ended(now, hit, nth, end, took, load))
-            }
+            Told::Ended {
+                hit,
+                nth,
+                end,
+                took,
+                load,
+                ..
+            } => return Some(self.ended(now, hit, nth, end, took, load)),
             Told::Left { hit } => self.left(now, hit),
             Told::List { whole, pods, .. } => {
                 self.list(now, whole, pods);
@@ -345,7 +386,9 @@
     pub fn wake(&mut self, now: Ns) {
         self.at(now);
         while self.next_wake().is_some_and(|at| at <= self.desk.now) {
-            let Some(Reverse((_, id))) = self.desk.wakes.pop() else { break };
+            let Some(Reverse((_, id))) = self.desk.wakes.pop() else {
+                break;
+            };
             self.woken(id);
         }
     }
@@ -356,7 +399,12 @@
             self.saw(|| Told::Wake(wake));
             then(&mut self.logic, &mut self.desk, ());
         }
-        while self.desk.wakes.peek().is_some_and(|Reverse((_, id))| !self.desk.waking.contains_key(id)) {
+        while self
+            .desk
+            .wakes
+            .peek()
+            .is_some_and(|Reverse((_, id))| !self.desk.waking.contains_key(id))
+        {
             self.desk.wakes.pop();
         }
     }
@@ -366,15 +414,47 @@
         self.at(now);
         let id = self.desk.next_hit;
         self.desk.next_hit += 1;
-        self.saw(|| Told::Hit { hit: id, asked: asked.clone() });
-        let Asked { group, customer, key, left, cost_hint, repeat } = asked;
+        self.saw(|| Told::Hit {
+            hit: id,
+            asked: asked.clone(),
+        });
+        let Asked {
+            group,
+            customer,
+            key,
+            left,
+            cost_hint,
+            repeat,
+        } = asked;
         let deadline = self.desk.now.saturating_add(left);
-        let past = self.resumed.iter().flatten().filter(|earlier| earlier.may_have_run);
-        let ran = past.map(|earlier| self.desk.now.saturating_sub(earlier.ago)).min();
+        let past = self
+            .resumed
+            .iter()
+            .flatten()
+            .filter(|earlier| earlier.may_have_run);
+        let ran = past
+            .map(|earlier| self.desk.now.saturating_sub(earlier.ago))
+            .min();
         let _slot = self.slots.hold(group);
-        let held = Held { group, _slot, key, deadline, open: true, ran, forwards: Vec::new() };
+        let held = Held {
+            group,
+            _slot,
+            key,
+            deadline,
+            open: true,
+            ran,
+            forwards: Vec::new(),
+        };
         self.desk.hits.insert(id, held);
-        let hit = Hit { id, group, customer, key, left, cost_hint, repeat };
+        let hit = Hit {
+            id,
+            group,
+            customer,
+            key,
+            left,
+            cost_hint,
+            repeat,
+        };
         match self.resumed.take() {
             Some(past) => self.logic.resume(&mut self.desk, hit, &past),
             None => self.logic.hit(&mut self.desk, hit),
@@ -386,7 +466,10 @@
     pub fn resumed(&mut self, now: Ns, past: Vec<Earlier>) {
         self.at(now);
         let hit = self.desk.next_hit;
-        self.saw(|| Told::Resumed { hit, past: past.clone() });
+        self.saw(|| Told::Resumed {
+            hit,
+            past: past.clone(),
+        });
         self.resumed = Some(past);
     }
 
@@ -404,29 +487,67 @@
     }
 
     fn may(&mut self, hit: HitId, nth: u32) -> bool {
-        let Some(held) = self.desk.hits.get(&hit).filter(|held| held.open) else { return false };
-        let Some(Some(out)) = held.forwards.get(nth as usize) else { return false };
+        let Some(held) = self.desk.hits.get(&hit).filter(|held| held.open) else {
+            return false;
+        };
+        let Some(Some(out)) = held.forwards.get(nth as usize) else {
+            return false;
+        };
         let (group, key, at) = (held.group, held.key, out.at);
         // One that is still out may have run as well.
-        let before = held.forwards[..nth as usize].iter().flatten().map(|out| out.at);
+        let before = held.forwards[..nth as usize]
+            .iter()
+            .flatten()
+            .map(|out| out.at);
         let ran = before.chain(held.ran).min();
-        out.chosen.is_some_and(|chosen| self.logic.still(self.desk.now, (group, key), &chosen, (at, ran)))
+        out.chosen.is_some_and(|chosen| {
+            self.logic
+                .still(self.desk.now, (group, key), &chosen, (at, ran))
+        })
     }
 
     /// How a forward ended. Whether its answer goes to the client as the hit's final one.
-    pub fn ended(&mut self, now: Ns, hit: HitId, nth: u32, end: Ended, took: Ns, load: Option<Load>) -> bool {
+    pub fn ended(
+        &mut self,
+        now: Ns,
+        hit: HitId,
+        nth: u32,
+        end: Ended,
+        took: Ns,
+        load: Option<Load>,
+    ) -> bool {
         self.at(now);
-        let Some(held) = self.desk.hits.get_mut(&hit) else { return false };
-        let Some(out) = held.forwards.get_mut(nth as usize).and_then(Option::take) else { return false };
+        let Some(held) = self.desk.hits.get_mut(&hit) else {
+            return false;
+        };
+        let Some(out) = held.forwards.get_mut(nth as usize).and_then(Option::take) else {
+            return false;
+        };
         let passed = held.open && end == Ended::Delivered;
         held.open &= !passed;
         if !end.never_ran() {
             held.ran = Some(held.ran.map_or(out.at, |ran| ran.min(out.at)));
         }
         let over = !held.open;
-        self.saw(|| Told::Ended { hit, nth, end, took, load, passed });
+        self.saw(|| Told::Ended {
+            hit,
+            nth,
+            end,
+            took,
+            load,
+            passed,
+        });
         self.desk.roll.ended(out.pod);
-        (out.then)(&mut self.logic, &mut self.desk, Outcome { end, took, over, load });
+        (out.then)(
+            &mut self.logic,
+            &mut self.desk,
+            Outcome {
+                end,
+                took,
+                over,
+                load,
+            },
+        );
         self.desk.sweep(hit);
         passed
     }
@@ -443,9 +564,16 @@
         self.at(now);
         let told = self.witness.is_some().then(|| pods.clone());
         let entries = self.desk.roll.apply(self.desk.now, whole, pods);
-        let given: Vec<Option<PodId>> = entries.iter().map(|entry| entry.map(|entry| entry.pod)).collect();
+        let given: Vec<Option<PodId>> = entries
+            .iter()
+            .map(|entry| entry.map(|entry| entry.pod))
+            .collect();
         if let Some(pods) = told {
-            self.saw(|| Told::List { whole, pods, given: given.clone() });
+            self.saw(|| Told::List {
+                whole,
+                pods,
+                given: given.clone(),
+            });
         }
         let entries: Vec<PodEntry> = entries.into_iter().flatten().collect();
         if whole {
@@ -479,7 +607,10 @@
     pub fn voted(&mut self, now: Ns, vote: u64, news: StageNews) {
         self.at(now);
         if let Some(then) = self.desk.votes.remove(&vote) {
-            self.saw(|| Told::Voted { vote, news: news.clone() });
+            self.saw(|| Told::Voted {
+                vote,
+                news: news.clone(),
+            });
             self.stage = news.stage.or(self.stage);
             then(&mut self.logic, &mut self.desk, news);
         }
@@ -488,7 +619,10 @@
     pub fn probed(&mut self, now: Ns, probe: u64, end: ProbeEnd) {
         self.at(now);
         if let Some(then) = self.desk.probes.remove(&probe) {
-            self.saw(|| Told::Probed { probe, end: end.clone() });
+            self.saw(|| Told::Probed {
+                probe,
+                end: end.clone(),
+            });
             then(&mut self.logic, &mut self.desk, end);
         }
     }
@@ -503,9 +637,21 @@
         mean: Ns,
         age: Ns,
     ) -> bool {
-        let Some(group) = self.group(group) else { return false };
+        let Some(group) = self.group(group) else {
+            return false;
+        };
         let (count, failed) = counts;
-        self.tallied(now, Tally { build, group, count, failed, mean_latency: mean, age });
+        self.tallied(
+            now,
+            Tally {
+                build,
+                group,
+                count,
+                failed,
+                mean_latency: mean,
+                age,
+            },
+        );
         true
     }
 
@@ -517,7 +663,9 @@
 
     /// A client found an answer wrong; false where the pod or path group is not known.
     pub fn flagged(&mut self, now: Ns, pod: &str, group: &str, ago: Ns) -> bool {
-        let (Some(pod), Some(group)) = (self.desk.roll.find(pod), self.group(group)) else { return false };
+        let (Some(pod), Some(group)) = (self.desk.roll.find(pod), self.group(group)) else {
+            return false;
+        };
         self.flag(now, pod, group, ago);
         true
     }
@@ -552,7 +700,11 @@
 
     /// Forwards that have not ended.
     pub fn out(&self) -> usize {
-        self.desk.hits.values().map(|held| held.forwards.iter().flatten().count()).sum()
+        self.desk
+            .hits
+            .values()
+            .map(|held| held.forwards.iter().flatten().count())
+            .sum()
     }
 
     /// How many pods the decisions looked at since the start.
@@ -561,7 +713,18 @@
     }
 
     pub fn glance(&self) -> Glance {
-        let pods = self.desk.entries.iter().flatten().filter(|pod| pod.state == PodState::Running).count();
-        Glance { hits: self.desk.hits.len(), pods, stage: self.stage, sums: self.logic.sums() }
+        let pods = self
+            .desk
+            .entries
+            .iter()
+            .flatten()
+            .filter(|pod| pod.state == PodState::Running)
+            .count();
+        Glance {
+            hits: self.desk.hits.len(),
+            pods,
+            stage: self.stage,
+            sums: self.logic.sums(),
+        }
     }
 }
--- a/crates/sidecar/src/fellowship.rs
+++ b/crates/sidecar/src/fellowship.rs
@@ -27,7 +27,10 @@
     #[error("fellowship.keys: {0}")]
     Keys(#[from] KeysError),
     #[error("fellowship.listen {at}: {error}; expected an address of this machine whose port is free for UDP and TCP")]
-    Listen { at: SocketAddr, error: std::io::Error },
+    Listen {
+        at: SocketAddr,
+        error: std::io::Error,
+    },
 }
 
 /// Reads the messages of one kind.
@@ -77,21 +80,43 @@
         zone: &str,
     ) -> Result<Rc<Fellowship>, FellowshipError> {
         let keys = read_keys(&settings.keys)?;
-        let me = Life { name: name.to_string(), life: new_life() };
-        let rules = Rules { period: settings.period, answer: settings.period * 3 / 10, ..Rules::default() };
+        let me = Life {
+            name: name.to_string(),
+            life: new_life(),
+        };
+        let rules = Rules {
+            period: settings.period,
+            answer: settings.period * 3 / 10,
+            ..Rules::default()
+        };
         let talker = Talker::bind(settings.listen, |now, bound| {
             let at = settings.advertise.unwrap_or(bound);
             let (who, zone) = (me.clone(), zone.to_string());
-            let news = News { who, at, zone, round: 0, state: State::Lives };
+            let news = News {
+                who,
+                at,
+                zone,
+                round: 0,
+                state: State::Lives,
+            };
             let seed = me.life ^ u64::from(bound.port()) << 48;
             Node::new(now, seed, news, settings.meet.clone(), rules, keys)
         });
-        let talker = talker.await.map_err(|error| FellowshipError::Listen { at: settings.listen, error })?;
+        let talker = talker.await.map_err(|error| FellowshipError::Listen {
+            at: settings.listen,
+            error,
+        })?;
         talker.call(|node, _| node.reads(VIEWS));
         let views = RefCell::new(Views::new(talker.now(), me.clone(), Belonging::default()));
         let period = Duration::from_nanos(settings.period);
         let ears = RefCell::default();
-        Ok(Rc::new(Fellowship { talker, me, ears, views, period }))
+        Ok(Rc::new(Fellowship {
+            talker,
+            me,
+            ears,
+            views,
+            period,
+        }))
     }
 
     /// From now on messages of this kind come here. One part of the program owns a kind.
@@ -103,14 +128,22 @@
     /// Meets the others and goes on until the thread's tasks end. `keys` is read again at SIGHUP.
     pub fn run(self: &Rc<Self>, keys: PathBuf) {
         let hears = self.clone();
-        spawn_local(self.talker.clone().run(move |_, happened| hears.happened(happened)));
+        spawn_local(
+            self.talker
+                .clone()
+                .run(move |_, happened| hears.happened(happened)),
+        );
         spawn_local(self.clone().reload(keys));
         spawn_local(self.clone().tell_views());
     }
 
     fn happened(&self, happened: Happened) {
         match happened {
-            Happened::Came { from, kind: VIEWS, body } => {
+            Happened::Came {
+                from,
+                kind: VIEWS,
+                body,
+            } => {
                 let received = self.views.borrow_mut().receive(self.now(), &from, &body);
                 if received.is_err() {
                     tracing::warn!(fellow = from.name, "view passed over: not readable");
@@ -135,7 +168,9 @@
         beat.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             beat.tick().await;
-            let change = self.talker.call(|node, now| self.views.borrow_mut().tick(now, node));
+            let change = self
+                .talker
+                .call(|node, now| self.views.borrow_mut().tick(now, node));
             if let Some(change) = change {
                 self.log_change(change);
             }
@@ -153,7 +188,9 @@
     }
 
     async fn reload(self: Rc<Self>, file: PathBuf) {
-        let Ok(mut hangups) = signal(SignalKind::hangup()) else { return };
+        let Ok(mut hangups) = signal(SignalKind::hangup()) else {
+            return;
+        };
         while hangups.recv().await.is_some() {
             match read_keys(&file) {
                 Ok(read) => {
@@ -186,7 +223,8 @@
 
     /// The others that live, as far as known here.
     pub fn living<T>(&self, look: impl FnOnce(&mut dyn Iterator<Item = &News>) -> T) -> T {
-        self.talker.call(|node, _| look(&mut node.fellows().living()))
+        self.talker
+            .call(|node, _| look(&mut node.fellows().living()))
     }
 
     /// Tells the others that it goes.
@@ -199,11 +237,16 @@
         let (now, views) = (self.now(), self.views.borrow());
         let place = views.place();
         let (standing, since) = place.standing();
-        let shown = |names: &mut dyn Iterator<Item = &str>| names.take(SHOWN).map(str::to_string).collect();
+        let shown =
+            |names: &mut dyn Iterator<Item = &str>| names.take(SHOWN).map(str::to_string).collect();
         let mut disputes = place.disputes(now);
         disputes.truncate(SHOWN);
         self.talker.call(|node, _| Glance {
-            living: node.fellows().living().map(|news| news.who.name.clone()).collect(),
+            living: node
+                .fellows()
+                .living()
+                .map(|news| news.who.name.clone())
+                .collect(),
             slowness: node.fellows().slowness(),
             standing: Some(standing),
             stands_for: now.saturating_sub(since),
--- a/crates/sidecar/src/guard.rs
+++ b/crates/sidecar/src/guard.rs
@@ -121,7 +121,10 @@
                 self.takeover.borrow_mut().receive(now, from, message);
                 self.act_all();
             }
-            Err(_) => tracing::warn!(fellow = from.name, "word on work in hand passed over: not readable"),
+            Err(_) => tracing::warn!(
+                fellow = from.name,
+                "word on work in hand passed over: not readable"
+            ),
         }
     }
 
@@ -136,7 +139,9 @@
             Effect::Unprotected(mark) => self.claimed(mark, Claim::Unguarded),
             Effect::Uncertain(mark) => self.claimed(mark, Claim::Unsure),
             Effect::KeyReused(mark) => self.claimed(mark, Claim::Differs),
-            Effect::Joined(mark) => self.waiting(mark, |waits| waits.answers.extend(waits.claimant.take())),
+            Effect::Joined(mark) => {
+                self.waiting(mark, |waits| waits.answers.extend(waits.claimant.take()))
+            }
             Effect::AttemptReady(mark, nth) => self.waiting(mark, |waits| {
                 if let Some(go) = waits.goes.remove(&nth) {
                     let _ = go.send(());
@@ -155,16 +160,24 @@
                 });
             }
             Effect::Finished(mark, done) => self.waiting(mark, |waits| {
-                waits.claimant.take().into_iter().chain(waits.answers.drain(..)).for_each(|waits| {
-                    let _ = waits.send(Claim::Done(done.clone()));
-                });
+                waits
+                    .claimant
+                    .take()
+                    .into_iter()
+                    .chain(waits.answers.drain(..))
+                    .for_each(|waits| {
+                        let _ = waits.send(Claim::Done(done.clone()));
+                    });
                 waits.goes.clear();
                 if let Some(lost) = waits.lost.take() {
                     let _ = lost.send(());
                 }
             }),
             Effect::Unknown(mark) => self.waiting(mark, |waits| {
-                waits.answers.drain(..).for_each(|waits| drop(waits.send(Claim::Nobody)));
+                waits
+                    .answers
+                    .drain(..)
+                    .for_each(|waits| drop(waits.send(Claim::Nobody)));
             }),
             Effect::TakenOver(record) => drop(self.begun.send(record)),
         }
@@ -181,10 +194,15 @@
     /// Changes who waits for a piece of work, and forgets it once nobody does.
     fn waiting(&self, mark: RequestId, change: impl FnOnce(&mut Waits)) {
         let mut all = self.waits.borrow_mut();
-        let Some(waits) = all.get_mut(&mark) else { return };
+        let Some(waits) = all.get_mut(&mark) else {
+            return;
+        };
         change(waits);
         waits.answers.retain(|answer| !answer.is_closed());
-        let claims = waits.claimant.as_ref().is_some_and(|claimant| !claimant.is_closed());
+        let claims = waits
+            .claimant
+            .as_ref()
+            .is_some_and(|claimant| !claimant.is_closed());
         let holds = waits.lost.as_ref().is_some_and(|lost| !lost.is_closed());
         if !claims && !holds && waits.answers.is_empty() && waits.goes.is_empty() {
             all.remove(&mark);
@@ -203,17 +221,29 @@
         self.fellowship.living(|others| {
             // A distributor of the configuration takes nobody's work over.
             let sidecars = others.filter(|news| news.zone != DISTRIBUTOR_ZONE);
-            let others: Vec<Candidate<'_>> =
-                sidecars.map(|news| Candidate { who: &news.who, zone: &news.zone }).collect();
+            let others: Vec<Candidate<'_>> = sidecars
+                .map(|news| Candidate {
+                    who: &news.who,
+                    zone: &news.zone,
+                })
+                .collect();
             pick(mark, &others, self.many)
         })
     }
 
     /// Claims a piece of work, and waits until it is ours or done: no longer than its client does.
-    pub async fn claim(self: &Rc<Self>, mark: RequestId, sum: u64, hit: (Vec<u8>, bool), left: Ns) -> Claim {
+    pub async fn claim(
+        self: &Rc<Self>,
+        mark: RequestId,
+        sum: u64,
+        hit: (Vec<u8>, bool),
+        left: Ns,
+    ) -> Claim {
         let (guardians, now) = (self.backups(mark), self.fellowship.now());
         let (tell, told) = oneshot::channel();
-        self.takeover.borrow_mut().claim(now, mark, sum, hit, left, guardians);
+        self.takeover
+            .borrow_mut()
+            .claim(now, mark, sum, hit, left, guardians);
         let mut joined = false;
         loop {
             let effect = self.takeover.borrow_mut().effect();
@@ -244,7 +274,9 @@
     /// The same without waiting; where another has it, the hit is served all the same, as a repeat does no harm.
     pub fn claim_behind(&self, mark: RequestId, sum: u64, ask: Vec<u8>, left: Ns) {
         let (guardians, now) = (self.backups(mark), self.fellowship.now());
-        self.takeover.borrow_mut().claim_in_background(now, mark, sum, ask, left, guardians);
+        self.takeover
+            .borrow_mut()
+            .claim_in_background(now, mark, sum, ask, left, guardians);
         self.act_all();
     }
 
@@ -286,9 +318,20 @@
         let (go, gone) = oneshot::channel();
         let now = self.fellowship.now();
         let nth = self.takeover.borrow_mut().begin_attempt(now, mark, pod)?;
-        let going = Going { guard: self.clone(), mark, nth, sent: Cell::new(false), told: Cell::new(false) };
+        let going = Going {
+            guard: self.clone(),
+            mark,
+            nth,
+            sent: Cell::new(false),
+            told: Cell::new(false),
+        };
         if wait {
-            self.waits.borrow_mut().entry(mark).or_default().goes.insert(nth, go);
+            self.waits
+                .borrow_mut()
+                .entry(mark)
+                .or_default()
+                .goes
+                .insert(nth, go);
         }
         self.act_all();
         if wait {
@@ -317,7 +360,14 @@
         let (held, kept, waiting) = takeover.sizes();
         let (unguarded, turned_away) = (takeover.unprotected, takeover.rejected_records);
         let taken_over = takeover.taken_over;
-        Glance { held, kept, waiting, unguarded, turned_away, taken_over }
+        Glance {
+            held,
+            kept,
+            waiting,
+            unguarded,
+            turned_away,
+            taken_over,
+        }
     }
 }
 
@@ -351,8 +401,15 @@
     fn drop(&mut self) {
         if !self.told.get() {
             let now = self.guard.fellowship.now();
-            let went = if self.sent.get() { AttemptState::MayHaveRun } else { AttemptState::NeverRan };
-            self.guard.takeover.borrow_mut().end_attempt(now, self.mark, self.nth, went);
+            let went = if self.sent.get() {
+                AttemptState::MayHaveRun
+            } else {
+                AttemptState::NeverRan
+            };
+            self.guard
+                .takeover
+                .borrow_mut()
+                .end_attempt(now, self.mark, self.nth, went);
             self.guard.act_all();
         }
     }
--- a/crates/sidecar/src/guarded.rs
+++ b/crates/sidecar/src/guarded.rs
@@ -95,12 +95,18 @@
 }
 
 fn heads_of(headers: &HeaderMap) -> Heads {
-    headers.iter().map(|(name, value)| (name.to_string(), value.as_bytes().to_vec())).collect()
+    headers
+        .iter()
+        .map(|(name, value)| (name.to_string(), value.as_bytes().to_vec()))
+        .collect()
 }
 
 fn heads_from(heads: &Heads) -> HeaderMap {
     let header = |(name, value): &(String, Vec<u8>)| {
-        Some((name.parse::<HeaderName>().ok()?, HeaderValue::from_bytes(value).ok()?))
+        Some((
+            name.parse::<HeaderName>().ok()?,
+            HeaderValue::from_bytes(value).ok()?,
+        ))
     };
     heads.iter().filter_map(header).collect()
 }
@@ -112,11 +118,17 @@
         key: asked.key,
         cost_hint: asked.cost_hint,
         method: ask.method.to_string(),
-        path: ask.uri.path_and_query().map_or("/", |path| path.as_str()).to_string(),
+        path: ask
+            .uri
+            .path_and_query()
+            .map_or("/", |path| path.as_str())
+            .to_string(),
         headers: heads_of(&ask.headers),
         body: ask.body.to_vec(),
     };
-    postcard::to_stdvec(&kept).ok().filter(|bytes| bytes.len() <= LONGEST)
+    postcard::to_stdvec(&kept)
+        .ok()
+        .filter(|bytes| bytes.len() <= LONGEST)
 }
 
 /// Serves a hit in a task of its own: its work goes on though its client leaves.
@@ -134,7 +146,9 @@
 async fn claimed(shell: &Rc<Shell>, guard: &Rc<Guard>, asked: Asked, ask: Ask) -> Response<Body> {
     let began = Instant::now();
     let ask = Rc::new(ask);
-    let Some(work) = &ask.guarded else { return errored(false) };
+    let Some(work) = &ask.guarded else {
+        return errored(false);
+    };
     let (mark, sum, wait) = (work.mark, work.sum, work.wait);
     let Some(bytes) = keep(&asked, &ask, work) else {
         work.on.set(false);
@@ -169,7 +183,15 @@
         guard.claim_behind(mark, sum, bytes, asked.left);
     }
     let left = asked.left.saturating_sub(began.elapsed().as_nanos() as Ns);
-    run(shell, guard, None, Asked { left, ..asked }, ask.clone(), mark).await
+    run(
+        shell,
+        guard,
+        None,
+        Asked { left, ..asked },
+        ask.clone(),
+        mark,
+    )
+    .await
 }
 
 /// Lets the module finish a hit; or, where its work is lost to another, waits for that one's answer.
@@ -214,7 +236,8 @@
     work: Option<&Guarded>,
 ) -> (Response<Body>, Outcome) {
     let again = kind != Kind::Mutating;
-    let doubtful = work.is_some_and(|work| !work.named && work.announced.get() && work.on.get()) && !again;
+    let doubtful =
+        work.is_some_and(|work| !work.named && work.announced.get() && work.on.get()) && !again;
     match response.extensions().get::<Final>() {
         Some(Final::Bounced) if doubtful => (errored(false), Outcome::Failed { retryable: again }),
         Some(Final::Bounced) => (response, Outcome::Rejected),
@@ -223,12 +246,25 @@
             let (parts, body) = response.into_parts();
             let Body::Whole(whole) = body else {
                 // Passed on as it comes: too long to be kept.
-                return (Response::from_parts(parts, body), Outcome::Served(Vec::new()));
+                return (
+                    Response::from_parts(parts, body),
+                    Outcome::Served(Vec::new()),
+                );
             };
-            let whole = whole.collect().await.map(|whole| whole.to_bytes()).unwrap_or_default();
+            let whole = whole
+                .collect()
+                .await
+                .map(|whole| whole.to_bytes())
+                .unwrap_or_default();
             let (status, headers) = (parts.status.as_u16(), heads_of(&parts.headers));
-            let kept = KeptAnswer { status, headers, body: whole.to_vec() };
-            let kept = postcard::to_stdvec(&kept).ok().filter(|bytes| bytes.len() <= LONGEST);
+            let kept = KeptAnswer {
+                status,
+                headers,
+                body: whole.to_vec(),
+            };
+            let kept = postcard::to_stdvec(&kept)
+                .ok()
+                .filter(|bytes| bytes.len() <= LONGEST);
             let response = Response::from_parts(parts, Body::Whole(Full::new(whole)));
             (response, Outcome::Served(kept.unwrap_or_default()))
         }
@@ -248,8 +284,16 @@
         }
         Outcome::Served(kept) => kept,
     };
-    let Ok(KeptAnswer { status, headers, body }) = postcard::from_bytes(&delivered) else {
-        return plain(StatusCode::BAD_GATEWAY, "errored: it ran, but its kept answer cannot be read here\n");
+    let Ok(KeptAnswer {
+        status,
+        headers,
+        body,
+    }) = postcard::from_bytes(&delivered)
+    else {
+        return plain(
+            StatusCode::BAD_GATEWAY,
+            "errored: it ran, but its kept answer cannot be read here\n",
+        );
     };
     let mut response = Response::new(Body::Whole(Full::new(body.into())));
     *response.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
@@ -261,8 +305,14 @@
 pub struct NotOurs;
 
 /// Tells the guardians that a forward is about to go; nothing where nobody guards it.
-pub async fn before(shell: &Rc<Shell>, work: &Guarded, pod: PodId) -> Result<Option<Going>, NotOurs> {
-    let Some(guard) = shell.guard.as_ref().filter(|_| work.on.get()) else { return Ok(None) };
+pub async fn before(
+    shell: &Rc<Shell>,
+    work: &Guarded,
+    pod: PodId,
+) -> Result<Option<Going>, NotOurs> {
+    let Some(guard) = shell.guard.as_ref().filter(|_| work.on.get()) else {
+        return Ok(None);
+    };
     let name = shell.look().pod_name(pod).unwrap_or_default().to_string();
     work.announced.set(true);
     match guard.before(work.mark, &name, work.wait).await {
@@ -273,8 +323,17 @@
 
 /// Whether a guarded forward may be written at this moment.
 pub fn may(shell: &Rc<Shell>, ask: &Ask) -> bool {
-    let Some(work) = ask.guarded.as_ref().filter(|work| work.wait && work.on.get()) else { return true };
-    let may = shell.guard.as_ref().is_some_and(|guard| guard.may(work.mark));
+    let Some(work) = ask
+        .guarded
+        .as_ref()
+        .filter(|work| work.wait && work.on.get())
+    else {
+        return true;
+    };
+    let may = shell
+        .guard
+        .as_ref()
+        .is_some_and(|guard| guard.may(work.mark));
     if !may {
         tracing::warn!(
             mark = mark_text(work.mark),
@@ -286,12 +345,24 @@
 
 /// Finishes work that was another's.
 pub fn take_over(shell: &Rc<Shell>, record: Record) {
-    let Some(guard) = shell.guard.clone() else { return };
+    let Some(guard) = shell.guard.clone() else {
+        return;
+    };
     let (shell, mark, began) = (shell.clone(), record.request, Instant::now());
     spawn_local(async move {
-        let may_have_run = record.attempts.iter().filter(|past| past.state != AttemptState::NeverRan).count();
+        let may_have_run = record
+            .attempts
+            .iter()
+            .filter(|past| past.state != AttemptState::NeverRan)
+            .count();
         let (forwards, left_ms) = (record.attempts.len(), record.remaining / 1_000_000);
-        tracing::info!(mark = mark_text(mark), forwards, may_have_run, left_ms, "work taken over");
+        tracing::info!(
+            mark = mark_text(mark),
+            forwards,
+            may_have_run,
+            left_ms,
+            "work taken over"
+        );
         let ended = match read(&shell, &record) {
             Some((asked, ask)) => {
                 let earlier = |past: &havenplank_takeover::record::Attempt| Earlier {
@@ -300,7 +371,9 @@
                     may_have_run: past.state != AttemptState::NeverRan,
                 };
                 let past = Some(record.attempts.iter().map(earlier).collect());
-                run(&shell, &guard, past, asked, Rc::new(ask), mark).await.status()
+                run(&shell, &guard, past, asked, Rc::new(ask), mark)
+                    .await
+                    .status()
             }
             None => {
                 tracing::warn!(
@@ -312,7 +385,12 @@
             }
         };
         let took_ms = began.elapsed().as_millis() as u64;
-        tracing::info!(mark = mark_text(mark), status = ended.as_u16(), took_ms, "work finished");
+        tracing::info!(
+            mark = mark_text(mark),
+            status = ended.as_u16(),
+            took_ms,
+            "work finished"
+        );
     });
 }
 
@@ -322,7 +400,10 @@
     let route = routes.named(&kept.group)?.clone();
     let asked = Asked {
         group: route.group(),
-        customer: kept.customer.as_ref().and_then(|name| routes.tenant(name)?.index),
+        customer: kept
+            .customer
+            .as_ref()
+            .and_then(|name| routes.tenant(name)?.index),
         key: kept.key,
         left: record.remaining.min(route.rules.client_timeout),
         cost_hint: kept.cost_hint,
@@ -339,5 +420,15 @@
         announced: Cell::new(true),
     };
     let method = kept.method.parse().ok()?;
-    Some((asked, Ask { method, uri, headers, body: kept.body.into(), route, guarded: Some(guarded) }))
+    Some((
+        asked,
+        Ask {
+            method,
+            uri,
+            headers,
+            body: kept.body.into(),
+            route,
+            guarded: Some(guarded),
+        },
+    ))
 }
--- a/crates/sidecar/src/heads.rs
+++ b/crates/sidecar/src/heads.rs
@@ -15,14 +15,15 @@
 
 /// A time in the form of `grpc-timeout`: up to eight digits, then H, M, S, m, u or n.
 pub fn time_left(text: &str) -> Option<Ns> {
-    let unit = one_of::<_, _, ContextError>(['H', 'M', 'S', 'm', 'u', 'n']).map(|unit: char| match unit {
-        'H' => 3_600_000_000_000,
-        'M' => 60_000_000_000,
-        'S' => 1_000_000_000,
-        'm' => 1_000_000,
-        'u' => 1_000,
-        _ => 1u64,
-    });
+    let unit =
+        one_of::<_, _, ContextError>(['H', 'M', 'S', 'm', 'u', 'n']).map(|unit: char| match unit {
+            'H' => 3_600_000_000_000,
+            'M' => 60_000_000_000,
+            'S' => 1_000_000_000,
+            'm' => 1_000_000,
+            'u' => 1_000,
+            _ => 1u64,
+        });
     let digits = take_while(1..=8, |c: char| c.is_ascii_digit()).try_map(str::parse::<u64>);
     let (count, unit) = (digits, unit).parse(text).ok()?;
     count.checked_mul(unit)
@@ -30,14 +31,24 @@
 
 /// The same form, rounded down to a whole count of the finest unit that eight digits hold.
 pub fn as_time_left(time: Ns) -> String {
-    let units = [(1, 'n'), (1_000, 'u'), (1_000_000, 'm'), (1_000_000_000, 'S')];
+    let units = [
+        (1, 'n'),
+        (1_000, 'u'),
+        (1_000_000, 'm'),
+        (1_000_000_000, 'S'),
+    ];
     let fits = units.iter().find(|(unit, _)| time / unit < 100_000_000);
-    fits.map_or("99999999S".to_string(), |(unit, letter)| format!("{}{letter}", time / unit))
+    fits.map_or("99999999S".to_string(), |(unit, letter)| {
+        format!("{}{letter}", time / unit)
+    })
 }
 
 /// Whether a mark has the form of the `Idempotency-Key` draft: a structured string in quotes, not empty.
 pub fn is_mark(text: &[u8]) -> bool {
-    let Some(inner) = text.strip_prefix(b"\"").and_then(|rest| rest.strip_suffix(b"\"")) else {
+    let Some(inner) = text
+        .strip_prefix(b"\"")
+        .and_then(|rest| rest.strip_suffix(b"\""))
+    else {
         return false;
     };
     let mut escaped = false;
@@ -55,13 +66,21 @@
 
 /// Whole microseconds.
 pub fn cost_hint(text: &str) -> Option<Ns> {
-    dec_uint::<_, u64, ContextError>.parse(text).ok()?.checked_mul(1_000)
+    dec_uint::<_, u64, ContextError>
+        .parse(text)
+        .ok()?
+        .checked_mul(1_000)
 }
 
 /// A load report in the text form of `endpoint-load-metrics`; what it does not name stays unknown.
 pub fn load(text: &str) -> Option<Load> {
-    let name = take_while(1.., |c: char| c.is_ascii_alphanumeric() || "_.-".contains(c));
-    let pair = (preceded(multispace0::<_, ContextError>, name), preceded('=', float::<_, f64, _>));
+    let name = take_while(1.., |c: char| {
+        c.is_ascii_alphanumeric() || "_.-".contains(c)
+    });
+    let pair = (
+        preceded(multispace0::<_, ContextError>, name),
+        preceded('=', float::<_, f64, _>),
+    );
     let pairs = separated(1.., pair, (multispace0, ','));
     let mut report = preceded(("TEXT", opt(':'), multispace0), pairs);
     let pairs: Vec<(&str, f64)> = report.parse(text.trim_end()).ok()?;
@@ -115,7 +134,9 @@
     let all = path.len() + headers.values().map(HeaderValue::len).sum::<usize>();
     let mut whole = BytesMut::with_capacity(all);
     whole.extend_from_slice(path.as_bytes());
-    headers.values().for_each(|value| whole.extend_from_slice(value.as_bytes()));
+    headers
+        .values()
+        .for_each(|value| whole.extend_from_slice(value.as_bytes()));
     let whole = whole.freeze();
     let (mut copy, mut at) = (HeaderMap::with_capacity(headers.len() + 1), path.len());
     for (name, value) in headers {
@@ -135,8 +156,17 @@
 
     #[test]
     fn times_marks_and_loads() {
-        let times = [("250m", Some(250_000_000)), ("3S", Some(3_000_000_000)), ("", None), ("5", None)];
-        for (text, wanted) in times.into_iter().chain([("123456789m", None), ("-1S", None), ("1 S", None)]) {
+        let times = [
+            ("250m", Some(250_000_000)),
+            ("3S", Some(3_000_000_000)),
+            ("", None),
+            ("5", None),
+        ];
+        for (text, wanted) in
+            times
+                .into_iter()
+                .chain([("123456789m", None), ("-1S", None), ("1 S", None)])
+        {
             assert_eq!(time_left(text), wanted, "{text}");
         }
         for time in [0, 999, 99_999_999, 100_000_000, 2_000_000_123, u64::MAX] {
@@ -146,13 +176,21 @@
                 "{time}"
             );
         }
-        for (mark, good) in [("\"a\"", true), ("\"a\\\"b\"", true), ("a", false), ("\"\"", false)] {
+        for (mark, good) in [
+            ("\"a\"", true),
+            ("\"a\\\"b\"", true),
+            ("a", false),
+            ("\"\"", false),
+        ] {
             assert_eq!(is_mark(mark.as_bytes()), good, "{mark}");
         }
         assert!(!is_mark(b"\"a\"b\"") && !is_mark(b"\"\\\"") && !is_mark(&[b'"', 200, b'"']));
-        let told =
-            load("TEXT cpu_utilization=0.3, named_metrics.in_flight=4,eps=1e1,odd=2").expect("a report");
-        assert_eq!((told.busy, told.in_flight, told.failed_per_s), (Some(0.3), Some(4.0), Some(10.0)));
+        let told = load("TEXT cpu_utilization=0.3, named_metrics.in_flight=4,eps=1e1,odd=2")
+            .expect("a report");
+        assert_eq!(
+            (told.busy, told.in_flight, told.failed_per_s),
+            (Some(0.3), Some(4.0), Some(10.0))
+        );
         assert!(load("JSON {}").is_none() && load("TEXT a=b").is_none() && load("").is_none());
     }
 }
--- a/crates/sidecar/src/hub.rs
+++ b/crates/sidecar/src/hub.rs
@@ -49,7 +49,11 @@
 
 impl<A> From<Ended> for End<A> {
     fn from(end: Ended) -> End<A> {
-        End { end, load: None, answer: None }
+        End {
+            end,
+            load: None,
+            answer: None,
+        }
     }
 }
 
@@ -142,16 +146,27 @@
 
     fn act(self: &Rc<Self>, effect: Effect) {
         match effect {
-            Effect::Forward { hit, nth, pod, time_out } => {
+            Effect::Forward {
+                hit,
+                nth,
+                pod,
+                time_out,
+            } => {
                 let mut waiting = self.waiting.borrow_mut();
                 if let Some(waits) = waiting.get_mut(&hit) {
-                    let forward = O::forward(self.clone(), waits.ask.clone(), (hit, nth), pod, time_out);
-                    waits.forwards.push((spawn_local(forward).abort_handle(), Instant::now()));
+                    let forward =
+                        O::forward(self.clone(), waits.ask.clone(), (hit, nth), pod, time_out);
+                    waits
+                        .forwards
+                        .push((spawn_local(forward).abort_handle(), Instant::now()));
                 }
             }
             Effect::Cancel { hit, nth } => {
                 let waiting = self.waiting.borrow();
-                let task = waiting.get(&hit).and_then(|waits| waits.forwards.get(nth as usize)).cloned();
+                let task = waiting
+                    .get(&hit)
+                    .and_then(|waits| waits.forwards.get(nth as usize))
+                    .cloned();
                 drop(waiting);
                 self.cut(hit, nth, task);
             }
@@ -163,7 +178,12 @@
                 tracing::debug!(hit, late, "errored");
                 self.answer(hit, self.outside.errored(late));
             }
-            Effect::Vote { vote, build, stage, voice } => {
+            Effect::Vote {
+                vote,
+                build,
+                stage,
+                voice,
+            } => {
                 tracing::info!(vote, build, stage, ?voice, "vote");
                 O::vote(self, vote, build, stage, voice);
             }
@@ -183,7 +203,12 @@
         }
     }
 
-    pub fn take(self: &Rc<Self>, asked: Asked, ask: O::Ask, answer: oneshot::Sender<O::Answer>) -> HitId {
+    pub fn take(
+        self: &Rc<Self>,
+        asked: Asked,
+        ask: O::Ask,
+        answer: oneshot::Sender<O::Answer>,
+    ) -> HitId {
         self.go_on(None, asked, Rc::new(ask), answer)
     }
 
@@ -199,7 +224,11 @@
             self.engine.borrow_mut().resumed(self.now(), past);
         }
         let hit = self.engine.borrow_mut().hit(self.now(), asked);
-        let waits = Waiting { ask, answer, forwards: Vec::new() };
+        let waits = Waiting {
+            ask,
+            answer,
+            forwards: Vec::new(),
+        };
         self.waiting.borrow_mut().insert(hit, waits);
         self.carry_out();
         hit
@@ -225,7 +254,10 @@
 
     /// Whether a forward may have been begun for a hit. Of one that was answered that is no longer known.
     pub fn sent_on(&self, hit: HitId) -> bool {
-        self.waiting.borrow().get(&hit).is_none_or(|waits| !waits.forwards.is_empty())
+        self.waiting
+            .borrow()
+            .get(&hit)
+            .is_none_or(|waits| !waits.forwards.is_empty())
     }
 
     fn answer(&self, hit: HitId, answer: O::Answer) {
@@ -238,7 +270,11 @@
     pub fn may_go(self: &Rc<Self>, hit: HitId, nth: u32) -> bool {
         let may = self.engine.borrow_mut().may_go(self.now(), hit, nth);
         if !may {
-            tracing::debug!(hit, nth, "forward not sent: its pod or build closed while it waited");
+            tracing::debug!(
+                hit,
+                nth,
+                "forward not sent: its pod or build closed while it waited"
+            );
         }
         may
     }
@@ -251,7 +287,10 @@
         load: Option<Load>,
         answer: Option<O::Answer>,
     ) {
-        let passed = self.engine.borrow_mut().ended(self.now(), hit, nth, end, took, load);
+        let passed = self
+            .engine
+            .borrow_mut()
+            .ended(self.now(), hit, nth, end, took, load);
         tracing::debug!(hit, nth, ?end, took_us = took / 1_000, "forward ended");
         if passed {
             self.answer(hit, answer.unwrap_or_else(|| self.outside.errored(false)));
--- a/crates/sidecar/src/keeper.rs
+++ b/crates/sidecar/src/keeper.rs
@@ -39,7 +39,10 @@
         let contents = self.contents.lock().unwrap_or_else(PoisonError::into_inner);
         let waits = |contents: &mut Contents| contents.newest.is_none() && !contents.closed;
         let contents = self.changed.wait_while(contents, waits);
-        contents.unwrap_or_else(PoisonError::into_inner).newest.take()
+        contents
+            .unwrap_or_else(PoisonError::into_inner)
+            .newest
+            .take()
     }
 }
 
@@ -53,12 +56,17 @@
         if let Err(error) = &thread {
             tracing::warn!(%error, "no thread that keeps the configuration: a restart begins without one");
         }
-        Keeper { mailbox, kept, thread: thread.ok() }
+        Keeper {
+            mailbox,
+            kept,
+            thread: thread.ok(),
+        }
     }
 
     /// Keeps a version in time; of several that wait, the newest alone.
     pub fn keep(&self, snapshot: Snapshot) {
-        self.mailbox.change(|contents| contents.newest = Some(snapshot));
+        self.mailbox
+            .change(|contents| contents.newest = Some(snapshot));
     }
 
     /// The version that a restart would find.
--- a/crates/sidecar/src/links.rs
+++ b/crates/sidecar/src/links.rs
@@ -46,7 +46,10 @@
 impl Lease {
     pub fn give_back(self) {
         if !self.sender.is_closed() {
-            self.pool.idle.borrow_mut().push((self.sender, Instant::now()));
+            self.pool
+                .idle
+                .borrow_mut()
+                .push((self.sender, Instant::now()));
         }
     }
 }
@@ -64,9 +67,16 @@
     fn pool(&self, address: SocketAddr) -> Rc<Pool> {
         let new = || {
             let permits = Arc::new(Semaphore::new(self.per_pod));
-            Rc::new(Pool { permits, idle: RefCell::default() })
+            Rc::new(Pool {
+                permits,
+                idle: RefCell::default(),
+            })
         };
-        self.pools.borrow_mut().entry(address).or_insert_with(new).clone()
+        self.pools
+            .borrow_mut()
+            .entry(address)
+            .or_insert_with(new)
+            .clone()
     }
 
     /// An idle connection, else a new one. `fresh` passes over idle ones, as one of them just proved closed.
@@ -81,16 +91,33 @@
             }
         };
         loop {
-            let kept = if fresh { None } else { pool.idle.borrow_mut().pop() };
-            let Some((mut sender, since)) = kept else { break };
+            let kept = if fresh {
+                None
+            } else {
+                pool.idle.borrow_mut().pop()
+            };
+            let Some((mut sender, since)) = kept else {
+                break;
+            };
             // One that is not ready at once has its last answer's end still to read: that takes a moment.
             if since.elapsed() < self.idle && !sender.is_closed() && sender.ready().await.is_ok() {
-                return Ok(Lease { sender, pool, _permit: permit });
+                return Ok(Lease {
+                    sender,
+                    pool,
+                    _permit: permit,
+                });
             }
         }
         let left = self.connect_time.saturating_sub(began.elapsed());
-        let sender = timeout(left, connect(address)).await.map_err(|_| NoLink)?.map_err(|_| NoLink)?;
-        Ok(Lease { sender, pool, _permit: permit })
+        let sender = timeout(left, connect(address))
+            .await
+            .map_err(|_| NoLink)?
+            .map_err(|_| NoLink)?;
+        Ok(Lease {
+            sender,
+            pool,
+            _permit: permit,
+        })
     }
 
     /// Closes idle connections to pods no longer listed, and those that were idle too long.
@@ -110,7 +137,9 @@
 async fn connect(address: SocketAddr) -> Result<Sender, Box<dyn std::error::Error>> {
     let stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
-    let (sender, connection) = http1::Builder::new().handshake(TokioIo::new(stream)).await?;
+    let (sender, connection) = http1::Builder::new()
+        .handshake(TokioIo::new(stream))
+        .await?;
     tokio::task::spawn_local(async move {
         // How it ended shows in the forward that was on it.
         let _ = connection.await;
--- a/crates/sidecar/src/proxy.rs
+++ b/crates/sidecar/src/proxy.rs
@@ -32,7 +32,11 @@
 /// An answer's body: whole where it was short, else passed on as it comes.
 pub enum Body {
     Whole(Full<Bytes>),
-    Rest { first: Option<Bytes>, rest: Incoming, lease: Option<Lease> },
+    Rest {
+        first: Option<Bytes>,
+        rest: Incoming,
+        lease: Option<Lease>,
+    },
 }
 
 impl From<&'static str> for Body {
@@ -50,7 +54,9 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, hyper::Error>>> {
         match self.get_mut() {
-            Body::Whole(whole) => Pin::new(whole).poll_frame(cx).map_err(|never| match never {}),
+            Body::Whole(whole) => Pin::new(whole)
+                .poll_frame(cx)
+                .map_err(|never| match never {}),
             Body::Rest { first, rest, lease } => {
                 if let Some(first) = first.take() {
                     return Poll::Ready(Some(Ok(Frame::data(first))));
@@ -79,7 +85,9 @@
             Body::Whole(whole) => whole.size_hint(),
             Body::Rest { first, rest, .. } => {
                 let more = first.as_ref().map_or(0, Bytes::len) as u64;
-                rest.size_hint().exact().map_or_else(SizeHint::new, |rest| SizeHint::with_exact(rest + more))
+                rest.size_hint()
+                    .exact()
+                    .map_or_else(SizeHint::new, |rest| SizeHint::with_exact(rest + more))
             }
         }
     }
@@ -115,7 +123,10 @@
 }
 
 /// Answers one hit of a client. What is refused before it is taken is owed nothing by the decisions.
-pub async fn serve(shell: Rc<Shell>, request: Request<Incoming>) -> Result<Response<Body>, Infallible> {
+pub async fn serve(
+    shell: Rc<Shell>,
+    request: Request<Incoming>,
+) -> Result<Response<Body>, Infallible> {
     let arrived = Instant::now();
     let (asked, ask) = match read(&shell, request).await {
         Ok(read) => read,
@@ -125,7 +136,10 @@
         return Ok(and_close(bounced(1_000_000_000)));
     }
     let spent = arrived.elapsed().as_nanos() as Ns + shell.site.door.answer_margin;
-    let asked = Asked { left: asked.left.saturating_sub(spent), ..asked };
+    let asked = Asked {
+        left: asked.left.saturating_sub(spent),
+        ..asked
+    };
     if let Some(guard) = shell.guard.clone().filter(|_| ask.guarded.is_some()) {
         return Ok(guarded::serve(shell, guard, asked, ask).await);
     }
@@ -147,13 +161,19 @@
     let (site, door) = (&shell.site, &shell.site.door);
     let (parts, body) = request.into_parts();
     let routes = shell.routes();
-    let Some(route) = routes.find(parts.method.as_str(), parts.uri.path()).cloned() else {
+    let Some(route) = routes
+        .find(parts.method.as_str(), parts.uri.path())
+        .cloned()
+    else {
         return Err(match routes.awaits_configuration() {
             true => (
                 StatusCode::SERVICE_UNAVAILABLE,
                 "no configuration has been heard yet; a retry is harmless\n",
             ),
-            false => (StatusCode::NOT_FOUND, "no path group takes this method and path\n"),
+            false => (
+                StatusCode::NOT_FOUND,
+                "no path group takes this method and path\n",
+            ),
         });
     };
     let rules = &route.rules;
@@ -165,7 +185,12 @@
     if mark.is_none() && rules.kind == Kind::Tagged {
         return bad("Idempotency-Key: needed by this path group\n");
     }
-    let text = |name: &str| parts.headers.get(name).map(|value| value.to_str().unwrap_or(""));
+    let text = |name: &str| {
+        parts
+            .headers
+            .get(name)
+            .map(|value| value.to_str().unwrap_or(""))
+    };
     let asked_time = text(&site.headers.timeout).map(heads::time_left);
     if asked_time == Some(None) {
         return bad("time-out: expected up to 8 digits and H, M, S, m, u or n\n");
@@ -174,9 +199,15 @@
     let asked = Asked {
         group: route.group(),
         customer: customer.and_then(|(_, tenant)| tenant.index),
-        key: parts.headers.get(&site.headers.key).map_or(0, |key| mark_of(key.as_bytes())),
+        key: parts
+            .headers
+            .get(&site.headers.key)
+            .map_or(0, |key| mark_of(key.as_bytes())),
         // A client may wait less than its path group allows, never longer.
-        left: asked_time.flatten().unwrap_or(Ns::MAX).min(rules.client_timeout),
+        left: asked_time
+            .flatten()
+            .unwrap_or(Ns::MAX)
+            .min(rules.client_timeout),
         cost_hint: text(&site.headers.cost_hint).and_then(heads::cost_hint),
         repeat: false,
     };
@@ -184,7 +215,10 @@
     let customer = work.and(customer).map(|(name, _)| name.to_string());
     // A request that waits for its body holds its own route, not the table.
     drop(routes);
-    let too_large = (StatusCode::PAYLOAD_TOO_LARGE, "the body is over the limit\n");
+    let too_large = (
+        StatusCode::PAYLOAD_TOO_LARGE,
+        "the body is over the limit\n",
+    );
     if body.size_hint().lower() > door.body_bytes as u64 {
         return Err(too_large);
     }
@@ -194,7 +228,9 @@
         let whole = Limited::new(body, door.body_bytes).collect();
         match timeout(Duration::from_nanos(door.body_time), whole).await {
             Ok(Ok(whole)) => whole.to_bytes(),
-            Ok(Err(error)) if error.downcast_ref::<LengthLimitError>().is_some() => return Err(too_large),
+            Ok(Err(error)) if error.downcast_ref::<LengthLimitError>().is_some() => {
+                return Err(too_large)
+            }
             Ok(Err(_)) => return bad("the body broke off\n"),
             Err(_) => return Err((StatusCode::REQUEST_TIMEOUT, "the body took too long\n")),
         }
@@ -209,13 +245,30 @@
         guarded::of(guard, &route, customer, named, (&parts.method, path, &body))
     });
     headers.append(VIA, shell.via.clone());
-    Ok((asked, Ask { method: parts.method, uri, headers, body, route, guarded }))
+    Ok((
+        asked,
+        Ask {
+            method: parts.method,
+            uri,
+            headers,
+            body,
+            route,
+            guarded,
+        },
+    ))
 }
 
 /// Carries one forward out and tells the engine how it ended.
 pub async fn forward(shell: Rc<Shell>, ask: Rc<Ask>, nth: (HitId, u32), pod: PodId, time_out: Ns) {
     let (sent, time) = (Cell::new(false), Duration::from_nanos(time_out));
-    shell.timed(nth, time, &sent, exchange(&shell, &ask, nth, pod, time, &sent)).await;
+    shell
+        .timed(
+            nth,
+            time,
+            &sent,
+            exchange(&shell, &ask, nth, pod, time, &sent),
+        )
+        .await;
 }
 
 async fn exchange(
@@ -227,11 +280,15 @@
     sent: &Cell<bool>,
 ) -> End<Response<Body>> {
     let began = Instant::now();
-    let Some(address) = shell.address(pod) else { return Ended::NotSent.into() };
+    let Some(address) = shell.address(pod) else {
+        return Ended::NotSent.into();
+    };
     let mut fresh = false;
     let mut going = None;
     let (lease, response) = loop {
-        let Ok(mut lease) = shell.links.take(address, fresh).await else { return Ended::NoConnection.into() };
+        let Ok(mut lease) = shell.links.take(address, fresh).await else {
+            return Ended::NoConnection.into();
+        };
         if let (Some(guarded), None) = (&ask.guarded, &going) {
             match guarded::before(shell, guarded, pod).await {
                 Ok(told) => going = told,
@@ -252,7 +309,9 @@
         *request.headers_mut() = ask.headers.clone();
         let left = heads::as_time_left(time.saturating_sub(began.elapsed()).as_nanos() as Ns);
         if let Ok(left) = HeaderValue::from_str(&left) {
-            request.headers_mut().insert(shell.timeout_header.clone(), left);
+            request
+                .headers_mut()
+                .insert(shell.timeout_header.clone(), left);
         }
         sent.set(true);
         going.iter().for_each(|going| going.sent(true));
@@ -275,9 +334,13 @@
     };
     let (mut parts, mut body) = response.into_parts();
     let rules = &shell.site.links;
-    let load = parts.headers.get("endpoint-load-metrics").filter(|_| rules.load);
+    let load = parts
+        .headers
+        .get("endpoint-load-metrics")
+        .filter(|_| rules.load);
     let load = load.and_then(|text| heads::load(text.to_str().ok()?));
-    let unseen = parts.status == rules.unseen_status && parts.headers.contains_key(&rules.unseen_header);
+    let unseen =
+        parts.status == rules.unseen_status && parts.headers.contains_key(&rules.unseen_header);
     let end = match parts.status {
         _ if unseen => Ended::Full,
         status if status.is_server_error() => Ended::Error,
@@ -291,15 +354,25 @@
         true => Ok((Bytes::new(), false)),
         false => collect(&mut body, shell.site.door.answer_bytes).await,
     };
-    let Ok((first, whole)) = read else { return Ended::Reset.into() };
+    let Ok((first, whole)) = read else {
+        return Ended::Reset.into();
+    };
     let body = if whole {
         lease.give_back();
         Body::Whole(Full::new(first))
     } else if end == Ended::Delivered {
-        Body::Rest { first: Some(first).filter(|first| !first.is_empty()), rest: body, lease: Some(lease) }
+        Body::Rest {
+            first: Some(first).filter(|first| !first.is_empty()),
+            rest: body,
+            lease: Some(lease),
+        }
     } else {
         // Nobody reads on in an answer that goes nowhere: its connection closes with the lease.
-        return End { end, load, answer: None };
+        return End {
+            end,
+            load,
+            answer: None,
+        };
     };
     if let Some(name) = shell.pod_name(pod) {
         parts.headers.insert(POD, name);
@@ -307,7 +380,11 @@
     if end == Ended::Delivered {
         going.iter().for_each(Going::delivered);
     }
-    End { end, load, answer: Some(Response::from_parts(parts, body)) }
+    End {
+        end,
+        load,
+        answer: Some(Response::from_parts(parts, body)),
+    }
 }
 
 /// Reads an answer's body up to `most` bytes, and whether that was all of it.
@@ -341,17 +418,40 @@
 pub async fn probe(shell: &Rc<Shell>, pod: PodId) -> ProbeEnd {
     let (began, rules) = (Instant::now(), &shell.site.links);
     let asked = async {
-        let Some(address) = shell.address(pod) else { return (Ended::NotSent, None) };
-        let Ok(mut lease) = shell.links.take(address, true).await else { return (Ended::NoConnection, None) };
+        let Some(address) = shell.address(pod) else {
+            return (Ended::NotSent, None);
+        };
+        let Ok(mut lease) = shell.links.take(address, true).await else {
+            return (Ended::NoConnection, None);
+        };
         let mut request = Request::new(Full::new(Bytes::new()));
-        *request.uri_mut() = rules.probe_path.parse().unwrap_or_else(|_| Uri::from_static("/"));
+        *request.uri_mut() = rules
+            .probe_path
+            .parse()
+            .unwrap_or_else(|_| Uri::from_static("/"));
         request.headers_mut().insert(VIA, shell.via.clone());
-        let Ok(response) = lease.sender.send_request(request).await else { return (Ended::Reset, None) };
-        let load = response.headers().get("endpoint-load-metrics").filter(|_| rules.load);
+        let Ok(response) = lease.sender.send_request(request).await else {
+            return (Ended::Reset, None);
+        };
+        let load = response
+            .headers()
+            .get("endpoint-load-metrics")
+            .filter(|_| rules.load);
         let load = load.and_then(|text| heads::load(text.to_str().ok()?));
-        (if response.status().is_server_error() { Ended::Error } else { Ended::Delivered }, load)
+        (
+            if response.status().is_server_error() {
+                Ended::Error
+            } else {
+                Ended::Delivered
+            },
+            load,
+        )
     };
     let ended = timeout(Duration::from_nanos(rules.connect_time), asked).await;
     let (end, load) = ended.unwrap_or((Ended::TimeOut, None));
-    ProbeEnd { end, took: began.elapsed().as_nanos() as Ns, load }
+    ProbeEnd {
+        end,
+        took: began.elapsed().as_nanos() as Ns,
+        load,
+    }
 }
--- a/crates/sidecar/src/roll.rs
+++ b/crates/sidecar/src/roll.rs
@@ -31,17 +31,25 @@
 }
 
 fn place(names: &mut Vec<String>, name: &str) -> usize {
-    names.iter().position(|known| known == name).unwrap_or_else(|| {
-        if names.len() < MOST_NAMES {
-            names.push(name.to_string());
-        }
-        names.len() - 1
-    })
+    names
+        .iter()
+        .position(|known| known == name)
+        .unwrap_or_else(|| {
+            if names.len() < MOST_NAMES {
+                names.push(name.to_string());
+            }
+            names.len() - 1
+        })
 }
 
 impl Roll {
     pub fn new(zones: Vec<String>, machines: Vec<String>, reuse: bool) -> Roll {
-        Roll { zones, machines, reuse, ..Roll::default() }
+        Roll {
+            zones,
+            machines,
+            reuse,
+            ..Roll::default()
+        }
     }
 
     pub fn find(&self, name: &str) -> Option<PodId> {
@@ -70,11 +78,21 @@
 
     /// The pods as last listed and when each started, as a list to be kept.
     pub fn listed(&self, now: Ns) -> Vec<Listed> {
-        let live = self.slots.iter().flatten().filter(|known| known.listed.state != PodState::Gone);
+        let live = self
+            .slots
+            .iter()
+            .flatten()
+            .filter(|known| known.listed.state != PodState::Gone);
         let aged = |known: &Known| {
-            let age =
-                if known.started <= LONG_AGO + 1 { 0 } else { now.saturating_sub(known.started).max(1) };
-            Listed { age, ..known.listed.clone() }
+            let age = if known.started <= LONG_AGO + 1 {
+                0
+            } else {
+                now.saturating_sub(known.started).max(1)
+            };
+            Listed {
+                age,
+                ..known.listed.clone()
+            }
         };
         live.map(aged).collect()
     }
@@ -83,7 +101,10 @@
     /// first listed; another life, build or address makes a pod that started anew under its old name.
     pub fn apply(&mut self, now: Ns, whole: bool, pods: Vec<Listed>) -> Vec<Option<PodEntry>> {
         if whole {
-            self.slots.iter_mut().flatten().for_each(|known| known.listed.state = PodState::Gone);
+            self.slots
+                .iter_mut()
+                .flatten()
+                .for_each(|known| known.listed.state = PodState::Gone);
         }
         let mut entries = Vec::with_capacity(pods.len());
         for listed in pods {
@@ -92,22 +113,50 @@
                 entries.push(None);
                 continue;
             };
-            let (zone, machine) =
-                (place(&mut self.zones, &listed.zone), place(&mut self.machines, &listed.machine));
+            let (zone, machine) = (
+                place(&mut self.zones, &listed.zone),
+                place(&mut self.machines, &listed.machine),
+            );
             let slot = &mut self.slots[pod];
-            let before = slot.as_ref().map(|known| (known.started, known.listed.life, known.listed.address));
+            let before = slot
+                .as_ref()
+                .map(|known| (known.started, known.listed.life, known.listed.address));
             let started = match before {
-                Some((started, life, address)) if (life, address) == (listed.life, listed.address) => started,
+                Some((started, life, address))
+                    if (life, address) == (listed.life, listed.address) =>
+                {
+                    started
+                }
                 // Long ago twice is two lives all the same, and the module tells them by this.
                 Some((LONG_AGO, ..)) if listed.age == 0 => LONG_AGO + 1,
                 _ if listed.age == 0 => LONG_AGO,
                 _ => now.saturating_sub(listed.age).max(LONG_AGO + 2),
             };
             let mark = mark_of(listed.name.as_bytes());
-            let Listed { state, build, cell, size, .. } = listed;
+            let Listed {
+                state,
+                build,
+                cell,
+                size,
+                ..
+            } = listed;
             let forwards_out = slot.as_ref().map_or(0, |known| known.forwards_out);
-            *slot = Some(Known { listed, started, forwards_out });
-            entries.push(Some(PodEntry { pod, mark, state, build, started, zone, machine, cell, size }));
+            *slot = Some(Known {
+                listed,
+                started,
+                forwards_out,
+            });
+            entries.push(Some(PodEntry {
+                pod,
+                mark,
+                state,
+                build,
+                started,
+                zone,
+                machine,
+                cell,
+                size,
+            }));
         }
         entries
     }
@@ -134,7 +183,8 @@
             return;
         }
         for (id, slot) in self.slots.iter_mut().enumerate() {
-            let gone = |known: &mut Known| known.listed.state == PodState::Gone && known.forwards_out == 0;
+            let gone =
+                |known: &mut Known| known.listed.state == PodState::Gone && known.forwards_out == 0;
             if let Some(known) = slot.take_if(gone) {
                 self.by_name.remove(&known.listed.name);
                 self.free.push(id);
--- a/crates/sidecar/src/routes.rs
+++ b/crates/sidecar/src/routes.rs
@@ -118,10 +118,20 @@
 
     /// Routes of a snapshot, as [`routes_of`] tells them, and its tenants.
     pub fn from_snapshot(snapshot: Snapshot, groups: &[Group], slots: Vec<Slot>) -> RouteTable {
-        RouteTable::build(groups, slots, Precedence::Specificity, Tenants::Configured(snapshot))
+        RouteTable::build(
+            groups,
+            slots,
+            Precedence::Specificity,
+            Tenants::Configured(snapshot),
+        )
     }
 
-    fn build(groups: &[Group], slots: Vec<Slot>, precedence: Precedence, tenants: Tenants) -> RouteTable {
+    fn build(
+        groups: &[Group],
+        slots: Vec<Slot>,
+        precedence: Precedence,
+        tenants: Tenants,
+    ) -> RouteTable {
         let (mut routes, mut by_name) = (Vec::with_capacity(groups.len()), HashMap::new());
         let mut whole_paths: HashMap<String, Candidates> = HashMap::new();
         let mut prefixes: HashMap<&str, Candidates> = HashMap::new();
@@ -135,17 +145,36 @@
                 candidates.add(&group.methods, precedence.rank(pattern, order));
             }
             by_name.entry(group.name.clone()).or_insert(order);
-            let Group { name, rules, guard, .. } = group;
-            routes.push(Rc::new(Route { name: name.clone(), rules: *rules, guard: *guard, slot }));
+            let Group {
+                name, rules, guard, ..
+            } = group;
+            routes.push(Rc::new(Route {
+                name: name.clone(),
+                rules: *rules,
+                guard: *guard,
+                slot,
+            }));
+        }
+        RouteTable {
+            routes,
+            by_name,
+            whole_paths,
+            prefixes: prefixes.into_iter().collect(),
+            tenants,
         }
-        RouteTable { routes, by_name, whole_paths, prefixes: prefixes.into_iter().collect(), tenants }
     }
 
     /// The route that takes this method and path.
     pub fn find(&self, method: &str, path: &str) -> Option<&Rc<Route>> {
-        let whole = self.whole_paths.get(path).and_then(|candidates| candidates.first(method));
+        let whole = self
+            .whole_paths
+            .get(path)
+            .and_then(|candidates| candidates.first(method));
         let prefixes = self.prefixes.common_prefix_values(path);
-        let first = prefixes.filter_map(|candidates| candidates.first(method)).chain(whole).min()?;
+        let first = prefixes
+            .filter_map(|candidates| candidates.first(method))
+            .chain(whole)
+            .min()?;
         self.routes.get(first.order as usize)
     }
 
@@ -155,8 +184,12 @@
 
     pub fn tenant(&self, name: &str) -> Option<KnownTenant> {
         match &self.tenants {
-            Tenants::Listed(listed) => listed.get(name).map(|index| KnownTenant { index: Some(*index) }),
-            Tenants::Configured(snapshot) => snapshot.tenant(name).map(|_| KnownTenant { index: None }),
+            Tenants::Listed(listed) => listed.get(name).map(|index| KnownTenant {
+                index: Some(*index),
+            }),
+            Tenants::Configured(snapshot) => {
+                snapshot.tenant(name).map(|_| KnownTenant { index: None })
+            }
         }
     }
 
--- a/crates/sidecar/src/shell.rs
+++ b/crates/sidecar/src/shell.rs
@@ -79,7 +79,10 @@
     fn vote(hub: &Rc<Shell>, vote: u64, build: Build, stage: usize, voice: Voice) {
         let line = desk::ask_vote(vote, build, stage, voice);
         let sent = hub.desk_up.get() && hub.desk_asks.try_send(line).is_ok();
-        let (hub, wait) = (hub.clone(), Duration::from_nanos(hub.site.votes.call_time_out));
+        let (hub, wait) = (
+            hub.clone(),
+            Duration::from_nanos(hub.site.votes.call_time_out),
+        );
         spawn_local(async move {
             if sent {
                 sleep(wait).await;
--- a/crates/sidecar/src/slots.rs
+++ b/crates/sidecar/src/slots.rs
@@ -51,12 +51,22 @@
 
 impl Slots {
     pub fn new(routes: impl Iterator<Item = (String, PathGroup)>) -> Slots {
-        let mut slots = Slots { rows: Vec::new(), latest: HashMap::new(), bucket_users: Vec::new() };
+        let mut slots = Slots {
+            rows: Vec::new(),
+            latest: HashMap::new(),
+            bucket_users: Vec::new(),
+        };
         for (name, rules) in routes {
             let group = slots.rows.len();
             slots.latest.entry(name.clone()).or_insert(group);
             slots.bucket_users.push(1);
-            slots.rows.push(Row { name, rules, bucket: group, in_force: true, slot: Slot(Rc::new(group)) });
+            slots.rows.push(Row {
+                name,
+                rules,
+                bucket: group,
+                in_force: true,
+                slot: Slot(Rc::new(group)),
+            });
         }
         slots
     }
@@ -68,11 +78,18 @@
 
     /// The slot in force of this name.
     pub fn find(&self, name: &str) -> Option<GroupId> {
-        self.latest.get(name).copied().filter(|group| self.rows[*group].in_force)
+        self.latest
+            .get(name)
+            .copied()
+            .filter(|group| self.rows[*group].in_force)
     }
 
     pub fn in_force(&self) -> Vec<Slot> {
-        self.rows.iter().filter(|row| row.in_force).map(|row| row.slot.clone()).collect()
+        self.rows
+            .iter()
+            .filter(|row| row.in_force)
+            .map(|row| row.slot.clone())
+            .collect()
     }
 
     /// The longest client time-out of all that are in force or held.
@@ -84,7 +101,11 @@
     pub fn counts(&self) -> SlotCounts {
         let in_force = self.rows.iter().filter(|row| row.in_force).count();
         let free = self.rows.iter().filter(|row| row.is_free()).count();
-        SlotCounts { all: self.rows.len(), in_force, retired: self.rows.len() - in_force - free }
+        SlotCounts {
+            all: self.rows.len(),
+            in_force,
+            retired: self.rows.len() - in_force - free,
+        }
     }
 
     /// Puts these routes in force in place of all before. The slot of each, in their order, and what has changed for
@@ -92,7 +113,10 @@
     pub fn replace(&mut self, routes: &[(String, PathGroup)]) -> (Vec<Slot>, Vec<GroupChange>) {
         let names: HashSet<&str> = routes.iter().map(|(name, _)| name.as_str()).collect();
         let mut free = self.free_slots(&names);
-        let kept: HashSet<GroupId> = routes.iter().filter_map(|route| self.unchanged(route)).collect();
+        let kept: HashSet<GroupId> = routes
+            .iter()
+            .filter_map(|route| self.unchanged(route))
+            .collect();
         for (group, row) in self.rows.iter_mut().enumerate() {
             row.in_force &= kept.contains(&group);
         }
@@ -111,7 +135,13 @@
             self.bucket_users[bucket] += 1;
             let group = free.pop().unwrap_or(self.rows.len());
             let slot = Slot(Rc::new(group));
-            let row = Row { name: name.clone(), rules: *rules, bucket, in_force: true, slot: slot.clone() };
+            let row = Row {
+                name: name.clone(),
+                rules: *rules,
+                bucket,
+                in_force: true,
+                slot: slot.clone(),
+            };
             match self.rows.get_mut(group) {
                 None => self.rows.push(row),
                 Some(known) => {
@@ -121,29 +151,44 @@
             }
             self.latest.insert(name.clone(), group);
             slots.push(slot);
-            changes.push(GroupChange { group, rules: *rules, predecessor, bucket });
+            changes.push(GroupChange {
+                group,
+                rules: *rules,
+                predecessor,
+                bucket,
+            });
         }
         (slots, changes)
     }
 
     /// Slots that nothing holds, but for those whose routes come back under their names: they are predecessors.
     fn free_slots(&self, names: &HashSet<&str>) -> Vec<GroupId> {
-        let comes_back =
-            |group: GroupId, name: &str| names.contains(name) && self.latest.get(name) == Some(&group);
+        let comes_back = |group: GroupId, name: &str| {
+            names.contains(name) && self.latest.get(name) == Some(&group)
+        };
         let free = |(group, row): &(GroupId, &Row)| row.is_free() && !comes_back(*group, &row.name);
-        self.rows.iter().enumerate().filter(free).map(|(group, _)| group).collect()
+        self.rows
+            .iter()
+            .enumerate()
+            .filter(free)
+            .map(|(group, _)| group)
+            .collect()
     }
 
     /// The slot in force of a route that stays as it is.
     fn unchanged(&self, (name, rules): &(String, PathGroup)) -> Option<GroupId> {
-        self.find(name).filter(|group| self.rows[*group].rules == *rules)
+        self.find(name)
+            .filter(|group| self.rows[*group].rules == *rules)
     }
 
     /// A bucket that no slot uses. Those that were free at the start of a replacement are looked up once.
     fn free_bucket(&mut self, free: &mut Option<Vec<usize>>) -> usize {
         let users = &self.bucket_users;
-        let free =
-            free.get_or_insert_with(|| (0..users.len()).filter(|bucket| users[*bucket] == 0).collect());
+        let free = free.get_or_insert_with(|| {
+            (0..users.len())
+                .filter(|bucket| users[*bucket] == 0)
+                .collect()
+        });
         let unused = std::iter::from_fn(|| free.pop()).find(|bucket| users[*bucket] == 0);
         unused.unwrap_or_else(|| {
             self.bucket_users.push(0);
--- a/crates/sidecar/src/spreading.rs
+++ b/crates/sidecar/src/spreading.rs
@@ -59,7 +59,9 @@
             rearm: Notify::new(),
         });
         let reader = spreading.clone();
-        spreading.fellowship.reads(KIND, move |from, body| reader.heard(from, body));
+        spreading
+            .fellowship
+            .reads(KIND, move |from, body| reader.heard(from, body));
         spawn_local(spreading.clone().wakes());
         spawn_local(spreading.clone().follow_membership());
         spreading
@@ -80,7 +82,10 @@
     }
 
     fn living(&self) -> Peers {
-        let peer = |news: &News| Peer { life: news.who.clone(), zone: news.zone.clone() };
+        let peer = |news: &News| Peer {
+            life: news.who.clone(),
+            zone: news.zone.clone(),
+        };
         Peers::new(self.fellowship.living(|others| others.map(peer).collect()))
     }
 
@@ -94,7 +99,9 @@
 
     fn heard(&self, from: &Life, body: &[u8]) {
         match Message::decode(body) {
-            Ok(message) => self.call(|spreader, now| spreader.heard(now, from, message, body.len())),
+            Ok(message) => {
+                self.call(|spreader, now| spreader.heard(now, from, message, body.len()))
+            }
             Err(error) => {
                 tracing::debug!(peer = from.name, %error, "message on the configuration passed over");
                 self.spreader.borrow_mut().unreadable();
@@ -147,7 +154,10 @@
                 tracing::info!(%version, digest = %snapshot.digest(), "configuration in force");
                 self.spreader.borrow_mut().installed(now, version);
             }
-            Err(reason) => self.spreader.borrow_mut().rejected(now, version, &reason.to_string()),
+            Err(reason) => self
+                .spreader
+                .borrow_mut()
+                .rejected(now, version, &reason.to_string()),
         }
     }
 
@@ -187,7 +197,9 @@
 
     /// What an operator sees of a writer: how many of how many have the last polled version, and who has not.
     pub fn writer_state(&self) -> Value {
-        let Some(writer) = self.glance().writer else { return Value::Null };
+        let Some(writer) = self.glance().writer else {
+            return Value::Null;
+        };
         let now = self.fellowship.now();
         let age_ms = |at: Ns| now.saturating_sub(at) / NS_PER_MS;
         let round = writer.round.map(|round| {
@@ -208,7 +220,12 @@
 
 fn log(event: Event) {
     match event {
-        Event::Conflict { version, held, other, from } => tracing::error!(
+        Event::Conflict {
+            version,
+            held,
+            other,
+            from,
+        } => tracing::error!(
             %version, %held, %other, peer = from.name,
             "two contents of one configuration version: two distributors share an epoch"
         ),
@@ -225,6 +242,8 @@
         Event::SourceChanged { version, from } => {
             tracing::info!(%version, peer = from.name, "fetching goes on from another peer");
         }
-        Event::TransferFailed { version } => tracing::warn!(%version, "fetching the configuration failed"),
+        Event::TransferFailed { version } => {
+            tracing::warn!(%version, "fetching the configuration failed")
+        }
     }
 }
--- a/crates/sidecar/src/tap.rs
+++ b/crates/sidecar/src/tap.rs
@@ -44,7 +44,15 @@
     pub fn new(socket: TcpStream) -> Tap {
         let (first, reader, written, stuck) = Default::default();
         let (ahead, taken) = (RefCell::default(), Cell::new(false));
-        Tap(Rc::new(Stream { socket, first, ahead, reader, taken, written, stuck }))
+        Tap(Rc::new(Stream {
+            socket,
+            first,
+            ahead,
+            reader,
+            taken,
+            written,
+            stuck,
+        }))
     }
 
     pub fn began(&self) -> Option<Instant> {
@@ -68,7 +76,10 @@
 
     /// An answer's body, which tells when HTTP has taken all of it.
     pub fn tell<B>(&self, body: B) -> Told<B> {
-        Told { body, tap: self.clone() }
+        Told {
+            body,
+            tap: self.clone(),
+        }
     }
 
     fn peek(&self) -> io::Result<usize> {
@@ -116,7 +127,9 @@
     }
 
     fn waits(&self) -> Poll<io::Result<usize>> {
-        self.0.stuck.set(self.0.stuck.get().or_else(|| Some(Instant::now())));
+        self.0
+            .stuck
+            .set(self.0.stuck.get().or_else(|| Some(Instant::now())));
         Poll::Pending
     }
 
@@ -151,7 +164,11 @@
 }
 
 impl AsyncRead for Tap {
-    fn poll_read(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
         let mut ahead = self.0.ahead.borrow_mut();
         if !ahead.is_empty() {
             let part = ahead.len().min(buf.remaining());
@@ -178,7 +195,11 @@
 }
 
 impl AsyncWrite for Tap {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
         loop {
             if self.0.socket.poll_write_ready(cx)?.is_pending() {
                 return self.waits();
--- a/crates/sidecar/src/told.rs
+++ b/crates/sidecar/src/told.rs
@@ -37,7 +37,11 @@
             zones: site.zones.clone(),
             machines: site.machines.clone(),
             customers: site.customers.clone(),
-            groups: site.groups.iter().map(|group| (group.name.clone(), group.rules)).collect(),
+            groups: site
+                .groups
+                .iter()
+                .map(|group| (group.name.clone(), group.rules))
+                .collect(),
             forwards: site.forwards.clone(),
             pods: site.pods.clone(),
             exposure: site.exposure.clone(),
--- a/crates/sidecar/tests/engine.rs
+++ b/crates/sidecar/tests/engine.rs
@@ -32,7 +32,14 @@
 
 fn asked(n: u64) -> Asked {
     let group = (n % 3) as usize;
-    Asked { group, customer: None, key: n % 7 + 1, left: S, cost_hint: None, repeat: false }
+    Asked {
+        group,
+        customer: None,
+        key: n % 7 + 1,
+        left: S,
+        cost_hint: None,
+        repeat: false,
+    }
 }
 
 fn effects(engine: &mut Engine) -> Vec<Effect> {
@@ -44,9 +51,20 @@
     let site = site();
     let mut engine = Engine::new(EPOCH, seed, &site);
     engine.begin(EPOCH);
-    let old = (0..6).map(|n| listed(n, 1, 1, 0)).chain((6..9).map(|n| listed(n, 2, 1, 10 * S)));
+    let old = (0..6)
+        .map(|n| listed(n, 1, 1, 0))
+        .chain((6..9).map(|n| listed(n, 2, 1, 10 * S)));
     engine.list(EPOCH, true, old.collect());
-    engine.news(EPOCH, Stage { build: 2, stage: 2, phase: Phase::Trial, cap: 1.0, age: S });
+    engine.news(
+        EPOCH,
+        Stage {
+            build: 2,
+            stage: 2,
+            phase: Phase::Trial,
+            cap: 1.0,
+            age: S,
+        },
+    );
     let mut out: Vec<(Ns, u64, u32, Ended)> = Vec::new();
     let mut done = Vec::new();
     for tick in 0..20_000 {
@@ -64,15 +82,33 @@
         for effect in effects(&mut engine) {
             match &effect {
                 Effect::Forward { hit, nth, pod, .. } => {
-                    assert!(engine.may_go(now, *hit, *nth), "nothing has changed since it was chosen");
-                    let end = if *pod >= 6 { Ended::Error } else { Ended::Delivered };
+                    assert!(
+                        engine.may_go(now, *hit, *nth),
+                        "nothing has changed since it was chosen"
+                    );
+                    let end = if *pod >= 6 {
+                        Ended::Error
+                    } else {
+                        Ended::Delivered
+                    };
                     out.push((now + 30 * MS, *hit, *nth, end));
                 }
                 Effect::Vote { vote, .. } => {
-                    let heard = if vote_answered { Heard::Counted } else { Heard::Unknown };
+                    let heard = if vote_answered {
+                        Heard::Counted
+                    } else {
+                        Heard::Unknown
+                    };
                     engine.voted(now, *vote, StageNews { heard, stage: None });
                     // An answer that comes again is nobody's.
-                    engine.voted(now, *vote, StageNews { heard: Heard::Refused, stage: None });
+                    engine.voted(
+                        now,
+                        *vote,
+                        StageNews {
+                            heard: Heard::Refused,
+                            stage: None,
+                        },
+                    );
                 }
                 _ => {}
             }
@@ -93,10 +129,23 @@
 #[test]
 fn a_vote_without_an_answer_is_cast_again() {
     let backs = |run: Vec<(Ns, Effect)>| {
-        run.iter().filter(|(_, effect)| matches!(effect, Effect::Vote { voice: Voice::Back, .. })).count()
+        run.iter()
+            .filter(|(_, effect)| {
+                matches!(
+                    effect,
+                    Effect::Vote {
+                        voice: Voice::Back,
+                        ..
+                    }
+                )
+            })
+            .count()
     };
     let (answered, unanswered) = (backs(run(1, true)), backs(run(1, false)));
-    assert!((1..=6).contains(&answered), "renewed within its life of 6 s: {answered}");
+    assert!(
+        (1..=6).contains(&answered),
+        "renewed within its life of 6 s: {answered}"
+    );
     assert!(unanswered > 3 * answered, "tried again soon: {unanswered}");
 }
 
@@ -106,18 +155,30 @@
     let mut engine = Engine::new(EPOCH, 1, &site);
     engine.begin(EPOCH);
     let hit = engine.hit(EPOCH, asked(0));
-    assert!(effects(&mut engine).contains(&Effect::Bounce { hit, come_back: S }), "no pods: at once");
+    assert!(
+        effects(&mut engine).contains(&Effect::Bounce { hit, come_back: S }),
+        "no pods: at once"
+    );
     engine.list(EPOCH, true, vec![listed(0, 1, 1, 0)]);
     let hit = engine.hit(EPOCH, asked(2));
-    assert!(matches!(effects(&mut engine)[..], [Effect::Forward { nth: 0, .. }]));
+    assert!(matches!(
+        effects(&mut engine)[..],
+        [Effect::Forward { nth: 0, .. }]
+    ));
     assert!(!engine.ended(EPOCH + S, hit, 0, Ended::TimeOut, S, None));
     assert_eq!(effects(&mut engine), [Effect::Error { hit, late: true }]);
-    assert!(!engine.ended(EPOCH + S, hit, 0, Ended::Delivered, S, None), "its forward ended before");
+    assert!(
+        !engine.ended(EPOCH + S, hit, 0, Ended::Delivered, S, None),
+        "its forward ended before"
+    );
     assert!(!engine.may_go(EPOCH + S, hit, 0) && effects(&mut engine).is_empty());
     let hit = engine.hit(EPOCH + S, asked(2));
     effects(&mut engine);
     engine.left(EPOCH + S, hit);
-    assert!(!engine.ended(EPOCH + S, hit, 0, Ended::Delivered, MS, None), "nobody is there to be answered");
+    assert!(
+        !engine.ended(EPOCH + S, hit, 0, Ended::Delivered, MS, None),
+        "nobody is there to be answered"
+    );
     assert!(effects(&mut engine).is_empty() && engine.glance().hits == 0);
 }
 
@@ -129,7 +190,10 @@
     let hit = engine.hit(EPOCH, asked(0));
     assert!(engine.may_go(EPOCH, hit, 0));
     engine.list(EPOCH + MS, false, vec![listed(0, 1, 2, 0)]);
-    assert!(!engine.may_go(EPOCH + MS, hit, 0), "another life, even where both began long ago");
+    assert!(
+        !engine.may_go(EPOCH + MS, hit, 0),
+        "another life, even where both began long ago"
+    );
     engine.ended(EPOCH + MS, hit, 0, Ended::NotSent, MS, None);
     // A thousand lists of new names: indices are used again once nothing is out there.
     let mut most = 0;
@@ -151,11 +215,19 @@
 fn a_hit_taken_elsewhere_goes_on_by_what_may_have_run() {
     let site = site();
     let [tagged, mutating] = [1, 2];
-    let earlier = |pod, ago, may_have_run| Earlier { pod, ago, may_have_run };
+    let earlier = |pod, ago, may_have_run| Earlier {
+        pod,
+        ago,
+        may_have_run,
+    };
     let begin = |past: Vec<Earlier>, group| {
         let mut engine = Engine::new(EPOCH, 1, &site);
         engine.begin(EPOCH);
-        let given = engine.list(EPOCH, true, (0..3).map(|n| listed(n, 1, 1, 60 * S)).collect());
+        let given = engine.list(
+            EPOCH,
+            true,
+            (0..3).map(|n| listed(n, 1, 1, 60 * S)).collect(),
+        );
         assert_eq!(given, [Some(0), Some(1), Some(2)]);
         effects(&mut engine);
         engine.resumed(EPOCH, past);
@@ -163,18 +235,36 @@
         effects(&mut engine)
     };
     for n in 0..3 {
-        let others = (0..3).filter(|pod| *pod != n).map(|pod| earlier(Some(pod), S, false)).collect();
+        let others = (0..3)
+            .filter(|pod| *pod != n)
+            .map(|pod| earlier(Some(pod), S, false))
+            .collect();
         let went = begin(others, mutating);
-        assert!(matches!(went[..], [Effect::Forward { pod, nth: 0, .. }] if pod == n), "{went:?}");
+        assert!(
+            matches!(went[..], [Effect::Forward { pod, nth: 0, .. }] if pod == n),
+            "{went:?}"
+        );
     }
     let may = vec![earlier(Some(0), S, false), earlier(None, S, true)];
-    assert!(matches!(begin(may.clone(), mutating)[..], [Effect::Error { .. }]));
-    assert!(matches!(begin(may.clone(), tagged)[..], [Effect::Forward { .. }]));
+    assert!(matches!(
+        begin(may.clone(), mutating)[..],
+        [Effect::Error { .. }]
+    ));
+    assert!(matches!(
+        begin(may.clone(), tagged)[..],
+        [Effect::Forward { .. }]
+    ));
     // Past the six seconds in which pods drop its repeats the first one counts, whatever came later.
     let long_ago = vec![earlier(Some(0), 7 * S, true), earlier(Some(1), S, true)];
-    assert!(matches!(begin(long_ago, tagged)[..], [Effect::Error { .. }]));
+    assert!(matches!(
+        begin(long_ago, tagged)[..],
+        [Effect::Error { .. }]
+    ));
     let used_up = (0..4).map(|_| earlier(None, S, false)).collect();
-    assert!(matches!(begin(used_up, mutating)[..], [Effect::Bounce { .. }]));
+    assert!(matches!(
+        begin(used_up, mutating)[..],
+        [Effect::Bounce { .. }]
+    ));
 }
 
 #[test]
@@ -184,23 +274,40 @@
     site.groups[tagged].1.repeat_window = window;
     let mut engine = Engine::new(EPOCH, 1, &site);
     engine.begin(EPOCH);
-    engine.list(EPOCH, true, (0..3).map(|n| listed(n, 1, 1, 60 * S)).collect());
+    engine.list(
+        EPOCH,
+        true,
+        (0..3).map(|n| listed(n, 1, 1, 60 * S)).collect(),
+    );
     // Hits before it, without which there is no budget for a retry.
     for _ in 0..30 {
         let hit = engine.hit(EPOCH, asked(0));
         engine.ended(EPOCH, hit, 0, Ended::Delivered, MS, None);
     }
     let mut repeated = |first: Ended| {
-        let hit = engine.hit(EPOCH, Asked { group: tagged, ..asked(0) });
+        let hit = engine.hit(
+            EPOCH,
+            Asked {
+                group: tagged,
+                ..asked(0)
+            },
+        );
         effects(&mut engine);
         assert!(engine.may_go(EPOCH, hit, 0), "no window yet");
         engine.ended(EPOCH + window / 2, hit, 0, first, MS, None);
-        assert!(matches!(effects(&mut engine)[..], [Effect::Forward { nth: 1, .. }]));
+        assert!(matches!(
+            effects(&mut engine)[..],
+            [Effect::Forward { nth: 1, .. }]
+        ));
         let within = engine.may_go(EPOCH + window - 1, hit, 1);
         (within, engine.may_go(EPOCH + window, hit, 1))
     };
     assert_eq!(repeated(Ended::Reset), (true, false), "what may have run");
-    assert_eq!(repeated(Ended::Full), (true, true), "what never ran has no window");
+    assert_eq!(
+        repeated(Ended::Full),
+        (true, true),
+        "what never ran has no window"
+    );
 }
 
 /// Builds that hits of one key go to after a forward of it to the newest, all of which end so.
@@ -209,16 +316,37 @@
     site.exposure.one_way = true;
     let mut engine = Engine::new(EPOCH, 3, &site);
     engine.begin(EPOCH);
-    let pods = (0..4).map(|n| listed(n, 1, 1, 60 * S)).chain((4..8).map(|n| listed(n, 2, 1, 60 * S)));
+    let pods = (0..4)
+        .map(|n| listed(n, 1, 1, 60 * S))
+        .chain((4..8).map(|n| listed(n, 2, 1, 60 * S)));
     engine.list(EPOCH, true, pods.collect());
-    engine.news(EPOCH, Stage { build: 2, stage: 0, phase: Phase::Trial, cap: 1.0, age: S });
+    engine.news(
+        EPOCH,
+        Stage {
+            build: 2,
+            stage: 0,
+            phase: Phase::Trial,
+            cap: 1.0,
+            age: S,
+        },
+    );
     let (mut ended, mut builds) = (false, Vec::new());
     for n in 0..120 {
         let now = EPOCH + n * 100 * MS;
-        let hit = engine.hit(now, Asked { key: 5, group: 0, ..asked(0) });
+        let hit = engine.hit(
+            now,
+            Asked {
+                key: 5,
+                group: 0,
+                ..asked(0)
+            },
+        );
         let mut after = Vec::new();
         for effect in effects(&mut engine) {
-            if let Effect::Forward { hit: of, nth, pod, .. } = effect {
+            if let Effect::Forward {
+                hit: of, nth, pod, ..
+            } = effect
+            {
                 if of != hit {
                     continue;
                 }
@@ -243,10 +371,18 @@
 
 #[test]
 fn a_key_that_the_newest_build_may_have_answered_goes_to_no_earlier_one() {
-    for end in [Ended::Delivered, Ended::Reset, Ended::TimeOut, Ended::Cancelled] {
+    for end in [
+        Ended::Delivered,
+        Ended::Reset,
+        Ended::TimeOut,
+        Ended::Cancelled,
+    ] {
         assert!(builds_after(end).iter().all(|build| *build == 2), "{end:?}");
     }
     for end in [Ended::Full, Ended::NoConnection, Ended::Error] {
-        assert!(builds_after(end).contains(&1), "{end:?}: no answer was made");
+        assert!(
+            builds_after(end).contains(&1),
+            "{end:?}: no answer was made"
+        );
     }
 }
--- a/crates/sidecar/tests/hard.rs
+++ b/crates/sidecar/tests/hard.rs
@@ -46,14 +46,23 @@
 impl Feed {
     async fn new(name: &'static str) -> Feed {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let (at, (push, _)) = (listener.local_addr().expect("an address"), broadcast::channel(64));
-        let feed = Feed { at, first: Rc::default(), push };
+        let (at, (push, _)) = (
+            listener.local_addr().expect("an address"),
+            broadcast::channel(64),
+        );
+        let feed = Feed {
+            at,
+            first: Rc::default(),
+            push,
+        };
         let own = feed.clone();
         spawn_local(async move {
             while let Ok((mut stream, _)) = listener.accept().await {
                 let (mut more, first) = (own.push.subscribe(), own.first.borrow().clone());
                 spawn_local(async move {
-                    let _ = stream.write_all((hello(name, None) + &first).as_bytes()).await;
+                    let _ = stream
+                        .write_all((hello(name, None) + &first).as_bytes())
+                        .await;
                     while let Ok(text) = more.recv().await {
                         let _ = stream.write_all(text.as_bytes()).await;
                     }
@@ -67,7 +76,18 @@
 fn listed(name: &str, address: SocketAddr, state: PodState, build: u32) -> Listed {
     let (zone, machine) = ("z".to_string(), "m".to_string());
     let (name, life) = (name.to_string(), address.port() as u64);
-    Listed { name, address, state, build, life, age: 0, zone, machine, cell: 0, size: 3.0 }
+    Listed {
+        name,
+        address,
+        state,
+        build,
+        life,
+        age: 0,
+        zone,
+        machine,
+        cell: 0,
+        size: 3.0,
+    }
 }
 
 /// A pod whose every byte the test decides.
@@ -81,11 +101,17 @@
         self.0.local_addr().expect("an address")
     }
     async fn accept(&self) -> TcpStream {
-        timeout(Duration::from_secs(5), self.0.accept()).await.expect("a connection in time").expect("one").0
+        timeout(Duration::from_secs(5), self.0.accept())
+            .await
+            .expect("a connection in time")
+            .expect("one")
+            .0
     }
     /// Nothing connects for a while that is long beside what a forward takes on loopback.
     async fn is_left_alone(&self) -> bool {
-        timeout(Duration::from_millis(150), self.0.accept()).await.is_err()
+        timeout(Duration::from_millis(150), self.0.accept())
+            .await
+            .is_err()
     }
 }
 
@@ -95,14 +121,19 @@
     loop {
         let whole = String::from_utf8_lossy(&text).to_lowercase();
         if let Some((head, body)) = whole.split_once("\r\n\r\n") {
-            let told =
-                head.split("content-length: ").nth(1).and_then(|rest| rest.lines().next()?.parse().ok());
+            let told = head
+                .split("content-length: ")
+                .nth(1)
+                .and_then(|rest| rest.lines().next()?.parse().ok());
             if body.len() >= told.unwrap_or(0) {
                 return Some(whole);
             }
         }
         let mut byte = [0];
-        match timeout(Duration::from_secs(5), stream.read(&mut byte)).await.expect("a byte in time") {
+        match timeout(Duration::from_secs(5), stream.read(&mut byte))
+            .await
+            .expect("a byte in time")
+        {
             Ok(1) => text.push(byte[0]),
             _ => return None,
         }
@@ -138,8 +169,13 @@
     }
 
     async fn state(&self) -> String {
-        let mut stream = TcpStream::connect(self.admin).await.expect("an admin listener");
-        stream.write_all(b"GET /state HTTP/1.1\r\nhost: h\r\n\r\n").await.expect("written");
+        let mut stream = TcpStream::connect(self.admin)
+            .await
+            .expect("an admin listener");
+        stream
+            .write_all(b"GET /state HTTP/1.1\r\nhost: h\r\n\r\n")
+            .await
+            .expect("written");
         message(&mut stream).await.expect("a state")
     }
 
@@ -150,13 +186,19 @@
                 sleep(Duration::from_millis(5)).await;
             }
         };
-        timeout(Duration::from_secs(5), seen).await.unwrap_or_else(|_| panic!("never saw {text}"));
+        timeout(Duration::from_secs(5), seen)
+            .await
+            .unwrap_or_else(|_| panic!("never saw {text}"));
     }
 }
 
 async fn answer(stream: &mut TcpStream) -> (u16, String) {
     let text = message(stream).await.unwrap_or_default();
-    let status = text.split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap_or(0);
+    let status = text
+        .split(' ')
+        .nth(1)
+        .and_then(|status| status.parse().ok())
+        .unwrap_or(0);
     (status, text)
 }
 
@@ -164,13 +206,19 @@
     let folder = tempfile::tempdir().expect("a folder");
     let file = folder.path().join("site.star");
     std::fs::write(&file, SCRIPT).expect("a script");
-    let given: Given = given.iter().map(|(name, value)| (name.to_string(), value.clone())).collect();
+    let given: Given = given
+        .iter()
+        .map(|(name, value)| (name.to_string(), value.clone()))
+        .collect();
     load(&file, &given).unwrap_or_else(|problems| panic!("{problems}"))
 }
 
 /// Runs a test against a sidecar whose list names these pods.
 fn rig<F: Future<Output = ()>>(connections: usize, test: impl FnOnce(Rc<Rig>) -> F) {
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .expect("a runtime");
     runtime.block_on(LocalSet::new().run_until(async {
         let (nodes, desk) = (Feed::new(nodes::FEED).await, Feed::new(desk::FEED).await);
         let given = [
@@ -184,12 +232,22 @@
         spawn_local(async move {
             let stopped = async { stopped.await.unwrap_or(()) };
             let tell = |at| ready.send(at).unwrap_or(());
-            havenplank_sidecar::serve(site, 7, None, tell, stopped).await.expect("it serves");
+            havenplank_sidecar::serve(site, 7, None, tell, stopped)
+                .await
+                .expect("it serves");
             let _ = end.send(());
         });
         let at = listens.await.expect("it listens");
         let (stop, ended) = (RefCell::new(Some(stop)), RefCell::new(Some(ended)));
-        test(Rc::new(Rig { at: at.listen, admin: at.admin, nodes, desk, stop, ended })).await;
+        test(Rc::new(Rig {
+            at: at.listen,
+            admin: at.admin,
+            nodes,
+            desk,
+            stop,
+            ended,
+        }))
+        .await;
     }));
 }
 
@@ -204,7 +262,10 @@
         let text = whole(seq, pods);
         *self.nodes.first.borrow_mut() = whole(1, pods);
         let _ = self.nodes.push.send(text);
-        let running = pods.iter().filter(|pod| pod.state == PodState::Running).count();
+        let running = pods
+            .iter()
+            .filter(|pod| pod.state == PodState::Running)
+            .count();
         self.until(&format!("\"pods_running\":{running},")).await;
     }
 
@@ -214,7 +275,10 @@
         self.until("\"pods_running\":0").await;
         *self.nodes.first.borrow_mut() = whole(1, &[listed("p", pod.at(), PodState::Running, 1)]);
         // Whoever connected before is told now, whoever comes later by the greeting.
-        let _ = self.nodes.push.send(whole(1, &[listed("p", pod.at(), PodState::Running, 1)]));
+        let _ = self
+            .nodes
+            .push
+            .send(whole(1, &[listed("p", pod.at(), PodState::Running, 1)]));
         self.until("\"pods_running\":1").await;
         pod
     }
@@ -237,10 +301,15 @@
                 let rig = rig.clone();
                 async move { rig.ask(&get(path, "")).await.0 }
             });
-            message(&mut first).await.expect("a forward on the kept connection");
+            message(&mut first)
+                .await
+                .expect("a forward on the kept connection");
             drop(first);
             if status == 502 {
-                assert!(pod.is_left_alone().await, "a mutating hit that may have run is not forwarded again");
+                assert!(
+                    pod.is_left_alone().await,
+                    "a mutating hit that may have run is not forwarded again"
+                );
             } else {
                 let mut second = pod.accept().await;
                 message(&mut second).await.expect("a further forward");
@@ -273,7 +342,10 @@
 fn what_was_turned_away_unseen_is_bounced_and_what_failed_is_not() {
     rig(8, |rig| async move {
         let pod = rig.one().await;
-        for (reply, status) in [(UNSEEN, 503), (b"HTTP/1.1 500 E\r\ncontent-length: 0\r\n\r\n", 502)] {
+        for (reply, status) in [
+            (UNSEEN, 503),
+            (b"HTTP/1.1 500 E\r\ncontent-length: 0\r\n\r\n", 502),
+        ] {
             let asked = spawn_local({
                 let rig = rig.clone();
                 async move { rig.ask(&get("/write", "")).await }
@@ -300,14 +372,24 @@
     rig(8, |rig| async move {
         let pod = rig.one().await;
         let mut client = rig.connect().await;
-        client.write_all(&get("/read", "grpc-timeout: 200m\r\n")).await.expect("written");
+        client
+            .write_all(&get("/read", "grpc-timeout: 200m\r\n"))
+            .await
+            .expect("written");
         let mut stream = pod.accept().await;
         message(&mut stream).await.expect("a forward");
         let (status, _) = answer(&mut client).await;
         assert!(status == 503 || status == 504, "{status}");
         let _ = stream.write_all(OK).await;
-        client.write_all(&get("/nowhere", "")).await.expect("written");
-        assert_eq!(answer(&mut client).await.0, 404, "the next answer is the next hit's");
+        client
+            .write_all(&get("/nowhere", ""))
+            .await
+            .expect("written");
+        assert_eq!(
+            answer(&mut client).await.0,
+            404,
+            "the next answer is the next hit's"
+        );
     });
 }
 
@@ -317,14 +399,24 @@
         let pod = rig.one().await;
         let began = Instant::now();
         let (status, _) = rig.ask(&get("/write", "grpc-timeout: 5m\r\n")).await;
-        assert!(status == 503 && began.elapsed() < Duration::from_millis(300), "{:?}", began.elapsed());
+        assert!(
+            status == 503 && began.elapsed() < Duration::from_millis(300),
+            "{:?}",
+            began.elapsed()
+        );
         assert!(pod.is_left_alone().await, "no time for a forward");
         let began = Instant::now();
         let (status, _) = rig.ask(&get("/write", "grpc-timeout: 1H\r\n")).await;
         assert_eq!(status, 504);
         let took = began.elapsed();
-        assert!(took >= Duration::from_millis(850) && took < Duration::from_millis(1500), "{took:?}");
-        assert_eq!(rig.ask(&get("/read", "grpc-timeout: soon\r\n")).await.0, 400);
+        assert!(
+            took >= Duration::from_millis(850) && took < Duration::from_millis(1500),
+            "{took:?}"
+        );
+        assert_eq!(
+            rig.ask(&get("/read", "grpc-timeout: soon\r\n")).await.0,
+            400
+        );
     });
 }
 
@@ -368,9 +460,13 @@
     rig(8, |rig| async move {
         let pod = rig.one().await;
         let post = |rest: &str| {
-            format!("POST /mark HTTP/1.1\r\nhost: h\r\nidempotency-key: \"k\"\r\n{rest}").into_bytes()
+            format!("POST /mark HTTP/1.1\r\nhost: h\r\nidempotency-key: \"k\"\r\n{rest}")
+                .into_bytes()
         };
-        let chunk = format!("transfer-encoding: chunked\r\n\r\n800\r\n{}\r\n0\r\n\r\n", "x".repeat(0x800));
+        let chunk = format!(
+            "transfer-encoding: chunked\r\n\r\n800\r\n{}\r\n0\r\n\r\n",
+            "x".repeat(0x800)
+        );
         for (bytes, status) in [
             (get("/elsewhere", ""), 404),
             (get("/mark", ""), 400),
@@ -384,7 +480,9 @@
             assert_eq!(got, status, "{} {text}", String::from_utf8_lossy(&bytes));
         }
         let mut drip = rig.connect().await;
-        drip.write_all(b"GET /read HTTP/1.1\r\nho").await.expect("written");
+        drip.write_all(b"GET /read HTTP/1.1\r\nho")
+            .await
+            .expect("written");
         let ended = timeout(Duration::from_secs(3), drip.read_to_end(&mut Vec::new())).await;
         assert!(ended.is_ok(), "a head that never ends is cut off");
         assert!(pod.is_left_alone().await, "nothing of it was forwarded");
@@ -406,17 +504,31 @@
         });
         let mut stream = pod.accept().await;
         let forward = message(&mut stream).await.expect("a forward");
-        for gone in ["x-hop", "\r\nte:", "keep-alive", "transfer-encoding", "content-length: 4"] {
+        for gone in [
+            "x-hop",
+            "\r\nte:",
+            "keep-alive",
+            "transfer-encoding",
+            "content-length: 4",
+        ] {
             assert!(!forward.contains(gone), "{gone} in {forward}");
         }
-        for stays in ["x-stays: 1", "content-length: 3", "via: 1.1 s-1", "\r\n\r\nabc"] {
+        for stays in [
+            "x-stays: 1",
+            "content-length: 3",
+            "via: 1.1 s-1",
+            "\r\n\r\nabc",
+        ] {
             assert!(forward.contains(stays), "{stays} not in {forward}");
         }
         let reply =
             b"HTTP/1.1 200 OK\r\nconnection: x-own\r\nx-own: 1\r\nx-pod: liar\r\ncontent-length: 0\r\n\r\n";
         stream.write_all(reply).await.expect("answered");
         let (status, text) = asked.await.expect("done");
-        assert!(status == 200 && !text.contains("x-own") && text.contains("x-pod: p\r\n"), "{text}");
+        assert!(
+            status == 200 && !text.contains("x-own") && text.contains("x-pod: p\r\n"),
+            "{text}"
+        );
     });
 }
 
@@ -435,7 +547,13 @@
             };
             let trial = |cap, phase| {
                 let mut text = String::new();
-                let stage = Stage { build: 2, stage: 0, phase, cap, age: 1 };
+                let stage = Stage {
+                    build: 2,
+                    stage: 0,
+                    phase,
+                    cap,
+                    age: 1,
+                };
                 desk::tell_stage(&mut text, if cap > 0.0 { 1 } else { 2 }, &stage);
                 text
             };
@@ -472,7 +590,10 @@
             let (status, text) = second.await.expect("done");
             assert_eq!(status, 503, "never sent, so a retry is harmless: {text}");
             let more = timeout(Duration::from_millis(100), message(&mut stream)).await;
-            assert!(!matches!(more, Ok(Some(_))), "nothing new to a pod that may not have it");
+            assert!(
+                !matches!(more, Ok(Some(_))),
+                "nothing new to a pod that may not have it"
+            );
         });
     }
 }
@@ -493,24 +614,41 @@
         };
         let first = ask();
         let mut stream = old.accept().await;
-        message(&mut stream).await.expect("a forward to the old address");
+        message(&mut stream)
+            .await
+            .expect("a forward to the old address");
         // The same name with another address, and nobody else: the old forward goes on to its end.
-        rig.list(2, &[listed("p", new.at(), PodState::Running, 2)]).await;
+        rig.list(2, &[listed("p", new.at(), PodState::Running, 2)])
+            .await;
         let second = ask();
         let mut moved = new.accept().await;
-        message(&mut moved).await.expect("a forward to the new address");
+        message(&mut moved)
+            .await
+            .expect("a forward to the new address");
         stream.write_all(OK).await.expect("answered");
         moved.write_all(OK).await.expect("answered");
-        assert_eq!((first.await.expect("done"), second.await.expect("done")), (200, 200));
+        assert_eq!(
+            (first.await.expect("done"), second.await.expect("done")),
+            (200, 200)
+        );
         // A line that is none ends the feed; the list stays in force, and the feed comes back.
         *rig.nodes.first.borrow_mut() = whole(1, &[]);
-        let _ = rig.nodes.push.send("changes 3 1\npod p nowhere running\n".to_string());
+        let _ = rig
+            .nodes
+            .push
+            .send("changes 3 1\npod p nowhere running\n".to_string());
         let third = ask();
-        message(&mut moved).await.expect("the last list stays in force");
+        message(&mut moved)
+            .await
+            .expect("the last list stays in force");
         moved.write_all(OK).await.expect("answered");
         assert_eq!(third.await.expect("done"), 200);
         rig.until("\"pods_running\":0").await;
-        assert_eq!(rig.ask(&get("/read", "")).await.0, 503, "no pods: bounced at once");
+        assert_eq!(
+            rig.ask(&get("/read", "")).await.0,
+            503,
+            "no pods: bounced at once"
+        );
     });
 }
 
@@ -529,7 +667,9 @@
         }
         let mut held = vec![pod.accept().await];
         message(&mut held[0]).await.expect("a forward");
-        while let Ok(Ok((mut stream, _))) = timeout(Duration::from_millis(200), pod.0.accept()).await {
+        while let Ok(Ok((mut stream, _))) =
+            timeout(Duration::from_millis(200), pod.0.accept()).await
+        {
             message(&mut stream).await.expect("a forward");
             held.push(stream);
         }
@@ -540,7 +680,9 @@
                 sleep(Duration::from_millis(5)).await;
             }
         };
-        timeout(Duration::from_secs(5), refused).await.expect("no new hits once it stops");
+        timeout(Duration::from_secs(5), refused)
+            .await
+            .expect("no new hits once it stops");
         let forwards = held.len();
         for stream in &mut held {
             stream.write_all(OK).await.expect("answered");
@@ -552,7 +694,10 @@
         assert_eq!(counts.get(&200), Some(&forwards), "{counts:?}");
         assert_eq!(counts.get(&503), Some(&(200 - forwards)), "{counts:?}");
         let ended = rig.ended.borrow_mut().take().expect("once");
-        timeout(Duration::from_secs(5), ended).await.expect("it ends").expect("in order");
+        timeout(Duration::from_secs(5), ended)
+            .await
+            .expect("it ends")
+            .expect("in order");
     });
 }
 
@@ -568,23 +713,32 @@
         message(&mut stream).await.expect("a forward");
         let any = proptest::collection::vec(any::<u8>(), 0..400);
         let mut runner = TestRunner::deterministic();
-        let bytes: Vec<Vec<u8>> =
-            (0..60).map(|_| any.new_tree(&mut runner).expect("a value").current()).collect();
+        let bytes: Vec<Vec<u8>> = (0..60)
+            .map(|_| any.new_tree(&mut runner).expect("a value").current())
+            .collect();
         for garbage in bytes {
             for at in [rig.at, rig.admin] {
-                for start in
-                    [&b""[..], b"GET /read HTTP/1.1\r\n", b"POST /flagged HTTP/1.1\r\nhost: h\r\n\r\n"]
-                {
+                for start in [
+                    &b""[..],
+                    b"GET /read HTTP/1.1\r\n",
+                    b"POST /flagged HTTP/1.1\r\nhost: h\r\n\r\n",
+                ] {
                     let mut peer = TcpStream::connect(at).await.expect("it still listens");
                     let _ = peer.write_all(&[start, &garbage].concat()).await;
                 }
             }
             for feed in [&rig.desk, &rig.nodes] {
-                let _ = feed.push.send(String::from_utf8_lossy(&garbage).into_owned() + "\n");
+                let _ = feed
+                    .push
+                    .send(String::from_utf8_lossy(&garbage).into_owned() + "\n");
             }
         }
         stream.write_all(OK).await.expect("answered");
-        assert_eq!(held.await.expect("done"), 200, "the hit that was taken has its answer");
+        assert_eq!(
+            held.await.expect("done"),
+            200,
+            "the hit that was taken has its answer"
+        );
         rig.until("\"pods_running\":1").await;
     });
 }
@@ -600,14 +754,18 @@
         // Over the 4 KiB that are held back, so that it is passed on as it comes; a head may take 300 ms.
         let part = "y".repeat(5_000);
         let head = "HTTP/1.1 200 OK\r\ncontent-length: 10000\r\n\r\n";
-        from.write_all(format!("{head}{part}").as_bytes()).await.unwrap();
+        from.write_all(format!("{head}{part}").as_bytes())
+            .await
+            .unwrap();
         let mut first = [0; 4_000];
         client.read_exact(&mut first).await.unwrap();
         sleep(Duration::from_millis(450)).await;
         from.write_all(part.as_bytes()).await.unwrap();
         let mut text = first.to_vec();
         while !String::from_utf8_lossy(&text).ends_with(&(part.clone() + &part)) {
-            let read = timeout(Duration::from_secs(5), client.read_buf(&mut text)).await.expect("in time");
+            let read = timeout(Duration::from_secs(5), client.read_buf(&mut text))
+                .await
+                .expect("in time");
             assert!(read.unwrap() > 0, "cut after {}", text.len());
         }
     });
--- a/crates/sidecar/tests/routes.rs
+++ b/crates/sidecar/tests/routes.rs
@@ -35,18 +35,34 @@
 }
 
 fn group(name: String, methods: Vec<String>, paths: Vec<String>) -> Group {
-    Group { name, methods, paths, rules: rules(S), guard: Guard::Off }
+    Group {
+        name,
+        methods,
+        paths,
+        rules: rules(S),
+        guard: Guard::Off,
+    }
 }
 
 /// A route named by its only pattern.
 fn route(pattern: &str, kind: RequestKind) -> Record {
-    let rules = RequestRules { kind, ..RequestRules::from_path_group(&rules(S), BackupMode::Off) };
+    let rules = RequestRules {
+        kind,
+        ..RequestRules::from_path_group(&rules(S), BackupMode::Off)
+    };
     let (service, paths) = ("search".to_string(), vec![pattern.to_string()]);
-    Record::from(Route { name: pattern.to_string(), service, methods: Vec::new(), paths, rules })
+    Record::from(Route {
+        name: pattern.to_string(),
+        service,
+        methods: Vec::new(),
+        paths,
+        rules,
+    })
 }
 
 fn snapshot(number: u64, records: Vec<Record>) -> Snapshot {
-    Snapshot::from_records(Version { epoch: 1, number }, records).unwrap_or_else(|error| panic!("{error}"))
+    Snapshot::from_records(Version { epoch: 1, number }, records)
+        .unwrap_or_else(|error| panic!("{error}"))
 }
 
 /// An engine without routes of its own settings.
@@ -63,7 +79,10 @@
 }
 
 fn slots(engine: &mut Engine, groups: &[Group]) -> Vec<Slot> {
-    let routes: Vec<_> = groups.iter().map(|group| (group.name.clone(), group.rules)).collect();
+    let routes: Vec<_> = groups
+        .iter()
+        .map(|group| (group.name.clone(), group.rules))
+        .collect();
     engine.set_routes(EPOCH, &routes)
 }
 
@@ -171,20 +190,39 @@
 
 #[test]
 fn a_lookup_among_many_routes_finds_the_right_one_and_the_first_wins_across_kinds_of_pattern() {
-    let mut groups: Vec<Group> =
-        (0..4_500).map(|n| group(format!("r-{n}"), vec![], vec![format!("/team-{n}/api/*")])).collect();
-    groups.push(group("late-whole".into(), vec![], vec!["/team-7/api/x".into()]));
+    let mut groups: Vec<Group> = (0..4_500)
+        .map(|n| group(format!("r-{n}"), vec![], vec![format!("/team-{n}/api/*")]))
+        .collect();
+    groups.push(group(
+        "late-whole".into(),
+        vec![],
+        vec!["/team-7/api/x".into()],
+    ));
     groups.push(group("rest".into(), vec!["GET".into()], vec!["/*".into()]));
     let slots = slots(&mut engine(false), &groups);
-    let table = RouteTable::from_settings(&groups, slots, &["first".into(), "second".into(), "first".into()]);
+    let table = RouteTable::from_settings(
+        &groups,
+        slots,
+        &["first".into(), "second".into(), "first".into()],
+    );
     assert_eq!(table.len(), 4_502);
     let name = |method, path| table.find(method, path).map(|route| route.name.as_str());
     assert_eq!(name("GET", "/team-4321/api/a/b"), Some("r-4321"));
-    assert_eq!(name("GET", "/team-7/api/x"), Some("r-7"), "the first of the script, not the longest pattern");
-    assert_eq!((name("GET", "/other"), name("PUT", "/other")), (Some("rest"), None));
+    assert_eq!(
+        name("GET", "/team-7/api/x"),
+        Some("r-7"),
+        "the first of the script, not the longest pattern"
+    );
+    assert_eq!(
+        (name("GET", "/other"), name("PUT", "/other")),
+        (Some("rest"), None)
+    );
     assert_eq!(table.named("r-12").map(|route| route.group()), Some(12));
     let index = |name| table.tenant(name).and_then(|tenant| tenant.index);
-    assert_eq!((index("first"), index("second"), index("x")), (Some(0), Some(1), None));
+    assert_eq!(
+        (index("first"), index("second"), index("x")),
+        (Some(0), Some(1), None)
+    );
 }
 
 fn listed(n: u16) -> Listed {
@@ -203,15 +241,28 @@
 }
 
 fn ask(engine: &mut Engine, slot: &Slot) -> (u64, Ns) {
-    let asked =
-        Asked { group: slot.group(), customer: None, key: 0, left: 10 * S, cost_hint: None, repeat: false };
+    let asked = Asked {
+        group: slot.group(),
+        customer: None,
+        key: 0,
+        left: 10 * S,
+        cost_hint: None,
+        repeat: false,
+    };
     let hit = engine.hit(EPOCH, asked);
     let effects: Vec<Effect> = std::iter::from_fn(|| engine.effect()).collect();
     let time_out = effects.iter().find_map(|effect| match effect {
-        Effect::Forward { hit: known, time_out, .. } if *known == hit => Some(*time_out),
+        Effect::Forward {
+            hit: known,
+            time_out,
+            ..
+        } if *known == hit => Some(*time_out),
         _ => None,
     });
-    (hit, time_out.unwrap_or_else(|| panic!("no forward in {effects:?}")))
+    (
+        hit,
+        time_out.unwrap_or_else(|| panic!("no forward in {effects:?}")),
+    )
 }
 
 #[test]
@@ -219,35 +270,69 @@
     let mut engine = engine(true);
     engine.begin(EPOCH);
     engine.list(EPOCH, true, (0..4).map(listed).collect());
-    let old = engine.set_routes(EPOCH, &[("a".into(), rules(2 * S)), ("b".into(), rules(3 * S))]);
+    let old = engine.set_routes(
+        EPOCH,
+        &[("a".into(), rules(2 * S)), ("b".into(), rules(3 * S))],
+    );
     let (hit, time_out) = ask(&mut engine, &old[0]);
     assert_eq!(time_out, 2 * S);
-    let mutating = PathGroup { kind: Kind::Mutating, ..rules(5 * S) };
+    let mutating = PathGroup {
+        kind: Kind::Mutating,
+        ..rules(5 * S)
+    };
     let new = engine.set_routes(EPOCH, &[("a".into(), mutating), ("b".into(), rules(3 * S))]);
     assert_eq!(old[1], new[1], "an unchanged route keeps its slot");
     assert_ne!(old[0].group(), new[0].group());
     let (other, time_out) = ask(&mut engine, &new[0]);
-    assert_eq!(time_out, 10 * S, "non-idempotent: the whole time its client waits");
+    assert_eq!(
+        time_out,
+        10 * S,
+        "non-idempotent: the whole time its client waits"
+    );
     // After a failure the old one is tried again, as its rules allow; the new one must not be.
     drop(old);
-    assert_eq!(engine.slot_counts(), SlotCounts { all: 3, in_force: 2, retired: 1 });
+    assert_eq!(
+        engine.slot_counts(),
+        SlotCounts {
+            all: 3,
+            in_force: 2,
+            retired: 1
+        }
+    );
     for (hit, retried) in [(hit, true), (other, false)] {
         engine.ended(EPOCH + 10 * MS, hit, 0, Ended::Reset, 10 * MS, None);
         let effects: Vec<Effect> = std::iter::from_fn(|| engine.effect()).collect();
-        let again = effects
-            .iter()
-            .any(|effect| matches!(effect, Effect::Forward { hit: known, nth: 1, .. } if *known == hit));
+        let again = effects.iter().any(
+            |effect| matches!(effect, Effect::Forward { hit: known, nth: 1, .. } if *known == hit),
+        );
         let failed = effects.contains(&Effect::Error { hit, late: false });
         assert_eq!((again, failed), (retried, !retried), "{effects:?}");
     }
     // While the old request is out, no route may get its slot.
     let third = engine.set_routes(EPOCH, &[("a".into(), mutating), ("c".into(), rules(S))]);
-    assert_eq!(third[1].group(), 3, "slot 0 is held by a request, slots 1 and 2 by tables");
+    assert_eq!(
+        third[1].group(),
+        3,
+        "slot 0 is held by a request, slots 1 and 2 by tables"
+    );
     assert!(engine.ended(EPOCH + 20 * MS, hit, 1, Ended::Delivered, 10 * MS, None));
     drop((new, third));
-    assert_eq!(engine.slot_counts(), SlotCounts { all: 4, in_force: 2, retired: 0 });
-    let fourth =
-        engine.set_routes(EPOCH, &[("a".into(), mutating), ("c".into(), rules(S)), ("d".into(), rules(S))]);
+    assert_eq!(
+        engine.slot_counts(),
+        SlotCounts {
+            all: 4,
+            in_force: 2,
+            retired: 0
+        }
+    );
+    let fourth = engine.set_routes(
+        EPOCH,
+        &[
+            ("a".into(), mutating),
+            ("c".into(), rules(S)),
+            ("d".into(), rules(S)),
+        ],
+    );
     assert!([0, 1].contains(&fourth[2].group()), "free by now");
     assert_eq!(engine.slot_counts().all, 4);
 }
@@ -257,8 +342,9 @@
     let mut engine = engine(true);
     let mut table = Vec::new();
     for version in 0..1_000u64 {
-        let routes: Vec<(String, PathGroup)> =
-            (0..50).map(|n| (format!("r-{n}"), rules(S + (version * (n % 2)) * MS))).collect();
+        let routes: Vec<(String, PathGroup)> = (0..50)
+            .map(|n| (format!("r-{n}"), rules(S + (version * (n % 2)) * MS)))
+            .collect();
         table = engine.set_routes(EPOCH, &routes);
     }
     assert_eq!(table.len(), 50);
@@ -279,14 +365,20 @@
 
 #[test]
 fn a_table_of_a_snapshot_knows_its_tenants_and_waits_only_before_the_first_version() {
-    let tenant = Tenant { name: "t".to_string(), limits: TenantLimits::default() };
+    let tenant = Tenant {
+        name: "t".to_string(),
+        limits: TenantLimits::default(),
+    };
     let records = vec![route("/a", RequestKind::Keyed), Record::from(tenant)];
     let (first, empty) = (snapshot(1, records), Snapshot::empty());
     let groups = routes_of(&first);
     assert_eq!(groups[0].rules.kind, Kind::Tagged);
     let slots = slots(&mut engine(false), &groups);
     let table = RouteTable::from_snapshot(first, &groups, slots);
-    assert_eq!((table.tenant("t"), table.tenant("u")), (Some(KnownTenant { index: None }), None));
+    assert_eq!(
+        (table.tenant("t"), table.tenant("u")),
+        (Some(KnownTenant { index: None }), None)
+    );
     assert!(!table.awaits_configuration());
     assert!(RouteTable::from_snapshot(empty, &[], Vec::new()).awaits_configuration());
     assert!(!RouteTable::from_settings(&[], Vec::new(), &[]).awaits_configuration());
--- a/crates/stand/src/bare.rs
+++ b/crates/stand/src/bare.rs
@@ -31,8 +31,11 @@
         let _ = stream.set_nodelay(true);
         let (free, here) = (free.clone(), here.clone());
         spawn_local(async move {
-            let service = service_fn(|request: Request<Incoming>| serve(request, &free, &here, most));
-            let _ = server::Builder::new().serve_connection(TokioIo::new(stream), service).await;
+            let service =
+                service_fn(|request: Request<Incoming>| serve(request, &free, &here, most));
+            let _ = server::Builder::new()
+                .serve_connection(TokioIo::new(stream), service)
+                .await;
         });
     }
 }
@@ -55,13 +58,17 @@
     if count.get() >= most.saturating_mul(5) {
         let mut full = Response::new(Full::new(Bytes::new()));
         *full.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
-        full.headers_mut().insert(UNSEEN, HeaderValue::from_static("1"));
+        full.headers_mut()
+            .insert(UNSEEN, HeaderValue::from_static("1"));
         return Ok(full);
     }
     count.set(count.get() + 1);
     let _here = Here(count);
     let _slot = free.acquire().await;
-    let hold = request.headers().get(HOLD).and_then(|hold| hold.to_str().ok()?.parse().ok());
+    let hold = request
+        .headers()
+        .get(HOLD)
+        .and_then(|hold| hold.to_str().ok()?.parse().ok());
     if let Some(hold) = hold.filter(|hold| *hold > 0) {
         sleep(Duration::from_millis(hold)).await;
     }
@@ -78,20 +85,31 @@
 /// Hands each hit to the next pod in turn over a kept connection, body read whole as the sidecar reads it;
 /// no time-outs, no second try, no counting.
 pub async fn proxy(listener: TcpListener, pods: Vec<SocketAddr>) {
-    let pods = pods.into_iter().map(|pod| (pod, RefCell::default())).collect();
-    let bare = Rc::new(Bare { pods, next: Cell::new(0) });
+    let pods = pods
+        .into_iter()
+        .map(|pod| (pod, RefCell::default()))
+        .collect();
+    let bare = Rc::new(Bare {
+        pods,
+        next: Cell::new(0),
+    });
     while let Ok((stream, _)) = listener.accept().await {
         let _ = stream.set_nodelay(true);
         let bare = bare.clone();
         spawn_local(async move {
             let service = service_fn(|request| bare.clone().forward(request));
-            let _ = server::Builder::new().serve_connection(TokioIo::new(stream), service).await;
+            let _ = server::Builder::new()
+                .serve_connection(TokioIo::new(stream), service)
+                .await;
         });
     }
 }
 
 impl Bare {
-    async fn forward(self: Rc<Self>, request: Request<Incoming>) -> Result<Response<Full<Bytes>>, BareError> {
+    async fn forward(
+        self: Rc<Self>,
+        request: Request<Incoming>,
+    ) -> Result<Response<Full<Bytes>>, BareError> {
         let (parts, body) = request.into_parts();
         let body = body.collect().await?.to_bytes();
         let turn = self.next.replace(self.next.get() + 1);
@@ -110,7 +128,9 @@
             }
         };
         sender.ready().await?;
-        let response = sender.send_request(Request::from_parts(parts, Full::new(body))).await?;
+        let response = sender
+            .send_request(Request::from_parts(parts, Full::new(body)))
+            .await?;
         let (parts, body) = response.into_parts();
         let body = body.collect().await?.to_bytes();
         idle.borrow_mut().push(sender);
--- a/crates/stand/src/book.rs
+++ b/crates/stand/src/book.rs
@@ -15,7 +15,10 @@
 
 impl Book {
     pub fn new() -> Book {
-        Book { began: Instant::now(), pages: Rc::default() }
+        Book {
+            began: Instant::now(),
+            pages: Rc::default(),
+        }
     }
 
     pub fn now(&self) -> Ns {
