--- a/crates/stand/src/clients.rs
+++ b/crates/stand/src/clients.rs
@@ -42,7 +42,12 @@
 impl Target {
     pub fn new(name: &str) -> Rc<Target> {
         let name = name.to_string();
-        Rc::new(Target { name, address: Cell::new(None), admin: Cell::new(None), idle: RefCell::default() })
+        Rc::new(Target {
+            name,
+            address: Cell::new(None),
+            admin: Cell::new(None),
+            idle: RefCell::default(),
+        })
     }
 
     pub fn comes_up(&self, address: SocketAddr, admin: SocketAddr) {
@@ -59,14 +64,22 @@
 
     async fn connection(&self) -> Option<Sender> {
         loop {
-            let Some((mut sender, since)) = self.idle.borrow_mut().pop() else { break };
+            let Some((mut sender, since)) = self.idle.borrow_mut().pop() else {
+                break;
+            };
             if since.elapsed() < IDLE && sender.ready().await.is_ok() {
                 return Some(sender);
             }
         }
-        let stream = timeout(CONNECT, TcpStream::connect(self.address.get()?)).await.ok()?.ok()?;
+        let stream = timeout(CONNECT, TcpStream::connect(self.address.get()?))
+            .await
+            .ok()?
+            .ok()?;
         let _ = stream.set_nodelay(true);
-        let (sender, connection) = http1::Builder::new().handshake(TokioIo::new(stream)).await.ok()?;
+        let (sender, connection) = http1::Builder::new()
+            .handshake(TokioIo::new(stream))
+            .await
+            .ok()?;
         spawn_local(async move {
             let _ = connection.await;
         });
@@ -106,7 +119,13 @@
 }
 
 impl Clients {
-    pub fn new(book: Book, site: Rc<Site>, day: &Day, targets: Vec<Rc<Target>>, seed: u64) -> Rc<Clients> {
+    pub fn new(
+        book: Book,
+        site: Rc<Site>,
+        day: &Day,
+        targets: Vec<Rc<Target>>,
+        seed: u64,
+    ) -> Rc<Clients> {
         let new = |group: &havenplank_settings::Group| Fared {
             group: group.name.clone(),
             benefit: group.rules.benefit,
@@ -168,12 +187,22 @@
             left < 0.0
         });
         let load = load.unwrap_or(&self.day.loads[0]);
-        let Some(group) = self.site.groups.iter().position(|group| group.name == load.group) else { return };
+        let Some(group) = self
+            .site
+            .groups
+            .iter()
+            .position(|group| group.name == load.group)
+        else {
+            return;
+        };
         let rules = self.site.groups[group].rules;
         let (hit, began) = (self.number(), Instant::now());
         let key = (self.draw() * load.keys as f64) as u64 + 1;
         let work = load.work as f64 * (0.5 - 0.5 * (1.0 - self.draw()).ln());
-        let (stubborn, heeds) = (self.draw() < self.day.retries, self.draw() < self.day.honour);
+        let (stubborn, heeds) = (
+            self.draw() < self.day.retries,
+            self.draw() < self.day.honour,
+        );
         let waits = (rules.client_timeout as f64 * (0.5 + 0.5 * self.draw())) as Ns;
         self.fared.borrow_mut()[group].asked += 1;
         let mut last = Answer::Errored;
@@ -185,7 +214,11 @@
                 let fared = &mut self.fared.borrow_mut()[group];
                 fared.wrong += wrong as u64;
                 let in_time = took.as_nanos() as Ns <= rules.target_latency;
-                *if in_time { &mut fared.in_time } else { &mut fared.late } += 1;
+                *if in_time {
+                    &mut fared.in_time
+                } else {
+                    &mut fared.late
+                } += 1;
                 let _ = fared.took_us.record(took.as_micros() as u64);
                 return;
             }
@@ -198,7 +231,11 @@
                 break;
             }
             let pause = 0.05 + 0.2 * self.draw();
-            let pause = if heeds { pause.max(come_back as f64 / 1e9) } else { pause };
+            let pause = if heeds {
+                pause.max(come_back as f64 / 1e9)
+            } else {
+                pause
+            };
             sleep(Duration::from_secs_f64(pause)).await;
         }
         let fared = &mut self.fared.borrow_mut()[group];
@@ -219,21 +256,36 @@
         waits: Ns,
     ) -> (Answer, Ns, bool) {
         let unreachable = (Answer::Bounced, 0, false);
-        let up: Vec<&Rc<Target>> =
-            self.targets.iter().filter(|target| target.address.get().is_some()).collect();
+        let up: Vec<&Rc<Target>> = self
+            .targets
+            .iter()
+            .filter(|target| target.address.get().is_some())
+            .collect();
         if up.is_empty() {
             return unreachable;
         }
         let target = up[(self.draw() * up.len() as f64) as usize].clone();
-        let Some(mut sender) = target.connection().await else { return unreachable };
+        let Some(mut sender) = target.connection().await else {
+            return unreachable;
+        };
         let ask = self.number();
         self.tries.set(self.tries.get() + 1);
         let request = self.request(ask, hit, group, key, work, waits);
         let (sidecar, left) = (target.name.clone(), waits);
-        self.book.write(Seen::Asked { ask, hit, sidecar, group, key, left });
+        self.book.write(Seen::Asked {
+            ask,
+            hit,
+            sidecar,
+            group,
+            key,
+            left,
+        });
         let leaves = self.draw() < self.day.impatient;
-        let patience =
-            if leaves { waits as f64 * 0.2 * self.draw() } else { waits as f64 + LISTENS.as_nanos() as f64 };
+        let patience = if leaves {
+            waits as f64 * 0.2 * self.draw()
+        } else {
+            waits as f64 + LISTENS.as_nanos() as f64
+        };
         let exchange = async {
             let response = match sender.try_send_request(request).await {
                 Ok(response) => response,
@@ -244,7 +296,12 @@
             if body.collect().await.is_err() {
                 return (Answer::Broken, 0, None);
             }
-            let text = |name: &str| parts.headers.get(name).and_then(|value| value.to_str().ok());
+            let text = |name: &str| {
+                parts
+                    .headers
+                    .get(name)
+                    .and_then(|value| value.to_str().ok())
+            };
             let come_back = text(RETRY_AFTER.as_str()).and_then(|secs| secs.parse::<u64>().ok());
             let answer = match parts.status {
                 StatusCode::SERVICE_UNAVAILABLE if come_back.is_some() => Answer::Bounced,
@@ -261,8 +318,15 @@
             Err(_) if leaves => (Answer::Left, 0, None),
             Err(_) => (Answer::Missing, 0, None),
         };
-        self.book.write(Seen::Answered { ask, answer, come_back });
-        if matches!(answer, Answer::Delivered | Answer::Bounced | Answer::Errored) {
+        self.book.write(Seen::Answered {
+            ask,
+            answer,
+            come_back,
+        });
+        if matches!(
+            answer,
+            Answer::Delivered | Answer::Bounced | Answer::Errored
+        ) {
             target.idle.borrow_mut().push((sender, Instant::now()));
         }
         if let Some(pod) = wrong.clone().filter(|_| self.draw() < self.day.flagged) {
@@ -283,8 +347,16 @@
     ) -> Request<Full<Bytes>> {
         let (rules, headers) = (&self.site.groups[group], &self.site.headers);
         let method = rules.methods.first().map_or("GET", String::as_str);
-        let path = rules.paths.first().map_or("/", String::as_str).trim_end_matches('*');
-        let body = if method == "GET" { Bytes::new() } else { Bytes::from_static(b"repository\n") };
+        let path = rules
+            .paths
+            .first()
+            .map_or("/", String::as_str)
+            .trim_end_matches('*');
+        let body = if method == "GET" {
+            Bytes::new()
+        } else {
+            Bytes::from_static(b"repository\n")
+        };
         let mark = (rules.rules.kind == Kind::Tagged).then(|| format!("\"hit-{hit}\""));
         let mut request = Request::builder()
             .method(method)
@@ -299,25 +371,36 @@
             request = request.header("idempotency-key", mark);
         }
         // The parts are all our own or from checked settings.
-        request.body(Full::new(body)).expect("a request that is well formed")
+        request
+            .body(Full::new(body))
+            .expect("a request that is well formed")
     }
 
     /// Tells the sidecar of a wrong answer, as clients do when they find out.
     async fn flag(&self, target: &Target, pod: &str, group: usize) {
         let found = 0.3 + 0.7 * self.draw();
         sleep(Duration::from_secs_f64(found)).await;
-        let Some(admin) = target.admin.get() else { return };
-        let Ok(Ok(stream)) = timeout(CONNECT, TcpStream::connect(admin)).await else { return };
-        let Ok((mut sender, connection)) = http1::handshake(TokioIo::new(stream)).await else { return };
+        let Some(admin) = target.admin.get() else {
+            return;
+        };
+        let Ok(Ok(stream)) = timeout(CONNECT, TcpStream::connect(admin)).await else {
+            return;
+        };
+        let Ok((mut sender, connection)) = http1::handshake(TokioIo::new(stream)).await else {
+            return;
+        };
         spawn_local(async move {
             let _ = connection.await;
         });
         let group = &self.site.groups[group].name;
-        let told = serde_json::json!({"pod": pod, "path_group": group, "ago_ms": (found * 1e3) as u64});
+        let told =
+            serde_json::json!({"pod": pod, "path_group": group, "ago_ms": (found * 1e3) as u64});
         let mut request = Request::new(Full::new(Bytes::from(told.to_string())));
         *request.method_mut() = hyper::Method::POST;
         *request.uri_mut() = hyper::Uri::from_static("/flagged");
-        request.headers_mut().insert("host", HeaderValue::from_static("admin"));
+        request
+            .headers_mut()
+            .insert("host", HeaderValue::from_static("admin"));
         let _ = timeout(CONNECT, sender.send_request(request)).await;
     }
 }
--- a/crates/stand/src/day.rs
+++ b/crates/stand/src/day.rs
@@ -79,7 +79,12 @@
 /// The figures that the rules are checked by, from the settings that sidecars get.
 pub fn figures(site: &Site) -> Figures {
     let group = |group: &havenplank_settings::Group| {
-        Group::new(&group.name, group.rules.kind, group.rules.scope, group.rules.repeat_window)
+        Group::new(
+            &group.name,
+            group.rules.kind,
+            group.rules.scope,
+            group.rules.repeat_window,
+        )
     };
     Figures {
         groups: site.groups.iter().map(group).collect(),
@@ -98,8 +103,14 @@
     [
         ("instances", day.sidecars.to_string()),
         ("control", day.control.clone()),
-        ("on_needs", if day.control == "count" { on } else { 0 }.to_string()),
-        ("back_needs", if day.control == "any" { 1 } else { back }.to_string()),
+        (
+            "on_needs",
+            if day.control == "count" { on } else { 0 }.to_string(),
+        ),
+        (
+            "back_needs",
+            if day.control == "any" { 1 } else { back }.to_string(),
+        ),
         ("zone", day.zones[0].clone()),
     ]
     .map(|(name, value)| (name.to_string(), value))
@@ -124,7 +135,11 @@
         tagged: group.rules.kind == Kind::Tagged,
         repeat_window: group.rules.repeat_window,
     };
-    let machine = site.machines.first().cloned().unwrap_or_else(|| "machine".to_string());
+    let machine = site
+        .machines
+        .first()
+        .cloned()
+        .unwrap_or_else(|| "machine".to_string());
     let fall = (site.pods.fall_multiple, site.pods.fall_window);
     let groups = site.groups.iter().map(served).collect();
     let fleet = Fleet::new(&day, groups, &machine, fall, seed ^ 1, book.clone());
@@ -132,7 +147,11 @@
     let nodes = Nodes::new(book.clone(), fleet.clone(), day.notice, day.period);
     let terms = Terms {
         control: site.votes.control,
-        on_needs: if site.votes.control == Control::Any { 1 } else { part(day.on_needs, day.sidecars) },
+        on_needs: if site.votes.control == Control::Any {
+            1
+        } else {
+            part(day.on_needs, day.sidecars)
+        },
         back_needs: site.votes.back_needs,
         life: site.votes.life,
         step: site.votes.step,
@@ -142,9 +161,17 @@
         places: day.pods,
     };
     let names = site.groups.iter().map(|group| group.name.clone()).collect();
-    let desk = Desk::new(book.clone(), fleet.clone(), terms, day.offers.clone(), names);
+    let desk = Desk::new(
+        book.clone(),
+        fleet.clone(),
+        terms,
+        day.offers.clone(),
+        names,
+    );
     let feeds = (free_address().await?, free_address().await?);
-    let targets: Vec<Rc<Target>> = (0..day.sidecars).map(|n| Target::new(&format!("sidecar-{n}"))).collect();
+    let targets: Vec<Rc<Target>> = (0..day.sidecars)
+        .map(|n| Target::new(&format!("sidecar-{n}")))
+        .collect();
     let clients = Clients::new(book.clone(), site.clone(), &day, targets.clone(), seed ^ 2);
     let mut tasks = JoinSet::new();
     tasks.spawn_local(nodes.clone().serve(feeds.0));
@@ -178,7 +205,16 @@
         let (desk, clients) = (desk.clone(), clients.clone());
         tasks.spawn_local(async move {
             sleep_until(began + Duration::from_nanos(event.at)).await;
-            runner.trouble(event.what, Duration::from_nanos(event.lasts), fleet, nodes, desk, clients).await;
+            runner
+                .trouble(
+                    event.what,
+                    Duration::from_nanos(event.lasts),
+                    fleet,
+                    nodes,
+                    desk,
+                    clients,
+                )
+                .await;
         });
     }
     let asking = clients.clone();
@@ -206,7 +242,15 @@
     let story = desk.story.borrow().clone();
     let votes = runner.votes.borrow().clone();
     let troubles = runner.troubles.borrow().clone();
-    Ok(Played { entries, lost, fared, tries: clients.tries.get(), story, votes, troubles })
+    Ok(Played {
+        entries,
+        lost,
+        fared,
+        tries: clients.tries.get(),
+        story,
+        votes,
+        troubles,
+    })
 }
 
 /// An address that was free a moment ago.
@@ -224,7 +268,12 @@
             .append(true)
             .open(self.launch.folder.join(format!("{name}.log")))?;
         let seed = self.chance.borrow_mut().rand_u64() >> 1;
-        let kept = self.launch.folder.join(format!("{name}.list")).display().to_string();
+        let kept = self
+            .launch
+            .folder
+            .join(format!("{name}.list"))
+            .display()
+            .to_string();
         let mut values = given(&self.day);
         let own = [
             ("name", name.clone()),
@@ -241,17 +290,29 @@
         }
         values.extend(own.map(|(name, value)| (name.to_string(), value)));
         let mut command = Command::new(&self.launch.program);
-        command.args(["--log-format", "json", "serve"]).arg(&self.launch.settings);
+        command
+            .args(["--log-format", "json", "serve"])
+            .arg(&self.launch.settings);
         command.args(["--seed", &seed.to_string()]);
         for (name, value) in values {
             command.args(["--given", &format!("{name}={value}")]);
         }
-        let child = command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
+        let child = command
+            .stdin(Stdio::null())
+            .stdout(Stdio::null())
+            .stderr(Stdio::piped());
         let mut child = child.kill_on_drop(true).spawn()?;
         let (ready, listens) = oneshot::channel();
         if let Some(log_of) = child.stderr.take() {
             let (votes, troubles) = (self.votes.clone(), self.troubles.clone());
-            spawn_local(read_log(BufReader::new(log_of), log, name.clone(), ready, votes, troubles));
+            spawn_local(read_log(
+                BufReader::new(log_of),
+                log,
+                name.clone(),
+                ready,
+                votes,
+                troubles,
+            ));
         }
         let addresses = timeout(START, listens).await.ok().and_then(Result::ok);
         let (listen, admin) = addresses.ok_or(DayError::Silent(name.clone()))?;
@@ -262,7 +323,9 @@
     }
 
     async fn bounce(&self, n: usize, down: Duration, kindly: bool) {
-        let Some(mut child) = self.children.borrow_mut()[n].take() else { return };
+        let Some(mut child) = self.children.borrow_mut()[n].take() else {
+            return;
+        };
         let (target, name) = (&self.targets[n], self.targets[n].name.clone());
         if kindly {
             self.book.write(Seen::SidecarStops { sidecar: name });
@@ -272,7 +335,9 @@
             }
             let ended = timeout(Duration::from_secs(10), child.wait()).await;
             if !matches!(ended, Ok(Ok(status)) if status.success()) {
-                self.troubles.borrow_mut().push(format!("{}: did not stop as told: {ended:?}", target.name));
+                self.troubles
+                    .borrow_mut()
+                    .push(format!("{}: did not stop as told: {ended:?}", target.name));
             }
         } else {
             self.book.write(Seen::SidecarKilled { sidecar: name });
@@ -289,11 +354,16 @@
 
     async fn end(&self) {
         let children: Vec<Option<Child>> = self.children.borrow_mut().drain(..).collect();
-        for (n, mut child) in children.into_iter().enumerate().filter_map(|(n, child)| Some((n, child?))) {
+        for (n, mut child) in children
+            .into_iter()
+            .enumerate()
+            .filter_map(|(n, child)| Some((n, child?)))
+        {
             if let Ok(Some(status)) = child.try_wait() {
-                self.troubles
-                    .borrow_mut()
-                    .push(format!("{} ended by itself: {status}", self.targets[n].name));
+                self.troubles.borrow_mut().push(format!(
+                    "{} ended by itself: {status}",
+                    self.targets[n].name
+                ));
             }
             let _ = child.kill().await;
         }
@@ -322,13 +392,18 @@
         match what {
             What::Pods(count, faults) => {
                 let pods = fleet.some(count);
-                pods.iter().for_each(|pod| *pod.faults.borrow_mut() = faults.clone());
+                pods.iter()
+                    .for_each(|pod| *pod.faults.borrow_mut() = faults.clone());
                 sleep(lasts).await;
-                pods.iter().for_each(|pod| *pod.faults.borrow_mut() = Default::default());
+                pods.iter()
+                    .for_each(|pod| *pod.faults.borrow_mut() = Default::default());
             }
             What::ZoneLost(zone) => {
-                let lost: Vec<Rc<Pod>> =
-                    fleet.running().into_iter().filter(|pod| pod.who.zone == zone).collect();
+                let lost: Vec<Rc<Pod>> = fleet
+                    .running()
+                    .into_iter()
+                    .filter(|pod| pod.who.zone == zone)
+                    .collect();
                 lost.iter().for_each(|pod| fleet.kill(pod));
                 sleep(lasts).await;
                 for pod in lost {
@@ -370,9 +445,9 @@
                 let mut all = JoinSet::new();
                 for n in self.drawn(count) {
                     let runner = self.clone();
-                    all.spawn_local(
-                        async move { runner.bounce(n, Duration::from_nanos(down), kindly).await },
-                    );
+                    all.spawn_local(async move {
+                        runner.bounce(n, Duration::from_nanos(down), kindly).await
+                    });
                 }
                 while all.join_next().await.is_some() {}
             }
@@ -424,7 +499,12 @@
             troubles.borrow_mut().push(format!("{name}: {line}"));
             continue;
         };
-        let field = |name: &str| said["fields"][name].as_str().unwrap_or_default().to_string();
+        let field = |name: &str| {
+            said["fields"][name]
+                .as_str()
+                .unwrap_or_default()
+                .to_string()
+        };
         match field("message").as_str() {
             "listening" => {
                 let both = (field("listen").parse(), field("admin").parse());
--- a/crates/stand/src/desk.rs
+++ b/crates/stand/src/desk.rs
@@ -111,12 +111,20 @@
 
     fn note(&self, what: String) {
         tracing::info!(what, "desk");
-        self.story.borrow_mut().push(format!("{:6.1} s  {what}", self.book.now() as f64 / 1e9));
+        self.story
+            .borrow_mut()
+            .push(format!("{:6.1} s  {what}", self.book.now() as f64 / 1e9));
     }
 
     fn enter(&self, build: Build, stage: usize, phase: Phase) {
         let since = self.book.now();
-        self.state.set(Some(State { build, stage, phase, since, clock: None }));
+        self.state.set(Some(State {
+            build,
+            stage,
+            phase,
+            since,
+            clock: None,
+        }));
         self.note(format!("build {build} stage {stage}: {phase:?}"));
     }
 
@@ -129,8 +137,20 @@
     }
 
     fn told(&self, state: &State) -> Stage {
-        let State { build, stage, phase, since, .. } = *state;
-        Stage { build, stage, phase, cap: self.cap(state), age: self.book.now().saturating_sub(since) }
+        let State {
+            build,
+            stage,
+            phase,
+            since,
+            ..
+        } = *state;
+        Stage {
+            build,
+            stage,
+            phase,
+            cap: self.cap(state),
+            age: self.book.now().saturating_sub(since),
+        }
     }
 
     /// Runs the stages until dropped.
@@ -143,23 +163,39 @@
 
     async fn look(&self) {
         let now = self.book.now();
-        let next = self.offers.get(self.offered.get()).filter(|offer| offer.at <= now);
+        let next = self
+            .offers
+            .get(self.offered.get())
+            .filter(|offer| offer.at <= now);
         if let Some(offer) = next {
             if let Some(state) = self.state.get().filter(|state| state.phase == Phase::Trial) {
-                self.note(format!("build {} still on trial when the next came: taken off", state.build));
-                self.fleet.of(state.build).iter().for_each(|pod| self.fleet.drain(pod));
+                self.note(format!(
+                    "build {} still on trial when the next came: taken off",
+                    state.build
+                ));
+                self.fleet
+                    .of(state.build)
+                    .iter()
+                    .for_each(|pod| self.fleet.drain(pod));
             }
             self.offered.set(self.offered.get() + 1);
             let build = FIRST + self.offered.get() as Build;
-            let group =
-                offer.group.as_ref().and_then(|name| self.groups.iter().position(|known| known == name));
+            let group = offer
+                .group
+                .as_ref()
+                .and_then(|name| self.groups.iter().position(|known| known == name));
             self.fleet.spoil(build, offer, group);
-            self.note(format!("build {build} offered, {}", if offer.bad { "bad" } else { "good" }));
+            self.note(format!(
+                "build {build} offered, {}",
+                if offer.bad { "bad" } else { "good" }
+            ));
             self.enter(build, 0, Phase::Trial);
             self.fill(build, 0).await;
             return;
         }
-        let Some(mut state) = self.state.get() else { return };
+        let Some(mut state) = self.state.get() else {
+            return;
+        };
         match state.phase {
             Phase::Trial => {
                 if state.clock.is_none() {
@@ -183,7 +219,10 @@
                 self.go_back(&state);
             }
             Phase::GoingBack if now >= state.since + GOES_BACK => {
-                self.fleet.of(state.build).iter().for_each(|pod| self.fleet.drain(pod));
+                self.fleet
+                    .of(state.build)
+                    .iter()
+                    .for_each(|pod| self.fleet.drain(pod));
                 self.enter(state.build, state.stage, Phase::Withdrawn);
             }
             _ => {}
@@ -220,7 +259,11 @@
             return;
         }
         self.enter(state.build, state.stage, Phase::Released);
-        let old = self.fleet.running().into_iter().filter(|pod| pod.who.build < state.build);
+        let old = self
+            .fleet
+            .running()
+            .into_iter()
+            .filter(|pod| pod.who.build < state.build);
         old.for_each(|pod| self.fleet.drain(&pod));
         self.before.set(self.released.replace(state.build));
     }
@@ -267,7 +310,12 @@
         if !fits {
             return Heard::Moot;
         }
-        let vote = Vote { build, stage, voice, until: now + self.terms.life };
+        let vote = Vote {
+            build,
+            stage,
+            voice,
+            until: now + self.terms.life,
+        };
         self.votes.borrow_mut().insert(sidecar.to_string(), vote);
         Heard::Counted
     }
@@ -297,9 +345,21 @@
     }
 
     fn tell(&self, sidecar: &str, stage: &Stage) {
-        let Stage { build, stage, phase, cap, .. } = *stage;
+        let Stage {
+            build,
+            stage,
+            phase,
+            cap,
+            ..
+        } = *stage;
         let (sidecar, phase) = (sidecar.to_string(), phase_name(phase));
-        self.book.write(Seen::News { sidecar, build, stage, phase, cap });
+        self.book.write(Seen::News {
+            sidecar,
+            build,
+            stage,
+            phase,
+            cap,
+        });
     }
 
     async fn follower(&self, stream: TcpStream) {
@@ -332,7 +392,9 @@
                 },
                 () = sleep(Duration::from_millis(50)) => {}
             }
-            let Some(name) = asks.name.clone() else { continue };
+            let Some(name) = asks.name.clone() else {
+                continue;
+            };
             let mut out = String::new();
             let now = self.book.now();
             if let Some(state) = self.state.get() {
@@ -340,7 +402,9 @@
                 let known = told.map(|(build, stage, phase, _)| (build, stage, phase));
                 let due = match told {
                     None => true,
-                    Some(_) if known != Some(now_is) => now >= state.since + NEWS_LATE + self.late.get(),
+                    Some(_) if known != Some(now_is) => {
+                        now >= state.since + NEWS_LATE + self.late.get()
+                    }
                     Some((.., at)) => now >= at + AGAIN,
                 };
                 if due {
@@ -357,11 +421,17 @@
                 if self.mute.get() {
                     continue;
                 }
-                let stage = self.state.get().filter(|_| self.late.get() == 0).map(|state| self.told(&state));
+                let stage = self
+                    .state
+                    .get()
+                    .filter(|_| self.late.get() == 0)
+                    .map(|state| self.told(&state));
                 if let Some(stage) = &stage {
                     self.tell(&name, stage);
                     let state = self.state.get();
-                    told = state.map(|state| (state.build, state.stage, state.phase, now)).or(told);
+                    told = state
+                        .map(|state| (state.build, state.stage, state.phase, now))
+                        .or(told);
                 }
                 seq += 1;
                 desk::tell_voted(&mut out, seq, vote, heard, stage.as_ref());
--- a/crates/stand/src/drive.rs
+++ b/crates/stand/src/drive.rs
@@ -129,8 +129,13 @@
             if began.is_none() {
                 began = Some(record.own);
                 // A cut trace begins with the stage that was in force.
-                let standing = reader.standing.iter().find(|standing| standing.source == number);
-                script.says.extend(standing.map(|standing| (0, Say::Stage(standing.stage))));
+                let standing = reader
+                    .standing
+                    .iter()
+                    .find(|standing| standing.source == number);
+                script
+                    .says
+                    .extend(standing.map(|standing| (0, Say::Stage(standing.stage))));
             }
             script.length = record.own.saturating_sub(began.unwrap_or(record.own));
             script.take(record, &mut sent)?;
@@ -138,7 +143,11 @@
         if script.hits.is_empty() {
             return Err(DriveError::Unfit("no hits in the trace".to_string()));
         }
-        if !script.says.iter().any(|(_, say)| matches!(say, Say::List(true, _))) {
+        if !script
+            .says
+            .iter()
+            .any(|(_, say)| matches!(say, Say::List(true, _)))
+        {
             script.list_from_names();
         }
         Ok(script)
@@ -155,17 +164,32 @@
             What::Told(told) => match told {
                 Told::Hit { hit, asked } => {
                     if self.hits.len() >= MOST_HITS {
-                        let why =
-                            format!("more than {MOST_HITS} hits; expected a trace that was cut to fewer");
+                        let why = format!(
+                            "more than {MOST_HITS} hits; expected a trace that was cut to fewer"
+                        );
                         return Err(DriveError::Unfit(why));
                     }
                     fared.hits += 1;
                     self.hits.push((at, hit, asked));
                 }
-                Told::Ended { hit, nth, end, took, load, passed } => {
+                Told::Ended {
+                    hit,
+                    nth,
+                    end,
+                    took,
+                    load,
+                    passed,
+                } => {
                     fared.delivered += passed as u64;
-                    let Some((sent, build, _)) = sent.remove(&(hit, nth)) else { return Ok(()) };
-                    let end = End { build, end, took, load };
+                    let Some((sent, build, _)) = sent.remove(&(hit, nth)) else {
+                        return Ok(());
+                    };
+                    let end = End {
+                        build,
+                        end,
+                        took,
+                        load,
+                    };
                     let ends = self.ends.entry(hit).or_default();
                     ends.resize(ends.len().max(nth as usize + 1), None);
                     ends[nth as usize] = Some(end);
@@ -176,7 +200,8 @@
                 Told::ListFailed => self.says.push((at, Say::ListFailed)),
                 Told::News(stage) => self.says.push((at, Say::Stage(stage))),
                 Told::Voted { news, .. } => {
-                    self.says.extend(news.stage.map(|stage| (at, Say::Stage(stage))));
+                    self.says
+                        .extend(news.stage.map(|stage| (at, Say::Stage(stage))));
                 }
                 Told::Tally(tally) => self.says.push((at, Say::Tally(tally))),
                 Told::Flagged { group, ago, .. } => {
@@ -193,8 +218,16 @@
                 }
                 Effect::Bounce { .. } => fared.bounced += 1,
                 Effect::Error { .. } => fared.errored += 1,
-                Effect::Vote { build, stage, voice, .. } => {
-                    *fared.votes.entry((build, stage, format!("{voice:?}"))).or_default() += 1;
+                Effect::Vote {
+                    build,
+                    stage,
+                    voice,
+                    ..
+                } => {
+                    *fared
+                        .votes
+                        .entry((build, stage, format!("{voice:?}")))
+                        .or_default() += 1;
                 }
                 _ => {}
             },
@@ -214,12 +247,19 @@
             life: 1,
             age: 0,
             zone: terms.zones.first().cloned().unwrap_or_default(),
-            machine: terms.machines.first().cloned().unwrap_or_else(|| "machine".to_string()),
+            machine: terms
+                .machines
+                .first()
+                .cloned()
+                .unwrap_or_else(|| "machine".to_string()),
             cell: n as i64,
             size: 1.0,
         };
-        let mut pods: Vec<Listed> =
-            self.by_build.keys().flat_map(|build| (0..2).map(|n| pod(build, n))).collect();
+        let mut pods: Vec<Listed> = self
+            .by_build
+            .keys()
+            .flat_map(|build| (0..2).map(|n| pod(build, n)))
+            .collect();
         pods.sort_by(|a, b| a.name.cmp(&b.name));
         self.says.insert(0, (0, Say::List(true, pods)));
     }
@@ -227,13 +267,20 @@
     /// How a forward to a build is to end, and whether that was recorded of this very hit.
     fn end(&self, hit: HitId, nth: usize, build: Build, now: Ns) -> Option<(End, bool)> {
         let own = self.ends.get(&hit).into_iter().flatten().flatten();
-        let same = |end: &&End| end.build == build && !matches!(end.end, Ended::NotSent | Ended::Cancelled);
+        let same = |end: &&End| {
+            end.build == build && !matches!(end.end, Ended::NotSent | Ended::Cancelled)
+        };
         let mut of_build = own.filter(same);
-        if let Some(end) = of_build.nth(nth).or_else(|| self.ends.get(&hit)?.iter().flatten().rfind(same)) {
+        if let Some(end) = of_build
+            .nth(nth)
+            .or_else(|| self.ends.get(&hit)?.iter().flatten().rfind(same))
+        {
             return Some((*end, true));
         }
         let ends = self.by_build.get(&build)?;
-        let at = ends.partition_point(|(sent, _)| *sent <= now).saturating_sub(1);
+        let at = ends
+            .partition_point(|(sent, _)| *sent <= now)
+            .saturating_sub(1);
         ends.get(at).map(|(_, end)| (*end, false))
     }
 }
@@ -242,7 +289,19 @@
 fn settings(terms: &Terms, nodes: SocketAddr, desk: SocketAddr) -> String {
     let flag = |on: bool| if on { "True" } else { "False" };
     let word = |it: String| it.to_lowercase();
-    let Terms { name, place, zones, machines, customers, forwards, pods, exposure, votes, list, .. } = terms;
+    let Terms {
+        name,
+        place,
+        zones,
+        machines,
+        customers,
+        forwards,
+        pods,
+        exposure,
+        votes,
+        list,
+        ..
+    } = terms;
     let texts = |name: &str, all: &Vec<String>| match all.is_empty() {
         true => String::new(),
         false => format!(", {name} = {all:?}"),
@@ -259,7 +318,14 @@
         texts("customers", customers),
     );
     for (n, (name, rules)) in terms.groups.iter().enumerate() {
-        let PathGroup { kind, scope, repeat_window, target_latency, client_timeout, .. } = rules;
+        let PathGroup {
+            kind,
+            scope,
+            repeat_window,
+            target_latency,
+            client_timeout,
+            ..
+        } = rules;
         let _ = writeln!(
             out,
             "path_group(name = {name:?}, paths = [\"/{n}\"], kind = {:?}, scope = {:?}, \
@@ -343,7 +409,9 @@
 
 impl Scene {
     fn now(&self) -> Ns {
-        self.began.get().map_or(0, |began| began.elapsed().as_nanos() as Ns)
+        self.began
+            .get()
+            .map_or(0, |began| began.elapsed().as_nanos() as Ns)
     }
 
     async fn serve(self: Rc<Self>, build: Build, listener: TcpListener) {
@@ -352,7 +420,9 @@
             let stage = self.clone();
             spawn_local(async move {
                 let service = service_fn(|request| stage.pod(build, request));
-                let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
+                let _ = http1::Builder::new()
+                    .serve_connection(TokioIo::new(stream), service)
+                    .await;
             });
         }
     }
@@ -362,8 +432,13 @@
         build: Build,
         request: Request<Incoming>,
     ) -> Result<Response<Full<Bytes>>, OnPurpose> {
-        let hit = request.headers().get(ASK).and_then(|text| text.to_str().ok()?.parse::<HitId>().ok());
-        let Some(hit) = hit else { return Ok(Response::new(Full::new(Bytes::new()))) };
+        let hit = request
+            .headers()
+            .get(ASK)
+            .and_then(|text| text.to_str().ok()?.parse::<HitId>().ok());
+        let Some(hit) = hit else {
+            return Ok(Response::new(Full::new(Bytes::new())));
+        };
         let nth = {
             let mut seen = self.seen.borrow_mut();
             let count = seen.entry(hit).or_default().entry(build).or_default();
@@ -378,14 +453,22 @@
             counts.as_recorded += own as u64;
             counts.as_build += !own as u64;
         }
-        let Some((End { end, took, load, .. }, _)) = planned else {
+        let Some((
+            End {
+                end, took, load, ..
+            },
+            _,
+        )) = planned
+        else {
             return Ok(Response::new(Full::new(Bytes::new())));
         };
         let mut answer = Response::new(Full::new(Bytes::from_static(b"found\n")));
         match end {
             Ended::Full => {
                 *answer.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
-                answer.headers_mut().insert(UNSEEN, HeaderValue::from_static("1"));
+                answer
+                    .headers_mut()
+                    .insert(UNSEEN, HeaderValue::from_static("1"));
                 return Ok(answer);
             }
             Ended::NoConnection => return Err(OnPurpose),
@@ -407,8 +490,14 @@
     fn placed(&self, pods: &[Listed]) -> Vec<Listed> {
         let all = self.pods.borrow();
         let place = |pod: &Listed| {
-            let address = all.get(&(pod.name.clone(), pod.life)).copied().unwrap_or(pod.address);
-            Listed { address, ..pod.clone() }
+            let address = all
+                .get(&(pod.name.clone(), pod.life))
+                .copied()
+                .unwrap_or(pod.address);
+            Listed {
+                address,
+                ..pod.clone()
+            }
         };
         pods.iter().map(place).collect()
     }
@@ -442,7 +531,12 @@
                     () = self.until(due) => {}
                 }
                 let mut out = String::new();
-                while let Some((_, say)) = self.script.says.get(next).filter(|(at, _)| *at <= self.now()) {
+                while let Some((_, say)) = self
+                    .script
+                    .says
+                    .get(next)
+                    .filter(|(at, _)| *at <= self.now())
+                {
                     next += 1;
                     match say {
                         Say::List(whole, pods) => {
@@ -450,7 +544,11 @@
                             if *whole {
                                 list.clear();
                             }
-                            list.extend(self.placed(pods).into_iter().map(|pod| (pod.name.clone(), pod)));
+                            list.extend(
+                                self.placed(pods)
+                                    .into_iter()
+                                    .map(|pod| (pod.name.clone(), pod)),
+                            );
                             list.retain(|_, pod| pod.state != PodState::Gone);
                             drop(list);
                             seq += 1;
@@ -508,8 +606,20 @@
                     () = self.until(due) => {}
                 }
                 let mut out = String::new();
-                let group = |group: GroupId| self.script.source.terms.groups.get(group).map(|(name, _)| name);
-                while let Some((_, say)) = self.script.says.get(next).filter(|(at, _)| *at <= self.now()) {
+                let group = |group: GroupId| {
+                    self.script
+                        .source
+                        .terms
+                        .groups
+                        .get(group)
+                        .map(|(name, _)| name)
+                };
+                while let Some((_, say)) = self
+                    .script
+                    .says
+                    .get(next)
+                    .filter(|(at, _)| *at <= self.now())
+                {
                     next += 1;
                     match say {
                         Say::Stage(stage) => {
@@ -517,7 +627,9 @@
                             desk::tell_stage(&mut out, seq, stage);
                         }
                         Say::Tally(tally) => {
-                            let Some(group) = group(tally.group) else { continue };
+                            let Some(group) = group(tally.group) else {
+                                continue;
+                            };
                             seq += 1;
                             let counts = (tally.count, tally.failed);
                             desk::tell_tally(
@@ -540,7 +652,13 @@
                 }
                 for (vote, build, stage, voice) in std::mem::take(&mut asks.0) {
                     let voted = (build, stage, format!("{voice:?}"));
-                    *self.counts.borrow_mut().driven.votes.entry(voted).or_default() += 1;
+                    *self
+                        .counts
+                        .borrow_mut()
+                        .driven
+                        .votes
+                        .entry(voted)
+                        .or_default() += 1;
                     seq += 1;
                     // Stages move as recorded, whatever is voted now.
                     desk::tell_voted(&mut out, seq, vote, Heard::Counted, None);
@@ -554,7 +672,10 @@
 
     async fn ask(&self, at: SocketAddr, idle: &RefCell<Vec<Sender>>, hit: HitId, asked: &Asked) {
         let terms = &self.script.source.terms;
-        let kind = terms.groups.get(asked.group).map_or(Kind::Repeatable, |(_, rules)| rules.kind);
+        let kind = terms
+            .groups
+            .get(asked.group)
+            .map_or(Kind::Repeatable, |(_, rules)| rules.kind);
         let asking = async {
             let kept = idle.borrow_mut().pop();
             let mut sender = match kept {
@@ -564,13 +685,20 @@
             if sender.ready().await.is_err() {
                 sender = connect(at).await?;
             }
-            let method = if kind == Kind::Repeatable { "GET" } else { "POST" };
+            let method = if kind == Kind::Repeatable {
+                "GET"
+            } else {
+                "POST"
+            };
             let mut request = Request::builder()
                 .method(method)
                 .uri(format!("/{}", asked.group))
                 .header("host", "drive")
                 .header(ASK, hit)
-                .header("grpc-timeout", format!("{}u", (asked.left / 1_000).min(99_999_999)));
+                .header(
+                    "grpc-timeout",
+                    format!("{}u", (asked.left / 1_000).min(99_999_999)),
+                );
             if asked.key != 0 {
                 request = request.header("x-key", format!("{:x}", asked.key));
             }
@@ -585,7 +713,10 @@
             }
             let request = request.body(Full::new(Bytes::new())).ok()?;
             let response = sender.send_request(request).await.ok()?;
-            let (status, retry) = (response.status(), response.headers().contains_key("retry-after"));
+            let (status, retry) = (
+                response.status(),
+                response.headers().contains_key("retry-after"),
+            );
             response.into_body().collect().await.ok()?;
             idle.borrow_mut().push(sender);
             Some((status, retry))
@@ -630,8 +761,10 @@
         ("named_metrics.queued", load.queued),
         ("named_metrics.latency_ms", load.latency_ms),
     ];
-    let told: Vec<String> =
-        fields.iter().filter_map(|(name, value)| Some(format!("{name}={}", (*value)?))).collect();
+    let told: Vec<String> = fields
+        .iter()
+        .filter_map(|(name, value)| Some(format!("{name}={}", (*value)?)))
+        .collect();
     if told.is_empty() {
         return None;
     }
@@ -650,8 +783,15 @@
     mut tell: impl FnMut(Ns, Ns),
 ) -> Result<Driven, DriveError> {
     let script = Script::read(reader, number)?;
-    let (nodes, desk) = (TcpListener::bind("127.0.0.1:0").await?, TcpListener::bind("127.0.0.1:0").await?);
-    let text = settings(&script.source.terms, nodes.local_addr()?, desk.local_addr()?);
+    let (nodes, desk) = (
+        TcpListener::bind("127.0.0.1:0").await?,
+        TcpListener::bind("127.0.0.1:0").await?,
+    );
+    let text = settings(
+        &script.source.terms,
+        nodes.local_addr()?,
+        desk.local_addr()?,
+    );
     let file = folder.join("drive.star");
     std::fs::write(&file, text)?;
     let (seed, length, recorded) = (script.source.seed, script.length, script.recorded.clone());
@@ -689,7 +829,12 @@
     let (ready, listens) = oneshot::channel();
     let (says, mut said) = mpsc::channel(64);
     if let Some(log) = child.stderr.take() {
-        tasks.spawn_local(read_log(BufReader::new(log), folder.join("drive.log"), ready, says));
+        tasks.spawn_local(read_log(
+            BufReader::new(log),
+            folder.join("drive.log"),
+            ready,
+            says,
+        ));
     }
     let Some(at) = timeout(START, listens).await.ok().and_then(Result::ok) else {
         let mut lines = Vec::new();
@@ -720,7 +865,9 @@
     tasks.abort_all();
     let mut driven = std::mem::take(&mut *stage.counts.borrow_mut());
     driven.recorded = recorded;
-    driven.troubles.extend(ended.map(|status| format!("the sidecar ended by itself: {status}")));
+    driven
+        .troubles
+        .extend(ended.map(|status| format!("the sidecar ended by itself: {status}")));
     Ok(driven)
 }
 
@@ -731,13 +878,16 @@
     says: mpsc::Sender<String>,
 ) {
     use std::io::Write as _;
-    let (mut lines, mut ready, mut kept) = (log.lines(), Some(ready), std::fs::File::create(file).ok());
+    let (mut lines, mut ready, mut kept) =
+        (log.lines(), Some(ready), std::fs::File::create(file).ok());
     while let Ok(Some(line)) = lines.next_line().await {
         if let Some(kept) = &mut kept {
             let _ = writeln!(kept, "{line}");
         }
         let said = serde_json::from_str::<serde_json::Value>(&line).unwrap_or_default();
-        let listen = said["fields"]["listen"].as_str().and_then(|text| text.parse().ok());
+        let listen = said["fields"]["listen"]
+            .as_str()
+            .and_then(|text| text.parse().ok());
         match (listen, ready.is_some()) {
             (Some(at), true) => drop(ready.take().map(|ready| ready.send(at))),
             // Before it listens, what it says is why it does not.
--- a/crates/stand/src/fleet.rs
+++ b/crates/stand/src/fleet.rs
@@ -75,8 +75,13 @@
 
     /// Says what is wrong with a build before its first pod starts.
     pub fn spoil(&self, build: Build, offer: &Offer, group: Option<usize>) {
-        let faults = Faults { error_group: group, ..offer.faults.clone() };
-        self.bad.borrow_mut().insert(build, (faults, offer.late, offer.shared));
+        let faults = Faults {
+            error_group: group,
+            ..offer.faults.clone()
+        };
+        self.bad
+            .borrow_mut()
+            .insert(build, (faults, offer.late, offer.shared));
     }
 
     /// Starts a pod of a build; `warm` for one that has run since long ago.
@@ -91,18 +96,45 @@
     ) -> std::io::Result<Rc<Pod>> {
         let number = self.next.replace(self.next.get() + 1);
         let place = number as usize;
-        let zone = zone.unwrap_or(&self.zones[place % self.zones.len()]).to_string();
+        let zone = zone
+            .unwrap_or(&self.zones[place % self.zones.len()])
+            .to_string();
         let cell = (place / CELL) as i64;
-        let who = Who { name: format!("pod-{number}"), life: number + 1, build, zone: zone.clone(), cell };
+        let who = Who {
+            name: format!("pod-{number}"),
+            life: number + 1,
+            build,
+            zone: zone.clone(),
+            cell,
+        };
         let mut machine = self.machine;
         if warm {
             machine.warm_up = 0;
         }
         let mut marks = [self.marks_all.clone(), Rc::default(), Rc::default()];
-        marks[Scope::Zone as usize] = self.marks_by_zone.borrow_mut().entry(zone).or_default().clone();
-        marks[Scope::Cell as usize] = self.marks_by_cell.borrow_mut().entry(cell).or_default().clone();
-        let (faults, late, _) = self.bad.borrow().get(&build).cloned().unwrap_or((Faults::default(), 0, 1.0));
-        let at_once = if late == 0 { faults.clone() } else { Faults::default() };
+        marks[Scope::Zone as usize] = self
+            .marks_by_zone
+            .borrow_mut()
+            .entry(zone)
+            .or_default()
+            .clone();
+        marks[Scope::Cell as usize] = self
+            .marks_by_cell
+            .borrow_mut()
+            .entry(cell)
+            .or_default()
+            .clone();
+        let (faults, late, _) =
+            self.bad
+                .borrow()
+                .get(&build)
+                .cloned()
+                .unwrap_or((Faults::default(), 0, 1.0));
+        let at_once = if late == 0 {
+            faults.clone()
+        } else {
+            Faults::default()
+        };
         let seed = self.chance.borrow_mut().rand_u64();
         let (groups, shared, book) = (self.groups.clone(), self.shared.clone(), self.book.clone());
         let pod = Pod::start(who, machine, groups, marks, shared, at_once, seed, book).await?;
@@ -120,10 +152,27 @@
 
     fn change(&self, pod: &Pod, state: PodState, warm: bool) {
         let age = if warm { 0 } else { pod.up_at.max(1) };
-        let Who { name, life, build, zone, cell } = pod.who.clone();
+        let Who {
+            name,
+            life,
+            build,
+            zone,
+            cell,
+        } = pod.who.clone();
         let (address, machine) = (pod.address, self.machine_name.clone());
         let size = self.machine.cores as f64;
-        let listed = Listed { name, address, state, build, life, age, zone, machine, cell, size };
+        let listed = Listed {
+            name,
+            address,
+            state,
+            build,
+            life,
+            age,
+            zone,
+            machine,
+            cell,
+            size,
+        };
         self.changes.borrow_mut().push((self.book.now(), listed));
     }
 
@@ -137,7 +186,10 @@
         let (fleet, pod) = (self.clone(), pod.clone());
         spawn_local(async move {
             let mut left = DRAINS;
-            while left > Duration::ZERO && !pod.is_down() && (pod.busy.get() > 0 || left > DRAINS / 2) {
+            while left > Duration::ZERO
+                && !pod.is_down()
+                && (pod.busy.get() > 0 || left > DRAINS / 2)
+            {
                 sleep(Duration::from_millis(50)).await;
                 left = left.saturating_sub(Duration::from_millis(50));
             }
@@ -162,24 +214,43 @@
 
     /// A look at all pods: those that fell over are gone, and what a build does to all is felt.
     pub fn look(&self) {
-        let fallen: Vec<Rc<Pod>> = self.pods.borrow().iter().filter(|pod| pod.is_down()).cloned().collect();
+        let fallen: Vec<Rc<Pod>> = self
+            .pods
+            .borrow()
+            .iter()
+            .filter(|pod| pod.is_down())
+            .cloned()
+            .collect();
         fallen.iter().for_each(|pod| self.buried(pod));
         let (mut all, mut felt) = (0.0, 0.0);
         for pod in self.pods.borrow().iter() {
             let forwards = pod.forwards.replace(0) as f64;
-            let slows = self.bad.borrow().get(&pod.who.build).map_or(1.0, |(.., shared)| *shared);
+            let slows = self
+                .bad
+                .borrow()
+                .get(&pod.who.build)
+                .map_or(1.0, |(.., shared)| *shared);
             all += forwards;
             felt += forwards * (slows - 1.0);
         }
-        self.shared.set(1.0 + if all > 0.0 { felt / all } else { 0.0 });
+        self.shared
+            .set(1.0 + if all > 0.0 { felt / all } else { 0.0 });
     }
 
     pub fn running(&self) -> Vec<Rc<Pod>> {
-        self.pods.borrow().iter().filter(|pod| !pod.draining.get() && !pod.is_down()).cloned().collect()
+        self.pods
+            .borrow()
+            .iter()
+            .filter(|pod| !pod.draining.get() && !pod.is_down())
+            .cloned()
+            .collect()
     }
 
     pub fn of(&self, build: Build) -> Vec<Rc<Pod>> {
-        self.running().into_iter().filter(|pod| pod.who.build == build).collect()
+        self.running()
+            .into_iter()
+            .filter(|pod| pod.who.build == build)
+            .collect()
     }
 
     /// So many of the pods that run, drawn by chance.
@@ -194,15 +265,24 @@
 
     /// How many changes there were until a time.
     pub fn until(&self, at: Ns) -> usize {
-        self.changes.borrow().partition_point(|(then, _)| *then <= at)
+        self.changes
+            .borrow()
+            .partition_point(|(then, _)| *then <= at)
     }
 
     /// The changes of a range, each pod's age as of now.
     pub fn changes(&self, from: usize, to: usize) -> Vec<Listed> {
         let now = self.book.now();
         let aged = |(_, listed): &(Ns, Listed)| {
-            let age = if listed.age == 0 { 0 } else { now.saturating_sub(listed.age).max(1) };
-            Listed { age, ..listed.clone() }
+            let age = if listed.age == 0 {
+                0
+            } else {
+                now.saturating_sub(listed.age).max(1)
+            };
+            Listed {
+                age,
+                ..listed.clone()
+            }
         };
         self.changes.borrow()[from..to].iter().map(aged).collect()
     }
--- a/crates/stand/src/hands.rs
+++ b/crates/stand/src/hands.rs
@@ -42,10 +42,22 @@
 }
 
 impl Pods {
-    async fn answer(self: Rc<Self>, request: Request<Incoming>) -> Result<Response<Full<Bytes>>, Infallible> {
-        let name = request.headers().get("x-order").and_then(|name| name.to_str().ok()).map(str::to_string);
+    async fn answer(
+        self: Rc<Self>,
+        request: Request<Incoming>,
+    ) -> Result<Response<Full<Bytes>>, Infallible> {
+        let name = request
+            .headers()
+            .get("x-order")
+            .and_then(|name| name.to_str().ok())
+            .map(str::to_string);
         let tagged = request.uri().path() == "/tagged";
-        let body = request.into_body().collect().await.map(|body| body.to_bytes()).unwrap_or_default();
+        let body = request
+            .into_body()
+            .collect()
+            .await
+            .map(|body| body.to_bytes())
+            .unwrap_or_default();
         if let Some(name) = &name {
             let mut ran = self.ran.borrow_mut();
             let times = ran.entry(name.clone()).or_default();
@@ -53,12 +65,17 @@
         }
         sleep(self.work.get()).await;
         let name = name.unwrap_or_default();
-        Ok(Response::new(Full::new(format!("{name} done, {} bytes", body.len()).into())))
+        Ok(Response::new(Full::new(
+            format!("{name} done, {} bytes", body.len()).into(),
+        )))
     }
 
     /// None that ran anything yet.
     pub fn new(work: Duration) -> Rc<Pods> {
-        Rc::new(Pods { ran: RefCell::default(), work: Cell::new(work) })
+        Rc::new(Pods {
+            ran: RefCell::default(),
+            work: Cell::new(work),
+        })
     }
 
     /// Starts one more pod; all count together.
@@ -102,13 +119,26 @@
     /// No process to be had.
     pub fn spawn(program: &Path, arguments: &[String]) -> io::Result<Sidecar> {
         let mut command = Command::new(program);
-        command.args(arguments).env("NO_COLOR", "1").stderr(Stdio::piped());
+        command
+            .args(arguments)
+            .env("NO_COLOR", "1")
+            .stderr(Stdio::piped());
         let mut process = command.spawn()?;
         let (lines, log) = channel();
         let from = BufReader::new(process.stderr.take().ok_or(wrong("no log"))?);
-        std::thread::spawn(move || from.lines().map_while(Result::ok).all(|line| lines.send(line).is_ok()));
+        std::thread::spawn(move || {
+            from.lines()
+                .map_while(Result::ok)
+                .all(|line| lines.send(line).is_ok())
+        });
         let nowhere = SocketAddr::from(([127, 0, 0, 1], 0));
-        Ok(Sidecar { process, log, told: Vec::new(), at: nowhere, admin: nowhere })
+        Ok(Sidecar {
+            process,
+            log,
+            told: Vec::new(),
+            at: nowhere,
+            admin: nowhere,
+        })
     }
 
     /// Its exit status, once it is over.
@@ -147,10 +177,16 @@
         let began = Instant::now();
         while self.said(what) < times {
             if began.elapsed() > PATIENCE {
-                return Err(wrong(format!("never came: {what}\n{}", self.told.join("\n"))));
+                return Err(wrong(format!(
+                    "never came: {what}\n{}",
+                    self.told.join("\n")
+                )));
             }
             if self.process.try_wait()?.is_some() {
-                return Err(wrong(format!("ended before: {what}\n{}", self.told.join("\n"))));
+                return Err(wrong(format!(
+                    "ended before: {what}\n{}",
+                    self.told.join("\n")
+                )));
             }
             sleep(Duration::from_millis(2)).await;
         }
@@ -177,9 +213,17 @@
     /// # Errors
     /// No such line, or none with an address.
     pub fn address(&self, what: &str, name: &str) -> io::Result<SocketAddr> {
-        let line = self.told.iter().find(|line| line.contains(what)).ok_or(wrong(what))?;
-        let text = line.split(name).nth(1).and_then(|rest| rest.split_whitespace().next());
-        text.and_then(|text| text.trim_matches('"').parse().ok()).ok_or(wrong(format!("{name} in {line}")))
+        let line = self
+            .told
+            .iter()
+            .find(|line| line.contains(what))
+            .ok_or(wrong(what))?;
+        let text = line
+            .split(name)
+            .nth(1)
+            .and_then(|rest| rest.split_whitespace().next());
+        text.and_then(|text| text.trim_matches('"').parse().ok())
+            .ok_or(wrong(format!("{name} in {line}")))
     }
 }
 
@@ -210,7 +254,12 @@
     ///
     /// # Errors
     /// No sockets, no processes, or sidecars that never meet.
-    pub async fn start(program: &Path, folder: &Path, many: usize, relayed: bool) -> io::Result<Group> {
+    pub async fn start(
+        program: &Path,
+        folder: &Path,
+        many: usize,
+        relayed: bool,
+    ) -> io::Result<Group> {
         let pods = Pods::new(Duration::from_millis(400));
         let mut listed = Vec::new();
         for n in 0..PODS {
@@ -229,10 +278,23 @@
         }
         std::fs::write(folder.join("keys"), "0123456789abcdef".repeat(4))?;
         std::fs::write(folder.join("pods"), keep(&listed))?;
-        let relays = if relayed { Some(Relays::bind(many, 7).await?) } else { None };
-        let first = relays.as_ref().map_or(String::new(), |relays| relays.at(0).to_string());
+        let relays = if relayed {
+            Some(Relays::bind(many, 7).await?)
+        } else {
+            None
+        };
+        let first = relays
+            .as_ref()
+            .map_or(String::new(), |relays| relays.at(0).to_string());
         let (program, folder) = (program.to_path_buf(), folder.to_path_buf());
-        let mut group = Group { program, folder, pods, relays, first, sidecars: Vec::new() };
+        let mut group = Group {
+            program,
+            folder,
+            pods,
+            relays,
+            first,
+            sidecars: Vec::new(),
+        };
         for id in 0..many {
             let sidecar = group.launch(id).await?;
             group.sidecars.push(sidecar);
@@ -244,7 +306,10 @@
     }
 
     fn settings(&self, id: usize) -> String {
-        let advertise = self.relays.as_ref().map(|relays| format!("advertise = \"{}\",", relays.at(id)));
+        let advertise = self
+            .relays
+            .as_ref()
+            .map(|relays| format!("advertise = \"{}\",", relays.at(id)));
         let meet = Some(&self.first).filter(|first| !first.is_empty());
         let (zone, folder) = (1 + id % 2, self.folder.display());
         let times = "target_latency = \"3s\", client_timeout = \"8s\"";
@@ -269,7 +334,9 @@
 "#,
             rank = id % 8,
             advertise = advertise.unwrap_or_default(),
-            meet = meet.map(|meet| format!("meet = [\"{meet}\"],")).unwrap_or_default(),
+            meet = meet
+                .map(|meet| format!("meet = [\"{meet}\"],"))
+                .unwrap_or_default(),
         )
     }
 
@@ -280,10 +347,13 @@
     pub async fn launch(&mut self, id: usize) -> io::Result<Sidecar> {
         let file = self.folder.join(format!("s-{id}.star"));
         std::fs::write(&file, self.settings(id))?;
-        let mut sidecar = Sidecar::spawn(&self.program, &["serve".into(), file.display().to_string()])?;
+        let mut sidecar =
+            Sidecar::spawn(&self.program, &["serve".into(), file.display().to_string()])?;
         sidecar.until("admin=", 1).await?;
-        (sidecar.at, sidecar.admin) =
-            (sidecar.address("admin=", "listen=")?, sidecar.address("admin=", "admin=")?);
+        (sidecar.at, sidecar.admin) = (
+            sidecar.address("admin=", "listen=")?,
+            sidecar.address("admin=", "admin=")?,
+        );
         let fellow = sidecar.address("fellowship", "listen=")?;
         match &self.relays {
             Some(relays) => relays.serves(id, fellow),
@@ -301,7 +371,10 @@
         let mut asked = Vec::new();
         for n in 0..many {
             let path = ["/tagged", "/mutating"][n % 2];
-            let (name, at) = (format!("{}-{id}-{n}-{round}", &path[1..]), self.sidecars[id].at);
+            let (name, at) = (
+                format!("{}-{id}-{n}-{round}", &path[1..]),
+                self.sidecars[id].at,
+            );
             let sent = name.clone();
             let answer = spawn_local(async move { ask(at, path, &sent, vec![7; 20]).await });
             asked.push(Asked { name, path, answer });
@@ -337,22 +410,33 @@
 
 /// One request without a key and a body.
 pub async fn ask_without_key(at: SocketAddr, path: &str, name: &str) -> Option<(u16, String)> {
-    let request = Request::post(path).header("host", "search").header("x-order", name).body(Full::default());
+    let request = Request::post(path)
+        .header("host", "search")
+        .header("x-order", name)
+        .body(Full::default());
     send(at, request.ok()?).await
 }
 
 /// What an operator sees of a sidecar.
 pub async fn state(admin: SocketAddr) -> Option<serde_json::Value> {
-    let request = Request::builder().method(Method::GET).uri("/state").header("host", "sidecar");
+    let request = Request::builder()
+        .method(Method::GET)
+        .uri("/state")
+        .header("host", "sidecar");
     let (_, text) = send(admin, request.body(Full::default()).ok()?).await?;
     serde_json::from_str(&text).ok()
 }
 
 async fn send(at: SocketAddr, request: Request<Full<Bytes>>) -> Option<(u16, String)> {
     let stream = TcpStream::connect(at).await.ok()?;
-    let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await.ok()?;
+    let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream))
+        .await
+        .ok()?;
     spawn_local(connection);
-    let answer = timeout(PATIENCE, sender.send_request(request)).await.ok()?.ok()?;
+    let answer = timeout(PATIENCE, sender.send_request(request))
+        .await
+        .ok()?
+        .ok()?;
     let status = answer.status().as_u16();
     let body = answer.into_body().collect().await.ok()?.to_bytes();
     Some((status, String::from_utf8_lossy(&body).into_owned()))
--- a/crates/stand/src/net.rs
+++ b/crates/stand/src/net.rs
@@ -34,7 +34,11 @@
 
 impl Default for Weather {
     fn default() -> Weather {
-        Weather { loss: 0.0, repeat: 0.0, delay: (100_000, 400_000) }
+        Weather {
+            loss: 0.0,
+            repeat: 0.0,
+            delay: (100_000, 400_000),
+        }
     }
 }
 
@@ -143,7 +147,13 @@
 
     fn write(&mut self, from: Option<Id>, to: Option<Id>, fate: Fate, bytes: &[u8]) {
         if let Some(written) = &mut self.written {
-            written.push(Passed { at: self.now, from, to, fate, bytes: bytes.to_vec() });
+            written.push(Passed {
+                at: self.now,
+                from,
+                to,
+                fate,
+                bytes: bytes.to_vec(),
+            });
         }
     }
 
@@ -164,7 +174,14 @@
         let (id, at) = (self.places.len(), Self::address(self.places.len()));
         let part = Some(make(clock.own(self.now), at));
         let buffer = VecDeque::new();
-        self.places.push(Place { part, at, clock, paused: false, buffer, wakes_at: None });
+        self.places.push(Place {
+            part,
+            at,
+            clock,
+            paused: false,
+            buffer,
+            wakes_at: None,
+        });
         self.by_address.insert(at, id);
         self.touched.push(id);
         id
@@ -228,7 +245,10 @@
     pub fn split(&mut self, groups: &[&[Id]]) {
         for (n, group) in groups.iter().enumerate() {
             for other in groups.iter().skip(n + 1) {
-                for (a, b) in group.iter().flat_map(|a| other.iter().map(move |b| (*a, *b))) {
+                for (a, b) in group
+                    .iter()
+                    .flat_map(|a| other.iter().map(move |b| (*a, *b)))
+                {
                     self.cut.extend([(a, b), (b, a)]);
                 }
             }
@@ -276,7 +296,9 @@
     fn enter_wake(&mut self, id: Id) {
         let place = &mut self.places[id];
         let part = place.part.as_ref().filter(|_| !place.paused);
-        let due = part.and_then(Part::next_wake).map(|own| place.clock.when(own).max(self.now));
+        let due = part
+            .and_then(Part::next_wake)
+            .map(|own| place.clock.when(own).max(self.now));
         if let Some(before) = std::mem::replace(&mut place.wakes_at, due) {
             self.wakes.remove(&(before, id));
         }
@@ -286,11 +308,21 @@
     }
 
     fn arrive(&mut self) -> Id {
-        let Some((_, (to, bytes))) = self.flying.pop_first() else { return 0 };
+        let Some((_, (to, bytes))) = self.flying.pop_first() else {
+            return 0;
+        };
         let own = self.own_time(to);
         let fate = match &self.places[to] {
-            Place { part: Some(_), paused: false, .. } => Fate::Heard,
-            Place { part: Some(_), buffer, .. } if buffer.len() < BUFFER => Fate::Waits,
+            Place {
+                part: Some(_),
+                paused: false,
+                ..
+            } => Fate::Heard,
+            Place {
+                part: Some(_),
+                buffer,
+                ..
+            } if buffer.len() < BUFFER => Fate::Waits,
             _ => Fate::Dropped,
         };
         self.write(None, Some(to), fate, &bytes);
@@ -313,16 +345,25 @@
             let to = named.filter(|to| !self.cut.contains(&(from, *to)));
             let Some(to) = to.filter(|_| self.chance.rand_float() >= self.weather.loss) else {
                 self.lost += 1;
-                self.write(Some(from), named, if to.is_some() { Fate::Lost } else { Fate::Cut }, &bytes);
+                self.write(
+                    Some(from),
+                    named,
+                    if to.is_some() { Fate::Lost } else { Fate::Cut },
+                    &bytes,
+                );
                 continue;
             };
             let copies = 1 + (self.chance.rand_float() < self.weather.repeat) as usize;
             self.write(Some(from), Some(to), Fate::Goes(copies), &bytes);
             for _ in 0..copies {
-                let (least, most) = self.delay.as_ref().map_or(self.weather.delay, |delay| delay(from, to));
+                let (least, most) = self
+                    .delay
+                    .as_ref()
+                    .map_or(self.weather.delay, |delay| delay(from, to));
                 let delay = self.chance.rand_range(least..most.max(least) + 1);
                 self.flown += 1;
-                self.flying.insert((self.now + delay, self.flown), (to, bytes.clone()));
+                self.flying
+                    .insert((self.now + delay, self.flown), (to, bytes.clone()));
             }
         }
     }
@@ -363,7 +404,10 @@
         let mut net = Net::new(3, weather);
         for n in 0..2 {
             let to = Net::<Caller>::address(1 - n);
-            let clock = Clock { began: 5_000_000_000 * n as Ns, drift_ppm: 100_000 * n as i64 };
+            let clock = Clock {
+                began: 5_000_000_000 * n as Ns,
+                drift_ppm: 100_000 * n as i64,
+            };
             net.join(clock, |now, _| Caller {
                 to,
                 next: now,
@@ -379,7 +423,11 @@
     fn faults_do_what_they_say_and_a_seed_plays_the_same_run() {
         let second = 1_000_000_000;
         let play = || {
-            let mut net = pair(Weather { loss: 0.3, repeat: 0.2, ..Weather::default() });
+            let mut net = pair(Weather {
+                loss: 0.3,
+                repeat: 0.2,
+                ..Weather::default()
+            });
             net.run(100 * second, |_, _| {});
             [0, 1].map(|id| net.part(id).unwrap().came.clone())
         };
--- a/crates/stand/src/nodes.rs
+++ b/crates/stand/src/nodes.rs
@@ -31,7 +31,15 @@
 impl Nodes {
     pub fn new(book: Book, fleet: Rc<Fleet>, notice: Ns, period: Ns) -> Rc<Nodes> {
         let (away, stale, told) = (Cell::new(false), Cell::new(0), RefCell::default());
-        Rc::new(Nodes { book, fleet, notice, period, away, stale, told })
+        Rc::new(Nodes {
+            book,
+            fleet,
+            notice,
+            period,
+            away,
+            stale,
+            told,
+        })
     }
 
     /// Serves on an address until dropped; while away, nothing listens there.
@@ -59,7 +67,11 @@
     }
 
     fn seen(&self) -> usize {
-        self.fleet.until(self.book.now().saturating_sub(self.notice + self.stale.get()))
+        self.fleet.until(
+            self.book
+                .now()
+                .saturating_sub(self.notice + self.stale.get()),
+        )
     }
 
     fn tell(&self, sidecar: &str, whole: bool, pods: &[Listed]) {
@@ -67,12 +79,20 @@
         let told = all.entry(sidecar.to_string()).or_default();
         let write = |pod: &str, life, state| {
             let (sidecar, pod) = (sidecar.to_string(), pod.to_string());
-            self.book.write(Seen::Told { sidecar, pod, life, state: state_name(state) });
+            self.book.write(Seen::Told {
+                sidecar,
+                pod,
+                life,
+                state: state_name(state),
+            });
         };
         if whole {
             let named = |pod: &String| pods.iter().any(|listed| listed.name == *pod);
-            let dropped: Vec<(String, u64)> =
-                told.iter().filter(|(pod, _)| !named(pod)).map(|(pod, life)| (pod.clone(), *life)).collect();
+            let dropped: Vec<(String, u64)> = told
+                .iter()
+                .filter(|(pod, _)| !named(pod))
+                .map(|(pod, life)| (pod.clone(), *life))
+                .collect();
             for (pod, life) in dropped {
                 write(&pod, life, PodState::Gone);
                 told.remove(&pod);
@@ -109,7 +129,10 @@
         if framed.send(hello(nodes::FEED, None)).await.is_err() {
             return;
         }
-        let mut asks = Asks { name: None, whole: false };
+        let mut asks = Asks {
+            name: None,
+            whole: false,
+        };
         let (mut at, mut seq) = (0, 0);
         loop {
             tokio::select! {
@@ -119,14 +142,20 @@
                 },
                 () = sleep(Duration::from_nanos(self.period)) => {}
             }
-            let Some(name) = asks.name.clone() else { continue };
+            let Some(name) = asks.name.clone() else {
+                continue;
+            };
             // What it once told it does not take back, however stale it turns.
             let now = self.seen().max(at);
             let whole = std::mem::take(&mut asks.whole);
             if !whole && now == at {
                 continue;
             }
-            let pods = if whole { self.fleet.whole(now) } else { self.fleet.changes(at, now) };
+            let pods = if whole {
+                self.fleet.whole(now)
+            } else {
+                self.fleet.changes(at, now)
+            };
             (at, seq) = (now, seq + 1);
             let mut out = String::new();
             nodes::tell_list(&mut out, seq, whole, &pods);
--- a/crates/stand/src/notation.rs
+++ b/crates/stand/src/notation.rs
@@ -136,16 +136,21 @@
 }
 
 fn name(input: &mut &str) -> Res<String> {
-    take_while(1..=64, |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c))
-        .map(str::to_string)
-        .context(want("a name"))
-        .parse_next(input)
+    take_while(1..=64, |c: char| {
+        c.is_ascii_alphanumeric() || "-_.".contains(c)
+    })
+    .map(str::to_string)
+    .context(want("a name"))
+    .parse_next(input)
 }
 
 fn span(input: &mut &str) -> Res<Ns> {
     let unit = alt(("ms".value(1e6), "us".value(1e3), "s".value(1e9)));
-    let told = (float, unit).verify(|(n, unit): &(f64, f64)| n.is_finite() && *n >= 0.0 && n * unit < 1e14);
-    told.map(|(n, unit)| (n * unit) as Ns).context(want("a span such as 250ms or 3s")).parse_next(input)
+    let told = (float, unit)
+        .verify(|(n, unit): &(f64, f64)| n.is_finite() && *n >= 0.0 && n * unit < 1e14);
+    told.map(|(n, unit)| (n * unit) as Ns)
+        .context(want("a span such as 250ms or 3s"))
+        .parse_next(input)
 }
 
 fn number(input: &mut &str) -> Res<f64> {
@@ -156,7 +161,10 @@
 }
 
 fn share(input: &mut &str) -> Res<f64> {
-    float.verify(|n: &f64| (0.0..=1.0).contains(n)).context(want("a share from 0 to 1")).parse_next(input)
+    float
+        .verify(|n: &f64| (0.0..=1.0).contains(n))
+        .context(want("a share from 0 to 1"))
+        .parse_next(input)
 }
 
 fn count(input: &mut &str) -> Res<usize> {
@@ -181,7 +189,9 @@
     loop {
         let start = *input;
         let word: Option<&str> = opt(preceded(space1, alphanumeric1)).parse_next(input)?;
-        let Some(word) = word else { return Ok((all, group, late, shared)) };
+        let Some(word) = word else {
+            return Ok((all, group, late, shared));
+        };
         let mut share = || preceded(space1, cut_err(share)).parse_next(input);
         match word {
             "errors" => all.error = share()?,
@@ -191,9 +201,21 @@
             "loses" => all.lose_answer = share()?,
             "hang" => all.hang = true,
             "refuse" => all.refuse = true,
-            "slow" => all.slow = preceded(space1, cut_err(number)).parse_next(input)?.max(0.1),
-            "busy" => all.slow_busy = preceded(space1, cut_err(number)).parse_next(input)?.max(0.1),
-            "shared" => shared = preceded(space1, cut_err(number)).parse_next(input)?.max(1.0),
+            "slow" => {
+                all.slow = preceded(space1, cut_err(number))
+                    .parse_next(input)?
+                    .max(0.1)
+            }
+            "busy" => {
+                all.slow_busy = preceded(space1, cut_err(number))
+                    .parse_next(input)?
+                    .max(0.1)
+            }
+            "shared" => {
+                shared = preceded(space1, cut_err(number))
+                    .parse_next(input)?
+                    .max(1.0)
+            }
             "connect" => all.slow_connect = preceded(space1, cut_err(span)).parse_next(input)?,
             "late" => late = preceded(space1, cut_err(span)).parse_next(input)?,
             "group" => group = Some(preceded(space1, cut_err(name)).parse_next(input)?),
@@ -211,11 +233,18 @@
     let word: &str = word.context(want(known)).parse_next(input)?;
     space1.context(want("a value")).parse_next(input)?;
     match word {
-        "pods" => (count, faults).map(|(count, (faults, ..))| What::Pods(count, faults)).parse_next(input),
-        "zone" => (name, space1, "lost").map(|(zone, ..)| What::ZoneLost(zone)).parse_next(input),
-        "nodes" => alt(("away".value(What::NodesAway), with_span("stale").map(What::NodesStale)))
-            .context(want("away, or stale and a span"))
+        "pods" => (count, faults)
+            .map(|(count, (faults, ..))| What::Pods(count, faults))
+            .parse_next(input),
+        "zone" => (name, space1, "lost")
+            .map(|(zone, ..)| What::ZoneLost(zone))
             .parse_next(input),
+        "nodes" => alt((
+            "away".value(What::NodesAway),
+            with_span("stale").map(What::NodesStale),
+        ))
+        .context(want("away, or stale and a span"))
+        .parse_next(input),
         "desk" => {
             let how = ("away".value(What::DeskAway), "mute".value(What::DeskMute));
             alt((how.0, how.1, with_span("late").map(What::DeskLate)))
@@ -223,9 +252,15 @@
                 .parse_next(input)
         }
         "rate" => number.map(What::Rate).parse_next(input),
-        "kill" => (count, with("down", span)).map(|(n, down)| What::Kill(n, down)).parse_next(input),
-        "roll" => (count, with("down", span)).map(|(n, down)| What::Roll(n, down)).parse_next(input),
-        "stop" => (count, with("down", span)).map(|(n, down)| What::Stop(n, down)).parse_next(input),
+        "kill" => (count, with("down", span))
+            .map(|(n, down)| What::Kill(n, down))
+            .parse_next(input),
+        "roll" => (count, with("down", span))
+            .map(|(n, down)| What::Roll(n, down))
+            .parse_next(input),
+        "stop" => (count, with("down", span))
+            .map(|(n, down)| What::Stop(n, down))
+            .parse_next(input),
         "drain" => count.map(What::Drain).parse_next(input),
         "die" => count.map(What::Die).parse_next(input),
         _ => {
@@ -242,19 +277,36 @@
 
 fn event(input: &mut &str) -> Res<Event> {
     let (at, lasts, _, what) = (span, opt(with("for", span)), space1, what).parse_next(input)?;
-    Ok(Event { at, lasts: lasts.unwrap_or(0), what })
+    Ok(Event {
+        at,
+        lasts: lasts.unwrap_or(0),
+        what,
+    })
 }
 
 fn offer(input: &mut &str) -> Res<Offer> {
     let kind = alt(("good".value(false), "bad".value(true))).context(want("good or bad"));
-    let (at, _, bad, (faults, group, late, shared)) = (span, space1, kind, faults).parse_next(input)?;
-    Ok(Offer { at, bad, faults, group, late, shared })
+    let (at, _, bad, (faults, group, late, shared)) =
+        (span, space1, kind, faults).parse_next(input)?;
+    Ok(Offer {
+        at,
+        bad,
+        faults,
+        group,
+        late,
+        shared,
+    })
 }
 
 fn load(input: &mut &str) -> Res<Load> {
     let (group, _, work) = (name, space1, span).parse_next(input)?;
     let (share, keys) = (with("share", share), opt(with("keys", count))).parse_next(input)?;
-    Ok(Load { group, work, share, keys: keys.unwrap_or(1_000).max(1) as u64 })
+    Ok(Load {
+        group,
+        work,
+        share,
+        keys: keys.unwrap_or(1_000).max(1) as u64,
+    })
 }
 
 fn statement(day: &mut Day, input: &mut &str) -> Res<()> {
@@ -303,14 +355,20 @@
             day.control = { kinds }.map(str::to_string).parse_next(input)?;
             let needs = (opt(with("on", share)), opt(with("back", share)));
             let (on, back) = { needs }.parse_next(input)?;
-            (day.on_needs, day.back_needs) = (on.unwrap_or(day.on_needs), back.unwrap_or(day.back_needs));
+            (day.on_needs, day.back_needs) =
+                (on.unwrap_or(day.on_needs), back.unwrap_or(day.back_needs));
         }
         "notice" => {
             let both = separated_pair(span, (space1, "period", space1), span);
             (day.notice, day.period) = { both }.parse_next(input)?;
         }
         "clients" => {
-            let told = (share, with("honour", share), with("impatient", share), with("flagged", share));
+            let told = (
+                share,
+                with("honour", share),
+                with("impatient", share),
+                with("flagged", share),
+            );
             (day.retries, day.honour, day.impatient, day.flagged) = { told }.parse_next(input)?;
         }
         "at" => day.events.push(event(input)?),
@@ -340,9 +398,14 @@
         let column = line.len() - rest.len() + 1;
         match said {
             Ok(()) if rest.is_empty() => {}
-            Ok(()) => problems.push(format!("line {}: column {column}: nothing more was expected", n + 1)),
+            Ok(()) => problems.push(format!(
+                "line {}: column {column}: nothing more was expected",
+                n + 1
+            )),
             Err(error) => {
-                let error = error.into_inner().map(|error| error.to_string().replace('\n', "; "));
+                let error = error
+                    .into_inner()
+                    .map(|error| error.to_string().replace('\n', "; "));
                 let error = error.unwrap_or_else(|_| "more was expected".to_string());
                 problems.push(format!("line {}: column {column}: {error}", n + 1));
             }
--- a/crates/stand/src/pod.rs
+++ b/crates/stand/src/pod.rs
@@ -195,8 +195,21 @@
             share: machine.cold_share,
             warm_up: machine.warm_up,
         };
-        let Who { name, life, build, zone, cell } = who.clone();
-        let up_at = book.write(Seen::PodUp { pod: name, life, build, zone, cell, cold });
+        let Who {
+            name,
+            life,
+            build,
+            zone,
+            cell,
+        } = who.clone();
+        let up_at = book.write(Seen::PodUp {
+            pod: name,
+            life,
+            build,
+            zone,
+            cell,
+            cold,
+        });
         let pod = Rc::new(Pod {
             who,
             machine,
@@ -255,7 +268,10 @@
         let capacity = self.machine.cores as f64 * self.machine.speed * self.warmth();
         let budget = self.machine.fall_multiple * capacity * window as f64;
         if self.age() < self.machine.warm_up && *sum > budget && !self.is_down() {
-            self.book.write(Seen::PodFell { pod: self.who.name.clone(), life: self.who.life });
+            self.book.write(Seen::PodFell {
+                pod: self.who.name.clone(),
+                life: self.who.life,
+            });
             self.kill();
         }
     }
@@ -267,12 +283,21 @@
             return Done::Reset;
         }
         let number = |name: &str| parts.headers.get(name)?.to_str().ok()?.parse::<u64>().ok();
-        let (ask, work) = (number(ASK).unwrap_or(0), number(WORK).unwrap_or(1_000) * 1_000);
+        let (ask, work) = (
+            number(ASK).unwrap_or(0),
+            number(WORK).unwrap_or(1_000) * 1_000,
+        );
         let group = number(GROUP).unwrap_or(0) as usize;
         let (pod, life) = (self.who.name.clone(), self.who.life);
         let sidecar = via(&parts.headers);
         self.forwards.set(self.forwards.get() + 1);
-        self.book.write(Seen::Arrived { ask, sidecar, pod: pod.clone(), life, work });
+        self.book.write(Seen::Arrived {
+            ask,
+            sidecar,
+            pod: pod.clone(),
+            life,
+            work,
+        });
         self.bear(work);
         if self.is_down() {
             return Done::Reset;
@@ -282,7 +307,9 @@
             self.book.write(Seen::Unseen { ask, pod, life });
             let mut answer = Response::new(Full::new(Bytes::new()));
             *answer.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
-            answer.headers_mut().insert(UNSEEN, HeaderValue::from_static("1"));
+            answer
+                .headers_mut()
+                .insert(UNSEEN, HeaderValue::from_static("1"));
             return Done::Answer(answer);
         }
         if faults.hang {
@@ -297,7 +324,14 @@
         ran.await.unwrap_or(Done::Reset)
     }
 
-    async fn run(&self, ask: u64, work: Ns, group: usize, headers: &HeaderMap, faults: &Faults) -> Done {
+    async fn run(
+        &self,
+        ask: u64,
+        work: Ns,
+        group: usize,
+        headers: &HeaderMap,
+        faults: &Faults,
+    ) -> Done {
         self.queued.set(self.queued.get() + 1);
         let core = self.cores.acquire().await;
         self.queued.set(self.queued.get() - 1);
@@ -313,7 +347,11 @@
         }
         let (pod, life) = (self.who.name.clone(), self.who.life);
         let served = self.groups.get(group);
-        let mark = headers.get(MARK).and_then(|mark| mark.to_str().ok()).unwrap_or_default().to_string();
+        let mark = headers
+            .get(MARK)
+            .and_then(|mark| mark.to_str().ok())
+            .unwrap_or_default()
+            .to_string();
         let fresh = served.filter(|served| served.tagged).is_none_or(|served| {
             let marks = &self.marks[served.scope as usize];
             marks.first(self.book.now(), (mark, group), served.repeat_window)
@@ -321,7 +359,11 @@
         let mine = faults.error_group.is_none_or(|failing| failing == group);
         let fails = mine && self.happens(faults.error);
         if fresh && !fails {
-            self.book.write(Seen::Ran { ask, pod: pod.clone(), life });
+            self.book.write(Seen::Ran {
+                ask,
+                pod: pod.clone(),
+                life,
+            });
         }
         if self.happens(faults.reset_after) {
             return Done::Reset;
@@ -343,7 +385,9 @@
             answer.headers_mut().insert("endpoint-load-metrics", load);
         }
         if self.happens(faults.wrong) {
-            answer.headers_mut().insert(WRONG, HeaderValue::from_static("1"));
+            answer
+                .headers_mut()
+                .insert(WRONG, HeaderValue::from_static("1"));
         }
         self.book.write(Seen::Gave { ask, pod, life });
         Done::Answer(answer)
@@ -352,8 +396,14 @@
 
 /// The sidecar that forwarded, as the last `Via` names it.
 fn via(headers: &HeaderMap) -> String {
-    let last = headers.get_all(VIA).iter().next_back().and_then(|via| via.to_str().ok());
-    last.and_then(|via| via.rsplit(' ').next()).unwrap_or_default().to_string()
+    let last = headers
+        .get_all(VIA)
+        .iter()
+        .next_back()
+        .and_then(|via| via.to_str().ok());
+    last.and_then(|via| via.rsplit(' ').next())
+        .unwrap_or_default()
+        .to_string()
 }
 
 /// A connection that is closed from within an answer shows the client no answer at all.
--- a/crates/stand/src/relay.rs
+++ b/crates/stand/src/relay.rs
@@ -131,7 +131,9 @@
 
 async fn relay_streams(table: Rc<RefCell<Table>>, listener: TcpListener, to: usize) {
     loop {
-        let Ok((stream, _)) = listener.accept().await else { continue };
+        let Ok((stream, _)) = listener.accept().await else {
+            continue;
+        };
         let table = table.clone();
         spawn_local(async move {
             tokio::select! {
@@ -161,11 +163,15 @@
     let mut bytes = vec![0; LONGEST];
     loop {
         // An error tells of an earlier datagram that found nobody.
-        let Ok((length, source)) = socket.recv_from(&mut bytes).await else { continue };
+        let Ok((length, source)) = socket.recv_from(&mut bytes).await else {
+            continue;
+        };
         let (target, copies, delay) = {
             let mut table = table.borrow_mut();
             let from = table.sources.get(&source).copied();
-            let through = from.filter(|from| !table.cut.contains(&(*from, to))).and(table.targets[to]);
+            let through = from
+                .filter(|from| !table.cut.contains(&(*from, to)))
+                .and(table.targets[to]);
             let lost = table.chance.rand_float() < table.weather.loss || table.held >= HELD;
             let Some(target) = through.filter(|_| !lost) else {
                 table.lost += 1;
@@ -173,8 +179,9 @@
             };
             table.carried += 1;
             let copies = 1 + (table.chance.rand_float() < table.weather.repeat) as usize;
-            let delays: Vec<Duration> =
-                (0..copies).map(|_| table.weather.delay.mul_f64(table.chance.rand_float())).collect();
+            let delays: Vec<Duration> = (0..copies)
+                .map(|_| table.weather.delay.mul_f64(table.chance.rand_float()))
+                .collect();
             table.held += copies;
             (target, copies, delays)
         };
--- a/crates/stand/src/scripted.rs
+++ b/crates/stand/src/scripted.rs
@@ -12,7 +12,12 @@
 const PATIENCE: Duration = Duration::from_secs(8);
 
 async fn soon<T>(what: &str, work: impl std::future::Future<Output = T>) -> io::Result<T> {
-    let late = |_| io::Error::new(io::ErrorKind::TimedOut, format!("{what}: not within {PATIENCE:?}"));
+    let late = |_| {
+        io::Error::new(
+            io::ErrorKind::TimedOut,
+            format!("{what}: not within {PATIENCE:?}"),
+        )
+    };
     timeout(PATIENCE, work).await.map_err(late)
 }
 
@@ -92,7 +97,9 @@
                 line => head += &format!("{line}\n"),
             }
         }
-        let length = header(&head, "content-length").and_then(|text| text.parse().ok()).unwrap_or(0);
+        let length = header(&head, "content-length")
+            .and_then(|text| text.parse().ok())
+            .unwrap_or(0);
         let mut body = vec![0; length];
         soon("a body", self.0.read_exact(&mut body)).await??;
         Ok((head, String::from_utf8_lossy(&body).to_string()))
@@ -104,20 +111,26 @@
     /// The connection ended first, or nothing came in time.
     pub async fn answer(&mut self) -> io::Result<(u16, String, String)> {
         let (head, body) = self.message().await?;
-        let status = head.split(' ').nth(1).and_then(|text| text.parse().ok()).unwrap_or(0);
+        let status = head
+            .split(' ')
+            .nth(1)
+            .and_then(|text| text.parse().ok())
+            .unwrap_or(0);
         Ok((status, head, body))
     }
 
     /// Whether the other side ends the connection, whatever it says before.
     pub async fn ends(&mut self) -> bool {
-        let rest = async { while matches!(self.0.read(&mut [0; 4096]).await, Ok(more) if more > 0) {} };
+        let rest =
+            async { while matches!(self.0.read(&mut [0; 4096]).await, Ok(more) if more > 0) {} };
         soon("an end", rest).await.is_ok()
     }
 }
 
 /// The value of a header in a head as [`Talk::message`] gives it.
 pub fn header<'a>(head: &'a str, name: &str) -> Option<&'a str> {
-    head.lines().find_map(|line| line.strip_prefix(name)?.strip_prefix(": "))
+    head.lines()
+        .find_map(|line| line.strip_prefix(name)?.strip_prefix(": "))
 }
 
 /// A pod's entry in the node list.
@@ -145,7 +158,11 @@
         json!({"name": name, "semantics": semantics, "onTimeNs": 400_000_000u64, "giveUpNs": 900_000_000u64,
             "windowNs": 5_000_000_000u64, "worth": 1.0, "lateValue": 0.0, "stream": false, "keyScope": "all"})
     };
-    let groups = [group("read", "free"), group("mark", "guarded"), group("write", "single_shot")];
+    let groups = [
+        group("read", "free"),
+        group("mark", "guarded"),
+        group("write", "single_shot"),
+    ];
     json!({
         "name": "n0", "listen": "127.0.0.1:0", "discovery": nodes.to_string(), "seed": "0000000000000005",
         "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 64},
--- a/crates/takeover/src/record.rs
+++ b/crates/takeover/src/record.rs
@@ -44,7 +44,10 @@
 impl Outcome {
     /// Whether a new request under the same key may begin, as the client was told that it may retry.
     pub fn reopens(&self) -> bool {
-        matches!(self, Outcome::Rejected | Outcome::Failed { retryable: true })
+        matches!(
+            self,
+            Outcome::Rejected | Outcome::Failed { retryable: true }
+        )
     }
 }
 
@@ -80,7 +83,10 @@
     pub fn later(&self, by: Ns) -> Record {
         let mut record = self.clone();
         record.remaining = record.remaining.saturating_sub(by);
-        record.attempts.iter_mut().for_each(|attempt| attempt.age = attempt.age.saturating_add(by));
+        record
+            .attempts
+            .iter_mut()
+            .for_each(|attempt| attempt.age = attempt.age.saturating_add(by));
         record
     }
 
@@ -110,10 +116,21 @@
     /// To a backup: keep this record, or this newer version of it.
     Store { record: Record, stamp: Ns },
     /// The record is kept.
-    Stored { request: RequestId, term: u32, version: u32, stamp: Ns, epoch: u32 },
+    Stored {
+        request: RequestId,
+        term: u32,
+        version: u32,
+        stamp: Ns,
+        epoch: u32,
+    },
     /// Another sidecar owns the request, by a later term or an earlier claim. `differs`: the key belongs to a different
     /// request.
-    Owned { request: RequestId, term: u32, by: Life, differs: bool },
+    Owned {
+        request: RequestId,
+        term: u32,
+        by: Life,
+        differs: bool,
+    },
     /// No room for another record.
     Full { request: RequestId },
     /// To a backup: renew the lease on all requests that it keeps for the sender.
@@ -121,13 +138,26 @@
     /// The lease is renewed.
     LeaseRenewed { stamp: Ns, epoch: u32 },
     /// The sender stands as the owner of the request in this term.
-    RequestVote { request: RequestId, term: u32, stamp: Ns },
+    RequestVote {
+        request: RequestId,
+        term: u32,
+        stamp: Ns,
+    },
     /// A vote for the candidate, with the record that the voter keeps.
-    VoteGranted { record: Record, term: u32, stamp: Ns, epoch: u32 },
+    VoteGranted {
+        record: Record,
+        term: u32,
+        stamp: Ns,
+        epoch: u32,
+    },
     /// To a backup: report the outcome when it is known.
     AwaitOutcome { request: RequestId, digest: u64 },
     /// The final outcome.
-    Finished { request: RequestId, term: u32, outcome: Outcome },
+    Finished {
+        request: RequestId,
+        term: u32,
+        outcome: Outcome,
+    },
     /// The request is not known here.
     Unknown { request: RequestId },
     /// A claim is given up; no attempt was made.
--- a/crates/takeover/src/takeover.rs
+++ b/crates/takeover/src/takeover.rs
@@ -90,8 +90,22 @@
 /// For searches that recognise a state: all that decisions depend on except the random source of the retry jitter.
 impl Hash for Takeover {
     fn hash<H: Hasher>(&self, to: &mut H) {
-        (&self.me, &self.owned, &self.replicas, &self.waiting, &self.effects).hash(to);
-        (&self.granted, &self.epochs, self.withdrawals, &self.leases, self.renew_at).hash(to);
+        (
+            &self.me,
+            &self.owned,
+            &self.replicas,
+            &self.waiting,
+            &self.effects,
+        )
+            .hash(to);
+        (
+            &self.granted,
+            &self.epochs,
+            self.withdrawals,
+            &self.leases,
+            self.renew_at,
+        )
+            .hash(to);
     }
 }
 
@@ -127,8 +141,14 @@
     pub fn next_wake(&self) -> Option<Ns> {
         let owned = self.owned.values().map(|owned| owned.retry_at);
         let renew = (!self.owned.is_empty()).then_some(self.renew_at);
-        let replica = self.replicas.values().map(|replica| self.election_due(replica).min(replica.forget));
-        let waiting = self.waiting.values().map(|waiting| waiting.retry_at.min(waiting.forget));
+        let replica = self
+            .replicas
+            .values()
+            .map(|replica| self.election_due(replica).min(replica.forget));
+        let waiting = self
+            .waiting
+            .values()
+            .map(|waiting| waiting.retry_at.min(waiting.forget));
         owned.chain(renew).chain(replica).chain(waiting).min()
     }
 
@@ -148,23 +168,41 @@
             Message::Store { record, stamp } if record.owner == *from => {
                 self.on_store(now, from, record, stamp)
             }
-            Message::Stored { request, term, version, stamp, epoch } => {
-                self.on_stored(now, from, (request, term, version), (stamp, epoch))
-            }
-            Message::Owned { request, term, by, differs } => {
-                self.on_owned(now, from, request, term, &by, differs)
-            }
+            Message::Stored {
+                request,
+                term,
+                version,
+                stamp,
+                epoch,
+            } => self.on_stored(now, from, (request, term, version), (stamp, epoch)),
+            Message::Owned {
+                request,
+                term,
+                by,
+                differs,
+            } => self.on_owned(now, from, request, term, &by, differs),
             Message::Full { request } => self.on_full(now, from, request),
             Message::RenewLease { stamp } => self.on_renew_lease(now, from, stamp),
             Message::LeaseRenewed { stamp, epoch } => self.extend_lease(now, from, stamp, epoch),
-            Message::RequestVote { request, term, stamp } => {
-                self.on_request_vote(now, from, request, term, stamp)
-            }
-            Message::VoteGranted { record, term, stamp, epoch } => {
-                self.on_vote_granted(now, from, record, term, (stamp, epoch))
+            Message::RequestVote {
+                request,
+                term,
+                stamp,
+            } => self.on_request_vote(now, from, request, term, stamp),
+            Message::VoteGranted {
+                record,
+                term,
+                stamp,
+                epoch,
+            } => self.on_vote_granted(now, from, record, term, (stamp, epoch)),
+            Message::AwaitOutcome { request, digest } => {
+                self.on_await_outcome(from, request, digest)
             }
-            Message::AwaitOutcome { request, digest } => self.on_await_outcome(from, request, digest),
-            Message::Finished { request, term, outcome } => self.on_finished(now, request, term, outcome),
+            Message::Finished {
+                request,
+                term,
+                outcome,
+            } => self.on_finished(now, request, term, outcome),
             Message::Unknown { request } => self.on_unknown(from, request),
             Message::Release { request, term } => self.on_release(from, request, term),
             // Only an owner sends its record.
@@ -175,7 +213,11 @@
     /// Does what is due by now.
     pub fn wake(&mut self, now: Ns) {
         self.renew_leases(now);
-        self.replica_bytes = self.replicas.values().map(|replica| replica.record.weight()).sum();
+        self.replica_bytes = self
+            .replicas
+            .values()
+            .map(|replica| replica.record.weight())
+            .sum();
         self.retry_owned(now);
         self.retry_waiting(now);
         self.drop_expired(now);
@@ -187,15 +229,25 @@
     fn prune_leases(&mut self, now: Ns) {
         let (replicas, owned) = (&self.replicas, &self.owned);
         let is_owner = |owner: &Life| replicas.values().any(|replica| replica.owner == *owner);
-        self.granted.retain(|owner, until| now < *until || is_owner(owner));
-        self.epochs.retain(|owner, _| self.granted.contains_key(owner));
+        self.granted
+            .retain(|owner, until| now < *until || is_owner(owner));
+        self.epochs
+            .retain(|owner, _| self.granted.contains_key(owner));
         let backs_up = |name: &String, owned: &OwnedRequest| {
-            owned.record.backups.iter().any(|backup| backup.name == *name)
+            owned
+                .record
+                .backups
+                .iter()
+                .any(|backup| backup.name == *name)
         };
-        self.leases.retain(|name, _| owned.values().any(|owned| backs_up(name, owned)));
+        self.leases
+            .retain(|name, _| owned.values().any(|owned| backs_up(name, owned)));
     }
 
     fn send(&mut self, to: &Life, message: Message) {
-        self.effects.push_back(Effect::Send { to: to.clone(), message });
+        self.effects.push_back(Effect::Send {
+            to: to.clone(),
+            message,
+        });
     }
 }
--- a/crates/takeover/src/takeover/backup.rs
+++ b/crates/takeover/src/takeover/backup.rs
@@ -44,15 +44,31 @@
             return;
         }
         let epoch = self.grant_lease(now, from);
-        self.send(from, Message::Stored { request, term, version, stamp, epoch });
+        self.send(
+            from,
+            Message::Stored {
+                request,
+                term,
+                version,
+                stamp,
+                epoch,
+            },
+        );
         self.report_outcome(request, term);
     }
 
     /// Gives up a request that is owned here to a record of a later term. Refuses any other record and returns false.
     fn yield_to_record(&mut self, now: Ns, from: &Life, record: &Record) -> bool {
-        let Some(owned) = self.owned.get(&record.request) else { return true };
+        let Some(owned) = self.owned.get(&record.request) else {
+            return true;
+        };
         if record.term <= owned.record.term {
-            let refusal = refusal(&owned.record, owned.record.term, &owned.record.owner, record.digest);
+            let refusal = refusal(
+                &owned.record,
+                owned.record.term,
+                &owned.record.owner,
+                record.digest,
+            );
             self.send(from, refusal);
             return false;
         }
@@ -89,8 +105,12 @@
 
     /// Follows an owner in its term, and replaces the record if the owner's is newer.
     fn update_replica(&mut self, now: Ns, from: &Life, record: Record) {
-        let forget = now.saturating_add(record.remaining).saturating_add(self.rules.retention);
-        let Some(replica) = self.replicas.get_mut(&record.request) else { return };
+        let forget = now
+            .saturating_add(record.remaining)
+            .saturating_add(self.rules.retention);
+        let Some(replica) = self.replicas.get_mut(&record.request) else {
+            return;
+        };
         let previous = std::mem::replace(&mut replica.owner, from.clone());
         replica.term = record.term;
         if !replica.record.confirmed {
@@ -107,10 +127,21 @@
 
     /// Tells those that wait for the outcome of a record, if it has one.
     fn report_outcome(&mut self, request: RequestId, term: u32) {
-        let Some(replica) = self.replicas.get_mut(&request) else { return };
-        let Some(outcome) = replica.record.outcome.clone() else { return };
+        let Some(replica) = self.replicas.get_mut(&request) else {
+            return;
+        };
+        let Some(outcome) = replica.record.outcome.clone() else {
+            return;
+        };
         for waiter in std::mem::take(&mut replica.waiters) {
-            self.send(&waiter, Message::Finished { request, term, outcome: outcome.clone() });
+            self.send(
+                &waiter,
+                Message::Finished {
+                    request,
+                    term,
+                    outcome: outcome.clone(),
+                },
+            );
         }
         self.finish_waiting(request, outcome);
     }
@@ -141,27 +172,49 @@
             .filter(|(_, replica)| now >= replica.forget)
             .map(|(request, _)| *request)
             .collect();
-        expired.into_iter().for_each(|request| self.drop_replica(request));
+        expired
+            .into_iter()
+            .for_each(|request| self.drop_replica(request));
     }
 
     fn is_full(&self) -> bool {
-        self.replicas.len() >= self.rules.max_replicas || self.replica_bytes >= self.rules.max_replica_bytes
+        self.replicas.len() >= self.rules.max_replicas
+            || self.replica_bytes >= self.rules.max_replica_bytes
     }
 
     pub(super) fn insert_replica(&mut self, now: Ns, record: Record, term: u32, owner: Life) {
-        let forget = now.saturating_add(record.remaining).saturating_add(self.rules.retention);
+        let forget = now
+            .saturating_add(record.remaining)
+            .saturating_add(self.rules.retention);
         let request = record.request;
         self.replica_bytes += record.weight();
         let (waiters, votes) = (Vec::new(), None);
-        let try_at = if record.confirmed { now } else { now + self.rules.lease };
-        self.replicas
-            .insert(request, Replica { record, as_of: now, term, owner, waiters, votes, try_at, forget });
+        let try_at = if record.confirmed {
+            now
+        } else {
+            now + self.rules.lease
+        };
+        self.replicas.insert(
+            request,
+            Replica {
+                record,
+                as_of: now,
+                term,
+                owner,
+                waiters,
+                votes,
+                try_at,
+                forget,
+            },
+        );
     }
 
     /// Drops a record. Its owner may rely on it, so this counts as a vote against the owner.
     pub(super) fn drop_replica(&mut self, request: RequestId) {
-        if let Some(replica) =
-            self.replicas.remove(&request).filter(|replica| replica.record.outcome.is_none())
+        if let Some(replica) = self
+            .replicas
+            .remove(&request)
+            .filter(|replica| replica.record.outcome.is_none())
         {
             self.withdraw_from(&replica.owner);
         }
@@ -179,7 +232,8 @@
     /// Whether the outcome known here ends the request that this record still shows as open: a retry that reached a
     /// backup, or a takeover that crossed the outcome. A new claim in a later term may follow an allowed retry.
     fn is_finished_for(&self, record: &Record) -> bool {
-        let is_retry = self.record.reopens_for(record.digest) && !record.confirmed && record.term > self.term;
+        let is_retry =
+            self.record.reopens_for(record.digest) && !record.confirmed && record.term > self.term;
         let same_request = self.record.digest == record.digest;
         self.record.outcome.is_some() && record.outcome.is_none() && same_request && !is_retry
     }
@@ -195,7 +249,16 @@
     let request = record.request;
     let differs = record.digest != digest;
     match record.outcome.clone().filter(|_| !differs) {
-        Some(outcome) => Message::Finished { request, term, outcome },
-        None => Message::Owned { request, term, by: owner.clone(), differs },
+        Some(outcome) => Message::Finished {
+            request,
+            term,
+            outcome,
+        },
+        None => Message::Owned {
+            request,
+            term,
+            by: owner.clone(),
+            differs,
+        },
     }
 }
--- a/crates/takeover/src/takeover/claim.rs
+++ b/crates/takeover/src/takeover/claim.rs
@@ -84,7 +84,12 @@
         }
         let record = self.new_record(request, 0, digest, payload, remaining, backups);
         let announce_at = now + self.rules.lease / 6;
-        self.own(now, record, Some(announce_at + self.rules.lease.min(remaining / 2)), announce_at);
+        self.own(
+            now,
+            record,
+            Some(announce_at + self.rules.lease.min(remaining / 2)),
+            announce_at,
+        );
     }
 
     fn new_record(
@@ -113,7 +118,13 @@
     }
 
     /// Enters a request as owned here and sends its record to the backups.
-    pub(super) fn own(&mut self, now: Ns, record: Record, claim_until: Option<Ns>, announce_at: Ns) {
+    pub(super) fn own(
+        &mut self,
+        now: Ns,
+        record: Record,
+        claim_until: Option<Ns>,
+        announce_at: Ns,
+    ) {
         let request = record.request;
         let (acks, refused, pending_attempts) = (BTreeMap::new(), BTreeSet::new(), Vec::new());
         let exactly_once = false;
@@ -135,10 +146,19 @@
 
     /// Ends a claim without enough backups: joins the other owner if there is one, else goes without backups.
     pub(super) fn give_up(&mut self, now: Ns, request: RequestId) {
-        let Some(owned) = self.owned.remove(&request) else { return };
-        let Record { term, digest, backups, .. } = owned.record.clone();
+        let Some(owned) = self.owned.remove(&request) else {
+            return;
+        };
+        let Record {
+            term,
+            digest,
+            backups,
+            ..
+        } = owned.record.clone();
         // All of them: one whose acknowledgement was lost may keep the record and would block the client's next try.
-        backups.iter().for_each(|backup| self.send(backup, Message::Release { request, term }));
+        backups
+            .iter()
+            .for_each(|backup| self.send(backup, Message::Release { request, term }));
         if owned.refused.is_empty() {
             return self.claim_failed(request, owned.exactly_once);
         }
@@ -159,7 +179,10 @@
         if let Some(waiting) = self.waiting.get_mut(&request) {
             waiting.last_known = now;
         }
-        let Some(owned) = self.owned.get_mut(&request).filter(|owned| owned.record.backups.contains(from))
+        let Some(owned) = self
+            .owned
+            .get_mut(&request)
+            .filter(|owned| owned.record.backups.contains(from))
         else {
             return;
         };
@@ -167,8 +190,11 @@
             return;
         }
         // A claim that has moved on to a later term ignores reports of an earlier one.
-        let answers =
-            if owned.claim_until.is_some() { term >= owned.record.term } else { term > owned.record.term };
+        let answers = if owned.claim_until.is_some() {
+            term >= owned.record.term
+        } else {
+            term > owned.record.term
+        };
         if !answers {
             return;
         }
@@ -187,15 +213,23 @@
 
     /// Ends a claim whose idempotency key belongs to a different request.
     fn reject_claim(&mut self, request: RequestId) {
-        let Some(owned) = self.owned.remove(&request) else { return };
+        let Some(owned) = self.owned.remove(&request) else {
+            return;
+        };
         let Record { term, backups, .. } = owned.record;
-        backups.iter().for_each(|backup| self.send(backup, Message::Release { request, term }));
+        backups
+            .iter()
+            .for_each(|backup| self.send(backup, Message::Release { request, term }));
         self.effects.push_back(Effect::KeyReused(request));
     }
 
     /// A backup has no room for the record of a claim.
     pub(super) fn on_full(&mut self, now: Ns, from: &Life, request: RequestId) {
-        let Some(owned) = self.owned.get_mut(&request).filter(|owned| owned.claim_until.is_some()) else {
+        let Some(owned) = self
+            .owned
+            .get_mut(&request)
+            .filter(|owned| owned.claim_until.is_some())
+        else {
             return;
         };
         // The other backups may suffice; if not, the claim runs into its time-out.
--- a/crates/takeover/src/takeover/election.rs
+++ b/crates/takeover/src/takeover/election.rs
@@ -30,17 +30,26 @@
             .filter(|(_, replica)| self.election_due(replica) <= now)
             .map(|(request, _)| *request)
             .collect();
-        due.into_iter().for_each(|request| self.request_votes(now, request));
+        due.into_iter()
+            .for_each(|request| self.request_votes(now, request));
     }
 
     /// Asks the other backups for their votes, after one random delay.
     fn request_votes(&mut self, now: Ns, request: RequestId) {
-        let pause = self.random.rand_range(self.rules.lease / 4..self.rules.lease + 1);
-        if self.replicas.get(&request).is_some_and(|replica| !replica.record.confirmed) {
+        let pause = self
+            .random
+            .rand_range(self.rules.lease / 4..self.rules.lease + 1);
+        if self
+            .replicas
+            .get(&request)
+            .is_some_and(|replica| !replica.record.confirmed)
+        {
             // No attempt of it had to be known here, and another claim may follow.
             return self.drop_replica(request);
         }
-        let Some(replica) = self.replicas.get_mut(&request) else { return };
+        let Some(replica) = self.replicas.get_mut(&request) else {
+            return;
+        };
         replica.try_at = now + pause;
         // The first round only draws a random delay: all leases expire at once, and two simultaneous candidates both lose.
         if replica.votes.is_none() {
@@ -51,22 +60,47 @@
             }
             return;
         }
-        let Some(replica) = self.replicas.get_mut(&request) else { return };
+        let Some(replica) = self.replicas.get_mut(&request) else {
+            return;
+        };
         let (term, old) = (replica.term.saturating_add(1), replica.owner.clone());
         (replica.term, replica.owner) = (term, self.me.clone());
         let record = replica.record.later(now - replica.as_of);
-        replica.votes = Some((term, BTreeMap::from([(self.me.name.clone(), record.clone())])));
-        let others: Vec<Life> = record.backups.iter().filter(|life| **life != self.me).cloned().collect();
+        replica.votes = Some((
+            term,
+            BTreeMap::from([(self.me.name.clone(), record.clone())]),
+        ));
+        let others: Vec<Life> = record
+            .backups
+            .iter()
+            .filter(|life| **life != self.me)
+            .cloned()
+            .collect();
         self.withdraw_from(&old);
         for other in others {
-            self.send(&other, Message::RequestVote { request, term, stamp: now });
+            self.send(
+                &other,
+                Message::RequestVote {
+                    request,
+                    term,
+                    stamp: now,
+                },
+            );
         }
         self.count_votes(now, request);
     }
 
     /// Another backup asks for a vote.
-    pub(super) fn on_request_vote(&mut self, now: Ns, from: &Life, request: RequestId, term: u32, stamp: Ns) {
-        let backs_up = |record: &Record| record.backups.contains(from) && record.backups.contains(&self.me);
+    pub(super) fn on_request_vote(
+        &mut self,
+        now: Ns,
+        from: &Life,
+        request: RequestId,
+        term: u32,
+        stamp: Ns,
+    ) {
+        let backs_up =
+            |record: &Record| record.backups.contains(from) && record.backups.contains(&self.me);
         let known = self.owned.get(&request).map(|owned| &owned.record);
         let known = known.or(self.replicas.get(&request).map(|replica| &replica.record));
         // An unknown request may have been known and forgotten. If such backups voted, a majority could form that does
@@ -81,7 +115,9 @@
 
     /// Gives up a request that is owned here, if its lease has expired and the candidate's term is later.
     fn yield_to_candidate(&mut self, now: Ns, from: &Life, request: RequestId, term: u32) -> bool {
-        let Some(owned) = self.owned.get(&request) else { return true };
+        let Some(owned) = self.owned.get(&request) else {
+            return true;
+        };
         let record = &owned.record;
         if term <= record.term || record.outcome.is_some() {
             let refusal = refusal(record, record.term, &record.owner, record.digest);
@@ -99,12 +135,24 @@
 
     /// Votes for a candidate of a later term, unless the owner's lease still stands.
     fn vote_for(&mut self, now: Ns, from: &Life, request: RequestId, term: u32, stamp: Ns) {
-        let Some(replica) = self.replicas.get_mut(&request) else { return };
+        let Some(replica) = self.replicas.get_mut(&request) else {
+            return;
+        };
         if let Some(outcome) = replica.record.outcome.clone() {
             let term = replica.term;
-            return self.send(from, Message::Finished { request, term, outcome });
+            return self.send(
+                from,
+                Message::Finished {
+                    request,
+                    term,
+                    outcome,
+                },
+            );
         }
-        let is_granted = self.granted.get(&replica.owner).is_some_and(|until| now < *until);
+        let is_granted = self
+            .granted
+            .get(&replica.owner)
+            .is_some_and(|until| now < *until);
         if term <= replica.term || (is_granted && replica.owner != *from) {
             return;
         }
@@ -113,7 +161,15 @@
         let record = replica.record.later(now - replica.as_of);
         self.withdraw_from(&previous);
         let epoch = self.grant_lease(now, from);
-        self.send(from, Message::VoteGranted { record, term, stamp, epoch });
+        self.send(
+            from,
+            Message::VoteGranted {
+                record,
+                term,
+                stamp,
+                epoch,
+            },
+        );
     }
 
     /// Another backup votes for this candidate.
@@ -145,13 +201,21 @@
 
     /// Takes the request over once a majority has voted for this candidate.
     fn count_votes(&mut self, now: Ns, request: RequestId) {
-        let Some(replica) = self.replicas.get(&request) else { return };
-        let Some((term, votes)) = replica.votes.as_ref() else { return };
+        let Some(replica) = self.replicas.get(&request) else {
+            return;
+        };
+        let Some((term, votes)) = replica.votes.as_ref() else {
+            return;
+        };
         if votes.len() < replica.record.majority() {
             return;
         }
-        let newest = votes.values().max_by_key(|record| (record.term, record.version));
-        let Some(mut record) = newest.cloned() else { return };
+        let newest = votes
+            .values()
+            .max_by_key(|record| (record.term, record.version));
+        let Some(mut record) = newest.cloned() else {
+            return;
+        };
         let term = *term;
         self.replicas.remove(&request);
         (record.term, record.version, record.owner) =
--- a/crates/takeover/src/takeover/owner.rs
+++ b/crates/takeover/src/takeover/owner.rs
@@ -50,7 +50,11 @@
     pub fn begin_attempt(&mut self, now: Ns, request: RequestId, pod: &str) -> Option<usize> {
         let owned = self.owned.get_mut(&request)?;
         owned.change(now, |record| {
-            record.attempts.push(Attempt { pod: pod.to_string(), age: 0, state: AttemptState::InFlight })
+            record.attempts.push(Attempt {
+                pod: pod.to_string(),
+                age: 0,
+                state: AttemptState::InFlight,
+            })
         });
         let index = owned.record.attempts.len() - 1;
         owned.pending_attempts.push((index, owned.record.version));
@@ -60,7 +64,9 @@
 
     /// Records how an attempt ended.
     pub fn end_attempt(&mut self, now: Ns, request: RequestId, index: usize, state: AttemptState) {
-        let Some(owned) = self.owned.get_mut(&request) else { return };
+        let Some(owned) = self.owned.get_mut(&request) else {
+            return;
+        };
         owned.change(now, |record| {
             if let Some(attempt) = record.attempts.get_mut(index) {
                 attempt.state = state;
@@ -71,7 +77,9 @@
 
     /// Records the final outcome.
     pub fn finish(&mut self, now: Ns, request: RequestId, outcome: Outcome) {
-        let Some(owned) = self.owned.get_mut(&request) else { return };
+        let Some(owned) = self.owned.get_mut(&request) else {
+            return;
+        };
         if now < owned.announce_at {
             // No backup knows of it.
             self.owned.remove(&request);
@@ -97,7 +105,9 @@
 
     /// Sends the record to the backups that have not acknowledged this version.
     pub(super) fn replicate(&mut self, now: Ns, request: RequestId) {
-        let Some(owned) = self.owned.get_mut(&request) else { return };
+        let Some(owned) = self.owned.get_mut(&request) else {
+            return;
+        };
         // What a client waits for is sent again soon, then with exponential backoff.
         let waited = owned.claim_until.is_some() || !owned.pending_attempts.is_empty();
         let soon = (self.rules.lease / 24) << owned.retries.min(3);
@@ -109,7 +119,10 @@
         owned.retry_at = retry_at;
         let record = owned.record.later(now - owned.as_of);
         let knows = |life: &Life, owned: &OwnedRequest| {
-            owned.acks.get(&life.name).is_some_and(|a| a.version >= record.version)
+            owned
+                .acks
+                .get(&life.name)
+                .is_some_and(|a| a.version >= record.version)
         };
         let (own, rest): (Vec<Life>, Vec<Life>) = record
             .backups
@@ -120,36 +133,58 @@
         for backup in own {
             // This sidecar is a backup itself: stored at once. Only `on_request_vote` here can vote against it.
             let epoch = 0;
-            let ack = Ack { version: record.version, epoch };
+            let ack = Ack {
+                version: record.version,
+                epoch,
+            };
             owned.acks.insert(backup.name.clone(), ack);
-            self.leases.insert(backup.name, (now + self.rules.lease, epoch));
+            self.leases
+                .insert(backup.name, (now + self.rules.lease, epoch));
         }
         for backup in rest {
-            self.send(&backup, Message::Store { record: record.clone(), stamp: now });
+            self.send(
+                &backup,
+                Message::Store {
+                    record: record.clone(),
+                    stamp: now,
+                },
+            );
         }
         self.advance(now, request);
     }
 
     /// Does what the acknowledgements so far allow: the claim succeeds, attempts may go, the request is finished.
     pub(super) fn advance(&mut self, now: Ns, request: RequestId) {
-        let Some(owned) = self.owned.get(&request) else { return };
+        let Some(owned) = self.owned.get(&request) else {
+            return;
+        };
         let majority = owned.record.majority();
         let version_known = |version| self.leased_backups(now, owned, version) >= majority;
         let all = owned.record.backups.len();
-        let claimed =
-            if owned.exactly_once { self.leased_backups(now, owned, 1) >= all } else { version_known(1) };
+        let claimed = if owned.exactly_once {
+            self.leased_backups(now, owned, 1) >= all
+        } else {
+            version_known(1)
+        };
         let taken = owned.claim_until.is_some() && claimed;
-        let go: Vec<usize> =
-            owned.pending_attempts.iter().filter(|(_, v)| version_known(*v)).map(|(nth, _)| *nth).collect();
+        let go: Vec<usize> = owned
+            .pending_attempts
+            .iter()
+            .filter(|(_, v)| version_known(*v))
+            .map(|(nth, _)| *nth)
+            .collect();
         let told = owned.record.outcome.is_some() && {
             let version = owned.record.version;
-            owned
-                .record
-                .backups
-                .iter()
-                .all(|g| owned.acks.get(&g.name).is_some_and(|ack| ack.version >= version))
+            owned.record.backups.iter().all(|g| {
+                owned
+                    .acks
+                    .get(&g.name)
+                    .is_some_and(|ack| ack.version >= version)
+            })
+        };
+        let Some(owned) = self.owned.get_mut(&request) else {
+            return;
         };
-        let Some(owned) = self.owned.get_mut(&request) else { return };
         owned.pending_attempts.retain(|(nth, _)| !go.contains(nth));
         if taken {
             owned.claim_until = None;
@@ -157,7 +192,8 @@
             owned.change(now, |record| record.confirmed = true);
             self.effects.push_back(Effect::Claimed(request));
         }
-        self.effects.extend(go.into_iter().map(|nth| Effect::AttemptReady(request, nth)));
+        self.effects
+            .extend(go.into_iter().map(|nth| Effect::AttemptReady(request, nth)));
         if told {
             self.retire(now, request);
         }
@@ -169,9 +205,13 @@
             return;
         }
         self.renew_at = now + self.rules.lease / 3;
-        let open =
-            self.owned.values().filter(|owned| owned.record.outcome.is_none() && now >= owned.announce_at);
-        let backups: BTreeSet<Life> = open.flat_map(|owned| owned.record.backups.iter().cloned()).collect();
+        let open = self
+            .owned
+            .values()
+            .filter(|owned| owned.record.outcome.is_none() && now >= owned.announce_at);
+        let backups: BTreeSet<Life> = open
+            .flat_map(|owned| owned.record.backups.iter().cloned())
+            .collect();
         for backup in backups {
             if backup == self.me {
                 self.leases.insert(backup.name, (now + self.rules.lease, 0));
@@ -194,10 +234,12 @@
 
     /// Sends an unacknowledged record again, or ends a claim that took too long.
     fn retry(&mut self, now: Ns, request: RequestId) {
-        let Some(owned) = self.owned.get_mut(&request) else { return };
+        let Some(owned) = self.owned.get_mut(&request) else {
+            return;
+        };
         owned.retries += 1;
-        let over =
-            now.saturating_sub(owned.as_of) > owned.record.remaining.saturating_add(self.rules.retention);
+        let over = now.saturating_sub(owned.as_of)
+            > owned.record.remaining.saturating_add(self.rules.retention);
         if over || (owned.record.outcome.is_some() && owned.retries > 8) {
             self.retire(now, request);
             return;
@@ -217,7 +259,11 @@
         (stamp, epoch): (Ns, u32),
     ) {
         self.extend_lease(now, from, stamp, epoch);
-        let Some(owned) = self.owned.get_mut(&request).filter(|owned| owned.record.term == term) else {
+        let Some(owned) = self
+            .owned
+            .get_mut(&request)
+            .filter(|owned| owned.record.term == term)
+        else {
             return;
         };
         if !owned.record.backups.contains(from) {
@@ -242,16 +288,27 @@
             return;
         }
         let new_epoch = epoch > lease.1;
-        *lease = if new_epoch { (until, epoch) } else { (lease.0.max(until), epoch) };
+        *lease = if new_epoch {
+            (until, epoch)
+        } else {
+            (lease.0.max(until), epoch)
+        };
         if new_epoch {
             // Its records of our requests must be sent anew: it may have voted for another owner.
             let backs_up = |owned: &OwnedRequest| {
                 owned.record.backups.contains(from) && owned.acks.contains_key(&from.name)
             };
-            let requests: Vec<RequestId> =
-                self.owned.iter().filter(|(_, owned)| backs_up(owned)).map(|(request, _)| *request).collect();
+            let requests: Vec<RequestId> = self
+                .owned
+                .iter()
+                .filter(|(_, owned)| backs_up(owned))
+                .map(|(request, _)| *request)
+                .collect();
             for request in requests {
-                if let Some(owned) = self.owned.get_mut(&request).filter(|h| h.acks[&from.name].epoch < epoch)
+                if let Some(owned) = self
+                    .owned
+                    .get_mut(&request)
+                    .filter(|h| h.acks[&from.name].epoch < epoch)
                 {
                     owned.acks.remove(&from.name);
                     self.replicate(now, request);
@@ -272,9 +329,16 @@
 
     /// Gives a request up to another owner and waits for its outcome.
     pub(super) fn lose(&mut self, now: Ns, request: RequestId) {
-        let Some(record) = self.retire(now, request) else { return };
+        let Some(record) = self.retire(now, request) else {
+            return;
+        };
         self.effects.push_back(Effect::Lost(request));
-        let Record { digest, backups, remaining, .. } = record;
+        let Record {
+            digest,
+            backups,
+            remaining,
+            ..
+        } = record;
         self.await_outcome(now, request, digest, remaining, backups);
     }
 }
--- a/crates/takeover/src/takeover/waiter.rs
+++ b/crates/takeover/src/takeover/waiter.rs
@@ -64,14 +64,17 @@
             .filter(|(_, waiting)| waiting.retry_at <= now)
             .map(|(request, _)| *request)
             .collect();
-        due.into_iter().for_each(|request| self.ask_again(now, request));
+        due.into_iter()
+            .for_each(|request| self.ask_again(now, request));
         self.waiting.retain(|_, waiting| now < waiting.forget);
     }
 
     /// Asks the backups for the outcome, or gives up when none of them has known the request for a lease.
     fn ask_again(&mut self, now: Ns, request: RequestId) {
         let retry_at = now + self.rules.lease / 3;
-        let Some(waiting) = self.waiting.get_mut(&request) else { return };
+        let Some(waiting) = self.waiting.get_mut(&request) else {
+            return;
+        };
         if now > waiting.last_known + self.rules.lease {
             // Some backups may be lost and never answer.
             self.waiting.remove(&request);
@@ -79,7 +82,12 @@
         }
         waiting.retry_at = retry_at;
         let digest = waiting.digest;
-        let backups: Vec<Life> = waiting.backups.iter().filter(|life| **life != self.me).cloned().collect();
+        let backups: Vec<Life> = waiting
+            .backups
+            .iter()
+            .filter(|life| **life != self.me)
+            .cloned()
+            .collect();
         for backup in backups {
             self.send(&backup, Message::AwaitOutcome { request, digest });
         }
@@ -89,24 +97,64 @@
     pub(super) fn on_await_outcome(&mut self, from: &Life, request: RequestId, digest: u64) {
         if let Some(owned) = self.owned.get(&request) {
             let term = owned.record.term;
-            if let Some(outcome) = owned.record.outcome.clone().filter(|_| owned.record.digest == digest) {
-                return self.send(from, Message::Finished { request, term, outcome });
+            if let Some(outcome) = owned
+                .record
+                .outcome
+                .clone()
+                .filter(|_| owned.record.digest == digest)
+            {
+                return self.send(
+                    from,
+                    Message::Finished {
+                        request,
+                        term,
+                        outcome,
+                    },
+                );
             }
             let by = owned.record.owner.clone();
-            return self.send(from, Message::Owned { request, term, by, differs: false });
+            return self.send(
+                from,
+                Message::Owned {
+                    request,
+                    term,
+                    by,
+                    differs: false,
+                },
+            );
         }
         let Some(replica) = self.replicas.get_mut(&request) else {
             return self.send(from, Message::Unknown { request });
         };
         let term = replica.term;
-        if let Some(outcome) = replica.record.outcome.clone().filter(|_| replica.record.digest == digest) {
-            return self.send(from, Message::Finished { request, term, outcome });
+        if let Some(outcome) = replica
+            .record
+            .outcome
+            .clone()
+            .filter(|_| replica.record.digest == digest)
+        {
+            return self.send(
+                from,
+                Message::Finished {
+                    request,
+                    term,
+                    outcome,
+                },
+            );
         }
         if !replica.waiters.contains(from) && replica.waiters.len() < MAX_WAITERS {
             replica.waiters.push(from.clone());
         }
         let by = replica.owner.clone();
-        self.send(from, Message::Owned { request, term, by, differs: false });
+        self.send(
+            from,
+            Message::Owned {
+                request,
+                term,
+                by,
+                differs: false,
+            },
+        );
     }
 
     /// A backup reports the final outcome.
@@ -114,14 +162,18 @@
         let reopens = outcome.reopens();
         if let Some(replica) = self.replicas.get_mut(&request) {
             // A rejection does not end a later term, whose request may be in flight. Our own candidacy is not, yet.
-            let ours = replica.owner == self.me && replica.votes.is_some() && term >= replica.record.term;
+            let ours =
+                replica.owner == self.me && replica.votes.is_some() && term >= replica.record.term;
             if !reopens || term == replica.term || ours {
                 replica.record.outcome.get_or_insert(outcome.clone());
                 replica.votes = None;
             }
         }
         // Finished already: a claim comes too late, and an owner only tells its backups.
-        let open = self.owned.get_mut(&request).filter(|owned| owned.record.outcome.is_none());
+        let open = self
+            .owned
+            .get_mut(&request)
+            .filter(|owned| owned.record.outcome.is_none());
         if let Some(owned) = open {
             let claiming = owned.claim_until.is_some();
             if reopens && term < owned.record.term {
@@ -153,9 +205,15 @@
 
     /// A backup does not know the request that is waited for.
     pub(super) fn on_unknown(&mut self, from: &Life, request: RequestId) {
-        let Some(waiting) = self.waiting.get_mut(&request) else { return };
+        let Some(waiting) = self.waiting.get_mut(&request) else {
+            return;
+        };
         waiting.unknown_at.insert(from.name.clone());
-        if waiting.backups.iter().all(|life| *life == self.me || waiting.unknown_at.contains(&life.name)) {
+        if waiting
+            .backups
+            .iter()
+            .all(|life| *life == self.me || waiting.unknown_at.contains(&life.name))
+        {
             self.waiting.remove(&request);
             self.effects.push_back(Effect::Unknown(request));
         }
--- a/crates/takeover/tests/every_order.rs
+++ b/crates/takeover/tests/every_order.rs
@@ -23,7 +23,10 @@
 const STEPS: u64 = 13;
 
 fn life(id: usize) -> Life {
-    Life { name: format!("s-{id}"), life: 1 }
+    Life {
+        name: format!("s-{id}"),
+        life: 1,
+    }
 }
 
 #[derive(Clone, Hash)]
@@ -81,14 +84,30 @@
 
 impl World {
     fn new(faults: usize) -> World {
-        let rules = Rules { retention: 6 * STEP, ..Rules::default() };
+        let rules = Rules {
+            retention: 6 * STEP,
+            ..Rules::default()
+        };
         let sidecar = |id| {
             let takeover = Takeover::new(Self::clock(id, 0), id as u64, life(id), rules.clone());
-            Some(Sidecar { takeover, paused: false, cut: [false; MANY], out: None })
+            Some(Sidecar {
+                takeover,
+                paused: false,
+                cut: [false; MANY],
+                out: None,
+            })
         };
         let sidecars = (0..MANY).map(sidecar).collect();
         let (flying, killed, never_ran) = (Vec::new(), false, false);
-        let mut world = World { step: 0, sidecars, flying, effects: 0, faults, killed, never_ran };
+        let mut world = World {
+            step: 0,
+            sidecars,
+            flying,
+            effects: 0,
+            faults,
+            killed,
+            never_ran,
+        };
         let backups = (1..MANY).map(life).collect();
         world.call(0, |takeover, now| {
             takeover.claim(now, REQUEST, 5, (vec![1], false), 6 * STEP, backups);
@@ -103,15 +122,22 @@
 
     fn call(&mut self, id: usize, call: impl FnOnce(&mut Takeover, Ns)) {
         let now = Self::clock(id, self.step);
-        let Some(sidecar) = &mut self.sidecars[id] else { return };
+        let Some(sidecar) = &mut self.sidecars[id] else {
+            return;
+        };
         call(&mut sidecar.takeover, now);
-        while let Some(effect) = self.sidecars[id].as_mut().and_then(|one| one.takeover.effect()) {
+        while let Some(effect) = self.sidecars[id]
+            .as_mut()
+            .and_then(|one| one.takeover.effect())
+        {
             self.carry_out(id, now, effect);
         }
     }
 
     fn carry_out(&mut self, id: usize, now: Ns, effect: Effect) {
-        let Some(sidecar) = &mut self.sidecars[id] else { return };
+        let Some(sidecar) = &mut self.sidecars[id] else {
+            return;
+        };
         match effect {
             Effect::Send { to, message } => {
                 let to: usize = to.name[2..].parse().unwrap();
@@ -134,8 +160,16 @@
             }
             Effect::Unprotected(_) => self.effects += 1,
             Effect::TakenOver(record) => {
-                if record.attempts.iter().any(|attempt| attempt.state != AttemptState::NeverRan) {
-                    sidecar.takeover.finish(now, record.request, Outcome::Failed { retryable: false });
+                if record
+                    .attempts
+                    .iter()
+                    .any(|attempt| attempt.state != AttemptState::NeverRan)
+                {
+                    sidecar.takeover.finish(
+                        now,
+                        record.request,
+                        Outcome::Failed { retryable: false },
+                    );
                 } else {
                     sidecar.takeover.begin_attempt(now, record.request, "pod");
                 }
@@ -149,7 +183,11 @@
         let runs = |id: usize| self.sidecars[id].as_ref().is_some_and(|one| !one.paused);
         let first = self.flying.iter().position(|(_, to, _)| runs(*to));
         let fault = self.faults > 0;
-        let cut = self.sidecars.iter().flatten().any(|one| one.cut.contains(&true));
+        let cut = self
+            .sidecars
+            .iter()
+            .flatten()
+            .any(|one| one.cut.contains(&true));
         acts.extend((first.is_none() && cut).then_some(Act::Heals));
         match first {
             Some(n) => {
@@ -162,7 +200,9 @@
             None => acts.push(Act::Tick),
         }
         for id in 0..MANY {
-            let Some(one) = &self.sidecars[id] else { continue };
+            let Some(one) = &self.sidecars[id] else {
+                continue;
+            };
             if one.out.is_some() && !one.paused {
                 acts.push(Act::Ran(id));
                 acts.extend((!self.never_ran).then_some(Act::NeverRan(id)));
@@ -200,12 +240,17 @@
             }
             Act::Ran(id) => {
                 next.sidecars[id].iter_mut().for_each(|one| one.out = None);
-                next.call(id, |takeover, now| takeover.finish(now, REQUEST, Outcome::Served(vec![])));
+                next.call(id, |takeover, now| {
+                    takeover.finish(now, REQUEST, Outcome::Served(vec![]))
+                });
             }
             Act::NeverRan(id) => {
                 next.never_ran = true;
                 next.effects -= 1;
-                let nth = next.sidecars[id].as_mut().and_then(|one| one.out.take()).unwrap();
+                let nth = next.sidecars[id]
+                    .as_mut()
+                    .and_then(|one| one.out.take())
+                    .unwrap();
                 next.call(id, |takeover, now| {
                     takeover.end_attempt(now, REQUEST, nth, AttemptState::NeverRan);
                     takeover.begin_attempt(now, REQUEST, "pod");
@@ -216,16 +261,24 @@
                 next.sidecars[id] = None;
                 next.flying.retain(|(_, to, _)| *to != id);
             }
-            Act::Paused(id) => next.sidecars[id].iter_mut().for_each(|one| one.paused = true),
+            Act::Paused(id) => next.sidecars[id]
+                .iter_mut()
+                .for_each(|one| one.paused = true),
             Act::Wakes(id) => {
-                next.sidecars[id].iter_mut().for_each(|one| one.paused = false);
+                next.sidecars[id]
+                    .iter_mut()
+                    .for_each(|one| one.paused = false);
                 next.call(id, |takeover, now| takeover.wake(now));
             }
-            Act::Cut(id) => {
-                (0..MANY).filter(|other| *other != id).for_each(|other| next.cut(id, other, true))
-            }
+            Act::Cut(id) => (0..MANY)
+                .filter(|other| *other != id)
+                .for_each(|other| next.cut(id, other, true)),
             Act::Parted(id, other) => next.cut(id, other, true),
-            Act::Heals => next.sidecars.iter_mut().flatten().for_each(|one| one.cut = [false; MANY]),
+            Act::Heals => next
+                .sidecars
+                .iter_mut()
+                .flatten()
+                .for_each(|one| one.cut = [false; MANY]),
         }
         next.faults -= act.fault() as usize;
         next
@@ -233,7 +286,9 @@
 
     fn cut(&mut self, one: usize, other: usize, cut: bool) {
         for (from, to) in [(one, other), (other, one)] {
-            self.sidecars[from].iter_mut().for_each(|sidecar| sidecar.cut[to] = cut);
+            self.sidecars[from]
+                .iter_mut()
+                .for_each(|sidecar| sidecar.cut[to] = cut);
         }
     }
 
@@ -242,7 +297,9 @@
         if gone {
             self.flying.remove(n);
         }
-        self.call(to, |takeover, now| takeover.receive(now, &life(from), message));
+        self.call(to, |takeover, now| {
+            takeover.receive(now, &life(from), message)
+        });
     }
 
     fn broken(&self) -> Option<String> {
@@ -272,11 +329,17 @@
 impl Search {
     fn met(&self, world: &World) -> bool {
         let known = world.known();
-        !self.seen[known as usize % self.seen.len()].lock().unwrap().insert(known)
+        !self.seen[known as usize % self.seen.len()]
+            .lock()
+            .unwrap()
+            .insert(known)
     }
 
     fn states(&self) -> usize {
-        self.seen.iter().map(|seen| seen.lock().unwrap().len()).sum()
+        self.seen
+            .iter()
+            .map(|seen| seen.lock().unwrap().len())
+            .sum()
     }
 
     /// Plays on without a fault, and hands out each state in which the next one may come.
@@ -299,7 +362,9 @@
     }
 
     fn all(&self, from: World, way: Vec<Act>) {
-        self.goes_on(from, way).into_par_iter().for_each(|(world, way)| self.all(world, way));
+        self.goes_on(from, way)
+            .into_par_iter()
+            .for_each(|(world, way)| self.all(world, way));
     }
 }
 
@@ -310,8 +375,18 @@
             (a.term, a.version, &a.owner) == (b.term, b.version, &b.owner)
         }
         (
-            Message::Stored { term: a, version: b, epoch: c, .. },
-            Message::Stored { term, version, epoch, .. },
+            Message::Stored {
+                term: a,
+                version: b,
+                epoch: c,
+                ..
+            },
+            Message::Stored {
+                term,
+                version,
+                epoch,
+                ..
+            },
         ) => (a, b, c) == (term, version, epoch),
         (Message::RenewLease { .. }, Message::RenewLease { .. }) => true,
         (Message::LeaseRenewed { epoch: a, .. }, Message::LeaseRenewed { epoch, .. }) => a == epoch,
@@ -322,9 +397,17 @@
 
 #[test]
 fn whatever_order_words_come_in_and_wherever_faults_fall_nothing_happens_twice() {
-    let faults = std::env::var("HAVENPLANK_FAULTS").ok().map_or(1, |text| text.parse().unwrap());
-    let search = Search { seen: (0..64).map(|_| Mutex::default()).collect() };
+    let faults = std::env::var("HAVENPLANK_FAULTS")
+        .ok()
+        .map_or(1, |text| text.parse().unwrap());
+    let search = Search {
+        seen: (0..64).map(|_| Mutex::default()).collect(),
+    };
     search.all(World::new(faults), Vec::new());
     println!("{} states, {faults} faults", search.states());
-    assert!(search.states() > 1_000, "{} states: nothing was played", search.states());
+    assert!(
+        search.states() > 1_000,
+        "{} states: nothing was played",
+        search.states()
+    );
 }
--- a/crates/takeover/tests/simulated.rs
+++ b/crates/takeover/tests/simulated.rs
@@ -44,7 +44,10 @@
 }
 
 fn life(id: Id) -> Life {
-    Life { name: format!("s-{id}"), life: 1 }
+    Life {
+        name: format!("s-{id}"),
+        life: 1,
+    }
 }
 
 impl Sidecar {
@@ -84,15 +87,26 @@
     fn backups(&self, request: RequestId, many: usize) -> Vec<Life> {
         let zone = |who: &Life| ZONES[who.name[2..].parse::<usize>().unwrap() % 3];
         let others = self.fellows.iter().filter(|who| **who != self.me);
-        let others: Vec<Candidate<'_>> = others.map(|who| Candidate { who, zone: zone(who) }).collect();
+        let others: Vec<Candidate<'_>> = others
+            .map(|who| Candidate {
+                who,
+                zone: zone(who),
+            })
+            .collect();
         pick(request, &others, many)
     }
 
     fn go_on(&mut self, now: Ns, record: &Record) {
-        let (request, out) =
-            (record.request, record.attempts.iter().any(|attempt| attempt.state != AttemptState::NeverRan));
+        let (request, out) = (
+            record.request,
+            record
+                .attempts
+                .iter()
+                .any(|attempt| attempt.state != AttemptState::NeverRan),
+        );
         if out {
-            self.takeover.finish(now, request, Outcome::Failed { retryable: false });
+            self.takeover
+                .finish(now, request, Outcome::Failed { retryable: false });
         } else {
             self.takeover.begin_attempt(now, request, "pod");
         }
@@ -112,7 +126,10 @@
                 Effect::AttemptReady(request, nth) => {
                     let may = self.takeover.may_send(now, request);
                     self.note(request, || {
-                        format!("forward {nth} {}", if may { "WRITTEN" } else { "not allowed" })
+                        format!(
+                            "forward {nth} {}",
+                            if may { "WRITTEN" } else { "not allowed" }
+                        )
                     });
                     if may {
                         self.wrote.push(request);
@@ -123,7 +140,10 @@
                 Effect::TakenOver(record) => {
                     self.began.push((now, record.request));
                     self.note(record.request, || {
-                        format!("begins, term {} with past {:?}", record.term, record.attempts)
+                        format!(
+                            "begins, term {} with past {:?}",
+                            record.term, record.attempts
+                        )
                     });
                     self.go_on(now, &record);
                 }
@@ -140,7 +160,9 @@
                 Effect::Joined(request) => self.note(request, || "joins".to_string()),
                 Effect::Uncertain(request) => self.note(request, || "bounces, unsure".to_string()),
                 Effect::Lost(request) => self.note(request, || "lost it".to_string()),
-                Effect::Unknown(request) => self.note(request, || "hears that nobody has it".to_string()),
+                Effect::Unknown(request) => {
+                    self.note(request, || "hears that nobody has it".to_string())
+                }
             }
         }
     }
@@ -162,28 +184,39 @@
                     // Clients come back with these only.
                     let strict = request % 3 == 0;
                     self.note(request, || {
-                        let names: Vec<&str> = backups.iter().map(|life| life.name.as_str()).collect();
+                        let names: Vec<&str> =
+                            backups.iter().map(|life| life.name.as_str()).collect();
                         format!("takes it, backups {names:?}")
                     });
-                    self.takeover.claim(now, request, sum, (vec![1], strict), 6 * S, backups);
+                    self.takeover
+                        .claim(now, request, sum, (vec![1], strict), 6 * S, backups);
                 }
                 Act::End(request, nth) => {
                     let never = self.chance.rand_float() < self.never_ran;
                     self.note(request, || {
-                        format!("forward {nth} ends, {}", if never { "never ran" } else { "ran" })
+                        format!(
+                            "forward {nth} ends, {}",
+                            if never { "never ran" } else { "ran" }
+                        )
                     });
                     if never {
                         // It never ran after all, so it was no effect; the next one may go.
-                        let at = self.wrote.iter().position(|known| *known == request).unwrap();
+                        let at = self
+                            .wrote
+                            .iter()
+                            .position(|known| *known == request)
+                            .unwrap();
                         self.wrote.remove(at);
-                        self.takeover.end_attempt(now, request, nth, AttemptState::NeverRan);
+                        self.takeover
+                            .end_attempt(now, request, nth, AttemptState::NeverRan);
                         // Given up: the client is told that a retry does no harm, and may come back.
                         match self.chance.rand_float() < self.gives_up {
                             true => self.takeover.finish(now, request, Outcome::Rejected),
                             false => drop(self.takeover.begin_attempt(now, request, "pod")),
                         }
                     } else {
-                        self.takeover.finish(now, request, Outcome::Served(vec![request as u8]));
+                        self.takeover
+                            .finish(now, request, Outcome::Served(vec![request as u8]));
                     }
                 }
             }
@@ -217,22 +250,41 @@
     fn new(many: usize, seed: u64, weather: Weather) -> Run {
         let mut net = Net::new(seed, weather);
         for id in 0..many {
-            let clock = Clock { began: id as Ns * 991 * S, drift_ppm: (id as i64 % 3 - 1) * 10_000 };
-            net.join(clock, |now, _| Sidecar::new(now, id, many, seed, Rules::default()));
+            let clock = Clock {
+                began: id as Ns * 991 * S,
+                drift_ppm: (id as i64 % 3 - 1) * 10_000,
+            };
+            net.join(clock, |now, _| {
+                Sidecar::new(now, id, many, seed, Rules::default())
+            });
         }
         let (requests, wrote, broken) = (Vec::new(), BTreeMap::new(), Vec::new());
-        Run { seed, net, requests, wrote, story: None, broken }
+        Run {
+            seed,
+            net,
+            requests,
+            wrote,
+            story: None,
+            broken,
+        }
     }
 
     fn tell(&mut self) {
         self.story = Some(Vec::new());
         self.net.written = Some(Vec::new());
-        self.net.ids().for_each(|id| self.net.part_mut(id).into_iter().for_each(|p| p.story = Some(vec![])));
+        self.net.ids().for_each(|id| {
+            self.net
+                .part_mut(id)
+                .into_iter()
+                .for_each(|p| p.story = Some(vec![]))
+        });
     }
 
     fn did(&mut self, what: String) {
         let now = self.net.now();
-        self.story.iter_mut().for_each(|story| story.push((now, None, what.clone())));
+        self.story
+            .iter_mut()
+            .for_each(|story| story.push((now, None, what.clone())));
     }
 
     fn hit(&mut self, id: Id, request: RequestId, after: Ns) {
@@ -252,18 +304,23 @@
             }
             for request in requests {
                 let may = |id: &Id| {
-                    net.part(*id).is_some_and(|part| part.takeover.may_send(net.own_time(*id), *request))
+                    net.part(*id)
+                        .is_some_and(|part| part.takeover.may_send(net.own_time(*id), *request))
                 };
                 let owners: Vec<Id> = net.ids().filter(may).collect();
                 if owners.len() > 1 && broken.is_empty() {
-                    broken.push(format!("{owners:?} may all act on request {request} at {}", net.now()));
+                    broken.push(format!(
+                        "{owners:?} may all act on request {request} at {}",
+                        net.now()
+                    ));
                 }
             }
         });
         // Whoever was woken by hand said something, too.
         let ids: Vec<Id> = self.net.ids().collect();
         if let Some(story) = &mut self.story {
-            ids.into_iter().for_each(|id| read(&mut self.net, id, story));
+            ids.into_iter()
+                .for_each(|id| read(&mut self.net, id, story));
         }
     }
 
@@ -286,7 +343,8 @@
         let twice = self.wrote.iter().filter(|(_, times)| **times > 1);
         let twice = twice.map(|(request, times)| format!("request {request} had {times} effects"));
         let all = self.broken.drain(..).chain(twice);
-        all.map(|what| format!("seed {}: {what}", self.seed)).collect()
+        all.map(|what| format!("seed {}: {what}", self.seed))
+            .collect()
     }
 
     fn effects_once(&mut self) {
@@ -297,20 +355,48 @@
 /// A record as holder, term, version, firmness and what became of its forwards.
 fn brief(message: &Message) -> (Option<RequestId>, String) {
     let of = |record: &Record| {
-        let states: Vec<AttemptState> = record.attempts.iter().map(|attempt| attempt.state).collect();
+        let states: Vec<AttemptState> = record
+            .attempts
+            .iter()
+            .map(|attempt| attempt.state)
+            .collect();
         let firm = if record.confirmed { "firm" } else { "not firm" };
-        let Record { owner, term, version, outcome, .. } = record;
-        format!("{} term {term} version {version} {firm} {states:?} {outcome:?}", owner.name)
+        let Record {
+            owner,
+            term,
+            version,
+            outcome,
+            ..
+        } = record;
+        format!(
+            "{} term {term} version {version} {firm} {states:?} {outcome:?}",
+            owner.name
+        )
     };
     match message {
         Message::Store { record, .. } => (Some(record.request), format!("keep {}", of(record))),
-        Message::RequestVote { request, term, .. } => (Some(*request), format!("vote for term {term}")),
-        Message::VoteGranted { record, term, epoch, .. } => {
-            (Some(record.request), format!("voted for term {term}, epoch {epoch}, knows {}", of(record)))
-        }
-        Message::Stored { request, term, version, epoch, .. } => {
-            (Some(*request), format!("kept term {term} version {version}, epoch {epoch}"))
+        Message::RequestVote { request, term, .. } => {
+            (Some(*request), format!("vote for term {term}"))
         }
+        Message::VoteGranted {
+            record,
+            term,
+            epoch,
+            ..
+        } => (
+            Some(record.request),
+            format!("voted for term {term}, epoch {epoch}, knows {}", of(record)),
+        ),
+        Message::Stored {
+            request,
+            term,
+            version,
+            epoch,
+            ..
+        } => (
+            Some(*request),
+            format!("kept term {term} version {version}, epoch {epoch}"),
+        ),
         Message::RenewLease { .. } => (None, "renew".to_string()),
         Message::LeaseRenewed { epoch, .. } => (None, format!("renewed, epoch {epoch}")),
         Message::Owned { request, .. }
@@ -326,16 +412,23 @@
 fn read(net: &mut Net<Sidecar>, moved: Id, story: &mut Vec<(Ns, Option<RequestId>, String)>) {
     let now = net.now();
     for passed in net.written.iter_mut().flat_map(|written| written.drain(..)) {
-        let (from, to, message): (Life, Life, Message) = postcard::from_bytes(&passed.bytes).unwrap();
+        let (from, to, message): (Life, Life, Message) =
+            postcard::from_bytes(&passed.bytes).unwrap();
         let (request, said) = brief(&message);
         let way = match passed.fate {
             Fate::Heard | Fate::Waits | Fate::Dropped => "arrives",
             Fate::Cut | Fate::Lost | Fate::Goes(_) => "says",
         };
-        let what = format!("{} to {} {way} {:?}: {said}", from.name, to.name, passed.fate);
+        let what = format!(
+            "{} to {} {way} {:?}: {said}",
+            from.name, to.name, passed.fate
+        );
         story.push((passed.at, request, what));
     }
-    let part = net.part_mut(moved).and_then(|part| part.story.as_mut()).map(std::mem::take);
+    let part = net
+        .part_mut(moved)
+        .and_then(|part| part.story.as_mut())
+        .map(std::mem::take);
     for (request, what) in part.into_iter().flatten() {
         story.push((now, Some(request), format!("s-{moved} {what}")));
     }
@@ -355,7 +448,15 @@
     let mut chance = Rand64::new(seed as u128 + 77);
     let many = 4 + (seed % 4) as usize;
     let loss = [0.0, 0.1, 0.3][seed as usize % 3];
-    let mut run = Run::new(many, seed, Weather { loss, repeat: 0.1, delay: (100_000, 50 * MS) });
+    let mut run = Run::new(
+        many,
+        seed,
+        Weather {
+            loss,
+            repeat: 0.1,
+            delay: (100_000, 50 * MS),
+        },
+    );
     if tell {
         run.tell();
     }
@@ -401,13 +502,16 @@
                 run.net.cut(id, other);
             }
             4 => {
-                let (one, two): (Vec<Id>, Vec<Id>) = (0..many).partition(|_| chance.rand_float() < 0.5);
+                let (one, two): (Vec<Id>, Vec<Id>) =
+                    (0..many).partition(|_| chance.rand_float() < 0.5);
                 run.did(format!("split into {one:?} and {two:?}"));
                 run.net.split(&[&one, &two]);
             }
             5 => {
                 run.did(format!("nothing leaves s-{id}"));
-                (0..many).filter(|other| *other != id).for_each(|other| run.net.cut(id, other));
+                (0..many)
+                    .filter(|other| *other != id)
+                    .for_each(|other| run.net.cut(id, other));
             }
             _ => {
                 run.did("cuts are healed".to_string());
@@ -422,13 +526,21 @@
     run.play(if kind == Kind::Long { 60 * S } else { 30 * S });
     let mut broken = run.broken();
     let parts = || run.net.ids().filter_map(|id| run.net.part(id));
-    let left =
-        parts().map(|part| part.takeover.sizes()).fold((0, 0, 0), |a, b| (a.0 + b.0, a.1 + b.1, a.2 + b.2));
+    let left = parts()
+        .map(|part| part.takeover.sizes())
+        .fold((0, 0, 0), |a, b| (a.0 + b.0, a.1 + b.1, a.2 + b.2));
     if left != (0, 0, 0) {
-        broken.push(format!("seed {seed}: {left:?} in tables when all times are up"));
+        broken.push(format!(
+            "seed {seed}: {left:?} in tables when all times are up"
+        ));
     }
     let began = parts().map(|part| part.began.len()).sum();
-    Played { began, effects: run.wrote.len(), broken, story: run.story.unwrap_or_default() }
+    Played {
+        began,
+        effects: run.wrote.len(),
+        broken,
+        story: run.story.unwrap_or_default(),
+    }
 }
 
 struct Played {
@@ -440,7 +552,10 @@
 
 fn number(name: &str) -> Option<u64> {
     let text = std::env::var(name).ok()?;
-    Some(text.parse().unwrap_or_else(|_| panic!("{name}: a whole number expected, not {text:?}")))
+    Some(
+        text.parse()
+            .unwrap_or_else(|_| panic!("{name}: a whole number expected, not {text:?}")),
+    )
 }
 
 /// By hand: HAVENPLANK_SEEDS=500000 plays more, HAVENPLANK_FROM begins later. HAVENPLANK_SEED=7 plays one and, with
@@ -449,7 +564,9 @@
     if let Some(seed) = number("HAVENPLANK_SEED") {
         let (played, wanted) = (chaos(seed, kind, true), number("HAVENPLANK_MARK"));
         for (at, request, what) in &played.story {
-            if request.is_none_or(|request| wanted.is_none_or(|wanted| request == wanted as RequestId)) {
+            if request
+                .is_none_or(|request| wanted.is_none_or(|wanted| request == wanted as RequestId))
+            {
                 println!(
                     "{:>10.3} ms {} {what}",
                     *at as f64 / 1e6,
@@ -464,11 +581,19 @@
     let sum = |a: (usize, usize, Vec<String>), b: (usize, usize, Vec<String>)| {
         (a.0 + b.0, a.1 + b.1, [a.2, b.2].concat())
     };
-    let played = (from..from + seeds).into_par_iter().map(|seed| chaos(seed, kind, false));
+    let played = (from..from + seeds)
+        .into_par_iter()
+        .map(|seed| chaos(seed, kind, false));
     let all = played.map(|played| (played.began, played.effects, played.broken));
     let (began, effects, broken) = all.reduce(|| (0, 0, Vec::new()), sum);
-    let bad: BTreeSet<&str> = broken.iter().filter_map(|what| what.split(':').next()).collect();
-    println!("{began} takeovers, {effects} effects, {} seeds broken", bad.len());
+    let bad: BTreeSet<&str> = broken
+        .iter()
+        .filter_map(|what| what.split(':').next())
+        .collect();
+    println!(
+        "{began} takeovers, {effects} effects, {} seeds broken",
+        bad.len()
+    );
     assert!(
         broken.is_empty(),
         "{} of {seeds} seeds; the first: {:#?}\none by itself: HAVENPLANK_SEED=N, with -- --nocapture",
@@ -507,7 +632,14 @@
 fn a_guardian_that_slept_past_the_others_memory_begins_nothing() {
     let (mut knew, mut broken) = (0, Vec::new());
     for seed in 0..number("HAVENPLANK_SEEDS").unwrap_or(400) {
-        let mut run = Run::new(4, seed, Weather { loss: 0.3, ..Weather::default() });
+        let mut run = Run::new(
+            4,
+            seed,
+            Weather {
+                loss: 0.3,
+                ..Weather::default()
+            },
+        );
         if number("HAVENPLANK_SEED") == Some(seed) {
             run.tell();
         }
@@ -521,15 +653,29 @@
         run.net.heal();
         run.net.unpause(3);
         let open = |record: &Record| record.confirmed && record.outcome.is_none();
-        knew += run.net.part(3).unwrap().takeover.replica(1).is_some_and(open) as usize;
+        knew += run
+            .net
+            .part(3)
+            .unwrap()
+            .takeover
+            .replica(1)
+            .is_some_and(open) as usize;
         run.play(20 * S);
         broken.extend(run.broken());
         for (at, _, what) in run.story.iter().flatten() {
             println!("{:>10.3} ms {what}", *at as f64 / 1e6);
         }
     }
-    assert!(broken.is_empty(), "{} seeds: {:#?}", broken.len(), &broken[..broken.len().min(10)]);
-    assert!(knew > 20, "{knew}: too few woke with open work to show anything");
+    assert!(
+        broken.is_empty(),
+        "{} seeds: {:#?}",
+        broken.len(),
+        &broken[..broken.len().min(10)]
+    );
+    assert!(
+        knew > 20,
+        "{knew}: too few woke with open work to show anything"
+    );
 }
 
 /// The shortening of a lease is hidden from chance by the scatter of those who would ask: so its edge is looked at by
@@ -540,8 +686,10 @@
     let rules = Rules::default();
     let (slow, fast) = (1_000_000 - rules.drift_ppm, 1_000_000 + rules.drift_ppm);
     let own = |time: Ns, rate: u64| time / 1_000 * rate / 1_000;
-    let mut all: Vec<Takeover> =
-        lives.iter().map(|me| Takeover::new(0, 1, me.clone(), rules.clone())).collect();
+    let mut all: Vec<Takeover> = lives
+        .iter()
+        .map(|me| Takeover::new(0, 1, me.clone(), rules.clone()))
+        .collect();
     all[0].claim(0, 1, 5, (vec![1], false), 6 * S, lives[1..].to_vec());
     // The first forward is known to all at time 0, and nothing is heard after.
     let mut turns = VecDeque::from([0]);
@@ -559,11 +707,19 @@
             }
         }
     }
-    let first =
-        (1..4).filter_map(|id| all[id].next_wake()).min().expect("backups wait for their promise to lapse");
+    let first = (1..4)
+        .filter_map(|id| all[id].next_wake())
+        .min()
+        .expect("backups wait for their promise to lapse");
     let lapses = first / fast * 1_000_000 + first % fast * 1_000_000 / fast;
-    assert!(all[0].may_send(own(lapses * 9 / 10, slow), 1), "the owner may act for nine tenths of it");
-    assert!(!all[0].may_send(own(lapses, slow), 1), "the owner may act as a promise lapses, at {lapses}");
+    assert!(
+        all[0].may_send(own(lapses * 9 / 10, slow), 1),
+        "the owner may act for nine tenths of it"
+    );
+    assert!(
+        !all[0].may_send(own(lapses, slow), 1),
+        "the owner may act as a promise lapses, at {lapses}"
+    );
 }
 
 /// All that were told of a piece of work are dead, and its client comes back elsewhere: of the new claim's guardians the
@@ -577,7 +733,10 @@
         run.net.part_mut(0).unwrap().never_ran = 0.0;
         run.hit(0, request, 0);
         run.play(S);
-        let dead: Vec<Id> = told.iter().map(|life| life.name[2..].parse().unwrap()).collect();
+        let dead: Vec<Id> = told
+            .iter()
+            .map(|life| life.name[2..].parse().unwrap())
+            .collect();
         dead.iter().for_each(|id| run.kill(*id));
         let living: Vec<Life> = (0..8).filter(|id| !dead.contains(id)).map(life).collect();
         for id in (0..8).filter(|id| !dead.contains(id)) {
@@ -585,7 +744,13 @@
         }
         let other = (1..8).find(|id| !dead.contains(id)).unwrap();
         // Where it is not among those asked, nobody asked knows: what docs/takeover-design.md says is left.
-        if !run.net.part(other).unwrap().backups(request, 3).contains(&life(0)) {
+        if !run
+            .net
+            .part(other)
+            .unwrap()
+            .backups(request, 3)
+            .contains(&life(0))
+        {
             continue;
         }
         knew += 1;
@@ -601,7 +766,14 @@
 fn the_work_of_a_dead_sidecar_is_finished_while_more_than_half_of_its_guardians_live() {
     let (mut in_time, mut taken) = (0, 0);
     for seed in 0..40 {
-        let mut run = Run::new(7, seed, Weather { loss: 0.05, ..Weather::default() });
+        let mut run = Run::new(
+            7,
+            seed,
+            Weather {
+                loss: 0.05,
+                ..Weather::default()
+            },
+        );
         (0..20).for_each(|n| run.hit(0, n, n as Ns * 10 * MS));
         run.play(150 * MS + seed * 5 * MS);
         run.kill(0);
@@ -610,7 +782,10 @@
             .filter(|request| {
                 let kept = |id: Id| run.net.part(id)?.takeover.replica(*request);
                 let kept: Vec<&Record> = (1..7).filter_map(kept).collect();
-                kept.len() >= 2 && kept.iter().all(|record| record.confirmed && record.outcome.is_none())
+                kept.len() >= 2
+                    && kept
+                        .iter()
+                        .all(|record| record.confirmed && record.outcome.is_none())
             })
             .collect();
         run.play(killed + 5 * S);
@@ -618,7 +793,10 @@
             taken += 1;
             let began = (1..7).find_map(|id| {
                 let part = run.net.part(id).unwrap();
-                part.began.iter().find(|(_, known)| known == request).copied()
+                part.began
+                    .iter()
+                    .find(|(_, known)| known == request)
+                    .copied()
             });
             assert!(began.is_some(), "seed {seed}: nobody finished {request}");
             in_time += 1;
@@ -642,7 +820,11 @@
         assert_eq!(run.wrote.get(&1), Some(&1));
         for id in [1, 2] {
             let part = run.net.part(id).unwrap();
-            assert_eq!(part.answers, [(1, Outcome::Served(vec![1]))], "seed {seed}, sidecar {id}");
+            assert_eq!(
+                part.answers,
+                [(1, Outcome::Served(vec![1]))],
+                "seed {seed}, sidecar {id}"
+            );
         }
         assert_eq!(run.net.part(3).unwrap().differs, 1);
     }
@@ -651,7 +833,14 @@
 #[test]
 fn a_bounce_is_no_last_word_the_client_may_come_back_anywhere_with_its_key() {
     for seed in 0..40 {
-        let mut run = Run::new(6, seed, Weather { loss: 0.1, ..Weather::default() });
+        let mut run = Run::new(
+            6,
+            seed,
+            Weather {
+                loss: 0.1,
+                ..Weather::default()
+            },
+        );
         let first = run.net.part_mut(0).unwrap();
         (first.never_ran, first.gives_up) = (1.0, 1.0);
         run.hit(0, 1, 0);
@@ -664,7 +853,11 @@
         run.effects_once();
         assert_eq!(run.wrote.get(&1), Some(&1), "seed {seed}");
         let last = run.net.part(((seed + 1) % 6) as Id).unwrap();
-        assert_eq!(last.answers.last(), Some(&(1, Outcome::Served(vec![1]))), "seed {seed}");
+        assert_eq!(
+            last.answers.last(),
+            Some(&(1, Outcome::Served(vec![1]))),
+            "seed {seed}"
+        );
     }
 }
 
@@ -675,14 +868,27 @@
     let first = run.net.part_mut(0).unwrap();
     for request in [1, 2] {
         let backups = first.backups(request, 3);
-        first.takeover.claim_in_background(at, request, 5, vec![1], 6 * S, backups);
+        first
+            .takeover
+            .claim_in_background(at, request, 5, vec![1], 6 * S, backups);
         assert_eq!(first.takeover.begin_attempt(at, request, "pod"), Some(0));
     }
-    first.takeover.finish(at + 50 * MS, 1, Outcome::Served(vec![1]));
+    first
+        .takeover
+        .finish(at + 50 * MS, 1, Outcome::Served(vec![1]));
     assert!(first.takeover.effect().is_none() && first.takeover.sizes() == (1, 0, 0));
     run.play(400 * MS);
     let keeps = |run: &Run, request| {
-        (1..4).filter(|id| run.net.part(*id).unwrap().takeover.replica(request).is_some()).count()
+        (1..4)
+            .filter(|id| {
+                run.net
+                    .part(*id)
+                    .unwrap()
+                    .takeover
+                    .replica(request)
+                    .is_some()
+            })
+            .count()
     };
     assert_eq!((keeps(&run, 1), keeps(&run, 2)), (0, 3));
 }
@@ -690,7 +896,10 @@
 #[test]
 fn records_stop_at_their_bytes_and_answers_beyond_are_not_kept() {
     let lives: Vec<Life> = (0..2).map(life).collect();
-    let rules = Rules { max_replica_bytes: 1_000, ..Rules::default() };
+    let rules = Rules {
+        max_replica_bytes: 1_000,
+        ..Rules::default()
+    };
     let mut backup = Takeover::new(0, 1, lives[1].clone(), rules);
     let record = |request: RequestId, version: u32, outcome: Option<Outcome>| Record {
         request,
@@ -718,14 +927,30 @@
             "{request}: up to the bound and one over it"
         );
     }
-    assert!(matches!(reply_to(record(4, 1, None)), Message::Full { request: 4 }));
+    assert!(matches!(
+        reply_to(record(4, 1, None)),
+        Message::Full { request: 4 }
+    ));
     // Work that it guards already goes on: its end is known, its answer is not.
-    assert!(matches!(reply_to(record(1, 2, Some(Outcome::Served(vec![1; 50])))), Message::Stored { .. }));
-    assert_eq!(backup.replica(1).and_then(|kept| kept.outcome.clone()), Some(Outcome::Served(Vec::new())));
+    assert!(matches!(
+        reply_to(record(1, 2, Some(Outcome::Served(vec![1; 50])))),
+        Message::Stored { .. }
+    ));
+    assert_eq!(
+        backup.replica(1).and_then(|kept| kept.outcome.clone()),
+        Some(Outcome::Served(Vec::new()))
+    );
     backup.wake(10 * S);
     assert_eq!(backup.sizes(), (0, 0, 0));
     backup.wake(10 * S);
-    backup.receive(10 * S, &lives[0], Message::Store { record: record(4, 1, None), stamp: 0 });
+    backup.receive(
+        10 * S,
+        &lives[0],
+        Message::Store {
+            record: record(4, 1, None),
+            stamp: 0,
+        },
+    );
     assert!(backup.replica(4).is_some(), "room again once they are gone");
 }
 
--- a/crates/trace/fuzz/fuzz_targets/read.rs
+++ b/crates/trace/fuzz/fuzz_targets/read.rs
@@ -10,7 +10,9 @@
 const KEPT: &[u8] = include_bytes!("../../tests/files/version-1.0.hpt");
 
 fn read(bytes: &[u8]) {
-    let Ok(mut reader) = Reader::open(Cursor::new(bytes)) else { return };
+    let Ok(mut reader) = Reader::open(Cursor::new(bytes)) else {
+        return;
+    };
     while let Ok(Some(record)) = reader.record() {
         assert!(record.source < reader.head.sources.len());
     }
--- a/crates/trace/src/columns.rs
+++ b/crates/trace/src/columns.rs
@@ -38,7 +38,12 @@
     fn float(&mut self, column: u16, value: &mut f64) -> Result<(), Wrong>;
     fn key(&mut self, column: u16, value: &mut u64) -> Result<(), Wrong>;
     fn text(&mut self, column: u16, value: &mut String) -> Result<(), Wrong>;
-    fn card(&mut self, column: u16, pod: &mut PodId, card: &mut Option<Arc<Card>>) -> Result<(), Wrong>;
+    fn card(
+        &mut self,
+        column: u16,
+        pod: &mut PodId,
+        card: &mut Option<Arc<Card>>,
+    ) -> Result<(), Wrong>;
     /// What was last seen in a place, to tell a value by its distance from it.
     fn last(&mut self, place: (u16, u64)) -> &mut u64;
     /// Something newer than this program: the record is passed over once it is walked.
@@ -85,7 +90,12 @@
     }
 
     /// One of a list of choices, by its place there; the list may grow at its end with minor versions.
-    fn one<T: Copy + PartialEq>(&mut self, column: u16, value: &mut T, all: &[T]) -> Result<(), Wrong> {
+    fn one<T: Copy + PartialEq>(
+        &mut self,
+        column: u16,
+        value: &mut T,
+        all: &[T],
+    ) -> Result<(), Wrong> {
         let mut at = all.iter().position(|one| one == value).unwrap_or(0) as u64;
         self.number(column, &mut at)?;
         match usize::try_from(at).ok().and_then(|at| all.get(at)) {
@@ -159,10 +169,21 @@
     Ended::NotSent,
 ];
 const STATES: [PodState; 3] = [PodState::Running, PodState::Draining, PodState::Gone];
-const PHASES: [Phase; 4] = [Phase::Trial, Phase::GoingBack, Phase::Released, Phase::Withdrawn];
+const PHASES: [Phase; 4] = [
+    Phase::Trial,
+    Phase::GoingBack,
+    Phase::Released,
+    Phase::Withdrawn,
+];
 const VOICES: [Voice; 4] = [Voice::None, Voice::On, Voice::Hold, Voice::Back];
 const HEARD: [Heard; 4] = [Heard::Counted, Heard::Moot, Heard::Unknown, Heard::Refused];
-const NO_STAGE: Stage = Stage { build: 0, stage: 0, phase: Phase::Trial, cap: 0.0, age: 0 };
+const NO_STAGE: Stage = Stage {
+    build: 0,
+    stage: 0,
+    phase: Phase::Trial,
+    cap: 0.0,
+    age: 0,
+};
 
 fn load(w: &mut impl Way, c: u16, load: &mut Option<Load>) -> Result<(), Wrong> {
     w.maybe(c, load, Load::default(), |w, load| {
@@ -174,7 +195,10 @@
             &mut load.delivered_per_s,
             &mut load.failed_per_s,
         ];
-        let there = fields.iter().enumerate().map(|(n, field)| (field.is_some() as u64) << n);
+        let there = fields
+            .iter()
+            .enumerate()
+            .map(|(n, field)| (field.is_some() as u64) << n);
         let mut there: u64 = there.sum();
         w.number(c + 1, &mut there)?;
         for (n, field) in fields.into_iter().enumerate() {
@@ -204,11 +228,15 @@
             Told::Hit { hit, asked } => {
                 w.hit(c, source, hit)?;
                 w.index(c + 1, &mut asked.group)?;
-                w.maybe(c + 2, &mut asked.customer, 0, |w, customer| w.index(c + 3, customer))?;
+                w.maybe(c + 2, &mut asked.customer, 0, |w, customer| {
+                    w.index(c + 3, customer)
+                })?;
                 w.key(c + 4, &mut asked.key)?;
                 w.near(c + 5, asked.group as u64, &mut asked.left)?;
                 *w.last((1, source)) = asked.left;
-                w.maybe(c + 6, &mut asked.cost_hint, 0, |w, cost| w.number(c + 7, cost))?;
+                w.maybe(c + 6, &mut asked.cost_hint, 0, |w, cost| {
+                    w.number(c + 7, cost)
+                })?;
                 w.flag(c + 8, &mut asked.repeat)
             }
             Told::Resumed { hit, past } => {
@@ -218,7 +246,14 @@
                 if count > MOST_PAST {
                     return Err(Wrong::Range(c + 1));
                 }
-                past.resize(count, Earlier { pod: None, ago: 0, may_have_run: false });
+                past.resize(
+                    count,
+                    Earlier {
+                        pod: None,
+                        ago: 0,
+                        may_have_run: false,
+                    },
+                );
                 for earlier in past {
                     w.maybe(c + 2, &mut earlier.pod, 0, |w, pod| w.index(c + 3, pod))?;
                     w.number(c + 4, &mut earlier.ago)?;
@@ -231,7 +266,14 @@
                 w.small(c + 1, nth)?;
                 w.flag(c + 2, may)
             }
-            Told::Ended { hit, nth, end, took, load: said, passed } => {
+            Told::Ended {
+                hit,
+                nth,
+                end,
+                took,
+                load: said,
+                passed,
+            } => {
                 w.hit(c, source, hit)?;
                 w.small(c + 1, nth)?;
                 w.one(c + 2, end, &ENDS)?;
@@ -266,7 +308,9 @@
             Told::Voted { vote, news } => {
                 w.number(c, vote)?;
                 w.one(c + 1, &mut news.heard, &HEARD)?;
-                w.maybe(c + 2, &mut news.stage, NO_STAGE, |w, news| stage(w, c + 3, news))
+                w.maybe(c + 2, &mut news.stage, NO_STAGE, |w, news| {
+                    stage(w, c + 3, news)
+                })
             }
             Told::Probed { probe, end } => {
                 w.near(c, 0, probe)?;
@@ -290,7 +334,12 @@
             Told::Wake(wake) => w.near(c, source, wake),
         },
         What::Did(effect) => match effect {
-            Effect::Forward { hit, nth, pod, time_out } => {
+            Effect::Forward {
+                hit,
+                nth,
+                pod,
+                time_out,
+            } => {
                 w.hit(c, source, hit)?;
                 w.small(c + 1, nth)?;
                 w.card(c + 2, pod, &mut record.pod)?;
@@ -311,7 +360,12 @@
                 w.hit(c, source, hit)?;
                 w.flag(c + 1, late)
             }
-            Effect::Vote { vote, build, stage, voice } => {
+            Effect::Vote {
+                vote,
+                build,
+                stage,
+                voice,
+            } => {
                 w.number(c, vote)?;
                 w.small(c + 1, build)?;
                 w.index(c + 2, stage)?;
@@ -336,7 +390,9 @@
 const SENT: u16 = 5;
 
 fn forward_slot(source: u64, hit: HitId, nth: u32) -> u64 {
-    hit.wrapping_mul(64).wrapping_add(nth as u64).wrapping_add(source << 52)
+    hit.wrapping_mul(64)
+        .wrapping_add(nth as u64)
+        .wrapping_add(source << 52)
 }
 
 fn blank_pod() -> Listed {
@@ -406,36 +462,107 @@
 }
 
 fn blank(kind: u64) -> Option<What> {
-    let asked = || Asked { group: 0, customer: None, key: 0, left: 0, cost_hint: None, repeat: false };
-    let tally = || Tally { build: 0, group: 0, count: 0, failed: 0, mean_latency: 0, age: 0 };
-    let ended = || Told::Ended { hit: 0, nth: 0, end: Ended::Error, took: 0, load: None, passed: false };
-    let news = || StageNews { heard: Heard::Unknown, stage: None };
-    let end = || ProbeEnd { end: Ended::Error, took: 0, load: None };
+    let asked = || Asked {
+        group: 0,
+        customer: None,
+        key: 0,
+        left: 0,
+        cost_hint: None,
+        repeat: false,
+    };
+    let tally = || Tally {
+        build: 0,
+        group: 0,
+        count: 0,
+        failed: 0,
+        mean_latency: 0,
+        age: 0,
+    };
+    let ended = || Told::Ended {
+        hit: 0,
+        nth: 0,
+        end: Ended::Error,
+        took: 0,
+        load: None,
+        passed: false,
+    };
+    let news = || StageNews {
+        heard: Heard::Unknown,
+        stage: None,
+    };
+    let end = || ProbeEnd {
+        end: Ended::Error,
+        took: 0,
+        load: None,
+    };
     Some(match kind {
         1 => What::Told(Told::Begin),
-        2 => What::Told(Told::Hit { hit: 0, asked: asked() }),
-        3 => What::Told(Told::MayGo { hit: 0, nth: 0, may: false }),
+        2 => What::Told(Told::Hit {
+            hit: 0,
+            asked: asked(),
+        }),
+        3 => What::Told(Told::MayGo {
+            hit: 0,
+            nth: 0,
+            may: false,
+        }),
         4 => What::Told(ended()),
         5 => What::Told(Told::Left { hit: 0 }),
-        6 => What::Told(Told::List { whole: false, pods: Vec::new(), given: Vec::new() }),
+        6 => What::Told(Told::List {
+            whole: false,
+            pods: Vec::new(),
+            given: Vec::new(),
+        }),
         7 => What::Told(Told::ListFailed),
         8 => What::Told(Told::News(NO_STAGE)),
-        9 => What::Told(Told::Voted { vote: 0, news: news() }),
-        10 => What::Told(Told::Probed { probe: 0, end: end() }),
+        9 => What::Told(Told::Voted {
+            vote: 0,
+            news: news(),
+        }),
+        10 => What::Told(Told::Probed {
+            probe: 0,
+            end: end(),
+        }),
         11 => What::Told(Told::Tally(tally())),
-        12 => What::Told(Told::Flagged { pod: 0, group: 0, ago: 0 }),
+        12 => What::Told(Told::Flagged {
+            pod: 0,
+            group: 0,
+            ago: 0,
+        }),
         13 => What::Told(Told::Wake(0)),
-        14 => What::Told(Told::Resumed { hit: 0, past: Vec::new() }),
-        16 => What::Did(Effect::Forward { hit: 0, nth: 0, pod: 0, time_out: 0 }),
+        14 => What::Told(Told::Resumed {
+            hit: 0,
+            past: Vec::new(),
+        }),
+        16 => What::Did(Effect::Forward {
+            hit: 0,
+            nth: 0,
+            pod: 0,
+            time_out: 0,
+        }),
         17 => What::Did(Effect::Cancel { hit: 0, nth: 0 }),
-        18 => What::Did(Effect::Bounce { hit: 0, come_back: 0 }),
-        19 => What::Did(Effect::Error { hit: 0, late: false }),
-        20 => What::Did(Effect::Vote { vote: 0, build: 0, stage: 0, voice: Voice::None }),
+        18 => What::Did(Effect::Bounce {
+            hit: 0,
+            come_back: 0,
+        }),
+        19 => What::Did(Effect::Error {
+            hit: 0,
+            late: false,
+        }),
+        20 => What::Did(Effect::Vote {
+            vote: 0,
+            build: 0,
+            stage: 0,
+            voice: Voice::None,
+        }),
         21 => What::Did(Effect::Probe { probe: 0, pod: 0 }),
         22 => What::Did(Effect::AskList),
         23 => What::Did(Effect::WatchList(false)),
         24 => What::Did(Effect::Log(String::new())),
-        25 => What::Lost { hits: 0, records: 0 },
+        25 => What::Lost {
+            hits: 0,
+            records: 0,
+        },
         _ => return None,
     })
 }
@@ -523,7 +650,11 @@
     }
 
     pub fn body(&self) -> Vec<u8> {
-        let full = self.columns.iter().enumerate().filter(|(_, bytes)| !bytes.is_empty());
+        let full = self
+            .columns
+            .iter()
+            .enumerate()
+            .filter(|(_, bytes)| !bytes.is_empty());
         let body = Body {
             pods: self.pods.clone(),
             keys: self.keys.clone(),
@@ -581,12 +712,24 @@
         self.number(column, &mut place)
     }
 
-    fn card(&mut self, column: u16, pod: &mut PodId, card: &mut Option<Arc<Card>>) -> Result<(), Wrong> {
-        let nobody = || Card { pod: *pod, build: 0, name: String::new(), zone: String::new() };
+    fn card(
+        &mut self,
+        column: u16,
+        pod: &mut PodId,
+        card: &mut Option<Arc<Card>>,
+    ) -> Result<(), Wrong> {
+        let nobody = || Card {
+            pod: *pod,
+            build: 0,
+            name: String::new(),
+            zone: String::new(),
+        };
         let card = card.get_or_insert_with(|| Arc::new(nobody()));
         let place = (self.source, *pod);
-        let known =
-            self.pod_places.get(&place).filter(|(known, _)| Arc::ptr_eq(known, card) || known == card);
+        let known = self
+            .pod_places
+            .get(&place)
+            .filter(|(known, _)| Arc::ptr_eq(known, card) || known == card);
         let mut at = match known {
             Some((_, at)) => *at,
             None => {
@@ -630,7 +773,8 @@
     /// Not the body of a block.
     pub fn new(bytes: Vec<u8>, first: Ns) -> Result<Emptying, String> {
         // Fields that a newer minor version adds at the end are left unread.
-        let (body, _) = postcard::take_from_bytes::<Body>(&bytes).map_err(|error| error.to_string())?;
+        let (body, _) =
+            postcard::take_from_bytes::<Body>(&bytes).map_err(|error| error.to_string())?;
         let mut columns = vec![(0, 0); COLUMNS];
         let base = bytes.as_ptr() as usize;
         for (column, part) in &body.columns {
@@ -639,11 +783,29 @@
                 *place = (from, from + part.len());
             }
         }
-        let Body { pods, keys, texts, standing, .. } = body;
+        let Body {
+            pods,
+            keys,
+            texts,
+            standing,
+            ..
+        } = body;
         let pods = pods.into_iter().map(Arc::new).collect();
         let (last, at) = (Last::default(), first);
         let (strange, room, skipped) = (false, 0, 0);
-        Ok(Emptying { bytes, columns, pods, keys, texts, standing, last, at, strange, room, skipped })
+        Ok(Emptying {
+            bytes,
+            columns,
+            pods,
+            keys,
+            texts,
+            standing,
+            last,
+            at,
+            strange,
+            room,
+            skipped,
+        })
     }
 
     /// The next record that this program knows; `None` at the block's end.
@@ -662,7 +824,9 @@
             self.number(SOURCE, &mut source)?;
             self.near(OWN, source, &mut own)?;
             self.at = self.at.checked_add(step).ok_or(Wrong::Range(TIME))?;
-            let place = usize::try_from(source).ok().filter(|source| *source <= u16::MAX as usize);
+            let place = usize::try_from(source)
+                .ok()
+                .filter(|source| *source <= u16::MAX as usize);
             let source_place = place.ok_or(Wrong::Range(SOURCE))?;
             (self.strange, self.room) = (false, TEXT);
             let Some(what) = blank(kind) else {
@@ -670,7 +834,13 @@
                 continue;
             };
             let own = self.at.wrapping_add(own);
-            let mut record = Record { at: self.at, own, source: source_place, what, pod: None };
+            let mut record = Record {
+                at: self.at,
+                own,
+                source: source_place,
+                what,
+                pod: None,
+            };
             walk(self, kind as u16, source, &mut record)?;
             if !self.strange {
                 return Ok(Some(record));
@@ -697,7 +867,9 @@
             return Ok(());
         }
         let (from, to) = self.columns[column as usize];
-        let bits = self.bytes[from..to].first_chunk::<8>().ok_or(Wrong::Short(column))?;
+        let bits = self.bytes[from..to]
+            .first_chunk::<8>()
+            .ok_or(Wrong::Short(column))?;
         *value = f64::from_bits(u64::from_le_bytes(*bits));
         self.columns[column as usize].0 += 8;
         Ok(())
@@ -714,12 +886,20 @@
         let mut place = 0;
         self.index(column, &mut place)?;
         let found = self.texts.get(place).ok_or(Wrong::Entry(column))?;
-        self.room = self.room.checked_sub(found.len()).ok_or(Wrong::Range(column))?;
+        self.room = self
+            .room
+            .checked_sub(found.len())
+            .ok_or(Wrong::Range(column))?;
         value.clone_from(found);
         Ok(())
     }
 
-    fn card(&mut self, column: u16, pod: &mut PodId, card: &mut Option<Arc<Card>>) -> Result<(), Wrong> {
+    fn card(
+        &mut self,
+        column: u16,
+        pod: &mut PodId,
+        card: &mut Option<Arc<Card>>,
+    ) -> Result<(), Wrong> {
         let mut place = 0;
         self.index(column, &mut place)?;
         let found = self.pods.get(place).ok_or(Wrong::Entry(column))?;
--- a/crates/trace/src/cut.rs
+++ b/crates/trace/src/cut.rs
@@ -83,7 +83,9 @@
     match writer {
         Some(writer) => writer.finish().map(drop)?,
         None if damage.is_none() => {
-            return Err(TraceError::Unfit("nothing was recorded within these times".into()))
+            return Err(TraceError::Unfit(
+                "nothing was recorded within these times".into(),
+            ))
         }
         None => {}
     }
