--- a/crates/trace/src/file.rs
+++ b/crates/trace/src/file.rs
@@ -59,7 +59,13 @@
         at += bytes.len();
     };
     add(tag);
-    for number in [entry.packed, entry.unpacked, entry.records, entry.hits, entry.shared] {
+    for number in [
+        entry.packed,
+        entry.unpacked,
+        entry.records,
+        entry.hits,
+        entry.shared,
+    ] {
         add(&number.to_le_bytes());
     }
     add(&entry.first.to_le_bytes());
@@ -71,11 +77,15 @@
 }
 
 fn u32_at(bytes: &[u8], at: usize) -> u32 {
-    bytes[at..].first_chunk().map_or(0, |chunk| u32::from_le_bytes(*chunk))
+    bytes[at..]
+        .first_chunk()
+        .map_or(0, |chunk| u32::from_le_bytes(*chunk))
 }
 
 fn u64_at(bytes: &[u8], at: usize) -> u64 {
-    bytes[at..].first_chunk().map_or(0, |chunk| u64::from_le_bytes(*chunk))
+    bytes[at..]
+        .first_chunk()
+        .map_or(0, |chunk| u64::from_le_bytes(*chunk))
 }
 
 /// The frame's tag, entry and the checksum of what follows; `None` where it is no whole frame.
@@ -112,7 +122,10 @@
     pub fn new(mut out: W, head: &Head) -> Result<Sink<W>, TraceError> {
         let head = serde_json::to_vec(head).map_err(io::Error::from)?;
         if head.len() > MOST {
-            return Err(TraceError::Unfit(format!("a greeting of {} bytes; {MOST} at most", head.len())));
+            return Err(TraceError::Unfit(format!(
+                "a greeting of {} bytes; {MOST} at most",
+                head.len()
+            )));
         }
         let mut greeting = MAGIC.to_vec();
         greeting.extend(MAJOR.to_le_bytes());
@@ -122,17 +135,31 @@
         let sum = crc32fast::hash(&greeting);
         greeting.extend(sum.to_le_bytes());
         out.write_all(&greeting)?;
-        Ok(Sink { out, offset: greeting.len() as u64, index: Vec::new(), level: 3 })
+        Ok(Sink {
+            out,
+            offset: greeting.len() as u64,
+            index: Vec::new(),
+            level: 3,
+        })
     }
 
     fn append(&mut self, tag: &[u8; 4], entry: Entry, bytes: &[u8]) -> Result<Entry, TraceError> {
         if bytes.len() > MOST {
-            return Err(TraceError::Unfit(format!("a block of {} bytes; {MOST} at most", bytes.len())));
+            return Err(TraceError::Unfit(format!(
+                "a block of {} bytes; {MOST} at most",
+                bytes.len()
+            )));
         }
         let packed = zstd::bulk::compress(bytes, self.level)?;
         let (length, unpacked) = (packed.len() as u32, bytes.len() as u32);
-        let entry = Entry { offset: self.offset, packed: length, unpacked, ..entry };
-        self.out.write_all(&frame(tag, &entry, crc32fast::hash(&packed)))?;
+        let entry = Entry {
+            offset: self.offset,
+            packed: length,
+            unpacked,
+            ..entry
+        };
+        self.out
+            .write_all(&frame(tag, &entry, crc32fast::hash(&packed)))?;
         self.out.write_all(&packed)?;
         self.offset += (FRAME + packed.len()) as u64;
         Ok(entry)
@@ -144,8 +171,24 @@
         if block.records == 0 {
             return Ok(());
         }
-        let Filling { records, hits, shared, first, at, .. } = *block;
-        let told = Entry { offset: 0, packed: 0, unpacked: 0, records, hits, shared, first, last: at };
+        let Filling {
+            records,
+            hits,
+            shared,
+            first,
+            at,
+            ..
+        } = *block;
+        let told = Entry {
+            offset: 0,
+            packed: 0,
+            unpacked: 0,
+            records,
+            hits,
+            shared,
+            first,
+            last: at,
+        };
         let entry = self.append(BLOCK, told, &block.body())?;
         self.index.push(entry);
         Ok(())
@@ -170,8 +213,16 @@
     pub fn finish(mut self) -> Result<W, TraceError> {
         let offset = self.offset;
         let index = postcard::to_stdvec(&self.index).unwrap_or_default();
-        let blank =
-            Entry { offset, packed: 0, unpacked: 0, records: 0, hits: 0, shared: 0, first: 0, last: 0 };
+        let blank = Entry {
+            offset,
+            packed: 0,
+            unpacked: 0,
+            records: 0,
+            hits: 0,
+            shared: 0,
+            first: 0,
+            last: 0,
+        };
         // An index too large for its frame is left out, and made anew by whoever opens the file.
         if index.len() <= MOST {
             self.append(INDEX, blank, &index)?;
@@ -196,8 +247,15 @@
 /// Keeps the stage in force at each source.
 pub fn stand(standing: &mut Vec<Standing>, record: &Record) {
     let Some(stage) = record.stage() else { return };
-    let now = Standing { source: record.source, at: record.at, stage };
-    match standing.iter_mut().find(|known| known.source == record.source) {
+    let now = Standing {
+        source: record.source,
+        at: record.at,
+        stage,
+    };
+    match standing
+        .iter_mut()
+        .find(|known| known.source == record.source)
+    {
         Some(known) => *known = now,
         None => standing.push(now),
     }
@@ -209,7 +267,11 @@
     /// # Errors
     /// As [`Sink::new`].
     pub fn new(out: W, head: &Head, standing: Vec<Standing>) -> Result<Writer<W>, TraceError> {
-        Ok(Writer { sink: Sink::new(out, head)?, filling: Filling::new(standing.clone()), standing })
+        Ok(Writer {
+            sink: Sink::new(out, head)?,
+            filling: Filling::new(standing.clone()),
+            standing,
+        })
     }
 
     /// # Errors
@@ -259,7 +321,10 @@
 }
 
 fn damage(at: u64, what: impl ToString) -> TraceError {
-    TraceError::Damage { at, what: what.to_string() }
+    TraceError::Damage {
+        at,
+        what: what.to_string(),
+    }
 }
 
 /// Reads a stated number of bytes, taking memory only as they come.
@@ -294,8 +359,13 @@
             return Err(TraceError::Major(major));
         }
         let told = u32_at(&greeting, 12) as usize;
-        let rest = if told <= MOST { read_some(&mut input, told + 4)? } else { None };
-        let rest = rest.ok_or_else(|| damage(12, "the greeting is cut off or its length is wrong"))?;
+        let rest = if told <= MOST {
+            read_some(&mut input, told + 4)?
+        } else {
+            None
+        };
+        let rest =
+            rest.ok_or_else(|| damage(12, "the greeting is cut off or its length is wrong"))?;
         greeting.extend(&rest[..told]);
         if crc32fast::hash(&greeting) != u32_at(&rest, told) {
             return Err(damage(16, "the greeting's checksum is wrong"));
@@ -324,7 +394,11 @@
                 let last = reader.span().map_or(0, |(_, last)| last);
                 if !reader.head.merged {
                     let until = last.saturating_add(1);
-                    reader.head.sources.iter_mut().for_each(|source| source.until = source.until.min(until));
+                    reader
+                        .head
+                        .sources
+                        .iter_mut()
+                        .for_each(|source| source.until = source.until.min(until));
                 }
             }
         }
@@ -333,21 +407,34 @@
 
     fn kept_index(&mut self, length: u64, start: u64) -> Result<Vec<Entry>, String> {
         let missing = || "no index at the end: the file was not closed".to_string();
-        let trailer_at = length.checked_sub(TRAILER_BYTES).filter(|at| *at >= start).ok_or_else(missing)?;
-        self.input.seek(SeekFrom::Start(trailer_at)).map_err(|error| error.to_string())?;
-        let trailer =
-            read_some(&mut self.input, TRAILER_BYTES as usize).map_err(|error| error.to_string())?;
-        let trailer = trailer.filter(|bytes| &bytes[8..16] == TRAILER).ok_or_else(missing)?;
+        let trailer_at = length
+            .checked_sub(TRAILER_BYTES)
+            .filter(|at| *at >= start)
+            .ok_or_else(missing)?;
+        self.input
+            .seek(SeekFrom::Start(trailer_at))
+            .map_err(|error| error.to_string())?;
+        let trailer = read_some(&mut self.input, TRAILER_BYTES as usize)
+            .map_err(|error| error.to_string())?;
+        let trailer = trailer
+            .filter(|bytes| &bytes[8..16] == TRAILER)
+            .ok_or_else(missing)?;
         let damaged = || format!("byte {trailer_at}: the index is damaged");
         if crc32fast::hash(&trailer[..16]) != u32_at(&trailer, 16) {
             return Err(damaged());
         }
         let offset = u64_at(&trailer, 0);
-        let (tag, entry, sum) = self.frame(offset).map_err(|error| error.to_string())?.ok_or_else(damaged)?;
-        if &tag != INDEX || offset.saturating_add(FRAME as u64 + entry.packed as u64) != trailer_at {
+        let (tag, entry, sum) = self
+            .frame(offset)
+            .map_err(|error| error.to_string())?
+            .ok_or_else(damaged)?;
+        if &tag != INDEX || offset.saturating_add(FRAME as u64 + entry.packed as u64) != trailer_at
+        {
             return Err(damaged());
         }
-        let bytes = self.packed(&entry, sum).map_err(|error| error.to_string())?;
+        let bytes = self
+            .packed(&entry, sum)
+            .map_err(|error| error.to_string())?;
         let index: Vec<Entry> = postcard::from_bytes(&bytes).map_err(|_| damaged())?;
         // Blocks stand side by side from the greeting to the index.
         let mut at = start;
@@ -381,7 +468,8 @@
         if crc32fast::hash(&packed) != sum {
             return Err(damage(at, "the block's checksum is wrong"));
         }
-        unpack(&packed, entry.unpacked as usize).map_err(|error| damage(at, format!("the block {error}")))
+        unpack(&packed, entry.unpacked as usize)
+            .map_err(|error| damage(at, format!("the block {error}")))
     }
 
     /// Makes the index from the blocks' frames alone.
@@ -420,7 +508,10 @@
 
     /// The first block that holds anything at or after a time.
     pub fn block_at(&self, at: Ns) -> usize {
-        self.index.iter().position(|entry| entry.last >= at).unwrap_or(self.index.len())
+        self.index
+            .iter()
+            .position(|entry| entry.last >= at)
+            .unwrap_or(self.index.len())
     }
 
     /// The time of the first record and of the last.
@@ -475,6 +566,7 @@
             return Err(damage(at, "not the block that the index tells of"));
         }
         let body = self.packed(entry, sum)?;
-        Emptying::new(body, entry.first).map_err(|error| damage(at, format!("the block's body: {error}")))
+        Emptying::new(body, entry.first)
+            .map_err(|error| damage(at, format!("the block's body: {error}")))
     }
 }
--- a/crates/trace/src/from_wire.rs
+++ b/crates/trace/src/from_wire.rs
@@ -50,7 +50,11 @@
     }
 
     fn sweep(&mut self, name: &str) {
-        if self.hits.get(name).is_some_and(|held| !held.open && !held.out.contains(&true)) {
+        if self
+            .hits
+            .get(name)
+            .is_some_and(|held| !held.open && !held.out.contains(&true))
+        {
             self.hits.remove(name);
         }
     }
@@ -70,7 +74,16 @@
 
 impl Hears for Scribe {
     fn attach(now: Ns, sidecar: u64, seed: u64, setup: Setup) -> Scribe {
-        let Setup { names, place, groups, forwards, pods, exposure, votes, list } = setup;
+        let Setup {
+            names,
+            place,
+            groups,
+            forwards,
+            pods,
+            exposure,
+            votes,
+            list,
+        } = setup;
         let terms = Terms {
             name: format!("sidecar-{sidecar}"),
             place,
@@ -86,8 +99,17 @@
             reuse: false,
         };
         let (life, until) = (seed ^ now, Ns::MAX);
-        let source =
-            Source { terms, seed, life, part: 0, began: now, wall: now, share: 1.0, whole: true, until };
+        let source = Source {
+            terms,
+            seed,
+            life,
+            part: 0,
+            began: now,
+            wall: now,
+            share: 1.0,
+            whole: true,
+            until,
+        };
         Scribe {
             now,
             names,
@@ -122,10 +144,21 @@
 
     fn list(&mut self, whole: bool, rows: &[Row]) {
         let (mut pods, mut given) = (Vec::new(), Vec::new());
-        for Row { pod, zone, machine, entry } in rows {
+        for Row {
+            pod,
+            zone,
+            machine,
+            entry,
+        } in rows
+        {
             let next = self.cards.len();
             let id = *self.pods.entry(pod.clone()).or_insert(next);
-            let card = Arc::new(Card { pod: id, build: entry.build, name: pod.clone(), zone: zone.clone() });
+            let card = Arc::new(Card {
+                pod: id,
+                build: entry.build,
+                name: pod.clone(),
+                zone: zone.clone(),
+            });
             match self.cards.get_mut(id) {
                 Some(known) => *known = card,
                 None => self.cards.push(card),
@@ -159,22 +192,55 @@
     fn hit(&mut self, name: &str, hit: Hit) {
         let id = self.next_hit;
         self.next_hit += 1;
-        let Hit { group, customer, key, left, cost_hint, repeat, .. } = hit;
-        let held = Held { id, deadline: self.now.saturating_add(left), open: true, out: Vec::new() };
+        let Hit {
+            group,
+            customer,
+            key,
+            left,
+            cost_hint,
+            repeat,
+            ..
+        } = hit;
+        let held = Held {
+            id,
+            deadline: self.now.saturating_add(left),
+            open: true,
+            out: Vec::new(),
+        };
         self.hits.insert(name.to_string(), held);
-        let asked = Asked { group, customer, key, left, cost_hint, repeat };
+        let asked = Asked {
+            group,
+            customer,
+            key,
+            left,
+            cost_hint,
+            repeat,
+        };
         self.told.push(Told::Hit { hit: id, asked });
     }
 
     fn ended(&mut self, name: &str, nth: usize, outcome: Outcome) {
-        let Some(held) = self.hits.get_mut(name) else { return };
-        let Some(out) = held.out.get_mut(nth).filter(|out| **out) else { return };
+        let Some(held) = self.hits.get_mut(name) else {
+            return;
+        };
+        let Some(out) = held.out.get_mut(nth).filter(|out| **out) else {
+            return;
+        };
         *out = false;
-        let Outcome { end, took, load, .. } = outcome;
+        let Outcome {
+            end, took, load, ..
+        } = outcome;
         let passed = held.open && end == Ended::Delivered;
         held.open &= !passed;
         let (hit, nth) = (held.id, nth as u32);
-        self.told.push(Told::Ended { hit, nth, end, took, load, passed });
+        self.told.push(Told::Ended {
+            hit,
+            nth,
+            end,
+            took,
+            load,
+            passed,
+        });
         self.sweep(name);
     }
 
@@ -211,7 +277,9 @@
     }
 
     fn probed(&mut self, pod: &str, end: ProbeEnd) {
-        let Some(pod) = self.pods.get(pod) else { return };
+        let Some(pod) = self.pods.get(pod) else {
+            return;
+        };
         if let Some(probe) = self.probes.get_mut(pod).and_then(VecDeque::pop_front) {
             self.told.push(Told::Probed { probe, end });
         }
@@ -238,20 +306,36 @@
         self.by(sidecar, |scribe| {
             let pod = scribe.pods.get(pod).copied().unwrap_or(PodId::MAX);
             let Some(held) = scribe.hits.get_mut(hit) else {
-                return Effect::Forward { hit: HitId::MAX, nth: 0, pod, time_out };
+                return Effect::Forward {
+                    hit: HitId::MAX,
+                    nth: 0,
+                    pod,
+                    time_out,
+                };
             };
             held.out.push(true);
-            Effect::Forward { hit: held.id, nth: held.out.len() as u32 - 1, pod, time_out }
+            Effect::Forward {
+                hit: held.id,
+                nth: held.out.len() as u32 - 1,
+                pod,
+                time_out,
+            }
         });
     }
 
     fn cancel(&mut self, sidecar: u64, hit: &str, nth: u32) {
-        self.by(sidecar, |scribe| Effect::Cancel { hit: scribe.id(hit), nth });
+        self.by(sidecar, |scribe| Effect::Cancel {
+            hit: scribe.id(hit),
+            nth,
+        });
     }
 
     fn bounce(&mut self, sidecar: u64, hit: &str, come_back: Ns) {
         self.by(sidecar, |scribe| {
-            let bounced = Effect::Bounce { hit: scribe.id(hit), come_back };
+            let bounced = Effect::Bounce {
+                hit: scribe.id(hit),
+                come_back,
+            };
             scribe.close(hit);
             bounced
         });
@@ -259,8 +343,14 @@
 
     fn error(&mut self, sidecar: u64, hit: &str) {
         self.by(sidecar, |scribe| {
-            let late = scribe.hits.get(hit).is_some_and(|held| scribe.now >= held.deadline);
-            let errored = Effect::Error { hit: scribe.id(hit), late };
+            let late = scribe
+                .hits
+                .get(hit)
+                .is_some_and(|held| scribe.now >= held.deadline);
+            let errored = Effect::Error {
+                hit: scribe.id(hit),
+                late,
+            };
             scribe.close(hit);
             errored
         });
@@ -270,13 +360,21 @@
         self.by(sidecar, |scribe| {
             let vote = scribe.call();
             scribe.votes.push_back(vote);
-            Effect::Vote { vote, build, stage, voice }
+            Effect::Vote {
+                vote,
+                build,
+                stage,
+                voice,
+            }
         });
     }
 
     fn probe(&mut self, sidecar: u64, pod: &str) {
         self.by(sidecar, |scribe| {
-            let (probe, pod) = (scribe.call(), scribe.pods.get(pod).copied().unwrap_or(PodId::MAX));
+            let (probe, pod) = (
+                scribe.call(),
+                scribe.pods.get(pod).copied().unwrap_or(PodId::MAX),
+            );
             scribe.probes.entry(pod).or_default().push_back(probe);
             Effect::Probe { probe, pod }
         });
@@ -304,7 +402,11 @@
 
 impl<I: BufRead> Lines<I> {
     fn new(input: I) -> Lines<I> {
-        Lines { input, text: Vec::new(), number: 0 }
+        Lines {
+            input,
+            text: Vec::new(),
+            number: 0,
+        }
     }
 
     fn next(&mut self) -> Result<Option<Line>, TraceError> {
@@ -315,7 +417,9 @@
             }
             self.number += 1;
             if !self.text.iter().all(u8::is_ascii_whitespace) {
-                return Line::read(self.number, &self.text).map(Some).map_err(TraceError::Unfit);
+                return Line::read(self.number, &self.text)
+                    .map(Some)
+                    .map_err(TraceError::Unfit);
             }
         }
     }
@@ -326,11 +430,14 @@
 /// # Errors
 /// A line that is none of the wire's.
 pub fn sources(input: impl BufRead) -> Result<Vec<Source>, TraceError> {
-    let (mut lines, mut wire, mut sources) = (Lines::new(input), Wire::<Scribe>::default(), Vec::new());
+    let (mut lines, mut wire, mut sources) =
+        (Lines::new(input), Wire::<Scribe>::default(), Vec::new());
     while let Some(line) = lines.next()? {
         let sidecar = line.of().whole("sidecar").ok();
         wire.line(line).map_err(TraceError::Unfit)?;
-        let scribe = sidecar.and_then(|sidecar| wire.instances.get_mut(&sidecar)).and_then(Option::as_mut);
+        let scribe = sidecar
+            .and_then(|sidecar| wire.instances.get_mut(&sidecar))
+            .and_then(Option::as_mut);
         if let Some(scribe) = scribe {
             sources.extend(scribe.fresh.take().map(|source| *source));
             scribe.told.clear();
@@ -355,15 +462,26 @@
     let mut wire = Wire::<Scribe>::default();
     let (mut lives, mut count) = (0, 0);
     let mut put = |scribe: &Scribe, what: What| {
-        let record = Record { at: scribe.now, own: scribe.now, source: scribe.number, what, pod: None };
-        let pod = record.pod_index().and_then(|pod| scribe.cards.get(pod)).cloned();
+        let record = Record {
+            at: scribe.now,
+            own: scribe.now,
+            source: scribe.number,
+            what,
+            pod: None,
+        };
+        let pod = record
+            .pod_index()
+            .and_then(|pod| scribe.cards.get(pod))
+            .cloned();
         count += 1;
         writer.put(Record { pod, ..record })
     };
     while let Some(line) = heard.next()? {
         let sidecar = line.of().whole("sidecar").ok();
         let turn = wire.line(line).map_err(TraceError::Unfit)?;
-        let scribe = sidecar.and_then(|sidecar| wire.instances.get_mut(&sidecar)).and_then(Option::as_mut);
+        let scribe = sidecar
+            .and_then(|sidecar| wire.instances.get_mut(&sidecar))
+            .and_then(Option::as_mut);
         if let Some(scribe) = scribe {
             if scribe.fresh.take().is_some() {
                 scribe.number = lives;
@@ -379,7 +497,10 @@
                 let why = format!("the output ends before its answer to batch {turn}");
                 return Err(TraceError::Unfit(why));
             };
-            let mut deeds = Deeds { wire: &mut wire, done: Vec::new() };
+            let mut deeds = Deeds {
+                wire: &mut wire,
+                done: Vec::new(),
+            };
             let ends = acts::read(&line, &mut deeds).map_err(TraceError::Unfit)?;
             for (sidecar, effect) in deeds.done {
                 if let Some(Some(scribe)) = wire.instances.get(&sidecar) {
@@ -389,7 +510,8 @@
             match ends {
                 Some(answered) if answered == turn => break,
                 Some(answered) => {
-                    let why = format!("the output answers batch {answered} where the input has {turn}");
+                    let why =
+                        format!("the output answers batch {answered} where the input has {turn}");
                     return Err(TraceError::Unfit(why));
                 }
                 None => {}
--- a/crates/trace/src/merge.rs
+++ b/crates/trace/src/merge.rs
@@ -49,35 +49,56 @@
 /// A text as a number, the same in every process.
 fn number(text: &str) -> u64 {
     let hash = blake3::hash(text.as_bytes());
-    hash.as_bytes().first_chunk().map_or(0, |chunk| u64::from_le_bytes(*chunk))
+    hash.as_bytes()
+        .first_chunk()
+        .map_or(0, |chunk| u64::from_le_bytes(*chunk))
 }
 
 /// The first hearing of each shared event, by the sources' own walls. Reads only blocks that hold such.
 fn events<R: Read + Seek>(reader: &mut Reader<R>) -> Result<Vec<HashMap<Event, i128>>, TraceError> {
     let sources = reader.head.sources.clone();
     let mut heard: Vec<HashMap<Event, i128>> = vec![HashMap::new(); sources.len()];
-    let wanted: Vec<usize> =
-        reader.index.iter().enumerate().filter(|(_, entry)| entry.shared > 0).map(|(n, _)| n).collect();
+    let wanted: Vec<usize> = reader
+        .index
+        .iter()
+        .enumerate()
+        .filter(|(_, entry)| entry.shared > 0)
+        .map(|(n, _)| n)
+        .collect();
     for block in wanted {
         let mut left = reader.index[block].records as u64;
         reader.seek(block);
         while left > 0 {
             let skipped = reader.skipped();
-            let Some(record) = reader.record()? else { break };
+            let Some(record) = reader.record()? else {
+                break;
+            };
             left = left.saturating_sub(1 + reader.skipped() - skipped);
-            let (heard, at) = (&mut heard[record.source], wall(&sources[record.source], record.own));
+            let (heard, at) = (
+                &mut heard[record.source],
+                wall(&sources[record.source], record.own),
+            );
             if heard.len() >= EVENTS {
                 continue;
             }
             match &record.what {
                 What::Told(Told::News(stage)) => {
-                    let event = (0, stage.build as u64, stage.stage as u64, stage.phase as u64);
+                    let event = (
+                        0,
+                        stage.build as u64,
+                        stage.stage as u64,
+                        stage.phase as u64,
+                    );
                     heard.entry(event).or_insert(at);
                 }
                 // What a list tells at a start was true before; only changes are news to all at once.
-                What::Told(Told::List { whole: false, pods, .. }) => {
+                What::Told(Told::List {
+                    whole: false, pods, ..
+                }) => {
                     for pod in pods {
-                        heard.entry((1, number(&pod.name), pod.life, pod.state as u64)).or_insert(at);
+                        heard
+                            .entry((1, number(&pod.name), pod.life, pod.state as u64))
+                            .or_insert(at);
                     }
                 }
                 _ => {}
@@ -99,16 +120,25 @@
     points.sort_unstable();
     let (first, last) = (points.first()?.0, points.last()?.0);
     let step = points.len().div_ceil(POINTS);
-    let few: Vec<(f64, f64)> =
-        points.iter().step_by(step).map(|(own, told)| ((own - first) as f64, (told - own) as f64)).collect();
+    let few: Vec<(f64, f64)> = points
+        .iter()
+        .step_by(step)
+        .map(|(own, told)| ((own - first) as f64, (told - own) as f64))
+        .collect();
     let mut slopes = Vec::new();
     for (n, a) in few.iter().enumerate() {
         // Near points tell of their lateness and not of drift.
-        let far = few[n + 1..].iter().filter(|b| b.0 - a.0 >= (last - first) as f64 / 4.0 && b.0 > a.0);
+        let far = few[n + 1..]
+            .iter()
+            .filter(|b| b.0 - a.0 >= (last - first) as f64 / 4.0 && b.0 > a.0);
         slopes.extend(far.map(|b| (b.1 - a.1) / (b.0 - a.0)));
     }
     let long = few.len() >= FEW && (last - first) as f64 >= SHORT;
-    let drift = if long { median(&mut slopes)?.clamp(-DRIFT, DRIFT) } else { 0.0 };
+    let drift = if long {
+        median(&mut slopes)?.clamp(-DRIFT, DRIFT)
+    } else {
+        0.0
+    };
     let mut rests: Vec<f64> = few.iter().map(|(own, apart)| apart - own * drift).collect();
     let offset = median(&mut rests)?;
     let mut spread: Vec<f64> = rests.iter().map(|rest| (rest - offset).abs()).collect();
@@ -133,10 +163,15 @@
     while !left.is_empty() {
         let shared = |n: usize| match agreed.is_empty() {
             true => heard[n].len(),
-            false => heard[n].keys().filter(|event| agreed.contains_key(event)).count(),
+            false => heard[n]
+                .keys()
+                .filter(|event| agreed.contains_key(event))
+                .count(),
         };
         // Of equals the first.
-        let best = (0..left.len()).max_by_key(|at| (shared(left[*at]), std::cmp::Reverse(*at))).unwrap_or(0);
+        let best = (0..left.len())
+            .max_by_key(|at| (shared(left[*at]), std::cmp::Reverse(*at)))
+            .unwrap_or(0);
         let n = left.remove(best);
         let together = |(event, own): (&Event, &i128)| {
             let told = agreed.get(event)?;
@@ -145,14 +180,33 @@
         let mut points: Vec<(i128, i128)> = heard[n].iter().filter_map(together).collect();
         if let Some((from, offset, drift, spread)) = fit(&mut points) {
             let events = points.len();
-            clocks[n] = Clock { offset, drift, events, spread, from, ..clocks[n].clone() };
+            clocks[n] = Clock {
+                offset,
+                drift,
+                events,
+                spread,
+                from,
+                ..clocks[n].clone()
+            };
         } else if let Some(other) = (0..sources.len())
-            .filter(|other| !left.contains(other) && *other != n && clocks[*other].name == clocks[n].name)
+            .filter(|other| {
+                !left.contains(other) && *other != n && clocks[*other].name == clocks[n].name
+            })
             .max_by_key(|other| clocks[*other].events)
         {
             // Nothing in common, but another life of the same sidecar on the same machine's clock.
-            let Clock { offset, drift, from, .. } = clocks[other];
-            clocks[n] = Clock { offset, drift, from, ..clocks[n].clone() };
+            let Clock {
+                offset,
+                drift,
+                from,
+                ..
+            } = clocks[other];
+            clocks[n] = Clock {
+                offset,
+                drift,
+                from,
+                ..clocks[n].clone()
+            };
         }
         for (event, own) in &heard[n] {
             agreed.entry(*event).or_default().push(clocks[n].at(*own));
@@ -162,14 +216,17 @@
 }
 
 /// Parts of one life come one after the other and count as one source.
-fn sources_of<R: Read + Seek>(readers: &[Reader<R>]) -> Result<(Vec<Source>, Vec<Vec<usize>>), TraceError> {
+fn sources_of<R: Read + Seek>(
+    readers: &[Reader<R>],
+) -> Result<(Vec<Source>, Vec<Vec<usize>>), TraceError> {
     let (mut sources, mut places): (Vec<Source>, Vec<Vec<usize>>) = (Vec::new(), Vec::new());
     let mut parts: Vec<u64> = Vec::new();
     for reader in readers {
         let mut of = Vec::new();
         for source in &reader.head.sources {
-            let known =
-                sources.iter().position(|s| s.life == source.life && s.terms.name == source.terms.name);
+            let known = sources
+                .iter()
+                .position(|s| s.life == source.life && s.terms.name == source.terms.name);
             match known {
                 Some(at) if source.part == parts[at] + 1 => {
                     parts[at] += 1;
@@ -179,8 +236,10 @@
                 }
                 Some(at) => {
                     let (name, part) = (&source.terms.name, source.part);
-                    let why =
-                        format!("{name}: part {part} after part {}; expected the files in order", parts[at]);
+                    let why = format!(
+                        "{name}: part {part} after part {}; expected the files in order",
+                        parts[at]
+                    );
                     return Err(TraceError::Unfit(why));
                 }
                 None => {
@@ -206,7 +265,10 @@
     mut readers: Vec<Reader<R>>,
     out: W,
 ) -> Result<Vec<Clock>, TraceError> {
-    if readers.iter().any(|reader| reader.head.anonymised != readers[0].head.anonymised) {
+    if readers
+        .iter()
+        .any(|reader| reader.head.anonymised != readers[0].head.anonymised)
+    {
         return Err(TraceError::Unfit(
             "some are anonymised and some are not: their names differ".to_string(),
         ));
@@ -223,11 +285,21 @@
     }
     let clocks = clocks(&sources, &heard);
     let anonymised = readers.first().is_some_and(|reader| reader.head.anonymised);
-    let head = Head { anonymised, merged: true, ..Head::new(sources.clone()) };
+    let head = Head {
+        anonymised,
+        merged: true,
+        ..Head::new(sources.clone())
+    };
     let mut writer = Writer::new(out, &head, Vec::new())?;
     let mut lines: Vec<Line<R>> = Vec::new();
     for (reader, places) in readers.into_iter().zip(places) {
-        lines.push(Line { reader, places, next: None, last: vec![0; sources.len()], skipped: 0 });
+        lines.push(Line {
+            reader,
+            places,
+            next: None,
+            last: vec![0; sources.len()],
+            skipped: 0,
+        });
     }
     // Parts of one life must not overtake each other: each waits for the one before it.
     let mut floors: Vec<Ns> = vec![0; sources.len()];
@@ -236,12 +308,25 @@
     }
     loop {
         let ready = |n: &usize| {
-            let Some(next) = &lines[*n].next else { return false };
-            !lines[..*n].iter().any(|line| line.next.is_some() && line.places.contains(&next.source))
+            let Some(next) = &lines[*n].next else {
+                return false;
+            };
+            !lines[..*n]
+                .iter()
+                .any(|line| line.next.is_some() && line.places.contains(&next.source))
+        };
+        let key = |n: &usize| {
+            lines[*n]
+                .next
+                .as_ref()
+                .map(|next| (next.at, next.source, *n))
+        };
+        let Some(n) = (0..lines.len()).filter(ready).min_by_key(key) else {
+            break;
+        };
+        let Some(mut record) = lines[n].next.take() else {
+            break;
         };
-        let key = |n: &usize| lines[*n].next.as_ref().map(|next| (next.at, next.source, *n));
-        let Some(n) = (0..lines.len()).filter(ready).min_by_key(key) else { break };
-        let Some(mut record) = lines[n].next.take() else { break };
         let floor = &mut floors[record.source];
         record.at = record.at.max(*floor);
         *floor = record.at;
@@ -290,8 +375,13 @@
             .map(|n| {
                 let own = 1_000_000_000_000i128 + n * 1_000_000_000;
                 let late = |chance: &mut Rand64| chance.rand_range(0..40_000_000) as i128;
-                let very = if chance.rand_range(0..20) == 0 { 2_000_000_000 } else { 0 };
-                let told = own + 2_500_000_000 + n * 80_000 + late(&mut chance) - late(&mut chance) + very;
+                let very = if chance.rand_range(0..20) == 0 {
+                    2_000_000_000
+                } else {
+                    0
+                };
+                let told =
+                    own + 2_500_000_000 + n * 80_000 + late(&mut chance) - late(&mut chance) + very;
                 (own, told)
             })
             .collect();
--- a/crates/trace/src/record.rs
+++ b/crates/trace/src/record.rs
@@ -95,11 +95,18 @@
         let mut hash = blake3::Hasher::new();
         for source in &sources {
             let terms = serde_json::to_vec(&source.terms).unwrap_or_default();
-            hash.update(&(terms.len() as u64).to_le_bytes()).update(&terms);
+            hash.update(&(terms.len() as u64).to_le_bytes())
+                .update(&terms);
         }
         let settings = hash.finalize().to_hex()[..16].to_string();
         let program = concat!("havenplank ", env!("CARGO_PKG_VERSION")).to_string();
-        Head { program, settings, anonymised: false, merged: false, sources }
+        Head {
+            program,
+            settings,
+            anonymised: false,
+            merged: false,
+            sources,
+        }
     }
 }
 
@@ -107,7 +114,9 @@
     /// A time since 1970 on the file's clock.
     pub fn clock(&self, wall: Ns) -> Ns {
         match self.sources.first().filter(|_| !self.merged) {
-            Some(source) => source.began.saturating_add(wall.saturating_sub(source.wall)),
+            Some(source) => source
+                .began
+                .saturating_add(wall.saturating_sub(source.wall)),
             None => wall,
         }
     }
@@ -126,7 +135,9 @@
     pub fn hit(&self) -> Option<HitId> {
         match &self.what {
             What::Told(Told::Hit { hit, .. } | Told::MayGo { hit, .. })
-            | What::Told(Told::Ended { hit, .. } | Told::Left { hit } | Told::Resumed { hit, .. })
+            | What::Told(
+                Told::Ended { hit, .. } | Told::Left { hit } | Told::Resumed { hit, .. },
+            )
             | What::Did(Effect::Forward { hit, .. } | Effect::Cancel { hit, .. })
             | What::Did(Effect::Bounce { hit, .. } | Effect::Error { hit, .. }) => Some(*hit),
             _ => None,
--- a/crates/trace/src/recorder.rs
+++ b/crates/trace/src/recorder.rs
@@ -62,7 +62,13 @@
     /// A folder that cannot be made.
     pub fn new(folder: &Path, name: &str, began: Ns, total: u64) -> io::Result<Folder> {
         std::fs::create_dir_all(folder)?;
-        Ok(Folder { folder: folder.to_path_buf(), name: name.to_string(), began, total, open: None })
+        Ok(Folder {
+            folder: folder.to_path_buf(),
+            name: name.to_string(),
+            began,
+            total,
+            open: None,
+        })
     }
 
     /// The files of this sidecar, oldest first, whatever life wrote them.
@@ -71,11 +77,16 @@
         for entry in std::fs::read_dir(&self.folder)? {
             let entry = entry?;
             let path = entry.path();
-            let stem = path.file_stem().and_then(|stem| stem.to_str()).unwrap_or_default();
+            let stem = path
+                .file_stem()
+                .and_then(|stem| stem.to_str())
+                .unwrap_or_default();
             let mut parts = stem.rsplitn(3, '-');
-            let digits =
-                |part: Option<&str>| part.is_some_and(|part| part.bytes().all(|b| b.is_ascii_digit()));
-            let ours = digits(parts.next()) && digits(parts.next()) && parts.next() == Some(&self.name);
+            let digits = |part: Option<&str>| {
+                part.is_some_and(|part| part.bytes().all(|b| b.is_ascii_digit()))
+            };
+            let ours =
+                digits(parts.next()) && digits(parts.next()) && parts.next() == Some(&self.name);
             if ours && path.extension().is_some_and(|end| end == "hpt") {
                 files.push((path, entry.metadata()?.len()));
             }
@@ -103,7 +114,9 @@
 
 impl Shelf for Folder {
     fn open(&mut self, part: u64) -> io::Result<Box<dyn Write + Send>> {
-        let path = self.folder.join(format!("{}-{:020}-{part:06}.hpt", self.name, self.began));
+        let path = self
+            .folder
+            .join(format!("{}-{:020}-{part:06}.hpt", self.name, self.began));
         let file = File::create_new(&path)?;
         self.open = Some(path);
         Ok(Box::new(file))
@@ -171,7 +184,14 @@
         let (ends, done) = mpsc::channel();
         let (counts, sizes) = (shared.clone(), (limits.file_bytes, limits.file_age));
         std::thread::spawn(move || {
-            Writes { source, sizes, shelf, counts, open: None }.run(blocks);
+            Writes {
+                source,
+                sizes,
+                shelf,
+                counts,
+                open: None,
+            }
+            .run(blocks);
             drop(ends);
         });
         let recorder = Recorder {
@@ -195,26 +215,36 @@
 
     /// Whether a hit's records are kept: the same answer for all of them.
     fn keeps(&self, hit: HitId) -> bool {
-        let left_out =
-            |spell: &(HitId, Option<HitId>, Ns)| hit >= spell.0 && spell.1.is_none_or(|end| hit < end);
+        let left_out = |spell: &(HitId, Option<HitId>, Ns)| {
+            hit >= spell.0 && spell.1.is_none_or(|end| hit < end)
+        };
         self.below.is_none_or(|below| spread(hit) < below) && !self.spells.iter().any(left_out)
     }
 
     fn begins(&mut self, now: Ns, hit: HitId) {
         let longest = self.longest;
-        while self.spells.front().is_some_and(|(_, end, at)| end.is_some() && now > at + 2 * longest) {
+        while self
+            .spells
+            .front()
+            .is_some_and(|(_, end, at)| end.is_some() && now > at + 2 * longest)
+        {
             self.spells.pop_front();
         }
         let waiting = self.waiting() + self.filling.bytes as u64;
-        let leaves =
-            |spells: &VecDeque<(HitId, Option<HitId>, Ns)>| matches!(spells.back(), Some((_, None, _)));
+        let leaves = |spells: &VecDeque<(HitId, Option<HitId>, Ns)>| {
+            matches!(spells.back(), Some((_, None, _)))
+        };
         if leaves(&self.spells) && waiting < self.queue / 4 && self.spells.len() < SPELLS {
             if let Some((_, end, at)) = self.spells.back_mut() {
                 (*end, *at) = (Some(hit), now);
             }
             tracing::info!(from_hit = hit, "trace goes on: the disk has caught up");
         } else if !leaves(&self.spells) && waiting >= self.queue / 2 {
-            tracing::warn!(from_hit = hit, waiting, "trace leaves hits out: the disk is slow");
+            tracing::warn!(
+                from_hit = hit,
+                waiting,
+                "trace leaves hits out: the disk is slow"
+            );
             self.spells.push_back((hit, None, now));
         }
         if leaves(&self.spells) {
@@ -227,7 +257,13 @@
     }
 
     fn put(&mut self, now: Ns, what: What) {
-        let record = Record { at: now, own: now, source: 0, what, pod: None };
+        let record = Record {
+            at: now,
+            own: now,
+            source: 0,
+            what,
+            pod: None,
+        };
         if record.hit().is_some_and(|hit| !self.keeps(hit)) {
             return;
         }
@@ -258,20 +294,36 @@
         let (hits, records) = std::mem::take(&mut self.lost);
         if hits + records > 0 {
             let what = What::Lost { hits, records };
-            self.filling.put(Record { at: now, own: now, source: 0, what, pod: None });
+            self.filling.put(Record {
+                at: now,
+                own: now,
+                source: 0,
+                what,
+                pod: None,
+            });
         }
     }
 
     fn listed(&mut self, pods: &[Listed], given: &[Option<PodId>]) {
-        for (pod, id) in pods.iter().zip(given).filter_map(|(pod, id)| Some((pod, (*id)?))) {
+        for (pod, id) in pods
+            .iter()
+            .zip(given)
+            .filter_map(|(pod, id)| Some((pod, (*id)?)))
+        {
             if self.cards.len() <= id {
                 self.cards.resize(id + 1, None);
             }
-            let same =
-                |card: &Arc<Card>| (card.build, &card.name, &card.zone) == (pod.build, &pod.name, &pod.zone);
+            let same = |card: &Arc<Card>| {
+                (card.build, &card.name, &card.zone) == (pod.build, &pod.name, &pod.zone)
+            };
             if !self.cards[id].as_ref().is_some_and(same) {
                 let (name, zone) = (pod.name.clone(), pod.zone.clone());
-                self.cards[id] = Some(Arc::new(Card { pod: id, build: pod.build, name, zone }));
+                self.cards[id] = Some(Arc::new(Card {
+                    pod: id,
+                    build: pod.build,
+                    name,
+                    zone,
+                }));
             }
         }
     }
@@ -317,14 +369,20 @@
         for block in blocks {
             if let Err(error) = self.write(&block) {
                 tracing::warn!(%error, records = block.records, "a block of the trace is lost");
-                self.counts.lost_hits.fetch_add(block.hits as u64, Ordering::Relaxed);
-                self.counts.lost_records.fetch_add(block.records as u64, Ordering::Relaxed);
+                self.counts
+                    .lost_hits
+                    .fetch_add(block.hits as u64, Ordering::Relaxed);
+                self.counts
+                    .lost_records
+                    .fetch_add(block.records as u64, Ordering::Relaxed);
                 // The file may end in half a block, so what follows goes to another.
                 if self.open.take().is_some() {
                     self.shelf.closed();
                 }
             }
-            self.counts.waiting.fetch_sub(block.bytes as u64, Ordering::Relaxed);
+            self.counts
+                .waiting
+                .fetch_sub(block.bytes as u64, Ordering::Relaxed);
         }
         if let Err(error) = self.close() {
             tracing::warn!(%error, "the trace's index could not be written");
@@ -351,7 +409,9 @@
     }
 
     fn close(&mut self) -> Result<(), TraceError> {
-        let Some((sink, _)) = self.open.take() else { return Ok(()) };
+        let Some((sink, _)) = self.open.take() else {
+            return Ok(());
+        };
         let finished = sink.finish();
         self.shelf.closed();
         finished.map(drop)
--- a/crates/trace/src/replay.rs
+++ b/crates/trace/src/replay.rs
@@ -54,15 +54,26 @@
     pub fn new(source: &Source, number: usize, anonymised: bool) -> Result<Replay, TraceError> {
         let name = &source.terms.name;
         if source.part != 0 || !source.whole {
-            let why =
-                if source.share < 1.0 { "holds a sample of hits" } else { "does not hold the beginning" };
+            let why = if source.share < 1.0 {
+                "holds a sample of hits"
+            } else {
+                "does not hold the beginning"
+            };
             let why = format!("{name}: cannot be played again, as the trace {why}");
             return Err(TraceError::Unfit(why));
         }
-        let Terms { groups, exposure, place, zones, .. } = &source.terms;
+        let Terms {
+            groups,
+            exposure,
+            place,
+            zones,
+            ..
+        } = &source.terms;
         let whole = !groups.is_empty() && !exposure.caps.is_empty() && exposure.window > 0;
         if !whole || place.instances == 0 || place.zone >= zones.len() {
-            return Err(TraceError::Unfit(format!("{name}: the greeting's terms are no sidecar's settings")));
+            return Err(TraceError::Unfit(format!(
+                "{name}: the greeting's terms are no sidecar's settings"
+            )));
         }
         Ok(Replay {
             groups: groups.len(),
@@ -91,7 +102,12 @@
         if !same {
             let (recorded, now) = (format!("{recorded:?}"), format!("{now:?}"));
             let record = self.outcome.records;
-            self.outcome.differs = Some(Difference { record, at, recorded, now });
+            self.outcome.differs = Some(Difference {
+                record,
+                at,
+                recorded,
+                now,
+            });
         }
     }
 
@@ -100,7 +116,9 @@
         match told {
             Told::Hit { asked, .. } => asked.group < self.groups,
             Told::Tally(tally) => tally.group < self.groups,
-            Told::Flagged { pod, group, .. } => *group < self.groups && self.engine.pod_name(*pod).is_some(),
+            Told::Flagged { pod, group, .. } => {
+                *group < self.groups && self.engine.pod_name(*pod).is_some()
+            }
             _ => true,
         }
     }
@@ -112,7 +130,12 @@
         }
         let at = record.own;
         if at < self.last || at - self.last > JUMP {
-            self.compare(at, record, "a clock that goes back or stands still for a day", false);
+            self.compare(
+                at,
+                record,
+                "a clock that goes back or stands still for a day",
+                false,
+            );
             return;
         }
         self.last = at;
@@ -132,7 +155,9 @@
                     _ => None,
                 };
                 let given = match &told {
-                    Told::List { given, whole, pods } => Some((given.clone(), *whole, pods.clone())),
+                    Told::List { given, whole, pods } => {
+                        Some((given.clone(), *whole, pods.clone()))
+                    }
                     _ => None,
                 };
                 if let Some((given, whole, pods)) = given {
@@ -158,12 +183,17 @@
     }
 
     fn same(&mut self, recorded: &Effect, now: &Effect) -> bool {
-        if let (Some(veiled), Effect::Log(recorded), Effect::Log(now)) = (&mut self.veiled, recorded, now) {
+        if let (Some(veiled), Effect::Log(recorded), Effect::Log(now)) =
+            (&mut self.veiled, recorded, now)
+        {
             // Votes are few; in a trace of weeks the comparison begins anew rather than grow.
             if veiled.len() >= TEXTS {
                 veiled.clear();
             }
-            return veiled.entry(now.clone()).or_insert_with(|| recorded.clone()) == recorded;
+            return veiled
+                .entry(now.clone())
+                .or_insert_with(|| recorded.clone())
+                == recorded;
         }
         recorded == now
     }
@@ -206,7 +236,9 @@
         let mut here = Vec::new();
         for (number, source) in reader.head.sources.iter().enumerate() {
             let name = &source.terms.name;
-            let known = lives.iter().position(|life| life.life == source.life && life.name == *name);
+            let known = lives
+                .iter()
+                .position(|life| life.life == source.life && life.name == *name);
             if let Some(at) = known.filter(|at| lives[*at].part + 1 == source.part) {
                 lives[at].part += 1;
                 lives[at].replay.goes_on(number, source.until);
@@ -215,7 +247,13 @@
                 let replay = Replay::new(source, number, reader.head.anonymised)?;
                 here.push(lives.len());
                 let (life, name) = (source.life, name.clone());
-                lives.push(Life { life, name, part: source.part, closed: false, replay });
+                lives.push(Life {
+                    life,
+                    name,
+                    part: source.part,
+                    closed: false,
+                    replay,
+                });
             }
         }
         let closed = reader.rebuilt.is_none();
@@ -229,11 +267,14 @@
                 }
             }
         }
-        here.iter().for_each(|at| lives[*at].closed = closed && damaged.is_none());
+        here.iter()
+            .for_each(|at| lives[*at].closed = closed && damaged.is_none());
         if damaged.is_some() {
             break;
         }
     }
-    let outcomes = lives.into_iter().map(|life| (life.name, life.replay.finish(life.closed)));
+    let outcomes = lives
+        .into_iter()
+        .map(|life| (life.name, life.replay.finish(life.closed)));
     Ok((outcomes.collect(), damaged))
 }
--- a/crates/trace/src/show.rs
+++ b/crates/trace/src/show.rs
@@ -20,7 +20,13 @@
 }
 
 fn stage(stage: &Stage) -> Value {
-    let Stage { build, stage, phase, cap, age } = stage;
+    let Stage {
+        build,
+        stage,
+        phase,
+        cap,
+        age,
+    } = stage;
     json!({"build": build, "stage": stage, "phase": word(phase), "cap": cap, "age_ns": age})
 }
 
@@ -42,7 +48,18 @@
 }
 
 fn listed(pod: &Listed, given: Option<PodId>) -> Value {
-    let Listed { name, address, state, build, life, age, zone, machine, cell, size } = pod;
+    let Listed {
+        name,
+        address,
+        state,
+        build,
+        life,
+        age,
+        zone,
+        machine,
+        cell,
+        size,
+    } = pod;
     json!({
         "name": name, "address": address.to_string(), "state": word(state), "build": build, "life": life,
         "age_ns": age, "zone": zone, "machine": machine, "cell": cell, "size": size, "index": given,
@@ -57,14 +74,24 @@
 /// One record; `at` in nanoseconds on the file's clock.
 pub fn line(record: &Record, head: &Head) -> Value {
     let terms = head.sources.get(record.source).map(|source| &source.terms);
-    let name = |names: Option<&Vec<String>>, at: usize| names.and_then(|names| names.get(at)).cloned();
-    let group = |at: usize| terms.and_then(|terms| terms.groups.get(at)).map(|(name, _)| name.clone());
-    let pod = record.pod.as_ref().map(|pod| json!({"name": pod.name, "build": pod.build, "index": pod.pod}));
+    let name =
+        |names: Option<&Vec<String>>, at: usize| names.and_then(|names| names.get(at)).cloned();
+    let group = |at: usize| {
+        terms
+            .and_then(|terms| terms.groups.get(at))
+            .map(|(name, _)| name.clone())
+    };
+    let pod = record
+        .pod
+        .as_ref()
+        .map(|pod| json!({"name": pod.name, "build": pod.build, "index": pod.pod}));
     let (kind, fields) = match &record.what {
         What::Told(told) => match told {
             Told::Begin => ("begin", json!({})),
             Told::Hit { hit, asked } => {
-                let customer = asked.customer.and_then(|at| name(terms.map(|terms| &terms.customers), at));
+                let customer = asked
+                    .customer
+                    .and_then(|at| name(terms.map(|terms| &terms.customers), at));
                 let fields = json!({
                     "hit": hit, "path_group": group(asked.group), "customer": customer, "key": asked.key,
                     "left_ns": asked.left, "cost_hint_ns": asked.cost_hint, "repeat": asked.repeat,
@@ -73,10 +100,22 @@
             }
             Told::Resumed { hit, past } => {
                 let one = |earlier: &Earlier| json!({"index": earlier.pod, "ago_ns": earlier.ago, "may_have_run": earlier.may_have_run});
-                ("resumed", json!({"hit": hit, "past": past.iter().map(one).collect::<Vec<_>>()}))
+                (
+                    "resumed",
+                    json!({"hit": hit, "past": past.iter().map(one).collect::<Vec<_>>()}),
+                )
+            }
+            Told::MayGo { hit, nth, may } => {
+                ("may_go", json!({"hit": hit, "nth": nth, "may": may}))
             }
-            Told::MayGo { hit, nth, may } => ("may_go", json!({"hit": hit, "nth": nth, "may": may})),
-            Told::Ended { hit, nth, end, took, load: said, passed } => {
+            Told::Ended {
+                hit,
+                nth,
+                end,
+                took,
+                load: said,
+                passed,
+            } => {
                 let fields = json!({
                     "hit": hit, "nth": nth, "end": ended(*end), "took_ns": took, "load": load(said),
                     "to_client": passed,
@@ -85,15 +124,21 @@
             }
             Told::Left { hit } => ("left", json!({"hit": hit})),
             Told::List { whole, pods, given } => {
-                let pods: Vec<Value> =
-                    pods.iter().zip(given).map(|(pod, given)| listed(pod, *given)).collect();
+                let pods: Vec<Value> = pods
+                    .iter()
+                    .zip(given)
+                    .map(|(pod, given)| listed(pod, *given))
+                    .collect();
                 ("list", json!({"whole": whole, "pods": pods}))
             }
             Told::ListFailed => ("list_failed", json!({})),
             Told::News(news) => ("news", stage(news)),
             Told::Voted { vote, news } => {
                 let told = news.stage.as_ref().map(stage);
-                ("voted", json!({"vote": vote, "heard": word(news.heard), "stage": told}))
+                (
+                    "voted",
+                    json!({"vote": vote, "heard": word(news.heard), "stage": told}),
+                )
             }
             Told::Probed { probe, end } => {
                 let fields = json!({"probe": probe, "end": ended(end.end), "took_ns": end.took, "load": load(&end.load)});
@@ -112,15 +157,26 @@
             Told::Wake(wake) => ("wake", json!({"wake": wake})),
         },
         What::Did(effect) => match effect {
-            Effect::Forward { hit, nth, time_out, .. } => {
-                ("forward", json!({"hit": hit, "nth": nth, "time_out_ns": time_out}))
-            }
+            Effect::Forward {
+                hit, nth, time_out, ..
+            } => (
+                "forward",
+                json!({"hit": hit, "nth": nth, "time_out_ns": time_out}),
+            ),
             Effect::Cancel { hit, nth } => ("cancel", json!({"hit": hit, "nth": nth})),
-            Effect::Bounce { hit, come_back } => ("bounce", json!({"hit": hit, "come_back_ns": come_back})),
-            Effect::Error { hit, late } => ("error", json!({"hit": hit, "late": late})),
-            Effect::Vote { vote, build, stage, voice } => {
-                ("vote", json!({"vote": vote, "build": build, "stage": stage, "voice": word(voice)}))
+            Effect::Bounce { hit, come_back } => {
+                ("bounce", json!({"hit": hit, "come_back_ns": come_back}))
             }
+            Effect::Error { hit, late } => ("error", json!({"hit": hit, "late": late})),
+            Effect::Vote {
+                vote,
+                build,
+                stage,
+                voice,
+            } => (
+                "vote",
+                json!({"vote": vote, "build": build, "stage": stage, "voice": word(voice)}),
+            ),
             Effect::Probe { probe, .. } => ("probe", json!({"probe": probe})),
             Effect::AskList => ("ask_list", json!({})),
             Effect::WatchList(on) => ("watch_list", json!({"on": on})),
--- a/crates/trace/src/summary.rs
+++ b/crates/trace/src/summary.rs
@@ -36,24 +36,39 @@
 impl Default for Figures {
     fn default() -> Figures {
         let forwards = BTreeMap::new();
-        let latency = Histogram::new_with_max(600_000_000, 3).ok().map(|mut latency| {
-            latency.auto(true);
-            latency
-        });
-        Figures { hits: 0, delivered: 0, in_time: 0, bounced: 0, errored: 0, left: 0, forwards, latency }
+        let latency = Histogram::new_with_max(600_000_000, 3)
+            .ok()
+            .map(|mut latency| {
+                latency.auto(true);
+                latency
+            });
+        Figures {
+            hits: 0,
+            delivered: 0,
+            in_time: 0,
+            bounced: 0,
+            errored: 0,
+            left: 0,
+            forwards,
+            latency,
+        }
     }
 }
 
 impl Figures {
     fn answered(&mut self, trip: &Trip, target: Ns) {
         self.hits += 1;
-        let Some((answer, at)) = trip.answer else { return };
+        let Some((answer, at)) = trip.answer else {
+            return;
+        };
         let took = at.saturating_sub(trip.began);
         match answer {
             Answer::Delivered => {
                 self.delivered += 1;
                 self.in_time += (took <= target) as u64;
-                self.latency.iter_mut().for_each(|latency| latency.saturating_record(took / 1_000));
+                self.latency
+                    .iter_mut()
+                    .for_each(|latency| latency.saturating_record(took / 1_000));
             }
             Answer::Bounced => self.bounced += 1,
             Answer::Errored => self.errored += 1,
@@ -68,7 +83,9 @@
     /// A quantile of the latency of what was delivered, in milliseconds.
     pub fn latency_ms(&self, quantile: f64) -> f64 {
         let latency = self.latency.as_ref().filter(|latency| !latency.is_empty());
-        latency.map_or(0.0, |latency| latency.value_at_quantile(quantile) as f64 / 1_000.0)
+        latency.map_or(0.0, |latency| {
+            latency.value_at_quantile(quantile) as f64 / 1_000.0
+        })
     }
 }
 
@@ -156,7 +173,12 @@
         return Err(TraceError::Unfit(why));
     }
     let mut trips = Trips::new(&reader.head.sources);
-    let mut windows: Vec<Window> = reader.head.sources.iter().map(|_| Window::default()).collect();
+    let mut windows: Vec<Window> = reader
+        .head
+        .sources
+        .iter()
+        .map(|_| Window::default())
+        .collect();
     let damage = loop {
         let record = match reader.record() {
             Ok(Some(record)) => record,
@@ -167,7 +189,11 @@
         summary.count(&record);
         windows[record.source].record(&record, reader, &trips, &mut summary);
         if let Some(trip) = trips.record(&record) {
-            let (name, rules) = match reader.head.sources[trip.source].terms.groups.get(trip.group) {
+            let (name, rules) = match reader.head.sources[trip.source]
+                .terms
+                .groups
+                .get(trip.group)
+            {
                 Some((name, rules)) => (name.as_str(), rules.target_latency),
                 None => ("unknown", 0),
             };
@@ -184,7 +210,11 @@
 
 /// The row of a name, or the one of all others where there are too many.
 fn row<K: Ord, V: Default>(rows: &mut BTreeMap<K, V>, key: K, others: K) -> &mut V {
-    let key = if rows.len() < ROWS || rows.contains_key(&key) { key } else { others };
+    let key = if rows.len() < ROWS || rows.contains_key(&key) {
+        key
+    } else {
+        others
+    };
     rows.entry(key).or_default()
 }
 
@@ -196,31 +226,56 @@
                 self.lost_hits += hits;
                 self.lost_records += records;
             }
-            What::Did(Effect::Vote { build, stage, voice: said, .. }) => {
-                *row(&mut self.votes, (*build, *stage, voice(*said)), (0, 0, "others")) += 1;
+            What::Did(Effect::Vote {
+                build,
+                stage,
+                voice: said,
+                ..
+            }) => {
+                *row(
+                    &mut self.votes,
+                    (*build, *stage, voice(*said)),
+                    (0, 0, "others"),
+                ) += 1;
             }
             _ => {}
         }
     }
 
     fn trip(&mut self, trip: &Trip, group: &str, target: Ns, span: Option<Ns>) {
-        let by = trip.delivered_by.and_then(|nth| trip.forwards.get(nth)).or(trip.forwards.last());
-        let build = by.and_then(|forward| forward.pod.as_ref()).map_or(0, |pod| pod.build);
+        let by = trip
+            .delivered_by
+            .and_then(|nth| trip.forwards.get(nth))
+            .or(trip.forwards.last());
+        let build = by
+            .and_then(|forward| forward.pod.as_ref())
+            .map_or(0, |pod| pod.build);
         let others = || (0, "others".to_string());
         row(&mut self.builds, (build, group.to_string()), others()).answered(trip, target);
         for forward in &trip.forwards {
-            let (Some(pod), Some((end, _))) = (&forward.pod, forward.end) else { continue };
+            let (Some(pod), Some((end, _))) = (&forward.pod, forward.end) else {
+                continue;
+            };
             row(&mut self.builds, (pod.build, group.to_string()), others()).forward(end);
-            let ends = row(&mut self.pods, (pod.name.clone(), pod.build), ("others".to_string(), 0));
+            let ends = row(
+                &mut self.pods,
+                (pod.name.clone(), pod.build),
+                ("others".to_string(), 0),
+            );
             *ends.entry(ended(end)).or_default() += 1;
         }
-        let (Some(span), Some((answer, at))) = (span, trip.answer) else { return };
+        let (Some(span), Some((answer, at))) = (span, trip.answer) else {
+            return;
+        };
         let span = span.max(1);
-        let began = self.first.saturating_add(trip.began.saturating_sub(self.first) / span * span);
+        let began = self
+            .first
+            .saturating_add(trip.began.saturating_sub(self.first) / span * span);
         let figures = row(&mut self.spans, (began, build), (0, 0));
         figures[0] += 1;
         figures[1] += (answer == Answer::Delivered) as u64;
-        figures[2] += (answer == Answer::Delivered && at.saturating_sub(trip.began) <= target) as u64;
+        figures[2] +=
+            (answer == Answer::Delivered && at.saturating_sub(trip.began) <= target) as u64;
         figures[3] += (answer == Answer::Bounced) as u64;
         figures[4] += (answer == Answer::Errored) as u64;
     }
@@ -236,8 +291,13 @@
     ) {
         let source = &reader.head.sources[record.source];
         let (name, rules) = (&source.terms.name, &source.terms.exposure);
-        let stage = reader.standing.iter().find(|standing| standing.source == record.source);
-        let trial = stage.map(|standing| standing.stage).filter(|stage| stage.phase != Phase::Released);
+        let stage = reader
+            .standing
+            .iter()
+            .find(|standing| standing.source == record.source);
+        let trial = stage
+            .map(|standing| standing.stage)
+            .filter(|stage| stage.phase != Phase::Released);
         let build = trial.map_or(0, |stage| stage.build);
         if build != self.build || record.at.saturating_sub(self.began) >= rules.window.max(1) {
             self.close(name, rules, summary);
@@ -249,12 +309,16 @@
         self.least_cap = self.least_cap.min(stage.cap);
         let of = |group: GroupId| if rules.per_group { group } else { 0 };
         match &record.what {
-            What::Told(Told::Hit { asked, .. }) => *self.taken.entry(of(asked.group)).or_default() += 1.0,
+            What::Told(Told::Hit { asked, .. }) => {
+                *self.taken.entry(of(asked.group)).or_default() += 1.0
+            }
             What::Did(Effect::Forward { hit, .. }) => {
-                let is_trial = |pod: &Option<Arc<Card>>| pod.as_ref().is_some_and(|pod| pod.build == build);
+                let is_trial =
+                    |pod: &Option<Arc<Card>>| pod.as_ref().is_some_and(|pod| pod.build == build);
                 let trip = trips.get(record.source, *hit);
                 // A hit counts once, however many of its forwards go there.
-                let first = |trip: &&Trip| !trip.forwards.iter().any(|forward| is_trial(&forward.pod));
+                let first =
+                    |trip: &&Trip| !trip.forwards.iter().any(|forward| is_trial(&forward.pod));
                 if let Some(trip) = trip.filter(first).filter(|_| is_trial(&record.pod)) {
                     *self.exposed.entry(of(trip.group)).or_default() += 1.0;
                 }
@@ -266,13 +330,19 @@
     fn close(&mut self, name: &str, rules: &ExposureRules, summary: &mut Summary) {
         let (taken, exposed): (f64, f64) = (self.taken.values().sum(), self.exposed.values().sum());
         if self.build != 0 && taken + exposed > 0.0 {
-            let sum = row(&mut summary.exposed, (name.to_string(), self.build), ("others".to_string(), 0));
+            let sum = row(
+                &mut summary.exposed,
+                (name.to_string(), self.build),
+                ("others".to_string(), 0),
+            );
             sum.hits += exposed as u64;
             sum.taken += taken as u64;
             sum.windows += 1;
             for (group, exposed) in &self.exposed {
                 let taken = self.taken.get(group).copied().unwrap_or(0.0);
-                sum.most = sum.most.max(exposed / (rules.free + self.least_cap * taken).max(1e-9));
+                sum.most = sum
+                    .most
+                    .max(exposed / (rules.free + self.least_cap * taken).max(1e-9));
             }
         }
         *self = Window::default();
--- a/crates/trace/src/trips.rs
+++ b/crates/trace/src/trips.rs
@@ -56,12 +56,18 @@
 /// The longest that a hit of any source may last.
 pub fn longest(sources: &[Source]) -> Ns {
     let groups = sources.iter().flat_map(|source| &source.terms.groups);
-    groups.map(|(_, rules)| rules.client_timeout).max().unwrap_or(0)
+    groups
+        .map(|(_, rules)| rules.client_timeout)
+        .max()
+        .unwrap_or(0)
 }
 
 impl Trips {
     pub fn new(sources: &[Source]) -> Trips {
-        Trips { longest: longest(sources), ..Trips::default() }
+        Trips {
+            longest: longest(sources),
+            ..Trips::default()
+        }
     }
 
     pub fn holds(&self, source: usize, hit: HitId) -> bool {
@@ -80,8 +86,12 @@
     pub fn record(&mut self, record: &Record) -> Option<Trip> {
         let at = record.at;
         if let What::Lost { records: 1.., .. } = record.what {
-            let lost: Vec<_> =
-                self.open.keys().filter(|(source, _)| *source == record.source).copied().collect();
+            let lost: Vec<_> = self
+                .open
+                .keys()
+                .filter(|(source, _)| *source == record.source)
+                .copied()
+                .collect();
             lost.iter().for_each(|key| drop(self.open.remove(key)));
             self.torn += lost.len() as u64;
             return None;
@@ -107,9 +117,15 @@
         let trip = self.open.get_mut(&key)?;
         match &record.what {
             What::Did(Effect::Forward { .. }) => {
-                trip.forwards.push(Forward { pod: record.pod.clone(), sent: at, end: None });
+                trip.forwards.push(Forward {
+                    pod: record.pod.clone(),
+                    sent: at,
+                    end: None,
+                });
             }
-            What::Told(Told::Ended { nth, end, passed, .. }) => {
+            What::Told(Told::Ended {
+                nth, end, passed, ..
+            }) => {
                 if let Some(forward) = trip.forwards.get_mut(*nth as usize) {
                     forward.end = Some((*end, at));
                 }
@@ -134,7 +150,8 @@
     fn give_up(&mut self, now: Ns) {
         let before = self.open.len();
         let longest = self.longest;
-        self.open.retain(|_, trip| now.saturating_sub(trip.began) <= 2 * longest);
+        self.open
+            .retain(|_, trip| now.saturating_sub(trip.began) <= 2 * longest);
         // A crowd this large within twice a hit's life: the oldest half goes.
         if self.open.len() >= MOST {
             let mut began: Vec<Ns> = self.open.values().map(|trip| trip.began).collect();
--- a/crates/trace/src/veil.rs
+++ b/crates/trace/src/veil.rs
@@ -20,7 +20,8 @@
 /// The system has no chance to give.
 pub fn draw_key() -> Result<Key, TraceError> {
     let mut key = [0; 32];
-    getrandom::fill(&mut key).map_err(|error| TraceError::Unfit(format!("no key to be drawn: {error}")))?;
+    getrandom::fill(&mut key)
+        .map_err(|error| TraceError::Unfit(format!("no key to be drawn: {error}")))?;
     Ok(key)
 }
 
@@ -38,13 +39,18 @@
     }
 
     fn number(&self, of: &str, value: u64) -> u64 {
-        self.hash(of, &value.to_le_bytes()).first_chunk().map_or(1, |chunk| u64::from_le_bytes(*chunk)).max(1)
+        self.hash(of, &value.to_le_bytes())
+            .first_chunk()
+            .map_or(1, |chunk| u64::from_le_bytes(*chunk))
+            .max(1)
     }
 
     /// All stand-ins of a kind have one length.
     fn name(&self, of: &str, name: &str) -> String {
-        let digits: String =
-            self.hash(of, name.as_bytes())[..10].iter().map(|b| format!("{b:02x}")).collect();
+        let digits: String = self.hash(of, name.as_bytes())[..10]
+            .iter()
+            .map(|b| format!("{b:02x}"))
+            .collect();
         format!("{of}-{digits}")
     }
 
@@ -83,7 +89,11 @@
             self.cards.clear();
         }
         let (name, zone) = (self.name("pod", &card.name), self.name("zone", &card.zone));
-        let veiled = Arc::new(Card { name, zone, ..(**card).clone() });
+        let veiled = Arc::new(Card {
+            name,
+            zone,
+            ..(**card).clone()
+        });
         self.cards.insert(card.clone(), veiled.clone());
         veiled
     }
@@ -93,15 +103,25 @@
         for source in &mut sources {
             let terms = &mut source.terms;
             terms.name = self.name("sidecar", &terms.name);
-            let veil =
-                |names: &mut Vec<String>, of| names.iter_mut().for_each(|name| *name = self.name(of, name));
+            let veil = |names: &mut Vec<String>, of| {
+                names
+                    .iter_mut()
+                    .for_each(|name| *name = self.name(of, name))
+            };
             veil(&mut terms.zones, "zone");
             veil(&mut terms.machines, "machine");
             veil(&mut terms.customers, "customer");
-            terms.groups.iter_mut().for_each(|(name, _)| *name = self.name("group", name));
+            terms
+                .groups
+                .iter_mut()
+                .for_each(|(name, _)| *name = self.name("group", name));
         }
         // Anew: a fingerprint of the names themselves could be guessed at.
-        Head { anonymised: true, merged: head.merged, ..Head::new(sources) }
+        Head {
+            anonymised: true,
+            merged: head.merged,
+            ..Head::new(sources)
+        }
     }
 
     fn record(&mut self, record: &mut Record) {
@@ -126,7 +146,10 @@
     out: W,
     key: Key,
 ) -> Result<u64, TraceError> {
-    let mut veil = Veil { key, cards: HashMap::new() };
+    let mut veil = Veil {
+        key,
+        cards: HashMap::new(),
+    };
     let head = veil.head(&reader.head);
     let mut writer = Writer::new(out, &head, Vec::<Standing>::new())?;
     let mut count = 0;
--- a/crates/trace/tests/common/mod.rs
+++ b/crates/trace/tests/common/mod.rs
@@ -45,9 +45,23 @@
 
 impl Life {
     pub fn new(name: &str, seed: u64, lasts: Ns) -> Life {
-        let limits =
-            Limits { share: 1.0, queue: 64 << 20, longest: 3 * S, file_bytes: u64::MAX, file_age: u64::MAX };
-        Life { name: name.to_string(), seed, starts: 0, lasts, skew: 0, drift: 0.0, notice: 0, limits }
+        let limits = Limits {
+            share: 1.0,
+            queue: 64 << 20,
+            longest: 3 * S,
+            file_bytes: u64::MAX,
+            file_age: u64::MAX,
+        };
+        Life {
+            name: name.to_string(),
+            seed,
+            starts: 0,
+            lasts,
+            skew: 0,
+            drift: 0.0,
+            notice: 0,
+            limits,
+        }
     }
 
     pub fn own(&self, time: Ns) -> Ns {
@@ -141,7 +155,8 @@
 
 /// Lives through `life`, its engine recorded by `recorder`.
 pub fn live(life: &Life, recorder: Recorder) {
-    let mut engine = Engine::new(EPOCH, life.seed, &terms(&life.name)).watched_by(Box::new(recorder));
+    let mut engine =
+        Engine::new(EPOCH, life.seed, &terms(&life.name)).watched_by(Box::new(recorder));
     let mut chance = Rand64::new(life.seed as u128);
     engine.begin(EPOCH);
     let mut first: Vec<Listed> = (0..12).map(|n| pod(n, PodState::Running, 1, 1)).collect();
@@ -169,7 +184,17 @@
             let group = (tick / 5 % 3) as usize;
             let (customer, key) = (Some((tick % 2) as usize), chance.rand_range(1..40) << 20);
             let left = [2 * S, 3 * S, 3 * S][group] - 20 * MS - chance.rand_range(20_000..60_000);
-            engine.hit(now, Asked { group, customer, key, left, cost_hint: None, repeat: false });
+            engine.hit(
+                now,
+                Asked {
+                    group,
+                    customer,
+                    key,
+                    left,
+                    cost_hint: None,
+                    repeat: false,
+                },
+            );
         }
         if tick % 400 == 7 {
             engine.tally(now, 1, "query", (40, 1), 30 * MS, S);
@@ -177,7 +202,11 @@
         }
         while let Some(at) = out.iter().position(|(due, ..)| *due <= time) {
             let (_, hit, nth, end, sent) = out.remove(at);
-            let load = Load { in_flight: Some((hit % 4) as f64), busy: Some(0.333), ..Load::default() };
+            let load = Load {
+                in_flight: Some((hit % 4) as f64),
+                busy: Some(0.333),
+                ..Load::default()
+            };
             engine.ended(now, hit, nth, end, now - sent + 30_000, Some(load));
         }
         while let Some(effect) = engine.effect() {
@@ -190,13 +219,34 @@
                         (_, true) => Ended::Error,
                         _ => Ended::Delivered,
                     };
-                    out.push((time + chance.rand_range(8 * MS..50 * MS), hit, nth, end, now));
+                    out.push((
+                        time + chance.rand_range(8 * MS..50 * MS),
+                        hit,
+                        nth,
+                        end,
+                        now,
+                    ));
                 }
                 Effect::Vote { vote, .. } => {
-                    engine.voted(now, vote, StageNews { heard: Heard::Counted, stage: None });
+                    engine.voted(
+                        now,
+                        vote,
+                        StageNews {
+                            heard: Heard::Counted,
+                            stage: None,
+                        },
+                    );
                 }
                 Effect::Probe { probe, .. } => {
-                    engine.probed(now, probe, ProbeEnd { end: Ended::Delivered, took: MS, load: None });
+                    engine.probed(
+                        now,
+                        probe,
+                        ProbeEnd {
+                            end: Ended::Delivered,
+                            took: MS,
+                            load: None,
+                        },
+                    );
                 }
                 _ => {}
             }
@@ -211,7 +261,8 @@
 /// The files of a life, in memory.
 pub fn files(life: &Life) -> Vec<Vec<u8>> {
     let memory = Memory::default();
-    let (recorder, writing) = Recorder::start(life.source(), life.limits.clone(), Box::new(memory.clone()));
+    let (recorder, writing) =
+        Recorder::start(life.source(), life.limits.clone(), Box::new(memory.clone()));
     live(life, recorder);
     finish(writing);
     let files = std::mem::take(&mut *memory.0.lock().unwrap());
--- a/crates/trace/tests/files.rs
+++ b/crates/trace/tests/files.rs
@@ -31,13 +31,33 @@
     let (bytes, mut records) = short();
     let at = records.iter().position(Record::begins_hit).unwrap();
     let hit = records[at].hit().unwrap();
-    let known = Earlier { pod: Some(1), ago: 40 * MS, may_have_run: true };
-    let past = vec![known, Earlier { pod: None, ago: MS, may_have_run: false }];
+    let known = Earlier {
+        pod: Some(1),
+        ago: 40 * MS,
+        may_have_run: true,
+    };
+    let past = vec![
+        known,
+        Earlier {
+            pod: None,
+            ago: MS,
+            may_have_run: false,
+        },
+    ];
     let what = What::Told(Told::Resumed { hit, past });
-    records.insert(at, Record { what, pod: None, ..records[at].clone() });
+    records.insert(
+        at,
+        Record {
+            what,
+            pod: None,
+            ..records[at].clone()
+        },
+    );
     assert!(records[at].opens_hit() && records[at].hit() == Some(hit) && !records[at].begins_hit());
     let mut writer = Writer::new(Vec::new(), &open(&bytes).head, Vec::new()).unwrap();
-    records.iter().for_each(|record| writer.put(record.clone()).unwrap());
+    records
+        .iter()
+        .for_each(|record| writer.put(record.clone()).unwrap());
     let (found, amiss) = read(&writer.finish().unwrap());
     assert!(amiss.is_none() && found == records);
 }
@@ -68,7 +88,11 @@
         let whole = |entry: &&havenplank_trace::file::Entry| {
             entry.offset as usize + 48 + entry.packed as usize <= length
         };
-        let there: usize = index.iter().take_while(whole).map(|entry| entry.records as usize).sum();
+        let there: usize = index
+            .iter()
+            .take_while(whole)
+            .map(|entry| entry.records as usize)
+            .sum();
         assert!(amiss.is_some(), "{length}: silent");
         assert!(
             found.len() == there && found[..] == records[..there],
@@ -126,7 +150,11 @@
 fn with_body(body: &[u8]) -> Vec<u8> {
     let head = head();
     let mut bytes = greeting(1, 0, &head, head.len() as u32);
-    bytes.extend(frame(&zstd::bulk::compress(body, 3).unwrap(), body.len() as u32, b"HPbk"));
+    bytes.extend(frame(
+        &zstd::bulk::compress(body, 3).unwrap(),
+        body.len() as u32,
+        b"HPbk",
+    ));
     bytes
 }
 
@@ -143,10 +171,15 @@
         bytes.extend(frame(&bomb, told, b"HPbk"));
         let (found, amiss) = read(&bytes);
         let amiss = amiss.unwrap();
-        assert!(found.is_empty() && (amiss.contains("larger") || amiss.contains("length")), "{amiss}");
+        assert!(
+            found.is_empty() && (amiss.contains("larger") || amiss.contains("length")),
+            "{amiss}"
+        );
     }
     // Postcard's counts: a dictionary of 2^60 entries in nine bytes, and a list as long.
-    let (_, amiss) = read(&with_body(&[0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x0f]));
+    let (_, amiss) = read(&with_body(&[
+        0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x0f,
+    ]));
     assert!(amiss.unwrap().contains("body"));
     let columns: &[(u16, &[u8])] = &[
         (0, &[6]),
@@ -159,14 +192,23 @@
     let empty: (Vec<u8>, Vec<u8>, Vec<u8>, Vec<u8>) = Default::default();
     let body = postcard::to_stdvec(&(empty, columns)).unwrap();
     let (found, amiss) = read(&with_body(&body));
-    assert!(found.is_empty() && amiss.as_ref().is_some_and(|amiss| amiss.contains("column 97")), "{amiss:?}");
+    assert!(
+        found.is_empty()
+            && amiss
+                .as_ref()
+                .is_some_and(|amiss| amiss.contains("column 97")),
+        "{amiss:?}"
+    );
 }
 
 #[test]
 fn newer_minor_versions_are_read_without_what_is_new_and_major_ones_refused() {
     let (mut bytes, _) = short();
     bytes[8] = 2;
-    assert!(matches!(Reader::open(Cursor::new(&bytes)), Err(TraceError::Major(2))));
+    assert!(matches!(
+        Reader::open(Cursor::new(&bytes)),
+        Err(TraceError::Major(2))
+    ));
     // Minor 7: a field of the greeting, a kind, a choice and a column that nobody knows, and a field of the body.
     let mut head: serde_json::Value = serde_json::from_slice(&head()).unwrap();
     head["colour"] = "blue".into();
@@ -188,11 +230,19 @@
     let empty: (Vec<u8>, Vec<u8>, Vec<u8>, Vec<u8>) = Default::default();
     let body = postcard::to_stdvec(&(empty, columns, "new")).unwrap();
     let mut bytes = greeting(1, 7, &head, head.len() as u32);
-    bytes.extend(frame(&zstd::bulk::compress(&body, 3).unwrap(), body.len() as u32, b"HPbk"));
+    bytes.extend(frame(
+        &zstd::bulk::compress(&body, 3).unwrap(),
+        body.len() as u32,
+        b"HPbk",
+    ));
     let mut reader = open(&bytes);
     let records: Vec<Record> = std::iter::from_fn(|| reader.record().unwrap()).collect();
     let times: Vec<u64> = records.iter().map(|record| record.at - EPOCH).collect();
-    assert!(reader.minor == 7 && times == [0, 15] && reader.skipped() == 2, "{times:?} {}", reader.skipped());
+    assert!(
+        reader.minor == 7 && times == [0, 15] && reader.skipped() == 2,
+        "{times:?} {}",
+        reader.skipped()
+    );
 }
 
 /// A file that version 1.0 wrote: every later version of major 1 reads the same in it.
@@ -202,7 +252,9 @@
     let bytes = std::fs::read(path).unwrap();
     let reader = open(&bytes);
     assert!(
-        reader.minor == 0 && reader.rebuilt.is_none() && reader.head.sources[0].terms.name == "sidecar-0"
+        reader.minor == 0
+            && reader.rebuilt.is_none()
+            && reader.head.sources[0].terms.name == "sidecar-0"
     );
     let records = all(&bytes);
     let (mut hits, mut took, mut to_pod, mut listed) = (0, 0, 0, 0);
--- a/crates/trace/tests/recorder.rs
+++ b/crates/trace/tests/recorder.rs
@@ -32,11 +32,19 @@
     sampled.limits.share = 0.25;
     let bytes = file(&sampled);
     let (hits, besides) = by_hit(&all(&bytes));
-    assert!((300..500).contains(&hits.len()), "{} of {}", hits.len(), all_hits.len());
+    assert!(
+        (300..500).contains(&hits.len()),
+        "{} of {}",
+        hits.len(),
+        all_hits.len()
+    );
     assert!(hits.iter().all(|(hit, records)| all_hits[hit] == *records));
     assert!(besides == all_besides);
     assert!(
-        matches!(replay::replay(vec![open(&bytes)]), Err(TraceError::Unfit(_))),
+        matches!(
+            replay::replay(vec![open(&bytes)]),
+            Err(TraceError::Unfit(_))
+        ),
         "not all hits are there"
     );
 }
@@ -89,11 +97,25 @@
             _ => sum,
         })
     };
-    assert!(hits.len() > 500 && hits.len() < every.len(), "{} of {}", hits.len(), every.len());
-    assert!(hits.iter().all(|(hit, records)| every[hit] == *records), "no hit in part");
+    assert!(
+        hits.len() > 500 && hits.len() < every.len(),
+        "{} of {}",
+        hits.len(),
+        every.len()
+    );
+    assert!(
+        hits.iter().all(|(hit, records)| every[hit] == *records),
+        "no hit in part"
+    );
     assert_eq!(lost(&found), ((every.len() - hits.len()) as u64, 0));
-    let told: Vec<&What> = found.iter().filter(|what| !matches!(what, What::Lost { .. })).collect();
-    assert!(told.len() == besides.len() && told.into_iter().eq(&besides), "all else is there");
+    let told: Vec<&What> = found
+        .iter()
+        .filter(|what| !matches!(what, What::Lost { .. }))
+        .collect();
+    assert!(
+        told.len() == besides.len() && told.into_iter().eq(&besides),
+        "all else is there"
+    );
 }
 
 #[test]
@@ -104,11 +126,18 @@
     let records = behind_a_gate(&life);
     let (mut hits, mut lost) = (0, 0);
     for record in &records {
-        if let What::Lost { hits: h, records: r } = record.what {
+        if let What::Lost {
+            hits: h,
+            records: r,
+        } = record.what
+        {
             (hits, lost) = (hits + h, lost + r);
         }
     }
-    assert!(lost > 0 && hits > 0 && records.len() < every, "{hits} {lost}");
+    assert!(
+        lost > 0 && hits > 0 && records.len() < every,
+        "{hits} {lost}"
+    );
 }
 
 /// A disk whose third block finds no room, for a while.
@@ -169,7 +198,10 @@
     };
     assert!(matches!(ends, Err(TraceError::Damage { .. })), "{ends:?}");
     let (summary, damage) = summary::summarise(&mut open(&files[1]), None).unwrap();
-    assert!(damage.is_none() && summary.lost_records > 0 && summary.lost_hits > 0, "{summary:?}");
+    assert!(
+        damage.is_none() && summary.lost_records > 0 && summary.lost_hits > 0,
+        "{summary:?}"
+    );
     assert_eq!(open(&files[1]).head.sources[0].part, 1);
 }
 
@@ -177,7 +209,11 @@
 fn files_roll_and_the_oldest_go_at_the_total() {
     let folder = tempfile::tempdir().unwrap();
     // Of other sidecars, and no trace at all: never touched.
-    for name in ["sidecar-0-1-00000000000000000001-000000.hpt", "sidecar-0-notes.txt", "sidecar-00.hpt"] {
+    for name in [
+        "sidecar-0-1-00000000000000000001-000000.hpt",
+        "sidecar-0-notes.txt",
+        "sidecar-00.hpt",
+    ] {
         std::fs::write(folder.path().join(name), vec![0; 9_000]).unwrap();
     }
     let mut life = Life::new("sidecar-0", 8, 20 * S);
@@ -185,7 +221,8 @@
     let total = 60_000;
     for began in [1, 2] {
         let shelf = Folder::new(folder.path(), "sidecar-0", began, total).unwrap();
-        let (recorder, writing) = Recorder::start(life.source(), life.limits.clone(), Box::new(shelf));
+        let (recorder, writing) =
+            Recorder::start(life.source(), life.limits.clone(), Box::new(shelf));
         live(&life, recorder);
         finish(writing);
     }
@@ -194,17 +231,34 @@
         .map(|entry| entry.unwrap().file_name().into_string().unwrap())
         .collect();
     names.sort();
-    let ours: Vec<&String> =
-        names.iter().filter(|name| name.starts_with("sidecar-0-0000") && name.ends_with(".hpt")).collect();
-    let size: u64 = ours.iter().map(|name| std::fs::metadata(folder.path().join(name)).unwrap().len()).sum();
+    let ours: Vec<&String> = names
+        .iter()
+        .filter(|name| name.starts_with("sidecar-0-0000") && name.ends_with(".hpt"))
+        .collect();
+    let size: u64 = ours
+        .iter()
+        .map(|name| std::fs::metadata(folder.path().join(name)).unwrap().len())
+        .sum();
     assert!(size <= total && size > total / 2, "{size}");
     assert!(names.len() == ours.len() + 3, "{names:?}");
-    assert!(ours.iter().all(|name| name.contains("-00000000000000000002-")), "the earlier life's went first");
+    assert!(
+        ours.iter()
+            .all(|name| name.contains("-00000000000000000002-")),
+        "the earlier life's went first"
+    );
     // Those left are the last, without a gap, and each is whole.
-    let parts: Vec<u64> = ours.iter().map(|name| name[31..37].parse().unwrap()).collect();
-    assert!(parts.windows(2).all(|two| two[1] == two[0] + 1), "{parts:?}");
+    let parts: Vec<u64> = ours
+        .iter()
+        .map(|name| name[31..37].parse().unwrap())
+        .collect();
+    assert!(
+        parts.windows(2).all(|two| two[1] == two[0] + 1),
+        "{parts:?}"
+    );
     for name in ours {
-        assert!(open(&std::fs::read(folder.path().join(name)).unwrap()).rebuilt.is_none());
+        assert!(open(&std::fs::read(folder.path().join(name)).unwrap())
+            .rebuilt
+            .is_none());
     }
 }
 
@@ -214,7 +268,8 @@
     let whole = all(&file(&life));
     // A kill is a file as it stands when nothing more is written: no last block, no index.
     let memory = Memory::default();
-    let (recorder, writing) = Recorder::start(life.source(), life.limits.clone(), Box::new(memory.clone()));
+    let (recorder, writing) =
+        Recorder::start(life.source(), life.limits.clone(), Box::new(memory.clone()));
     live(&life, recorder);
     finish(writing);
     let bytes = memory.0.lock().unwrap()[0].clone();
@@ -228,7 +283,10 @@
             other => break other,
         }
     };
-    assert!(matches!(ended, Err(TraceError::Damage { at, .. }) if at == last.offset), "{ended:?}");
+    assert!(
+        matches!(ended, Err(TraceError::Damage { at, .. }) if at == last.offset),
+        "{ended:?}"
+    );
     assert!(whole[..found.len()] == found[..] && found.len() > whole.len() * 3 / 4);
     assert!(whole.last().unwrap().at - found.last().unwrap().at <= 2 * S);
     let begun: HashSet<u64> = found.iter().filter_map(Record::hit).collect();
@@ -236,9 +294,14 @@
     let (played, damage) = replay::replay(vec![open(&bytes[..last.offset as usize])]).unwrap();
     assert!(damage.is_none() && played[0].1.differs.is_none());
     // Nor is it a difference in a copy, which is closed, that the last call's effects were not written.
-    let told = found.iter().rposition(|record| matches!(record.what, What::Told(Told::Hit { .. }))).unwrap();
+    let told = found
+        .iter()
+        .rposition(|record| matches!(record.what, What::Told(Told::Hit { .. })))
+        .unwrap();
     let mut writer = Writer::new(Vec::new(), &open(&bytes).head, Vec::new()).unwrap();
-    found[..=told].iter().for_each(|record| writer.put(record.clone()).unwrap());
+    found[..=told]
+        .iter()
+        .for_each(|record| writer.put(record.clone()).unwrap());
     let ends = writer.finish().unwrap();
     let unclosed = &ends[..ends.len() - 20];
     let mut merged = Vec::new();
@@ -247,6 +310,9 @@
         let (played, _) = replay::replay(vec![open(file)]).unwrap();
         assert_eq!(played[0].1.differs.is_none(), same);
     }
-    let first = found.iter().find(|record| matches!(record.what, What::Told(Told::Begin))).unwrap();
+    let first = found
+        .iter()
+        .find(|record| matches!(record.what, What::Told(Told::Begin)))
+        .unwrap();
     assert_eq!(first.at, EPOCH);
 }
--- a/crates/trace/tests/tools.rs
+++ b/crates/trace/tests/tools.rs
@@ -38,23 +38,35 @@
     assert!(same.hits == 1_600 && same.compared > 4_000, "{same:?}");
     // What was recorded is found out where it is not what is done.
     let records = all(&file);
-    let nth =
-        records.iter().position(|r| matches!(r.what, What::Did(Effect::Forward { hit: 500, .. }))).unwrap();
+    let nth = records
+        .iter()
+        .position(|r| matches!(r.what, What::Did(Effect::Forward { hit: 500, .. })))
+        .unwrap();
     let other = rewritten(&file, |n, record| {
         if let (true, What::Did(Effect::Forward { time_out, .. })) = (n == nth, &mut record.what) {
             *time_out += 1;
         }
     });
-    assert_eq!(replayed(&[other]).differs.map(|differs| differs.record), Some(nth as u64));
+    assert_eq!(
+        replayed(&[other]).differs.map(|differs| differs.record),
+        Some(nth as u64)
+    );
     // So is another constant in what decides.
     let mut reader = open(&file);
     reader.head.sources[0].terms.exposure.caps[0] = 0.3;
     let (played, _) = replay::replay(vec![reader]).unwrap();
     assert!(played[0].1.differs.is_some());
     // And an effect that was left out at the end.
-    let last = records.iter().rposition(|r| matches!(r.what, What::Did(_))).unwrap();
+    let last = records
+        .iter()
+        .rposition(|r| matches!(r.what, What::Did(_)))
+        .unwrap();
     let mut writer = Writer::new(Vec::new(), &open(&file).head, Vec::new()).unwrap();
-    let short = records.into_iter().enumerate().filter(|(n, _)| *n != last).map(|(_, record)| record);
+    let short = records
+        .into_iter()
+        .enumerate()
+        .filter(|(n, _)| *n != last)
+        .map(|(_, record)| record);
     short.for_each(|record| writer.put(record).unwrap());
     assert!(replayed(&[writer.finish().unwrap()]).differs.is_some());
 }
@@ -88,7 +100,10 @@
     let mut reader = open(&file);
     let blocks = reader.index.len();
     let (made, damage) = cut::cut(&mut reader, &mut bytes, from, to).unwrap();
-    assert!(damage.is_none() && made.blocks < blocks && made.unfinished == 0, "{made:?} of {blocks}");
+    assert!(
+        damage.is_none() && made.blocks < blocks && made.unfinished == 0,
+        "{made:?} of {blocks}"
+    );
     let hits: HashSet<u64> = all(&file)
         .iter()
         .filter(|record| record.begins_hit() && (from..to).contains(&record.at))
@@ -128,34 +143,67 @@
         .collect();
     // One restarts in the middle, on the same clock; another has the very same times as the first.
     lives[4].lasts = 5 * S;
-    lives.push(Life { seed: 900, starts: 6 * S, lasts: 6 * S, ..lives[4].clone() });
-    lives.push(Life { name: "twin".to_string(), ..lives[0].clone() });
+    lives.push(Life {
+        seed: 900,
+        starts: 6 * S,
+        lasts: 6 * S,
+        ..lives[4].clone()
+    });
+    lives.push(Life {
+        name: "twin".to_string(),
+        ..lives[0].clone()
+    });
     let files: Vec<Vec<u8>> = lives.iter().map(file).collect();
     let mut bytes = Vec::new();
     let clocks = merge::merge(files.iter().map(|file| open(file)).collect(), &mut bytes).unwrap();
-    assert!(clocks.iter().all(|clock| clock.events >= 10 || clock.offset == 0), "{clocks:?}");
+    assert!(
+        clocks
+            .iter()
+            .all(|clock| clock.events >= 10 || clock.offset == 0),
+        "{clocks:?}"
+    );
     let merged = all(&bytes);
     assert!(merged.windows(2).all(|two| two[0].at <= two[1].at));
     for (n, file) in files.iter().enumerate() {
         let of = |record: &Record| (record.own, record.what.clone(), record.pod.clone());
-        let (own, there): (Vec<_>, Vec<_>) =
-            (all(file).iter().map(of).collect(), merged.iter().filter(|r| r.source == n).map(of).collect());
+        let (own, there): (Vec<_>, Vec<_>) = (
+            all(file).iter().map(of).collect(),
+            merged.iter().filter(|r| r.source == n).map(of).collect(),
+        );
         assert!(own == there, "source {n} keeps its records and their order");
     }
     // What all were told at once now lies as close as the telling took.
     let mut heard: HashMap<(u64, u64, u64), (Ns, Ns)> = HashMap::new();
     for record in merged.iter() {
-        if let What::Told(Told::List { whole: false, pods, .. }) = &record.what {
-            let key = (pods[0].address.port() as u64, pods[0].life, pods[0].state as u64);
+        if let What::Told(Told::List {
+            whole: false, pods, ..
+        }) = &record.what
+        {
+            let key = (
+                pods[0].address.port() as u64,
+                pods[0].life,
+                pods[0].state as u64,
+            );
             let (first, last) = heard.entry(key).or_insert((record.at, record.at));
             (*first, *last) = ((*first).min(record.at), (*last).max(record.at));
         }
     }
-    let widest = heard.values().map(|(first, last)| last - first).max().unwrap();
-    assert!(heard.len() > 25 && widest < 90 * MS, "{} events, {widest} ns", heard.len());
+    let widest = heard
+        .values()
+        .map(|(first, last)| last - first)
+        .max()
+        .unwrap();
+    assert!(
+        heard.len() > 25 && widest < 90 * MS,
+        "{} events, {widest} ns",
+        heard.len()
+    );
     let base = clocks.iter().position(|clock| clock.offset == 0).unwrap();
     for (clock, life) in clocks.iter().zip(&lives) {
-        assert!((life.skew - lives[base].skew + clock.offset).abs() < 60_000_000, "{clock:?}");
+        assert!(
+            (life.skew - lives[base].skew + clock.offset).abs() < 60_000_000,
+            "{clock:?}"
+        );
     }
     // It plays as its parts do, each source by itself.
     let (played, _) = replay::replay(vec![open(&bytes)]).unwrap();
@@ -171,7 +219,9 @@
     let mut text = serde_json::to_vec(&reader.head).unwrap();
     for entry in &reader.index {
         let from = entry.offset as usize + 48;
-        text.extend(zstd::bulk::decompress(&bytes[from..from + entry.packed as usize], 8 << 20).unwrap());
+        text.extend(
+            zstd::bulk::decompress(&bytes[from..from + entry.packed as usize], 8 << 20).unwrap(),
+        );
     }
     while let Some(record) = reader.record().unwrap() {
         text.extend(format!("{record:?}").into_bytes());
@@ -191,13 +241,25 @@
     let mut keys: HashSet<u64> = HashSet::new();
     let terms = &open(&file).head.sources[0].terms;
     names.extend([terms.name.clone()]);
-    names.extend(terms.zones.iter().chain(&terms.machines).chain(&terms.customers).cloned());
+    names.extend(
+        terms
+            .zones
+            .iter()
+            .chain(&terms.machines)
+            .chain(&terms.customers)
+            .cloned(),
+    );
     names.extend(terms.groups.iter().map(|(name, _)| name.clone()));
     for record in all(&file) {
         match record.what {
             What::Told(Told::List { pods, .. }) => {
                 for pod in pods {
-                    names.extend([pod.name, pod.address.to_string(), pod.address.ip().to_string(), pod.zone]);
+                    names.extend([
+                        pod.name,
+                        pod.address.to_string(),
+                        pod.address.ip().to_string(),
+                        pod.zone,
+                    ]);
                 }
             }
             What::Told(Told::Hit { asked, .. }) => drop(keys.insert(asked.key)),
@@ -207,8 +269,10 @@
     }
     let found = |bytes: &[u8]| -> Vec<String> {
         let text = unpacked(bytes).to_ascii_lowercase();
-        let holds =
-            |name: &str| text.windows(name.len()).any(|part| part == name.to_ascii_lowercase().as_bytes());
+        let holds = |name: &str| {
+            text.windows(name.len())
+                .any(|part| part == name.to_ascii_lowercase().as_bytes())
+        };
         names.iter().filter(|name| holds(name)).cloned().collect()
     };
     assert!(names.len() > 30, "{names:?}");
@@ -221,12 +285,21 @@
             _ => None,
         })
         .collect();
-    assert!(veiled.len() == keys.len() && veiled.is_disjoint(&keys), "one stand-in for each key");
-    let (before, after) = (replayed(std::slice::from_ref(&file)), replayed(std::slice::from_ref(&bytes)));
+    assert!(
+        veiled.len() == keys.len() && veiled.is_disjoint(&keys),
+        "one stand-in for each key"
+    );
+    let (before, after) = (
+        replayed(std::slice::from_ref(&file)),
+        replayed(std::slice::from_ref(&bytes)),
+    );
     assert!(after.differs.is_none() && after == before, "{after:?}");
     // Nothing of a name's length shows; another key gives other stand-ins, the same key the same.
     let stand_ins = |bytes: &[u8]| -> Vec<String> {
-        all(bytes).into_iter().filter_map(|record| Some(record.pod?.name.clone())).collect()
+        all(bytes)
+            .into_iter()
+            .filter_map(|record| Some(record.pod?.name.clone()))
+            .collect()
     };
     let first = stand_ins(&bytes);
     assert!(first.iter().all(|name| name.len() == first[0].len()));
@@ -236,7 +309,13 @@
         stand_ins(&bytes)
     };
     assert!(again([9; 32]) == first && again([8; 32]) != first);
-    assert_eq!(Reader::open(Cursor::new(bytes)).unwrap().head.sources[0].terms.zones[0].len(), 25);
+    assert_eq!(
+        Reader::open(Cursor::new(bytes)).unwrap().head.sources[0]
+            .terms
+            .zones[0]
+            .len(),
+        25
+    );
 }
 
 #[test]
@@ -244,25 +323,51 @@
     let file = file(&Life::new("sidecar-0", 5, 6 * S));
     let (summary, damage) = summary::summarise(&mut open(&file), Some(S)).unwrap();
     let records = all(&file);
-    let count = |of: &dyn Fn(&What) -> bool| records.iter().filter(|record| of(&record.what)).count() as u64;
+    let count = |of: &dyn Fn(&What) -> bool| {
+        records.iter().filter(|record| of(&record.what)).count() as u64
+    };
     let sum = |of: fn(&summary::Figures) -> u64| summary.builds.values().map(of).sum::<u64>();
     assert!(damage.is_none() && summary.hits == 1_200 && summary.records == records.len() as u64);
     assert_eq!(sum(|f| f.hits) + summary.unfinished, 1_200);
     let delivered = count(&|what| matches!(what, What::Told(Told::Ended { passed: true, .. })));
     assert!(sum(|f| f.delivered) == delivered && delivered > 1_000);
-    assert_eq!(sum(|f| f.bounced), count(&|what| matches!(what, What::Did(Effect::Bounce { .. }))));
-    assert_eq!(sum(|f| f.errored), count(&|what| matches!(what, What::Did(Effect::Error { .. }))));
-    let errors = count(&|what| matches!(what, What::Told(Told::Ended { end: Ended::Error, .. })));
+    assert_eq!(
+        sum(|f| f.bounced),
+        count(&|what| matches!(what, What::Did(Effect::Bounce { .. })))
+    );
+    assert_eq!(
+        sum(|f| f.errored),
+        count(&|what| matches!(what, What::Did(Effect::Error { .. })))
+    );
+    let errors = count(&|what| {
+        matches!(
+            what,
+            What::Told(Told::Ended {
+                end: Ended::Error,
+                ..
+            })
+        )
+    });
     let by_pod: BTreeMap<&str, u64> =
-        summary.pods.values().flatten().fold(BTreeMap::new(), |mut sums, (end, count)| {
-            *sums.entry(*end).or_default() += count;
-            sums
-        });
+        summary
+            .pods
+            .values()
+            .flatten()
+            .fold(BTreeMap::new(), |mut sums, (end, count)| {
+                *sums.entry(*end).or_default() += count;
+                sums
+            });
     assert!(by_pod["error"] == errors && errors > 10);
     let spans: u64 = summary.spans.values().map(|figures| figures[0]).sum();
     assert!(spans + summary.unfinished == 1_200 && summary.spans.len() >= 6);
     let exposed = &summary.exposed[&("sidecar-0".to_string(), 2)];
-    assert!(exposed.hits > 10 && exposed.most > 0.1 && exposed.most <= 1.0, "{exposed:?}");
+    assert!(
+        exposed.hits > 10 && exposed.most > 0.1 && exposed.most <= 1.0,
+        "{exposed:?}"
+    );
     assert!(summary.votes.keys().any(|(build, _, _)| *build == 2));
-    assert!(matches!(summary::summarise(&mut open(&file), Some(1)), Err(TraceError::Unfit(_))));
+    assert!(matches!(
+        summary::summarise(&mut open(&file), Some(1)),
+        Err(TraceError::Unfit(_))
+    ));
 }
--- a/crates/trace/tests/wire.rs
+++ b/crates/trace/tests/wire.rs
@@ -23,7 +23,9 @@
     let mut tries: HashMap<(String, String), u64> = HashMap::new();
     for turn in 0..1_500u64 {
         let now = 9 * S + turn * 4 * MS;
-        let mut lines = vec![format!(r#"{{"verb":"ROUND","momentNs":{now},"turn":{turn}}}"#)];
+        let mut lines = vec![format!(
+            r#"{{"verb":"ROUND","momentNs":{now},"turn":{turn}}}"#
+        )];
         if turn == 700 {
             lines.push(r#"{"verb":"POWER_OFF","sidecar":1}"#.to_string());
             alarms.retain(|(_, line)| !line.contains("\"sidecar\":1"));
@@ -39,25 +41,36 @@
         if turn % 100 == 1 {
             let pod = |n: u64| {
                 let (build, az) = (1 + n / 4, if n.is_multiple_of(2) { "east" } else { "west" });
-                let state = if (turn / 100 + n).is_multiple_of(5) && n > 0 { "Deleted" } else { "Running" };
+                let state = if (turn / 100 + n).is_multiple_of(5) && n > 0 {
+                    "Deleted"
+                } else {
+                    "Running"
+                };
                 let started = if build == 2 { 8 * S + turn / 500 } else { 0 };
                 format!(
                     r#"{{"size":2,"release":{build},"az":"{az}","machine":"box","pod":"p{n}","startedAtNs":{started},"lifecycle":"{state}"}}"#
                 )
             };
             let pods: Vec<String> = (0..6).map(pod).collect();
-            lines.push(format!(r#"{{"verb":"LIST","bank":0,"records":[{}]}}"#, pods.join(",")));
+            lines.push(format!(
+                r#"{{"verb":"LIST","bank":0,"records":[{}]}}"#,
+                pods.join(",")
+            ));
             for sidecar in (0..2).filter(|sidecar| up(*sidecar)) {
-                lines
-                    .push(format!(r#"{{"verb":"ROSTER_CHANGE","sidecar":{sidecar},"how":"full","bank":0}}"#));
+                lines.push(format!(
+                    r#"{{"verb":"ROSTER_CHANGE","sidecar":{sidecar},"how":"full","bank":0}}"#
+                ));
                 lines.push(format!(
                     r#"{{"verb":"ROLLOUT_STATE","sidecar":{sidecar},"ending":100,"release":2,"wave":1,"standing":0,"limitShare":0.5,"latenessNs":9}}"#
                 ));
             }
         }
         for list in [&mut due, &mut alarms] {
-            let ready: Vec<String> =
-                list.iter().filter(|(at, _)| *at <= now).map(|(_, line)| line.clone()).collect();
+            let ready: Vec<String> = list
+                .iter()
+                .filter(|(at, _)| *at <= now)
+                .map(|(_, line)| line.clone())
+                .collect();
             list.retain(|(at, _)| *at > now);
             lines.extend(ready);
         }
@@ -72,7 +85,10 @@
         for (n, line) in lines.iter().enumerate() {
             input += line;
             input.push('\n');
-            if let Some(turn) = wire.line(Line::read(n as u64, line.as_bytes()).unwrap()).unwrap() {
+            if let Some(turn) = wire
+                .line(Line::read(n as u64, line.as_bytes()).unwrap())
+                .unwrap()
+            {
                 wire.reply(turn, &mut answer).unwrap();
             }
         }
@@ -116,7 +132,13 @@
     let sources = from_wire::sources(input.as_bytes()).unwrap();
     assert_eq!(sources.len(), 3, "two, and one that came back");
     let mut bytes = Vec::new();
-    from_wire::write(input.as_bytes(), output.as_bytes(), sources.clone(), &mut bytes).unwrap();
+    from_wire::write(
+        input.as_bytes(),
+        output.as_bytes(),
+        sources.clone(),
+        &mut bytes,
+    )
+    .unwrap();
     let (played, damage) = replay::replay(vec![open(&bytes)]).unwrap();
     assert!(damage.is_none());
     for (name, outcome) in &played {
@@ -128,11 +150,20 @@
     // An answer that the adapter did not give is found.
     let other = output.replacen("\"patienceNs\":", "\"patienceNs\":1", 1);
     let mut bytes = Vec::new();
-    from_wire::write(input.as_bytes(), other.as_bytes(), sources.clone(), &mut bytes).unwrap();
+    from_wire::write(
+        input.as_bytes(),
+        other.as_bytes(),
+        sources.clone(),
+        &mut bytes,
+    )
+    .unwrap();
     let (played, _) = replay::replay(vec![open(&bytes)]).unwrap();
     assert!(played.iter().any(|(_, outcome)| outcome.differs.is_some()));
     // Pipes that do not belong together.
-    let short: String = output.lines().take(100).fold(String::new(), |text, line| text + line + "\n");
+    let short: String = output
+        .lines()
+        .take(100)
+        .fold(String::new(), |text, line| text + line + "\n");
     let ends = from_wire::write(input.as_bytes(), short.as_bytes(), sources, Vec::new());
     assert!(matches!(ends, Err(TraceError::Unfit(why)) if why.contains("batch")));
 }
--- a/src/groups.rs
+++ b/src/groups.rs
@@ -34,11 +34,22 @@
     pub fn new(rules: Vec<PathGroup>, first_mean: fn(&PathGroup) -> f64) -> Groups {
         let mean = rules.iter().map(first_mean).collect();
         let (slowest, most_benefit) = (vec![Vec::new(); rules.len()], most_benefit(rules.iter()));
-        Groups { rules, mean, slowest, first_mean, most_benefit }
+        Groups {
+            rules,
+            mean,
+            slowest,
+            first_mean,
+            most_benefit,
+        }
     }
 
     pub(crate) fn set(&mut self, change: &GroupChange) {
-        let GroupChange { group, rules, predecessor, .. } = *change;
+        let GroupChange {
+            group,
+            rules,
+            predecessor,
+            ..
+        } = *change;
         let (mean, slowest) = match predecessor {
             Some(known) => (self.mean[known], self.slowest[known].clone()),
             None => ((self.first_mean)(&rules), Vec::new()),
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -33,7 +33,8 @@
     /// It rises by leaps at a stage's start, when the long look still blames the build for having more
     /// forwards than it counts: so the higher of a long and a short look, the short one shrunk where thin.
     fn of(&mut self, now: Ns) -> f64 {
-        let [long, short] = [0, 1].map(|n| (self.new[n].most(now) as f64, self.all[n].most(now) as f64));
+        let [long, short] =
+            [0, 1].map(|n| (self.new[n].most(now) as f64, self.all[n].most(now) as f64));
         (long.0 / long.1.max(1.0)).max(short.0 / (short.1 + Share::THIN))
     }
 }
@@ -68,13 +69,18 @@
     fn bounds(instances: usize, needed: usize) -> (f64, f64) {
         let part = part_of_chance(instances, needed, Judge::ALPHA, Judge::BETA);
         let alpha = part.clamp(Judge::ALPHA / (1.0 + (instances as f64).ln()), Judge::BETA);
-        ((Judge::BETA / (1.0 - alpha)).ln(), ((1.0 - Judge::BETA) / alpha).ln())
+        (
+            (Judge::BETA / (1.0 - alpha)).ln(),
+            ((1.0 - Judge::BETA) / alpha).ln(),
+        )
     }
 
     /// Slowness counts by the bound of alpha itself where that is higher: many see the same slow pods.
     fn worst(&self) -> f64 {
         let (_, alone) = Judge::bounds(1, 1);
-        self.sum.max(self.slot_sum).max(self.slow_sum * (self.bounds.1 / alone).min(1.0))
+        self.sum
+            .max(self.slot_sum)
+            .max(self.slow_sum * (self.bounds.1 / alone).min(1.0))
     }
 
     fn doubt(&self) -> bool {
@@ -114,7 +120,11 @@
     /// A sum far below the lower bound would take as long to come back: it stays at twice that.
     /// `own`: an error or a wrong answer, which a pod makes by itself, unlike a time-out or a reset.
     fn failed(&mut self, now: Ns, build: Build, own: bool) -> f64 {
-        let (most, odds) = if own { (Judge::MEMORY_SHARE, Judge::OWN_ODDS) } else { (1.0, Judge::ODDS) };
+        let (most, odds) = if own {
+            (Judge::MEMORY_SHARE, Judge::OWN_ODDS)
+        } else {
+            (1.0, Judge::ODDS)
+        };
         let p0 = self.share.of(now).min(most);
         let step = self.step(p0, build, odds);
         self.sum = (self.sum + step).max(2.0 * self.bounds.0);
@@ -126,7 +136,11 @@
     /// Could harm one kept busier than the earlier, so it rests once that has a third of the load.
     fn slow(&mut self, now: Ns, build: Build) -> f64 {
         let p0 = self.share.of(now);
-        let step = if p0 <= Judge::SLOW_SHARE { self.step(p0, build, Judge::SLOW_ODDS) } else { 0.0 };
+        let step = if p0 <= Judge::SLOW_SHARE {
+            self.step(p0, build, Judge::SLOW_ODDS)
+        } else {
+            0.0
+        };
         self.slow_sum = (self.slow_sum + step).max(2.0 * self.bounds.0);
         step
     }
@@ -146,7 +160,9 @@
     /// a build puts on what all pods share; could harm a good one while another slowdown keeps that rhythm.
     fn slots(&mut self, now: Ns, began: Option<Ns>, many: bool) {
         self.testing &= began.is_some();
-        let slot = began.map_or((0, 0), |began| (began, now.saturating_sub(began) / Judge::SLOT));
+        let slot = began.map_or((0, 0), |began| {
+            (began, now.saturating_sub(began) / Judge::SLOT)
+        });
         if slot == self.slot {
             return;
         }
@@ -156,7 +172,10 @@
             self.testing = (self.testing || slow) && self.share.new[0].most(now) > 0;
         } else {
             let [with, without] = std::mem::take(&mut self.seen);
-            let (p0, most) = (with.0 / (with.0 + without.0).max(1.0), self.bounds.1 * Judge::ONE_ROUND);
+            let (p0, most) = (
+                with.0 / (with.0 + without.0).max(1.0),
+                self.bounds.1 * Judge::ONE_ROUND,
+            );
             let step = |build| self.step(p0, build, Judge::SLOW_ODDS);
             let round = with.1 * step(self.build) + without.1 * step(self.build.wrapping_sub(1));
             let round = round.clamp(-most, most) * (self.away || many) as u8 as f64;
@@ -202,8 +221,16 @@
         }
         if on_trial && self.rules.control == Control::Clock {
             // One step a stage at most, however often the doubt comes back.
-            let since = *self.held.get_or_insert(if judge.doubt() { now } else { return Voice::None });
-            return if judge.doubt() && now - since < self.rules.step { Voice::Hold } else { Voice::None };
+            let since = *self.held.get_or_insert(if judge.doubt() {
+                now
+            } else {
+                return Voice::None;
+            });
+            return if judge.doubt() && now - since < self.rules.step {
+                Voice::Hold
+            } else {
+                Voice::None
+            };
         }
         let passed = judge.sum < judge.bounds.0 || judge.outcomes >= Voter::ENOUGH;
         let thin = self.rules.control == Control::Count && ran >= Voter::ON_AFTER_THIN;
@@ -222,7 +249,11 @@
     /// Whether `part` of the cap leaves room for one more forward. An earlier life may have used the free.
     fn room(&mut self, now: Ns, build: Build, group: GroupId, cap: f64, part: f64) -> bool {
         let bucket = self.bucket(group);
-        let free = if now - self.started <= self.rules.window { 0.0 } else { self.rules.free };
+        let free = if now - self.started <= self.rules.window {
+            0.0
+        } else {
+            self.rules.free
+        };
         let most = part * (free + cap * self.taken[bucket].least(now) as f64);
         self.sent(build)[bucket].most(now) as f64 + 1.0 <= most
     }
@@ -258,8 +289,17 @@
     }
 
     fn silent(&self, now: Ns, pod: &Pod) -> bool {
-        let quiet = if pod.in_flight == 0 { 0 } else { now.saturating_sub(pod.quiet_since) };
-        quiet > if pod.in_flight > 1 { self.quiet / 2 } else { self.quiet }
+        let quiet = if pod.in_flight == 0 {
+            0
+        } else {
+            now.saturating_sub(pod.quiet_since)
+        };
+        quiet
+            > if pod.in_flight > 1 {
+                self.quiet / 2
+            } else {
+                self.quiet
+            }
     }
 
     /// A pod on the mend gets one hit at a time.
@@ -273,7 +313,12 @@
     fn survey(&mut self, now: Ns, place: &Place) {
         self.sum_up_warm(now, SLICES);
         self.keep_to(now, place);
-        self.panic = 3 * self.table.running().filter(|pod| self.well(now, pod)).count() < self.table.count;
+        self.panic = 3 * self
+            .table
+            .running()
+            .filter(|pod| self.well(now, pod))
+            .count()
+            < self.table.count;
     }
 
     /// Hundreds of instances that each open connections to every pod cost the pods more than their hits do.
@@ -281,14 +326,19 @@
     /// tells where it begins. The stretch goes on past what is ill, and cold pods count for their part.
     fn keep_to(&mut self, now: Ns, place: &Place) {
         let all = self.table.count as f64;
-        let wanted = (Pods::KEPT_BY * all / place.instances.max(1) as f64).max(self.busy / Pods::BUSY);
+        let wanted =
+            (Pods::KEPT_BY * all / place.instances.max(1) as f64).max(self.busy / Pods::BUSY);
         let begins = (place.rank as f64 * Pods::GOLDEN).fract();
         let mut sides = std::mem::take(&mut self.table.sides);
         for side in &mut sides {
             let (many, mut good) = (side.pods.len(), 0.0);
             let enough = (wanted * many as f64 / all).max(Pods::KEEPS);
             let part = (begins * many as f64) as usize;
-            let (order, from) = if enough < many as f64 { (&side.ring, part) } else { (&side.pods, 0) };
+            let (order, from) = if enough < many as f64 {
+                (&side.ring, part)
+            } else {
+                (&side.pods, 0)
+            };
             side.own.clear();
             for id in (0..many).map(|step| order[(from + step) % many]) {
                 if good >= enough {
@@ -310,12 +360,16 @@
     /// to the window's hits for each unit of size that this pod is drawn from. Of a side kept to in part a
     /// pod hears from fewer instances, and each has more of it.
     fn cold_room(&mut self, now: Ns, id: PodId, luck: f64) -> bool {
-        let Some(entry) = self.table.get(id).map(|pod| pod.entry) else { return false };
+        let Some(entry) = self.table.get(id).map(|pod| pod.entry) else {
+            return false;
+        };
         let warmth = self.warmth(now, &entry);
         if warmth >= 1.0 {
             return true;
         }
-        let others: Vec<f64> = (0..self.carried.len()).filter_map(|n| self.carried_by(now, n)).collect();
+        let others: Vec<f64> = (0..self.carried.len())
+            .filter_map(|n| self.carried_by(now, n))
+            .collect();
         let least = || 0.5 * others.iter().copied().reduce(f64::min).unwrap_or(0.0);
         let carried = self.carried_by(now, entry.machine).unwrap_or_else(least);
         let most = Pods::COLD_PART * self.rules.fall_multiple * warmth * carried * entry.size;
@@ -334,9 +388,12 @@
     /// Health by symptom, whatever its cause. A time-out tells of the pod only if nothing came
     /// from it since, and if it was not cut short by a client with little time left.
     fn ended(&mut self, now: Ns, sent: &Sent, end: Ended, ratio: f64, scatter: f64) {
-        let Some(pod) = self.table.get_mut(sent.pod) else { return };
+        let Some(pod) = self.table.get_mut(sent.pod) else {
+            return;
+        };
         pod.in_flight = pod.in_flight.saturating_sub(1);
-        let hung = end == Ended::TimeOut && pod.quiet_since <= sent.at && now - sent.at >= self.quiet / 2;
+        let hung =
+            end == Ended::TimeOut && pod.quiet_since <= sent.at && now - sent.at >= self.quiet / 2;
         if !matches!(end, Ended::TimeOut | Ended::Cancelled | Ended::NotSent) {
             pod.quiet_since = now;
         }
@@ -349,8 +406,17 @@
                 lane.0.add(now);
             }
             (pod.strikes, pod.ill_until) = (0, 0);
-        } else if hung || matches!(end, Ended::Error | Ended::Reset | Ended::NoConnection | Ended::Full) {
-            pod.strikes += if end == Ended::NoConnection { Pods::ILL_AFTER } else { 1 };
+        } else if hung
+            || matches!(
+                end,
+                Ended::Error | Ended::Reset | Ended::NoConnection | Ended::Full
+            )
+        {
+            pod.strikes += if end == Ended::NoConnection {
+                Pods::ILL_AFTER
+            } else {
+                1
+            };
             if pod.strikes >= Pods::ILL_AFTER {
                 let doubled = Pods::ILL << (pod.strikes - Pods::ILL_AFTER).min(4);
                 pod.ill_until = now + (doubled as f64 * scatter) as Ns;
@@ -409,13 +475,28 @@
         votes: VoteRules,
         lists: ListRules,
     ) -> Logic {
-        let bounds = Judge::bounds(place.instances.max(1), votes.back_needs.clamp(1, place.instances.max(1)));
+        let bounds = Judge::bounds(
+            place.instances.max(1),
+            votes.back_needs.clamp(1, place.instances.max(1)),
+        );
         Logic {
             exposure: Exposure::new(exposure, now, groups.len(), Exposure::START, SLICES),
-            pods: Pods::new(pods, groups.iter().map(|group| group.target_latency).min().unwrap_or(S)),
+            pods: Pods::new(
+                pods,
+                groups
+                    .iter()
+                    .map(|group| group.target_latency)
+                    .min()
+                    .unwrap_or(S),
+            ),
             judge: Judge::new(Share::fresh(), bounds, Judge::OWN_RATE),
             voter: Voter::new(votes),
-            limit: Limit { most: Limit::START, out: 0, cut_at: 0, late: 0.0 },
+            limit: Limit {
+                most: Limit::START,
+                out: 0,
+                cut_at: 0,
+                late: 0.0,
+            },
             taken: Window::new(Logic::RETRY_WINDOW, SLICES),
             retried: Window::new(Logic::RETRY_WINDOW, SLICES),
             chance: Rand64::new(seed as u128),
@@ -439,8 +520,12 @@
     fn tick(&mut self, host: &mut dyn Host) {
         let now = host.now();
         self.pods.survey(now, &self.place);
-        let began = self.stage.filter(|_| self.on_trial() && self.exposure.rules.beside).map(|(_, at)| at);
-        self.judge.slots(now, began, self.voter.rules.back_needs > 1);
+        let began = self
+            .stage
+            .filter(|_| self.on_trial() && self.exposure.rules.beside)
+            .map(|(_, at)| at);
+        self.judge
+            .slots(now, began, self.voter.rules.back_needs > 1);
         self.seat(now);
         self.consider(host);
         if now >= self.exposure.weighed + S {
@@ -457,16 +542,26 @@
     /// the trial's forwards, each as many more as the cap and its memory leave room for, the rest none: as
     /// many reach the pods, and fewer hear more. Who sits goes by number and build; who hears enough does.
     fn seat(&mut self, now: Ns) {
-        let (many, needed, build) = (self.place.instances, self.voter.rules.back_needs, self.judge.build);
+        let (many, needed, build) = (
+            self.place.instances,
+            self.voter.rules.back_needs,
+            self.judge.build,
+        );
         let share = self.pods.table.part_of(build);
-        let cap = self.cap(build).filter(|_| self.on_trial() && needed > 1 && share > 0.0);
+        let cap = self
+            .cap(build)
+            .filter(|_| self.on_trial() && needed > 1 && share > 0.0);
         let room = cap.map(|cap| Exposure::START * self.exposure.share(now, cap));
-        let part = room.map_or(1.0, |room| share / room.clamp(share, Judge::MEMORY_SHARE.max(share)));
-        let heard = share * self.taken.most(now) as f64 * Voter::ON_AFTER as f64 / Logic::RETRY_WINDOW as f64;
+        let part = room.map_or(1.0, |room| {
+            share / room.clamp(share, Judge::MEMORY_SHARE.max(share))
+        });
+        let heard = share * self.taken.most(now) as f64 * Voter::ON_AFTER as f64
+            / Logic::RETRY_WINDOW as f64;
         let least = (heard / Voter::ENOUGH as f64).max(2.0 * needed as f64 / many as f64);
         let part = part.max(least.min(1.0));
         let seat = ((self.place.rank + build as usize * many) as f64 * Pods::GOLDEN).fract();
-        self.judge.lift = (seat < part) as u8 as f64 * ((1.0 - share) / (part - share).max(1e-9)).max(1.0);
+        self.judge.lift =
+            (seat < part) as u8 as f64 * ((1.0 - share) / (part - share).max(1e-9)).max(1.0);
         self.judge.bounds = Judge::bounds(((many as f64 * part) as usize).max(needed), needed);
     }
 
@@ -476,12 +571,16 @@
         self.pods.table.apply(whole, entries, window);
         self.pods.survey(host.now(), &self.place);
         let (table, trial) = (&self.pods.table, self.judge.build);
-        self.exposure.sent.retain(|(build, _)| *build >= trial || table.count_of(*build) > 0);
+        self.exposure
+            .sent
+            .retain(|(build, _)| *build >= trial || table.count_of(*build) > 0);
     }
 
     /// A watch that failed may or may not stand: ask again, later each time and at scattered moments.
     pub fn list_failed(&mut self, host: &mut dyn Host) {
-        self.list_wait = (self.list_wait * 2).clamp(S, 8 * S).min(self.lists.ask_within);
+        self.list_wait = (self.list_wait * 2)
+            .clamp(S, 8 * S)
+            .min(self.lists.ask_within);
         let wait = (self.list_wait as f64 * (0.5 + 0.5 * self.chance.rand_float())) as Ns;
         host.wake(wait, Box::new(|_, host, ()| host.watch_list(true)));
     }
@@ -491,7 +590,12 @@
         if old != Some((stage.build, stage.stage)) {
             self.judge.restart(stage.build);
             (self.voter.held, self.exposure.part) = (None, Exposure::START);
-            self.pods.table.slots.iter_mut().flatten().for_each(|pod| pod.blame = 0.0);
+            self.pods
+                .table
+                .slots
+                .iter_mut()
+                .flatten()
+                .for_each(|pod| pod.blame = 0.0);
         }
         let going = matches!(stage.phase, Phase::GoingBack | Phase::Withdrawn);
         if going || old.is_some_and(|(build, _)| build != stage.build) {
@@ -505,7 +609,9 @@
 
     pub fn flagged(&mut self, host: &mut dyn Host, pod: PodId, _group: GroupId, ago: Ns) {
         let (now, sent_at) = (host.now(), host.now().saturating_sub(ago));
-        let Some(entry) = self.pods.table.get(pod).map(|pod| &pod.entry) else { return };
+        let Some(entry) = self.pods.table.get(pod).map(|pod| &pod.entry) else {
+            return;
+        };
         if sent_at >= entry.started + Judge::COLD_SKIP {
             self.judge.failed(now, entry.build, true);
             self.consider(host);
@@ -516,36 +622,65 @@
     fn cap(&self, build: Build) -> Option<f64> {
         let first = self.exposure.rules.caps.first().copied().unwrap_or(0.0);
         // Keys answered by a build not announced could not be held to it.
-        let first = if self.exposure.rules.one_way { 0.0 } else { first };
+        let first = if self.exposure.rules.one_way {
+            0.0
+        } else {
+            first
+        };
         let told = self.stage.map(|(stage, _)| stage);
         let oldest = || self.pods.table.sides.iter().map(|side| side.build).min();
         match told.map(|stage| stage.build).or_else(oldest) {
             Some(known) if build > known => Some(first),
-            known => told.filter(|s| known == Some(build) && s.phase != Phase::Released).map(|s| s.cap),
+            known => told
+                .filter(|s| known == Some(build) && s.phase != Phase::Released)
+                .map(|s| s.cap),
         }
     }
 
     fn on_trial(&self) -> bool {
-        self.stage.is_some_and(|(s, _)| s.phase == Phase::Trial && self.pods.table.count_of(s.build) > 0)
+        self.stage
+            .is_some_and(|(s, _)| s.phase == Phase::Trial && self.pods.table.count_of(s.build) > 0)
     }
 
     fn consider(&mut self, host: &mut dyn Host) {
-        let Some((stage, began)) = self.stage else { return };
+        let Some((stage, began)) = self.stage else {
+            return;
+        };
         let now = host.now();
-        let newest = self.pods.table.newest_start(stage.build).unwrap_or(began).max(began);
-        let voice = self.voter.wanted(now, &self.judge, stage.phase, now.saturating_sub(newest));
+        let newest = self
+            .pods
+            .table
+            .newest_start(stage.build)
+            .unwrap_or(began)
+            .max(began);
+        let voice = self
+            .voter
+            .wanted(now, &self.judge, stage.phase, now.saturating_sub(newest));
         let want = (stage.build, stage.stage, voice);
         let stands = self.voter.standing;
         // Those that can move nothing would only keep votes for back from being heard.
-        let voice = if voice == Voice::On && !self.voter.can_move() { Voice::None } else { voice };
+        let voice = if voice == Voice::On && !self.voter.can_move() {
+            Voice::None
+        } else {
+            voice
+        };
         let idle = voice == Voice::None && stands.is_none_or(|(.., voice)| voice != Voice::Hold);
         let early = now < self.voter.again_at && (stands.is_none() || stands == Some(want));
         if self.voter.calling || idle || early {
             return;
         }
         self.voter.calling = true;
-        let (Stage { build, stage: number, .. }, sums) = (stage, self.sums());
-        host.log(&format!("vote {voice:?} build {build} stage {number} sums {sums:.2?}"));
+        let (
+            Stage {
+                build,
+                stage: number,
+                ..
+            },
+            sums,
+        ) = (stage, self.sums());
+        host.log(&format!(
+            "vote {voice:?} build {build} stage {number} sums {sums:.2?}"
+        ));
         let then = move |logic: &mut Logic, host: &mut dyn Host, news: StageNews| {
             logic.voter.calling = false;
             let counted = news.heard == Heard::Counted;
@@ -580,7 +715,13 @@
         let group = self.groups[hit.group];
         // A time left read from a trace may be anything.
         let until = [hit.left, group.target_latency].map(|span| now.saturating_add(span));
-        let trip = Rc::new(RefCell::new(Trip::new(now, &hit, until, past, &self.pods.table)));
+        let trip = Rc::new(RefCell::new(Trip::new(
+            now,
+            &hit,
+            until,
+            past,
+            &self.pods.table,
+        )));
         let worth = group.benefit / self.groups.most_benefit;
         if (self.limit.out as f64) < self.limit.most * (0.75 + 0.25 * worth) {
             return self.step(host, trip);
@@ -593,13 +734,26 @@
     fn step(&mut self, host: &mut dyn Host, trip: Rc<RefCell<Trip>>) {
         let now = host.now();
         let spent = now >= trip.borrow().deadline || self.used_up(&trip.borrow());
-        let chosen = if spent { None } else { self.choose(now, &trip.borrow()) };
+        let chosen = if spent {
+            None
+        } else {
+            self.choose(now, &trip.borrow())
+        };
         // A pod that is not in the table could not be sent to, and the hit would be left without an answer.
         let chosen = chosen.filter(|pod| self.pods.table.get(*pod).is_some());
-        let Some(pod) = chosen else { return self.give_up(host, trip) };
+        let Some(pod) = chosen else {
+            return self.give_up(host, trip);
+        };
         // An earlier time-out does the work twice just when pods are slow; hung ones are told by silence.
-        let (group, left) = (self.groups[trip.borrow().group], trip.borrow().deadline - now);
-        let time_out = left.min(if group.kind == Kind::Mutating { left } else { group.target_latency });
+        let (group, left) = (
+            self.groups[trip.borrow().group],
+            trip.borrow().deadline - now,
+        );
+        let time_out = left.min(if group.kind == Kind::Mutating {
+            left
+        } else {
+            group.target_latency
+        });
         self.send(host, &trip, pod, time_out);
         self.plan_copy(host, &trip, pod);
     }
@@ -611,12 +765,24 @@
 
     fn send(&mut self, host: &mut dyn Host, trip: &Rc<RefCell<Trip>>, pod: PodId, time_out: Ns) {
         let now = host.now();
-        let Some(chosen) = self.pods.table.get(pod) else { return };
+        let Some(chosen) = self.pods.table.get(pod) else {
+            return;
+        };
         let warm = self.pods.warmth(now, &chosen.entry) >= 1.0;
-        let own = self.pods.table.own_but(self.judge.away.then_some(self.judge.build));
+        let own = self
+            .pods
+            .table
+            .own_but(self.judge.away.then_some(self.judge.build));
         let even = chosen.in_flight * own as u32 <= self.limit.out;
         let first = trip.borrow().tried.is_empty();
-        let sent = Sent { pod, entry: chosen.entry, at: now, warm, even, first };
+        let sent = Sent {
+            pod,
+            entry: chosen.entry,
+            at: now,
+            warm,
+            even,
+            first,
+        };
         self.pods.table.send(now, pod);
         self.limit.out += 1;
         let (hit, bucket) = (trip.borrow().hit, self.exposure.bucket(trip.borrow().group));
@@ -624,7 +790,8 @@
         trip.borrow_mut().tried.push(pod);
         trip.borrow_mut().out += 1;
         let trip = trip.clone();
-        let then = move |logic: &mut Logic, host: &mut dyn Host, end| logic.ended(host, trip, sent, end);
+        let then =
+            move |logic: &mut Logic, host: &mut dyn Host, end| logic.ended(host, trip, sent, end);
         host.forward(hit, pod, time_out, Box::new(then));
     }
 
@@ -634,7 +801,10 @@
     fn plan_copy(&mut self, host: &mut dyn Host, trip: &Rc<RefCell<Trip>>, pod: PodId) {
         let group = trip.borrow().group;
         let entry = self.pods.table.get(pod).map(|pod| pod.entry);
-        let usual = self.groups.slowest(group, entry.map_or(0, |e| e.machine)).unwrap_or(0.0);
+        let usual = self
+            .groups
+            .slowest(group, entry.map_or(0, |e| e.machine))
+            .unwrap_or(0.0);
         let after = (Logic::COPY_AFTER * usual) as Ns;
         let in_time = host.now().saturating_add(after) < trip.borrow().target_at;
         let once = trip.borrow().tried.len() == 1 && self.groups[group].kind != Kind::Mutating;
@@ -646,32 +816,52 @@
             let now = host.now();
             let alone = trip.borrow().out == 1 && trip.borrow().tried.len() == 1;
             let most = Logic::RETRY_PART * logic.taken.most(now) as f64;
-            let calm = logic.limit.late <= Logic::COPY_CALM && (logic.retried.most(now) as f64) < most;
-            let left = trip.borrow().target_at.min(trip.borrow().deadline).saturating_sub(now);
-            if !(alone && calm && left > 0 && host.open(trip.borrow().hit)) || logic.used_up(&trip.borrow()) {
+            let calm =
+                logic.limit.late <= Logic::COPY_CALM && (logic.retried.most(now) as f64) < most;
+            let left = trip
+                .borrow()
+                .target_at
+                .min(trip.borrow().deadline)
+                .saturating_sub(now);
+            if !(alone && calm && left > 0 && host.open(trip.borrow().hit))
+                || logic.used_up(&trip.borrow())
+            {
                 return;
             }
             let first = entry.map(|entry| (sent_at, entry.zone, entry.cell));
             let before = std::mem::replace(&mut trip.borrow_mut().may_run, first);
             let chosen = logic.choose(now, &trip.borrow());
-            let Some(pod) = chosen else { return trip.borrow_mut().may_run = before };
+            let Some(pod) = chosen else {
+                return trip.borrow_mut().may_run = before;
+            };
             logic.retried.add(now);
             logic.send(host, &trip, pod, left);
         };
         host.wake(after, Box::new(then));
     }
 
-    fn ended(&mut self, host: &mut dyn Host, trip: Rc<RefCell<Trip>>, sent: Sent, outcome: Outcome) {
+    fn ended(
+        &mut self,
+        host: &mut dyn Host,
+        trip: Rc<RefCell<Trip>>,
+        sent: Sent,
+        outcome: Outcome,
+    ) {
         let (now, end, build) = (host.now(), outcome.end, sent.entry.build);
         trip.borrow_mut().out -= 1;
         let group = self.groups[trip.borrow().group];
         let failed = matches!(end, Ended::Error | Ended::TimeOut | Ended::Reset);
         let (slow, ratio) = self.pace(&trip.borrow(), &sent, &outcome);
         let scatter = 0.5 + 0.5 * self.chance.rand_float();
-        let silent = self.pods.table.get(sent.pod).is_none_or(|pod| self.pods.silent(now, pod));
+        let silent = self
+            .pods
+            .table
+            .get(sent.pod)
+            .is_none_or(|pod| self.pods.silent(now, pod));
         self.pods.ended(now, &sent, end, ratio, scatter);
         let waited = if silent { 0 } else { outcome.took };
-        self.limit.ended(now, group.target_latency, waited, end == Ended::Delivered);
+        self.limit
+            .ended(now, group.target_latency, waited, end == Ended::Delivered);
         // What fails again elsewhere is the hit's own doing: only first forwards are heard.
         if (failed || end == Ended::Delivered) && sent.first {
             self.evidence(now, &sent, &outcome, group.target_latency, slow, silent);
@@ -697,7 +887,8 @@
         let late = now >= trip.borrow().target_at && group.late_benefit <= 0.0;
         let never = group.kind == Kind::Mutating && trip.borrow().may_run.is_some();
         // Retries are bounded by hits taken, lest a sick fleet be asked more; what never ran costs little.
-        let most = Logic::RETRY_PART * if ran { 1.0 } else { 2.0 } * self.taken.most(now) as f64 + 1.0;
+        let most =
+            Logic::RETRY_PART * if ran { 1.0 } else { 2.0 } * self.taken.most(now) as f64 + 1.0;
         if late || never || self.retried.most(now) as f64 >= most {
             return self.give_up(host, trip);
         }
@@ -730,7 +921,15 @@
 
     /// What an outcome says of its build. A hung pod tells of its machine while others of it answer, a young
     /// one of its coldness. Lateness tells of load when a third is late, or of warming; a queue is one event.
-    fn evidence(&mut self, now: Ns, sent: &Sent, outcome: &Outcome, target: Ns, slow: bool, silent: bool) {
+    fn evidence(
+        &mut self,
+        now: Ns,
+        sent: &Sent,
+        outcome: &Outcome,
+        target: Ns,
+        slow: bool,
+        silent: bool,
+    ) {
         let (build, timed_out) = (sent.entry.build, outcome.end == Ended::TimeOut);
         let answers = |pod: &Pod| pod.strikes == 0 && !self.pods.silent(now, pod);
         let young = sent.entry.started + Judge::COLD_SKIP > sent.at;
@@ -740,9 +939,16 @@
         self.judge.ended(now, build, outcome.end == Ended::Error);
         let too_long = timed_out && outcome.took >= target;
         let late = (slow || too_long) && self.limit.late <= Limit::CROWDED && sent.warm;
-        let first = late && self.pods.table.get(sent.pod).is_some_and(|pod| now >= pod.late_at + target);
+        let first = late
+            && self
+                .pods
+                .table
+                .get(sent.pod)
+                .is_some_and(|pod| now >= pod.late_at + target);
         let lone = self.pods.table.count_of(build) < 2;
-        let Some(pod) = self.pods.table.get_mut(sent.pod) else { return };
+        let Some(pod) = self.pods.table.get_mut(sent.pod) else {
+            return;
+        };
         let heard = pod.blame < self.judge.bounds.1 * Judge::ONE_POD;
         pod.late_at = if first { now } else { pod.late_at };
         if first && slow && heard {
@@ -750,7 +956,10 @@
         }
         let failed = (too_long && first) || matches!(outcome.end, Ended::Error | Ended::Reset);
         if failed && (heard || lone) {
-            pod.blame += self.judge.failed(now, build, outcome.end == Ended::Error).max(0.0);
+            pod.blame += self
+                .judge
+                .failed(now, build, outcome.end == Ended::Error)
+                .max(0.0);
         }
         let earlier = build < self.judge.build || !self.on_trial();
         if earlier && sent.even && (timed_out || outcome.end == Ended::Delivered) {
@@ -762,7 +971,8 @@
     fn give_up(&mut self, host: &mut dyn Host, trip: Rc<RefCell<Trip>>) {
         let trip = trip.borrow();
         let (group, come_back) = (self.groups[trip.group], self.rules.max_come_back);
-        let dropped = |at: Ns| host.now() + come_back < at + group.repeat_window && group.scope == Scope::All;
+        let dropped =
+            |at: Ns| host.now() + come_back < at + group.repeat_window && group.scope == Scope::All;
         let harmless = |(at, ..): (Ns, ZoneId, i64)| group.kind == Kind::Tagged && dropped(at);
         match group.kind == Kind::Repeatable || trip.may_run.is_none_or(harmless) {
             true => host.bounce(trip.hit, come_back),
@@ -773,7 +983,9 @@
     /// Whether the rules close a build to the hits of a path group and key, whatever room its cap leaves.
     fn closed(&self, group: GroupId, key: u64, build: Build) -> bool {
         let rules = &self.exposure.rules;
-        let (newest, stage) = self.stage.map_or((0, 0), |(stage, _)| (stage.build, stage.stage));
+        let (newest, stage) = self
+            .stage
+            .map_or((0, 0), |(stage, _)| (stage.build, stage.stage));
         let full = self.exposure.bound.len() >= Exposure::MOST_KEYS;
         let bound = rules.one_way && build < newest && (full || self.exposure.bound.contains(&key));
         let stage = if build == newest { stage } else { 0 };
@@ -785,15 +997,29 @@
     /// pod may drain or come back as another, or the desk take the share away. One that waited long is
     /// counted again, lest forwards that were chosen apart leave together and pass the cap at once. What may
     /// have run since `ran` is not repeated past its window.
-    pub fn still(&mut self, now: Ns, of: (GroupId, u64), was: &PodEntry, at: (Ns, Option<Ns>)) -> bool {
+    pub fn still(
+        &mut self,
+        now: Ns,
+        of: (GroupId, u64),
+        was: &PodEntry,
+        at: (Ns, Option<Ns>),
+    ) -> bool {
         let ((group, key), (chosen, ran), rules) = (of, at, self.groups[of.0]);
-        let same = |pod: &Pod| pod.runs() && (pod.entry.started, pod.entry.build) == (was.started, was.build);
-        let past = rules.kind == Kind::Tagged && ran.is_some_and(|ran| now >= ran + rules.repeat_window);
-        if past || !self.pods.table.get(was.pod).is_some_and(same) || self.closed(group, key, was.build) {
+        let same = |pod: &Pod| {
+            pod.runs() && (pod.entry.started, pod.entry.build) == (was.started, was.build)
+        };
+        let past =
+            rules.kind == Kind::Tagged && ran.is_some_and(|ran| now >= ran + rules.repeat_window);
+        if past
+            || !self.pods.table.get(was.pod).is_some_and(same)
+            || self.closed(group, key, was.build)
+        {
             return false;
         }
         let waited = now.saturating_sub(chosen) > self.exposure.rules.window / SLICES as Ns;
-        let Some(cap) = self.cap(was.build).filter(|_| waited) else { return true };
+        let Some(cap) = self.cap(was.build).filter(|_| waited) else {
+            return true;
+        };
         let bucket = self.exposure.bucket(group);
         let room = self.exposure.room(now, was.build, group, cap, 1.0);
         if room {
@@ -810,21 +1036,32 @@
                 open.push((n, side.build, self.cap(side.build)));
             }
         }
-        let trial = open.iter().filter_map(|(_, build, cap)| Some((*build, (*cap)?)));
+        let trial = open
+            .iter()
+            .filter_map(|(_, build, cap)| Some((*build, (*cap)?)));
         let trial = trial.max_by_key(|(build, _)| *build);
         // The part in use is a wish, the cap is the rule: with no other pods the whole of it may be used.
         let others = open.iter().any(|(.., cap)| cap.is_none());
         let sits = !self.judge.away && self.judge.lift > 0.0;
-        let part = if others { self.exposure.part * sits as u8 as f64 } else { 1.0 };
-        let trial = trial.filter(|(build, cap)| self.exposure.room(now, *build, trip.group, *cap, part));
-        let trial = trial.filter(|_| !(trip.shy && others)).map(|(build, _)| build);
+        let part = if others {
+            self.exposure.part * sits as u8 as f64
+        } else {
+            1.0
+        };
+        let trial =
+            trial.filter(|(build, cap)| self.exposure.room(now, *build, trip.group, *cap, part));
+        let trial = trial
+            .filter(|_| !(trip.shy && others))
+            .map(|(build, _)| build);
         open.retain(|(_, build, cap)| cap.is_none() || trial == Some(*build));
         open.into_iter().map(|(n, ..)| n).collect()
     }
 
     /// Whether a pod may take the hit; `last` is the last resort: what looks ill or failed it before.
     fn fits(&mut self, now: Ns, trip: &Trip, id: PodId, last: bool, luck: f64) -> bool {
-        let Some(pod) = self.pods.table.get(id) else { return false };
+        let Some(pod) = self.pods.table.get(id) else {
+            return false;
+        };
         let group = self.groups[trip.group];
         let drops_repeats = group.kind != Kind::Tagged
             || trip.may_run.is_none_or(|(at, zone, cell)| {
@@ -841,19 +1078,47 @@
         let sides = &self.pods.table.sides;
         let newest = open.iter().map(|n| sides[*n].build).max()?;
         // Beside the earlier pods the new ones stand for as many of them, and take over their part.
-        let (new, old): (Vec<&Side>, Vec<&Side>) = sides.iter().partition(|side| side.build == newest);
+        let (new, old): (Vec<&Side>, Vec<&Side>) =
+            sides.iter().partition(|side| side.build == newest);
         let [new, old] = [new, old].map(|sides| sides.iter().map(|side| side.size).sum::<f64>());
         let part = (1.0 - new / old.max(1e-9)).max(Logic::STAYS);
-        let stays = if self.exposure.rules.beside { part } else { 1.0 };
-        let lift = if newest == self.judge.build { self.judge.lift.max(1.0) } else { 1.0 };
-        let weigh = |n: &usize| (*n, sides[*n].size * if sides[*n].build == newest { lift } else { stays });
+        let stays = if self.exposure.rules.beside {
+            part
+        } else {
+            1.0
+        };
+        let lift = if newest == self.judge.build {
+            self.judge.lift.max(1.0)
+        } else {
+            1.0
+        };
+        let weigh = |n: &usize| {
+            (
+                *n,
+                sides[*n].size
+                    * if sides[*n].build == newest {
+                        lift
+                    } else {
+                        stays
+                    },
+            )
+        };
         let near = |(n, _): &(usize, f64)| sides[*n].zone == self.place.zone;
         let (near, away): (Vec<_>, Vec<_>) = open.iter().map(weigh).partition(near);
         let mut best: Option<(PodId, f64)> = None;
-        for (drawn, tilt) in [(near, 1.0), (away, 1.0 + Logic::AWAY * self.rules.cross_zone_price)] {
+        for (drawn, tilt) in [
+            (near, 1.0),
+            (away, 1.0 + Logic::AWAY * self.rules.cross_zone_price),
+        ] {
             for id in self.two(now, trip, &drawn) {
-                let Some(pod) = self.pods.table.get(id) else { continue };
-                let tilt = if pod.entry.build == newest { tilt * Logic::NEWER } else { tilt };
+                let Some(pod) = self.pods.table.get(id) else {
+                    continue;
+                };
+                let tilt = if pod.entry.build == newest {
+                    tilt * Logic::NEWER
+                } else {
+                    tilt
+                };
                 let score = pod.in_flight as f64 * self.pods.burden(now, pod) * tilt;
                 if best.is_none_or(|(_, least)| score < least) {
                     best = Some((id, score));
@@ -861,10 +1126,17 @@
             }
         }
         best.map(|(id, _)| id).or_else(|| {
-            let mut all: Vec<_> = open.iter().flat_map(|n| self.pods.table.sides[*n].pods.clone()).collect();
+            let mut all: Vec<_> = open
+                .iter()
+                .flat_map(|n| self.pods.table.sides[*n].pods.clone())
+                .collect();
             let start = self.chance.rand_range(0..all.len().max(1) as u64) as usize;
             all.rotate_left(start);
-            let mut any = |last| all.iter().copied().find(|id| self.fits(now, trip, *id, last, f64::MAX));
+            let mut any = |last| {
+                all.iter()
+                    .copied()
+                    .find(|id| self.fits(now, trip, *id, last, f64::MAX))
+            };
             any(false).or_else(|| any(true))
         })
     }
@@ -874,12 +1146,20 @@
         let total: f64 = sides.iter().map(|(_, weight)| weight).sum();
         // One for all draws of this forward: a chance for each would add up to a certainty.
         let spans = self.pods.rules.fall_window as f64 / Logic::RETRY_WINDOW as f64;
-        let luck = 2.0 * self.chance.rand_float() * spans * self.taken.most(now) as f64 / total.max(1e-9);
+        let luck =
+            2.0 * self.chance.rand_float() * spans * self.taken.most(now) as f64 / total.max(1e-9);
         let mut drawn = Vec::new();
         for _ in 0..Logic::DRAWS {
             let at = [self.chance.rand_float() * total, self.chance.rand_float()];
-            let Some((id, mean)) = self.pods.table.draw(sides, at).filter(|_| drawn.len() < 2) else { break };
-            let carries = self.pods.table.get(id).map_or(0.0, |p| 0.5 / (self.pods.burden(now, p) * mean));
+            let Some((id, mean)) = self.pods.table.draw(sides, at).filter(|_| drawn.len() < 2)
+            else {
+                break;
+            };
+            let carries = self
+                .pods
+                .table
+                .get(id)
+                .map_or(0.0, |p| 0.5 / (self.pods.burden(now, p) * mean));
             let taken = self.chance.rand_float() < carries && !drawn.contains(&id);
             if taken && self.fits(now, trip, id, false, luck) {
                 drawn.push(id);
--- a/src/port.rs
+++ b/src/port.rs
@@ -231,8 +231,9 @@
 
 /// FNV-1a, so that a key or a name is the same small value in every process; never 0, which stands for none.
 pub fn mark_of(text: &[u8]) -> u64 {
-    let mixed =
-        text.iter().fold(0xcbf2_9ce4_8422_2325u64, |h, b| (h ^ *b as u64).wrapping_mul(0x0100_0000_01b3));
+    let mixed = text.iter().fold(0xcbf2_9ce4_8422_2325u64, |h, b| {
+        (h ^ *b as u64).wrapping_mul(0x0100_0000_01b3)
+    });
     mixed.max(1)
 }
 
--- a/src/state.rs
+++ b/src/state.rs
@@ -18,12 +18,20 @@
 
 impl Window {
     pub fn new(span: Ns, slices: usize) -> Window {
-        Window { slice: (span / slices as Ns).max(1), at: 0, counts: vec![0; slices + 1] }
+        Window {
+            slice: (span / slices as Ns).max(1),
+            at: 0,
+            counts: vec![0; slices + 1],
+        }
     }
 
     /// An empty one of the same span.
     pub fn like(&self) -> Window {
-        Window { slice: self.slice, at: 0, counts: vec![0; self.counts.len()] }
+        Window {
+            slice: self.slice,
+            at: 0,
+            counts: vec![0; self.counts.len()],
+        }
     }
 
     fn roll(&mut self, now: Ns) {
@@ -89,7 +97,8 @@
 impl Judge {
     pub fn new(share: Share, bounds: (f64, f64), own_rate: f64) -> Judge {
         let (build, outcomes, sum, slow_sum, slot_sum) = (0, 0, 0.0, 0.0, 0.0);
-        let (old_slow, usual, testing, away, slot, seen) = (0.0, 0.0, false, false, (0, 0), [(0.0, 0.0); 2]);
+        let (old_slow, usual, testing, away, slot, seen) =
+            (0.0, 0.0, false, false, (0, 0), [(0.0, 0.0); 2]);
         Judge {
             bounds,
             build,
@@ -122,7 +131,13 @@
 
 impl Voter {
     pub fn new(rules: VoteRules) -> Voter {
-        Voter { rules, standing: None, again_at: 0, calling: false, held: None }
+        Voter {
+            rules,
+            standing: None,
+            again_at: 0,
+            calling: false,
+            held: None,
+        }
     }
 }
 
@@ -148,9 +163,22 @@
 impl Exposure {
     pub fn new(rules: ExposureRules, now: Ns, groups: usize, part: f64, slices: usize) -> Exposure {
         let counted = if rules.per_group { groups } else { 1 };
-        let (taken, buckets) = (vec![Window::new(rules.window, slices); counted], (0..groups).collect());
+        let (taken, buckets) = (
+            vec![Window::new(rules.window, slices); counted],
+            (0..groups).collect(),
+        );
         let (sent, bound) = (Vec::new(), HashSet::new());
-        Exposure { rules, started: now, buckets, slices, taken, sent, part, weighed: now, bound }
+        Exposure {
+            rules,
+            started: now,
+            buckets,
+            slices,
+            taken,
+            sent,
+            part,
+            weighed: now,
+            bound,
+        }
     }
 
     /// Counts a path group's hits in this window: its predecessor's, or a fresh one where it has none.
@@ -161,7 +189,11 @@
         self.buckets[group] = bucket;
         if self.rules.per_group && fresh {
             let empty = Window::new(self.rules.window, self.slices);
-            let counted = self.sent.iter_mut().map(|(_, windows)| windows).chain([&mut self.taken]);
+            let counted = self
+                .sent
+                .iter_mut()
+                .map(|(_, windows)| windows)
+                .chain([&mut self.taken]);
             for windows in counted {
                 if windows.len() <= bucket {
                     windows.resize(bucket + 1, empty.clone());
@@ -174,7 +206,11 @@
     /// What a cap and the free forwards together are of the hits taken in a window.
     pub fn share(&mut self, now: Ns, cap: f64) -> f64 {
         let taken: u32 = self.taken.iter_mut().map(|window| window.least(now)).sum();
-        let free = if now - self.started <= self.rules.window { 0.0 } else { self.rules.free };
+        let free = if now - self.started <= self.rules.window {
+            0.0
+        } else {
+            self.rules.free
+        };
         cap + free / taken.max(1) as f64
     }
 
@@ -185,10 +221,15 @@
 
     /// The windows of a build's forwards, one for each that hits are counted in.
     pub fn sent(&mut self, build: Build) -> &mut Vec<Window> {
-        let at = self.sent.iter().position(|(known, _)| *known == build).unwrap_or_else(|| {
-            self.sent.push((build, self.taken.iter().map(Window::like).collect()));
-            self.sent.len() - 1
-        });
+        let at = self
+            .sent
+            .iter()
+            .position(|(known, _)| *known == build)
+            .unwrap_or_else(|| {
+                self.sent
+                    .push((build, self.taken.iter().map(Window::like).collect()));
+                self.sent.len() - 1
+            });
         &mut self.sent[at].1
     }
 }
@@ -209,19 +250,28 @@
 
 impl Pods {
     pub fn new(rules: PodRules, quiet: Ns) -> Pods {
-        Pods { rules, quiet, table: Table::default(), carried: Vec::new(), panic: false, busy: 0.0 }
+        Pods {
+            rules,
+            quiet,
+            table: Table::default(),
+            carried: Vec::new(),
+            panic: false,
+            busy: 0.0,
+        }
     }
 
     /// Marks the pods whose time to warm up is over and sums up their size by machine.
     pub fn sum_up_warm(&mut self, now: Ns, slices: usize) {
         self.carried.iter_mut().for_each(|(_, size)| *size = 0.0);
-        self.table.visit(|visits| visits.passed += self.table.slots.len() as u64);
+        self.table
+            .visit(|visits| visits.passed += self.table.slots.len() as u64);
         for pod in self.table.slots.iter_mut().flatten() {
             pod.warm = pod.runs() && now.saturating_sub(pod.entry.started) >= self.rules.warm_up;
             if pod.warm {
                 let (machine, span) = (pod.entry.machine, self.rules.fall_window);
                 if self.carried.len() <= machine {
-                    self.carried.resize_with(machine + 1, || (Window::new(span, slices), 0.0));
+                    self.carried
+                        .resize_with(machine + 1, || (Window::new(span, slices), 0.0));
                 }
                 self.carried[machine].1 += pod.entry.size;
             }
@@ -262,17 +312,39 @@
 impl Trip {
     /// `past`: what another instance did for it. A pod that is not in the table may lie anywhere, and so
     /// shares no zone or cell with any.
-    pub fn new(now: Ns, hit: &Hit, [deadline, target_at]: [Ns; 2], past: &[Earlier], table: &Table) -> Trip {
+    pub fn new(
+        now: Ns,
+        hit: &Hit,
+        [deadline, target_at]: [Ns; 2],
+        past: &[Earlier],
+        table: &Table,
+    ) -> Trip {
         let place = |pod| table.get(pod).map(|pod| (pod.entry.zone, pod.entry.cell));
         let nowhere = (ZoneId::MAX, i64::MIN);
-        let ran = past.iter().filter(|earlier| earlier.may_have_run).max_by_key(|earlier| earlier.ago);
+        let ran = past
+            .iter()
+            .filter(|earlier| earlier.may_have_run)
+            .max_by_key(|earlier| earlier.ago);
         let may_run = ran.map(|earlier| {
             let (zone, cell) = earlier.pod.and_then(place).unwrap_or(nowhere);
             (now.saturating_sub(earlier.ago), zone, cell)
         });
-        let tried = past.iter().map(|earlier| earlier.pod.unwrap_or(PodId::MAX)).collect();
+        let tried = past
+            .iter()
+            .map(|earlier| earlier.pod.unwrap_or(PodId::MAX))
+            .collect();
         let shy = false;
-        Trip { hit: hit.id, group: hit.group, key: hit.key, deadline, target_at, tried, out: 0, may_run, shy }
+        Trip {
+            hit: hit.id,
+            group: hit.group,
+            key: hit.key,
+            deadline,
+            target_at,
+            tried,
+            out: 0,
+            may_run,
+            shy,
+        }
     }
 }
 
@@ -313,7 +385,8 @@
     pub fn set_groups(&mut self, changes: &[GroupChange], in_force: &[GroupId]) {
         for change in changes {
             self.groups.set(change);
-            self.exposure.set_bucket(change.group, change.bucket, change.predecessor.is_none());
+            self.exposure
+                .set_bucket(change.group, change.bucket, change.predecessor.is_none());
         }
         let rules = || in_force.iter().map(|group| &self.groups[*group]);
         let quiet = rules().map(|group| group.target_latency).min();
--- a/src/table.rs
+++ b/src/table.rs
@@ -72,7 +72,15 @@
 impl Side {
     fn new(zone: ZoneId, build: Build) -> Side {
         let [pods, ring, own] = [(); 3].map(|()| Vec::new());
-        Side { zone, build, pods, ring, own, size: 0.0, newest: 0 }
+        Side {
+            zone,
+            build,
+            pods,
+            ring,
+            own,
+            size: 0.0,
+            newest: 0,
+        }
     }
 
     /// What its pods say together, added up in the order of their indices, so that rounding does not depend on
@@ -88,7 +96,9 @@
 
 /// The side of a pod's zone and build, a new one where there is none.
 fn side_of<'a>(sides: &'a mut Vec<Side>, entry: &PodEntry) -> &'a mut Side {
-    let known = sides.iter().position(|side| (side.zone, side.build) == (entry.zone, entry.build));
+    let known = sides
+        .iter()
+        .position(|side| (side.zone, side.build) == (entry.zone, entry.build));
     let at = known.unwrap_or_else(|| {
         sides.push(Side::new(entry.zone, entry.build));
         sides.len() - 1
@@ -98,7 +108,13 @@
 
 /// Where a pod stands in the order of marks; those of one mark go by their indices.
 fn mark_in(slots: &[Option<Pod>], id: PodId) -> (Option<u64>, PodId) {
-    (slots.get(id).and_then(Option::as_ref).map(|pod| pod.entry.mark), id)
+    (
+        slots
+            .get(id)
+            .and_then(Option::as_ref)
+            .map(|pod| pod.entry.mark),
+        id,
+    )
 }
 
 /// How many pods the table was made to look at, so that a test can bound a cost without a clock.
@@ -148,10 +164,19 @@
 
     /// Takes a whole list in and makes all sides anew.
     fn replace(&mut self, entries: &[PodEntry], window: &impl Fn() -> Window) {
-        self.slots.iter_mut().flatten().for_each(|pod| pod.entry.state = PodState::Gone);
+        self.slots
+            .iter_mut()
+            .flatten()
+            .for_each(|pod| pod.entry.state = PodState::Gone);
         entries.iter().for_each(|entry| self.put(entry, window));
         let gone = |pod: &&Pod| pod.entry.state == PodState::Gone;
-        self.gone = self.slots.iter().flatten().filter(gone).map(|pod| pod.entry.pod).collect();
+        self.gone = self
+            .slots
+            .iter()
+            .flatten()
+            .filter(gone)
+            .map(|pod| pod.entry.pod)
+            .collect();
         self.drop_gone();
         self.visits.get_mut().passed += 2 * self.slots.len() as u64;
         self.sides.clear();
@@ -172,7 +197,11 @@
     fn update(&mut self, entries: &[PodEntry], window: &impl Fn() -> Window) {
         let mut changed = Vec::new();
         for entry in entries {
-            if let Some(before) = self.get(entry.pod).filter(|pod| pod.runs()).map(|pod| pod.entry) {
+            if let Some(before) = self
+                .get(entry.pod)
+                .filter(|pod| pod.runs())
+                .map(|pod| pod.entry)
+            {
                 self.take_off_side(&before);
                 changed.push((before.zone, before.build));
             }
@@ -208,7 +237,13 @@
             Some(pod) if (pod.entry.started, pod.entry.build) == (entry.started, entry.build) => {
                 pod.entry = *entry
             }
-            _ => *slot = Some(Pod::new(*entry, slot.as_ref().map_or(0, |pod| pod.in_flight), window())),
+            _ => {
+                *slot = Some(Pod::new(
+                    *entry,
+                    slot.as_ref().map_or(0, |pod| pod.in_flight),
+                    window(),
+                ))
+            }
         }
     }
 
@@ -219,9 +254,12 @@
         self.gone.sort_unstable();
         self.gone.dedup();
         self.gone.retain(|id| {
-            let Some(slot) = slots.get_mut(*id) else { return false };
+            let Some(slot) = slots.get_mut(*id) else {
+                return false;
+            };
             slot.take_if(|pod| pod.entry.state == PodState::Gone && pod.in_flight == 0);
-            slot.as_ref().is_some_and(|pod| pod.entry.state == PodState::Gone)
+            slot.as_ref()
+                .is_some_and(|pod| pod.entry.state == PodState::Gone)
         });
     }
 
@@ -252,7 +290,10 @@
 
     /// The part of its side's pods that this instance keeps to; all of them for one that it does not keep to.
     pub fn own_part(&self, entry: &PodEntry) -> f64 {
-        let side = self.sides.iter().find(|side| (side.zone, side.build) == (entry.zone, entry.build));
+        let side = self
+            .sides
+            .iter()
+            .find(|side| (side.zone, side.build) == (entry.zone, entry.build));
         let own = side.filter(|side| side.own.contains(&entry.pod));
         own.map_or(1.0, |side| side.own.len() as f64 / side.pods.len() as f64)
     }
@@ -302,7 +343,11 @@
 
     /// How many pods this instance keeps to, those of one build left out where it is told.
     pub fn own_but(&self, build: Option<Build>) -> usize {
-        self.sides.iter().filter(|side| Some(side.build) != build).map(|side| side.own.len()).sum()
+        self.sides
+            .iter()
+            .filter(|side| Some(side.build) != build)
+            .map(|side| side.own.len())
+            .sum()
     }
 
     /// What a build's running pods are listed to carry, as a part of what all of them are; 0 with none.
@@ -316,6 +361,8 @@
     }
 
     pub fn of_build(&self, build: Build) -> impl Iterator<Item = &Pod> {
-        self.sides_of(build).flat_map(|side| &side.pods).filter_map(|id| self.get(*id))
+        self.sides_of(build)
+            .flat_map(|side| &side.pods)
+            .filter_map(|id| self.get(*id))
     }
 }
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -43,8 +43,13 @@
     fn finish(&mut self, hit: HitId, how: &str) {
         if let Some(deadline) = self.deadlines.remove(&hit) {
             let overdue = self.now > deadline;
-            self.count(if overdue { "overdue".into() } else { how.into() });
-            self.counts.insert("answered_at".into(), self.now as f64 / 1e9);
+            self.count(if overdue {
+                "overdue".into()
+            } else {
+                how.into()
+            });
+            self.counts
+                .insert("answered_at".into(), self.now as f64 / 1e9);
         }
     }
 }
@@ -71,7 +76,11 @@
             _ => Ended::TimeOut,
         };
         let limit = self.deadlines[&hit].min(self.now + time_out);
-        let wanted = if end == Ended::TimeOut { limit } else { self.now + span(takes) };
+        let wanted = if end == Ended::TimeOut {
+            limit
+        } else {
+            self.now + span(takes)
+        };
         let end = if wanted > limit { Ended::TimeOut } else { end };
         let number = *self.sent.entry(hit).and_modify(|n| *n += 1).or_insert(0);
         self.count("forwards".into());
@@ -95,10 +104,17 @@
     fn vote(&mut self, _: Build, _: usize, voice: Voice, then: Then<StageNews>) {
         self.count(format!("votes:{voice:?}").to_lowercase());
         let last = self.now as f64 / 1e9;
-        let first = self.counts.entry(format!("first:{voice:?}").to_lowercase()).or_insert(last);
+        let first = self
+            .counts
+            .entry(format!("first:{voice:?}").to_lowercase())
+            .or_insert(last);
         let gap = last - *first;
         self.counts.insert("vote_gap".into(), gap);
-        let heard = if self.unheard { Heard::Unknown } else { Heard::Counted };
+        let heard = if self.unheard {
+            Heard::Unknown
+        } else {
+            Heard::Counted
+        };
         let told = self.now + 50_000_000;
         self.at(told, Due::VoteTold(then, StageNews { heard, stage: None }));
     }
@@ -123,7 +139,10 @@
         Some(number) => (number, 1e6),
         None => (text.strip_suffix('s').unwrap_or(text), 1e9),
     };
-    (number.parse::<f64>().unwrap_or_else(|_| panic!("not a span: {text}")) * unit) as Ns
+    (number
+        .parse::<f64>()
+        .unwrap_or_else(|_| panic!("not a span: {text}"))
+        * unit) as Ns
 }
 
 struct Pairs<'a>(HashMap<&'a str, &'a str>);
@@ -136,7 +155,10 @@
         span(&self.text(key, other))
     }
     fn number(&self, key: &str, other: f64) -> f64 {
-        self.0.get(key).map_or(other, |text| text.parse().unwrap_or_else(|_| panic!("not a number: {text}")))
+        self.0.get(key).map_or(other, |text| {
+            text.parse()
+                .unwrap_or_else(|_| panic!("not a number: {text}"))
+        })
     }
     fn group(&self) -> PathGroup {
         let kind = match self.text("kind", "repeatable").as_str() {
@@ -144,7 +166,11 @@
             "mutating" => Kind::Mutating,
             _ => Kind::Repeatable,
         };
-        let scope = if self.text("scope", "all") == "zone" { Scope::Zone } else { Scope::All };
+        let scope = if self.text("scope", "all") == "zone" {
+            Scope::Zone
+        } else {
+            Scope::All
+        };
         PathGroup {
             kind,
             scope,
@@ -177,7 +203,11 @@
             guarded_stages: self.number("guarded", 0.0) as usize,
             one_way: self.number("one_way", 0.0) > 0.0,
             beside: true,
-            caps: self.text("caps", "0.1,0.5,1").split(',').map(|cap| cap.parse().unwrap()).collect(),
+            caps: self
+                .text("caps", "0.1,0.5,1")
+                .split(',')
+                .map(|cap| cap.parse().unwrap())
+                .collect(),
         };
         let (life, step) = (self.span("life", "4s"), self.span("step", "4s"));
         let call_time_out = self.span("call", "1200ms");
@@ -197,7 +227,10 @@
             max_come_back: span("500ms"),
             cross_zone_price: self.number("cross", 0.0),
         };
-        let list = ListRules { must_ask: self.number("ask", 0.0) > 0.0, ask_within: span("10s") };
+        let list = ListRules {
+            must_ask: self.number("ask", 0.0) > 0.0,
+            ask_within: span("10s"),
+        };
         let place = Place {
             rank: self.number("rank", 0.0) as usize,
             instances: self.number("instances", 1.0) as usize,
@@ -222,7 +255,16 @@
                 }
                 let over = !stand.open(hit);
                 let took = stand.now - since;
-                then(logic, stand, Outcome { end, took, over, load: None });
+                then(
+                    logic,
+                    stand,
+                    Outcome {
+                        end,
+                        took,
+                        over,
+                        load: None,
+                    },
+                );
             }
             Due::Wakes(then) => then(logic, stand, ()),
             Due::VoteTold(then, news) => then(logic, stand, news),
@@ -233,15 +275,32 @@
 
 fn run(text: &str) {
     // The clock begins at an arbitrary value, so that no pod looks freshly started by chance.
-    let mut stand = Stand { now: span("1000s"), ..Stand::default() };
+    let mut stand = Stand {
+        now: span("1000s"),
+        ..Stand::default()
+    };
     let (mut groups, mut setup, mut logic) = (Vec::new(), String::new(), None::<Logic>);
-    let (mut pods, mut names, mut hits): (Vec<PodEntry>, Vec<String>, u64) = (Vec::new(), Vec::new(), 0);
+    let (mut pods, mut names, mut hits): (Vec<PodEntry>, Vec<String>, u64) =
+        (Vec::new(), Vec::new(), 0);
     let lines = text.lines().filter(|line| !line.starts_with('#'));
-    for line in lines.flat_map(|line| line.split(';')).filter(|line| !line.trim().is_empty()) {
+    for line in lines
+        .flat_map(|line| line.split(';'))
+        .filter(|line| !line.trim().is_empty())
+    {
         let words: Vec<&str> = line.split_whitespace().collect();
-        let pairs = Pairs(words.iter().filter_map(|word| word.split_once('=')).collect());
+        let pairs = Pairs(
+            words
+                .iter()
+                .filter_map(|word| word.split_once('='))
+                .collect(),
+        );
         if !matches!(words[0], "group" | "rules") && logic.is_none() || words[0] == "restart" {
-            let made = Pairs(setup.split_whitespace().filter_map(|word| word.split_once('=')).collect());
+            let made = Pairs(
+                setup
+                    .split_whitespace()
+                    .filter_map(|word| word.split_once('='))
+                    .collect(),
+            );
             stand.unheard = made.number("unheard", 0.0) > 0.0;
             stand.due.clear();
             logic = Some(made.logic(stand.now, groups.clone()));
@@ -254,12 +313,15 @@
             "restart" => {}
             "pod" => {
                 let name = words[1].to_string();
-                let pod = names.iter().position(|known| *known == name).unwrap_or_else(|| {
-                    names.push(name);
-                    stand.acts.push(String::new());
-                    stand.builds.push(0);
-                    names.len() - 1
-                });
+                let pod = names
+                    .iter()
+                    .position(|known| *known == name)
+                    .unwrap_or_else(|| {
+                        names.push(name);
+                        stand.acts.push(String::new());
+                        stand.builds.push(0);
+                        names.len() - 1
+                    });
                 let build = pairs.number("build", 1.0) as Build;
                 (stand.acts[pod], stand.builds[pod]) = (pairs.text("acts", "ok:20ms"), build);
                 let state = match pairs.text("state", "running").as_str() {
@@ -267,7 +329,11 @@
                     "gone" => PodState::Gone,
                     _ => PodState::Running,
                 };
-                let started = if pairs.0.contains_key("fresh") { stand.now } else { 0 };
+                let started = if pairs.0.contains_key("fresh") {
+                    stand.now
+                } else {
+                    0
+                };
                 let (zone, machine) = (pairs.number("zone", 0.0) as usize, 0);
                 let entry = PodEntry {
                     pod,
@@ -284,7 +350,10 @@
                 pods.push(entry);
                 logic.as_mut().unwrap().list(&mut stand, false, &[entry]);
             }
-            "acts" => stand.acts[names.iter().position(|name| *name == words[1]).unwrap()] = words[2].into(),
+            "acts" => {
+                stand.acts[names.iter().position(|name| *name == words[1]).unwrap()] =
+                    words[2].into()
+            }
             "news" => {
                 let phase = match pairs.text("phase", "trial").as_str() {
                     "back" => Phase::GoingBack,
@@ -292,18 +361,37 @@
                     "withdrawn" => Phase::Withdrawn,
                     _ => Phase::Trial,
                 };
-                let (build, stage) =
-                    (pairs.number("build", 2.0) as Build, pairs.number("stage", 0.0) as usize);
+                let (build, stage) = (
+                    pairs.number("build", 2.0) as Build,
+                    pairs.number("stage", 0.0) as usize,
+                );
                 let cap = pairs.number("cap", 0.1);
-                let news = Stage { build, stage, phase, cap, age: pairs.span("age", "0s") };
+                let news = Stage {
+                    build,
+                    stage,
+                    phase,
+                    cap,
+                    age: pairs.span("age", "0s"),
+                };
                 logic.as_mut().unwrap().news(&mut stand, news);
             }
             "hits" => {
                 for n in 0..words[1].parse::<u64>().unwrap() {
                     hits += 1;
-                    let (group, key) = (pairs.number("group", 0.0) as usize, pairs.number("key", 0.0) as u64);
+                    let (group, key) = (
+                        pairs.number("group", 0.0) as usize,
+                        pairs.number("key", 0.0) as u64,
+                    );
                     let (left, repeat) = (pairs.span("left", "2s"), false);
-                    let hit = Hit { id: hits, group, customer: None, key, left, cost_hint: None, repeat };
+                    let hit = Hit {
+                        id: hits,
+                        group,
+                        customer: None,
+                        key,
+                        left,
+                        cost_hint: None,
+                        repeat,
+                    };
                     let time = stand.now + n * pairs.span("every", "10ms");
                     stand.at(time, Due::Arrives(hit));
                 }
@@ -311,7 +399,10 @@
             "flag" => {
                 let pod = names.iter().position(|name| *name == words[1]).unwrap();
                 for _ in 0..pairs.number("times", 1.0) as u32 {
-                    logic.as_mut().unwrap().flagged(&mut stand, pod, 0, span("1s"));
+                    logic
+                        .as_mut()
+                        .unwrap()
+                        .flagged(&mut stand, pod, 0, span("1s"));
                 }
             }
             "list-failed" => logic.as_mut().unwrap().list_failed(&mut stand),
@@ -369,13 +460,29 @@
     let entry = |pod: PodId, started: Ns| {
         let mark = mark_of(format!("pod-{pod}").as_bytes());
         let (state, cell, size) = (PodState::Running, 0, 1.0);
-        PodEntry { pod, mark, state, build: 1, started, zone: 0, machine: 0, cell, size }
+        PodEntry {
+            pod,
+            mark,
+            state,
+            build: 1,
+            started,
+            zone: 0,
+            machine: 0,
+            cell,
+            size,
+        }
     };
     let (mut total, mut cold) = (vec![0.0; pods], 0.0);
     for rank in 0..instances {
         let (instances, rank) = (instances.to_string(), rank.to_string());
-        let setup = Pairs(HashMap::from([("instances", instances.as_str()), ("rank", rank.as_str())]));
-        let mut stand = Stand { now: span("1000s"), ..Stand::default() };
+        let setup = Pairs(HashMap::from([
+            ("instances", instances.as_str()),
+            ("rank", rank.as_str()),
+        ]));
+        let mut stand = Stand {
+            now: span("1000s"),
+            ..Stand::default()
+        };
         (stand.acts, stand.builds) = (vec!["ok:20ms".into(); pods + 1], vec![1; pods + 1]);
         let mut logic = setup.logic(stand.now, vec![setup.group()]);
         logic.begin(&mut stand);
@@ -383,14 +490,27 @@
         logic.list(&mut stand, true, &warm);
         for n in 0..80 {
             let (group, customer, key, left) = (0, None, 0, span("2s"));
-            let hit = Hit { id: n, group, customer, key, left, cost_hint: None, repeat: false };
+            let hit = Hit {
+                id: n,
+                group,
+                customer,
+                key,
+                left,
+                cost_hint: None,
+                repeat: false,
+            };
             let time = stand.now + n * span("100ms");
             stand.at(time, Due::Arrives(hit));
         }
         let until = stand.now + span("7s");
         play(&mut stand, &mut logic, until);
-        let sent =
-            |stand: &Stand, pod| stand.counts.get(&format!("forwards:pod{pod}")).copied().unwrap_or(0.0);
+        let sent = |stand: &Stand, pod| {
+            stand
+                .counts
+                .get(&format!("forwards:pod{pod}"))
+                .copied()
+                .unwrap_or(0.0)
+        };
         let met = (0..pods).filter(|pod| sent(&stand, *pod) > 0.0).count();
         assert!((4..=14).contains(&met), "instance {rank} met {met} pods");
         (0..pods).for_each(|pod| total[pod] += sent(&stand, pod));
@@ -403,9 +523,15 @@
     let mean = total.iter().sum::<f64>() / pods as f64;
     let most = total.iter().copied().fold(0.0, f64::max);
     let least = total.iter().copied().fold(f64::MAX, f64::min);
-    assert!(least > 0.6 * mean && most < 1.4 * mean, "{least} to {most} of {mean}");
+    assert!(
+        least > 0.6 * mean && most < 1.4 * mean,
+        "{least} to {most} of {mean}"
+    );
     // Warm pods answer 25 a second: 2.0 times a cold one's share of it, 0.3 to 0.5, is what it bears.
-    assert!(cold > 0.0 && cold <= 2.0 * 0.3 * 25.0, "{cold} to the cold pod in its first second");
+    assert!(
+        cold > 0.0 && cold <= 2.0 * 0.3 * 25.0,
+        "{cold} to the cold pod in its first second"
+    );
 }
 
 /// Two hundred instances with a build on trial on eight of eighty pods: a part of them takes its forwards, as many in
@@ -423,7 +549,10 @@
             ("back_needs", "16"),
         ]);
         let setup = Pairs(setup);
-        let mut stand = Stand { now: span("1000s"), ..Stand::default() };
+        let mut stand = Stand {
+            now: span("1000s"),
+            ..Stand::default()
+        };
         (stand.acts, stand.builds) = (vec!["ok:20ms".into(); pods], vec![1; pods]);
         stand.builds[..8].fill(2);
         let mut logic = setup.logic(stand.now, vec![setup.group()]);
@@ -442,23 +571,53 @@
             })
             .collect();
         logic.list(&mut stand, true, &entries);
-        let news = Stage { build: 2, stage: 0, phase: Phase::Trial, cap: 0.17, age: 0 };
+        let news = Stage {
+            build: 2,
+            stage: 0,
+            phase: Phase::Trial,
+            cap: 0.17,
+            age: 0,
+        };
         logic.news(&mut stand, news);
         for n in 0..100 {
             let (group, customer, key, left) = (0, None, 0, span("2s"));
-            let hit = Hit { id: n, group, customer, key, left, cost_hint: None, repeat: false };
+            let hit = Hit {
+                id: n,
+                group,
+                customer,
+                key,
+                left,
+                cost_hint: None,
+                repeat: false,
+            };
             let time = stand.now + n * span("200ms");
             stand.at(time, Due::Arrives(hit));
         }
         let until = stand.now + span("21s");
         play(&mut stand, &mut logic, until);
-        let sent = |build| stand.counts.get(&format!("forwards:build{build}")).copied().unwrap_or(0.0);
+        let sent = |build| {
+            stand
+                .counts
+                .get(&format!("forwards:build{build}"))
+                .copied()
+                .unwrap_or(0.0)
+        };
         sitting += (sent(2) > 0.0) as usize;
         total += sent(1) + sent(2);
         new += sent(2);
         most = most.max(sent(2) / (sent(1) + sent(2)));
     }
-    assert!((33..=140).contains(&sitting), "{sitting} of {many} met the build");
-    assert!((0.07..=0.115).contains(&(new / total)), "{} of all forwards", new / total);
-    assert!(most > 0.16 && most < 0.4, "{most} at the one that met it most");
+    assert!(
+        (33..=140).contains(&sitting),
+        "{sitting} of {many} met the build"
+    );
+    assert!(
+        (0.07..=0.115).contains(&(new / total)),
+        "{} of all forwards",
+        new / total
+    );
+    assert!(
+        most > 0.16 && most < 0.4,
+        "{most} at the one that met it most"
+    );
 }
