--- a/crates/capacity/src/configuration/fleet.rs
+++ b/crates/capacity/src/configuration/fleet.rs
@@ -7,8 +7,8 @@
 use havenplank_configuration::snapshot::Snapshot;
 use havenplank_configuration::spread::{Kept, Ns, Peer, Peers, PublishError, Role, Rules};
 use havenplank_configuration::version::Version;
-use havenplank_fellows::wire::Life;
-use havenplank_stand::net::{Clock, Id, Net, Weather};
+use havenplank_emulator::net::{Clock, Id, Net, Weather};
+use havenplank_membership::wire::Life;
 use std::collections::BTreeMap;
 
 pub const MS: Ns = 1_000_000;
--- a/crates/capacity/src/configuration/process.rs
+++ b/crates/capacity/src/configuration/process.rs
@@ -8,8 +8,8 @@
     Effect, Event, Kept, Ns, Peer, PublishError, Role, Rules, Spreader,
 };
 use havenplank_configuration::version::Version;
-use havenplank_fellows::wire::Life;
-use havenplank_stand::net::{Id, Net, Part};
+use havenplank_emulator::net::{Id, Net, Part};
+use havenplank_membership::wire::Life;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
--- a/crates/capacity/src/configuration/scenarios.rs
+++ b/crates/capacity/src/configuration/scenarios.rs
@@ -5,7 +5,7 @@
 use super::CHANGES_A_DAY;
 use havenplank_configuration::snapshot::Snapshot;
 use havenplank_configuration::spread::{Ns, Role};
-use havenplank_stand::net::{Id, Weather};
+use havenplank_emulator::net::{Id, Weather};
 use std::time::Duration;
 
 /// Tenants of the simulated configuration. Fewer than planned, so that 1,600 copies fit one machine's memory.
--- a/crates/capacity/src/discovery.rs
+++ b/crates/capacity/src/discovery.rs
@@ -7,8 +7,8 @@
 use crate::report::{Point, Section, Series};
 use crate::samples;
 use havenplank::port::{Heard, Phase, PodState, Stage, Voice};
-use havenplank_feeds::nodes::Listed;
-use havenplank_feeds::{desk, nodes};
+use havenplank_line_protocol::nodes::Listed;
+use havenplank_line_protocol::{desk, nodes};
 use std::time::Instant;
 
 /// What a sidecar may receive for control, in bytes a second.
--- a/crates/capacity/src/hollow.rs
+++ b/crates/capacity/src/hollow.rs
@@ -1,11 +1,11 @@
 //! A sidecar with everything left out but membership and views: the real code, driven by a network of the test's choice.
 
-use havenplank_fellows::node::{Happened, Node};
-use havenplank_fellows::standing::{Rules as QuorumRules, Standing};
-use havenplank_fellows::swim::{Event, News, Rules, State};
-use havenplank_fellows::views::{Views, VIEWS};
-use havenplank_fellows::wire::{Key, Life};
-use havenplank_stand::net::{Ns, Part};
+use havenplank_emulator::net::{Ns, Part};
+use havenplank_membership::node::{Happened, Node};
+use havenplank_membership::standing::{Rules as QuorumRules, Standing};
+use havenplank_membership::swim::{Event, News, Rules, State};
+use havenplank_membership::views::{Views, VIEWS};
+use havenplank_membership::wire::{Key, Life};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
--- a/crates/capacity/src/membership.rs
+++ b/crates/capacity/src/membership.rs
@@ -6,8 +6,8 @@
 
 use crate::hollow::{self, Cost, HollowSidecar};
 use crate::report::{fit, Point, Section, Series};
-use havenplank_fellows::standing::Standing;
-use havenplank_stand::net::{Clock, Id, Net, Ns, Weather};
+use havenplank_emulator::net::{Clock, Id, Net, Ns, Weather};
+use havenplank_membership::standing::Standing;
 use std::net::SocketAddr;
 
 const SECOND: Ns = 1_000_000_000;
--- a/crates/capacity/src/membership_sockets.rs
+++ b/crates/capacity/src/membership_sockets.rs
@@ -3,11 +3,11 @@
 use crate::hollow;
 use crate::membership::{resident_bytes, Figures};
 use crate::report::Section;
-use havenplank_fellows::node::Happened;
-use havenplank_fellows::shell::Talker;
-use havenplank_fellows::standing::Rules as QuorumRules;
-use havenplank_fellows::swim::Rules;
-use havenplank_fellows::views::{Views, VIEWS};
+use havenplank_membership::node::Happened;
+use havenplank_membership::shell::Talker;
+use havenplank_membership::standing::Rules as QuorumRules;
+use havenplank_membership::swim::Rules;
+use havenplank_membership::views::{Views, VIEWS};
 use std::cell::RefCell;
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
--- a/crates/capacity/src/samples.rs
+++ b/crates/capacity/src/samples.rs
@@ -2,7 +2,7 @@
 
 use crate::error::CapacityError;
 use havenplank::port::{Build, Ns, PodState};
-use havenplank_feeds::nodes::Listed;
+use havenplank_line_protocol::nodes::Listed;
 use havenplank_settings::{load, Given, Site};
 use std::net::{Ipv4Addr, SocketAddr};
 
--- a/crates/capacity/src/tables.rs
+++ b/crates/capacity/src/tables.rs
@@ -5,7 +5,7 @@
 use crate::samples;
 use havenplank::port::{Ended, HitId, Ns, Phase, PodState, Stage};
 use havenplank::Visits;
-use havenplank_feeds::nodes::Listed;
+use havenplank_line_protocol::nodes::Listed;
 use havenplank_settings::Site;
 use havenplank_sidecar::engine::{Asked, Effect, Engine, EPOCH};
 use havenplank_sidecar::routes::RouteTable;
--- a/crates/capacity/tests/tables.rs
+++ b/crates/capacity/tests/tables.rs
@@ -4,7 +4,7 @@
 use havenplank_capacity::discovery::{change_bytes, control_bytes, whole_list_bytes};
 use havenplank_capacity::samples;
 use havenplank_capacity::tables::{route_table, Driver};
-use havenplank_feeds::nodes::{self, Listed};
+use havenplank_line_protocol::nodes::{self, Listed};
 use havenplank_settings::{load, Given};
 use havenplank_sidecar::engine::{Asked, Effect, Engine, EPOCH};
 use havenplank_sidecar::told::Terms;
--- a/crates/cli/src/bench/load.rs
+++ b/crates/cli/src/bench/load.rs
@@ -3,7 +3,7 @@
 
 use bytes::Bytes;
 use havenplank_capacity::samples;
-use havenplank_stand::bare::HOLD;
+use havenplank_emulator::bare::HOLD;
 use hdrhistogram::Histogram;
 use http_body_util::{BodyExt, Empty};
 use hyper::client::conn::http1::{self, SendRequest};
--- a/crates/cli/src/bench/processes.rs
+++ b/crates/cli/src/bench/processes.rs
@@ -2,9 +2,9 @@
 
 use anyhow::{bail, Context};
 use havenplank::port::PodState;
-use havenplank_feeds::lines::hello;
-use havenplank_feeds::nodes::{self, Listed};
-use havenplank_stand::bare;
+use havenplank_emulator::bare;
+use havenplank_line_protocol::lines::hello;
+use havenplank_line_protocol::nodes::{self, Listed};
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
 use std::path::Path;
--- a/crates/cli/src/bench_proxy_capacity.rs
+++ b/crates/cli/src/bench_proxy_capacity.rs
@@ -8,7 +8,7 @@
 use crate::bench::processes::{serve_node_list, Process};
 use havenplank_capacity::report::{Point, Section, Series};
 use havenplank_capacity::samples;
-use havenplank_feeds::nodes::Listed;
+use havenplank_line_protocol::nodes::Listed;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
--- a/crates/cli/src/bench_takeover.rs
+++ b/crates/cli/src/bench_takeover.rs
@@ -4,8 +4,8 @@
 use crate::write_json;
 use anyhow::Context;
 use bytes::Bytes;
-use havenplank_stand::hands::{ask, state, Group};
-use havenplank_stand::relay::Weather;
+use havenplank_emulator::hands::{ask, state, Group};
+use havenplank_emulator::relay::Weather;
 use hdrhistogram::Histogram;
 use http_body_util::{BodyExt, Full};
 use hyper::client::conn::http1::{self, SendRequest};
--- a/crates/cli/src/day.rs
+++ b/crates/cli/src/day.rs
@@ -2,12 +2,12 @@
 
 use crate::{write_json, BROKEN};
 use anyhow::{bail, Context};
-use havenplank_rules::ledger::{self, Entry, Seen};
-use havenplank_rules::Verdict;
+use havenplank_emulator::clients::Fared;
+use havenplank_emulator::day::{self, Launch, Played};
+use havenplank_emulator::notation::{self, Day};
+use havenplank_invariants::ledger::{self, Entry, Seen};
+use havenplank_invariants::Verdict;
 use havenplank_settings::Site;
-use havenplank_stand::clients::Fared;
-use havenplank_stand::day::{self, Launch, Played};
-use havenplank_stand::notation::{self, Day};
 use indicatif::{ProgressBar, ProgressStyle};
 use serde_json::json;
 use std::path::{Path, PathBuf};
@@ -97,7 +97,7 @@
 }
 
 fn judge(entries: &[Entry]) -> anyhow::Result<Vec<Verdict>> {
-    havenplank_rules::check(entries).map_err(|what| anyhow::anyhow!("ledger: {what}"))
+    havenplank_invariants::check(entries).map_err(|what| anyhow::anyhow!("ledger: {what}"))
 }
 
 fn print_rules(verdicts: &[Verdict]) -> usize {
--- a/crates/cli/src/fellow.rs
+++ b/crates/cli/src/fellow.rs
@@ -1,10 +1,10 @@
 //! `havenplank fellow`: one member of the fellowship by itself, to try its network and key before sidecars use it.
 
 use anyhow::Context;
-use havenplank_fellows::node::{Happened, Node};
-use havenplank_fellows::shell::{log, new_life, read_keys, Talker};
-use havenplank_fellows::swim::{News, Rules, State};
-use havenplank_fellows::wire::{Life, NAME};
+use havenplank_membership::node::{Happened, Node};
+use havenplank_membership::shell::{log, new_life, read_keys, Talker};
+use havenplank_membership::swim::{News, Rules, State};
+use havenplank_membership::wire::{Life, NAME};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::rc::Rc;
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -221,7 +221,7 @@
             script.pods = pods.unwrap_or(script.pods).max(1);
             script.rate = rate.unwrap_or(script.rate);
             let settings = day.parent().unwrap_or(Path::new("")).join(&script.settings);
-            let given: Vec<String> = havenplank_stand::day::given(&script)
+            let given: Vec<String> = havenplank_emulator::day::given(&script)
                 .iter()
                 .map(|(name, value)| format!("{name}={value}"))
                 .collect();
--- a/crates/cli/src/traces.rs
+++ b/crates/cli/src/traces.rs
@@ -3,7 +3,7 @@
 use crate::{write_json, BROKEN, USAGE};
 use anyhow::{bail, Context};
 use clap::Subcommand;
-use havenplank_stand::drive;
+use havenplank_emulator::drive;
 use havenplank_trace::file::{Reader, TraceError, MAJOR};
 use havenplank_trace::summary::{Figures, Summary};
 use havenplank_trace::{cut, from_wire, merge, replay, show, summary, veil};
--- a/crates/cli/tests/configuration.rs
+++ b/crates/cli/tests/configuration.rs
@@ -1,9 +1,9 @@
 //! Configurations over processes of the program: six sidecars and a distributor, with relays between them.
 
 use havenplank::port::PodState;
-use havenplank_feeds::nodes::{keep, Listed};
-use havenplank_stand::hands::{ask_without_key, state, Pods, Sidecar, PATIENCE};
-use havenplank_stand::relay::{Relays, Weather};
+use havenplank_emulator::hands::{ask_without_key, state, Pods, Sidecar, PATIENCE};
+use havenplank_emulator::relay::{Relays, Weather};
+use havenplank_line_protocol::nodes::{keep, Listed};
 use rustix::process::Signal;
 use serde_json::Value;
 use std::cell::Cell;
--- a/crates/cli/tests/fellows.rs
+++ b/crates/cli/tests/fellows.rs
@@ -1,6 +1,6 @@
 //! The fellowship as processes of the program: killed, paused, cut off and started again, through relays on loopback.
 
-use havenplank_stand::relay::{Relays, Weather};
+use havenplank_emulator::relay::{Relays, Weather};
 use std::io::{BufRead, BufReader};
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
--- a/crates/cli/tests/program.rs
+++ b/crates/cli/tests/program.rs
@@ -315,7 +315,7 @@
 
 #[test]
 fn the_platforms_sidecar_starts_reloads_and_stops_as_its_page_says() {
-    use havenplank_stand::scripted::{configuration, entry};
+    use havenplank_emulator::scripted::{configuration, entry};
     let folder = tempfile::tempdir().expect("a folder");
     let file = folder.path().join("config.json");
     let unset = Command::new(env!("CARGO_BIN_EXE_havenplank"))
--- a/crates/cli/tests/standing.rs
+++ b/crates/cli/tests/standing.rs
@@ -1,7 +1,7 @@
 //! What processes of the program believe of their own place while relays on loopback cut them off, and some are paused,
 //! killed and started again.
 
-use havenplank_stand::hands::{state, Group, PATIENCE};
+use havenplank_emulator::hands::{state, Group, PATIENCE};
 use rustix::process::Signal;
 use serde_json::Value;
 use std::path::Path;
--- a/crates/cli/tests/takeover.rs
+++ b/crates/cli/tests/takeover.rs
@@ -1,7 +1,7 @@
 //! Work in hand over processes of the program: sidecars killed, paused and stopped in the middle of hits.
 
-use havenplank_stand::hands::{ask, state, Asked, Group, PATIENCE};
-use havenplank_stand::relay::Weather;
+use havenplank_emulator::hands::{ask, state, Asked, Group, PATIENCE};
+use havenplank_emulator::relay::Weather;
 use oorandom::Rand64;
 use rustix::process::Signal;
 use std::path::Path;
--- a/crates/configuration/src/spread/acknowledge.rs
+++ b/crates/configuration/src/spread/acknowledge.rs
@@ -6,7 +6,7 @@
 use crate::interval::Interval;
 use crate::message::{Message, Poll, Report, Standing, Tally};
 use crate::version::Version;
-use havenplank_fellows::wire::Life;
+use havenplank_membership::wire::Life;
 use std::collections::VecDeque;
 
 /// A name that the last round found behind, and when a round of the present series first did.
--- a/crates/configuration/src/spread/gossip.rs
+++ b/crates/configuration/src/spread/gossip.rs
@@ -6,7 +6,7 @@
 use crate::delta::Delta;
 use crate::error::ApplyError;
 use crate::message::{Claim, Message, DATAGRAM_BYTES, MAX_DELTAS, MAX_MESSAGE_BYTES};
-use havenplank_fellows::wire::Life;
+use havenplank_membership::wire::Life;
 use std::sync::Arc;
 
 /// What a message with deltas has around each of them, at most.
--- a/crates/configuration/src/spread/mod.rs
+++ b/crates/configuration/src/spread/mod.rs
@@ -54,7 +54,7 @@
 use crate::message::{Claim, Message};
 use crate::snapshot::Snapshot;
 use crate::version::Version;
-use havenplank_fellows::wire::Life;
+use havenplank_membership::wire::Life;
 use oorandom::Rand64;
 use std::collections::VecDeque;
 use std::sync::Arc;
--- a/crates/configuration/src/spread/peers.rs
+++ b/crates/configuration/src/spread/peers.rs
@@ -1,6 +1,6 @@
 //! The peers that are thought to live, shared and sorted by name.
 
-use havenplank_fellows::wire::Life;
+use havenplank_membership::wire::Life;
 use oorandom::Rand64;
 use std::sync::Arc;
 
--- a/crates/configuration/src/spread/poll.rs
+++ b/crates/configuration/src/spread/poll.rs
@@ -8,7 +8,7 @@
 use super::Ns;
 use crate::interval::Part;
 use crate::message::{Poll, Report, Standing, Tally};
-use havenplank_fellows::wire::Life;
+use havenplank_membership::wire::Life;
 use oorandom::Rand64;
 
 /// Heads tried for one interval: with 1% loss each way two would leave one of 1,600 silent in every second round.
--- a/crates/configuration/src/spread/transfer.rs
+++ b/crates/configuration/src/spread/transfer.rs
@@ -6,7 +6,7 @@
 use crate::chunk::{chunk, Assembly, Chunk, Manifest};
 use crate::message::{Claim, Message};
 use crate::version::Version;
-use havenplank_fellows::wire::Life;
+use havenplank_membership::wire::Life;
 
 /// A transfer under way; there is one at most.
 pub(super) struct Transfer {
--- a/crates/configuration/tests/spread.rs
+++ b/crates/configuration/tests/spread.rs
@@ -21,8 +21,8 @@
     Effect, Event, Kept, Ns, Peer, Peers, PublishError, Role, RoundGlance, Rules, Spreader,
 };
 use havenplank_configuration::version::Version;
-use havenplank_fellows::wire::Life;
-use havenplank_stand::net::{Clock, Id, Net, Weather};
+use havenplank_emulator::net::{Clock, Id, Net, Weather};
+use havenplank_membership::wire::Life;
 use oorandom::Rand64;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/stand/src/book.rs
+++ b/crates/emulator/src/book.rs
@@ -1,7 +1,7 @@
 //! The ledger while it is written: entries from all stand-ins, on one clock.
 
 use havenplank::port::Ns;
-use havenplank_rules::ledger::{Entry, Seen, MOST};
+use havenplank_invariants::ledger::{Entry, Seen, MOST};
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::Instant;
--- a/crates/stand/src/clients.rs
+++ b/crates/emulator/src/clients.rs
@@ -5,7 +5,7 @@
 use crate::pod::{ASK, GROUP, WORK, WRONG};
 use bytes::Bytes;
 use havenplank::port::{Kind, Ns};
-use havenplank_rules::ledger::{Answer, Seen};
+use havenplank_invariants::ledger::{Answer, Seen};
 use havenplank_settings::Site;
 use hdrhistogram::Histogram;
 use http_body_util::{BodyExt, Full};
--- a/crates/stand/src/day.rs
+++ b/crates/emulator/src/day.rs
@@ -8,7 +8,7 @@
 use crate::notation::{part, Day, What};
 use crate::pod::{Pod, Served};
 use havenplank::port::{Control, Kind, Ns};
-use havenplank_rules::ledger::{Entry, Exposure, Figures, Group, Seen};
+use havenplank_invariants::ledger::{Entry, Exposure, Figures, Group, Seen};
 use havenplank_settings::Site;
 use oorandom::Rand64;
 use rustix::process::{kill_process, Pid, Signal};
--- a/crates/stand/src/fleet.rs
+++ b/crates/emulator/src/fleet.rs
@@ -4,7 +4,7 @@
 use crate::notation::{Day, Offer, FIRST};
 use crate::pod::{Faults, Machine, Marks, Pod, Served, Who};
 use havenplank::port::{Build, Ns, PodState, Scope};
-use havenplank_feeds::nodes::Listed;
+use havenplank_line_protocol::nodes::Listed;
 use oorandom::Rand64;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
--- a/crates/stand/src/hands.rs
+++ b/crates/emulator/src/hands.rs
@@ -4,7 +4,7 @@
 use crate::relay::Relays;
 use bytes::Bytes;
 use havenplank::port::PodState;
-use havenplank_feeds::nodes::{keep, Listed};
+use havenplank_line_protocol::nodes::{keep, Listed};
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
 use hyper::service::service_fn;
--- a/crates/stand/src/pod.rs
+++ b/crates/emulator/src/pod.rs
@@ -3,7 +3,7 @@
 use crate::book::Book;
 use bytes::Bytes;
 use havenplank::port::{Build, Ns, Scope};
-use havenplank_rules::ledger::{Cold, Seen};
+use havenplank_invariants::ledger::{Cold, Seen};
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
 use hyper::header::{HeaderMap, HeaderValue, VIA};
--- a/crates/rules/tests/doctored.rs
+++ b/crates/invariants/tests/doctored.rs
@@ -6,8 +6,8 @@
 //! stage guarded, one-way, slack 20 ms, transit 50 ms.
 
 use havenplank::port::{Kind, Scope};
-use havenplank_rules::check;
-use havenplank_rules::ledger::{self, Answer, Cold, Entry, Exposure, Figures, Group, Seen};
+use havenplank_invariants::check;
+use havenplank_invariants::ledger::{self, Answer, Cold, Entry, Exposure, Figures, Group, Seen};
 use std::path::Path;
 
 const MS: u64 = 1_000_000;
--- a/crates/feeds/tests/feeds.rs
+++ b/crates/line-protocol/tests/feeds.rs
@@ -2,8 +2,8 @@
 
 use bytes::BytesMut;
 use havenplank::port::{Build, Heard, Ns, Phase, PodState, Stage, StageNews, Voice};
-use havenplank_feeds::lines::{hello, Lines};
-use havenplank_feeds::{desk, follow, nodes, FeedError};
+use havenplank_line_protocol::lines::{hello, Lines};
+use havenplank_line_protocol::{desk, follow, nodes, FeedError};
 use proptest::prelude::*;
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio_util::codec::Decoder;
--- a/crates/fellows/tests/follow_up.rs
+++ b/crates/membership/tests/follow_up.rs
@@ -1,11 +1,11 @@
 //! Whether a difference between two views that has passed ends as a dispute, and one that stays still shows.
 
-use havenplank_fellows::node::{Happened, Node};
-use havenplank_fellows::standing::{Place, Rules, Standing, View};
-use havenplank_fellows::swim::{News, Rules as Membership, State};
-use havenplank_fellows::views::{Views, VIEWS};
-use havenplank_fellows::wire::{Key, Life};
-use havenplank_stand::net::{Clock, Id, Net, Ns, Part, Weather};
+use havenplank_emulator::net::{Clock, Id, Net, Ns, Part, Weather};
+use havenplank_membership::node::{Happened, Node};
+use havenplank_membership::standing::{Place, Rules, Standing, View};
+use havenplank_membership::swim::{News, Rules as Membership, State};
+use havenplank_membership::views::{Views, VIEWS};
+use havenplank_membership::wire::{Key, Life};
 use std::net::SocketAddr;
 
 const SECOND: Ns = 1_000_000_000;
--- a/crates/fellows/tests/simulated.rs
+++ b/crates/membership/tests/simulated.rs
@@ -1,9 +1,9 @@
 //! The fellowship over the simulated network: the same code as on sockets, by seed, without a sleep.
 
-use havenplank_fellows::node::{Happened, Node, WAITING};
-use havenplank_fellows::swim::{Event, News, Rules, State};
-use havenplank_fellows::wire::{Key, Life, Refused};
-use havenplank_stand::net::{Clock, Id, Net, Ns, Part, Weather};
+use havenplank_emulator::net::{Clock, Id, Net, Ns, Part, Weather};
+use havenplank_membership::node::{Happened, Node, WAITING};
+use havenplank_membership::swim::{Event, News, Rules, State};
+use havenplank_membership::wire::{Key, Life, Refused};
 use std::net::SocketAddr;
 
 const S: Ns = 1_000_000_000;
--- a/crates/fellows/tests/standing.rs
+++ b/crates/membership/tests/standing.rs
@@ -1,10 +1,10 @@
 //! Standing over the simulated network, on the membership that sockets drive: what each believes of its own place.
 
-use havenplank_fellows::node::{Happened, Node};
-use havenplank_fellows::standing::{Place, Row, Rules, Standing, View};
-use havenplank_fellows::swim::{Event, News, Rules as Membership, State};
-use havenplank_fellows::wire::{Key, Life};
-use havenplank_stand::net::{Clock, Id, Net, Ns, Part, Weather};
+use havenplank_emulator::net::{Clock, Id, Net, Ns, Part, Weather};
+use havenplank_membership::node::{Happened, Node};
+use havenplank_membership::standing::{Place, Row, Rules, Standing, View};
+use havenplank_membership::swim::{Event, News, Rules as Membership, State};
+use havenplank_membership::wire::{Key, Life};
 use proptest::prelude::*;
 use std::net::SocketAddr;
 
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -4,7 +4,7 @@
 use havenplank::port::{Ns, Stage};
 use havenplank_adapter::line::{Fields, Line};
 use havenplank_adapter::setup;
-use havenplank_feeds::nodes::Listed;
+use havenplank_line_protocol::nodes::Listed;
 use havenplank_sidecar::told::Terms;
 use serde_json::{Map, Value};
 use std::net::SocketAddr;
--- a/crates/platform/src/steady.rs
+++ b/crates/platform/src/steady.rs
@@ -1,6 +1,6 @@
 //! A connection that is made again whenever it ends, and moved to another address without a gap.
 
-use havenplank_feeds::follow::Waits;
+use havenplank_line_protocol::follow::Waits;
 use std::cell::{Cell, RefCell};
 use std::future::Future;
 use std::net::SocketAddr;
--- a/crates/platform/tests/common/mod.rs
+++ b/crates/platform/tests/common/mod.rs
@@ -1,8 +1,8 @@
 //! A sidecar between scripted peers on loopback, for the tests of this folder.
 #![allow(dead_code, reason = "each test file uses its part of it")]
 
+use havenplank_emulator::scripted::{configuration, entry, Peer, Talk};
 use havenplank_platform::{serve, Config, Orders};
-use havenplank_stand::scripted::{configuration, entry, Peer, Talk};
 use serde_json::Value;
 use std::future::Future;
 use std::net::SocketAddr;
--- a/crates/platform/tests/crossings.rs
+++ b/crates/platform/tests/crossings.rs
@@ -4,8 +4,8 @@
 mod common;
 
 use common::{get, hit, rested, test, turns, Rig, HEALTH, OK, OK_CLOSE};
+use havenplank_emulator::scripted::{header, Talk};
 use havenplank_platform::Orders;
-use havenplank_stand::scripted::{header, Talk};
 use serde_json::{json, Value};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, TcpStream};
--- a/crates/platform/tests/lists.rs
+++ b/crates/platform/tests/lists.rs
@@ -3,9 +3,9 @@
 mod common;
 
 use common::{config, get, test, turns, Rig, OK_CLOSE};
+use havenplank_emulator::scripted::{chunk, configuration, entry, list, Peer, Talk, WATCH};
 use havenplank_platform::objects::{Objects, Piece, Spoilt};
 use havenplank_platform::Orders;
-use havenplank_stand::scripted::{chunk, configuration, entry, list, Peer, Talk, WATCH};
 use proptest::prelude::*;
 use serde_json::json;
 use socket2::{Domain, Socket, Type};
--- a/crates/platform/tests/traps.rs
+++ b/crates/platform/tests/traps.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{config, followed, get, hit, rested, test, Rig, NEVER, OK, OK_CLOSE};
+use havenplank_emulator::scripted::{chunk, configuration, entry, header, list, Peer, Talk, WATCH};
 use havenplank_platform::{Config, Orders};
-use havenplank_stand::scripted::{chunk, configuration, entry, header, list, Peer, Talk, WATCH};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/sidecar/src/engine.rs
+++ b/crates/sidecar/src/engine.rs
@@ -6,7 +6,7 @@
 use havenplank::logic::Logic;
 use havenplank::port::*;
 use havenplank::Visits;
-use havenplank_feeds::nodes::Listed;
+use havenplank_line_protocol::nodes::Listed;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, VecDeque};
 use std::net::SocketAddr;
--- a/crates/sidecar/src/fellowship.rs
+++ b/crates/sidecar/src/fellowship.rs
@@ -1,12 +1,12 @@
 //! Where a sidecar hears the others: the fellowship's sockets and keys, who here reads which kind of message, and what
 //! it may believe of its own place.
 
-use havenplank_fellows::node::{Happened, Node};
-use havenplank_fellows::shell::{log, new_life, read_keys, KeysError, Talker};
-use havenplank_fellows::standing::{Dispute, Rules as Belonging, Standing};
-use havenplank_fellows::swim::{News, Rules, State};
-use havenplank_fellows::views::{Change, Views, VIEWS};
-use havenplank_fellows::wire::Life;
+use havenplank_membership::node::{Happened, Node};
+use havenplank_membership::shell::{log, new_life, read_keys, KeysError, Talker};
+use havenplank_membership::standing::{Dispute, Rules as Belonging, Standing};
+use havenplank_membership::swim::{News, Rules, State};
+use havenplank_membership::views::{Change, Views, VIEWS};
+use havenplank_membership::wire::Life;
 use havenplank_settings::Fellowship as Settings;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
--- a/crates/sidecar/src/guard.rs
+++ b/crates/sidecar/src/guard.rs
@@ -2,7 +2,7 @@
 //! for what fellows say.
 
 use crate::fellowship::Fellowship;
-use havenplank_fellows::wire::Life;
+use havenplank_membership::wire::Life;
 use havenplank_settings::{Takeover as Settings, DISTRIBUTOR_ZONE};
 use havenplank_takeover::placement::{pick, Candidate};
 use havenplank_takeover::record::{AttemptState, Message, Outcome, Record, RequestId};
--- a/crates/sidecar/src/hub.rs
+++ b/crates/sidecar/src/hub.rs
@@ -3,7 +3,7 @@
 use crate::engine::{Asked, Effect, Engine, Glance, EPOCH};
 use crate::slots::Slot;
 use havenplank::port::*;
-use havenplank_feeds::nodes::Listed;
+use havenplank_line_protocol::nodes::Listed;
 use std::cell::{Cell, Ref, RefCell};
 use std::collections::HashMap;
 use std::future::Future;
--- a/crates/sidecar/src/roll.rs
+++ b/crates/sidecar/src/roll.rs
@@ -1,8 +1,8 @@
 //! The pods by name: which index each has, where it listens and since when it runs.
 
 use havenplank::port::{mark_of, Ns, PodEntry, PodId, PodState};
-use havenplank_feeds::lines::MOST_PODS;
-use havenplank_feeds::nodes::Listed;
+use havenplank_line_protocol::lines::MOST_PODS;
+use havenplank_line_protocol::nodes::Listed;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
--- a/crates/sidecar/src/shell.rs
+++ b/crates/sidecar/src/shell.rs
@@ -10,7 +10,7 @@
 use crate::proxy::{self, Ask, Body};
 use crate::routes::RouteTable;
 use havenplank::port::*;
-use havenplank_feeds::{desk, nodes};
+use havenplank_line_protocol::{desk, nodes};
 use havenplank_settings::Site;
 use hyper::header::{HeaderName, HeaderValue};
 use hyper::Response;
--- a/crates/sidecar/src/told.rs
+++ b/crates/sidecar/src/told.rs
@@ -2,7 +2,7 @@
 
 use crate::engine::{Asked, Effect};
 use havenplank::port::*;
-use havenplank_feeds::nodes::Listed;
+use havenplank_line_protocol::nodes::Listed;
 use havenplank_settings::Site;
 use serde::{Deserialize, Serialize};
 
--- a/crates/sidecar/tests/engine.rs
+++ b/crates/sidecar/tests/engine.rs
@@ -1,7 +1,7 @@
 //! The engine by itself: virtual time, no sockets, and the same decisions each time it is told the same.
 
 use havenplank::port::{Earlier, Ended, Heard, Ns, Phase, PodState, Stage, StageNews, Voice};
-use havenplank_feeds::nodes::Listed;
+use havenplank_line_protocol::nodes::Listed;
 use havenplank_settings::{load, Given};
 use havenplank_sidecar::engine::{Asked, Effect, Engine, EPOCH};
 use havenplank_sidecar::told::Terms;
--- a/crates/sidecar/tests/hard.rs
+++ b/crates/sidecar/tests/hard.rs
@@ -1,9 +1,9 @@
 //! A sidecar on loopback sockets amid scripted peers that do what peers should not.
 
 use havenplank::port::{Phase, PodState, Stage};
-use havenplank_feeds::lines::hello;
-use havenplank_feeds::nodes::Listed;
-use havenplank_feeds::{desk, nodes};
+use havenplank_line_protocol::lines::hello;
+use havenplank_line_protocol::nodes::Listed;
+use havenplank_line_protocol::{desk, nodes};
 use havenplank_settings::{load, Given, Site};
 use proptest::prelude::*;
 use proptest::strategy::ValueTree;
--- a/crates/sidecar/tests/routes.rs
+++ b/crates/sidecar/tests/routes.rs
@@ -6,7 +6,7 @@
 };
 use havenplank_configuration::snapshot::Snapshot;
 use havenplank_configuration::version::Version;
-use havenplank_feeds::nodes::Listed;
+use havenplank_line_protocol::nodes::Listed;
 use havenplank_settings::{Group, Guard};
 use havenplank_sidecar::engine::{Asked, Effect, Engine, EPOCH};
 use havenplank_sidecar::routes::{routes_of, KnownTenant, RouteTable};
--- a/crates/takeover/src/placement.rs
+++ b/crates/takeover/src/placement.rs
@@ -1,7 +1,7 @@
 //! Chooses the backups of a request by rendezvous hashing, so that every sidecar with the same peers finds the same ones.
 
 use crate::record::RequestId;
-use havenplank_fellows::wire::Life;
+use havenplank_membership::wire::Life;
 
 /// A peer that may be chosen as a backup.
 #[derive(Clone, Copy, Debug)]
--- a/crates/takeover/src/record.rs
+++ b/crates/takeover/src/record.rs
@@ -3,7 +3,7 @@
 //! All types travel as `postcard`, which encodes fields and variants by position: their order is part of the protocol.
 
 use crate::Ns;
-use havenplank_fellows::wire::Life;
+use havenplank_membership::wire::Life;
 use serde::{Deserialize, Serialize};
 
 /// Identifies a request: a hash of the client's idempotency key, or of a unique value where it sent none.
--- a/crates/takeover/src/takeover.rs
+++ b/crates/takeover/src/takeover.rs
@@ -19,7 +19,7 @@
 use crate::record::{Message, Outcome, Record, RequestId};
 use crate::{Ns, Rules};
 use backup::Replica;
-use havenplank_fellows::wire::Life;
+use havenplank_membership::wire::Life;
 use oorandom::Rand64;
 use owner::OwnedRequest;
 use std::collections::{BTreeMap, VecDeque};
--- a/crates/takeover/src/takeover/backup.rs
+++ b/crates/takeover/src/takeover/backup.rs
@@ -3,7 +3,7 @@
 use super::Takeover;
 use crate::record::{Message, Outcome, Record, RequestId};
 use crate::Ns;
-use havenplank_fellows::wire::Life;
+use havenplank_membership::wire::Life;
 use std::collections::BTreeMap;
 
 /// The record of a request, kept for its owner.
--- a/crates/takeover/src/takeover/claim.rs
+++ b/crates/takeover/src/takeover/claim.rs
@@ -5,7 +5,7 @@
 use super::{Effect, Takeover};
 use crate::record::{Message, Record, RequestId};
 use crate::Ns;
-use havenplank_fellows::wire::Life;
+use havenplank_membership::wire::Life;
 use std::collections::{BTreeMap, BTreeSet};
 
 impl Takeover {
--- a/crates/takeover/src/takeover/election.rs
+++ b/crates/takeover/src/takeover/election.rs
@@ -4,7 +4,7 @@
 use super::{Effect, Takeover};
 use crate::record::{AttemptState, Message, Record, RequestId};
 use crate::Ns;
-use havenplank_fellows::wire::Life;
+use havenplank_membership::wire::Life;
 use std::collections::BTreeMap;
 
 impl Takeover {
--- a/crates/takeover/src/takeover/owner.rs
+++ b/crates/takeover/src/takeover/owner.rs
@@ -3,7 +3,7 @@
 use super::{Effect, Takeover};
 use crate::record::{Attempt, AttemptState, Message, Outcome, Record, RequestId};
 use crate::Ns;
-use havenplank_fellows::wire::Life;
+use havenplank_membership::wire::Life;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A backup's latest acknowledgement of one request.
--- a/crates/takeover/src/takeover/waiter.rs
+++ b/crates/takeover/src/takeover/waiter.rs
@@ -3,7 +3,7 @@
 use super::{Effect, Takeover};
 use crate::record::{Message, Outcome, RequestId};
 use crate::Ns;
-use havenplank_fellows::wire::Life;
+use havenplank_membership::wire::Life;
 use std::collections::BTreeSet;
 
 /// Sidecars that one backup tells of an outcome, at most; a further one has to ask again.
--- a/crates/takeover/tests/every_order.rs
+++ b/crates/takeover/tests/every_order.rs
@@ -6,7 +6,7 @@
 //!
 //! By hand, more faults: HAVENPLANK_FAULTS=3 cargo test --release -p havenplank-takeover --test every_order
 
-use havenplank_fellows::wire::Life;
+use havenplank_membership::wire::Life;
 use havenplank_takeover::record::{AttemptState, Message, Outcome, RequestId};
 use havenplank_takeover::{Effect, Ns, Rules, Takeover};
 use rayon::prelude::*;
--- a/crates/takeover/tests/simulated.rs
+++ b/crates/takeover/tests/simulated.rs
@@ -1,7 +1,7 @@
 //! Takeovers over the simulated network: what no seed may break, and what must come about while enough can talk.
 
-use havenplank_fellows::wire::Life;
-use havenplank_stand::net::{Clock, Fate, Id, Net, Ns, Part, Weather};
+use havenplank_emulator::net::{Clock, Fate, Id, Net, Ns, Part, Weather};
+use havenplank_membership::wire::Life;
 use havenplank_takeover::placement::{pick, Candidate};
 use havenplank_takeover::record::{AttemptState, Message, Outcome, Record, RequestId};
 use havenplank_takeover::{Effect, Rules, Takeover};
--- a/crates/trace/src/columns.rs
+++ b/crates/trace/src/columns.rs
@@ -3,8 +3,8 @@
 
 use crate::record::{Card, Record, Standing, What};
 use havenplank::port::*;
-use havenplank_feeds::lines::MOST_PODS;
-use havenplank_feeds::nodes::Listed;
+use havenplank_line_protocol::lines::MOST_PODS;
+use havenplank_line_protocol::nodes::Listed;
 use havenplank_sidecar::engine::{Asked, Effect};
 use havenplank_sidecar::told::Told;
 use integer_encoding::VarInt;
--- a/crates/trace/src/from_wire.rs
+++ b/crates/trace/src/from_wire.rs
@@ -7,7 +7,7 @@
 use havenplank_adapter::door::{Hears, Row, Wire};
 use havenplank_adapter::line::Line;
 use havenplank_adapter::setup::{Names, Setup};
-use havenplank_feeds::nodes::Listed;
+use havenplank_line_protocol::nodes::Listed;
 use havenplank_sidecar::engine::{Asked, Effect};
 use havenplank_sidecar::told::{Terms, Told};
 use std::collections::{HashMap, VecDeque};
--- a/crates/trace/src/recorder.rs
+++ b/crates/trace/src/recorder.rs
@@ -4,7 +4,7 @@
 use crate::file::{stand, Sink, TraceError, FULL_BYTES, FULL_RECORDS};
 use crate::record::{Card, Head, Record, Source, Standing, What};
 use havenplank::port::{HitId, Ns, PodId};
-use havenplank_feeds::nodes::Listed;
+use havenplank_line_protocol::nodes::Listed;
 use havenplank_sidecar::engine::Effect;
 use havenplank_sidecar::told::{Told, Witness};
 use std::collections::VecDeque;
--- a/crates/trace/src/show.rs
+++ b/crates/trace/src/show.rs
@@ -3,7 +3,7 @@
 use crate::record::{Head, Record, Standing, What};
 use crate::summary::ended;
 use havenplank::port::*;
-use havenplank_feeds::nodes::Listed;
+use havenplank_line_protocol::nodes::Listed;
 use havenplank_sidecar::engine::Effect;
 use havenplank_sidecar::told::Told;
 use serde_json::{json, Map, Value};
--- a/crates/trace/src/veil.rs
+++ b/crates/trace/src/veil.rs
@@ -2,7 +2,7 @@
 
 use crate::file::{Reader, TraceError, Writer};
 use crate::record::{Card, Head, Record, Standing, What};
-use havenplank_feeds::nodes::Listed;
+use havenplank_line_protocol::nodes::Listed;
 use havenplank_sidecar::engine::Effect;
 use havenplank_sidecar::told::Told;
 use std::collections::HashMap;
--- a/crates/trace/tests/common/mod.rs
+++ b/crates/trace/tests/common/mod.rs
@@ -3,7 +3,7 @@
 #![allow(dead_code, clippy::unwrap_used)]
 
 use havenplank::port::*;
-use havenplank_feeds::nodes::Listed;
+use havenplank_line_protocol::nodes::Listed;
 use havenplank_settings::{load, Given};
 use havenplank_sidecar::engine::{Asked, Effect, Engine, EPOCH};
 use havenplank_sidecar::told::Terms;
