--- a/crates/adapter/src/acts.rs
+++ b/crates/adapter/src/acts.rs
@@ -1,15 +1,15 @@
 //! The actions of an instance, read back from what the adapter said.
 
 use crate::line::Line;
-use havenplank::port::*;
+use havenplank::interface::*;
 
 /// What an instance did, decoded: names as they stand on the wire.
 pub trait Acts {
-    fn forward(&mut self, sidecar: u64, hit: &str, pod: &str, time_out: Ns);
+    fn forward(&mut self, sidecar: u64, hit: &str, pod: &str, time_out: Nanos);
     fn cancel(&mut self, sidecar: u64, hit: &str, nth: u32);
-    fn bounce(&mut self, sidecar: u64, hit: &str, come_back: Ns);
+    fn bounce(&mut self, sidecar: u64, hit: &str, retry_after: Nanos);
     fn error(&mut self, sidecar: u64, hit: &str);
-    fn vote(&mut self, sidecar: u64, build: Build, stage: usize, voice: Voice);
+    fn vote(&mut self, sidecar: u64, build: Build, stage: usize, voice: Vote);
     fn probe(&mut self, sidecar: u64, pod: &str);
     fn ask_list(&mut self, sidecar: u64);
     fn watch_list(&mut self, sidecar: u64, on: bool);
@@ -38,10 +38,10 @@
         "LOSE" => acts.error(sidecar, f.text("opId")?),
         "VERDICT" => {
             let voice = match f.whole("sense")? {
-                0 => Voice::None,
-                1 => Voice::On,
-                2 => Voice::Hold,
-                3 => Voice::Back,
+                0 => Vote::None,
+                1 => Vote::Advance,
+                2 => Vote::Hold,
+                3 => Vote::RollBack,
                 _ => return Err(f.complain("sense", "not 0 to 3")),
             };
             acts.vote(
--- a/crates/adapter/src/door.rs
+++ b/crates/adapter/src/door.rs
@@ -2,8 +2,8 @@
 
 use crate::line::{Fields, Line};
 use crate::setup::{self, Names, Setup};
-use havenplank::logic::Logic;
-use havenplank::port::*;
+use havenplank::interface::*;
+use havenplank::logic::Router;
 use serde_json::Value;
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 use std::fmt::Write as _;
@@ -14,14 +14,14 @@
     pub pod: String,
     pub zone: String,
     pub machine: String,
-    pub entry: PodEntry,
+    pub entry: Endpoint,
 }
 
 /// What an instance hears, decoded: names as they stand on the wire, all else as the module takes it.
 pub trait Hears {
-    fn attach(now: Ns, sidecar: u64, seed: u64, setup: Setup) -> Self;
+    fn attach(now: Nanos, sidecar: u64, seed: u64, setup: Setup) -> Self;
     /// The time of what comes next.
-    fn at(&mut self, now: Ns);
+    fn at(&mut self, now: Nanos);
     /// Lends or takes back what is to be answered with.
     fn swap(&mut self, _out: &mut String) {}
     fn names(&self) -> &Names;
@@ -30,55 +30,55 @@
     fn list(&mut self, whole: bool, rows: &[Row]);
     fn list_failed(&mut self);
     /// The id of `hit` is not set yet.
-    fn hit(&mut self, name: &str, hit: Hit);
-    fn ended(&mut self, name: &str, nth: usize, outcome: Outcome);
+    fn hit(&mut self, name: &str, hit: IncomingRequest);
+    fn ended(&mut self, name: &str, nth: usize, outcome: AttemptOutcome);
     fn left(&mut self, name: &str);
     fn woken(&mut self, id: u64);
     fn news(&mut self, stage: Stage);
     /// The answer to the oldest vote that has none.
-    fn voted(&mut self, news: StageNews);
+    fn voted(&mut self, news: VoteReply);
     fn tally(&mut self, tally: Tally);
-    fn flagged(&mut self, pod: &str, group: GroupId, ago: Ns);
+    fn flagged(&mut self, pod: &str, group: RouteClassId, ago: Nanos);
     /// The end of the oldest probe of a pod that has none.
-    fn probed(&mut self, pod: &str, end: ProbeEnd);
+    fn probed(&mut self, pod: &str, end: HealthCheckResult);
 }
 
 /// The forwards of a hit that are out, and whether its final answer is still owed.
 struct Held {
     name: String,
     open: bool,
-    forwards: Vec<Option<Then<Outcome>>>,
+    forwards: Vec<Option<Callback<AttemptOutcome>>>,
 }
 
 /// The host of one instance.
 struct Door {
-    now: Ns,
+    now: Nanos,
     sidecar: u64,
     names: Names,
     /// Grows with the pods ever listed to this instance, not with hits; a restart empties it.
     pods: HashMap<String, PodId>,
     pod_names: Vec<String>,
-    hit_ids: HashMap<String, HitId>,
+    hit_ids: HashMap<String, RequestId>,
     /// Emptied of a hit once it is answered and all its forwards have returned.
-    hits: HashMap<HitId, Held>,
-    next_hit: HitId,
+    hits: HashMap<RequestId, Held>,
+    next_hit: RequestId,
     /// A wake leaves when its alarm comes.
-    wakes: HashMap<u64, Then<()>>,
+    wakes: HashMap<u64, Callback<()>>,
     next_wake: u64,
-    votes: VecDeque<Then<StageNews>>,
-    probes: HashMap<PodId, VecDeque<Then<ProbeEnd>>>,
+    votes: VecDeque<Callback<VoteReply>>,
+    probes: HashMap<PodId, VecDeque<Callback<HealthCheckResult>>>,
     out: String,
 }
 
 /// An instance that decides.
 pub struct Instance {
-    logic: Logic,
+    logic: Router,
     door: Door,
 }
 
 /// The wire to any number of instances, which decide or only write down what they hear.
 pub struct Wire<H> {
-    now: Ns,
+    now: Nanos,
     turn: u64,
     banks: BTreeMap<u64, Vec<Row>>,
     /// None for an instance that was stopped.
@@ -115,7 +115,7 @@
         self.out.push_str("}\n");
     }
 
-    fn on_hit(&mut self, verb: &str, hit: HitId) -> &mut String {
+    fn on_hit(&mut self, verb: &str, hit: RequestId) -> &mut String {
         let name = self
             .hits
             .get(&hit)
@@ -126,14 +126,14 @@
         out
     }
 
-    fn answer(&mut self, hit: HitId) {
+    fn answer(&mut self, hit: RequestId) {
         if let Some(held) = self.hits.get_mut(&hit) {
             held.open = false;
         }
         self.sweep(hit);
     }
 
-    fn sweep(&mut self, hit: HitId) {
+    fn sweep(&mut self, hit: RequestId) {
         if self
             .hits
             .get(&hit)
@@ -165,11 +165,11 @@
     }
 }
 
-fn load(names: &Names, fields: &Fields) -> Result<Option<Load>, String> {
+fn load(names: &Names, fields: &Fields) -> Result<Option<LoadReport>, String> {
     let Some(row) = fields.maybe_numbers("gauge")? else {
         return Ok(None);
     };
-    let mut load = Load::default();
+    let mut load = LoadReport::default();
     names
         .load
         .iter()
@@ -178,7 +178,7 @@
     Ok(Some(load))
 }
 
-fn gauge(load: &mut Load, column: &str, value: f64) {
+fn gauge(load: &mut LoadReport, column: &str, value: f64) {
     match column {
         "busy_reqs" => load.in_flight = Some(value),
         "pending" => load.queued = Some(value),
@@ -191,9 +191,9 @@
 }
 
 /// A load report as a JSON object of the given columns; none where it cannot be read.
-pub fn load_of(columns: &[String], text: &[u8]) -> Option<Load> {
+pub fn load_of(columns: &[String], text: &[u8]) -> Option<LoadReport> {
     let told: Value = serde_json::from_slice(text).ok()?;
-    let mut load = Load::default();
+    let mut load = LoadReport::default();
     for (column, value) in told
         .as_object()?
         .iter()
@@ -205,16 +205,22 @@
 }
 
 impl Host for Door {
-    fn now(&self) -> Ns {
+    fn now(&self) -> Nanos {
         self.now
     }
 
-    fn open(&self, hit: HitId) -> bool {
+    fn is_open(&self, hit: RequestId) -> bool {
         self.hits.get(&hit).is_some_and(|held| held.open)
     }
 
-    fn forward(&mut self, hit: HitId, pod: PodId, time_out: Ns, then: Then<Outcome>) {
-        if !self.open(hit) {
+    fn send_attempt(
+        &mut self,
+        hit: RequestId,
+        pod: PodId,
+        time_out: Nanos,
+        then: Callback<AttemptOutcome>,
+    ) {
+        if !self.is_open(hit) {
             return;
         }
         let name = Value::from(self.pod_names[pod].as_str()).to_string();
@@ -226,7 +232,7 @@
         }
     }
 
-    fn cancel(&mut self, hit: HitId, forward: u32) {
+    fn cancel_attempt(&mut self, hit: RequestId, forward: u32) {
         if self
             .hits
             .get(&hit)
@@ -237,28 +243,28 @@
         }
     }
 
-    fn bounce(&mut self, hit: HitId, come_back: Ns) {
-        if self.open(hit) {
-            let _ = write!(self.on_hit("REFUSE", hit), ",\"waitNs\":{come_back}");
+    fn reject(&mut self, hit: RequestId, retry_after: Nanos) {
+        if self.is_open(hit) {
+            let _ = write!(self.on_hit("REFUSE", hit), ",\"waitNs\":{retry_after}");
             self.end();
             self.answer(hit);
         }
     }
 
-    fn error(&mut self, hit: HitId) {
-        if self.open(hit) {
+    fn fail(&mut self, hit: RequestId) {
+        if self.is_open(hit) {
             self.on_hit("LOSE", hit);
             self.end();
             self.answer(hit);
         }
     }
 
-    fn vote(&mut self, build: Build, stage: usize, voice: Voice, then: Then<StageNews>) {
+    fn cast_vote(&mut self, build: Build, stage: usize, voice: Vote, then: Callback<VoteReply>) {
         let sense = match voice {
-            Voice::None => 0,
-            Voice::On => 1,
-            Voice::Hold => 2,
-            Voice::Back => 3,
+            Vote::None => 0,
+            Vote::Advance => 1,
+            Vote::Hold => 2,
+            Vote::RollBack => 3,
         };
         let _ = write!(
             self.act("VERDICT"),
@@ -268,24 +274,24 @@
         self.votes.push_back(then);
     }
 
-    fn probe(&mut self, pod: PodId, then: Then<ProbeEnd>) {
+    fn health_check(&mut self, pod: PodId, then: Callback<HealthCheckResult>) {
         let name = Value::from(self.pod_names[pod].as_str()).to_string();
         let _ = write!(self.act("TOUCH"), ",\"pod\":{name}");
         self.end();
         self.probes.entry(pod).or_default().push_back(then);
     }
 
-    fn ask_list(&mut self) {
+    fn poll_endpoints(&mut self) {
         self.act("QUERY_ALL");
         self.end();
     }
 
-    fn watch_list(&mut self, on: bool) {
+    fn watch_endpoints(&mut self, on: bool) {
         let _ = write!(self.act("TAIL"), ",\"enable\":{on}");
         self.end();
     }
 
-    fn wake(&mut self, after: Ns, then: Then<()>) {
+    fn set_timer(&mut self, after: Nanos, then: Callback<()>) {
         let id = self.next_wake;
         self.next_wake += 1;
         self.wakes.insert(id, then);
@@ -303,16 +309,16 @@
     }
 }
 
-fn ended(fields: &Fields) -> Result<Ended, String> {
+fn ended(fields: &Fields) -> Result<AttemptEnd, String> {
     Ok(match fields.whole("ending")? {
-        100 => Ended::Delivered,
-        301 => Ended::Error,
-        302 => Ended::Full,
-        303 => Ended::TimeOut,
-        304 => Ended::NoConnection,
-        305 => Ended::Reset,
-        306 => Ended::Cancelled,
-        307 => Ended::NotSent,
+        100 => AttemptEnd::Served,
+        301 => AttemptEnd::Failed,
+        302 => AttemptEnd::Rejected,
+        303 => AttemptEnd::TimedOut,
+        304 => AttemptEnd::ConnectFailed,
+        305 => AttemptEnd::Reset,
+        306 => AttemptEnd::Cancelled,
+        307 => AttemptEnd::NotSent,
         _ => return Err(fields.complain("ending", "an unknown outcome")),
     })
 }
@@ -324,9 +330,9 @@
         "Deleted" => PodState::Gone,
         _ => return Err(fields.complain("lifecycle", "not Running, Stopping or Deleted")),
     };
-    let entry = PodEntry {
+    let entry = Endpoint {
         pod: 0,
-        mark: 0,
+        name_hash: 0,
         state,
         build: fields.whole_or("release", 0)?.min(u32::MAX as u64) as Build,
         started: fields.whole_or("startedAtNs", 0)?,
@@ -360,7 +366,7 @@
 fn stage(fields: &Fields) -> Result<Stage, String> {
     let phase = match fields.whole_or("standing", 0)? {
         0 => Phase::Trial,
-        1 => Phase::GoingBack,
+        1 => Phase::RollingBack,
         2 => Phase::Released,
         3 => Phase::Withdrawn,
         _ => return Err(fields.complain("standing", "not 0 to 3")),
@@ -375,8 +381,8 @@
 }
 
 impl Hears for Instance {
-    fn attach(now: Ns, sidecar: u64, seed: u64, s: Setup) -> Instance {
-        let logic = Logic::new(
+    fn attach(now: Nanos, sidecar: u64, seed: u64, s: Setup) -> Instance {
+        let logic = Router::new(
             now, seed, s.place, s.groups, s.forwards, s.pods, s.exposure, s.votes, s.list,
         );
         let door = Door {
@@ -397,7 +403,7 @@
         Instance { logic, door }
     }
 
-    fn at(&mut self, now: Ns) {
+    fn at(&mut self, now: Nanos) {
         self.door.now = now;
     }
 
@@ -414,7 +420,7 @@
     }
 
     fn begin(&mut self) {
-        self.logic.begin(&mut self.door);
+        self.logic.start(&mut self.door);
     }
 
     fn list(&mut self, whole: bool, rows: &[Row]) {
@@ -422,19 +428,20 @@
         let mut entries = Vec::with_capacity(rows.len());
         for row in rows {
             let mut entry = row.entry;
-            (entry.pod, entry.mark) = (door.pod_index(&row.pod), mark_of(row.pod.as_bytes()));
+            (entry.pod, entry.name_hash) =
+                (door.pod_index(&row.pod), stable_hash(row.pod.as_bytes()));
             entry.zone = place(&mut door.names.zones, &row.zone);
             entry.machine = place(&mut door.names.machines, &row.machine);
             entries.push(entry);
         }
-        self.logic.list(door, whole, &entries);
+        self.logic.update_endpoints(door, whole, &entries);
     }
 
     fn list_failed(&mut self) {
-        self.logic.list_failed(&mut self.door);
+        self.logic.endpoint_watch_failed(&mut self.door);
     }
 
-    fn hit(&mut self, name: &str, hit: Hit) {
+    fn hit(&mut self, name: &str, hit: IncomingRequest) {
         let door = &mut self.door;
         let id = door.next_hit;
         door.next_hit += 1;
@@ -447,10 +454,11 @@
                 forwards: Vec::new(),
             },
         );
-        self.logic.hit(door, Hit { id, ..hit });
+        self.logic
+            .handle_request(door, IncomingRequest { id, ..hit });
     }
 
-    fn ended(&mut self, name: &str, nth: usize, outcome: Outcome) {
+    fn ended(&mut self, name: &str, nth: usize, outcome: AttemptOutcome) {
         let door = &mut self.door;
         let Some(hit) = door.hit_ids.get(name).copied() else {
             return;
@@ -478,26 +486,26 @@
     }
 
     fn news(&mut self, stage: Stage) {
-        self.logic.news(&mut self.door, stage);
+        self.logic.update_stage(&mut self.door, stage);
     }
 
-    fn voted(&mut self, news: StageNews) {
+    fn voted(&mut self, news: VoteReply) {
         if let Some(then) = self.door.votes.pop_front() {
             then(&mut self.logic, &mut self.door, news);
         }
     }
 
     fn tally(&mut self, tally: Tally) {
-        self.logic.tally(&mut self.door, tally);
+        self.logic.update_tally(&mut self.door, tally);
     }
 
-    fn flagged(&mut self, pod: &str, group: GroupId, ago: Ns) {
+    fn flagged(&mut self, pod: &str, group: RouteClassId, ago: Nanos) {
         if let Some(pod) = self.door.pods.get(pod).copied() {
-            self.logic.flagged(&mut self.door, pod, group, ago);
+            self.logic.report_fault(&mut self.door, pod, group, ago);
         }
     }
 
-    fn probed(&mut self, pod: &str, end: ProbeEnd) {
+    fn probed(&mut self, pod: &str, end: HealthCheckResult) {
         let probes = self
             .door
             .pods
@@ -534,24 +542,24 @@
         "KNOCK" => {
             let name = f.text("opId")?;
             let group = f.named("grade", &heard.names().groups)?;
-            let customer = match f.maybe_name("clientGroup")? {
+            let tenant = match f.maybe_name("clientGroup")? {
                 Some(name) => heard
                     .names()
-                    .customers
+                    .tenants
                     .iter()
                     .position(|known| *known == name),
                 None => None,
             };
-            let hit = Hit {
+            let hit = IncomingRequest {
                 id: 0,
-                group,
-                customer,
+                class: group,
+                tenant,
                 key: f
                     .maybe_text("entity")?
-                    .map_or(0, |key| mark_of(key.as_bytes())),
-                left: f.whole("graceNs")?,
+                    .map_or(0, |key| stable_hash(key.as_bytes())),
+                remaining: f.whole("graceNs")?,
                 cost_hint: f.maybe_whole("sizeHintNs")?,
-                repeat: f.flag("repeat")?,
+                is_retry: f.flag("repeat")?,
             };
             heard.hit(name, hit);
         }
@@ -559,7 +567,7 @@
             let name = f.text("opId")?;
             let trial = f.whole("trial")? as usize;
             known_pod(heard, &f)?;
-            let outcome = Outcome {
+            let outcome = AttemptOutcome {
                 end: ended(&f)?,
                 took: f.whole("latencyNs")?,
                 over: f.flag("over")?,
@@ -589,13 +597,13 @@
                 }
             } else {
                 let answer = match ending {
-                    100 => Heard::Counted,
-                    307 => Heard::Moot,
-                    303 => Heard::Unknown,
-                    _ => Heard::Refused,
+                    100 => VoteReceipt::Counted,
+                    307 => VoteReceipt::Stale,
+                    303 => VoteReceipt::Unknown,
+                    _ => VoteReceipt::Rejected,
                 };
-                heard.voted(StageNews {
-                    heard: answer,
+                heard.voted(VoteReply {
+                    receipt: answer,
                     stage: told,
                 });
             }
@@ -621,7 +629,7 @@
             let load = load(heard.names(), &f)?;
             heard.probed(
                 pod,
-                ProbeEnd {
+                HealthCheckResult {
                     end: ended(&f)?,
                     took: f.whole("latencyNs")?,
                     load,
--- a/crates/adapter/src/setup.rs
+++ b/crates/adapter/src/setup.rs
@@ -1,12 +1,12 @@
 //! The settings of an instance, decoded into the module's own records.
 
 use crate::line::Fields;
-use havenplank::port::*;
+use havenplank::interface::*;
 
 /// The names that the wire uses for what the module knows by index.
 pub struct Names {
     pub groups: Vec<String>,
-    pub customers: Vec<String>,
+    pub tenants: Vec<String>,
     pub zones: Vec<String>,
     pub machines: Vec<String>,
     pub load: Vec<String>,
@@ -14,37 +14,37 @@
 
 pub struct Setup {
     pub names: Names,
-    pub place: Place,
-    pub groups: Vec<PathGroup>,
-    pub forwards: ForwardRules,
-    pub pods: PodRules,
-    pub exposure: ExposureRules,
-    pub votes: VoteRules,
-    pub list: ListRules,
+    pub place: FleetPosition,
+    pub groups: Vec<RouteClass>,
+    pub forwards: AttemptSettings,
+    pub pods: PodSettings,
+    pub exposure: ExposureSettings,
+    pub votes: VoteSettings,
+    pub list: EndpointListSettings,
 }
 
-fn group(row: &Fields) -> Result<PathGroup, String> {
+fn group(row: &Fields) -> Result<RouteClass, String> {
     let kind = match row.text("semantics")? {
-        "free" => Kind::Repeatable,
-        "guarded" => Kind::Tagged,
-        "single_shot" => Kind::Mutating,
+        "free" => Idempotency::Idempotent,
+        "guarded" => Idempotency::Keyed,
+        "single_shot" => Idempotency::NonIdempotent,
         _ => return Err(row.complain("semantics", "not free, guarded or single_shot")),
     };
     let scope = match row.maybe_text("keyScope")? {
-        None | Some("all") => Scope::All,
-        Some("zone") => Scope::Zone,
-        Some("cell") => Scope::Cell,
+        None | Some("all") => DedupScope::All,
+        Some("zone") => DedupScope::Zone,
+        Some("cell") => DedupScope::Cell,
         Some(_) => return Err(row.complain("keyScope", "not all, zone or cell")),
     };
     let client_timeout = row.whole("giveUpNs")?;
-    Ok(PathGroup {
-        kind,
-        scope,
-        repeat_window: row.whole_or("windowNs", 0)?,
-        target_latency: row.whole_or("onTimeNs", client_timeout)?,
+    Ok(RouteClass {
+        idempotency: kind,
+        dedup_scope: scope,
+        dedup_window: row.whole_or("windowNs", 0)?,
+        latency_objective: row.whole_or("onTimeNs", client_timeout)?,
         client_timeout,
-        benefit: row.number_or("worth", 1.0)?,
-        late_benefit: row.number_or("lateValue", 0.0)?,
+        priority_weight: row.number_or("worth", 1.0)?,
+        late_weight: row.number_or("lateValue", 0.0)?,
         stream: row.flag("stream")?,
     })
 }
@@ -65,10 +65,10 @@
         .collect::<Result<_, String>>()?;
     let zones = settings.words("azs")?;
     let zone = settings.named("locality", &zones)?;
-    let mut customers = Vec::new();
+    let mut tenants = Vec::new();
     if settings.maybe_has("orgs") {
         for row in settings.objects("orgs")? {
-            customers.push(row.text("name")?.to_string());
+            tenants.push(row.text("name")?.to_string());
         }
     }
     let load = match settings.maybe_has("loadReport") {
@@ -77,7 +77,7 @@
     };
     let names = Names {
         groups: group_names,
-        customers,
+        tenants,
         zones,
         machines: settings.words("skus")?,
         load,
@@ -85,75 +85,75 @@
     let limits = settings.object("limits")?;
     let rules = settings.object("rules")?;
     let trial = settings.object("familyInfo")?;
-    let cross_zone_price = match settings.maybe_has("prices") {
+    let cross_zone_cost = match settings.maybe_has("prices") {
         true => settings.object("prices")?.number_or("crossZone", 0.0)?,
         false => 0.0,
     };
-    let max_come_back = if limits.flag("retryAfter")? {
+    let max_retry_after = if limits.flag("retryAfter")? {
         limits.whole_or("maxRetryAfterNs", 0)?
     } else {
         0
     };
-    let must_ask = match settings.text("discovery")? {
+    let poll_only = match settings.text("discovery")? {
         "automatic" => false,
         "subscribe" => true,
         _ => return Err(settings.complain("discovery", "not automatic or subscribe")),
     };
     let control = match trial.text("control")? {
-        "first_voice" => Control::Any,
-        "by_count" => Control::Count,
-        "automatic" => Control::Clock,
+        "first_voice" => ReleaseControl::AnyVote,
+        "by_count" => ReleaseControl::Quorum,
+        "automatic" => ReleaseControl::Timed,
         _ => return Err(trial.complain("control", "not first_voice, by_count or automatic")),
     };
-    let per_group = match trial.text("counts")? {
+    let per_class = match trial.text("counts")? {
         "all" => false,
         "each_class" => true,
         _ => return Err(trial.complain("counts", "not all or each_class")),
     };
     Ok(Setup {
         names,
-        place: Place {
+        place: FleetPosition {
             rank: settings.whole_or("rank", 0)? as usize,
             instances,
             zone,
         },
         groups,
-        forwards: ForwardRules {
-            max_forwards: limits.whole_or("maxAttempts", 1)?.min(u32::MAX as u64) as u32,
-            copies: limits.flag("secondCopies")?,
+        forwards: AttemptSettings {
+            max_attempts: limits.whole_or("maxAttempts", 1)?.min(u32::MAX as u64) as u32,
+            hedging: limits.flag("secondCopies")?,
             may_cancel: limits.flag("mayCancel")?,
-            max_come_back,
-            cross_zone_price,
+            max_retry_after,
+            cross_zone_cost,
         },
-        pods: PodRules {
+        pods: PodSettings {
             drain_grace: rules.whole("drainGraceNs")?,
-            cold_share: rules.number("coldShare")?,
+            initial_capacity: rules.number("coldShare")?,
             warm_up: rules.whole("warmUpNs")?,
-            fall_multiple: rules.number("fallMultiple")?,
-            fall_window: rules.whole("fallNs")?,
-            may_probe: limits.flag("probing")?,
+            overload_multiple: rules.number("fallMultiple")?,
+            overload_window: rules.whole("fallNs")?,
+            health_checks: limits.flag("probing")?,
         },
-        exposure: ExposureRules {
+        exposure: ExposureSettings {
             window: trial.whole("exposureWindowNs")?,
-            free: trial.number("free")?,
-            per_group,
-            guarded_stages: trial.whole_or("shielded", 0)? as usize,
-            one_way: trial.flag("oneWay")?,
-            beside: trial.maybe_text("style")? != Some("replace"),
+            free_attempts: trial.number("free")?,
+            per_class,
+            idempotent_only_stages: trial.whole_or("shielded", 0)? as usize,
+            sticky_keys: trial.flag("oneWay")?,
+            blue_green: trial.maybe_text("style")? != Some("replace"),
             caps: trial.numbers("mostShares")?,
         },
-        votes: VoteRules {
+        votes: VoteSettings {
             control,
-            on_needs: trial.whole_or("toAdvance", 0)? as usize,
-            back_needs: trial.whole_or("noesNeeded", 1)?.max(1) as usize,
-            life: trial.whole("ballotTtlNs")?,
-            call_time_out: trial.whole("callTimeoutNs")?,
-            calls_per_s: trial.number_or("votesPerS", 0.0)?,
-            step: trial.whole_or("autoAfterNs", 0)?,
+            advance_quorum: trial.whole_or("toAdvance", 0)? as usize,
+            rollback_quorum: trial.whole_or("noesNeeded", 1)?.max(1) as usize,
+            ttl: trial.whole("ballotTtlNs")?,
+            call_timeout: trial.whole("callTimeoutNs")?,
+            calls_per_second: trial.number_or("votesPerS", 0.0)?,
+            stage_duration: trial.whole_or("autoAfterNs", 0)?,
         },
-        list: ListRules {
-            must_ask,
-            ask_within: rules.whole_or("mustAskInNs", 0)?,
+        list: EndpointListSettings {
+            poll_only,
+            poll_interval: rules.whole_or("mustAskInNs", 0)?,
         },
     })
 }
--- a/crates/capacity/src/configuration/fleet.rs
+++ b/crates/capacity/src/configuration/fleet.rs
@@ -5,14 +5,14 @@
 use havenplank_configuration::digest::Digest;
 use havenplank_configuration::record::{Record, Tenant, TenantLimits};
 use havenplank_configuration::snapshot::Snapshot;
-use havenplank_configuration::spread::{Kept, Ns, Peer, Peers, PublishError, Role, Rules};
+use havenplank_configuration::spread::{Kept, Nanos, Peer, Peers, PublishError, Role, Rules};
 use havenplank_configuration::version::Version;
 use havenplank_emulator::net::{Clock, Id, Net, Weather};
 use havenplank_membership::wire::Life;
 use std::collections::BTreeMap;
 
-pub const MS: Ns = 1_000_000;
-pub const SECOND: Ns = 1_000 * MS;
+pub const MS: Nanos = 1_000_000;
+pub const SECOND: Nanos = 1_000 * MS;
 /// Zones of each region.
 const ZONES: [usize; 4] = [4, 4, 3, 3];
 
@@ -38,14 +38,14 @@
 }
 
 /// 1 ms in a zone, 2 to 4 ms in a region, 40 to 90 ms between regions.
-pub fn delay(from: Id, to: Id) -> (Ns, Ns) {
+pub fn delay(from: Id, to: Id) -> (Nanos, Nanos) {
     let ((from_region, from_zone), (to_region, to_zone)) = (place(from), place(to));
     if from_zone == to_zone {
         (MS / 2, MS)
     } else if from_region == to_region {
         (2 * MS, 4 * MS)
     } else {
-        let nearest = 40 + 10 * (from_region.abs_diff(to_region) as Ns - 1);
+        let nearest = 40 + 10 * (from_region.abs_diff(to_region) as Nanos - 1);
         (nearest * MS, (nearest + 30).min(90) * MS)
     }
 }
@@ -95,7 +95,7 @@
     seed: u64,
     lives: BTreeMap<Id, u64>,
     /// Publications: when, what, by whom.
-    pub published: Vec<(Ns, Version, Id)>,
+    pub published: Vec<(Nanos, Version, Id)>,
     /// The contents that writers gave each version: more than one where two wrote the same.
     pub digests: BTreeMap<Version, Vec<Digest>>,
     changes: u64,
@@ -227,14 +227,14 @@
         Ok(version)
     }
 
-    pub fn run_for(&mut self, span: Ns) {
+    pub fn run_for(&mut self, span: Nanos) {
         let until = self.net.now() + span;
         self.net.run(until, |_, _| {});
     }
 
     /// For each publication by the first process since `from` and up to now, how long it took until it or a newer one
     /// was in force at each of these processes; `None` where it is not yet. For clocks that stand at the network's time.
-    pub fn latencies(&self, from: Ns, ids: &[Id]) -> Vec<Option<Ns>> {
+    pub fn latencies(&self, from: Nanos, ids: &[Id]) -> Vec<Option<Nanos>> {
         let published = self
             .published
             .iter()
--- a/crates/capacity/src/configuration/process.rs
+++ b/crates/capacity/src/configuration/process.rs
@@ -5,7 +5,7 @@
 use havenplank_configuration::message::Message;
 use havenplank_configuration::snapshot::Snapshot;
 use havenplank_configuration::spread::{
-    Effect, Event, Kept, Ns, Peer, PublishError, Role, Rules, Spreader,
+    Effect, Event, Kept, Nanos, Peer, PublishError, Role, Rules, Spreader,
 };
 use havenplank_configuration::version::Version;
 use havenplank_emulator::net::{Id, Net, Part};
@@ -47,7 +47,7 @@
     /// In force at the host, as it would be kept on disk.
     pub in_force: Snapshot,
     /// When each version came into force.
-    pub log: Vec<(Ns, Version, Digest)>,
+    pub log: Vec<(Nanos, Version, Digest)>,
     pub events: Vec<Event>,
     /// The host rejects versions while this holds.
     pub rejects: bool,
@@ -64,7 +64,7 @@
 }
 
 impl Process {
-    pub fn new(now: Ns, seed: u64, me: Peer, role: Role, kept: Kept, rules: Rules) -> Process {
+    pub fn new(now: Nanos, seed: u64, me: Peer, role: Role, kept: Kept, rules: Rules) -> Process {
         let in_force = kept.snapshot.clone();
         let spreader = Spreader::new(now, seed, me.clone(), role, kept, rules);
         Process {
@@ -108,7 +108,7 @@
     /// Why the spreader refuses.
     pub fn publish(
         &mut self,
-        now: Ns,
+        now: Nanos,
         epoch: u64,
         changes: Vec<Change>,
     ) -> Result<Version, PublishError> {
@@ -135,7 +135,7 @@
         Ok(version)
     }
 
-    fn take_over(&mut self, now: Ns, snapshot: Snapshot) {
+    fn take_over(&mut self, now: Nanos, snapshot: Snapshot) {
         let (before, after) = (self.in_force.version(), snapshot.version());
         assert!(
             after > before,
@@ -146,7 +146,7 @@
         self.in_force = snapshot;
     }
 
-    fn carry_out(&mut self, now: Ns) {
+    fn carry_out(&mut self, now: Nanos) {
         while let Some(effect) = self.spreader.effect() {
             match effect {
                 Effect::Send { to, message } => self.send(to, &message),
@@ -156,7 +156,7 @@
         }
     }
 
-    fn install(&mut self, now: Ns, snapshot: Snapshot) {
+    fn install(&mut self, now: Nanos, snapshot: Snapshot) {
         let version = snapshot.version();
         if self.rejects {
             self.spreader.rejected(now, version, "told to reject");
@@ -187,7 +187,7 @@
 }
 
 impl Part for Process {
-    fn heard(&mut self, now: Ns, bytes: &[u8]) {
+    fn heard(&mut self, now: Nanos, bytes: &[u8]) {
         let Ok(envelope) = postcard::from_bytes::<Envelope>(bytes) else {
             return;
         };
@@ -207,14 +207,14 @@
         self.carry_out(now);
     }
 
-    fn wake(&mut self, now: Ns) {
+    fn wake(&mut self, now: Nanos) {
         let began = Instant::now();
         self.spreader.wake(now);
         self.traffic.processor += began.elapsed();
         self.carry_out(now);
     }
 
-    fn next_wake(&self) -> Option<Ns> {
+    fn next_wake(&self) -> Option<Nanos> {
         self.spreader.next_wake()
     }
 
--- a/crates/capacity/src/configuration/scenarios.rs
+++ b/crates/capacity/src/configuration/scenarios.rs
@@ -4,7 +4,7 @@
 use super::process::{Process, Traffic};
 use super::CHANGES_A_DAY;
 use havenplank_configuration::snapshot::Snapshot;
-use havenplank_configuration::spread::{Ns, Role};
+use havenplank_configuration::spread::{Nanos, Role};
 use havenplank_emulator::net::{Id, Weather};
 use std::time::Duration;
 
@@ -16,9 +16,9 @@
 const HOUR: usize = (CHANGES_A_DAY / 24) as usize;
 const LOSS: f64 = 0.01;
 /// How long a scenario waits for the last process.
-const GRACE: Ns = 30 * SECOND;
+const GRACE: Nanos = 30 * SECOND;
 /// Between two looks at who has caught up.
-const LOOK: Ns = SECOND / 50;
+const LOOK: Nanos = SECOND / 50;
 const WRITER: Id = 0;
 
 /// What a process spends on average.
@@ -205,7 +205,7 @@
     (seconds, behind.len())
 }
 
-fn reached(outcome: &mut Outcome, latencies: Vec<Option<Ns>>) {
+fn reached(outcome: &mut Outcome, latencies: Vec<Option<Nanos>>) {
     outcome.not_reached = latencies.iter().filter(|latency| latency.is_none()).count();
     outcome.seconds = latencies
         .into_iter()
@@ -230,7 +230,7 @@
     }
 }
 
-fn costs(fleet: &Fleet, before: &[Traffic], began: Ns) -> Outcome {
+fn costs(fleet: &Fleet, before: &[Traffic], began: Nanos) -> Outcome {
     let span = (fleet.net.now() - began) as f64 / SECOND as f64;
     let since = |id: Id, process: &Process| spent(&process.traffic, &before[id]);
     let all: Vec<(Id, Traffic)> = fleet
--- a/crates/capacity/src/discovery.rs
+++ b/crates/capacity/src/discovery.rs
@@ -6,7 +6,7 @@
 use crate::error::CapacityError;
 use crate::report::{Point, Section, Series};
 use crate::samples;
-use havenplank::port::{Heard, Phase, PodState, Stage, Voice};
+use havenplank::interface::{Phase, PodState, Stage, Vote, VoteReceipt};
 use havenplank_line_protocol::nodes::Listed;
 use havenplank_line_protocol::{desk, nodes};
 use std::time::Instant;
@@ -88,8 +88,8 @@
     };
     let (mut news, mut answer) = (String::new(), String::new());
     desk::tell_stage(&mut news, 10_000, &stage);
-    desk::tell_voted(&mut answer, 10_000, 500, Heard::Counted, Some(&stage));
-    let vote = desk::ask_vote(500, stage.build, stage.stage, Voice::On);
+    desk::tell_voted(&mut answer, 10_000, 500, VoteReceipt::Counted, Some(&stage));
+    let vote = desk::ask_vote(500, stage.build, stage.stage, Vote::Advance);
     ControlBytes {
         news: news.len(),
         vote: vote.len(),
--- a/crates/capacity/src/hollow.rs
+++ b/crates/capacity/src/hollow.rs
@@ -1,6 +1,6 @@
 //! A sidecar with everything left out but membership and views: the real code, driven by a network of the test's choice.
 
-use havenplank_emulator::net::{Ns, Part};
+use havenplank_emulator::net::{Nanos, Part};
 use havenplank_membership::node::{Happened, Node};
 use havenplank_membership::standing::{Rules as QuorumRules, Standing};
 use havenplank_membership::swim::{Event, News, Rules, State};
@@ -30,8 +30,8 @@
 pub struct HollowSidecar {
     node: Node,
     views: Views,
-    period: Ns,
-    next_tick: Ns,
+    period: Nanos,
+    next_tick: Nanos,
     cost: Cost,
     /// Rows visited by earlier incarnations.
     earlier_rows: u64,
@@ -44,7 +44,7 @@
 
 /// The membership node of the nth sidecar, as the program makes it.
 pub fn node(
-    now: Ns,
+    now: Nanos,
     at: SocketAddr,
     number: usize,
     incarnation: u64,
@@ -76,7 +76,7 @@
 }
 
 impl HollowSidecar {
-    pub fn new(now: Ns, node: Node, cost: Cost) -> HollowSidecar {
+    pub fn new(now: Nanos, node: Node, cost: Cost) -> HollowSidecar {
         let views = Views::new(now, node.fellows().me().who.clone(), QuorumRules::default());
         let earlier_rows = cost.rows_visited;
         HollowSidecar {
@@ -122,7 +122,7 @@
         self.cost.rows_visited = self.earlier_rows + rows;
     }
 
-    fn take_events(&mut self, now: Ns) {
+    fn take_events(&mut self, now: Nanos) {
         while let Some(happened) = self.node.happened() {
             match happened {
                 Happened::Came {
@@ -144,7 +144,7 @@
 }
 
 impl Part for HollowSidecar {
-    fn heard(&mut self, now: Ns, bytes: &[u8]) {
+    fn heard(&mut self, now: Nanos, bytes: &[u8]) {
         self.cost.received += 1;
         self.cost.received_bytes += bytes.len() as u64;
         self.timed(|sidecar| {
@@ -153,7 +153,7 @@
         });
     }
 
-    fn wake(&mut self, now: Ns) {
+    fn wake(&mut self, now: Nanos) {
         self.timed(|sidecar| {
             sidecar.node.wake(now);
             if now >= sidecar.next_tick {
@@ -164,7 +164,7 @@
         });
     }
 
-    fn next_wake(&self) -> Option<Ns> {
+    fn next_wake(&self) -> Option<Nanos> {
         self.node
             .next_wake()
             .into_iter()
--- a/crates/capacity/src/membership.rs
+++ b/crates/capacity/src/membership.rs
@@ -6,25 +6,25 @@
 
 use crate::hollow::{self, Cost, HollowSidecar};
 use crate::report::{fit, Point, Section, Series};
-use havenplank_emulator::net::{Clock, Id, Net, Ns, Weather};
+use havenplank_emulator::net::{Clock, Id, Nanos, Net, Weather};
 use havenplank_membership::standing::Standing;
 use std::net::SocketAddr;
 
-const SECOND: Ns = 1_000_000_000;
+const SECOND: Nanos = 1_000_000_000;
 const SEED: u64 = 1;
 /// Sidecars that all others are given to begin with.
 const SEEDS: usize = 3;
 /// The fleet of the target and its time between two restarts; a smaller fleet has fewer by its size.
 const TARGET: usize = 1_600;
-const TARGET_RESTART: Ns = 36 * SECOND;
+const TARGET_RESTART: Nanos = 36 * SECOND;
 /// How long a sidecar is away between its goodbye and its next start.
-const RESTART_DOWN: Ns = 2 * SECOND;
+const RESTART_DOWN: Nanos = 2 * SECOND;
 const ZONE_LOST: usize = 14;
 const REGIONS: usize = 4;
 const ZONES: usize = 14;
 /// How often it is looked whether news has reached all, and for how long at most.
-const POLL: Ns = SECOND / 4;
-const PATIENCE: Ns = 300 * SECOND;
+const POLL: Nanos = SECOND / 4;
+const PATIENCE: Nanos = 300 * SECOND;
 
 /// What is measured.
 #[derive(Clone, Debug)]
@@ -148,7 +148,7 @@
         for number in 0..size {
             // Clocks that never agree: other starts, and up to a thousandth fast or slow.
             let clock = Clock {
-                began: number as Ns * 77 * SECOND,
+                began: number as Nanos * 77 * SECOND,
                 drift_ppm: (number as i64 % 3 - 1) * 1_000,
             };
             fleet.net.join(clock, |now, at| {
@@ -163,7 +163,7 @@
     }
 
     /// Plays on for so long.
-    pub fn run(&mut self, span: Ns) {
+    pub fn run(&mut self, span: Nanos) {
         self.net.run(self.net.now() + span, |_, _| {});
     }
 
@@ -262,7 +262,13 @@
     }
 }
 
-fn sidecar(now: Ns, at: SocketAddr, number: usize, incarnation: u64, cost: Cost) -> HollowSidecar {
+fn sidecar(
+    now: Nanos,
+    at: SocketAddr,
+    number: usize,
+    incarnation: u64,
+    cost: Cost,
+) -> HollowSidecar {
     let seeds = (0..SEEDS).map(Net::<HollowSidecar>::address).collect();
     HollowSidecar::new(now, hollow::node(now, at, number, incarnation, seeds), cost)
 }
@@ -324,9 +330,9 @@
 }
 
 /// Restarts at the target's rate for a fleet of this size.
-fn restarts(fleet: &mut Fleet, figures: &mut Figures, span: Ns) {
+fn restarts(fleet: &mut Fleet, figures: &mut Figures, span: Nanos) {
     let size = fleet.size();
-    let every = TARGET_RESTART * TARGET as Ns / size as Ns;
+    let every = TARGET_RESTART * TARGET as Nanos / size as Nanos;
     let play = |fleet: &mut Fleet| {
         let until = fleet.net.now() + span;
         let mut next = fleet.net.now() + every / 2;
@@ -377,7 +383,7 @@
 }
 
 /// Who is suspected and lost while nobody dies and a hundredth of all datagrams is lost.
-fn lossy(fleet: &mut Fleet, figures: &mut Figures, span: Ns) {
+fn lossy(fleet: &mut Fleet, figures: &mut Figures, span: Nanos) {
     const SECTION: &str = "Membership: 1% of datagrams lost, nobody dies";
     let before = fleet.spent().all;
     fleet.net.weather.loss = 0.01;
@@ -427,7 +433,7 @@
 }
 
 /// Regions that do not reach each other, and what it takes until all see all again.
-fn regions_parted(fleet: &mut Fleet, figures: &mut Figures, span: Ns) {
+fn regions_parted(fleet: &mut Fleet, figures: &mut Figures, span: Nanos) {
     const SECTION: &str = "Membership: four regions parted, and joined again";
     let size = fleet.size();
     let region = |id: &Id| id % ZONES % REGIONS;
--- a/crates/capacity/src/samples.rs
+++ b/crates/capacity/src/samples.rs
@@ -1,7 +1,7 @@
 //! Sample pods and settings of any size, alike in every run.
 
 use crate::error::CapacityError;
-use havenplank::port::{Build, Ns, PodState};
+use havenplank::interface::{Build, Nanos, PodState};
 use havenplank_line_protocol::nodes::Listed;
 use havenplank_settings::{load, Given, Site};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -23,7 +23,7 @@
 }
 
 /// A pod of a build that started `age` ago, 0 for long ago.
-pub fn pod_of(number: usize, build: Build, age: Ns) -> Listed {
+pub fn pod_of(number: usize, build: Build, age: Nanos) -> Listed {
     let service = number / PODS_OF_SERVICE;
     let address = SocketAddr::from((Ipv4Addr::from(FIRST_ADDRESS + number as u32), PORT));
     Listed {
--- a/crates/capacity/src/tables.rs
+++ b/crates/capacity/src/tables.rs
@@ -3,7 +3,7 @@
 use crate::error::CapacityError;
 use crate::report::{Point, Section, Series};
 use crate::samples;
-use havenplank::port::{Ended, HitId, Ns, Phase, PodState, Stage};
+use havenplank::interface::{AttemptEnd, Nanos, Phase, PodState, RequestId, Stage};
 use havenplank::Visits;
 use havenplank_line_protocol::nodes::Listed;
 use havenplank_settings::Site;
@@ -15,11 +15,11 @@
 use std::collections::{HashSet, VecDeque};
 use std::time::{Duration, Instant};
 
-const MS: Ns = 1_000_000;
-const S: Ns = 1_000 * MS;
+const MS: Nanos = 1_000_000;
+const S: Nanos = 1_000 * MS;
 /// How long a sample pod takes to answer.
-const ANSWERS_AFTER: Ns = 5 * MS;
-const TIME_LEFT: Ns = 2 * S;
+const ANSWERS_AFTER: Nanos = 5 * MS;
+const TIME_LEFT: Nanos = 2 * S;
 /// Requests a second of a sidecar in the mean and of the busiest.
 pub const RATES_PER_S: [u64; 2] = [137, 700];
 const PAGE_BYTES: u64 = 4_096;
@@ -89,7 +89,7 @@
 /// A sidecar's engine at work: requests at a steady rate, each answered after a fixed time.
 pub struct Driver {
     pub engine: Engine,
-    now: Ns,
+    now: Nanos,
     routes: u64,
     chance: Rand64,
     due: VecDeque<Answer>,
@@ -97,8 +97,8 @@
 }
 
 struct Answer {
-    at: Ns,
-    hit: HitId,
+    at: Nanos,
+    hit: RequestId,
     nth: u32,
     /// Spent on the request before it was sent.
     spent: Duration,
@@ -162,7 +162,7 @@
         began.elapsed()
     }
 
-    fn drain(&mut self) -> Vec<(HitId, u32)> {
+    fn drain(&mut self) -> Vec<(RequestId, u32)> {
         let mut sent = Vec::new();
         while let Some(effect) = self.engine.effect() {
             match effect {
@@ -179,7 +179,7 @@
     }
 
     /// Lets time pass; the time that the engine's own wakes took.
-    pub fn pass(&mut self, until: Ns) -> Duration {
+    pub fn pass(&mut self, until: Nanos) -> Duration {
         self.now = self.now.max(until);
         let began = Instant::now();
         self.engine.wake(self.now);
@@ -196,7 +196,7 @@
         );
         let asked = Asked {
             group,
-            customer: None,
+            tenant: None,
             key,
             left: TIME_LEFT,
             cost_hint: None,
@@ -241,7 +241,7 @@
             self.now,
             due.hit,
             due.nth,
-            Ended::Delivered,
+            AttemptEnd::Served,
             ANSWERS_AFTER,
             None,
         );
@@ -598,7 +598,7 @@
 /// The table in which the proxy finds routes and tenants, and its engine, which gives each route its index.
 pub fn route_table(site: &Site) -> RouteTable {
     let engine = Engine::new(EPOCH, 1, &Terms::from(site));
-    RouteTable::from_settings(&site.groups, engine.slots(), &site.customers)
+    RouteTable::from_settings(&site.groups, engine.slots(), &site.tenants)
 }
 
 fn lookups(options: &Options) -> Result<Section, CapacityError> {
--- a/crates/capacity/tests/tables.rs
+++ b/crates/capacity/tests/tables.rs
@@ -1,6 +1,6 @@
 //! What one sidecar's tables cost, held by counts at small sizes: pods looked at, effects and bytes, never time.
 
-use havenplank::port::{Ended, Ns, PodState};
+use havenplank::interface::{AttemptEnd, Nanos, PodState};
 use havenplank_capacity::discovery::{change_bytes, control_bytes, whole_list_bytes};
 use havenplank_capacity::samples;
 use havenplank_capacity::tables::{route_table, Driver};
@@ -10,8 +10,8 @@
 use havenplank_sidecar::told::Terms;
 use oorandom::Rand64;
 
-const MS: Ns = 1_000_000;
-const S: Ns = 1_000 * MS;
+const MS: Nanos = 1_000_000;
+const S: Nanos = 1_000 * MS;
 const SEED: u64 = 7;
 const FEW: usize = 200;
 const MANY: usize = 3_000;
@@ -126,7 +126,7 @@
 #[test]
 fn settings_take_4500_routes_and_150000_tenants_and_name_their_limit() {
     let site = samples::site(4_500, 150_000).expect("the size to plan for");
-    assert_eq!((site.groups.len(), site.customers.len()), (4_500, 150_000));
+    assert_eq!((site.groups.len(), site.tenants.len()), (4_500, 150_000));
     let table = route_table(&site);
     let route = table
         .find("GET", &samples::route_path(4_499))
@@ -162,12 +162,12 @@
 struct Pair {
     by_changes: Engine,
     by_wholes: Engine,
-    now: Ns,
+    now: Nanos,
     attempts: usize,
 }
 
 impl Pair {
-    fn compare(&mut self, call: impl Fn(&mut Engine, Ns)) {
+    fn compare(&mut self, call: impl Fn(&mut Engine, Nanos)) {
         let mut effects = [Vec::new(), Vec::new()];
         for (engine, effects) in [&mut self.by_changes, &mut self.by_wholes]
             .into_iter()
@@ -250,7 +250,7 @@
             let (key, left) = (step + 1, S);
             let asked = Asked {
                 group: 0,
-                customer: None,
+                tenant: None,
                 key,
                 left,
                 cost_hint: None,
@@ -260,9 +260,9 @@
                 engine.hit(now, asked.clone());
             });
             let end = if chance.rand_range(0..10) == 0 {
-                Ended::Error
+                AttemptEnd::Failed
             } else {
-                Ended::Delivered
+                AttemptEnd::Served
             };
             if let Some(hit) = step.checked_sub(5) {
                 pair.compare(|engine, now| {
--- a/crates/cli/src/bench/processes.rs
+++ b/crates/cli/src/bench/processes.rs
@@ -1,7 +1,7 @@
 //! Child processes of the benches: pods, bare proxy and sidecar, and the node list that the sidecar follows.
 
 use anyhow::{bail, Context};
-use havenplank::port::PodState;
+use havenplank::interface::PodState;
 use havenplank_emulator::bare;
 use havenplank_line_protocol::lines::hello;
 use havenplank_line_protocol::nodes::{self, Listed};
--- a/crates/cli/src/bench_trace.rs
+++ b/crates/cli/src/bench_trace.rs
@@ -2,7 +2,7 @@
 
 use crate::write_json;
 use anyhow::{bail, Context};
-use havenplank::port::*;
+use havenplank::interface::*;
 use havenplank_line_protocol::nodes::Listed;
 use havenplank_settings::{load, Given};
 use havenplank_sidecar::engine::{Asked, Effect, Engine, EPOCH};
@@ -19,8 +19,8 @@
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
 
-const MS: Ns = 1_000_000;
-const S: Ns = 1_000 * MS;
+const MS: Nanos = 1_000_000;
+const S: Nanos = 1_000 * MS;
 const RATE: u64 = 2_000;
 const PODS: u64 = 16;
 /// Hits whose records are also written as JSON lines, to compare.
@@ -94,28 +94,28 @@
     );
     let mut chance = Rand64::new(1);
     // When, hit, forward, and when it was sent.
-    let mut due: BinaryHeap<Reverse<(Ns, HitId, u32, Ns)>> = BinaryHeap::new();
+    let mut due: BinaryHeap<Reverse<(Nanos, RequestId, u32, Nanos)>> = BinaryHeap::new();
     let (mut now, mut next) = (EPOCH, EPOCH);
     let mut asked = 0;
     while asked < hits || !due.is_empty() {
-        let wake = engine.next_wake().unwrap_or(Ns::MAX);
-        let end = due.peek().map_or(Ns::MAX, |Reverse((at, ..))| *at);
-        let hit = if asked < hits { next } else { Ns::MAX };
+        let wake = engine.next_wake().unwrap_or(Nanos::MAX);
+        let end = due.peek().map_or(Nanos::MAX, |Reverse((at, ..))| *at);
+        let hit = if asked < hits { next } else { Nanos::MAX };
         now = now.max(wake.min(end).min(hit));
         if wake <= now {
             engine.wake(now);
         } else if end <= now {
             if let Some(Reverse((_, hit, nth, sent))) = due.pop() {
                 let end = if chance.rand_range(0..50) == 0 {
-                    Ended::Error
+                    AttemptEnd::Failed
                 } else {
-                    Ended::Delivered
+                    AttemptEnd::Served
                 };
                 let busy = chance.rand_range(0..1000) as f64 / 1000.0;
-                let load = Load {
+                let load = LoadReport {
                     in_flight: Some((busy * 8.0).round()),
                     busy: Some(busy),
-                    ..Load::default()
+                    ..LoadReport::default()
                 };
                 engine.ended(
                     now,
@@ -133,12 +133,12 @@
             let key =
                 ((chance.rand_float() * 10.0).exp() as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
             let left = [2 * S, 3 * S, 3 * S][group] - 20 * MS - chance.rand_range(20_000..70_000);
-            let customer = Some(chance.rand_range(0..3) as usize);
+            let tenant = Some(chance.rand_range(0..3) as usize);
             engine.hit(
                 now,
                 Asked {
                     group,
-                    customer,
+                    tenant,
                     key,
                     left,
                     cost_hint: None,
@@ -163,8 +163,8 @@
                     engine.voted(
                         now,
                         vote,
-                        StageNews {
-                            heard: Heard::Counted,
+                        VoteReply {
+                            receipt: VoteReceipt::Counted,
                             stage: None,
                         },
                     );
--- a/crates/cli/src/day.rs
+++ b/crates/cli/src/day.rs
@@ -128,12 +128,12 @@
     broken
 }
 
-/// Benefit delivered within the target latency, of the benefit asked for.
+/// Benefit delivered within the target latency, of the priority weight asked for.
 fn service(fared: &[Fared]) -> f64 {
     let sum = |of: fn(&Fared) -> u64| {
         fared
             .iter()
-            .map(|group| group.benefit * of(group) as f64)
+            .map(|group| group.priority_weight * of(group) as f64)
             .sum::<f64>()
     };
     sum(|group| group.in_time) / sum(|group| group.asked).max(1e-9)
--- a/crates/cli/tests/configuration.rs
+++ b/crates/cli/tests/configuration.rs
@@ -1,6 +1,6 @@
 //! Configurations over processes of the program: six sidecars and a distributor, with relays between them.
 
-use havenplank::port::PodState;
+use havenplank::interface::PodState;
 use havenplank_emulator::hands::{ask_without_key, state, Pods, Sidecar, PATIENCE};
 use havenplank_emulator::relay::{Relays, Weather};
 use havenplank_line_protocol::nodes::{keep, Listed};
--- a/crates/cli/tests/takeover.rs
+++ b/crates/cli/tests/takeover.rs
@@ -274,10 +274,10 @@
 #[test]
 fn a_sidecar_cut_off_from_its_fellows_gives_its_work_up_and_one_way_is_enough() {
     test(5, true, async |group| {
-        for (round, (id, one_way)) in [(1, false), (2, true)].into_iter().enumerate() {
+        for (round, (id, sticky_keys)) in [(1, false), (2, true)].into_iter().enumerate() {
             let asked = group.begun(id, 8, round).await.expect("hits");
             let relays = group.relays.as_ref().expect("relays");
-            match one_way {
+            match sticky_keys {
                 true => (0..5)
                     .filter(|other| *other != id)
                     .for_each(|other| relays.cut(other, id)),
--- a/crates/configuration/src/compile.rs
+++ b/crates/configuration/src/compile.rs
@@ -445,8 +445,8 @@
         latency_target,
         deadline,
         // Adding 0.0 turns -0.0 into it, whose digest would be another.
-        benefit: reader.number_or("benefit", 0.0..=MAX_BENEFIT, 1.0) + 0.0,
-        late_benefit: reader.number_or("late_benefit", 0.0..=1.0, 0.0) + 0.0,
+        priority_weight: reader.number_or("benefit", 0.0..=MAX_BENEFIT, 1.0) + 0.0,
+        late_weight: reader.number_or("late_benefit", 0.0..=1.0, 0.0) + 0.0,
         stream: reader.flag_or("stream", false),
         backup,
     }
--- a/crates/configuration/src/record.rs
+++ b/crates/configuration/src/record.rs
@@ -1,7 +1,7 @@
 //! What changes while sidecars run: services, the routes that lead to them, and tenants with their limits.
 
 use crate::error::InvalidRecord;
-use havenplank::port::{Kind, Ns, PathGroup, Scope};
+use havenplank::interface::{DedupScope, Idempotency, Nanos, RouteClass};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
@@ -22,8 +22,8 @@
 /// The highest limit of a tenant's requests in flight.
 pub const MAX_IN_FLIGHT: u32 = 1_000_000;
 /// The longest latency target, deadline or idempotency window: a day.
-pub const MAX_SPAN: Ns = 86_400_000_000_000;
-/// The largest benefit of a served request.
+pub const MAX_SPAN: Nanos = 86_400_000_000_000;
+/// The largest priority weight of a served request.
 pub const MAX_BENEFIT: f64 = 1e9;
 
 /// A group of pods that answers requests.
@@ -50,18 +50,20 @@
     pub rules: RequestRules,
 }
 
-/// How the requests of a route are treated: [`PathGroup`] and the backup mode, comparable and serialisable.
+/// How the requests of a route are treated: [`RouteClass`] and the backup mode, comparable and serialisable.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RequestRules {
     pub kind: RequestKind,
     pub scope: IdempotencyScope,
     /// How long, from the first attempt that may have run, repeats of a keyed request are dropped.
-    pub idempotency_window: Ns,
-    pub latency_target: Ns,
-    pub deadline: Ns,
-    pub benefit: f64,
-    /// Share of the benefit that an answer past the latency target still earns.
-    pub late_benefit: f64,
+    pub idempotency_window: Nanos,
+    pub latency_target: Nanos,
+    pub deadline: Nanos,
+    #[serde(rename = "benefit")]
+    pub priority_weight: f64,
+    /// Share of the priority weight that an answer past the latency target still earns.
+    #[serde(rename = "late_benefit")]
+    pub late_weight: f64,
     pub stream: bool,
     pub backup: BackupMode,
 }
@@ -95,7 +97,7 @@
     Behind,
 }
 
-/// A customer of the fleet.
+/// A tenant of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tenant {
     pub name: String,
@@ -214,24 +216,24 @@
     }
 }
 
-impl From<RequestRules> for PathGroup {
-    fn from(rules: RequestRules) -> PathGroup {
-        PathGroup {
-            kind: match rules.kind {
-                RequestKind::Idempotent => Kind::Repeatable,
-                RequestKind::Keyed => Kind::Tagged,
-                RequestKind::NonIdempotent => Kind::Mutating,
+impl From<RequestRules> for RouteClass {
+    fn from(rules: RequestRules) -> RouteClass {
+        RouteClass {
+            idempotency: match rules.kind {
+                RequestKind::Idempotent => Idempotency::Idempotent,
+                RequestKind::Keyed => Idempotency::Keyed,
+                RequestKind::NonIdempotent => Idempotency::NonIdempotent,
             },
-            scope: match rules.scope {
-                IdempotencyScope::All => Scope::All,
-                IdempotencyScope::Zone => Scope::Zone,
-                IdempotencyScope::Cell => Scope::Cell,
+            dedup_scope: match rules.scope {
+                IdempotencyScope::All => DedupScope::All,
+                IdempotencyScope::Zone => DedupScope::Zone,
+                IdempotencyScope::Cell => DedupScope::Cell,
             },
-            repeat_window: rules.idempotency_window,
-            target_latency: rules.latency_target,
+            dedup_window: rules.idempotency_window,
+            latency_objective: rules.latency_target,
             client_timeout: rules.deadline,
-            benefit: rules.benefit,
-            late_benefit: rules.late_benefit,
+            priority_weight: rules.priority_weight,
+            late_weight: rules.late_weight,
             stream: rules.stream,
         }
     }
@@ -239,23 +241,23 @@
 
 impl RequestRules {
     /// The rules of a path group of the settings script, and how its requests in flight are backed up.
-    pub fn from_path_group(group: &PathGroup, backup: BackupMode) -> RequestRules {
+    pub fn from_path_group(group: &RouteClass, backup: BackupMode) -> RequestRules {
         RequestRules {
-            kind: match group.kind {
-                Kind::Repeatable => RequestKind::Idempotent,
-                Kind::Tagged => RequestKind::Keyed,
-                Kind::Mutating => RequestKind::NonIdempotent,
+            kind: match group.idempotency {
+                Idempotency::Idempotent => RequestKind::Idempotent,
+                Idempotency::Keyed => RequestKind::Keyed,
+                Idempotency::NonIdempotent => RequestKind::NonIdempotent,
             },
-            scope: match group.scope {
-                Scope::All => IdempotencyScope::All,
-                Scope::Zone => IdempotencyScope::Zone,
-                Scope::Cell => IdempotencyScope::Cell,
+            scope: match group.dedup_scope {
+                DedupScope::All => IdempotencyScope::All,
+                DedupScope::Zone => IdempotencyScope::Zone,
+                DedupScope::Cell => IdempotencyScope::Cell,
             },
-            idempotency_window: group.repeat_window,
-            latency_target: group.target_latency,
+            idempotency_window: group.dedup_window,
+            latency_target: group.latency_objective,
             deadline: group.client_timeout,
-            benefit: group.benefit,
-            late_benefit: group.late_benefit,
+            priority_weight: group.priority_weight,
+            late_weight: group.late_weight,
             stream: group.stream,
             backup,
         }
@@ -402,8 +404,8 @@
     }
     // NaN is in no range.
     let shares = [
-        ("benefit", rules.benefit, MAX_BENEFIT),
-        ("late_benefit", rules.late_benefit, 1.0),
+        ("benefit", rules.priority_weight, MAX_BENEFIT),
+        ("late_benefit", rules.late_weight, 1.0),
     ];
     for (field, share, most) in shares {
         let expected = || format!("a number from 0 to {most}");
--- a/crates/configuration/src/spread/acknowledge.rs
+++ b/crates/configuration/src/spread/acknowledge.rs
@@ -2,7 +2,7 @@
 
 use super::glance::RoundGlance;
 use super::poll::OpenPoll;
-use super::{Ns, Role, Rules, Spreader, OPEN_POLLS};
+use super::{Nanos, Role, Rules, Spreader, OPEN_POLLS};
 use crate::interval::Interval;
 use crate::message::{Message, Poll, Report, Standing, Tally};
 use crate::version::Version;
@@ -14,19 +14,19 @@
 pub struct BehindSince {
     pub name: String,
     pub standing: Standing,
-    pub since: Ns,
+    pub since: Nanos,
 }
 
 /// The writer's schedule of polls and what the last round found.
 pub(super) struct Polling {
     round: u64,
-    next: Option<Ns>,
-    wait: Ns,
+    next: Option<Nanos>,
+    wait: Nanos,
     pub(super) last: Option<RoundGlance>,
 }
 
 impl Polling {
-    pub(super) fn new(now: Ns, role: Role, rules: &Rules) -> Polling {
+    pub(super) fn new(now: Nanos, role: Role, rules: &Rules) -> Polling {
         let next =
             matches!(role, Role::Writer { .. }).then(|| now.saturating_add(rules.first_poll));
         Polling {
@@ -38,7 +38,7 @@
     }
 
     /// Begins with short waits anew; a poll that is due sooner stays.
-    pub(super) fn published(&mut self, now: Ns, rules: &Rules) {
+    pub(super) fn published(&mut self, now: Nanos, rules: &Rules) {
         let at = now.saturating_add(rules.first_poll);
         self.next = Some(self.next.map_or(at, |before| before.min(at)));
         self.wait = rules.first_poll;
@@ -48,11 +48,11 @@
         self.next = None;
     }
 
-    pub(super) fn next_wake(&self) -> Option<Ns> {
+    pub(super) fn next_wake(&self) -> Option<Nanos> {
         self.next
     }
 
-    fn finished(&mut self, now: Ns, version: Version, tally: &Tally, rules: &Rules) {
+    fn finished(&mut self, now: Nanos, version: Version, tally: &Tally, rules: &Rules) {
         let before = self.last.take();
         let since = |name: &str| {
             let known = before
@@ -86,7 +86,7 @@
 }
 
 impl Spreader {
-    pub(super) fn poll_where_due(&mut self, now: Ns) {
+    pub(super) fn poll_where_due(&mut self, now: Nanos) {
         if self.polling.next.is_some_and(|at| at <= now) && !self.has_open_round() {
             self.begin_round(now);
         }
@@ -104,7 +104,7 @@
         self.polls.iter().any(|open| open.parent.is_none())
     }
 
-    fn begin_round(&mut self, now: Ns) {
+    fn begin_round(&mut self, now: Nanos) {
         self.polling.next = Some(now.saturating_add(self.rules.last_poll));
         self.polling.round += 1;
         let patience_ms = u32::try_from(self.rules.poll_patience / 1_000_000).unwrap_or(u32::MAX);
@@ -137,7 +137,7 @@
         ));
     }
 
-    pub(super) fn heard_poll(&mut self, now: Ns, from: &Life, poll: Poll) {
+    pub(super) fn heard_poll(&mut self, now: Nanos, from: &Life, poll: Poll) {
         self.note(now, from, poll.claim);
         if self.refuse_lower_epoch(from, poll.claim) {
             return;
@@ -156,7 +156,7 @@
         }
     }
 
-    pub(super) fn heard_report(&mut self, now: Ns, from: &Life, report: Report) {
+    pub(super) fn heard_report(&mut self, now: Nanos, from: &Life, report: Report) {
         let mut counted = false;
         for open in &mut self.polls {
             let same = open.poll.round == report.round && open.poll.claim.version == report.version;
@@ -169,7 +169,7 @@
     }
 
     /// Sends the reports of finished rounds, and takes in those of the own one.
-    fn close_finished(&mut self, now: Ns) {
+    fn close_finished(&mut self, now: Nanos) {
         let (finished, open): (VecDeque<_>, _) = self.polls.drain(..).partition(OpenPoll::finished);
         self.polls = open;
         for poll in finished {
--- a/crates/configuration/src/spread/budget.rs
+++ b/crates/configuration/src/spread/budget.rs
@@ -1,8 +1,8 @@
 //! Bytes that may be used: a steady rate and a burst.
 
-use super::Ns;
+use super::Nanos;
 
-const SECOND: Ns = 1_000_000_000;
+const SECOND: Nanos = 1_000_000_000;
 
 /// A token bucket. It may go into debt by one message, as the size of an answer is known only when it is there; the
 /// debt is paid before more is asked for, so the rate holds over time.
@@ -11,12 +11,12 @@
     bytes_per_s: u64,
     burst: i64,
     left: i64,
-    refilled_at: Ns,
+    refilled_at: Nanos,
 }
 
 impl Budget {
     /// `first` bytes may be used at once, also where they are more than later bursts.
-    pub fn new(now: Ns, bytes_per_s: u64, burst: u64, first: u64) -> Budget {
+    pub fn new(now: Nanos, bytes_per_s: u64, burst: u64, first: u64) -> Budget {
         Budget {
             bytes_per_s: bytes_per_s.max(1),
             burst: signed(burst),
@@ -26,24 +26,24 @@
     }
 
     /// Bytes that may be used now.
-    pub fn left(&mut self, now: Ns) -> u64 {
+    pub fn left(&mut self, now: Nanos) -> u64 {
         self.refill(now);
         u64::try_from(self.left).unwrap_or(0)
     }
 
-    pub fn spend(&mut self, now: Ns, bytes: usize) {
+    pub fn spend(&mut self, now: Nanos, bytes: usize) {
         self.refill(now);
         self.left = self.left.saturating_sub(signed(bytes as u64));
     }
 
     /// When something is left again.
-    pub fn ready_at(&self) -> Ns {
+    pub fn ready_at(&self) -> Nanos {
         let debt = u64::try_from(1 - self.left).unwrap_or(0);
         self.refilled_at
             .saturating_add(debt.saturating_mul(SECOND).div_ceil(self.bytes_per_s))
     }
 
-    fn refill(&mut self, now: Ns) {
+    fn refill(&mut self, now: Nanos) {
         let elapsed = now.saturating_sub(self.refilled_at);
         let gained =
             (u128::from(elapsed) * u128::from(self.bytes_per_s) / u128::from(SECOND)) as u64;
--- a/crates/configuration/src/spread/glance.rs
+++ b/crates/configuration/src/spread/glance.rs
@@ -2,7 +2,7 @@
 
 use super::acknowledge::BehindSince;
 use super::install::Rejection;
-use super::{Ns, Role, Spreader};
+use super::{Nanos, Role, Spreader};
 use crate::digest::Digest;
 use crate::message::Claim;
 use crate::version::Version;
@@ -33,18 +33,18 @@
     /// In force, with its digest and since when.
     pub version: Version,
     pub digest: Digest,
-    pub in_force_since: Ns,
+    pub in_force_since: Nanos,
     /// Verified and passed on.
     pub held: Version,
     pub newest_heard: Version,
     /// Since when a newer version is known to exist that is not in force here.
-    pub behind_since: Option<Ns>,
+    pub behind_since: Option<Nanos>,
     pub rejected: Option<Rejection>,
     /// When any peer was last heard, and when a poll of the writer last came here. The writer polls everybody at least
     /// once a [`Rules::last_poll`](super::Rules): who has heard none for longer is cut off from it, and what is in
     /// force may be as old as that.
-    pub heard_at: Option<Ns>,
-    pub polled_at: Option<Ns>,
+    pub heard_at: Option<Nanos>,
+    pub polled_at: Option<Nanos>,
     pub peers: usize,
     pub transfer: Option<TransferGlance>,
     pub writer: Option<WriterGlance>,
@@ -71,7 +71,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RoundGlance {
     pub version: Version,
-    pub at: Ns,
+    pub at: Nanos,
     pub have: u32,
     pub of: u32,
     pub behind: Vec<BehindSince>,
--- a/crates/configuration/src/spread/gossip.rs
+++ b/crates/configuration/src/spread/gossip.rs
@@ -2,7 +2,7 @@
 
 use super::held::Taken;
 use super::peers::Reach;
-use super::{Event, Ns, Role, Spreader};
+use super::{Event, Nanos, Role, Spreader};
 use crate::delta::Delta;
 use crate::error::ApplyError;
 use crate::message::{Claim, Message, DATAGRAM_BYTES, MAX_DELTAS, MAX_MESSAGE_BYTES};
@@ -17,7 +17,7 @@
 /// A pull that waits for its answer.
 pub(super) struct Asked {
     peer: Life,
-    until: Ns,
+    until: Nanos,
 }
 
 impl Spreader {
@@ -52,7 +52,7 @@
         }
     }
 
-    pub(super) fn pull_where_due(&mut self, now: Ns) {
+    pub(super) fn pull_where_due(&mut self, now: Nanos) {
         let retries = self.retry_at.is_some_and(|at| at <= now);
         if self.next_pull > now && !retries {
             return;
@@ -78,7 +78,7 @@
     }
 
     /// Asks one peer what it has, unless an answer is awaited.
-    pub(super) fn ask(&mut self, now: Ns, peer: &Life) {
+    pub(super) fn ask(&mut self, now: Nanos, peer: &Life) {
         if self.asked.as_ref().is_some_and(|asked| asked.until > now) {
             return;
         }
@@ -103,14 +103,14 @@
     }
 
     /// Asks again soon, somebody at random.
-    pub(super) fn retry(&mut self, now: Ns) {
+    pub(super) fn retry(&mut self, now: Nanos) {
         let wait = self.rules.retry + self.chance.rand_range(0..self.rules.retry.max(1));
         let at = now.saturating_add(wait).max(self.fetching.ready_at());
         self.retry_at = Some(self.retry_at.map_or(at, |before| before.min(at)));
     }
 
     /// Takes note of what another holds.
-    pub(super) fn note(&mut self, now: Ns, from: &Life, claim: Claim) {
+    pub(super) fn note(&mut self, now: Nanos, from: &Life, claim: Claim) {
         let contradiction = self.held.contradiction(claim);
         if let Some(held) = contradiction {
             self.counts.conflicts += 1;
@@ -149,7 +149,7 @@
 
     pub(super) fn heard_announce(
         &mut self,
-        now: Ns,
+        now: Nanos,
         from: &Life,
         claim: Claim,
         delta: Option<Vec<u8>>,
@@ -186,7 +186,7 @@
     }
 
     /// The deltas that led on, this one and early ones that follow it.
-    fn take_delta(&mut self, now: Ns, from: &Life, delta: Delta) -> Vec<Arc<Delta>> {
+    fn take_delta(&mut self, now: Nanos, from: &Life, delta: Delta) -> Vec<Arc<Delta>> {
         match self.held.take(delta) {
             Taken::Applied(deltas) => {
                 self.head_changed(now);
@@ -204,7 +204,7 @@
     }
 
     /// What follows a newer head: the host gets it, and what was fetched for an older one ends.
-    pub(super) fn head_changed(&mut self, now: Ns) {
+    pub(super) fn head_changed(&mut self, now: Nanos) {
         self.wants_whole = false;
         self.newest_heard = self.newest_heard_or_held();
         let held = self.held.version();
@@ -214,7 +214,7 @@
 
     pub(super) fn heard_pull(
         &mut self,
-        now: Ns,
+        now: Nanos,
         from: &Life,
         claim: Claim,
         room: u32,
@@ -232,7 +232,7 @@
     }
 
     /// Gives what leads on from there: deltas as far as there is room, else the manifest.
-    fn serve(&mut self, now: Ns, to: &Life, claim: Claim, room: u32, whole: bool) {
+    fn serve(&mut self, now: Nanos, to: &Life, claim: Claim, room: u32, whole: bool) {
         let chain = if whole { None } else { self.held.since(claim) };
         let deltas = chain
             .map(|chain| first_that_fit(&chain, room))
@@ -248,7 +248,7 @@
     }
 
     /// Sends something long within the budget for others.
-    pub(super) fn send_served(&mut self, now: Ns, to: &Life, message: Message) {
+    pub(super) fn send_served(&mut self, now: Nanos, to: &Life, message: Message) {
         let bytes = match &message {
             Message::Deltas { deltas, .. } => deltas.iter().map(Vec::len).sum(),
             Message::Chunk(chunk) => chunk.body.len(),
@@ -259,7 +259,7 @@
         self.send(to, message);
     }
 
-    pub(super) fn heard_current(&mut self, now: Ns, from: &Life, claim: Claim) {
+    pub(super) fn heard_current(&mut self, now: Nanos, from: &Life, claim: Claim) {
         self.note(now, from, claim);
         let answered = self.answered_by(from);
         if claim.version <= self.held.version() || self.transfer.is_some() {
@@ -275,7 +275,7 @@
 
     pub(super) fn heard_deltas(
         &mut self,
-        now: Ns,
+        now: Nanos,
         from: &Life,
         claim: Claim,
         deltas: &[Vec<u8>],
@@ -298,7 +298,7 @@
     }
 
     /// Applies deltas in order, as far as they lead on. The last one that did.
-    fn take_deltas(&mut self, now: Ns, from: &Life, deltas: &[Vec<u8>]) -> Option<Arc<Delta>> {
+    fn take_deltas(&mut self, now: Nanos, from: &Life, deltas: &[Vec<u8>]) -> Option<Arc<Delta>> {
         let mut last = None;
         for encoded in deltas {
             let Ok(delta) = Delta::decode(encoded) else {
@@ -317,7 +317,7 @@
         last
     }
 
-    pub(super) fn heard_superseded(&mut self, now: Ns, from: &Life, by: Claim) {
+    pub(super) fn heard_superseded(&mut self, now: Nanos, from: &Life, by: Claim) {
         self.note(now, from, by);
         if by.version > self.held.version() {
             self.ask(now, from);
--- a/crates/configuration/src/spread/install.rs
+++ b/crates/configuration/src/spread/install.rs
@@ -1,6 +1,6 @@
 //! Between what is held and what the host has in force.
 
-use super::{Effect, Event, Ns, Spreader};
+use super::{Effect, Event, Nanos, Spreader};
 use crate::message::{Claim, Standing};
 use crate::snapshot::Snapshot;
 use crate::version::Version;
@@ -18,15 +18,15 @@
 /// What the host has, and what it was offered.
 pub(super) struct Installation {
     in_force: Snapshot,
-    pub(super) since: Ns,
+    pub(super) since: Nanos,
     offered: Option<Snapshot>,
     pub(super) rejected: Option<Rejection>,
     /// When the rejected version is offered again, and the wait after that.
-    again: Option<(Ns, Ns)>,
+    again: Option<(Nanos, Nanos)>,
 }
 
 impl Installation {
-    pub(super) fn new(now: Ns, in_force: Snapshot) -> Installation {
+    pub(super) fn new(now: Nanos, in_force: Snapshot) -> Installation {
         Installation {
             in_force,
             since: now,
@@ -45,11 +45,11 @@
     }
 
     /// A version that is in force without being offered, as at the writer.
-    pub(super) fn replace(&mut self, now: Ns, snapshot: Snapshot) {
+    pub(super) fn replace(&mut self, now: Nanos, snapshot: Snapshot) {
         *self = Installation::new(now, snapshot);
     }
 
-    pub(super) fn next_wake(&self) -> Option<Ns> {
+    pub(super) fn next_wake(&self) -> Option<Nanos> {
         self.again.map(|(at, _)| at)
     }
 
@@ -75,7 +75,7 @@
 
 impl Spreader {
     /// The host has taken over the version that was offered last. Any other is passed over.
-    pub fn installed(&mut self, now: Ns, version: Version) {
+    pub fn installed(&mut self, now: Nanos, version: Version) {
         let fits = |offered: &mut Snapshot| offered.version() == version;
         let Some(snapshot) = self.installation.offered.take_if(fits) else {
             return;
@@ -88,7 +88,7 @@
 
     /// The host cannot take over the version that was offered last. What was in force stays; the version is offered
     /// again with growing waits, as what stood in its way may be gone, or until a newer one takes its place.
-    pub fn rejected(&mut self, now: Ns, version: Version, reason: &str) {
+    pub fn rejected(&mut self, now: Nanos, version: Version, reason: &str) {
         let fits = |offered: &mut Snapshot| offered.version() == version;
         if self.installation.offered.take_if(fits).is_none() {
             return;
@@ -114,7 +114,7 @@
     }
 
     /// Offers what is held to the host.
-    pub(super) fn offer(&mut self, now: Ns) {
+    pub(super) fn offer(&mut self, now: Nanos) {
         let head = self.held.head().clone();
         self.behind_since.get_or_insert(now);
         self.installation.offered = Some(head.clone());
@@ -123,7 +123,7 @@
         self.effects.push_back(Effect::Install(head));
     }
 
-    pub(super) fn offer_where_due(&mut self, now: Ns) {
+    pub(super) fn offer_where_due(&mut self, now: Nanos) {
         if let Some((_, wait)) = self.installation.again.filter(|(at, _)| *at <= now) {
             // Moved on at once, so that a host that does not answer is not asked in each turn.
             self.installation.again = Some((now.saturating_add(wait), wait));
--- a/crates/configuration/src/spread/mod.rs
+++ b/crates/configuration/src/spread/mod.rs
@@ -60,12 +60,12 @@
 use std::sync::Arc;
 
 /// Whole nanoseconds on this process's own monotonic clock, or a span.
-pub type Ns = u64;
+pub type Nanos = u64;
 
 /// Rounds of polls open at once at one head; where there are more, the oldest is dropped and its parent takes another.
 const OPEN_POLLS: usize = 8;
 /// The first pull comes within this time of the start, scattered, so that a fleet that starts as one does not ask as one.
-const FIRST_PULL: Ns = 100_000_000;
+const FIRST_PULL: Nanos = 100_000_000;
 
 /// What a process does with configurations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -154,15 +154,15 @@
     installation: Installation,
     /// The newest version heard of, and since when it has not been in force here.
     newest_heard: Claim,
-    behind_since: Option<Ns>,
+    behind_since: Option<Nanos>,
     /// By whom this writer was replaced.
     superseded: Option<Claim>,
     /// The last contradiction that was told as an event.
     conflict: Option<Claim>,
     asked: Option<gossip::Asked>,
-    next_pull: Ns,
+    next_pull: Nanos,
     /// When to ask again, where an answer was of no use or the budget was spent.
-    retry_at: Option<Ns>,
+    retry_at: Option<Nanos>,
     /// Deltas did not apply, so that the next answer must be a manifest.
     wants_whole: bool,
     fetching: Budget,
@@ -171,14 +171,14 @@
     /// Rounds in which this process is a head.
     polls: VecDeque<OpenPoll>,
     polling: Polling,
-    heard_at: Option<Ns>,
-    polled_at: Option<Ns>,
+    heard_at: Option<Nanos>,
+    polled_at: Option<Nanos>,
     counts: Counts,
     effects: VecDeque<Effect>,
 }
 
 impl Spreader {
-    pub fn new(now: Ns, seed: u64, me: Peer, role: Role, kept: Kept, rules: Rules) -> Spreader {
+    pub fn new(now: Nanos, seed: u64, me: Peer, role: Role, kept: Kept, rules: Rules) -> Spreader {
         let mut history = History::new(rules.history_deltas, rules.history_bytes);
         kept.deltas
             .into_iter()
@@ -241,7 +241,7 @@
     /// Why it is not passed on; nothing has changed then.
     pub fn published(
         &mut self,
-        now: Ns,
+        now: Nanos,
         delta: Arc<Delta>,
         snapshot: Snapshot,
     ) -> Result<(), PublishError> {
@@ -270,7 +270,7 @@
     }
 
     /// When [`Spreader::wake`] is due.
-    pub fn next_wake(&self) -> Option<Ns> {
+    pub fn next_wake(&self) -> Option<Nanos> {
         let transfer = self
             .transfer
             .as_ref()
@@ -288,7 +288,7 @@
     }
 
     /// Does what is due.
-    pub fn wake(&mut self, now: Ns) {
+    pub fn wake(&mut self, now: Nanos) {
         self.pull_where_due(now);
         self.fetch_where_due(now);
         self.poll_where_due(now);
@@ -296,7 +296,7 @@
     }
 
     /// Takes in a message. `bytes` is its encoded length.
-    pub fn heard(&mut self, now: Ns, from: &Life, message: Message, bytes: usize) {
+    pub fn heard(&mut self, now: Nanos, from: &Life, message: Message, bytes: usize) {
         self.heard_at = Some(now);
         match message {
             Message::Announce { claim, delta } => self.heard_announce(now, from, claim, delta),
--- a/crates/configuration/src/spread/poll.rs
+++ b/crates/configuration/src/spread/poll.rs
@@ -5,7 +5,7 @@
 //! as silent. The first report of an interval closes it, so that no name is counted twice.
 
 use super::peers::Peers;
-use super::Ns;
+use super::Nanos;
 use crate::interval::Part;
 use crate::message::{Poll, Report, Standing, Tally};
 use havenplank_membership::wire::Life;
@@ -15,7 +15,7 @@
 const ATTEMPTS: usize = 3;
 /// Kept back from the patience of a poll for the way there and back, at most half of it.
 const MARGIN_MS: u32 = 400;
-const MS: Ns = 1_000_000;
+const MS: Nanos = 1_000_000;
 
 /// Why a report was not counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -31,7 +31,7 @@
     part: Part,
     /// Those asked so far, [`ATTEMPTS`] at most.
     heads: Vec<Life>,
-    expires: Ns,
+    expires: Nanos,
     closed: bool,
 }
 
@@ -83,7 +83,7 @@
     }
 
     /// Asks the heads that are due, and gives up on intervals where all were silent.
-    pub fn due(&mut self, now: Ns, chance: &mut Rand64) -> Vec<(Life, Poll)> {
+    pub fn due(&mut self, now: Nanos, chance: &mut Rand64) -> Vec<(Life, Poll)> {
         let mut asked = Vec::new();
         for child in self
             .children
@@ -135,7 +135,7 @@
         Ok(())
     }
 
-    pub fn next_wake(&self) -> Option<Ns> {
+    pub fn next_wake(&self) -> Option<Nanos> {
         self.children
             .iter()
             .filter(|child| !child.closed)
--- a/crates/configuration/src/spread/rules.rs
+++ b/crates/configuration/src/spread/rules.rs
@@ -1,9 +1,9 @@
 //! Numbers that a host may set, with defaults for 1,600 sidecars.
 
-use super::Ns;
+use super::Nanos;
 
-const MS: Ns = 1_000_000;
-const SECOND: Ns = 1_000 * MS;
+const MS: Nanos = 1_000_000;
+const SECOND: Nanos = 1_000 * MS;
 
 #[derive(Clone, Debug)]
 pub struct Rules {
@@ -11,11 +11,11 @@
     pub fan_out_near: usize,
     pub fan_out_far: usize,
     /// One random peer is asked what it has in each.
-    pub pull_period: Ns,
+    pub pull_period: Nanos,
     /// How long the answer to a pull or to a wanted chunk may take.
-    pub answer: Ns,
+    pub answer: Nanos,
     /// Wait before another is asked where the answer was of no use; twice as much at most.
-    pub retry: Ns,
+    pub retry: Nanos,
     /// What is asked for at most: steadily, at once, and at once by a process that starts with no configuration.
     pub fetch_bytes_per_s: u64,
     pub fetch_burst_bytes: u64,
@@ -30,15 +30,15 @@
     pub history_bytes: usize,
     /// Wait of the writer after a publication before it polls, twice as much each time that some are behind, and the
     /// longest wait.
-    pub first_poll: Ns,
-    pub last_poll: Ns,
+    pub first_poll: Nanos,
+    pub last_poll: Nanos,
     /// Intervals into which a head splits its own.
     pub poll_branches: usize,
     /// How long a whole round may take.
-    pub poll_patience: Ns,
+    pub poll_patience: Nanos,
     /// Wait before a rejected version is offered to the host again, twice as much each time, and the longest wait.
-    pub first_offer: Ns,
-    pub last_offer: Ns,
+    pub first_offer: Nanos,
+    pub last_offer: Nanos,
 }
 
 impl Default for Rules {
--- a/crates/configuration/src/spread/transfer.rs
+++ b/crates/configuration/src/spread/transfer.rs
@@ -2,7 +2,7 @@
 
 use super::budget::Budget;
 use super::peers::Reach;
-use super::{Event, Ns, Spreader};
+use super::{Event, Nanos, Spreader};
 use crate::chunk::{chunk, Assembly, Chunk, Manifest};
 use crate::message::{Claim, Message};
 use crate::version::Version;
@@ -14,7 +14,7 @@
     assembly: Assembly,
     source: Life,
     /// Until when the source may answer, where a chunk was asked for.
-    until: Option<Ns>,
+    until: Option<Nanos>,
     /// Sources that failed in a row.
     failures: u32,
 }
@@ -32,7 +32,7 @@
         self.assembly.missing().len()
     }
 
-    pub(super) fn next_wake(&self, fetching: &Budget) -> Ns {
+    pub(super) fn next_wake(&self, fetching: &Budget) -> Nanos {
         self.until.unwrap_or_else(|| fetching.ready_at())
     }
 }
@@ -44,7 +44,7 @@
 
     pub(super) fn heard_manifest(
         &mut self,
-        now: Ns,
+        now: Nanos,
         from: &Life,
         manifest: Manifest,
         bytes: usize,
@@ -84,7 +84,7 @@
     }
 
     /// Asks for the next chunk where the budget allows, and changes a silent source.
-    pub(super) fn fetch_where_due(&mut self, now: Ns) {
+    pub(super) fn fetch_where_due(&mut self, now: Nanos) {
         let Some(transfer) = &self.transfer else {
             return;
         };
@@ -95,7 +95,7 @@
         }
     }
 
-    fn want(&mut self, now: Ns) {
+    fn want(&mut self, now: Nanos) {
         let left = self.fetching.left(now);
         let Some(transfer) = self.transfer.as_mut().filter(|_| left > 0) else {
             return;
@@ -109,7 +109,7 @@
         self.send(&source, message);
     }
 
-    fn finish_or_fetch(&mut self, now: Ns) {
+    fn finish_or_fetch(&mut self, now: Nanos) {
         match self.transfer.take() {
             Some(transfer) if transfer.missing() == 0 => self.finish(now, transfer),
             unfinished => {
@@ -119,7 +119,7 @@
         }
     }
 
-    fn finish(&mut self, now: Ns, transfer: Transfer) {
+    fn finish(&mut self, now: Nanos, transfer: Transfer) {
         let (claim, source) = (transfer.claim, transfer.source);
         let whole = transfer
             .assembly
@@ -146,7 +146,7 @@
     }
 
     /// Takes another source; where many failed, the transfer ends and the next pull may begin another.
-    fn change_source(&mut self, now: Ns) {
+    fn change_source(&mut self, now: Nanos) {
         let Some(mut transfer) = self.transfer.take() else {
             return;
         };
@@ -174,7 +174,7 @@
         self.want(now);
     }
 
-    pub(super) fn heard_want(&mut self, now: Ns, from: &Life, claim: Claim, buckets: &[u16]) {
+    pub(super) fn heard_want(&mut self, now: Nanos, from: &Life, claim: Claim, buckets: &[u16]) {
         let allowed = self.serving.left(now) > 0;
         let found = self
             .held
@@ -194,7 +194,7 @@
         }
     }
 
-    pub(super) fn heard_chunk(&mut self, now: Ns, from: &Life, chunk: Chunk, bytes: usize) {
+    pub(super) fn heard_chunk(&mut self, now: Nanos, from: &Life, chunk: Chunk, bytes: usize) {
         self.fetching.spend(now, bytes);
         let fits = |transfer: &&mut Transfer| {
             transfer.source == *from && transfer.version() == chunk.version
@@ -215,7 +215,7 @@
 
     pub(super) fn heard_unavailable(
         &mut self,
-        now: Ns,
+        now: Nanos,
         from: &Life,
         wanted: Version,
         claim: Claim,
--- a/crates/configuration/tests/compile.rs
+++ b/crates/configuration/tests/compile.rs
@@ -52,7 +52,7 @@
     );
     let write = snapshot.route("write").expect("a route");
     assert_eq!(
-        (write.rules.scope, write.rules.benefit),
+        (write.rules.scope, write.rules.priority_weight),
         (IdempotencyScope::Zone, 5.0)
     );
     let limits = |name: &str| snapshot.tenant(name).expect("a tenant").limits;
--- a/crates/configuration/tests/data.rs
+++ b/crates/configuration/tests/data.rs
@@ -34,15 +34,15 @@
     .into()
 }
 
-fn route(name: &str, path: &str, benefit: f64) -> Record {
+fn route(name: &str, path: &str, priority_weight: f64) -> Record {
     let rules = RequestRules {
         kind: RequestKind::Idempotent,
         scope: IdempotencyScope::All,
         idempotency_window: 0,
         latency_target: 100_000_000,
         deadline: 2_000_000_000,
-        benefit,
-        late_benefit: 0.5,
+        priority_weight,
+        late_weight: 0.5,
         stream: false,
         backup: BackupMode::Off,
     };
@@ -64,10 +64,10 @@
     let name = "[a-f]{1,2}";
     prop_oneof![
         (name, "[xyz]").prop_map(|(name, zone)| service(&name, &[&zone])),
-        (name, 0u32..4).prop_map(|(name, benefit)| route(
+        (name, 0u32..4).prop_map(|(name, priority_weight)| route(
             &name,
             &format!("/{name}"),
-            benefit.into()
+            priority_weight.into()
         )),
         (name, 0u32..4).prop_map(|(name, rate)| tenant(&name, rate)),
     ]
--- a/crates/configuration/tests/spread.rs
+++ b/crates/configuration/tests/spread.rs
@@ -18,7 +18,7 @@
 use havenplank_configuration::message::{Claim, Message, Poll, Standing};
 use havenplank_configuration::snapshot::Snapshot;
 use havenplank_configuration::spread::{
-    Effect, Event, Kept, Ns, Peer, Peers, PublishError, Role, RoundGlance, Rules, Spreader,
+    Effect, Event, Kept, Nanos, Peer, Peers, PublishError, Role, RoundGlance, Rules, Spreader,
 };
 use havenplank_configuration::version::Version;
 use havenplank_emulator::net::{Clock, Id, Net, Weather};
@@ -27,9 +27,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 const WRITER: Id = 0;
-const WITHIN: Ns = 5 * SECOND;
+const WITHIN: Nanos = 5 * SECOND;
 /// The longest that a whole round may take, and the wait before the next one after a failed one, with room.
-const TWO_ROUNDS: Ns = 40 * SECOND;
+const TWO_ROUNDS: Nanos = 40 * SECOND;
 
 fn calm() -> Weather {
     Weather {
@@ -61,7 +61,7 @@
 }
 
 /// Plays until these have what the writer has, and says how long that took.
-fn catch_up(fleet: &mut Fleet, ids: &[Id], at_most: Ns) -> Ns {
+fn catch_up(fleet: &mut Fleet, ids: &[Id], at_most: Nanos) -> Nanos {
     let began = fleet.net.now();
     let newest = version_at(fleet, WRITER);
     while ids.iter().any(|id| version_at(fleet, *id) != newest) {
@@ -88,7 +88,7 @@
 
 impl Invariants {
     /// Plays on. That versions never fall at a process is asserted where it takes one over.
-    fn run(&mut self, fleet: &mut Fleet, span: Ns) {
+    fn run(&mut self, fleet: &mut Fleet, span: Nanos) {
         let until = fleet.net.now() + span;
         let (count, digests) = (fleet.net.ids().count(), &fleet.digests);
         // What a process took over between two runs, as when it goes on after a pause, it has had as well.
@@ -184,7 +184,7 @@
         };
         let base = tenants(200);
         let clock = |id: Id| Clock {
-            began: id as Ns * 77 * SECOND,
+            began: id as Nanos * 77 * SECOND,
             drift_ppm: (id as i64 % 3 - 1) * 1_000,
         };
         let fleet = Fleet::with_clocks(count, seed, &base, weather, clock);
--- a/crates/emulator/src/book.rs
+++ b/crates/emulator/src/book.rs
@@ -1,6 +1,6 @@
 //! The ledger while it is written: entries from all stand-ins, on one clock.
 
-use havenplank::port::Ns;
+use havenplank::interface::Nanos;
 use havenplank_invariants::ledger::{Entry, Seen, MOST};
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -21,11 +21,11 @@
         }
     }
 
-    pub fn now(&self) -> Ns {
-        self.began.elapsed().as_nanos() as Ns
+    pub fn now(&self) -> Nanos {
+        self.began.elapsed().as_nanos() as Nanos
     }
 
-    pub fn write(&self, seen: Seen) -> Ns {
+    pub fn write(&self, seen: Seen) -> Nanos {
         let at = self.now();
         let (entries, lost) = &mut *self.pages.borrow_mut();
         if entries.len() < MOST {
--- a/crates/emulator/src/clients.rs
+++ b/crates/emulator/src/clients.rs
@@ -4,7 +4,7 @@
 use crate::notation::Day;
 use crate::pod::{ASK, GROUP, WORK, WRONG};
 use bytes::Bytes;
-use havenplank::port::{Kind, Ns};
+use havenplank::interface::{Idempotency, Nanos};
 use havenplank_invariants::ledger::{Answer, Seen};
 use havenplank_settings::Site;
 use hdrhistogram::Histogram;
@@ -92,7 +92,7 @@
 pub struct Fared {
     pub group: String,
     /// What one of its hits is worth, answered within the target latency.
-    pub benefit: f64,
+    pub priority_weight: f64,
     pub asked: u64,
     pub in_time: u64,
     pub late: u64,
@@ -128,7 +128,7 @@
     ) -> Rc<Clients> {
         let new = |group: &havenplank_settings::Group| Fared {
             group: group.name.clone(),
-            benefit: group.rules.benefit,
+            priority_weight: group.rules.priority_weight,
             asked: 0,
             in_time: 0,
             late: 0,
@@ -169,7 +169,7 @@
         loop {
             let rate = (self.day.rate * self.surge.get()).max(0.001);
             at += Duration::from_secs_f64(-(1.0 - self.draw()).ln() / rate);
-            if at.as_nanos() as Ns >= self.day.length {
+            if at.as_nanos() as Nanos >= self.day.length {
                 break;
             }
             sleep_until(began + at).await;
@@ -203,17 +203,18 @@
             self.draw() < self.day.retries,
             self.draw() < self.day.honour,
         );
-        let waits = (rules.client_timeout as f64 * (0.5 + 0.5 * self.draw())) as Ns;
+        let waits = (rules.client_timeout as f64 * (0.5 + 0.5 * self.draw())) as Nanos;
         self.fared.borrow_mut()[group].asked += 1;
         let mut last = Answer::Errored;
         for _ in 0..TRIES {
-            let (answer, come_back, wrong) = self.ask(hit, group, key, work as Ns, waits).await;
+            let (answer, retry_after, wrong) =
+                self.ask(hit, group, key, work as Nanos, waits).await;
             last = answer;
             if answer == Answer::Delivered {
                 let took = began.elapsed();
                 let fared = &mut self.fared.borrow_mut()[group];
                 fared.wrong += wrong as u64;
-                let in_time = took.as_nanos() as Ns <= rules.target_latency;
+                let in_time = took.as_nanos() as Nanos <= rules.latency_objective;
                 *if in_time {
                     &mut fared.in_time
                 } else {
@@ -223,8 +224,8 @@
                 return;
             }
             // Only a bounce says that a retry is harmless; a repeatable hit needs no leave.
-            let harmless = match rules.kind {
-                Kind::Repeatable => true,
+            let harmless = match rules.idempotency {
+                Idempotency::Idempotent => true,
                 _ => answer == Answer::Bounced,
             };
             if !stubborn || !harmless || answer == Answer::Left {
@@ -232,7 +233,7 @@
             }
             let pause = 0.05 + 0.2 * self.draw();
             let pause = if heeds {
-                pause.max(come_back as f64 / 1e9)
+                pause.max(retry_after as f64 / 1e9)
             } else {
                 pause
             };
@@ -252,9 +253,9 @@
         hit: u64,
         group: usize,
         key: u64,
-        work: Ns,
-        waits: Ns,
-    ) -> (Answer, Ns, bool) {
+        work: Nanos,
+        waits: Nanos,
+    ) -> (Answer, Nanos, bool) {
         let unreachable = (Answer::Bounced, 0, false);
         let up: Vec<&Rc<Target>> = self
             .targets
@@ -302,18 +303,18 @@
                     .get(name)
                     .and_then(|value| value.to_str().ok())
             };
-            let come_back = text(RETRY_AFTER.as_str()).and_then(|secs| secs.parse::<u64>().ok());
+            let retry_after = text(RETRY_AFTER.as_str()).and_then(|secs| secs.parse::<u64>().ok());
             let answer = match parts.status {
-                StatusCode::SERVICE_UNAVAILABLE if come_back.is_some() => Answer::Bounced,
+                StatusCode::SERVICE_UNAVAILABLE if retry_after.is_some() => Answer::Bounced,
                 StatusCode::BAD_GATEWAY | StatusCode::GATEWAY_TIMEOUT => Answer::Errored,
                 StatusCode::OK => Answer::Delivered,
                 _ => Answer::NotTaken,
             };
             let wrong = text(WRONG).and(text("x-pod")).map(str::to_string);
-            (answer, come_back.unwrap_or(0) * 1_000_000_000, wrong)
+            (answer, retry_after.unwrap_or(0) * 1_000_000_000, wrong)
         };
         let ended = timeout(Duration::from_nanos(patience as u64), exchange).await;
-        let (answer, come_back, wrong) = match ended {
+        let (answer, retry_after, wrong) = match ended {
             Ok(ended) => ended,
             Err(_) if leaves => (Answer::Left, 0, None),
             Err(_) => (Answer::Missing, 0, None),
@@ -321,7 +322,7 @@
         self.book.write(Seen::Answered {
             ask,
             answer,
-            come_back,
+            retry_after,
         });
         if matches!(
             answer,
@@ -333,7 +334,7 @@
             let (clients, target) = (self.clone(), target.clone());
             spawn_local(async move { clients.flag(&target, &pod, group).await });
         }
-        (answer, come_back, wrong.is_some())
+        (answer, retry_after, wrong.is_some())
     }
 
     fn request(
@@ -342,8 +343,8 @@
         hit: u64,
         group: usize,
         key: u64,
-        work: Ns,
-        waits: Ns,
+        work: Nanos,
+        waits: Nanos,
     ) -> Request<Full<Bytes>> {
         let (rules, headers) = (&self.site.groups[group], &self.site.headers);
         let method = rules.methods.first().map_or("GET", String::as_str);
@@ -357,7 +358,8 @@
         } else {
             Bytes::from_static(b"repository\n")
         };
-        let mark = (rules.rules.kind == Kind::Tagged).then(|| format!("\"hit-{hit}\""));
+        let mark =
+            (rules.rules.idempotency == Idempotency::Keyed).then(|| format!("\"hit-{hit}\""));
         let mut request = Request::builder()
             .method(method)
             .uri(path)
--- a/crates/emulator/src/day.rs
+++ b/crates/emulator/src/day.rs
@@ -7,7 +7,7 @@
 use crate::nodes::Nodes;
 use crate::notation::{part, Day, What};
 use crate::pod::{Pod, Served};
-use havenplank::port::{Control, Kind, Ns};
+use havenplank::interface::{Idempotency, Nanos, ReleaseControl};
 use havenplank_invariants::ledger::{Entry, Exposure, Figures, Group, Seen};
 use havenplank_settings::Site;
 use oorandom::Rand64;
@@ -28,8 +28,8 @@
 
 const START: Duration = Duration::from_secs(20);
 /// How long after its time is up a final answer still counts, and how late the other side may see something.
-const ANSWER_SLACK: Ns = 20_000_000;
-const TRANSIT: Ns = 50_000_000;
+const ANSWER_SLACK: Nanos = 20_000_000;
+const TRANSIT: Nanos = 50_000_000;
 
 /// How sidecars are started.
 #[derive(Clone, Debug)]
@@ -81,16 +81,16 @@
     let group = |group: &havenplank_settings::Group| {
         Group::new(
             &group.name,
-            group.rules.kind,
-            group.rules.scope,
-            group.rules.repeat_window,
+            group.rules.idempotency,
+            group.rules.dedup_scope,
+            group.rules.dedup_window,
         )
     };
     Figures {
         groups: site.groups.iter().map(group).collect(),
         drain_grace: site.pods.drain_grace,
-        fall_multiple: site.pods.fall_multiple,
-        fall_window: site.pods.fall_window,
+        overload_multiple: site.pods.overload_multiple,
+        overload_window: site.pods.overload_window,
         exposure: Exposure::from(&site.exposure),
         answer_slack: ANSWER_SLACK,
         transit: TRANSIT,
@@ -99,7 +99,8 @@
 
 /// The values that a settings script is given for a day, apart from names and addresses.
 pub fn given(day: &Day) -> Vec<(String, String)> {
-    let [on, back] = [day.on_needs, day.back_needs].map(|share| part(share, day.sidecars));
+    let [on, back] =
+        [day.advance_quorum, day.rollback_quorum].map(|share| part(share, day.sidecars));
     [
         ("instances", day.sidecars.to_string()),
         ("control", day.control.clone()),
@@ -126,36 +127,36 @@
     site: Site,
     launch: Launch,
     seed: u64,
-    mut tell: impl FnMut(Ns, String),
+    mut tell: impl FnMut(Nanos, String),
 ) -> Result<Played, DayError> {
     let (book, site) = (Book::new(), Rc::new(site));
     book.write(Seen::Figures(figures(&site)));
     let served = |group: &havenplank_settings::Group| Served {
-        scope: group.rules.scope,
-        tagged: group.rules.kind == Kind::Tagged,
-        repeat_window: group.rules.repeat_window,
+        scope: group.rules.dedup_scope,
+        tagged: group.rules.idempotency == Idempotency::Keyed,
+        dedup_window: group.rules.dedup_window,
     };
     let machine = site
         .machines
         .first()
         .cloned()
         .unwrap_or_else(|| "machine".to_string());
-    let fall = (site.pods.fall_multiple, site.pods.fall_window);
+    let fall = (site.pods.overload_multiple, site.pods.overload_window);
     let groups = site.groups.iter().map(served).collect();
     let fleet = Fleet::new(&day, groups, &machine, fall, seed ^ 1, book.clone());
     fleet.begin(day.pods).await?;
     let nodes = Nodes::new(book.clone(), fleet.clone(), day.notice, day.period);
     let terms = Terms {
         control: site.votes.control,
-        on_needs: if site.votes.control == Control::Any {
+        advance_quorum: if site.votes.control == ReleaseControl::AnyVote {
             1
         } else {
-            part(day.on_needs, day.sidecars)
+            part(day.advance_quorum, day.sidecars)
         },
-        back_needs: site.votes.back_needs,
-        life: site.votes.life,
-        step: site.votes.step,
-        calls_per_s: site.votes.calls_per_s,
+        rollback_quorum: site.votes.rollback_quorum,
+        life: site.votes.ttl,
+        step: site.votes.stage_duration,
+        calls_per_second: site.votes.calls_per_second,
         caps: site.exposure.caps.clone(),
         shares: day.stages.clone(),
         places: day.pods,
@@ -230,7 +231,7 @@
                     fleet.running().len(), sum(|f| f.asked), sum(|f| f.in_time), sum(|f| f.bounced),
                     sum(|f| f.errored),
                 );
-                tell(began.elapsed().as_nanos() as Ns, line);
+                tell(began.elapsed().as_nanos() as Nanos, line);
             }
         }
     }
--- a/crates/emulator/src/desk.rs
+++ b/crates/emulator/src/desk.rs
@@ -4,7 +4,7 @@
 use crate::fleet::Fleet;
 use crate::notation::{part, Offer, FIRST};
 use futures_util::{SinkExt, StreamExt};
-use havenplank::port::{Build, Control, Heard, Ns, Phase, Stage, Voice};
+use havenplank::interface::{Build, Nanos, Phase, ReleaseControl, Stage, Vote, VoteReceipt};
 use havenplank_invariants::ledger::{phase_name, Seen};
 use havenplank_line_protocol::desk;
 use havenplank_line_protocol::lines::{hello, Lines};
@@ -18,36 +18,36 @@
 use tokio::time::sleep;
 use tokio_util::codec::Framed;
 
-const MS: Ns = 1_000_000;
+const MS: Nanos = 1_000_000;
 /// How long after the last pod of a stage started its clock starts.
-const SETTLES: Ns = 1_000 * MS;
-const BAKE: Ns = 1_500 * MS;
+const SETTLES: Nanos = 1_000 * MS;
+const BAKE: Nanos = 1_500 * MS;
 /// How late news of a change are, how often they are told again, and how long a vote's answer takes.
-const NEWS_LATE: Ns = 200 * MS;
-const AGAIN: Ns = 4_000 * MS;
+const NEWS_LATE: Nanos = 200 * MS;
+const AGAIN: Nanos = 4_000 * MS;
 const ANSWERS: Duration = Duration::from_millis(60);
 /// How long pods of a build that goes back stay.
-const GOES_BACK: Ns = 500 * MS;
+const GOES_BACK: Nanos = 500 * MS;
 
 #[derive(Clone, Debug)]
 pub struct Terms {
-    pub control: Control,
-    pub on_needs: usize,
-    pub back_needs: usize,
-    pub life: Ns,
-    pub step: Ns,
-    pub calls_per_s: f64,
+    pub control: ReleaseControl,
+    pub advance_quorum: usize,
+    pub rollback_quorum: usize,
+    pub life: Nanos,
+    pub step: Nanos,
+    pub calls_per_second: f64,
     pub caps: Vec<f64>,
     pub shares: Vec<f64>,
     pub places: usize,
 }
 
 #[derive(Clone, Copy)]
-struct Vote {
+struct CastVote {
     build: Build,
     stage: usize,
-    voice: Voice,
-    until: Ns,
+    voice: Vote,
+    until: Nanos,
 }
 
 /// Where the newest build stands.
@@ -56,9 +56,9 @@
     build: Build,
     stage: usize,
     phase: Phase,
-    since: Ns,
+    since: Nanos,
     /// When the stage's clock started.
-    clock: Option<Ns>,
+    clock: Option<Nanos>,
 }
 
 pub struct Desk {
@@ -72,10 +72,10 @@
     before: Cell<Build>,
     offered: Cell<usize>,
     /// By sidecar: one vote each.
-    votes: RefCell<HashMap<String, Vote>>,
-    calls: RefCell<(Ns, f64)>,
+    votes: RefCell<HashMap<String, CastVote>>,
+    calls: RefCell<(Nanos, f64)>,
     pub away: Cell<bool>,
-    pub late: Cell<Ns>,
+    pub late: Cell<Nanos>,
     pub mute: Cell<bool>,
     /// What happened to builds, for the day's report.
     pub story: RefCell<Vec<String>>,
@@ -132,7 +132,7 @@
         match state.phase {
             Phase::Trial => self.terms.caps.get(state.stage).copied().unwrap_or(0.0),
             Phase::Released => 1.0,
-            Phase::GoingBack | Phase::Withdrawn => 0.0,
+            Phase::RollingBack | Phase::Withdrawn => 0.0,
         }
     }
 
@@ -203,13 +203,13 @@
                     self.state.set(Some(state));
                 }
                 let ran = now.saturating_sub(state.clock.unwrap_or(now));
-                if self.count(&state, Voice::Back) >= self.back_needs() {
+                if self.count(&state, Vote::RollBack) >= self.rollback_quorum() {
                     self.go_back(&state);
                 } else if self.moves_on(&state, ran) {
                     self.advance(&state).await;
                 }
             }
-            Phase::Released if self.count(&state, Voice::Back) >= self.back_needs() => {
+            Phase::Released if self.count(&state, Vote::RollBack) >= self.rollback_quorum() => {
                 // The earlier pods are gone: new ones of the earlier build first.
                 let before = self.before.get();
                 for _ in self.fleet.of(before).len()..self.terms.places {
@@ -218,7 +218,7 @@
                 self.released.set(before);
                 self.go_back(&state);
             }
-            Phase::GoingBack if now >= state.since + GOES_BACK => {
+            Phase::RollingBack if now >= state.since + GOES_BACK => {
                 self.fleet
                     .of(state.build)
                     .iter()
@@ -229,24 +229,26 @@
         }
     }
 
-    fn back_needs(&self) -> usize {
-        if self.terms.control == Control::Any {
+    fn rollback_quorum(&self) -> usize {
+        if self.terms.control == ReleaseControl::AnyVote {
             1
         } else {
-            self.terms.back_needs
+            self.terms.rollback_quorum
         }
     }
 
     fn go_back(&self, state: &State) {
-        self.enter(state.build, state.stage, Phase::GoingBack);
+        self.enter(state.build, state.stage, Phase::RollingBack);
     }
 
-    fn moves_on(&self, state: &State, ran: Ns) -> bool {
+    fn moves_on(&self, state: &State, ran: Nanos) -> bool {
         match self.terms.control {
-            Control::Any => ran >= BAKE && self.count(state, Voice::On) >= 1,
-            Control::Count => ran >= BAKE && self.count(state, Voice::On) >= self.terms.on_needs,
-            Control::Clock => {
-                ran >= self.terms.step && self.count(state, Voice::Hold) < self.terms.back_needs
+            ReleaseControl::AnyVote => ran >= BAKE && self.count(state, Vote::Advance) >= 1,
+            ReleaseControl::Quorum => {
+                ran >= BAKE && self.count(state, Vote::Advance) >= self.terms.advance_quorum
+            }
+            ReleaseControl::Timed => {
+                ran >= self.terms.step && self.count(state, Vote::Hold) < self.terms.rollback_quorum
             }
         }
     }
@@ -277,47 +279,47 @@
     }
 
     /// Sidecars whose vote stands for this.
-    fn count(&self, state: &State, voice: Voice) -> usize {
+    fn count(&self, state: &State, voice: Vote) -> usize {
         let now = self.book.now();
-        let stands = |vote: &&Vote| {
+        let stands = |vote: &&CastVote| {
             vote.until > now
                 && vote.build == state.build
                 && vote.voice == voice
-                && (voice == Voice::Back || vote.stage == state.stage)
+                && (voice == Vote::RollBack || vote.stage == state.stage)
         };
         self.votes.borrow().values().filter(stands).count()
     }
 
-    fn vote(&self, sidecar: &str, build: Build, stage: usize, voice: Voice) -> Heard {
+    fn vote(&self, sidecar: &str, build: Build, stage: usize, voice: Vote) -> VoteReceipt {
         let now = self.book.now();
         let (since, used) = &mut *self.calls.borrow_mut();
-        *used = (*used - (now - *since) as f64 / 1e9 * self.terms.calls_per_s).max(0.0) + 1.0;
+        *used = (*used - (now - *since) as f64 / 1e9 * self.terms.calls_per_second).max(0.0) + 1.0;
         *since = now;
-        if self.terms.calls_per_s > 0.0 && *used > self.terms.calls_per_s {
-            return Heard::Refused;
+        if self.terms.calls_per_second > 0.0 && *used > self.terms.calls_per_second {
+            return VoteReceipt::Rejected;
         }
         let fits = self.state.get().is_some_and(|state| {
             let trial = state.phase == Phase::Trial;
-            let clock = self.terms.control == Control::Clock;
+            let clock = self.terms.control == ReleaseControl::Timed;
             state.build == build
                 && match voice {
-                    Voice::None => true,
-                    Voice::Back => trial || state.phase == Phase::Released,
-                    Voice::On => trial && !clock && stage == state.stage,
-                    Voice::Hold => trial && clock && stage == state.stage,
+                    Vote::None => true,
+                    Vote::RollBack => trial || state.phase == Phase::Released,
+                    Vote::Advance => trial && !clock && stage == state.stage,
+                    Vote::Hold => trial && clock && stage == state.stage,
                 }
         });
         if !fits {
-            return Heard::Moot;
+            return VoteReceipt::Stale;
         }
-        let vote = Vote {
+        let vote = CastVote {
             build,
             stage,
             voice,
             until: now + self.terms.life,
         };
         self.votes.borrow_mut().insert(sidecar.to_string(), vote);
-        Heard::Counted
+        VoteReceipt::Counted
     }
 
     /// Serves on an address until dropped; while away, nothing listens there.
@@ -366,13 +368,13 @@
         #[derive(Default)]
         struct Asks {
             name: Option<String>,
-            votes: Vec<(u64, Build, usize, Voice)>,
+            votes: Vec<(u64, Build, usize, Vote)>,
         }
         impl desk::Asked for Asks {
             fn hello(&mut self, name: String) {
                 self.name = Some(name);
             }
-            fn vote(&mut self, vote: u64, build: Build, stage: usize, voice: Voice) {
+            fn vote(&mut self, vote: u64, build: Build, stage: usize, voice: Vote) {
                 self.votes.push((vote, build, stage, voice));
             }
         }
@@ -383,7 +385,7 @@
         }
         let (mut asks, mut seq) = (Asks::default(), 0);
         // What was told last, and when it is told again.
-        let mut told: Option<(Build, usize, Phase, Ns)> = None;
+        let mut told: Option<(Build, usize, Phase, Nanos)> = None;
         loop {
             tokio::select! {
                 said = framed.next() => match said {
--- a/crates/emulator/src/drive.rs
+++ b/crates/emulator/src/drive.rs
@@ -4,10 +4,11 @@
 use crate::pod::{ASK, UNSEEN};
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
-use havenplank::port::*;
+use havenplank::interface::*;
 use havenplank_line_protocol::lines::{hello, Lines};
 use havenplank_line_protocol::nodes::Listed;
 use havenplank_line_protocol::{desk, nodes};
+use havenplank_settings::words::{self, word_of};
 use havenplank_sidecar::engine::{Asked, Effect};
 use havenplank_sidecar::told::{Terms, Told};
 use havenplank_trace::{Reader, Record, Source, TraceError, What};
@@ -81,9 +82,9 @@
 #[derive(Clone, Copy)]
 struct End {
     build: Build,
-    end: Ended,
-    took: Ns,
-    load: Option<Load>,
+    end: AttemptEnd,
+    took: Nanos,
+    load: Option<LoadReport>,
 }
 
 /// Something to tell the sidecar, and when, counted from the beginning.
@@ -92,21 +93,21 @@
     ListFailed,
     Stage(Stage),
     Tally(Tally),
-    Flagged(String, GroupId, Ns),
+    Flagged(String, RouteClassId, Nanos),
 }
 
 /// The script of a drive.
 struct Script {
     source: Source,
     /// By time.
-    hits: Vec<(Ns, HitId, Asked)>,
-    says: Vec<(Ns, Say)>,
+    hits: Vec<(Nanos, RequestId, Asked)>,
+    says: Vec<(Nanos, Say)>,
     /// The ends of each hit's forwards, in order.
-    ends: HashMap<HitId, Vec<Option<End>>>,
+    ends: HashMap<RequestId, Vec<Option<End>>>,
     /// By build, all ends by time.
-    by_build: HashMap<Build, Vec<(Ns, End)>>,
+    by_build: HashMap<Build, Vec<(Nanos, End)>>,
     recorded: Fared,
-    length: Ns,
+    length: Nanos,
 }
 
 impl Script {
@@ -156,13 +157,13 @@
     fn take(
         &mut self,
         record: Record,
-        sent: &mut HashMap<(HitId, u32), (Ns, Build, PodId)>,
+        sent: &mut HashMap<(RequestId, u32), (Nanos, Build, PodId)>,
     ) -> Result<(), DriveError> {
         let at = self.length;
         let fared = &mut self.recorded;
         match record.what {
             What::Told(told) => match told {
-                Told::Hit { hit, asked } => {
+                Told::IncomingRequest { hit, asked } => {
                     if self.hits.len() >= MOST_HITS {
                         let why = format!(
                             "more than {MOST_HITS} hits; expected a trace that was cut to fewer"
@@ -172,7 +173,7 @@
                     fared.hits += 1;
                     self.hits.push((at, hit, asked));
                 }
-                Told::Ended {
+                Told::AttemptEnd {
                     hit,
                     nth,
                     end,
@@ -265,10 +266,10 @@
     }
 
     /// How a forward to a build is to end, and whether that was recorded of this very hit.
-    fn end(&self, hit: HitId, nth: usize, build: Build, now: Ns) -> Option<(End, bool)> {
+    fn end(&self, hit: RequestId, nth: usize, build: Build, now: Nanos) -> Option<(End, bool)> {
         let own = self.ends.get(&hit).into_iter().flatten().flatten();
         let same = |end: &&End| {
-            end.build == build && !matches!(end.end, Ended::NotSent | Ended::Cancelled)
+            end.build == build && !matches!(end.end, AttemptEnd::NotSent | AttemptEnd::Cancelled)
         };
         let mut of_build = own.filter(same);
         if let Some(end) = of_build
@@ -288,13 +289,12 @@
 /// The settings script that a sidecar with these terms is started with.
 fn settings(terms: &Terms, nodes: SocketAddr, desk: SocketAddr) -> String {
     let flag = |on: bool| if on { "True" } else { "False" };
-    let word = |it: String| it.to_lowercase();
     let Terms {
         name,
         place,
         zones,
         machines,
-        customers,
+        tenants,
         forwards,
         pods,
         exposure,
@@ -315,27 +315,27 @@
         place.instances,
         place.rank,
         texts("machines", machines),
-        texts("customers", customers),
+        texts("customers", tenants),
     );
     for (n, (name, rules)) in terms.groups.iter().enumerate() {
-        let PathGroup {
-            kind,
-            scope,
-            repeat_window,
-            target_latency,
+        let RouteClass {
+            idempotency,
+            dedup_scope,
+            dedup_window,
+            latency_objective,
             client_timeout,
             ..
         } = rules;
         let _ = writeln!(
             out,
             "path_group(name = {name:?}, paths = [\"/{n}\"], kind = {:?}, scope = {:?}, \
-             repeat_window = \"{repeat_window}ns\", target_latency = \"{}ns\", client_timeout = \"{client_timeout}ns\", \
+             repeat_window = \"{dedup_window}ns\", target_latency = \"{}ns\", client_timeout = \"{client_timeout}ns\", \
              benefit = {:?}, late_benefit = {:?}, stream = {})",
-            word(format!("{kind:?}")),
-            word(format!("{scope:?}")),
-            target_latency.min(client_timeout),
-            rules.benefit,
-            rules.late_benefit,
+            word_of(&words::IDEMPOTENCY, *idempotency),
+            word_of(&words::DEDUP_SCOPE, *dedup_scope),
+            latency_objective.min(client_timeout),
+            rules.priority_weight,
+            rules.late_weight,
             flag(rules.stream),
         );
     }
@@ -344,52 +344,52 @@
         "headers(timeout = \"grpc-timeout\", key = \"x-key\", customer = \"x-customer\", cost_hint = \"x-cost\")\n\
          limits(forwards = {}, copies = {}, cancel = {}, come_back = \"{}ns\", cross_zone_price = {:?}, \
          answer_margin = \"0ns\")",
-        forwards.max_forwards,
-        flag(forwards.copies),
+        forwards.max_attempts,
+        flag(forwards.hedging),
         flag(forwards.may_cancel),
-        forwards.max_come_back,
-        forwards.cross_zone_price,
+        forwards.max_retry_after,
+        forwards.cross_zone_cost,
     );
     let _ = writeln!(
         out,
         "pods(drain_grace = \"{}ns\", cold_share = {:?}, warm_up = \"{}ns\", fall_multiple = {:?}, \
          fall_window = \"{}ns\", probes = {}, unseen_header = {UNSEEN:?}, load_reports = True, connections = 256)",
         pods.drain_grace,
-        pods.cold_share,
+        pods.initial_capacity,
         pods.warm_up,
-        pods.fall_multiple,
-        pods.fall_window,
-        flag(pods.may_probe),
+        pods.overload_multiple,
+        pods.overload_window,
+        flag(pods.health_checks),
     );
     let _ = writeln!(
         out,
         "exposure(window = \"{}ns\", free = {:?}, per_group = {}, guarded_stages = {}, one_way = {}, beside = {}, \
          caps = {:?})",
         exposure.window,
-        exposure.free,
-        flag(exposure.per_group),
-        exposure.guarded_stages,
-        flag(exposure.one_way),
-        flag(exposure.beside),
+        exposure.free_attempts,
+        flag(exposure.per_class),
+        exposure.idempotent_only_stages,
+        flag(exposure.sticky_keys),
+        flag(exposure.blue_green),
         exposure.caps,
     );
     let _ = writeln!(
         out,
         "votes(control = {:?}, on_needs = {}, back_needs = {}, life = \"{}ns\", call_time_out = \"{}ns\", calls_per_s = {:?}, \
          step = \"{}ns\")",
-        word(format!("{:?}", votes.control)),
-        votes.on_needs,
-        votes.back_needs,
-        votes.life,
-        votes.call_time_out,
-        votes.calls_per_s,
-        votes.step,
+        word_of(&words::RELEASE_CONTROL, votes.control),
+        votes.advance_quorum,
+        votes.rollback_quorum,
+        votes.ttl,
+        votes.call_timeout,
+        votes.calls_per_second,
+        votes.stage_duration,
     );
     let _ = writeln!(
         out,
         "nodes(address = \"{nodes}\", must_ask = {}, ask_within = \"{}ns\")\ndesk(address = \"{desk}\")",
-        flag(list.must_ask),
-        list.ask_within,
+        flag(list.poll_only),
+        list.poll_interval,
     );
     out
 }
@@ -401,17 +401,17 @@
     /// By name and life, as a name may come back as another pod.
     pods: RefCell<HashMap<(String, u64), SocketAddr>>,
     /// How many forwards of a hit have come so far; the script's length bounds it.
-    seen: RefCell<HashMap<HitId, HashMap<Build, usize>>>,
+    seen: RefCell<HashMap<RequestId, HashMap<Build, usize>>>,
     counts: RefCell<Driven>,
     /// The list as told last, for a sidecar that asks.
     list: RefCell<BTreeMap<String, Listed>>,
 }
 
 impl Scene {
-    fn now(&self) -> Ns {
+    fn now(&self) -> Nanos {
         self.began
             .get()
-            .map_or(0, |began| began.elapsed().as_nanos() as Ns)
+            .map_or(0, |began| began.elapsed().as_nanos() as Nanos)
     }
 
     async fn serve(self: Rc<Self>, build: Build, listener: TcpListener) {
@@ -435,7 +435,7 @@
         let hit = request
             .headers()
             .get(ASK)
-            .and_then(|text| text.to_str().ok()?.parse::<HitId>().ok());
+            .and_then(|text| text.to_str().ok()?.parse::<RequestId>().ok());
         let Some(hit) = hit else {
             return Ok(Response::new(Full::new(Bytes::new())));
         };
@@ -464,20 +464,20 @@
         };
         let mut answer = Response::new(Full::new(Bytes::from_static(b"found\n")));
         match end {
-            Ended::Full => {
+            AttemptEnd::Rejected => {
                 *answer.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
                 answer
                     .headers_mut()
                     .insert(UNSEEN, HeaderValue::from_static("1"));
                 return Ok(answer);
             }
-            Ended::NoConnection => return Err(OnPurpose),
-            Ended::TimeOut => std::future::pending().await,
+            AttemptEnd::ConnectFailed => return Err(OnPurpose),
+            AttemptEnd::TimedOut => std::future::pending().await,
             _ => sleep(Duration::from_nanos(took)).await,
         }
         match end {
-            Ended::Reset => return Err(OnPurpose),
-            Ended::Error => *answer.status_mut() = StatusCode::INTERNAL_SERVER_ERROR,
+            AttemptEnd::Reset => return Err(OnPurpose),
+            AttemptEnd::Failed => *answer.status_mut() = StatusCode::INTERNAL_SERVER_ERROR,
             _ => {}
         }
         if let Some(text) = load.and_then(report) {
@@ -573,7 +573,7 @@
         }
     }
 
-    async fn until(&self, due: Option<Ns>) {
+    async fn until(&self, due: Option<Nanos>) {
         match (due, self.began.get()) {
             (Some(due), Some(began)) => sleep_until(began + Duration::from_nanos(due)).await,
             (Some(_), None) => sleep(Duration::from_millis(5)).await,
@@ -583,10 +583,10 @@
 
     async fn desk(self: Rc<Self>, listener: TcpListener) {
         #[derive(Default)]
-        struct Asks(Vec<(u64, Build, usize, Voice)>);
+        struct Asks(Vec<(u64, Build, usize, Vote)>);
         impl desk::Asked for Asks {
             fn hello(&mut self, _name: String) {}
-            fn vote(&mut self, vote: u64, build: Build, stage: usize, voice: Voice) {
+            fn vote(&mut self, vote: u64, build: Build, stage: usize, voice: Vote) {
                 self.0.push((vote, build, stage, voice));
             }
         }
@@ -606,7 +606,7 @@
                     () = self.until(due) => {}
                 }
                 let mut out = String::new();
-                let group = |group: GroupId| {
+                let group = |group: RouteClassId| {
                     self.script
                         .source
                         .terms
@@ -661,7 +661,7 @@
                         .or_default() += 1;
                     seq += 1;
                     // Stages move as recorded, whatever is voted now.
-                    desk::tell_voted(&mut out, seq, vote, Heard::Counted, None);
+                    desk::tell_voted(&mut out, seq, vote, VoteReceipt::Counted, None);
                 }
                 if !out.is_empty() && framed.send(out).await.is_err() {
                     break;
@@ -670,12 +670,18 @@
         }
     }
 
-    async fn ask(&self, at: SocketAddr, idle: &RefCell<Vec<Sender>>, hit: HitId, asked: &Asked) {
+    async fn ask(
+        &self,
+        at: SocketAddr,
+        idle: &RefCell<Vec<Sender>>,
+        hit: RequestId,
+        asked: &Asked,
+    ) {
         let terms = &self.script.source.terms;
         let kind = terms
             .groups
             .get(asked.group)
-            .map_or(Kind::Repeatable, |(_, rules)| rules.kind);
+            .map_or(Idempotency::Idempotent, |(_, rules)| rules.idempotency);
         let asking = async {
             let kept = idle.borrow_mut().pop();
             let mut sender = match kept {
@@ -685,7 +691,7 @@
             if sender.ready().await.is_err() {
                 sender = connect(at).await?;
             }
-            let method = if kind == Kind::Repeatable {
+            let method = if kind == Idempotency::Idempotent {
                 "GET"
             } else {
                 "POST"
@@ -702,13 +708,13 @@
             if asked.key != 0 {
                 request = request.header("x-key", format!("{:x}", asked.key));
             }
-            if let Some(name) = asked.customer.and_then(|at| terms.customers.get(at)) {
+            if let Some(name) = asked.tenant.and_then(|at| terms.tenants.get(at)) {
                 request = request.header("x-customer", name);
             }
             if let Some(cost) = asked.cost_hint {
                 request = request.header("x-cost", cost / 1_000);
             }
-            if kind == Kind::Tagged {
+            if kind == Idempotency::Keyed {
                 request = request.header(MARK, format!("\"hit-{hit}\""));
             }
             let request = request.body(Full::new(Bytes::new())).ok()?;
@@ -752,7 +758,7 @@
 struct OnPurpose;
 
 /// A load report in the text form of `endpoint-load-metrics`.
-fn report(load: Load) -> Option<HeaderValue> {
+fn report(load: LoadReport) -> Option<HeaderValue> {
     let fields = [
         ("cpu_utilization", load.busy),
         ("rps_fractional", load.delivered_per_s),
@@ -780,7 +786,7 @@
     number: usize,
     program: PathBuf,
     folder: &Path,
-    mut tell: impl FnMut(Ns, Ns),
+    mut tell: impl FnMut(Nanos, Nanos),
 ) -> Result<Driven, DriveError> {
     let script = Script::read(reader, number)?;
     let (nodes, desk) = (
--- a/crates/emulator/src/fleet.rs
+++ b/crates/emulator/src/fleet.rs
@@ -3,7 +3,7 @@
 use crate::book::Book;
 use crate::notation::{Day, Offer, FIRST};
 use crate::pod::{Faults, Machine, Marks, Pod, Served, Who};
-use havenplank::port::{Build, Ns, PodState, Scope};
+use havenplank::interface::{Build, DedupScope, Nanos, PodState};
 use havenplank_line_protocol::nodes::Listed;
 use oorandom::Rand64;
 use std::cell::{Cell, RefCell};
@@ -29,8 +29,8 @@
     marks_by_cell: RefCell<HashMap<i64, Rc<Marks>>>,
     pods: RefCell<Vec<Rc<Pod>>>,
     /// Every change, in order: as long as the day's script makes it.
-    changes: RefCell<Vec<(Ns, Listed)>>,
-    bad: RefCell<HashMap<Build, (Faults, Ns, f64)>>,
+    changes: RefCell<Vec<(Nanos, Listed)>>,
+    bad: RefCell<HashMap<Build, (Faults, Nanos, f64)>>,
     /// How much what all pods share slows them.
     shared: Rc<Cell<f64>>,
     next: Cell<u64>,
@@ -42,7 +42,7 @@
         day: &Day,
         groups: Vec<Served>,
         machine_name: &str,
-        fall: (f64, Ns),
+        fall: (f64, Nanos),
         seed: u64,
         book: Book,
     ) -> Rc<Fleet> {
@@ -50,10 +50,10 @@
             cores: day.cores,
             speed: day.speed,
             queue: day.queue,
-            cold_share: day.cold_share,
+            initial_capacity: day.initial_capacity,
             warm_up: day.warm_up,
-            fall_multiple: fall.0,
-            fall_window: fall.1,
+            overload_multiple: fall.0,
+            overload_window: fall.1,
         };
         Rc::new(Fleet {
             book,
@@ -112,13 +112,13 @@
             machine.warm_up = 0;
         }
         let mut marks = [self.marks_all.clone(), Rc::default(), Rc::default()];
-        marks[Scope::Zone as usize] = self
+        marks[DedupScope::Zone as usize] = self
             .marks_by_zone
             .borrow_mut()
             .entry(zone)
             .or_default()
             .clone();
-        marks[Scope::Cell as usize] = self
+        marks[DedupScope::Cell as usize] = self
             .marks_by_cell
             .borrow_mut()
             .entry(cell)
@@ -264,7 +264,7 @@
     }
 
     /// How many changes there were until a time.
-    pub fn until(&self, at: Ns) -> usize {
+    pub fn until(&self, at: Nanos) -> usize {
         self.changes
             .borrow()
             .partition_point(|(then, _)| *then <= at)
@@ -273,7 +273,7 @@
     /// The changes of a range, each pod's age as of now.
     pub fn changes(&self, from: usize, to: usize) -> Vec<Listed> {
         let now = self.book.now();
-        let aged = |(_, listed): &(Ns, Listed)| {
+        let aged = |(_, listed): &(Nanos, Listed)| {
             let age = if listed.age == 0 {
                 0
             } else {
--- a/crates/emulator/src/hands.rs
+++ b/crates/emulator/src/hands.rs
@@ -3,7 +3,7 @@
 
 use crate::relay::Relays;
 use bytes::Bytes;
-use havenplank::port::PodState;
+use havenplank::interface::PodState;
 use havenplank_line_protocol::nodes::{keep, Listed};
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
--- a/crates/emulator/src/net.rs
+++ b/crates/emulator/src/net.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
-pub type Ns = u64;
+pub type Nanos = u64;
 /// Which part, in the order of joining.
 pub type Id = usize;
 
@@ -16,9 +16,9 @@
 
 /// A deciding part with its codec. Times are on its own clock.
 pub trait Part {
-    fn heard(&mut self, now: Ns, bytes: &[u8]);
-    fn wake(&mut self, now: Ns);
-    fn next_wake(&self) -> Option<Ns>;
+    fn heard(&mut self, now: Nanos, bytes: &[u8]);
+    fn wake(&mut self, now: Nanos);
+    fn next_wake(&self) -> Option<Nanos>;
     fn datagram(&mut self) -> Option<(SocketAddr, Vec<u8>)>;
 }
 
@@ -29,7 +29,7 @@
     pub loss: f64,
     pub repeat: f64,
     /// How long one is under way, at least and at most.
-    pub delay: (Ns, Ns),
+    pub delay: (Nanos, Nanos),
 }
 
 impl Default for Weather {
@@ -45,20 +45,20 @@
 /// A part's own clock: where it stood at the start, and by how many millionths it runs fast.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Clock {
-    pub began: Ns,
+    pub began: Nanos,
     pub drift_ppm: i64,
 }
 
 impl Clock {
-    fn own(&self, time: Ns) -> Ns {
-        self.began + (time as i128 * (1_000_000 + self.drift_ppm as i128) / 1_000_000) as Ns
+    fn own(&self, time: Nanos) -> Nanos {
+        self.began + (time as i128 * (1_000_000 + self.drift_ppm as i128) / 1_000_000) as Nanos
     }
 
     /// The first moment at which the part's clock shows at least this.
-    fn when(&self, own: Ns) -> Ns {
+    fn when(&self, own: Nanos) -> Nanos {
         let rate = 1_000_000 + self.drift_ppm as i128;
         let ran = own.saturating_sub(self.began) as i128;
-        ((ran * 1_000_000 + rate - 1) / rate) as Ns
+        ((ran * 1_000_000 + rate - 1) / rate) as Nanos
     }
 }
 
@@ -70,7 +70,7 @@
     Lost,
     /// On its way; how many of it.
     Goes(usize),
-    Heard,
+    VoteReceipt,
     /// Its place is paused.
     Waits,
     /// Its place is dead, or paused with a full buffer.
@@ -80,7 +80,7 @@
 /// A line of what is written down where [`Net::written`] asks for it.
 #[derive(Clone, Debug)]
 pub struct Passed {
-    pub at: Ns,
+    pub at: Nanos,
     /// Who sends; none where it arrives, as a datagram on its way does not tell.
     pub from: Option<Id>,
     pub to: Option<Id>,
@@ -89,7 +89,7 @@
 }
 
 /// How long a datagram from the first part to the second is under way, at least and at most.
-pub type Delay = Box<dyn Fn(Id, Id) -> (Ns, Ns)>;
+pub type Delay = Box<dyn Fn(Id, Id) -> (Nanos, Nanos)>;
 
 struct Place<P> {
     part: Option<P>,
@@ -98,18 +98,18 @@
     paused: bool,
     buffer: VecDeque<Vec<u8>>,
     /// Its entry in [`Net::wakes`].
-    wakes_at: Option<Ns>,
+    wakes_at: Option<Nanos>,
 }
 
 pub struct Net<P> {
-    now: Ns,
+    now: Nanos,
     places: Vec<Place<P>>,
     by_address: BTreeMap<SocketAddr, Id>,
     /// Datagrams under way, by when they arrive.
-    flying: BTreeMap<(Ns, u64), (Id, Vec<u8>)>,
+    flying: BTreeMap<(Nanos, u64), (Id, Vec<u8>)>,
     flown: u64,
     /// When each part that is not paused wakes next; those in `touched` are entered anew before the next step.
-    wakes: BTreeSet<(Ns, Id)>,
+    wakes: BTreeSet<(Nanos, Id)>,
     touched: Vec<Id>,
     pub weather: Weather,
     /// Takes the place of the weather's delay where it is given: zones and regions lie apart.
@@ -162,15 +162,15 @@
         SocketAddr::from(([10, (id >> 16) as u8, (id >> 8) as u8, id as u8], 7_000))
     }
 
-    pub fn now(&self) -> Ns {
+    pub fn now(&self) -> Nanos {
         self.now
     }
 
-    pub fn own_time(&self, id: Id) -> Ns {
+    pub fn own_time(&self, id: Id) -> Nanos {
         self.places[id].clock.own(self.now)
     }
 
-    pub fn join(&mut self, clock: Clock, make: impl FnOnce(Ns, SocketAddr) -> P) -> Id {
+    pub fn join(&mut self, clock: Clock, make: impl FnOnce(Nanos, SocketAddr) -> P) -> Id {
         let (id, at) = (self.places.len(), Self::address(self.places.len()));
         let part = Some(make(clock.own(self.now), at));
         let buffer = VecDeque::new();
@@ -207,7 +207,7 @@
         self.touched.push(id);
     }
 
-    pub fn restart(&mut self, id: Id, make: impl FnOnce(Ns, SocketAddr) -> P) {
+    pub fn restart(&mut self, id: Id, make: impl FnOnce(Nanos, SocketAddr) -> P) {
         let own = self.own_time(id);
         let place = &mut self.places[id];
         place.part = Some(make(own, place.at));
@@ -260,7 +260,7 @@
     }
 
     /// Plays on to a moment. `look` is called after each step with the part that moved.
-    pub fn run(&mut self, until: Ns, mut look: impl FnMut(&mut Net<P>, Id)) {
+    pub fn run(&mut self, until: Nanos, mut look: impl FnMut(&mut Net<P>, Id)) {
         while let Some((time, next)) = self.next().filter(|(time, _)| *time <= until) {
             self.now = self.now.max(time);
             let moved = match next {
@@ -280,7 +280,7 @@
     }
 
     /// What comes next: a part's wake, or a datagram where that is due no later.
-    fn next(&mut self) -> Option<(Ns, Option<Id>)> {
+    fn next(&mut self) -> Option<(Nanos, Option<Id>)> {
         while let Some(id) = self.touched.pop() {
             self.enter_wake(id);
         }
@@ -317,7 +317,7 @@
                 part: Some(_),
                 paused: false,
                 ..
-            } => Fate::Heard,
+            } => Fate::VoteReceipt,
             Place {
                 part: Some(_),
                 buffer,
@@ -328,7 +328,7 @@
         self.write(None, Some(to), fate, &bytes);
         let place = &mut self.places[to];
         match (&mut place.part, fate) {
-            (Some(part), Fate::Heard) => part.heard(own, &bytes),
+            (Some(part), Fate::VoteReceipt) => part.heard(own, &bytes),
             (_, Fate::Waits) => place.buffer.push_back(bytes),
             _ => self.lost += 1,
         }
@@ -376,23 +376,23 @@
     /// Sends its own number to a partner each second and keeps what comes.
     struct Caller {
         to: SocketAddr,
-        next: Ns,
+        next: Nanos,
         out: VecDeque<(SocketAddr, Vec<u8>)>,
-        came: Vec<(Ns, u8)>,
+        came: Vec<(Nanos, u8)>,
         says: u8,
     }
 
     impl Part for Caller {
-        fn heard(&mut self, now: Ns, bytes: &[u8]) {
+        fn heard(&mut self, now: Nanos, bytes: &[u8]) {
             self.came.push((now, bytes[0]));
         }
-        fn wake(&mut self, now: Ns) {
+        fn wake(&mut self, now: Nanos) {
             while self.next <= now {
                 self.out.push_back((self.to, vec![self.says]));
                 self.next += 1_000_000_000;
             }
         }
-        fn next_wake(&self) -> Option<Ns> {
+        fn next_wake(&self) -> Option<Nanos> {
             Some(self.next)
         }
         fn datagram(&mut self) -> Option<(SocketAddr, Vec<u8>)> {
@@ -405,7 +405,7 @@
         for n in 0..2 {
             let to = Net::<Caller>::address(1 - n);
             let clock = Clock {
-                began: 5_000_000_000 * n as Ns,
+                began: 5_000_000_000 * n as Nanos,
                 drift_ppm: 100_000 * n as i64,
             };
             net.join(clock, |now, _| Caller {
--- a/crates/emulator/src/nodes.rs
+++ b/crates/emulator/src/nodes.rs
@@ -3,7 +3,7 @@
 use crate::book::Book;
 use crate::fleet::Fleet;
 use futures_util::{SinkExt, StreamExt};
-use havenplank::port::{Ns, PodState};
+use havenplank::interface::{Nanos, PodState};
 use havenplank_invariants::ledger::{state_name, Seen};
 use havenplank_line_protocol::lines::{hello, Lines};
 use havenplank_line_protocol::nodes::{self, Listed};
@@ -20,16 +20,16 @@
 pub struct Nodes {
     book: Book,
     fleet: Rc<Fleet>,
-    notice: Ns,
-    period: Ns,
+    notice: Nanos,
+    period: Nanos,
     pub away: Cell<bool>,
-    pub stale: Cell<Ns>,
+    pub stale: Cell<Nanos>,
     /// By sidecar the lives it was told of, so that one left out of a whole list is told gone.
     told: RefCell<HashMap<String, HashMap<String, u64>>>,
 }
 
 impl Nodes {
-    pub fn new(book: Book, fleet: Rc<Fleet>, notice: Ns, period: Ns) -> Rc<Nodes> {
+    pub fn new(book: Book, fleet: Rc<Fleet>, notice: Nanos, period: Nanos) -> Rc<Nodes> {
         let (away, stale, told) = (Cell::new(false), Cell::new(0), RefCell::default());
         Rc::new(Nodes {
             book,
--- a/crates/emulator/src/notation.rs
+++ b/crates/emulator/src/notation.rs
@@ -3,7 +3,7 @@
 //! docs/running.md lists the statements. `#` begins a comment. A mistake is told with its line and column.
 
 use crate::pod::Faults;
-use havenplank::port::{Build, Ns};
+use havenplank::interface::{Build, Nanos};
 use winnow::ascii::{alphanumeric1, dec_uint, float, space1};
 use winnow::combinator::{alt, cut_err, opt, preceded, repeat, separated_pair};
 use winnow::error::{ContextError, ErrMode, StrContext, StrContextValue};
@@ -17,7 +17,7 @@
 pub struct Day {
     /// The settings script of its sidecars, as seen from the day file.
     pub settings: String,
-    pub length: Ns,
+    pub length: Nanos,
     /// Hits a second that clients ask for, their own retries not counted.
     pub rate: f64,
     pub sidecars: usize,
@@ -25,19 +25,19 @@
     pub cores: usize,
     pub speed: f64,
     pub queue: usize,
-    pub cold_share: f64,
-    pub warm_up: Ns,
+    pub initial_capacity: f64,
+    pub warm_up: Nanos,
     pub zones: Vec<String>,
     pub loads: Vec<Load>,
     /// The share of the pods that each stage gets.
     pub stages: Vec<f64>,
     pub offers: Vec<Offer>,
     pub control: String,
-    pub on_needs: f64,
-    pub back_needs: f64,
+    pub advance_quorum: f64,
+    pub rollback_quorum: f64,
     /// How late the list tells of a change, and how often it looks.
-    pub notice: Ns,
-    pub period: Ns,
+    pub notice: Nanos,
+    pub period: Nanos,
     /// Shares of clients that try again, that heed advice to come back, and that leave early.
     pub retries: f64,
     pub honour: f64,
@@ -51,7 +51,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Load {
     pub group: String,
-    pub work: Ns,
+    pub work: Nanos,
     pub share: f64,
     pub keys: u64,
 }
@@ -59,20 +59,20 @@
 /// A build offered, and what is wrong with it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Offer {
-    pub at: Ns,
+    pub at: Nanos,
     pub bad: bool,
     pub faults: Faults,
     pub group: Option<String>,
     /// Bad only so long after its pods' start.
-    pub late: Ns,
+    pub late: Nanos,
     /// Slows all pods by this factor, in step with the share of traffic that it gets.
     pub shared: f64,
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct Event {
-    pub at: Ns,
-    pub lasts: Ns,
+    pub at: Nanos,
+    pub lasts: Nanos,
     pub what: What,
 }
 
@@ -81,18 +81,18 @@
     Pods(usize, Faults),
     ZoneLost(String),
     NodesAway,
-    NodesStale(Ns),
+    NodesStale(Nanos),
     DeskAway,
-    DeskLate(Ns),
+    DeskLate(Nanos),
     /// Votes are counted, but their answers never come.
     DeskMute,
     Rate(f64),
     /// So many sidecars are killed, and come back after a while.
-    Kill(usize, Ns),
+    Kill(usize, Nanos),
     /// All of them, so many at a time, one batch after the other over the event's span.
-    Roll(usize, Ns),
+    Roll(usize, Nanos),
     /// So many are told to stop, and come back after a while.
-    Stop(usize, Ns),
+    Stop(usize, Nanos),
     /// Pods that drain and are replaced.
     Drain(usize),
     /// Pods that die and are replaced.
@@ -101,7 +101,7 @@
 
 impl Default for Day {
     fn default() -> Day {
-        const S: Ns = 1_000_000_000;
+        const S: Nanos = 1_000_000_000;
         Day {
             settings: "../site.star".to_string(),
             length: 30 * S,
@@ -111,15 +111,15 @@
             cores: 3,
             speed: 1.0,
             queue: 30,
-            cold_share: 0.4,
+            initial_capacity: 0.4,
             warm_up: 3 * S,
             zones: vec!["room-1".to_string()],
             loads: Vec::new(),
             stages: vec![0.1, 0.3, 0.6, 1.0],
             offers: Vec::new(),
             control: "count".to_string(),
-            on_needs: 0.6,
-            back_needs: 0.3,
+            advance_quorum: 0.6,
+            rollback_quorum: 0.3,
             notice: S / 2,
             period: S / 4,
             retries: 0.5,
@@ -144,11 +144,11 @@
     .parse_next(input)
 }
 
-fn span(input: &mut &str) -> Res<Ns> {
+fn span(input: &mut &str) -> Res<Nanos> {
     let unit = alt(("ms".value(1e6), "us".value(1e3), "s".value(1e9)));
     let told = (float, unit)
         .verify(|(n, unit): &(f64, f64)| n.is_finite() && *n >= 0.0 && n * unit < 1e14);
-    told.map(|(n, unit)| (n * unit) as Ns)
+    told.map(|(n, unit)| (n * unit) as Nanos)
         .context(want("a span such as 250ms or 3s"))
         .parse_next(input)
 }
@@ -184,7 +184,7 @@
 }
 
 /// Any of a fault's words, each with its value, in any order.
-fn faults(input: &mut &str) -> Res<(Faults, Option<String>, Ns, f64)> {
+fn faults(input: &mut &str) -> Res<(Faults, Option<String>, Nanos, f64)> {
     let (mut all, mut group, mut late, mut shared) = (Faults::default(), None, 0, 1.0);
     loop {
         let start = *input;
@@ -271,7 +271,7 @@
     }
 }
 
-fn with_span<'a>(word: &'static str) -> impl Parser<&'a str, Ns, ErrMode<ContextError>> {
+fn with_span<'a>(word: &'static str) -> impl Parser<&'a str, Nanos, ErrMode<ContextError>> {
     preceded((word, space1), cut_err(span))
 }
 
@@ -335,7 +335,7 @@
             day.cores = cores.unwrap_or(day.cores).max(1);
             day.speed = speed.unwrap_or(day.speed).max(0.01);
             day.queue = queue.unwrap_or(day.queue);
-            day.cold_share = cold.unwrap_or(day.cold_share);
+            day.initial_capacity = cold.unwrap_or(day.initial_capacity);
             day.warm_up = warm.unwrap_or(day.warm_up);
         }
         "zones" => {
@@ -355,8 +355,10 @@
             day.control = { kinds }.map(str::to_string).parse_next(input)?;
             let needs = (opt(with("on", share)), opt(with("back", share)));
             let (on, back) = { needs }.parse_next(input)?;
-            (day.on_needs, day.back_needs) =
-                (on.unwrap_or(day.on_needs), back.unwrap_or(day.back_needs));
+            (day.advance_quorum, day.rollback_quorum) = (
+                on.unwrap_or(day.advance_quorum),
+                back.unwrap_or(day.rollback_quorum),
+            );
         }
         "notice" => {
             let both = separated_pair(span, (space1, "period", space1), span);
--- a/crates/emulator/src/pod.rs
+++ b/crates/emulator/src/pod.rs
@@ -2,7 +2,7 @@
 
 use crate::book::Book;
 use bytes::Bytes;
-use havenplank::port::{Build, Ns, Scope};
+use havenplank::interface::{Build, DedupScope, Nanos};
 use havenplank_invariants::ledger::{Cold, Seen};
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
@@ -39,10 +39,10 @@
     pub speed: f64,
     /// Hits that wait for a core, at most; one more is turned away unseen.
     pub queue: usize,
-    pub cold_share: f64,
-    pub warm_up: Ns,
-    pub fall_multiple: f64,
-    pub fall_window: Ns,
+    pub initial_capacity: f64,
+    pub warm_up: Nanos,
+    pub overload_multiple: f64,
+    pub overload_window: Nanos,
 }
 
 /// What may be wrong with a pod or a build; all shares from 0 to 1.
@@ -59,7 +59,7 @@
     pub reset_before: f64,
     pub reset_after: f64,
     pub lose_answer: f64,
-    pub slow_connect: Ns,
+    pub slow_connect: Nanos,
     /// Nothing listens; connections that are open go on.
     pub refuse: bool,
 }
@@ -106,13 +106,13 @@
 #[derive(Default)]
 pub struct Marks {
     /// Until when a repeat is dropped; emptied of what has passed once a thousand were added.
-    seen: RefCell<HashMap<(String, usize), Ns>>,
+    seen: RefCell<HashMap<(String, usize), Nanos>>,
     added: Cell<u32>,
 }
 
 impl Marks {
     /// Whether this mark is new, and remembers it.
-    fn first(&self, now: Ns, mark: (String, usize), window: Ns) -> bool {
+    fn first(&self, now: Nanos, mark: (String, usize), window: Nanos) -> bool {
         let mut seen = self.seen.borrow_mut();
         self.added.set(self.added.get() + 1);
         if self.added.get().is_multiple_of(1_000) {
@@ -129,9 +129,9 @@
 /// What a pod must know of a path group.
 #[derive(Clone, Debug)]
 pub struct Served {
-    pub scope: Scope,
+    pub scope: DedupScope,
     pub tagged: bool,
-    pub repeat_window: Ns,
+    pub dedup_window: Nanos,
 }
 
 /// Who a pod is.
@@ -148,7 +148,7 @@
     pub who: Who,
     pub machine: Machine,
     pub address: SocketAddr,
-    pub up_at: Ns,
+    pub up_at: Nanos,
     pub faults: RefCell<Faults>,
     pub build_faults: RefCell<Faults>,
     /// Slowness of what all pods share.
@@ -161,7 +161,7 @@
     queued: Cell<usize>,
     pub busy: Cell<usize>,
     pub forwards: Cell<u64>,
-    recent: RefCell<(VecDeque<(Ns, Ns)>, f64)>,
+    recent: RefCell<(VecDeque<(Nanos, Nanos)>, f64)>,
     chance: RefCell<Rand64>,
     down: watch::Sender<bool>,
 }
@@ -192,7 +192,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let cold = Cold {
             capacity: machine.cores as f64 * machine.speed * 1e9,
-            share: machine.cold_share,
+            share: machine.initial_capacity,
             warm_up: machine.warm_up,
         };
         let Who {
@@ -243,13 +243,13 @@
         *self.down.borrow()
     }
 
-    pub fn age(&self) -> Ns {
+    pub fn age(&self) -> Nanos {
         self.book.now().saturating_sub(self.up_at)
     }
 
     fn warmth(&self) -> f64 {
         let warm = (self.age() as f64 / self.machine.warm_up.max(1) as f64).min(1.0);
-        self.machine.cold_share + (1.0 - self.machine.cold_share) * warm
+        self.machine.initial_capacity + (1.0 - self.machine.initial_capacity) * warm
     }
 
     fn happens(&self, share: f64) -> bool {
@@ -257,8 +257,8 @@
     }
 
     /// Counts work that reached it; a cold pod that gets too much falls over and stays down.
-    fn bear(&self, work: Ns) {
-        let (now, window) = (self.book.now(), self.machine.fall_window);
+    fn bear(&self, work: Nanos) {
+        let (now, window) = (self.book.now(), self.machine.overload_window);
         let (recent, sum) = &mut *self.recent.borrow_mut();
         recent.push_back((now, work));
         *sum += work as f64;
@@ -266,7 +266,7 @@
             *sum -= old as f64;
         }
         let capacity = self.machine.cores as f64 * self.machine.speed * self.warmth();
-        let budget = self.machine.fall_multiple * capacity * window as f64;
+        let budget = self.machine.overload_multiple * capacity * window as f64;
         if self.age() < self.machine.warm_up && *sum > budget && !self.is_down() {
             self.book.write(Seen::PodFell {
                 pod: self.who.name.clone(),
@@ -327,7 +327,7 @@
     async fn run(
         &self,
         ask: u64,
-        work: Ns,
+        work: Nanos,
         group: usize,
         headers: &HeaderMap,
         faults: &Faults,
@@ -354,7 +354,7 @@
             .to_string();
         let fresh = served.filter(|served| served.tagged).is_none_or(|served| {
             let marks = &self.marks[served.scope as usize];
-            marks.first(self.book.now(), (mark, group), served.repeat_window)
+            marks.first(self.book.now(), (mark, group), served.dedup_window)
         });
         let mine = faults.error_group.is_none_or(|failing| failing == group);
         let fails = mine && self.happens(faults.error);
--- a/crates/invariants/src/check.rs
+++ b/crates/invariants/src/check.rs
@@ -1,7 +1,7 @@
 //! The verdict on each of the five rules, from a ledger in order of time.
 
 use crate::ledger::{Answer, Cold, Entry, Figures, Seen};
-use havenplank::port::{Build, Kind, Ns, Scope};
+use havenplank::interface::{Build, DedupScope, Idempotency, Nanos};
 use serde::Serialize;
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 
@@ -43,7 +43,7 @@
         self.nearest = self.nearest.max(share);
     }
 
-    fn break_it(&mut self, at: Ns, what: String) {
+    fn break_it(&mut self, at: Nanos, what: String) {
         self.broken += 1;
         if self.cases.len() < CASES {
             self.cases.push(Case {
@@ -55,19 +55,19 @@
 }
 
 struct Ask {
-    at: Ns,
+    at: Nanos,
     hit: u64,
     sidecar: String,
     group: usize,
     key: u64,
-    left: Ns,
-    answered: Option<(Ns, Answer)>,
+    left: Nanos,
+    answered: Option<(Nanos, Answer)>,
     /// Its forwards, in the order that pods read them, and whether each was turned away unseen.
     forwards: Vec<Forward>,
 }
 
 struct Forward {
-    at: Ns,
+    at: Nanos,
     pod: (String, u64),
     unseen: bool,
 }
@@ -76,10 +76,10 @@
     build: Build,
     zone: String,
     cell: i64,
-    up: Ns,
+    up: Nanos,
     cold: Cold,
     /// Work that reached it within the last window.
-    work: VecDeque<(Ns, Ns)>,
+    work: VecDeque<(Nanos, Nanos)>,
     sum: f64,
 }
 
@@ -87,18 +87,18 @@
 #[derive(Default)]
 struct Sidecar {
     /// By pod and life: since when it has been told that nothing new may go there.
-    closed: HashMap<(String, u64), Ns>,
+    closed: HashMap<(String, u64), Nanos>,
     /// The life last told of each pod.
     lives: HashMap<String, u64>,
     oldest: Option<Build>,
     news: Option<News>,
     /// The cap before it was lowered, and until when it may still be used; forwards count anew from then.
-    before: Option<(Build, f64, Ns)>,
-    taken: BTreeMap<usize, VecDeque<Ns>>,
-    sent: HashMap<(Build, usize), VecDeque<Ns>>,
-    bound: HashMap<u64, (Build, Ns)>,
-    killed: Vec<Ns>,
-    stops: Vec<Ns>,
+    before: Option<(Build, f64, Nanos)>,
+    taken: BTreeMap<usize, VecDeque<Nanos>>,
+    sent: HashMap<(Build, usize), VecDeque<Nanos>>,
+    bound: HashMap<u64, (Build, Nanos)>,
+    killed: Vec<Nanos>,
+    stops: Vec<Nanos>,
 }
 
 #[derive(Clone)]
@@ -114,7 +114,7 @@
     /// had been told to stop before it could have taken the hit.
     fn excuses(&self, ask: &Ask, figures: &Figures) -> bool {
         let owed = ask.at..=ask.at + ask.left + figures.answer_slack;
-        let stopped = |stop: &Ns| *stop <= ask.at + figures.transit && ask.at <= stop + ask.left;
+        let stopped = |stop: &Nanos| *stop <= ask.at + figures.transit && ask.at <= stop + ask.left;
         self.killed.iter().any(|kill| owed.contains(kill)) || self.stops.iter().any(stopped)
     }
 
@@ -130,7 +130,7 @@
     }
 }
 
-fn forget(times: &mut VecDeque<Ns>, before: Ns) {
+fn forget(times: &mut VecDeque<Nanos>, before: Nanos) {
     while times.front().is_some_and(|at| *at < before) {
         times.pop_front();
     }
@@ -148,7 +148,7 @@
     drains: Verdict,
     cold: Verdict,
     exposed: Verdict,
-    end: Ns,
+    end: Nanos,
 }
 
 /// Checks a ledger that is in order of time and begins with its figures.
@@ -228,7 +228,7 @@
                     return Err(format!("path group {group}, which the figures do not name"));
                 }
                 let taken = &mut self.sidecars.entry(sidecar.clone()).or_default().taken;
-                let bucket = if self.figures.exposure.per_group {
+                let bucket = if self.figures.exposure.per_class {
                     *group
                 } else {
                     0
@@ -253,8 +253,8 @@
             Seen::Answered {
                 ask,
                 answer,
-                come_back,
-            } => self.answered(at, *ask, *answer, *come_back)?,
+                retry_after,
+            } => self.answered(at, *ask, *answer, *retry_after)?,
             Seen::PodUp {
                 pod,
                 life,
@@ -303,7 +303,9 @@
             Seen::Ran { ask, pod, .. } => {
                 let ask = self.asks.get(ask).ok_or("an effect of nothing asked")?;
                 // Clients ask again for such a hit only after a bounce, so that one effect is all it may have.
-                if self.figures.groups[ask.group].is(Kind::Mutating) && !self.ran.insert(ask.hit) {
+                if self.figures.groups[ask.group].is(Idempotency::NonIdempotent)
+                    && !self.ran.insert(ask.hit)
+                {
                     self.once
                         .break_it(at, format!("hit {}: took effect again, at {pod}", ask.hit));
                 }
@@ -370,7 +372,13 @@
         Ok(())
     }
 
-    fn answered(&mut self, at: Ns, ask: u64, answer: Answer, come_back: Ns) -> Result<(), String> {
+    fn answered(
+        &mut self,
+        at: Nanos,
+        ask: u64,
+        answer: Answer,
+        retry_after: Nanos,
+    ) -> Result<(), String> {
         let number = ask;
         let ask = self
             .asks
@@ -385,11 +393,11 @@
         let group = &self.figures.groups[ask.group];
         let mut ran = ask.forwards.iter().filter(|forward| !forward.unseen);
         if let (Answer::Bounced, Some(first)) = (answer, ran.next()) {
-            let again = at + come_back;
-            let harmless = group.is(Kind::Repeatable)
-                || (group.is(Kind::Tagged)
-                    && group.scoped(Scope::All)
-                    && again < first.at + group.repeat_window + self.figures.transit);
+            let again = at + retry_after;
+            let harmless = group.is(Idempotency::Idempotent)
+                || (group.is(Idempotency::Keyed)
+                    && group.scoped(DedupScope::All)
+                    && again < first.at + group.dedup_window + self.figures.transit);
             if !harmless {
                 self.once.break_it(
                     at,
@@ -428,11 +436,11 @@
 
     fn arrived(
         &mut self,
-        at: Ns,
+        at: Nanos,
         ask: u64,
         name: &str,
         place: &(String, u64),
-        work: Ns,
+        work: Nanos,
     ) -> Result<(), String> {
         let transit = self.figures.transit;
         let number = ask;
@@ -460,24 +468,24 @@
             .iter()
             .filter(|forward| !forward.unseen)
             .collect();
-        if !group.is(Kind::Repeatable) {
+        if !group.is(Idempotency::Idempotent) {
             self.once.tested += 1;
         }
-        if let Some(first) = ran.first().filter(|_| !group.is(Kind::Repeatable)) {
-            let whole = group.repeat_window.max(1);
+        if let Some(first) = ran.first().filter(|_| !group.is(Idempotency::Idempotent)) {
+            let whole = group.dedup_window.max(1);
             let (zone, cell) = (pod.zone.clone(), pod.cell);
             let old = self
                 .pods
                 .get(&first.pod)
                 .ok_or("a forward to a pod that never started")?;
-            let shares = group.scoped(Scope::All)
-                || (group.scoped(Scope::Zone) && old.zone == zone)
-                || (group.scoped(Scope::Cell) && old.cell == cell);
+            let shares = group.scoped(DedupScope::All)
+                || (group.scoped(DedupScope::Zone) && old.zone == zone)
+                || (group.scoped(DedupScope::Cell) && old.cell == cell);
             let late = at.saturating_sub(first.at);
-            if group.is(Kind::Tagged) {
+            if group.is(Idempotency::Keyed) {
                 self.once.nearest = self.once.nearest.max(late as f64 / whole as f64);
             }
-            if group.is(Kind::Mutating) || !shares || late > whole + transit {
+            if group.is(Idempotency::NonIdempotent) || !shares || late > whole + transit {
                 let what = format!(
                     "ask {number} ({}): again at {} {} us later",
                     group.name,
@@ -508,7 +516,7 @@
             }
         }
 
-        let (window, multiple) = (self.figures.fall_window, self.figures.fall_multiple);
+        let (window, multiple) = (self.figures.overload_window, self.figures.overload_multiple);
         let pod = self
             .pods
             .get_mut(place)
@@ -535,7 +543,7 @@
         Ok(())
     }
 
-    fn exposure(&mut self, at: Ns, ask: u64, name: &str, build: Build, group: usize, key: u64) {
+    fn exposure(&mut self, at: Nanos, ask: u64, name: &str, build: Build, group: usize, key: u64) {
         let Figures {
             exposure,
             transit,
@@ -547,7 +555,7 @@
             .bound
             .get(&key)
             .filter(|(bound, since)| build < *bound && at > since + transit);
-        if let Some((bound, _)) = newer.filter(|_| exposure.one_way && key != 0) {
+        if let Some((bound, _)) = newer.filter(|_| exposure.sticky_keys && key != 0) {
             self.exposed.break_it(
                 at,
                 format!("ask {ask}: key {key} to build {build}, answered by {bound}"),
@@ -562,8 +570,8 @@
         let cap = before.map_or(cap, |(_, was, _)| was.max(cap));
         let news = sidecar.news.as_ref().filter(|news| news.build == build);
         let stage = news.map_or(0, |news| news.stage);
-        if stage < exposure.guarded_stages
-            && !groups[group].is(Kind::Repeatable)
+        if stage < exposure.idempotent_only_stages
+            && !groups[group].is(Idempotency::Idempotent)
             && before.is_none()
         {
             let what = format!(
@@ -579,7 +587,7 @@
             );
             return;
         }
-        let bucket = if exposure.per_group { group } else { 0 };
+        let bucket = if exposure.per_class { group } else { 0 };
         let from = at.saturating_sub(exposure.window);
         let taken = sidecar.taken.entry(bucket).or_default();
         forget(taken, from.saturating_sub(*transit));
@@ -602,8 +610,8 @@
         }
     }
 
-    fn gave(&mut self, at: Ns, ask: u64, place: &(String, u64)) -> Result<(), String> {
-        if !self.figures.exposure.one_way {
+    fn gave(&mut self, at: Nanos, ask: u64, place: &(String, u64)) -> Result<(), String> {
+        if !self.figures.exposure.sticky_keys {
             return Ok(());
         }
         let ask = self.asks.get(&ask).ok_or("an answer to nothing asked")?;
--- a/crates/invariants/src/ledger.rs
+++ b/crates/invariants/src/ledger.rs
@@ -1,6 +1,8 @@
 //! The ledger: one JSON object a line, each with the time that its writer saw it, in nanoseconds.
 
-use havenplank::port::{Build, ExposureRules, Kind, Ns, Phase, PodState, Scope};
+use havenplank::interface::{
+    Build, DedupScope, ExposureSettings, Idempotency, Nanos, Phase, PodState,
+};
 use serde::{Deserialize, Serialize};
 use std::io::{BufRead, BufReader, BufWriter, Write};
 use std::path::Path;
@@ -28,14 +30,16 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Figures {
     pub groups: Vec<Group>,
-    pub drain_grace: Ns,
-    pub fall_multiple: f64,
-    pub fall_window: Ns,
+    pub drain_grace: Nanos,
+    #[serde(rename = "fall_multiple")]
+    pub overload_multiple: f64,
+    #[serde(rename = "fall_window")]
+    pub overload_window: Nanos,
     pub exposure: Exposure,
     /// How long after its time is up a final answer still counts.
-    pub answer_slack: Ns,
+    pub answer_slack: Nanos,
     /// How much later than it was sent the other side may see something.
-    pub transit: Ns,
+    pub transit: Nanos,
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -43,55 +47,59 @@
     pub name: String,
     pub kind: u8,
     pub scope: u8,
-    pub repeat_window: Ns,
+    #[serde(rename = "repeat_window")]
+    pub dedup_window: Nanos,
 }
 
 impl Group {
-    pub fn new(name: &str, kind: Kind, scope: Scope, repeat_window: Ns) -> Group {
+    pub fn new(name: &str, kind: Idempotency, scope: DedupScope, dedup_window: Nanos) -> Group {
         Group {
             name: name.to_string(),
             kind: kind as u8,
             scope: scope as u8,
-            repeat_window,
+            dedup_window,
         }
     }
 
-    pub fn is(&self, kind: Kind) -> bool {
+    pub fn is(&self, kind: Idempotency) -> bool {
         self.kind == kind as u8
     }
 
-    pub fn scoped(&self, scope: Scope) -> bool {
+    pub fn scoped(&self, scope: DedupScope) -> bool {
         self.scope == scope as u8
     }
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Exposure {
-    pub window: Ns,
+    pub window: Nanos,
     pub free: f64,
-    pub per_group: bool,
-    pub guarded_stages: usize,
-    pub one_way: bool,
+    #[serde(rename = "per_group")]
+    pub per_class: bool,
+    #[serde(rename = "guarded_stages")]
+    pub idempotent_only_stages: usize,
+    #[serde(rename = "one_way")]
+    pub sticky_keys: bool,
     pub caps: Vec<f64>,
 }
 
-impl From<&ExposureRules> for Exposure {
-    fn from(rules: &ExposureRules) -> Exposure {
-        let ExposureRules {
+impl From<&ExposureSettings> for Exposure {
+    fn from(rules: &ExposureSettings) -> Exposure {
+        let ExposureSettings {
             window,
-            free,
-            per_group,
-            guarded_stages,
-            one_way,
+            free_attempts: free,
+            per_class,
+            idempotent_only_stages,
+            sticky_keys,
             caps,
             ..
         } = rules.clone();
         Exposure {
             window,
             free,
-            per_group,
-            guarded_stages,
-            one_way,
+            per_class,
+            idempotent_only_stages,
+            sticky_keys,
             caps,
         }
     }
@@ -121,12 +129,13 @@
         sidecar: String,
         group: usize,
         key: u64,
-        left: Ns,
+        left: Nanos,
     },
     Answered {
         ask: u64,
         answer: Answer,
-        come_back: Ns,
+        #[serde(rename = "come_back")]
+        retry_after: Nanos,
     },
     PodUp {
         pod: String,
@@ -147,7 +156,7 @@
         sidecar: String,
         pod: String,
         life: u64,
-        work: Ns,
+        work: Nanos,
     },
     /// It was turned away with the proof that it never ran.
     Unseen {
@@ -189,12 +198,12 @@
 pub struct Cold {
     pub capacity: f64,
     pub share: f64,
-    pub warm_up: Ns,
+    pub warm_up: Nanos,
 }
 
 impl Cold {
     /// Work a second, at an age.
-    pub fn at(&self, age: Ns) -> f64 {
+    pub fn at(&self, age: Nanos) -> f64 {
         let warm = (age as f64 / self.warm_up.max(1) as f64).min(1.0);
         self.capacity * (self.share + (1.0 - self.share) * warm)
     }
@@ -204,13 +213,20 @@
     format!("{state:?}").to_lowercase()
 }
 
+/// Returns the ledger's word for a phase of a release.
 pub fn phase_name(phase: Phase) -> String {
-    format!("{phase:?}").to_lowercase()
+    let name = match phase {
+        Phase::Trial => "trial",
+        Phase::RollingBack => "goingback",
+        Phase::Released => "released",
+        Phase::Withdrawn => "withdrawn",
+    };
+    name.to_string()
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
-    pub at: Ns,
+    pub at: Nanos,
     // Neither flattened nor tagged within: numbers read by way of a buffer fail wherever another crate turns
     // on serde_json's arbitrary precision.
     pub seen: Seen,
--- a/crates/invariants/tests/doctored.rs
+++ b/crates/invariants/tests/doctored.rs
@@ -5,7 +5,7 @@
 //! 500 ms, cold pods fall at 3 times their capacity over 2 s, exposure 2 free in 6 s, caps 0.1 and 0.5, the first
 //! stage guarded, one-way, slack 20 ms, transit 50 ms.
 
-use havenplank::port::{Kind, Scope};
+use havenplank::interface::{DedupScope, Idempotency};
 use havenplank_invariants::check;
 use havenplank_invariants::ledger::{self, Answer, Cold, Entry, Exposure, Figures, Group, Seen};
 use std::path::Path;
@@ -14,25 +14,25 @@
 
 fn figures() -> Figures {
     let groups = vec![
-        Group::new("read", Kind::Repeatable, Scope::All, 0),
-        Group::new("mark", Kind::Tagged, Scope::All, 5_000 * MS),
-        Group::new("cell", Kind::Tagged, Scope::Cell, 5_000 * MS),
-        Group::new("write", Kind::Mutating, Scope::All, 0),
+        Group::new("read", Idempotency::Idempotent, DedupScope::All, 0),
+        Group::new("mark", Idempotency::Keyed, DedupScope::All, 5_000 * MS),
+        Group::new("cell", Idempotency::Keyed, DedupScope::Cell, 5_000 * MS),
+        Group::new("write", Idempotency::NonIdempotent, DedupScope::All, 0),
     ];
     let caps = vec![0.1, 0.5];
     let exposure = Exposure {
         window: 6_000 * MS,
         free: 2.0,
-        per_group: false,
-        guarded_stages: 1,
-        one_way: true,
+        per_class: false,
+        idempotent_only_stages: 1,
+        sticky_keys: true,
         caps,
     };
     Figures {
         groups,
         drain_grace: 500 * MS,
-        fall_multiple: 3.0,
-        fall_window: 2_000 * MS,
+        overload_multiple: 3.0,
+        overload_window: 2_000 * MS,
         exposure,
         answer_slack: 20 * MS,
         transit: 50 * MS,
@@ -79,7 +79,7 @@
                 "answered" => {
                     let answer = serde_json::from_str::<Answer>(&format!("\"{}\"", words[3]));
                     let answer = answer.unwrap_or_else(|_| panic!("{text}: no such answer"));
-                    let come_back = if words.len() > 4 {
+                    let retry_after = if words.len() > 4 {
                         number(4) as u64 * MS
                     } else {
                         0
@@ -87,7 +87,7 @@
                     Seen::Answered {
                         ask: ask(2),
                         answer,
-                        come_back,
+                        retry_after,
                     }
                 }
                 // pod life build cell; a capacity of one core, cold at half for 4 s
--- a/crates/line-protocol/src/desk.rs
+++ b/crates/line-protocol/src/desk.rs
@@ -1,7 +1,7 @@
 //! The release desk: news of the stage, votes and their answers, tallies and flagged answers.
 
 use crate::lines::{self, Speech};
-use havenplank::port::{Build, Heard, Ns, Phase, Stage, StageNews, Voice};
+use havenplank::interface::{Build, Nanos, Phase, Stage, Vote, VoteReceipt, VoteReply};
 use std::fmt::Write as _;
 use winnow::combinator::{opt, preceded};
 use winnow::prelude::*;
@@ -9,36 +9,43 @@
 pub const FEED: &str = "desk";
 const PHASES: [(&str, Phase); 4] = [
     ("trial", Phase::Trial),
-    ("going-back", Phase::GoingBack),
+    ("going-back", Phase::RollingBack),
     ("released", Phase::Released),
     ("withdrawn", Phase::Withdrawn),
 ];
-const VOICES: [(&str, Voice); 4] = [
-    ("none", Voice::None),
-    ("on", Voice::On),
-    ("hold", Voice::Hold),
-    ("back", Voice::Back),
+const VOICES: [(&str, Vote); 4] = [
+    ("none", Vote::None),
+    ("on", Vote::Advance),
+    ("hold", Vote::Hold),
+    ("back", Vote::RollBack),
 ];
-const HEARD: [(&str, Heard); 4] = [
-    ("counted", Heard::Counted),
-    ("moot", Heard::Moot),
-    ("unknown", Heard::Unknown),
-    ("refused", Heard::Refused),
+const HEARD: [(&str, VoteReceipt); 4] = [
+    ("counted", VoteReceipt::Counted),
+    ("moot", VoteReceipt::Stale),
+    ("unknown", VoteReceipt::Unknown),
+    ("refused", VoteReceipt::Rejected),
 ];
 
 /// What a follower of the desk hears. Path groups and pods are told by name.
 pub trait Hears {
     fn stage(&mut self, stage: Stage);
     /// The answer to the vote of that number.
-    fn voted(&mut self, vote: u64, news: StageNews);
-    fn tally(&mut self, build: Build, group: String, counts: (u64, u64), mean_latency: Ns, age: Ns);
-    fn flagged(&mut self, pod: String, group: String, ago: Ns);
+    fn voted(&mut self, vote: u64, news: VoteReply);
+    fn tally(
+        &mut self,
+        build: Build,
+        group: String,
+        counts: (u64, u64),
+        mean_latency: Nanos,
+        age: Nanos,
+    );
+    fn flagged(&mut self, pod: String, group: String, ago: Nanos);
 }
 
 /// What the desk hears.
 pub trait Asked {
     fn hello(&mut self, name: String);
-    fn vote(&mut self, vote: u64, build: Build, stage: usize, voice: Voice);
+    fn vote(&mut self, vote: u64, build: Build, stage: usize, voice: Vote);
 }
 
 pub type Call = Box<dyn FnOnce(&mut dyn Hears) + Send>;
@@ -99,8 +106,8 @@
                 Box::new(move |heard| {
                     heard.voted(
                         vote,
-                        StageNews {
-                            heard: how,
+                        VoteReply {
+                            receipt: how,
                             stage: told,
                         },
                     )
@@ -196,7 +203,13 @@
     out.push('\n');
 }
 
-pub fn tell_voted(out: &mut String, seq: u64, vote: u64, heard: Heard, stage: Option<&Stage>) {
+pub fn tell_voted(
+    out: &mut String,
+    seq: u64,
+    vote: u64,
+    heard: VoteReceipt,
+    stage: Option<&Stage>,
+) {
     let _ = write!(out, "voted {seq} {vote} {}", name(&HEARD, heard));
     if let Some(stage) = stage {
         put_stage(out, stage);
@@ -210,8 +223,8 @@
     build: Build,
     group: &str,
     counts: (u64, u64),
-    mean: Ns,
-    age: Ns,
+    mean: Nanos,
+    age: Nanos,
 ) {
     let _ = writeln!(
         out,
@@ -220,10 +233,10 @@
     );
 }
 
-pub fn tell_flagged(out: &mut String, seq: u64, pod: &str, group: &str, ago: Ns) {
+pub fn tell_flagged(out: &mut String, seq: u64, pod: &str, group: &str, ago: Nanos) {
     let _ = writeln!(out, "flagged {seq} {pod} {group} {ago}");
 }
 
-pub fn ask_vote(vote: u64, build: Build, stage: usize, voice: Voice) -> String {
+pub fn ask_vote(vote: u64, build: Build, stage: usize, voice: Vote) -> String {
     format!("vote {vote} {build} {stage} {}\n", name(&VOICES, voice))
 }
--- a/crates/line-protocol/src/nodes.rs
+++ b/crates/line-protocol/src/nodes.rs
@@ -1,7 +1,7 @@
 //! The node list: which pods there are, whole or by changes, pushed or asked for.
 
 use crate::lines::{self, Speech, MOST_PODS};
-use havenplank::port::{Build, Ns, PodState};
+use havenplank::interface::{Build, Nanos, PodState};
 use std::fmt::Write as _;
 use std::net::SocketAddr;
 use winnow::combinator::{alt, preceded};
@@ -23,7 +23,7 @@
     pub state: PodState,
     pub build: Build,
     pub life: u64,
-    pub age: Ns,
+    pub age: Nanos,
     pub zone: String,
     pub machine: String,
     pub cell: i64,
--- a/crates/line-protocol/tests/feeds.rs
+++ b/crates/line-protocol/tests/feeds.rs
@@ -1,7 +1,7 @@
 //! What is written is read back; what is wrong is refused with its line; a feed that breaks starts anew.
 
 use bytes::BytesMut;
-use havenplank::port::{Build, Heard, Ns, Phase, PodState, Stage, StageNews, Voice};
+use havenplank::interface::{Build, Nanos, Phase, PodState, Stage, Vote, VoteReceipt, VoteReply};
 use havenplank_line_protocol::lines::{hello, Lines};
 use havenplank_line_protocol::{desk, follow, nodes, FeedError};
 use proptest::prelude::*;
@@ -39,14 +39,14 @@
     fn stage(&mut self, stage: Stage) {
         self.0.push(format!("{stage:?}"));
     }
-    fn voted(&mut self, vote: u64, news: StageNews) {
+    fn voted(&mut self, vote: u64, news: VoteReply) {
         self.0.push(format!("{vote} {news:?}"));
     }
-    fn tally(&mut self, build: Build, group: String, counts: (u64, u64), mean: Ns, age: Ns) {
+    fn tally(&mut self, build: Build, group: String, counts: (u64, u64), mean: Nanos, age: Nanos) {
         self.0
             .push(format!("{build} {group} {counts:?} {mean} {age}"));
     }
-    fn flagged(&mut self, pod: String, group: String, ago: Ns) {
+    fn flagged(&mut self, pod: String, group: String, ago: Nanos) {
         self.0.push(format!("{pod} {group} {ago}"));
     }
 }
@@ -55,7 +55,7 @@
     fn hello(&mut self, name: String) {
         self.0.push(name);
     }
-    fn vote(&mut self, vote: u64, build: Build, stage: usize, voice: Voice) {
+    fn vote(&mut self, vote: u64, build: Build, stage: usize, voice: Vote) {
         self.0.push(format!("{vote} {build} {stage} {voice:?}"));
     }
 }
@@ -153,14 +153,14 @@
     let stage = Stage {
         build: 9,
         stage: 2,
-        phase: Phase::GoingBack,
+        phase: Phase::RollingBack,
         cap: 0.425,
         age: 77,
     };
     let mut text = hello(desk::FEED, None);
     desk::tell_stage(&mut text, 1, &stage);
-    desk::tell_voted(&mut text, 2, 5, Heard::Moot, Some(&stage));
-    desk::tell_voted(&mut text, 3, 6, Heard::Refused, None);
+    desk::tell_voted(&mut text, 2, 5, VoteReceipt::Stale, Some(&stage));
+    desk::tell_voted(&mut text, 3, 6, VoteReceipt::Rejected, None);
     desk::tell_tally(&mut text, 4, 9, "query", (10, 3), 5, 6);
     desk::tell_flagged(&mut text, 5, "pod-1", "query", 8);
     let (mut heart, mut lines) = (Heart::default(), Lines::new(desk::Telling::default(), 256));
@@ -168,17 +168,25 @@
     while let Some(call) = lines.decode(&mut buffer).expect("it is right") {
         call(&mut heart);
     }
-    let news = |heard, stage| format!("{:?}", StageNews { heard, stage });
+    let news = |heard, stage| {
+        format!(
+            "{:?}",
+            VoteReply {
+                receipt: heard,
+                stage
+            }
+        )
+    };
     let wanted = [
         format!("{stage:?}"),
-        format!("5 {}", news(Heard::Moot, Some(stage))),
-        format!("6 {}", news(Heard::Refused, None)),
+        format!("5 {}", news(VoteReceipt::Stale, Some(stage))),
+        format!("6 {}", news(VoteReceipt::Rejected, None)),
         "9 query (10, 3) 5 6".to_string(),
         "pod-1 query 8".to_string(),
     ];
     assert_eq!(heart.0, wanted);
     let mut asking = Lines::new(desk::Asking::default(), 256);
-    let text = hello(desk::FEED, Some("s-1")) + &desk::ask_vote(3, 9, 2, Voice::Back);
+    let text = hello(desk::FEED, Some("s-1")) + &desk::ask_vote(3, 9, 2, Vote::RollBack);
     let (mut heart, mut buffer) = (Heart::default(), BytesMut::from(text.as_bytes()));
     while let Some(call) = asking.decode(&mut buffer).expect("it is right") {
         call(&mut heart);
--- a/crates/membership/src/follow_ups.rs
+++ b/crates/membership/src/follow_ups.rs
@@ -1,7 +1,7 @@
 //! Which peers get a view out of turn, and when. Bounded in number; the oldest is dropped for a new one.
 
 use crate::wire::Life;
-use crate::Ns;
+use crate::Nanos;
 use std::collections::VecDeque;
 
 /// Follow-ups that wait, at most. Two are planned a period at the busiest (one for each view heard, in and out of
@@ -10,7 +10,7 @@
 
 struct FollowUp {
     to: Life,
-    due: Ns,
+    due: Nanos,
 }
 
 #[derive(Default)]
@@ -21,7 +21,7 @@
 
 impl FollowUps {
     /// Plans a view for this peer; the earlier time holds where one is planned already.
-    pub fn plan(&mut self, to: &Life, due: Ns) {
+    pub fn plan(&mut self, to: &Life, due: Nanos) {
         if let Some(known) = self.waiting.iter_mut().find(|known| known.to == *to) {
             known.due = known.due.min(due);
             return;
@@ -36,7 +36,7 @@
     }
 
     /// The peer whose view is due and was planned first.
-    pub fn take_due(&mut self, now: Ns) -> Option<Life> {
+    pub fn take_due(&mut self, now: Nanos) -> Option<Life> {
         let at = self.waiting.iter().position(|known| known.due <= now)?;
         self.waiting.remove(at).map(|known| known.to)
     }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -19,4 +19,4 @@
 pub mod wire;
 
 /// Whole nanoseconds on this process's own monotonic clock, or a span.
-pub type Ns = u64;
+pub type Nanos = u64;
--- a/crates/membership/src/node.rs
+++ b/crates/membership/src/node.rs
@@ -3,7 +3,7 @@
 use crate::peers::Changes;
 use crate::swim::{Effect, Event, Fellows, News, Rules, Talk};
 use crate::wire::{self, Counts, Key, Letter, Life, Refused, Seen, Way};
-use crate::Ns;
+use crate::Nanos;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
@@ -52,7 +52,7 @@
 impl Node {
     /// The first key seals, all open; there must be one.
     pub fn new(
-        now: Ns,
+        now: Nanos,
         seed: u64,
         me: News,
         seeds: Vec<SocketAddr>,
@@ -119,11 +119,11 @@
         happened
     }
 
-    pub fn next_wake(&self) -> Option<Ns> {
+    pub fn next_wake(&self) -> Option<Nanos> {
         self.fellows.next_wake()
     }
 
-    pub fn wake(&mut self, now: Ns) {
+    pub fn wake(&mut self, now: Nanos) {
         self.fellows.wake(now);
         self.carry_out();
     }
@@ -144,16 +144,16 @@
     }
 
     /// One datagram that came, from wherever.
-    pub fn heard(&mut self, now: Ns, bytes: &[u8]) {
+    pub fn heard(&mut self, now: Nanos, bytes: &[u8]) {
         self.hear(now, bytes, Way::Datagram);
     }
 
     /// One letter that came over a stream.
-    pub fn heard_stream(&mut self, now: Ns, bytes: &[u8]) {
+    pub fn heard_stream(&mut self, now: Nanos, bytes: &[u8]) {
         self.hear(now, bytes, Way::Stream);
     }
 
-    fn hear(&mut self, now: Ns, bytes: &[u8], way: Way) {
+    fn hear(&mut self, now: Nanos, bytes: &[u8], way: Way) {
         self.came += 1;
         if let Err(why) = self.take(now, bytes, way) {
             self.refused.add(why);
@@ -161,7 +161,7 @@
         self.carry_out();
     }
 
-    fn take(&mut self, now: Ns, bytes: &[u8], way: Way) -> Result<(), Refused> {
+    fn take(&mut self, now: Nanos, bytes: &[u8], way: Way) -> Result<(), Refused> {
         let Letter {
             from,
             to,
--- a/crates/membership/src/peers.rs
+++ b/crates/membership/src/peers.rs
@@ -1,7 +1,7 @@
 //! The table of peers, with indexes beside it, so that no question on the steady path walks all of it.
 
 use crate::swim::News;
-use crate::Ns;
+use crate::Nanos;
 use oorandom::Rand64;
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -12,10 +12,10 @@
 pub(crate) struct Peer {
     pub news: News,
     /// Since when it lives, or is gone.
-    pub since: Ns,
+    pub since: Nanos,
     /// Who suspects it, and since when.
     pub doubted: BTreeSet<String>,
-    pub doubted_at: Ns,
+    pub doubted_at: Nanos,
 }
 
 /// Which peers changed since the last look.
--- a/crates/membership/src/roster.rs
+++ b/crates/membership/src/roster.rs
@@ -3,7 +3,7 @@
 
 use crate::standing::View;
 use crate::wire::Life;
-use crate::Ns;
+use crate::Nanos;
 use serde::{Deserialize, Serialize};
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -29,7 +29,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Difference {
     /// When the first view that differed was heard.
-    pub since: Ns,
+    pub since: Nanos,
     /// Whether a later view, heard `Rules::settles` or more after the first, differed still.
     pub confirmed: bool,
 }
@@ -55,21 +55,21 @@
     pub row: Row,
     pub lives: bool,
     /// Since when it lives, or is missed.
-    pub since: Ns,
+    pub since: Nanos,
     pub flaps: u32,
     /// Whether it says that it does not reach us, and when.
-    pub misses_us: Option<Ns>,
+    pub misses_us: Option<Nanos>,
     /// Whether its view differs, and what it was when we last heard it: digests and `NAMED` names.
     pub differs: Option<Difference>,
-    pub said: Option<(Ns, View)>,
+    pub said: Option<(Nanos, View)>,
     /// What we told it last.
     pub told: Option<Digests>,
     /// Who would have it go, and when they last said so; a word leaves after `Rules::word`, and all once it lives.
-    pub out: BTreeMap<String, Ns>,
+    pub out: BTreeMap<String, Nanos>,
 }
 
 impl Member {
-    pub fn new(now: Ns, row: Row) -> Member {
+    pub fn new(now: Nanos, row: Row) -> Member {
         Member {
             row,
             lives: false,
@@ -99,7 +99,7 @@
     /// Names of members that are notable.
     notable: BTreeSet<String>,
     /// When each member's view was heard, and its name.
-    views: BTreeSet<(Ns, String)>,
+    views: BTreeSet<(Nanos, String)>,
     belonging: usize,
     /// Those who belong and live by membership.
     living: usize,
@@ -151,7 +151,7 @@
     }
 
     /// The view that was heard longest ago: when, and whose.
-    pub fn oldest_view(&self) -> Option<(Ns, String)> {
+    pub fn oldest_view(&self) -> Option<(Nanos, String)> {
         self.views.first().cloned()
     }
 
--- a/crates/membership/src/shell.rs
+++ b/crates/membership/src/shell.rs
@@ -4,7 +4,7 @@
 use crate::node::{Happened, Node};
 use crate::swim::Event;
 use crate::wire::{Key, Life, NotAKey, LONGEST, LONGEST_STREAM};
-use crate::Ns;
+use crate::Nanos;
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
 use std::cell::{Cell, RefCell};
@@ -105,7 +105,7 @@
     /// An address that cannot be bound.
     pub async fn bind(
         at: SocketAddr,
-        make: impl FnOnce(Ns, SocketAddr) -> Node,
+        make: impl FnOnce(Nanos, SocketAddr) -> Node,
     ) -> io::Result<Rc<Talker>> {
         let (socket, listener) = Talker::both(at).await?;
         let bound = socket.local_addr()?;
@@ -155,12 +155,12 @@
     }
 
     /// Nanoseconds since the start, on the monotonic clock.
-    pub fn now(&self) -> Ns {
-        self.began.elapsed().as_nanos() as Ns
+    pub fn now(&self) -> Nanos {
+        self.began.elapsed().as_nanos() as Nanos
     }
 
     /// One call into the node, then all that it left to send.
-    pub fn call<T>(self: &Rc<Self>, work: impl FnOnce(&mut Node, Ns) -> T) -> T {
+    pub fn call<T>(self: &Rc<Self>, work: impl FnOnce(&mut Node, Nanos) -> T) -> T {
         let done = work(&mut self.node.borrow_mut(), self.now());
         self.flush();
         self.rearm.notify_one();
--- a/crates/membership/src/standing.rs
+++ b/crates/membership/src/standing.rs
@@ -11,7 +11,7 @@
 pub use crate::roster::Row;
 use crate::roster::{Difference, Digests, Member, Roster};
 use crate::wire::{Life, NAME};
-use crate::Ns;
+use crate::Nanos;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -26,13 +26,13 @@
 pub struct Rules {
     /// How long views may differ before that is a dispute: news takes its time. Only a second view that differs, heard
     /// this long after the first or later, shows that they still do.
-    pub settles: Ns,
+    pub settles: Nanos,
     /// How long a better standing must hold before it is believed, and one that came back stay before it counts.
-    pub calms: Ns,
+    pub calms: Nanos,
     /// How long one must be missed before it may be voted out of the roster.
-    pub leaves: Ns,
+    pub leaves: Nanos,
     /// A word counts for so long.
-    pub word: Ns,
+    pub word: Nanos,
     /// Rows of the roster, at most; further ones are passed over and counted.
     pub most: usize,
 }
@@ -82,7 +82,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Dispute {
     pub with: String,
-    pub since: Ns,
+    pub since: Nanos,
     /// Whom it misses and we reach, and whom we miss and it reaches, as far as named.
     pub it_misses: Vec<String>,
     pub we_miss: Vec<String>,
@@ -96,16 +96,16 @@
     /// By name, those that went among them for `Rules::leaves`; `Rules::most` bounds it.
     roster: Roster,
     standing: Standing,
-    since: Ns,
+    since: Nanos,
     /// A better standing than ours, and since when it holds.
-    better: Option<(Standing, Ns)>,
+    better: Option<(Standing, Nanos)>,
     /// Where the next part of the roster begins.
     told: String,
     pub turned_away: u64,
 }
 
 impl Place {
-    pub fn new(now: Ns, me: Life, rules: Rules) -> Place {
+    pub fn new(now: Nanos, me: Life, rules: Rules) -> Place {
         let me = Row {
             who: me,
             entry: 0,
@@ -124,7 +124,7 @@
     }
 
     /// What holds now, and since when.
-    pub fn standing(&self) -> (Standing, Ns) {
+    pub fn standing(&self) -> (Standing, Nanos) {
         (self.standing, self.since)
     }
 
@@ -139,27 +139,27 @@
     }
 
     /// Who belongs and is not reached.
-    pub fn missing(&self, now: Ns) -> impl Iterator<Item = &str> {
+    pub fn missing(&self, now: Nanos) -> impl Iterator<Item = &str> {
         self.members()
             .filter(move |m| !self.reaches(now, m))
             .map(|m| m.row.who.name.as_str())
     }
 
     /// Who is heard here but says that it does not hear us.
-    pub fn deaf_to_us(&self, now: Ns) -> impl Iterator<Item = &str> {
+    pub fn deaf_to_us(&self, now: Nanos) -> impl Iterator<Item = &str> {
         self.members()
             .filter(move |m| m.lives && self.misses_us(now, m))
             .map(|m| m.row.who.name.as_str())
     }
 
     /// Who came back too often or too lately to count.
-    pub fn unsteady(&self, now: Ns) -> impl Iterator<Item = &str> {
+    pub fn unsteady(&self, now: Nanos) -> impl Iterator<Item = &str> {
         self.members()
             .filter(move |m| m.lives && !self.steady(now, m))
             .map(|m| m.row.who.name.as_str())
     }
 
-    pub fn disputes(&self, now: Ns) -> Vec<Dispute> {
+    pub fn disputes(&self, now: Nanos) -> Vec<Dispute> {
         let missing = self.members().filter(|member| !member.lives);
         let ours: BTreeSet<&str> = missing.map(|member| member.row.who.name.as_str()).collect();
         let roster = self.roster.digest_roster(&self.me);
@@ -189,7 +189,7 @@
     }
 
     /// Whether one that is reached has seen it otherwise for long enough, and said so again.
-    fn disputes_with(&self, now: Ns, member: &Member) -> bool {
+    fn disputes_with(&self, now: Nanos, member: &Member) -> bool {
         member
             .differs
             .is_some_and(|difference| difference.confirmed)
@@ -215,7 +215,7 @@
     }
 
     /// The difference with this peer, now that it said another view that differs.
-    fn difference(&self, now: Ns, member: &Member) -> Difference {
+    fn difference(&self, now: Nanos, member: &Member) -> Difference {
         let earlier = member.differs.filter(|_| !self.has_settled(member));
         let since = earlier.map_or(now, |difference| difference.since);
         let confirmed = earlier.is_some_and(|difference| difference.confirmed)
@@ -228,27 +228,27 @@
         self.roster.notable().filter(|member| member.row.belongs)
     }
 
-    fn steady(&self, now: Ns, member: &Member) -> bool {
+    fn steady(&self, now: Nanos, member: &Member) -> bool {
         now.saturating_sub(member.since) >= self.steady_after(member)
     }
 
     /// How long one must stay after it came back, so often as it came and went.
-    fn steady_after(&self, member: &Member) -> Ns {
+    fn steady_after(&self, member: &Member) -> Nanos {
         self.rules.calms * ((1 << member.flaps) - 1)
     }
 
-    fn misses_us(&self, now: Ns, member: &Member) -> bool {
+    fn misses_us(&self, now: Nanos, member: &Member) -> bool {
         member
             .misses_us
             .is_some_and(|at| now.saturating_sub(at) < self.rules.word)
     }
 
-    fn reaches(&self, now: Ns, member: &Member) -> bool {
+    fn reaches(&self, now: Nanos, member: &Member) -> bool {
         member.lives && self.steady(now, member) && !self.misses_us(now, member)
     }
 
     /// Who lives, by membership: all of them.
-    pub fn living<'a>(&mut self, now: Ns, living: impl Iterator<Item = &'a Life>) {
+    pub fn living<'a>(&mut self, now: Nanos, living: impl Iterator<Item = &'a Life>) {
         let living: BTreeMap<&str, &Life> = living.map(|who| (who.name.as_str(), who)).collect();
         for who in living.values() {
             self.meet(now, who);
@@ -262,7 +262,7 @@
     /// What membership says of some: who of a name lives, if any.
     pub fn living_changed<'a>(
         &mut self,
-        now: Ns,
+        now: Nanos,
         changed: impl Iterator<Item = (&'a str, Option<&'a Life>)>,
     ) {
         for (name, who) in changed {
@@ -275,7 +275,7 @@
     }
 
     /// One that lives belongs, unless its row says otherwise.
-    fn meet(&mut self, now: Ns, who: &Life) {
+    fn meet(&mut self, now: Nanos, who: &Life) {
         let known = self
             .roster
             .get(&who.name)
@@ -292,7 +292,7 @@
         }
     }
 
-    fn set_lives(&mut self, now: Ns, name: &str, who: Option<&Life>) {
+    fn set_lives(&mut self, now: Nanos, name: &str, who: Option<&Life>) {
         let Some(member) = self.roster.get(name) else {
             return;
         };
@@ -311,7 +311,7 @@
     }
 
     /// Who lives need not go; who has been steady for far longer than it had to be is forgiven a step.
-    fn forgive(&mut self, now: Ns) {
+    fn forgive(&mut self, now: Nanos) {
         for name in self.roster.notable_names() {
             let Some(member) = self.roster.get(&name).filter(|member| member.lives) else {
                 continue;
@@ -341,7 +341,7 @@
     }
 
     /// It said goodbye.
-    pub fn left(&mut self, now: Ns, who: &Life) {
+    pub fn left(&mut self, now: Nanos, who: &Life) {
         let row = self
             .roster
             .get(&who.name)
@@ -358,7 +358,7 @@
         }
     }
 
-    fn learn(&mut self, now: Ns, row: Row) {
+    fn learn(&mut self, now: Nanos, row: Row) {
         if row.who.name == self.me.who.name {
             // Voted out while we were away, maybe: we are here.
             if row.who.life == self.me.who.life && !row.belongs && row.entry >= self.me.entry {
@@ -378,7 +378,7 @@
         }
     }
 
-    fn replace(&mut self, now: Ns, row: Row) {
+    fn replace(&mut self, now: Nanos, row: Row) {
         let name = row.who.name.clone();
         self.roster.update(&name, |member| {
             if member.row.who != row.who {
@@ -400,7 +400,7 @@
     /// Returns when that peer is to be told our view out of turn, if it is: after [`Rules::settles`] where the views
     /// differ, so that both learn whether they still do; at once where they agree and what we told it last does not, so
     /// that it learns that they do.
-    pub fn heard(&mut self, now: Ns, from: &Life, mut view: View) -> Option<Ns> {
+    pub fn heard(&mut self, now: Nanos, from: &Life, mut view: View) -> Option<Nanos> {
         view.rows
             .drain(..)
             .take(ROWS)
@@ -441,7 +441,7 @@
     }
 
     /// What to say to this fellow now.
-    pub fn view(&mut self, now: Ns, to: &Life) -> View {
+    pub fn view(&mut self, now: Nanos, to: &Life) -> View {
         let missing = self.members().filter(|member| !member.lives);
         let missing: Vec<String> = missing.map(|member| member.row.who.name.clone()).collect();
         let out = self
@@ -483,12 +483,12 @@
         }
     }
 
-    fn long_missed(&self, now: Ns, member: &Member) -> bool {
+    fn long_missed(&self, now: Nanos, member: &Member) -> bool {
         !member.lives && now.saturating_sub(member.since) >= self.rules.leaves
     }
 
     /// Looks again, and tells a change: what was before, and what is.
-    pub fn look(&mut self, now: Ns) -> Option<(Standing, Standing)> {
+    pub fn look(&mut self, now: Nanos) -> Option<(Standing, Standing)> {
         self.vote_out(now);
         self.expire(now);
         self.drop_settled();
@@ -516,9 +516,9 @@
     }
 
     /// Rows that went long ago leave, and words that are too old.
-    fn expire(&mut self, now: Ns) {
+    fn expire(&mut self, now: Nanos) {
         let (leaves, word) = (self.rules.leaves, self.rules.word);
-        let old = |at: Ns| now.saturating_sub(at) >= word;
+        let old = |at: Nanos| now.saturating_sub(at) >= word;
         for name in self.roster.notable_names() {
             let Some(member) = self.roster.get(&name) else {
                 continue;
@@ -541,7 +541,7 @@
         }
     }
 
-    fn seen(&self, now: Ns) -> Standing {
+    fn seen(&self, now: Nanos) -> Standing {
         let unreached = self
             .members()
             .filter(|member| member.lives && !self.reaches(now, member))
@@ -559,9 +559,9 @@
     }
 
     /// Who has been missed for long by more than half of all who belong, the missed ones among them, goes.
-    fn vote_out(&mut self, now: Ns) {
+    fn vote_out(&mut self, now: Nanos) {
         let (belong, word) = (self.belong(), self.rules.word);
-        let lasts = |at: &Ns| now.saturating_sub(*at) < word;
+        let lasts = |at: &Nanos| now.saturating_sub(*at) < word;
         let belongs = |name: &str| {
             self.roster
                 .get(name)
--- a/crates/membership/src/swim.rs
+++ b/crates/membership/src/swim.rs
@@ -11,7 +11,7 @@
 pub use crate::news::{Effect, Event, News, State, Talk};
 use crate::peers::{Changes, Peer, Peers};
 use crate::wire::Life;
-use crate::Ns;
+use crate::Nanos;
 use oorandom::Rand64;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
@@ -34,16 +34,16 @@
 #[derive(Clone, Debug)]
 pub struct Rules {
     /// One fellow is asked in each.
-    pub period: Ns,
+    pub period: Nanos,
     /// How long a direct answer may take; under half of the period.
-    pub answer: Ns,
+    pub answer: Nanos,
     /// Fellows that are asked to ask, where one does not answer.
     pub helpers: usize,
     /// Fellows known at most, those that are gone among them. Beyond it the longest gone is forgotten, and where
     /// none is gone a newcomer is passed over and counted.
     pub most: usize,
     /// How long one that is gone stays known, so that old news does not bring it back.
-    pub keep_gone: Ns,
+    pub keep_gone: Nanos,
 }
 
 impl Default for Rules {
@@ -101,7 +101,7 @@
     catching_up: BTreeSet<Life>,
     /// News that ride on pings.
     gossip: Gossip,
-    due: BTreeMap<(Ns, u64), Due>,
+    due: BTreeMap<(Nanos, u64), Due>,
     asked: u64,
     periods: u64,
     slow: u32,
@@ -113,7 +113,7 @@
 
 impl Fellows {
     /// `me` begins as living, in round 0.
-    pub fn new(now: Ns, seed: u64, me: News, seeds: Vec<SocketAddr>, rules: Rules) -> Fellows {
+    pub fn new(now: Nanos, seed: u64, me: News, seeds: Vec<SocketAddr>, rules: Rules) -> Fellows {
         let peers = Peers::new(rules.most);
         let mut fellows = Fellows {
             rules,
@@ -191,12 +191,12 @@
         self.effects.pop_front()
     }
 
-    pub fn next_wake(&self) -> Option<Ns> {
+    pub fn next_wake(&self) -> Option<Nanos> {
         self.due.keys().next().map(|(at, _)| *at)
     }
 
     /// Carries out what is due. Where we come late ourselves, nobody is blamed for an answer that may lie unread.
-    pub fn wake(&mut self, now: Ns) {
+    pub fn wake(&mut self, now: Nanos) {
         while let Some(entry) = self.due.first_entry().filter(|entry| entry.key().0 <= now) {
             let ((at, _), due) = entry.remove_entry();
             let late = now - at > self.rules.answer;
@@ -230,7 +230,7 @@
     }
 
     /// What a fellow or a stranger said; false where only fellows have a word in that.
-    pub fn heard(&mut self, now: Ns, from: &Life, talk: Talk) -> bool {
+    pub fn heard(&mut self, now: Nanos, from: &Life, talk: Talk) -> bool {
         let fellow = self.lives(from);
         match talk {
             Talk::Hello { me } if me.who == *from => self.challenge(now, from, me.at),
@@ -284,7 +284,7 @@
         true
     }
 
-    fn at(&mut self, time: Ns, due: Due) {
+    fn at(&mut self, time: Nanos, due: Due) {
         self.asked += 1;
         self.due.insert((time, self.asked), due);
     }
@@ -301,8 +301,8 @@
         self.slow = (self.slow + by).min(SLOWEST);
     }
 
-    fn stretched(&self, time: Ns) -> Ns {
-        time * (1 + self.slow as Ns)
+    fn stretched(&self, time: Nanos) -> Nanos {
+        time * (1 + self.slow as Nanos)
     }
 
     fn nonce(&mut self) -> u64 {
@@ -310,7 +310,7 @@
     }
 
     /// Ends the last question, then asks the next in turn.
-    fn period(&mut self, now: Ns, late: bool) {
+    fn period(&mut self, now: Nanos, late: bool) {
         if let Some(probe) = self.probe.take() {
             if probe.answered {
                 self.slow = self.slow.saturating_sub(1);
@@ -473,7 +473,7 @@
         }
     }
 
-    fn ask_for(&mut self, now: Ns, asker: &Life, nonce: u64, who: Life, at: SocketAddr) {
+    fn ask_for(&mut self, now: Nanos, asker: &Life, nonce: u64, who: Life, at: SocketAddr) {
         if self.waits.len() >= WAITING || who.name.len() > crate::wire::NAME {
             return;
         }
@@ -508,7 +508,7 @@
     }
 
     /// A stranger, a new life or one thought gone must answer a number that nobody could know before.
-    fn challenge(&mut self, now: Ns, who: &Life, at: SocketAddr) {
+    fn challenge(&mut self, now: Nanos, who: &Life, at: SocketAddr) {
         let known = self.get(&who.name);
         let old = known.is_some_and(|news| who.life < news.who.life);
         let there = known.is_some_and(|news| news.who == *who && news.is_there());
@@ -541,7 +541,14 @@
         self.at(now + 4 * self.rules.period, Due::Expires(nonce));
     }
 
-    fn answered(&mut self, now: Ns, from: &Life, nonce: u64, me: News, about: Vec<News>) -> bool {
+    fn answered(
+        &mut self,
+        now: Nanos,
+        from: &Life,
+        nonce: u64,
+        me: News,
+        about: Vec<News>,
+    ) -> bool {
         match self.waits.remove(&nonce) {
             Some(Waits::Stranger(who)) if who == *from => {
                 let at = me.at;
@@ -662,7 +669,7 @@
     }
 
     /// Takes one piece of news in; what says nothing new changes nothing.
-    fn learn(&mut self, now: Ns, news: News, by: &Life) {
+    fn learn(&mut self, now: Nanos, news: News, by: &Life) {
         if news.who.name == self.me.who.name {
             return self.learn_of_us(news);
         }
@@ -727,7 +734,7 @@
     }
 
     /// One more who suspects the same: passed on as it was heard, so that others can count it, too.
-    fn confirm(&mut self, now: Ns, news: News) {
+    fn confirm(&mut self, now: Nanos, news: News) {
         let (who, round) = (news.who, news.round);
         self.peers.update(&who.name, |peer| {
             if let State::Suspected(one) = &news.state {
@@ -755,7 +762,7 @@
         }
     }
 
-    fn enter(&mut self, now: Ns, news: News) {
+    fn enter(&mut self, now: Nanos, news: News) {
         let (who, round, state) = (news.who.clone(), news.round, news.state.clone());
         let there = news.is_there();
         let doubted = match &state {
@@ -811,12 +818,12 @@
         }
     }
 
-    fn forget_later(&mut self, now: Ns, name: &str) {
+    fn forget_later(&mut self, now: Nanos, name: &str) {
         self.at(now + self.rules.keep_gone, Due::Forget(name.to_string()));
     }
 
     /// Unless it came back, or went again, meanwhile.
-    fn forget(&mut self, now: Ns, name: &str) {
+    fn forget(&mut self, now: Nanos, name: &str) {
         let keep = self.rules.keep_gone;
         let gone = |peer: &Peer| !peer.news.is_there() && now.saturating_sub(peer.since) >= keep;
         if self.peers.get(name).is_some_and(gone) {
@@ -825,7 +832,7 @@
     }
 
     /// Until when one is suspected: the more others confirm it, the shorter, by Lifeguard's logarithm.
-    fn suspicion(&mut self, now: Ns, who: Life, round: u32) {
+    fn suspicion(&mut self, now: Nanos, who: Life, round: u32) {
         let Some(peer) = self.peers.get(&who.name) else {
             return;
         };
@@ -840,11 +847,11 @@
             (others + 1.0).ln() / (confirm as f64 + 1.0).ln()
         };
         let wait = (most - (most - least) * shorter).max(least);
-        let until = (peer.doubted_at + wait as Ns).max(now);
+        let until = (peer.doubted_at + wait as Nanos).max(now);
         self.at(until, Due::Suspicion(who, round));
     }
 
-    fn condemn(&mut self, now: Ns, who: Life, round: u32, late: bool) {
+    fn condemn(&mut self, now: Nanos, who: Life, round: u32, late: bool) {
         let Some(news) = self
             .get(&who.name)
             .filter(|news| news.who == who && news.round == round)
--- a/crates/membership/src/views.rs
+++ b/crates/membership/src/views.rs
@@ -7,7 +7,7 @@
 use crate::standing::{Place, Rules, Standing, View};
 use crate::swim::Event;
 use crate::wire::Life;
-use crate::Ns;
+use crate::Nanos;
 
 /// The kind of message in which views are told.
 pub const VIEWS: u8 = 3;
@@ -32,7 +32,7 @@
 }
 
 impl Views {
-    pub fn new(now: Ns, me: Life, rules: Rules) -> Views {
+    pub fn new(now: Nanos, me: Life, rules: Rules) -> Views {
         let told = me.name.clone();
         Views {
             place: Place::new(now, me, rules),
@@ -47,7 +47,7 @@
     }
 
     /// What membership told.
-    pub fn observe(&mut self, now: Ns, event: &Event) {
+    pub fn observe(&mut self, now: Nanos, event: &Event) {
         match event {
             Event::Left(who) => self.place.left(now, who),
             Event::Reborn(who) => self.place.reborn(who),
@@ -59,7 +59,7 @@
     ///
     /// # Errors
     /// A body that is no view; it changes nothing.
-    pub fn receive(&mut self, now: Ns, from: &Life, body: &[u8]) -> Result<(), postcard::Error> {
+    pub fn receive(&mut self, now: Nanos, from: &Life, body: &[u8]) -> Result<(), postcard::Error> {
         let view: View = postcard::from_bytes(body)?;
         if let Some(due) = self.place.heard(now, from, view) {
             self.follow_ups.plan(from, due);
@@ -69,7 +69,7 @@
 
     /// Once a period: learns who lives, judges the quorum state anew and tells one peer our view, and one more
     /// whose follow-up is due.
-    pub fn tick(&mut self, now: Ns, node: &mut Node) -> Option<Change> {
+    pub fn tick(&mut self, now: Nanos, node: &mut Node) -> Option<Change> {
         self.learn_who_lives(now, node);
         let change = self.place.look(now).map(|(was, is)| Change { was, is });
         if let Some(to) = node
@@ -90,13 +90,13 @@
         change
     }
 
-    fn tell(&mut self, now: Ns, node: &mut Node, to: &Life) {
+    fn tell(&mut self, now: Nanos, node: &mut Node, to: &Life) {
         if let Ok(body) = postcard::to_stdvec(&self.place.view(now, to)) {
             node.send(to, VIEWS, body);
         }
     }
 
-    fn learn_who_lives(&mut self, now: Ns, node: &mut Node) {
+    fn learn_who_lives(&mut self, now: Nanos, node: &mut Node) {
         let changes = node.take_changes();
         self.periods += 1;
         let peers = node.fellows();
