--- a/crates/membership/tests/follow_up.rs
+++ b/crates/membership/tests/follow_up.rs
@@ -1,6 +1,6 @@
 //! Whether a difference between two views that has passed ends as a dispute, and one that stays still shows.
 
-use havenplank_emulator::net::{Clock, Id, Net, Ns, Part, Weather};
+use havenplank_emulator::net::{Clock, Id, Nanos, Net, Part, Weather};
 use havenplank_membership::node::{Happened, Node};
 use havenplank_membership::standing::{Place, Rules, Standing, View};
 use havenplank_membership::swim::{News, Rules as Membership, State};
@@ -8,17 +8,17 @@
 use havenplank_membership::wire::{Key, Life};
 use std::net::SocketAddr;
 
-const SECOND: Ns = 1_000_000_000;
+const SECOND: Nanos = 1_000_000_000;
 
 /// A sidecar reduced to membership and views, as the program drives them.
 struct Sidecar {
     node: Node,
     views: Views,
-    next_tick: Ns,
+    next_tick: Nanos,
 }
 
 impl Sidecar {
-    fn new(now: Ns, at: SocketAddr, id: Id) -> Sidecar {
+    fn new(now: Nanos, at: SocketAddr, id: Id) -> Sidecar {
         let who = life(id);
         let news = News {
             who: who.clone(),
@@ -38,7 +38,7 @@
         }
     }
 
-    fn take_events(&mut self, now: Ns) {
+    fn take_events(&mut self, now: Nanos) {
         while let Some(happened) = self.node.happened() {
             match happened {
                 Happened::Came { from, body, .. } => self.views.receive(now, &from, &body).unwrap(),
@@ -49,12 +49,12 @@
 }
 
 impl Part for Sidecar {
-    fn heard(&mut self, now: Ns, bytes: &[u8]) {
+    fn heard(&mut self, now: Nanos, bytes: &[u8]) {
         self.node.heard(now, bytes);
         self.take_events(now);
     }
 
-    fn wake(&mut self, now: Ns) {
+    fn wake(&mut self, now: Nanos) {
         self.node.wake(now);
         if now >= self.next_tick {
             self.next_tick = now + Membership::default().period;
@@ -63,7 +63,7 @@
         self.take_events(now);
     }
 
-    fn next_wake(&self) -> Option<Ns> {
+    fn next_wake(&self) -> Option<Nanos> {
         self.node
             .next_wake()
             .into_iter()
@@ -96,7 +96,7 @@
 }
 
 /// The place of sidecar 0 among five, and when it came to agree.
-fn agreed_place() -> (Place, Ns) {
+fn agreed_place() -> (Place, Nanos) {
     let mut place = Place::new(0, life(0), Rules::default());
     let others: Vec<Life> = (1..5).map(life).collect();
     place.living(0, others.iter());
@@ -125,7 +125,7 @@
     let mut net = Net::new(1, Weather::default());
     for id in 0..size {
         let clock = Clock {
-            began: id as Ns * 77 * SECOND,
+            began: id as Nanos * 77 * SECOND,
             drift_ppm: (id as i64 % 3 - 1) * 1_000,
         };
         net.join(clock, |now, at| Sidecar::new(now, at, id));
--- a/crates/membership/tests/simulated.rs
+++ b/crates/membership/tests/simulated.rs
@@ -1,31 +1,31 @@
 //! The fellowship over the simulated network: the same code as on sockets, by seed, without a sleep.
 
-use havenplank_emulator::net::{Clock, Id, Net, Ns, Part, Weather};
+use havenplank_emulator::net::{Clock, Id, Nanos, Net, Part, Weather};
 use havenplank_membership::node::{Happened, Node, WAITING};
 use havenplank_membership::swim::{Event, News, Rules, State};
 use havenplank_membership::wire::{Key, Life, Refused};
 use std::net::SocketAddr;
 
-const S: Ns = 1_000_000_000;
+const S: Nanos = 1_000_000_000;
 
 struct Fellow {
     node: Node,
-    told: Vec<(Ns, Event)>,
+    told: Vec<(Nanos, Event)>,
     /// Datagrams that came, to be played again.
     came: Vec<Vec<u8>>,
 }
 
 impl Part for Fellow {
-    fn heard(&mut self, now: Ns, bytes: &[u8]) {
+    fn heard(&mut self, now: Nanos, bytes: &[u8]) {
         self.came.push(bytes.to_vec());
         self.node.heard(now, bytes);
         self.look(now);
     }
-    fn wake(&mut self, now: Ns) {
+    fn wake(&mut self, now: Nanos) {
         self.node.wake(now);
         self.look(now);
     }
-    fn next_wake(&self) -> Option<Ns> {
+    fn next_wake(&self) -> Option<Nanos> {
         self.node.next_wake()
     }
     fn datagram(&mut self) -> Option<(SocketAddr, Vec<u8>)> {
@@ -34,7 +34,7 @@
 }
 
 impl Fellow {
-    fn new(now: Ns, at: SocketAddr, name: &str, life: u64, key: u8) -> Fellow {
+    fn new(now: Nanos, at: SocketAddr, name: &str, life: u64, key: u8) -> Fellow {
         let who = Life {
             name: name.into(),
             life,
@@ -67,7 +67,7 @@
         }
     }
 
-    fn look(&mut self, now: Ns) {
+    fn look(&mut self, now: Nanos) {
         while let Some(happened) = self.node.happened() {
             if let Happened::Told(event) = happened {
                 self.told.push((now, event));
@@ -100,7 +100,7 @@
     for id in 0..many {
         // Clocks that never agree: other starts, and up to a thousandth fast or slow.
         let clock = Clock {
-            began: id as Ns * 77 * S,
+            began: id as Nanos * 77 * S,
             drift_ppm: (id as i64 % 3 - 1) * 1_000,
         };
         net.join(clock, |now, at| Fellow::new(now, at, &name(id), 1, 7));
--- a/crates/membership/tests/standing.rs
+++ b/crates/membership/tests/standing.rs
@@ -1,6 +1,6 @@
 //! Standing over the simulated network, on the membership that sockets drive: what each believes of its own place.
 
-use havenplank_emulator::net::{Clock, Id, Net, Ns, Part, Weather};
+use havenplank_emulator::net::{Clock, Id, Nanos, Net, Part, Weather};
 use havenplank_membership::node::{Happened, Node};
 use havenplank_membership::standing::{Place, Row, Rules, Standing, View};
 use havenplank_membership::swim::{Event, News, Rules as Membership, State};
@@ -8,25 +8,25 @@
 use proptest::prelude::*;
 use std::net::SocketAddr;
 
-const S: Ns = 1_000_000_000;
+const S: Nanos = 1_000_000_000;
 const KIND: u8 = 3;
-const BEAT: Ns = S / 2;
+const BEAT: Nanos = S / 2;
 
 /// A member that says its view to one fellow in turn, as the sidecar does.
 struct Fellow {
     node: Node,
     place: Place,
-    next: Ns,
+    next: Nanos,
     turn: usize,
-    changes: Vec<(Ns, Standing, Standing)>,
+    changes: Vec<(Nanos, Standing, Standing)>,
 }
 
 impl Part for Fellow {
-    fn heard(&mut self, now: Ns, bytes: &[u8]) {
+    fn heard(&mut self, now: Nanos, bytes: &[u8]) {
         self.node.heard(now, bytes);
         self.look(now);
     }
-    fn wake(&mut self, now: Ns) {
+    fn wake(&mut self, now: Nanos) {
         self.node.wake(now);
         if now >= self.next {
             self.next = now + BEAT;
@@ -45,7 +45,7 @@
         }
         self.look(now);
     }
-    fn next_wake(&self) -> Option<Ns> {
+    fn next_wake(&self) -> Option<Nanos> {
         self.node.next_wake().into_iter().chain([self.next]).min()
     }
     fn datagram(&mut self) -> Option<(SocketAddr, Vec<u8>)> {
@@ -54,7 +54,7 @@
 }
 
 impl Fellow {
-    fn new(now: Ns, at: SocketAddr, name: String, life: u64, rules: Rules) -> Fellow {
+    fn new(now: Nanos, at: SocketAddr, name: String, life: u64, rules: Rules) -> Fellow {
         let who = Life { name, life };
         let me = News {
             who: who.clone(),
@@ -88,7 +88,7 @@
         }
     }
 
-    fn look(&mut self, now: Ns) {
+    fn look(&mut self, now: Nanos) {
         while let Some(happened) = self.node.happened() {
             match happened {
                 Happened::Told(Event::Left(who)) => self.place.left(now, &who),
@@ -120,7 +120,7 @@
     );
     for id in 0..many {
         let clock = Clock {
-            began: id as Ns * 77 * S,
+            began: id as Nanos * 77 * S,
             drift_ppm: (id as i64 % 3 - 1) * 1_000,
         };
         net.join(clock, |now, at| {
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -1,7 +1,7 @@
 //! The configuration file of the platform, decoded into what the parts take.
 
 use crate::{control_plane, discovery};
-use havenplank::port::{Ns, Stage};
+use havenplank::interface::{Nanos, Stage};
 use havenplank_adapter::line::{Fields, Line};
 use havenplank_adapter::setup;
 use havenplank_line_protocol::nodes::Listed;
@@ -28,7 +28,7 @@
     pub load: Vec<String>,
     pub links: Links,
     /// How long before a hit's time is up its answer must leave.
-    pub answer_margin: Ns,
+    pub answer_margin: Nanos,
 }
 
 /// Connections to pods.
@@ -111,7 +111,7 @@
             place: setup.place,
             zones: names.zones,
             machines: names.machines,
-            customers: names.customers,
+            tenants: names.tenants,
             groups: names.groups.into_iter().zip(setup.groups).collect(),
             forwards: setup.forwards,
             pods: setup.pods,
--- a/crates/platform/src/control_plane.rs
+++ b/crates/platform/src/control_plane.rs
@@ -4,7 +4,7 @@
 use crate::node::Shell;
 use crate::steady::{self, Up};
 use futures_util::StreamExt;
-use havenplank::port::{Build, Heard, Phase, Stage, StageNews, Voice};
+use havenplank::interface::{Build, Phase, Stage, Vote, VoteReceipt, VoteReply};
 use havenplank_adapter::line::Fields;
 use serde_json::json;
 use std::cell::RefCell;
@@ -38,7 +38,7 @@
 pub fn stage(fields: &Fields) -> Result<Stage, String> {
     let phase = match fields.text("progress")? {
         "canary" => Phase::Trial,
-        "reverting" => Phase::GoingBack,
+        "reverting" => Phase::RollingBack,
         "stable" => Phase::Released,
         "reverted" => Phase::Withdrawn,
         _ => {
@@ -74,12 +74,12 @@
 impl Votes {
     /// Sends a vote on its way and sees to it that its end is heard: one not written is refused, one without
     /// an answer in time unknown.
-    pub fn cast(&self, shell: &Rc<Shell>, vote: u64, build: Build, stage: usize, voice: Voice) {
+    pub fn cast(&self, shell: &Rc<Shell>, vote: u64, build: Build, stage: usize, voice: Vote) {
         let opinion = match voice {
-            Voice::None => "none",
-            Voice::On => "on",
-            Voice::Hold => "hold",
-            Voice::Back => "back",
+            Vote::None => "none",
+            Vote::Advance => "on",
+            Vote::Hold => "hold",
+            Vote::RollBack => "back",
         };
         let params = json!({"image": build, "ring": stage, "opinion": opinion});
         let call = json!({"jsonrpc": "2.0", "id": vote + FOLLOW + 1, "method": "castBallot", "params": params});
@@ -91,21 +91,34 @@
         let sent = to.is_some_and(|to| to.try_send(ballot).is_ok());
         let (shell, wait) = (
             shell.clone(),
-            Duration::from_nanos(shell.votes.call_time_out),
+            Duration::from_nanos(shell.votes.call_timeout),
         );
         // In a task of its own, as the engine may be in the middle of what asked for it.
         spawn_local(async move {
             if sent {
                 sleep(wait).await;
             }
-            let heard = if sent { Heard::Unknown } else { Heard::Refused };
+            let heard = if sent {
+                VoteReceipt::Unknown
+            } else {
+                VoteReceipt::Rejected
+            };
             voted(&shell, vote, heard, None);
         });
     }
 }
 
-fn voted(shell: &Rc<Shell>, vote: u64, heard: Heard, stage: Option<Stage>) {
-    shell.call(|engine, now| engine.voted(now, vote, StageNews { heard, stage }));
+fn voted(shell: &Rc<Shell>, vote: u64, heard: VoteReceipt, stage: Option<Stage>) {
+    shell.call(|engine, now| {
+        engine.voted(
+            now,
+            vote,
+            VoteReply {
+                receipt: heard,
+                stage,
+            },
+        )
+    });
 }
 
 pub async fn follow(shell: Rc<Shell>, at: watch::Receiver<SocketAddr>, seed: u64) {
@@ -124,7 +137,7 @@
     fn drop(&mut self) {
         let (shell, asked) = (self.shell.clone(), std::mem::take(&mut self.asked));
         let unknown = asked.into_iter().filter_map(|(_, vote)| vote);
-        unknown.for_each(|vote| voted(&shell, vote, Heard::Unknown, None));
+        unknown.for_each(|vote| voted(&shell, vote, VoteReceipt::Unknown, None));
     }
 }
 
@@ -145,7 +158,7 @@
     drop(current);
     ballots.close();
     while let Ok(ballot) = ballots.try_recv() {
-        voted(&shell, ballot.vote, Heard::Refused, None);
+        voted(&shell, ballot.vote, VoteReceipt::Rejected, None);
     }
     ended
         .err()
@@ -195,7 +208,7 @@
                 let wrote = timeout(CONNECT, out.write_all(ballot.line.as_bytes())).await;
                 if !matches!(wrote, Ok(Ok(()))) {
                     // Not whole: the desk cannot have read it.
-                    voted(&session.shell, ballot.vote, Heard::Refused, None);
+                    voted(&session.shell, ballot.vote, VoteReceipt::Rejected, None);
                     return Err("a vote could not be written".to_string());
                 }
                 session.asked.push_back((ballot.vote + FOLLOW + 1, Some(ballot.vote)));
@@ -253,13 +266,13 @@
     };
     let (heard, stage) = if f.maybe_has("error") {
         let heard = match f.object("error")?.text("message")? {
-            "throttled" | "internal" | "invalid" => Heard::Refused,
-            "conflict" => Heard::Moot,
+            "throttled" | "internal" | "invalid" => VoteReceipt::Rejected,
+            "conflict" => VoteReceipt::Stale,
             _ => return Err("an error that the desk does not have".to_string()),
         };
         (heard, None)
     } else {
-        (Heard::Counted, Some(stage(&f.object("result")?)?))
+        (VoteReceipt::Counted, Some(stage(&f.object("result")?)?))
     };
     session.asked.pop_front();
     tracing::info!(vote, ?heard, "vote answered");
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -5,7 +5,7 @@
 use crate::objects::{Objects, Piece};
 use crate::steady::Task;
 use bytes::Bytes;
-use havenplank::port::{Build, Ns, PodState};
+use havenplank::interface::{Build, Nanos, PodState};
 use havenplank_adapter::line::Fields;
 use havenplank_line_protocol::follow::Waits;
 use havenplank_line_protocol::lines::MOST_PODS;
@@ -38,10 +38,10 @@
 const WORDS: usize = 16;
 
 /// Unix time.
-pub fn wall() -> Ns {
+pub fn wall() -> Nanos {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
-        .map_or(0, |since| since.as_nanos() as Ns)
+        .map_or(0, |since| since.as_nanos() as Nanos)
 }
 
 pub struct Told {
@@ -54,7 +54,7 @@
 ///
 /// # Errors
 /// The first field that is missing or wrong.
-pub fn read(fields: &Fields, wall: Ns) -> Result<Told, String> {
+pub fn read(fields: &Fields, wall: Nanos) -> Result<Told, String> {
     let hosts = fields.objects("hosts")?;
     if hosts.len() > MOST_PODS {
         return Err(fields.complain("hosts", "expected fewer pods"));
@@ -70,7 +70,7 @@
     })
 }
 
-fn pod(host: &Fields, wall: Ns) -> Result<Listed, String> {
+fn pod(host: &Fields, wall: Nanos) -> Result<Listed, String> {
     let state = match host.text("health")? {
         "active" => PodState::Running,
         "leaving" => PodState::Draining,
--- a/crates/platform/src/listener.rs
+++ b/crates/platform/src/listener.rs
@@ -4,7 +4,7 @@
 use crate::pods::{Ask, BODY_BYTES, TIME_LEFT};
 use crate::slots::{self, Shares, Slot};
 use bytes::Bytes;
-use havenplank::port::{mark_of, GroupId, HitId, Kind, Ns};
+use havenplank::interface::{stable_hash, Idempotency, Nanos, RequestId, RouteClassId};
 use havenplank_sidecar::answers::{self, and_close, errored, plain};
 use havenplank_sidecar::engine::Asked;
 use havenplank_sidecar::tap::Tap;
@@ -78,7 +78,7 @@
 /// Who sent the id of a hit in flight, and the hit once it is taken.
 struct Holder {
     client: Rc<Client>,
-    hit: Option<HitId>,
+    hit: Option<RequestId>,
 }
 
 /// The clients' connections, and the ids of their hits.
@@ -306,16 +306,16 @@
 }
 
 /// When to come back in decimal seconds, just as decided.
-pub fn bounced(come_back: Ns) -> Answer {
-    let (seconds, millis) = (come_back / 1_000_000_000, come_back / 1_000_000 % 1_000);
+pub fn bounced(retry_after: Nanos) -> Answer {
+    let (seconds, millis) = (retry_after / 1_000_000_000, retry_after / 1_000_000 % 1_000);
     let text = HeaderValue::from_str(&format!("{seconds}.{millis:03}")).ok();
-    answers::bounced(text.filter(|_| come_back > 0))
+    answers::bounced(text.filter(|_| retry_after > 0))
 }
 
 /// A hit in flight; dropped before its answer, its client is gone.
 struct Owed {
     shell: Rc<Shell>,
-    hit: HitId,
+    hit: RequestId,
 }
 
 impl Drop for Owed {
@@ -346,7 +346,7 @@
         shell: &Rc<Shell>,
         client: &Rc<Client>,
         id: &HeaderValue,
-        kind: Kind,
+        kind: Idempotency,
     ) -> Result<Named, Taken> {
         let earlier = shell
             .listener
@@ -358,7 +358,7 @@
             if !earlier.tap.is_closed() {
                 return Err(Taken::Waits);
             }
-            if kind != Kind::Repeatable && hit.is_some_and(|hit| shell.sent_on(hit)) {
+            if kind != Idempotency::Idempotent && hit.is_some_and(|hit| shell.sent_on(hit)) {
                 return Err(Taken::MayHaveRun);
             }
             earlier.end();
@@ -376,7 +376,7 @@
         })
     }
 
-    fn taken(&self, hit: HitId) {
+    fn taken(&self, hit: RequestId) {
         if let Some(holder) = self.shell.listener.ids.borrow_mut().get_mut(&self.id) {
             holder.hit = Some(hit);
         }
@@ -427,7 +427,7 @@
         ..client.slot.get()
     });
     let deadline = began + Duration::from_nanos(asked.left);
-    let spent = began.elapsed().as_nanos() as Ns + shell.answer_margin;
+    let spent = began.elapsed().as_nanos() as Nanos + shell.answer_margin;
     let asked = Asked {
         left: asked.left.saturating_sub(spent),
         ..asked
@@ -475,11 +475,11 @@
 }
 
 /// Whole milliseconds, up to some days.
-fn time_left(text: &HeaderValue) -> Option<Ns> {
+fn time_left(text: &HeaderValue) -> Option<Nanos> {
     let text = text.to_str().ok()?;
     let digits = (1..=9).contains(&text.len()) && text.bytes().all(|byte| byte.is_ascii_digit());
     digits
-        .then(|| text.parse::<Ns>().ok())
+        .then(|| text.parse::<Nanos>().ok())
         .flatten()?
         .checked_mul(1_000_000)
 }
@@ -495,7 +495,7 @@
         .filter(|key| !key.is_empty())
 }
 
-fn group(shell: &Shell, path: &str) -> Option<GroupId> {
+fn group(shell: &Shell, path: &str) -> Option<RouteClassId> {
     let name = path.strip_prefix('/')?.split('/').next()?;
     shell.groups.iter().position(|(known, _)| known == name)
 }
@@ -519,7 +519,7 @@
         return Err((StatusCode::NOT_FOUND, "no path group has this name\n"));
     };
     let rules = shell.groups[group].1;
-    let method = if rules.kind == Kind::Repeatable {
+    let method = if rules.idempotency == Idempotency::Idempotent {
         Method::GET
     } else {
         Method::POST
@@ -533,7 +533,7 @@
     if body.size_hint().lower() > BODY_BYTES as u64 {
         return Err((StatusCode::PAYLOAD_TOO_LARGE, "the body is over 64 KiB\n"));
     }
-    if rules.kind == Kind::Repeatable && !body.is_end_stream() {
+    if rules.idempotency == Idempotency::Idempotent && !body.is_end_stream() {
         return bad("expected no body\n");
     }
     let id = one(headers, &ID, "X-Correlation-Id: expected one\n")?;
@@ -544,7 +544,7 @@
         return bad("X-Correlation-Id: expected 1 to 128 visible characters\n");
     };
     let mark = one(headers, &MARK, "Idempotency-Key: expected one\n")?;
-    if rules.kind == Kind::Tagged && mark.is_none_or(HeaderValue::is_empty) {
+    if rules.idempotency == Idempotency::Keyed && mark.is_none_or(HeaderValue::is_empty) {
         return bad("Idempotency-Key: needed by this path group\n");
     }
     let left = one(headers, &TIME_LEFT, "X-Time-Left-Ms: expected one\n")?.and_then(time_left);
@@ -553,17 +553,17 @@
     };
     let asked = Asked {
         group,
-        customer: headers
+        tenant: headers
             .get(TENANT)
-            .and_then(|name| shell.customers.iter().position(|known| name == known)),
-        key: key(headers).map_or(0, mark_of),
+            .and_then(|name| shell.tenants.iter().position(|known| name == known)),
+        key: key(headers).map_or(0, stable_hash),
         left: left.min(rules.client_timeout),
         cost_hint: headers
             .get(HINT)
             .and_then(|text| heads::cost_hint(text.to_str().ok()?)),
         repeat: headers.get(REPEAT).is_some_and(|value| value == "1"),
     };
-    let named = match Named::new(shell, client, id, rules.kind) {
+    let named = match Named::new(shell, client, id, rules.idempotency) {
         Ok(named) => named,
         Err(Taken::Waits) => {
             return Err((
--- a/crates/platform/src/node.rs
+++ b/crates/platform/src/node.rs
@@ -7,7 +7,7 @@
 use crate::slots::{Shares, COMING};
 use crate::{control_plane, discovery};
 use bytes::Bytes;
-use havenplank::port::*;
+use havenplank::interface::*;
 use havenplank_sidecar::engine::{Engine, EPOCH};
 use havenplank_sidecar::hub::{Hub, Outside};
 use havenplank_sidecar::{answers, listen, StartError};
@@ -38,10 +38,10 @@
 
 /// The platform around the engine.
 pub struct Node {
-    pub groups: Vec<(String, PathGroup)>,
-    pub customers: Vec<String>,
-    pub votes: VoteRules,
-    pub answer_margin: Ns,
+    pub groups: Vec<(String, RouteClass)>,
+    pub tenants: Vec<String>,
+    pub votes: VoteSettings,
+    pub answer_margin: Nanos,
     pub listener: Listener,
     pub pods: Pods,
     pub ballots: Votes,
@@ -57,22 +57,22 @@
     fn forward(
         hub: Rc<Shell>,
         ask: Rc<Ask>,
-        nth: (HitId, u32),
+        nth: (RequestId, u32),
         pod: PodId,
-        time_out: Ns,
+        time_out: Nanos,
     ) -> impl Future<Output = ()> + 'static {
         pods::forward(hub, ask, nth, pod, time_out)
     }
 
-    fn bounced(&self, come_back: Ns) -> Response<Full<Bytes>> {
-        listener::bounced(come_back)
+    fn bounced(&self, retry_after: Nanos) -> Response<Full<Bytes>> {
+        listener::bounced(retry_after)
     }
 
     fn errored(&self, late: bool) -> Response<Full<Bytes>> {
         answers::errored(late)
     }
 
-    fn vote(hub: &Rc<Shell>, vote: u64, build: Build, stage: usize, voice: Voice) {
+    fn vote(hub: &Rc<Shell>, vote: u64, build: Build, stage: usize, voice: Vote) {
         hub.ballots.cast(hub, vote, build, stage, voice);
     }
 
@@ -104,7 +104,7 @@
         engine,
         Node {
             groups: terms.groups.clone(),
-            customers: terms.customers.clone(),
+            tenants: terms.tenants.clone(),
             votes: terms.votes.clone(),
             answer_margin: config.answer_margin,
             listener: Listener::new(shares),
--- a/crates/platform/src/pods.rs
+++ b/crates/platform/src/pods.rs
@@ -7,7 +7,7 @@
 use crate::idle_timeout::{self, IdleTimeout};
 use crate::node::Shell;
 use bytes::{Buf, Bytes, BytesMut};
-use havenplank::port::{Ended, HitId, Ns, PodId, ProbeEnd};
+use havenplank::interface::{AttemptEnd, HealthCheckResult, Nanos, PodId, RequestId};
 use havenplank_adapter::door::load_of;
 use havenplank_sidecar::hub::End;
 use http_body_util::Full;
@@ -265,7 +265,13 @@
 type Answer = Response<Full<Bytes>>;
 
 /// Carries one forward out and tells the engine how it ended.
-pub async fn forward(shell: Rc<Shell>, ask: Rc<Ask>, nth: (HitId, u32), pod: PodId, time_out: Ns) {
+pub async fn forward(
+    shell: Rc<Shell>,
+    ask: Rc<Ask>,
+    nth: (RequestId, u32),
+    pod: PodId,
+    time_out: Nanos,
+) {
     // Set once the last byte is written: before that the pod cannot have begun.
     let (whole, time) = (Cell::new(false), Duration::from_nanos(time_out));
     shell
@@ -281,26 +287,26 @@
 async fn exchange(
     shell: &Rc<Shell>,
     ask: &Ask,
-    (hit, nth): (HitId, u32),
+    (hit, nth): (RequestId, u32),
     pod: PodId,
     time: Duration,
     whole: &Cell<bool>,
 ) -> End<Answer> {
     let (began, pods) = (Instant::now(), &shell.pods);
     let Some(address) = shell.address(pod) else {
-        return Ended::NotSent.into();
+        return AttemptEnd::NotSent.into();
     };
     let mut fresh = false;
     let mut connection = loop {
         let mut connection = match pods.take(address, fresh).await {
             Ok(connection) => connection,
-            Err(NoConnection::Pod) => return Ended::NoConnection.into(),
-            Err(NoConnection::Permits) => return Ended::NotSent.into(),
+            Err(NoConnection::Pod) => return AttemptEnd::ConnectFailed.into(),
+            Err(NoConnection::Permits) => return AttemptEnd::NotSent.into(),
         };
         // Chosen when it had no connection yet: the pod may drain by now, or its build be closed.
         if !shell.may_go(hit, nth) {
             pods.give_back(address, connection);
-            return Ended::NotSent.into();
+            return AttemptEnd::NotSent.into();
         }
         let mut out = Vec::with_capacity(ask.head.len() + ask.body.len() + 40);
         out.extend_from_slice(&ask.head);
@@ -314,7 +320,7 @@
                 pods.used(&connection, true);
                 fresh = true;
             }
-            Err(_) => return Ended::NoConnection.into(),
+            Err(_) => return AttemptEnd::ConnectFailed.into(),
         }
     };
     whole.set(true);
@@ -330,7 +336,7 @@
             pods.used(&connection, matches!(why, NOTHING | RESET));
             let idle_us = connection.idle.map(|idle| idle.as_micros() as u64);
             tracing::debug!(hit, nth, pod, idle_us, why, "answer spoilt");
-            return Ended::Reset.into();
+            return AttemptEnd::Reset.into();
         }
     };
     let load = came.headers.get(LOAD).filter(|_| !pods.load.is_empty());
@@ -343,11 +349,11 @@
         pods.give_back(address, connection);
     }
     let end = match came.status {
-        StatusCode::OK => Ended::Delivered,
-        _ if never => Ended::Full,
-        _ => Ended::Error,
+        StatusCode::OK => AttemptEnd::Served,
+        _ if never => AttemptEnd::Rejected,
+        _ => AttemptEnd::Failed,
     };
-    let answer = (end == Ended::Delivered).then(|| {
+    let answer = (end == AttemptEnd::Served).then(|| {
         let mut headers = came.headers;
         havenplank_sidecar::heads::strip_hop_by_hop(&mut headers);
         headers.remove(CONTENT_LENGTH);
@@ -532,12 +538,12 @@
     };
     let asked = async {
         let Some(address) = shell.address(pod) else {
-            return End::<Answer>::from(Ended::NotSent);
+            return End::<Answer>::from(AttemptEnd::NotSent);
         };
         let mut connection = match pods.take(address, false).await {
             Ok(connection) => connection,
-            Err(NoConnection::Pod) => return Ended::NoConnection.into(),
-            Err(NoConnection::Permits) => return Ended::NotSent.into(),
+            Err(NoConnection::Pod) => return AttemptEnd::ConnectFailed.into(),
+            Err(NoConnection::Permits) => return AttemptEnd::NotSent.into(),
         };
         let request = format!("GET {path} HTTP/1.1\r\nHost: {address}\r\n\r\n");
         if connection
@@ -546,18 +552,18 @@
             .await
             .is_err()
         {
-            return Ended::NoConnection.into();
+            return AttemptEnd::ConnectFailed.into();
         }
         let Ok(came) = read(pods, &mut connection).await else {
-            return Ended::Reset.into();
+            return AttemptEnd::Reset.into();
         };
         if came.reusable {
             pods.give_back(address, connection);
         }
         let end = if came.status == StatusCode::OK {
-            Ended::Delivered
+            AttemptEnd::Served
         } else {
-            Ended::Error
+            AttemptEnd::Failed
         };
         End {
             end,
@@ -566,10 +572,10 @@
         }
     };
     let ended = timeout(pods.rules.connect_time, asked).await;
-    let End { end, load, .. }: End<Answer> = ended.unwrap_or_else(|_| Ended::TimeOut.into());
-    let end = ProbeEnd {
+    let End { end, load, .. }: End<Answer> = ended.unwrap_or_else(|_| AttemptEnd::TimedOut.into());
+    let end = HealthCheckResult {
         end,
-        took: began.elapsed().as_nanos() as Ns,
+        took: began.elapsed().as_nanos() as Nanos,
         load,
     };
     shell.call(|engine, now| engine.probed(now, probe, end));
--- a/crates/platform/tests/lists.rs
+++ b/crates/platform/tests/lists.rs
@@ -54,7 +54,7 @@
         for byte in told.chars() {
             watch.say(chunk(&byte.to_string())).await.unwrap();
         }
-        // Heard by the time that a word after it is.
+        // VoteReceipt by the time that a word after it is.
         watch.say(chunk("\n")).await.unwrap();
         turns(&rig).await;
         reaches(&rig, &other, "i1").await;
--- a/crates/platform/tests/traps.rs
+++ b/crates/platform/tests/traps.rs
@@ -493,7 +493,7 @@
     });
 }
 
-/// What another customer's settings turn on: requests of one key stay with the newest build once it answered.
+/// What another tenant's settings turn on: requests of one key stay with the newest build once it answered.
 #[test]
 fn a_key_of_the_clients_cookie_holds_its_requests_to_the_newest_build() {
     test(async {
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -8,6 +8,7 @@
 mod records;
 mod script;
 mod site;
+pub mod words;
 
 pub use reader::{Problem, Problems, Reader, Row};
 pub use records::DISTRIBUTOR_ZONE;
--- a/crates/settings/src/reader.rs
+++ b/crates/settings/src/reader.rs
@@ -1,6 +1,6 @@
 //! Reads the fields of one record of the script and keeps every mistake instead of stopping at the first.
 
-use havenplank::port::Ns;
+use havenplank::interface::Nanos;
 use serde_json::{Map, Value};
 use std::collections::BTreeSet;
 use std::fmt;
@@ -189,20 +189,20 @@
     }
 
     /// A span such as "250ms" or "1m 30s", in whole nanoseconds; one day at most, as no wait here is longer.
-    pub fn span(&mut self, field: &'static str) -> Ns {
+    pub fn span(&mut self, field: &'static str) -> Nanos {
         self.span_from(field, 0)
     }
 
     /// The same, but not 0; what is missing or wrong reads as 0 all the same.
-    pub fn span_above_0(&mut self, field: &'static str) -> Ns {
+    pub fn span_above_0(&mut self, field: &'static str) -> Nanos {
         self.span_from(field, 1)
     }
 
-    fn span_from(&mut self, field: &'static str, least: Ns) -> Ns {
-        const DAY: Ns = 86_400_000_000_000;
+    fn span_from(&mut self, field: &'static str, least: Nanos) -> Nanos {
+        const DAY: Nanos = 86_400_000_000_000;
         let parse = |value: &Value| {
             let span = humantime::parse_duration(value.as_str()?).ok()?;
-            Ns::try_from(span.as_nanos())
+            Nanos::try_from(span.as_nanos())
                 .ok()
                 .filter(|ns| (least..=DAY).contains(ns))
         };
@@ -211,7 +211,7 @@
         self.take(field, &wanted, parse).unwrap_or(0)
     }
 
-    pub fn span_or(&mut self, field: &'static str, absent: Ns) -> Ns {
+    pub fn span_or(&mut self, field: &'static str, absent: Nanos) -> Nanos {
         self.asked.insert(field);
         if self.has(field) {
             self.span(field)
--- a/crates/settings/src/records.rs
+++ b/crates/settings/src/records.rs
@@ -4,13 +4,14 @@
 use crate::site::{
     Configuration, Door, Feed, Fellowship, Group, Guard, Headers, Links, Site, Takeover, Trace,
 };
-use havenplank::port::*;
+use crate::words;
+use havenplank::interface::*;
 use std::collections::HashSet;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-const MS: Ns = 1_000_000;
-const S: Ns = 1_000 * MS;
+const MS: Nanos = 1_000_000;
+const S: Nanos = 1_000 * MS;
 const KIB: u64 = 1024;
 /// The zone that distributors of a configuration tell their peers; no sidecar is in it.
 pub const DISTRIBUTOR_ZONE: &str = "distributor";
@@ -54,46 +55,38 @@
             "paths that start with /",
         );
     }
-    let kinds = [
-        ("repeatable", Kind::Repeatable),
-        ("tagged", Kind::Tagged),
-        ("mutating", Kind::Mutating),
-    ];
-    let kind = r.choice("kind", &kinds).unwrap_or(Kind::Mutating);
-    let scopes = [
-        ("all", Scope::All),
-        ("zone", Scope::Zone),
-        ("cell", Scope::Cell),
-    ];
+    let kind = r
+        .choice("kind", &words::IDEMPOTENCY)
+        .unwrap_or(Idempotency::NonIdempotent);
     let scope = if r.has("scope") {
-        r.choice("scope", &scopes)
+        r.choice("scope", &words::DEDUP_SCOPE)
     } else {
         r.maybe_text("scope").and(None)
     };
-    let repeat_window = if kind == Kind::Tagged {
+    let dedup_window = if kind == Idempotency::Keyed {
         r.span("repeat_window")
     } else {
         r.span_or("repeat_window", 0)
     };
-    let (target_latency, client_timeout) = (
+    let (latency_objective, client_timeout) = (
         r.span_above_0("target_latency"),
         r.span_above_0("client_timeout"),
     );
-    if target_latency > client_timeout && client_timeout > 0 {
+    if latency_objective > client_timeout && client_timeout > 0 {
         r.complain(
             "target_latency",
             "longer than client_timeout",
             "a span that clients still wait for",
         );
     }
-    let rules = PathGroup {
-        kind,
-        scope: scope.unwrap_or(Scope::All),
-        repeat_window,
-        target_latency: target_latency.max(1),
+    let rules = RouteClass {
+        idempotency: kind,
+        dedup_scope: scope.unwrap_or(DedupScope::All),
+        dedup_window,
+        latency_objective: latency_objective.max(1),
         client_timeout,
-        benefit: r.number_or("benefit", 0.0..=1e9, 1.0),
-        late_benefit: r.number_or("late_benefit", 0.0..=1.0, 0.0),
+        priority_weight: r.number_or("benefit", 0.0..=1e9, 1.0),
+        late_weight: r.number_or("late_benefit", 0.0..=1.0, 0.0),
         stream: r.flag_or("stream", false),
     };
     let guards = [
@@ -107,7 +100,7 @@
         r.maybe_text("guard").and(None)
     };
     let guard = guard.unwrap_or(Guard::Off);
-    if guard == Guard::Behind && kind != Kind::Repeatable {
+    if guard == Guard::Behind && kind != Idempotency::Idempotent {
         r.complain(
             "guard",
             "found \"behind\"",
@@ -153,7 +146,7 @@
     }
 }
 
-fn bounded_span(r: &mut Reader, field: &'static str, span: Ns) {
+fn bounded_span(r: &mut Reader, field: &'static str, span: Nanos) {
     if !(50 * MS..=60 * S).contains(&span) {
         r.complain(
             field,
@@ -231,13 +224,13 @@
     }
 }
 
-fn limits(r: &mut Reader) -> (ForwardRules, Door) {
-    let forwards = ForwardRules {
-        max_forwards: r.whole_or("forwards", 1..=16, 4) as u32,
-        copies: r.flag_or("copies", false),
+fn limits(r: &mut Reader) -> (AttemptSettings, Door) {
+    let forwards = AttemptSettings {
+        max_attempts: r.whole_or("forwards", 1..=16, 4) as u32,
+        hedging: r.flag_or("copies", false),
         may_cancel: r.flag_or("cancel", true),
-        max_come_back: r.span_or("come_back", S),
-        cross_zone_price: r.number_or("cross_zone_price", 0.0..=1.0, 0.0),
+        max_retry_after: r.span_or("come_back", S),
+        cross_zone_cost: r.number_or("cross_zone_price", 0.0..=1.0, 0.0),
     };
     let nowhere = SocketAddr::from(([127, 0, 0, 1], 0));
     let door = Door {
@@ -255,14 +248,14 @@
     (forwards, door)
 }
 
-fn pods(r: &mut Reader) -> (PodRules, Links) {
-    let rules = PodRules {
+fn pods(r: &mut Reader) -> (PodSettings, Links) {
+    let rules = PodSettings {
         drain_grace: r.span("drain_grace"),
-        cold_share: r.number("cold_share", 0.001..=1.0),
+        initial_capacity: r.number("cold_share", 0.001..=1.0),
         warm_up: r.span("warm_up"),
-        fall_multiple: r.number("fall_multiple", 1.0..=1000.0),
-        fall_window: r.span("fall_window"),
-        may_probe: r.flag_or("probes", false),
+        overload_multiple: r.number("fall_multiple", 1.0..=1000.0),
+        overload_window: r.span("fall_window"),
+        health_checks: r.flag_or("probes", false),
     };
     let links = Links {
         connect_time: r.span_or("connect_time", 250 * MS),
@@ -278,51 +271,48 @@
     (rules, links)
 }
 
-fn exposure(r: &mut Reader, has_groups: bool) -> ExposureRules {
+fn exposure(r: &mut Reader, has_groups: bool) -> ExposureSettings {
     let caps = r.shares("caps");
     let window = r.span_above_0("window");
-    ExposureRules {
+    ExposureSettings {
         window,
-        free: r.number_or("free", 0.0..=1e6, 0.0),
-        per_group: r.flag_or("per_group", false) && has_groups,
-        guarded_stages: r.whole_or("guarded_stages", 0..=caps.len() as u64, 0) as usize,
-        one_way: r.flag_or("one_way", false),
-        beside: r.flag_or("beside", true),
+        free_attempts: r.number_or("free", 0.0..=1e6, 0.0),
+        per_class: r.flag_or("per_group", false) && has_groups,
+        idempotent_only_stages: r.whole_or("guarded_stages", 0..=caps.len() as u64, 0) as usize,
+        sticky_keys: r.flag_or("one_way", false),
+        blue_green: r.flag_or("beside", true),
         caps,
     }
 }
 
-fn votes(r: &mut Reader, instances: usize) -> VoteRules {
-    let controls = [
-        ("any", Control::Any),
-        ("count", Control::Count),
-        ("clock", Control::Clock),
-    ];
-    let control = r.choice("control", &controls).unwrap_or(Control::Any);
-    let back_needs = r.whole_or("back_needs", 1..=1_000_000, 1) as usize;
-    let on_needs = r.whole_or("on_needs", 0..=1_000_000, 0) as usize;
-    if on_needs > instances.max(1) {
+fn votes(r: &mut Reader, instances: usize) -> VoteSettings {
+    let control = r
+        .choice("control", &words::RELEASE_CONTROL)
+        .unwrap_or(ReleaseControl::AnyVote);
+    let rollback_quorum = r.whole_or("back_needs", 1..=1_000_000, 1) as usize;
+    let advance_quorum = r.whole_or("on_needs", 0..=1_000_000, 0) as usize;
+    if advance_quorum > instances.max(1) {
         r.complain(
             "on_needs",
-            format!("found {on_needs}"),
+            format!("found {advance_quorum}"),
             format!("{instances} at most, the instances"),
         );
     }
-    if back_needs > instances.max(1) {
+    if rollback_quorum > instances.max(1) {
         r.complain(
             "back_needs",
-            format!("found {back_needs}"),
+            format!("found {rollback_quorum}"),
             format!("{instances} at most, the instances"),
         );
     }
-    VoteRules {
+    VoteSettings {
         control,
-        on_needs,
-        back_needs,
-        life: r.span("life"),
-        call_time_out: r.span_or("call_time_out", S),
-        calls_per_s: r.number_or("calls_per_s", 0.0..=1e6, 0.0),
-        step: if control == Control::Clock {
+        advance_quorum,
+        rollback_quorum,
+        ttl: r.span("life"),
+        call_timeout: r.span_or("call_time_out", S),
+        calls_per_second: r.number_or("calls_per_s", 0.0..=1e6, 0.0),
+        stage_duration: if control == ReleaseControl::Timed {
             r.span("step")
         } else {
             r.span_or("step", 0)
@@ -330,11 +320,11 @@
     }
 }
 
-fn list(r: &mut Reader) -> ListRules {
-    let must_ask = r.flag_or("must_ask", false);
-    ListRules {
-        must_ask,
-        ask_within: if must_ask {
+fn list(r: &mut Reader) -> EndpointListSettings {
+    let poll_only = r.flag_or("must_ask", false);
+    EndpointListSettings {
+        poll_only,
+        poll_interval: if poll_only {
             r.span("ask_within")
         } else {
             r.span_or("ask_within", 0)
@@ -444,13 +434,13 @@
 
     let (mut name, mut place) = (
         String::new(),
-        Place {
+        FleetPosition {
             rank: 0,
             instances: 1,
             zone: 0,
         },
     );
-    let (mut zones, mut machines, mut customers) = (Vec::new(), Vec::new(), Vec::new());
+    let (mut zones, mut machines, mut tenants) = (Vec::new(), Vec::new(), Vec::new());
     let (mut listen, mut admin) = (None, None);
     read("sidecar", &mut |r| {
         name = r.text("name");
@@ -472,7 +462,7 @@
         } as usize;
         zones = r.texts("zones");
         machines = r.texts_or_none("machines");
-        customers = r.texts_or_none("customers");
+        tenants = r.texts_or_none("customers");
         let zone = r.text("zone");
         match zones.iter().position(|known| *known == zone) {
             _ if zones.iter().any(|zone| zone == DISTRIBUTOR_ZONE) => {
@@ -492,7 +482,7 @@
         headers = Some(Headers {
             timeout: header(r, "timeout", "grpc-timeout"),
             key: header(r, "key", "x-key"),
-            customer: header(r, "customer", "x-customer"),
+            tenant: header(r, "customer", "x-customer"),
             cost_hint: header(r, "cost_hint", "x-cost-hint"),
             mark: header(r, "mark", "x-hit-mark"),
         });
@@ -574,7 +564,7 @@
         machines,
         groups,
         headers,
-        customers,
+        tenants,
         forwards,
         door,
         pods,
--- a/crates/settings/src/site.rs
+++ b/crates/settings/src/site.rs
@@ -1,6 +1,6 @@
 //! What a settings script yields: small checked records, of which each part of the program takes the few it needs.
 
-use havenplank::port::*;
+use havenplank::interface::*;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
@@ -8,19 +8,19 @@
 #[derive(Clone, Debug)]
 pub struct Site {
     pub name: String,
-    pub place: Place,
+    pub place: FleetPosition,
     pub zones: Vec<String>,
     pub machines: Vec<String>,
     pub groups: Vec<Group>,
     pub headers: Headers,
-    pub customers: Vec<String>,
-    pub forwards: ForwardRules,
+    pub tenants: Vec<String>,
+    pub forwards: AttemptSettings,
     pub door: Door,
-    pub pods: PodRules,
+    pub pods: PodSettings,
     pub links: Links,
-    pub exposure: ExposureRules,
-    pub votes: VoteRules,
-    pub list: ListRules,
+    pub exposure: ExposureSettings,
+    pub votes: VoteSettings,
+    pub list: EndpointListSettings,
     pub nodes: Feed,
     /// Where the last whole list is kept for a start without the node list's service.
     pub kept_list: Option<PathBuf>,
@@ -57,7 +57,7 @@
     /// File with the fellowship's keys, read again at SIGHUP.
     pub keys: PathBuf,
     /// Between two questions to a fellow whether it lives.
-    pub period: Ns,
+    pub period: Nanos,
 }
 
 /// How sidecars guard each other's work in hand.
@@ -65,9 +65,9 @@
 pub struct Takeover {
     /// Guardians of each piece of work.
     pub guardians: usize,
-    pub lease: Ns,
+    pub lease: Nanos,
     /// How long an answer is kept after its client's time is up.
-    pub keep: Ns,
+    pub keep: Nanos,
     pub held: usize,
     pub kept: usize,
     /// What records kept for others may weigh together.
@@ -93,7 +93,7 @@
     /// Records that may wait for the disk, in bytes; from half of it on new hits are left out.
     pub queue_bytes: usize,
     pub file_bytes: u64,
-    pub file_age: Ns,
+    pub file_age: Nanos,
     /// Of all files of this sidecar; the oldest go first.
     pub total_bytes: u64,
 }
@@ -106,7 +106,7 @@
     pub methods: Vec<String>,
     /// Whole paths, or the start of one where the last character is `*`.
     pub paths: Vec<String>,
-    pub rules: PathGroup,
+    pub rules: RouteClass,
     pub guard: Guard,
 }
 
@@ -127,7 +127,7 @@
     /// Time the client still waits, in the form of `grpc-timeout`: up to 8 digits and H, M, S, m, u or n.
     pub timeout: String,
     pub key: String,
-    pub customer: String,
+    pub tenant: String,
     /// What the hit may cost, in whole microseconds.
     pub cost_hint: String,
     /// A hit's own mark, by which a client finds a guarded hit again that has no `Idempotency-Key`.
@@ -140,15 +140,15 @@
     pub listen: SocketAddr,
     pub admin: SocketAddr,
     pub head_bytes: usize,
-    pub head_time: Ns,
+    pub head_time: Nanos,
     pub body_bytes: usize,
-    pub body_time: Ns,
+    pub body_time: Nanos,
     /// Connections of clients held at once; a further one waits to be accepted.
     pub connections: usize,
     /// Hits held at once; a further one is bounced before it is taken.
     pub hits: usize,
     /// How long a final answer may take to reach its client: taken off the time that a hit has.
-    pub answer_margin: Ns,
+    pub answer_margin: Nanos,
     /// An answer up to this size is read whole before it counts as delivered; a longer one is passed on as
     /// it comes.
     pub answer_bytes: usize,
@@ -157,10 +157,10 @@
 /// Connections to pods.
 #[derive(Clone, Debug)]
 pub struct Links {
-    pub connect_time: Ns,
+    pub connect_time: Nanos,
     /// Open to one pod at once; a forward beyond waits for one, as long as a connect may take.
     pub per_pod: usize,
-    pub idle: Ns,
+    pub idle: Nanos,
     /// The status and header by which a pod proves that a forward never ran there.
     pub unseen_status: u16,
     pub unseen_header: String,
--- a/crates/settings/tests/script.rs
+++ b/crates/settings/tests/script.rs
@@ -1,6 +1,6 @@
 //! Settings scripts, good and bad, and what is said of them.
 
-use havenplank::port::{Kind, Scope};
+use havenplank::interface::{DedupScope, Idempotency};
 use havenplank_settings::{load, Given, Problems, Site};
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -65,11 +65,11 @@
     assert_eq!(names, ["query", "t0", "t1", "t2"]);
     let last = &site.groups[3];
     assert_eq!(
-        (last.rules.kind, last.rules.scope),
-        (Kind::Tagged, Scope::Zone)
+        (last.rules.idempotency, last.rules.dedup_scope),
+        (Idempotency::Keyed, DedupScope::Zone)
     );
     assert_eq!(
-        (last.rules.repeat_window, last.rules.client_timeout),
+        (last.rules.dedup_window, last.rules.client_timeout),
         (3_000_000_000, 3_000_000_000)
     );
     assert!(last.fits("POST", "/t2") && !last.fits("GET", "/t2") && !last.fits("POST", "/t2/x"));
@@ -174,8 +174,8 @@
             .contains("route(...) in the script of `havenplank distribute`"),
         "{told:?}"
     );
-    let customers = WHOLE.replacen("sidecar(", "sidecar(customers = [\"a\"], ", 1);
-    let told = said(&format!("{customers}{peers}{configured}"));
+    let tenants = WHOLE.replacen("sidecar(", "sidecar(customers = [\"a\"], ", 1);
+    let told = said(&format!("{tenants}{peers}{configured}"));
     assert_eq!(
         told.iter()
             .map(|(_, field, _)| field.as_str())
--- a/crates/sidecar/examples/route_lookup.rs
+++ b/crates/sidecar/examples/route_lookup.rs
@@ -1,7 +1,7 @@
 //! What a lookup costs by the number of routes, and what it takes to put a whole version in force: the figures of
 //! docs/configuration.md. `cargo run --release -p havenplank-sidecar --example route_lookup`.
 
-use havenplank::port::{Kind, PathGroup, Scope};
+use havenplank::interface::{DedupScope, Idempotency, RouteClass};
 use havenplank_settings::{Group, Guard};
 use havenplank_sidecar::engine::{Engine, EPOCH};
 use havenplank_sidecar::routes::RouteTable;
@@ -15,18 +15,18 @@
 const SECOND: u64 = 1_000_000_000;
 
 fn routes(many: usize, version: u64) -> Vec<Group> {
-    let rules = PathGroup {
-        kind: Kind::Repeatable,
-        scope: Scope::All,
-        repeat_window: 0,
-        target_latency: SECOND,
+    let rules = RouteClass {
+        idempotency: Idempotency::Idempotent,
+        dedup_scope: DedupScope::All,
+        dedup_window: 0,
+        latency_objective: SECOND,
         client_timeout: 2 * SECOND,
-        benefit: 1.0,
-        late_benefit: 0.0,
+        priority_weight: 1.0,
+        late_weight: 0.0,
         stream: false,
     };
-    let changed = PathGroup {
-        target_latency: SECOND + version,
+    let changed = RouteClass {
+        latency_objective: SECOND + version,
         ..rules
     };
     let route = |n: usize| Group {
@@ -40,7 +40,7 @@
 }
 
 fn put_in_force(engine: &mut Engine, groups: &[Group]) -> RouteTable {
-    let rules: Vec<(String, PathGroup)> = groups
+    let rules: Vec<(String, RouteClass)> = groups
         .iter()
         .map(|group| (group.name.clone(), group.rules))
         .collect();
--- a/crates/sidecar/src/admin.rs
+++ b/crates/sidecar/src/admin.rs
@@ -3,7 +3,7 @@
 use crate::answers::plain;
 use crate::proxy::Body;
 use crate::shell::Shell;
-use havenplank::port::Ns;
+use havenplank::interface::Nanos;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
 use hyper::header::{HeaderValue, CONTENT_TYPE};
@@ -100,7 +100,7 @@
     let ago = told["ago_ms"]
         .as_u64()
         .ok_or("ago_ms: expected a whole number\n")?;
-    let ago: Ns = ago.checked_mul(1_000_000).ok_or("ago_ms: too long ago\n")?;
+    let ago: Nanos = ago.checked_mul(1_000_000).ok_or("ago_ms: too long ago\n")?;
     match shell.flagged(pod, group, ago) {
         true => Ok(()),
         false => Err("pod or path_group: not known\n"),
--- a/crates/sidecar/src/answers.rs
+++ b/crates/sidecar/src/answers.rs
@@ -10,13 +10,13 @@
 }
 
 /// A retry is harmless; when to come back in the protocol's own form, none for no advice.
-pub fn bounced<B: From<&'static str>>(come_back: Option<HeaderValue>) -> Response<B> {
+pub fn bounced<B: From<&'static str>>(retry_after: Option<HeaderValue>) -> Response<B> {
     let mut response = plain(
         StatusCode::SERVICE_UNAVAILABLE,
         "bounced: a retry is harmless\n",
     );
-    if let Some(come_back) = come_back {
-        response.headers_mut().insert(RETRY_AFTER, come_back);
+    if let Some(retry_after) = retry_after {
+        response.headers_mut().insert(RETRY_AFTER, retry_after);
     }
     response
 }
--- a/crates/sidecar/src/configuration.rs
+++ b/crates/sidecar/src/configuration.rs
@@ -5,7 +5,7 @@
 use crate::routes::{routes_of, RouteTable};
 use crate::shell::Shell;
 use crate::spreading::{Host, Spreading};
-use havenplank::port::PathGroup;
+use havenplank::interface::RouteClass;
 use havenplank_configuration::delta::Delta;
 use havenplank_configuration::record::BackupMode;
 use havenplank_configuration::snapshot::Snapshot;
@@ -161,7 +161,7 @@
 fn install(shell: &Shell, snapshot: &Snapshot) -> Result<(), InstallError> {
     check(&shell.site, snapshot)?;
     let groups = routes_of(snapshot);
-    let rules: Vec<(String, PathGroup)> = groups
+    let rules: Vec<(String, RouteClass)> = groups
         .iter()
         .map(|group| (group.name.clone(), group.rules))
         .collect();
--- a/crates/sidecar/src/daemon.rs
+++ b/crates/sidecar/src/daemon.rs
@@ -13,7 +13,7 @@
 use crate::shell::{Lines, Shell};
 use crate::tap::Tap;
 use crate::told::{Terms, Witness};
-use havenplank::port::*;
+use havenplank::interface::*;
 use havenplank_configuration::store::StoreError;
 use havenplank_line_protocol::follow::{follow, Link};
 use havenplank_line_protocol::nodes::Listed;
@@ -156,7 +156,7 @@
             (Some(guard), Some(begins))
         }
     };
-    let routes = RouteTable::from_settings(&site.groups, engine.slots(), &site.customers);
+    let routes = RouteTable::from_settings(&site.groups, engine.slots(), &site.tenants);
     let lines = Lines {
         routes: RefCell::new(Rc::new(routes)),
         configuration: OnceCell::new(),
@@ -369,7 +369,7 @@
             .and_then(|at| SystemTime::now().duration_since(at).ok())
             .unwrap_or_default();
         for pod in pods.iter_mut().filter(|pod| pod.age > 0) {
-            pod.age = pod.age.saturating_add(age.as_nanos() as Ns);
+            pod.age = pod.age.saturating_add(age.as_nanos() as Nanos);
         }
         Ok(pods)
     };
@@ -485,12 +485,12 @@
         self.0.call(|engine, now| engine.news(now, stage));
     }
 
-    fn voted(&mut self, vote: u64, news: StageNews) {
-        tracing::info!(vote, heard = ?news.heard, "vote answered");
+    fn voted(&mut self, vote: u64, news: VoteReply) {
+        tracing::info!(vote, heard = ?news.receipt, "vote answered");
         self.0.call(|engine, now| engine.voted(now, vote, news));
     }
 
-    fn tally(&mut self, build: Build, group: String, counts: (u64, u64), mean: Ns, age: Ns) {
+    fn tally(&mut self, build: Build, group: String, counts: (u64, u64), mean: Nanos, age: Nanos) {
         if !self
             .0
             .call(|engine, now| engine.tally(now, build, &group, counts, mean, age))
@@ -499,7 +499,7 @@
         }
     }
 
-    fn flagged(&mut self, pod: String, group: String, ago: Ns) {
+    fn flagged(&mut self, pod: String, group: String, ago: Nanos) {
         if !self.0.flagged(&pod, &group, ago) {
             tracing::info!(
                 pod,
--- a/crates/sidecar/src/engine.rs
+++ b/crates/sidecar/src/engine.rs
@@ -3,8 +3,8 @@
 use crate::roll::Roll;
 use crate::slots::{Slot, SlotCounts, Slots};
 use crate::told::{Terms, Told, Witness};
-use havenplank::logic::Logic;
-use havenplank::port::*;
+use havenplank::interface::*;
+use havenplank::logic::Router;
 use havenplank::Visits;
 use havenplank_line_protocol::nodes::Listed;
 use std::cmp::Reverse;
@@ -13,30 +13,30 @@
 
 /// Where the clock of an engine begins: ages of pods and stages are taken off it, and on a clock that begins
 /// lower what would lie before 0 counts as long ago.
-pub const EPOCH: Ns = 1 << 50;
+pub const EPOCH: Nanos = 1 << 50;
 
 /// Something to carry out, in the order left.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
     /// The `nth` forward of a hit, counted from 0; its end goes to [`Engine::ended`], once.
     Forward {
-        hit: HitId,
+        hit: RequestId,
         nth: u32,
         pod: PodId,
-        time_out: Ns,
+        time_out: Nanos,
     },
     Cancel {
-        hit: HitId,
+        hit: RequestId,
         nth: u32,
     },
     /// The final answer: retry is harmless, and when to come back, 0 for no advice.
     Bounce {
-        hit: HitId,
-        come_back: Ns,
+        hit: RequestId,
+        retry_after: Nanos,
     },
     /// The final answer: promises nothing. `late` where the hit's time ran out.
     Error {
-        hit: HitId,
+        hit: RequestId,
         late: bool,
     },
     /// Its answer goes to [`Engine::voted`].
@@ -44,7 +44,7 @@
         vote: u64,
         build: Build,
         stage: usize,
-        voice: Voice,
+        voice: Vote,
     },
     /// Its end goes to [`Engine::probed`].
     Probe {
@@ -59,62 +59,62 @@
 /// A hit as the door read it: all that the decisions see of it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Asked {
-    pub group: GroupId,
-    pub customer: Option<usize>,
+    pub group: RouteClassId,
+    pub tenant: Option<usize>,
     pub key: u64,
-    pub left: Ns,
-    pub cost_hint: Option<Ns>,
+    pub left: Nanos,
+    pub cost_hint: Option<Nanos>,
     pub repeat: bool,
 }
 
 struct Out {
     pod: PodId,
     /// The pod as it was listed when it was chosen, to tell whether it still is that one.
-    chosen: Option<PodEntry>,
-    at: Ns,
-    then: Then<Outcome>,
+    chosen: Option<Endpoint>,
+    at: Nanos,
+    then: Callback<AttemptOutcome>,
 }
 
 struct Held {
-    group: GroupId,
+    group: RouteClassId,
     /// Keeps the group's index from another route until the request has ended.
     _slot: Option<Slot>,
     key: u64,
-    deadline: Ns,
+    deadline: Nanos,
     open: bool,
     /// When the first forward was chosen that has ended and may have run.
-    ran: Option<Ns>,
+    ran: Option<Nanos>,
     forwards: Vec<Option<Out>>,
 }
 
 /// The module's host.
 struct Desk {
-    now: Ns,
+    now: Nanos,
     roll: Roll,
-    entries: Vec<Option<PodEntry>>,
+    entries: Vec<Option<Endpoint>>,
     /// Emptied of a hit once it is answered and its last forward has ended: bounded by the hits in flight,
     /// which the shell bounds.
-    hits: HashMap<HitId, Held>,
-    next_hit: HitId,
-    wakes: BinaryHeap<Reverse<(Ns, u64)>>,
-    waking: HashMap<u64, Then<()>>,
+    hits: HashMap<RequestId, Held>,
+    next_hit: RequestId,
+    wakes: BinaryHeap<Reverse<(Nanos, u64)>>,
+    waking: HashMap<u64, Callback<()>>,
     next_wake: u64,
     /// One at a time is all that the module asks for.
-    votes: HashMap<u64, Then<StageNews>>,
-    probes: HashMap<u64, Then<ProbeEnd>>,
+    votes: HashMap<u64, Callback<VoteReply>>,
+    probes: HashMap<u64, Callback<HealthCheckResult>>,
     next_call: u64,
     effects: VecDeque<Effect>,
 }
 
 impl Desk {
-    fn close(&mut self, hit: HitId) {
+    fn close(&mut self, hit: RequestId) {
         if let Some(held) = self.hits.get_mut(&hit) {
             held.open = false;
         }
         self.sweep(hit);
     }
 
-    fn sweep(&mut self, hit: HitId) {
+    fn sweep(&mut self, hit: RequestId) {
         if self
             .hits
             .get(&hit)
@@ -131,15 +131,21 @@
 }
 
 impl Host for Desk {
-    fn now(&self) -> Ns {
+    fn now(&self) -> Nanos {
         self.now
     }
 
-    fn open(&self, hit: HitId) -> bool {
+    fn is_open(&self, hit: RequestId) -> bool {
         self.hits.get(&hit).is_some_and(|held| held.open)
     }
 
-    fn forward(&mut self, hit: HitId, pod: PodId, time_out: Ns, then: Then<Outcome>) {
+    fn send_attempt(
+        &mut self,
+        hit: RequestId,
+        pod: PodId,
+        time_out: Nanos,
+        then: Callback<AttemptOutcome>,
+    ) {
         let Some(held) = self.hits.get_mut(&hit).filter(|held| held.open) else {
             return;
         };
@@ -160,7 +166,7 @@
         });
     }
 
-    fn cancel(&mut self, hit: HitId, nth: u32) {
+    fn cancel_attempt(&mut self, hit: RequestId, nth: u32) {
         if self
             .hits
             .get(&hit)
@@ -170,14 +176,14 @@
         }
     }
 
-    fn bounce(&mut self, hit: HitId, come_back: Ns) {
-        if self.open(hit) {
-            self.effects.push_back(Effect::Bounce { hit, come_back });
+    fn reject(&mut self, hit: RequestId, retry_after: Nanos) {
+        if self.is_open(hit) {
+            self.effects.push_back(Effect::Bounce { hit, retry_after });
             self.close(hit);
         }
     }
 
-    fn error(&mut self, hit: HitId) {
+    fn fail(&mut self, hit: RequestId) {
         if let Some(held) = self.hits.get(&hit).filter(|held| held.open) {
             self.effects.push_back(Effect::Error {
                 hit,
@@ -187,7 +193,7 @@
         }
     }
 
-    fn vote(&mut self, build: Build, stage: usize, voice: Voice, then: Then<StageNews>) {
+    fn cast_vote(&mut self, build: Build, stage: usize, voice: Vote, then: Callback<VoteReply>) {
         let vote = self.call();
         self.votes.insert(vote, then);
         self.effects.push_back(Effect::Vote {
@@ -198,21 +204,21 @@
         });
     }
 
-    fn probe(&mut self, pod: PodId, then: Then<ProbeEnd>) {
+    fn health_check(&mut self, pod: PodId, then: Callback<HealthCheckResult>) {
         let probe = self.call();
         self.probes.insert(probe, then);
         self.effects.push_back(Effect::Probe { probe, pod });
     }
 
-    fn ask_list(&mut self) {
+    fn poll_endpoints(&mut self) {
         self.effects.push_back(Effect::AskList);
     }
 
-    fn watch_list(&mut self, on: bool) {
+    fn watch_endpoints(&mut self, on: bool) {
         self.effects.push_back(Effect::WatchList(on));
     }
 
-    fn wake(&mut self, after: Ns, then: Then<()>) {
+    fn set_timer(&mut self, after: Nanos, then: Callback<()>) {
         self.next_wake += 1;
         self.wakes
             .push(Reverse((self.now.saturating_add(after), self.next_wake)));
@@ -237,17 +243,17 @@
 /// One sidecar's decisions. Each method runs to its end and leaves effects for [`Engine::effect`]; `now`
 /// never goes back.
 pub struct Engine {
-    logic: Logic,
+    logic: Router,
     desk: Desk,
     slots: Slots,
     stage: Option<Stage>,
     witness: Option<Box<dyn Witness>>,
     /// What was done elsewhere for the hit that comes next.
-    resumed: Option<Vec<Earlier>>,
+    resumed: Option<Vec<PriorAttempt>>,
 }
 
 impl Engine {
-    pub fn new(now: Ns, seed: u64, terms: &Terms) -> Engine {
+    pub fn new(now: Nanos, seed: u64, terms: &Terms) -> Engine {
         let desk = Desk {
             now,
             roll: Roll::new(terms.zones.clone(), terms.machines.clone(), terms.reuse),
@@ -262,7 +268,7 @@
             next_call: 0,
             effects: VecDeque::new(),
         };
-        let logic = Logic::new(
+        let logic = Router::new(
             desk.now,
             seed,
             terms.place.clone(),
@@ -287,11 +293,11 @@
     /// Puts these routes in force in place of all before, between two requests: each ends by the rules it began with.
     /// The slot of each route, in their order; its index goes to another route only once every copy of it is dropped.
     /// A changed route goes on with what was learnt of the one of its name, as its pods answer no other than before.
-    pub fn set_routes(&mut self, now: Ns, routes: &[(String, PathGroup)]) -> Vec<Slot> {
+    pub fn set_routes(&mut self, now: Nanos, routes: &[(String, RouteClass)]) -> Vec<Slot> {
         self.at(now);
         let (slots, changes) = self.slots.replace(routes);
-        let in_force: Vec<GroupId> = slots.iter().map(Slot::group).collect();
-        self.logic.set_groups(&changes, &in_force);
+        let in_force: Vec<RouteClassId> = slots.iter().map(Slot::group).collect();
+        self.logic.set_route_classes(&changes, &in_force);
         slots
     }
 
@@ -305,7 +311,7 @@
     }
 
     /// The longest time that a client of any route in force, or of a request that is held, may wait.
-    pub fn longest_time_out(&self) -> Ns {
+    pub fn longest_time_out(&self) -> Nanos {
         self.slots.longest_time_out()
     }
 
@@ -324,15 +330,15 @@
 
     /// Tells the engine again what it was told once; whether it says of a forward that it may go, or of an
     /// answer that it goes to the client, where that is asked.
-    pub fn tell(&mut self, now: Ns, told: Told) -> Option<bool> {
+    pub fn tell(&mut self, now: Nanos, told: Told) -> Option<bool> {
         match told {
             Told::Begin => self.begin(now),
-            Told::Hit { asked, .. } => {
+            Told::IncomingRequest { asked, .. } => {
                 self.hit(now, asked);
             }
             Told::Resumed { past, .. } => self.resumed(now, past),
             Told::MayGo { hit, nth, .. } => return Some(self.may_go(now, hit, nth)),
-            Told::Ended {
+            Told::AttemptEnd {
                 hit,
                 nth,
                 end,
@@ -359,13 +365,13 @@
     }
 
     /// Tells the module that it may start; what it asks of the node list comes then.
-    pub fn begin(&mut self, now: Ns) {
+    pub fn begin(&mut self, now: Nanos) {
         self.at(now);
         self.saw(|| Told::Begin);
-        self.logic.begin(&mut self.desk);
+        self.logic.start(&mut self.desk);
     }
 
-    fn at(&mut self, now: Ns) {
+    fn at(&mut self, now: Nanos) {
         self.desk.now = self.desk.now.max(now);
     }
 
@@ -378,12 +384,12 @@
         Some(effect)
     }
 
-    pub fn next_wake(&self) -> Option<Ns> {
+    pub fn next_wake(&self) -> Option<Nanos> {
         self.desk.wakes.peek().map(|Reverse((at, _))| *at)
     }
 
     /// Runs every wake that is due.
-    pub fn wake(&mut self, now: Ns) {
+    pub fn wake(&mut self, now: Nanos) {
         self.at(now);
         while self.next_wake().is_some_and(|at| at <= self.desk.now) {
             let Some(Reverse((_, id))) = self.desk.wakes.pop() else {
@@ -410,17 +416,17 @@
     }
 
     /// Takes a hit: from here on it is owed one final answer.
-    pub fn hit(&mut self, now: Ns, asked: Asked) -> HitId {
+    pub fn hit(&mut self, now: Nanos, asked: Asked) -> RequestId {
         self.at(now);
         let id = self.desk.next_hit;
         self.desk.next_hit += 1;
-        self.saw(|| Told::Hit {
+        self.saw(|| Told::IncomingRequest {
             hit: id,
             asked: asked.clone(),
         });
         let Asked {
             group,
-            customer,
+            tenant,
             key,
             left,
             cost_hint,
@@ -446,24 +452,24 @@
             forwards: Vec::new(),
         };
         self.desk.hits.insert(id, held);
-        let hit = Hit {
+        let hit = IncomingRequest {
             id,
-            group,
-            customer,
+            class: group,
+            tenant,
             key,
-            left,
+            remaining: left,
             cost_hint,
-            repeat,
+            is_retry: repeat,
         };
         match self.resumed.take() {
-            Some(past) => self.logic.resume(&mut self.desk, hit, &past),
-            None => self.logic.hit(&mut self.desk, hit),
+            Some(past) => self.logic.resume_request(&mut self.desk, hit, &past),
+            None => self.logic.handle_request(&mut self.desk, hit),
         }
         id
     }
 
     /// The next hit was taken by another sidecar, which forwarded it so; to be called right before it.
-    pub fn resumed(&mut self, now: Ns, past: Vec<Earlier>) {
+    pub fn resumed(&mut self, now: Nanos, past: Vec<PriorAttempt>) {
         self.at(now);
         let hit = self.desk.next_hit;
         self.saw(|| Told::Resumed {
@@ -479,14 +485,14 @@
     }
 
     /// Whether a forward may still go out now: its hit wants an answer, and the rules leave its pod open.
-    pub fn may_go(&mut self, now: Ns, hit: HitId, nth: u32) -> bool {
+    pub fn may_go(&mut self, now: Nanos, hit: RequestId, nth: u32) -> bool {
         self.at(now);
         let may = self.may(hit, nth);
         self.saw(|| Told::MayGo { hit, nth, may });
         may
     }
 
-    fn may(&mut self, hit: HitId, nth: u32) -> bool {
+    fn may(&mut self, hit: RequestId, nth: u32) -> bool {
         let Some(held) = self.desk.hits.get(&hit).filter(|held| held.open) else {
             return false;
         };
@@ -502,19 +508,19 @@
         let ran = before.chain(held.ran).min();
         out.chosen.is_some_and(|chosen| {
             self.logic
-                .still(self.desk.now, (group, key), &chosen, (at, ran))
+                .may_still_send(self.desk.now, (group, key), &chosen, (at, ran))
         })
     }
 
     /// How a forward ended. Whether its answer goes to the client as the hit's final one.
     pub fn ended(
         &mut self,
-        now: Ns,
-        hit: HitId,
+        now: Nanos,
+        hit: RequestId,
         nth: u32,
-        end: Ended,
-        took: Ns,
-        load: Option<Load>,
+        end: AttemptEnd,
+        took: Nanos,
+        load: Option<LoadReport>,
     ) -> bool {
         self.at(now);
         let Some(held) = self.desk.hits.get_mut(&hit) else {
@@ -523,13 +529,13 @@
         let Some(out) = held.forwards.get_mut(nth as usize).and_then(Option::take) else {
             return false;
         };
-        let passed = held.open && end == Ended::Delivered;
+        let passed = held.open && end == AttemptEnd::Served;
         held.open &= !passed;
         if !end.never_ran() {
             held.ran = Some(held.ran.map_or(out.at, |ran| ran.min(out.at)));
         }
         let over = !held.open;
-        self.saw(|| Told::Ended {
+        self.saw(|| Told::AttemptEnd {
             hit,
             nth,
             end,
@@ -541,7 +547,7 @@
         (out.then)(
             &mut self.logic,
             &mut self.desk,
-            Outcome {
+            AttemptOutcome {
                 end,
                 took,
                 over,
@@ -553,14 +559,14 @@
     }
 
     /// The client went away: nothing more is owed, though forwards that are out still tell how they end.
-    pub fn left(&mut self, now: Ns, hit: HitId) {
+    pub fn left(&mut self, now: Nanos, hit: RequestId) {
         self.at(now);
         self.saw(|| Told::Left { hit });
         self.desk.close(hit);
     }
 
     /// Takes a list in; the index of each of its pods, as long as it is listed and forwards are out there.
-    pub fn list(&mut self, now: Ns, whole: bool, pods: Vec<Listed>) -> Vec<Option<PodId>> {
+    pub fn list(&mut self, now: Nanos, whole: bool, pods: Vec<Listed>) -> Vec<Option<PodId>> {
         self.at(now);
         let told = self.witness.is_some().then(|| pods.clone());
         let entries = self.desk.roll.apply(self.desk.now, whole, pods);
@@ -575,7 +581,7 @@
                 given: given.clone(),
             });
         }
-        let entries: Vec<PodEntry> = entries.into_iter().flatten().collect();
+        let entries: Vec<Endpoint> = entries.into_iter().flatten().collect();
         if whole {
             self.desk.entries.fill(None);
         }
@@ -585,26 +591,26 @@
             }
             self.desk.entries[entry.pod] = Some(*entry);
         }
-        self.logic.list(&mut self.desk, whole, &entries);
+        self.logic.update_endpoints(&mut self.desk, whole, &entries);
         self.desk.roll.sweep();
         given
     }
 
-    pub fn list_failed(&mut self, now: Ns) {
+    pub fn list_failed(&mut self, now: Nanos) {
         self.at(now);
         self.saw(|| Told::ListFailed);
-        self.logic.list_failed(&mut self.desk);
+        self.logic.endpoint_watch_failed(&mut self.desk);
     }
 
-    pub fn news(&mut self, now: Ns, stage: Stage) {
+    pub fn news(&mut self, now: Nanos, stage: Stage) {
         self.at(now);
         self.saw(|| Told::News(stage));
         self.stage = Some(stage);
-        self.logic.news(&mut self.desk, stage);
+        self.logic.update_stage(&mut self.desk, stage);
     }
 
     /// The answer to a vote; one that was answered before, or never cast, is passed over.
-    pub fn voted(&mut self, now: Ns, vote: u64, news: StageNews) {
+    pub fn voted(&mut self, now: Nanos, vote: u64, news: VoteReply) {
         self.at(now);
         if let Some(then) = self.desk.votes.remove(&vote) {
             self.saw(|| Told::Voted {
@@ -616,7 +622,7 @@
         }
     }
 
-    pub fn probed(&mut self, now: Ns, probe: u64, end: ProbeEnd) {
+    pub fn probed(&mut self, now: Nanos, probe: u64, end: HealthCheckResult) {
         self.at(now);
         if let Some(then) = self.desk.probes.remove(&probe) {
             self.saw(|| Told::Probed {
@@ -630,12 +636,12 @@
     /// Counts that the desk took; false where the path group is not one of the settings.
     pub fn tally(
         &mut self,
-        now: Ns,
+        now: Nanos,
         build: Build,
         group: &str,
         counts: (u64, u64),
-        mean: Ns,
-        age: Ns,
+        mean: Nanos,
+        age: Nanos,
     ) -> bool {
         let Some(group) = self.group(group) else {
             return false;
@@ -655,14 +661,14 @@
         true
     }
 
-    fn tallied(&mut self, now: Ns, tally: Tally) {
+    fn tallied(&mut self, now: Nanos, tally: Tally) {
         self.at(now);
         self.saw(|| Told::Tally(tally.clone()));
-        self.logic.tally(&mut self.desk, tally);
+        self.logic.update_tally(&mut self.desk, tally);
     }
 
     /// A client found an answer wrong; false where the pod or path group is not known.
-    pub fn flagged(&mut self, now: Ns, pod: &str, group: &str, ago: Ns) -> bool {
+    pub fn flagged(&mut self, now: Nanos, pod: &str, group: &str, ago: Nanos) -> bool {
         let (Some(pod), Some(group)) = (self.desk.roll.find(pod), self.group(group)) else {
             return false;
         };
@@ -670,13 +676,13 @@
         true
     }
 
-    fn flag(&mut self, now: Ns, pod: PodId, group: GroupId, ago: Ns) {
+    fn flag(&mut self, now: Nanos, pod: PodId, group: RouteClassId, ago: Nanos) {
         self.at(now);
         self.saw(|| Told::Flagged { pod, group, ago });
-        self.logic.flagged(&mut self.desk, pod, group, ago);
+        self.logic.report_fault(&mut self.desk, pod, group, ago);
     }
 
-    fn group(&self, name: &str) -> Option<GroupId> {
+    fn group(&self, name: &str) -> Option<RouteClassId> {
         self.slots.find(name)
     }
 
--- a/crates/sidecar/src/guard.rs
+++ b/crates/sidecar/src/guard.rs
@@ -6,7 +6,7 @@
 use havenplank_settings::{Takeover as Settings, DISTRIBUTOR_ZONE};
 use havenplank_takeover::placement::{pick, Candidate};
 use havenplank_takeover::record::{AttemptState, Message, Outcome, Record, RequestId};
-use havenplank_takeover::{Effect, Ns, Rules, Takeover};
+use havenplank_takeover::{Effect, Nanos, Rules, Takeover};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -237,7 +237,7 @@
         mark: RequestId,
         sum: u64,
         hit: (Vec<u8>, bool),
-        left: Ns,
+        left: Nanos,
     ) -> Claim {
         let (guardians, now) = (self.backups(mark), self.fellowship.now());
         let (tell, told) = oneshot::channel();
@@ -272,7 +272,7 @@
     }
 
     /// The same without waiting; where another has it, the hit is served all the same, as a repeat does no harm.
-    pub fn claim_behind(&self, mark: RequestId, sum: u64, ask: Vec<u8>, left: Ns) {
+    pub fn claim_behind(&self, mark: RequestId, sum: u64, ask: Vec<u8>, left: Nanos) {
         let (guardians, now) = (self.backups(mark), self.fellowship.now());
         self.takeover
             .borrow_mut()
--- a/crates/sidecar/src/guarded.rs
+++ b/crates/sidecar/src/guarded.rs
@@ -10,7 +10,7 @@
 use crate::routes::Route;
 use crate::shell::Shell;
 use bytes::Bytes;
-use havenplank::port::{Earlier, Kind, Ns, PodId, Scope};
+use havenplank::interface::{DedupScope, Idempotency, Nanos, PodId, PriorAttempt};
 use havenplank_settings::Guard as Mode;
 use havenplank_takeover::record::{AttemptState, Outcome, Record, RequestId};
 use http_body_util::{BodyExt, Full};
@@ -38,7 +38,7 @@
 pub struct Guarded {
     pub mark: RequestId,
     /// The tenant that asks, where it is one of the configuration.
-    customer: Option<String>,
+    tenant: Option<String>,
     /// The client can name it, and so finds it again.
     named: bool,
     sum: u64,
@@ -54,7 +54,7 @@
 pub fn of(
     guard: &Guard,
     route: &Route,
-    customer: Option<String>,
+    tenant: Option<String>,
     named: Option<&HeaderValue>,
     (method, path, body): (&Method, &str, &Bytes),
 ) -> Guarded {
@@ -62,7 +62,7 @@
     let sum = mark(&[method.as_str().as_bytes(), path.as_bytes(), body]) as u64;
     Guarded {
         mark: name.unwrap_or_else(|| guard.own_mark()),
-        customer,
+        tenant,
         named: name.is_some(),
         sum,
         wait: route.guard == Mode::BeforeForward,
@@ -74,13 +74,14 @@
 /// Headers as they travel between sidecars.
 type Heads = Vec<(String, Vec<u8>)>;
 
-/// A hit as its guardians keep it. By names, as two sidecars may number path groups and customers differently.
+/// A hit as its guardians keep it. By names, as two sidecars may number path groups and tenants differently.
 #[derive(Serialize, Deserialize)]
 struct Kept {
     group: String,
-    customer: Option<String>,
+    #[serde(rename = "customer")]
+    tenant: Option<String>,
     key: u64,
-    cost_hint: Option<Ns>,
+    cost_hint: Option<Nanos>,
     method: String,
     path: String,
     headers: Heads,
@@ -114,7 +115,7 @@
 fn keep(asked: &Asked, ask: &Ask, work: &Guarded) -> Option<Vec<u8>> {
     let kept = Kept {
         group: ask.route.name.clone(),
-        customer: work.customer.clone(),
+        tenant: work.tenant.clone(),
         key: asked.key,
         cost_hint: asked.cost_hint,
         method: ask.method.to_string(),
@@ -156,12 +157,15 @@
     };
     if wait {
         let rules = &ask.route.rules;
-        let dropped = rules.kind == Kind::Tagged && rules.scope == Scope::All;
-        let strict = work.named && rules.kind != Kind::Repeatable && !dropped;
+        let dropped =
+            rules.idempotency == Idempotency::Keyed && rules.dedup_scope == DedupScope::All;
+        let strict = work.named && rules.idempotency != Idempotency::Idempotent && !dropped;
         // Work that was claimed and given up elsewhere leaves nobody who knows it: then it is claimed anew, as long as
         // its client waits.
         let claim = loop {
-            let left = asked.left.saturating_sub(began.elapsed().as_nanos() as Ns);
+            let left = asked
+                .left
+                .saturating_sub(began.elapsed().as_nanos() as Nanos);
             match guard.claim(mark, sum, (bytes.clone(), strict), left).await {
                 Claim::Nobody if began.elapsed().as_nanos() < u128::from(asked.left) => {}
                 claim => break claim,
@@ -170,7 +174,7 @@
         match claim {
             Claim::Taken => {}
             Claim::Unguarded => work.on.set(false),
-            Claim::Unsure => return bounced(shell.site.forwards.max_come_back),
+            Claim::Unsure => return bounced(shell.site.forwards.max_retry_after),
             Claim::Done(done) => return answer_of(done),
             Claim::Differs => {
                 let why =
@@ -182,7 +186,9 @@
     } else {
         guard.claim_behind(mark, sum, bytes, asked.left);
     }
-    let left = asked.left.saturating_sub(began.elapsed().as_nanos() as Ns);
+    let left = asked
+        .left
+        .saturating_sub(began.elapsed().as_nanos() as Nanos);
     run(
         shell,
         guard,
@@ -198,12 +204,15 @@
 async fn run(
     shell: &Rc<Shell>,
     guard: &Rc<Guard>,
-    past: Option<Vec<Earlier>>,
+    past: Option<Vec<PriorAttempt>>,
     asked: Asked,
     ask: Rc<Ask>,
     mark: RequestId,
 ) -> Response<Body> {
-    let (kind, left) = (ask.route.rules.kind, Duration::from_nanos(asked.left));
+    let (kind, left) = (
+        ask.route.rules.idempotency,
+        Duration::from_nanos(asked.left),
+    );
     let began = Instant::now();
     let (lost, told) = guard.watch(mark);
     let (answer, answered) = oneshot::channel();
@@ -232,10 +241,10 @@
 /// sidecar were lost now, both the retry and a takeover would run. So it promises nothing.
 async fn last_word(
     response: Response<Body>,
-    kind: Kind,
+    kind: Idempotency,
     work: Option<&Guarded>,
 ) -> (Response<Body>, Outcome) {
-    let again = kind != Kind::Mutating;
+    let again = kind != Idempotency::NonIdempotent;
     let doubtful =
         work.is_some_and(|work| !work.named && work.announced.get() && work.on.get()) && !again;
     match response.extensions().get::<Final>() {
@@ -365,7 +374,7 @@
         );
         let ended = match read(&shell, &record) {
             Some((asked, ask)) => {
-                let earlier = |past: &havenplank_takeover::record::Attempt| Earlier {
+                let earlier = |past: &havenplank_takeover::record::Attempt| PriorAttempt {
                     pod: shell.look().find(&past.pod),
                     ago: past.age,
                     may_have_run: past.state != AttemptState::NeverRan,
@@ -400,8 +409,8 @@
     let route = routes.named(&kept.group)?.clone();
     let asked = Asked {
         group: route.group(),
-        customer: kept
-            .customer
+        tenant: kept
+            .tenant
             .as_ref()
             .and_then(|name| routes.tenant(name)?.index),
         key: kept.key,
@@ -412,7 +421,7 @@
     let (headers, uri) = heads::apart(&heads_from(&kept.headers), &kept.path);
     let guarded = Guarded {
         mark: record.request,
-        customer: kept.customer,
+        tenant: kept.tenant,
         named: false,
         sum: record.digest,
         wait: route.guard != Mode::Behind,
--- a/crates/sidecar/src/heads.rs
+++ b/crates/sidecar/src/heads.rs
@@ -1,7 +1,7 @@
 //! What headers say: time left, marks, keys, load; and which of them stay behind.
 
 use bytes::BytesMut;
-use havenplank::port::{Load, Ns};
+use havenplank::interface::{LoadReport, Nanos};
 use hyper::header::{HeaderMap, HeaderName, HeaderValue, CONNECTION};
 use hyper::Uri;
 use winnow::ascii::{dec_uint, float, multispace0};
@@ -14,7 +14,7 @@
 const MARK: usize = 256;
 
 /// A time in the form of `grpc-timeout`: up to eight digits, then H, M, S, m, u or n.
-pub fn time_left(text: &str) -> Option<Ns> {
+pub fn time_left(text: &str) -> Option<Nanos> {
     let unit =
         one_of::<_, _, ContextError>(['H', 'M', 'S', 'm', 'u', 'n']).map(|unit: char| match unit {
             'H' => 3_600_000_000_000,
@@ -30,7 +30,7 @@
 }
 
 /// The same form, rounded down to a whole count of the finest unit that eight digits hold.
-pub fn as_time_left(time: Ns) -> String {
+pub fn as_time_left(time: Nanos) -> String {
     let units = [
         (1, 'n'),
         (1_000, 'u'),
@@ -65,7 +65,7 @@
 }
 
 /// Whole microseconds.
-pub fn cost_hint(text: &str) -> Option<Ns> {
+pub fn cost_hint(text: &str) -> Option<Nanos> {
     dec_uint::<_, u64, ContextError>
         .parse(text)
         .ok()?
@@ -73,7 +73,7 @@
 }
 
 /// A load report in the text form of `endpoint-load-metrics`; what it does not name stays unknown.
-pub fn load(text: &str) -> Option<Load> {
+pub fn load(text: &str) -> Option<LoadReport> {
     let name = take_while(1.., |c: char| {
         c.is_ascii_alphanumeric() || "_.-".contains(c)
     });
@@ -84,7 +84,7 @@
     let pairs = separated(1.., pair, (multispace0, ','));
     let mut report = preceded(("TEXT", opt(':'), multispace0), pairs);
     let pairs: Vec<(&str, f64)> = report.parse(text.trim_end()).ok()?;
-    let mut load = Load::default();
+    let mut load = LoadReport::default();
     for (name, value) in pairs.into_iter().filter(|(_, value)| value.is_finite()) {
         match name {
             "cpu_utilization" => load.busy = Some(value),
--- a/crates/sidecar/src/hub.rs
+++ b/crates/sidecar/src/hub.rs
@@ -2,7 +2,7 @@
 
 use crate::engine::{Asked, Effect, Engine, Glance, EPOCH};
 use crate::slots::Slot;
-use havenplank::port::*;
+use havenplank::interface::*;
 use havenplank_line_protocol::nodes::Listed;
 use std::cell::{Cell, Ref, RefCell};
 use std::collections::HashMap;
@@ -26,14 +26,14 @@
     fn forward(
         hub: Rc<Hub<Self>>,
         ask: Rc<Self::Ask>,
-        nth: (HitId, u32),
+        nth: (RequestId, u32),
         pod: PodId,
-        time_out: Ns,
+        time_out: Nanos,
     ) -> impl Future<Output = ()> + 'static;
-    fn bounced(&self, come_back: Ns) -> Self::Answer;
+    fn bounced(&self, retry_after: Nanos) -> Self::Answer;
     fn errored(&self, late: bool) -> Self::Answer;
     /// Sends a vote and sees to it that [`Engine::voted`] hears of its end.
-    fn vote(hub: &Rc<Hub<Self>>, vote: u64, build: Build, stage: usize, voice: Voice);
+    fn vote(hub: &Rc<Hub<Self>>, vote: u64, build: Build, stage: usize, voice: Vote);
     /// Sends a probe and sees to it that [`Engine::probed`] hears of its end.
     fn probe(hub: &Rc<Hub<Self>>, probe: u64, pod: PodId);
     fn ask_list(hub: &Rc<Hub<Self>>);
@@ -42,13 +42,13 @@
 
 /// How a forward ended, with the answer where there is one.
 pub struct End<A> {
-    pub end: Ended,
-    pub load: Option<Load>,
+    pub end: AttemptEnd,
+    pub load: Option<LoadReport>,
     pub answer: Option<A>,
 }
 
-impl<A> From<Ended> for End<A> {
-    fn from(end: Ended) -> End<A> {
+impl<A> From<AttemptEnd> for End<A> {
+    fn from(end: AttemptEnd) -> End<A> {
         End {
             end,
             load: None,
@@ -70,9 +70,9 @@
     began: Instant,
     engine: RefCell<Engine>,
     /// Hits that wait for their final answer; the door's limit bounds it.
-    waiting: RefCell<HashMap<HitId, Waiting<O>>>,
+    waiting: RefCell<HashMap<RequestId, Waiting<O>>>,
     /// What the ticker sleeps to, and how it is told of something earlier.
-    armed: Cell<Ns>,
+    armed: Cell<Nanos>,
     rearm: Notify,
 }
 
@@ -96,19 +96,19 @@
         })
     }
 
-    fn now(&self) -> Ns {
-        EPOCH + self.began.elapsed().as_nanos() as Ns
+    fn now(&self) -> Nanos {
+        EPOCH + self.began.elapsed().as_nanos() as Nanos
     }
 
     /// One call into the engine, then all that it left to do.
-    pub fn call<T>(self: &Rc<Self>, work: impl FnOnce(&mut Engine, Ns) -> T) -> T {
+    pub fn call<T>(self: &Rc<Self>, work: impl FnOnce(&mut Engine, Nanos) -> T) -> T {
         let done = work(&mut self.engine.borrow_mut(), self.now());
         self.carry_out();
         done
     }
 
     /// Puts routes in force between two requests; see [`Engine::set_routes`].
-    pub fn set_routes(&self, routes: &[(String, PathGroup)]) -> Vec<Slot> {
+    pub fn set_routes(&self, routes: &[(String, RouteClass)]) -> Vec<Slot> {
         self.engine.borrow_mut().set_routes(self.now(), routes)
     }
 
@@ -121,7 +121,7 @@
     pub async fn tick(self: Rc<Self>) {
         loop {
             let next = self.look().next_wake();
-            self.armed.set(next.unwrap_or(Ns::MAX));
+            self.armed.set(next.unwrap_or(Nanos::MAX));
             let at = next.map(|at| self.began + Duration::from_nanos(at.saturating_sub(EPOCH)));
             tokio::select! {
                 () = sleep_until(at.unwrap_or(Instant::now() + Duration::from_secs(3600)).into()) => {
@@ -138,7 +138,7 @@
             let Some(effect) = effect else { break };
             self.act(effect);
         }
-        let next = self.look().next_wake().unwrap_or(Ns::MAX);
+        let next = self.look().next_wake().unwrap_or(Nanos::MAX);
         if next < self.armed.replace(next) {
             self.rearm.notify_one();
         }
@@ -170,9 +170,9 @@
                 drop(waiting);
                 self.cut(hit, nth, task);
             }
-            Effect::Bounce { hit, come_back } => {
-                tracing::debug!(hit, come_back_us = come_back / 1_000, "bounced");
-                self.answer(hit, self.outside.bounced(come_back));
+            Effect::Bounce { hit, retry_after } => {
+                tracing::debug!(hit, come_back_us = retry_after / 1_000, "bounced");
+                self.answer(hit, self.outside.bounced(retry_after));
             }
             Effect::Error { hit, late } => {
                 tracing::debug!(hit, late, "errored");
@@ -195,11 +195,11 @@
     }
 
     /// Ends a forward that is out: its connection closes with its task.
-    fn cut(self: &Rc<Self>, hit: HitId, nth: u32, task: Option<(AbortHandle, Instant)>) {
+    fn cut(self: &Rc<Self>, hit: RequestId, nth: u32, task: Option<(AbortHandle, Instant)>) {
         if let Some((task, began)) = task.filter(|(task, _)| !task.is_finished()) {
             task.abort();
-            let took = began.elapsed().as_nanos() as Ns;
-            self.ended((hit, nth), Ended::Cancelled, took, None, None);
+            let took = began.elapsed().as_nanos() as Nanos;
+            self.ended((hit, nth), AttemptEnd::Cancelled, took, None, None);
         }
     }
 
@@ -208,18 +208,18 @@
         asked: Asked,
         ask: O::Ask,
         answer: oneshot::Sender<O::Answer>,
-    ) -> HitId {
+    ) -> RequestId {
         self.go_on(None, asked, Rc::new(ask), answer)
     }
 
     /// Takes a hit; with a past, one that another sidecar took and forwarded so.
     pub fn go_on(
         self: &Rc<Self>,
-        past: Option<Vec<Earlier>>,
+        past: Option<Vec<PriorAttempt>>,
         asked: Asked,
         ask: Rc<O::Ask>,
         answer: oneshot::Sender<O::Answer>,
-    ) -> HitId {
+    ) -> RequestId {
         if let Some(past) = past {
             self.engine.borrow_mut().resumed(self.now(), past);
         }
@@ -235,14 +235,14 @@
     }
 
     /// The client's side of a hit is over, by its answer or without; forwards that are out go on.
-    pub fn left(self: &Rc<Self>, hit: HitId) {
+    pub fn left(self: &Rc<Self>, hit: RequestId) {
         if self.waiting.borrow_mut().remove(&hit).is_some() {
             self.call(|engine, now| engine.left(now, hit));
         }
     }
 
     /// The same where the protocol says that a client that closed wants nothing more: its forwards end, too.
-    pub fn gone(self: &Rc<Self>, hit: HitId) {
+    pub fn gone(self: &Rc<Self>, hit: RequestId) {
         let waits = self.waiting.borrow_mut().remove(&hit);
         let Some(waits) = waits else { return };
         tracing::debug!(hit, "client gone");
@@ -253,21 +253,21 @@
     }
 
     /// Whether a forward may have been begun for a hit. Of one that was answered that is no longer known.
-    pub fn sent_on(&self, hit: HitId) -> bool {
+    pub fn sent_on(&self, hit: RequestId) -> bool {
         self.waiting
             .borrow()
             .get(&hit)
             .is_none_or(|waits| !waits.forwards.is_empty())
     }
 
-    fn answer(&self, hit: HitId, answer: O::Answer) {
+    fn answer(&self, hit: RequestId, answer: O::Answer) {
         if let Some(waits) = self.waiting.borrow_mut().remove(&hit) {
             // Where the client has left meanwhile nobody is there to be answered.
             let _ = waits.answer.send(answer);
         }
     }
 
-    pub fn may_go(self: &Rc<Self>, hit: HitId, nth: u32) -> bool {
+    pub fn may_go(self: &Rc<Self>, hit: RequestId, nth: u32) -> bool {
         let may = self.engine.borrow_mut().may_go(self.now(), hit, nth);
         if !may {
             tracing::debug!(
@@ -281,10 +281,10 @@
 
     pub fn ended(
         self: &Rc<Self>,
-        (hit, nth): (HitId, u32),
-        end: Ended,
-        took: Ns,
-        load: Option<Load>,
+        (hit, nth): (RequestId, u32),
+        end: AttemptEnd,
+        took: Nanos,
+        load: Option<LoadReport>,
         answer: Option<O::Answer>,
     ) {
         let passed = self
@@ -302,7 +302,7 @@
     /// the pod may have begun. Where time runs out the exchange is dropped, and its connection with it.
     pub async fn timed(
         self: &Rc<Self>,
-        nth: (HitId, u32),
+        nth: (RequestId, u32),
         time: Duration,
         sent: &Cell<bool>,
         exchange: impl Future<Output = End<O::Answer>>,
@@ -310,11 +310,11 @@
         let began = Instant::now();
         let End { end, load, answer } = match timeout(time, exchange).await {
             Ok(end) => end,
-            Err(_) if sent.get() => Ended::TimeOut.into(),
+            Err(_) if sent.get() => AttemptEnd::TimedOut.into(),
             // The client's time ran out first: nothing was sent, and the pod is not to blame.
-            Err(_) => Ended::NotSent.into(),
+            Err(_) => AttemptEnd::NotSent.into(),
         };
-        self.ended(nth, end, began.elapsed().as_nanos() as Ns, load, answer);
+        self.ended(nth, end, began.elapsed().as_nanos() as Nanos, load, answer);
     }
 
     /// Hits that are owed an answer.
@@ -334,7 +334,7 @@
         self.look().listed()
     }
 
-    pub fn flagged(self: &Rc<Self>, pod: &str, group: &str, ago: Ns) -> bool {
+    pub fn flagged(self: &Rc<Self>, pod: &str, group: &str, ago: Nanos) -> bool {
         self.call(|engine, now| engine.flagged(now, pod, group, ago))
     }
 }
--- a/crates/sidecar/src/proxy.rs
+++ b/crates/sidecar/src/proxy.rs
@@ -10,7 +10,9 @@
 use crate::routes::Route;
 use crate::shell::Shell;
 use bytes::{Bytes, BytesMut};
-use havenplank::port::{mark_of, Ended, HitId, Kind, Ns, PodId, ProbeEnd};
+use havenplank::interface::{
+    stable_hash, AttemptEnd, HealthCheckResult, Idempotency, Nanos, PodId, RequestId,
+};
 use havenplank_settings::Guard;
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::{Body as HttpBody, Frame, Incoming, SizeHint};
@@ -106,14 +108,14 @@
 }
 
 /// Whole seconds, as the header has no finer ones, and never later than was decided.
-pub fn bounced(come_back: Ns) -> Response<Body> {
-    answers::bounced(Some(HeaderValue::from(come_back / 1_000_000_000)))
+pub fn bounced(retry_after: Nanos) -> Response<Body> {
+    answers::bounced(Some(HeaderValue::from(retry_after / 1_000_000_000)))
 }
 
 /// Told to the engine when the client is gone before its answer.
 struct Owed {
     shell: Rc<Shell>,
-    hit: HitId,
+    hit: RequestId,
 }
 
 impl Drop for Owed {
@@ -135,7 +137,7 @@
     if shell.is_full() {
         return Ok(and_close(bounced(1_000_000_000)));
     }
-    let spent = arrived.elapsed().as_nanos() as Ns + shell.site.door.answer_margin;
+    let spent = arrived.elapsed().as_nanos() as Nanos + shell.site.door.answer_margin;
     let asked = Asked {
         left: asked.left.saturating_sub(spent),
         ..asked
@@ -182,7 +184,7 @@
     if mark.is_some_and(|mark| !heads::is_mark(mark.as_bytes())) {
         return bad("Idempotency-Key: expected a text in quotes\n");
     }
-    if mark.is_none() && rules.kind == Kind::Tagged {
+    if mark.is_none() && rules.idempotency == Idempotency::Keyed {
         return bad("Idempotency-Key: needed by this path group\n");
     }
     let text = |name: &str| {
@@ -195,24 +197,24 @@
     if asked_time == Some(None) {
         return bad("time-out: expected up to 8 digits and H, M, S, m, u or n\n");
     }
-    let customer = text(&site.headers.customer).and_then(|name| Some((name, routes.tenant(name)?)));
+    let tenant = text(&site.headers.tenant).and_then(|name| Some((name, routes.tenant(name)?)));
     let asked = Asked {
         group: route.group(),
-        customer: customer.and_then(|(_, tenant)| tenant.index),
+        tenant: tenant.and_then(|(_, tenant)| tenant.index),
         key: parts
             .headers
             .get(&site.headers.key)
-            .map_or(0, |key| mark_of(key.as_bytes())),
+            .map_or(0, |key| stable_hash(key.as_bytes())),
         // A client may wait less than its path group allows, never longer.
         left: asked_time
             .flatten()
-            .unwrap_or(Ns::MAX)
+            .unwrap_or(Nanos::MAX)
             .min(rules.client_timeout),
         cost_hint: text(&site.headers.cost_hint).and_then(heads::cost_hint),
         repeat: false,
     };
     let work = shell.guard.as_ref().filter(|_| route.guard != Guard::Off);
-    let customer = work.and(customer).map(|(name, _)| name.to_string());
+    let tenant = work.and(tenant).map(|(name, _)| name.to_string());
     // A request that waits for its body holds its own route, not the table.
     drop(routes);
     let too_large = (
@@ -242,7 +244,7 @@
     let (mut headers, uri) = heads::apart(&headers, path);
     let guarded = work.map(|guard| {
         let named = headers.get(MARK).or(headers.get(&site.headers.mark));
-        guarded::of(guard, &route, customer, named, (&parts.method, path, &body))
+        guarded::of(guard, &route, tenant, named, (&parts.method, path, &body))
     });
     headers.append(VIA, shell.via.clone());
     Ok((
@@ -259,7 +261,13 @@
 }
 
 /// Carries one forward out and tells the engine how it ended.
-pub async fn forward(shell: Rc<Shell>, ask: Rc<Ask>, nth: (HitId, u32), pod: PodId, time_out: Ns) {
+pub async fn forward(
+    shell: Rc<Shell>,
+    ask: Rc<Ask>,
+    nth: (RequestId, u32),
+    pod: PodId,
+    time_out: Nanos,
+) {
     let (sent, time) = (Cell::new(false), Duration::from_nanos(time_out));
     shell
         .timed(
@@ -274,40 +282,40 @@
 async fn exchange(
     shell: &Rc<Shell>,
     ask: &Ask,
-    (hit, nth): (HitId, u32),
+    (hit, nth): (RequestId, u32),
     pod: PodId,
     time: Duration,
     sent: &Cell<bool>,
 ) -> End<Response<Body>> {
     let began = Instant::now();
     let Some(address) = shell.address(pod) else {
-        return Ended::NotSent.into();
+        return AttemptEnd::NotSent.into();
     };
     let mut fresh = false;
     let mut going = None;
     let (lease, response) = loop {
         let Ok(mut lease) = shell.links.take(address, fresh).await else {
-            return Ended::NoConnection.into();
+            return AttemptEnd::ConnectFailed.into();
         };
         if let (Some(guarded), None) = (&ask.guarded, &going) {
             match guarded::before(shell, guarded, pod).await {
                 Ok(told) => going = told,
                 Err(guarded::NotOurs) => {
                     lease.give_back();
-                    return Ended::NotSent.into();
+                    return AttemptEnd::NotSent.into();
                 }
             }
         }
         // Chosen when it had no connection yet: the pod may drain by now, or its build be closed.
         if !shell.may_go(hit, nth) || !guarded::may(shell, ask) {
             lease.give_back();
-            return Ended::NotSent.into();
+            return AttemptEnd::NotSent.into();
         }
         let mut request = Request::new(Full::new(ask.body.clone()));
         *request.method_mut() = ask.method.clone();
         *request.uri_mut() = ask.uri.clone();
         *request.headers_mut() = ask.headers.clone();
-        let left = heads::as_time_left(time.saturating_sub(began.elapsed()).as_nanos() as Ns);
+        let left = heads::as_time_left(time.saturating_sub(began.elapsed()).as_nanos() as Nanos);
         if let Ok(left) = HeaderValue::from_str(&left) {
             request
                 .headers_mut()
@@ -321,14 +329,14 @@
             Err(mut error) => match error.take_message() {
                 Some(_) if fresh => {
                     going.iter().for_each(Going::never_ran);
-                    return Ended::NoConnection.into();
+                    return AttemptEnd::ConnectFailed.into();
                 }
                 Some(_) => {
                     going.iter().for_each(|going| going.sent(false));
                     sent.set(false);
                     fresh = true;
                 }
-                None => return Ended::Reset.into(),
+                None => return AttemptEnd::Reset.into(),
             },
         }
     };
@@ -342,9 +350,9 @@
     let unseen =
         parts.status == rules.unseen_status && parts.headers.contains_key(&rules.unseen_header);
     let end = match parts.status {
-        _ if unseen => Ended::Full,
-        status if status.is_server_error() => Ended::Error,
-        _ => Ended::Delivered,
+        _ if unseen => AttemptEnd::Rejected,
+        status if status.is_server_error() => AttemptEnd::Failed,
+        _ => AttemptEnd::Served,
     };
     if end.never_ran() {
         going.iter().for_each(Going::never_ran);
@@ -355,12 +363,12 @@
         false => collect(&mut body, shell.site.door.answer_bytes).await,
     };
     let Ok((first, whole)) = read else {
-        return Ended::Reset.into();
+        return AttemptEnd::Reset.into();
     };
     let body = if whole {
         lease.give_back();
         Body::Whole(Full::new(first))
-    } else if end == Ended::Delivered {
+    } else if end == AttemptEnd::Served {
         Body::Rest {
             first: Some(first).filter(|first| !first.is_empty()),
             rest: body,
@@ -377,7 +385,7 @@
     if let Some(name) = shell.pod_name(pod) {
         parts.headers.insert(POD, name);
     }
-    if end == Ended::Delivered {
+    if end == AttemptEnd::Served {
         going.iter().for_each(Going::delivered);
     }
     End {
@@ -415,14 +423,14 @@
 }
 
 /// Asks a pod's probe path; any answer below 500 is one.
-pub async fn probe(shell: &Rc<Shell>, pod: PodId) -> ProbeEnd {
+pub async fn probe(shell: &Rc<Shell>, pod: PodId) -> HealthCheckResult {
     let (began, rules) = (Instant::now(), &shell.site.links);
     let asked = async {
         let Some(address) = shell.address(pod) else {
-            return (Ended::NotSent, None);
+            return (AttemptEnd::NotSent, None);
         };
         let Ok(mut lease) = shell.links.take(address, true).await else {
-            return (Ended::NoConnection, None);
+            return (AttemptEnd::ConnectFailed, None);
         };
         let mut request = Request::new(Full::new(Bytes::new()));
         *request.uri_mut() = rules
@@ -431,7 +439,7 @@
             .unwrap_or_else(|_| Uri::from_static("/"));
         request.headers_mut().insert(VIA, shell.via.clone());
         let Ok(response) = lease.sender.send_request(request).await else {
-            return (Ended::Reset, None);
+            return (AttemptEnd::Reset, None);
         };
         let load = response
             .headers()
@@ -440,18 +448,18 @@
         let load = load.and_then(|text| heads::load(text.to_str().ok()?));
         (
             if response.status().is_server_error() {
-                Ended::Error
+                AttemptEnd::Failed
             } else {
-                Ended::Delivered
+                AttemptEnd::Served
             },
             load,
         )
     };
     let ended = timeout(Duration::from_nanos(rules.connect_time), asked).await;
-    let (end, load) = ended.unwrap_or((Ended::TimeOut, None));
-    ProbeEnd {
+    let (end, load) = ended.unwrap_or((AttemptEnd::TimedOut, None));
+    HealthCheckResult {
         end,
-        took: began.elapsed().as_nanos() as Ns,
+        took: began.elapsed().as_nanos() as Nanos,
         load,
     }
 }
--- a/crates/sidecar/src/roll.rs
+++ b/crates/sidecar/src/roll.rs
@@ -1,6 +1,6 @@
 //! The pods by name: which index each has, where it listens and since when it runs.
 
-use havenplank::port::{mark_of, Ns, PodEntry, PodId, PodState};
+use havenplank::interface::{stable_hash, Endpoint, Nanos, PodId, PodState};
 use havenplank_line_protocol::lines::MOST_PODS;
 use havenplank_line_protocol::nodes::Listed;
 use std::collections::HashMap;
@@ -12,7 +12,7 @@
 
 struct Known {
     listed: Listed,
-    started: Ns,
+    started: Nanos,
     forwards_out: u32,
 }
 
@@ -77,7 +77,7 @@
     }
 
     /// The pods as last listed and when each started, as a list to be kept.
-    pub fn listed(&self, now: Ns) -> Vec<Listed> {
+    pub fn listed(&self, now: Nanos) -> Vec<Listed> {
         let live = self
             .slots
             .iter()
@@ -99,7 +99,7 @@
 
     /// Takes a list in and maps it to the module's entries, `None` for a pod that no index was left for. The same life keeps the start time it had when
     /// first listed; another life, build or address makes a pod that started anew under its old name.
-    pub fn apply(&mut self, now: Ns, whole: bool, pods: Vec<Listed>) -> Vec<Option<PodEntry>> {
+    pub fn apply(&mut self, now: Nanos, whole: bool, pods: Vec<Listed>) -> Vec<Option<Endpoint>> {
         if whole {
             self.slots
                 .iter_mut()
@@ -132,7 +132,7 @@
                 _ if listed.age == 0 => LONG_AGO,
                 _ => now.saturating_sub(listed.age).max(LONG_AGO + 2),
             };
-            let mark = mark_of(listed.name.as_bytes());
+            let mark = stable_hash(listed.name.as_bytes());
             let Listed {
                 state,
                 build,
@@ -146,9 +146,9 @@
                 started,
                 forwards_out,
             });
-            entries.push(Some(PodEntry {
+            entries.push(Some(Endpoint {
                 pod,
-                mark,
+                name_hash: mark,
                 state,
                 build,
                 started,
@@ -194,4 +194,4 @@
 }
 
 /// The start time that stands for "long ago"; the clock of an engine starts far later.
-pub const LONG_AGO: Ns = 0;
+pub const LONG_AGO: Nanos = 0;
--- a/crates/sidecar/src/routes.rs
+++ b/crates/sidecar/src/routes.rs
@@ -5,7 +5,7 @@
 //! walk down a trie of the path's own length, however many routes there are.
 
 use crate::slots::Slot;
-use havenplank::port::{GroupId, PathGroup};
+use havenplank::interface::{RouteClass, RouteClassId};
 use havenplank_configuration::record::BackupMode;
 use havenplank_configuration::snapshot::Snapshot;
 use havenplank_configuration::version::Version;
@@ -18,14 +18,14 @@
 #[derive(Debug)]
 pub struct Route {
     pub name: String,
-    pub rules: PathGroup,
+    pub rules: RouteClass,
     pub guard: Guard,
     slot: Slot,
 }
 
 impl Route {
     /// Its index in the decisions, which means this version as long as the route lives.
-    pub fn group(&self) -> GroupId {
+    pub fn group(&self) -> RouteClassId {
         self.slot.group()
     }
 }
--- a/crates/sidecar/src/shell.rs
+++ b/crates/sidecar/src/shell.rs
@@ -9,7 +9,7 @@
 use crate::links::Links;
 use crate::proxy::{self, Ask, Body};
 use crate::routes::RouteTable;
-use havenplank::port::*;
+use havenplank::interface::*;
 use havenplank_line_protocol::{desk, nodes};
 use havenplank_settings::Site;
 use hyper::header::{HeaderName, HeaderValue};
@@ -52,15 +52,15 @@
     fn forward(
         hub: Rc<Shell>,
         ask: Rc<Ask>,
-        nth: (HitId, u32),
+        nth: (RequestId, u32),
         pod: PodId,
-        time_out: Ns,
+        time_out: Nanos,
     ) -> impl Future<Output = ()> + 'static {
         proxy::forward(hub, ask, nth, pod, time_out)
     }
 
-    fn bounced(&self, come_back: Ns) -> Response<Body> {
-        let mut answer = proxy::bounced(come_back);
+    fn bounced(&self, retry_after: Nanos) -> Response<Body> {
+        let mut answer = proxy::bounced(retry_after);
         if self.guard.is_some() {
             answer.extensions_mut().insert(Final::Bounced);
         }
@@ -76,19 +76,32 @@
     }
 
     /// Sends a vote and sees to it that it is answered: not sent is refused, no answer in time is unknown.
-    fn vote(hub: &Rc<Shell>, vote: u64, build: Build, stage: usize, voice: Voice) {
+    fn vote(hub: &Rc<Shell>, vote: u64, build: Build, stage: usize, voice: Vote) {
         let line = desk::ask_vote(vote, build, stage, voice);
         let sent = hub.desk_up.get() && hub.desk_asks.try_send(line).is_ok();
         let (hub, wait) = (
             hub.clone(),
-            Duration::from_nanos(hub.site.votes.call_time_out),
+            Duration::from_nanos(hub.site.votes.call_timeout),
         );
         spawn_local(async move {
             if sent {
                 sleep(wait).await;
             }
-            let heard = if sent { Heard::Unknown } else { Heard::Refused };
-            hub.call(|engine, now| engine.voted(now, vote, StageNews { heard, stage: None }));
+            let heard = if sent {
+                VoteReceipt::Unknown
+            } else {
+                VoteReceipt::Rejected
+            };
+            hub.call(|engine, now| {
+                engine.voted(
+                    now,
+                    vote,
+                    VoteReply {
+                        receipt: heard,
+                        stage: None,
+                    },
+                )
+            });
         });
     }
 
--- a/crates/sidecar/src/slots.rs
+++ b/crates/sidecar/src/slots.rs
@@ -1,16 +1,16 @@
 //! The indices that routes have in the decision module: which are in force, and which a request still holds.
 
-use havenplank::logic::GroupChange;
-use havenplank::port::{GroupId, Ns, PathGroup};
+use havenplank::interface::{Nanos, RouteClass, RouteClassId};
+use havenplank::logic::RouteClassChange;
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
 
 /// The index of one version of a route. As long as a copy of it lives, the index means that version and no other.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Slot(Rc<GroupId>);
+pub struct Slot(Rc<RouteClassId>);
 
 impl Slot {
-    pub fn group(&self) -> GroupId {
+    pub fn group(&self) -> RouteClassId {
         *self.0
     }
 }
@@ -27,7 +27,7 @@
 
 struct Row {
     name: String,
-    rules: PathGroup,
+    rules: RouteClass,
     bucket: usize,
     in_force: bool,
     slot: Slot,
@@ -44,13 +44,13 @@
 pub(crate) struct Slots {
     rows: Vec<Row>,
     /// The latest slot of each name; also of a route that was removed, until its slot is given to another.
-    latest: HashMap<String, GroupId>,
+    latest: HashMap<String, RouteClassId>,
     /// How many slots count their requests in a bucket; one that none uses is free.
     bucket_users: Vec<usize>,
 }
 
 impl Slots {
-    pub fn new(routes: impl Iterator<Item = (String, PathGroup)>) -> Slots {
+    pub fn new(routes: impl Iterator<Item = (String, RouteClass)>) -> Slots {
         let mut slots = Slots {
             rows: Vec::new(),
             latest: HashMap::new(),
@@ -72,12 +72,12 @@
     }
 
     /// The slot of a request that comes under this index.
-    pub fn hold(&self, group: GroupId) -> Option<Slot> {
+    pub fn hold(&self, group: RouteClassId) -> Option<Slot> {
         self.rows.get(group).map(|row| row.slot.clone())
     }
 
     /// The slot in force of this name.
-    pub fn find(&self, name: &str) -> Option<GroupId> {
+    pub fn find(&self, name: &str) -> Option<RouteClassId> {
         self.latest
             .get(name)
             .copied()
@@ -93,7 +93,7 @@
     }
 
     /// The longest client time-out of all that are in force or held.
-    pub fn longest_time_out(&self) -> Ns {
+    pub fn longest_time_out(&self) -> Nanos {
         let used = self.rows.iter().filter(|row| !row.is_free());
         used.map(|row| row.rules.client_timeout).max().unwrap_or(0)
     }
@@ -110,10 +110,13 @@
 
     /// Puts these routes in force in place of all before. The slot of each, in their order, and what has changed for
     /// the decisions. A route that stays as it was keeps its slot; names are expected once each.
-    pub fn replace(&mut self, routes: &[(String, PathGroup)]) -> (Vec<Slot>, Vec<GroupChange>) {
+    pub fn replace(
+        &mut self,
+        routes: &[(String, RouteClass)],
+    ) -> (Vec<Slot>, Vec<RouteClassChange>) {
         let names: HashSet<&str> = routes.iter().map(|(name, _)| name.as_str()).collect();
         let mut free = self.free_slots(&names);
-        let kept: HashSet<GroupId> = routes
+        let kept: HashSet<RouteClassId> = routes
             .iter()
             .filter_map(|route| self.unchanged(route))
             .collect();
@@ -151,7 +154,7 @@
             }
             self.latest.insert(name.clone(), group);
             slots.push(slot);
-            changes.push(GroupChange {
+            changes.push(RouteClassChange {
                 group,
                 rules: *rules,
                 predecessor,
@@ -162,11 +165,12 @@
     }
 
     /// Slots that nothing holds, but for those whose routes come back under their names: they are predecessors.
-    fn free_slots(&self, names: &HashSet<&str>) -> Vec<GroupId> {
-        let comes_back = |group: GroupId, name: &str| {
+    fn free_slots(&self, names: &HashSet<&str>) -> Vec<RouteClassId> {
+        let comes_back = |group: RouteClassId, name: &str| {
             names.contains(name) && self.latest.get(name) == Some(&group)
         };
-        let free = |(group, row): &(GroupId, &Row)| row.is_free() && !comes_back(*group, &row.name);
+        let free =
+            |(group, row): &(RouteClassId, &Row)| row.is_free() && !comes_back(*group, &row.name);
         self.rows
             .iter()
             .enumerate()
@@ -176,7 +180,7 @@
     }
 
     /// The slot in force of a route that stays as it is.
-    fn unchanged(&self, (name, rules): &(String, PathGroup)) -> Option<GroupId> {
+    fn unchanged(&self, (name, rules): &(String, RouteClass)) -> Option<RouteClassId> {
         self.find(name)
             .filter(|group| self.rows[*group].rules == *rules)
     }
@@ -197,7 +201,7 @@
     }
 
     /// Ends what a slot was before it was given to another route.
-    fn forget(&mut self, before: &Row, group: GroupId) {
+    fn forget(&mut self, before: &Row, group: RouteClassId) {
         self.bucket_users[before.bucket] -= 1;
         if self.latest.get(&before.name) == Some(&group) {
             self.latest.remove(&before.name);
--- a/crates/sidecar/src/spreading.rs
+++ b/crates/sidecar/src/spreading.rs
@@ -4,7 +4,7 @@
 use crate::fellowship::Fellowship;
 use havenplank_configuration::message::Message;
 use havenplank_configuration::snapshot::Snapshot;
-use havenplank_configuration::spread::{Effect, Event, Glance, Ns, Peer, Peers, Spreader};
+use havenplank_configuration::spread::{Effect, Event, Glance, Nanos, Peer, Peers, Spreader};
 use havenplank_membership::swim::News;
 use havenplank_membership::wire::Life;
 use serde_json::{json, Value};
@@ -18,7 +18,7 @@
 
 /// The kind of message in which configurations travel.
 const KIND: u8 = 4;
-const NS_PER_MS: Ns = 1_000_000;
+const NS_PER_MS: Nanos = 1_000_000;
 /// However much is due, others on the thread get their turn between two wakes.
 const SHORTEST_WAIT: Duration = Duration::from_millis(1);
 
@@ -68,7 +68,7 @@
     }
 
     /// One call on the spreader, then all that it left to do.
-    pub fn call<T>(&self, work: impl FnOnce(&mut Spreader, Ns) -> T) -> T {
+    pub fn call<T>(&self, work: impl FnOnce(&mut Spreader, Nanos) -> T) -> T {
         let done = work(&mut self.spreader.borrow_mut(), self.fellowship.now());
         self.carry_out();
         done
@@ -164,7 +164,7 @@
     /// What an operator sees.
     pub fn state(&self) -> Value {
         let (glance, now) = (self.glance(), self.fellowship.now());
-        let age_ms = |at: Ns| now.saturating_sub(at) / NS_PER_MS;
+        let age_ms = |at: Nanos| now.saturating_sub(at) / NS_PER_MS;
         let rejected = glance
             .rejected
             .map(|rejection| json!({"version": rejection.version.to_string(), "reason": rejection.reason}));
@@ -201,7 +201,7 @@
             return Value::Null;
         };
         let now = self.fellowship.now();
-        let age_ms = |at: Ns| now.saturating_sub(at) / NS_PER_MS;
+        let age_ms = |at: Nanos| now.saturating_sub(at) / NS_PER_MS;
         let round = writer.round.map(|round| {
             let behind = round.behind.iter().map(|peer| {
                 json!({
--- a/crates/sidecar/src/told.rs
+++ b/crates/sidecar/src/told.rs
@@ -1,7 +1,7 @@
 //! What an engine is told, as data: for those that look on, and to tell it again.
 
 use crate::engine::{Asked, Effect};
-use havenplank::port::*;
+use havenplank::interface::*;
 use havenplank_line_protocol::nodes::Listed;
 use havenplank_settings::Site;
 use serde::{Deserialize, Serialize};
@@ -10,16 +10,17 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Terms {
     pub name: String,
-    pub place: Place,
+    pub place: FleetPosition,
     pub zones: Vec<String>,
     pub machines: Vec<String>,
-    pub customers: Vec<String>,
-    pub groups: Vec<(String, PathGroup)>,
-    pub forwards: ForwardRules,
-    pub pods: PodRules,
-    pub exposure: ExposureRules,
-    pub votes: VoteRules,
-    pub list: ListRules,
+    #[serde(rename = "customers")]
+    pub tenants: Vec<String>,
+    pub groups: Vec<(String, RouteClass)>,
+    pub forwards: AttemptSettings,
+    pub pods: PodSettings,
+    pub exposure: ExposureSettings,
+    pub votes: VoteSettings,
+    pub list: EndpointListSettings,
     /// Whether a pod's index goes to another once it is gone.
     #[serde(default = "yes")]
     pub reuse: bool,
@@ -36,7 +37,7 @@
             place: site.place.clone(),
             zones: site.zones.clone(),
             machines: site.machines.clone(),
-            customers: site.customers.clone(),
+            tenants: site.tenants.clone(),
             groups: site
                 .groups
                 .iter()
@@ -56,30 +57,30 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Told {
     Begin,
-    Hit {
-        hit: HitId,
+    IncomingRequest {
+        hit: RequestId,
         asked: Asked,
     },
     /// The hit that comes next, as this id, was taken elsewhere, and forwarded so.
     Resumed {
-        hit: HitId,
-        past: Vec<Earlier>,
+        hit: RequestId,
+        past: Vec<PriorAttempt>,
     },
     MayGo {
-        hit: HitId,
+        hit: RequestId,
         nth: u32,
         may: bool,
     },
-    Ended {
-        hit: HitId,
+    AttemptEnd {
+        hit: RequestId,
         nth: u32,
-        end: Ended,
-        took: Ns,
-        load: Option<Load>,
+        end: AttemptEnd,
+        took: Nanos,
+        load: Option<LoadReport>,
         passed: bool,
     },
     Left {
-        hit: HitId,
+        hit: RequestId,
     },
     /// `given`: the index of each pod, `None` where none was left for it.
     List {
@@ -91,17 +92,17 @@
     News(Stage),
     Voted {
         vote: u64,
-        news: StageNews,
+        news: VoteReply,
     },
     Probed {
         probe: u64,
-        end: ProbeEnd,
+        end: HealthCheckResult,
     },
     Tally(Tally),
     Flagged {
         pod: PodId,
-        group: GroupId,
-        ago: Ns,
+        group: RouteClassId,
+        ago: Nanos,
     },
     Wake(u64),
 }
@@ -109,6 +110,6 @@
 /// Looks on at an engine. It is called in the middle of decisions, so it must not wait for anything. Effects
 /// are seen as they are taken, which is in the order left, but maybe after the next call.
 pub trait Witness {
-    fn told(&mut self, now: Ns, told: Told);
-    fn did(&mut self, now: Ns, effect: &Effect);
+    fn told(&mut self, now: Nanos, told: Told);
+    fn did(&mut self, now: Nanos, effect: &Effect);
 }
--- a/crates/sidecar/tests/engine.rs
+++ b/crates/sidecar/tests/engine.rs
@@ -1,21 +1,23 @@
 //! The engine by itself: virtual time, no sockets, and the same decisions each time it is told the same.
 
-use havenplank::port::{Earlier, Ended, Heard, Ns, Phase, PodState, Stage, StageNews, Voice};
+use havenplank::interface::{
+    AttemptEnd, Nanos, Phase, PodState, PriorAttempt, Stage, Vote, VoteReceipt, VoteReply,
+};
 use havenplank_line_protocol::nodes::Listed;
 use havenplank_settings::{load, Given};
 use havenplank_sidecar::engine::{Asked, Effect, Engine, EPOCH};
 use havenplank_sidecar::told::Terms;
 use std::path::Path;
 
-const MS: Ns = 1_000_000;
-const S: Ns = 1_000 * MS;
+const MS: Nanos = 1_000_000;
+const S: Nanos = 1_000 * MS;
 
 fn site() -> Terms {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/site.star");
     Terms::from(&load(&file, &Given::new()).unwrap_or_else(|problems| panic!("{problems}")))
 }
 
-fn listed(n: u16, build: u32, life: u64, age: Ns) -> Listed {
+fn listed(n: u16, build: u32, life: u64, age: Nanos) -> Listed {
     Listed {
         name: format!("pod-{n}"),
         address: ([127, 0, 0, 1], 4000 + n).into(),
@@ -34,7 +36,7 @@
     let group = (n % 3) as usize;
     Asked {
         group,
-        customer: None,
+        tenant: None,
         key: n % 7 + 1,
         left: S,
         cost_hint: None,
@@ -47,7 +49,7 @@
 }
 
 /// A run of 20 s: old pods answer well, those of build 2 fail; every effect, in order.
-fn run(seed: u64, vote_answered: bool) -> Vec<(Ns, Effect)> {
+fn run(seed: u64, vote_answered: bool) -> Vec<(Nanos, Effect)> {
     let site = site();
     let mut engine = Engine::new(EPOCH, seed, &site);
     engine.begin(EPOCH);
@@ -65,7 +67,7 @@
             age: S,
         },
     );
-    let mut out: Vec<(Ns, u64, u32, Ended)> = Vec::new();
+    let mut out: Vec<(Nanos, u64, u32, AttemptEnd)> = Vec::new();
     let mut done = Vec::new();
     for tick in 0..20_000 {
         let now = EPOCH + tick * MS;
@@ -87,25 +89,32 @@
                         "nothing has changed since it was chosen"
                     );
                     let end = if *pod >= 6 {
-                        Ended::Error
+                        AttemptEnd::Failed
                     } else {
-                        Ended::Delivered
+                        AttemptEnd::Served
                     };
                     out.push((now + 30 * MS, *hit, *nth, end));
                 }
                 Effect::Vote { vote, .. } => {
                     let heard = if vote_answered {
-                        Heard::Counted
+                        VoteReceipt::Counted
                     } else {
-                        Heard::Unknown
+                        VoteReceipt::Unknown
                     };
-                    engine.voted(now, *vote, StageNews { heard, stage: None });
+                    engine.voted(
+                        now,
+                        *vote,
+                        VoteReply {
+                            receipt: heard,
+                            stage: None,
+                        },
+                    );
                     // An answer that comes again is nobody's.
                     engine.voted(
                         now,
                         *vote,
-                        StageNews {
-                            heard: Heard::Refused,
+                        VoteReply {
+                            receipt: VoteReceipt::Rejected,
                             stage: None,
                         },
                     );
@@ -128,13 +137,13 @@
 
 #[test]
 fn a_vote_without_an_answer_is_cast_again() {
-    let backs = |run: Vec<(Ns, Effect)>| {
+    let backs = |run: Vec<(Nanos, Effect)>| {
         run.iter()
             .filter(|(_, effect)| {
                 matches!(
                     effect,
                     Effect::Vote {
-                        voice: Voice::Back,
+                        voice: Vote::RollBack,
                         ..
                     }
                 )
@@ -156,7 +165,10 @@
     engine.begin(EPOCH);
     let hit = engine.hit(EPOCH, asked(0));
     assert!(
-        effects(&mut engine).contains(&Effect::Bounce { hit, come_back: S }),
+        effects(&mut engine).contains(&Effect::Bounce {
+            hit,
+            retry_after: S
+        }),
         "no pods: at once"
     );
     engine.list(EPOCH, true, vec![listed(0, 1, 1, 0)]);
@@ -165,10 +177,10 @@
         effects(&mut engine)[..],
         [Effect::Forward { nth: 0, .. }]
     ));
-    assert!(!engine.ended(EPOCH + S, hit, 0, Ended::TimeOut, S, None));
+    assert!(!engine.ended(EPOCH + S, hit, 0, AttemptEnd::TimedOut, S, None));
     assert_eq!(effects(&mut engine), [Effect::Error { hit, late: true }]);
     assert!(
-        !engine.ended(EPOCH + S, hit, 0, Ended::Delivered, S, None),
+        !engine.ended(EPOCH + S, hit, 0, AttemptEnd::Served, S, None),
         "its forward ended before"
     );
     assert!(!engine.may_go(EPOCH + S, hit, 0) && effects(&mut engine).is_empty());
@@ -176,7 +188,7 @@
     effects(&mut engine);
     engine.left(EPOCH + S, hit);
     assert!(
-        !engine.ended(EPOCH + S, hit, 0, Ended::Delivered, MS, None),
+        !engine.ended(EPOCH + S, hit, 0, AttemptEnd::Served, MS, None),
         "nobody is there to be answered"
     );
     assert!(effects(&mut engine).is_empty() && engine.glance().hits == 0);
@@ -194,17 +206,17 @@
         !engine.may_go(EPOCH + MS, hit, 0),
         "another life, even where both began long ago"
     );
-    engine.ended(EPOCH + MS, hit, 0, Ended::NotSent, MS, None);
+    engine.ended(EPOCH + MS, hit, 0, AttemptEnd::NotSent, MS, None);
     // A thousand lists of new names: indices are used again once nothing is out there.
     let mut most = 0;
     for n in 0..1_000 {
-        let now = EPOCH + S + n as Ns * MS;
+        let now = EPOCH + S + n as Nanos * MS;
         engine.list(now, true, vec![listed(n as u16 + 10, 1, 1, 0)]);
         let hit = engine.hit(now, asked(0));
         for effect in effects(&mut engine) {
             if let Effect::Forward { nth, pod, .. } = effect {
                 most = most.max(pod);
-                engine.ended(now, hit, nth, Ended::Delivered, MS, None);
+                engine.ended(now, hit, nth, AttemptEnd::Served, MS, None);
             }
         }
     }
@@ -215,12 +227,12 @@
 fn a_hit_taken_elsewhere_goes_on_by_what_may_have_run() {
     let site = site();
     let [tagged, mutating] = [1, 2];
-    let earlier = |pod, ago, may_have_run| Earlier {
+    let earlier = |pod, ago, may_have_run| PriorAttempt {
         pod,
         ago,
         may_have_run,
     };
-    let begin = |past: Vec<Earlier>, group| {
+    let begin = |past: Vec<PriorAttempt>, group| {
         let mut engine = Engine::new(EPOCH, 1, &site);
         engine.begin(EPOCH);
         let given = engine.list(
@@ -271,7 +283,7 @@
 fn a_repeat_that_waits_for_a_connection_past_its_window_does_not_go() {
     let mut site = site();
     let (tagged, window) = (1, 200 * MS);
-    site.groups[tagged].1.repeat_window = window;
+    site.groups[tagged].1.dedup_window = window;
     let mut engine = Engine::new(EPOCH, 1, &site);
     engine.begin(EPOCH);
     engine.list(
@@ -282,9 +294,9 @@
     // Hits before it, without which there is no budget for a retry.
     for _ in 0..30 {
         let hit = engine.hit(EPOCH, asked(0));
-        engine.ended(EPOCH, hit, 0, Ended::Delivered, MS, None);
+        engine.ended(EPOCH, hit, 0, AttemptEnd::Served, MS, None);
     }
-    let mut repeated = |first: Ended| {
+    let mut repeated = |first: AttemptEnd| {
         let hit = engine.hit(
             EPOCH,
             Asked {
@@ -302,18 +314,22 @@
         let within = engine.may_go(EPOCH + window - 1, hit, 1);
         (within, engine.may_go(EPOCH + window, hit, 1))
     };
-    assert_eq!(repeated(Ended::Reset), (true, false), "what may have run");
     assert_eq!(
-        repeated(Ended::Full),
+        repeated(AttemptEnd::Reset),
+        (true, false),
+        "what may have run"
+    );
+    assert_eq!(
+        repeated(AttemptEnd::Rejected),
         (true, true),
         "what never ran has no window"
     );
 }
 
 /// Builds that hits of one key go to after a forward of it to the newest, all of which end so.
-fn builds_after(each: Ended) -> Vec<u32> {
+fn builds_after(each: AttemptEnd) -> Vec<u32> {
     let mut site = site();
-    site.exposure.one_way = true;
+    site.exposure.sticky_keys = true;
     let mut engine = Engine::new(EPOCH, 3, &site);
     engine.begin(EPOCH);
     let pods = (0..4)
@@ -354,7 +370,7 @@
                 if ended {
                     builds.push(1 + newest as u32);
                 }
-                let end = if newest { each } else { Ended::Delivered };
+                let end = if newest { each } else { AttemptEnd::Served };
                 ended |= newest;
                 after.push((nth, end));
             }
@@ -372,14 +388,18 @@
 #[test]
 fn a_key_that_the_newest_build_may_have_answered_goes_to_no_earlier_one() {
     for end in [
-        Ended::Delivered,
-        Ended::Reset,
-        Ended::TimeOut,
-        Ended::Cancelled,
+        AttemptEnd::Served,
+        AttemptEnd::Reset,
+        AttemptEnd::TimedOut,
+        AttemptEnd::Cancelled,
     ] {
         assert!(builds_after(end).iter().all(|build| *build == 2), "{end:?}");
     }
-    for end in [Ended::Full, Ended::NoConnection, Ended::Error] {
+    for end in [
+        AttemptEnd::Rejected,
+        AttemptEnd::ConnectFailed,
+        AttemptEnd::Failed,
+    ] {
         assert!(
             builds_after(end).contains(&1),
             "{end:?}: no answer was made"
--- a/crates/sidecar/tests/hard.rs
+++ b/crates/sidecar/tests/hard.rs
@@ -1,6 +1,6 @@
 //! A sidecar on loopback sockets amid scripted peers that do what peers should not.
 
-use havenplank::port::{Phase, PodState, Stage};
+use havenplank::interface::{Phase, PodState, Stage};
 use havenplank_line_protocol::lines::hello;
 use havenplank_line_protocol::nodes::Listed;
 use havenplank_line_protocol::{desk, nodes};
@@ -580,7 +580,7 @@
             rig.until("\"hits_in_flight\":2").await;
             match desk_says_no {
                 true => {
-                    let _ = rig.desk.push.send(trial(0.0, Phase::GoingBack));
+                    let _ = rig.desk.push.send(trial(0.0, Phase::RollingBack));
                     rig.until("\"cap\":0.0").await;
                 }
                 false => rig.list(2, &pods(PodState::Draining)).await,
--- a/crates/sidecar/tests/routes.rs
+++ b/crates/sidecar/tests/routes.rs
@@ -1,6 +1,6 @@
 //! The route table against the linear scan it replaces, and the slots that routes have in the decisions.
 
-use havenplank::port::{Ended, Kind, Ns, PathGroup, PodState, Scope};
+use havenplank::interface::{AttemptEnd, DedupScope, Idempotency, Nanos, PodState, RouteClass};
 use havenplank_configuration::record::{
     BackupMode, Record, RequestKind, RequestRules, Route, Tenant, TenantLimits,
 };
@@ -17,19 +17,19 @@
 use std::path::Path;
 use std::sync::LazyLock;
 
-const MS: Ns = 1_000_000;
-const S: Ns = 1_000 * MS;
+const MS: Nanos = 1_000_000;
+const S: Nanos = 1_000 * MS;
 const METHODS: [&str; 3] = ["GET", "POST", "DELETE"];
 
-fn rules(target_latency: Ns) -> PathGroup {
-    PathGroup {
-        kind: Kind::Repeatable,
-        scope: Scope::All,
-        repeat_window: 0,
-        target_latency,
+fn rules(latency_objective: Nanos) -> RouteClass {
+    RouteClass {
+        idempotency: Idempotency::Idempotent,
+        dedup_scope: DedupScope::All,
+        dedup_window: 0,
+        latency_objective,
         client_timeout: 10 * S,
-        benefit: 1.0,
-        late_benefit: 1.0,
+        priority_weight: 1.0,
+        late_weight: 1.0,
         stream: false,
     }
 }
@@ -66,7 +66,7 @@
 }
 
 /// An engine without routes of its own settings.
-fn engine(per_group: bool) -> Engine {
+fn engine(per_class: bool) -> Engine {
     static TERMS: LazyLock<Terms> = LazyLock::new(|| {
         let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/site.star");
         let site = havenplank_settings::load(&file, &Default::default());
@@ -74,7 +74,7 @@
     });
     let mut terms = TERMS.clone();
     terms.groups.clear();
-    terms.exposure.per_group = per_group;
+    terms.exposure.per_class = per_class;
     Engine::new(EPOCH, 1, &terms)
 }
 
@@ -152,12 +152,12 @@
         ),
     ) {
         let mut engine = engine(true);
-        let mut held: Vec<(Slot, (String, PathGroup))> = Vec::new();
+        let mut held: Vec<(Slot, (String, RouteClass))> = Vec::new();
         let mut before: Vec<Slot> = Vec::new();
         let mut most = 0;
         for (routes, hold) in versions {
             let mut names = HashSet::new();
-            let routes: Vec<(String, PathGroup)> = routes
+            let routes: Vec<(String, RouteClass)> = routes
                 .into_iter()
                 .filter(|(name, _)| names.insert(*name))
                 .map(|(name, target)| (format!("r-{name}"), rules(target * S)))
@@ -240,10 +240,10 @@
     }
 }
 
-fn ask(engine: &mut Engine, slot: &Slot) -> (u64, Ns) {
+fn ask(engine: &mut Engine, slot: &Slot) -> (u64, Nanos) {
     let asked = Asked {
         group: slot.group(),
-        customer: None,
+        tenant: None,
         key: 0,
         left: 10 * S,
         cost_hint: None,
@@ -276,8 +276,8 @@
     );
     let (hit, time_out) = ask(&mut engine, &old[0]);
     assert_eq!(time_out, 2 * S);
-    let mutating = PathGroup {
-        kind: Kind::Mutating,
+    let mutating = RouteClass {
+        idempotency: Idempotency::NonIdempotent,
         ..rules(5 * S)
     };
     let new = engine.set_routes(EPOCH, &[("a".into(), mutating), ("b".into(), rules(3 * S))]);
@@ -300,7 +300,7 @@
         }
     );
     for (hit, retried) in [(hit, true), (other, false)] {
-        engine.ended(EPOCH + 10 * MS, hit, 0, Ended::Reset, 10 * MS, None);
+        engine.ended(EPOCH + 10 * MS, hit, 0, AttemptEnd::Reset, 10 * MS, None);
         let effects: Vec<Effect> = std::iter::from_fn(|| engine.effect()).collect();
         let again = effects.iter().any(
             |effect| matches!(effect, Effect::Forward { hit: known, nth: 1, .. } if *known == hit),
@@ -315,7 +315,7 @@
         3,
         "slot 0 is held by a request, slots 1 and 2 by tables"
     );
-    assert!(engine.ended(EPOCH + 20 * MS, hit, 1, Ended::Delivered, 10 * MS, None));
+    assert!(engine.ended(EPOCH + 20 * MS, hit, 1, AttemptEnd::Served, 10 * MS, None));
     drop((new, third));
     assert_eq!(
         engine.slot_counts(),
@@ -342,7 +342,7 @@
     let mut engine = engine(true);
     let mut table = Vec::new();
     for version in 0..1_000u64 {
-        let routes: Vec<(String, PathGroup)> = (0..50)
+        let routes: Vec<(String, RouteClass)> = (0..50)
             .map(|n| (format!("r-{n}"), rules(S + (version * (n % 2)) * MS)))
             .collect();
         table = engine.set_routes(EPOCH, &routes);
@@ -372,7 +372,7 @@
     let records = vec![route("/a", RequestKind::Keyed), Record::from(tenant)];
     let (first, empty) = (snapshot(1, records), Snapshot::empty());
     let groups = routes_of(&first);
-    assert_eq!(groups[0].rules.kind, Kind::Tagged);
+    assert_eq!(groups[0].rules.idempotency, Idempotency::Keyed);
     let slots = slots(&mut engine(false), &groups);
     let table = RouteTable::from_snapshot(first, &groups, slots);
     assert_eq!(
--- a/crates/takeover/src/lib.rs
+++ b/crates/takeover/src/lib.rs
@@ -8,6 +8,6 @@
 mod rules;
 mod takeover;
 
-pub use havenplank_membership::Ns;
+pub use havenplank_membership::Nanos;
 pub use rules::Rules;
 pub use takeover::{Effect, Takeover};
--- a/crates/takeover/src/record.rs
+++ b/crates/takeover/src/record.rs
@@ -2,7 +2,7 @@
 //!
 //! All types travel as `postcard`, which encodes fields and variants by position: their order is part of the protocol.
 
-use crate::Ns;
+use crate::Nanos;
 use havenplank_membership::wire::Life;
 use serde::{Deserialize, Serialize};
 
@@ -26,7 +26,7 @@
     /// The name of the pod.
     pub pod: String,
     /// How long ago it was about to be written.
-    pub age: Ns,
+    pub age: Nanos,
     pub state: AttemptState,
 }
 
@@ -71,7 +71,7 @@
     /// The encoded request.
     pub payload: Vec<u8>,
     /// The time left until the client's deadline.
-    pub remaining: Ns,
+    pub remaining: Nanos,
     /// The attempts, oldest first.
     pub attempts: Vec<Attempt>,
     /// The final outcome, once known.
@@ -80,7 +80,7 @@
 
 impl Record {
     /// The record as of a later moment. Only time spans travel, as no two clocks agree.
-    pub fn later(&self, by: Ns) -> Record {
+    pub fn later(&self, by: Nanos) -> Record {
         let mut record = self.clone();
         record.remaining = record.remaining.saturating_sub(by);
         record
@@ -114,13 +114,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Message {
     /// To a backup: keep this record, or this newer version of it.
-    Store { record: Record, stamp: Ns },
+    Store { record: Record, stamp: Nanos },
     /// The record is kept.
     Stored {
         request: RequestId,
         term: u32,
         version: u32,
-        stamp: Ns,
+        stamp: Nanos,
         epoch: u32,
     },
     /// Another sidecar owns the request, by a later term or an earlier claim. `differs`: the key belongs to a different
@@ -134,20 +134,20 @@
     /// No room for another record.
     Full { request: RequestId },
     /// To a backup: renew the lease on all requests that it keeps for the sender.
-    RenewLease { stamp: Ns },
+    RenewLease { stamp: Nanos },
     /// The lease is renewed.
-    LeaseRenewed { stamp: Ns, epoch: u32 },
+    LeaseRenewed { stamp: Nanos, epoch: u32 },
     /// The sender stands as the owner of the request in this term.
     RequestVote {
         request: RequestId,
         term: u32,
-        stamp: Ns,
+        stamp: Nanos,
     },
     /// A vote for the candidate, with the record that the voter keeps.
     VoteGranted {
         record: Record,
         term: u32,
-        stamp: Ns,
+        stamp: Nanos,
         epoch: u32,
     },
     /// To a backup: report the outcome when it is known.
--- a/crates/takeover/src/rules.rs
+++ b/crates/takeover/src/rules.rs
@@ -1,12 +1,12 @@
 //! The limits and time spans of a takeover.
 
-use crate::Ns;
+use crate::Nanos;
 
 /// Limits and time spans of one [`Takeover`](crate::Takeover).
 #[derive(Clone, Debug)]
 pub struct Rules {
     /// How long a lease lasts. Its safety rests on clocks that drift less than `drift_ppm`.
-    pub lease: Ns,
+    pub lease: Nanos,
     /// The greatest drift of a clock, in millionths.
     pub drift_ppm: u64,
     /// In-flight requests with backups, at most; further ones are served without backups and counted.
@@ -17,7 +17,7 @@
     /// rejected, and of an answer only the fact that it was served is kept.
     pub max_replica_bytes: usize,
     /// How long a record stays after its deadline, so that a client that retries finds its answer.
-    pub retention: Ns,
+    pub retention: Nanos,
 }
 
 impl Default for Rules {
--- a/crates/takeover/src/takeover.rs
+++ b/crates/takeover/src/takeover.rs
@@ -17,7 +17,7 @@
 mod waiter;
 
 use crate::record::{Message, Outcome, Record, RequestId};
-use crate::{Ns, Rules};
+use crate::{Nanos, Rules};
 use backup::Replica;
 use havenplank_membership::wire::Life;
 use oorandom::Rand64;
@@ -67,14 +67,14 @@
     /// a waiting client, whose number the listener bounds.
     waiting: BTreeMap<RequestId, Waiting>,
     /// Until when this sidecar takes over nothing from an owner. Removed with the last record kept for it.
-    granted: BTreeMap<Life, Ns>,
+    granted: BTreeMap<Life, Nanos>,
     /// For each owner the value of `withdrawals` when this sidecar last voted against it. An owner without an entry has
     /// the current value, so that an entry that was removed and added again never shows an earlier epoch.
     epochs: BTreeMap<Life, u32>,
     withdrawals: u32,
     /// By backup: until when its lease to this sidecar lasts, and its epoch. Removed with the last request it backs up.
-    leases: BTreeMap<String, (Ns, u32)>,
-    renew_at: Ns,
+    leases: BTreeMap<String, (Nanos, u32)>,
+    renew_at: Nanos,
     random: Rand64,
     effects: VecDeque<Effect>,
     /// Bytes of all records kept: summed up at each wake-up, with later additions on top.
@@ -111,7 +111,7 @@
 
 impl Takeover {
     /// An empty state machine; `seed` drives the retry jitter only.
-    pub fn new(now: Ns, seed: u64, me: Life, rules: Rules) -> Takeover {
+    pub fn new(now: Nanos, seed: u64, me: Life, rules: Rules) -> Takeover {
         Takeover {
             me,
             rules,
@@ -138,7 +138,7 @@
     }
 
     /// When [`Takeover::wake`] is due next.
-    pub fn next_wake(&self) -> Option<Ns> {
+    pub fn next_wake(&self) -> Option<Nanos> {
         let owned = self.owned.values().map(|owned| owned.retry_at);
         let renew = (!self.owned.is_empty()).then_some(self.renew_at);
         let replica = self
@@ -163,7 +163,7 @@
     }
 
     /// Handles a message of another sidecar.
-    pub fn receive(&mut self, now: Ns, from: &Life, message: Message) {
+    pub fn receive(&mut self, now: Nanos, from: &Life, message: Message) {
         match message {
             Message::Store { record, stamp } if record.owner == *from => {
                 self.on_store(now, from, record, stamp)
@@ -211,7 +211,7 @@
     }
 
     /// Does what is due by now.
-    pub fn wake(&mut self, now: Ns) {
+    pub fn wake(&mut self, now: Nanos) {
         self.renew_leases(now);
         self.replica_bytes = self
             .replicas
@@ -226,7 +226,7 @@
     }
 
     /// Forgets leases, granted or held, that no record or request needs any more.
-    fn prune_leases(&mut self, now: Ns) {
+    fn prune_leases(&mut self, now: Nanos) {
         let (replicas, owned) = (&self.replicas, &self.owned);
         let is_owner = |owner: &Life| replicas.values().any(|replica| replica.owner == *owner);
         self.granted
--- a/crates/takeover/src/takeover/backup.rs
+++ b/crates/takeover/src/takeover/backup.rs
@@ -2,7 +2,7 @@
 
 use super::Takeover;
 use crate::record::{Message, Outcome, Record, RequestId};
-use crate::Ns;
+use crate::Nanos;
 use havenplank_membership::wire::Life;
 use std::collections::BTreeMap;
 
@@ -10,20 +10,20 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Replica {
     pub(super) record: Record,
-    pub(super) as_of: Ns,
+    pub(super) as_of: Nanos,
     /// The latest term that this sidecar voted in, and for whom; the record's own term and owner before any vote.
     pub(super) term: u32,
     pub(super) owner: Life,
     pub(super) waiters: Vec<Life>,
     /// This sidecar's own candidacy: its term, and the records of the backups that voted for it.
     pub(super) votes: Option<(u32, BTreeMap<String, Record>)>,
-    pub(super) try_at: Ns,
-    pub(super) forget: Ns,
+    pub(super) try_at: Nanos,
+    pub(super) forget: Nanos,
 }
 
 impl Takeover {
     /// Grants an owner another lease, and returns its epoch.
-    pub(super) fn grant_lease(&mut self, now: Ns, owner: &Life) -> u32 {
+    pub(super) fn grant_lease(&mut self, now: Nanos, owner: &Life) -> u32 {
         let until = now + self.rules.lease;
         let promised = self.granted.entry(owner.clone()).or_default();
         *promised = (*promised).max(until);
@@ -35,7 +35,7 @@
     }
 
     /// Stores an owner's newest record, unless something that is known here stands against it.
-    pub(super) fn on_store(&mut self, now: Ns, from: &Life, mut record: Record, stamp: Ns) {
+    pub(super) fn on_store(&mut self, now: Nanos, from: &Life, mut record: Record, stamp: Nanos) {
         let (request, term, version) = (record.request, record.term, record.version);
         if let Some(Outcome::Served(answer)) = record.outcome.as_mut().filter(|_| self.is_full()) {
             answer.clear();
@@ -58,7 +58,7 @@
     }
 
     /// Gives up a request that is owned here to a record of a later term. Refuses any other record and returns false.
-    fn yield_to_record(&mut self, now: Ns, from: &Life, record: &Record) -> bool {
+    fn yield_to_record(&mut self, now: Nanos, from: &Life, record: &Record) -> bool {
         let Some(owned) = self.owned.get(&record.request) else {
             return true;
         };
@@ -82,7 +82,7 @@
 
     /// Keeps a record. Refuses one of an earlier term or of a finished request, and one without room for it, and
     /// returns false.
-    fn accept_record(&mut self, now: Ns, from: &Life, record: Record) -> bool {
+    fn accept_record(&mut self, now: Nanos, from: &Life, record: Record) -> bool {
         let request = record.request;
         let Some(replica) = self.replicas.get(&request) else {
             if self.is_full() {
@@ -104,7 +104,7 @@
     }
 
     /// Follows an owner in its term, and replaces the record if the owner's is newer.
-    fn update_replica(&mut self, now: Ns, from: &Life, record: Record) {
+    fn update_replica(&mut self, now: Nanos, from: &Life, record: Record) {
         let forget = now
             .saturating_add(record.remaining)
             .saturating_add(self.rules.retention);
@@ -147,7 +147,7 @@
     }
 
     /// Renews the lease of an owner for which records are kept.
-    pub(super) fn on_renew_lease(&mut self, now: Ns, from: &Life, stamp: Ns) {
+    pub(super) fn on_renew_lease(&mut self, now: Nanos, from: &Life, stamp: Nanos) {
         if self.replicas.values().any(|replica| replica.owner == *from) {
             let epoch = self.grant_lease(now, from);
             self.send(from, Message::LeaseRenewed { stamp, epoch });
@@ -165,7 +165,7 @@
     }
 
     /// Drops the records whose retention is over.
-    pub(super) fn drop_expired(&mut self, now: Ns) {
+    pub(super) fn drop_expired(&mut self, now: Nanos) {
         let expired: Vec<RequestId> = self
             .replicas
             .iter()
@@ -182,7 +182,7 @@
             || self.replica_bytes >= self.rules.max_replica_bytes
     }
 
-    pub(super) fn insert_replica(&mut self, now: Ns, record: Record, term: u32, owner: Life) {
+    pub(super) fn insert_replica(&mut self, now: Nanos, record: Record, term: u32, owner: Life) {
         let forget = now
             .saturating_add(record.remaining)
             .saturating_add(self.rules.retention);
--- a/crates/takeover/src/takeover/claim.rs
+++ b/crates/takeover/src/takeover/claim.rs
@@ -4,7 +4,7 @@
 use super::owner::OwnedRequest;
 use super::{Effect, Takeover};
 use crate::record::{Message, Record, RequestId};
-use crate::Ns;
+use crate::Nanos;
 use havenplank_membership::wire::Life;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -17,11 +17,11 @@
     /// report that it knows no other owner.
     pub fn claim(
         &mut self,
-        now: Ns,
+        now: Nanos,
         request: RequestId,
         digest: u64,
         (payload, exactly_once): (Vec<u8>, bool),
-        remaining: Ns,
+        remaining: Nanos,
         backups: Vec<Life>,
     ) {
         if let Some(owned) = self.owned.get(&request) {
@@ -68,11 +68,11 @@
     /// most requests are finished by then and cost no message.
     pub fn claim_in_background(
         &mut self,
-        now: Ns,
+        now: Nanos,
         request: RequestId,
         digest: u64,
         payload: Vec<u8>,
-        remaining: Ns,
+        remaining: Nanos,
         backups: Vec<Life>,
     ) {
         if self.owned.contains_key(&request) || self.replicas.contains_key(&request) {
@@ -98,7 +98,7 @@
         term: u32,
         digest: u64,
         payload: Vec<u8>,
-        remaining: Ns,
+        remaining: Nanos,
         backups: Vec<Life>,
     ) -> Record {
         let (owner, attempts) = (self.me.clone(), Vec::new());
@@ -120,10 +120,10 @@
     /// Enters a request as owned here and sends its record to the backups.
     pub(super) fn own(
         &mut self,
-        now: Ns,
+        now: Nanos,
         record: Record,
-        claim_until: Option<Ns>,
-        announce_at: Ns,
+        claim_until: Option<Nanos>,
+        announce_at: Nanos,
     ) {
         let request = record.request;
         let (acks, refused, pending_attempts) = (BTreeMap::new(), BTreeSet::new(), Vec::new());
@@ -145,7 +145,7 @@
     }
 
     /// Ends a claim without enough backups: joins the other owner if there is one, else goes without backups.
-    pub(super) fn give_up(&mut self, now: Ns, request: RequestId) {
+    pub(super) fn give_up(&mut self, now: Nanos, request: RequestId) {
         let Some(owned) = self.owned.remove(&request) else {
             return;
         };
@@ -169,7 +169,7 @@
     /// A backup reports another owner, to a claim, to an owner that has lost its lease, or to a waiting client.
     pub(super) fn on_owned(
         &mut self,
-        now: Ns,
+        now: Nanos,
         from: &Life,
         request: RequestId,
         term: u32,
@@ -224,7 +224,7 @@
     }
 
     /// A backup has no room for the record of a claim.
-    pub(super) fn on_full(&mut self, now: Ns, from: &Life, request: RequestId) {
+    pub(super) fn on_full(&mut self, now: Nanos, from: &Life, request: RequestId) {
         let Some(owned) = self
             .owned
             .get_mut(&request)
--- a/crates/takeover/src/takeover/election.rs
+++ b/crates/takeover/src/takeover/election.rs
@@ -3,15 +3,15 @@
 use super::backup::{refusal, Replica};
 use super::{Effect, Takeover};
 use crate::record::{AttemptState, Message, Record, RequestId};
-use crate::Ns;
+use crate::Nanos;
 use havenplank_membership::wire::Life;
 use std::collections::BTreeMap;
 
 impl Takeover {
     /// When this backup may next stand as a candidate for a request.
-    pub(super) fn election_due(&self, replica: &Replica) -> Ns {
+    pub(super) fn election_due(&self, replica: &Replica) -> Nanos {
         if replica.record.outcome.is_some() || !replica.record.backups.contains(&self.me) {
-            return Ns::MAX;
+            return Nanos::MAX;
         }
         // An unconfirmed claim may have been given up by an owner that lives and renews its lease for other requests.
         let promised = self.granted.get(&replica.owner).copied().unwrap_or(0);
@@ -23,7 +23,7 @@
     }
 
     /// Stands as a candidate for each request whose owner's lease has expired.
-    pub(super) fn hold_elections(&mut self, now: Ns) {
+    pub(super) fn hold_elections(&mut self, now: Nanos) {
         let due: Vec<RequestId> = self
             .replicas
             .iter()
@@ -35,7 +35,7 @@
     }
 
     /// Asks the other backups for their votes, after one random delay.
-    fn request_votes(&mut self, now: Ns, request: RequestId) {
+    fn request_votes(&mut self, now: Nanos, request: RequestId) {
         let pause = self
             .random
             .rand_range(self.rules.lease / 4..self.rules.lease + 1);
@@ -93,11 +93,11 @@
     /// Another backup asks for a vote.
     pub(super) fn on_request_vote(
         &mut self,
-        now: Ns,
+        now: Nanos,
         from: &Life,
         request: RequestId,
         term: u32,
-        stamp: Ns,
+        stamp: Nanos,
     ) {
         let backs_up =
             |record: &Record| record.backups.contains(from) && record.backups.contains(&self.me);
@@ -114,7 +114,13 @@
     }
 
     /// Gives up a request that is owned here, if its lease has expired and the candidate's term is later.
-    fn yield_to_candidate(&mut self, now: Ns, from: &Life, request: RequestId, term: u32) -> bool {
+    fn yield_to_candidate(
+        &mut self,
+        now: Nanos,
+        from: &Life,
+        request: RequestId,
+        term: u32,
+    ) -> bool {
         let Some(owned) = self.owned.get(&request) else {
             return true;
         };
@@ -134,7 +140,7 @@
     }
 
     /// Votes for a candidate of a later term, unless the owner's lease still stands.
-    fn vote_for(&mut self, now: Ns, from: &Life, request: RequestId, term: u32, stamp: Ns) {
+    fn vote_for(&mut self, now: Nanos, from: &Life, request: RequestId, term: u32, stamp: Nanos) {
         let Some(replica) = self.replicas.get_mut(&request) else {
             return;
         };
@@ -175,11 +181,11 @@
     /// Another backup votes for this candidate.
     pub(super) fn on_vote_granted(
         &mut self,
-        now: Ns,
+        now: Nanos,
         from: &Life,
         record: Record,
         term: u32,
-        (stamp, epoch): (Ns, u32),
+        (stamp, epoch): (Nanos, u32),
     ) {
         let request = record.request;
         let Some(replica) = self
@@ -200,7 +206,7 @@
     }
 
     /// Takes the request over once a majority has voted for this candidate.
-    fn count_votes(&mut self, now: Ns, request: RequestId) {
+    fn count_votes(&mut self, now: Nanos, request: RequestId) {
         let Some(replica) = self.replicas.get(&request) else {
             return;
         };
--- a/crates/takeover/src/takeover/owner.rs
+++ b/crates/takeover/src/takeover/owner.rs
@@ -2,7 +2,7 @@
 
 use super::{Effect, Takeover};
 use crate::record::{Attempt, AttemptState, Message, Outcome, Record, RequestId};
-use crate::Ns;
+use crate::Nanos;
 use havenplank_membership::wire::Life;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -17,10 +17,10 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct OwnedRequest {
     pub(super) record: Record,
-    pub(super) as_of: Ns,
+    pub(super) as_of: Nanos,
     pub(super) acks: BTreeMap<String, Ack>,
     /// The claim's time-out; none once the claim has succeeded.
-    pub(super) claim_until: Option<Ns>,
+    pub(super) claim_until: Option<Nanos>,
     /// The request may have been in flight elsewhere before, and a repeat could do harm.
     pub(super) exactly_once: bool,
     /// Backups that reported another owner.
@@ -28,9 +28,9 @@
     /// Attempts not yet written, each with the version of the record that first lists it.
     pub(super) pending_attempts: Vec<(usize, u32)>,
     /// When the record is first sent to the backups.
-    pub(super) announce_at: Ns,
+    pub(super) announce_at: Nanos,
     /// When an unacknowledged record is sent again, and how often it was.
-    pub(super) retry_at: Ns,
+    pub(super) retry_at: Nanos,
     pub(super) retries: u32,
 }
 
@@ -38,7 +38,7 @@
     /// Whether an attempt of this request may be written now; to be asked right before the write. The window between the
     /// two is harmless: a non-idempotent attempt that may have run is never sent again, and of a keyed one the pods
     /// drop the repeat.
-    pub fn may_send(&self, now: Ns, request: RequestId) -> bool {
+    pub fn may_send(&self, now: Nanos, request: RequestId) -> bool {
         self.owned.get(&request).is_some_and(|owned| {
             owned.claim_until.is_none()
                 && owned.record.outcome.is_none()
@@ -47,7 +47,7 @@
     }
 
     /// Records an attempt that is about to go to a pod and returns its index. [`Effect::AttemptReady`] tells when it may.
-    pub fn begin_attempt(&mut self, now: Ns, request: RequestId, pod: &str) -> Option<usize> {
+    pub fn begin_attempt(&mut self, now: Nanos, request: RequestId, pod: &str) -> Option<usize> {
         let owned = self.owned.get_mut(&request)?;
         owned.change(now, |record| {
             record.attempts.push(Attempt {
@@ -63,7 +63,13 @@
     }
 
     /// Records how an attempt ended.
-    pub fn end_attempt(&mut self, now: Ns, request: RequestId, index: usize, state: AttemptState) {
+    pub fn end_attempt(
+        &mut self,
+        now: Nanos,
+        request: RequestId,
+        index: usize,
+        state: AttemptState,
+    ) {
         let Some(owned) = self.owned.get_mut(&request) else {
             return;
         };
@@ -76,7 +82,7 @@
     }
 
     /// Records the final outcome.
-    pub fn finish(&mut self, now: Ns, request: RequestId, outcome: Outcome) {
+    pub fn finish(&mut self, now: Nanos, request: RequestId, outcome: Outcome) {
         let Some(owned) = self.owned.get_mut(&request) else {
             return;
         };
@@ -92,7 +98,7 @@
 
     /// The number of backups that hold at least this version and whose lease is valid. This sidecar counts as a backup
     /// like any other: its own lease expires, too, unless the event loop runs.
-    fn leased_backups(&self, now: Ns, owned: &OwnedRequest, version: u32) -> usize {
+    fn leased_backups(&self, now: Nanos, owned: &OwnedRequest, version: u32) -> usize {
         let is_leased = |backup: &&Life| {
             let ack = owned.acks.get(&backup.name);
             let lease = self.leases.get(&backup.name);
@@ -104,7 +110,7 @@
     }
 
     /// Sends the record to the backups that have not acknowledged this version.
-    pub(super) fn replicate(&mut self, now: Ns, request: RequestId) {
+    pub(super) fn replicate(&mut self, now: Nanos, request: RequestId) {
         let Some(owned) = self.owned.get_mut(&request) else {
             return;
         };
@@ -154,7 +160,7 @@
     }
 
     /// Does what the acknowledgements so far allow: the claim succeeds, attempts may go, the request is finished.
-    pub(super) fn advance(&mut self, now: Ns, request: RequestId) {
+    pub(super) fn advance(&mut self, now: Nanos, request: RequestId) {
         let Some(owned) = self.owned.get(&request) else {
             return;
         };
@@ -200,7 +206,7 @@
     }
 
     /// Asks the backups of all open requests to renew their leases.
-    pub(super) fn renew_leases(&mut self, now: Ns) {
+    pub(super) fn renew_leases(&mut self, now: Nanos) {
         if now < self.renew_at {
             return;
         }
@@ -222,7 +228,7 @@
     }
 
     /// Retries each request that is due.
-    pub(super) fn retry_owned(&mut self, now: Ns) {
+    pub(super) fn retry_owned(&mut self, now: Nanos) {
         let due: Vec<RequestId> = self
             .owned
             .iter()
@@ -233,7 +239,7 @@
     }
 
     /// Sends an unacknowledged record again, or ends a claim that took too long.
-    fn retry(&mut self, now: Ns, request: RequestId) {
+    fn retry(&mut self, now: Nanos, request: RequestId) {
         let Some(owned) = self.owned.get_mut(&request) else {
             return;
         };
@@ -253,10 +259,10 @@
     /// A backup acknowledges a record.
     pub(super) fn on_stored(
         &mut self,
-        now: Ns,
+        now: Nanos,
         from: &Life,
         (request, term, version): (RequestId, u32, u32),
-        (stamp, epoch): (Ns, u32),
+        (stamp, epoch): (Nanos, u32),
     ) {
         self.extend_lease(now, from, stamp, epoch);
         let Some(owned) = self
@@ -277,7 +283,7 @@
     }
 
     /// Extends a lease. It counts from when it was asked for, shortened by the drift of two clocks.
-    pub(super) fn extend_lease(&mut self, now: Ns, from: &Life, stamp: Ns, epoch: u32) {
+    pub(super) fn extend_lease(&mut self, now: Nanos, from: &Life, stamp: Nanos, epoch: u32) {
         if stamp > now {
             return;
         }
@@ -320,7 +326,7 @@
     /// Moves a request that is no longer owned here to the records kept for others. If it was taken over here, the other
     /// backups' majorities count on that record; if it arrived here, a later claim may choose this sidecar as a backup,
     /// and it may be the only one of that majority to know the request.
-    pub(super) fn retire(&mut self, now: Ns, request: RequestId) -> Option<Record> {
+    pub(super) fn retire(&mut self, now: Nanos, request: RequestId) -> Option<Record> {
         let owned = self.owned.remove(&request)?;
         let record = owned.record.later(now - owned.as_of);
         self.insert_replica(now, record.clone(), record.term, self.me.clone());
@@ -328,7 +334,7 @@
     }
 
     /// Gives a request up to another owner and waits for its outcome.
-    pub(super) fn lose(&mut self, now: Ns, request: RequestId) {
+    pub(super) fn lose(&mut self, now: Nanos, request: RequestId) {
         let Some(record) = self.retire(now, request) else {
             return;
         };
@@ -345,7 +351,7 @@
 
 impl OwnedRequest {
     /// Changes the record and raises its version.
-    pub(super) fn change(&mut self, now: Ns, change: impl FnOnce(&mut Record)) {
+    pub(super) fn change(&mut self, now: Nanos, change: impl FnOnce(&mut Record)) {
         self.record = self.record.later(now - self.as_of);
         self.as_of = now;
         change(&mut self.record);
--- a/crates/takeover/src/takeover/waiter.rs
+++ b/crates/takeover/src/takeover/waiter.rs
@@ -2,7 +2,7 @@
 
 use super::{Effect, Takeover};
 use crate::record::{Message, Outcome, RequestId};
-use crate::Ns;
+use crate::Nanos;
 use havenplank_membership::wire::Life;
 use std::collections::BTreeSet;
 
@@ -16,19 +16,19 @@
     pub(super) backups: Vec<Life>,
     pub(super) unknown_at: BTreeSet<String>,
     /// When a backup last reported it as in flight.
-    pub(super) last_known: Ns,
-    pub(super) retry_at: Ns,
-    pub(super) forget: Ns,
+    pub(super) last_known: Nanos,
+    pub(super) retry_at: Nanos,
+    pub(super) forget: Nanos,
 }
 
 impl Takeover {
     /// Joins a request that another sidecar owns.
     pub(super) fn join(
         &mut self,
-        now: Ns,
+        now: Nanos,
         request: RequestId,
         digest: u64,
-        remaining: Ns,
+        remaining: Nanos,
         backups: Vec<Life>,
     ) {
         self.effects.push_back(Effect::Joined(request));
@@ -38,10 +38,10 @@
     /// Waits for the outcome until the client's deadline.
     pub(super) fn await_outcome(
         &mut self,
-        now: Ns,
+        now: Nanos,
         request: RequestId,
         digest: u64,
-        remaining: Ns,
+        remaining: Nanos,
         backups: Vec<Life>,
     ) {
         let waiting = Waiting {
@@ -57,7 +57,7 @@
     }
 
     /// Asks again for each outcome that is due, and forgets the requests whose clients wait no longer.
-    pub(super) fn retry_waiting(&mut self, now: Ns) {
+    pub(super) fn retry_waiting(&mut self, now: Nanos) {
         let due: Vec<RequestId> = self
             .waiting
             .iter()
@@ -70,7 +70,7 @@
     }
 
     /// Asks the backups for the outcome, or gives up when none of them has known the request for a lease.
-    fn ask_again(&mut self, now: Ns, request: RequestId) {
+    fn ask_again(&mut self, now: Nanos, request: RequestId) {
         let retry_at = now + self.rules.lease / 3;
         let Some(waiting) = self.waiting.get_mut(&request) else {
             return;
@@ -158,7 +158,13 @@
     }
 
     /// A backup reports the final outcome.
-    pub(super) fn on_finished(&mut self, now: Ns, request: RequestId, term: u32, outcome: Outcome) {
+    pub(super) fn on_finished(
+        &mut self,
+        now: Nanos,
+        request: RequestId,
+        term: u32,
+        outcome: Outcome,
+    ) {
         let reopens = outcome.reopens();
         if let Some(replica) = self.replicas.get_mut(&request) {
             // A rejection does not end a later term, whose request may be in flight. Our own candidacy is not, yet.
--- a/crates/takeover/tests/every_order.rs
+++ b/crates/takeover/tests/every_order.rs
@@ -8,18 +8,18 @@
 
 use havenplank_membership::wire::Life;
 use havenplank_takeover::record::{AttemptState, Message, Outcome, RequestId};
-use havenplank_takeover::{Effect, Ns, Rules, Takeover};
+use havenplank_takeover::{Effect, Nanos, Rules, Takeover};
 use rayon::prelude::*;
 use std::collections::hash_map::DefaultHasher;
 use std::collections::HashSet;
 use std::hash::{Hash, Hasher};
 use std::sync::Mutex;
 
-const MS: Ns = 1_000_000;
+const MS: Nanos = 1_000_000;
 const REQUEST: RequestId = 1;
 const MANY: usize = 4;
 /// What a step of time is, and how many there are: until all records are forgotten by the slowest clock.
-const STEP: Ns = 200 * MS;
+const STEP: Nanos = 200 * MS;
 const STEPS: u64 = 13;
 
 fn life(id: usize) -> Life {
@@ -116,11 +116,11 @@
     }
 
     /// Clocks 1% slow, right and 1% fast.
-    fn clock(id: usize, step: u64) -> Ns {
+    fn clock(id: usize, step: u64) -> Nanos {
         1_000 * MS + step * STEP / 100 * (99 + id as u64 % 3)
     }
 
-    fn call(&mut self, id: usize, call: impl FnOnce(&mut Takeover, Ns)) {
+    fn call(&mut self, id: usize, call: impl FnOnce(&mut Takeover, Nanos)) {
         let now = Self::clock(id, self.step);
         let Some(sidecar) = &mut self.sidecars[id] else {
             return;
@@ -134,7 +134,7 @@
         }
     }
 
-    fn carry_out(&mut self, id: usize, now: Ns, effect: Effect) {
+    fn carry_out(&mut self, id: usize, now: Nanos, effect: Effect) {
         let Some(sidecar) = &mut self.sidecars[id] else {
             return;
         };
--- a/crates/takeover/tests/simulated.rs
+++ b/crates/takeover/tests/simulated.rs
@@ -1,6 +1,6 @@
 //! Takeovers over the simulated network: what no seed may break, and what must come about while enough can talk.
 
-use havenplank_emulator::net::{Clock, Fate, Id, Net, Ns, Part, Weather};
+use havenplank_emulator::net::{Clock, Fate, Id, Nanos, Net, Part, Weather};
 use havenplank_membership::wire::Life;
 use havenplank_takeover::placement::{pick, Candidate};
 use havenplank_takeover::record::{AttemptState, Message, Outcome, Record, RequestId};
@@ -10,12 +10,12 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
-const MS: Ns = 1_000_000;
-const S: Ns = 1_000 * MS;
+const MS: Nanos = 1_000_000;
+const S: Nanos = 1_000 * MS;
 const ZONES: [&str; 3] = ["a", "b", "c"];
 
 enum Act {
-    Hit(RequestId, u64),
+    IncomingRequest(RequestId, u64),
     End(RequestId, usize),
 }
 
@@ -24,14 +24,14 @@
     takeover: Takeover,
     me: Life,
     fellows: Vec<Life>,
-    acts: BTreeMap<(Ns, u64), Act>,
+    acts: BTreeMap<(Nanos, u64), Act>,
     acted: u64,
     chance: Rand64,
     out: VecDeque<(SocketAddr, Vec<u8>)>,
     /// Forwards written, that is effects, by mark, and answers known here.
     wrote: Vec<RequestId>,
     answers: Vec<(RequestId, Outcome)>,
-    began: Vec<(Ns, RequestId)>,
+    began: Vec<(Nanos, RequestId)>,
     unguarded: usize,
     differs: usize,
     /// Parts of forwards that never ran, and of those that are given up at once.
@@ -51,7 +51,7 @@
 }
 
 impl Sidecar {
-    fn new(now: Ns, id: Id, many: usize, seed: u64, rules: Rules) -> Sidecar {
+    fn new(now: Nanos, id: Id, many: usize, seed: u64, rules: Rules) -> Sidecar {
         let me = life(id);
         Sidecar {
             takeover: Takeover::new(now, seed ^ id as u64, me.clone(), rules),
@@ -79,7 +79,7 @@
         }
     }
 
-    fn at(&mut self, time: Ns, act: Act) {
+    fn at(&mut self, time: Nanos, act: Act) {
         self.acted += 1;
         self.acts.insert((time, self.acted), act);
     }
@@ -96,7 +96,7 @@
         pick(request, &others, many)
     }
 
-    fn go_on(&mut self, now: Ns, record: &Record) {
+    fn go_on(&mut self, now: Nanos, record: &Record) {
         let (request, out) = (
             record.request,
             record
@@ -112,7 +112,7 @@
         }
     }
 
-    fn carry_out(&mut self, now: Ns) {
+    fn carry_out(&mut self, now: Nanos) {
         while let Some(effect) = self.takeover.effect() {
             match effect {
                 Effect::Send { to, message } => {
@@ -169,17 +169,17 @@
 }
 
 impl Part for Sidecar {
-    fn heard(&mut self, now: Ns, bytes: &[u8]) {
+    fn heard(&mut self, now: Nanos, bytes: &[u8]) {
         let (from, to, message): (Life, Life, Message) = postcard::from_bytes(bytes).unwrap();
         if to == self.me {
             self.takeover.receive(now, &from, message);
             self.carry_out(now);
         }
     }
-    fn wake(&mut self, now: Ns) {
+    fn wake(&mut self, now: Nanos) {
         while let Some(entry) = self.acts.first_entry().filter(|entry| entry.key().0 <= now) {
             match entry.remove() {
-                Act::Hit(request, sum) => {
+                Act::IncomingRequest(request, sum) => {
                     let backups = self.backups(request, 3);
                     // Clients come back with these only.
                     let strict = request % 3 == 0;
@@ -225,7 +225,7 @@
         self.takeover.wake(now);
         self.carry_out(now);
     }
-    fn next_wake(&self) -> Option<Ns> {
+    fn next_wake(&self) -> Option<Nanos> {
         let act = self.acts.keys().next().map(|(time, _)| *time);
         self.takeover.next_wake().into_iter().chain(act).min()
     }
@@ -241,7 +241,7 @@
     /// Effects by mark over all sidecars and lives.
     wrote: BTreeMap<RequestId, usize>,
     /// All that happened, by time: the piece of work, none where it is about all, and what.
-    story: Option<Vec<(Ns, Option<RequestId>, String)>>,
+    story: Option<Vec<(Nanos, Option<RequestId>, String)>>,
     /// Rights shared, as far as seen.
     broken: Vec<String>,
 }
@@ -251,7 +251,7 @@
         let mut net = Net::new(seed, weather);
         for id in 0..many {
             let clock = Clock {
-                began: id as Ns * 991 * S,
+                began: id as Nanos * 991 * S,
                 drift_ppm: (id as i64 % 3 - 1) * 10_000,
             };
             net.join(clock, |now, _| {
@@ -287,16 +287,19 @@
             .for_each(|story| story.push((now, None, what.clone())));
     }
 
-    fn hit(&mut self, id: Id, request: RequestId, after: Ns) {
+    fn hit(&mut self, id: Id, request: RequestId, after: Nanos) {
         let at = self.net.own_time(id) + after;
-        self.net.part_mut(id).unwrap().at(at, Act::Hit(request, 5));
+        self.net
+            .part_mut(id)
+            .unwrap()
+            .at(at, Act::IncomingRequest(request, 5));
         if !self.requests.contains(&request) {
             self.requests.push(request);
         }
     }
 
     /// Plays on; after every step nobody shares the right to a piece of work.
-    fn play(&mut self, until: Ns) {
+    fn play(&mut self, until: Nanos) {
         let (requests, story, broken) = (&self.requests, &mut self.story, &mut self.broken);
         self.net.run(until, |net, moved| {
             if let Some(story) = story {
@@ -409,14 +412,14 @@
 }
 
 /// Takes over what a part and the network wrote down.
-fn read(net: &mut Net<Sidecar>, moved: Id, story: &mut Vec<(Ns, Option<RequestId>, String)>) {
+fn read(net: &mut Net<Sidecar>, moved: Id, story: &mut Vec<(Nanos, Option<RequestId>, String)>) {
     let now = net.now();
     for passed in net.written.iter_mut().flat_map(|written| written.drain(..)) {
         let (from, to, message): (Life, Life, Message) =
             postcard::from_bytes(&passed.bytes).unwrap();
         let (request, said) = brief(&message);
         let way = match passed.fate {
-            Fate::Heard | Fate::Waits | Fate::Dropped => "arrives",
+            Fate::VoteReceipt | Fate::Waits | Fate::Dropped => "arrives",
             Fate::Cut | Fate::Lost | Fate::Goes(_) => "says",
         };
         let what = format!(
@@ -547,7 +550,7 @@
     began: usize,
     effects: usize,
     broken: Vec<String>,
-    story: Vec<(Ns, Option<RequestId>, String)>,
+    story: Vec<(Nanos, Option<RequestId>, String)>,
 }
 
 fn number(name: &str) -> Option<u64> {
@@ -685,7 +688,7 @@
     let lives: Vec<Life> = (0..4).map(life).collect();
     let rules = Rules::default();
     let (slow, fast) = (1_000_000 - rules.drift_ppm, 1_000_000 + rules.drift_ppm);
-    let own = |time: Ns, rate: u64| time / 1_000 * rate / 1_000;
+    let own = |time: Nanos, rate: u64| time / 1_000 * rate / 1_000;
     let mut all: Vec<Takeover> = lives
         .iter()
         .map(|me| Takeover::new(0, 1, me.clone(), rules.clone()))
@@ -774,7 +777,7 @@
                 ..Weather::default()
             },
         );
-        (0..20).for_each(|n| run.hit(0, n, n as Ns * 10 * MS));
+        (0..20).for_each(|n| run.hit(0, n, n as Nanos * 10 * MS));
         run.play(150 * MS + seed * 5 * MS);
         run.kill(0);
         let killed = run.net.now();
@@ -814,7 +817,10 @@
         run.hit(1, 1, 20 * MS);
         run.hit(2, 1, 400 * MS);
         let at = run.net.own_time(3) + 30 * MS;
-        run.net.part_mut(3).unwrap().at(at, Act::Hit(1, 6));
+        run.net
+            .part_mut(3)
+            .unwrap()
+            .at(at, Act::IncomingRequest(1, 6));
         run.play(4 * S);
         run.effects_once();
         assert_eq!(run.wrote.get(&1), Some(&1));
--- a/crates/trace/src/columns.rs
+++ b/crates/trace/src/columns.rs
@@ -2,7 +2,7 @@
 //! likes, and so that a reader passes over the columns it does not know.
 
 use crate::record::{Card, Record, Standing, What};
-use havenplank::port::*;
+use havenplank::interface::*;
 use havenplank_line_protocol::lines::MOST_PODS;
 use havenplank_line_protocol::nodes::Listed;
 use havenplank_sidecar::engine::{Asked, Effect};
@@ -59,7 +59,7 @@
     }
 
     /// A hit, by how far it lies behind the newest one named before.
-    fn hit(&mut self, column: u16, source: u64, hit: &mut HitId) -> Result<(), Wrong> {
+    fn hit(&mut self, column: u16, source: u64, hit: &mut RequestId) -> Result<(), Wrong> {
         let newest = *self.last((0, source));
         let mut apart = zigzag(newest.wrapping_sub(*hit) as i64);
         self.number(column, &mut apart)?;
@@ -158,25 +158,30 @@
     (value >> 1) as i64 ^ -((value & 1) as i64)
 }
 
-const ENDS: [Ended; 8] = [
-    Ended::Delivered,
-    Ended::Error,
-    Ended::Full,
-    Ended::TimeOut,
-    Ended::NoConnection,
-    Ended::Reset,
-    Ended::Cancelled,
-    Ended::NotSent,
+const ENDS: [AttemptEnd; 8] = [
+    AttemptEnd::Served,
+    AttemptEnd::Failed,
+    AttemptEnd::Rejected,
+    AttemptEnd::TimedOut,
+    AttemptEnd::ConnectFailed,
+    AttemptEnd::Reset,
+    AttemptEnd::Cancelled,
+    AttemptEnd::NotSent,
 ];
 const STATES: [PodState; 3] = [PodState::Running, PodState::Draining, PodState::Gone];
 const PHASES: [Phase; 4] = [
     Phase::Trial,
-    Phase::GoingBack,
+    Phase::RollingBack,
     Phase::Released,
     Phase::Withdrawn,
 ];
-const VOICES: [Voice; 4] = [Voice::None, Voice::On, Voice::Hold, Voice::Back];
-const HEARD: [Heard; 4] = [Heard::Counted, Heard::Moot, Heard::Unknown, Heard::Refused];
+const VOICES: [Vote; 4] = [Vote::None, Vote::Advance, Vote::Hold, Vote::RollBack];
+const HEARD: [VoteReceipt; 4] = [
+    VoteReceipt::Counted,
+    VoteReceipt::Stale,
+    VoteReceipt::Unknown,
+    VoteReceipt::Rejected,
+];
 const NO_STAGE: Stage = Stage {
     build: 0,
     stage: 0,
@@ -185,8 +190,8 @@
     age: 0,
 };
 
-fn load(w: &mut impl Way, c: u16, load: &mut Option<Load>) -> Result<(), Wrong> {
-    w.maybe(c, load, Load::default(), |w, load| {
+fn load(w: &mut impl Way, c: u16, load: &mut Option<LoadReport>) -> Result<(), Wrong> {
+    w.maybe(c, load, LoadReport::default(), |w, load| {
         let fields = [
             &mut load.in_flight,
             &mut load.queued,
@@ -225,11 +230,11 @@
     match &mut record.what {
         What::Told(told) => match told {
             Told::Begin | Told::ListFailed => Ok(()),
-            Told::Hit { hit, asked } => {
+            Told::IncomingRequest { hit, asked } => {
                 w.hit(c, source, hit)?;
                 w.index(c + 1, &mut asked.group)?;
-                w.maybe(c + 2, &mut asked.customer, 0, |w, customer| {
-                    w.index(c + 3, customer)
+                w.maybe(c + 2, &mut asked.tenant, 0, |w, tenant| {
+                    w.index(c + 3, tenant)
                 })?;
                 w.key(c + 4, &mut asked.key)?;
                 w.near(c + 5, asked.group as u64, &mut asked.left)?;
@@ -248,7 +253,7 @@
                 }
                 past.resize(
                     count,
-                    Earlier {
+                    PriorAttempt {
                         pod: None,
                         ago: 0,
                         may_have_run: false,
@@ -266,7 +271,7 @@
                 w.small(c + 1, nth)?;
                 w.flag(c + 2, may)
             }
-            Told::Ended {
+            Told::AttemptEnd {
                 hit,
                 nth,
                 end,
@@ -307,7 +312,7 @@
             Told::News(news) => stage(w, c, news),
             Told::Voted { vote, news } => {
                 w.number(c, vote)?;
-                w.one(c + 1, &mut news.heard, &HEARD)?;
+                w.one(c + 1, &mut news.receipt, &HEARD)?;
                 w.maybe(c + 2, &mut news.stage, NO_STAGE, |w, news| {
                     stage(w, c + 3, news)
                 })
@@ -352,9 +357,9 @@
                 w.hit(c, source, hit)?;
                 w.small(c + 1, nth)
             }
-            Effect::Bounce { hit, come_back } => {
+            Effect::Bounce { hit, retry_after } => {
                 w.hit(c, source, hit)?;
-                w.number(c + 1, come_back)
+                w.number(c + 1, retry_after)
             }
             Effect::Error { hit, late } => {
                 w.hit(c, source, hit)?;
@@ -389,7 +394,7 @@
 /// Where the time of a forward is kept until its end: no column has this number.
 const SENT: u16 = 5;
 
-fn forward_slot(source: u64, hit: HitId, nth: u32) -> u64 {
+fn forward_slot(source: u64, hit: RequestId, nth: u32) -> u64 {
     hit.wrapping_mul(64)
         .wrapping_add(nth as u64)
         .wrapping_add(source << 52)
@@ -432,9 +437,9 @@
     match what {
         What::Told(told) => match told {
             Told::Begin => 1,
-            Told::Hit { .. } => 2,
+            Told::IncomingRequest { .. } => 2,
             Told::MayGo { .. } => 3,
-            Told::Ended { .. } => 4,
+            Told::AttemptEnd { .. } => 4,
             Told::Left { .. } => 5,
             Told::List { .. } => 6,
             Told::ListFailed => 7,
@@ -464,7 +469,7 @@
 fn blank(kind: u64) -> Option<What> {
     let asked = || Asked {
         group: 0,
-        customer: None,
+        tenant: None,
         key: 0,
         left: 0,
         cost_hint: None,
@@ -478,26 +483,26 @@
         mean_latency: 0,
         age: 0,
     };
-    let ended = || Told::Ended {
+    let ended = || Told::AttemptEnd {
         hit: 0,
         nth: 0,
-        end: Ended::Error,
+        end: AttemptEnd::Failed,
         took: 0,
         load: None,
         passed: false,
     };
-    let news = || StageNews {
-        heard: Heard::Unknown,
+    let news = || VoteReply {
+        receipt: VoteReceipt::Unknown,
         stage: None,
     };
-    let end = || ProbeEnd {
-        end: Ended::Error,
+    let end = || HealthCheckResult {
+        end: AttemptEnd::Failed,
         took: 0,
         load: None,
     };
     Some(match kind {
         1 => What::Told(Told::Begin),
-        2 => What::Told(Told::Hit {
+        2 => What::Told(Told::IncomingRequest {
             hit: 0,
             asked: asked(),
         }),
@@ -543,7 +548,7 @@
         17 => What::Did(Effect::Cancel { hit: 0, nth: 0 }),
         18 => What::Did(Effect::Bounce {
             hit: 0,
-            come_back: 0,
+            retry_after: 0,
         }),
         19 => What::Did(Effect::Error {
             hit: 0,
@@ -553,7 +558,7 @@
             vote: 0,
             build: 0,
             stage: 0,
-            voice: Voice::None,
+            voice: Vote::None,
         }),
         21 => What::Did(Effect::Probe { probe: 0, pod: 0 }),
         22 => What::Did(Effect::AskList),
@@ -599,8 +604,8 @@
     pub records: u32,
     pub hits: u32,
     pub shared: u32,
-    pub first: Ns,
-    pub at: Ns,
+    pub first: Nanos,
+    pub at: Nanos,
 }
 
 impl Filling {
@@ -760,7 +765,7 @@
     texts: Vec<String>,
     pub standing: Vec<Standing>,
     last: Last,
-    at: Ns,
+    at: Nanos,
     strange: bool,
     /// How much text the present record may still take: a lying one could name the same entry a million times.
     room: usize,
@@ -771,7 +776,7 @@
 impl Emptying {
     /// # Errors
     /// Not the body of a block.
-    pub fn new(bytes: Vec<u8>, first: Ns) -> Result<Emptying, String> {
+    pub fn new(bytes: Vec<u8>, first: Nanos) -> Result<Emptying, String> {
         // Fields that a newer minor version adds at the end are left unread.
         let (body, _) =
             postcard::take_from_bytes::<Body>(&bytes).map_err(|error| error.to_string())?;
--- a/crates/trace/src/cut.rs
+++ b/crates/trace/src/cut.rs
@@ -3,7 +3,7 @@
 use crate::file::{Reader, TraceError, Writer};
 use crate::record::Head;
 use crate::trips::{longest, Trips};
-use havenplank::port::Ns;
+use havenplank::interface::Nanos;
 use std::io::{Read, Seek, Write};
 
 /// What a cut holds.
@@ -25,16 +25,16 @@
 pub fn cut<R: Read + Seek, W: Write>(
     reader: &mut Reader<R>,
     out: W,
-    from: Ns,
-    to: Ns,
+    from: Nanos,
+    to: Nanos,
 ) -> Result<(Cut, Option<TraceError>), TraceError> {
     let mut head: Head = reader.head.clone();
-    let (first, last) = reader.span().unwrap_or((Ns::MAX, 0));
+    let (first, last) = reader.span().unwrap_or((Nanos::MAX, 0));
     for source in &mut head.sources {
         // What is cut short at its end can still be played; what lacks its beginning cannot. In a merged file
         // the clock of the cut is not the source's own.
         source.whole &= from <= first && (!head.merged || last < to);
-        source.until = source.until.min(if head.merged { Ns::MAX } else { to });
+        source.until = source.until.min(if head.merged { Nanos::MAX } else { to });
     }
     let first = reader.block_at(from);
     reader.seek(first);
--- a/crates/trace/src/file.rs
+++ b/crates/trace/src/file.rs
@@ -2,7 +2,7 @@
 
 use crate::columns::{Emptying, Filling, Wrong};
 use crate::record::{Head, Record, Standing};
-use havenplank::port::Ns;
+use havenplank::interface::Nanos;
 use serde::{Deserialize, Serialize};
 use std::io::{self, Read, Seek, SeekFrom, Write};
 
@@ -47,8 +47,8 @@
     pub hits: u32,
     /// Records that other sidecars were told as well.
     pub shared: u32,
-    pub first: Ns,
-    pub last: Ns,
+    pub first: Nanos,
+    pub last: Nanos,
 }
 
 fn frame(tag: &[u8; 4], entry: &Entry, sum: u32) -> [u8; FRAME] {
@@ -507,7 +507,7 @@
     }
 
     /// The first block that holds anything at or after a time.
-    pub fn block_at(&self, at: Ns) -> usize {
+    pub fn block_at(&self, at: Nanos) -> usize {
         self.index
             .iter()
             .position(|entry| entry.last >= at)
@@ -515,7 +515,7 @@
     }
 
     /// The time of the first record and of the last.
-    pub fn span(&self) -> Option<(Ns, Ns)> {
+    pub fn span(&self) -> Option<(Nanos, Nanos)> {
         let first = self.index.iter().map(|entry| entry.first).min()?;
         Some((first, self.index.iter().map(|entry| entry.last).max()?))
     }
--- a/crates/trace/src/from_wire.rs
+++ b/crates/trace/src/from_wire.rs
@@ -2,7 +2,7 @@
 
 use crate::file::{TraceError, Writer};
 use crate::record::{Card, Head, Record, Source, What};
-use havenplank::port::*;
+use havenplank::interface::*;
 use havenplank_adapter::acts::{self, Acts};
 use havenplank_adapter::door::{Hears, Row, Wire};
 use havenplank_adapter::line::Line;
@@ -17,15 +17,15 @@
 
 /// A hit in flight: what its forwards' ends and its lateness are told by.
 struct Held {
-    id: HitId,
-    deadline: Ns,
+    id: RequestId,
+    deadline: Nanos,
     open: bool,
     out: Vec<bool>,
 }
 
 /// An instance that writes down what it hears.
 struct Scribe {
-    now: Ns,
+    now: Nanos,
     names: Names,
     /// Taken by whoever numbers the sources.
     fresh: Option<Box<Source>>,
@@ -35,7 +35,7 @@
     cards: Vec<Arc<Card>>,
     /// Emptied of a hit once it is answered and its forwards have ended.
     hits: HashMap<String, Held>,
-    next_hit: HitId,
+    next_hit: RequestId,
     /// Votes and probes are counted together, as an engine counts them.
     calls: u64,
     votes: VecDeque<u64>,
@@ -59,9 +59,9 @@
         }
     }
 
-    fn id(&self, name: &str) -> HitId {
+    fn id(&self, name: &str) -> RequestId {
         // A hit that nobody knows is told as such by the replay.
-        self.hits.get(name).map_or(HitId::MAX, |held| held.id)
+        self.hits.get(name).map_or(RequestId::MAX, |held| held.id)
     }
 
     fn close(&mut self, name: &str) {
@@ -73,7 +73,7 @@
 }
 
 impl Hears for Scribe {
-    fn attach(now: Ns, sidecar: u64, seed: u64, setup: Setup) -> Scribe {
+    fn attach(now: Nanos, sidecar: u64, seed: u64, setup: Setup) -> Scribe {
         let Setup {
             names,
             place,
@@ -89,7 +89,7 @@
             place,
             zones: names.zones.clone(),
             machines: names.machines.clone(),
-            customers: names.customers.clone(),
+            tenants: names.tenants.clone(),
             groups: names.groups.iter().cloned().zip(groups).collect(),
             forwards,
             pods,
@@ -98,7 +98,7 @@
             list,
             reuse: false,
         };
-        let (life, until) = (seed ^ now, Ns::MAX);
+        let (life, until) = (seed ^ now, Nanos::MAX);
         let source = Source {
             terms,
             seed,
@@ -126,7 +126,7 @@
         }
     }
 
-    fn at(&mut self, now: Ns) {
+    fn at(&mut self, now: Nanos) {
         self.now = now;
     }
 
@@ -189,16 +189,16 @@
         self.told.push(Told::ListFailed);
     }
 
-    fn hit(&mut self, name: &str, hit: Hit) {
+    fn hit(&mut self, name: &str, hit: IncomingRequest) {
         let id = self.next_hit;
         self.next_hit += 1;
-        let Hit {
-            group,
-            customer,
+        let IncomingRequest {
+            class: group,
+            tenant,
             key,
-            left,
+            remaining: left,
             cost_hint,
-            repeat,
+            is_retry: repeat,
             ..
         } = hit;
         let held = Held {
@@ -210,16 +210,16 @@
         self.hits.insert(name.to_string(), held);
         let asked = Asked {
             group,
-            customer,
+            tenant,
             key,
             left,
             cost_hint,
             repeat,
         };
-        self.told.push(Told::Hit { hit: id, asked });
+        self.told.push(Told::IncomingRequest { hit: id, asked });
     }
 
-    fn ended(&mut self, name: &str, nth: usize, outcome: Outcome) {
+    fn ended(&mut self, name: &str, nth: usize, outcome: AttemptOutcome) {
         let Some(held) = self.hits.get_mut(name) else {
             return;
         };
@@ -227,13 +227,13 @@
             return;
         };
         *out = false;
-        let Outcome {
+        let AttemptOutcome {
             end, took, load, ..
         } = outcome;
-        let passed = held.open && end == Ended::Delivered;
+        let passed = held.open && end == AttemptEnd::Served;
         held.open &= !passed;
         let (hit, nth) = (held.id, nth as u32);
-        self.told.push(Told::Ended {
+        self.told.push(Told::AttemptEnd {
             hit,
             nth,
             end,
@@ -260,7 +260,7 @@
         self.told.push(Told::News(stage));
     }
 
-    fn voted(&mut self, news: StageNews) {
+    fn voted(&mut self, news: VoteReply) {
         if let Some(vote) = self.votes.pop_front() {
             self.told.push(Told::Voted { vote, news });
         }
@@ -270,13 +270,13 @@
         self.told.push(Told::Tally(tally));
     }
 
-    fn flagged(&mut self, pod: &str, group: GroupId, ago: Ns) {
+    fn flagged(&mut self, pod: &str, group: RouteClassId, ago: Nanos) {
         if let Some(pod) = self.pods.get(pod).copied() {
             self.told.push(Told::Flagged { pod, group, ago });
         }
     }
 
-    fn probed(&mut self, pod: &str, end: ProbeEnd) {
+    fn probed(&mut self, pod: &str, end: HealthCheckResult) {
         let Some(pod) = self.pods.get(pod) else {
             return;
         };
@@ -302,12 +302,12 @@
 }
 
 impl Acts for Deeds<'_> {
-    fn forward(&mut self, sidecar: u64, hit: &str, pod: &str, time_out: Ns) {
+    fn forward(&mut self, sidecar: u64, hit: &str, pod: &str, time_out: Nanos) {
         self.by(sidecar, |scribe| {
             let pod = scribe.pods.get(pod).copied().unwrap_or(PodId::MAX);
             let Some(held) = scribe.hits.get_mut(hit) else {
                 return Effect::Forward {
-                    hit: HitId::MAX,
+                    hit: RequestId::MAX,
                     nth: 0,
                     pod,
                     time_out,
@@ -330,11 +330,11 @@
         });
     }
 
-    fn bounce(&mut self, sidecar: u64, hit: &str, come_back: Ns) {
+    fn bounce(&mut self, sidecar: u64, hit: &str, retry_after: Nanos) {
         self.by(sidecar, |scribe| {
             let bounced = Effect::Bounce {
                 hit: scribe.id(hit),
-                come_back,
+                retry_after,
             };
             scribe.close(hit);
             bounced
@@ -356,7 +356,7 @@
         });
     }
 
-    fn vote(&mut self, sidecar: u64, build: Build, stage: usize, voice: Voice) {
+    fn vote(&mut self, sidecar: u64, build: Build, stage: usize, voice: Vote) {
         self.by(sidecar, |scribe| {
             let vote = scribe.call();
             scribe.votes.push_back(vote);
--- a/crates/trace/src/merge.rs
+++ b/crates/trace/src/merge.rs
@@ -2,7 +2,7 @@
 
 use crate::file::{Reader, TraceError, Writer};
 use crate::record::{Head, Record, Source, What};
-use havenplank::port::Ns;
+use havenplank::interface::Nanos;
 use havenplank_sidecar::told::Told;
 use std::collections::HashMap;
 use std::io::{Read, Seek, Write};
@@ -29,7 +29,7 @@
     /// Shared events that it was set by; 0 where it was taken as it stands, or as another life of its name.
     pub events: usize,
     /// Half of these events lie within so many nanoseconds of where the clock now puts them.
-    pub spread: Ns,
+    pub spread: Nanos,
     from: i128,
 }
 
@@ -42,7 +42,7 @@
 /// What two sidecars hear of in the same words: the state of a pod's life, and a stage. The first hearing counts.
 type Event = (u64, u64, u64, u64);
 
-fn wall(source: &Source, own: Ns) -> i128 {
+fn wall(source: &Source, own: Nanos) -> i128 {
     source.wall as i128 + own as i128 - source.began as i128
 }
 
@@ -116,7 +116,7 @@
 
 /// The offset and drift that lay these points, (own wall, true wall), on each other: medians of slopes and of
 /// what is left, so that single late hearings pull at neither.
-fn fit(points: &mut [(i128, i128)]) -> Option<(i128, i64, f64, Ns)> {
+fn fit(points: &mut [(i128, i128)]) -> Option<(i128, i64, f64, Nanos)> {
     points.sort_unstable();
     let (first, last) = (points.first()?.0, points.last()?.0);
     let step = points.len().div_ceil(POINTS);
@@ -142,7 +142,7 @@
     let mut rests: Vec<f64> = few.iter().map(|(own, apart)| apart - own * drift).collect();
     let offset = median(&mut rests)?;
     let mut spread: Vec<f64> = rests.iter().map(|rest| (rest - offset).abs()).collect();
-    Some((first, offset as i64, drift, median(&mut spread)? as Ns))
+    Some((first, offset as i64, drift, median(&mut spread)? as Nanos))
 }
 
 /// Sets the clocks: first the source with the most events, as it stands; then, each time, the one that shares
@@ -302,7 +302,7 @@
         });
     }
     // Parts of one life must not overtake each other: each waits for the one before it.
-    let mut floors: Vec<Ns> = vec![0; sources.len()];
+    let mut floors: Vec<Nanos> = vec![0; sources.len()];
     for line in &mut lines {
         line.step(&clocks, &sources)?;
     }
@@ -343,7 +343,7 @@
     /// The merged number of each of its sources.
     places: Vec<usize>,
     next: Option<Record>,
-    last: Vec<Ns>,
+    last: Vec<Nanos>,
     skipped: u64,
 }
 
@@ -355,7 +355,7 @@
             record.source = self.places[record.source];
             let at = clocks[record.source].at(wall(&sources[record.source], record.own));
             let last = &mut self.last[record.source];
-            *last = Ns::try_from(at).unwrap_or(0).max(*last);
+            *last = Nanos::try_from(at).unwrap_or(0).max(*last);
             record.at = *last;
         }
         Ok(())
--- a/crates/trace/src/record.rs
+++ b/crates/trace/src/record.rs
@@ -1,6 +1,6 @@
 //! What a trace holds, as data: tools turn records into other records, so here they are values and not calls.
 
-use havenplank::port::{Build, HitId, Ns, PodId, Stage};
+use havenplank::interface::{Build, Nanos, PodId, RequestId, Stage};
 use havenplank_sidecar::engine::Effect;
 use havenplank_sidecar::told::{Terms, Told};
 use serde::{Deserialize, Serialize};
@@ -10,9 +10,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Record {
     /// On the file's clock: the engine's own in a file of one source, in merged ones nanoseconds since 1970.
-    pub at: Ns,
+    pub at: Nanos,
     /// On the engine's own clock.
-    pub own: Ns,
+    pub own: Nanos,
     /// Which of the head's sources.
     pub source: usize,
     pub what: What,
@@ -45,7 +45,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Standing {
     pub source: usize,
-    pub at: Ns,
+    pub at: Nanos,
     pub stage: Stage,
 }
 
@@ -60,19 +60,19 @@
     /// 0 for the file with the life's beginning, then counted on.
     pub part: u64,
     /// The engine's clock when it was made, and the time since 1970 then, both in nanoseconds.
-    pub began: Ns,
-    pub wall: Ns,
+    pub began: Nanos,
+    pub wall: Nanos,
     /// The share of hits that are in.
     pub share: f64,
     /// Whether everything between its first and last record is in, apart from what `Lost` records tell.
     pub whole: bool,
     /// On the engine's clock: from here on records are missing, as the trace was cut.
     #[serde(default = "never")]
-    pub until: Ns,
+    pub until: Nanos,
 }
 
-fn never() -> Ns {
-    Ns::MAX
+fn never() -> Nanos {
+    Nanos::MAX
 }
 
 /// The greeting of a file.
@@ -112,7 +112,7 @@
 
 impl Head {
     /// A time since 1970 on the file's clock.
-    pub fn clock(&self, wall: Ns) -> Ns {
+    pub fn clock(&self, wall: Nanos) -> Nanos {
         match self.sources.first().filter(|_| !self.merged) {
             Some(source) => source
                 .began
@@ -122,7 +122,7 @@
     }
 
     /// A time of the file as one since 1970.
-    pub fn wall(&self, at: Ns) -> Ns {
+    pub fn wall(&self, at: Nanos) -> Nanos {
         match self.sources.first().filter(|_| !self.merged) {
             Some(source) => source.wall.saturating_add(at.saturating_sub(source.began)),
             None => at,
@@ -132,11 +132,11 @@
 
 impl Record {
     /// The hit it belongs to; `None` for what is about none.
-    pub fn hit(&self) -> Option<HitId> {
+    pub fn hit(&self) -> Option<RequestId> {
         match &self.what {
-            What::Told(Told::Hit { hit, .. } | Told::MayGo { hit, .. })
+            What::Told(Told::IncomingRequest { hit, .. } | Told::MayGo { hit, .. })
             | What::Told(
-                Told::Ended { hit, .. } | Told::Left { hit } | Told::Resumed { hit, .. },
+                Told::AttemptEnd { hit, .. } | Told::Left { hit } | Told::Resumed { hit, .. },
             )
             | What::Did(Effect::Forward { hit, .. } | Effect::Cancel { hit, .. })
             | What::Did(Effect::Bounce { hit, .. } | Effect::Error { hit, .. }) => Some(*hit),
@@ -145,7 +145,7 @@
     }
 
     pub fn begins_hit(&self) -> bool {
-        matches!(self.what, What::Told(Told::Hit { .. }))
+        matches!(self.what, What::Told(Told::IncomingRequest { .. }))
     }
 
     /// A hit begins with it or right after it.
--- a/crates/trace/src/recorder.rs
+++ b/crates/trace/src/recorder.rs
@@ -3,7 +3,7 @@
 use crate::columns::Filling;
 use crate::file::{stand, Sink, TraceError, FULL_BYTES, FULL_RECORDS};
 use crate::record::{Card, Head, Record, Source, Standing, What};
-use havenplank::port::{HitId, Ns, PodId};
+use havenplank::interface::{Nanos, PodId, RequestId};
 use havenplank_line_protocol::nodes::Listed;
 use havenplank_sidecar::engine::Effect;
 use havenplank_sidecar::told::{Told, Witness};
@@ -17,7 +17,7 @@
 use std::time::Duration;
 
 /// A block is closed after so long, as a kill loses no more than the open one.
-const BLOCK_TIME: Ns = 1_000_000_000;
+const BLOCK_TIME: Nanos = 1_000_000_000;
 /// Spells in which hits were left out and that hits in flight may still belong to; no new spell ends while
 /// so many are held.
 const SPELLS: usize = 64;
@@ -31,10 +31,10 @@
     /// those in flight.
     pub queue: usize,
     /// Longest that a hit lives.
-    pub longest: Ns,
+    pub longest: Nanos,
     /// A file is closed at this size or age.
     pub file_bytes: u64,
-    pub file_age: Ns,
+    pub file_age: Nanos,
 }
 
 /// Where files go. Only the writing thread uses it, so it may wait.
@@ -50,7 +50,7 @@
 pub struct Folder {
     folder: PathBuf,
     name: String,
-    began: Ns,
+    began: Nanos,
     total: u64,
     open: Option<PathBuf>,
 }
@@ -60,7 +60,7 @@
     ///
     /// # Errors
     /// A folder that cannot be made.
-    pub fn new(folder: &Path, name: &str, began: Ns, total: u64) -> io::Result<Folder> {
+    pub fn new(folder: &Path, name: &str, began: Nanos, total: u64) -> io::Result<Folder> {
         std::fs::create_dir_all(folder)?;
         Ok(Folder {
             folder: folder.to_path_buf(),
@@ -159,16 +159,16 @@
     /// Hashes below this are in; none for all.
     below: Option<u64>,
     queue: u64,
-    longest: Ns,
+    longest: Nanos,
     /// Hits left out as the queue was half full: from the first to before the last, and when that was.
-    spells: VecDeque<(HitId, Option<HitId>, Ns)>,
+    spells: VecDeque<(RequestId, Option<RequestId>, Nanos)>,
     lost: (u64, u64),
     shared: Arc<Shared>,
     to_writer: Sender<Filling>,
 }
 
 /// Spreads hit numbers evenly, so that a share of them is no pattern of them (the finisher of SplitMix64).
-fn spread(hit: HitId) -> u64 {
+fn spread(hit: RequestId) -> u64 {
     let mixed = (hit ^ hit >> 30).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let mixed = (mixed ^ mixed >> 27).wrapping_mul(0x94d0_49bb_1331_11eb);
     mixed ^ mixed >> 31
@@ -214,14 +214,14 @@
     }
 
     /// Whether a hit's records are kept: the same answer for all of them.
-    fn keeps(&self, hit: HitId) -> bool {
-        let left_out = |spell: &(HitId, Option<HitId>, Ns)| {
+    fn keeps(&self, hit: RequestId) -> bool {
+        let left_out = |spell: &(RequestId, Option<RequestId>, Nanos)| {
             hit >= spell.0 && spell.1.is_none_or(|end| hit < end)
         };
         self.below.is_none_or(|below| spread(hit) < below) && !self.spells.iter().any(left_out)
     }
 
-    fn begins(&mut self, now: Ns, hit: HitId) {
+    fn begins(&mut self, now: Nanos, hit: RequestId) {
         let longest = self.longest;
         while self
             .spells
@@ -231,7 +231,7 @@
             self.spells.pop_front();
         }
         let waiting = self.waiting() + self.filling.bytes as u64;
-        let leaves = |spells: &VecDeque<(HitId, Option<HitId>, Ns)>| {
+        let leaves = |spells: &VecDeque<(RequestId, Option<RequestId>, Nanos)>| {
             matches!(spells.back(), Some((_, None, _)))
         };
         if leaves(&self.spells) && waiting < self.queue / 4 && self.spells.len() < SPELLS {
@@ -256,7 +256,7 @@
         self.cards.get(pod?)?.clone()
     }
 
-    fn put(&mut self, now: Ns, what: What) {
+    fn put(&mut self, now: Nanos, what: What) {
         let record = Record {
             at: now,
             own: now,
@@ -277,7 +277,7 @@
         }
     }
 
-    fn close(&mut self, now: Ns) {
+    fn close(&mut self, now: Nanos) {
         let full = std::mem::replace(&mut self.filling, Filling::new(self.standing.clone()));
         let bytes = full.bytes as u64;
         if self.waiting() + bytes > self.queue {
@@ -330,16 +330,16 @@
 }
 
 impl Witness for Recorder {
-    fn told(&mut self, now: Ns, told: Told) {
+    fn told(&mut self, now: Nanos, told: Told) {
         match &told {
-            Told::Hit { hit, .. } => self.begins(now, *hit),
+            Told::IncomingRequest { hit, .. } => self.begins(now, *hit),
             Told::List { pods, given, .. } => self.listed(pods, given),
             _ => {}
         }
         self.put(now, What::Told(told));
     }
 
-    fn did(&mut self, now: Ns, effect: &Effect) {
+    fn did(&mut self, now: Nanos, effect: &Effect) {
         self.put(now, What::Did(effect.clone()));
     }
 }
@@ -357,11 +357,11 @@
 /// The writing thread.
 struct Writes {
     source: Source,
-    sizes: (u64, Ns),
+    sizes: (u64, Nanos),
     shelf: Box<dyn Shelf>,
     counts: Arc<Shared>,
     /// The open file and the time of its first record.
-    open: Option<(Sink<Box<dyn Write + Send>>, Ns)>,
+    open: Option<(Sink<Box<dyn Write + Send>>, Nanos)>,
 }
 
 impl Writes {
