--- a/crates/trace/src/replay.rs
+++ b/crates/trace/src/replay.rs
@@ -2,7 +2,7 @@
 
 use crate::file::{Reader, TraceError};
 use crate::record::{Record, Source, What};
-use havenplank::port::Ns;
+use havenplank::interface::Nanos;
 use havenplank_sidecar::engine::{Effect, Engine};
 use havenplank_sidecar::told::{Terms, Told};
 use std::collections::HashMap;
@@ -12,7 +12,7 @@
 const TEXTS: usize = 1 << 16;
 
 /// A sidecar wakes every few seconds, so no clock of one jumps so far; the module would count every slice of it.
-const JUMP: Ns = 86_400_000_000_000;
+const JUMP: Nanos = 86_400_000_000_000;
 
 /// What came out of a replay.
 #[derive(Clone, Debug, Default, PartialEq)]
@@ -23,7 +23,7 @@
     pub records: u64,
     pub differs: Option<Difference>,
     /// Time on the source's clock at which records are missing; it was not played past that.
-    pub stopped: Option<Ns>,
+    pub stopped: Option<Nanos>,
 }
 
 /// The first thing done otherwise.
@@ -31,7 +31,7 @@
 pub struct Difference {
     /// Counted from 0 over the records of this source.
     pub record: u64,
-    pub at: Ns,
+    pub at: Nanos,
     pub recorded: String,
     pub now: String,
 }
@@ -41,10 +41,10 @@
     engine: Engine,
     groups: usize,
     source: usize,
-    until: Ns,
+    until: Nanos,
     /// Log texts of an anonymised trace are stand-ins: the same for the same text.
     veiled: Option<HashMap<String, String>>,
-    last: Ns,
+    last: Nanos,
     pub outcome: Outcome,
 }
 
@@ -93,7 +93,7 @@
 
     fn compare(
         &mut self,
-        at: Ns,
+        at: Nanos,
         recorded: impl std::fmt::Debug + PartialEq,
         now: impl std::fmt::Debug,
         same: bool,
@@ -114,7 +114,7 @@
     /// Whether a call names nothing that these settings lack: a file may hold what no sidecar was told.
     fn fits(&self, told: &Told) -> bool {
         match told {
-            Told::Hit { asked, .. } => asked.group < self.groups,
+            Told::IncomingRequest { asked, .. } => asked.group < self.groups,
             Told::Tally(tally) => tally.group < self.groups,
             Told::Flagged { pod, group, .. } => {
                 *group < self.groups && self.engine.pod_name(*pod).is_some()
@@ -148,10 +148,10 @@
                 self.compare(at, told, "no such path group or pod", false);
             }
             What::Told(told) => {
-                self.outcome.hits += matches!(told, Told::Hit { .. }) as u64;
+                self.outcome.hits += matches!(told, Told::IncomingRequest { .. }) as u64;
                 let said = match &told {
                     Told::MayGo { may, .. } => Some(*may),
-                    Told::Ended { passed, .. } => Some(*passed),
+                    Told::AttemptEnd { passed, .. } => Some(*passed),
                     _ => None,
                 };
                 let given = match &told {
@@ -199,14 +199,14 @@
     }
 
     /// The source's file of the present part is done, and another goes on; its number of the source there.
-    pub fn goes_on(&mut self, source: usize, until: Ns) {
+    pub fn goes_on(&mut self, source: usize, until: Nanos) {
         (self.source, self.until) = (source, until);
     }
 
     /// The end. Of a trace that was `closed`, what the engine would have done besides is a difference, too.
     pub fn finish(mut self, closed: bool) -> Outcome {
         let at = self.last;
-        if closed && self.until == Ns::MAX && !self.is_over() {
+        if closed && self.until == Nanos::MAX && !self.is_over() {
             if let Some(more) = self.engine.effect() {
                 self.compare(at, "nothing more", more, false);
             }
--- a/crates/trace/src/show.rs
+++ b/crates/trace/src/show.rs
@@ -1,22 +1,37 @@
 //! Records as JSON, one a line, in the project's words and with names in place of indices.
 
 use crate::record::{Head, Record, Standing, What};
-use crate::summary::ended;
-use havenplank::port::*;
+use crate::summary::{ended, vote_name};
+use havenplank::interface::*;
 use havenplank_line_protocol::nodes::Listed;
 use havenplank_sidecar::engine::Effect;
 use havenplank_sidecar::told::Told;
 use serde_json::{json, Map, Value};
 
-fn word(value: impl std::fmt::Debug) -> String {
-    let mut word = String::new();
-    for letter in format!("{value:?}").chars() {
-        if letter.is_uppercase() && !word.is_empty() {
-            word.push('_');
-        }
-        word.extend(letter.to_lowercase());
+fn phase_name(phase: Phase) -> &'static str {
+    match phase {
+        Phase::Trial => "trial",
+        Phase::RollingBack => "going_back",
+        Phase::Released => "released",
+        Phase::Withdrawn => "withdrawn",
+    }
+}
+
+fn receipt_name(receipt: VoteReceipt) -> &'static str {
+    match receipt {
+        VoteReceipt::Counted => "counted",
+        VoteReceipt::Stale => "moot",
+        VoteReceipt::Unknown => "unknown",
+        VoteReceipt::Rejected => "refused",
+    }
+}
+
+fn pod_state_name(state: PodState) -> &'static str {
+    match state {
+        PodState::Running => "running",
+        PodState::Draining => "draining",
+        PodState::Gone => "gone",
     }
-    word
 }
 
 fn stage(stage: &Stage) -> Value {
@@ -27,10 +42,10 @@
         cap,
         age,
     } = stage;
-    json!({"build": build, "stage": stage, "phase": word(phase), "cap": cap, "age_ns": age})
+    json!({"build": build, "stage": stage, "phase": phase_name(*phase), "cap": cap, "age_ns": age})
 }
 
-fn load(load: &Option<Load>) -> Value {
+fn load(load: &Option<LoadReport>) -> Value {
     let Some(load) = load else { return Value::Null };
     let fields = [
         ("in_flight", load.in_flight),
@@ -61,7 +76,7 @@
         size,
     } = pod;
     json!({
-        "name": name, "address": address.to_string(), "state": word(state), "build": build, "life": life,
+        "name": name, "address": address.to_string(), "state": pod_state_name(*state), "build": build, "life": life,
         "age_ns": age, "zone": zone, "machine": machine, "cell": cell, "size": size, "index": given,
     })
 }
@@ -88,18 +103,18 @@
     let (kind, fields) = match &record.what {
         What::Told(told) => match told {
             Told::Begin => ("begin", json!({})),
-            Told::Hit { hit, asked } => {
-                let customer = asked
-                    .customer
-                    .and_then(|at| name(terms.map(|terms| &terms.customers), at));
+            Told::IncomingRequest { hit, asked } => {
+                let tenant = asked
+                    .tenant
+                    .and_then(|at| name(terms.map(|terms| &terms.tenants), at));
                 let fields = json!({
-                    "hit": hit, "path_group": group(asked.group), "customer": customer, "key": asked.key,
+                    "hit": hit, "path_group": group(asked.group), "customer": tenant, "key": asked.key,
                     "left_ns": asked.left, "cost_hint_ns": asked.cost_hint, "repeat": asked.repeat,
                 });
                 ("hit", fields)
             }
             Told::Resumed { hit, past } => {
-                let one = |earlier: &Earlier| json!({"index": earlier.pod, "ago_ns": earlier.ago, "may_have_run": earlier.may_have_run});
+                let one = |earlier: &PriorAttempt| json!({"index": earlier.pod, "ago_ns": earlier.ago, "may_have_run": earlier.may_have_run});
                 (
                     "resumed",
                     json!({"hit": hit, "past": past.iter().map(one).collect::<Vec<_>>()}),
@@ -108,7 +123,7 @@
             Told::MayGo { hit, nth, may } => {
                 ("may_go", json!({"hit": hit, "nth": nth, "may": may}))
             }
-            Told::Ended {
+            Told::AttemptEnd {
                 hit,
                 nth,
                 end,
@@ -137,7 +152,7 @@
                 let told = news.stage.as_ref().map(stage);
                 (
                     "voted",
-                    json!({"vote": vote, "heard": word(news.heard), "stage": told}),
+                    json!({"vote": vote, "heard": receipt_name(news.receipt), "stage": told}),
                 )
             }
             Told::Probed { probe, end } => {
@@ -164,8 +179,8 @@
                 json!({"hit": hit, "nth": nth, "time_out_ns": time_out}),
             ),
             Effect::Cancel { hit, nth } => ("cancel", json!({"hit": hit, "nth": nth})),
-            Effect::Bounce { hit, come_back } => {
-                ("bounce", json!({"hit": hit, "come_back_ns": come_back}))
+            Effect::Bounce { hit, retry_after } => {
+                ("bounce", json!({"hit": hit, "come_back_ns": retry_after}))
             }
             Effect::Error { hit, late } => ("error", json!({"hit": hit, "late": late})),
             Effect::Vote {
@@ -175,7 +190,7 @@
                 voice,
             } => (
                 "vote",
-                json!({"vote": vote, "build": build, "stage": stage, "voice": word(voice)}),
+                json!({"vote": vote, "build": build, "stage": stage, "voice": vote_name(*voice)}),
             ),
             Effect::Probe { probe, .. } => ("probe", json!({"probe": probe})),
             Effect::AskList => ("ask_list", json!({})),
--- a/crates/trace/src/summary.rs
+++ b/crates/trace/src/summary.rs
@@ -3,7 +3,7 @@
 use crate::file::{Reader, TraceError};
 use crate::record::{Card, Record, What};
 use crate::trips::{Answer, Trip, Trips};
-use havenplank::port::*;
+use havenplank::interface::*;
 use havenplank_sidecar::engine::Effect;
 use havenplank_sidecar::told::Told;
 use hdrhistogram::Histogram;
@@ -56,7 +56,7 @@
 }
 
 impl Figures {
-    fn answered(&mut self, trip: &Trip, target: Ns) {
+    fn answered(&mut self, trip: &Trip, target: Nanos) {
         self.hits += 1;
         let Some((answer, at)) = trip.answer else {
             return;
@@ -76,7 +76,7 @@
         }
     }
 
-    fn forward(&mut self, end: Ended) {
+    fn forward(&mut self, end: AttemptEnd) {
         *self.forwards.entry(ended(end)).or_default() += 1;
     }
 
@@ -90,16 +90,16 @@
 }
 
 /// How a forward's end is called wherever one is shown.
-pub fn ended(end: Ended) -> &'static str {
+pub fn ended(end: AttemptEnd) -> &'static str {
     match end {
-        Ended::Delivered => "delivered",
-        Ended::Error => "error",
-        Ended::Full => "full",
-        Ended::TimeOut => "time_out",
-        Ended::NoConnection => "no_connection",
-        Ended::Reset => "reset",
-        Ended::Cancelled => "cancelled",
-        Ended::NotSent => "not_sent",
+        AttemptEnd::Served => "delivered",
+        AttemptEnd::Failed => "error",
+        AttemptEnd::Rejected => "full",
+        AttemptEnd::TimedOut => "time_out",
+        AttemptEnd::ConnectFailed => "no_connection",
+        AttemptEnd::Reset => "reset",
+        AttemptEnd::Cancelled => "cancelled",
+        AttemptEnd::NotSent => "not_sent",
     }
 }
 
@@ -125,14 +125,14 @@
     pub unfinished: u64,
     pub lost_hits: u64,
     pub lost_records: u64,
-    pub first: Ns,
-    pub last: Ns,
+    pub first: Nanos,
+    pub last: Nanos,
     /// By build (0 where a hit got no forward) and path group.
     pub builds: BTreeMap<(Build, String), Figures>,
     /// By pod and its build: only its forwards.
     pub pods: BTreeMap<(String, Build), BTreeMap<&'static str, u64>>,
     /// By the span's beginning and build: hits, delivered, in time, bounced, errored.
-    pub spans: BTreeMap<(Ns, Build), [u64; 5]>,
+    pub spans: BTreeMap<(Nanos, Build), [u64; 5]>,
     /// By sidecar and build.
     pub exposed: BTreeMap<(String, Build), Exposed>,
     /// By build, stage and voice.
@@ -142,19 +142,20 @@
 /// One source's window of exposure that is open.
 #[derive(Default)]
 struct Window {
-    began: Ns,
-    taken: HashMap<GroupId, f64>,
-    exposed: HashMap<GroupId, f64>,
+    began: Nanos,
+    taken: HashMap<RouteClassId, f64>,
+    exposed: HashMap<RouteClassId, f64>,
     least_cap: f64,
     build: Build,
 }
 
-fn voice(voice: Voice) -> &'static str {
+/// Returns the word for a vote in summaries and in the JSON view.
+pub fn vote_name(voice: Vote) -> &'static str {
     match voice {
-        Voice::None => "none",
-        Voice::On => "on",
-        Voice::Hold => "hold",
-        Voice::Back => "back",
+        Vote::None => "none",
+        Vote::Advance => "on",
+        Vote::Hold => "hold",
+        Vote::RollBack => "back",
     }
 }
 
@@ -164,7 +165,7 @@
 /// A span so short that the file has more than 10,000 of them.
 pub fn summarise<R: Read + Seek>(
     reader: &mut Reader<R>,
-    span: Option<Ns>,
+    span: Option<Nanos>,
 ) -> Result<(Summary, Option<TraceError>), TraceError> {
     let mut summary = Summary::default();
     (summary.first, summary.last) = reader.span().unwrap_or_default();
@@ -194,7 +195,7 @@
                 .groups
                 .get(trip.group)
             {
-                Some((name, rules)) => (name.as_str(), rules.target_latency),
+                Some((name, rules)) => (name.as_str(), rules.latency_objective),
                 None => ("unknown", 0),
             };
             summary.trip(&trip, name, rules, span);
@@ -221,7 +222,7 @@
 impl Summary {
     fn count(&mut self, record: &Record) {
         match &record.what {
-            What::Told(Told::Hit { .. }) => self.hits += 1,
+            What::Told(Told::IncomingRequest { .. }) => self.hits += 1,
             What::Lost { hits, records } => {
                 self.lost_hits += hits;
                 self.lost_records += records;
@@ -234,7 +235,7 @@
             }) => {
                 *row(
                     &mut self.votes,
-                    (*build, *stage, voice(*said)),
+                    (*build, *stage, vote_name(*said)),
                     (0, 0, "others"),
                 ) += 1;
             }
@@ -242,7 +243,7 @@
         }
     }
 
-    fn trip(&mut self, trip: &Trip, group: &str, target: Ns, span: Option<Ns>) {
+    fn trip(&mut self, trip: &Trip, group: &str, target: Nanos, span: Option<Nanos>) {
         let by = trip
             .delivered_by
             .and_then(|nth| trip.forwards.get(nth))
@@ -307,9 +308,9 @@
         let Some(stage) = trial else { return };
         // A cap that is lowered within a window is the one that counts from its news on: the lower is shown.
         self.least_cap = self.least_cap.min(stage.cap);
-        let of = |group: GroupId| if rules.per_group { group } else { 0 };
+        let of = |group: RouteClassId| if rules.per_class { group } else { 0 };
         match &record.what {
-            What::Told(Told::Hit { asked, .. }) => {
+            What::Told(Told::IncomingRequest { asked, .. }) => {
                 *self.taken.entry(of(asked.group)).or_default() += 1.0
             }
             What::Did(Effect::Forward { hit, .. }) => {
@@ -327,7 +328,7 @@
         }
     }
 
-    fn close(&mut self, name: &str, rules: &ExposureRules, summary: &mut Summary) {
+    fn close(&mut self, name: &str, rules: &ExposureSettings, summary: &mut Summary) {
         let (taken, exposed): (f64, f64) = (self.taken.values().sum(), self.exposed.values().sum());
         if self.build != 0 && taken + exposed > 0.0 {
             let sum = row(
@@ -342,7 +343,7 @@
                 let taken = self.taken.get(group).copied().unwrap_or(0.0);
                 sum.most = sum
                     .most
-                    .max(exposed / (rules.free + self.least_cap * taken).max(1e-9));
+                    .max(exposed / (rules.free_attempts + self.least_cap * taken).max(1e-9));
             }
         }
         *self = Window::default();
--- a/crates/trace/src/trips.rs
+++ b/crates/trace/src/trips.rs
@@ -1,7 +1,7 @@
 //! Hits followed from their first record to their last.
 
 use crate::record::{Card, Record, Source, What};
-use havenplank::port::{Ended, GroupId, HitId, Ns};
+use havenplank::interface::{AttemptEnd, Nanos, RequestId, RouteClassId};
 use havenplank_sidecar::engine::Effect;
 use havenplank_sidecar::told::Told;
 use std::collections::HashMap;
@@ -22,18 +22,18 @@
 #[derive(Clone, Debug)]
 pub struct Forward {
     pub pod: Option<Arc<Card>>,
-    pub sent: Ns,
-    pub end: Option<(Ended, Ns)>,
+    pub sent: Nanos,
+    pub end: Option<(AttemptEnd, Nanos)>,
 }
 
 #[derive(Clone, Debug)]
 pub struct Trip {
     pub source: usize,
-    pub hit: HitId,
-    pub group: GroupId,
-    pub began: Ns,
+    pub hit: RequestId,
+    pub group: RouteClassId,
+    pub began: Nanos,
     pub forwards: Vec<Forward>,
-    pub answer: Option<(Answer, Ns)>,
+    pub answer: Option<(Answer, Nanos)>,
     /// The forward whose answer went to the client.
     pub delivered_by: Option<usize>,
 }
@@ -47,14 +47,14 @@
 /// All hits in flight. A hit leaves once it is answered and its forwards have ended.
 #[derive(Default)]
 pub struct Trips {
-    open: HashMap<(usize, HitId), Trip>,
-    longest: Ns,
+    open: HashMap<(usize, RequestId), Trip>,
+    longest: Nanos,
     /// Hits whose records end before they do.
     pub torn: u64,
 }
 
 /// The longest that a hit of any source may last.
-pub fn longest(sources: &[Source]) -> Ns {
+pub fn longest(sources: &[Source]) -> Nanos {
     let groups = sources.iter().flat_map(|source| &source.terms.groups);
     groups
         .map(|(_, rules)| rules.client_timeout)
@@ -70,11 +70,11 @@
         }
     }
 
-    pub fn holds(&self, source: usize, hit: HitId) -> bool {
+    pub fn holds(&self, source: usize, hit: RequestId) -> bool {
         self.open.contains_key(&(source, hit))
     }
 
-    pub fn get(&self, source: usize, hit: HitId) -> Option<&Trip> {
+    pub fn get(&self, source: usize, hit: RequestId) -> Option<&Trip> {
         self.open.get(&(source, hit))
     }
 
@@ -97,7 +97,7 @@
             return None;
         }
         let key = (record.source, record.hit()?);
-        if let What::Told(Told::Hit { hit, asked }) = &record.what {
+        if let What::Told(Told::IncomingRequest { hit, asked }) = &record.what {
             if self.open.len() >= MOST {
                 self.give_up(at);
             }
@@ -123,7 +123,7 @@
                     end: None,
                 });
             }
-            What::Told(Told::Ended {
+            What::Told(Told::AttemptEnd {
                 nth, end, passed, ..
             }) => {
                 if let Some(forward) = trip.forwards.get_mut(*nth as usize) {
@@ -147,14 +147,14 @@
         self.open.remove(&key)
     }
 
-    fn give_up(&mut self, now: Ns) {
+    fn give_up(&mut self, now: Nanos) {
         let before = self.open.len();
         let longest = self.longest;
         self.open
             .retain(|_, trip| now.saturating_sub(trip.began) <= 2 * longest);
         // A crowd this large within twice a hit's life: the oldest half goes.
         if self.open.len() >= MOST {
-            let mut began: Vec<Ns> = self.open.values().map(|trip| trip.began).collect();
+            let mut began: Vec<Nanos> = self.open.values().map(|trip| trip.began).collect();
             let half = began.len() / 2;
             let middle = *began.select_nth_unstable(half).1;
             self.open.retain(|_, trip| trip.began > middle);
--- a/crates/trace/src/veil.rs
+++ b/crates/trace/src/veil.rs
@@ -110,7 +110,7 @@
             };
             veil(&mut terms.zones, "zone");
             veil(&mut terms.machines, "machine");
-            veil(&mut terms.customers, "customer");
+            veil(&mut terms.tenants, "customer");
             terms
                 .groups
                 .iter_mut()
@@ -127,7 +127,7 @@
     fn record(&mut self, record: &mut Record) {
         record.pod = record.pod.take().map(|card| self.card(&card));
         match &mut record.what {
-            What::Told(Told::Hit { asked, .. }) => asked.key = self.key(asked.key),
+            What::Told(Told::IncomingRequest { asked, .. }) => asked.key = self.key(asked.key),
             What::Told(Told::List { pods, .. }) => pods.iter_mut().for_each(|pod| self.pod(pod)),
             What::Did(Effect::Log(text)) => *text = self.name("log", text),
             _ => {}
@@ -136,7 +136,7 @@
 }
 
 /// Copies a trace with stand-ins in place of the names of sidecars, pods, zones, machines, path groups and
-/// customers, of keys, addresses, pods' lives and log texts. Numbers, times and the order of records stay, so
+/// tenants, of keys, addresses, pods' lives and log texts. Numbers, times and the order of records stay, so
 /// it plays as before.
 ///
 /// # Errors
--- a/crates/trace/tests/common/mod.rs
+++ b/crates/trace/tests/common/mod.rs
@@ -2,7 +2,7 @@
 
 #![allow(dead_code, clippy::unwrap_used)]
 
-use havenplank::port::*;
+use havenplank::interface::*;
 use havenplank_line_protocol::nodes::Listed;
 use havenplank_settings::{load, Given};
 use havenplank_sidecar::engine::{Asked, Effect, Engine, EPOCH};
@@ -16,10 +16,10 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-pub const MS: Ns = 1_000_000;
-pub const S: Ns = 1_000 * MS;
+pub const MS: Nanos = 1_000_000;
+pub const S: Nanos = 1_000 * MS;
 /// When the world began, in nanoseconds since 1970.
-pub const BASE: Ns = 1_700_000_000 * S;
+pub const BASE: Nanos = 1_700_000_000 * S;
 
 pub fn terms(name: &str) -> Terms {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/site.star");
@@ -33,18 +33,18 @@
     pub name: String,
     pub seed: u64,
     /// Since the world began.
-    pub starts: Ns,
-    pub lasts: Ns,
+    pub starts: Nanos,
+    pub lasts: Nanos,
     /// By how much its clock is ahead, and how much faster it goes.
     pub skew: i64,
     pub drift: f64,
     /// Longest that shared events take to be heard.
-    pub notice: Ns,
+    pub notice: Nanos,
     pub limits: Limits,
 }
 
 impl Life {
-    pub fn new(name: &str, seed: u64, lasts: Ns) -> Life {
+    pub fn new(name: &str, seed: u64, lasts: Nanos) -> Life {
         let limits = Limits {
             share: 1.0,
             queue: 64 << 20,
@@ -64,9 +64,9 @@
         }
     }
 
-    pub fn own(&self, time: Ns) -> Ns {
+    pub fn own(&self, time: Nanos) -> Nanos {
         let since = time - self.starts;
-        EPOCH + (since as f64 * (1.0 + self.drift)) as Ns
+        EPOCH + (since as f64 * (1.0 + self.drift)) as Nanos
     }
 
     pub fn source(&self) -> Source {
@@ -132,7 +132,7 @@
     Stage(Stage),
 }
 
-pub const EVENT: Ns = 350 * MS;
+pub const EVENT: Nanos = 350 * MS;
 
 pub fn event(k: u64) -> Event {
     if k % 8 == 3 {
@@ -164,7 +164,7 @@
     engine.list(EPOCH, true, first);
     let mut heard = life.starts.div_ceil(EVENT);
     let mut due = heard * EVENT + chance.rand_range(0..life.notice + 1);
-    let mut out: Vec<(Ns, u64, u32, Ended, Ns)> = Vec::new();
+    let mut out: Vec<(Nanos, u64, u32, AttemptEnd, Nanos)> = Vec::new();
     let step = MS;
     for tick in 0..life.lasts / step {
         let time = life.starts + tick * step + chance.rand_range(0..step / 2);
@@ -182,13 +182,13 @@
         }
         if tick % 5 == 0 {
             let group = (tick / 5 % 3) as usize;
-            let (customer, key) = (Some((tick % 2) as usize), chance.rand_range(1..40) << 20);
+            let (tenant, key) = (Some((tick % 2) as usize), chance.rand_range(1..40) << 20);
             let left = [2 * S, 3 * S, 3 * S][group] - 20 * MS - chance.rand_range(20_000..60_000);
             engine.hit(
                 now,
                 Asked {
                     group,
-                    customer,
+                    tenant,
                     key,
                     left,
                     cost_hint: None,
@@ -202,10 +202,10 @@
         }
         while let Some(at) = out.iter().position(|(due, ..)| *due <= time) {
             let (_, hit, nth, end, sent) = out.remove(at);
-            let load = Load {
+            let load = LoadReport {
                 in_flight: Some((hit % 4) as f64),
                 busy: Some(0.333),
-                ..Load::default()
+                ..LoadReport::default()
             };
             engine.ended(now, hit, nth, end, now - sent + 30_000, Some(load));
         }
@@ -215,9 +215,9 @@
                     let may = engine.may_go(now, hit, nth);
                     let fails = chance.rand_range(0..100) < if pod >= 12 { 30 } else { 2 };
                     let end = match (may, fails) {
-                        (false, _) => Ended::NotSent,
-                        (_, true) => Ended::Error,
-                        _ => Ended::Delivered,
+                        (false, _) => AttemptEnd::NotSent,
+                        (_, true) => AttemptEnd::Failed,
+                        _ => AttemptEnd::Served,
                     };
                     out.push((
                         time + chance.rand_range(8 * MS..50 * MS),
@@ -231,8 +231,8 @@
                     engine.voted(
                         now,
                         vote,
-                        StageNews {
-                            heard: Heard::Counted,
+                        VoteReply {
+                            receipt: VoteReceipt::Counted,
                             stage: None,
                         },
                     );
@@ -241,8 +241,8 @@
                     engine.probed(
                         now,
                         probe,
-                        ProbeEnd {
-                            end: Ended::Delivered,
+                        HealthCheckResult {
+                            end: AttemptEnd::Served,
                             took: MS,
                             load: None,
                         },
--- a/crates/trace/tests/files.rs
+++ b/crates/trace/tests/files.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use havenplank::port::Earlier;
+use havenplank::interface::PriorAttempt;
 use havenplank_sidecar::engine::{Effect, EPOCH};
 use havenplank_sidecar::told::Told;
 use havenplank_trace::file::{Reader, MAGIC};
@@ -31,14 +31,14 @@
     let (bytes, mut records) = short();
     let at = records.iter().position(Record::begins_hit).unwrap();
     let hit = records[at].hit().unwrap();
-    let known = Earlier {
+    let known = PriorAttempt {
         pod: Some(1),
         ago: 40 * MS,
         may_have_run: true,
     };
     let past = vec![
         known,
-        Earlier {
+        PriorAttempt {
             pod: None,
             ago: MS,
             may_have_run: false,
@@ -260,8 +260,8 @@
     let (mut hits, mut took, mut to_pod, mut listed) = (0, 0, 0, 0);
     for record in &records {
         match &record.what {
-            What::Told(Told::Hit { asked, .. }) => hits += asked.left,
-            What::Told(Told::Ended { took: ns, .. }) => took += ns,
+            What::Told(Told::IncomingRequest { asked, .. }) => hits += asked.left,
+            What::Told(Told::AttemptEnd { took: ns, .. }) => took += ns,
             What::Told(Told::List { pods, .. }) => listed += pods.len(),
             What::Did(Effect::Forward { .. }) => {
                 let name = record.pod.as_ref().map(|pod| pod.name.as_str());
--- a/crates/trace/tests/recorder.rs
+++ b/crates/trace/tests/recorder.rs
@@ -296,7 +296,7 @@
     // Nor is it a difference in a copy, which is closed, that the last call's effects were not written.
     let told = found
         .iter()
-        .rposition(|record| matches!(record.what, What::Told(Told::Hit { .. })))
+        .rposition(|record| matches!(record.what, What::Told(Told::IncomingRequest { .. })))
         .unwrap();
     let mut writer = Writer::new(Vec::new(), &open(&bytes).head, Vec::new()).unwrap();
     found[..=told]
--- a/crates/trace/tests/tools.rs
+++ b/crates/trace/tests/tools.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use havenplank::port::{Ended, Ns};
+use havenplank::interface::{AttemptEnd, Nanos};
 use havenplank_sidecar::engine::{Effect, EPOCH};
 use havenplank_sidecar::told::Told;
 use havenplank_trace::file::{Reader, Writer};
@@ -173,7 +173,7 @@
         assert!(own == there, "source {n} keeps its records and their order");
     }
     // What all were told at once now lies as close as the telling took.
-    let mut heard: HashMap<(u64, u64, u64), (Ns, Ns)> = HashMap::new();
+    let mut heard: HashMap<(u64, u64, u64), (Nanos, Nanos)> = HashMap::new();
     for record in merged.iter() {
         if let What::Told(Told::List {
             whole: false, pods, ..
@@ -246,7 +246,7 @@
             .zones
             .iter()
             .chain(&terms.machines)
-            .chain(&terms.customers)
+            .chain(&terms.tenants)
             .cloned(),
     );
     names.extend(terms.groups.iter().map(|(name, _)| name.clone()));
@@ -262,7 +262,7 @@
                     ]);
                 }
             }
-            What::Told(Told::Hit { asked, .. }) => drop(keys.insert(asked.key)),
+            What::Told(Told::IncomingRequest { asked, .. }) => drop(keys.insert(asked.key)),
             What::Did(Effect::Log(text)) => drop(names.insert(text)),
             _ => {}
         }
@@ -281,7 +281,7 @@
     let veiled: HashSet<u64> = all(&bytes)
         .into_iter()
         .filter_map(|record| match record.what {
-            What::Told(Told::Hit { asked, .. }) => Some(asked.key),
+            What::Told(Told::IncomingRequest { asked, .. }) => Some(asked.key),
             _ => None,
         })
         .collect();
@@ -329,7 +329,8 @@
     let sum = |of: fn(&summary::Figures) -> u64| summary.builds.values().map(of).sum::<u64>();
     assert!(damage.is_none() && summary.hits == 1_200 && summary.records == records.len() as u64);
     assert_eq!(sum(|f| f.hits) + summary.unfinished, 1_200);
-    let delivered = count(&|what| matches!(what, What::Told(Told::Ended { passed: true, .. })));
+    let delivered =
+        count(&|what| matches!(what, What::Told(Told::AttemptEnd { passed: true, .. })));
     assert!(sum(|f| f.delivered) == delivered && delivered > 1_000);
     assert_eq!(
         sum(|f| f.bounced),
@@ -342,8 +343,8 @@
     let errors = count(&|what| {
         matches!(
             what,
-            What::Told(Told::Ended {
-                end: Ended::Error,
+            What::Told(Told::AttemptEnd {
+                end: AttemptEnd::Failed,
                 ..
             })
         )
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -1,28 +1,28 @@
 //! Every decision of havenplank: where a hit goes, what is tried again, what a new build gets, how to vote.
 //!
-//! A host makes a [`Logic`] with `new`, calls `begin` once, then `hit`, `list`, `list_failed`, `news`,
-//! `tally` and `flagged` as things arrive; effects leave through [`Host`] in `port.rs`, where the interface
+//! A host makes a [`Router`] with `new`, calls `begin` once, then `hit`, `list`, `list_failed`, `news`,
+//! `tally` and `flagged` as things arrive; effects leave through [`Host`] in `interface.rs`, where the interface
 //! stands. Each forward, vote and wake leaves a closure that is handed its result: there a hit's state lives.
 //!
 //! The ordinary path is Wald's sequential test (docs/design.md): `Judge` sums whether this instance's
 //! failures fall on the build on trial beyond its share of forwards, `Voter` turns the sum into a vote.
 
-use crate::port::*;
+use crate::interface::*;
 use crate::state::*;
-pub use crate::state::{GroupChange, Logic};
+pub use crate::state::{RouteClassChange, Router};
 use crate::tail::part_of_chance;
 use oorandom::Rand64;
 use std::cell::RefCell;
 use std::cmp::Ordering;
 use std::rc::Rc;
 
-const MS: Ns = 1_000_000;
-const S: Ns = 1_000 * MS;
-const TICK: Ns = 200 * MS;
+const MS: Nanos = 1_000_000;
+const S: Nanos = 1_000 * MS;
+const TICK: Nanos = 200 * MS;
 const SLICES: usize = 40;
 
 impl Share {
-    const SPANS: [Ns; 2] = [5 * S, 1500 * MS];
+    const SPANS: [Nanos; 2] = [5 * S, 1500 * MS];
     const THIN: f64 = 5.0;
 
     fn fresh() -> Share {
@@ -32,7 +32,7 @@
 
     /// It rises by leaps at a stage's start, when the long look still blames the build for having more
     /// forwards than it counts: so the higher of a long and a short look, the short one shrunk where thin.
-    fn of(&mut self, now: Ns) -> f64 {
+    fn of(&mut self, now: Nanos) -> f64 {
         let [long, short] =
             [0, 1].map(|n| (self.new[n].most(now) as f64, self.all[n].most(now) as f64));
         (long.0 / long.1.max(1.0)).max(short.0 / (short.1 + Share::THIN))
@@ -46,7 +46,7 @@
     /// Sound builds make next to none of their own, so the alternative may be wider and the answer quicker.
     const OWN_ODDS: f64 = 4.0;
     /// A pod younger than this fails for being cold, whatever its build.
-    const COLD_SKIP: Ns = 3 * S;
+    const COLD_SKIP: Nanos = 3 * S;
     const SLOW_ODDS: f64 = 5.0;
     const SLOW_SHARE: f64 = 0.35;
     /// Part of the upper bound after which one pod alone says no more: machines fail by themselves, too.
@@ -59,9 +59,9 @@
     const SLOWER: f64 = 1.35;
     const USUAL: f64 = 0.1;
     const USUAL_LEARN: f64 = 0.2;
-    const SLOT: Ns = 4 * S;
+    const SLOT: Nanos = 4 * S;
     const ONE_ROUND: f64 = 0.6;
-    const SETTLES: Ns = 2 * S;
+    const SETTLES: Nanos = 2 * S;
 
     /// Wald's bounds on the sum: on below the first, back above the second. Alpha is that of the platform's
     /// verdict, so each of many instances gets the part by which as many false as move it are no likelier
@@ -102,7 +102,7 @@
     /// Once the new build has most of the load its share nears 1 and the test goes blind, so for failures
     /// that are a pod's own the earlier build keeps most of the share from memory, as it failed. Covers late
     /// failures and low rates of wrong answers; could harm where callers begin to err after its last answer.
-    fn ended(&mut self, now: Ns, build: Build, own: bool) {
+    fn ended(&mut self, now: Nanos, build: Build, own: bool) {
         if build < self.build {
             let learnt = (own as u8 as f64 - self.own_rate) * Judge::OWN_LEARN;
             self.own_rate = (self.own_rate + learnt).max(Judge::OWN_RATE);
@@ -119,7 +119,7 @@
 
     /// A sum far below the lower bound would take as long to come back: it stays at twice that.
     /// `own`: an error or a wrong answer, which a pod makes by itself, unlike a time-out or a reset.
-    fn failed(&mut self, now: Ns, build: Build, own: bool) -> f64 {
+    fn failed(&mut self, now: Nanos, build: Build, own: bool) -> f64 {
         let (most, odds) = if own {
             (Judge::MEMORY_SHARE, Judge::OWN_ODDS)
         } else {
@@ -134,7 +134,7 @@
     /// A slow build fails nothing, so the sum above never hears of it: the same test, on whether the slowest
     /// tenth of answers falls on the build on trial, with a wider alternative as good builds differ in speed.
     /// Could harm one kept busier than the earlier, so it rests once that has a third of the load.
-    fn slow(&mut self, now: Ns, build: Build) -> f64 {
+    fn slow(&mut self, now: Nanos, build: Build) -> f64 {
         let p0 = self.share.of(now);
         let step = if p0 <= Judge::SLOW_SHARE {
             self.step(p0, build, Judge::SLOW_ODDS)
@@ -158,7 +158,7 @@
     /// earlier pods are slower than before the trial, the share is taken away in every other slot of a clock
     /// that all instances know from the platform's news, as one alone moves nothing. Covers any load that
     /// a build puts on what all pods share; could harm a good one while another slowdown keeps that rhythm.
-    fn slots(&mut self, now: Ns, began: Option<Ns>, many: bool) {
+    fn slots(&mut self, now: Nanos, began: Option<Nanos>, many: bool) {
         self.testing &= began.is_some();
         let slot = began.map_or((0, 0), |began| {
             (began, now.saturating_sub(began) / Judge::SLOT)
@@ -187,7 +187,7 @@
 
     /// The same test on whether slow answers of the earlier pods fall on the slots with the share. Answers
     /// of a slot's start tell of the one before, and no round of two slots decides alone.
-    fn old_answer(&mut self, sent_at: Ns, slow: bool, hits: u32) {
+    fn old_answer(&mut self, sent_at: Nanos, slow: bool, hits: u32) {
         // A few seconds' answers, but no fewer than eight.
         let learn = (3.0 / hits as f64).clamp(0.002, 0.12);
         self.old_slow += (slow as u8 as f64 - self.old_slow) * learn;
@@ -201,43 +201,45 @@
 }
 
 impl Voter {
-    const ON_AFTER: Ns = 3 * S;
-    const ON_AFTER_THIN: Ns = 6 * S;
-    const DOUBT_HOLDS: Ns = 12 * S;
+    const ON_AFTER: Nanos = 3 * S;
+    const ON_AFTER_THIN: Nanos = 6 * S;
+    const DOUBT_HOLDS: Nanos = 12 * S;
     const ENOUGH: u32 = 10;
 
     /// Whether as many votes for on can stand together as move a stage: of those that the platform takes
     /// within a vote's life, twice a second's worth come at once.
     fn can_move(&self) -> bool {
         let rules = &self.rules;
-        let most = rules.calls_per_s * (2.0 + rules.life as f64 / S as f64);
-        rules.control != Control::Count || rules.calls_per_s <= 0.0 || rules.on_needs as f64 <= most
+        let most = rules.calls_per_second * (2.0 + rules.ttl as f64 / S as f64);
+        rules.control != ReleaseControl::Quorum
+            || rules.calls_per_second <= 0.0
+            || rules.advance_quorum as f64 <= most
     }
 
-    fn wanted(&mut self, now: Ns, judge: &Judge, phase: Phase, ran: Ns) -> Voice {
+    fn wanted(&mut self, now: Nanos, judge: &Judge, phase: Phase, ran: Nanos) -> Vote {
         let on_trial = phase == Phase::Trial;
         if judge.worst() > judge.bounds.1 && (on_trial || phase == Phase::Released) {
-            return Voice::Back;
+            return Vote::RollBack;
         }
-        if on_trial && self.rules.control == Control::Clock {
+        if on_trial && self.rules.control == ReleaseControl::Timed {
             // One step a stage at most, however often the doubt comes back.
             let since = *self.held.get_or_insert(if judge.doubt() {
                 now
             } else {
-                return Voice::None;
+                return Vote::None;
             });
-            return if judge.doubt() && now - since < self.rules.step {
-                Voice::Hold
+            return if judge.doubt() && now - since < self.rules.stage_duration {
+                Vote::Hold
             } else {
-                Voice::None
+                Vote::None
             };
         }
         let passed = judge.sum < judge.bounds.0 || judge.outcomes >= Voter::ENOUGH;
-        let thin = self.rules.control == Control::Count && ran >= Voter::ON_AFTER_THIN;
+        let thin = self.rules.control == ReleaseControl::Quorum && ran >= Voter::ON_AFTER_THIN;
         // As under a clock doubt holds, for a while: an early on would take the time that votes against need.
         let doubt = (judge.doubt() || judge.testing) && ran < Voter::DOUBT_HOLDS;
         let on = on_trial && !doubt && (thin || (passed && ran >= Voter::ON_AFTER));
-        [Voice::None, Voice::On][on as usize]
+        [Vote::None, Vote::Advance][on as usize]
     }
 }
 
@@ -247,12 +249,12 @@
     const MOST_KEYS: usize = 1 << 16;
 
     /// Whether `part` of the cap leaves room for one more forward. An earlier life may have used the free.
-    fn room(&mut self, now: Ns, build: Build, group: GroupId, cap: f64, part: f64) -> bool {
+    fn room(&mut self, now: Nanos, build: Build, group: RouteClassId, cap: f64, part: f64) -> bool {
         let bucket = self.bucket(group);
         let free = if now - self.started <= self.rules.window {
             0.0
         } else {
-            self.rules.free
+            self.rules.free_attempts
         };
         let most = part * (free + cap * self.taken[bucket].least(now) as f64);
         self.sent(build)[bucket].most(now) as f64 + 1.0 <= most
@@ -266,7 +268,7 @@
 
 impl Pods {
     const ILL_AFTER: u32 = 2;
-    const ILL: Ns = 500 * MS;
+    const ILL: Nanos = 500 * MS;
     /// Part of the fall multiple that all instances together may use on a cold pod.
     const COLD_PART: f64 = 0.6;
     const SLOW_LEARN: f64 = 0.1;
@@ -283,12 +285,12 @@
     const GOLDEN: f64 = 0.618_033_988_749_895;
 
     /// The part of its capacity that a pod surely has.
-    fn warmth(&self, now: Ns, entry: &PodEntry) -> f64 {
+    fn warmth(&self, now: Nanos, entry: &Endpoint) -> f64 {
         let age = now.saturating_sub(entry.started) as f64 / self.rules.warm_up.max(1) as f64;
-        (self.rules.cold_share + (1.0 - self.rules.cold_share) * age).min(1.0)
+        (self.rules.initial_capacity + (1.0 - self.rules.initial_capacity) * age).min(1.0)
     }
 
-    fn silent(&self, now: Ns, pod: &Pod) -> bool {
+    fn silent(&self, now: Nanos, pod: &Pod) -> bool {
         let quiet = if pod.in_flight == 0 {
             0
         } else {
@@ -303,14 +305,14 @@
     }
 
     /// A pod on the mend gets one hit at a time.
-    fn well(&self, now: Ns, pod: &Pod) -> bool {
+    fn well(&self, now: Nanos, pod: &Pod) -> bool {
         let mending = pod.strikes >= Pods::ILL_AFTER && pod.in_flight > 0;
         now >= pod.ill_until && !mending && !self.silent(now, pod)
     }
 
     /// A look at all pods, a few times a second, so that no hit has to look through them. When most of them
     /// look ill, the trouble is not theirs: shunning them would crowd the rest.
-    fn survey(&mut self, now: Ns, place: &Place) {
+    fn survey(&mut self, now: Nanos, place: &FleetPosition) {
         self.sum_up_warm(now, SLICES);
         self.keep_to(now, place);
         self.panic = 3 * self
@@ -324,7 +326,7 @@
     /// Hundreds of instances that each open connections to every pod cost the pods more than their hits do.
     /// So each keeps to a stretch of every side, all sides in the same order at all instances, and its number
     /// tells where it begins. The stretch goes on past what is ill, and cold pods count for their part.
-    fn keep_to(&mut self, now: Ns, place: &Place) {
+    fn keep_to(&mut self, now: Nanos, place: &FleetPosition) {
         let all = self.table.count as f64;
         let wanted =
             (Pods::KEPT_BY * all / place.instances.max(1) as f64).max(self.busy / Pods::BUSY);
@@ -359,7 +361,7 @@
     /// A part under one forward is drawn for, lest those of many instances add up: `luck` is a draw from 0
     /// to the window's hits for each unit of size that this pod is drawn from. Of a side kept to in part a
     /// pod hears from fewer instances, and each has more of it.
-    fn cold_room(&mut self, now: Ns, id: PodId, luck: f64) -> bool {
+    fn cold_room(&mut self, now: Nanos, id: PodId, luck: f64) -> bool {
         let Some(entry) = self.table.get(id).map(|pod| pod.entry) else {
             return false;
         };
@@ -372,14 +374,14 @@
             .collect();
         let least = || 0.5 * others.iter().copied().reduce(f64::min).unwrap_or(0.0);
         let carried = self.carried_by(now, entry.machine).unwrap_or_else(least);
-        let most = Pods::COLD_PART * self.rules.fall_multiple * warmth * carried * entry.size;
+        let most = Pods::COLD_PART * self.rules.overload_multiple * warmth * carried * entry.size;
         let sent = self.table.get_mut(id).map_or(0, |pod| pod.sent.most(now)) as f64;
         sent + 1.0 <= most / self.table.own_part(&entry)
             || (sent < 1.0 && (others.is_empty() || luck * warmth * entry.size < most))
     }
 
     /// How slow a pod is for its size, and so how much each hit in flight there weighs.
-    fn burden(&self, now: Ns, pod: &Pod) -> f64 {
+    fn burden(&self, now: Nanos, pod: &Pod) -> f64 {
         let idle = now.saturating_sub(pod.slow_at) as f64 / Pods::SLOW_FADES;
         let slow = 1.0 + (pod.slow - 1.0) * (-idle).exp();
         slow / (pod.entry.size.max(1e-9) * self.warmth(now, &pod.entry))
@@ -387,21 +389,25 @@
 
     /// Health by symptom, whatever its cause. A time-out tells of the pod only if nothing came
     /// from it since, and if it was not cut short by a client with little time left.
-    fn ended(&mut self, now: Ns, sent: &Sent, end: Ended, ratio: f64, scatter: f64) {
+    fn ended(&mut self, now: Nanos, sent: &Sent, end: AttemptEnd, ratio: f64, scatter: f64) {
         let Some(pod) = self.table.get_mut(sent.pod) else {
             return;
         };
         pod.in_flight = pod.in_flight.saturating_sub(1);
-        let hung =
-            end == Ended::TimeOut && pod.quiet_since <= sent.at && now - sent.at >= self.quiet / 2;
-        if !matches!(end, Ended::TimeOut | Ended::Cancelled | Ended::NotSent) {
+        let hung = end == AttemptEnd::TimedOut
+            && pod.quiet_since <= sent.at
+            && now - sent.at >= self.quiet / 2;
+        if !matches!(
+            end,
+            AttemptEnd::TimedOut | AttemptEnd::Cancelled | AttemptEnd::NotSent
+        ) {
             pod.quiet_since = now;
         }
-        if matches!(end, Ended::Delivered | Ended::TimeOut) {
+        if matches!(end, AttemptEnd::Served | AttemptEnd::TimedOut) {
             pod.slow += (ratio.min(10.0) - pod.slow) * Pods::SLOW_LEARN;
             pod.slow_at = now;
         }
-        if end == Ended::Delivered {
+        if end == AttemptEnd::Served {
             if let Some(lane) = self.carried.get_mut(pod.entry.machine).filter(|_| pod.warm) {
                 lane.0.add(now);
             }
@@ -409,17 +415,20 @@
         } else if hung
             || matches!(
                 end,
-                Ended::Error | Ended::Reset | Ended::NoConnection | Ended::Full
+                AttemptEnd::Failed
+                    | AttemptEnd::Reset
+                    | AttemptEnd::ConnectFailed
+                    | AttemptEnd::Rejected
             )
         {
-            pod.strikes += if end == Ended::NoConnection {
+            pod.strikes += if end == AttemptEnd::ConnectFailed {
                 Pods::ILL_AFTER
             } else {
                 1
             };
             if pod.strikes >= Pods::ILL_AFTER {
                 let doubled = Pods::ILL << (pod.strikes - Pods::ILL_AFTER).min(4);
-                pod.ill_until = now + (doubled as f64 * scatter) as Ns;
+                pod.ill_until = now + (doubled as f64 * scatter) as Nanos;
             }
         }
     }
@@ -435,7 +444,7 @@
     const TOO_LATE: f64 = 0.25;
     const CROWDED: f64 = 0.33;
 
-    fn ended(&mut self, now: Ns, target: Ns, took: Ns, answered: bool) {
+    fn ended(&mut self, now: Nanos, target: Nanos, took: Nanos, answered: bool) {
         let late = took as f64 > Limit::LATE * target as f64;
         self.late += (late as u8 as f64 - self.late) * Limit::LEARN;
         if late && self.late > Limit::TOO_LATE && now.saturating_sub(self.cut_at) > target / 4 {
@@ -448,7 +457,7 @@
     }
 }
 
-impl Logic {
+impl Router {
     /// How much less loaded an earlier build's pod must be to be chosen over the newest's.
     const NEWER: f64 = 0.6;
     const AWAY: f64 = 12.0;
@@ -458,34 +467,34 @@
     /// Hits after which an instance trusts what it has learnt of the time before a trial.
     const LEARN: u32 = 30;
     const RETRY_PART: f64 = 0.2;
-    const RETRY_WINDOW: Ns = 10 * S;
+    const RETRY_WINDOW: Nanos = 10 * S;
     /// From how many times what nine in ten answers keep a second copy goes out, and up to which late share.
     const COPY_AFTER: f64 = 2.5;
     const COPY_CALM: f64 = 0.125;
 
     #[allow(clippy::too_many_arguments)]
     pub fn new(
-        now: Ns,
+        now: Nanos,
         seed: u64,
-        place: Place,
-        groups: Vec<PathGroup>,
-        rules: ForwardRules,
-        pods: PodRules,
-        exposure: ExposureRules,
-        votes: VoteRules,
-        lists: ListRules,
-    ) -> Logic {
+        place: FleetPosition,
+        groups: Vec<RouteClass>,
+        rules: AttemptSettings,
+        pods: PodSettings,
+        exposure: ExposureSettings,
+        votes: VoteSettings,
+        lists: EndpointListSettings,
+    ) -> Router {
         let bounds = Judge::bounds(
             place.instances.max(1),
-            votes.back_needs.clamp(1, place.instances.max(1)),
+            votes.rollback_quorum.clamp(1, place.instances.max(1)),
         );
-        Logic {
+        Router {
             exposure: Exposure::new(exposure, now, groups.len(), Exposure::START, SLICES),
             pods: Pods::new(
                 pods,
                 groups
                     .iter()
-                    .map(|group| group.target_latency)
+                    .map(|group| group.latency_objective)
                     .min()
                     .unwrap_or(S),
             ),
@@ -497,8 +506,8 @@
                 cut_at: 0,
                 late: 0.0,
             },
-            taken: Window::new(Logic::RETRY_WINDOW, SLICES),
-            retried: Window::new(Logic::RETRY_WINDOW, SLICES),
+            taken: Window::new(Router::RETRY_WINDOW, SLICES),
+            retried: Window::new(Router::RETRY_WINDOW, SLICES),
             chance: Rand64::new(seed as u128),
             list_wait: 0,
             stage: None,
@@ -506,15 +515,15 @@
             place,
             rules,
             lists,
-            groups: Groups::new(groups, |group| group.target_latency as f64 / 6.0),
+            groups: Groups::new(groups, |group| group.latency_objective as f64 / 6.0),
         }
     }
 
-    pub fn begin(&mut self, host: &mut dyn Host) {
-        if self.lists.must_ask {
-            host.watch_list(true);
+    pub fn start(&mut self, host: &mut dyn Host) {
+        if self.lists.poll_only {
+            host.watch_endpoints(true);
         }
-        host.wake(TICK, Box::new(|logic, host, ()| logic.tick(host)));
+        host.set_timer(TICK, Box::new(|router, host, ()| router.tick(host)));
     }
 
     fn tick(&mut self, host: &mut dyn Host) {
@@ -522,10 +531,10 @@
         self.pods.survey(now, &self.place);
         let began = self
             .stage
-            .filter(|_| self.on_trial() && self.exposure.rules.beside)
+            .filter(|_| self.on_trial() && self.exposure.rules.blue_green)
             .map(|(_, at)| at);
         self.judge
-            .slots(now, began, self.voter.rules.back_needs > 1);
+            .slots(now, began, self.voter.rules.rollback_quorum > 1);
         self.seat(now);
         self.consider(host);
         if now >= self.exposure.weighed + S {
@@ -535,16 +544,16 @@
             self.exposure.weigh(self.judge.doubt());
             self.exposure.weighed = now;
         }
-        host.wake(TICK, Box::new(|logic, host, ()| logic.tick(host)));
+        host.set_timer(TICK, Box::new(|router, host, ()| router.tick(host)));
     }
 
     /// A thin share at each of many tells none of them enough, and a bad build stays. So a part of them takes
     /// the trial's forwards, each as many more as the cap and its memory leave room for, the rest none: as
     /// many reach the pods, and fewer hear more. Who sits goes by number and build; who hears enough does.
-    fn seat(&mut self, now: Ns) {
+    fn seat(&mut self, now: Nanos) {
         let (many, needed, build) = (
             self.place.instances,
-            self.voter.rules.back_needs,
+            self.voter.rules.rollback_quorum,
             self.judge.build,
         );
         let share = self.pods.table.part_of(build);
@@ -556,7 +565,7 @@
             share / room.clamp(share, Judge::MEMORY_SHARE.max(share))
         });
         let heard = share * self.taken.most(now) as f64 * Voter::ON_AFTER as f64
-            / Logic::RETRY_WINDOW as f64;
+            / Router::RETRY_WINDOW as f64;
         let least = (heard / Voter::ENOUGH as f64).max(2.0 * needed as f64 / many as f64);
         let part = part.max(least.min(1.0));
         let seat = ((self.place.rank + build as usize * many) as f64 * Pods::GOLDEN).fract();
@@ -565,9 +574,9 @@
         self.judge.bounds = Judge::bounds(((many as f64 * part) as usize).max(needed), needed);
     }
 
-    pub fn list(&mut self, host: &mut dyn Host, whole: bool, entries: &[PodEntry]) {
+    pub fn update_endpoints(&mut self, host: &mut dyn Host, whole: bool, entries: &[Endpoint]) {
         self.list_wait = 0;
-        let window = || Window::new(self.pods.rules.fall_window, SLICES);
+        let window = || Window::new(self.pods.rules.overload_window, SLICES);
         self.pods.table.apply(whole, entries, window);
         self.pods.survey(host.now(), &self.place);
         let (table, trial) = (&self.pods.table, self.judge.build);
@@ -577,15 +586,15 @@
     }
 
     /// A watch that failed may or may not stand: ask again, later each time and at scattered moments.
-    pub fn list_failed(&mut self, host: &mut dyn Host) {
+    pub fn endpoint_watch_failed(&mut self, host: &mut dyn Host) {
         self.list_wait = (self.list_wait * 2)
             .clamp(S, 8 * S)
-            .min(self.lists.ask_within);
-        let wait = (self.list_wait as f64 * (0.5 + 0.5 * self.chance.rand_float())) as Ns;
-        host.wake(wait, Box::new(|_, host, ()| host.watch_list(true)));
+            .min(self.lists.poll_interval);
+        let wait = (self.list_wait as f64 * (0.5 + 0.5 * self.chance.rand_float())) as Nanos;
+        host.set_timer(wait, Box::new(|_, host, ()| host.watch_endpoints(true)));
     }
 
-    pub fn news(&mut self, host: &mut dyn Host, stage: Stage) {
+    pub fn update_stage(&mut self, host: &mut dyn Host, stage: Stage) {
         let old = self.stage.map(|(old, _)| (old.build, old.stage));
         if old != Some((stage.build, stage.stage)) {
             self.judge.restart(stage.build);
@@ -597,7 +606,7 @@
                 .flatten()
                 .for_each(|pod| pod.blame = 0.0);
         }
-        let going = matches!(stage.phase, Phase::GoingBack | Phase::Withdrawn);
+        let going = matches!(stage.phase, Phase::RollingBack | Phase::Withdrawn);
         if going || old.is_some_and(|(build, _)| build != stage.build) {
             self.exposure.bound.clear();
         }
@@ -605,9 +614,15 @@
         self.consider(host);
     }
 
-    pub fn tally(&mut self, _host: &mut dyn Host, _tally: Tally) {}
+    pub fn update_tally(&mut self, _host: &mut dyn Host, _tally: Tally) {}
 
-    pub fn flagged(&mut self, host: &mut dyn Host, pod: PodId, _group: GroupId, ago: Ns) {
+    pub fn report_fault(
+        &mut self,
+        host: &mut dyn Host,
+        pod: PodId,
+        _group: RouteClassId,
+        ago: Nanos,
+    ) {
         let (now, sent_at) = (host.now(), host.now().saturating_sub(ago));
         let Some(entry) = self.pods.table.get(pod).map(|pod| &pod.entry) else {
             return;
@@ -622,7 +637,7 @@
     fn cap(&self, build: Build) -> Option<f64> {
         let first = self.exposure.rules.caps.first().copied().unwrap_or(0.0);
         // Keys answered by a build not announced could not be held to it.
-        let first = if self.exposure.rules.one_way {
+        let first = if self.exposure.rules.sticky_keys {
             0.0
         } else {
             first
@@ -659,12 +674,12 @@
         let want = (stage.build, stage.stage, voice);
         let stands = self.voter.standing;
         // Those that can move nothing would only keep votes for back from being heard.
-        let voice = if voice == Voice::On && !self.voter.can_move() {
-            Voice::None
+        let voice = if voice == Vote::Advance && !self.voter.can_move() {
+            Vote::None
         } else {
             voice
         };
-        let idle = voice == Voice::None && stands.is_none_or(|(.., voice)| voice != Voice::Hold);
+        let idle = voice == Vote::None && stands.is_none_or(|(.., voice)| voice != Vote::Hold);
         let early = now < self.voter.again_at && (stands.is_none() || stands == Some(want));
         if self.voter.calling || idle || early {
             return;
@@ -681,40 +696,45 @@
         host.log(&format!(
             "vote {voice:?} build {build} stage {number} sums {sums:.2?}"
         ));
-        let then = move |logic: &mut Logic, host: &mut dyn Host, news: StageNews| {
-            logic.voter.calling = false;
-            let counted = news.heard == Heard::Counted;
-            logic.voter.standing = counted.then_some(want);
-            let soon = (100 + logic.chance.rand_range(0..300)) * MS;
+        let then = move |router: &mut Router, host: &mut dyn Host, news: VoteReply| {
+            router.voter.calling = false;
+            let counted = news.receipt == VoteReceipt::Counted;
+            router.voter.standing = counted.then_some(want);
+            let soon = (100 + router.chance.rand_range(0..300)) * MS;
             // Late in the vote's life, but so that a call that times out can be made again before it lapses.
-            let (life, out) = (logic.voter.rules.life, logic.voter.rules.call_time_out);
+            let (life, out) = (router.voter.rules.ttl, router.voter.rules.call_timeout);
             let life = life.saturating_sub(out).max(life / 4) as f64;
-            let late = now + (life * (0.75 + 0.2 * logic.chance.rand_float())) as Ns;
-            logic.voter.again_at = if counted { late } else { host.now() + soon };
+            let late = now + (life * (0.75 + 0.2 * router.chance.rand_float())) as Nanos;
+            router.voter.again_at = if counted { late } else { host.now() + soon };
             match news.stage {
-                Some(stage) => logic.news(host, stage),
-                None => logic.consider(host),
+                Some(stage) => router.update_stage(host, stage),
+                None => router.consider(host),
             }
         };
-        host.vote(stage.build, stage.stage, voice, Box::new(then));
+        host.cast_vote(stage.build, stage.stage, voice, Box::new(then));
     }
 
-    pub fn hit(&mut self, host: &mut dyn Host, hit: Hit) {
+    pub fn handle_request(&mut self, host: &mut dyn Host, hit: IncomingRequest) {
         let now = host.now();
-        let bucket = self.exposure.bucket(hit.group);
+        let bucket = self.exposure.bucket(hit.class);
         self.exposure.taken[bucket].add(now);
         self.taken.add(now);
         self.hits = self.hits.saturating_add(1);
-        self.resume(host, hit, &[]);
+        self.resume_request(host, hit, &[]);
     }
 
     /// Goes on with a hit that another instance took and forwarded so. It was counted there, once.
-    pub fn resume(&mut self, host: &mut dyn Host, hit: Hit, past: &[Earlier]) {
+    pub fn resume_request(
+        &mut self,
+        host: &mut dyn Host,
+        hit: IncomingRequest,
+        past: &[PriorAttempt],
+    ) {
         let now = host.now();
         self.pods.busy += (self.limit.out as f64 - self.pods.busy) * Pods::BUSY_LEARN;
-        let group = self.groups[hit.group];
+        let group = self.groups[hit.class];
         // A time left read from a trace may be anything.
-        let until = [hit.left, group.target_latency].map(|span| now.saturating_add(span));
+        let until = [hit.remaining, group.latency_objective].map(|span| now.saturating_add(span));
         let trip = Rc::new(RefCell::new(Trip::new(
             now,
             &hit,
@@ -722,7 +742,7 @@
             past,
             &self.pods.table,
         )));
-        let worth = group.benefit / self.groups.most_benefit;
+        let worth = group.priority_weight / self.groups.max_priority_weight;
         if (self.limit.out as f64) < self.limit.most * (0.75 + 0.25 * worth) {
             return self.step(host, trip);
         }
@@ -749,21 +769,22 @@
             self.groups[trip.borrow().group],
             trip.borrow().deadline - now,
         );
-        let time_out = left.min(if group.kind == Kind::Mutating {
+        let time_out = left.min(if group.idempotency == Idempotency::NonIdempotent {
             left
         } else {
-            group.target_latency
+            group.latency_objective
         });
         self.send(host, &trip, pod, time_out);
         self.plan_copy(host, &trip, pod);
     }
 
     fn used_up(&self, trip: &Trip) -> bool {
-        let never = trip.may_run.is_some() && self.groups[trip.group].kind == Kind::Mutating;
-        never || trip.tried.len() >= self.rules.max_forwards as usize
+        let never = trip.may_run.is_some()
+            && self.groups[trip.group].idempotency == Idempotency::NonIdempotent;
+        never || trip.tried.len() >= self.rules.max_attempts as usize
     }
 
-    fn send(&mut self, host: &mut dyn Host, trip: &Rc<RefCell<Trip>>, pod: PodId, time_out: Ns) {
+    fn send(&mut self, host: &mut dyn Host, trip: &Rc<RefCell<Trip>>, pod: PodId, time_out: Nanos) {
         let now = host.now();
         let Some(chosen) = self.pods.table.get(pod) else {
             return;
@@ -790,9 +811,10 @@
         trip.borrow_mut().tried.push(pod);
         trip.borrow_mut().out += 1;
         let trip = trip.clone();
-        let then =
-            move |logic: &mut Logic, host: &mut dyn Host, end| logic.ended(host, trip, sent, end);
-        host.forward(hit, pod, time_out, Box::new(then));
+        let then = move |router: &mut Router, host: &mut dyn Host, end| {
+            router.ended(host, trip, sent, end)
+        };
+        host.send_attempt(hit, pod, time_out, Box::new(then));
     }
 
     /// A second copy for a hit whose answer is far later than nine in ten are, while few are late: what is
@@ -805,39 +827,40 @@
             .groups
             .slowest(group, entry.map_or(0, |e| e.machine))
             .unwrap_or(0.0);
-        let after = (Logic::COPY_AFTER * usual) as Ns;
+        let after = (Router::COPY_AFTER * usual) as Nanos;
         let in_time = host.now().saturating_add(after) < trip.borrow().target_at;
-        let once = trip.borrow().tried.len() == 1 && self.groups[group].kind != Kind::Mutating;
-        if !(self.rules.copies && once && in_time && after > 0) {
+        let once = trip.borrow().tried.len() == 1
+            && self.groups[group].idempotency != Idempotency::NonIdempotent;
+        if !(self.rules.hedging && once && in_time && after > 0) {
             return;
         }
         let (trip, sent_at) = (trip.clone(), host.now());
-        let then = move |logic: &mut Logic, host: &mut dyn Host, ()| {
+        let then = move |router: &mut Router, host: &mut dyn Host, ()| {
             let now = host.now();
             let alone = trip.borrow().out == 1 && trip.borrow().tried.len() == 1;
-            let most = Logic::RETRY_PART * logic.taken.most(now) as f64;
+            let most = Router::RETRY_PART * router.taken.most(now) as f64;
             let calm =
-                logic.limit.late <= Logic::COPY_CALM && (logic.retried.most(now) as f64) < most;
+                router.limit.late <= Router::COPY_CALM && (router.retried.most(now) as f64) < most;
             let left = trip
                 .borrow()
                 .target_at
                 .min(trip.borrow().deadline)
                 .saturating_sub(now);
-            if !(alone && calm && left > 0 && host.open(trip.borrow().hit))
-                || logic.used_up(&trip.borrow())
+            if !(alone && calm && left > 0 && host.is_open(trip.borrow().hit))
+                || router.used_up(&trip.borrow())
             {
                 return;
             }
             let first = entry.map(|entry| (sent_at, entry.zone, entry.cell));
             let before = std::mem::replace(&mut trip.borrow_mut().may_run, first);
-            let chosen = logic.choose(now, &trip.borrow());
+            let chosen = router.choose(now, &trip.borrow());
             let Some(pod) = chosen else {
                 return trip.borrow_mut().may_run = before;
             };
-            logic.retried.add(now);
-            logic.send(host, &trip, pod, left);
+            router.retried.add(now);
+            router.send(host, &trip, pod, left);
         };
-        host.wake(after, Box::new(then));
+        host.set_timer(after, Box::new(then));
     }
 
     fn ended(
@@ -845,12 +868,15 @@
         host: &mut dyn Host,
         trip: Rc<RefCell<Trip>>,
         sent: Sent,
-        outcome: Outcome,
+        outcome: AttemptOutcome,
     ) {
         let (now, end, build) = (host.now(), outcome.end, sent.entry.build);
         trip.borrow_mut().out -= 1;
         let group = self.groups[trip.borrow().group];
-        let failed = matches!(end, Ended::Error | Ended::TimeOut | Ended::Reset);
+        let failed = matches!(
+            end,
+            AttemptEnd::Failed | AttemptEnd::TimedOut | AttemptEnd::Reset
+        );
         let (slow, ratio) = self.pace(&trip.borrow(), &sent, &outcome);
         let scatter = 0.5 + 0.5 * self.chance.rand_float();
         let silent = self
@@ -860,20 +886,24 @@
             .is_none_or(|pod| self.pods.silent(now, pod));
         self.pods.ended(now, &sent, end, ratio, scatter);
         let waited = if silent { 0 } else { outcome.took };
-        self.limit
-            .ended(now, group.target_latency, waited, end == Ended::Delivered);
+        self.limit.ended(
+            now,
+            group.latency_objective,
+            waited,
+            end == AttemptEnd::Served,
+        );
         // What fails again elsewhere is the hit's own doing: only first forwards are heard.
-        if (failed || end == Ended::Delivered) && sent.first {
-            self.evidence(now, &sent, &outcome, group.target_latency, slow, silent);
+        if (failed || end == AttemptEnd::Served) && sent.first {
+            self.evidence(now, &sent, &outcome, group.latency_objective, slow, silent);
             self.consider(host);
         }
         let newest = self.stage.is_some_and(|(stage, _)| build >= stage.build);
         // An answer may have been made and lost on its way.
-        let answered = !end.never_ran() && end != Ended::Error;
-        if answered && self.exposure.rules.one_way && trip.borrow().key != 0 && newest {
+        let answered = !end.never_ran() && end != AttemptEnd::Failed;
+        if answered && self.exposure.rules.sticky_keys && trip.borrow().key != 0 && newest {
             self.exposure.bound.insert(trip.borrow().key);
         }
-        if outcome.over || !host.open(trip.borrow().hit) {
+        if outcome.over || !host.is_open(trip.borrow().hit) {
             return;
         }
         let ran = !end.never_ran();
@@ -884,11 +914,12 @@
         if trip.borrow().out > 0 {
             return;
         }
-        let late = now >= trip.borrow().target_at && group.late_benefit <= 0.0;
-        let never = group.kind == Kind::Mutating && trip.borrow().may_run.is_some();
+        let late = now >= trip.borrow().target_at && group.late_weight <= 0.0;
+        let never =
+            group.idempotency == Idempotency::NonIdempotent && trip.borrow().may_run.is_some();
         // Retries are bounded by hits taken, lest a sick fleet be asked more; what never ran costs little.
         let most =
-            Logic::RETRY_PART * if ran { 1.0 } else { 2.0 } * self.taken.most(now) as f64 + 1.0;
+            Router::RETRY_PART * if ran { 1.0 } else { 2.0 } * self.taken.most(now) as f64 + 1.0;
         if late || never || self.retried.most(now) as f64 >= most {
             return self.give_up(host, trip);
         }
@@ -899,15 +930,15 @@
 
     /// Whether an answer is among the slowest tenth of its path group and machine, as learnt outside trials,
     /// and how it compares to the group's mean.
-    fn pace(&mut self, trip: &Trip, sent: &Sent, outcome: &Outcome) -> (bool, f64) {
-        let learn = !self.on_trial() || self.hits < Logic::LEARN;
-        let answered = outcome.end == Ended::Delivered;
+    fn pace(&mut self, trip: &Trip, sent: &Sent, outcome: &AttemptOutcome) -> (bool, f64) {
+        let learn = !self.on_trial() || self.hits < Router::LEARN;
+        let answered = outcome.end == AttemptEnd::Served;
         let (mean, by_machine) = self.groups.learnt(trip.group);
         if by_machine.len() <= sent.entry.machine {
             by_machine.resize(sent.entry.machine + 1, 2.5 * *mean);
         }
         let (took, slowest) = (outcome.took as f64, &mut by_machine[sent.entry.machine]);
-        let told = (answered || outcome.end == Ended::TimeOut) && sent.even;
+        let told = (answered || outcome.end == AttemptEnd::TimedOut) && sent.even;
         let slow = told && took > *slowest;
         if answered {
             *mean += (took - *mean) * (2.0 / self.hits as f64).clamp(0.01, 0.2);
@@ -923,20 +954,21 @@
     /// one of its coldness. Lateness tells of load when a third is late, or of warming; a queue is one event.
     fn evidence(
         &mut self,
-        now: Ns,
+        now: Nanos,
         sent: &Sent,
-        outcome: &Outcome,
-        target: Ns,
+        outcome: &AttemptOutcome,
+        target: Nanos,
         slow: bool,
         silent: bool,
     ) {
-        let (build, timed_out) = (sent.entry.build, outcome.end == Ended::TimeOut);
+        let (build, timed_out) = (sent.entry.build, outcome.end == AttemptEnd::TimedOut);
         let answers = |pod: &Pod| pod.strikes == 0 && !self.pods.silent(now, pod);
         let young = sent.entry.started + Judge::COLD_SKIP > sent.at;
         if young || (timed_out && silent && self.pods.table.of_build(build).any(answers)) {
             return;
         }
-        self.judge.ended(now, build, outcome.end == Ended::Error);
+        self.judge
+            .ended(now, build, outcome.end == AttemptEnd::Failed);
         let too_long = timed_out && outcome.took >= target;
         let late = (slow || too_long) && self.limit.late <= Limit::CROWDED && sent.warm;
         let first = late
@@ -954,15 +986,16 @@
         if first && slow && heard {
             pod.blame += self.judge.slow(now, build).max(0.0);
         }
-        let failed = (too_long && first) || matches!(outcome.end, Ended::Error | Ended::Reset);
+        let failed =
+            (too_long && first) || matches!(outcome.end, AttemptEnd::Failed | AttemptEnd::Reset);
         if failed && (heard || lone) {
             pod.blame += self
                 .judge
-                .failed(now, build, outcome.end == Ended::Error)
+                .failed(now, build, outcome.end == AttemptEnd::Failed)
                 .max(0.0);
         }
         let earlier = build < self.judge.build || !self.on_trial();
-        if earlier && sent.even && (timed_out || outcome.end == Ended::Delivered) {
+        if earlier && sent.even && (timed_out || outcome.end == AttemptEnd::Served) {
             self.judge.old_answer(sent.at, slow, self.taken.most(now));
         }
     }
@@ -970,26 +1003,31 @@
     /// At once, whatever time is left: a bounce where a retry by the client can do no harm, else an error.
     fn give_up(&mut self, host: &mut dyn Host, trip: Rc<RefCell<Trip>>) {
         let trip = trip.borrow();
-        let (group, come_back) = (self.groups[trip.group], self.rules.max_come_back);
-        let dropped =
-            |at: Ns| host.now() + come_back < at + group.repeat_window && group.scope == Scope::All;
-        let harmless = |(at, ..): (Ns, ZoneId, i64)| group.kind == Kind::Tagged && dropped(at);
-        match group.kind == Kind::Repeatable || trip.may_run.is_none_or(harmless) {
-            true => host.bounce(trip.hit, come_back),
-            false => host.error(trip.hit),
+        let (group, retry_after) = (self.groups[trip.group], self.rules.max_retry_after);
+        let dropped = |at: Nanos| {
+            host.now() + retry_after < at + group.dedup_window
+                && group.dedup_scope == DedupScope::All
+        };
+        let harmless =
+            |(at, ..): (Nanos, ZoneId, i64)| group.idempotency == Idempotency::Keyed && dropped(at);
+        match group.idempotency == Idempotency::Idempotent || trip.may_run.is_none_or(harmless) {
+            true => host.reject(trip.hit, retry_after),
+            false => host.fail(trip.hit),
         }
     }
 
     /// Whether the rules close a build to the hits of a path group and key, whatever room its cap leaves.
-    fn closed(&self, group: GroupId, key: u64, build: Build) -> bool {
+    fn closed(&self, group: RouteClassId, key: u64, build: Build) -> bool {
         let rules = &self.exposure.rules;
         let (newest, stage) = self
             .stage
             .map_or((0, 0), |(stage, _)| (stage.build, stage.stage));
         let full = self.exposure.bound.len() >= Exposure::MOST_KEYS;
-        let bound = rules.one_way && build < newest && (full || self.exposure.bound.contains(&key));
+        let bound =
+            rules.sticky_keys && build < newest && (full || self.exposure.bound.contains(&key));
         let stage = if build == newest { stage } else { 0 };
-        let guarded = stage < rules.guarded_stages && self.groups[group].kind != Kind::Repeatable;
+        let guarded = stage < rules.idempotent_only_stages
+            && self.groups[group].idempotency != Idempotency::Idempotent;
         bound || self.cap(build).is_some_and(|cap| cap <= 0.0 || guarded)
     }
 
@@ -997,26 +1035,26 @@
     /// pod may drain or come back as another, or the desk take the share away. One that waited long is
     /// counted again, lest forwards that were chosen apart leave together and pass the cap at once. What may
     /// have run since `ran` is not repeated past its window.
-    pub fn still(
+    pub fn may_still_send(
         &mut self,
-        now: Ns,
-        of: (GroupId, u64),
-        was: &PodEntry,
-        at: (Ns, Option<Ns>),
+        now: Nanos,
+        of: (RouteClassId, u64),
+        was: &Endpoint,
+        at: (Nanos, Option<Nanos>),
     ) -> bool {
         let ((group, key), (chosen, ran), rules) = (of, at, self.groups[of.0]);
         let same = |pod: &Pod| {
             pod.runs() && (pod.entry.started, pod.entry.build) == (was.started, was.build)
         };
-        let past =
-            rules.kind == Kind::Tagged && ran.is_some_and(|ran| now >= ran + rules.repeat_window);
+        let past = rules.idempotency == Idempotency::Keyed
+            && ran.is_some_and(|ran| now >= ran + rules.dedup_window);
         if past
             || !self.pods.table.get(was.pod).is_some_and(same)
             || self.closed(group, key, was.build)
         {
             return false;
         }
-        let waited = now.saturating_sub(chosen) > self.exposure.rules.window / SLICES as Ns;
+        let waited = now.saturating_sub(chosen) > self.exposure.rules.window / SLICES as Nanos;
         let Some(cap) = self.cap(was.build).filter(|_| waited) else {
             return true;
         };
@@ -1029,7 +1067,7 @@
     }
 
     /// The sides (running pods of one zone and build) that the rules leave open to a hit's next forward.
-    fn open(&mut self, now: Ns, trip: &Trip) -> Vec<usize> {
+    fn open(&mut self, now: Nanos, trip: &Trip) -> Vec<usize> {
         let mut open = Vec::new();
         for (n, side) in self.pods.table.sides.iter().enumerate() {
             if !self.closed(trip.group, trip.key, side.build) {
@@ -1058,14 +1096,14 @@
     }
 
     /// Whether a pod may take the hit; `last` is the last resort: what looks ill or failed it before.
-    fn fits(&mut self, now: Ns, trip: &Trip, id: PodId, last: bool, luck: f64) -> bool {
+    fn fits(&mut self, now: Nanos, trip: &Trip, id: PodId, last: bool, luck: f64) -> bool {
         let Some(pod) = self.pods.table.get(id) else {
             return false;
         };
         let group = self.groups[trip.group];
-        let drops_repeats = group.kind != Kind::Tagged
+        let drops_repeats = group.idempotency != Idempotency::Keyed
             || trip.may_run.is_none_or(|(at, zone, cell)| {
-                pod.entry.shares(group.scope, zone, cell) && now < at + group.repeat_window
+                pod.entry.shares(group.dedup_scope, zone, cell) && now < at + group.dedup_window
             });
         let good = (self.pods.panic || self.pods.well(now, pod)) && !trip.tried.contains(&id);
         drops_repeats && (good || last) && self.pods.cold_room(now, id, luck)
@@ -1073,7 +1111,7 @@
 
     /// Two random choices by what is in flight, near and away, then the better after the tilts. Idle ones tie
     /// and the first drawn goes: with few hits nearly all are idle, and the faster would get them all.
-    fn choose(&mut self, now: Ns, trip: &Trip) -> Option<PodId> {
+    fn choose(&mut self, now: Nanos, trip: &Trip) -> Option<PodId> {
         let open = self.open(now, trip);
         let sides = &self.pods.table.sides;
         let newest = open.iter().map(|n| sides[*n].build).max()?;
@@ -1081,8 +1119,8 @@
         let (new, old): (Vec<&Side>, Vec<&Side>) =
             sides.iter().partition(|side| side.build == newest);
         let [new, old] = [new, old].map(|sides| sides.iter().map(|side| side.size).sum::<f64>());
-        let part = (1.0 - new / old.max(1e-9)).max(Logic::STAYS);
-        let stays = if self.exposure.rules.beside {
+        let part = (1.0 - new / old.max(1e-9)).max(Router::STAYS);
+        let stays = if self.exposure.rules.blue_green {
             part
         } else {
             1.0
@@ -1108,14 +1146,14 @@
         let mut best: Option<(PodId, f64)> = None;
         for (drawn, tilt) in [
             (near, 1.0),
-            (away, 1.0 + Logic::AWAY * self.rules.cross_zone_price),
+            (away, 1.0 + Router::AWAY * self.rules.cross_zone_cost),
         ] {
             for id in self.two(now, trip, &drawn) {
                 let Some(pod) = self.pods.table.get(id) else {
                     continue;
                 };
                 let tilt = if pod.entry.build == newest {
-                    tilt * Logic::NEWER
+                    tilt * Router::NEWER
                 } else {
                     tilt
                 };
@@ -1142,14 +1180,14 @@
     }
 
     /// Drawn by what each pod is known to carry: two even draws often meet two weak machines.
-    fn two(&mut self, now: Ns, trip: &Trip, sides: &[(usize, f64)]) -> Vec<PodId> {
+    fn two(&mut self, now: Nanos, trip: &Trip, sides: &[(usize, f64)]) -> Vec<PodId> {
         let total: f64 = sides.iter().map(|(_, weight)| weight).sum();
         // One for all draws of this forward: a chance for each would add up to a certainty.
-        let spans = self.pods.rules.fall_window as f64 / Logic::RETRY_WINDOW as f64;
+        let spans = self.pods.rules.overload_window as f64 / Router::RETRY_WINDOW as f64;
         let luck =
             2.0 * self.chance.rand_float() * spans * self.taken.most(now) as f64 / total.max(1e-9);
         let mut drawn = Vec::new();
-        for _ in 0..Logic::DRAWS {
+        for _ in 0..Router::DRAWS {
             let at = [self.chance.rand_float() * total, self.chance.rand_float()];
             let Some((id, mean)) = self.pods.table.draw(sides, at).filter(|_| drawn.len() < 2)
             else {
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,9 +1,9 @@
 //! What the decision module keeps in mind: plain state with no decision in it. What it means stands in
-//! `logic.rs`.
+//! `router.rs`.
 
-use crate::groups::most_benefit;
-pub use crate::groups::{GroupChange, Groups};
-use crate::port::*;
+use crate::groups::max_priority_weight;
+pub use crate::groups::{Groups, RouteClassChange};
+use crate::interface::*;
 pub use crate::table::{Pod, Side, Table, Visits};
 use oorandom::Rand64;
 use std::collections::HashSet;
@@ -11,15 +11,15 @@
 /// Counts over a sliding window, kept in slices. Slices empty as the window moves on.
 #[derive(Clone)]
 pub struct Window {
-    slice: Ns,
-    at: Ns,
+    slice: Nanos,
+    at: Nanos,
     counts: Vec<u32>,
 }
 
 impl Window {
-    pub fn new(span: Ns, slices: usize) -> Window {
+    pub fn new(span: Nanos, slices: usize) -> Window {
         Window {
-            slice: (span / slices as Ns).max(1),
+            slice: (span / slices as Nanos).max(1),
             at: 0,
             counts: vec![0; slices + 1],
         }
@@ -34,28 +34,28 @@
         }
     }
 
-    fn roll(&mut self, now: Ns) {
-        let (at, len) = (now / self.slice, self.counts.len() as Ns);
+    fn roll(&mut self, now: Nanos) {
+        let (at, len) = (now / self.slice, self.counts.len() as Nanos);
         for step in 0..(at - self.at.min(at)).min(len) {
             self.counts[((at - step) % len) as usize] = 0;
         }
         self.at = self.at.max(at);
     }
 
-    pub fn add(&mut self, now: Ns) {
+    pub fn add(&mut self, now: Nanos) {
         self.roll(now);
         let at = self.at as usize % self.counts.len();
         self.counts[at] += 1;
     }
 
     /// Never less than what the last window held.
-    pub fn most(&mut self, now: Ns) -> u32 {
+    pub fn most(&mut self, now: Nanos) -> u32 {
         self.roll(now);
         self.counts.iter().sum()
     }
 
     /// Never more than what the last window held.
-    pub fn least(&mut self, now: Ns) -> u32 {
+    pub fn least(&mut self, now: Nanos) -> u32 {
         let (all, at, len) = (self.most(now), self.at as usize, self.counts.len());
         all - self.counts[(at + 1) % len] - self.counts[(at + 2) % len]
     }
@@ -89,7 +89,7 @@
     /// this round of two slots the earlier pods' answers and slow ones, with the share and without.
     pub testing: bool,
     pub away: bool,
-    pub slot: (Ns, u64),
+    pub slot: (Nanos, u64),
     pub slot_sum: f64,
     pub seen: [(f64, f64); 2],
 }
@@ -121,16 +121,16 @@
 
 /// This instance's vote: what stands, until when, and whether a call is out.
 pub struct Voter {
-    pub rules: VoteRules,
-    pub standing: Option<(Build, usize, Voice)>,
-    pub again_at: Ns,
+    pub rules: VoteSettings,
+    pub standing: Option<(Build, usize, Vote)>,
+    pub again_at: Nanos,
     pub calling: bool,
     /// Since when this stage is held, under a clock.
-    pub held: Option<Ns>,
+    pub held: Option<Nanos>,
 }
 
 impl Voter {
-    pub fn new(rules: VoteRules) -> Voter {
+    pub fn new(rules: VoteSettings) -> Voter {
         Voter {
             rules,
             standing: None,
@@ -143,8 +143,8 @@
 
 /// Forwards to builds on trial against the hits taken, over the told window.
 pub struct Exposure {
-    pub rules: ExposureRules,
-    pub started: Ns,
+    pub rules: ExposureSettings,
+    pub started: Nanos,
     /// The window of each path group that its hits are counted in. Path groups that follow one another under one name
     /// share it: a cap counts by name, whatever version of the rules a hit began with.
     buckets: Vec<usize>,
@@ -153,7 +153,7 @@
     pub sent: Vec<(Build, Vec<Window>)>,
     /// The part of the cap in use, and when that was last weighed.
     pub part: f64,
-    pub weighed: Ns,
+    pub weighed: Nanos,
     slices: usize,
     /// Keys that the newest build has answered, where that binds them to it; emptied when it goes back or the
     /// next one comes, and no longer than `MOST_KEYS`.
@@ -161,8 +161,14 @@
 }
 
 impl Exposure {
-    pub fn new(rules: ExposureRules, now: Ns, groups: usize, part: f64, slices: usize) -> Exposure {
-        let counted = if rules.per_group { groups } else { 1 };
+    pub fn new(
+        rules: ExposureSettings,
+        now: Nanos,
+        groups: usize,
+        part: f64,
+        slices: usize,
+    ) -> Exposure {
+        let counted = if rules.per_class { groups } else { 1 };
         let (taken, buckets) = (
             vec![Window::new(rules.window, slices); counted],
             (0..groups).collect(),
@@ -182,12 +188,12 @@
     }
 
     /// Counts a path group's hits in this window: its predecessor's, or a fresh one where it has none.
-    fn set_bucket(&mut self, group: GroupId, bucket: usize, fresh: bool) {
+    fn set_bucket(&mut self, group: RouteClassId, bucket: usize, fresh: bool) {
         if self.buckets.len() <= group {
             self.buckets.resize(group + 1, 0);
         }
         self.buckets[group] = bucket;
-        if self.rules.per_group && fresh {
+        if self.rules.per_class && fresh {
             let empty = Window::new(self.rules.window, self.slices);
             let counted = self
                 .sent
@@ -204,19 +210,19 @@
     }
 
     /// What a cap and the free forwards together are of the hits taken in a window.
-    pub fn share(&mut self, now: Ns, cap: f64) -> f64 {
+    pub fn share(&mut self, now: Nanos, cap: f64) -> f64 {
         let taken: u32 = self.taken.iter_mut().map(|window| window.least(now)).sum();
         let free = if now - self.started <= self.rules.window {
             0.0
         } else {
-            self.rules.free
+            self.rules.free_attempts
         };
         cap + free / taken.max(1) as f64
     }
 
     /// The window that hits of a path group are counted in.
-    pub fn bucket(&self, group: GroupId) -> usize {
-        self.buckets[group] * self.rules.per_group as usize
+    pub fn bucket(&self, group: RouteClassId) -> usize {
+        self.buckets[group] * self.rules.per_class as usize
     }
 
     /// The windows of a build's forwards, one for each that hits are counted in.
@@ -236,9 +242,9 @@
 
 /// The pods and what their symptoms say.
 pub struct Pods {
-    pub rules: PodRules,
+    pub rules: PodSettings,
     /// How long a pod may be silent before it looks hung.
-    pub quiet: Ns,
+    pub quiet: Nanos,
     pub table: Table,
     /// By machine: what its warm pods answered of late, and their size in all.
     pub carried: Vec<(Window, f64)>,
@@ -249,7 +255,7 @@
 }
 
 impl Pods {
-    pub fn new(rules: PodRules, quiet: Ns) -> Pods {
+    pub fn new(rules: PodSettings, quiet: Nanos) -> Pods {
         Pods {
             rules,
             quiet,
@@ -261,14 +267,14 @@
     }
 
     /// Marks the pods whose time to warm up is over and sums up their size by machine.
-    pub fn sum_up_warm(&mut self, now: Ns, slices: usize) {
+    pub fn sum_up_warm(&mut self, now: Nanos, slices: usize) {
         self.carried.iter_mut().for_each(|(_, size)| *size = 0.0);
         self.table
             .visit(|visits| visits.passed += self.table.slots.len() as u64);
         for pod in self.table.slots.iter_mut().flatten() {
             pod.warm = pod.runs() && now.saturating_sub(pod.entry.started) >= self.rules.warm_up;
             if pod.warm {
-                let (machine, span) = (pod.entry.machine, self.rules.fall_window);
+                let (machine, span) = (pod.entry.machine, self.rules.overload_window);
                 if self.carried.len() <= machine {
                     self.carried
                         .resize_with(machine + 1, || (Window::new(span, slices), 0.0));
@@ -279,7 +285,7 @@
     }
 
     /// What the warm pods of a machine answered of late for each unit of size, where there are any.
-    pub fn carried_by(&mut self, now: Ns, machine: usize) -> Option<f64> {
+    pub fn carried_by(&mut self, now: Nanos, machine: usize) -> Option<f64> {
         let (window, size) = self.carried.get_mut(machine).filter(|lane| lane.1 > 0.0)?;
         Some(window.most(now) as f64 / *size)
     }
@@ -288,23 +294,23 @@
 pub struct Limit {
     pub most: f64,
     pub out: u32,
-    pub cut_at: Ns,
+    pub cut_at: Nanos,
     /// Share of late answers, of late.
     pub late: f64,
 }
 
 /// A hit on its way, handed from step to step.
 pub struct Trip {
-    pub hit: HitId,
-    pub group: GroupId,
+    pub hit: RequestId,
+    pub group: RouteClassId,
     pub key: u64,
-    pub deadline: Ns,
-    pub target_at: Ns,
+    pub deadline: Nanos,
+    pub target_at: Nanos,
     pub tried: Vec<PodId>,
     /// Its forwards that have no end yet.
     pub out: u32,
     /// When and where it may have run first.
-    pub may_run: Option<(Ns, ZoneId, i64)>,
+    pub may_run: Option<(Nanos, ZoneId, i64)>,
     /// A build on trial failed it: no further forward there while there is another.
     pub shy: bool,
 }
@@ -313,10 +319,10 @@
     /// `past`: what another instance did for it. A pod that is not in the table may lie anywhere, and so
     /// shares no zone or cell with any.
     pub fn new(
-        now: Ns,
-        hit: &Hit,
-        [deadline, target_at]: [Ns; 2],
-        past: &[Earlier],
+        now: Nanos,
+        hit: &IncomingRequest,
+        [deadline, target_at]: [Nanos; 2],
+        past: &[PriorAttempt],
         table: &Table,
     ) -> Trip {
         let place = |pod| table.get(pod).map(|pod| (pod.entry.zone, pod.entry.cell));
@@ -336,7 +342,7 @@
         let shy = false;
         Trip {
             hit: hit.id,
-            group: hit.group,
+            group: hit.class,
             key: hit.key,
             deadline,
             target_at,
@@ -351,8 +357,8 @@
 /// One forward, for the closure that gets its outcome.
 pub struct Sent {
     pub pod: PodId,
-    pub entry: PodEntry,
-    pub at: Ns,
+    pub entry: Endpoint,
+    pub at: Nanos,
     pub warm: bool,
     /// No more of this instance was in flight there than elsewhere: slowness is not of its own making.
     pub even: bool,
@@ -361,37 +367,37 @@
 }
 
 /// The module's state: its parts, and what only their interplay needs.
-pub struct Logic {
+pub struct Router {
     pub(crate) chance: Rand64,
-    pub(crate) place: Place,
+    pub(crate) place: FleetPosition,
     pub(crate) groups: Groups,
-    pub(crate) rules: ForwardRules,
-    pub(crate) lists: ListRules,
-    pub(crate) list_wait: Ns,
+    pub(crate) rules: AttemptSettings,
+    pub(crate) lists: EndpointListSettings,
+    pub(crate) list_wait: Nanos,
     pub(crate) pods: Pods,
     pub(crate) exposure: Exposure,
     pub(crate) judge: Judge,
     pub(crate) voter: Voter,
     pub(crate) limit: Limit,
-    pub(crate) stage: Option<(Stage, Ns)>,
+    pub(crate) stage: Option<(Stage, Nanos)>,
     pub(crate) taken: Window,
     pub(crate) retried: Window,
     pub(crate) hits: u32,
 }
 
-impl Logic {
+impl Router {
     /// Takes changed path groups in, between two calls: hits under way keep the index, and so the rules, that they
     /// began with. `in_force` are the path groups that hits may still be taken for.
-    pub fn set_groups(&mut self, changes: &[GroupChange], in_force: &[GroupId]) {
+    pub fn set_route_classes(&mut self, changes: &[RouteClassChange], in_force: &[RouteClassId]) {
         for change in changes {
             self.groups.set(change);
             self.exposure
                 .set_bucket(change.group, change.bucket, change.predecessor.is_none());
         }
         let rules = || in_force.iter().map(|group| &self.groups[*group]);
-        let quiet = rules().map(|group| group.target_latency).min();
+        let quiet = rules().map(|group| group.latency_objective).min();
         self.pods.quiet = quiet.unwrap_or(self.pods.quiet);
-        self.groups.most_benefit = most_benefit(rules());
+        self.groups.max_priority_weight = max_priority_weight(rules());
     }
 
     /// The sums on failures, on slow answers and of the trial by share, for whoever watches.
--- a/src/table.rs
+++ b/src/table.rs
@@ -1,30 +1,30 @@
 //! The pods as a list tells them, and the sides they form: plain state with no decision in it.
 
-use crate::port::*;
+use crate::interface::*;
 use crate::state::Window;
 use std::cell::Cell;
 
 pub struct Pod {
-    pub entry: PodEntry,
+    pub entry: Endpoint,
     pub in_flight: u32,
     pub sent: Window,
     /// Warm at the last look, so that its answers tell what its kind of machine carries.
     pub warm: bool,
     /// Failures since the last answer, and until when they keep hits away.
     pub strikes: u32,
-    pub ill_until: Ns,
+    pub ill_until: Nanos,
     /// Since when forwards are out with no answer at all.
-    pub quiet_since: Ns,
+    pub quiet_since: Nanos,
     /// Its answer times against the mean of each path group, and when that was last learnt.
     pub slow: f64,
-    pub slow_at: Ns,
+    pub slow_at: Nanos,
     /// When it was last late, and what it put on the sums in this stage.
-    pub late_at: Ns,
+    pub late_at: Nanos,
     pub blame: f64,
 }
 
 impl Pod {
-    pub fn new(entry: PodEntry, in_flight: u32, sent: Window) -> Pod {
+    pub fn new(entry: Endpoint, in_flight: u32, sent: Window) -> Pod {
         Pod {
             entry,
             in_flight,
@@ -45,13 +45,13 @@
     }
 }
 
-impl PodEntry {
+impl Endpoint {
     /// Whether it is in the group of pods that share which repeats they drop.
-    pub fn shares(&self, scope: Scope, zone: ZoneId, cell: i64) -> bool {
+    pub fn shares(&self, scope: DedupScope, zone: ZoneId, cell: i64) -> bool {
         match scope {
-            Scope::All => true,
-            Scope::Zone => self.zone == zone,
-            Scope::Cell => self.cell == cell,
+            DedupScope::All => true,
+            DedupScope::Zone => self.zone == zone,
+            DedupScope::Cell => self.cell == cell,
         }
     }
 }
@@ -66,7 +66,7 @@
     /// Those of them that this instance keeps to.
     pub own: Vec<PodId>,
     pub size: f64,
-    pub newest: Ns,
+    pub newest: Nanos,
 }
 
 impl Side {
@@ -95,7 +95,7 @@
 }
 
 /// The side of a pod's zone and build, a new one where there is none.
-fn side_of<'a>(sides: &'a mut Vec<Side>, entry: &PodEntry) -> &'a mut Side {
+fn side_of<'a>(sides: &'a mut Vec<Side>, entry: &Endpoint) -> &'a mut Side {
     let known = sides
         .iter()
         .position(|side| (side.zone, side.build) == (entry.zone, entry.build));
@@ -112,7 +112,7 @@
         slots
             .get(id)
             .and_then(Option::as_ref)
-            .map(|pod| pod.entry.mark),
+            .map(|pod| pod.entry.name_hash),
         id,
     )
 }
@@ -153,7 +153,7 @@
 
     /// Takes a list in; a pod that started anew or runs another build is a new one under an old index. Changes
     /// cost what the sides of the changed pods hold, and leave the table as the whole list would.
-    pub fn apply(&mut self, whole: bool, entries: &[PodEntry], window: impl Fn() -> Window) {
+    pub fn apply(&mut self, whole: bool, entries: &[Endpoint], window: impl Fn() -> Window) {
         if whole {
             self.replace(entries, &window);
         } else {
@@ -163,7 +163,7 @@
     }
 
     /// Takes a whole list in and makes all sides anew.
-    fn replace(&mut self, entries: &[PodEntry], window: &impl Fn() -> Window) {
+    fn replace(&mut self, entries: &[Endpoint], window: &impl Fn() -> Window) {
         self.slots
             .iter_mut()
             .flatten()
@@ -194,7 +194,7 @@
     }
 
     /// Takes changed entries in and changes their sides only.
-    fn update(&mut self, entries: &[PodEntry], window: &impl Fn() -> Window) {
+    fn update(&mut self, entries: &[Endpoint], window: &impl Fn() -> Window) {
         let mut changed = Vec::new();
         for entry in entries {
             if let Some(before) = self
@@ -228,7 +228,7 @@
         }
     }
 
-    fn put(&mut self, entry: &PodEntry, window: &impl Fn() -> Window) {
+    fn put(&mut self, entry: &Endpoint, window: &impl Fn() -> Window) {
         if self.slots.len() <= entry.pod {
             self.slots.resize_with(entry.pod + 1, || None);
         }
@@ -264,11 +264,12 @@
     }
 
     /// To be called while the slot holds the entry.
-    fn put_on_side(&mut self, entry: &PodEntry) {
+    fn put_on_side(&mut self, entry: &Endpoint) {
         let side = side_of(&mut self.sides, entry);
         if let Err(place) = side.pods.binary_search(&entry.pod) {
             side.pods.insert(place, entry.pod);
-            let before = |id: &PodId| mark_in(&self.slots, *id) < (Some(entry.mark), entry.pod);
+            let before =
+                |id: &PodId| mark_in(&self.slots, *id) < (Some(entry.name_hash), entry.pod);
             let place = side.ring.partition_point(before);
             side.ring.insert(place, entry.pod);
             self.visits.get_mut().sorted += 1;
@@ -276,11 +277,12 @@
     }
 
     /// To be called while the slot holds the entry.
-    fn take_off_side(&mut self, entry: &PodEntry) {
+    fn take_off_side(&mut self, entry: &Endpoint) {
         let side = side_of(&mut self.sides, entry);
         if let Ok(place) = side.pods.binary_search(&entry.pod) {
             side.pods.remove(place);
-            let before = |id: &PodId| mark_in(&self.slots, *id) < (Some(entry.mark), entry.pod);
+            let before =
+                |id: &PodId| mark_in(&self.slots, *id) < (Some(entry.name_hash), entry.pod);
             let place = side.ring.partition_point(before);
             if side.ring.get(place) == Some(&entry.pod) {
                 side.ring.remove(place);
@@ -289,7 +291,7 @@
     }
 
     /// The part of its side's pods that this instance keeps to; all of them for one that it does not keep to.
-    pub fn own_part(&self, entry: &PodEntry) -> f64 {
+    pub fn own_part(&self, entry: &Endpoint) -> f64 {
         let side = self
             .sides
             .iter()
@@ -307,7 +309,7 @@
         self.slots.get_mut(id).and_then(Option::as_mut)
     }
 
-    pub fn send(&mut self, now: Ns, id: PodId) {
+    pub fn send(&mut self, now: Nanos, id: PodId) {
         let Some(pod) = self.get_mut(id) else { return };
         if pod.in_flight == 0 {
             pod.quiet_since = now;
@@ -337,7 +339,7 @@
         Some((*id, side.size / side.pods.len() as f64))
     }
 
-    pub fn newest_start(&self, build: Build) -> Option<Ns> {
+    pub fn newest_start(&self, build: Build) -> Option<Nanos> {
         self.sides_of(build).map(|side| side.newest).max()
     }
 
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -2,36 +2,36 @@
 //! `key=value` pairs, several stand on a line.
 //! Pods answer as their `acts` say; nothing here models a machine, a queue or a network.
 
-use havenplank::{logic::Logic, port::*};
+use havenplank::{interface::*, logic::Router};
 use std::collections::{BTreeMap, HashMap};
 use test_case::test_case;
 
 enum Due {
-    Arrives(Hit),
-    Ends(HitId, usize),
-    Wakes(Then<()>),
-    VoteTold(Then<StageNews>, StageNews),
+    Arrives(IncomingRequest),
+    Ends(RequestId, usize),
+    Wakes(Callback<()>),
+    VoteTold(Callback<VoteReply>, VoteReply),
 }
 
 /// A forward that is out: since when, how it will end, and who is told.
-type Out = (Ns, Ended, Then<Outcome>);
+type Out = (Nanos, AttemptEnd, Callback<AttemptOutcome>);
 
 #[derive(Default)]
 struct Stand {
-    now: Ns,
-    due: BTreeMap<(Ns, u64), Due>,
+    now: Nanos,
+    due: BTreeMap<(Nanos, u64), Due>,
     seq: u64,
     acts: Vec<String>,
     builds: Vec<Build>,
-    deadlines: HashMap<HitId, Ns>,
-    forwards: HashMap<(HitId, usize), Out>,
-    sent: HashMap<HitId, usize>,
+    deadlines: HashMap<RequestId, Nanos>,
+    forwards: HashMap<(RequestId, usize), Out>,
+    sent: HashMap<RequestId, usize>,
     unheard: bool,
     counts: BTreeMap<String, f64>,
 }
 
 impl Stand {
-    fn at(&mut self, time: Ns, due: Due) {
+    fn at(&mut self, time: Nanos, due: Due) {
         self.seq += 1;
         self.due.insert((time, self.seq), due);
     }
@@ -40,7 +40,7 @@
         *self.counts.entry(what).or_default() += 1.0;
     }
 
-    fn finish(&mut self, hit: HitId, how: &str) {
+    fn finish(&mut self, hit: RequestId, how: &str) {
         if let Some(deadline) = self.deadlines.remove(&hit) {
             let overdue = self.now > deadline;
             self.count(if overdue {
@@ -55,33 +55,43 @@
 }
 
 impl Host for Stand {
-    fn now(&self) -> Ns {
+    fn now(&self) -> Nanos {
         self.now
     }
-    fn open(&self, hit: HitId) -> bool {
+    fn is_open(&self, hit: RequestId) -> bool {
         self.deadlines.contains_key(&hit)
     }
-    fn forward(&mut self, hit: HitId, pod: PodId, time_out: Ns, then: Then<Outcome>) {
-        assert!(self.open(hit), "a forward for a hit that is over");
+    fn send_attempt(
+        &mut self,
+        hit: RequestId,
+        pod: PodId,
+        time_out: Nanos,
+        then: Callback<AttemptOutcome>,
+    ) {
+        assert!(self.is_open(hit), "a forward for a hit that is over");
         let act = self.acts[pod].clone();
         let (end, takes) = act.split_once(':').unwrap_or((&act, "0s"));
         let end = match end {
-            "ok" => Ended::Delivered,
-            "error" => Ended::Error,
-            "dead" => Ended::NoConnection,
-            "full" => Ended::Full,
+            "ok" => AttemptEnd::Served,
+            "error" => AttemptEnd::Failed,
+            "dead" => AttemptEnd::ConnectFailed,
+            "full" => AttemptEnd::Rejected,
             // Callers' own mistakes: every fourth hit errs, wherever it goes.
-            "fourth" if hit.is_multiple_of(4) => Ended::Error,
-            "fourth" => Ended::Delivered,
-            _ => Ended::TimeOut,
+            "fourth" if hit.is_multiple_of(4) => AttemptEnd::Failed,
+            "fourth" => AttemptEnd::Served,
+            _ => AttemptEnd::TimedOut,
         };
         let limit = self.deadlines[&hit].min(self.now + time_out);
-        let wanted = if end == Ended::TimeOut {
+        let wanted = if end == AttemptEnd::TimedOut {
             limit
         } else {
             self.now + span(takes)
         };
-        let end = if wanted > limit { Ended::TimeOut } else { end };
+        let end = if wanted > limit {
+            AttemptEnd::TimedOut
+        } else {
+            end
+        };
         let number = *self.sent.entry(hit).and_modify(|n| *n += 1).or_insert(0);
         self.count("forwards".into());
         self.count(format!("forwards:pod{pod}"));
@@ -92,16 +102,16 @@
         self.forwards.insert((hit, number), (self.now, end, then));
         self.at(wanted.min(limit), Due::Ends(hit, number));
     }
-    fn cancel(&mut self, _: HitId, _: u32) {
+    fn cancel_attempt(&mut self, _: RequestId, _: u32) {
         self.count("cancels".into());
     }
-    fn bounce(&mut self, hit: HitId, _: Ns) {
+    fn reject(&mut self, hit: RequestId, _: Nanos) {
         self.finish(hit, "bounced");
     }
-    fn error(&mut self, hit: HitId) {
+    fn fail(&mut self, hit: RequestId) {
         self.finish(hit, "errored");
     }
-    fn vote(&mut self, _: Build, _: usize, voice: Voice, then: Then<StageNews>) {
+    fn cast_vote(&mut self, _: Build, _: usize, voice: Vote, then: Callback<VoteReply>) {
         self.count(format!("votes:{voice:?}").to_lowercase());
         let last = self.now as f64 / 1e9;
         let first = self
@@ -111,30 +121,39 @@
         let gap = last - *first;
         self.counts.insert("vote_gap".into(), gap);
         let heard = if self.unheard {
-            Heard::Unknown
+            VoteReceipt::Unknown
         } else {
-            Heard::Counted
+            VoteReceipt::Counted
         };
         let told = self.now + 50_000_000;
-        self.at(told, Due::VoteTold(then, StageNews { heard, stage: None }));
+        self.at(
+            told,
+            Due::VoteTold(
+                then,
+                VoteReply {
+                    receipt: heard,
+                    stage: None,
+                },
+            ),
+        );
     }
-    fn probe(&mut self, _: PodId, _: Then<ProbeEnd>) {
+    fn health_check(&mut self, _: PodId, _: Callback<HealthCheckResult>) {
         self.count("probes".into());
     }
-    fn ask_list(&mut self) {
+    fn poll_endpoints(&mut self) {
         self.count("asks".into());
     }
-    fn watch_list(&mut self, _: bool) {
+    fn watch_endpoints(&mut self, _: bool) {
         self.count("watches".into());
     }
-    fn wake(&mut self, after: Ns, then: Then<()>) {
+    fn set_timer(&mut self, after: Nanos, then: Callback<()>) {
         let time = self.now + after.max(1);
         self.at(time, Due::Wakes(then));
     }
     fn log(&mut self, _: &str) {}
 }
 
-fn span(text: &str) -> Ns {
+fn span(text: &str) -> Nanos {
     let (number, unit) = match text.strip_suffix("ms") {
         Some(number) => (number, 1e6),
         None => (text.strip_suffix('s').unwrap_or(text), 1e9),
@@ -142,7 +161,7 @@
     (number
         .parse::<f64>()
         .unwrap_or_else(|_| panic!("not a span: {text}"))
-        * unit) as Ns
+        * unit) as Nanos
 }
 
 struct Pairs<'a>(HashMap<&'a str, &'a str>);
@@ -151,7 +170,7 @@
     fn text(&self, key: &str, other: &str) -> String {
         self.0.get(key).unwrap_or(&other).to_string()
     }
-    fn span(&self, key: &str, other: &str) -> Ns {
+    fn span(&self, key: &str, other: &str) -> Nanos {
         span(&self.text(key, other))
     }
     fn number(&self, key: &str, other: f64) -> f64 {
@@ -160,49 +179,49 @@
                 .unwrap_or_else(|_| panic!("not a number: {text}"))
         })
     }
-    fn group(&self) -> PathGroup {
+    fn group(&self) -> RouteClass {
         let kind = match self.text("kind", "repeatable").as_str() {
-            "tagged" => Kind::Tagged,
-            "mutating" => Kind::Mutating,
-            _ => Kind::Repeatable,
+            "tagged" => Idempotency::Keyed,
+            "mutating" => Idempotency::NonIdempotent,
+            _ => Idempotency::Idempotent,
         };
         let scope = if self.text("scope", "all") == "zone" {
-            Scope::Zone
+            DedupScope::Zone
         } else {
-            Scope::All
+            DedupScope::All
         };
-        PathGroup {
-            kind,
-            scope,
-            repeat_window: self.span("window", "5s"),
-            target_latency: self.span("target", "1s"),
+        RouteClass {
+            idempotency: kind,
+            dedup_scope: scope,
+            dedup_window: self.span("window", "5s"),
+            latency_objective: self.span("target", "1s"),
             client_timeout: self.span("timeout", "2s"),
-            benefit: self.number("benefit", 1.0),
-            late_benefit: self.number("late", 0.0),
+            priority_weight: self.number("benefit", 1.0),
+            late_weight: self.number("late", 0.0),
             stream: false,
         }
     }
-    fn logic(&self, now: Ns, groups: Vec<PathGroup>) -> Logic {
+    fn logic(&self, now: Nanos, groups: Vec<RouteClass>) -> Router {
         let control = match self.text("control", "any").as_str() {
-            "count" => Control::Count,
-            "clock" => Control::Clock,
-            _ => Control::Any,
+            "count" => ReleaseControl::Quorum,
+            "clock" => ReleaseControl::Timed,
+            _ => ReleaseControl::AnyVote,
         };
-        let pods = PodRules {
+        let pods = PodSettings {
             drain_grace: span("500ms"),
-            cold_share: self.number("cold", 0.3),
+            initial_capacity: self.number("cold", 0.3),
             warm_up: span("5s"),
-            fall_multiple: 2.0,
-            fall_window: span("1s"),
-            may_probe: false,
+            overload_multiple: 2.0,
+            overload_window: span("1s"),
+            health_checks: false,
         };
-        let exposure = ExposureRules {
+        let exposure = ExposureSettings {
             window: span("2s"),
-            free: self.number("free", 2.0),
-            per_group: self.number("per_group", 0.0) > 0.0,
-            guarded_stages: self.number("guarded", 0.0) as usize,
-            one_way: self.number("one_way", 0.0) > 0.0,
-            beside: true,
+            free_attempts: self.number("free", 2.0),
+            per_class: self.number("per_group", 0.0) > 0.0,
+            idempotent_only_stages: self.number("guarded", 0.0) as usize,
+            sticky_keys: self.number("one_way", 0.0) > 0.0,
+            blue_green: true,
             caps: self
                 .text("caps", "0.1,0.5,1")
                 .split(',')
@@ -210,55 +229,55 @@
                 .collect(),
         };
         let (life, step) = (self.span("life", "4s"), self.span("step", "4s"));
-        let call_time_out = self.span("call", "1200ms");
-        let votes = VoteRules {
+        let call_timeout = self.span("call", "1200ms");
+        let votes = VoteSettings {
             control,
-            on_needs: self.number("on_needs", 0.0) as usize,
-            back_needs: self.number("back_needs", 1.0) as usize,
-            life,
-            call_time_out,
-            calls_per_s: self.number("calls_per_s", 25.0),
-            step,
+            advance_quorum: self.number("on_needs", 0.0) as usize,
+            rollback_quorum: self.number("back_needs", 1.0) as usize,
+            ttl: life,
+            call_timeout,
+            calls_per_second: self.number("calls_per_s", 25.0),
+            stage_duration: step,
         };
-        let rules = ForwardRules {
-            max_forwards: 4,
-            copies: self.number("copies", 0.0) > 0.0,
+        let rules = AttemptSettings {
+            max_attempts: 4,
+            hedging: self.number("copies", 0.0) > 0.0,
             may_cancel: true,
-            max_come_back: span("500ms"),
-            cross_zone_price: self.number("cross", 0.0),
+            max_retry_after: span("500ms"),
+            cross_zone_cost: self.number("cross", 0.0),
         };
-        let list = ListRules {
-            must_ask: self.number("ask", 0.0) > 0.0,
-            ask_within: span("10s"),
+        let list = EndpointListSettings {
+            poll_only: self.number("ask", 0.0) > 0.0,
+            poll_interval: span("10s"),
         };
-        let place = Place {
+        let place = FleetPosition {
             rank: self.number("rank", 0.0) as usize,
             instances: self.number("instances", 1.0) as usize,
             zone: 0,
         };
-        Logic::new(now, 7, place, groups, rules, pods, exposure, votes, list)
+        Router::new(now, 7, place, groups, rules, pods, exposure, votes, list)
     }
 }
 
-fn play(stand: &mut Stand, logic: &mut Logic, until: Ns) {
+fn play(stand: &mut Stand, logic: &mut Router, until: Nanos) {
     while let Some(next) = stand.due.first_entry().filter(|next| next.key().0 <= until) {
         stand.now = next.key().0;
         match next.remove() {
             Due::Arrives(hit) => {
-                stand.deadlines.insert(hit.id, stand.now + hit.left);
-                logic.hit(stand, hit);
+                stand.deadlines.insert(hit.id, stand.now + hit.remaining);
+                logic.handle_request(stand, hit);
             }
             Due::Ends(hit, number) => {
                 let (since, end, then) = stand.forwards.remove(&(hit, number)).unwrap();
-                if end == Ended::Delivered {
+                if end == AttemptEnd::Served {
                     stand.finish(hit, "delivered");
                 }
-                let over = !stand.open(hit);
+                let over = !stand.is_open(hit);
                 let took = stand.now - since;
                 then(
                     logic,
                     stand,
-                    Outcome {
+                    AttemptOutcome {
                         end,
                         took,
                         over,
@@ -279,8 +298,8 @@
         now: span("1000s"),
         ..Stand::default()
     };
-    let (mut groups, mut setup, mut logic) = (Vec::new(), String::new(), None::<Logic>);
-    let (mut pods, mut names, mut hits): (Vec<PodEntry>, Vec<String>, u64) =
+    let (mut groups, mut setup, mut logic) = (Vec::new(), String::new(), None::<Router>);
+    let (mut pods, mut names, mut hits): (Vec<Endpoint>, Vec<String>, u64) =
         (Vec::new(), Vec::new(), 0);
     let lines = text.lines().filter(|line| !line.starts_with('#'));
     for line in lines
@@ -304,8 +323,11 @@
             stand.unheard = made.number("unheard", 0.0) > 0.0;
             stand.due.clear();
             logic = Some(made.logic(stand.now, groups.clone()));
-            logic.as_mut().unwrap().begin(&mut stand);
-            logic.as_mut().unwrap().list(&mut stand, true, &pods);
+            logic.as_mut().unwrap().start(&mut stand);
+            logic
+                .as_mut()
+                .unwrap()
+                .update_endpoints(&mut stand, true, &pods);
         }
         match words[0] {
             "group" => groups.push(pairs.group()),
@@ -335,9 +357,9 @@
                     0
                 };
                 let (zone, machine) = (pairs.number("zone", 0.0) as usize, 0);
-                let entry = PodEntry {
+                let entry = Endpoint {
                     pod,
-                    mark: mark_of(words[1].as_bytes()),
+                    name_hash: stable_hash(words[1].as_bytes()),
                     state,
                     build,
                     started,
@@ -348,7 +370,10 @@
                 };
                 pods.retain(|known| known.pod != pod);
                 pods.push(entry);
-                logic.as_mut().unwrap().list(&mut stand, false, &[entry]);
+                logic
+                    .as_mut()
+                    .unwrap()
+                    .update_endpoints(&mut stand, false, &[entry]);
             }
             "acts" => {
                 stand.acts[names.iter().position(|name| *name == words[1]).unwrap()] =
@@ -356,7 +381,7 @@
             }
             "news" => {
                 let phase = match pairs.text("phase", "trial").as_str() {
-                    "back" => Phase::GoingBack,
+                    "back" => Phase::RollingBack,
                     "released" => Phase::Released,
                     "withdrawn" => Phase::Withdrawn,
                     _ => Phase::Trial,
@@ -373,7 +398,7 @@
                     cap,
                     age: pairs.span("age", "0s"),
                 };
-                logic.as_mut().unwrap().news(&mut stand, news);
+                logic.as_mut().unwrap().update_stage(&mut stand, news);
             }
             "hits" => {
                 for n in 0..words[1].parse::<u64>().unwrap() {
@@ -383,14 +408,14 @@
                         pairs.number("key", 0.0) as u64,
                     );
                     let (left, repeat) = (pairs.span("left", "2s"), false);
-                    let hit = Hit {
+                    let hit = IncomingRequest {
                         id: hits,
-                        group,
-                        customer: None,
+                        class: group,
+                        tenant: None,
                         key,
-                        left,
+                        remaining: left,
                         cost_hint: None,
-                        repeat,
+                        is_retry: repeat,
                     };
                     let time = stand.now + n * pairs.span("every", "10ms");
                     stand.at(time, Due::Arrives(hit));
@@ -402,10 +427,10 @@
                     logic
                         .as_mut()
                         .unwrap()
-                        .flagged(&mut stand, pod, 0, span("1s"));
+                        .report_fault(&mut stand, pod, 0, span("1s"));
                 }
             }
-            "list-failed" => logic.as_mut().unwrap().list_failed(&mut stand),
+            "list-failed" => logic.as_mut().unwrap().endpoint_watch_failed(&mut stand),
             "forget" => stand.counts.clear(),
             "run" => {
                 let until = stand.now + span(words[1]);
@@ -457,12 +482,12 @@
 #[test]
 fn many_instances_keep_to_a_few_pods_each_and_load_all_evenly() {
     let (instances, pods) = (200, 80);
-    let entry = |pod: PodId, started: Ns| {
-        let mark = mark_of(format!("pod-{pod}").as_bytes());
+    let entry = |pod: PodId, started: Nanos| {
+        let mark = stable_hash(format!("pod-{pod}").as_bytes());
         let (state, cell, size) = (PodState::Running, 0, 1.0);
-        PodEntry {
+        Endpoint {
             pod,
-            mark,
+            name_hash: mark,
             state,
             build: 1,
             started,
@@ -485,19 +510,19 @@
         };
         (stand.acts, stand.builds) = (vec!["ok:20ms".into(); pods + 1], vec![1; pods + 1]);
         let mut logic = setup.logic(stand.now, vec![setup.group()]);
-        logic.begin(&mut stand);
-        let warm: Vec<PodEntry> = (0..pods).map(|pod| entry(pod, 0)).collect();
-        logic.list(&mut stand, true, &warm);
+        logic.start(&mut stand);
+        let warm: Vec<Endpoint> = (0..pods).map(|pod| entry(pod, 0)).collect();
+        logic.update_endpoints(&mut stand, true, &warm);
         for n in 0..80 {
-            let (group, customer, key, left) = (0, None, 0, span("2s"));
-            let hit = Hit {
+            let (group, tenant, key, left) = (0, None, 0, span("2s"));
+            let hit = IncomingRequest {
                 id: n,
-                group,
-                customer,
+                class: group,
+                tenant,
                 key,
-                left,
+                remaining: left,
                 cost_hint: None,
-                repeat: false,
+                is_retry: false,
             };
             let time = stand.now + n * span("100ms");
             stand.at(time, Due::Arrives(hit));
@@ -515,7 +540,7 @@
         assert!((4..=14).contains(&met), "instance {rank} met {met} pods");
         (0..pods).for_each(|pod| total[pod] += sent(&stand, pod));
         let newcomer = entry(pods, stand.now);
-        logic.list(&mut stand, false, &[newcomer]);
+        logic.update_endpoints(&mut stand, false, &[newcomer]);
         let until = stand.now + span("1s");
         play(&mut stand, &mut logic, until);
         cold += sent(&stand, pods);
@@ -556,11 +581,11 @@
         (stand.acts, stand.builds) = (vec!["ok:20ms".into(); pods], vec![1; pods]);
         stand.builds[..8].fill(2);
         let mut logic = setup.logic(stand.now, vec![setup.group()]);
-        logic.begin(&mut stand);
-        let entries: Vec<PodEntry> = (0..pods)
-            .map(|pod| PodEntry {
+        logic.start(&mut stand);
+        let entries: Vec<Endpoint> = (0..pods)
+            .map(|pod| Endpoint {
                 pod,
-                mark: mark_of(format!("pod-{pod}").as_bytes()),
+                name_hash: stable_hash(format!("pod-{pod}").as_bytes()),
                 state: PodState::Running,
                 build: if pod < 8 { 2 } else { 1 },
                 started: 0,
@@ -570,7 +595,7 @@
                 size: 1.0,
             })
             .collect();
-        logic.list(&mut stand, true, &entries);
+        logic.update_endpoints(&mut stand, true, &entries);
         let news = Stage {
             build: 2,
             stage: 0,
@@ -578,17 +603,17 @@
             cap: 0.17,
             age: 0,
         };
-        logic.news(&mut stand, news);
+        logic.update_stage(&mut stand, news);
         for n in 0..100 {
-            let (group, customer, key, left) = (0, None, 0, span("2s"));
-            let hit = Hit {
+            let (group, tenant, key, left) = (0, None, 0, span("2s"));
+            let hit = IncomingRequest {
                 id: n,
-                group,
-                customer,
+                class: group,
+                tenant,
                 key,
-                left,
+                remaining: left,
                 cost_hint: None,
-                repeat: false,
+                is_retry: false,
             };
             let time = stand.now + n * span("200ms");
             stand.at(time, Due::Arrives(hit));
