--- a/crates/capacity/src/configuration/scenarios.rs
+++ b/crates/capacity/src/configuration/scenarios.rs
@@ -1,10 +1,10 @@
 //! What happens to a simulated fleet, and what is measured of it.
 
-use super::fleet::{place_region, tenants, Fleet, SECOND};
-use super::process::{Process, Traffic};
 use super::CHANGES_A_DAY;
+use havenplank_configuration::replication::{Nanos, Role};
 use havenplank_configuration::snapshot::Snapshot;
-use havenplank_configuration::spread::{Nanos, Role};
+use havenplank_configuration_simulation::fleet::{place_region, tenants, Fleet, SECOND};
+use havenplank_configuration_simulation::process::{Process, Traffic};
 use havenplank_emulator::net::{Id, Weather};
 use std::time::Duration;
 
@@ -220,7 +220,7 @@
     let writer = fleet
         .net
         .part(WRITER)
-        .and_then(|writer| writer.spreader.glance().writer);
+        .and_then(|writer| writer.replicator.status().writer);
     match writer.and_then(|writer| writer.round) {
         Some(round) => format!(
             "last round: {} of {} have {}",
--- a/crates/capacity/src/configuration/fleet.rs
+++ b/crates/configuration-simulation/src/fleet.rs
@@ -1,11 +1,13 @@
 //! A simulated fleet of processes in zones and regions, with a given membership.
 
-use super::process::{name, Process};
+use crate::process::{name, Process};
 use havenplank_configuration::delta::Change;
 use havenplank_configuration::digest::Digest;
 use havenplank_configuration::record::{Record, Tenant, TenantLimits};
+use havenplank_configuration::replication::{
+    CachedConfiguration, Nanos, Peer, Peers, PublishError, ReplicationSettings, Role,
+};
 use havenplank_configuration::snapshot::Snapshot;
-use havenplank_configuration::spread::{Kept, Nanos, Peer, Peers, PublishError, Role, Rules};
 use havenplank_configuration::version::Version;
 use havenplank_emulator::net::{Clock, Id, Net, Weather};
 use havenplank_membership::wire::Life;
@@ -91,7 +93,7 @@
 
 pub struct Fleet {
     pub net: Net<Process>,
-    pub rules: Rules,
+    pub settings: ReplicationSettings,
     seed: u64,
     lives: BTreeMap<Id, u64>,
     /// Publications: when, what, by whom.
@@ -119,10 +121,10 @@
     ) -> Fleet {
         let mut net = Net::new(seed, weather);
         net.delay = Some(Box::new(delay));
-        let rules = Rules::default();
+        let settings = ReplicationSettings::default();
         let mut fleet = Fleet {
             net,
-            rules,
+            settings,
             seed,
             lives: BTreeMap::new(),
             published: Vec::new(),
@@ -146,26 +148,27 @@
     fn join(&mut self, clock: Clock, role: Role, snapshot: Snapshot) {
         let id = self.lives.len();
         self.lives.insert(id, 1);
-        let (seed, me, rules) = (self.seed_of(id), self.peer(id), self.rules.clone());
-        let kept = Kept {
+        let (seed, me, settings) = (self.seed_of(id), self.peer(id), self.settings.clone());
+        let kept = CachedConfiguration {
             snapshot,
             deltas: Vec::new(),
         };
         self.net.join(clock, |now, _| {
-            Process::new(now, seed, me, role, kept, rules)
+            Process::new(now, seed, me, role, kept, settings)
         });
     }
 
     /// Starts a process anew, under a later life, with what it kept.
     pub fn restart(&mut self, id: Id, role: Role, kept: Snapshot) {
         *self.lives.entry(id).or_default() += 1;
-        let (seed, me, rules) = (self.seed_of(id), self.peer(id), self.rules.clone());
-        let kept = Kept {
+        let (seed, me, settings) = (self.seed_of(id), self.peer(id), self.settings.clone());
+        let kept = CachedConfiguration {
             snapshot: kept,
             deltas: Vec::new(),
         };
-        self.net
-            .restart(id, |now, _| Process::new(now, seed, me, role, kept, rules));
+        self.net.restart(id, |now, _| {
+            Process::new(now, seed, me, role, kept, settings)
+        });
     }
 
     fn seed_of(&self, id: Id) -> u64 {
@@ -200,7 +203,7 @@
 
     pub fn tell(&mut self, id: Id, peers: &Peers) {
         if let Some(process) = self.net.part_mut(id) {
-            process.spreader.peers(peers.clone());
+            process.replicator.set_peers(peers.clone());
         }
     }
 
--- a/crates/capacity/src/configuration/process.rs
+++ b/crates/configuration-simulation/src/process.rs
@@ -1,12 +1,13 @@
-//! One process of a simulated fleet: the spreader, its codec, and a host that takes in what it offers.
+//! One process of a simulated fleet: the replicator, its codec, and a host that takes in what it offers.
 
 use havenplank_configuration::delta::{Change, Delta};
 use havenplank_configuration::digest::Digest;
 use havenplank_configuration::message::Message;
-use havenplank_configuration::snapshot::Snapshot;
-use havenplank_configuration::spread::{
-    Effect, Event, Kept, Nanos, Peer, PublishError, Role, Rules, Spreader,
+use havenplank_configuration::replication::{
+    CachedConfiguration, Effect, Event, Nanos, Peer, PublishError, ReplicationSettings, Replicator,
+    Role,
 };
+use havenplank_configuration::snapshot::Snapshot;
 use havenplank_configuration::version::Version;
 use havenplank_emulator::net::{Id, Net, Part};
 use havenplank_membership::wire::Life;
@@ -41,7 +42,7 @@
 }
 
 pub struct Process {
-    pub spreader: Spreader,
+    pub replicator: Replicator,
     pub me: Peer,
     pub traffic: Traffic,
     /// In force at the host, as it would be kept on disk.
@@ -64,11 +65,18 @@
 }
 
 impl Process {
-    pub fn new(now: Nanos, seed: u64, me: Peer, role: Role, kept: Kept, rules: Rules) -> Process {
+    pub fn new(
+        now: Nanos,
+        seed: u64,
+        me: Peer,
+        role: Role,
+        kept: CachedConfiguration,
+        settings: ReplicationSettings,
+    ) -> Process {
         let in_force = kept.snapshot.clone();
-        let spreader = Spreader::new(now, seed, me.clone(), role, kept, rules);
+        let replicator = Replicator::new(now, seed, me.clone(), role, kept, settings);
         Process {
-            spreader,
+            replicator,
             me,
             traffic: Traffic::default(),
             in_force,
@@ -105,7 +113,7 @@
     /// Publishes one change, as a writer does once its disk has it.
     ///
     /// # Errors
-    /// Why the spreader refuses.
+    /// Why the replicator refuses.
     pub fn publish(
         &mut self,
         now: Nanos,
@@ -113,8 +121,8 @@
         changes: Vec<Change>,
     ) -> Result<Version, PublishError> {
         if let Some(by) = self
-            .spreader
-            .glance()
+            .replicator
+            .status()
             .writer
             .and_then(|writer| writer.superseded)
         {
@@ -126,8 +134,8 @@
         let version = snapshot.version();
         let began = Instant::now();
         let result = self
-            .spreader
-            .published(now, Arc::new(delta), snapshot.clone());
+            .replicator
+            .publish(now, Arc::new(delta), snapshot.clone());
         self.traffic.processor += began.elapsed();
         result?;
         self.take_over(now, snapshot);
@@ -147,7 +155,7 @@
     }
 
     fn carry_out(&mut self, now: Nanos) {
-        while let Some(effect) = self.spreader.effect() {
+        while let Some(effect) = self.replicator.next_effect() {
             match effect {
                 Effect::Send { to, message } => self.send(to, &message),
                 Effect::Install(snapshot) => self.install(now, snapshot),
@@ -159,10 +167,11 @@
     fn install(&mut self, now: Nanos, snapshot: Snapshot) {
         let version = snapshot.version();
         if self.rejects {
-            self.spreader.rejected(now, version, "told to reject");
+            self.replicator
+                .report_rejected(now, version, "told to reject");
         } else {
             self.take_over(now, snapshot);
-            self.spreader.installed(now, version);
+            self.replicator.confirm_installed(now, version);
         }
     }
 
@@ -198,10 +207,11 @@
         self.traffic.heard_bytes += envelope.body.len() as u64 + OVERHEAD;
         let began = Instant::now();
         match Message::decode(&envelope.body) {
-            Ok(message) => self
-                .spreader
-                .heard(now, &envelope.from, message, envelope.body.len()),
-            Err(_) => self.spreader.unreadable(),
+            Ok(message) => {
+                self.replicator
+                    .handle_message(now, &envelope.from, message, envelope.body.len())
+            }
+            Err(_) => self.replicator.count_unreadable(),
         }
         self.traffic.processor += began.elapsed();
         self.carry_out(now);
@@ -209,13 +219,13 @@
 
     fn wake(&mut self, now: Nanos) {
         let began = Instant::now();
-        self.spreader.wake(now);
+        self.replicator.wake(now);
         self.traffic.processor += began.elapsed();
         self.carry_out(now);
     }
 
     fn next_wake(&self) -> Option<Nanos> {
-        self.spreader.next_wake()
+        self.replicator.next_wake()
     }
 
     fn datagram(&mut self) -> Option<(SocketAddr, Vec<u8>)> {
--- a/crates/configuration/tests/spread.rs
+++ b/crates/configuration-simulation/tests/replication.rs
@@ -1,4 +1,4 @@
-//! Configurations spread through a simulated fleet: what may never happen, and how soon everybody is served.
+//! Configurations replicated through a simulated fleet: what may never happen, and how soon everybody is served.
 //!
 //! `HAVENPLANK_SPREAD_SEEDS` plays more seeds than the hundred of CI, `HAVENPLANK_SPREAD_FIRST` begins at another one.
 //! A fault is played again by its seed alone.
@@ -9,29 +9,32 @@
 //! digest of a result; a rejected version counted as in force; a silent source kept. A delta to an older version is
 //! guarded twice, here and by `Snapshot::apply`: with the first guard alone taken out nothing fails.
 
-use havenplank_capacity::configuration::fleet::{change, place_region, tenants, Fleet, MS, SECOND};
-use havenplank_capacity::configuration::process::{name, Process};
 use havenplank_configuration::chunk::{chunk, Manifest};
 use havenplank_configuration::delta::Delta;
 use havenplank_configuration::digest::Digest;
 use havenplank_configuration::interval::Interval;
-use havenplank_configuration::message::{Claim, Message, Poll, Standing};
-use havenplank_configuration::snapshot::Snapshot;
-use havenplank_configuration::spread::{
-    Effect, Event, Kept, Nanos, Peer, Peers, PublishError, Role, RoundGlance, Rules, Spreader,
+use havenplank_configuration::message::{Claim, LagReason, Message, Poll};
+use havenplank_configuration::replication::{
+    CachedConfiguration, Effect, Event, Nanos, Peer, Peers, PublishError, ReplicationSettings,
+    Replicator, Role, RoundStatus,
 };
+use havenplank_configuration::snapshot::Snapshot;
 use havenplank_configuration::version::Version;
+use havenplank_configuration_simulation::fleet::{
+    change, place_region, tenants, Fleet, MS, SECOND,
+};
+use havenplank_configuration_simulation::process::{name, Process};
 use havenplank_emulator::net::{Clock, Id, Net, Weather};
 use havenplank_membership::wire::Life;
 use oorandom::Rand64;
 use std::collections::{BTreeMap, BTreeSet};
 
 const WRITER: Id = 0;
-const WITHIN: Nanos = 5 * SECOND;
+const CONVERGENCE_LIMIT: Nanos = 5 * SECOND;
 /// The longest that a whole round may take, and the wait before the next one after a failed one, with room.
 const TWO_ROUNDS: Nanos = 40 * SECOND;
 
-fn calm() -> Weather {
+fn one_percent_loss() -> Weather {
     Weather {
         loss: 0.01,
         ..Weather::default()
@@ -56,8 +59,8 @@
     fleet.net.part(id).unwrap().in_force.digest()
 }
 
-fn round_at(fleet: &Fleet, id: Id) -> Option<RoundGlance> {
-    fleet.net.part(id)?.spreader.glance().writer?.round
+fn round_at(fleet: &Fleet, id: Id) -> Option<RoundStatus> {
+    fleet.net.part(id)?.replicator.status().writer?.round
 }
 
 /// Plays until these have what the writer has, and says how long that took.
@@ -122,8 +125,8 @@
         );
         self.record(net, moved);
         if let Some(round) = process
-            .spreader
-            .glance()
+            .replicator
+            .status()
             .writer
             .and_then(|writer| writer.round)
         {
@@ -141,7 +144,7 @@
     }
 
     /// A report claims no more than is true: those that have a version had it, and nobody is counted twice.
-    fn check_round(&self, round: &RoundGlance, count: usize) {
+    fn check_round(&self, round: &RoundStatus, count: usize) {
         let had = self
             .ever
             .values()
@@ -165,7 +168,7 @@
 struct Storm {
     fleet: Fleet,
     invariants: Invariants,
-    chance: Rand64,
+    rng: Rand64,
     base: Snapshot,
     /// Processes that write, with their epochs.
     writers: BTreeMap<Id, u64>,
@@ -174,12 +177,12 @@
 
 impl Storm {
     fn new(seed: u64) -> Storm {
-        let mut chance = Rand64::new(u128::from(seed));
-        let count = chance.rand_range(12..41) as usize;
-        let share = |chance: &mut Rand64, most: f64| chance.rand_float() * most;
+        let mut rng = Rand64::new(u128::from(seed));
+        let count = rng.rand_range(12..41) as usize;
+        let share = |rng: &mut Rand64, most: f64| rng.rand_float() * most;
         let weather = Weather {
-            loss: share(&mut chance, 0.15),
-            repeat: share(&mut chance, 0.15),
+            loss: share(&mut rng, 0.15),
+            repeat: share(&mut rng, 0.15),
             ..Weather::default()
         };
         let base = tenants(200);
@@ -192,7 +195,7 @@
         Storm {
             fleet,
             invariants: Invariants::default(),
-            chance,
+            rng,
             base,
             writers,
             top_epoch: 1,
@@ -204,15 +207,15 @@
     }
 
     fn any(&mut self) -> Id {
-        self.chance.rand_range(0..self.count() as u64) as Id
+        self.rng.rand_range(0..self.count() as u64) as Id
     }
 
     fn one_in(&mut self, many: u64) -> bool {
-        self.chance.rand_range(0..many) == 0
+        self.rng.rand_range(0..many) == 0
     }
 
     fn step(&mut self) {
-        match self.chance.rand_range(0..14) {
+        match self.rng.rand_range(0..14) {
             0..=4 => self.publish(),
             5 => self.split(),
             6 => (0..6).for_each(|_| {
@@ -230,12 +233,12 @@
             12 => self.kill_writer(),
             _ => self.change_hosts(),
         }
-        let span = self.chance.rand_range(50 * MS..3 * SECOND);
+        let span = self.rng.rand_range(50 * MS..3 * SECOND);
         self.invariants.run(&mut self.fleet, span);
     }
 
     fn publish(&mut self) {
-        for _ in 0..self.chance.rand_range(1..5) {
+        for _ in 0..self.rng.rand_range(1..5) {
             for (id, epoch) in self.writers.clone() {
                 // A replaced or dead writer refuses; that is what is wanted of it.
                 let _ = self.fleet.publish(id, epoch);
@@ -263,7 +266,7 @@
             .net
             .part(id)
             .map(|process| process.in_force.clone());
-        let kept = match self.chance.rand_range(0..3) {
+        let kept = match self.rng.rand_range(0..3) {
             0 => in_force.unwrap_or_else(Snapshot::empty),
             1 => self.base.clone(),
             _ => Snapshot::empty(),
@@ -285,7 +288,7 @@
     /// Another process becomes a writer, of a lower, the same or a higher epoch.
     fn second_writer(&mut self) {
         let id = self.any();
-        let epoch = match self.chance.rand_range(0..3) {
+        let epoch = match self.rng.rand_range(0..3) {
             0 => self.top_epoch.saturating_sub(1),
             1 => self.top_epoch,
             _ => self.top_epoch + 1,
@@ -340,7 +343,7 @@
     /// The weather clears, and a writer of a higher epoch publishes: everybody ends with that, and it is told so.
     fn end(&mut self) {
         self.fleet.net.heal();
-        self.fleet.net.weather = calm();
+        self.fleet.net.weather = one_percent_loss();
         for id in 0..self.count() {
             self.fleet.net.unpause(id);
             if let Some(process) = self.fleet.net.part_mut(id) {
@@ -357,17 +360,17 @@
             kept.unwrap_or_else(Snapshot::empty),
         );
         self.fleet.tell_everyone();
-        self.invariants.run(&mut self.fleet, 2 * WITHIN);
+        self.invariants.run(&mut self.fleet, 2 * CONVERGENCE_LIMIT);
         self.fleet.publish(WRITER, epoch).unwrap();
-        self.invariants.run(&mut self.fleet, WITHIN);
+        self.invariants.run(&mut self.fleet, CONVERGENCE_LIMIT);
         let (version, digest) = (
             version_at(&self.fleet, WRITER),
             digest_at(&self.fleet, WRITER),
         );
         for id in 0..self.count() {
             let found = (version_at(&self.fleet, id), digest_at(&self.fleet, id));
-            let glance = self.fleet.net.part(id).unwrap().spreader.glance();
-            assert_eq!(found, (version, digest), "{}: {glance:?}", name(id));
+            let status = self.fleet.net.part(id).unwrap().replicator.status();
+            assert_eq!(found, (version, digest), "{}: {status:?}", name(id));
         }
         self.invariants.run(&mut self.fleet, TWO_ROUNDS);
         let round = round_at(&self.fleet, WRITER).unwrap();
@@ -412,7 +415,7 @@
 
 #[test]
 fn every_change_is_in_force_everywhere_within_five_seconds() {
-    let mut fleet = Fleet::new(120, 5, &tenants(500), calm());
+    let mut fleet = Fleet::new(120, 5, &tenants(500), one_percent_loss());
     fleet.run_for(SECOND);
     for _ in 0..10 {
         fleet.publish(WRITER, 1).unwrap();
@@ -422,19 +425,19 @@
     for _ in 0..10 {
         fleet.publish(WRITER, 1).unwrap();
     }
-    fleet.run_for(WITHIN);
+    fleet.run_for(CONVERGENCE_LIMIT);
     let everyone: Vec<Id> = fleet.net.ids().collect();
     let worst = fleet
         .latencies(0, &everyone)
         .into_iter()
         .map(|latency| latency.expect("not reached"))
         .max();
-    assert!(worst.unwrap() < WITHIN, "{worst:?}");
+    assert!(worst.unwrap() < CONVERGENCE_LIMIT, "{worst:?}");
 }
 
 #[test]
 fn who_was_cut_off_or_starts_anew_has_everything_within_five_seconds() {
-    let mut fleet = Fleet::new(84, 6, &tenants(2_000), calm());
+    let mut fleet = Fleet::new(84, 6, &tenants(2_000), one_percent_loss());
     let (cut, rest): (Vec<Id>, Vec<Id>) = fleet.net.ids().partition(|id| place_region(*id) == 2);
     fleet.net.split(&[&cut, &rest]);
     for _ in 0..283 {
@@ -447,7 +450,7 @@
         .iter()
         .map(|id| fleet.net.part(*id).unwrap().traffic.sent)
         .sum();
-    catch_up(&mut fleet, &cut, WITHIN);
+    catch_up(&mut fleet, &cut, CONVERGENCE_LIMIT);
     let after: u64 = cut
         .iter()
         .map(|id| fleet.net.part(*id).unwrap().traffic.sent)
@@ -462,17 +465,17 @@
         fleet.restart(id, Role::Sidecar, kept);
     }
     fleet.tell_everyone();
-    catch_up(&mut fleet, &[5, 11], WITHIN);
+    catch_up(&mut fleet, &[5, 11], CONVERGENCE_LIMIT);
 }
 
 #[test]
 fn a_transfer_goes_on_from_another_source_where_its_own_is_gone() {
-    let mut fleet = Fleet::new(30, 7, &tenants(20_000), calm());
+    let mut fleet = Fleet::new(30, 7, &tenants(20_000), one_percent_loss());
     fleet.restart(9, Role::Sidecar, Snapshot::empty());
     fleet.tell_everyone();
-    let transfer = |fleet: &Fleet| fleet.net.part(9).unwrap().spreader.glance().transfer;
+    let transfer = |fleet: &Fleet| fleet.net.part(9).unwrap().replicator.status().transfer;
     while transfer(&fleet).is_none_or(|transfer| transfer.missing_buckets > 900) {
-        assert!(fleet.net.now() < WITHIN, "no transfer began");
+        assert!(fleet.net.now() < CONVERGENCE_LIMIT, "no transfer began");
         fleet.run_for(MS);
     }
     let source = transfer(&fleet).unwrap().source;
@@ -492,7 +495,7 @@
 
 #[test]
 fn of_two_contents_of_one_version_the_first_stays_and_both_writers_stop() {
-    let mut fleet = Fleet::new(24, 8, &tenants(100), calm());
+    let mut fleet = Fleet::new(24, 8, &tenants(100), one_percent_loss());
     let (left, right): (Vec<Id>, Vec<Id>) = fleet.net.ids().partition(|id| *id < 12);
     fleet.net.split(&[&left, &right]);
     let kept = fleet.net.part(20).unwrap().in_force.clone();
@@ -503,16 +506,18 @@
         fleet.publish(20, 1).unwrap(),
     );
     assert_eq!(one, other);
-    fleet.run_for(WITHIN);
+    fleet.run_for(CONVERGENCE_LIMIT);
     let digests: Vec<Digest> = fleet.net.ids().map(|id| digest_at(&fleet, id)).collect();
     assert_ne!(digests[0], digests[20]);
     fleet.net.heal();
-    fleet.run_for(2 * WITHIN);
+    fleet.run_for(2 * CONVERGENCE_LIMIT);
     for id in fleet.net.ids() {
         assert_eq!(digest_at(&fleet, id), digests[id], "{}", name(id));
     }
     let conflict = |event: &Event| match event {
-        Event::Conflict { held, other, .. } => (*held, *other) == (digests[0], digests[20]),
+        Event::Conflict {
+            verified, other, ..
+        } => (*verified, *other) == (digests[0], digests[20]),
         _ => false,
     };
     assert!(fleet.net.part(3).unwrap().events.iter().any(conflict));
@@ -527,7 +532,7 @@
     fleet.restart(4, Role::Writer { epoch: 2 }, kept);
     fleet.tell_everyone();
     let mended = fleet.publish(4, 2).unwrap();
-    fleet.run_for(WITHIN);
+    fleet.run_for(CONVERGENCE_LIMIT);
     assert!(fleet.net.ids().all(|id| version_at(&fleet, id) == mended));
     assert!(fleet
         .net
@@ -537,7 +542,7 @@
 
 #[test]
 fn a_replaced_writer_is_told_and_publishes_no_more() {
-    let mut fleet = Fleet::new(24, 9, &tenants(100), calm());
+    let mut fleet = Fleet::new(24, 9, &tenants(100), one_percent_loss());
     let rest: Vec<Id> = (1..24).collect();
     fleet.net.split(&[&[WRITER], &rest]);
     let kept = fleet.net.part(13).unwrap().in_force.clone();
@@ -548,9 +553,9 @@
     for _ in 0..5 {
         fleet.publish(WRITER, 1).unwrap();
     }
-    fleet.run_for(WITHIN);
+    fleet.run_for(CONVERGENCE_LIMIT);
     fleet.net.heal();
-    fleet.run_for(WITHIN);
+    fleet.run_for(CONVERGENCE_LIMIT);
     assert!(
         matches!(fleet.publish(WRITER, 1), Err(PublishError::Superseded { by }) if by.version == newer)
     );
@@ -564,7 +569,7 @@
 
 #[test]
 fn a_rejected_version_leaves_the_old_one_in_force_is_named_and_not_fetched_again() {
-    let mut fleet = Fleet::new(40, 10, &tenants(100), calm());
+    let mut fleet = Fleet::new(40, 10, &tenants(100), one_percent_loss());
     fleet.net.part_mut(7).unwrap().rejects = true;
     let old = version_at(&fleet, WRITER);
     let new = fleet.publish(WRITER, 1).unwrap();
@@ -577,14 +582,14 @@
         "{round:?}"
     );
     assert_eq!(
-        (round.behind[0].name.as_str(), round.behind[0].standing),
-        ("p-00007", Standing::Rejected)
+        (round.behind[0].name.as_str(), round.behind[0].lag_reason),
+        ("p-00007", LagReason::Rejected)
     );
     assert!(round.behind[0].since < round.at, "{round:?}");
     let process = fleet.net.part_mut(7).unwrap();
     // Offered after 0, 5 and 15 s, as the waits double.
-    assert_eq!(process.spreader.glance().counts.rejected, 3);
-    assert_eq!(process.spreader.glance().held, new);
+    assert_eq!(process.replicator.status().counts.rejected, 3);
+    assert_eq!(process.replicator.status().verified, new);
     process.rejects = false;
     fleet.run_for(20 * SECOND);
     assert_eq!(version_at(&fleet, 7), new);
@@ -600,7 +605,7 @@
         &tenants(100),
         Weather {
             repeat: 0.5,
-            ..calm()
+            ..one_percent_loss()
         },
     );
     let mut invariants = Invariants::default();
@@ -615,8 +620,8 @@
         "{round:?}"
     );
     assert_eq!(
-        (round.behind[0].name.as_str(), round.behind[0].standing),
-        ("p-00042", Standing::Silent)
+        (round.behind[0].name.as_str(), round.behind[0].lag_reason),
+        ("p-00042", LagReason::Silent)
     );
     assert!(invariants.rounds > 0);
 }
@@ -624,7 +629,7 @@
 #[test]
 fn what_one_process_sends_does_not_grow_with_the_fleet() {
     let sent = |count: usize| {
-        let mut fleet = Fleet::new(count, 12, &tenants(100), calm());
+        let mut fleet = Fleet::new(count, 12, &tenants(100), one_percent_loss());
         for _ in 0..4 {
             fleet.publish(WRITER, 1).unwrap();
             fleet.run_for(12 * SECOND);
@@ -655,7 +660,7 @@
 
 /// A sidecar alone, to which a test speaks itself.
 struct Alone {
-    spreader: Spreader,
+    replicator: Replicator,
     base: Snapshot,
     peer: Life,
 }
@@ -670,14 +675,21 @@
             zone: "r/z".into(),
         };
         let base = tenants(50);
-        let kept = Kept {
+        let kept = CachedConfiguration {
             snapshot: base.clone(),
             deltas: Vec::new(),
         };
-        let mut spreader = Spreader::new(0, 1, peer("a"), Role::Sidecar, kept, Rules::default());
-        spreader.peers(Peers::new(vec![peer("a"), peer("b")]));
+        let mut replicator = Replicator::new(
+            0,
+            1,
+            peer("a"),
+            Role::Sidecar,
+            kept,
+            ReplicationSettings::default(),
+        );
+        replicator.set_peers(Peers::new(vec![peer("a"), peer("b")]));
         Alone {
-            spreader,
+            replicator,
             base,
             peer: peer("b").life,
         }
@@ -710,8 +722,9 @@
 
     fn hears(&mut self, message: Message) -> Vec<Effect> {
         let bytes = message.encode().unwrap().len();
-        self.spreader.heard(0, &self.peer, message, bytes);
-        std::iter::from_fn(|| self.spreader.effect()).collect()
+        self.replicator
+            .handle_message(0, &self.peer, message, bytes);
+        std::iter::from_fn(|| self.replicator.next_effect()).collect()
     }
 }
 
@@ -736,20 +749,20 @@
         ..claim
     };
     assert!(installs(&alone.announce(other, &good)).is_empty());
-    assert_eq!(alone.spreader.glance().counts.unreadable, 1);
+    assert_eq!(alone.replicator.status().counts.unreadable, 1);
     // Consistent, but with a digest that its result does not have.
     let wrong = Delta {
         digest: Digest::default(),
         ..good.clone()
     };
     assert!(installs(&alone.announce(other, &wrong)).is_empty());
-    assert_eq!(alone.spreader.glance().counts.unfit_deltas, 1);
-    assert_eq!(alone.spreader.glance().held, alone.base.version());
+    assert_eq!(alone.replicator.status().counts.unfit_deltas, 1);
+    assert_eq!(alone.replicator.status().verified, alone.base.version());
     assert_eq!(installs(&alone.announce(claim, &good)), [next.version()]);
     // It is in force only when the host says so.
-    assert_eq!(alone.spreader.glance().version, alone.base.version());
-    alone.spreader.installed(1, next.version());
-    assert_eq!(alone.spreader.glance().version, next.version());
+    assert_eq!(alone.replicator.status().version, alone.base.version());
+    alone.replicator.confirm_installed(1, next.version());
+    assert_eq!(alone.replicator.status().version, next.version());
 }
 
 #[test]
@@ -767,7 +780,7 @@
         [two.version()]
     );
     assert!(installs(&alone.announce(claim(&first), &first)).is_empty());
-    assert_eq!(alone.spreader.glance().held, two.version());
+    assert_eq!(alone.replicator.status().verified, two.version());
 }
 
 #[test]
@@ -777,7 +790,7 @@
         epoch: 1,
         number: 0,
     });
-    alone.spreader.wake(SECOND);
+    alone.replicator.wake(SECOND);
     let asks = |effect: &Effect| {
         matches!(
             effect,
@@ -787,7 +800,7 @@
             }
         )
     };
-    assert!(std::iter::from_fn(|| alone.spreader.effect()).any(|effect| asks(&effect)));
+    assert!(std::iter::from_fn(|| alone.replicator.next_effect()).any(|effect| asks(&effect)));
     let mut effects = alone.hears(Message::Manifest(Manifest::of(&older)));
     if let Some(chunk) = chunk(&older, &(0..1_024).collect::<Vec<u16>>()) {
         effects.extend(alone.hears(Message::Chunk(chunk)));
@@ -800,7 +813,7 @@
     };
     assert_eq!(installs(&alone.announce(claim, &delta)), [next.version()]);
     assert!(installs(&alone.announce(claim, &delta)).is_empty());
-    assert_eq!(alone.spreader.glance().held, next.version());
+    assert_eq!(alone.replicator.status().verified, next.version());
 }
 
 #[test]
@@ -810,7 +823,7 @@
         epoch: 2,
         number: 9,
     });
-    let kept = Kept {
+    let kept = CachedConfiguration {
         snapshot: held.clone(),
         deltas: Vec::new(),
     };
@@ -821,7 +834,14 @@
         },
         zone: "r/z".into(),
     };
-    alone.spreader = Spreader::new(0, 1, me, Role::Sidecar, kept, Rules::default());
+    alone.replicator = Replicator::new(
+        0,
+        1,
+        me,
+        Role::Sidecar,
+        kept,
+        ReplicationSettings::default(),
+    );
     let claim = Claim {
         version: Version {
             epoch: 1,
@@ -833,7 +853,7 @@
         round: 1,
         claim,
         interval: Interval::all(),
-        patience_ms: 1_000,
+        timeout_ms: 1_000,
     };
     for message in [
         Message::Announce { claim, delta: None },
@@ -852,5 +872,5 @@
         };
         assert_eq!(*answer, Message::Superseded { by });
     }
-    assert_eq!(alone.spreader.glance().counts.lower_epochs, 2);
+    assert_eq!(alone.replicator.status().counts.lower_epochs, 2);
 }
--- a/crates/configuration/src/compile.rs
+++ b/crates/configuration/src/compile.rs
@@ -3,12 +3,13 @@
 use crate::error::InvalidRecord;
 use crate::patterns;
 use crate::record::{
-    BackupMode, IdempotencyScope, Record, RecordKind, RequestKind, RequestRules, Route, Service,
-    Tenant, TenantLimits, MAX_BENEFIT, MAX_IN_FLIGHT, MAX_REQUESTS_PER_S,
+    BackupMode, Record, RecordKind, RequestRules, Route, Service, Tenant, TenantLimits,
+    MAX_IN_FLIGHT, MAX_PRIORITY_WEIGHT, MAX_REQUESTS_PER_S,
 };
 use crate::snapshot::Snapshot;
 use crate::tenant_file;
 use crate::version::Version;
+use havenplank::interface::{DedupScope, Idempotency};
 use havenplank_settings::{configuration_rows, Given, Problem, Problems, Reader, Row};
 use std::collections::HashMap;
 use std::path::{Path, PathBuf};
@@ -17,15 +18,15 @@
 /// Mistakes that are told of one script; a last one says how many more there are.
 pub const MAX_PROBLEMS: usize = 1_000;
 
-const REQUEST_KINDS: [(&str, RequestKind); 3] = [
-    ("idempotent", RequestKind::Idempotent),
-    ("keyed", RequestKind::Keyed),
-    ("non-idempotent", RequestKind::NonIdempotent),
+const IDEMPOTENCY: [(&str, Idempotency); 3] = [
+    ("idempotent", Idempotency::Idempotent),
+    ("keyed", Idempotency::Keyed),
+    ("non-idempotent", Idempotency::NonIdempotent),
 ];
-const SCOPES: [(&str, IdempotencyScope); 3] = [
-    ("all", IdempotencyScope::All),
-    ("zone", IdempotencyScope::Zone),
-    ("cell", IdempotencyScope::Cell),
+const DEDUP_SCOPES: [(&str, DedupScope); 3] = [
+    ("all", DedupScope::All),
+    ("zone", DedupScope::Zone),
+    ("cell", DedupScope::Cell),
 ];
 const BACKUP_MODES: [(&str, BackupMode); 3] = [
     ("off", BackupMode::Off),
@@ -420,32 +421,32 @@
 }
 
 fn rules(reader: &mut Reader) -> RequestRules {
-    let kind = reader
-        .choice("kind", &REQUEST_KINDS)
-        .unwrap_or(RequestKind::NonIdempotent);
-    let idempotency_window = match kind {
-        RequestKind::Keyed => reader.span("idempotency_window"),
+    let idempotency = reader
+        .choice("kind", &IDEMPOTENCY)
+        .unwrap_or(Idempotency::NonIdempotent);
+    let dedup_window = match idempotency {
+        Idempotency::Keyed => reader.span("idempotency_window"),
         _ => reader.span_or("idempotency_window", 0),
     };
-    let latency_target = reader.span_above_0("latency_target");
+    let latency_objective = reader.span_above_0("latency_target");
     let deadline = reader.span_above_0("deadline");
-    if latency_target > deadline && deadline > 0 {
+    if latency_objective > deadline && deadline > 0 {
         reader.complain(
             "latency_target",
             "longer than deadline",
             "a span within the deadline",
         );
     }
-    let scope = maybe_choice(reader, "scope", &SCOPES).unwrap_or(IdempotencyScope::All);
+    let dedup_scope = maybe_choice(reader, "scope", &DEDUP_SCOPES).unwrap_or(DedupScope::All);
     let backup = maybe_choice(reader, "backup", &BACKUP_MODES).unwrap_or(BackupMode::Off);
     RequestRules {
-        kind,
-        scope,
-        idempotency_window,
-        latency_target,
+        idempotency,
+        dedup_scope,
+        dedup_window,
+        latency_objective,
         deadline,
         // Adding 0.0 turns -0.0 into it, whose digest would be another.
-        priority_weight: reader.number_or("benefit", 0.0..=MAX_BENEFIT, 1.0) + 0.0,
+        priority_weight: reader.number_or("benefit", 0.0..=MAX_PRIORITY_WEIGHT, 1.0) + 0.0,
         late_weight: reader.number_or("late_benefit", 0.0..=1.0, 0.0) + 0.0,
         stream: reader.flag_or("stream", false),
         backup,
--- a/crates/configuration/src/message.rs
+++ b/crates/configuration/src/message.rs
@@ -1,4 +1,4 @@
-//! What spreaders tell each other, and its bounded encoding.
+//! The messages of the replication between peers, and their bounded encoding.
 //!
 //! Sizes are checked before and while bytes are read. What is out of bounds is an error that the caller counts; no
 //! message that cannot be read changes anything.
@@ -30,7 +30,7 @@
 
 /// How a peer stands to a version that it does not have in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Standing {
+pub enum LagReason {
     /// An older one is in force.
     Behind(Version),
     /// The same version is in force, with other records: two writers made it.
@@ -45,7 +45,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerBehind {
     pub name: String,
-    pub standing: Standing,
+    pub lag_reason: LagReason,
 }
 
 /// How many of how many have a version in force, or a newer one.
@@ -66,7 +66,7 @@
     pub claim: Claim,
     pub interval: Interval,
     /// How long the answer may take.
-    pub patience_ms: u32,
+    pub timeout_ms: u32,
 }
 
 /// The answer to a [`Poll`].
@@ -90,7 +90,7 @@
     Pull {
         claim: Claim,
         /// How many bytes the answer may have; 0 asks for the claim alone.
-        room: u32,
+        max_answer_bytes: u32,
         /// Deltas did not apply: the manifest is wanted.
         whole: bool,
     },
@@ -220,11 +220,11 @@
     }
 
     /// Counts one peer that does not.
-    pub fn add_behind(&mut self, name: &str, standing: Standing) {
+    pub fn add_behind(&mut self, name: &str, lag_reason: LagReason) {
         self.of = self.of.saturating_add(1);
         self.name_behind(PeerBehind {
             name: name.to_string(),
-            standing,
+            lag_reason,
         });
     }
 
--- a/crates/configuration/src/record.rs
+++ b/crates/configuration/src/record.rs
@@ -24,7 +24,7 @@
 /// The longest latency target, deadline or idempotency window: a day.
 pub const MAX_SPAN: Nanos = 86_400_000_000_000;
 /// The largest priority weight of a served request.
-pub const MAX_BENEFIT: f64 = 1e9;
+pub const MAX_PRIORITY_WEIGHT: f64 = 1e9;
 
 /// A group of pods that answers requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -53,11 +53,11 @@
 /// How the requests of a route are treated: [`RouteClass`] and the backup mode, comparable and serialisable.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RequestRules {
-    pub kind: RequestKind,
-    pub scope: IdempotencyScope,
+    pub idempotency: Idempotency,
+    pub dedup_scope: DedupScope,
     /// How long, from the first attempt that may have run, repeats of a keyed request are dropped.
-    pub idempotency_window: Nanos,
-    pub latency_target: Nanos,
+    pub dedup_window: Nanos,
+    pub latency_objective: Nanos,
     pub deadline: Nanos,
     #[serde(rename = "benefit")]
     pub priority_weight: f64,
@@ -68,25 +68,6 @@
     pub backup: BackupMode,
 }
 
-/// Whether a request may run twice.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum RequestKind {
-    /// Running it twice does what running it once does.
-    Idempotent,
-    /// It carries an idempotency key, by which pods drop repeats.
-    Keyed,
-    /// Running it twice may do harm.
-    NonIdempotent,
-}
-
-/// The pods that drop a repeat of a keyed request.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum IdempotencyScope {
-    All,
-    Zone,
-    Cell,
-}
-
 /// Whether backups know of a route's requests in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum BackupMode {
@@ -219,18 +200,10 @@
 impl From<RequestRules> for RouteClass {
     fn from(rules: RequestRules) -> RouteClass {
         RouteClass {
-            idempotency: match rules.kind {
-                RequestKind::Idempotent => Idempotency::Idempotent,
-                RequestKind::Keyed => Idempotency::Keyed,
-                RequestKind::NonIdempotent => Idempotency::NonIdempotent,
-            },
-            dedup_scope: match rules.scope {
-                IdempotencyScope::All => DedupScope::All,
-                IdempotencyScope::Zone => DedupScope::Zone,
-                IdempotencyScope::Cell => DedupScope::Cell,
-            },
-            dedup_window: rules.idempotency_window,
-            latency_objective: rules.latency_target,
+            idempotency: rules.idempotency,
+            dedup_scope: rules.dedup_scope,
+            dedup_window: rules.dedup_window,
+            latency_objective: rules.latency_objective,
             client_timeout: rules.deadline,
             priority_weight: rules.priority_weight,
             late_weight: rules.late_weight,
@@ -240,25 +213,17 @@
 }
 
 impl RequestRules {
-    /// The rules of a path group of the settings script, and how its requests in flight are backed up.
-    pub fn from_path_group(group: &RouteClass, backup: BackupMode) -> RequestRules {
+    /// Returns the rules of a route class of the settings script, with the way its requests in flight are backed up.
+    pub fn from_route_class(class: &RouteClass, backup: BackupMode) -> RequestRules {
         RequestRules {
-            kind: match group.idempotency {
-                Idempotency::Idempotent => RequestKind::Idempotent,
-                Idempotency::Keyed => RequestKind::Keyed,
-                Idempotency::NonIdempotent => RequestKind::NonIdempotent,
-            },
-            scope: match group.dedup_scope {
-                DedupScope::All => IdempotencyScope::All,
-                DedupScope::Zone => IdempotencyScope::Zone,
-                DedupScope::Cell => IdempotencyScope::Cell,
-            },
-            idempotency_window: group.dedup_window,
-            latency_target: group.latency_objective,
-            deadline: group.client_timeout,
-            priority_weight: group.priority_weight,
-            late_weight: group.late_weight,
-            stream: group.stream,
+            idempotency: class.idempotency,
+            dedup_scope: class.dedup_scope,
+            dedup_window: class.dedup_window,
+            latency_objective: class.latency_objective,
+            deadline: class.client_timeout,
+            priority_weight: class.priority_weight,
+            late_weight: class.late_weight,
+            stream: class.stream,
             backup,
         }
     }
@@ -388,8 +353,8 @@
 
 fn check_rules(key: (RecordKind, &str), rules: &RequestRules) -> Result<(), InvalidRecord> {
     let spans = [
-        ("idempotency_window", rules.idempotency_window, 0),
-        ("latency_target", rules.latency_target, 1),
+        ("idempotency_window", rules.dedup_window, 0),
+        ("latency_target", rules.latency_objective, 1),
         ("deadline", rules.deadline, 1),
     ];
     for (field, span, least) in spans {
@@ -404,7 +369,7 @@
     }
     // NaN is in no range.
     let shares = [
-        ("benefit", rules.priority_weight, MAX_BENEFIT),
+        ("benefit", rules.priority_weight, MAX_PRIORITY_WEIGHT),
         ("late_benefit", rules.late_weight, 1.0),
     ];
     for (field, share, most) in shares {
@@ -413,7 +378,7 @@
         let valid = (0.0..=most).contains(&share) && share.is_sign_positive();
         ensure(valid, key, field, || share.to_string(), expected)?;
     }
-    let fits = rules.backup != BackupMode::Behind || rules.kind == RequestKind::Idempotent;
+    let fits = rules.backup != BackupMode::Behind || rules.idempotency == Idempotency::Idempotent;
     let expected = || "BeforeAttempt, as a repeat could do harm".to_string();
     ensure(fits, key, "backup", || "Behind".to_string(), expected)
 }
--- a/crates/configuration/src/spread/acknowledge.rs
+++ b/crates/configuration/src/replication/acknowledgement.rs
@@ -1,10 +1,10 @@
 //! Who has which version: rounds of polls that the writer begins and every head passes on.
 
-use super::glance::RoundGlance;
 use super::poll::OpenPoll;
-use super::{Nanos, Role, Rules, Spreader, OPEN_POLLS};
+use super::status::RoundStatus;
+use super::{Nanos, ReplicationSettings, Replicator, Role, OPEN_POLLS};
 use crate::interval::Interval;
-use crate::message::{Message, Poll, Report, Standing, Tally};
+use crate::message::{LagReason, Message, Poll, Report, Tally};
 use crate::version::Version;
 use havenplank_membership::wire::Life;
 use std::collections::VecDeque;
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BehindSince {
     pub name: String,
-    pub standing: Standing,
+    pub lag_reason: LagReason,
     pub since: Nanos,
 }
 
@@ -22,26 +22,26 @@
     round: u64,
     next: Option<Nanos>,
     wait: Nanos,
-    pub(super) last: Option<RoundGlance>,
+    pub(super) last: Option<RoundStatus>,
 }
 
 impl Polling {
-    pub(super) fn new(now: Nanos, role: Role, rules: &Rules) -> Polling {
-        let next =
-            matches!(role, Role::Writer { .. }).then(|| now.saturating_add(rules.first_poll));
+    pub(super) fn new(now: Nanos, role: Role, settings: &ReplicationSettings) -> Polling {
+        let next = matches!(role, Role::Writer { .. })
+            .then(|| now.saturating_add(settings.initial_poll_interval));
         Polling {
             round: 0,
             next,
-            wait: rules.first_poll,
+            wait: settings.initial_poll_interval,
             last: None,
         }
     }
 
     /// Begins with short waits anew; a poll that is due sooner stays.
-    pub(super) fn published(&mut self, now: Nanos, rules: &Rules) {
-        let at = now.saturating_add(rules.first_poll);
+    pub(super) fn restart_schedule(&mut self, now: Nanos, settings: &ReplicationSettings) {
+        let at = now.saturating_add(settings.initial_poll_interval);
         self.next = Some(self.next.map_or(at, |before| before.min(at)));
-        self.wait = rules.first_poll;
+        self.wait = settings.initial_poll_interval;
     }
 
     pub(super) fn stop(&mut self) {
@@ -52,7 +52,13 @@
         self.next
     }
 
-    fn finished(&mut self, now: Nanos, version: Version, tally: &Tally, rules: &Rules) {
+    fn record_round(
+        &mut self,
+        now: Nanos,
+        version: Version,
+        tally: &Tally,
+        settings: &ReplicationSettings,
+    ) {
         let before = self.last.take();
         let since = |name: &str| {
             let known = before
@@ -63,11 +69,11 @@
         };
         let behind = tally.behind.iter().map(|peer| BehindSince {
             name: peer.name.clone(),
-            standing: peer.standing,
+            lag_reason: peer.lag_reason,
             since: since(&peer.name),
         });
         let behind = behind.collect();
-        self.last = Some(RoundGlance {
+        self.last = Some(RoundStatus {
             version,
             at: now,
             have: tally.have,
@@ -76,23 +82,23 @@
             more: tally.more,
         });
         if tally.have == tally.of {
-            self.wait = rules.last_poll;
+            self.wait = settings.max_poll_interval;
         }
         if let Some(next) = &mut self.next {
             *next = (*next).min(now.saturating_add(self.wait));
         }
-        self.wait = self.wait.saturating_mul(2).min(rules.last_poll);
+        self.wait = self.wait.saturating_mul(2).min(settings.max_poll_interval);
     }
 }
 
-impl Spreader {
+impl Replicator {
     pub(super) fn poll_where_due(&mut self, now: Nanos) {
         if self.polling.next.is_some_and(|at| at <= now) && !self.has_open_round() {
             self.begin_round(now);
         }
         for open in 0..self.polls.len() {
-            let asked = self.polls[open].due(now, &mut self.chance);
-            for (to, poll) in asked {
+            let pending_pull = self.polls[open].ask_due_heads(now, &mut self.rng);
+            for (to, poll) in pending_pull {
                 self.send(&to, Message::Poll(poll));
             }
         }
@@ -105,17 +111,17 @@
     }
 
     fn begin_round(&mut self, now: Nanos) {
-        self.polling.next = Some(now.saturating_add(self.rules.last_poll));
+        self.polling.next = Some(now.saturating_add(self.settings.max_poll_interval));
         self.polling.round += 1;
-        let patience_ms = u32::try_from(self.rules.poll_patience / 1_000_000).unwrap_or(u32::MAX);
-        let (round, claim) = (self.polling.round, self.held.claim());
+        let timeout_ms = u32::try_from(self.settings.round_timeout / 1_000_000).unwrap_or(u32::MAX);
+        let (round, claim) = (self.polling.round, self.verified.claim());
         self.open(
             None,
             Poll {
                 round,
                 claim,
                 interval: Interval::all(),
-                patience_ms,
+                timeout_ms,
             },
         );
     }
@@ -125,8 +131,8 @@
             self.polls.pop_front();
             self.counts.dropped_polls += 1;
         }
-        let own = self.installation.standing(poll.claim);
-        let (peers, branches) = (self.peers.clone(), self.rules.poll_branches);
+        let own = self.installation.lag_reason(poll.claim);
+        let (peers, branches) = (self.peers.clone(), self.settings.poll_branches);
         self.polls.push_back(OpenPoll::new(
             poll,
             parent,
@@ -137,13 +143,13 @@
         ));
     }
 
-    pub(super) fn heard_poll(&mut self, now: Nanos, from: &Life, poll: Poll) {
-        self.note(now, from, poll.claim);
+    pub(super) fn handle_poll(&mut self, now: Nanos, from: &Life, poll: Poll) {
+        self.observe_claim(now, from, poll.claim);
         if self.refuse_lower_epoch(from, poll.claim) {
             return;
         }
         self.polled_at = Some(now);
-        if poll.claim.version > self.held.version() {
+        if poll.claim.version > self.verified.version() {
             self.ask(now, from);
         }
         let same = |open: &OpenPoll| {
@@ -156,7 +162,7 @@
         }
     }
 
-    pub(super) fn heard_report(&mut self, now: Nanos, from: &Life, report: Report) {
+    pub(super) fn handle_report(&mut self, now: Nanos, from: &Life, report: Report) {
         let mut counted = false;
         for open in &mut self.polls {
             let same = open.poll.round == report.round && open.poll.claim.version == report.version;
@@ -170,7 +176,8 @@
 
     /// Sends the reports of finished rounds, and takes in those of the own one.
     fn close_finished(&mut self, now: Nanos) {
-        let (finished, open): (VecDeque<_>, _) = self.polls.drain(..).partition(OpenPoll::finished);
+        let (finished, open): (VecDeque<_>, _) =
+            self.polls.drain(..).partition(OpenPoll::is_finished);
         self.polls = open;
         for poll in finished {
             match poll.parent.clone() {
@@ -178,7 +185,7 @@
                 None => {
                     let version = poll.poll.claim.version;
                     self.polling
-                        .finished(now, version, poll.tally(), &self.rules);
+                        .record_round(now, version, poll.tally(), &self.settings);
                 }
             }
         }
--- a/crates/configuration/src/spread/gossip.rs
+++ b/crates/configuration/src/replication/gossip.rs
@@ -1,8 +1,8 @@
 //! Announcements to a few, and a pull from one random peer a period.
 
-use super::held::Taken;
 use super::peers::Reach;
-use super::{Event, Nanos, Role, Spreader};
+use super::verified::DeltaOutcome;
+use super::{Event, Nanos, Replicator, Role};
 use crate::delta::Delta;
 use crate::error::ApplyError;
 use crate::message::{Claim, Message, DATAGRAM_BYTES, MAX_DELTAS, MAX_MESSAGE_BYTES};
@@ -15,29 +15,30 @@
 const DELTAS_OVERHEAD: usize = 128;
 
 /// A pull that waits for its answer.
-pub(super) struct Asked {
+pub(super) struct PendingPull {
     peer: Life,
     until: Nanos,
 }
 
-impl Spreader {
+impl Replicator {
     /// Tells a few random peers what is held, with the delta that led to it where it fits a datagram.
     pub(super) fn announce(&mut self, delta: Option<&Delta>) {
-        let claim = delta.map_or(self.held.claim(), |delta| Claim {
+        let claim = delta.map_or(self.verified.claim(), |delta| Claim {
             version: delta.to,
             digest: delta.digest,
         });
         let encoded = delta
             .map(Delta::encode)
             .filter(|bytes| bytes.len() + DELTAS_OVERHEAD <= DATAGRAM_BYTES);
-        let mut told: Vec<Life> =
-            Vec::with_capacity(self.rules.fan_out_near + self.rules.fan_out_far);
+        let mut told: Vec<Life> = Vec::with_capacity(
+            self.settings.same_region_fan_out + self.settings.other_region_fan_out,
+        );
         for (reach, count) in [
-            (Reach::Near, self.rules.fan_out_near),
-            (Reach::Far, self.rules.fan_out_far),
+            (Reach::Near, self.settings.same_region_fan_out),
+            (Reach::Far, self.settings.other_region_fan_out),
         ] {
             for _ in 0..count {
-                let drawn = self.peers.draw(&mut self.chance, &self.me, reach);
+                let drawn = self.peers.draw(&mut self.rng, &self.me, reach);
                 told.extend(drawn.filter(|peer| !told.contains(peer)));
             }
         }
@@ -53,72 +54,82 @@
     }
 
     pub(super) fn pull_where_due(&mut self, now: Nanos) {
-        let retries = self.retry_at.is_some_and(|at| at <= now);
-        if self.next_pull > now && !retries {
+        let retry_is_due = self.retry_at.is_some_and(|at| at <= now);
+        if self.next_pull > now && !retry_is_due {
             return;
         }
-        if retries {
+        if retry_is_due {
             self.retry_at = None;
         }
         if self.next_pull <= now {
             // A tenth more or less, so that processes that started together drift apart.
-            let tenth = (self.rules.pull_period / 10).max(1);
-            let scattered = self.rules.pull_period - tenth + self.chance.rand_range(0..2 * tenth);
+            let tenth = (self.settings.pull_period / 10).max(1);
+            let scattered = self.settings.pull_period - tenth + self.rng.rand_range(0..2 * tenth);
             self.next_pull = now.saturating_add(scattered);
         }
         // Every second one near: that is cheap and quick; the other one crosses what the first cannot.
-        let reach = if self.chance.rand_range(0..2) == 0 {
+        let reach = if self.rng.rand_range(0..2) == 0 {
             Reach::Near
         } else {
             Reach::Any
         };
-        if let Some(peer) = self.peers.draw(&mut self.chance, &self.me, reach) {
+        if let Some(peer) = self.peers.draw(&mut self.rng, &self.me, reach) {
             self.ask(now, &peer);
         }
     }
 
     /// Asks one peer what it has, unless an answer is awaited.
     pub(super) fn ask(&mut self, now: Nanos, peer: &Life) {
-        if self.asked.as_ref().is_some_and(|asked| asked.until > now) {
+        if self
+            .pending_pull
+            .as_ref()
+            .is_some_and(|pending_pull| pending_pull.until > now)
+        {
             return;
         }
-        let fetches = self.transfer.is_some();
-        let left = if fetches { 0 } else { self.fetching.left(now) };
-        let room = u32::try_from(left).unwrap_or(u32::MAX);
-        self.asked = Some(Asked {
+        let is_fetching = self.transfer.is_some();
+        let left = if is_fetching {
+            0
+        } else {
+            self.fetching.left(now)
+        };
+        let max_answer_bytes = u32::try_from(left).unwrap_or(u32::MAX);
+        self.pending_pull = Some(PendingPull {
             peer: peer.clone(),
-            until: now.saturating_add(self.rules.answer),
+            until: now.saturating_add(self.settings.answer),
         });
         let message = Message::Pull {
-            claim: self.held.claim(),
-            room,
+            claim: self.verified.claim(),
+            max_answer_bytes,
             whole: self.wants_whole,
         };
         self.send(peer, message);
     }
 
     /// Ends the wait for an answer, where this peer was asked.
-    pub(super) fn answered_by(&mut self, from: &Life) -> bool {
-        self.asked.take_if(|asked| asked.peer == *from).is_some()
+    pub(super) fn take_answer_from(&mut self, from: &Life) -> bool {
+        self.pending_pull
+            .take_if(|pending_pull| pending_pull.peer == *from)
+            .is_some()
     }
 
     /// Asks again soon, somebody at random.
     pub(super) fn retry(&mut self, now: Nanos) {
-        let wait = self.rules.retry + self.chance.rand_range(0..self.rules.retry.max(1));
+        let wait = self.settings.retry + self.rng.rand_range(0..self.settings.retry.max(1));
         let at = now.saturating_add(wait).max(self.fetching.ready_at());
         self.retry_at = Some(self.retry_at.map_or(at, |before| before.min(at)));
     }
 
     /// Takes note of what another holds.
-    pub(super) fn note(&mut self, now: Nanos, from: &Life, claim: Claim) {
-        let contradiction = self.held.contradiction(claim);
-        if let Some(held) = contradiction {
+    pub(super) fn observe_claim(&mut self, now: Nanos, from: &Life, claim: Claim) {
+        let contradiction = self.verified.contradiction(claim);
+        if let Some(verified) = contradiction {
             self.counts.conflicts += 1;
             if self.conflict.replace(claim) != Some(claim) {
                 let (version, other, from) = (claim.version, claim.digest, from.clone());
-                self.tell(Event::Conflict {
+                self.emit(Event::Conflict {
                     version,
-                    held,
+                    verified,
                     other,
                     from,
                 });
@@ -138,24 +149,24 @@
         let Role::Writer { epoch } = self.role else {
             return;
         };
-        let foreign =
-            claim.version.epoch == epoch && (contradicts || claim.version > self.held.version());
+        let foreign = claim.version.epoch == epoch
+            && (contradicts || claim.version > self.verified.version());
         if self.superseded.is_none() && (claim.version.epoch > epoch || foreign) {
             self.superseded = Some(claim);
             self.polling.stop();
-            self.tell(Event::Superseded { by: claim });
+            self.emit(Event::Superseded { by: claim });
         }
     }
 
-    pub(super) fn heard_announce(
+    pub(super) fn handle_announce(
         &mut self,
         now: Nanos,
         from: &Life,
         claim: Claim,
         delta: Option<Vec<u8>>,
     ) {
-        self.note(now, from, claim);
-        if claim.version <= self.held.version() {
+        self.observe_claim(now, from, claim);
+        if claim.version <= self.verified.version() {
             self.refuse_lower_epoch(from, claim);
             return;
         }
@@ -174,11 +185,11 @@
 
     /// Tells a writer, or whoever repeats it, that a higher epoch is in force.
     pub(super) fn refuse_lower_epoch(&mut self, to: &Life, claim: Claim) -> bool {
-        let lower = claim.version.epoch < self.held.version().epoch;
+        let lower = claim.version.epoch < self.verified.version().epoch;
         if lower {
             self.counts.lower_epochs += 1;
             let message = Message::Superseded {
-                by: self.held.claim(),
+                by: self.verified.claim(),
             };
             self.send(to, message);
         }
@@ -187,14 +198,14 @@
 
     /// The deltas that led on, this one and early ones that follow it.
     fn take_delta(&mut self, now: Nanos, from: &Life, delta: Delta) -> Vec<Arc<Delta>> {
-        match self.held.take(delta) {
-            Taken::Applied(deltas) => {
-                self.head_changed(now);
+        match self.verified.take(delta) {
+            DeltaOutcome::Applied(deltas) => {
+                self.handle_newer_head(now);
                 return deltas;
             }
-            Taken::Known => self.counts.repeats += 1,
-            Taken::Early => self.ask(now, from),
-            Taken::Unfit(error) => {
+            DeltaOutcome::Known => self.counts.repeats += 1,
+            DeltaOutcome::Early => self.ask(now, from),
+            DeltaOutcome::Unfit(error) => {
                 self.counts.unfit_deltas += 1;
                 self.wants_whole |= !matches!(error, ApplyError::WrongBase { .. });
                 self.ask(now, from);
@@ -204,42 +215,50 @@
     }
 
     /// What follows a newer head: the host gets it, and what was fetched for an older one ends.
-    pub(super) fn head_changed(&mut self, now: Nanos) {
+    pub(super) fn handle_newer_head(&mut self, now: Nanos) {
         self.wants_whole = false;
         self.newest_heard = self.newest_heard_or_held();
-        let held = self.held.version();
-        self.transfer.take_if(|transfer| transfer.version() <= held);
+        let verified = self.verified.version();
+        self.transfer
+            .take_if(|transfer| transfer.version() <= verified);
         self.offer(now);
     }
 
-    pub(super) fn heard_pull(
+    pub(super) fn handle_pull(
         &mut self,
         now: Nanos,
         from: &Life,
         claim: Claim,
-        room: u32,
+        max_answer_bytes: u32,
         whole: bool,
     ) {
-        self.note(now, from, claim);
-        let held = self.held.claim();
-        if claim.version > held.version {
+        self.observe_claim(now, from, claim);
+        let verified = self.verified.claim();
+        if claim.version > verified.version {
             self.ask(now, from);
-        } else if claim.version < held.version && room > 0 && self.serving.left(now) > 0 {
-            self.serve(now, from, claim, room, whole);
+        } else if claim.version < verified.version
+            && max_answer_bytes > 0
+            && self.serving.left(now) > 0
+        {
+            self.serve(now, from, claim, max_answer_bytes, whole);
             return;
         }
-        self.send(from, Message::Current { claim: held });
+        self.send(from, Message::Current { claim: verified });
     }
 
     /// Gives what leads on from there: deltas as far as there is room, else the manifest.
-    fn serve(&mut self, now: Nanos, to: &Life, claim: Claim, room: u32, whole: bool) {
-        let chain = if whole { None } else { self.held.since(claim) };
+    fn serve(&mut self, now: Nanos, to: &Life, claim: Claim, max_answer_bytes: u32, whole: bool) {
+        let chain = if whole {
+            None
+        } else {
+            self.verified.since(claim)
+        };
         let deltas = chain
-            .map(|chain| first_that_fit(&chain, room))
+            .map(|chain| first_that_fit(&chain, max_answer_bytes))
             .filter(|deltas| !deltas.is_empty());
         let message = match deltas {
             Some(deltas) => Message::Deltas {
-                claim: self.held.claim(),
+                claim: self.verified.claim(),
                 deltas,
             },
             None => self.manifest(),
@@ -259,10 +278,10 @@
         self.send(to, message);
     }
 
-    pub(super) fn heard_current(&mut self, now: Nanos, from: &Life, claim: Claim) {
-        self.note(now, from, claim);
-        let answered = self.answered_by(from);
-        if claim.version <= self.held.version() || self.transfer.is_some() {
+    pub(super) fn handle_current(&mut self, now: Nanos, from: &Life, claim: Claim) {
+        self.observe_claim(now, from, claim);
+        let answered = self.take_answer_from(from);
+        if claim.version <= self.verified.version() || self.transfer.is_some() {
             return;
         }
         if answered {
@@ -273,7 +292,7 @@
         }
     }
 
-    pub(super) fn heard_deltas(
+    pub(super) fn handle_deltas(
         &mut self,
         now: Nanos,
         from: &Life,
@@ -281,14 +300,14 @@
         deltas: &[Vec<u8>],
         bytes: usize,
     ) {
-        self.note(now, from, claim);
+        self.observe_claim(now, from, claim);
         self.fetching.spend(now, bytes);
-        let asked = self.answered_by(from);
+        let pending_pull = self.take_answer_from(from);
         // Whoever catches up on many versions tells of the last one alone: the others have them.
         if let Some(last) = self.take_deltas(now, from, deltas) {
             self.announce(Some(&last));
         }
-        if asked && claim.version > self.held.version() {
+        if pending_pull && claim.version > self.verified.version() {
             if self.fetching.left(now) > 0 {
                 self.ask(now, from);
             } else {
@@ -305,7 +324,7 @@
                 self.counts.unreadable += 1;
                 break;
             };
-            if delta.to <= self.held.version() {
+            if delta.to <= self.verified.version() {
                 continue;
             }
             let applied = self.take_delta(now, from, delta);
@@ -317,17 +336,17 @@
         last
     }
 
-    pub(super) fn heard_superseded(&mut self, now: Nanos, from: &Life, by: Claim) {
-        self.note(now, from, by);
-        if by.version > self.held.version() {
+    pub(super) fn handle_superseded(&mut self, now: Nanos, from: &Life, by: Claim) {
+        self.observe_claim(now, from, by);
+        if by.version > self.verified.version() {
             self.ask(now, from);
         }
     }
 }
 
 /// The first deltas that fit, encoded; one at least, unless it fits no message.
-fn first_that_fit(chain: &[Arc<Delta>], room: u32) -> Vec<Vec<u8>> {
-    let room = (room as usize).min(MAX_MESSAGE_BYTES / 2);
+fn first_that_fit(chain: &[Arc<Delta>], max_answer_bytes: u32) -> Vec<Vec<u8>> {
+    let max_answer_bytes = (max_answer_bytes as usize).min(MAX_MESSAGE_BYTES / 2);
     let mut used = 0;
     let mut encoded = Vec::new();
     for delta in chain.iter().take(MAX_DELTAS) {
@@ -336,7 +355,7 @@
         let fits = if encoded.is_empty() {
             used + DELTAS_OVERHEAD <= MAX_MESSAGE_BYTES
         } else {
-            used <= room
+            used <= max_answer_bytes
         };
         if !fits {
             break;
--- a/crates/configuration/src/spread/install.rs
+++ b/crates/configuration/src/replication/installation.rs
@@ -1,7 +1,7 @@
 //! Between what is held and what the host has in force.
 
-use super::{Effect, Event, Nanos, Spreader};
-use crate::message::{Claim, Standing};
+use super::{Effect, Event, Nanos, Replicator};
+use crate::message::{Claim, LagReason};
 use crate::snapshot::Snapshot;
 use crate::version::Version;
 
@@ -54,7 +54,7 @@
     }
 
     /// `None` where the claimed version or a newer one is in force.
-    pub(super) fn standing(&self, claim: Claim) -> Option<Standing> {
+    pub(super) fn lag_reason(&self, claim: Claim) -> Option<LagReason> {
         let version = self.version();
         if version > claim.version
             || (version == claim.version && self.in_force.digest() == claim.digest)
@@ -66,16 +66,16 @@
             .as_ref()
             .is_some_and(|rejected| rejected.version == claim.version);
         Some(match (version == claim.version, rejected) {
-            (true, _) => Standing::Differs,
-            (false, true) => Standing::Rejected,
-            (false, false) => Standing::Behind(version),
+            (true, _) => LagReason::Differs,
+            (false, true) => LagReason::Rejected,
+            (false, false) => LagReason::Behind(version),
         })
     }
 }
 
-impl Spreader {
+impl Replicator {
     /// The host has taken over the version that was offered last. Any other is passed over.
-    pub fn installed(&mut self, now: Nanos, version: Version) {
+    pub fn confirm_installed(&mut self, now: Nanos, version: Version) {
         let fits = |offered: &mut Snapshot| offered.version() == version;
         let Some(snapshot) = self.installation.offered.take_if(fits) else {
             return;
@@ -88,7 +88,7 @@
 
     /// The host cannot take over the version that was offered last. What was in force stays; the version is offered
     /// again with growing waits, as what stood in its way may be gone, or until a newer one takes its place.
-    pub fn rejected(&mut self, now: Nanos, version: Version, reason: &str) {
+    pub fn report_rejected(&mut self, now: Nanos, version: Version, reason: &str) {
         let fits = |offered: &mut Snapshot| offered.version() == version;
         if self.installation.offered.take_if(fits).is_none() {
             return;
@@ -100,9 +100,9 @@
             .is_some_and(|before| before.version == version);
         let wait = match self.installation.again {
             Some((_, wait)) if again => wait,
-            _ => self.rules.first_offer,
+            _ => self.settings.initial_offer_backoff,
         };
-        let doubled = wait.saturating_mul(2).min(self.rules.last_offer);
+        let doubled = wait.saturating_mul(2).min(self.settings.max_offer_backoff);
         self.installation.again = Some((now.saturating_add(wait), doubled));
         let rejection = Rejection {
             version,
@@ -110,12 +110,12 @@
         };
         self.installation.rejected = Some(rejection.clone());
         self.counts.rejected += 1;
-        self.tell(Event::Rejected(rejection));
+        self.emit(Event::Rejected(rejection));
     }
 
     /// Offers what is held to the host.
     pub(super) fn offer(&mut self, now: Nanos) {
-        let head = self.held.head().clone();
+        let head = self.verified.head().clone();
         self.behind_since.get_or_insert(now);
         self.installation.offered = Some(head.clone());
         self.effects
--- a/crates/configuration/src/spread/mod.rs
+++ b/crates/configuration/src/replication/mod.rs
@@ -7,11 +7,11 @@
 //! ([`transfer`]), within a budget of bytes, from any peer that holds the same version. The writer polls the names in
 //! disjoint intervals, each under a head that splits it on ([`acknowledge`]); nobody sends to all.
 //!
-//! **Held and in force.** What is *held* was verified by its digest and is passed on. What is *in force* was taken
-//! over by the host, which answers each [`Effect::Install`] with [`Spreader::installed`] or [`Spreader::rejected`].
+//! **VerifiedVersions and in force.** What is *held* was verified by its digest and is passed on. What is *in force* was taken
+//! over by the host, which answers each [`Effect::Install`] with [`Replicator::confirm_installed`] or [`Replicator::report_rejected`].
 //! Only what is in force is acknowledged. So a host that rejects a version neither hides it from others nor fetches it
 //! again, and a later version still finds its base. A sidecar stores nothing before it tells: an acknowledgement says
-//! *in force*, never *on disk*. The writer stores before it calls [`Spreader::published`].
+//! *in force*, never *on disk*. The writer stores before it calls [`Replicator::publish`].
 //!
 //! **What holds always**: versions held and in force never fall; a version is held only with the digest that its
 //! writer stated; of two contents of one version the first stays; nobody is counted twice in one round. **What holds
@@ -23,31 +23,32 @@
 //! membership; names that are behind by [`MAX_BEHIND`].
 //!
 //! # Guards taken out by hand
-//! See the tests in `tests/spread.rs`; its head lists which guard each of them was seen to miss.
+//! See `tests/replication.rs` of the package `havenplank-configuration-simulation`; its head lists which guard each test
+//! was seen to miss.
 
-mod acknowledge;
+mod acknowledgement;
 mod budget;
-mod glance;
 mod gossip;
-mod held;
-mod install;
+mod installation;
 mod peers;
 mod poll;
-mod rules;
+mod settings;
+mod status;
 mod transfer;
+mod verified;
 
-pub use self::acknowledge::BehindSince;
-pub use self::glance::{Counts, Glance, RoundGlance, TransferGlance, WriterGlance};
-pub use self::install::Rejection;
+pub use self::acknowledgement::BehindSince;
+pub use self::installation::Rejection;
 pub use self::peers::{region, Peer, Peers};
-pub use self::rules::Rules;
+pub use self::settings::ReplicationSettings;
+pub use self::status::{Counts, RoundStatus, Status, TransferStatus, WriterStatus};
 
-use self::acknowledge::Polling;
+use self::acknowledgement::Polling;
 use self::budget::Budget;
-use self::held::Held;
-use self::install::Installation;
+use self::installation::Installation;
 use self::poll::OpenPoll;
 use self::transfer::Transfer;
+use self::verified::VerifiedVersions;
 use crate::delta::Delta;
 use crate::digest::Digest;
 use crate::history::History;
@@ -78,7 +79,7 @@
 }
 
 /// What a process brings from before its start.
-pub struct Kept {
+pub struct CachedConfiguration {
     pub snapshot: Snapshot,
     /// Deltas that led to it, as far as they are kept.
     pub deltas: Vec<Arc<Delta>>,
@@ -91,7 +92,7 @@
         to: Life,
         message: Message,
     },
-    /// A whole new version; the host answers with [`Spreader::installed`] or [`Spreader::rejected`]. One that came
+    /// A whole new version; the host answers with [`Replicator::confirm_installed`] or [`Replicator::report_rejected`]. One that came
     /// before and was not answered yet is void.
     Install(Snapshot),
     Event(Event),
@@ -103,7 +104,7 @@
     /// Another process holds the same version with other records: two writers share an epoch.
     Conflict {
         version: Version,
-        held: Digest,
+        verified: Digest,
         other: Digest,
         from: Life,
     },
@@ -137,20 +138,20 @@
     NotWriter,
     #[error("version {} is in force elsewhere; another writer has taken over and this one publishes no more", by.version)]
     Superseded { by: Claim },
-    #[error("version {version} is not newer than {held}, which is held")]
-    NotNewer { version: Version, held: Version },
+    #[error("version {version} is not newer than {verified}, which is held")]
+    NotNewer { version: Version, verified: Version },
     #[error("version {version} is not of epoch {epoch}, which this writer has")]
     WrongEpoch { version: Version, epoch: u64 },
 }
 
-/// One process's part in the spread of configurations.
-pub struct Spreader {
+/// The part of one process in the replication of configurations.
+pub struct Replicator {
     me: Peer,
     role: Role,
-    rules: Rules,
-    chance: Rand64,
+    settings: ReplicationSettings,
+    rng: Rand64,
     peers: Peers,
-    held: Held,
+    verified: VerifiedVersions,
     installation: Installation,
     /// The newest version heard of, and since when it has not been in force here.
     newest_heard: Claim,
@@ -159,7 +160,7 @@
     superseded: Option<Claim>,
     /// The last contradiction that was told as an event.
     conflict: Option<Claim>,
-    asked: Option<gossip::Asked>,
+    pending_pull: Option<gossip::PendingPull>,
     next_pull: Nanos,
     /// When to ask again, where an answer was of no use or the budget was spent.
     retry_at: Option<Nanos>,
@@ -177,61 +178,73 @@
     effects: VecDeque<Effect>,
 }
 
-impl Spreader {
-    pub fn new(now: Nanos, seed: u64, me: Peer, role: Role, kept: Kept, rules: Rules) -> Spreader {
-        let mut history = History::new(rules.history_deltas, rules.history_bytes);
+impl Replicator {
+    pub fn new(
+        now: Nanos,
+        seed: u64,
+        me: Peer,
+        role: Role,
+        kept: CachedConfiguration,
+        settings: ReplicationSettings,
+    ) -> Replicator {
+        let mut history = History::new(settings.max_history_deltas, settings.max_history_bytes);
         kept.deltas
             .into_iter()
             .for_each(|delta| history.push(delta));
-        let held = Held::new(kept.snapshot.clone(), history);
+        let verified = VerifiedVersions::new(kept.snapshot.clone(), history);
         let starts_empty = kept.snapshot.version() == Version::NONE;
         let first = if starts_empty {
-            rules.fetch_start_bytes
+            settings.fetch_start_bytes
         } else {
-            rules.fetch_burst_bytes
+            settings.fetch_burst_bytes
         };
-        let mut chance = Rand64::new(u128::from(seed));
-        let next_pull = now.saturating_add(chance.rand_range(0..FIRST_PULL));
-        Spreader {
+        let mut rng = Rand64::new(u128::from(seed));
+        let next_pull = now.saturating_add(rng.rand_range(0..FIRST_PULL));
+        Replicator {
             me,
             role,
-            chance,
+            rng,
             peers: Peers::default(),
-            newest_heard: held.claim(),
-            held,
+            newest_heard: verified.claim(),
+            verified,
             installation: Installation::new(now, kept.snapshot),
             behind_since: None,
             superseded: None,
             conflict: None,
-            asked: None,
+            pending_pull: None,
             next_pull,
             retry_at: None,
             wants_whole: false,
-            fetching: Budget::new(now, rules.fetch_bytes_per_s, rules.fetch_burst_bytes, first),
+            fetching: Budget::new(
+                now,
+                settings.fetch_bytes_per_s,
+                settings.fetch_burst_bytes,
+                first,
+            ),
             serving: Budget::new(
                 now,
-                rules.serve_bytes_per_s,
-                rules.serve_burst_bytes,
-                rules.serve_burst_bytes,
+                settings.serve_bytes_per_s,
+                settings.serve_burst_bytes,
+                settings.serve_burst_bytes,
             ),
             transfer: None,
             polls: VecDeque::new(),
-            polling: Polling::new(now, role, &rules),
+            polling: Polling::new(now, role, &settings),
             heard_at: None,
             polled_at: None,
             counts: Counts::default(),
             effects: VecDeque::new(),
-            rules,
+            settings,
         }
     }
 
     /// Who lives, as the membership has it; this process may be among them.
-    pub fn peers(&mut self, peers: Peers) {
+    pub fn set_peers(&mut self, peers: Peers) {
         self.peers = peers;
     }
 
     /// What the host is to do next. It empties this after each call.
-    pub fn effect(&mut self) -> Option<Effect> {
+    pub fn next_effect(&mut self) -> Option<Effect> {
         self.effects.pop_front()
     }
 
@@ -239,7 +252,7 @@
     ///
     /// # Errors
     /// Why it is not passed on; nothing has changed then.
-    pub fn published(
+    pub fn publish(
         &mut self,
         now: Nanos,
         delta: Arc<Delta>,
@@ -251,25 +264,25 @@
         if let Some(by) = self.superseded {
             return Err(PublishError::Superseded { by });
         }
-        let (version, held) = (snapshot.version(), self.held.version());
+        let (version, verified) = (snapshot.version(), self.verified.version());
         if version.epoch != epoch {
             return Err(PublishError::WrongEpoch { version, epoch });
         }
-        if version <= held {
-            return Err(PublishError::NotNewer { version, held });
+        if version <= verified {
+            return Err(PublishError::NotNewer { version, verified });
         }
-        self.held.advance(snapshot.clone(), Arc::clone(&delta));
+        self.verified.advance(snapshot.clone(), Arc::clone(&delta));
         self.installation.replace(now, snapshot);
         self.transfer = None;
         self.wants_whole = false;
         self.behind_since = None;
         self.newest_heard = self.newest_heard_or_held();
-        self.polling.published(now, &self.rules);
+        self.polling.restart_schedule(now, &self.settings);
         self.announce(Some(&delta));
         Ok(())
     }
 
-    /// When [`Spreader::wake`] is due.
+    /// When [`Replicator::wake`] is due.
     pub fn next_wake(&self) -> Option<Nanos> {
         let transfer = self
             .transfer
@@ -296,29 +309,33 @@
     }
 
     /// Takes in a message. `bytes` is its encoded length.
-    pub fn heard(&mut self, now: Nanos, from: &Life, message: Message, bytes: usize) {
+    pub fn handle_message(&mut self, now: Nanos, from: &Life, message: Message, bytes: usize) {
         self.heard_at = Some(now);
         match message {
-            Message::Announce { claim, delta } => self.heard_announce(now, from, claim, delta),
-            Message::Pull { claim, room, whole } => self.heard_pull(now, from, claim, room, whole),
-            Message::Current { claim } => self.heard_current(now, from, claim),
+            Message::Announce { claim, delta } => self.handle_announce(now, from, claim, delta),
+            Message::Pull {
+                claim,
+                max_answer_bytes,
+                whole,
+            } => self.handle_pull(now, from, claim, max_answer_bytes, whole),
+            Message::Current { claim } => self.handle_current(now, from, claim),
             Message::Deltas { claim, deltas } => {
-                self.heard_deltas(now, from, claim, &deltas, bytes)
+                self.handle_deltas(now, from, claim, &deltas, bytes)
             }
-            Message::Manifest(manifest) => self.heard_manifest(now, from, manifest, bytes),
-            Message::Want { claim, buckets } => self.heard_want(now, from, claim, &buckets),
-            Message::Chunk(chunk) => self.heard_chunk(now, from, chunk, bytes),
+            Message::Manifest(manifest) => self.handle_manifest(now, from, manifest, bytes),
+            Message::Want { claim, buckets } => self.handle_want(now, from, claim, &buckets),
+            Message::Chunk(chunk) => self.handle_chunk(now, from, chunk, bytes),
             Message::Unavailable { wanted, claim } => {
-                self.heard_unavailable(now, from, wanted, claim)
+                self.handle_unavailable(now, from, wanted, claim)
             }
-            Message::Poll(poll) => self.heard_poll(now, from, poll),
-            Message::Report(report) => self.heard_report(now, from, report),
-            Message::Superseded { by } => self.heard_superseded(now, from, by),
+            Message::Poll(poll) => self.handle_poll(now, from, poll),
+            Message::Report(report) => self.handle_report(now, from, report),
+            Message::Superseded { by } => self.handle_superseded(now, from, by),
         }
     }
 
     /// Counts a message that could not be read.
-    pub fn unreadable(&mut self) {
+    pub fn count_unreadable(&mut self) {
         self.counts.unreadable += 1;
     }
 
@@ -329,14 +346,14 @@
         });
     }
 
-    fn tell(&mut self, event: Event) {
+    fn emit(&mut self, event: Event) {
         self.effects.push_back(Effect::Event(event));
     }
 
     fn newest_heard_or_held(&self) -> Claim {
-        let held = self.held.claim();
-        if held.version > self.newest_heard.version {
-            held
+        let verified = self.verified.claim();
+        if verified.version > self.newest_heard.version {
+            verified
         } else {
             self.newest_heard
         }
--- a/crates/configuration/src/spread/peers.rs
+++ b/crates/configuration/src/replication/peers.rs
@@ -54,13 +54,13 @@
     }
 
     /// A random peer other than `me`, of the wished reach where a few draws find one, else any.
-    pub fn draw(&self, chance: &mut Rand64, me: &Peer, reach: Reach) -> Option<Life> {
+    pub fn draw(&self, rng: &mut Rand64, me: &Peer, reach: Reach) -> Option<Life> {
         let mut fallback = None;
         if self.is_empty() {
             return None;
         }
         for _ in 0..DRAWS {
-            let peer = &self.0[chance.rand_range(0..self.len() as u64) as usize];
+            let peer = &self.0[rng.rand_range(0..self.len() as u64) as usize];
             if peer.life.name == me.life.name {
                 continue;
             }
--- a/crates/configuration/src/spread/poll.rs
+++ b/crates/configuration/src/replication/poll.rs
@@ -7,19 +7,19 @@
 use super::peers::Peers;
 use super::Nanos;
 use crate::interval::Part;
-use crate::message::{Poll, Report, Standing, Tally};
+use crate::message::{LagReason, Poll, Report, Tally};
 use havenplank_membership::wire::Life;
 use oorandom::Rand64;
 
 /// Heads tried for one interval: with 1% loss each way two would leave one of 1,600 silent in every second round.
 const ATTEMPTS: usize = 3;
-/// Kept back from the patience of a poll for the way there and back, at most half of it.
+/// CachedConfiguration back from the patience of a poll for the way there and back, at most half of it.
 const MARGIN_MS: u32 = 400;
 const MS: Nanos = 1_000_000;
 
 /// Why a report was not counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Uncounted {
+pub enum UncountedReason {
     /// Of an interval that was not asked for, or from somebody who was not asked.
     NotAsked,
     /// The interval was reported before.
@@ -51,14 +51,14 @@
         poll: Poll,
         parent: Option<Life>,
         own_name: &str,
-        own: Option<Standing>,
+        own: Option<LagReason>,
         peers: Peers,
         branches: usize,
     ) -> OpenPoll {
         let mut tally = Tally::default();
         match own {
             None => tally.add_having(),
-            Some(standing) => tally.add_behind(own_name, standing),
+            Some(lag_reason) => tally.add_behind(own_name, lag_reason),
         }
         let parts = poll
             .interval
@@ -70,8 +70,8 @@
             closed: false,
         };
         let children = parts.into_iter().map(child).collect();
-        let margin = MARGIN_MS.min(poll.patience_ms / 2);
-        let attempt_ms = (poll.patience_ms - margin) / ATTEMPTS as u32;
+        let margin = MARGIN_MS.min(poll.timeout_ms / 2);
+        let attempt_ms = (poll.timeout_ms - margin) / ATTEMPTS as u32;
         OpenPoll {
             parent,
             poll,
@@ -83,8 +83,8 @@
     }
 
     /// Asks the heads that are due, and gives up on intervals where all were silent.
-    pub fn due(&mut self, now: Nanos, chance: &mut Rand64) -> Vec<(Life, Poll)> {
-        let mut asked = Vec::new();
+    pub fn ask_due_heads(&mut self, now: Nanos, rng: &mut Rand64) -> Vec<(Life, Poll)> {
+        let mut requests = Vec::new();
         for child in self
             .children
             .iter_mut()
@@ -94,41 +94,41 @@
                 child.closed = true;
                 for place in child.part.names.clone() {
                     self.tally
-                        .add_behind(self.peers.name(place), Standing::Silent);
+                        .add_behind(self.peers.name(place), LagReason::Silent);
                 }
                 continue;
             }
-            let head = next_head(child, &self.peers, chance);
+            let head = next_head(child, &self.peers, rng);
             child.expires = now.saturating_add(u64::from(self.attempt_ms) * MS);
             child.heads.push(head.clone());
             let interval = child.part.interval.clone();
-            asked.push((
+            requests.push((
                 head,
                 Poll {
                     interval,
-                    patience_ms: self.attempt_ms,
+                    timeout_ms: self.attempt_ms,
                     ..self.poll.clone()
                 },
             ));
         }
-        asked
+        requests
     }
 
     /// Counts a report.
     ///
     /// # Errors
     /// Why it was not counted.
-    pub fn report(&mut self, from: &Life, report: Report) -> Result<(), Uncounted> {
-        let asked = |child: &&mut Child| {
+    pub fn report(&mut self, from: &Life, report: Report) -> Result<(), UncountedReason> {
+        let was_asked = |child: &&mut Child| {
             child.part.interval == report.interval && child.heads.contains(from)
         };
         let child = self
             .children
             .iter_mut()
-            .find(asked)
-            .ok_or(Uncounted::NotAsked)?;
+            .find(was_asked)
+            .ok_or(UncountedReason::NotAsked)?;
         if child.closed {
-            return Err(Uncounted::Closed);
+            return Err(UncountedReason::Closed);
         }
         child.closed = true;
         self.tally.add(report.tally);
@@ -143,7 +143,7 @@
             .min()
     }
 
-    pub fn finished(&self) -> bool {
+    pub fn is_finished(&self) -> bool {
         self.children.iter().all(|child| child.closed)
     }
 
@@ -168,9 +168,9 @@
 }
 
 /// A random peer of the interval, another one than before where there is one.
-fn next_head(child: &Child, peers: &Peers, chance: &mut Rand64) -> Life {
+fn next_head(child: &Child, peers: &Peers, rng: &mut Rand64) -> Life {
     let names = &child.part.names;
-    let drawn = names.start + chance.rand_range(0..names.len() as u64) as usize;
+    let drawn = names.start + rng.rand_range(0..names.len() as u64) as usize;
     let tried = child.heads.contains(peers.life(drawn));
     let following = if drawn + 1 < names.end {
         drawn + 1
--- a/crates/configuration/src/spread/glance.rs
+++ b/crates/configuration/src/replication/status.rs
@@ -1,8 +1,8 @@
 //! What a process knows of its configuration, for `GET /state` and logs.
 
-use super::acknowledge::BehindSince;
-use super::install::Rejection;
-use super::{Nanos, Role, Spreader};
+use super::acknowledgement::BehindSince;
+use super::installation::Rejection;
+use super::{Nanos, Replicator, Role};
 use crate::digest::Digest;
 use crate::message::Claim;
 use crate::version::Version;
@@ -29,30 +29,30 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Glance {
+pub struct Status {
     /// In force, with its digest and since when.
     pub version: Version,
     pub digest: Digest,
     pub in_force_since: Nanos,
     /// Verified and passed on.
-    pub held: Version,
+    pub verified: Version,
     pub newest_heard: Version,
     /// Since when a newer version is known to exist that is not in force here.
     pub behind_since: Option<Nanos>,
     pub rejected: Option<Rejection>,
     /// When any peer was last heard, and when a poll of the writer last came here. The writer polls everybody at least
-    /// once a [`Rules::last_poll`](super::Rules): who has heard none for longer is cut off from it, and what is in
+    /// once a [`ReplicationSettings::max_poll_interval`](super::ReplicationSettings): who has heard none for longer is cut off from it, and what is in
     /// force may be as old as that.
     pub heard_at: Option<Nanos>,
     pub polled_at: Option<Nanos>,
     pub peers: usize,
-    pub transfer: Option<TransferGlance>,
-    pub writer: Option<WriterGlance>,
+    pub transfer: Option<TransferStatus>,
+    pub writer: Option<WriterStatus>,
     pub counts: Counts,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct TransferGlance {
+pub struct TransferStatus {
     pub version: Version,
     pub source: String,
     pub missing_buckets: usize,
@@ -60,16 +60,16 @@
 
 /// What a writer knows beyond a sidecar.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct WriterGlance {
+pub struct WriterStatus {
     pub epoch: u64,
     /// It publishes no more.
     pub superseded: Option<Claim>,
     /// The last finished round.
-    pub round: Option<RoundGlance>,
+    pub round: Option<RoundStatus>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct RoundGlance {
+pub struct RoundStatus {
     pub version: Version,
     pub at: Nanos,
     pub have: u32,
@@ -78,19 +78,19 @@
     pub more: u32,
 }
 
-impl Spreader {
-    pub fn glance(&self) -> Glance {
+impl Replicator {
+    pub fn status(&self) -> Status {
         let in_force = self.installation.snapshot();
-        let transfer = self.transfer.as_ref().map(|transfer| TransferGlance {
+        let transfer = self.transfer.as_ref().map(|transfer| TransferStatus {
             version: transfer.version(),
             source: transfer.source().name.clone(),
             missing_buckets: transfer.missing(),
         });
-        Glance {
+        Status {
             version: in_force.version(),
             digest: in_force.digest(),
             in_force_since: self.installation.since,
-            held: self.held.version(),
+            verified: self.verified.version(),
             newest_heard: self.newest_heard.version,
             behind_since: self.behind_since,
             rejected: self.installation.rejected.clone(),
@@ -98,16 +98,16 @@
             polled_at: self.polled_at,
             peers: self.peers.len(),
             transfer,
-            writer: self.writer_glance(),
+            writer: self.writer_status(),
             counts: self.counts,
         }
     }
 
-    fn writer_glance(&self) -> Option<WriterGlance> {
+    fn writer_status(&self) -> Option<WriterStatus> {
         let Role::Writer { epoch } = self.role else {
             return None;
         };
-        Some(WriterGlance {
+        Some(WriterStatus {
             epoch,
             superseded: self.superseded,
             round: self.polling.last.clone(),
--- a/crates/configuration/src/spread/transfer.rs
+++ b/crates/configuration/src/replication/transfer.rs
@@ -2,7 +2,7 @@
 
 use super::budget::Budget;
 use super::peers::Reach;
-use super::{Event, Nanos, Spreader};
+use super::{Event, Nanos, Replicator};
 use crate::chunk::{chunk, Assembly, Chunk, Manifest};
 use crate::message::{Claim, Message};
 use crate::version::Version;
@@ -37,12 +37,12 @@
     }
 }
 
-impl Spreader {
+impl Replicator {
     pub(super) fn manifest(&self) -> Message {
-        Message::Manifest(Manifest::of(self.held.head()))
+        Message::Manifest(Manifest::of(self.verified.head()))
     }
 
-    pub(super) fn heard_manifest(
+    pub(super) fn handle_manifest(
         &mut self,
         now: Nanos,
         from: &Life,
@@ -53,16 +53,16 @@
             version: manifest.version,
             digest: manifest.digest,
         };
-        self.note(now, from, claim);
+        self.observe_claim(now, from, claim);
         self.fetching.spend(now, bytes);
-        let asked = self.answered_by(from);
-        if !asked || self.transfer.is_some() || claim.version <= self.held.version() {
+        let pending_pull = self.take_answer_from(from);
+        if !pending_pull || self.transfer.is_some() || claim.version <= self.verified.version() {
             return;
         }
-        match Assembly::new(self.held.head(), manifest) {
+        match Assembly::new(self.verified.head(), manifest) {
             Ok(assembly) => {
                 let missing = assembly.missing().len();
-                self.tell(Event::TransferBegan {
+                self.emit(Event::TransferBegan {
                     version: claim.version,
                     missing,
                 });
@@ -100,7 +100,7 @@
         let Some(transfer) = self.transfer.as_mut().filter(|_| left > 0) else {
             return;
         };
-        transfer.until = Some(now.saturating_add(self.rules.answer));
+        transfer.until = Some(now.saturating_add(self.settings.answer));
         let message = Message::Want {
             claim: transfer.claim,
             buckets: transfer.assembly.missing(),
@@ -128,15 +128,15 @@
             .filter(|snapshot| snapshot.digest() == claim.digest);
         let Some(snapshot) = whole else {
             self.counts.bad_chunks += 1;
-            self.tell(Event::TransferFailed {
+            self.emit(Event::TransferFailed {
                 version: claim.version,
             });
             self.retry(now);
             return;
         };
-        if self.held.replace(snapshot) {
-            self.head_changed(now);
-            self.tell(Event::TransferDone {
+        if self.verified.replace(snapshot) {
+            self.handle_newer_head(now);
+            self.emit(Event::TransferDone {
                 version: claim.version,
             });
             self.announce(None);
@@ -152,12 +152,12 @@
         };
         transfer.failures += 1;
         let version = transfer.version();
-        if transfer.failures > self.rules.transfer_failures {
-            self.tell(Event::TransferFailed { version });
+        if transfer.failures > self.settings.max_source_failures {
+            self.emit(Event::TransferFailed { version });
             self.retry(now);
             return;
         }
-        self.tell(Event::SourceChanged {
+        self.emit(Event::SourceChanged {
             version,
             from: transfer.source.clone(),
         });
@@ -166,7 +166,7 @@
         } else {
             Reach::Any
         };
-        if let Some(source) = self.peers.draw(&mut self.chance, &self.me, reach) {
+        if let Some(source) = self.peers.draw(&mut self.rng, &self.me, reach) {
             transfer.source = source;
         }
         transfer.until = None;
@@ -174,27 +174,27 @@
         self.want(now);
     }
 
-    pub(super) fn heard_want(&mut self, now: Nanos, from: &Life, claim: Claim, buckets: &[u16]) {
+    pub(super) fn handle_want(&mut self, now: Nanos, from: &Life, claim: Claim, buckets: &[u16]) {
         let allowed = self.serving.left(now) > 0;
         let found = self
-            .held
+            .verified
             .snapshot(claim)
             .filter(|_| allowed)
-            .and_then(|held| chunk(held, buckets));
-        let held = self.held.claim();
+            .and_then(|verified| chunk(verified, buckets));
+        let verified = self.verified.claim();
         match found {
             Some(chunk) => self.send_served(now, from, Message::Chunk(chunk)),
             None => self.send(
                 from,
                 Message::Unavailable {
                     wanted: claim.version,
-                    claim: held,
+                    claim: verified,
                 },
             ),
         }
     }
 
-    pub(super) fn heard_chunk(&mut self, now: Nanos, from: &Life, chunk: Chunk, bytes: usize) {
+    pub(super) fn handle_chunk(&mut self, now: Nanos, from: &Life, chunk: Chunk, bytes: usize) {
         self.fetching.spend(now, bytes);
         let fits = |transfer: &&mut Transfer| {
             transfer.source == *from && transfer.version() == chunk.version
@@ -213,14 +213,14 @@
         self.finish_or_fetch(now);
     }
 
-    pub(super) fn heard_unavailable(
+    pub(super) fn handle_unavailable(
         &mut self,
         now: Nanos,
         from: &Life,
         wanted: Version,
         claim: Claim,
     ) {
-        self.note(now, from, claim);
+        self.observe_claim(now, from, claim);
         let fits = |transfer: &Transfer| transfer.source == *from && transfer.version() == wanted;
         if self.transfer.as_ref().is_some_and(fits) {
             self.change_source(now);
--- a/crates/configuration/src/spread/held.rs
+++ b/crates/configuration/src/replication/verified.rs
@@ -17,7 +17,7 @@
 
 /// What became of a delta.
 #[derive(Debug)]
-pub enum Taken {
+pub enum DeltaOutcome {
     /// It and early ones that follow it were applied, in this order.
     Applied(Vec<Arc<Delta>>),
     /// It leads to nothing newer.
@@ -28,7 +28,7 @@
     Unfit(ApplyError),
 }
 
-pub struct Held {
+pub struct VerifiedVersions {
     head: Snapshot,
     /// The newest last, `head` among them; [`RECENT`] at most.
     recent: VecDeque<Snapshot>,
@@ -37,10 +37,10 @@
     early: BTreeMap<Version, Arc<Delta>>,
 }
 
-impl Held {
-    pub fn new(head: Snapshot, history: History) -> Held {
+impl VerifiedVersions {
+    pub fn new(head: Snapshot, history: History) -> VerifiedVersions {
         let recent = VecDeque::from([head.clone()]);
-        Held {
+        VerifiedVersions {
             head,
             recent,
             history,
@@ -75,8 +75,9 @@
 
     /// The recent snapshot of exactly this version and digest.
     pub fn snapshot(&self, claim: Claim) -> Option<&Snapshot> {
-        let fits =
-            |held: &&Snapshot| held.version() == claim.version && held.digest() == claim.digest;
+        let fits = |verified: &&Snapshot| {
+            verified.version() == claim.version && verified.digest() == claim.digest
+        };
         self.recent.iter().rev().find(fits)
     }
 
@@ -89,28 +90,28 @@
     }
 
     /// Applies a delta, and early ones that follow it.
-    pub fn take(&mut self, delta: Delta) -> Taken {
+    pub fn take(&mut self, delta: Delta) -> DeltaOutcome {
         if delta.to <= self.version() {
-            return Taken::Known;
+            return DeltaOutcome::Known;
         }
         if delta.from > self.version() {
             if self.early.len() < EARLY {
                 self.early.entry(delta.from).or_insert(Arc::new(delta));
             }
-            return Taken::Early;
+            return DeltaOutcome::Early;
         }
         let mut applied = Vec::new();
         let mut next = Some(Arc::new(delta));
         while let Some(delta) = next {
             match self.head.apply(&delta) {
                 Ok(snapshot) => self.advance(snapshot, Arc::clone(&delta)),
-                Err(error) if applied.is_empty() => return Taken::Unfit(error),
+                Err(error) if applied.is_empty() => return DeltaOutcome::Unfit(error),
                 Err(_) => break,
             }
             applied.push(delta);
             next = self.early.remove(&self.version());
         }
-        Taken::Applied(applied)
+        DeltaOutcome::Applied(applied)
     }
 
     /// Takes over a delta whose result is known.
--- a/crates/configuration/tests/compile.rs
+++ b/crates/configuration/tests/compile.rs
@@ -1,7 +1,8 @@
 //! Operators' scripts, good and bad, and what is said of them.
 
+use havenplank::interface::{DedupScope, Idempotency};
 use havenplank_configuration::compile::compile;
-use havenplank_configuration::record::{IdempotencyScope, RecordKind, RequestKind, TenantLimits};
+use havenplank_configuration::record::{RecordKind, TenantLimits};
 use havenplank_configuration::snapshot::Snapshot;
 use havenplank_configuration::version::Version;
 use havenplank_settings::{Given, Problem, Problems};
@@ -47,13 +48,13 @@
     );
     let query = snapshot.route("query").expect("a route");
     assert_eq!(
-        (query.methods.as_slice(), query.rules.kind),
-        (&["GET".to_string()][..], RequestKind::Idempotent)
+        (query.methods.as_slice(), query.rules.idempotency),
+        (&["GET".to_string()][..], Idempotency::Idempotent)
     );
     let write = snapshot.route("write").expect("a route");
     assert_eq!(
-        (write.rules.scope, write.rules.priority_weight),
-        (IdempotencyScope::Zone, 5.0)
+        (write.rules.dedup_scope, write.rules.priority_weight),
+        (DedupScope::Zone, 5.0)
     );
     let limits = |name: &str| snapshot.tenant(name).expect("a tenant").limits;
     let of = |requests_per_s, in_flight| TenantLimits {
--- a/crates/configuration/tests/data.rs
+++ b/crates/configuration/tests/data.rs
@@ -3,14 +3,14 @@
 mod common;
 
 use common::tenant;
+use havenplank::interface::{DedupScope, Idempotency};
 use havenplank_configuration::chunk::{chunk, Assembly, Chunk, Manifest, CHUNK_BYTES};
 use havenplank_configuration::delta::{Change, Delta};
 use havenplank_configuration::digest::Digest;
 use havenplank_configuration::error::{ApplyError, ChunkError, DecodeError};
 use havenplank_configuration::history::History;
 use havenplank_configuration::record::{
-    BackupMode, IdempotencyScope, Record, RecordKey, RecordKind, RequestKind, RequestRules, Route,
-    Service,
+    BackupMode, Record, RecordKey, RecordKind, RequestRules, Route, Service,
 };
 use havenplank_configuration::snapshot::Snapshot;
 use havenplank_configuration::version::Version;
@@ -36,10 +36,10 @@
 
 fn route(name: &str, path: &str, priority_weight: f64) -> Record {
     let rules = RequestRules {
-        kind: RequestKind::Idempotent,
-        scope: IdempotencyScope::All,
-        idempotency_window: 0,
-        latency_target: 100_000_000,
+        idempotency: Idempotency::Idempotent,
+        dedup_scope: DedupScope::All,
+        dedup_window: 0,
+        latency_objective: 100_000_000,
         deadline: 2_000_000_000,
         priority_weight,
         late_weight: 0.5,
--- a/crates/configuration/tests/stored.rs
+++ b/crates/configuration/tests/stored.rs
@@ -1,16 +1,17 @@
 //! Stores and messages of the release build of 0.2.0, made before any name in the code changed, are read and written the
 //! same.
 
+use havenplank::interface::{DedupScope, Idempotency};
 use havenplank_configuration::chunk::{chunk, Chunk, Manifest};
 use havenplank_configuration::compile::compile;
 use havenplank_configuration::delta::{Change, Delta};
 use havenplank_configuration::digest::Digest;
 use havenplank_configuration::interval::Interval;
 use havenplank_configuration::message::{
-    Claim, Message, PeerBehind, Poll, Report, Standing, Tally, MAX_MESSAGE_BYTES,
+    Claim, LagReason, Message, PeerBehind, Poll, Report, Tally, MAX_MESSAGE_BYTES,
 };
 use havenplank_configuration::record::{
-    BackupMode, IdempotencyScope, Record, RecordKind, RequestKind, RequestRules, TenantLimits,
+    BackupMode, Record, RecordKind, RequestRules, TenantLimits,
 };
 use havenplank_configuration::snapshot::Snapshot;
 use havenplank_configuration::store::{Opened, Store};
@@ -91,10 +92,10 @@
         )
     );
     let rules = RequestRules {
-        kind: RequestKind::Idempotent,
-        scope: IdempotencyScope::All,
-        idempotency_window: 0,
-        latency_target: 300 * MS,
+        idempotency: Idempotency::Idempotent,
+        dedup_scope: DedupScope::All,
+        dedup_window: 0,
+        latency_objective: 300 * MS,
         deadline: 2_000 * MS,
         priority_weight: 2.5,
         late_weight: 0.25,
@@ -104,13 +105,13 @@
     assert_eq!(query.rules, rules);
     let reindex = snapshot.route("reindex").expect("a route").rules;
     assert_eq!(
-        (reindex.kind, reindex.scope),
-        (RequestKind::Keyed, IdempotencyScope::Zone)
+        (reindex.idempotency, reindex.dedup_scope),
+        (Idempotency::Keyed, DedupScope::Zone)
     );
-    assert_eq!(reindex.idempotency_window, 30_000 * MS);
+    assert_eq!(reindex.dedup_window, 30_000 * MS);
     assert_eq!(
-        snapshot.route("rename").expect("a route").rules.kind,
-        RequestKind::NonIdempotent
+        snapshot.route("rename").expect("a route").rules.idempotency,
+        Idempotency::NonIdempotent
     );
 }
 
@@ -171,10 +172,10 @@
     }
 }
 
-fn behind(name: &str, standing: Standing) -> PeerBehind {
+fn behind(name: &str, lag_reason: LagReason) -> PeerBehind {
     PeerBehind {
         name: name.to_string(),
-        standing,
+        lag_reason,
     }
 }
 
@@ -186,14 +187,14 @@
         behind: vec![
             behind(
                 "s-1",
-                Standing::Behind(Version {
+                LagReason::Behind(Version {
                     epoch: 1,
                     number: 3,
                 }),
             ),
-            behind("s-2", Standing::Differs),
-            behind("s-3", Standing::Rejected),
-            behind("s-31", Standing::Silent),
+            behind("s-2", LagReason::Differs),
+            behind("s-3", LagReason::Rejected),
+            behind("s-31", LagReason::Silent),
         ],
         more: 2,
     }
@@ -225,7 +226,7 @@
         round: 300,
         claim: claim(7),
         interval: interval(),
-        patience_ms: 2_500,
+        timeout_ms: 2_500,
     };
     let report = Report {
         round: 300,
@@ -255,7 +256,7 @@
             "pull",
             Message::Pull {
                 claim: claim(6),
-                room: 8_000,
+                max_answer_bytes: 8_000,
                 whole: true,
             },
         ),
--- a/crates/configuration/tests/unit/message.rs
+++ b/crates/configuration/tests/unit/message.rs
@@ -31,7 +31,7 @@
 fn what_is_encoded_is_read_back_and_what_is_out_of_bounds_is_refused() {
     let mut tally = Tally::default();
     tally.add_having();
-    tally.add_behind("c", Standing::Silent);
+    tally.add_behind("c", LagReason::Silent);
     let good = [
         Message::Announce {
             claim: claim(),
@@ -93,7 +93,7 @@
     }
     let outside = PeerBehind {
         name: "d".into(),
-        standing: Standing::Silent,
+        lag_reason: LagReason::Silent,
     };
     let read = Message::decode(
         &report(Tally {
--- a/crates/configuration/tests/unit/poll.rs
+++ b/crates/configuration/tests/unit/poll.rs
@@ -34,7 +34,7 @@
         round: 1,
         claim,
         interval: Interval::all(),
-        patience_ms: 8_000,
+        timeout_ms: 8_000,
     };
     OpenPoll::new(poll, None, "s-000", None, peers(count), 4)
 }
@@ -55,16 +55,16 @@
 
 #[test]
 fn a_silent_head_is_replaced_and_the_second_report_of_an_interval_is_not_counted() {
-    let mut chance = Rand64::new(1);
+    let mut rng = Rand64::new(1);
     let mut open = root(41);
-    let asked = open.due(0, &mut chance);
+    let asked = open.ask_due_heads(0, &mut rng);
     assert_eq!(asked.len(), 4);
     for (head, poll) in &asked[1..] {
         open.report(head, answer(poll, 10)).unwrap();
     }
     let expires = open.next_wake().unwrap();
-    assert!(open.due(expires - 1, &mut chance).is_empty());
-    let again = open.due(expires, &mut chance);
+    assert!(open.ask_due_heads(expires - 1, &mut rng).is_empty());
+    let again = open.ask_due_heads(expires, &mut rng);
     assert_eq!(again.len(), 1);
     let ((first, poll), (second, same)) = (&asked[0], &again[0]);
     assert_ne!(first, second);
@@ -76,24 +76,24 @@
     };
     assert_eq!(
         open.report(&stranger, answer(poll, 10)),
-        Err(Uncounted::NotAsked)
+        Err(UncountedReason::NotAsked)
     );
     assert_eq!(open.report(first, answer(poll, 10)), Ok(()));
     assert_eq!(
         open.report(second, answer(same, 10)),
-        Err(Uncounted::Closed)
+        Err(UncountedReason::Closed)
     );
-    assert!(open.finished());
+    assert!(open.is_finished());
     assert_eq!((open.tally().have, open.tally().of), (41, 41));
 }
 
 #[test]
 fn who_never_answers_is_reported_as_silent_by_name_up_to_a_bound() {
-    let mut chance = Rand64::new(1);
+    let mut rng = Rand64::new(1);
     let mut open = root(41);
-    open.due(0, &mut chance);
+    open.ask_due_heads(0, &mut rng);
     while let Some(wake) = open.next_wake() {
-        open.due(wake, &mut chance);
+        open.ask_due_heads(wake, &mut rng);
     }
     let tally = open.tally();
     assert_eq!(
@@ -103,5 +103,5 @@
     assert!(tally
         .behind
         .iter()
-        .all(|peer| peer.standing == Standing::Silent));
+        .all(|peer| peer.lag_reason == LagReason::Silent));
 }
--- a/crates/sidecar/src/configuration.rs
+++ b/crates/sidecar/src/configuration.rs
@@ -8,8 +8,10 @@
 use havenplank::interface::RouteClass;
 use havenplank_configuration::delta::Delta;
 use havenplank_configuration::record::BackupMode;
+use havenplank_configuration::replication::{
+    CachedConfiguration, Peer, ReplicationSettings, Replicator, Role,
+};
 use havenplank_configuration::snapshot::Snapshot;
-use havenplank_configuration::spread::{Kept as Held, Peer, Role, Rules, Spreader};
 use havenplank_configuration::store::{Opened, Store, StoreError};
 use havenplank_settings::Site;
 use serde_json::Value;
@@ -88,12 +90,12 @@
         life: fellowship.me().clone(),
         zone,
     };
-    let rules = Rules {
+    let rules = ReplicationSettings {
         fetch_bytes_per_s: settings.fetch_bytes_per_s,
         serve_bytes_per_s: settings.serve_bytes_per_s,
-        ..Rules::default()
+        ..ReplicationSettings::default()
     };
-    let spreader = Spreader::new(
+    let spreader = Replicator::new(
         fellowship.now(),
         seed ^ me.life.life,
         me,
@@ -114,13 +116,13 @@
 
 /// Puts the kept version in force; an empty one where that is not possible any more, so that it is fetched and offered
 /// again.
-fn begin(shell: &Rc<Shell>, kept: &Kept) -> Held {
+fn begin(shell: &Rc<Shell>, kept: &Kept) -> CachedConfiguration {
     let snapshot = kept.store.snapshot().clone();
     let version = snapshot.version();
     match install(shell, &snapshot) {
         Ok(()) => {
             tracing::info!(%version, digest = %snapshot.digest(), "kept configuration in force");
-            Held {
+            CachedConfiguration {
                 snapshot,
                 deltas: kept.deltas.clone(),
             }
@@ -131,7 +133,7 @@
             if let Err(reason) = install(shell, &empty) {
                 tracing::error!(%reason, "no configuration");
             }
-            Held {
+            CachedConfiguration {
                 snapshot: empty,
                 deltas: Vec::new(),
             }
--- a/crates/sidecar/src/distributor.rs
+++ b/crates/sidecar/src/distributor.rs
@@ -7,10 +7,10 @@
 use bytes::Bytes;
 use havenplank_configuration::compile::compile;
 use havenplank_configuration::delta::Delta;
-use havenplank_configuration::snapshot::Snapshot;
-use havenplank_configuration::spread::{
-    Kept, Peer, PublishError, Role, RoundGlance, Rules, Spreader,
+use havenplank_configuration::replication::{
+    CachedConfiguration, Peer, PublishError, ReplicationSettings, Replicator, Role, RoundStatus,
 };
+use havenplank_configuration::snapshot::Snapshot;
 use havenplank_configuration::store::{Opened, Store, StoreError};
 use havenplank_configuration::version::Version;
 use havenplank_settings::{Fellowship as Membership, Given, Problems, DISTRIBUTOR_ZONE};
@@ -128,7 +128,7 @@
     store: Store,
     epoch: u64,
     spreading: Rc<Spreading<Newest>>,
-    last_round: Option<RoundGlance>,
+    last_round: Option<RoundStatus>,
     /// The newest version of peers that is ahead of the store, once that was logged.
     ahead: Option<Version>,
 }
@@ -171,7 +171,7 @@
         EpochChoice::ReplaceWriter => Role::Sidecar,
         EpochChoice::AsStored | EpochChoice::Number(_) => Role::Writer { epoch },
     };
-    let kept = Kept {
+    let kept = CachedConfiguration {
         snapshot: store.snapshot().clone(),
         deltas,
     };
@@ -208,13 +208,20 @@
     Ok(())
 }
 
-fn spreader(fellowship: &Fellowship, role: Role, kept: Kept) -> Spreader {
+fn spreader(fellowship: &Fellowship, role: Role, kept: CachedConfiguration) -> Replicator {
     let me = Peer {
         life: fellowship.me().clone(),
         zone: DISTRIBUTOR_ZONE.to_string(),
     };
     let seed = me.life.life;
-    Spreader::new(fellowship.now(), seed, me, role, kept, Rules::default())
+    Replicator::new(
+        fellowship.now(),
+        seed,
+        me,
+        role,
+        kept,
+        ReplicationSettings::default(),
+    )
 }
 
 impl Distributor {
@@ -231,7 +238,7 @@
         let snapshot = self.store.snapshot().clone();
         self.epoch = snapshot.version().epoch.saturating_add(1);
         tracing::info!(epoch = self.epoch, after = %snapshot.version(), "replaces the writer");
-        let kept = Kept {
+        let kept = CachedConfiguration {
             snapshot,
             deltas: Vec::new(),
         };
@@ -292,7 +299,7 @@
         let snapshot = self.store.append(&delta)?.clone();
         tracing::info!(version = %to, digest = %snapshot.digest(), changes, "stored");
         self.spreading
-            .call(|spreader, now| spreader.published(now, Arc::new(delta), snapshot))?;
+            .call(|spreader, now| spreader.publish(now, Arc::new(delta), snapshot))?;
         tracing::info!(version = %to, "published");
         Ok(())
     }
--- a/crates/sidecar/src/spreading.rs
+++ b/crates/sidecar/src/spreading.rs
@@ -1,10 +1,12 @@
-//! The messages and the time around a [`Spreader`]: it talks on the sockets that peers have for each other, and hears from
+//! The messages and the time around a [`Replicator`]: it talks on the sockets that peers have for each other, and hears from
 //! the membership who lives.
 
 use crate::fellowship::Fellowship;
 use havenplank_configuration::message::Message;
+use havenplank_configuration::replication::{
+    Effect, Event, Nanos, Peer, Peers, Replicator, Status,
+};
 use havenplank_configuration::snapshot::Snapshot;
-use havenplank_configuration::spread::{Effect, Event, Glance, Nanos, Peer, Peers, Spreader};
 use havenplank_membership::swim::News;
 use havenplank_membership::wire::Life;
 use serde_json::{json, Value};
@@ -35,7 +37,7 @@
 
 pub struct Spreading<H> {
     fellowship: Rc<Fellowship>,
-    spreader: RefCell<Spreader>,
+    spreader: RefCell<Replicator>,
     host: H,
     period: Duration,
     rearm: Notify,
@@ -46,7 +48,7 @@
     /// membership once a period.
     pub fn start(
         fellowship: &Rc<Fellowship>,
-        spreader: Spreader,
+        spreader: Replicator,
         host: H,
         period: Duration,
     ) -> Rc<Spreading<H>> {
@@ -68,15 +70,15 @@
     }
 
     /// One call on the spreader, then all that it left to do.
-    pub fn call<T>(&self, work: impl FnOnce(&mut Spreader, Nanos) -> T) -> T {
+    pub fn call<T>(&self, work: impl FnOnce(&mut Replicator, Nanos) -> T) -> T {
         let done = work(&mut self.spreader.borrow_mut(), self.fellowship.now());
         self.carry_out();
         done
     }
 
     /// Goes on in another role; what the one before had left to do is dropped.
-    pub fn replace_spreader(&self, mut spreader: Spreader) {
-        spreader.peers(self.living());
+    pub fn replace_spreader(&self, mut spreader: Replicator) {
+        spreader.set_peers(self.living());
         self.spreader.replace(spreader);
         self.rearm.notify_one();
     }
@@ -89,8 +91,8 @@
         Peers::new(self.fellowship.living(|others| others.map(peer).collect()))
     }
 
-    pub fn glance(&self) -> Glance {
-        self.spreader.borrow().glance()
+    pub fn glance(&self) -> Status {
+        self.spreader.borrow().status()
     }
 
     pub fn host(&self) -> &H {
@@ -100,11 +102,11 @@
     fn heard(&self, from: &Life, body: &[u8]) {
         match Message::decode(body) {
             Ok(message) => {
-                self.call(|spreader, now| spreader.heard(now, from, message, body.len()))
+                self.call(|spreader, now| spreader.handle_message(now, from, message, body.len()))
             }
             Err(error) => {
                 tracing::debug!(peer = from.name, %error, "message on the configuration passed over");
-                self.spreader.borrow_mut().unreadable();
+                self.spreader.borrow_mut().count_unreadable();
             }
         }
         self.rearm.notify_one();
@@ -126,14 +128,14 @@
     async fn follow_membership(self: Rc<Self>) {
         loop {
             let peers = self.living();
-            self.spreader.borrow_mut().peers(peers);
+            self.spreader.borrow_mut().set_peers(peers);
             sleep(self.period).await;
         }
     }
 
     fn carry_out(&self) {
         loop {
-            let effect = self.spreader.borrow_mut().effect();
+            let effect = self.spreader.borrow_mut().next_effect();
             match effect {
                 None => break,
                 Some(Effect::Send { to, message }) => match message.encode() {
@@ -152,12 +154,13 @@
         match self.host.install(snapshot) {
             Ok(()) => {
                 tracing::info!(%version, digest = %snapshot.digest(), "configuration in force");
-                self.spreader.borrow_mut().installed(now, version);
+                self.spreader.borrow_mut().confirm_installed(now, version);
+            }
+            Err(reason) => {
+                self.spreader
+                    .borrow_mut()
+                    .report_rejected(now, version, &reason.to_string())
             }
-            Err(reason) => self
-                .spreader
-                .borrow_mut()
-                .rejected(now, version, &reason.to_string()),
         }
     }
 
@@ -179,7 +182,7 @@
             "version": glance.version.to_string(),
             "digest": glance.digest.to_string(),
             "age_ms": age_ms(glance.in_force_since),
-            "held": glance.held.to_string(),
+            "held": glance.verified.to_string(),
             "newest_heard": glance.newest_heard.to_string(),
             "behind_ms": glance.behind_since.map(age_ms),
             "rejected": rejected,
@@ -205,7 +208,7 @@
         let round = writer.round.map(|round| {
             let behind = round.behind.iter().map(|peer| {
                 json!({
-                    "name": peer.name, "standing": format!("{:?}", peer.standing), "for_ms": age_ms(peer.since),
+                    "name": peer.name, "standing": format!("{:?}", peer.lag_reason), "for_ms": age_ms(peer.since),
                 })
             });
             json!({
@@ -222,11 +225,11 @@
     match event {
         Event::Conflict {
             version,
-            held,
+            verified,
             other,
             from,
         } => tracing::error!(
-            %version, %held, %other, peer = from.name,
+            %version, held = %verified, %other, peer = from.name,
             "two contents of one configuration version: two distributors share an epoch"
         ),
         Event::Superseded { by } => {
--- a/crates/sidecar/tests/routes.rs
+++ b/crates/sidecar/tests/routes.rs
@@ -2,7 +2,7 @@
 
 use havenplank::interface::{AttemptEnd, DedupScope, Idempotency, Nanos, PodState, RouteClass};
 use havenplank_configuration::record::{
-    BackupMode, Record, RequestKind, RequestRules, Route, Tenant, TenantLimits,
+    BackupMode, Record, RequestRules, Route, Tenant, TenantLimits,
 };
 use havenplank_configuration::snapshot::Snapshot;
 use havenplank_configuration::version::Version;
@@ -45,10 +45,10 @@
 }
 
 /// A route named by its only pattern.
-fn route(pattern: &str, kind: RequestKind) -> Record {
+fn route(pattern: &str, idempotency: Idempotency) -> Record {
     let rules = RequestRules {
-        kind,
-        ..RequestRules::from_path_group(&rules(S), BackupMode::Off)
+        idempotency,
+        ..RequestRules::from_route_class(&rules(S), BackupMode::Off)
     };
     let (service, paths) = ("search".to_string(), vec![pattern.to_string()]);
     Record::from(Route {
@@ -126,7 +126,7 @@
         paths in proptest::collection::vec("/[ab/]{0,6}", 1..12),
     ) {
         let patterns: Vec<String> = patterns.into_iter().collect();
-        let mut records: Vec<Record> = patterns.iter().map(|pattern| route(pattern, RequestKind::Idempotent)).collect();
+        let mut records: Vec<Record> = patterns.iter().map(|pattern| route(pattern, Idempotency::Idempotent)).collect();
         records.rotate_left(rotated % patterns.len().max(1));
         let snapshot = snapshot(1, records);
         let groups = routes_of(&snapshot);
@@ -369,7 +369,7 @@
         name: "t".to_string(),
         limits: TenantLimits::default(),
     };
-    let records = vec![route("/a", RequestKind::Keyed), Record::from(tenant)];
+    let records = vec![route("/a", Idempotency::Keyed), Record::from(tenant)];
     let (first, empty) = (snapshot(1, records), Snapshot::empty());
     let groups = routes_of(&first);
     assert_eq!(groups[0].rules.idempotency, Idempotency::Keyed);
