--- a/src/logic.rs
+++ b/src/logic.rs
@@ -200,6 +200,16 @@
     }
 }
 
+/// The word for a vote in the log. Recorded traces hold this line and a replay compares it, so it stays.
+fn logged_word(vote: Vote) -> &'static str {
+    match vote {
+        Vote::None => "None",
+        Vote::Advance => "On",
+        Vote::Hold => "Hold",
+        Vote::RollBack => "Back",
+    }
+}
+
 impl Voter {
     const ON_AFTER: Nanos = 3 * S;
     const ON_AFTER_THIN: Nanos = 6 * S;
@@ -694,7 +704,8 @@
             sums,
         ) = (stage, self.sums());
         host.log(&format!(
-            "vote {voice:?} build {build} stage {number} sums {sums:.2?}"
+            "vote {} build {build} stage {number} sums {sums:.2?}",
+            logged_word(voice)
         ));
         let then = move |router: &mut Router, host: &mut dyn Host, news: VoteReply| {
             router.voter.calling = false;
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -54,6 +54,16 @@
     }
 }
 
+/// The word that the cases use for a vote.
+fn vote_word(vote: Vote) -> &'static str {
+    match vote {
+        Vote::None => "none",
+        Vote::Advance => "on",
+        Vote::Hold => "hold",
+        Vote::RollBack => "back",
+    }
+}
+
 impl Host for Stand {
     fn now(&self) -> Nanos {
         self.now
@@ -112,12 +122,10 @@
         self.finish(hit, "errored");
     }
     fn cast_vote(&mut self, _: Build, _: usize, voice: Vote, then: Callback<VoteReply>) {
-        self.count(format!("votes:{voice:?}").to_lowercase());
+        let word = vote_word(voice);
+        self.count(format!("votes:{word}"));
         let last = self.now as f64 / 1e9;
-        let first = self
-            .counts
-            .entry(format!("first:{voice:?}").to_lowercase())
-            .or_insert(last);
+        let first = self.counts.entry(format!("first:{word}")).or_insert(last);
         let gap = last - *first;
         self.counts.insert("vote_gap".into(), gap);
         let heard = if self.unheard {
