--- a/crates/capacity/src/discovery.rs
+++ b/crates/capacity/src/discovery.rs
@@ -7,8 +7,8 @@
 use crate::report::{Point, Section, Series};
 use crate::samples;
 use havenplank::interface::{Phase, PodState, Stage, Vote, VoteReceipt};
-use havenplank_line_protocol::nodes::Listed;
-use havenplank_line_protocol::{desk, nodes};
+use havenplank_line_protocol::endpoint_list::ListedEndpoint;
+use havenplank_line_protocol::{control_plane, endpoint_list};
 use std::time::Instant;
 
 /// What a sidecar may receive for control, in bytes a second.
@@ -54,19 +54,19 @@
 }
 
 /// Bytes of a whole list as it is sent.
-pub fn whole_list_bytes(pods: &[Listed]) -> usize {
+pub fn whole_list_bytes(pods: &[ListedEndpoint]) -> usize {
     encoded(true, pods).len()
 }
 
 /// Bytes of one change as it is sent, whatever else is listed.
-pub fn change_bytes(pod: &Listed) -> usize {
+pub fn change_bytes(pod: &ListedEndpoint) -> usize {
     encoded(false, std::slice::from_ref(pod)).len()
 }
 
-fn encoded(whole: bool, pods: &[Listed]) -> String {
+fn encoded(whole: bool, pods: &[ListedEndpoint]) -> String {
     let mut text = String::new();
     // A number of as many digits as a feed has after some hours.
-    nodes::tell_list(&mut text, 10_000, whole, pods);
+    endpoint_list::write_list(&mut text, 10_000, whole, pods);
     text
 }
 
@@ -87,9 +87,9 @@
         age: 90_000_000_000,
     };
     let (mut news, mut answer) = (String::new(), String::new());
-    desk::tell_stage(&mut news, 10_000, &stage);
-    desk::tell_voted(&mut answer, 10_000, 500, VoteReceipt::Counted, Some(&stage));
-    let vote = desk::ask_vote(500, stage.build, stage.stage, Vote::Advance);
+    control_plane::write_stage(&mut news, 10_000, &stage);
+    control_plane::write_vote_reply(&mut answer, 10_000, 500, VoteReceipt::Counted, Some(&stage));
+    let vote = control_plane::vote_line(500, stage.build, stage.stage, Vote::Advance);
     ControlBytes {
         news: news.len(),
         vote: vote.len(),
@@ -197,13 +197,14 @@
         let pods = samples::pods(*count);
         let began = Instant::now();
         let text = (0..options.rounds)
-            .map(|_| nodes::keep(&pods))
+            .map(|_| endpoint_list::encode_cached(&pods))
             .next_back()
             .unwrap_or_default();
         let wrote = began.elapsed().as_secs_f64() / options.rounds.max(1) as f64;
         let began = Instant::now();
         for _ in 0..options.rounds {
-            nodes::read_kept(&text).map_err(CapacityError::Encoding)?;
+            endpoint_list::decode_cached(&text)
+                .map_err(|error| CapacityError::Encoding(error.to_string()))?;
         }
         let read = began.elapsed().as_secs_f64() / options.rounds.max(1) as f64;
         writing.push(Point {
@@ -261,8 +262,8 @@
 }
 
 /// The change that takes a pod off the list.
-pub fn removal(pod: &Listed) -> Listed {
-    Listed {
+pub fn removal(pod: &ListedEndpoint) -> ListedEndpoint {
+    ListedEndpoint {
         state: PodState::Gone,
         ..pod.clone()
     }
--- a/crates/capacity/src/samples.rs
+++ b/crates/capacity/src/samples.rs
@@ -2,7 +2,7 @@
 
 use crate::error::CapacityError;
 use havenplank::interface::{Build, Nanos, PodState};
-use havenplank_line_protocol::nodes::Listed;
+use havenplank_line_protocol::endpoint_list::ListedEndpoint;
 use havenplank_settings::{load, Given, Site};
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -18,20 +18,20 @@
 const POD_SIZE: f64 = 4.0;
 
 /// A pod that has been running since long ago.
-pub fn pod(number: usize) -> Listed {
+pub fn pod(number: usize) -> ListedEndpoint {
     pod_of(number, 1, 0)
 }
 
 /// A pod of a build that started `age` ago, 0 for long ago.
-pub fn pod_of(number: usize, build: Build, age: Nanos) -> Listed {
+pub fn pod_of(number: usize, build: Build, age: Nanos) -> ListedEndpoint {
     let service = number / PODS_OF_SERVICE;
     let address = SocketAddr::from((Ipv4Addr::from(FIRST_ADDRESS + number as u32), PORT));
-    Listed {
+    ListedEndpoint {
         name: format!("service-{service}-{number:05}"),
         address,
         state: PodState::Running,
         build,
-        life: FIRST_INCARNATION + number as u64,
+        incarnation: FIRST_INCARNATION + number as u64,
         age,
         zone: format!("zone-{}", number % ZONES),
         machine: "standard-8".to_string(),
@@ -40,7 +40,7 @@
     }
 }
 
-pub fn pods(count: usize) -> Vec<Listed> {
+pub fn pods(count: usize) -> Vec<ListedEndpoint> {
     (0..count).map(pod).collect()
 }
 
--- a/crates/capacity/src/tables.rs
+++ b/crates/capacity/src/tables.rs
@@ -5,7 +5,7 @@
 use crate::samples;
 use havenplank::interface::{AttemptEnd, Nanos, Phase, PodState, RequestId, Stage};
 use havenplank::Visits;
-use havenplank_line_protocol::nodes::Listed;
+use havenplank_line_protocol::endpoint_list::ListedEndpoint;
 use havenplank_settings::Site;
 use havenplank_sidecar::engine::{Asked, Effect, Engine, EPOCH};
 use havenplank_sidecar::routes::RouteTable;
@@ -120,7 +120,7 @@
 }
 
 impl Driver {
-    pub fn new(site: &Site, seed: u64, pods: Vec<Listed>) -> Driver {
+    pub fn new(site: &Site, seed: u64, pods: Vec<ListedEndpoint>) -> Driver {
         let mut engine = Engine::new(EPOCH, seed, &Terms::from(site));
         engine.begin(EPOCH);
         engine.list(EPOCH, true, pods);
@@ -156,7 +156,7 @@
         self.drain();
     }
 
-    pub fn change(&mut self, pods: Vec<Listed>) -> Duration {
+    pub fn change(&mut self, pods: Vec<ListedEndpoint>) -> Duration {
         let began = Instant::now();
         self.engine.list(self.now, false, pods);
         began.elapsed()
@@ -388,17 +388,17 @@
 }
 
 /// A replaced pod, as a rolling release tells it: one more drains, then it is gone and a new one runs.
-fn replacement(number: usize, count: usize) -> [Vec<Listed>; 2] {
+fn replacement(number: usize, count: usize) -> [Vec<ListedEndpoint>; 2] {
     let old = samples::pod(number % count.max(1));
     let new = samples::pod_of(count + number, 1, MS);
-    let drains = Listed {
+    let drains = ListedEndpoint {
         state: PodState::Draining,
         ..old.clone()
     };
     [
         vec![drains],
         vec![
-            Listed {
+            ListedEndpoint {
                 state: PodState::Gone,
                 ..old
             },
@@ -529,14 +529,14 @@
     Ok(table.section("A request in one engine, by pods", &notes))
 }
 
-fn cold_pods(count: usize) -> Vec<Listed> {
+fn cold_pods(count: usize) -> Vec<ListedEndpoint> {
     (0..count)
         .map(|number| samples::pod_of(number, 1, MS))
         .collect()
 }
 
 /// So many sides of one table: the builds differ, as the zones alone would be too few.
-fn sided_pods(count: usize, sides: usize) -> Vec<Listed> {
+fn sided_pods(count: usize, sides: usize) -> Vec<ListedEndpoint> {
     let builds = (sides / samples::ZONES).max(1);
     let build = |number: usize| 1 + (number / samples::ZONES % builds) as u32;
     (0..count)
--- a/crates/capacity/tests/tables.rs
+++ b/crates/capacity/tests/tables.rs
@@ -4,7 +4,7 @@
 use havenplank_capacity::discovery::{change_bytes, control_bytes, whole_list_bytes};
 use havenplank_capacity::samples;
 use havenplank_capacity::tables::{route_table, Driver};
-use havenplank_line_protocol::nodes::{self, Listed};
+use havenplank_line_protocol::endpoint_list::{self, ListedEndpoint};
 use havenplank_settings::{load, Given};
 use havenplank_sidecar::engine::{Asked, Effect, Engine, EPOCH};
 use havenplank_sidecar::told::Terms;
@@ -64,11 +64,11 @@
 fn one_change_sorts_one_pod_and_passes_over_its_side_alone() {
     let mut driver = driver(MANY);
     let old = samples::pod(1);
-    let drained = Listed {
+    let drained = ListedEndpoint {
         state: PodState::Draining,
         ..old.clone()
     };
-    let gone = Listed {
+    let gone = ListedEndpoint {
         state: PodState::Gone,
         ..old
     };
@@ -119,7 +119,8 @@
         control.news.max(control.vote).max(control.answer) <= 64,
         "{control:?}"
     );
-    let read = nodes::read_kept(&nodes::keep(&samples::pods(MANY))).expect("its own list");
+    let read = endpoint_list::decode_cached(&endpoint_list::encode_cached(&samples::pods(MANY)))
+        .expect("its own list");
     assert_eq!(read, samples::pods(MANY));
 }
 
@@ -185,30 +186,30 @@
 }
 
 /// A pod of any zone and build, and of a size whose sum rounds.
-fn any_pod(number: usize, chance: &mut Rand64) -> Listed {
+fn any_pod(number: usize, chance: &mut Rand64) -> ListedEndpoint {
     let build = 1 + chance.rand_range(0..2) as u32;
     let age = chance.rand_range(0..2) * chance.rand_range(1..8) * S;
-    Listed {
+    ListedEndpoint {
         size: 0.1 + 0.7 * chance.rand_float(),
         ..samples::pod_of(number, build, age)
     }
 }
 
 /// Lets one pod drain, go, come back as another incarnation or build, change its size, or be a new one.
-fn change(pods: &mut Vec<Listed>, step: u64, chance: &mut Rand64) -> Listed {
+fn change(pods: &mut Vec<ListedEndpoint>, step: u64, chance: &mut Rand64) -> ListedEndpoint {
     let at = chance.rand_range(0..pods.len() as u64) as usize;
     let number = 100 + step as usize;
     match chance.rand_range(0..5) {
         0 => pods[at].state = PodState::Draining,
         1 if pods.len() > 20 => {
-            return Listed {
+            return ListedEndpoint {
                 state: PodState::Gone,
                 ..pods.remove(at)
             }
         }
         2 => {
             let renewed = any_pod(number, chance);
-            pods[at] = Listed {
+            pods[at] = ListedEndpoint {
                 name: pods[at].name.clone(),
                 ..renewed
             };
@@ -229,7 +230,8 @@
         let site = samples::site(3, 3).expect("settings of a scale test");
         let engine = || Engine::new(EPOCH, seed, &Terms::from(&site));
         let mut chance = Rand64::new(seed as u128);
-        let mut pods: Vec<Listed> = (0..60).map(|number| any_pod(number, &mut chance)).collect();
+        let mut pods: Vec<ListedEndpoint> =
+            (0..60).map(|number| any_pod(number, &mut chance)).collect();
         let mut pair = Pair {
             by_changes: engine(),
             by_wholes: engine(),
--- a/crates/cli/src/bench/processes.rs
+++ b/crates/cli/src/bench/processes.rs
@@ -3,8 +3,8 @@
 use anyhow::{bail, Context};
 use havenplank::interface::PodState;
 use havenplank_emulator::bare;
-use havenplank_line_protocol::lines::hello;
-use havenplank_line_protocol::nodes::{self, Listed};
+use havenplank_line_protocol::codec::greeting;
+use havenplank_line_protocol::endpoint_list::{self, ListedEndpoint};
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
 use std::path::Path;
@@ -174,13 +174,13 @@
 }
 
 /// Running pods of one zone at these addresses.
-pub fn listed(addresses: &[SocketAddr]) -> Vec<Listed> {
-    let pod = |(number, address): (usize, &SocketAddr)| Listed {
+pub fn listed(addresses: &[SocketAddr]) -> Vec<ListedEndpoint> {
+    let pod = |(number, address): (usize, &SocketAddr)| ListedEndpoint {
         name: format!("pod-{number}"),
         address: *address,
         state: PodState::Running,
         build: 1,
-        life: 1,
+        incarnation: 1,
         age: 0,
         zone: "z".to_string(),
         machine: "m".to_string(),
@@ -191,9 +191,9 @@
 }
 
 /// Stands in for service discovery: sends the same list to every follower and keeps its connection open.
-pub async fn serve_node_list(listener: TcpListener, pods: Vec<Listed>) {
-    let mut text = hello(nodes::FEED, None);
-    nodes::tell_list(&mut text, 1, true, &pods);
+pub async fn serve_node_list(listener: TcpListener, pods: Vec<ListedEndpoint>) {
+    let mut text = greeting(endpoint_list::PROTOCOL, None);
+    endpoint_list::write_list(&mut text, 1, true, &pods);
     let mut open = Vec::new();
     while let Ok((mut stream, _)) = listener.accept().await {
         let _ = stream.write_all(text.as_bytes()).await;
--- a/crates/cli/src/bench_proxy_capacity.rs
+++ b/crates/cli/src/bench_proxy_capacity.rs
@@ -8,7 +8,7 @@
 use crate::bench::processes::{serve_node_list, Process};
 use havenplank_capacity::report::{Point, Section, Series};
 use havenplank_capacity::samples;
-use havenplank_line_protocol::nodes::Listed;
+use havenplank_line_protocol::endpoint_list::ListedEndpoint;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
@@ -206,8 +206,8 @@
     Process::part(&args)
 }
 
-fn listed(addresses: &[SocketAddr]) -> Vec<Listed> {
-    let pod = |(number, address): (usize, &SocketAddr)| Listed {
+fn listed(addresses: &[SocketAddr]) -> Vec<ListedEndpoint> {
+    let pod = |(number, address): (usize, &SocketAddr)| ListedEndpoint {
         address: *address,
         ..samples::pod(number)
     };
--- a/crates/cli/src/bench_trace.rs
+++ b/crates/cli/src/bench_trace.rs
@@ -3,7 +3,7 @@
 use crate::write_json;
 use anyhow::{bail, Context};
 use havenplank::interface::*;
-use havenplank_line_protocol::nodes::Listed;
+use havenplank_line_protocol::endpoint_list::ListedEndpoint;
 use havenplank_settings::{load, Given};
 use havenplank_sidecar::engine::{Asked, Effect, Engine, EPOCH};
 use havenplank_sidecar::told::Terms;
@@ -38,13 +38,13 @@
 desk(address = "127.0.0.1:1")
 "#;
 
-fn pods(release: bool) -> Vec<Listed> {
-    let pod = |n| Listed {
+fn pods(release: bool) -> Vec<ListedEndpoint> {
+    let pod = |n| ListedEndpoint {
         name: format!("pod-{n}"),
         address: ([127, 0, 0, 1], 4_000 + n as u16).into(),
         state: PodState::Running,
         build: if release && n >= PODS - 2 { 2 } else { 1 },
-        life: 1,
+        incarnation: 1,
         age: 0,
         zone: "z".to_string(),
         machine: "m".to_string(),
--- a/crates/cli/tests/configuration.rs
+++ b/crates/cli/tests/configuration.rs
@@ -3,7 +3,7 @@
 use havenplank::interface::PodState;
 use havenplank_emulator::hands::{ask_without_key, state, Pods, Sidecar, PATIENCE};
 use havenplank_emulator::relay::{Relays, Weather};
-use havenplank_line_protocol::nodes::{keep, Listed};
+use havenplank_line_protocol::endpoint_list::{encode_cached, ListedEndpoint};
 use rustix::process::Signal;
 use serde_json::Value;
 use std::cell::Cell;
@@ -71,12 +71,12 @@
         let pods = Pods::new(Duration::from_millis(120));
         let mut listed = Vec::new();
         for n in 0..3 {
-            listed.push(Listed {
+            listed.push(ListedEndpoint {
                 name: format!("pod-{n}"),
                 address: pods.start().await.expect("a pod"),
                 state: PodState::Running,
                 build: 1,
-                life: 1,
+                incarnation: 1,
                 age: 600_000_000_000,
                 zone: "room-1".to_string(),
                 machine: "any".to_string(),
@@ -85,7 +85,7 @@
             });
         }
         std::fs::write(folder.join("keys"), "0123456789abcdef".repeat(4)).expect("written");
-        std::fs::write(folder.join("pods"), keep(&listed)).expect("written");
+        std::fs::write(folder.join("pods"), encode_cached(&listed)).expect("written");
         let relays = Relays::bind(SIDECARS + 2, 7).await.expect("relays");
         relays.carry_streams().await.expect("relays of streams");
         let folder = folder.to_path_buf();
--- a/crates/emulator/src/desk.rs
+++ b/crates/emulator/src/desk.rs
@@ -6,8 +6,8 @@
 use futures_util::{SinkExt, StreamExt};
 use havenplank::interface::{Build, Nanos, Phase, ReleaseControl, Stage, Vote, VoteReceipt};
 use havenplank_invariants::ledger::{phase_name, Seen};
-use havenplank_line_protocol::desk;
-use havenplank_line_protocol::lines::{hello, Lines};
+use havenplank_line_protocol::codec::{greeting, LineCodec};
+use havenplank_line_protocol::control_plane;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -370,17 +370,24 @@
             name: Option<String>,
             votes: Vec<(u64, Build, usize, Vote)>,
         }
-        impl desk::Asked for Asks {
-            fn hello(&mut self, name: String) {
+        impl control_plane::Service for Asks {
+            fn greeted(&mut self, name: String) {
                 self.name = Some(name);
             }
-            fn vote(&mut self, vote: u64, build: Build, stage: usize, voice: Vote) {
+            fn cast_vote(&mut self, vote: u64, build: Build, stage: usize, voice: Vote) {
                 self.votes.push((vote, build, stage, voice));
             }
         }
         let _ = stream.set_nodelay(true);
-        let mut framed = Framed::new(stream, Lines::new(desk::Asking::default(), 1024));
-        if framed.send(hello(desk::FEED, None)).await.is_err() {
+        let mut framed = Framed::new(
+            stream,
+            LineCodec::new(control_plane::RequestParser::default(), 1024),
+        );
+        if framed
+            .send(greeting(control_plane::PROTOCOL, None))
+            .await
+            .is_err()
+        {
             return;
         }
         let (mut asks, mut seq) = (Asks::default(), 0);
@@ -413,7 +420,7 @@
                     let stage = self.told(&state);
                     seq += 1;
                     self.tell(&name, &stage);
-                    desk::tell_stage(&mut out, seq, &stage);
+                    control_plane::write_stage(&mut out, seq, &stage);
                     told = Some((state.build, state.stage, state.phase, now));
                 }
             }
@@ -436,7 +443,7 @@
                         .or(told);
                 }
                 seq += 1;
-                desk::tell_voted(&mut out, seq, vote, heard, stage.as_ref());
+                control_plane::write_vote_reply(&mut out, seq, vote, heard, stage.as_ref());
             }
             if !out.is_empty() && framed.send(out).await.is_err() {
                 return;
--- a/crates/emulator/src/drive.rs
+++ b/crates/emulator/src/drive.rs
@@ -5,9 +5,10 @@
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
 use havenplank::interface::*;
-use havenplank_line_protocol::lines::{hello, Lines};
-use havenplank_line_protocol::nodes::Listed;
-use havenplank_line_protocol::{desk, nodes};
+use havenplank_line_protocol::codec::{greeting, LineCodec};
+use havenplank_line_protocol::control_plane::ClassTally;
+use havenplank_line_protocol::endpoint_list::ListedEndpoint;
+use havenplank_line_protocol::{control_plane, endpoint_list};
 use havenplank_settings::words::{self, word_of};
 use havenplank_sidecar::engine::{Asked, Effect};
 use havenplank_sidecar::told::{Terms, Told};
@@ -89,7 +90,7 @@
 
 /// Something to tell the sidecar, and when, counted from the beginning.
 enum Say {
-    List(bool, Vec<Listed>),
+    List(bool, Vec<ListedEndpoint>),
     ListFailed,
     Stage(Stage),
     Tally(Tally),
@@ -240,12 +241,12 @@
     /// A cut trace may hold no whole list: two pods then stand for each build that it names.
     fn list_from_names(&mut self) {
         let terms = &self.source.terms;
-        let pod = |build: &Build, n: usize| Listed {
+        let pod = |build: &Build, n: usize| ListedEndpoint {
             name: format!("build-{build}-pod-{n}"),
             address: SocketAddr::from(([127, 0, 0, 1], 0)),
             state: PodState::Running,
             build: *build,
-            life: 1,
+            incarnation: 1,
             age: 0,
             zone: terms.zones.first().cloned().unwrap_or_default(),
             machine: terms
@@ -256,7 +257,7 @@
             cell: n as i64,
             size: 1.0,
         };
-        let mut pods: Vec<Listed> = self
+        let mut pods: Vec<ListedEndpoint> = self
             .by_build
             .keys()
             .flat_map(|build| (0..2).map(|n| pod(build, n)))
@@ -404,7 +405,7 @@
     seen: RefCell<HashMap<RequestId, HashMap<Build, usize>>>,
     counts: RefCell<Driven>,
     /// The list as told last, for a sidecar that asks.
-    list: RefCell<BTreeMap<String, Listed>>,
+    list: RefCell<BTreeMap<String, ListedEndpoint>>,
 }
 
 impl Scene {
@@ -487,14 +488,14 @@
     }
 
     /// The pods of a list at the addresses of their stand-ins.
-    fn placed(&self, pods: &[Listed]) -> Vec<Listed> {
+    fn placed(&self, pods: &[ListedEndpoint]) -> Vec<ListedEndpoint> {
         let all = self.pods.borrow();
-        let place = |pod: &Listed| {
+        let place = |pod: &ListedEndpoint| {
             let address = all
-                .get(&(pod.name.clone(), pod.life))
+                .get(&(pod.name.clone(), pod.incarnation))
                 .copied()
                 .unwrap_or(pod.address);
-            Listed {
+            ListedEndpoint {
                 address,
                 ..pod.clone()
             }
@@ -504,11 +505,11 @@
 
     async fn nodes(self: Rc<Self>, listener: TcpListener) {
         struct Asks(bool);
-        impl nodes::Asked for Asks {
-            fn hello(&mut self, _name: String) {
+        impl endpoint_list::Service for Asks {
+            fn greeted(&mut self, _name: String) {
                 self.0 = true;
             }
-            fn whole(&mut self) {
+            fn poll(&mut self) {
                 self.0 = true;
             }
             fn watch(&mut self, on: bool) {
@@ -516,9 +517,16 @@
             }
         }
         while let Ok((stream, _)) = listener.accept().await {
-            let mut framed = Framed::new(stream, Lines::new(nodes::Asking::default(), 1024));
+            let mut framed = Framed::new(
+                stream,
+                LineCodec::new(endpoint_list::RequestParser::default(), 1024),
+            );
             let (mut seq, mut next, mut asks) = (0, 0, Asks(false));
-            if framed.send(hello(nodes::FEED, None)).await.is_err() {
+            if framed
+                .send(greeting(endpoint_list::PROTOCOL, None))
+                .await
+                .is_err()
+            {
                 continue;
             }
             loop {
@@ -552,19 +560,19 @@
                             list.retain(|_, pod| pod.state != PodState::Gone);
                             drop(list);
                             seq += 1;
-                            nodes::tell_list(&mut out, seq, *whole, &self.placed(pods));
+                            endpoint_list::write_list(&mut out, seq, *whole, &self.placed(pods));
                         }
                         Say::ListFailed => {
                             seq += 1;
-                            nodes::tell_failed(&mut out, seq, "as recorded");
+                            endpoint_list::write_poll_failure(&mut out, seq, "as recorded");
                         }
                         _ => {}
                     }
                 }
                 if std::mem::take(&mut asks.0) && out.is_empty() && !self.list.borrow().is_empty() {
                     seq += 1;
-                    let list: Vec<Listed> = self.list.borrow().values().cloned().collect();
-                    nodes::tell_list(&mut out, seq, true, &list);
+                    let list: Vec<ListedEndpoint> = self.list.borrow().values().cloned().collect();
+                    endpoint_list::write_list(&mut out, seq, true, &list);
                 }
                 if !out.is_empty() && framed.send(out).await.is_err() {
                     break;
@@ -584,16 +592,23 @@
     async fn desk(self: Rc<Self>, listener: TcpListener) {
         #[derive(Default)]
         struct Asks(Vec<(u64, Build, usize, Vote)>);
-        impl desk::Asked for Asks {
-            fn hello(&mut self, _name: String) {}
-            fn vote(&mut self, vote: u64, build: Build, stage: usize, voice: Vote) {
+        impl control_plane::Service for Asks {
+            fn greeted(&mut self, _name: String) {}
+            fn cast_vote(&mut self, vote: u64, build: Build, stage: usize, voice: Vote) {
                 self.0.push((vote, build, stage, voice));
             }
         }
         while let Ok((stream, _)) = listener.accept().await {
-            let mut framed = Framed::new(stream, Lines::new(desk::Asking::default(), 1024));
+            let mut framed = Framed::new(
+                stream,
+                LineCodec::new(control_plane::RequestParser::default(), 1024),
+            );
             let (mut seq, mut next, mut asks) = (0, 0, Asks::default());
-            if framed.send(hello(desk::FEED, None)).await.is_err() {
+            if framed
+                .send(greeting(control_plane::PROTOCOL, None))
+                .await
+                .is_err()
+            {
                 continue;
             }
             loop {
@@ -624,28 +639,27 @@
                     match say {
                         Say::Stage(stage) => {
                             seq += 1;
-                            desk::tell_stage(&mut out, seq, stage);
+                            control_plane::write_stage(&mut out, seq, stage);
                         }
                         Say::Tally(tally) => {
                             let Some(group) = group(tally.group) else {
                                 continue;
                             };
                             seq += 1;
-                            let counts = (tally.count, tally.failed);
-                            desk::tell_tally(
-                                &mut out,
-                                seq,
-                                tally.build,
-                                group,
-                                counts,
-                                tally.mean_latency,
-                                tally.age,
-                            );
+                            let tally = ClassTally {
+                                build: tally.build,
+                                class: group.to_string(),
+                                count: tally.count,
+                                failed: tally.failed,
+                                mean_latency: tally.mean_latency,
+                                age: tally.age,
+                            };
+                            control_plane::write_tally(&mut out, seq, &tally);
                         }
                         Say::Flagged(pod, at, ago) => {
                             let Some(group) = group(*at) else { continue };
                             seq += 1;
-                            desk::tell_flagged(&mut out, seq, pod, group, *ago);
+                            control_plane::write_fault(&mut out, seq, pod, group, *ago);
                         }
                         _ => {}
                     }
@@ -661,7 +675,13 @@
                         .or_default() += 1;
                     seq += 1;
                     // Stages move as recorded, whatever is voted now.
-                    desk::tell_voted(&mut out, seq, vote, VoteReceipt::Counted, None);
+                    control_plane::write_vote_reply(
+                        &mut out,
+                        seq,
+                        vote,
+                        VoteReceipt::Counted,
+                        None,
+                    );
                 }
                 if !out.is_empty() && framed.send(out).await.is_err() {
                     break;
@@ -813,7 +833,7 @@
     for (_, say) in &stage.script.says {
         let Say::List(_, pods) = say else { continue };
         for pod in pods {
-            let key = (pod.name.clone(), pod.life);
+            let key = (pod.name.clone(), pod.incarnation);
             if stage.pods.borrow().contains_key(&key) {
                 continue;
             }
--- a/crates/emulator/src/fleet.rs
+++ b/crates/emulator/src/fleet.rs
@@ -4,7 +4,7 @@
 use crate::notation::{Day, Offer, FIRST};
 use crate::pod::{Faults, Machine, Marks, Pod, Served, Who};
 use havenplank::interface::{Build, DedupScope, Nanos, PodState};
-use havenplank_line_protocol::nodes::Listed;
+use havenplank_line_protocol::endpoint_list::ListedEndpoint;
 use oorandom::Rand64;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -29,7 +29,7 @@
     marks_by_cell: RefCell<HashMap<i64, Rc<Marks>>>,
     pods: RefCell<Vec<Rc<Pod>>>,
     /// Every change, in order: as long as the day's script makes it.
-    changes: RefCell<Vec<(Nanos, Listed)>>,
+    changes: RefCell<Vec<(Nanos, ListedEndpoint)>>,
     bad: RefCell<HashMap<Build, (Faults, Nanos, f64)>>,
     /// How much what all pods share slows them.
     shared: Rc<Cell<f64>>,
@@ -161,12 +161,12 @@
         } = pod.who.clone();
         let (address, machine) = (pod.address, self.machine_name.clone());
         let size = self.machine.cores as f64;
-        let listed = Listed {
+        let listed = ListedEndpoint {
             name,
             address,
             state,
             build,
-            life,
+            incarnation: life,
             age,
             zone,
             machine,
@@ -271,15 +271,15 @@
     }
 
     /// The changes of a range, each pod's age as of now.
-    pub fn changes(&self, from: usize, to: usize) -> Vec<Listed> {
+    pub fn changes(&self, from: usize, to: usize) -> Vec<ListedEndpoint> {
         let now = self.book.now();
-        let aged = |(_, listed): &(Nanos, Listed)| {
+        let aged = |(_, listed): &(Nanos, ListedEndpoint)| {
             let age = if listed.age == 0 {
                 0
             } else {
                 now.saturating_sub(listed.age).max(1)
             };
-            Listed {
+            ListedEndpoint {
                 age,
                 ..listed.clone()
             }
@@ -288,8 +288,8 @@
     }
 
     /// The list as it stood after so many changes, without what is gone.
-    pub fn whole(&self, to: usize) -> Vec<Listed> {
-        let mut last: Vec<Listed> = Vec::new();
+    pub fn whole(&self, to: usize) -> Vec<ListedEndpoint> {
+        let mut last: Vec<ListedEndpoint> = Vec::new();
         let mut places: HashMap<String, usize> = HashMap::new();
         for listed in self.changes(0, to) {
             match places.get(&listed.name) {
--- a/crates/emulator/src/hands.rs
+++ b/crates/emulator/src/hands.rs
@@ -4,7 +4,7 @@
 use crate::relay::Relays;
 use bytes::Bytes;
 use havenplank::interface::PodState;
-use havenplank_line_protocol::nodes::{keep, Listed};
+use havenplank_line_protocol::endpoint_list::{encode_cached, ListedEndpoint};
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
 use hyper::service::service_fn;
@@ -263,12 +263,12 @@
         let pods = Pods::new(Duration::from_millis(400));
         let mut listed = Vec::new();
         for n in 0..PODS {
-            listed.push(Listed {
+            listed.push(ListedEndpoint {
                 name: format!("pod-{n}"),
                 address: pods.start().await?,
                 state: PodState::Running,
                 build: 1,
-                life: 1,
+                incarnation: 1,
                 age: 600_000_000_000,
                 zone: format!("room-{}", 1 + n % 2),
                 machine: "any".to_string(),
@@ -277,7 +277,7 @@
             });
         }
         std::fs::write(folder.join("keys"), "0123456789abcdef".repeat(4))?;
-        std::fs::write(folder.join("pods"), keep(&listed))?;
+        std::fs::write(folder.join("pods"), encode_cached(&listed))?;
         let relays = if relayed {
             Some(Relays::bind(many, 7).await?)
         } else {
--- a/crates/emulator/src/nodes.rs
+++ b/crates/emulator/src/nodes.rs
@@ -5,8 +5,8 @@
 use futures_util::{SinkExt, StreamExt};
 use havenplank::interface::{Nanos, PodState};
 use havenplank_invariants::ledger::{state_name, Seen};
-use havenplank_line_protocol::lines::{hello, Lines};
-use havenplank_line_protocol::nodes::{self, Listed};
+use havenplank_line_protocol::codec::{greeting, LineCodec};
+use havenplank_line_protocol::endpoint_list::{self, ListedEndpoint};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -74,7 +74,7 @@
         )
     }
 
-    fn tell(&self, sidecar: &str, whole: bool, pods: &[Listed]) {
+    fn tell(&self, sidecar: &str, whole: bool, pods: &[ListedEndpoint]) {
         let mut all = self.told.borrow_mut();
         let told = all.entry(sidecar.to_string()).or_default();
         let write = |pod: &str, life, state| {
@@ -99,11 +99,11 @@
             }
         }
         for pod in pods {
-            write(&pod.name, pod.life, pod.state);
+            write(&pod.name, pod.incarnation, pod.state);
             if pod.state == PodState::Gone {
                 told.remove(&pod.name);
             } else {
-                told.insert(pod.name.clone(), pod.life);
+                told.insert(pod.name.clone(), pod.incarnation);
             }
         }
     }
@@ -113,11 +113,11 @@
             name: Option<String>,
             whole: bool,
         }
-        impl nodes::Asked for Asks {
-            fn hello(&mut self, name: String) {
+        impl endpoint_list::Service for Asks {
+            fn greeted(&mut self, name: String) {
                 (self.name, self.whole) = (Some(name), true);
             }
-            fn whole(&mut self) {
+            fn poll(&mut self) {
                 self.whole = true;
             }
             fn watch(&mut self, on: bool) {
@@ -125,8 +125,15 @@
             }
         }
         let _ = stream.set_nodelay(true);
-        let mut framed = Framed::new(stream, Lines::new(nodes::Asking::default(), 1024));
-        if framed.send(hello(nodes::FEED, None)).await.is_err() {
+        let mut framed = Framed::new(
+            stream,
+            LineCodec::new(endpoint_list::RequestParser::default(), 1024),
+        );
+        if framed
+            .send(greeting(endpoint_list::PROTOCOL, None))
+            .await
+            .is_err()
+        {
             return;
         }
         let mut asks = Asks {
@@ -158,7 +165,7 @@
             };
             (at, seq) = (now, seq + 1);
             let mut out = String::new();
-            nodes::tell_list(&mut out, seq, whole, &pods);
+            endpoint_list::write_list(&mut out, seq, whole, &pods);
             self.tell(&name, whole, &pods);
             if framed.send(out).await.is_err() {
                 return;
--- /dev/null
+++ b/crates/line-protocol/src/endpoint_list/notification.rs
@@ -0,0 +1,159 @@
+//! The service's lines: `whole|changes SEQ COUNT` and that many `pod` lines, or `failed SEQ REASON`.
+
+use super::{ListedEndpoint, Notification, PROTOCOL};
+use crate::codec::{parse_greeting, LineParser, Sequence, MAX_ENDPOINTS};
+use crate::grammar::{self, expected, int64, name_of, non_negative, then, uint32, uint64, word};
+use crate::ParseError;
+use havenplank::interface::PodState;
+use std::fmt::Write as _;
+use winnow::combinator::{alt, preceded};
+use winnow::prelude::*;
+
+const STATES: [(&str, PodState); 3] = [
+    ("running", PodState::Running),
+    ("draining", PodState::Draining),
+    ("gone", PodState::Gone),
+];
+
+/// A list whose entries are still to come.
+struct PartialList {
+    complete: bool,
+    announced: usize,
+    endpoints: Vec<ListedEndpoint>,
+}
+
+/// Parses the service's lines.
+#[derive(Default)]
+pub struct NotificationParser {
+    greeted: bool,
+    sequence: Sequence,
+    partial: Option<PartialList>,
+}
+
+impl NotificationParser {
+    fn begin_list(&mut self, line: &str) -> Result<(), ParseError> {
+        let kind = alt(("whole ".value(true), "changes ".value(false)));
+        let header = (
+            kind.context(expected("whole, changes or failed")),
+            uint64("a number"),
+            then(uint64("how many pods")),
+        );
+        let (complete, number, count) = grammar::parse_whole(line, header)?;
+        self.sequence.advance(number)?;
+        let announced = usize::try_from(count)
+            .ok()
+            .filter(|count| *count <= MAX_ENDPOINTS)
+            .ok_or(ParseError::TooManyEndpoints { max: MAX_ENDPOINTS })?;
+        self.partial = Some(PartialList {
+            complete,
+            announced,
+            endpoints: Vec::new(),
+        });
+        Ok(())
+    }
+
+    fn end_list(&mut self) -> Option<Notification> {
+        let ended = |partial: &mut PartialList| partial.announced == partial.endpoints.len();
+        let list = self.partial.take_if(ended)?;
+        Some(Box::new(move |subscriber| {
+            subscriber.update_endpoints(list.complete, list.endpoints);
+        }))
+    }
+
+    fn parse_failure(&mut self, rest: &str) -> Result<Notification, ParseError> {
+        let (number, reason) = rest.split_once(' ').unwrap_or((rest, "no reason told"));
+        let number = grammar::parse_whole(number, uint64("a number"))?;
+        self.sequence.advance(number)?;
+        let reason = reason.to_string();
+        Ok(Box::new(move |subscriber| subscriber.poll_failed(&reason)))
+    }
+}
+
+impl LineParser for NotificationParser {
+    type Output = Notification;
+
+    fn parse_line(&mut self, line: &str) -> Result<Option<Notification>, ParseError> {
+        if !self.greeted {
+            parse_greeting(line, PROTOCOL)?;
+            self.greeted = true;
+            return Ok(None);
+        }
+        if let Some(partial) = &mut self.partial {
+            partial.endpoints.push(grammar::parse_whole(line, entry)?);
+            return Ok(self.end_list());
+        }
+        if let Some(rest) = line.strip_prefix("failed ") {
+            return self.parse_failure(rest).map(Some);
+        }
+        self.begin_list(line)?;
+        Ok(self.end_list())
+    }
+}
+
+/// Parses `pod NAME ADDRESS STATE BUILD INCARNATION AGE ZONE MACHINE CELL SIZE`.
+fn entry(input: &mut &str) -> grammar::Parsed<ListedEndpoint> {
+    let address = word.verify_map(|word: &str| word.parse().ok());
+    let (name, address, state, build, incarnation, age) = (
+        preceded("pod ", word).context(expected("pod and its name")),
+        then(address).context(expected("an address with a port")),
+        then(grammar::one_of(&STATES, "running, draining or gone")),
+        then(uint32("a build")),
+        then(uint64("an incarnation")),
+        then(uint64("an age in ns")),
+    )
+        .parse_next(input)?;
+    let (zone, machine, cell, size) = (
+        then(word).context(expected("a zone")),
+        then(word).context(expected("a kind of machine")),
+        then(int64("a cell")),
+        then(non_negative("a size")),
+    )
+        .parse_next(input)?;
+    Ok(ListedEndpoint {
+        name: name.to_string(),
+        address,
+        state,
+        build,
+        incarnation,
+        age,
+        zone: zone.to_string(),
+        machine: machine.to_string(),
+        cell,
+        size,
+    })
+}
+
+/// Appends a list as the service sends it, as message `number` of its connection.
+pub fn write_list(out: &mut String, number: u64, complete: bool, endpoints: &[ListedEndpoint]) {
+    let kind = if complete { "whole" } else { "changes" };
+    let _ = writeln!(out, "{kind} {number} {}", endpoints.len());
+    for endpoint in endpoints {
+        write_entry(out, endpoint);
+    }
+}
+
+fn write_entry(out: &mut String, endpoint: &ListedEndpoint) {
+    let ListedEndpoint {
+        name,
+        address,
+        state,
+        build,
+        incarnation,
+        age,
+        zone,
+        machine,
+        cell,
+        size,
+    } = endpoint;
+    let state = name_of(&STATES, *state).unwrap_or("gone");
+    let _ = writeln!(
+        out,
+        "pod {name} {address} {state} {build} {incarnation} {age} {zone} {machine} {cell} {size}"
+    );
+}
+
+/// Appends the service's answer to a request that it cannot serve, as message `number` of its connection.
+pub fn write_poll_failure(out: &mut String, number: u64, reason: &str) {
+    let reason = reason.replace(['\n', '\r'], " ");
+    let _ = writeln!(out, "failed {number} {reason}");
+}
--- /dev/null
+++ b/crates/line-protocol/tests/codec.rs
@@ -0,0 +1,27 @@
+//! Whatever comes in is parsed or refused within the bound on a line.
+
+use bytes::BytesMut;
+use havenplank_line_protocol::codec::LineCodec;
+use havenplank_line_protocol::{control_plane, endpoint_list};
+use proptest::prelude::*;
+use tokio_util::codec::Decoder;
+
+proptest! {
+    #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(300) })]
+
+    #[test]
+    fn no_bytes_make_a_parser_panic_or_hold_more_than_a_line(
+        bytes in proptest::collection::vec(any::<u8>(), 0..2000),
+        greeted in any::<bool>(),
+    ) {
+        let mut text = if greeted { b"hello nodes 1\nhello desk 1\n".to_vec() } else { Vec::new() };
+        text.extend(bytes);
+        let mut buffer = BytesMut::from(&text[..]);
+        let mut codec = LineCodec::new(endpoint_list::NotificationParser::default(), 64);
+        while let Ok(Some(_)) = codec.decode(&mut buffer) {}
+        let mut buffer = BytesMut::from(&text[..]);
+        let mut codec = LineCodec::new(control_plane::RequestParser::default(), 64);
+        while let Ok(Some(_)) = codec.decode(&mut buffer) {}
+        let _ = endpoint_list::decode_cached(&String::from_utf8_lossy(&text));
+    }
+}
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -4,7 +4,7 @@
 use havenplank::interface::{Nanos, Stage};
 use havenplank_adapter::line::{Fields, Line};
 use havenplank_adapter::setup;
-use havenplank_line_protocol::nodes::Listed;
+use havenplank_line_protocol::endpoint_list::ListedEndpoint;
 use havenplank_sidecar::told::Terms;
 use serde_json::{Map, Value};
 use std::net::SocketAddr;
@@ -18,7 +18,7 @@
     pub desk: SocketAddr,
     pub stage: Option<Stage>,
     /// The pods as this sidecar last held them, and the list's version then.
-    pub known: (u64, Vec<Listed>),
+    pub known: (u64, Vec<ListedEndpoint>),
     pub seed: u64,
     pub sockets: usize,
     /// Bytes of memory, over which the platform ends us.
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -7,9 +7,9 @@
 use bytes::Bytes;
 use havenplank::interface::{Build, Nanos, PodState};
 use havenplank_adapter::line::Fields;
-use havenplank_line_protocol::follow::Waits;
-use havenplank_line_protocol::lines::MOST_PODS;
-use havenplank_line_protocol::nodes::Listed;
+use havenplank_line_protocol::backoff::Backoff;
+use havenplank_line_protocol::codec::MAX_ENDPOINTS;
+use havenplank_line_protocol::endpoint_list::ListedEndpoint;
 use http_body_util::{BodyExt, Empty};
 use hyper::client::conn::http1;
 use hyper::header::HOST;
@@ -47,7 +47,7 @@
 pub struct Told {
     pub seq: u64,
     pub whole: bool,
-    pub pods: Vec<Listed>,
+    pub pods: Vec<ListedEndpoint>,
 }
 
 /// Decodes one object of the list.
@@ -56,7 +56,7 @@
 /// The first field that is missing or wrong.
 pub fn read(fields: &Fields, wall: Nanos) -> Result<Told, String> {
     let hosts = fields.objects("hosts")?;
-    if hosts.len() > MOST_PODS {
+    if hosts.len() > MAX_ENDPOINTS {
         return Err(fields.complain("hosts", "expected fewer pods"));
     }
     let pods = hosts
@@ -70,7 +70,7 @@
     })
 }
 
-fn pod(host: &Fields, wall: Nanos) -> Result<Listed, String> {
+fn pod(host: &Fields, wall: Nanos) -> Result<ListedEndpoint, String> {
     let state = match host.text("health")? {
         "active" => PodState::Running,
         "leaving" => PodState::Draining,
@@ -83,12 +83,12 @@
         born => wall.saturating_sub(born.saturating_mul(1_000_000)).max(1),
     };
     let dial = host.text("dial")?.parse();
-    Ok(Listed {
+    Ok(ListedEndpoint {
         name: host.text("host")?.to_string(),
         address: dial.map_err(|_| host.complain("dial", "expected an IP address with a port"))?,
         state,
         build: host.whole_or("revision_no", 0)?.min(u32::MAX as u64) as Build,
-        life: born,
+        incarnation: born,
         age,
         zone: host.maybe_text("site")?.unwrap_or_default().to_string(),
         machine: host.maybe_text("class")?.unwrap_or_default().to_string(),
@@ -158,12 +158,12 @@
     heard: Instant,
     /// Not before then is a new one opened in place of one that ended.
     retry: Instant,
-    waits: Waits,
+    waits: Backoff,
 }
 
 /// Follows the list from a version on; never ends by itself.
 pub async fn follow(shell: Rc<Shell>, mut at: watch::Receiver<SocketAddr>, since: u64, seed: u64) {
-    let waits = Waits::new(seed, FIRST_WAIT, LONGEST_WAIT);
+    let waits = Backoff::new(seed, FIRST_WAIT, LONGEST_WAIT);
     let now = Instant::now();
     let address = *at.borrow_and_update();
     let mut watches = Watches {
@@ -234,7 +234,7 @@
             Err(why) => {
                 self.ended(&why);
                 self.force = None;
-                self.retry = Instant::now() + self.waits.next_wait();
+                self.retry = Instant::now() + self.waits.next_delay();
             }
         }
     }
@@ -250,12 +250,12 @@
             }
             Ok(word) => {
                 self.force = Some(next);
-                self.waits.held();
+                self.waits.reset();
                 self.take(word);
             }
             Err(why) => {
                 self.ended(&why);
-                self.retry = Instant::now() + self.waits.next_wait();
+                self.retry = Instant::now() + self.waits.next_delay();
             }
         }
     }
--- a/crates/platform/src/steady.rs
+++ b/crates/platform/src/steady.rs
@@ -1,6 +1,6 @@
 //! A connection that is made again whenever it ends, and moved to another address without a gap.
 
-use havenplank_line_protocol::follow::Waits;
+use havenplank_line_protocol::backoff::Backoff;
 use std::cell::{Cell, RefCell};
 use std::future::Future;
 use std::net::SocketAddr;
@@ -63,7 +63,7 @@
     linger: Duration,
     session: impl Fn(SocketAddr, Up) -> F,
 ) {
-    let mut waits = Waits::new(seed, FIRST_WAIT, LONGEST_WAIT);
+    let mut waits = Backoff::new(seed, FIRST_WAIT, LONGEST_WAIT);
     let mut before = None;
     loop {
         let address = *at.borrow_and_update();
@@ -89,14 +89,14 @@
             if up.spoke.get() {
                 before = Some(now);
             }
-            waits.held();
+            waits.reset();
             continue;
         }
         if up.spoke.get() {
-            waits.held();
+            waits.reset();
         }
         tokio::select! {
-            () = sleep(waits.next_wait()) => {}
+            () = sleep(waits.next_delay()) => {}
             changed = at.changed() => if changed.is_err() { return },
         }
     }
--- a/crates/sidecar/src/daemon.rs
+++ b/crates/sidecar/src/daemon.rs
@@ -15,9 +15,10 @@
 use crate::told::{Terms, Witness};
 use havenplank::interface::*;
 use havenplank_configuration::store::StoreError;
-use havenplank_line_protocol::follow::{follow, Link};
-use havenplank_line_protocol::nodes::Listed;
-use havenplank_line_protocol::{desk, nodes, FeedError};
+use havenplank_line_protocol::client::{subscribe, Handler, Service};
+use havenplank_line_protocol::control_plane::ClassTally;
+use havenplank_line_protocol::endpoint_list::ListedEndpoint;
+use havenplank_line_protocol::{control_plane, endpoint_list, ProtocolError};
 use havenplank_settings::Site;
 use hyper::header::{HeaderName, HeaderValue};
 use hyper::server::conn::http1;
@@ -199,13 +200,35 @@
     let (nodes_at, desk_at, name) = (site.nodes.clone(), site.desk.clone(), site.name.clone());
     let (mut link, feed_name) = (NodesLink(shell.clone()), name.clone());
     tasks.spawn_local(async move {
-        let feed = (nodes::FEED, nodes_at.address, nodes_at.line_bytes);
-        follow::<nodes::Telling>(feed, &feed_name, seed ^ 1, nodes_asked, &mut link).await;
+        let service = Service {
+            protocol: endpoint_list::PROTOCOL,
+            address: nodes_at.address,
+            max_line_bytes: nodes_at.line_bytes,
+        };
+        subscribe::<endpoint_list::NotificationParser>(
+            service,
+            &feed_name,
+            seed ^ 1,
+            nodes_asked,
+            &mut link,
+        )
+        .await;
     });
     let (mut link, feed_name) = (DeskLink(shell.clone()), name);
     tasks.spawn_local(async move {
-        let feed = (desk::FEED, desk_at.address, desk_at.line_bytes);
-        follow::<desk::Telling>(feed, &feed_name, seed ^ 2, desk_asked, &mut link).await;
+        let service = Service {
+            protocol: control_plane::PROTOCOL,
+            address: desk_at.address,
+            max_line_bytes: desk_at.line_bytes,
+        };
+        subscribe::<control_plane::NotificationParser>(
+            service,
+            &feed_name,
+            seed ^ 2,
+            desk_asked,
+            &mut link,
+        )
+        .await;
     });
     shell.call(|engine, now| engine.begin(now));
     let connections = site.door.connections;
@@ -360,9 +383,9 @@
 
 /// Takes in the list kept by an earlier life. Its pods' ages go on from when the file was written.
 fn start_from_kept(shell: &Rc<Shell>, path: &Path) {
-    let read = || -> Result<Vec<Listed>, String> {
+    let read = || -> Result<Vec<ListedEndpoint>, String> {
         let text = std::fs::read_to_string(path).map_err(|error| error.to_string())?;
-        let mut pods = nodes::read_kept(&text)?;
+        let mut pods = endpoint_list::decode_cached(&text).map_err(|error| error.to_string())?;
         let written = std::fs::metadata(path).and_then(|meta| meta.modified());
         let age = written
             .ok()
@@ -399,7 +422,7 @@
     };
     loop {
         shell.keep.notified().await;
-        let text = nodes::keep(&shell.listed());
+        let text = endpoint_list::encode_cached(&shell.listed());
         let path = path.clone();
         let written = tokio::task::spawn_blocking(move || {
             let mut beside = path.clone().into_os_string();
@@ -414,17 +437,17 @@
 
 struct NodesLink(Rc<Shell>);
 
-impl Link<nodes::Call> for NodesLink {
-    fn up(&mut self) {
+impl Handler<endpoint_list::Notification> for NodesLink {
+    fn connected(&mut self) {
         tracing::info!("node list connected");
     }
 
-    fn said(&mut self, call: nodes::Call) {
+    fn received(&mut self, call: endpoint_list::Notification) {
         call(&mut NodesHeard(&self.0));
     }
 
     /// The last list stays in force.
-    fn down(&mut self, why: &FeedError) {
+    fn disconnected(&mut self, why: &ProtocolError) {
         tracing::warn!(%why, "node list lost");
         self.0.call(|engine, now| engine.list_failed(now));
     }
@@ -436,14 +459,14 @@
 
 struct NodesHeard<'a>(&'a Rc<Shell>);
 
-impl nodes::Hears for NodesHeard<'_> {
-    fn list(&mut self, whole: bool, pods: Vec<Listed>) {
+impl endpoint_list::Subscriber for NodesHeard<'_> {
+    fn update_endpoints(&mut self, whole: bool, pods: Vec<ListedEndpoint>) {
         tracing::debug!(whole, pods = pods.len(), "node list");
         self.0.call(|engine, now| engine.list(now, whole, pods));
         self.0.keep.notify_one();
     }
 
-    fn failed(&mut self, why: &str) {
+    fn poll_failed(&mut self, why: &str) {
         tracing::warn!(why, "node list failed");
         self.0.call(|engine, now| engine.list_failed(now));
     }
@@ -451,18 +474,18 @@
 
 struct DeskLink(Rc<Shell>);
 
-impl Link<desk::Call> for DeskLink {
-    fn up(&mut self) {
+impl Handler<control_plane::Notification> for DeskLink {
+    fn connected(&mut self) {
         tracing::info!("release desk connected");
         self.0.desk_up.set(true);
     }
 
-    fn said(&mut self, call: desk::Call) {
+    fn received(&mut self, call: control_plane::Notification) {
         call(&mut DeskHeard(&self.0));
     }
 
     /// The last stage stays in force; votes that are out have their time to be answered.
-    fn down(&mut self, why: &FeedError) {
+    fn disconnected(&mut self, why: &ProtocolError) {
         tracing::warn!(%why, "release desk lost");
         self.0.desk_up.set(false);
     }
@@ -472,8 +495,8 @@
 
 struct DeskHeard<'a>(&'a Rc<Shell>);
 
-impl desk::Hears for DeskHeard<'_> {
-    fn stage(&mut self, stage: Stage) {
+impl control_plane::Subscriber for DeskHeard<'_> {
+    fn update_stage(&mut self, stage: Stage) {
         let Stage {
             build,
             stage: number,
@@ -485,12 +508,14 @@
         self.0.call(|engine, now| engine.news(now, stage));
     }
 
-    fn voted(&mut self, vote: u64, news: VoteReply) {
+    fn vote_answered(&mut self, vote: u64, news: VoteReply) {
         tracing::info!(vote, heard = ?news.receipt, "vote answered");
         self.0.call(|engine, now| engine.voted(now, vote, news));
     }
 
-    fn tally(&mut self, build: Build, group: String, counts: (u64, u64), mean: Nanos, age: Nanos) {
+    fn update_tally(&mut self, tally: ClassTally) {
+        let (build, group) = (tally.build, tally.class);
+        let (counts, mean, age) = ((tally.count, tally.failed), tally.mean_latency, tally.age);
         if !self
             .0
             .call(|engine, now| engine.tally(now, build, &group, counts, mean, age))
@@ -499,7 +524,7 @@
         }
     }
 
-    fn flagged(&mut self, pod: String, group: String, ago: Nanos) {
+    fn report_fault(&mut self, pod: String, group: String, ago: Nanos) {
         if !self.0.flagged(&pod, &group, ago) {
             tracing::info!(
                 pod,
--- a/crates/sidecar/src/engine.rs
+++ b/crates/sidecar/src/engine.rs
@@ -6,7 +6,7 @@
 use havenplank::interface::*;
 use havenplank::logic::Router;
 use havenplank::Visits;
-use havenplank_line_protocol::nodes::Listed;
+use havenplank_line_protocol::endpoint_list::ListedEndpoint;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -566,7 +566,12 @@
     }
 
     /// Takes a list in; the index of each of its pods, as long as it is listed and forwards are out there.
-    pub fn list(&mut self, now: Nanos, whole: bool, pods: Vec<Listed>) -> Vec<Option<PodId>> {
+    pub fn list(
+        &mut self,
+        now: Nanos,
+        whole: bool,
+        pods: Vec<ListedEndpoint>,
+    ) -> Vec<Option<PodId>> {
         self.at(now);
         let told = self.witness.is_some().then(|| pods.clone());
         let entries = self.desk.roll.apply(self.desk.now, whole, pods);
@@ -695,7 +700,7 @@
     }
 
     /// The list as last told, to be kept for a start without the node list's service.
-    pub fn listed(&self) -> Vec<Listed> {
+    pub fn listed(&self) -> Vec<ListedEndpoint> {
         self.desk.roll.listed(self.desk.now)
     }
 
--- a/crates/sidecar/src/hub.rs
+++ b/crates/sidecar/src/hub.rs
@@ -3,7 +3,7 @@
 use crate::engine::{Asked, Effect, Engine, Glance, EPOCH};
 use crate::slots::Slot;
 use havenplank::interface::*;
-use havenplank_line_protocol::nodes::Listed;
+use havenplank_line_protocol::endpoint_list::ListedEndpoint;
 use std::cell::{Cell, Ref, RefCell};
 use std::collections::HashMap;
 use std::future::Future;
@@ -330,7 +330,7 @@
         self.look().glance()
     }
 
-    pub fn listed(&self) -> Vec<Listed> {
+    pub fn listed(&self) -> Vec<ListedEndpoint> {
         self.look().listed()
     }
 
--- a/crates/sidecar/src/roll.rs
+++ b/crates/sidecar/src/roll.rs
@@ -1,8 +1,8 @@
 //! The pods by name: which index each has, where it listens and since when it runs.
 
 use havenplank::interface::{stable_hash, Endpoint, Nanos, PodId, PodState};
-use havenplank_line_protocol::lines::MOST_PODS;
-use havenplank_line_protocol::nodes::Listed;
+use havenplank_line_protocol::codec::MAX_ENDPOINTS;
+use havenplank_line_protocol::endpoint_list::ListedEndpoint;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
@@ -11,7 +11,7 @@
 const MOST_NAMES: usize = 256;
 
 struct Known {
-    listed: Listed,
+    listed: ListedEndpoint,
     started: Nanos,
     forwards_out: u32,
 }
@@ -77,7 +77,7 @@
     }
 
     /// The pods as last listed and when each started, as a list to be kept.
-    pub fn listed(&self, now: Nanos) -> Vec<Listed> {
+    pub fn listed(&self, now: Nanos) -> Vec<ListedEndpoint> {
         let live = self
             .slots
             .iter()
@@ -89,7 +89,7 @@
             } else {
                 now.saturating_sub(known.started).max(1)
             };
-            Listed {
+            ListedEndpoint {
                 age,
                 ..known.listed.clone()
             }
@@ -99,7 +99,12 @@
 
     /// Takes a list in and maps it to the module's entries, `None` for a pod that no index was left for. The same life keeps the start time it had when
     /// first listed; another life, build or address makes a pod that started anew under its old name.
-    pub fn apply(&mut self, now: Nanos, whole: bool, pods: Vec<Listed>) -> Vec<Option<Endpoint>> {
+    pub fn apply(
+        &mut self,
+        now: Nanos,
+        whole: bool,
+        pods: Vec<ListedEndpoint>,
+    ) -> Vec<Option<Endpoint>> {
         if whole {
             self.slots
                 .iter_mut()
@@ -118,12 +123,16 @@
                 place(&mut self.machines, &listed.machine),
             );
             let slot = &mut self.slots[pod];
-            let before = slot
-                .as_ref()
-                .map(|known| (known.started, known.listed.life, known.listed.address));
+            let before = slot.as_ref().map(|known| {
+                (
+                    known.started,
+                    known.listed.incarnation,
+                    known.listed.address,
+                )
+            });
             let started = match before {
                 Some((started, life, address))
-                    if (life, address) == (listed.life, listed.address) =>
+                    if (life, address) == (listed.incarnation, listed.address) =>
                 {
                     started
                 }
@@ -133,7 +142,7 @@
                 _ => now.saturating_sub(listed.age).max(LONG_AGO + 2),
             };
             let mark = stable_hash(listed.name.as_bytes());
-            let Listed {
+            let ListedEndpoint {
                 state,
                 build,
                 cell,
@@ -167,7 +176,7 @@
         }
         let id = match self.free.pop() {
             Some(id) => id,
-            None if self.slots.len() < 2 * MOST_PODS => {
+            None if self.slots.len() < 2 * MAX_ENDPOINTS => {
                 self.slots.push(None);
                 self.slots.len() - 1
             }
--- a/crates/sidecar/src/shell.rs
+++ b/crates/sidecar/src/shell.rs
@@ -10,7 +10,7 @@
 use crate::proxy::{self, Ask, Body};
 use crate::routes::RouteTable;
 use havenplank::interface::*;
-use havenplank_line_protocol::{desk, nodes};
+use havenplank_line_protocol::{control_plane, endpoint_list};
 use havenplank_settings::Site;
 use hyper::header::{HeaderName, HeaderValue};
 use hyper::Response;
@@ -77,7 +77,7 @@
 
     /// Sends a vote and sees to it that it is answered: not sent is refused, no answer in time is unknown.
     fn vote(hub: &Rc<Shell>, vote: u64, build: Build, stage: usize, voice: Vote) {
-        let line = desk::ask_vote(vote, build, stage, voice);
+        let line = control_plane::vote_line(vote, build, stage, voice);
         let sent = hub.desk_up.get() && hub.desk_asks.try_send(line).is_ok();
         let (hub, wait) = (
             hub.clone(),
@@ -114,11 +114,11 @@
     }
 
     fn ask_list(hub: &Rc<Shell>) {
-        ask_nodes(hub, nodes::ask_whole());
+        ask_nodes(hub, endpoint_list::poll_line());
     }
 
     fn watch_list(hub: &Rc<Shell>, on: bool) {
-        ask_nodes(hub, nodes::ask_watch(on));
+        ask_nodes(hub, endpoint_list::watch_line(on));
     }
 }
 
--- a/crates/sidecar/src/told.rs
+++ b/crates/sidecar/src/told.rs
@@ -2,7 +2,7 @@
 
 use crate::engine::{Asked, Effect};
 use havenplank::interface::*;
-use havenplank_line_protocol::nodes::Listed;
+use havenplank_line_protocol::endpoint_list::ListedEndpoint;
 use havenplank_settings::Site;
 use serde::{Deserialize, Serialize};
 
@@ -85,7 +85,7 @@
     /// `given`: the index of each pod, `None` where none was left for it.
     List {
         whole: bool,
-        pods: Vec<Listed>,
+        pods: Vec<ListedEndpoint>,
         given: Vec<Option<PodId>>,
     },
     ListFailed,
--- a/crates/sidecar/tests/engine.rs
+++ b/crates/sidecar/tests/engine.rs
@@ -3,7 +3,7 @@
 use havenplank::interface::{
     AttemptEnd, Nanos, Phase, PodState, PriorAttempt, Stage, Vote, VoteReceipt, VoteReply,
 };
-use havenplank_line_protocol::nodes::Listed;
+use havenplank_line_protocol::endpoint_list::ListedEndpoint;
 use havenplank_settings::{load, Given};
 use havenplank_sidecar::engine::{Asked, Effect, Engine, EPOCH};
 use havenplank_sidecar::told::Terms;
@@ -17,13 +17,13 @@
     Terms::from(&load(&file, &Given::new()).unwrap_or_else(|problems| panic!("{problems}")))
 }
 
-fn listed(n: u16, build: u32, life: u64, age: Nanos) -> Listed {
-    Listed {
+fn listed(n: u16, build: u32, life: u64, age: Nanos) -> ListedEndpoint {
+    ListedEndpoint {
         name: format!("pod-{n}"),
         address: ([127, 0, 0, 1], 4000 + n).into(),
         state: PodState::Running,
         build,
-        life,
+        incarnation: life,
         age,
         zone: "room-1".to_string(),
         machine: "three-core".to_string(),
--- a/crates/sidecar/tests/hard.rs
+++ b/crates/sidecar/tests/hard.rs
@@ -1,9 +1,9 @@
 //! A sidecar on loopback sockets amid scripted peers that do what peers should not.
 
 use havenplank::interface::{Phase, PodState, Stage};
-use havenplank_line_protocol::lines::hello;
-use havenplank_line_protocol::nodes::Listed;
-use havenplank_line_protocol::{desk, nodes};
+use havenplank_line_protocol::codec::greeting;
+use havenplank_line_protocol::endpoint_list::ListedEndpoint;
+use havenplank_line_protocol::{control_plane, endpoint_list};
 use havenplank_settings::{load, Given, Site};
 use proptest::prelude::*;
 use proptest::strategy::ValueTree;
@@ -61,7 +61,7 @@
                 let (mut more, first) = (own.push.subscribe(), own.first.borrow().clone());
                 spawn_local(async move {
                     let _ = stream
-                        .write_all((hello(name, None) + &first).as_bytes())
+                        .write_all((greeting(name, None) + &first).as_bytes())
                         .await;
                     while let Ok(text) = more.recv().await {
                         let _ = stream.write_all(text.as_bytes()).await;
@@ -73,15 +73,15 @@
     }
 }
 
-fn listed(name: &str, address: SocketAddr, state: PodState, build: u32) -> Listed {
+fn listed(name: &str, address: SocketAddr, state: PodState, build: u32) -> ListedEndpoint {
     let (zone, machine) = ("z".to_string(), "m".to_string());
     let (name, life) = (name.to_string(), address.port() as u64);
-    Listed {
+    ListedEndpoint {
         name,
         address,
         state,
         build,
-        life,
+        incarnation: life,
         age: 0,
         zone,
         machine,
@@ -220,7 +220,10 @@
         .build()
         .expect("a runtime");
     runtime.block_on(LocalSet::new().run_until(async {
-        let (nodes, desk) = (Feed::new(nodes::FEED).await, Feed::new(desk::FEED).await);
+        let (nodes, desk) = (
+            Feed::new(endpoint_list::PROTOCOL).await,
+            Feed::new(control_plane::PROTOCOL).await,
+        );
         let given = [
             ("nodes", nodes.at.to_string()),
             ("desk", desk.at.to_string()),
@@ -251,14 +254,14 @@
     }));
 }
 
-fn whole(seq: u64, pods: &[Listed]) -> String {
+fn whole(seq: u64, pods: &[ListedEndpoint]) -> String {
     let mut text = String::new();
-    nodes::tell_list(&mut text, seq, true, pods);
+    endpoint_list::write_list(&mut text, seq, true, pods);
     text
 }
 
 impl Rig {
-    async fn list(&self, seq: u64, pods: &[Listed]) {
+    async fn list(&self, seq: u64, pods: &[ListedEndpoint]) {
         let text = whole(seq, pods);
         *self.nodes.first.borrow_mut() = whole(1, pods);
         let _ = self.nodes.push.send(text);
@@ -554,7 +557,7 @@
                     cap,
                     age: 1,
                 };
-                desk::tell_stage(&mut text, if cap > 0.0 { 1 } else { 2 }, &stage);
+                control_plane::write_stage(&mut text, if cap > 0.0 { 1 } else { 2 }, &stage);
                 text
             };
             rig.until("\"pods_running\":0").await;
@@ -602,7 +605,7 @@
 fn lists_that_move_drop_or_garble_pods() {
     rig(8, |rig| async move {
         let (old, new) = (RawPod::new().await, RawPod::new().await);
-        let many: Vec<Listed> = (0..999)
+        let many: Vec<ListedEndpoint> = (0..999)
             .map(|n| listed(&format!("d-{n}"), old.at(), PodState::Draining, 1))
             .chain([listed("p", old.at(), PodState::Running, 1)])
             .collect();
--- a/crates/sidecar/tests/routes.rs
+++ b/crates/sidecar/tests/routes.rs
@@ -6,7 +6,7 @@
 };
 use havenplank_configuration::snapshot::Snapshot;
 use havenplank_configuration::version::Version;
-use havenplank_line_protocol::nodes::Listed;
+use havenplank_line_protocol::endpoint_list::ListedEndpoint;
 use havenplank_settings::{Group, Guard};
 use havenplank_sidecar::engine::{Asked, Effect, Engine, EPOCH};
 use havenplank_sidecar::routes::{routes_of, KnownTenant, RouteTable};
@@ -225,13 +225,13 @@
     );
 }
 
-fn listed(n: u16) -> Listed {
-    Listed {
+fn listed(n: u16) -> ListedEndpoint {
+    ListedEndpoint {
         name: format!("pod-{n}"),
         address: ([127, 0, 0, 1], 4000 + n).into(),
         state: PodState::Running,
         build: 1,
-        life: 1,
+        incarnation: 1,
         age: 0,
         zone: "room-1".to_string(),
         machine: "three-core".to_string(),
--- a/crates/trace/src/columns.rs
+++ b/crates/trace/src/columns.rs
@@ -3,8 +3,8 @@
 
 use crate::record::{Card, Record, Standing, What};
 use havenplank::interface::*;
-use havenplank_line_protocol::lines::MOST_PODS;
-use havenplank_line_protocol::nodes::Listed;
+use havenplank_line_protocol::codec::MAX_ENDPOINTS;
+use havenplank_line_protocol::endpoint_list::ListedEndpoint;
 use havenplank_sidecar::engine::{Asked, Effect};
 use havenplank_sidecar::told::Told;
 use integer_encoding::VarInt;
@@ -296,7 +296,7 @@
                 w.flag(c, whole)?;
                 let mut count = pods.len();
                 w.index(c + 1, &mut count)?;
-                if count > MOST_PODS {
+                if count > MAX_ENDPOINTS {
                     return Err(Wrong::Range(c + 1));
                 }
                 for n in 0..count {
@@ -400,13 +400,13 @@
         .wrapping_add(source << 52)
 }
 
-fn blank_pod() -> Listed {
-    Listed {
+fn blank_pod() -> ListedEndpoint {
+    ListedEndpoint {
         name: String::new(),
         address: SocketAddr::from(([0, 0, 0, 0], 0)),
         state: PodState::Running,
         build: 0,
-        life: 0,
+        incarnation: 0,
         age: 0,
         zone: String::new(),
         machine: String::new(),
@@ -415,14 +415,14 @@
     }
 }
 
-fn listed(w: &mut impl Way, c: u16, pod: &mut Listed) -> Result<(), Wrong> {
+fn listed(w: &mut impl Way, c: u16, pod: &mut ListedEndpoint) -> Result<(), Wrong> {
     w.text(c, &mut pod.name)?;
     let mut address = pod.address.to_string();
     w.text(c + 1, &mut address)?;
     pod.address = address.parse().map_err(|_| Wrong::Range(c + 1))?;
     w.one(c + 2, &mut pod.state, &STATES)?;
     w.small(c + 3, &mut pod.build)?;
-    w.near(c + 4, 0, &mut pod.life)?;
+    w.near(c + 4, 0, &mut pod.incarnation)?;
     w.near(c + 5, 0, &mut pod.age)?;
     w.text(c + 6, &mut pod.zone)?;
     w.text(c + 7, &mut pod.machine)?;
--- a/crates/trace/src/from_wire.rs
+++ b/crates/trace/src/from_wire.rs
@@ -7,7 +7,7 @@
 use havenplank_adapter::door::{Hears, Row, Wire};
 use havenplank_adapter::line::Line;
 use havenplank_adapter::setup::{Names, Setup};
-use havenplank_line_protocol::nodes::Listed;
+use havenplank_line_protocol::endpoint_list::ListedEndpoint;
 use havenplank_sidecar::engine::{Asked, Effect};
 use havenplank_sidecar::told::{Terms, Told};
 use std::collections::{HashMap, VecDeque};
@@ -167,13 +167,13 @@
                 0 => 0,
                 started => self.now.saturating_sub(started).max(1),
             };
-            pods.push(Listed {
+            pods.push(ListedEndpoint {
                 name: pod.clone(),
                 // The bench has none.
                 address: SocketAddr::from(([0, 0, 0, 0], 0)),
                 state: entry.state,
                 build: entry.build,
-                life: entry.started,
+                incarnation: entry.started,
                 age,
                 zone: zone.clone(),
                 machine: machine.clone(),
--- a/crates/trace/src/merge.rs
+++ b/crates/trace/src/merge.rs
@@ -97,7 +97,7 @@
                 }) => {
                     for pod in pods {
                         heard
-                            .entry((1, number(&pod.name), pod.life, pod.state as u64))
+                            .entry((1, number(&pod.name), pod.incarnation, pod.state as u64))
                             .or_insert(at);
                     }
                 }
--- a/crates/trace/src/recorder.rs
+++ b/crates/trace/src/recorder.rs
@@ -4,7 +4,7 @@
 use crate::file::{stand, Sink, TraceError, FULL_BYTES, FULL_RECORDS};
 use crate::record::{Card, Head, Record, Source, Standing, What};
 use havenplank::interface::{Nanos, PodId, RequestId};
-use havenplank_line_protocol::nodes::Listed;
+use havenplank_line_protocol::endpoint_list::ListedEndpoint;
 use havenplank_sidecar::engine::Effect;
 use havenplank_sidecar::told::{Told, Witness};
 use std::collections::VecDeque;
@@ -304,7 +304,7 @@
         }
     }
 
-    fn listed(&mut self, pods: &[Listed], given: &[Option<PodId>]) {
+    fn listed(&mut self, pods: &[ListedEndpoint], given: &[Option<PodId>]) {
         for (pod, id) in pods
             .iter()
             .zip(given)
--- a/crates/trace/src/show.rs
+++ b/crates/trace/src/show.rs
@@ -3,7 +3,7 @@
 use crate::record::{Head, Record, Standing, What};
 use crate::summary::{ended, vote_name};
 use havenplank::interface::*;
-use havenplank_line_protocol::nodes::Listed;
+use havenplank_line_protocol::endpoint_list::ListedEndpoint;
 use havenplank_sidecar::engine::Effect;
 use havenplank_sidecar::told::Told;
 use serde_json::{json, Map, Value};
@@ -62,13 +62,13 @@
         .into()
 }
 
-fn listed(pod: &Listed, given: Option<PodId>) -> Value {
-    let Listed {
+fn listed(pod: &ListedEndpoint, given: Option<PodId>) -> Value {
+    let ListedEndpoint {
         name,
         address,
         state,
         build,
-        life,
+        incarnation,
         age,
         zone,
         machine,
@@ -76,7 +76,7 @@
         size,
     } = pod;
     json!({
-        "name": name, "address": address.to_string(), "state": pod_state_name(*state), "build": build, "life": life,
+        "name": name, "address": address.to_string(), "state": pod_state_name(*state), "build": build, "life": incarnation,
         "age_ns": age, "zone": zone, "machine": machine, "cell": cell, "size": size, "index": given,
     })
 }
--- a/crates/trace/src/veil.rs
+++ b/crates/trace/src/veil.rs
@@ -2,7 +2,7 @@
 
 use crate::file::{Reader, TraceError, Writer};
 use crate::record::{Card, Head, Record, Standing, What};
-use havenplank_line_protocol::nodes::Listed;
+use havenplank_line_protocol::endpoint_list::ListedEndpoint;
 use havenplank_sidecar::engine::Effect;
 use havenplank_sidecar::told::Told;
 use std::collections::HashMap;
@@ -73,10 +73,10 @@
         }
     }
 
-    fn pod(&self, pod: &mut Listed) {
+    fn pod(&self, pod: &mut ListedEndpoint) {
         pod.name = self.name("pod", &pod.name);
         pod.address = self.address(pod.address);
-        pod.life = self.number("life", pod.life);
+        pod.incarnation = self.number("life", pod.incarnation);
         pod.zone = self.name("zone", &pod.zone);
         pod.machine = self.name("machine", &pod.machine);
     }
--- a/crates/trace/tests/common/mod.rs
+++ b/crates/trace/tests/common/mod.rs
@@ -3,7 +3,7 @@
 #![allow(dead_code, clippy::unwrap_used)]
 
 use havenplank::interface::*;
-use havenplank_line_protocol::nodes::Listed;
+use havenplank_line_protocol::endpoint_list::ListedEndpoint;
 use havenplank_settings::{load, Given};
 use havenplank_sidecar::engine::{Asked, Effect, Engine, EPOCH};
 use havenplank_sidecar::told::Terms;
@@ -111,13 +111,13 @@
     }
 }
 
-pub fn pod(n: u64, state: PodState, build: Build, life: u64) -> Listed {
-    Listed {
+pub fn pod(n: u64, state: PodState, build: Build, life: u64) -> ListedEndpoint {
+    ListedEndpoint {
         name: format!("searchnode{n}.krakow.example.org"),
         address: ([10, 20, 30, n as u8], 4000 + n as u16).into(),
         state,
         build,
-        life,
+        incarnation: life,
         age: if build == 1 { 0 } else { 10 * S },
         zone: format!("serverhall-{}", n % 2 + 1),
         machine: "three-core".to_string(),
@@ -128,7 +128,7 @@
 
 /// The shared event of a number, which all sidecars hear of: a pod leaves or comes back, or a stage begins.
 pub enum Event {
-    Pod(Listed),
+    Pod(ListedEndpoint),
     Stage(Stage),
 }
 
@@ -159,7 +159,7 @@
         Engine::new(EPOCH, life.seed, &terms(&life.name)).watched_by(Box::new(recorder));
     let mut chance = Rand64::new(life.seed as u128);
     engine.begin(EPOCH);
-    let mut first: Vec<Listed> = (0..12).map(|n| pod(n, PodState::Running, 1, 1)).collect();
+    let mut first: Vec<ListedEndpoint> = (0..12).map(|n| pod(n, PodState::Running, 1, 1)).collect();
     first.extend((12..16).map(|n| pod(n, PodState::Running, 2, 1)));
     engine.list(EPOCH, true, first);
     let mut heard = life.starts.div_ceil(EVENT);
--- a/crates/trace/tests/tools.rs
+++ b/crates/trace/tests/tools.rs
@@ -181,7 +181,7 @@
         {
             let key = (
                 pods[0].address.port() as u64,
-                pods[0].life,
+                pods[0].incarnation,
                 pods[0].state as u64,
             );
             let (first, last) = heard.entry(key).or_insert((record.at, record.at));
