--- a/crates/membership/tests/simulated.rs
+++ b/crates/membership/tests/simulated.rs
@@ -375,3 +375,36 @@
         "{few:?} to {many:?}"
     );
 }
+
+/// All that a run by seed carries, counted and hashed by receiver in the order of arrival.
+#[test]
+fn runs_by_seed_carry_the_recorded_messages_and_bytes() {
+    let played: Vec<String> = (0..4)
+        .map(|seed| {
+            let weather = Weather {
+                loss: 0.1,
+                repeat: 0.05,
+                delay: (100_000, 30_000_000),
+            };
+            let mut net = fleet(12, seed, weather);
+            net.run(20 * S, |_, _| {});
+            net.kill(5);
+            net.run(60 * S, |_, _| {});
+            net.restart(5, |now, at| Fellow::new(now, at, &name(5), 2, 7));
+            net.run(90 * S, |_, _| {});
+            let mut arrived = blake3::Hasher::new();
+            for bytes in net.ids().flat_map(|id| &net.part(id).unwrap().came) {
+                arrived.update(bytes);
+            }
+            let digest = &arrived.finalize().to_hex()[..16];
+            format!("{} {} {digest}", net.carried, net.carried_bytes)
+        })
+        .collect();
+    let recorded = [
+        "8283 670173 5dbbd2627adb8ddf",
+        "8506 673704 522676295f3b5fe7",
+        "8383 664234 b38f512cafe14c32",
+        "8489 678015 753511ff9ebb324c",
+    ];
+    assert_eq!(played, recorded);
+}
--- a/crates/takeover/tests/every_order.rs
+++ b/crates/takeover/tests/every_order.rs
@@ -21,6 +21,8 @@
 /// What a step of time is, and how many there are: until all records are forgotten by the slowest clock.
 const STEP: Nanos = 200 * MS;
 const STEPS: u64 = 13;
+/// All states with one fault, as recorded: a change of the decisions or of what they depend on moves it.
+const RECORDED_STATES: usize = 1_390_875;
 
 fn life(id: usize) -> Life {
     Life {
@@ -405,6 +407,9 @@
     };
     search.all(World::new(faults), Vec::new());
     println!("{} states, {faults} faults", search.states());
+    if faults == 1 {
+        assert_eq!(search.states(), RECORDED_STATES);
+    }
     assert!(
         search.states() > 1_000,
         "{} states: nothing was played",
--- /dev/null
+++ b/crates/takeover/tests/frames.rs
@@ -0,0 +1,122 @@
+//! Whether messages between sidecars are byte by byte those of the version before: another version still runs beside.
+
+mod common;
+
+use common::{recorded_bytes, to_hex};
+use havenplank_membership::wire::Life;
+use havenplank_takeover::record::{Attempt, AttemptState, Message, Outcome, Record};
+
+const FRAMES: &str = include_str!("fixtures/frames.txt");
+const REQUEST: u128 = 0x0123_4567_89ab_cdef_0011_2233_4455_6677;
+
+fn life(name: &str) -> Life {
+    Life {
+        name: name.into(),
+        life: 1_764_752_400_000,
+    }
+}
+
+/// A record with attempts in all states.
+fn record(outcome: Option<Outcome>) -> Record {
+    let attempt = |pod: &str, age, state| Attempt {
+        pod: pod.into(),
+        age,
+        state,
+    };
+    Record {
+        request: REQUEST,
+        owner: life("s-1"),
+        term: 3,
+        version: 300,
+        confirmed: true,
+        backups: vec![life("s-2"), life("s-3"), life("s-4")],
+        digest: u64::MAX,
+        payload: vec![1, 2, 3],
+        remaining: 5_999_999_999,
+        attempts: vec![
+            attempt("p-1", 1_000_000, AttemptState::NeverRan),
+            attempt("p-2", 2_000, AttemptState::MayHaveRun),
+            attempt("p-3", 0, AttemptState::InFlight),
+        ],
+        outcome,
+    }
+}
+
+fn finished(outcome: Outcome) -> Message {
+    Message::Finished {
+        request: REQUEST,
+        term: 4,
+        outcome,
+    }
+}
+
+/// One of every kind of message, and of every kind of outcome.
+fn messages() -> Vec<(&'static str, Message)> {
+    let (request, stamp, epoch) = (REQUEST, 123_456_789_012, 130);
+    let served = Outcome::Served(b"answer".to_vec());
+    let store = |record| Message::Store { record, stamp };
+    let stored = Message::Stored {
+        request,
+        term: 3,
+        version: 300,
+        stamp,
+        epoch,
+    };
+    let owned = Message::Owned {
+        request,
+        term: 3,
+        by: life("s-5"),
+        differs: true,
+    };
+    let request_vote = Message::RequestVote {
+        request,
+        term: 4,
+        stamp,
+    };
+    let vote_granted = Message::VoteGranted {
+        record: record(None),
+        term: 4,
+        stamp,
+        epoch,
+    };
+    vec![
+        ("store", store(record(None))),
+        ("store_served", store(record(Some(served.clone())))),
+        ("stored", stored),
+        ("owned", owned),
+        ("full", Message::Full { request }),
+        ("renew_lease", Message::RenewLease { stamp }),
+        ("lease_renewed", Message::LeaseRenewed { stamp, epoch }),
+        ("request_vote", request_vote),
+        ("vote_granted", vote_granted),
+        (
+            "await_outcome",
+            Message::AwaitOutcome { request, digest: 7 },
+        ),
+        ("finished_served", finished(served)),
+        ("finished_rejected", finished(Outcome::Rejected)),
+        (
+            "finished_failed",
+            finished(Outcome::Failed { retryable: false }),
+        ),
+        (
+            "finished_retryable",
+            finished(Outcome::Failed { retryable: true }),
+        ),
+        ("unknown", Message::Unknown { request }),
+        ("release", Message::Release { request, term: 3 }),
+    ]
+}
+
+#[test]
+fn every_message_is_encoded_and_decoded_as_recorded() {
+    let recorded = recorded_bytes(FRAMES);
+    assert_eq!(recorded.len(), messages().len());
+    for (name, message) in messages() {
+        let bytes = postcard::to_stdvec(&message).unwrap();
+        let expected = recorded.get(name).map(|bytes| to_hex(bytes));
+        assert_eq!(Some(to_hex(&bytes)), expected, "{name}");
+        let decoded: Message = postcard::from_bytes(&bytes).unwrap();
+        assert_eq!(decoded, message, "{name}");
+    }
+}
--- a/crates/takeover/tests/simulated.rs
+++ b/crates/takeover/tests/simulated.rs
@@ -41,6 +41,8 @@
     takes: u64,
     /// What was done for which piece of work, since it was last read; not kept where nobody wants to know.
     story: Option<Vec<(RequestId, String)>>,
+    /// Of all that arrived, in its order.
+    arrived: blake3::Hasher,
 }
 
 fn life(id: Id) -> Life {
@@ -70,6 +72,7 @@
             gives_up: 0.0,
             takes: 300,
             story: None,
+            arrived: blake3::Hasher::new(),
         }
     }
 
@@ -170,6 +173,7 @@
 
 impl Part for Sidecar {
     fn heard(&mut self, now: Nanos, bytes: &[u8]) {
+        self.arrived.update(bytes);
         let (from, to, message): (Life, Life, Message) = postcard::from_bytes(bytes).unwrap();
         if to == self.me {
             self.takeover.receive(now, &from, message);
@@ -542,14 +546,26 @@
         began,
         effects: run.wrote.len(),
         broken,
+        traffic: traffic(&run.net),
         story: run.story.unwrap_or_default(),
     }
 }
 
+/// Datagrams and bytes carried, and a hash of what arrived at those that still run.
+fn traffic(net: &Net<Sidecar>) -> String {
+    let mut arrived = blake3::Hasher::new();
+    for part in net.ids().filter_map(|id| net.part(id)) {
+        arrived.update(part.arrived.finalize().as_bytes());
+    }
+    let digest = &arrived.finalize().to_hex()[..16];
+    format!("{} {} {digest}", net.carried, net.carried_bytes)
+}
+
 struct Played {
     began: usize,
     effects: usize,
     broken: Vec<String>,
+    traffic: String,
     story: Vec<(Nanos, Option<RequestId>, String)>,
 }
 
@@ -968,3 +984,24 @@
     run.play(S);
     assert_eq!(run.net.part(0).unwrap().unguarded, 1);
 }
+
+#[test]
+fn runs_by_seed_carry_the_recorded_messages_and_bytes() {
+    let kinds = [Kind::Short, Kind::Long];
+    let played = kinds.map(|kind| [0, 1, 2, 3].map(|seed| chaos(seed, kind, false).traffic));
+    let recorded = [
+        [
+            "767 27271 43b61e29ad0d5207",
+            "937 34798 bf551759fc4c609f",
+            "1029 38685 8e5f5b91f5ca6b56",
+            "1115 40547 2bad821ac25931b3",
+        ],
+        [
+            "1713 62077 c2e0bd6267a26421",
+            "1773 63755 86076d7a0414b104",
+            "2338 85082 d74eeb75c1e28b10",
+            "2006 70791 0e11cd63c12f96ab",
+        ],
+    ];
+    assert_eq!(played, recorded);
+}
