--- a/crates/sidecar/tests/stored.rs
+++ b/crates/sidecar/tests/stored.rs
@@ -3,7 +3,7 @@
 
 use havenplank::interface::{DedupScope, Idempotency, PodState, RouteClass};
 use havenplank_configuration::store::Store;
-use havenplank_line_protocol::nodes::{keep, read_kept};
+use havenplank_line_protocol::endpoint_list::{decode_cached, encode_cached};
 use std::path::Path;
 
 /// Kept by a sidecar at the end of a day with pods that died and left.
@@ -11,12 +11,12 @@
 
 #[test]
 fn a_kept_endpoint_list_reads_whole_and_is_written_with_the_same_bytes() {
-    let pods = read_kept(LIST).expect("a whole list");
+    let pods = decode_cached(LIST).expect("a whole list");
     let names: Vec<&str> = pods.iter().map(|pod| pod.name.as_str()).collect();
     assert_eq!(names, ["pod-0", "pod-6", "pod-2", "pod-4", "pod-5"]);
     let trial = &pods[3];
     assert_eq!(
-        (trial.state, trial.build, trial.life),
+        (trial.state, trial.build, trial.incarnation),
         (PodState::Running, 2, 5)
     );
     assert_eq!((trial.age, trial.cell, trial.size), (6_097_393_364, 1, 3.0));
@@ -25,7 +25,7 @@
         ("room-1", "three-core")
     );
     assert_eq!(trial.address, ([127, 0, 0, 1], 38_145).into());
-    assert_eq!(keep(&pods), LIST);
+    assert_eq!(encode_cached(&pods), LIST);
 }
 
 #[test]
