--- a/crates/capacity/src/tables.rs
+++ b/crates/capacity/src/tables.rs
@@ -124,7 +124,10 @@
         let mut engine = Engine::new(EPOCH, seed, &Terms::from(site));
         engine.begin(EPOCH);
         engine.list(EPOCH, true, pods);
-        let (routes, chance) = (site.groups.len().max(1) as u64, Rand64::new(seed as u128));
+        let (routes, chance) = (
+            site.route_classes.len().max(1) as u64,
+            Rand64::new(seed as u128),
+        );
         Driver {
             engine,
             now: EPOCH,
@@ -598,7 +601,7 @@
 /// The table in which the proxy finds routes and tenants, and its engine, which gives each route its index.
 pub fn route_table(site: &Site) -> RouteTable {
     let engine = Engine::new(EPOCH, 1, &Terms::from(site));
-    RouteTable::from_settings(&site.groups, engine.slots(), &site.tenants)
+    RouteTable::from_settings(&site.route_classes, engine.slots(), &site.tenants)
 }
 
 fn lookups(options: &Options) -> Result<Section, CapacityError> {
@@ -638,7 +641,7 @@
         let site = samples::site(routes, tenants)?;
         let spent = began.elapsed().as_secs_f64() * 1e3;
         let grown = resident_bytes().saturating_sub(before) as f64 / BYTES_PER_MB;
-        let names: HashSet<&String> = site.groups.iter().map(|group| &group.name).collect();
+        let names: HashSet<&String> = site.route_classes.iter().map(|group| &group.name).collect();
         Ok::<_, CapacityError>((spent, grown, names.len()))
     };
     let mut by_routes = Table::new("routes");
--- a/crates/capacity/tests/tables.rs
+++ b/crates/capacity/tests/tables.rs
@@ -127,7 +127,10 @@
 #[test]
 fn settings_take_4500_routes_and_150000_tenants_and_name_their_limit() {
     let site = samples::site(4_500, 150_000).expect("the size to plan for");
-    assert_eq!((site.groups.len(), site.tenants.len()), (4_500, 150_000));
+    assert_eq!(
+        (site.route_classes.len(), site.tenants.len()),
+        (4_500, 150_000)
+    );
     let table = route_table(&site);
     let route = table
         .find("GET", &samples::route_path(4_499))
--- a/crates/cli/src/distribute.rs
+++ b/crates/cli/src/distribute.rs
@@ -1,7 +1,7 @@
 //! `havenplank distribute`: signals, log and runtime around the distributor of a configuration.
 
 use anyhow::Context;
-use havenplank_settings::Fellowship;
+use havenplank_settings::MembershipSettings;
 use havenplank_sidecar::distributor::{
     run, DistributorAddresses, DistributorError, DistributorSettings, EpochChoice,
 };
@@ -86,12 +86,12 @@
         (None, false) => EpochChoice::AsStored,
     };
     let period = u64::try_from(args.period.as_nanos()).context("--period: too long")?;
-    let membership = Fellowship {
+    let membership = MembershipSettings {
         listen: args.listen,
         advertise: args.advertise,
-        meet: args.meet,
+        seeds: args.meet,
         keys: args.keys,
-        period,
+        probe_interval: period,
     };
     Ok(DistributorSettings {
         name: args.name,
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -196,7 +196,7 @@
             Some(site) => {
                 let routes = match site.configuration {
                     Some(_) => "routes from a distributor".to_string(),
-                    None => format!("{} path groups", site.groups.len()),
+                    None => format!("{} path groups", site.route_classes.len()),
                 };
                 println!("{}: {routes}, no mistakes", settings.display());
                 Ok(0)
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -43,7 +43,7 @@
         share: trace.share,
         queue: trace.queue_bytes,
         longest: site
-            .groups
+            .route_classes
             .iter()
             .map(|group| group.rules.client_timeout)
             .max()
--- a/crates/configuration/src/record.rs
+++ b/crates/configuration/src/record.rs
@@ -2,6 +2,7 @@
 
 use crate::error::InvalidRecord;
 use havenplank::interface::{DedupScope, Idempotency, Nanos, RouteClass};
+pub use havenplank_settings::BackupMode;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
@@ -68,16 +69,6 @@
     pub backup: BackupMode,
 }
 
-/// Whether backups know of a route's requests in flight.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum BackupMode {
-    Off,
-    /// Backups know of an attempt before it is sent.
-    BeforeAttempt,
-    /// They are told while it runs; for idempotent requests only.
-    Behind,
-}
-
 /// A tenant of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tenant {
--- a/crates/emulator/src/clients.rs
+++ b/crates/emulator/src/clients.rs
@@ -126,7 +126,7 @@
         targets: Vec<Rc<Target>>,
         seed: u64,
     ) -> Rc<Clients> {
-        let new = |group: &havenplank_settings::Group| Fared {
+        let new = |group: &havenplank_settings::RouteClassSettings| Fared {
             group: group.name.clone(),
             priority_weight: group.rules.priority_weight,
             asked: 0,
@@ -139,7 +139,7 @@
             // One minute at most, to three digits: fixed bounds, so it cannot fail.
             took_us: Histogram::new_with_bounds(1, 60_000_000, 3).expect("bounds that fit"),
         };
-        let fared = RefCell::new(site.groups.iter().map(new).collect());
+        let fared = RefCell::new(site.route_classes.iter().map(new).collect());
         Rc::new(Clients {
             book,
             site,
@@ -189,13 +189,13 @@
         let load = load.unwrap_or(&self.day.loads[0]);
         let Some(group) = self
             .site
-            .groups
+            .route_classes
             .iter()
             .position(|group| group.name == load.group)
         else {
             return;
         };
-        let rules = self.site.groups[group].rules;
+        let rules = self.site.route_classes[group].rules;
         let (hit, began) = (self.number(), Instant::now());
         let key = (self.draw() * load.keys as f64) as u64 + 1;
         let work = load.work as f64 * (0.5 - 0.5 * (1.0 - self.draw()).ln());
@@ -346,7 +346,7 @@
         work: Nanos,
         waits: Nanos,
     ) -> Request<Full<Bytes>> {
-        let (rules, headers) = (&self.site.groups[group], &self.site.headers);
+        let (rules, headers) = (&self.site.route_classes[group], &self.site.headers);
         let method = rules.methods.first().map_or("GET", String::as_str);
         let path = rules
             .paths
@@ -367,7 +367,7 @@
             .header(ASK, ask)
             .header(GROUP, group)
             .header(WORK, work / 1_000)
-            .header(&headers.key, key)
+            .header(&headers.idempotency_key, key)
             .header(&headers.timeout, format!("{}m", waits / 1_000_000));
         if let Some(mark) = mark {
             request = request.header("idempotency-key", mark);
@@ -394,7 +394,7 @@
         spawn_local(async move {
             let _ = connection.await;
         });
-        let group = &self.site.groups[group].name;
+        let group = &self.site.route_classes[group].name;
         let told =
             serde_json::json!({"pod": pod, "path_group": group, "ago_ms": (found * 1e3) as u64});
         let mut request = Request::new(Full::new(Bytes::from(told.to_string())));
--- a/crates/emulator/src/day.rs
+++ b/crates/emulator/src/day.rs
@@ -78,7 +78,7 @@
 
 /// The figures that the rules are checked by, from the settings that sidecars get.
 pub fn figures(site: &Site) -> Figures {
-    let group = |group: &havenplank_settings::Group| {
+    let group = |group: &havenplank_settings::RouteClassSettings| {
         Group::new(
             &group.name,
             group.rules.idempotency,
@@ -87,7 +87,7 @@
         )
     };
     Figures {
-        groups: site.groups.iter().map(group).collect(),
+        groups: site.route_classes.iter().map(group).collect(),
         drain_grace: site.pods.drain_grace,
         overload_multiple: site.pods.overload_multiple,
         overload_window: site.pods.overload_window,
@@ -131,7 +131,7 @@
 ) -> Result<Played, DayError> {
     let (book, site) = (Book::new(), Rc::new(site));
     book.write(Seen::Figures(figures(&site)));
-    let served = |group: &havenplank_settings::Group| Served {
+    let served = |group: &havenplank_settings::RouteClassSettings| Served {
         scope: group.rules.dedup_scope,
         tagged: group.rules.idempotency == Idempotency::Keyed,
         dedup_window: group.rules.dedup_window,
@@ -142,7 +142,7 @@
         .cloned()
         .unwrap_or_else(|| "machine".to_string());
     let fall = (site.pods.overload_multiple, site.pods.overload_window);
-    let groups = site.groups.iter().map(served).collect();
+    let groups = site.route_classes.iter().map(served).collect();
     let fleet = Fleet::new(&day, groups, &machine, fall, seed ^ 1, book.clone());
     fleet.begin(day.pods).await?;
     let nodes = Nodes::new(book.clone(), fleet.clone(), day.notice, day.period);
@@ -161,7 +161,11 @@
         shares: day.stages.clone(),
         places: day.pods,
     };
-    let names = site.groups.iter().map(|group| group.name.clone()).collect();
+    let names = site
+        .route_classes
+        .iter()
+        .map(|group| group.name.clone())
+        .collect();
     let desk = Desk::new(
         book.clone(),
         fleet.clone(),
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -13,4 +13,8 @@
 pub use reader::{Problem, Problems, Reader, Row};
 pub use records::DISTRIBUTOR_ZONE;
 pub use script::{configuration_rows, load, Given};
-pub use site::*;
+pub use site::{
+    BackupMode, ConfigurationSettings, HeaderNames, LineProtocolEndpoint, ListenerSettings,
+    MembershipSettings, RouteClassSettings, Site, TakeoverSettings, TraceSettings,
+    UpstreamSettings,
+};
--- /dev/null
+++ b/crates/settings/src/records/endpoints.rs
@@ -0,0 +1,41 @@
+//! `nodes(...)` and `desk(...)`: service discovery and the control plane, which speak our line protocols.
+
+use super::fields::{read_address, KIB};
+use crate::reader::Reader;
+use crate::site::LineProtocolEndpoint;
+use havenplank::interface::EndpointListSettings;
+use std::path::PathBuf;
+
+/// What `nodes(...)` states.
+pub(super) struct Discovery {
+    pub(super) endpoint: LineProtocolEndpoint,
+    pub(super) list: EndpointListSettings,
+    pub(super) cached_list: Option<PathBuf>,
+}
+
+pub(super) fn read_discovery(reader: &mut Reader) -> Discovery {
+    Discovery {
+        endpoint: read_endpoint(reader),
+        list: read_list(reader),
+        cached_list: reader.maybe_text("keep").map(PathBuf::from),
+    }
+}
+
+pub(super) fn read_endpoint(reader: &mut Reader) -> LineProtocolEndpoint {
+    LineProtocolEndpoint {
+        address: read_address(reader, "address"),
+        max_line_bytes: reader.size_or("line_bytes", 128..=1 << 20, 4 * KIB) as usize,
+    }
+}
+
+fn read_list(reader: &mut Reader) -> EndpointListSettings {
+    let poll_only = reader.flag_or("must_ask", false);
+    let poll_interval = match poll_only {
+        true => reader.span("ask_within"),
+        false => reader.span_or("ask_within", 0),
+    };
+    EndpointListSettings {
+        poll_only,
+        poll_interval,
+    }
+}
--- /dev/null
+++ b/crates/settings/src/records/listener.rs
@@ -0,0 +1,65 @@
+//! `headers(...)` and `limits(...)`: what a request may carry and what clients may take up.
+
+use super::fields::{read_header, KIB, MS, SECOND};
+use crate::reader::Reader;
+use crate::site::{HeaderNames, ListenerSettings};
+use havenplank::interface::AttemptSettings;
+use std::net::SocketAddr;
+
+/// The largest body, and the largest response that is read whole.
+const MAX_BODY_BYTES: u64 = 64 * KIB * KIB;
+/// The most connections or requests at once.
+const MAX_AT_ONCE: u64 = 1_000_000;
+/// What is held at once where the script does not say.
+const DEFAULT_AT_ONCE: u64 = 16_384;
+
+pub(super) fn read_headers(reader: &mut Reader) -> HeaderNames {
+    HeaderNames {
+        timeout: read_header(reader, "timeout", "grpc-timeout"),
+        idempotency_key: read_header(reader, "key", "x-key"),
+        tenant: read_header(reader, "customer", "x-customer"),
+        cost_hint: read_header(reader, "cost_hint", "x-cost-hint"),
+        request_id: read_header(reader, "mark", "x-hit-mark"),
+    }
+}
+
+/// What `limits(...)` states.
+pub(super) struct Limits {
+    pub(super) attempts: AttemptSettings,
+    /// Without the addresses, which `sidecar(...)` states.
+    pub(super) listener: ListenerSettings,
+}
+
+pub(super) fn read_limits(reader: &mut Reader) -> Limits {
+    Limits {
+        attempts: AttemptSettings {
+            max_attempts: reader.whole_or("forwards", 1..=16, 4) as u32,
+            hedging: reader.flag_or("copies", false),
+            may_cancel: reader.flag_or("cancel", true),
+            max_retry_after: reader.span_or("come_back", SECOND),
+            cross_zone_cost: reader.number_or("cross_zone_price", 0.0..=1.0, 0.0),
+        },
+        listener: read_listener(reader),
+    }
+}
+
+fn read_listener(reader: &mut Reader) -> ListenerSettings {
+    let unset = SocketAddr::from(([127, 0, 0, 1], 0));
+    let head_bytes = reader.size_or("head_bytes", 8 * KIB..=KIB * KIB, 16 * KIB);
+    let head_timeout = reader.span_or("head_time", 5 * SECOND);
+    let body_bytes = reader.size_or("body_bytes", 0..=MAX_BODY_BYTES, 256 * KIB);
+    let body_timeout = reader.span_or("body_time", 5 * SECOND);
+    ListenerSettings {
+        listen: unset,
+        admin: unset,
+        max_head_bytes: head_bytes as usize,
+        head_timeout,
+        max_body_bytes: body_bytes as usize,
+        body_timeout,
+        max_connections: reader.whole_or("connections", 1..=MAX_AT_ONCE, DEFAULT_AT_ONCE) as usize,
+        max_requests: reader.whole_or("hits", 1..=MAX_AT_ONCE, DEFAULT_AT_ONCE) as usize,
+        response_margin: reader.span_or("answer_margin", 20 * MS),
+        buffered_response_bytes: reader.size_or("answer_bytes", 0..=MAX_BODY_BYTES, 64 * KIB)
+            as usize,
+    }
+}
--- /dev/null
+++ b/crates/settings/src/records/membership.rs
@@ -0,0 +1,109 @@
+//! `fellowship(...)`, `takeover(...)` and `configuration(...)`: what sidecars share with their peers.
+
+use super::calls::Calls;
+use super::fields::{check_peer_span, read_address, KIB, MS, SECOND};
+use crate::reader::Reader;
+use crate::site::{ConfigurationSettings, MembershipSettings, TakeoverSettings};
+use std::net::SocketAddr;
+use std::path::PathBuf;
+
+/// Fields that `takeover(...)` had before the membership had a call of its own.
+const MOVED_FROM_TAKEOVER: [&str; 5] = ["listen", "advertise", "meet", "keys", "period"];
+/// The highest rate at which a configuration is fetched or served, in bytes a second.
+const MAX_BYTES_PER_S: u64 = 1 << 30;
+const DEFAULT_BYTES_PER_S: u64 = 8_000;
+/// The most requests or records that a sidecar may hold for others.
+const MAX_RECORDS: u64 = 1_000_000;
+
+/// What a sidecar shares with peers, as far as the script calls for it.
+pub(super) struct PeerSettings {
+    pub(super) membership: Option<MembershipSettings>,
+    pub(super) takeover: Option<TakeoverSettings>,
+    pub(super) configuration: Option<ConfigurationSettings>,
+}
+
+pub(super) fn read(calls: &mut Calls) -> PeerSettings {
+    let membership = calls.read_if_called("fellowship", read_membership);
+    let has_membership = membership.is_some();
+    let takeover = calls.read_if_called("takeover", |reader| {
+        let takeover = read_takeover(reader);
+        require_membership(reader, has_membership, "one, as guardians are fellows");
+        takeover
+    });
+    let configuration = calls.read_if_called("configuration", |reader| {
+        let configuration = read_configuration(reader);
+        let expected = "one, as peers bring the configuration";
+        require_membership(reader, has_membership, expected);
+        configuration
+    });
+    PeerSettings {
+        membership,
+        takeover,
+        configuration,
+    }
+}
+
+fn require_membership(reader: &mut Reader, has_membership: bool, expected: &str) {
+    if !has_membership {
+        reader.complain("fellowship", "no call of fellowship(...)", expected);
+    }
+}
+
+fn read_membership(reader: &mut Reader) -> MembershipSettings {
+    let listen = read_address(reader, "listen");
+    let seeds = reader.texts_or_none("meet");
+    let seeds = seeds
+        .iter()
+        .filter_map(|text| parse_peer(reader, "meet", text))
+        .collect();
+    let advertise = reader
+        .maybe_text("advertise")
+        .and_then(|text| parse_peer(reader, "advertise", &text));
+    let keys = PathBuf::from(reader.text("keys"));
+    let probe_interval = reader.span_or("period", 500 * MS);
+    check_peer_span(reader, "period", probe_interval);
+    MembershipSettings {
+        listen,
+        advertise,
+        seeds,
+        keys,
+        probe_interval,
+    }
+}
+
+fn parse_peer(reader: &mut Reader, field: &'static str, text: &str) -> Option<SocketAddr> {
+    let parsed = text.parse().ok();
+    if parsed.is_none() {
+        let expected = "addresses with a port, such as \"127.0.0.1:7002\"";
+        reader.complain(field, format!("found {text:?}"), expected);
+    }
+    parsed
+}
+
+fn read_takeover(reader: &mut Reader) -> TakeoverSettings {
+    for moved in MOVED_FROM_TAKEOVER {
+        if reader.moved(moved) {
+            let expected = format!("it in fellowship({moved} = ...), beside takeover(...)");
+            reader.complain(moved, "found here", expected);
+        }
+    }
+    let takeover = TakeoverSettings {
+        backups: reader.whole_or("guardians", 1..=7, 3) as usize,
+        lease: reader.span_or("lease", 600 * MS),
+        response_retention: reader.span_or("keep", 5 * SECOND),
+        max_in_flight: reader.whole_or("held", 1..=MAX_RECORDS, 20_000) as usize,
+        max_records: reader.whole_or("kept", 1..=MAX_RECORDS, 60_000) as usize,
+        max_record_bytes: reader.size_or("kept_bytes", KIB..=1 << 40, 256 << 20) as usize,
+    };
+    check_peer_span(reader, "lease", takeover.lease);
+    takeover
+}
+
+fn read_configuration(reader: &mut Reader) -> ConfigurationSettings {
+    let rates = KIB..=MAX_BYTES_PER_S;
+    ConfigurationSettings {
+        cache_folder: PathBuf::from(reader.text("keep")),
+        fetch_bytes_per_s: reader.size_or("fetch_bytes_per_s", rates.clone(), DEFAULT_BYTES_PER_S),
+        serve_bytes_per_s: reader.size_or("serve_bytes_per_s", rates, DEFAULT_BYTES_PER_S),
+    }
+}
--- /dev/null
+++ b/crates/settings/src/records/pods.rs
@@ -0,0 +1,40 @@
+//! `pods(...)`: how pods behave, and the connections to them.
+
+use super::fields::{read_header, MS, SECOND};
+use crate::reader::Reader;
+use crate::site::UpstreamSettings;
+use havenplank::interface::PodSettings;
+
+/// What `pods(...)` states.
+pub(super) struct Pods {
+    pub(super) settings: PodSettings,
+    pub(super) upstream: UpstreamSettings,
+}
+
+pub(super) fn read(reader: &mut Reader) -> Pods {
+    Pods {
+        settings: PodSettings {
+            drain_grace: reader.span("drain_grace"),
+            initial_capacity: reader.number("cold_share", 0.001..=1.0),
+            warm_up: reader.span("warm_up"),
+            overload_multiple: reader.number("fall_multiple", 1.0..=1000.0),
+            overload_window: reader.span("fall_window"),
+            health_checks: reader.flag_or("probes", false),
+        },
+        upstream: read_upstream(reader),
+    }
+}
+
+fn read_upstream(reader: &mut Reader) -> UpstreamSettings {
+    UpstreamSettings {
+        connect_timeout: reader.span_or("connect_time", 250 * MS),
+        max_connections_per_pod: reader.whole_or("connections", 1..=65_536, 64) as usize,
+        idle_timeout: reader.span_or("idle", 30 * SECOND),
+        unprocessed_status: reader.whole_or("unseen_status", 400..=599, 503) as u16,
+        unprocessed_header: read_header(reader, "unseen_header", "x-never-ran"),
+        load_reports: reader.flag_or("load_reports", false),
+        health_check_path: reader
+            .maybe_text("probe_path")
+            .unwrap_or_else(|| "/".to_string()),
+    }
+}
--- a/crates/settings/src/script.rs
+++ b/crates/settings/src/script.rs
@@ -274,12 +274,12 @@
     let globals = globals().with(settings_functions).build();
     let rows = collect(file, given, &globals, SETTINGS_BOUNDS)?;
     let mut problems = Vec::new();
-    let site = records::site(&file.display().to_string(), &rows, &mut problems);
+    let site = records::read_site(&file.display().to_string(), &rows, &mut problems);
     problems.sort_by_key(|problem| problem.line);
-    match site {
-        Some(site) if problems.is_empty() => Ok(site),
-        _ => Err(Problems(problems)),
+    if !problems.is_empty() {
+        return Err(Problems(problems));
     }
+    Ok(site)
 }
 
 /// Runs the script of a configuration that changes while sidecars run and returns the calls of its record
--- a/crates/settings/src/words.rs
+++ b/crates/settings/src/words.rs
@@ -1,5 +1,6 @@
 //! The words that the settings script uses for the values of an enum.
 
+use crate::site::BackupMode;
 use havenplank::interface::{DedupScope, Idempotency, ReleaseControl};
 
 /// The words of `path_group(kind = ...)`.
@@ -16,6 +17,13 @@
     ("cell", DedupScope::Cell),
 ];
 
+/// The words of `path_group(guard = ...)`.
+pub const BACKUP_MODE: [(&str, BackupMode); 3] = [
+    ("off", BackupMode::Off),
+    ("before-forward", BackupMode::BeforeAttempt),
+    ("behind", BackupMode::Behind),
+];
+
 /// The words of `votes(control = ...)`.
 pub const RELEASE_CONTROL: [(&str, ReleaseControl); 3] = [
     ("any", ReleaseControl::AnyVote),
--- a/crates/settings/tests/script.rs
+++ b/crates/settings/tests/script.rs
@@ -54,16 +54,20 @@
     )
     .expect("it is right");
     assert_eq!(
-        (site.name.as_str(), site.place.instances, site.place.zone),
+        (
+            site.name.as_str(),
+            site.position.instances,
+            site.position.zone
+        ),
         ("s-7", 3, 1)
     );
     let names: Vec<&str> = site
-        .groups
+        .route_classes
         .iter()
         .map(|group| group.name.as_str())
         .collect();
     assert_eq!(names, ["query", "t0", "t1", "t2"]);
-    let last = &site.groups[3];
+    let last = &site.route_classes[3];
     assert_eq!(
         (last.rules.idempotency, last.rules.dedup_scope),
         (Idempotency::Keyed, DedupScope::Zone)
@@ -72,9 +76,13 @@
         (last.rules.dedup_window, last.rules.client_timeout),
         (3_000_000_000, 3_000_000_000)
     );
-    assert!(last.fits("POST", "/t2") && !last.fits("GET", "/t2") && !last.fits("POST", "/t2/x"));
-    assert!(site.groups[0].fits("DELETE", "/query/deep"));
-    assert_eq!(site.desk.line_bytes, 1024);
+    assert!(
+        last.matches("POST", "/t2")
+            && !last.matches("GET", "/t2")
+            && !last.matches("POST", "/t2/x")
+    );
+    assert!(site.route_classes[0].matches("DELETE", "/query/deep"));
+    assert_eq!(site.control_plane.max_line_bytes, 1024);
 }
 
 #[test]
@@ -114,8 +122,8 @@
     let site = run(&[("site", &format!("{WHOLE}{GROUP}{both}"))], &[]).expect("a site");
     assert_eq!(
         (
-            site.takeover.map(|takeover| takeover.guardians),
-            site.fellowship.is_some()
+            site.takeover.map(|takeover| takeover.backups),
+            site.membership.is_some()
         ),
         (Some(2), true)
     );
@@ -150,7 +158,7 @@
         ),
         (65_536, 8_000)
     );
-    assert!(site.groups.is_empty());
+    assert!(site.route_classes.is_empty());
     let without = run(&[("site", &format!("{WHOLE}{GROUP}"))], &[]).expect("a site");
     assert!(without.configuration.is_none(), "off by default");
     let line = |text: &str| text.lines().count() + 1;
@@ -248,5 +256,5 @@
 fn the_example_is_right() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/site.star");
     let site = load(&root, &Given::new()).unwrap_or_else(|problems| panic!("{problems}"));
-    assert_eq!(site.groups.len(), 3);
+    assert_eq!(site.route_classes.len(), 3);
 }
--- a/crates/settings/tests/stored.rs
+++ b/crates/settings/tests/stored.rs
@@ -1,7 +1,7 @@
 //! Settings scripts of 0.2.0, of each kind, give the values that they gave before any name in the code changed.
 
 use havenplank::interface::{DedupScope, Idempotency, ReleaseControl};
-use havenplank_settings::{configuration_rows, load, Given, Guard, Site};
+use havenplank_settings::{configuration_rows, load, BackupMode, Given, Site};
 use std::path::{Path, PathBuf};
 
 const MS: u64 = 1_000_000;
@@ -20,7 +20,11 @@
 fn the_stored_example_of_a_site_loads_with_its_values() {
     let site = site("site.star");
     assert_eq!(
-        (site.name.as_str(), site.place.rank, site.place.instances),
+        (
+            site.name.as_str(),
+            site.position.rank,
+            site.position.instances
+        ),
         ("sidecar-0", 0, 3)
     );
     assert_eq!(
@@ -28,7 +32,7 @@
         (2, &["editors".to_string(), "builds".to_string()][..])
     );
     let classes: Vec<_> = site
-        .groups
+        .route_classes
         .iter()
         .map(|group| {
             (
@@ -46,13 +50,16 @@
             ("rename", Idempotency::NonIdempotent, 3_000 * MS),
         ]
     );
-    assert_eq!(site.groups[1].rules.priority_weight, 5.0);
+    assert_eq!(site.route_classes[1].rules.priority_weight, 5.0);
     assert_eq!(
-        (site.headers.key.as_str(), site.headers.tenant.as_str()),
+        (
+            site.headers.idempotency_key.as_str(),
+            site.headers.tenant.as_str()
+        ),
         ("x-repository", "x-customer")
     );
     assert_eq!(
-        (site.forwards.max_attempts, site.forwards.max_retry_after),
+        (site.attempts.max_attempts, site.attempts.max_retry_after),
         (4, 1_000 * MS)
     );
     assert_eq!(
@@ -68,33 +75,56 @@
         (site.votes.rollback_quorum, site.votes.calls_per_second),
         (1, 40.0)
     );
-    assert!(!site.list.poll_only && site.kept_list == Some(PathBuf::from("last-list.txt")));
+    assert!(!site.list.poll_only && site.cached_list == Some(PathBuf::from("last-list.txt")));
     assert!(site.trace.is_none() && site.takeover.is_none() && site.configuration.is_none());
 }
 
 #[test]
 fn a_stored_script_with_backups_loads_with_its_values() {
     let site = site("guarded.star");
-    let guards: Vec<Guard> = site.groups.iter().map(|group| group.guard).collect();
-    assert_eq!(guards, [Guard::Behind, Guard::BeforeForward, Guard::Off]);
-    let reindex = &site.groups[1].rules;
+    let guards: Vec<BackupMode> = site
+        .route_classes
+        .iter()
+        .map(|group| group.backup)
+        .collect();
+    assert_eq!(
+        guards,
+        [
+            BackupMode::Behind,
+            BackupMode::BeforeAttempt,
+            BackupMode::Off
+        ]
+    );
+    let reindex = &site.route_classes[1].rules;
     assert_eq!(
         (reindex.dedup_scope, reindex.dedup_window),
         (DedupScope::Cell, 6_000 * MS)
     );
-    assert!(site.groups[0].rules.stream && site.groups[0].rules.late_weight == 0.25);
+    assert!(site.route_classes[0].rules.stream && site.route_classes[0].rules.late_weight == 0.25);
     let takeover = site.takeover.expect("a takeover");
     assert_eq!(
-        (takeover.guardians, takeover.lease, takeover.keep),
+        (
+            takeover.backups,
+            takeover.lease,
+            takeover.response_retention
+        ),
         (2, 700 * MS, 4_000 * MS)
     );
     assert_eq!(
-        (takeover.held, takeover.kept, takeover.kept_bytes),
+        (
+            takeover.max_in_flight,
+            takeover.max_records,
+            takeover.max_record_bytes
+        ),
         (500, 600, 1 << 20)
     );
-    let members = site.fellowship.expect("members");
+    let members = site.membership.expect("members");
     assert_eq!(
-        (members.meet.len(), members.period, members.listen.port()),
+        (
+            members.seeds.len(),
+            members.probe_interval,
+            members.listen.port()
+        ),
         (2, 250 * MS, 7002)
     );
     assert_eq!(members.advertise, Some(([10, 0, 0, 1], 7002).into()));
@@ -126,31 +156,41 @@
         (true, 4_000 * MS)
     );
     assert_eq!(
-        (site.nodes.line_bytes, site.desk.line_bytes),
+        (
+            site.discovery.max_line_bytes,
+            site.control_plane.max_line_bytes
+        ),
         (2_048, 4_096)
     );
-    assert!(site.pods.health_checks && site.forwards.hedging && site.forwards.may_cancel);
+    assert!(site.pods.health_checks && site.attempts.hedging && site.attempts.may_cancel);
     assert_eq!(
         (
-            site.links.per_pod,
-            site.links.idle,
-            site.links.unseen_status
+            site.upstream.max_connections_per_pod,
+            site.upstream.idle_timeout,
+            site.upstream.unprocessed_status
         ),
         (8, 10_000 * MS, 504)
     );
     assert_eq!(
         (
-            site.links.unseen_header.as_str(),
-            site.links.probe_path.as_str()
+            site.upstream.unprocessed_header.as_str(),
+            site.upstream.health_check_path.as_str()
         ),
         ("x-unseen", "/ready")
     );
     assert_eq!(
-        (site.door.head_bytes, site.door.hits, site.door.connections),
+        (
+            site.listener.max_head_bytes,
+            site.listener.max_requests,
+            site.listener.max_connections
+        ),
         (32 << 10, 100, 200)
     );
     assert_eq!(
-        (site.headers.mark.as_str(), site.headers.tenant.as_str()),
+        (
+            site.headers.request_id.as_str(),
+            site.headers.tenant.as_str()
+        ),
         ("x-mark", "x-team")
     );
     let trace = site.trace.expect("a trace");
@@ -163,15 +203,15 @@
 #[test]
 fn a_stored_script_whose_routes_come_from_a_distributor_loads_with_its_values() {
     let site = site("configured.star");
-    assert!(site.groups.is_empty() && site.tenants.is_empty());
+    assert!(site.route_classes.is_empty() && site.tenants.is_empty());
     let configuration = site.configuration.expect("a configuration");
-    assert_eq!(configuration.keep, PathBuf::from("kept"));
+    assert_eq!(configuration.cache_folder, PathBuf::from("kept"));
     let rates = (
         configuration.fetch_bytes_per_s,
         configuration.serve_bytes_per_s,
     );
     assert_eq!(rates, (1_000_000, 2_000_000));
-    assert_eq!(site.fellowship.expect("members").period, 500 * MS);
+    assert_eq!(site.membership.expect("members").probe_interval, 500 * MS);
 }
 
 #[test]
--- a/crates/sidecar/examples/route_lookup.rs
+++ b/crates/sidecar/examples/route_lookup.rs
@@ -2,7 +2,7 @@
 //! docs/configuration.md. `cargo run --release -p havenplank-sidecar --example route_lookup`.
 
 use havenplank::interface::{DedupScope, Idempotency, RouteClass};
-use havenplank_settings::{Group, Guard};
+use havenplank_settings::{BackupMode, RouteClassSettings};
 use havenplank_sidecar::engine::{Engine, EPOCH};
 use havenplank_sidecar::routes::RouteTable;
 use havenplank_sidecar::told::Terms;
@@ -14,7 +14,7 @@
 const SWAPS: u32 = 20;
 const SECOND: u64 = 1_000_000_000;
 
-fn routes(many: usize, version: u64) -> Vec<Group> {
+fn routes(many: usize, version: u64) -> Vec<RouteClassSettings> {
     let rules = RouteClass {
         idempotency: Idempotency::Idempotent,
         dedup_scope: DedupScope::All,
@@ -29,17 +29,17 @@
         latency_objective: SECOND + version,
         ..rules
     };
-    let route = |n: usize| Group {
+    let route = |n: usize| RouteClassSettings {
         name: format!("route-{n}"),
         methods: Vec::new(),
         paths: vec![format!("/service-{}/api/route-{n}/*", n % 400)],
         rules: if n == 0 { changed } else { rules },
-        guard: Guard::Off,
+        backup: BackupMode::Off,
     };
     (0..many).map(route).collect()
 }
 
-fn put_in_force(engine: &mut Engine, groups: &[Group]) -> RouteTable {
+fn put_in_force(engine: &mut Engine, groups: &[RouteClassSettings]) -> RouteTable {
     let rules: Vec<(String, RouteClass)> = groups
         .iter()
         .map(|group| (group.name.clone(), group.rules))
@@ -70,7 +70,7 @@
             black_box(table.find("GET", path).map(|route| route.group()));
         }
         let lookup_ns = began.elapsed().as_nanos() as f64 / LOOKUPS as f64;
-        let versions: Vec<Vec<Group>> = (1..=u64::from(SWAPS))
+        let versions: Vec<Vec<RouteClassSettings>> = (1..=u64::from(SWAPS))
             .map(|version| routes(many, version))
             .collect();
         let began = Instant::now();
--- a/crates/sidecar/src/configuration.rs
+++ b/crates/sidecar/src/configuration.rs
@@ -78,14 +78,18 @@
     let site = &shell.site;
     let settings = (
         site.configuration.as_ref(),
-        site.fellowship.as_ref(),
+        site.membership.as_ref(),
         shell.fellowship.as_ref(),
     );
     let (Some(settings), Some(membership), Some(fellowship)) = settings else {
         return;
     };
     let held = begin(shell, &kept);
-    let zone = site.zones.get(site.place.zone).cloned().unwrap_or_default();
+    let zone = site
+        .zones
+        .get(site.position.zone)
+        .cloned()
+        .unwrap_or_default();
     let me = Peer {
         life: fellowship.me().clone(),
         zone,
@@ -107,7 +111,7 @@
         shell: Rc::downgrade(shell),
         keeper: Keeper::start(kept.store),
     };
-    let period = Duration::from_nanos(membership.period);
+    let period = Duration::from_nanos(membership.probe_interval);
     let spreading = Spreading::start(fellowship, spreader, host, period);
     let _ = shell
         .configuration
--- a/crates/sidecar/src/daemon.rs
+++ b/crates/sidecar/src/daemon.rs
@@ -129,20 +129,24 @@
     let kept = site
         .configuration
         .as_ref()
-        .map(|settings| Kept::open(&settings.keep))
+        .map(|settings| Kept::open(&settings.cache_folder))
         .transpose()?;
-    let (hits, at) = listen(site.door.listen).await?;
-    let (admins, admin) = listen(site.door.admin).await?;
+    let (hits, at) = listen(site.listener.listen).await?;
+    let (admins, admin) = listen(site.listener.admin).await?;
     let via = HeaderValue::from_str(&format!("1.1 {}", site.name));
     let via = via.map_err(|_| StartError::Name(site.name.clone()))?;
     let (nodes_asks, nodes_asked) = mpsc::channel(ASKS);
     let (desk_asks, desk_asked) = mpsc::channel(ASKS);
     let (stopping, stopped) = watch::channel(false);
     let timeout_header = HeaderName::try_from(&site.headers.timeout);
-    let fellowship = match &site.fellowship {
+    let fellowship = match &site.membership {
         None => None,
         Some(settings) => {
-            let zone = site.zones.get(site.place.zone).cloned().unwrap_or_default();
+            let zone = site
+                .zones
+                .get(site.position.zone)
+                .cloned()
+                .unwrap_or_default();
             let fellowship = Fellowship::bind(settings, &site.name, &zone).await?;
             let at = fellowship.at().map_or(String::new(), |at| at.to_string());
             tracing::info!(listen = at, "fellowship");
@@ -153,15 +157,15 @@
         None => (None, None),
         Some((settings, fellowship)) => {
             let (guard, begins) = Guard::start(settings, fellowship);
-            tracing::info!(guardians = settings.guardians, "work in hand is guarded");
+            tracing::info!(guardians = settings.backups, "work in hand is guarded");
             (Some(guard), Some(begins))
         }
     };
-    let routes = RouteTable::from_settings(&site.groups, engine.slots(), &site.tenants);
+    let routes = RouteTable::from_settings(&site.route_classes, engine.slots(), &site.tenants);
     let lines = Lines {
         routes: RefCell::new(Rc::new(routes)),
         configuration: OnceCell::new(),
-        links: Links::new(&site.links),
+        links: Links::new(&site.upstream),
         keep: Notify::new(),
         nodes_asks,
         desk_asks,
@@ -179,10 +183,10 @@
     }
     let site = &shell.site;
     // Once all who talk have said which kinds they read.
-    if let Some((settings, fellowship)) = site.fellowship.as_ref().zip(shell.fellowship.as_ref()) {
+    if let Some((settings, fellowship)) = site.membership.as_ref().zip(shell.fellowship.as_ref()) {
         fellowship.run(settings.keys.clone());
     }
-    if let Some(path) = &site.kept_list {
+    if let Some(path) = &site.cached_list {
         start_from_kept(&shell, path);
     }
     let mut tasks = JoinSet::new();
@@ -197,13 +201,17 @@
             }
         });
     }
-    let (nodes_at, desk_at, name) = (site.nodes.clone(), site.desk.clone(), site.name.clone());
+    let (nodes_at, desk_at, name) = (
+        site.discovery.clone(),
+        site.control_plane.clone(),
+        site.name.clone(),
+    );
     let (mut link, feed_name) = (NodesLink(shell.clone()), name.clone());
     tasks.spawn_local(async move {
         let service = Service {
             protocol: endpoint_list::PROTOCOL,
             address: nodes_at.address,
-            max_line_bytes: nodes_at.line_bytes,
+            max_line_bytes: nodes_at.max_line_bytes,
         };
         subscribe::<endpoint_list::NotificationParser>(
             service,
@@ -219,7 +227,7 @@
         let service = Service {
             protocol: control_plane::PROTOCOL,
             address: desk_at.address,
-            max_line_bytes: desk_at.line_bytes,
+            max_line_bytes: desk_at.max_line_bytes,
         };
         subscribe::<control_plane::NotificationParser>(
             service,
@@ -231,7 +239,7 @@
         .await;
     });
     shell.call(|engine, now| engine.begin(now));
-    let connections = site.door.connections;
+    let connections = site.listener.max_connections;
     let door = spawn_local(accept(shell.clone(), hits, connections, stopped, true));
     // Operators may look on until the end.
     let (_open, never) = watch::channel(false);
@@ -314,7 +322,7 @@
     Fut: Future<Output = Result<Response<Body>, Infallible>>,
 {
     let _ = stream.set_nodelay(true);
-    let (door, tap) = (&shell.site.door, Tap::new(stream));
+    let (door, tap) = (&shell.site.listener, Tap::new(stream));
     // Since when it waits for a head; none from a hit's reading until its answer is written.
     let idle = Cell::new(Some(Instant::now()));
     let service = service_fn(|request| {
@@ -331,12 +339,12 @@
         idle.get().or(tap.stuck())
     };
     let connection = http1::Builder::new()
-        .max_buf_size(door.head_bytes)
+        .max_buf_size(door.max_head_bytes)
         // A client that sends no more may still read: its hit gets its answer.
         .half_close(true)
         .serve_connection(TokioIo::new(tap.clone()), service);
     tokio::pin!(connection);
-    let head_time = Duration::from_nanos(door.head_time);
+    let head_time = Duration::from_nanos(door.head_timeout);
     // One timer for all heads of a connection: one for each is a part of a hit's cost that shows.
     let slow = async {
         loop {
@@ -406,7 +414,8 @@
 }
 
 async fn sweep_links(shell: Rc<Shell>) {
-    let period = Duration::from_nanos(shell.site.links.idle / 2).max(Duration::from_millis(100));
+    let period =
+        Duration::from_nanos(shell.site.upstream.idle_timeout / 2).max(Duration::from_millis(100));
     loop {
         sleep(period).await;
         let listed: HashSet<SocketAddr> =
@@ -417,7 +426,7 @@
 
 /// Writes the list beside its file and moves it there, so that a kill leaves the old one or the new one.
 async fn keep_list(shell: Rc<Shell>) {
-    let Some(path) = shell.site.kept_list.clone() else {
+    let Some(path) = shell.site.cached_list.clone() else {
         return;
     };
     loop {
--- a/crates/sidecar/src/distributor.rs
+++ b/crates/sidecar/src/distributor.rs
@@ -13,7 +13,7 @@
 use havenplank_configuration::snapshot::Snapshot;
 use havenplank_configuration::store::{Opened, Store, StoreError};
 use havenplank_configuration::version::Version;
-use havenplank_settings::{Fellowship as Membership, Given, Problems, DISTRIBUTOR_ZONE};
+use havenplank_settings::{Given, MembershipSettings as Membership, Problems, DISTRIBUTOR_ZONE};
 use http_body_util::Full;
 use hyper::body::Incoming;
 use hyper::header::{HeaderValue, CONTENT_TYPE};
@@ -176,7 +176,7 @@
         deltas,
     };
     let spreader = spreader(&fellowship, role, kept);
-    let period = Duration::from_nanos(membership.period);
+    let period = Duration::from_nanos(membership.probe_interval);
     let spreading = Spreading::start(&fellowship, spreader, Newest::default(), period);
     fellowship.run(membership.keys.clone());
     let replaces = settings.epoch == EpochChoice::ReplaceWriter;
--- a/crates/sidecar/src/fellowship.rs
+++ b/crates/sidecar/src/fellowship.rs
@@ -7,7 +7,7 @@
 use havenplank_membership::swim::{News, Rules, State};
 use havenplank_membership::views::{Change, Views, VIEWS};
 use havenplank_membership::wire::Life;
-use havenplank_settings::Fellowship as Settings;
+use havenplank_settings::MembershipSettings as Settings;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -85,8 +85,8 @@
             life: new_life(),
         };
         let rules = Rules {
-            period: settings.period,
-            answer: settings.period * 3 / 10,
+            period: settings.probe_interval,
+            answer: settings.probe_interval * 3 / 10,
             ..Rules::default()
         };
         let talker = Talker::bind(settings.listen, |now, bound| {
@@ -100,7 +100,7 @@
                 state: State::Lives,
             };
             let seed = me.life ^ u64::from(bound.port()) << 48;
-            Node::new(now, seed, news, settings.meet.clone(), rules, keys)
+            Node::new(now, seed, news, settings.seeds.clone(), rules, keys)
         });
         let talker = talker.await.map_err(|error| FellowshipError::Listen {
             at: settings.listen,
@@ -108,7 +108,7 @@
         })?;
         talker.call(|node, _| node.reads(VIEWS));
         let views = RefCell::new(Views::new(talker.now(), me.clone(), Belonging::default()));
-        let period = Duration::from_nanos(settings.period);
+        let period = Duration::from_nanos(settings.probe_interval);
         let ears = RefCell::default();
         Ok(Rc::new(Fellowship {
             talker,
--- a/crates/sidecar/src/guard.rs
+++ b/crates/sidecar/src/guard.rs
@@ -3,7 +3,7 @@
 
 use crate::fellowship::Fellowship;
 use havenplank_membership::wire::Life;
-use havenplank_settings::{Takeover as Settings, DISTRIBUTOR_ZONE};
+use havenplank_settings::{TakeoverSettings as Settings, DISTRIBUTOR_ZONE};
 use havenplank_takeover::placement::{pick, Candidate};
 use havenplank_takeover::record::{AttemptState, Message, Outcome, Record, RequestId};
 use havenplank_takeover::{Effect, Nanos, Rules, Takeover};
@@ -77,10 +77,10 @@
     ) -> (Rc<Guard>, mpsc::UnboundedReceiver<Record>) {
         let rules = Rules {
             lease: settings.lease,
-            max_owned: settings.held,
-            max_replicas: settings.kept,
-            max_replica_bytes: settings.kept_bytes,
-            retention: settings.keep,
+            max_owned: settings.max_in_flight,
+            max_replicas: settings.max_records,
+            max_replica_bytes: settings.max_record_bytes,
+            retention: settings.response_retention,
             ..Rules::default()
         };
         let (begun, begins) = mpsc::unbounded_channel();
@@ -89,7 +89,7 @@
             takeover: RefCell::new(Takeover::new(fellowship.now(), me.life, me.clone(), rules)),
             fellowship: fellowship.clone(),
             waits: RefCell::default(),
-            many: settings.guardians,
+            many: settings.backups,
             tick: Duration::from_nanos(settings.lease / 24).max(Duration::from_millis(2)),
             own_marks: Cell::new(0),
             serving: Rc::default(),
--- a/crates/sidecar/src/guarded.rs
+++ b/crates/sidecar/src/guarded.rs
@@ -11,7 +11,7 @@
 use crate::shell::Shell;
 use bytes::Bytes;
 use havenplank::interface::{DedupScope, Idempotency, Nanos, PodId, PriorAttempt};
-use havenplank_settings::Guard as Mode;
+use havenplank_settings::BackupMode as Mode;
 use havenplank_takeover::record::{AttemptState, Outcome, Record, RequestId};
 use http_body_util::{BodyExt, Full};
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
@@ -65,7 +65,7 @@
         tenant,
         named: name.is_some(),
         sum,
-        wait: route.guard == Mode::BeforeForward,
+        wait: route.guard == Mode::BeforeAttempt,
         on: Cell::new(true),
         announced: Cell::new(false),
     }
@@ -174,7 +174,7 @@
         match claim {
             Claim::Taken => {}
             Claim::Unguarded => work.on.set(false),
-            Claim::Unsure => return bounced(shell.site.forwards.max_retry_after),
+            Claim::Unsure => return bounced(shell.site.attempts.max_retry_after),
             Claim::Done(done) => return answer_of(done),
             Claim::Differs => {
                 let why =
--- a/crates/sidecar/src/links.rs
+++ b/crates/sidecar/src/links.rs
@@ -1,7 +1,7 @@
 //! Connections to pods: kept while idle, capped for each pod, opened as needed within the time for it.
 
 use bytes::Bytes;
-use havenplank_settings::Links as Rules;
+use havenplank_settings::UpstreamSettings as Rules;
 use http_body_util::Full;
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper_util::rt::TokioIo;
@@ -57,9 +57,9 @@
 impl Links {
     pub fn new(rules: &Rules) -> Links {
         Links {
-            connect_time: Duration::from_nanos(rules.connect_time),
-            per_pod: rules.per_pod,
-            idle: Duration::from_nanos(rules.idle),
+            connect_time: Duration::from_nanos(rules.connect_timeout),
+            per_pod: rules.max_connections_per_pod,
+            idle: Duration::from_nanos(rules.idle_timeout),
             pools: RefCell::default(),
         }
     }
--- a/crates/sidecar/src/proxy.rs
+++ b/crates/sidecar/src/proxy.rs
@@ -13,7 +13,7 @@
 use havenplank::interface::{
     stable_hash, AttemptEnd, HealthCheckResult, Idempotency, Nanos, PodId, RequestId,
 };
-use havenplank_settings::Guard;
+use havenplank_settings::BackupMode;
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::{Body as HttpBody, Frame, Incoming, SizeHint};
 use hyper::header::{HeaderMap, HeaderValue, CONTENT_LENGTH, VIA};
@@ -137,7 +137,7 @@
     if shell.is_full() {
         return Ok(and_close(bounced(1_000_000_000)));
     }
-    let spent = arrived.elapsed().as_nanos() as Nanos + shell.site.door.answer_margin;
+    let spent = arrived.elapsed().as_nanos() as Nanos + shell.site.listener.response_margin;
     let asked = Asked {
         left: asked.left.saturating_sub(spent),
         ..asked
@@ -160,7 +160,7 @@
 
 /// Reads a hit whole, so that it can be sent again, and refuses what is no hit.
 async fn read(shell: &Rc<Shell>, request: Request<Incoming>) -> Result<(Asked, Ask), Refused> {
-    let (site, door) = (&shell.site, &shell.site.door);
+    let (site, door) = (&shell.site, &shell.site.listener);
     let (parts, body) = request.into_parts();
     let routes = shell.routes();
     let Some(route) = routes
@@ -203,7 +203,7 @@
         tenant: tenant.and_then(|(_, tenant)| tenant.index),
         key: parts
             .headers
-            .get(&site.headers.key)
+            .get(&site.headers.idempotency_key)
             .map_or(0, |key| stable_hash(key.as_bytes())),
         // A client may wait less than its path group allows, never longer.
         left: asked_time
@@ -213,7 +213,10 @@
         cost_hint: text(&site.headers.cost_hint).and_then(heads::cost_hint),
         repeat: false,
     };
-    let work = shell.guard.as_ref().filter(|_| route.guard != Guard::Off);
+    let work = shell
+        .guard
+        .as_ref()
+        .filter(|_| route.guard != BackupMode::Off);
     let tenant = work.and(tenant).map(|(name, _)| name.to_string());
     // A request that waits for its body holds its own route, not the table.
     drop(routes);
@@ -221,14 +224,14 @@
         StatusCode::PAYLOAD_TOO_LARGE,
         "the body is over the limit\n",
     );
-    if body.size_hint().lower() > door.body_bytes as u64 {
+    if body.size_hint().lower() > door.max_body_bytes as u64 {
         return Err(too_large);
     }
     let body = if body.is_end_stream() {
         Bytes::new()
     } else {
-        let whole = Limited::new(body, door.body_bytes).collect();
-        match timeout(Duration::from_nanos(door.body_time), whole).await {
+        let whole = Limited::new(body, door.max_body_bytes).collect();
+        match timeout(Duration::from_nanos(door.body_timeout), whole).await {
             Ok(Ok(whole)) => whole.to_bytes(),
             Ok(Err(error)) if error.downcast_ref::<LengthLimitError>().is_some() => {
                 return Err(too_large)
@@ -243,7 +246,7 @@
     let path = parts.uri.path_and_query().map_or("/", |path| path.as_str());
     let (mut headers, uri) = heads::apart(&headers, path);
     let guarded = work.map(|guard| {
-        let named = headers.get(MARK).or(headers.get(&site.headers.mark));
+        let named = headers.get(MARK).or(headers.get(&site.headers.request_id));
         guarded::of(guard, &route, tenant, named, (&parts.method, path, &body))
     });
     headers.append(VIA, shell.via.clone());
@@ -341,14 +344,14 @@
         }
     };
     let (mut parts, mut body) = response.into_parts();
-    let rules = &shell.site.links;
+    let rules = &shell.site.upstream;
     let load = parts
         .headers
         .get("endpoint-load-metrics")
-        .filter(|_| rules.load);
+        .filter(|_| rules.load_reports);
     let load = load.and_then(|text| heads::load(text.to_str().ok()?));
-    let unseen =
-        parts.status == rules.unseen_status && parts.headers.contains_key(&rules.unseen_header);
+    let unseen = parts.status == rules.unprocessed_status
+        && parts.headers.contains_key(&rules.unprocessed_header);
     let end = match parts.status {
         _ if unseen => AttemptEnd::Rejected,
         status if status.is_server_error() => AttemptEnd::Failed,
@@ -360,7 +363,7 @@
     heads::strip_hop_by_hop(&mut parts.headers);
     let read = match ask.route.rules.stream {
         true => Ok((Bytes::new(), false)),
-        false => collect(&mut body, shell.site.door.answer_bytes).await,
+        false => collect(&mut body, shell.site.listener.buffered_response_bytes).await,
     };
     let Ok((first, whole)) = read else {
         return AttemptEnd::Reset.into();
@@ -424,7 +427,7 @@
 
 /// Asks a pod's probe path; any answer below 500 is one.
 pub async fn probe(shell: &Rc<Shell>, pod: PodId) -> HealthCheckResult {
-    let (began, rules) = (Instant::now(), &shell.site.links);
+    let (began, rules) = (Instant::now(), &shell.site.upstream);
     let asked = async {
         let Some(address) = shell.address(pod) else {
             return (AttemptEnd::NotSent, None);
@@ -434,7 +437,7 @@
         };
         let mut request = Request::new(Full::new(Bytes::new()));
         *request.uri_mut() = rules
-            .probe_path
+            .health_check_path
             .parse()
             .unwrap_or_else(|_| Uri::from_static("/"));
         request.headers_mut().insert(VIA, shell.via.clone());
@@ -444,7 +447,7 @@
         let load = response
             .headers()
             .get("endpoint-load-metrics")
-            .filter(|_| rules.load);
+            .filter(|_| rules.load_reports);
         let load = load.and_then(|text| heads::load(text.to_str().ok()?));
         (
             if response.status().is_server_error() {
@@ -455,7 +458,7 @@
             load,
         )
     };
-    let ended = timeout(Duration::from_nanos(rules.connect_time), asked).await;
+    let ended = timeout(Duration::from_nanos(rules.connect_timeout), asked).await;
     let (end, load) = ended.unwrap_or((AttemptEnd::TimedOut, None));
     HealthCheckResult {
         end,
--- a/crates/sidecar/src/routes.rs
+++ b/crates/sidecar/src/routes.rs
@@ -6,10 +6,9 @@
 
 use crate::slots::Slot;
 use havenplank::interface::{RouteClass, RouteClassId};
-use havenplank_configuration::record::BackupMode;
 use havenplank_configuration::snapshot::Snapshot;
 use havenplank_configuration::version::Version;
-use havenplank_settings::{Group, Guard};
+use havenplank_settings::{BackupMode, RouteClassSettings};
 use patricia_tree::StringPatriciaMap;
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -19,7 +18,7 @@
 pub struct Route {
     pub name: String,
     pub rules: RouteClass,
-    pub guard: Guard,
+    pub guard: BackupMode,
     slot: Slot,
 }
 
@@ -108,7 +107,11 @@
 
 impl RouteTable {
     /// Routes and tenants of the settings, with the slot of each route in the decisions.
-    pub fn from_settings(groups: &[Group], slots: Vec<Slot>, tenants: &[String]) -> RouteTable {
+    pub fn from_settings(
+        groups: &[RouteClassSettings],
+        slots: Vec<Slot>,
+        tenants: &[String],
+    ) -> RouteTable {
         let mut listed = HashMap::new();
         for (index, name) in tenants.iter().enumerate() {
             listed.entry(name.clone()).or_insert(index);
@@ -117,7 +120,11 @@
     }
 
     /// Routes of a snapshot, as [`routes_of`] tells them, and its tenants.
-    pub fn from_snapshot(snapshot: Snapshot, groups: &[Group], slots: Vec<Slot>) -> RouteTable {
+    pub fn from_snapshot(
+        snapshot: Snapshot,
+        groups: &[RouteClassSettings],
+        slots: Vec<Slot>,
+    ) -> RouteTable {
         RouteTable::build(
             groups,
             slots,
@@ -127,7 +134,7 @@
     }
 
     fn build(
-        groups: &[Group],
+        groups: &[RouteClassSettings],
         slots: Vec<Slot>,
         precedence: Precedence,
         tenants: Tenants,
@@ -145,13 +152,16 @@
                 candidates.add(&group.methods, precedence.rank(pattern, order));
             }
             by_name.entry(group.name.clone()).or_insert(order);
-            let Group {
-                name, rules, guard, ..
+            let RouteClassSettings {
+                name,
+                rules,
+                backup,
+                ..
             } = group;
             routes.push(Rc::new(Route {
                 name: name.clone(),
                 rules: *rules,
-                guard: *guard,
+                guard: *backup,
                 slot,
             }));
         }
@@ -208,19 +218,15 @@
 }
 
 /// The routes of a snapshot, by name.
-pub fn routes_of(snapshot: &Snapshot) -> Vec<Group> {
-    let mut routes: Vec<Group> = snapshot
+pub fn routes_of(snapshot: &Snapshot) -> Vec<RouteClassSettings> {
+    let mut routes: Vec<RouteClassSettings> = snapshot
         .routes()
-        .map(|route| Group {
+        .map(|route| RouteClassSettings {
             name: route.name.clone(),
             methods: route.methods.clone(),
             paths: route.paths.clone(),
             rules: route.rules.into(),
-            guard: match route.rules.backup {
-                BackupMode::Off => Guard::Off,
-                BackupMode::BeforeAttempt => Guard::BeforeForward,
-                BackupMode::Behind => Guard::Behind,
-            },
+            backup: route.rules.backup,
         })
         .collect();
     routes.sort_by(|one, other| one.name.cmp(&other.name));
--- a/crates/sidecar/src/shell.rs
+++ b/crates/sidecar/src/shell.rs
@@ -135,7 +135,7 @@
     /// their forwards have ended, else they could pile up forwards past the bound.
     pub fn is_full(&self) -> bool {
         let guarded = self.guard.as_ref().map_or(0, |guard| guard.hits());
-        self.stopping.get() || self.look().held().max(guarded) >= self.site.door.hits
+        self.stopping.get() || self.look().held().max(guarded) >= self.site.listener.max_requests
     }
 
     /// The routes in force now; whoever holds them goes on by them.
--- a/crates/sidecar/src/told.rs
+++ b/crates/sidecar/src/told.rs
@@ -34,16 +34,16 @@
     fn from(site: &Site) -> Terms {
         Terms {
             name: site.name.clone(),
-            place: site.place.clone(),
+            place: site.position.clone(),
             zones: site.zones.clone(),
             machines: site.machines.clone(),
             tenants: site.tenants.clone(),
             groups: site
-                .groups
+                .route_classes
                 .iter()
                 .map(|group| (group.name.clone(), group.rules))
                 .collect(),
-            forwards: site.forwards.clone(),
+            forwards: site.attempts.clone(),
             pods: site.pods.clone(),
             exposure: site.exposure.clone(),
             votes: site.votes.clone(),
--- a/crates/sidecar/tests/routes.rs
+++ b/crates/sidecar/tests/routes.rs
@@ -7,7 +7,7 @@
 use havenplank_configuration::snapshot::Snapshot;
 use havenplank_configuration::version::Version;
 use havenplank_line_protocol::endpoint_list::ListedEndpoint;
-use havenplank_settings::{Group, Guard};
+use havenplank_settings::RouteClassSettings;
 use havenplank_sidecar::engine::{Asked, Effect, Engine, EPOCH};
 use havenplank_sidecar::routes::{routes_of, KnownTenant, RouteTable};
 use havenplank_sidecar::slots::{Slot, SlotCounts};
@@ -34,13 +34,13 @@
     }
 }
 
-fn group(name: String, methods: Vec<String>, paths: Vec<String>) -> Group {
-    Group {
+fn group(name: String, methods: Vec<String>, paths: Vec<String>) -> RouteClassSettings {
+    RouteClassSettings {
         name,
         methods,
         paths,
         rules: rules(S),
-        guard: Guard::Off,
+        backup: BackupMode::Off,
     }
 }
 
@@ -78,7 +78,7 @@
     Engine::new(EPOCH, 1, &terms)
 }
 
-fn slots(engine: &mut Engine, groups: &[Group]) -> Vec<Slot> {
+fn slots(engine: &mut Engine, groups: &[RouteClassSettings]) -> Vec<Slot> {
     let routes: Vec<_> = groups
         .iter()
         .map(|group| (group.name.clone(), group.rules))
@@ -103,7 +103,7 @@
             1..12,
         ),
     ) {
-        let groups: Vec<Group> = patterns
+        let groups: Vec<RouteClassSettings> = patterns
             .into_iter()
             .enumerate()
             .map(|(n, (methods, paths))| {
@@ -113,7 +113,7 @@
         let slots = slots(&mut engine(false), &groups);
         let table = RouteTable::from_settings(&groups, slots, &[]);
         for (method, path) in requests {
-            let wanted = groups.iter().find(|group| group.fits(method, &path)).map(|group| group.name.as_str());
+            let wanted = groups.iter().find(|group| group.matches(method, &path)).map(|group| group.name.as_str());
             let found = table.find(method, &path).map(|route| route.name.as_str());
             prop_assert_eq!(found, wanted, "{} {:?}", method, path);
         }
@@ -190,7 +190,7 @@
 
 #[test]
 fn a_lookup_among_many_routes_finds_the_right_one_and_the_first_wins_across_kinds_of_pattern() {
-    let mut groups: Vec<Group> = (0..4_500)
+    let mut groups: Vec<RouteClassSettings> = (0..4_500)
         .map(|n| group(format!("r-{n}"), vec![], vec![format!("/team-{n}/api/*")]))
         .collect();
     groups.push(group(
