--- a/crates/capacity/src/tables.rs
+++ b/crates/capacity/src/tables.rs
@@ -7,9 +7,9 @@
 use havenplank::Visits;
 use havenplank_line_protocol::nodes::Listed;
 use havenplank_settings::Site;
-use havenplank_sidecar::engine::{Asked, Effect, Engine, EPOCH};
+use havenplank_sidecar::engine::{Effect, Engine, RequestAttributes, EPOCH};
+use havenplank_sidecar::events::EngineSettings;
 use havenplank_sidecar::routes::RouteTable;
-use havenplank_sidecar::told::Terms;
 use hdrhistogram::Histogram;
 use oorandom::Rand64;
 use std::collections::{HashSet, VecDeque};
@@ -121,9 +121,9 @@
 
 impl Driver {
     pub fn new(site: &Site, seed: u64, pods: Vec<Listed>) -> Driver {
-        let mut engine = Engine::new(EPOCH, seed, &Terms::from(site));
-        engine.begin(EPOCH);
-        engine.list(EPOCH, true, pods);
+        let mut engine = Engine::new(EPOCH, seed, &EngineSettings::from(site));
+        engine.start(EPOCH);
+        engine.update_endpoints(EPOCH, true, pods);
         let (routes, chance) = (site.groups.len().max(1) as u64, Rand64::new(seed as u128));
         Driver {
             engine,
@@ -152,26 +152,30 @@
     }
 
     pub fn news(&mut self, stage: Stage) {
-        self.engine.news(self.now, stage);
+        self.engine.update_stage(self.now, stage);
         self.drain();
     }
 
     pub fn change(&mut self, pods: Vec<Listed>) -> Duration {
         let began = Instant::now();
-        self.engine.list(self.now, false, pods);
+        self.engine.update_endpoints(self.now, false, pods);
         began.elapsed()
     }
 
     fn drain(&mut self) -> Vec<(RequestId, u32)> {
         let mut sent = Vec::new();
-        while let Some(effect) = self.engine.effect() {
+        while let Some(effect) = self.engine.next_effect() {
             match effect {
-                Effect::Forward { hit, nth, .. } => {
+                Effect::SendAttempt {
+                    request: hit,
+                    attempt: nth,
+                    ..
+                } => {
                     self.counted.forwards += 1;
                     sent.push((hit, nth));
                 }
-                Effect::Bounce { .. } | Effect::Error { .. } => self.counted.rejected += 1,
-                Effect::Vote { .. } => self.counted.votes += 1,
+                Effect::Reject { .. } | Effect::Fail { .. } => self.counted.rejected += 1,
+                Effect::CastVote { .. } => self.counted.votes += 1,
                 _ => self.counted.others += 1,
             }
         }
@@ -182,7 +186,7 @@
     pub fn pass(&mut self, until: Nanos) -> Duration {
         self.now = self.now.max(until);
         let began = Instant::now();
-        self.engine.wake(self.now);
+        self.engine.run_timers(self.now);
         let spent = began.elapsed();
         self.drain();
         spent
@@ -194,16 +198,16 @@
             self.chance.rand_range(0..self.routes) as usize,
             self.chance.rand_u64().max(1),
         );
-        let asked = Asked {
-            group,
+        let asked = RequestAttributes {
+            route_class: group,
             tenant: None,
             key,
-            left: TIME_LEFT,
+            remaining: TIME_LEFT,
             cost_hint: None,
-            repeat: false,
+            is_retry: false,
         };
         let began = Instant::now();
-        self.engine.hit(self.now, asked);
+        self.engine.handle_request(self.now, asked);
         let sent = self.drain();
         let spent = began.elapsed();
         let at = self.now + ANSWERS_AFTER;
@@ -237,7 +241,7 @@
     fn answer(&mut self, due: Answer) -> Duration {
         self.now = self.now.max(due.at);
         let began = Instant::now();
-        self.engine.ended(
+        self.engine.attempt_ended(
             self.now,
             due.hit,
             due.nth,
@@ -369,7 +373,7 @@
             };
             let before = resident_bytes();
             let copy = site.clone();
-            let engine = Engine::new(EPOCH, options.seed, &Terms::from(&copy));
+            let engine = Engine::new(EPOCH, options.seed, &EngineSettings::from(&copy));
             let grown = resident_bytes().saturating_sub(before);
             table.put(
                 &format!("settings_and_engine_with_{size_of}_mb"),
@@ -597,7 +601,7 @@
 
 /// The table in which the proxy finds routes and tenants, and its engine, which gives each route its index.
 pub fn route_table(site: &Site) -> RouteTable {
-    let engine = Engine::new(EPOCH, 1, &Terms::from(site));
+    let engine = Engine::new(EPOCH, 1, &EngineSettings::from(site));
     RouteTable::from_settings(&site.groups, engine.slots(), &site.tenants)
 }
 
--- a/crates/capacity/tests/tables.rs
+++ b/crates/capacity/tests/tables.rs
@@ -6,8 +6,8 @@
 use havenplank_capacity::tables::{route_table, Driver};
 use havenplank_line_protocol::nodes::{self, Listed};
 use havenplank_settings::{load, Given};
-use havenplank_sidecar::engine::{Asked, Effect, Engine, EPOCH};
-use havenplank_sidecar::told::Terms;
+use havenplank_sidecar::engine::{Effect, Engine, RequestAttributes, EPOCH};
+use havenplank_sidecar::events::EngineSettings;
 use oorandom::Rand64;
 
 const MS: Nanos = 1_000_000;
@@ -174,12 +174,12 @@
             .zip(&mut effects)
         {
             call(engine, self.now);
-            effects.extend(std::iter::from_fn(|| engine.effect()));
+            effects.extend(std::iter::from_fn(|| engine.next_effect()));
         }
         assert_eq!(effects[0], effects[1], "at {} ms", (self.now - EPOCH) / MS);
         self.attempts += effects[0]
             .iter()
-            .filter(|effect| matches!(effect, Effect::Forward { .. }))
+            .filter(|effect| matches!(effect, Effect::SendAttempt { .. }))
             .count();
     }
 }
@@ -227,7 +227,7 @@
 fn changes_lead_to_the_same_decisions_as_whole_lists() {
     for seed in 0..6 {
         let site = samples::site(3, 3).expect("settings of a scale test");
-        let engine = || Engine::new(EPOCH, seed, &Terms::from(&site));
+        let engine = || Engine::new(EPOCH, seed, &EngineSettings::from(&site));
         let mut chance = Rand64::new(seed as u128);
         let mut pods: Vec<Listed> = (0..60).map(|number| any_pod(number, &mut chance)).collect();
         let mut pair = Pair {
@@ -236,28 +236,30 @@
             now: EPOCH,
             attempts: 0,
         };
-        pair.compare(|engine, now| engine.begin(now));
-        pair.compare(|engine, now| drop(engine.list(now, true, pods.clone())));
+        pair.compare(|engine, now| engine.start(now));
+        pair.compare(|engine, now| drop(engine.update_endpoints(now, true, pods.clone())));
         for step in 0..1_500u64 {
             pair.now += 20 * MS;
-            pair.compare(|engine, now| engine.wake(now));
+            pair.compare(|engine, now| engine.run_timers(now));
             if step % 3 == 0 {
                 let change = change(&mut pods, step, &mut chance);
-                pair.compare(|engine, now| drop(engine.list(now, false, vec![change.clone()])));
+                pair.compare(|engine, now| {
+                    drop(engine.update_endpoints(now, false, vec![change.clone()]))
+                });
                 // Makes this one's sides anew.
-                pair.by_wholes.list(pair.now, true, pods.clone());
+                pair.by_wholes.update_endpoints(pair.now, true, pods.clone());
             }
             let (key, left) = (step + 1, S);
-            let asked = Asked {
-                group: 0,
+            let asked = RequestAttributes {
+                route_class: 0,
                 tenant: None,
                 key,
-                left,
+                remaining: left,
                 cost_hint: None,
-                repeat: false,
+                is_retry: false,
             };
             pair.compare(|engine, now| {
-                engine.hit(now, asked.clone());
+                engine.handle_request(now, asked.clone());
             });
             let end = if chance.rand_range(0..10) == 0 {
                 AttemptEnd::Failed
@@ -266,7 +268,7 @@
             };
             if let Some(hit) = step.checked_sub(5) {
                 pair.compare(|engine, now| {
-                    engine.ended(now, hit, 0, end, 100 * MS, None);
+                    engine.attempt_ended(now, hit, 0, end, 100 * MS, None);
                 });
             }
         }
--- a/crates/cli/src/bench_trace.rs
+++ b/crates/cli/src/bench_trace.rs
@@ -5,8 +5,8 @@
 use havenplank::interface::*;
 use havenplank_line_protocol::nodes::Listed;
 use havenplank_settings::{load, Given};
-use havenplank_sidecar::engine::{Asked, Effect, Engine, EPOCH};
-use havenplank_sidecar::told::Terms;
+use havenplank_sidecar::engine::{Effect, Engine, RequestAttributes, EPOCH};
+use havenplank_sidecar::events::EngineSettings;
 use havenplank_trace::recorder::{Folder, Limits, Recorder};
 use havenplank_trace::{cut, replay, show, Reader, Source};
 use oorandom::Rand64;
@@ -55,7 +55,7 @@
 }
 
 /// Records a life of so many hits: a fiftieth of the forwards fail, every pod tells its load, keys are Zipf-like.
-fn live(terms: &Terms, hits: u64, folder: &Path) -> anyhow::Result<PathBuf> {
+fn live(terms: &EngineSettings, hits: u64, folder: &Path) -> anyhow::Result<PathBuf> {
     let until = u64::MAX;
     let (terms, wall) = (terms.clone(), 1_700_000_000 * S);
     let mut engine = Engine::new(EPOCH, 1, &terms);
@@ -79,10 +79,10 @@
     };
     let shelf = Folder::new(folder, "bench", wall, u64::MAX)?;
     let (recorder, writing) = Recorder::start(source, limits, Box::new(shelf));
-    engine = engine.watched_by(Box::new(recorder));
-    engine.begin(EPOCH);
-    engine.list(EPOCH, true, pods(true));
-    engine.news(
+    engine = engine.with_observer(Box::new(recorder));
+    engine.start(EPOCH);
+    engine.update_endpoints(EPOCH, true, pods(true));
+    engine.update_stage(
         EPOCH,
         Stage {
             build: 2,
@@ -98,12 +98,12 @@
     let (mut now, mut next) = (EPOCH, EPOCH);
     let mut asked = 0;
     while asked < hits || !due.is_empty() {
-        let wake = engine.next_wake().unwrap_or(Nanos::MAX);
+        let wake = engine.next_timer().unwrap_or(Nanos::MAX);
         let end = due.peek().map_or(Nanos::MAX, |Reverse((at, ..))| *at);
         let hit = if asked < hits { next } else { Nanos::MAX };
         now = now.max(wake.min(end).min(hit));
         if wake <= now {
-            engine.wake(now);
+            engine.run_timers(now);
         } else if end <= now {
             if let Some(Reverse((_, hit, nth, sent))) = due.pop() {
                 let end = if chance.rand_range(0..50) == 0 {
@@ -117,7 +117,7 @@
                     busy: Some(busy),
                     ..LoadReport::default()
                 };
-                engine.ended(
+                engine.attempt_ended(
                     now,
                     hit,
                     nth,
@@ -134,24 +134,28 @@
                 ((chance.rand_float() * 10.0).exp() as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
             let left = [2 * S, 3 * S, 3 * S][group] - 20 * MS - chance.rand_range(20_000..70_000);
             let tenant = Some(chance.rand_range(0..3) as usize);
-            engine.hit(
+            engine.handle_request(
                 now,
-                Asked {
-                    group,
+                RequestAttributes {
+                    route_class: group,
                     tenant,
                     key,
-                    left,
+                    remaining: left,
                     cost_hint: None,
-                    repeat: false,
+                    is_retry: false,
                 },
             );
         }
-        while let Some(effect) = engine.effect() {
+        while let Some(effect) = engine.next_effect() {
             match effect {
-                Effect::Forward { hit, nth, .. } => {
+                Effect::SendAttempt {
+                    request: hit,
+                    attempt: nth,
+                    ..
+                } => {
                     let sent = now;
                     now += chance.rand_range(5_000..40_000);
-                    engine.may_go(now, hit, nth);
+                    engine.may_send(now, hit, nth);
                     due.push(Reverse((
                         now + chance.rand_range(8 * MS..50 * MS),
                         hit,
@@ -159,8 +163,8 @@
                         sent,
                     )));
                 }
-                Effect::Vote { vote, .. } => {
-                    engine.voted(
+                Effect::CastVote { id: vote, .. } => {
+                    engine.vote_answered(
                         now,
                         vote,
                         VoteReply {
@@ -216,7 +220,7 @@
     let folder = tempfile::tempdir()?;
     let settings = folder.path().join("bench.star");
     std::fs::write(&settings, SETTINGS)?;
-    let terms = Terms::from(&load(&settings, &Given::new())?);
+    let terms = EngineSettings::from(&load(&settings, &Given::new())?);
     let traces = folder.path().join("traces");
     let began = Instant::now();
     let file = live(&terms, hits, &traces)?;
--- a/crates/cli/src/platform.rs
+++ b/crates/cli/src/platform.rs
@@ -37,7 +37,7 @@
             config.sockets,
             format!("{:?}", config.terms.votes),
         );
-        let instances = config.terms.place.instances;
+        let instances = config.terms.position.instances;
         let (orders, ordered) = mpsc::channel(ORDERS);
         tokio::task::spawn_local(async move {
             loop {
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -3,7 +3,7 @@
 use anyhow::Context;
 use havenplank_settings::Site;
 use havenplank_sidecar::engine::EPOCH;
-use havenplank_sidecar::told::{Terms, Witness};
+use havenplank_sidecar::events::{EngineSettings, Observer};
 use havenplank_trace::recorder::{Folder, Limits, Recorder, Writing};
 use havenplank_trace::Source;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -27,7 +27,10 @@
     let wall = wall();
     let folder = Folder::new(&trace.folder, &site.name, wall, trace.total_bytes);
     let folder = folder.with_context(|| format!("trace.folder: {}", trace.folder.display()))?;
-    let (terms, life) = (Terms::from(site), wall ^ (std::process::id() as u64) << 32);
+    let (terms, life) = (
+        EngineSettings::from(site),
+        wall ^ (std::process::id() as u64) << 32,
+    );
     let source = Source {
         terms,
         seed,
@@ -57,7 +60,7 @@
 pub fn serve(site: Site, seed: Option<u64>) -> anyhow::Result<u8> {
     let seed = seed.unwrap_or_else(wall);
     let (witness, writing) = match recorder(&site, seed)? {
-        Some((recorder, writing)) => (Some(Box::new(recorder) as Box<dyn Witness>), Some(writing)),
+        Some((recorder, writing)) => (Some(Box::new(recorder) as Box<dyn Observer>), Some(writing)),
         None => (None, None),
     };
     let runtime = tokio::runtime::Builder::new_current_thread()
--- a/crates/emulator/src/drive.rs
+++ b/crates/emulator/src/drive.rs
@@ -9,8 +9,8 @@
 use havenplank_line_protocol::nodes::Listed;
 use havenplank_line_protocol::{desk, nodes};
 use havenplank_settings::words::{self, word_of};
-use havenplank_sidecar::engine::{Asked, Effect};
-use havenplank_sidecar::told::{Terms, Told};
+use havenplank_sidecar::engine::{Effect, RequestAttributes};
+use havenplank_sidecar::events::{EngineSettings, Event};
 use havenplank_trace::{Reader, Record, Source, TraceError, What};
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
@@ -100,7 +100,7 @@
 struct Script {
     source: Source,
     /// By time.
-    hits: Vec<(Nanos, RequestId, Asked)>,
+    hits: Vec<(Nanos, RequestId, RequestAttributes)>,
     says: Vec<(Nanos, Say)>,
     /// The ends of each hit's forwards, in order.
     ends: HashMap<RequestId, Vec<Option<End>>>,
@@ -162,8 +162,11 @@
         let at = self.length;
         let fared = &mut self.recorded;
         match record.what {
-            What::Told(told) => match told {
-                Told::IncomingRequest { hit, asked } => {
+            What::Event(told) => match told {
+                Event::RequestArrived {
+                    request: hit,
+                    attributes: asked,
+                } => {
                     if self.hits.len() >= MOST_HITS {
                         let why = format!(
                             "more than {MOST_HITS} hits; expected a trace that was cut to fewer"
@@ -173,13 +176,13 @@
                     fared.hits += 1;
                     self.hits.push((at, hit, asked));
                 }
-                Told::AttemptEnd {
-                    hit,
-                    nth,
+                Event::AttemptEnded {
+                    request: hit,
+                    attempt: nth,
                     end,
                     took,
                     load,
-                    passed,
+                    delivered: passed,
                 } => {
                     fared.delivered += passed as u64;
                     let Some((sent, build, _)) = sent.remove(&(hit, nth)) else {
@@ -196,33 +199,46 @@
                     ends[nth as usize] = Some(end);
                     self.by_build.entry(build).or_default().push((sent, end));
                 }
-                Told::Left { .. } => fared.left += 1,
-                Told::List { whole, pods, .. } => self.says.push((at, Say::List(whole, pods))),
-                Told::ListFailed => self.says.push((at, Say::ListFailed)),
-                Told::News(stage) => self.says.push((at, Say::Stage(stage))),
-                Told::Voted { news, .. } => {
+                Event::ClientLeft { .. } => fared.left += 1,
+                Event::EndpointsListed {
+                    complete: whole,
+                    pods,
+                    ..
+                } => self.says.push((at, Say::List(whole, pods))),
+                Event::EndpointWatchFailed => self.says.push((at, Say::ListFailed)),
+                Event::StageChanged(stage) => self.says.push((at, Say::Stage(stage))),
+                Event::VoteAnswered { reply: news, .. } => {
                     self.says
                         .extend(news.stage.map(|stage| (at, Say::Stage(stage))));
                 }
-                Told::Tally(tally) => self.says.push((at, Say::Tally(tally))),
-                Told::Flagged { group, ago, .. } => {
+                Event::TallyReported(tally) => self.says.push((at, Say::Tally(tally))),
+                Event::FaultReported {
+                    route_class: group,
+                    ago,
+                    ..
+                } => {
                     let name = record.pod.map(|pod| pod.name.clone()).unwrap_or_default();
                     self.says.push((at, Say::Flagged(name, group, ago)));
                 }
                 _ => {}
             },
-            What::Did(effect) => match effect {
-                Effect::Forward { hit, nth, pod, .. } => {
+            What::Effect(effect) => match effect {
+                Effect::SendAttempt {
+                    request: hit,
+                    attempt: nth,
+                    pod,
+                    ..
+                } => {
                     fared.forwards += 1;
                     let build = record.pod.as_ref().map_or(0, |pod| pod.build);
                     sent.insert((hit, nth), (at, build, pod));
                 }
-                Effect::Bounce { .. } => fared.bounced += 1,
-                Effect::Error { .. } => fared.errored += 1,
-                Effect::Vote {
+                Effect::Reject { .. } => fared.bounced += 1,
+                Effect::Fail { .. } => fared.errored += 1,
+                Effect::CastVote {
                     build,
                     stage,
-                    voice,
+                    vote: voice,
                     ..
                 } => {
                     *fared
@@ -287,19 +303,19 @@
 }
 
 /// The settings script that a sidecar with these terms is started with.
-fn settings(terms: &Terms, nodes: SocketAddr, desk: SocketAddr) -> String {
+fn settings(terms: &EngineSettings, nodes: SocketAddr, desk: SocketAddr) -> String {
     let flag = |on: bool| if on { "True" } else { "False" };
-    let Terms {
+    let EngineSettings {
         name,
-        place,
+        position: place,
         zones,
         machines,
         tenants,
-        forwards,
+        attempts: forwards,
         pods,
         exposure,
         votes,
-        list,
+        endpoint_list: list,
         ..
     } = terms;
     let texts = |name: &str, all: &Vec<String>| match all.is_empty() {
@@ -317,7 +333,7 @@
         texts("machines", machines),
         texts("customers", tenants),
     );
-    for (n, (name, rules)) in terms.groups.iter().enumerate() {
+    for (n, (name, rules)) in terms.route_classes.iter().enumerate() {
         let RouteClass {
             idempotency,
             dedup_scope,
@@ -610,7 +626,7 @@
                     self.script
                         .source
                         .terms
-                        .groups
+                        .route_classes
                         .get(group)
                         .map(|(name, _)| name)
                 };
@@ -675,12 +691,12 @@
         at: SocketAddr,
         idle: &RefCell<Vec<Sender>>,
         hit: RequestId,
-        asked: &Asked,
+        asked: &RequestAttributes,
     ) {
         let terms = &self.script.source.terms;
         let kind = terms
-            .groups
-            .get(asked.group)
+            .route_classes
+            .get(asked.route_class)
             .map_or(Idempotency::Idempotent, |(_, rules)| rules.idempotency);
         let asking = async {
             let kept = idle.borrow_mut().pop();
@@ -698,12 +714,12 @@
             };
             let mut request = Request::builder()
                 .method(method)
-                .uri(format!("/{}", asked.group))
+                .uri(format!("/{}", asked.route_class))
                 .header("host", "drive")
                 .header(ASK, hit)
                 .header(
                     "grpc-timeout",
-                    format!("{}u", (asked.left / 1_000).min(99_999_999)),
+                    format!("{}u", (asked.remaining / 1_000).min(99_999_999)),
                 );
             if asked.key != 0 {
                 request = request.header("x-key", format!("{:x}", asked.key));
@@ -727,7 +743,7 @@
             idle.borrow_mut().push(sender);
             Some((status, retry))
         };
-        let wait = Duration::from_nanos(asked.left) + Duration::from_millis(500);
+        let wait = Duration::from_nanos(asked.remaining) + Duration::from_millis(500);
         let answer = timeout(wait, asking).await.ok().flatten();
         let mut counts = self.counts.borrow_mut();
         let fared = &mut counts.driven;
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -5,7 +5,7 @@
 use havenplank_adapter::line::{Fields, Line};
 use havenplank_adapter::setup;
 use havenplank_line_protocol::nodes::Listed;
-use havenplank_sidecar::told::Terms;
+use havenplank_sidecar::events::EngineSettings;
 use serde_json::{Map, Value};
 use std::net::SocketAddr;
 use std::path::Path;
@@ -23,7 +23,7 @@
     pub sockets: usize,
     /// Bytes of memory, over which the platform ends us.
     pub memory: usize,
-    pub terms: Terms,
+    pub terms: EngineSettings,
     /// The columns of a load report; none where pods report nothing.
     pub load: Vec<String>,
     pub links: Links,
@@ -106,19 +106,19 @@
         };
         let known = discovery::read(&f.object("known")?, discovery::wall())?;
         let names = setup.names;
-        let terms = Terms {
+        let terms = EngineSettings {
             name: f.text("name")?.to_string(),
-            place: setup.place,
+            position: setup.place,
             zones: names.zones,
             machines: names.machines,
             tenants: names.tenants,
-            groups: names.groups.into_iter().zip(setup.groups).collect(),
-            forwards: setup.forwards,
+            route_classes: names.groups.into_iter().zip(setup.groups).collect(),
+            attempts: setup.forwards,
             pods: setup.pods,
             exposure: setup.exposure,
             votes: setup.votes,
-            list: setup.list,
-            reuse: true,
+            endpoint_list: setup.list,
+            reuse_pod_ids: true,
         };
         Ok(Config {
             listen: address(&f, "listen")?,
--- a/crates/platform/src/control_plane.rs
+++ b/crates/platform/src/control_plane.rs
@@ -110,7 +110,7 @@
 
 fn voted(shell: &Rc<Shell>, vote: u64, heard: VoteReceipt, stage: Option<Stage>) {
     shell.call(|engine, now| {
-        engine.voted(
+        engine.vote_answered(
             now,
             vote,
             VoteReply {
@@ -234,13 +234,13 @@
                     ..
                 } = stage;
                 tracing::info!(build, stage = number, ?phase, cap, "stage");
-                shell.call(|engine, now| engine.news(now, stage));
+                shell.call(|engine, now| engine.update_stage(now, stage));
             }
             "complaint" => {
                 let told = f.object("params")?;
                 let (pod, group) = (told.text("host")?, told.text("type")?);
                 let ago = told.whole("lag_ms")?.saturating_mul(1_000_000);
-                if !shell.flagged(pod, group, ago) {
+                if !shell.report_fault(pod, group, ago) {
                     tracing::info!(
                         pod,
                         group,
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -275,7 +275,7 @@
         }
         self.version = told.seq;
         self.shell
-            .call(|engine, now| engine.list(now, told.whole, told.pods));
+            .call(|engine, now| engine.update_endpoints(now, told.whole, told.pods));
     }
 }
 
--- a/crates/platform/src/listener.rs
+++ b/crates/platform/src/listener.rs
@@ -5,10 +5,10 @@
 use crate::slots::{self, Shares, Slot};
 use bytes::Bytes;
 use havenplank::interface::{stable_hash, Idempotency, Nanos, RequestId, RouteClassId};
-use havenplank_sidecar::answers::{self, and_close, errored, plain};
-use havenplank_sidecar::engine::Asked;
-use havenplank_sidecar::tap::Tap;
-use havenplank_sidecar::{heads, queued};
+use havenplank_sidecar::client_stream::ClientStream;
+use havenplank_sidecar::engine::RequestAttributes;
+use havenplank_sidecar::responses::{self, and_close, failed, plain};
+use havenplank_sidecar::{headers, take_queued_connections};
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
 use hyper::body::{Body, Incoming};
 use hyper::header::{
@@ -47,14 +47,14 @@
 
 /// A client's connection.
 struct Client {
-    tap: Tap,
+    tap: ClientStream,
     slot: Cell<Slot>,
     task: RefCell<Option<AbortHandle>>,
 }
 
 impl Client {
     fn slot(&self) -> Slot {
-        if let Some(since) = self.tap.take_written() {
+        if let Some(since) = self.tap.take_response_written() {
             self.slot.set(Slot {
                 since,
                 serving: false,
@@ -63,7 +63,7 @@
             });
         }
         Slot {
-            began: self.tap.began(),
+            began: self.tap.request_began(),
             ..self.slot.get()
         }
     }
@@ -140,8 +140,8 @@
         let mut slots = self.slots();
         while let Some(chosen) = choose(&slots) {
             let client = self.clients.borrow().get(&chosen).cloned();
-            let Some(client) =
-                client.filter(|client| client.tap.began().is_some() || !client.tap.has_unread())
+            let Some(client) = client
+                .filter(|client| client.tap.request_began().is_some() || !client.tap.has_unread())
             else {
                 slots.retain(|(id, _)| *id != chosen);
                 continue;
@@ -179,7 +179,7 @@
             _ = &mut close => break,
         }
     }
-    for stream in queued(listener) {
+    for stream in take_queued_connections(listener) {
         admit(&shell, stream, &stop).await;
     }
 }
@@ -212,7 +212,7 @@
     let listener = &shell.listener;
     let id = listener.next.replace(listener.next.get() + 1);
     let client = Rc::new(Client {
-        tap: Tap::new(stream),
+        tap: ClientStream::new(stream),
         slot: Cell::new(Slot::new(Instant::now())),
         task: RefCell::default(),
     });
@@ -261,7 +261,7 @@
                 write_by,
                 ..client.slot.get()
             });
-            Ok::<_, Infallible>(answer.map(|body| client.tap.tell(body)))
+            Ok::<_, Infallible>(answer.map(|body| client.tap.track_body(body)))
         }
     });
     let connection = http1::Builder::new()
@@ -296,7 +296,7 @@
                 Err(_) => return false,
             },
         }
-        let quiet = !client.slot().serving && client.tap.began().is_none();
+        let quiet = !client.slot().serving && client.tap.request_began().is_none();
         if !(quiet && client.tap.has_unread()) {
             return false;
         }
@@ -309,7 +309,7 @@
 pub fn bounced(retry_after: Nanos) -> Answer {
     let (seconds, millis) = (retry_after / 1_000_000_000, retry_after / 1_000_000 % 1_000);
     let text = HeaderValue::from_str(&format!("{seconds}.{millis:03}")).ok();
-    answers::bounced(text.filter(|_| retry_after > 0))
+    responses::rejected(text.filter(|_| retry_after > 0))
 }
 
 /// A hit in flight; dropped before its answer, its client is gone.
@@ -320,7 +320,7 @@
 
 impl Drop for Owed {
     fn drop(&mut self) {
-        self.shell.gone(self.hit);
+        self.shell.client_gone(self.hit);
     }
 }
 
@@ -358,11 +358,11 @@
             if !earlier.tap.is_closed() {
                 return Err(Taken::Waits);
             }
-            if kind != Idempotency::Idempotent && hit.is_some_and(|hit| shell.sent_on(hit)) {
+            if kind != Idempotency::Idempotent && hit.is_some_and(|hit| shell.was_forwarded(hit)) {
                 return Err(Taken::MayHaveRun);
             }
             earlier.end();
-            hit.into_iter().for_each(|hit| shell.gone(hit));
+            hit.into_iter().for_each(|hit| shell.client_gone(hit));
         }
         let holder = Holder {
             client: client.clone(),
@@ -401,7 +401,7 @@
     client: Rc<Client>,
     request: Request<Incoming>,
 ) -> (Answer, Option<Instant>) {
-    let began = client.tap.take_began().unwrap_or_else(Instant::now);
+    let began = client.tap.take_request_began().unwrap_or_else(Instant::now);
     let stopping = shell.stopping.get();
     if request.method() == Method::GET && request.uri().path() == "/healthz" {
         client.slot.set(Slot {
@@ -426,23 +426,23 @@
         asked: true,
         ..client.slot.get()
     });
-    let deadline = began + Duration::from_nanos(asked.left);
+    let deadline = began + Duration::from_nanos(asked.remaining);
     let spent = began.elapsed().as_nanos() as Nanos + shell.answer_margin;
-    let asked = Asked {
-        left: asked.left.saturating_sub(spent),
+    let asked = RequestAttributes {
+        remaining: asked.remaining.saturating_sub(spent),
         ..asked
     };
     let (answer, answered) = oneshot::channel();
     let owed = Owed {
-        hit: shell.take(asked, ask, answer),
+        hit: shell.dispatch(asked, ask, answer),
         shell,
     };
     named.taken(owed.hit);
     let answer = tokio::select! {
         // An engine that stops with a hit in hand is a fault; the client is told that nothing is promised.
-        answer = answered => answer.unwrap_or_else(|_| errored(false)),
+        answer = answered => answer.unwrap_or_else(|_| failed(false)),
         // HTTP looks for its close only while no other bytes lie in front of that. Nobody reads this answer.
-        () = client.tap.closed() => and_close(errored(false)),
+        () = client.tap.closed() => and_close(failed(false)),
     };
     (
         if owed.shell.stopping.get() {
@@ -506,7 +506,7 @@
     client: &Rc<Client>,
     request: Request<Incoming>,
     began: Instant,
-) -> Result<(Asked, Ask, Named), Refused> {
+) -> Result<(RequestAttributes, Ask, Named), Refused> {
     let (parts, body) = request.into_parts();
     let headers = &parts.headers;
     if headers.contains_key(TRANSFER_ENCODING) {
@@ -551,17 +551,17 @@
     let Some(left) = left else {
         return bad("X-Time-Left-Ms: expected whole milliseconds\n");
     };
-    let asked = Asked {
-        group,
+    let asked = RequestAttributes {
+        route_class: group,
         tenant: headers
             .get(TENANT)
             .and_then(|name| shell.tenants.iter().position(|known| name == known)),
         key: key(headers).map_or(0, stable_hash),
-        left: left.min(rules.client_timeout),
+        remaining: left.min(rules.client_timeout),
         cost_hint: headers
             .get(HINT)
-            .and_then(|text| heads::cost_hint(text.to_str().ok()?)),
-        repeat: headers.get(REPEAT).is_some_and(|value| value == "1"),
+            .and_then(|text| headers::parse_cost_hint(text.to_str().ok()?)),
+        is_retry: headers.get(REPEAT).is_some_and(|value| value == "1"),
     };
     let named = match Named::new(shell, client, id, rules.idempotency) {
         Ok(named) => named,
@@ -597,7 +597,7 @@
     };
     let path = parts.uri.path_and_query().map_or("/", |path| path.as_str());
     let mut onward = parts.headers.clone();
-    heads::strip_hop_by_hop(&mut onward);
+    headers::strip_hop_by_hop(&mut onward);
     for name in [CONTENT_LENGTH, TIME_LEFT] {
         onward.remove(name);
     }
--- a/crates/platform/src/node.rs
+++ b/crates/platform/src/node.rs
@@ -8,9 +8,9 @@
 use crate::{control_plane, discovery};
 use bytes::Bytes;
 use havenplank::interface::*;
+use havenplank_sidecar::dispatcher::{Dispatcher, Transport};
 use havenplank_sidecar::engine::{Engine, EPOCH};
-use havenplank_sidecar::hub::{Hub, Outside};
-use havenplank_sidecar::{answers, listen, StartError};
+use havenplank_sidecar::{listen, responses, StartError};
 use http_body_util::Full;
 use hyper::Response;
 use std::cell::Cell;
@@ -48,13 +48,13 @@
     pub stopping: Cell<bool>,
 }
 
-pub type Shell = Hub<Node>;
+pub type Shell = Dispatcher<Node>;
 
-impl Outside for Node {
-    type Ask = Ask;
-    type Answer = Response<Full<Bytes>>;
+impl Transport for Node {
+    type Request = Ask;
+    type Response = Response<Full<Bytes>>;
 
-    fn forward(
+    fn send_attempt(
         hub: Rc<Shell>,
         ask: Rc<Ask>,
         nth: (RequestId, u32),
@@ -64,26 +64,26 @@
         pods::forward(hub, ask, nth, pod, time_out)
     }
 
-    fn bounced(&self, retry_after: Nanos) -> Response<Full<Bytes>> {
+    fn rejected(&self, retry_after: Nanos) -> Response<Full<Bytes>> {
         listener::bounced(retry_after)
     }
 
-    fn errored(&self, late: bool) -> Response<Full<Bytes>> {
-        answers::errored(late)
+    fn failed(&self, late: bool) -> Response<Full<Bytes>> {
+        responses::failed(late)
     }
 
-    fn vote(hub: &Rc<Shell>, vote: u64, build: Build, stage: usize, voice: Vote) {
+    fn cast_vote(hub: &Rc<Shell>, vote: u64, build: Build, stage: usize, voice: Vote) {
         hub.ballots.cast(hub, vote, build, stage, voice);
     }
 
-    fn probe(hub: &Rc<Shell>, probe: u64, pod: PodId) {
+    fn health_check(hub: &Rc<Shell>, probe: u64, pod: PodId) {
         spawn_local(pods::probe(hub.clone(), probe, pod));
     }
 
     /// The watch always stands, and brings the whole list where changes are not enough.
-    fn ask_list(_: &Rc<Shell>) {}
+    fn poll_endpoints(_: &Rc<Shell>) {}
 
-    fn watch_list(_: &Rc<Shell>, _: bool) {}
+    fn watch_endpoints(_: &Rc<Shell>, _: bool) {}
 }
 
 /// Runs one sidecar on the present thread until it is ordered to stop. Needs a `LocalRuntime` of tokio with
@@ -100,10 +100,10 @@
     let engine = Engine::new(EPOCH, seed, &terms);
     let (listener, address) = listen(config.listen).await?;
     let shares = Shares::of(config.sockets);
-    let shell = Hub::new(
+    let shell = Dispatcher::new(
         engine,
         Node {
-            groups: terms.groups.clone(),
+            groups: terms.route_classes.clone(),
             tenants: terms.tenants.clone(),
             votes: terms.votes.clone(),
             answer_margin: config.answer_margin,
@@ -114,17 +114,17 @@
         },
     );
     let (since, known) = config.known;
-    shell.call(|engine, now| engine.list(now, true, known));
+    shell.call(|engine, now| engine.update_endpoints(now, true, known));
     if let Some(stage) = config.stage {
-        shell.call(|engine, now| engine.news(now, stage));
+        shell.call(|engine, now| engine.update_stage(now, stage));
     }
-    shell.call(|engine, now| engine.begin(now));
+    shell.call(|engine, now| engine.start(now));
     let (nodes_at, nodes) = watch::channel(config.nodes);
     let (desk_at, desk) = watch::channel(config.desk);
     let (stopping, stop) = watch::channel(None);
     let (close, closes) = oneshot::channel();
     let mut tasks = JoinSet::new();
-    tasks.spawn_local(shell.clone().tick());
+    tasks.spawn_local(shell.clone().run_timers());
     tasks.spawn_local(discovery::follow(shell.clone(), nodes, since, seed ^ 1));
     tasks.spawn_local(control_plane::follow(shell.clone(), desk, seed ^ 2));
     tasks.spawn_local(sweep(shell.clone()));
@@ -144,7 +144,7 @@
     let told = Instant::now();
     shell.stopping.set(true);
     let _ = stopping.send(Some(told));
-    tracing::info!(hits = shell.owed(), "stopping");
+    tracing::info!(hits = shell.in_flight(), "stopping");
     sleep_until((told + COMING).into()).await;
     let _ = close.send(());
     // Until it has taken what had come by then.
@@ -160,15 +160,18 @@
     while shell.listener.open() > 0 && Instant::now() < until {
         sleep(Duration::from_millis(10)).await;
     }
-    tracing::info!(hits = shell.owed(), "stopped");
+    tracing::info!(hits = shell.in_flight(), "stopped");
     Ok(())
 }
 
 async fn sweep(shell: Rc<Shell>) {
     loop {
         sleep(Duration::from_secs(1)).await;
-        let listed: HashSet<SocketAddr> =
-            shell.listed().into_iter().map(|pod| pod.address).collect();
+        let listed: HashSet<SocketAddr> = shell
+            .listed_pods()
+            .into_iter()
+            .map(|pod| pod.address)
+            .collect();
         shell.pods.sweep(&listed);
     }
 }
@@ -196,9 +199,9 @@
         let (unasked, half_asked) = listener.unasked();
         let descriptors = std::fs::read_dir("/proc/self/fd").map_or(0, Iterator::count);
         tracing::info!(
-            hits = shell.look().held(),
+            hits = shell.engine().requests_held(),
             hits_at_door = listener.serving(),
-            forwards = shell.look().out(),
+            forwards = shell.engine().attempts_in_flight(),
             forwards_on_wire = pods.seen.out.get(),
             sent = pods.seen.sent.get(),
             clients = listener.open(),
--- a/crates/platform/src/pods.rs
+++ b/crates/platform/src/pods.rs
@@ -9,7 +9,7 @@
 use bytes::{Buf, Bytes, BytesMut};
 use havenplank::interface::{AttemptEnd, HealthCheckResult, Nanos, PodId, RequestId};
 use havenplank_adapter::door::load_of;
-use havenplank_sidecar::hub::End;
+use havenplank_sidecar::dispatcher::AttemptResult;
 use http_body_util::Full;
 use hyper::header::{
     HeaderMap, HeaderName, HeaderValue, CONNECTION, CONTENT_LENGTH, TRANSFER_ENCODING,
@@ -275,7 +275,7 @@
     // Set once the last byte is written: before that the pod cannot have begun.
     let (whole, time) = (Cell::new(false), Duration::from_nanos(time_out));
     shell
-        .timed(
+        .run_attempt(
             nth,
             time,
             &whole,
@@ -291,9 +291,9 @@
     pod: PodId,
     time: Duration,
     whole: &Cell<bool>,
-) -> End<Answer> {
+) -> AttemptResult<Answer> {
     let (began, pods) = (Instant::now(), &shell.pods);
-    let Some(address) = shell.address(pod) else {
+    let Some(address) = shell.pod_address(pod) else {
         return AttemptEnd::NotSent.into();
     };
     let mut fresh = false;
@@ -304,7 +304,7 @@
             Err(NoConnection::Permits) => return AttemptEnd::NotSent.into(),
         };
         // Chosen when it had no connection yet: the pod may drain by now, or its build be closed.
-        if !shell.may_go(hit, nth) {
+        if !shell.may_send(hit, nth) {
             pods.give_back(address, connection);
             return AttemptEnd::NotSent.into();
         }
@@ -355,13 +355,17 @@
     };
     let answer = (end == AttemptEnd::Served).then(|| {
         let mut headers = came.headers;
-        havenplank_sidecar::heads::strip_hop_by_hop(&mut headers);
+        havenplank_sidecar::headers::strip_hop_by_hop(&mut headers);
         headers.remove(CONTENT_LENGTH);
         let mut answer = Response::new(Full::new(came.body));
         *answer.headers_mut() = headers;
         answer
     });
-    End { end, load, answer }
+    AttemptResult {
+        end,
+        load,
+        response: answer,
+    }
 }
 
 /// Bytes that keep their room until the last reader is done.
@@ -537,8 +541,8 @@
         "/load"
     };
     let asked = async {
-        let Some(address) = shell.address(pod) else {
-            return End::<Answer>::from(AttemptEnd::NotSent);
+        let Some(address) = shell.pod_address(pod) else {
+            return AttemptResult::<Answer>::from(AttemptEnd::NotSent);
         };
         let mut connection = match pods.take(address, false).await {
             Ok(connection) => connection,
@@ -565,20 +569,21 @@
         } else {
             AttemptEnd::Failed
         };
-        End {
+        AttemptResult {
             end,
             load: load_of(&pods.load, &came.body).filter(|_| !pods.load.is_empty()),
-            answer: None,
+            response: None,
         }
     };
     let ended = timeout(pods.rules.connect_time, asked).await;
-    let End { end, load, .. }: End<Answer> = ended.unwrap_or_else(|_| AttemptEnd::TimedOut.into());
+    let AttemptResult { end, load, .. }: AttemptResult<Answer> =
+        ended.unwrap_or_else(|_| AttemptEnd::TimedOut.into());
     let end = HealthCheckResult {
         end,
         took: began.elapsed().as_nanos() as Nanos,
         load,
     };
-    shell.call(|engine, now| engine.probed(now, probe, end));
+    shell.call(|engine, now| engine.health_check_ended(now, probe, end));
 }
 
 #[cfg(test)]
--- a/crates/sidecar/examples/route_lookup.rs
+++ b/crates/sidecar/examples/route_lookup.rs
@@ -4,8 +4,8 @@
 use havenplank::interface::{DedupScope, Idempotency, RouteClass};
 use havenplank_settings::{Group, Guard};
 use havenplank_sidecar::engine::{Engine, EPOCH};
+use havenplank_sidecar::events::EngineSettings;
 use havenplank_sidecar::routes::RouteTable;
-use havenplank_sidecar::told::Terms;
 use std::hint::black_box;
 use std::path::Path;
 use std::time::Instant;
@@ -51,7 +51,7 @@
 fn main() {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/site.star");
     let site = havenplank_settings::load(&file, &Default::default());
-    let terms = Terms::from(&site.unwrap_or_else(|problems| panic!("{problems}")));
+    let terms = EngineSettings::from(&site.unwrap_or_else(|problems| panic!("{problems}")));
     for many in [10, 100, 1_000, 4_500] {
         let mut engine = Engine::new(EPOCH, 1, &terms);
         let mut table = put_in_force(&mut engine, &routes(many, 0));
--- a/crates/sidecar/src/admin.rs
+++ b/crates/sidecar/src/admin.rs
@@ -1,8 +1,8 @@
 //! The operators' listener: a look at the state, and wrong answers reported.
 
-use crate::answers::plain;
 use crate::proxy::Body;
-use crate::shell::Shell;
+use crate::responses::plain;
+use crate::transport::Shell;
 use havenplank::interface::Nanos;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
@@ -40,7 +40,7 @@
 }
 
 fn state(shell: &Shell) -> Response<Body> {
-    let glance = shell.glance();
+    let glance = shell.status();
     let stage = glance.stage.map(|stage| {
         json!({"build": stage.build, "stage": stage.stage, "phase": format!("{:?}", stage.phase), "cap": stage.cap})
     });
@@ -101,7 +101,7 @@
         .as_u64()
         .ok_or("ago_ms: expected a whole number\n")?;
     let ago: Nanos = ago.checked_mul(1_000_000).ok_or("ago_ms: too long ago\n")?;
-    match shell.flagged(pod, group, ago) {
+    match shell.report_fault(pod, group, ago) {
         true => Ok(()),
         false => Err("pod or path_group: not known\n"),
     }
--- a/crates/sidecar/src/tap.rs
+++ b/crates/sidecar/src/client_stream.rs
@@ -38,13 +38,13 @@
 }
 
 #[derive(Clone)]
-pub struct Tap(Rc<Stream>);
+pub struct ClientStream(Rc<Stream>);
 
-impl Tap {
-    pub fn new(socket: TcpStream) -> Tap {
+impl ClientStream {
+    pub fn new(socket: TcpStream) -> ClientStream {
         let (first, reader, written, stuck) = Default::default();
         let (ahead, taken) = (RefCell::default(), Cell::new(false));
-        Tap(Rc::new(Stream {
+        ClientStream(Rc::new(Stream {
             socket,
             first,
             ahead,
@@ -55,28 +55,28 @@
         }))
     }
 
-    pub fn began(&self) -> Option<Instant> {
+    pub fn request_began(&self) -> Option<Instant> {
         self.0.first.get()
     }
 
     /// When the hit that was just read began; what comes from here on is the next one.
-    pub fn take_began(&self) -> Option<Instant> {
+    pub fn take_request_began(&self) -> Option<Instant> {
         self.0.first.take()
     }
 
     /// When the last byte of an answer was written, if one was since this was asked.
-    pub fn take_written(&self) -> Option<Instant> {
+    pub fn take_response_written(&self) -> Option<Instant> {
         self.0.written.take()
     }
 
     /// Since when the client reads nothing of an answer that is there to be written.
-    pub fn stuck(&self) -> Option<Instant> {
+    pub fn write_blocked_since(&self) -> Option<Instant> {
         self.0.stuck.get()
     }
 
     /// An answer's body, which tells when HTTP has taken all of it.
-    pub fn tell<B>(&self, body: B) -> Told<B> {
-        Told {
+    pub fn track_body<B>(&self, body: B) -> TrackedBody<B> {
+        TrackedBody {
             body,
             tap: self.clone(),
         }
@@ -163,7 +163,7 @@
     }
 }
 
-impl AsyncRead for Tap {
+impl AsyncRead for ClientStream {
     fn poll_read(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -194,7 +194,7 @@
     }
 }
 
-impl AsyncWrite for Tap {
+impl AsyncWrite for ClientStream {
     fn poll_write(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -245,18 +245,18 @@
 }
 
 /// An answer on its way. HTTP drops it once all of it is taken, before it writes the last of it.
-pub struct Told<B> {
+pub struct TrackedBody<B> {
     body: B,
-    tap: Tap,
+    tap: ClientStream,
 }
 
-impl<B> Drop for Told<B> {
+impl<B> Drop for TrackedBody<B> {
     fn drop(&mut self) {
         self.tap.0.taken.set(true);
     }
 }
 
-impl<B: Body + Unpin> Body for Told<B> {
+impl<B: Body + Unpin> Body for TrackedBody<B> {
     type Data = B::Data;
     type Error = B::Error;
 
--- a/crates/sidecar/src/configuration.rs
+++ b/crates/sidecar/src/configuration.rs
@@ -1,10 +1,10 @@
 //! Routes and tenants that change while a sidecar runs: a version that peers bring is checked, put in force between two
 //! requests, and kept for the next start.
 
-use crate::keeper::Keeper;
+use crate::persister::Persister;
+use crate::replication::{Host, Spreading};
 use crate::routes::{routes_of, RouteTable};
-use crate::shell::Shell;
-use crate::spreading::{Host, Spreading};
+use crate::transport::Shell;
 use havenplank::interface::RouteClass;
 use havenplank_configuration::delta::Delta;
 use havenplank_configuration::record::BackupMode;
@@ -103,7 +103,7 @@
     );
     let host = InForce {
         shell: Rc::downgrade(shell),
-        keeper: Keeper::start(kept.store),
+        keeper: Persister::start(kept.store),
     };
     let period = Duration::from_nanos(membership.period);
     let spreading = Spreading::start(fellowship, spreader, host, period);
@@ -143,7 +143,7 @@
 struct InForce {
     /// The shell owns the configuration, and so is not owned by it.
     shell: Weak<Shell>,
-    keeper: Keeper,
+    keeper: Persister,
 }
 
 impl Host for InForce {
--- a/crates/sidecar/src/daemon.rs
+++ b/crates/sidecar/src/daemon.rs
@@ -1,18 +1,18 @@
 //! The shell of a sidecar: sockets, feeds and time around one engine, on one thread.
 
 use crate::admin;
+use crate::client_stream::ClientStream;
 use crate::configuration::{self, Kept};
+use crate::dispatcher::Dispatcher;
 use crate::engine::{Engine, EPOCH};
-use crate::fellowship::{Fellowship, FellowshipError};
-use crate::guard::Guard;
-use crate::guarded;
-use crate::hub::Hub;
-use crate::links::Links;
+use crate::events::{EngineSettings, Observer};
+use crate::exactly_once;
+use crate::membership::{Fellowship, FellowshipError};
 use crate::proxy::{self, Body};
 use crate::routes::RouteTable;
-use crate::shell::{Lines, Shell};
-use crate::tap::Tap;
-use crate::told::{Terms, Witness};
+use crate::takeover_service::Guard;
+use crate::transport::{Lines, Shell};
+use crate::upstream::Links;
 use havenplank::interface::*;
 use havenplank_configuration::store::StoreError;
 use havenplank_line_protocol::follow::{follow, Link};
@@ -87,7 +87,7 @@
 
 /// What the system has accepted at a listener that closes. Asked of the system itself: dropped with its listener,
 /// such a connection is reset, with a hit on it maybe. What comes between the last look and the drop is reset still.
-pub fn queued(listener: TcpListener) -> impl Iterator<Item = TcpStream> {
+pub fn take_queued_connections(listener: TcpListener) -> impl Iterator<Item = TcpStream> {
     let listener = listener.into_std().ok();
     std::iter::from_fn(move || loop {
         let accepted = listener.as_ref()?.accept().and_then(|(stream, _)| {
@@ -117,13 +117,13 @@
 pub async fn serve(
     site: Site,
     seed: u64,
-    witness: Option<Box<dyn Witness>>,
+    witness: Option<Box<dyn Observer>>,
     ready: impl FnOnce(Addresses),
     stop: impl Future<Output = ()>,
 ) -> Result<(), StartError> {
-    let mut engine = Engine::new(EPOCH, seed, &Terms::from(&site));
+    let mut engine = Engine::new(EPOCH, seed, &EngineSettings::from(&site));
     if let Some(witness) = witness {
-        engine = engine.watched_by(witness);
+        engine = engine.with_observer(witness);
     }
     let kept = site
         .configuration
@@ -172,7 +172,7 @@
         timeout_header: timeout_header.unwrap_or(HeaderName::from_static("grpc-timeout")),
         site,
     };
-    let shell = Hub::new(engine, lines);
+    let shell = Dispatcher::new(engine, lines);
     if let Some(kept) = kept {
         configuration::start(&shell, kept, seed);
     }
@@ -185,14 +185,14 @@
         start_from_kept(&shell, path);
     }
     let mut tasks = JoinSet::new();
-    tasks.spawn_local(shell.clone().tick());
+    tasks.spawn_local(shell.clone().run_timers());
     tasks.spawn_local(sweep_links(shell.clone()));
     tasks.spawn_local(keep_list(shell.clone()));
     if let Some(mut begins) = begins {
         let shell = shell.clone();
         tasks.spawn_local(async move {
             while let Some(record) = begins.recv().await {
-                guarded::take_over(&shell, record);
+                exactly_once::take_over(&shell, record);
             }
         });
     }
@@ -207,7 +207,7 @@
         let feed = (desk::FEED, desk_at.address, desk_at.line_bytes);
         follow::<desk::Telling>(feed, &feed_name, seed ^ 2, desk_asked, &mut link).await;
     });
-    shell.call(|engine, now| engine.begin(now));
+    shell.call(|engine, now| engine.start(now));
     let connections = site.door.connections;
     let door = spawn_local(accept(shell.clone(), hits, connections, stopped, true));
     // Operators may look on until the end.
@@ -217,12 +217,12 @@
     stop.await;
     shell.stopping.set(true);
     let _ = stopping.send(true);
-    let longest = shell.look().longest_time_out();
-    let held = shell.glance().hits;
+    let longest = shell.engine().longest_time_out();
+    let held = shell.status().hits;
     tracing::info!(hits_in_flight = held, "stopping");
     // Each connection ends with the answer it owes, and none can owe one longer than this.
     let closed = timeout(Duration::from_nanos(longest) + STOP_MARGIN, door).await;
-    let left = shell.owed();
+    let left = shell.in_flight();
     if let Some(fellowship) = &shell.fellowship {
         fellowship.leave();
     }
@@ -272,7 +272,7 @@
             Some(_) = open.join_next() => {}
         }
     }
-    for stream in queued(listener) {
+    for stream in take_queued_connections(listener) {
         // Closed unread where every place is taken: the client asks elsewhere.
         if let Ok(place) = places.clone().try_acquire_owned() {
             seat(&mut open, stream, Some(place));
@@ -291,21 +291,21 @@
     Fut: Future<Output = Result<Response<Body>, Infallible>>,
 {
     let _ = stream.set_nodelay(true);
-    let (door, tap) = (&shell.site.door, Tap::new(stream));
+    let (door, tap) = (&shell.site.door, ClientStream::new(stream));
     // Since when it waits for a head; none from a hit's reading until its answer is written.
     let idle = Cell::new(Some(Instant::now()));
     let service = service_fn(|request| {
         // The answer before it is settled by this one.
-        let _ = tap.take_written();
-        let _ = tap.take_began();
+        let _ = tap.take_response_written();
+        let _ = tap.take_request_began();
         idle.set(None);
         let (served, tap) = (serve(shell.clone(), request), &tap);
-        async move { Ok::<_, Infallible>(served.await?.map(|body| tap.tell(body))) }
+        async move { Ok::<_, Infallible>(served.await?.map(|body| tap.track_body(body))) }
     });
     // A client that reads nothing of its answer is waited for as one that sends nothing of its head.
     let waits = || {
-        idle.set(tap.take_written().or(idle.get()));
-        idle.get().or(tap.stuck())
+        idle.set(tap.take_response_written().or(idle.get()));
+        idle.get().or(tap.write_blocked_since())
     };
     let connection = http1::Builder::new()
         .max_buf_size(door.head_bytes)
@@ -330,7 +330,7 @@
         _ = stopped.wait_for(|stopped| *stopped) => {
             // A hit that lies unread in its socket is taken: asked to end, HTTP closes where it has read nothing.
             let unread = async {
-                while waits().is_some() && tap.began().is_none() && tap.has_unread() {
+                while waits().is_some() && tap.request_began().is_none() && tap.has_unread() {
                     sleep(UNREAD).await;
                 }
             };
@@ -376,7 +376,7 @@
     match read() {
         Ok(pods) => {
             tracing::info!(pods = pods.len(), "list kept by an earlier life taken in");
-            shell.call(|engine, now| engine.list(now, true, pods));
+            shell.call(|engine, now| engine.update_endpoints(now, true, pods));
         }
         Err(why) => tracing::warn!(file = %path.display(), why, "no kept list"),
     }
@@ -386,8 +386,11 @@
     let period = Duration::from_nanos(shell.site.links.idle / 2).max(Duration::from_millis(100));
     loop {
         sleep(period).await;
-        let listed: HashSet<SocketAddr> =
-            shell.listed().into_iter().map(|pod| pod.address).collect();
+        let listed: HashSet<SocketAddr> = shell
+            .listed_pods()
+            .into_iter()
+            .map(|pod| pod.address)
+            .collect();
         shell.links.sweep(&listed);
     }
 }
@@ -399,7 +402,7 @@
     };
     loop {
         shell.keep.notified().await;
-        let text = nodes::keep(&shell.listed());
+        let text = nodes::keep(&shell.listed_pods());
         let path = path.clone();
         let written = tokio::task::spawn_blocking(move || {
             let mut beside = path.clone().into_os_string();
@@ -426,11 +429,11 @@
     /// The last list stays in force.
     fn down(&mut self, why: &FeedError) {
         tracing::warn!(%why, "node list lost");
-        self.0.call(|engine, now| engine.list_failed(now));
+        self.0.call(|engine, now| engine.endpoint_watch_failed(now));
     }
 
     fn unsent(&mut self, _line: String) {
-        self.0.call(|engine, now| engine.list_failed(now));
+        self.0.call(|engine, now| engine.endpoint_watch_failed(now));
     }
 }
 
@@ -439,13 +442,14 @@
 impl nodes::Hears for NodesHeard<'_> {
     fn list(&mut self, whole: bool, pods: Vec<Listed>) {
         tracing::debug!(whole, pods = pods.len(), "node list");
-        self.0.call(|engine, now| engine.list(now, whole, pods));
+        self.0
+            .call(|engine, now| engine.update_endpoints(now, whole, pods));
         self.0.keep.notify_one();
     }
 
     fn failed(&mut self, why: &str) {
         tracing::warn!(why, "node list failed");
-        self.0.call(|engine, now| engine.list_failed(now));
+        self.0.call(|engine, now| engine.endpoint_watch_failed(now));
     }
 }
 
@@ -482,25 +486,26 @@
             ..
         } = stage;
         tracing::info!(build, stage = number, ?phase, cap, "stage");
-        self.0.call(|engine, now| engine.news(now, stage));
+        self.0.call(|engine, now| engine.update_stage(now, stage));
     }
 
     fn voted(&mut self, vote: u64, news: VoteReply) {
         tracing::info!(vote, heard = ?news.receipt, "vote answered");
-        self.0.call(|engine, now| engine.voted(now, vote, news));
+        self.0
+            .call(|engine, now| engine.vote_answered(now, vote, news));
     }
 
     fn tally(&mut self, build: Build, group: String, counts: (u64, u64), mean: Nanos, age: Nanos) {
         if !self
             .0
-            .call(|engine, now| engine.tally(now, build, &group, counts, mean, age))
+            .call(|engine, now| engine.update_tally(now, build, &group, counts, mean, age))
         {
             tracing::info!(group, "tally of an unknown path group passed over");
         }
     }
 
     fn flagged(&mut self, pod: String, group: String, ago: Nanos) {
-        if !self.0.flagged(&pod, &group, ago) {
+        if !self.0.report_fault(&pod, &group, ago) {
             tracing::info!(
                 pod,
                 group,
--- a/crates/sidecar/src/hub.rs
+++ b/crates/sidecar/src/dispatcher.rs
@@ -1,7 +1,7 @@
 //! What every shell shares: one engine, its clock and wakes, and the hits that wait for their final answer.
 
-use crate::engine::{Asked, Effect, Engine, Glance, EPOCH};
-use crate::slots::Slot;
+use crate::engine::{Effect, Engine, EngineStatus, RequestAttributes, EPOCH};
+use crate::route_slots::Slot;
 use havenplank::interface::*;
 use havenplank_line_protocol::nodes::Listed;
 use std::cell::{Cell, Ref, RefCell};
@@ -16,78 +16,84 @@
 use tokio::time::{sleep_until, timeout};
 
 /// A protocol around the engine: how its effects leave. It decides nothing.
-pub trait Outside: Sized + 'static {
+pub trait Transport: Sized + 'static {
     /// A hit as it will be sent, as often as it must be.
-    type Ask: 'static;
+    type Request: 'static;
     /// A final answer on its way to the client.
-    type Answer: 'static;
+    type Response: 'static;
 
     /// Carries one forward out and tells [`Hub::ended`] once how it ended.
-    fn forward(
-        hub: Rc<Hub<Self>>,
-        ask: Rc<Self::Ask>,
+    fn send_attempt(
+        dispatcher: Rc<Dispatcher<Self>>,
+        ask: Rc<Self::Request>,
         nth: (RequestId, u32),
         pod: PodId,
         time_out: Nanos,
     ) -> impl Future<Output = ()> + 'static;
-    fn bounced(&self, retry_after: Nanos) -> Self::Answer;
-    fn errored(&self, late: bool) -> Self::Answer;
+    fn rejected(&self, retry_after: Nanos) -> Self::Response;
+    fn failed(&self, late: bool) -> Self::Response;
     /// Sends a vote and sees to it that [`Engine::voted`] hears of its end.
-    fn vote(hub: &Rc<Hub<Self>>, vote: u64, build: Build, stage: usize, voice: Vote);
+    fn cast_vote(
+        dispatcher: &Rc<Dispatcher<Self>>,
+        vote: u64,
+        build: Build,
+        stage: usize,
+        voice: Vote,
+    );
     /// Sends a probe and sees to it that [`Engine::probed`] hears of its end.
-    fn probe(hub: &Rc<Hub<Self>>, probe: u64, pod: PodId);
-    fn ask_list(hub: &Rc<Hub<Self>>);
-    fn watch_list(hub: &Rc<Hub<Self>>, on: bool);
+    fn health_check(dispatcher: &Rc<Dispatcher<Self>>, probe: u64, pod: PodId);
+    fn poll_endpoints(dispatcher: &Rc<Dispatcher<Self>>);
+    fn watch_endpoints(dispatcher: &Rc<Dispatcher<Self>>, on: bool);
 }
 
 /// How a forward ended, with the answer where there is one.
-pub struct End<A> {
+pub struct AttemptResult<A> {
     pub end: AttemptEnd,
     pub load: Option<LoadReport>,
-    pub answer: Option<A>,
+    pub response: Option<A>,
 }
 
-impl<A> From<AttemptEnd> for End<A> {
-    fn from(end: AttemptEnd) -> End<A> {
-        End {
+impl<A> From<AttemptEnd> for AttemptResult<A> {
+    fn from(end: AttemptEnd) -> AttemptResult<A> {
+        AttemptResult {
             end,
             load: None,
-            answer: None,
+            response: None,
         }
     }
 }
 
-struct Waiting<O: Outside> {
-    ask: Rc<O::Ask>,
-    answer: oneshot::Sender<O::Answer>,
+struct PendingResponse<T: Transport> {
+    ask: Rc<T::Request>,
+    answer: oneshot::Sender<T::Response>,
     forwards: Vec<(AbortHandle, Instant)>,
 }
 
 /// The engine is borrowed for one call at a time and never across an await. What the protocol keeps for
 /// itself is reached as if it were the hub's own.
-pub struct Hub<O: Outside> {
-    outside: O,
+pub struct Dispatcher<T: Transport> {
+    transport: T,
     began: Instant,
     engine: RefCell<Engine>,
     /// Hits that wait for their final answer; the door's limit bounds it.
-    waiting: RefCell<HashMap<RequestId, Waiting<O>>>,
+    waiting: RefCell<HashMap<RequestId, PendingResponse<T>>>,
     /// What the ticker sleeps to, and how it is told of something earlier.
     armed: Cell<Nanos>,
     rearm: Notify,
 }
 
-impl<O: Outside> Deref for Hub<O> {
-    type Target = O;
+impl<T: Transport> Deref for Dispatcher<T> {
+    type Target = T;
 
-    fn deref(&self) -> &O {
-        &self.outside
+    fn deref(&self) -> &T {
+        &self.transport
     }
 }
 
-impl<O: Outside> Hub<O> {
-    pub fn new(engine: Engine, outside: O) -> Rc<Hub<O>> {
-        Rc::new(Hub {
-            outside,
+impl<T: Transport> Dispatcher<T> {
+    pub fn new(engine: Engine, transport: T) -> Rc<Dispatcher<T>> {
+        Rc::new(Dispatcher {
+            transport,
             began: Instant::now(),
             engine: RefCell::new(engine),
             waiting: RefCell::default(),
@@ -101,9 +107,9 @@
     }
 
     /// One call into the engine, then all that it left to do.
-    pub fn call<T>(self: &Rc<Self>, work: impl FnOnce(&mut Engine, Nanos) -> T) -> T {
+    pub fn call<R>(self: &Rc<Self>, work: impl FnOnce(&mut Engine, Nanos) -> R) -> R {
         let done = work(&mut self.engine.borrow_mut(), self.now());
-        self.carry_out();
+        self.perform_effects();
         done
     }
 
@@ -113,162 +119,178 @@
     }
 
     /// A look at the engine that changes nothing.
-    pub fn look(&self) -> Ref<'_, Engine> {
+    pub fn engine(&self) -> Ref<'_, Engine> {
         self.engine.borrow()
     }
 
     /// Wakes the engine when it asked for it; never ends.
-    pub async fn tick(self: Rc<Self>) {
+    pub async fn run_timers(self: Rc<Self>) {
         loop {
-            let next = self.look().next_wake();
+            let next = self.engine().next_timer();
             self.armed.set(next.unwrap_or(Nanos::MAX));
             let at = next.map(|at| self.began + Duration::from_nanos(at.saturating_sub(EPOCH)));
             tokio::select! {
                 () = sleep_until(at.unwrap_or(Instant::now() + Duration::from_secs(3600)).into()) => {
-                    self.call(|engine, now| engine.wake(now));
+                    self.call(|engine, now| engine.run_timers(now));
                 }
                 () = self.rearm.notified() => {}
             }
         }
     }
 
-    fn carry_out(self: &Rc<Self>) {
+    fn perform_effects(self: &Rc<Self>) {
         loop {
-            let effect = self.engine.borrow_mut().effect();
+            let effect = self.engine.borrow_mut().next_effect();
             let Some(effect) = effect else { break };
-            self.act(effect);
+            self.perform(effect);
         }
-        let next = self.look().next_wake().unwrap_or(Nanos::MAX);
+        let next = self.engine().next_timer().unwrap_or(Nanos::MAX);
         if next < self.armed.replace(next) {
             self.rearm.notify_one();
         }
     }
 
-    fn act(self: &Rc<Self>, effect: Effect) {
+    fn perform(self: &Rc<Self>, effect: Effect) {
         match effect {
-            Effect::Forward {
-                hit,
-                nth,
+            Effect::SendAttempt {
+                request: hit,
+                attempt: nth,
                 pod,
-                time_out,
+                timeout: time_out,
             } => {
                 let mut waiting = self.waiting.borrow_mut();
                 if let Some(waits) = waiting.get_mut(&hit) {
                     let forward =
-                        O::forward(self.clone(), waits.ask.clone(), (hit, nth), pod, time_out);
+                        T::send_attempt(self.clone(), waits.ask.clone(), (hit, nth), pod, time_out);
                     waits
                         .forwards
                         .push((spawn_local(forward).abort_handle(), Instant::now()));
                 }
             }
-            Effect::Cancel { hit, nth } => {
+            Effect::CancelAttempt {
+                request: hit,
+                attempt: nth,
+            } => {
                 let waiting = self.waiting.borrow();
                 let task = waiting
                     .get(&hit)
                     .and_then(|waits| waits.forwards.get(nth as usize))
                     .cloned();
                 drop(waiting);
-                self.cut(hit, nth, task);
+                self.cancel_attempt(hit, nth, task);
             }
-            Effect::Bounce { hit, retry_after } => {
+            Effect::Reject {
+                request: hit,
+                retry_after,
+            } => {
                 tracing::debug!(hit, come_back_us = retry_after / 1_000, "bounced");
-                self.answer(hit, self.outside.bounced(retry_after));
+                self.respond(hit, self.transport.rejected(retry_after));
             }
-            Effect::Error { hit, late } => {
+            Effect::Fail {
+                request: hit,
+                timed_out: late,
+            } => {
                 tracing::debug!(hit, late, "errored");
-                self.answer(hit, self.outside.errored(late));
+                self.respond(hit, self.transport.failed(late));
             }
-            Effect::Vote {
-                vote,
+            Effect::CastVote {
+                id: vote,
                 build,
                 stage,
-                voice,
+                vote: voice,
             } => {
                 tracing::info!(vote, build, stage, ?voice, "vote");
-                O::vote(self, vote, build, stage, voice);
+                T::cast_vote(self, vote, build, stage, voice);
             }
-            Effect::Probe { probe, pod } => O::probe(self, probe, pod),
-            Effect::AskList => O::ask_list(self),
-            Effect::WatchList(on) => O::watch_list(self, on),
+            Effect::HealthCheck { check: probe, pod } => T::health_check(self, probe, pod),
+            Effect::PollEndpoints => T::poll_endpoints(self),
+            Effect::WatchEndpoints(on) => T::watch_endpoints(self, on),
             Effect::Log(line) => tracing::info!(decision = line, "decided"),
         }
     }
 
     /// Ends a forward that is out: its connection closes with its task.
-    fn cut(self: &Rc<Self>, hit: RequestId, nth: u32, task: Option<(AbortHandle, Instant)>) {
+    fn cancel_attempt(
+        self: &Rc<Self>,
+        hit: RequestId,
+        nth: u32,
+        task: Option<(AbortHandle, Instant)>,
+    ) {
         if let Some((task, began)) = task.filter(|(task, _)| !task.is_finished()) {
             task.abort();
             let took = began.elapsed().as_nanos() as Nanos;
-            self.ended((hit, nth), AttemptEnd::Cancelled, took, None, None);
+            self.attempt_ended((hit, nth), AttemptEnd::Cancelled, took, None, None);
         }
     }
 
-    pub fn take(
+    pub fn dispatch(
         self: &Rc<Self>,
-        asked: Asked,
-        ask: O::Ask,
-        answer: oneshot::Sender<O::Answer>,
+        asked: RequestAttributes,
+        ask: T::Request,
+        answer: oneshot::Sender<T::Response>,
     ) -> RequestId {
-        self.go_on(None, asked, Rc::new(ask), answer)
+        self.dispatch_resumed(None, asked, Rc::new(ask), answer)
     }
 
     /// Takes a hit; with a past, one that another sidecar took and forwarded so.
-    pub fn go_on(
+    pub fn dispatch_resumed(
         self: &Rc<Self>,
         past: Option<Vec<PriorAttempt>>,
-        asked: Asked,
-        ask: Rc<O::Ask>,
-        answer: oneshot::Sender<O::Answer>,
+        asked: RequestAttributes,
+        ask: Rc<T::Request>,
+        answer: oneshot::Sender<T::Response>,
     ) -> RequestId {
         if let Some(past) = past {
-            self.engine.borrow_mut().resumed(self.now(), past);
+            self.engine
+                .borrow_mut()
+                .resume_next_request(self.now(), past);
         }
-        let hit = self.engine.borrow_mut().hit(self.now(), asked);
-        let waits = Waiting {
+        let hit = self.engine.borrow_mut().handle_request(self.now(), asked);
+        let waits = PendingResponse {
             ask,
             answer,
             forwards: Vec::new(),
         };
         self.waiting.borrow_mut().insert(hit, waits);
-        self.carry_out();
+        self.perform_effects();
         hit
     }
 
     /// The client's side of a hit is over, by its answer or without; forwards that are out go on.
-    pub fn left(self: &Rc<Self>, hit: RequestId) {
+    pub fn client_left(self: &Rc<Self>, hit: RequestId) {
         if self.waiting.borrow_mut().remove(&hit).is_some() {
-            self.call(|engine, now| engine.left(now, hit));
+            self.call(|engine, now| engine.client_left(now, hit));
         }
     }
 
     /// The same where the protocol says that a client that closed wants nothing more: its forwards end, too.
-    pub fn gone(self: &Rc<Self>, hit: RequestId) {
+    pub fn client_gone(self: &Rc<Self>, hit: RequestId) {
         let waits = self.waiting.borrow_mut().remove(&hit);
         let Some(waits) = waits else { return };
         tracing::debug!(hit, "client gone");
-        self.call(|engine, now| engine.left(now, hit));
+        self.call(|engine, now| engine.client_left(now, hit));
         for (nth, task) in waits.forwards.into_iter().enumerate() {
-            self.cut(hit, nth as u32, Some(task));
+            self.cancel_attempt(hit, nth as u32, Some(task));
         }
     }
 
     /// Whether a forward may have been begun for a hit. Of one that was answered that is no longer known.
-    pub fn sent_on(&self, hit: RequestId) -> bool {
+    pub fn was_forwarded(&self, hit: RequestId) -> bool {
         self.waiting
             .borrow()
             .get(&hit)
             .is_none_or(|waits| !waits.forwards.is_empty())
     }
 
-    fn answer(&self, hit: RequestId, answer: O::Answer) {
+    fn respond(&self, hit: RequestId, answer: T::Response) {
         if let Some(waits) = self.waiting.borrow_mut().remove(&hit) {
             // Where the client has left meanwhile nobody is there to be answered.
             let _ = waits.answer.send(answer);
         }
     }
 
-    pub fn may_go(self: &Rc<Self>, hit: RequestId, nth: u32) -> bool {
-        let may = self.engine.borrow_mut().may_go(self.now(), hit, nth);
+    pub fn may_send(self: &Rc<Self>, hit: RequestId, nth: u32) -> bool {
+        let may = self.engine.borrow_mut().may_send(self.now(), hit, nth);
         if !may {
             tracing::debug!(
                 hit,
@@ -279,62 +301,66 @@
         may
     }
 
-    pub fn ended(
+    pub fn attempt_ended(
         self: &Rc<Self>,
         (hit, nth): (RequestId, u32),
         end: AttemptEnd,
         took: Nanos,
         load: Option<LoadReport>,
-        answer: Option<O::Answer>,
+        answer: Option<T::Response>,
     ) {
         let passed = self
             .engine
             .borrow_mut()
-            .ended(self.now(), hit, nth, end, took, load);
+            .attempt_ended(self.now(), hit, nth, end, took, load);
         tracing::debug!(hit, nth, ?end, took_us = took / 1_000, "forward ended");
         if passed {
-            self.answer(hit, answer.unwrap_or_else(|| self.outside.errored(false)));
+            self.respond(hit, answer.unwrap_or_else(|| self.transport.failed(false)));
         }
-        self.carry_out();
+        self.perform_effects();
     }
 
     /// Carries one forward out by its protocol's exchange and tells the engine how it ended. `sent` is set once
     /// the pod may have begun. Where time runs out the exchange is dropped, and its connection with it.
-    pub async fn timed(
+    pub async fn run_attempt(
         self: &Rc<Self>,
         nth: (RequestId, u32),
         time: Duration,
         sent: &Cell<bool>,
-        exchange: impl Future<Output = End<O::Answer>>,
+        exchange: impl Future<Output = AttemptResult<T::Response>>,
     ) {
         let began = Instant::now();
-        let End { end, load, answer } = match timeout(time, exchange).await {
+        let AttemptResult {
+            end,
+            load,
+            response: answer,
+        } = match timeout(time, exchange).await {
             Ok(end) => end,
             Err(_) if sent.get() => AttemptEnd::TimedOut.into(),
             // The client's time ran out first: nothing was sent, and the pod is not to blame.
             Err(_) => AttemptEnd::NotSent.into(),
         };
-        self.ended(nth, end, began.elapsed().as_nanos() as Nanos, load, answer);
+        self.attempt_ended(nth, end, began.elapsed().as_nanos() as Nanos, load, answer);
     }
 
     /// Hits that are owed an answer.
-    pub fn owed(&self) -> usize {
+    pub fn in_flight(&self) -> usize {
         self.waiting.borrow().len()
     }
 
-    pub fn address(&self, pod: PodId) -> Option<SocketAddr> {
-        self.look().address(pod)
+    pub fn pod_address(&self, pod: PodId) -> Option<SocketAddr> {
+        self.engine().pod_address(pod)
     }
 
-    pub fn glance(&self) -> Glance {
-        self.look().glance()
+    pub fn status(&self) -> EngineStatus {
+        self.engine().status()
     }
 
-    pub fn listed(&self) -> Vec<Listed> {
-        self.look().listed()
+    pub fn listed_pods(&self) -> Vec<Listed> {
+        self.engine().listed_pods()
     }
 
-    pub fn flagged(self: &Rc<Self>, pod: &str, group: &str, ago: Nanos) -> bool {
-        self.call(|engine, now| engine.flagged(now, pod, group, ago))
+    pub fn report_fault(self: &Rc<Self>, pod: &str, group: &str, ago: Nanos) -> bool {
+        self.call(|engine, now| engine.report_fault(now, pod, group, ago))
     }
 }
--- a/crates/sidecar/src/distributor.rs
+++ b/crates/sidecar/src/distributor.rs
@@ -2,8 +2,8 @@
 //! and knows how many peers have it in force.
 
 use crate::daemon::{listen, StartError};
-use crate::fellowship::{Fellowship, FellowshipError};
-use crate::spreading::{Host, Spreading};
+use crate::membership::{Fellowship, FellowshipError};
+use crate::replication::{Host, Spreading};
 use bytes::Bytes;
 use havenplank_configuration::compile::compile;
 use havenplank_configuration::delta::Delta;
--- a/crates/sidecar/src/engine.rs
+++ b/crates/sidecar/src/engine.rs
@@ -1,8 +1,8 @@
 //! One decision module and what it asks of the world, with time handed in and effects left in a queue.
 
-use crate::roll::Roll;
-use crate::slots::{Slot, SlotCounts, Slots};
-use crate::told::{Terms, Told, Witness};
+use crate::events::{EngineSettings, Event, Observer};
+use crate::pod_registry::PodRegistry;
+use crate::route_slots::{Slot, SlotCounts, Slots};
 use havenplank::interface::*;
 use havenplank::logic::Router;
 use havenplank::Visits;
@@ -19,55 +19,55 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
     /// The `nth` forward of a hit, counted from 0; its end goes to [`Engine::ended`], once.
-    Forward {
-        hit: RequestId,
-        nth: u32,
+    SendAttempt {
+        request: RequestId,
+        attempt: u32,
         pod: PodId,
-        time_out: Nanos,
+        timeout: Nanos,
     },
-    Cancel {
-        hit: RequestId,
-        nth: u32,
+    CancelAttempt {
+        request: RequestId,
+        attempt: u32,
     },
     /// The final answer: retry is harmless, and when to come back, 0 for no advice.
-    Bounce {
-        hit: RequestId,
+    Reject {
+        request: RequestId,
         retry_after: Nanos,
     },
     /// The final answer: promises nothing. `late` where the hit's time ran out.
-    Error {
-        hit: RequestId,
-        late: bool,
+    Fail {
+        request: RequestId,
+        timed_out: bool,
     },
     /// Its answer goes to [`Engine::voted`].
-    Vote {
-        vote: u64,
+    CastVote {
+        id: u64,
         build: Build,
         stage: usize,
-        voice: Vote,
+        vote: Vote,
     },
     /// Its end goes to [`Engine::probed`].
-    Probe {
-        probe: u64,
+    HealthCheck {
+        check: u64,
         pod: PodId,
     },
-    AskList,
-    WatchList(bool),
+    PollEndpoints,
+    WatchEndpoints(bool),
     Log(String),
 }
 
 /// A hit as the door read it: all that the decisions see of it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Asked {
-    pub group: RouteClassId,
+pub struct RequestAttributes {
+    pub route_class: RouteClassId,
     pub tenant: Option<usize>,
     pub key: u64,
-    pub left: Nanos,
+    pub remaining: Nanos,
     pub cost_hint: Option<Nanos>,
-    pub repeat: bool,
+    pub is_retry: bool,
 }
 
-struct Out {
+struct AttemptInFlight {
     pod: PodId,
     /// The pod as it was listed when it was chosen, to tell whether it still is that one.
     chosen: Option<Endpoint>,
@@ -75,7 +75,7 @@
     then: Callback<AttemptOutcome>,
 }
 
-struct Held {
+struct InFlightRequest {
     group: RouteClassId,
     /// Keeps the group's index from another route until the request has ended.
     _slot: Option<Slot>,
@@ -84,17 +84,17 @@
     open: bool,
     /// When the first forward was chosen that has ended and may have run.
     ran: Option<Nanos>,
-    forwards: Vec<Option<Out>>,
+    forwards: Vec<Option<AttemptInFlight>>,
 }
 
 /// The module's host.
-struct Desk {
+struct EngineHost {
     now: Nanos,
-    roll: Roll,
+    pods: PodRegistry,
     entries: Vec<Option<Endpoint>>,
     /// Emptied of a hit once it is answered and its last forward has ended: bounded by the hits in flight,
     /// which the shell bounds.
-    hits: HashMap<RequestId, Held>,
+    hits: HashMap<RequestId, InFlightRequest>,
     next_hit: RequestId,
     wakes: BinaryHeap<Reverse<(Nanos, u64)>>,
     waking: HashMap<u64, Callback<()>>,
@@ -106,7 +106,7 @@
     effects: VecDeque<Effect>,
 }
 
-impl Desk {
+impl EngineHost {
     fn close(&mut self, hit: RequestId) {
         if let Some(held) = self.hits.get_mut(&hit) {
             held.open = false;
@@ -130,7 +130,7 @@
     }
 }
 
-impl Host for Desk {
+impl Host for EngineHost {
     fn now(&self) -> Nanos {
         self.now
     }
@@ -151,18 +151,18 @@
         };
         let nth = held.forwards.len() as u32;
         let chosen = self.entries.get(pod).copied().flatten();
-        held.forwards.push(Some(Out {
+        held.forwards.push(Some(AttemptInFlight {
             pod,
             chosen,
             at: self.now,
             then,
         }));
-        self.roll.sent(pod);
-        self.effects.push_back(Effect::Forward {
-            hit,
-            nth,
+        self.pods.sent(pod);
+        self.effects.push_back(Effect::SendAttempt {
+            request: hit,
+            attempt: nth,
             pod,
-            time_out,
+            timeout: time_out,
         });
     }
 
@@ -172,22 +172,28 @@
             .get(&hit)
             .is_some_and(|held| (nth as usize) < held.forwards.len())
         {
-            self.effects.push_back(Effect::Cancel { hit, nth });
+            self.effects.push_back(Effect::CancelAttempt {
+                request: hit,
+                attempt: nth,
+            });
         }
     }
 
     fn reject(&mut self, hit: RequestId, retry_after: Nanos) {
         if self.is_open(hit) {
-            self.effects.push_back(Effect::Bounce { hit, retry_after });
+            self.effects.push_back(Effect::Reject {
+                request: hit,
+                retry_after,
+            });
             self.close(hit);
         }
     }
 
     fn fail(&mut self, hit: RequestId) {
         if let Some(held) = self.hits.get(&hit).filter(|held| held.open) {
-            self.effects.push_back(Effect::Error {
-                hit,
-                late: self.now >= held.deadline,
+            self.effects.push_back(Effect::Fail {
+                request: hit,
+                timed_out: self.now >= held.deadline,
             });
             self.close(hit);
         }
@@ -196,26 +202,27 @@
     fn cast_vote(&mut self, build: Build, stage: usize, voice: Vote, then: Callback<VoteReply>) {
         let vote = self.call();
         self.votes.insert(vote, then);
-        self.effects.push_back(Effect::Vote {
-            vote,
+        self.effects.push_back(Effect::CastVote {
+            id: vote,
             build,
             stage,
-            voice,
+            vote: voice,
         });
     }
 
     fn health_check(&mut self, pod: PodId, then: Callback<HealthCheckResult>) {
         let probe = self.call();
         self.probes.insert(probe, then);
-        self.effects.push_back(Effect::Probe { probe, pod });
+        self.effects
+            .push_back(Effect::HealthCheck { check: probe, pod });
     }
 
     fn poll_endpoints(&mut self) {
-        self.effects.push_back(Effect::AskList);
+        self.effects.push_back(Effect::PollEndpoints);
     }
 
     fn watch_endpoints(&mut self, on: bool) {
-        self.effects.push_back(Effect::WatchList(on));
+        self.effects.push_back(Effect::WatchEndpoints(on));
     }
 
     fn set_timer(&mut self, after: Nanos, then: Callback<()>) {
@@ -232,7 +239,7 @@
 
 /// What an operator may look at.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Glance {
+pub struct EngineStatus {
     pub hits: usize,
     pub pods: usize,
     pub stage: Option<Stage>,
@@ -243,20 +250,24 @@
 /// One sidecar's decisions. Each method runs to its end and leaves effects for [`Engine::effect`]; `now`
 /// never goes back.
 pub struct Engine {
-    logic: Router,
-    desk: Desk,
+    router: Router,
+    host: EngineHost,
     slots: Slots,
     stage: Option<Stage>,
-    witness: Option<Box<dyn Witness>>,
+    observer: Option<Box<dyn Observer>>,
     /// What was done elsewhere for the hit that comes next.
-    resumed: Option<Vec<PriorAttempt>>,
+    prior_attempts: Option<Vec<PriorAttempt>>,
 }
 
 impl Engine {
-    pub fn new(now: Nanos, seed: u64, terms: &Terms) -> Engine {
-        let desk = Desk {
+    pub fn new(now: Nanos, seed: u64, terms: &EngineSettings) -> Engine {
+        let host = EngineHost {
             now,
-            roll: Roll::new(terms.zones.clone(), terms.machines.clone(), terms.reuse),
+            pods: PodRegistry::new(
+                terms.zones.clone(),
+                terms.machines.clone(),
+                terms.reuse_pod_ids,
+            ),
             entries: Vec::new(),
             hits: HashMap::new(),
             next_hit: 0,
@@ -268,25 +279,29 @@
             next_call: 0,
             effects: VecDeque::new(),
         };
-        let logic = Router::new(
-            desk.now,
+        let router = Router::new(
+            host.now,
             seed,
-            terms.place.clone(),
-            terms.groups.iter().map(|(_, rules)| *rules).collect(),
-            terms.forwards.clone(),
+            terms.position.clone(),
+            terms
+                .route_classes
+                .iter()
+                .map(|(_, rules)| *rules)
+                .collect(),
+            terms.attempts.clone(),
             terms.pods.clone(),
             terms.exposure.clone(),
             terms.votes.clone(),
-            terms.list.clone(),
+            terms.endpoint_list.clone(),
         );
-        let slots = Slots::new(terms.groups.iter().cloned());
+        let slots = Slots::new(terms.route_classes.iter().cloned());
         Engine {
-            logic,
-            desk,
+            router,
+            host,
             slots,
             stage: None,
-            witness: None,
-            resumed: None,
+            observer: None,
+            prior_attempts: None,
         }
     }
 
@@ -297,7 +312,7 @@
         self.at(now);
         let (slots, changes) = self.slots.replace(routes);
         let in_force: Vec<RouteClassId> = slots.iter().map(Slot::group).collect();
-        self.logic.set_route_classes(&changes, &in_force);
+        self.router.set_route_classes(&changes, &in_force);
         slots
     }
 
@@ -316,47 +331,67 @@
     }
 
     /// Lets a witness see all that the engine is told and does from here on.
-    pub fn watched_by(mut self, witness: Box<dyn Witness>) -> Engine {
-        self.witness = Some(witness);
+    pub fn with_observer(mut self, observer: Box<dyn Observer>) -> Engine {
+        self.observer = Some(observer);
         self
     }
 
     /// Before the call that it tells of has any effect. What is told is only made where somebody looks on.
-    fn saw(&mut self, told: impl FnOnce() -> Told) {
-        if let Some(witness) = &mut self.witness {
-            witness.told(self.desk.now, told());
+    fn saw(&mut self, told: impl FnOnce() -> Event) {
+        if let Some(observer) = &mut self.observer {
+            observer.told(self.host.now, told());
         }
     }
 
     /// Tells the engine again what it was told once; whether it says of a forward that it may go, or of an
     /// answer that it goes to the client, where that is asked.
-    pub fn tell(&mut self, now: Nanos, told: Told) -> Option<bool> {
+    pub fn replay(&mut self, now: Nanos, told: Event) -> Option<bool> {
         match told {
-            Told::Begin => self.begin(now),
-            Told::IncomingRequest { asked, .. } => {
-                self.hit(now, asked);
+            Event::Started => self.start(now),
+            Event::RequestArrived {
+                attributes: asked, ..
+            } => {
+                self.handle_request(now, asked);
             }
-            Told::Resumed { past, .. } => self.resumed(now, past),
-            Told::MayGo { hit, nth, .. } => return Some(self.may_go(now, hit, nth)),
-            Told::AttemptEnd {
-                hit,
-                nth,
+            Event::RequestResumed {
+                prior_attempts: past,
+                ..
+            } => self.resume_next_request(now, past),
+            Event::SendPermission {
+                request: hit,
+                attempt: nth,
+                ..
+            } => return Some(self.may_send(now, hit, nth)),
+            Event::AttemptEnded {
+                request: hit,
+                attempt: nth,
                 end,
                 took,
                 load,
                 ..
-            } => return Some(self.ended(now, hit, nth, end, took, load)),
-            Told::Left { hit } => self.left(now, hit),
-            Told::List { whole, pods, .. } => {
-                self.list(now, whole, pods);
+            } => return Some(self.attempt_ended(now, hit, nth, end, took, load)),
+            Event::ClientLeft { request: hit } => self.client_left(now, hit),
+            Event::EndpointsListed {
+                complete: whole,
+                pods,
+                ..
+            } => {
+                self.update_endpoints(now, whole, pods);
             }
-            Told::ListFailed => self.list_failed(now),
-            Told::News(stage) => self.news(now, stage),
-            Told::Voted { vote, news } => self.voted(now, vote, news),
-            Told::Probed { probe, end } => self.probed(now, probe, end),
-            Told::Tally(tally) => self.tallied(now, tally),
-            Told::Flagged { pod, group, ago } => self.flag(now, pod, group, ago),
-            Told::Wake(wake) => {
+            Event::EndpointWatchFailed => self.endpoint_watch_failed(now),
+            Event::StageChanged(stage) => self.update_stage(now, stage),
+            Event::VoteAnswered { vote, reply: news } => self.vote_answered(now, vote, news),
+            Event::HealthCheckEnded {
+                check: probe,
+                result: end,
+            } => self.health_check_ended(now, probe, end),
+            Event::TallyReported(tally) => self.tallied(now, tally),
+            Event::FaultReported {
+                pod,
+                route_class: group,
+                ago,
+            } => self.flag(now, pod, group, ago),
+            Event::TimerFired(wake) => {
                 self.at(now);
                 self.woken(wake);
             }
@@ -365,34 +400,34 @@
     }
 
     /// Tells the module that it may start; what it asks of the node list comes then.
-    pub fn begin(&mut self, now: Nanos) {
+    pub fn start(&mut self, now: Nanos) {
         self.at(now);
-        self.saw(|| Told::Begin);
-        self.logic.start(&mut self.desk);
+        self.saw(|| Event::Started);
+        self.router.start(&mut self.host);
     }
 
     fn at(&mut self, now: Nanos) {
-        self.desk.now = self.desk.now.max(now);
+        self.host.now = self.host.now.max(now);
     }
 
     /// The next thing to carry out.
-    pub fn effect(&mut self) -> Option<Effect> {
-        let effect = self.desk.effects.pop_front()?;
-        if let Some(witness) = &mut self.witness {
-            witness.did(self.desk.now, &effect);
+    pub fn next_effect(&mut self) -> Option<Effect> {
+        let effect = self.host.effects.pop_front()?;
+        if let Some(observer) = &mut self.observer {
+            observer.did(self.host.now, &effect);
         }
         Some(effect)
     }
 
-    pub fn next_wake(&self) -> Option<Nanos> {
-        self.desk.wakes.peek().map(|Reverse((at, _))| *at)
+    pub fn next_timer(&self) -> Option<Nanos> {
+        self.host.wakes.peek().map(|Reverse((at, _))| *at)
     }
 
     /// Runs every wake that is due.
-    pub fn wake(&mut self, now: Nanos) {
+    pub fn run_timers(&mut self, now: Nanos) {
         self.at(now);
-        while self.next_wake().is_some_and(|at| at <= self.desk.now) {
-            let Some(Reverse((_, id))) = self.desk.wakes.pop() else {
+        while self.next_timer().is_some_and(|at| at <= self.host.now) {
+            let Some(Reverse((_, id))) = self.host.wakes.pop() else {
                 break;
             };
             self.woken(id);
@@ -401,48 +436,48 @@
 
     /// One wake, named, as others may come between two that are due at once.
     fn woken(&mut self, wake: u64) {
-        if let Some(then) = self.desk.waking.remove(&wake) {
-            self.saw(|| Told::Wake(wake));
-            then(&mut self.logic, &mut self.desk, ());
+        if let Some(then) = self.host.waking.remove(&wake) {
+            self.saw(|| Event::TimerFired(wake));
+            then(&mut self.router, &mut self.host, ());
         }
         while self
-            .desk
+            .host
             .wakes
             .peek()
-            .is_some_and(|Reverse((_, id))| !self.desk.waking.contains_key(id))
+            .is_some_and(|Reverse((_, id))| !self.host.waking.contains_key(id))
         {
-            self.desk.wakes.pop();
+            self.host.wakes.pop();
         }
     }
 
     /// Takes a hit: from here on it is owed one final answer.
-    pub fn hit(&mut self, now: Nanos, asked: Asked) -> RequestId {
+    pub fn handle_request(&mut self, now: Nanos, asked: RequestAttributes) -> RequestId {
         self.at(now);
-        let id = self.desk.next_hit;
-        self.desk.next_hit += 1;
-        self.saw(|| Told::IncomingRequest {
-            hit: id,
-            asked: asked.clone(),
+        let id = self.host.next_hit;
+        self.host.next_hit += 1;
+        self.saw(|| Event::RequestArrived {
+            request: id,
+            attributes: asked.clone(),
         });
-        let Asked {
-            group,
+        let RequestAttributes {
+            route_class: group,
             tenant,
             key,
-            left,
+            remaining: left,
             cost_hint,
-            repeat,
+            is_retry: repeat,
         } = asked;
-        let deadline = self.desk.now.saturating_add(left);
+        let deadline = self.host.now.saturating_add(left);
         let past = self
-            .resumed
+            .prior_attempts
             .iter()
             .flatten()
             .filter(|earlier| earlier.may_have_run);
         let ran = past
-            .map(|earlier| self.desk.now.saturating_sub(earlier.ago))
+            .map(|earlier| self.host.now.saturating_sub(earlier.ago))
             .min();
         let _slot = self.slots.hold(group);
-        let held = Held {
+        let held = InFlightRequest {
             group,
             _slot,
             key,
@@ -451,7 +486,7 @@
             ran,
             forwards: Vec::new(),
         };
-        self.desk.hits.insert(id, held);
+        self.host.hits.insert(id, held);
         let hit = IncomingRequest {
             id,
             class: group,
@@ -461,39 +496,43 @@
             cost_hint,
             is_retry: repeat,
         };
-        match self.resumed.take() {
-            Some(past) => self.logic.resume_request(&mut self.desk, hit, &past),
-            None => self.logic.handle_request(&mut self.desk, hit),
+        match self.prior_attempts.take() {
+            Some(past) => self.router.resume_request(&mut self.host, hit, &past),
+            None => self.router.handle_request(&mut self.host, hit),
         }
         id
     }
 
     /// The next hit was taken by another sidecar, which forwarded it so; to be called right before it.
-    pub fn resumed(&mut self, now: Nanos, past: Vec<PriorAttempt>) {
+    pub fn resume_next_request(&mut self, now: Nanos, past: Vec<PriorAttempt>) {
         self.at(now);
-        let hit = self.desk.next_hit;
-        self.saw(|| Told::Resumed {
-            hit,
-            past: past.clone(),
+        let hit = self.host.next_hit;
+        self.saw(|| Event::RequestResumed {
+            request: hit,
+            prior_attempts: past.clone(),
         });
-        self.resumed = Some(past);
+        self.prior_attempts = Some(past);
     }
 
     /// The index of a pod that is listed.
-    pub fn find(&self, pod: &str) -> Option<PodId> {
-        self.desk.roll.find(pod)
+    pub fn pod_id(&self, pod: &str) -> Option<PodId> {
+        self.host.pods.find(pod)
     }
 
     /// Whether a forward may still go out now: its hit wants an answer, and the rules leave its pod open.
-    pub fn may_go(&mut self, now: Nanos, hit: RequestId, nth: u32) -> bool {
+    pub fn may_send(&mut self, now: Nanos, hit: RequestId, nth: u32) -> bool {
         self.at(now);
         let may = self.may(hit, nth);
-        self.saw(|| Told::MayGo { hit, nth, may });
+        self.saw(|| Event::SendPermission {
+            request: hit,
+            attempt: nth,
+            allowed: may,
+        });
         may
     }
 
     fn may(&mut self, hit: RequestId, nth: u32) -> bool {
-        let Some(held) = self.desk.hits.get(&hit).filter(|held| held.open) else {
+        let Some(held) = self.host.hits.get(&hit).filter(|held| held.open) else {
             return false;
         };
         let Some(Some(out)) = held.forwards.get(nth as usize) else {
@@ -507,13 +546,13 @@
             .map(|out| out.at);
         let ran = before.chain(held.ran).min();
         out.chosen.is_some_and(|chosen| {
-            self.logic
-                .may_still_send(self.desk.now, (group, key), &chosen, (at, ran))
+            self.router
+                .may_still_send(self.host.now, (group, key), &chosen, (at, ran))
         })
     }
 
     /// How a forward ended. Whether its answer goes to the client as the hit's final one.
-    pub fn ended(
+    pub fn attempt_ended(
         &mut self,
         now: Nanos,
         hit: RequestId,
@@ -523,7 +562,7 @@
         load: Option<LoadReport>,
     ) -> bool {
         self.at(now);
-        let Some(held) = self.desk.hits.get_mut(&hit) else {
+        let Some(held) = self.host.hits.get_mut(&hit) else {
             return false;
         };
         let Some(out) = held.forwards.get_mut(nth as usize).and_then(Option::take) else {
@@ -535,18 +574,18 @@
             held.ran = Some(held.ran.map_or(out.at, |ran| ran.min(out.at)));
         }
         let over = !held.open;
-        self.saw(|| Told::AttemptEnd {
-            hit,
-            nth,
+        self.saw(|| Event::AttemptEnded {
+            request: hit,
+            attempt: nth,
             end,
             took,
             load,
-            passed,
+            delivered: passed,
         });
-        self.desk.roll.ended(out.pod);
+        self.host.pods.ended(out.pod);
         (out.then)(
-            &mut self.logic,
-            &mut self.desk,
+            &mut self.router,
+            &mut self.host,
             AttemptOutcome {
                 end,
                 took,
@@ -554,87 +593,93 @@
                 load,
             },
         );
-        self.desk.sweep(hit);
+        self.host.sweep(hit);
         passed
     }
 
     /// The client went away: nothing more is owed, though forwards that are out still tell how they end.
-    pub fn left(&mut self, now: Nanos, hit: RequestId) {
+    pub fn client_left(&mut self, now: Nanos, hit: RequestId) {
         self.at(now);
-        self.saw(|| Told::Left { hit });
-        self.desk.close(hit);
+        self.saw(|| Event::ClientLeft { request: hit });
+        self.host.close(hit);
     }
 
     /// Takes a list in; the index of each of its pods, as long as it is listed and forwards are out there.
-    pub fn list(&mut self, now: Nanos, whole: bool, pods: Vec<Listed>) -> Vec<Option<PodId>> {
+    pub fn update_endpoints(
+        &mut self,
+        now: Nanos,
+        whole: bool,
+        pods: Vec<Listed>,
+    ) -> Vec<Option<PodId>> {
         self.at(now);
-        let told = self.witness.is_some().then(|| pods.clone());
-        let entries = self.desk.roll.apply(self.desk.now, whole, pods);
+        let told = self.observer.is_some().then(|| pods.clone());
+        let entries = self.host.pods.apply(self.host.now, whole, pods);
         let given: Vec<Option<PodId>> = entries
             .iter()
             .map(|entry| entry.map(|entry| entry.pod))
             .collect();
         if let Some(pods) = told {
-            self.saw(|| Told::List {
-                whole,
+            self.saw(|| Event::EndpointsListed {
+                complete: whole,
                 pods,
-                given: given.clone(),
+                pod_ids: given.clone(),
             });
         }
         let entries: Vec<Endpoint> = entries.into_iter().flatten().collect();
         if whole {
-            self.desk.entries.fill(None);
+            self.host.entries.fill(None);
         }
         for entry in &entries {
-            if self.desk.entries.len() <= entry.pod {
-                self.desk.entries.resize(entry.pod + 1, None);
+            if self.host.entries.len() <= entry.pod {
+                self.host.entries.resize(entry.pod + 1, None);
             }
-            self.desk.entries[entry.pod] = Some(*entry);
+            self.host.entries[entry.pod] = Some(*entry);
         }
-        self.logic.update_endpoints(&mut self.desk, whole, &entries);
-        self.desk.roll.sweep();
+        self.router
+            .update_endpoints(&mut self.host, whole, &entries);
+        self.host.pods.sweep();
         given
     }
 
-    pub fn list_failed(&mut self, now: Nanos) {
+    pub fn endpoint_watch_failed(&mut self, now: Nanos) {
         self.at(now);
-        self.saw(|| Told::ListFailed);
-        self.logic.endpoint_watch_failed(&mut self.desk);
+        self.saw(|| Event::EndpointWatchFailed);
+        self.router.endpoint_watch_failed(&mut self.host);
     }
 
-    pub fn news(&mut self, now: Nanos, stage: Stage) {
+    pub fn update_stage(&mut self, now: Nanos, stage: Stage) {
         self.at(now);
-        self.saw(|| Told::News(stage));
+        self.saw(|| Event::StageChanged(stage));
         self.stage = Some(stage);
-        self.logic.update_stage(&mut self.desk, stage);
+        self.router.update_stage(&mut self.host, stage);
     }
 
     /// The answer to a vote; one that was answered before, or never cast, is passed over.
-    pub fn voted(&mut self, now: Nanos, vote: u64, news: VoteReply) {
+    pub fn vote_answered(&mut self, now: Nanos, vote: u64, news: VoteReply) {
         self.at(now);
-        if let Some(then) = self.desk.votes.remove(&vote) {
-            self.saw(|| Told::Voted {
+        if let Some(then) = self.host.votes.remove(&vote) {
+            self.saw(|| Event::VoteAnswered {
                 vote,
-                news: news.clone(),
+                reply: news.clone(),
             });
             self.stage = news.stage.or(self.stage);
-            then(&mut self.logic, &mut self.desk, news);
+            then(&mut self.router, &mut self.host, news);
         }
     }
 
-    pub fn probed(&mut self, now: Nanos, probe: u64, end: HealthCheckResult) {
+    pub fn health_check_ended(&mut self, now: Nanos, probe: u64, end: HealthCheckResult) {
         self.at(now);
-        if let Some(then) = self.desk.probes.remove(&probe) {
-            self.saw(|| Told::Probed {
-                probe,
-                end: end.clone(),
+        if let Some(then) = self.host.probes.remove(&probe) {
+            self.saw(|| Event::HealthCheckEnded {
+                check: probe,
+                result: end.clone(),
             });
-            then(&mut self.logic, &mut self.desk, end);
+            then(&mut self.router, &mut self.host, end);
         }
     }
 
     /// Counts that the desk took; false where the path group is not one of the settings.
-    pub fn tally(
+    pub fn update_tally(
         &mut self,
         now: Nanos,
         build: Build,
@@ -663,13 +708,13 @@
 
     fn tallied(&mut self, now: Nanos, tally: Tally) {
         self.at(now);
-        self.saw(|| Told::Tally(tally.clone()));
-        self.logic.update_tally(&mut self.desk, tally);
+        self.saw(|| Event::TallyReported(tally.clone()));
+        self.router.update_tally(&mut self.host, tally);
     }
 
     /// A client found an answer wrong; false where the pod or path group is not known.
-    pub fn flagged(&mut self, now: Nanos, pod: &str, group: &str, ago: Nanos) -> bool {
-        let (Some(pod), Some(group)) = (self.desk.roll.find(pod), self.group(group)) else {
+    pub fn report_fault(&mut self, now: Nanos, pod: &str, group: &str, ago: Nanos) -> bool {
+        let (Some(pod), Some(group)) = (self.host.pods.find(pod), self.group(group)) else {
             return false;
         };
         self.flag(now, pod, group, ago);
@@ -678,35 +723,39 @@
 
     fn flag(&mut self, now: Nanos, pod: PodId, group: RouteClassId, ago: Nanos) {
         self.at(now);
-        self.saw(|| Told::Flagged { pod, group, ago });
-        self.logic.report_fault(&mut self.desk, pod, group, ago);
+        self.saw(|| Event::FaultReported {
+            pod,
+            route_class: group,
+            ago,
+        });
+        self.router.report_fault(&mut self.host, pod, group, ago);
     }
 
     fn group(&self, name: &str) -> Option<RouteClassId> {
         self.slots.find(name)
     }
 
-    pub fn address(&self, pod: PodId) -> Option<SocketAddr> {
-        self.desk.roll.address(pod)
+    pub fn pod_address(&self, pod: PodId) -> Option<SocketAddr> {
+        self.host.pods.address(pod)
     }
 
     pub fn pod_name(&self, pod: PodId) -> Option<&str> {
-        self.desk.roll.name(pod)
+        self.host.pods.name(pod)
     }
 
     /// The list as last told, to be kept for a start without the node list's service.
-    pub fn listed(&self) -> Vec<Listed> {
-        self.desk.roll.listed(self.desk.now)
+    pub fn listed_pods(&self) -> Vec<Listed> {
+        self.host.pods.listed(self.host.now)
     }
 
     /// Hits held: those owed an answer, and those whose forwards are still out though their client left.
-    pub fn held(&self) -> usize {
-        self.desk.hits.len()
+    pub fn requests_held(&self) -> usize {
+        self.host.hits.len()
     }
 
     /// Forwards that have not ended.
-    pub fn out(&self) -> usize {
-        self.desk
+    pub fn attempts_in_flight(&self) -> usize {
+        self.host
             .hits
             .values()
             .map(|held| held.forwards.iter().flatten().count())
@@ -715,22 +764,22 @@
 
     /// How many pods the decisions looked at since the start.
     pub fn visits(&self) -> Visits {
-        self.logic.visits()
+        self.router.visits()
     }
 
-    pub fn glance(&self) -> Glance {
+    pub fn status(&self) -> EngineStatus {
         let pods = self
-            .desk
+            .host
             .entries
             .iter()
             .flatten()
             .filter(|pod| pod.state == PodState::Running)
             .count();
-        Glance {
-            hits: self.desk.hits.len(),
+        EngineStatus {
+            hits: self.host.hits.len(),
             pods,
             stage: self.stage,
-            sums: self.logic.sums(),
+            sums: self.router.sums(),
         }
     }
 }
--- a/crates/sidecar/src/told.rs
+++ b/crates/sidecar/src/events.rs
@@ -1,6 +1,6 @@
 //! What an engine is told, as data: for those that look on, and to tell it again.
 
-use crate::engine::{Asked, Effect};
+use crate::engine::{Effect, RequestAttributes};
 use havenplank::interface::*;
 use havenplank_line_protocol::nodes::Listed;
 use havenplank_settings::Site;
@@ -8,108 +8,113 @@
 
 /// What an engine and its readers are told before it starts.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub struct Terms {
+pub struct EngineSettings {
     pub name: String,
-    pub place: FleetPosition,
+    #[serde(rename = "place")]
+    pub position: FleetPosition,
     pub zones: Vec<String>,
     pub machines: Vec<String>,
     #[serde(rename = "customers")]
     pub tenants: Vec<String>,
-    pub groups: Vec<(String, RouteClass)>,
-    pub forwards: AttemptSettings,
+    #[serde(rename = "groups")]
+    pub route_classes: Vec<(String, RouteClass)>,
+    #[serde(rename = "forwards")]
+    pub attempts: AttemptSettings,
     pub pods: PodSettings,
     pub exposure: ExposureSettings,
     pub votes: VoteSettings,
-    pub list: EndpointListSettings,
+    #[serde(rename = "list")]
+    pub endpoint_list: EndpointListSettings,
     /// Whether a pod's index goes to another once it is gone.
     #[serde(default = "yes")]
-    pub reuse: bool,
+    #[serde(rename = "reuse")]
+    pub reuse_pod_ids: bool,
 }
 
 fn yes() -> bool {
     true
 }
 
-impl From<&Site> for Terms {
-    fn from(site: &Site) -> Terms {
-        Terms {
+impl From<&Site> for EngineSettings {
+    fn from(site: &Site) -> EngineSettings {
+        EngineSettings {
             name: site.name.clone(),
-            place: site.place.clone(),
+            position: site.place.clone(),
             zones: site.zones.clone(),
             machines: site.machines.clone(),
             tenants: site.tenants.clone(),
-            groups: site
+            route_classes: site
                 .groups
                 .iter()
                 .map(|group| (group.name.clone(), group.rules))
                 .collect(),
-            forwards: site.forwards.clone(),
+            attempts: site.forwards.clone(),
             pods: site.pods.clone(),
             exposure: site.exposure.clone(),
             votes: site.votes.clone(),
-            list: site.list.clone(),
-            reuse: true,
+            endpoint_list: site.list.clone(),
+            reuse_pod_ids: true,
         }
     }
 }
 
 /// One call on an engine, with what it said where it says something.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Told {
-    Begin,
-    IncomingRequest {
-        hit: RequestId,
-        asked: Asked,
+pub enum Event {
+    Started,
+    RequestArrived {
+        request: RequestId,
+        attributes: RequestAttributes,
     },
     /// The hit that comes next, as this id, was taken elsewhere, and forwarded so.
-    Resumed {
-        hit: RequestId,
-        past: Vec<PriorAttempt>,
+    RequestResumed {
+        request: RequestId,
+        prior_attempts: Vec<PriorAttempt>,
     },
-    MayGo {
-        hit: RequestId,
-        nth: u32,
-        may: bool,
+    SendPermission {
+        request: RequestId,
+        attempt: u32,
+        allowed: bool,
     },
-    AttemptEnd {
-        hit: RequestId,
-        nth: u32,
+    AttemptEnded {
+        request: RequestId,
+        attempt: u32,
         end: AttemptEnd,
         took: Nanos,
         load: Option<LoadReport>,
-        passed: bool,
+        delivered: bool,
     },
-    Left {
-        hit: RequestId,
+    ClientLeft {
+        request: RequestId,
     },
     /// `given`: the index of each pod, `None` where none was left for it.
-    List {
-        whole: bool,
+    EndpointsListed {
+        complete: bool,
         pods: Vec<Listed>,
-        given: Vec<Option<PodId>>,
+        pod_ids: Vec<Option<PodId>>,
     },
-    ListFailed,
-    News(Stage),
-    Voted {
+    EndpointWatchFailed,
+    StageChanged(Stage),
+    VoteAnswered {
         vote: u64,
-        news: VoteReply,
+        reply: VoteReply,
     },
-    Probed {
-        probe: u64,
-        end: HealthCheckResult,
+    HealthCheckEnded {
+        check: u64,
+        result: HealthCheckResult,
     },
-    Tally(Tally),
-    Flagged {
+    TallyReported(Tally),
+    FaultReported {
         pod: PodId,
-        group: RouteClassId,
+        route_class: RouteClassId,
         ago: Nanos,
     },
-    Wake(u64),
+    TimerFired(u64),
 }
 
 /// Looks on at an engine. It is called in the middle of decisions, so it must not wait for anything. Effects
 /// are seen as they are taken, which is in the order left, but maybe after the next call.
-pub trait Witness {
-    fn told(&mut self, now: Nanos, told: Told);
+pub trait Observer {
+    fn told(&mut self, now: Nanos, told: Event);
     fn did(&mut self, now: Nanos, effect: &Effect);
 }
--- a/crates/sidecar/src/guarded.rs
+++ b/crates/sidecar/src/exactly_once.rs
@@ -2,13 +2,13 @@
 //! whoever holds it at its end. Which of these may be done when is decided in `havenplank-takeover`, what is done next
 //! by the module.
 
-use crate::answers::{errored, plain};
-use crate::engine::Asked;
-use crate::guard::{mark, mark_text, Claim, Going, Guard};
-use crate::heads;
-use crate::proxy::{bounced, Ask, Body};
+use crate::engine::RequestAttributes;
+use crate::headers;
+use crate::proxy::{rejected, Body, PreparedRequest};
+use crate::responses::{failed, plain};
 use crate::routes::Route;
-use crate::shell::Shell;
+use crate::takeover_service::{mark, mark_text, Claim, Going, Guard};
+use crate::transport::Shell;
 use bytes::Bytes;
 use havenplank::interface::{DedupScope, Idempotency, Nanos, PodId, PriorAttempt};
 use havenplank_settings::Guard as Mode;
@@ -112,7 +112,7 @@
     heads.iter().filter_map(header).collect()
 }
 
-fn keep(asked: &Asked, ask: &Ask, work: &Guarded) -> Option<Vec<u8>> {
+fn keep(asked: &RequestAttributes, ask: &PreparedRequest, work: &Guarded) -> Option<Vec<u8>> {
     let kept = Kept {
         group: ask.route.name.clone(),
         tenant: work.tenant.clone(),
@@ -133,7 +133,12 @@
 }
 
 /// Serves a hit in a task of its own: its work goes on though its client leaves.
-pub async fn serve(shell: Rc<Shell>, guard: Rc<Guard>, asked: Asked, ask: Ask) -> Response<Body> {
+pub async fn serve(
+    shell: Rc<Shell>,
+    guard: Rc<Guard>,
+    asked: RequestAttributes,
+    ask: PreparedRequest,
+) -> Response<Body> {
     let (answer, answered) = oneshot::channel();
     let serving = guard.serving();
     spawn_local(async move {
@@ -141,14 +146,19 @@
         // Where the client has left meanwhile nobody is there to be answered.
         let _ = answer.send(claimed(&shell, &guard, asked, ask).await);
     });
-    answered.await.unwrap_or_else(|_| errored(false))
+    answered.await.unwrap_or_else(|_| failed(false))
 }
 
-async fn claimed(shell: &Rc<Shell>, guard: &Rc<Guard>, asked: Asked, ask: Ask) -> Response<Body> {
+async fn claimed(
+    shell: &Rc<Shell>,
+    guard: &Rc<Guard>,
+    asked: RequestAttributes,
+    ask: PreparedRequest,
+) -> Response<Body> {
     let began = Instant::now();
     let ask = Rc::new(ask);
     let Some(work) = &ask.guarded else {
-        return errored(false);
+        return failed(false);
     };
     let (mark, sum, wait) = (work.mark, work.sum, work.wait);
     let Some(bytes) = keep(&asked, &ask, work) else {
@@ -164,36 +174,39 @@
         // its client waits.
         let claim = loop {
             let left = asked
-                .left
+                .remaining
                 .saturating_sub(began.elapsed().as_nanos() as Nanos);
             match guard.claim(mark, sum, (bytes.clone(), strict), left).await {
-                Claim::Nobody if began.elapsed().as_nanos() < u128::from(asked.left) => {}
+                Claim::Nobody if began.elapsed().as_nanos() < u128::from(asked.remaining) => {}
                 claim => break claim,
             }
         };
         match claim {
             Claim::Taken => {}
             Claim::Unguarded => work.on.set(false),
-            Claim::Unsure => return bounced(shell.site.forwards.max_retry_after),
+            Claim::Unsure => return rejected(shell.site.forwards.max_retry_after),
             Claim::Done(done) => return answer_of(done),
             Claim::Differs => {
                 let why =
                     "Idempotency-Key: another hit was sent under it; expected the same hit or another key\n";
                 return plain(StatusCode::UNPROCESSABLE_ENTITY, why);
             }
-            Claim::Nobody => return errored(true),
+            Claim::Nobody => return failed(true),
         }
     } else {
-        guard.claim_behind(mark, sum, bytes, asked.left);
+        guard.claim_behind(mark, sum, bytes, asked.remaining);
     }
     let left = asked
-        .left
+        .remaining
         .saturating_sub(began.elapsed().as_nanos() as Nanos);
     run(
         shell,
         guard,
         None,
-        Asked { left, ..asked },
+        RequestAttributes {
+            remaining: left,
+            ..asked
+        },
         ask.clone(),
         mark,
     )
@@ -205,29 +218,29 @@
     shell: &Rc<Shell>,
     guard: &Rc<Guard>,
     past: Option<Vec<PriorAttempt>>,
-    asked: Asked,
-    ask: Rc<Ask>,
+    asked: RequestAttributes,
+    ask: Rc<PreparedRequest>,
     mark: RequestId,
 ) -> Response<Body> {
     let (kind, left) = (
         ask.route.rules.idempotency,
-        Duration::from_nanos(asked.left),
+        Duration::from_nanos(asked.remaining),
     );
     let began = Instant::now();
     let (lost, told) = guard.watch(mark);
     let (answer, answered) = oneshot::channel();
-    let hit = shell.go_on(past, asked, ask.clone(), answer);
+    let hit = shell.dispatch_resumed(past, asked, ask.clone(), answer);
     let response = tokio::select! {
         // A hit that is answered here is answered, whatever else is known by now.
         biased;
-        response = answered => response.unwrap_or_else(|_| errored(false)),
+        response = answered => response.unwrap_or_else(|_| failed(false)),
         Ok(()) = lost => {
-            shell.left(hit);
+            shell.client_left(hit);
             let claim = timeout(left.saturating_sub(began.elapsed()), told).await;
             guard.forget(mark);
             return match claim {
                 Ok(Ok(Claim::Done(done))) => answer_of(done),
-                _ => errored(true),
+                _ => failed(true),
             };
         }
     };
@@ -248,7 +261,7 @@
     let doubtful =
         work.is_some_and(|work| !work.named && work.announced.get() && work.on.get()) && !again;
     match response.extensions().get::<Final>() {
-        Some(Final::Bounced) if doubtful => (errored(false), Outcome::Failed { retryable: again }),
+        Some(Final::Bounced) if doubtful => (failed(false), Outcome::Failed { retryable: again }),
         Some(Final::Bounced) => (response, Outcome::Rejected),
         Some(Final::Errored) => (response, Outcome::Failed { retryable: again }),
         None => {
@@ -283,8 +296,8 @@
 /// The answer to a client that came back.
 fn answer_of(done: Outcome) -> Response<Body> {
     let delivered = match done {
-        Outcome::Rejected => return bounced(0),
-        Outcome::Failed { .. } => return errored(false),
+        Outcome::Rejected => return rejected(0),
+        Outcome::Failed { .. } => return failed(false),
         Outcome::Served(kept) if kept.is_empty() => {
             return plain(
                 StatusCode::BAD_GATEWAY,
@@ -322,7 +335,7 @@
     let Some(guard) = shell.guard.as_ref().filter(|_| work.on.get()) else {
         return Ok(None);
     };
-    let name = shell.look().pod_name(pod).unwrap_or_default().to_string();
+    let name = shell.engine().pod_name(pod).unwrap_or_default().to_string();
     work.announced.set(true);
     match guard.before(work.mark, &name, work.wait).await {
         None if work.wait => Err(NotOurs),
@@ -331,7 +344,7 @@
 }
 
 /// Whether a guarded forward may be written at this moment.
-pub fn may(shell: &Rc<Shell>, ask: &Ask) -> bool {
+pub fn may(shell: &Rc<Shell>, ask: &PreparedRequest) -> bool {
     let Some(work) = ask
         .guarded
         .as_ref()
@@ -375,7 +388,7 @@
         let ended = match read(&shell, &record) {
             Some((asked, ask)) => {
                 let earlier = |past: &havenplank_takeover::record::Attempt| PriorAttempt {
-                    pod: shell.look().find(&past.pod),
+                    pod: shell.engine().pod_id(&past.pod),
                     ago: past.age,
                     may_have_run: past.state != AttemptState::NeverRan,
                 };
@@ -403,22 +416,22 @@
     });
 }
 
-fn read(shell: &Shell, record: &Record) -> Option<(Asked, Ask)> {
+fn read(shell: &Shell, record: &Record) -> Option<(RequestAttributes, PreparedRequest)> {
     let kept: Kept = postcard::from_bytes(&record.payload).ok()?;
     let routes = shell.routes();
     let route = routes.named(&kept.group)?.clone();
-    let asked = Asked {
-        group: route.group(),
+    let asked = RequestAttributes {
+        route_class: route.group(),
         tenant: kept
             .tenant
             .as_ref()
             .and_then(|name| routes.tenant(name)?.index),
         key: kept.key,
-        left: record.remaining.min(route.rules.client_timeout),
+        remaining: record.remaining.min(route.rules.client_timeout),
         cost_hint: kept.cost_hint,
-        repeat: false,
+        is_retry: false,
     };
-    let (headers, uri) = heads::apart(&heads_from(&kept.headers), &kept.path);
+    let (headers, uri) = headers::detached_copy(&heads_from(&kept.headers), &kept.path);
     let guarded = Guarded {
         mark: record.request,
         tenant: kept.tenant,
@@ -431,7 +444,7 @@
     let method = kept.method.parse().ok()?;
     Some((
         asked,
-        Ask {
+        PreparedRequest {
             method,
             uri,
             headers,
--- a/crates/sidecar/src/heads.rs
+++ b/crates/sidecar/src/headers.rs
@@ -14,7 +14,7 @@
 const MARK: usize = 256;
 
 /// A time in the form of `grpc-timeout`: up to eight digits, then H, M, S, m, u or n.
-pub fn time_left(text: &str) -> Option<Nanos> {
+pub fn parse_timeout(text: &str) -> Option<Nanos> {
     let unit =
         one_of::<_, _, ContextError>(['H', 'M', 'S', 'm', 'u', 'n']).map(|unit: char| match unit {
             'H' => 3_600_000_000_000,
@@ -30,7 +30,7 @@
 }
 
 /// The same form, rounded down to a whole count of the finest unit that eight digits hold.
-pub fn as_time_left(time: Nanos) -> String {
+pub fn format_timeout(time: Nanos) -> String {
     let units = [
         (1, 'n'),
         (1_000, 'u'),
@@ -44,7 +44,7 @@
 }
 
 /// Whether a mark has the form of the `Idempotency-Key` draft: a structured string in quotes, not empty.
-pub fn is_mark(text: &[u8]) -> bool {
+pub fn is_idempotency_key(text: &[u8]) -> bool {
     let Some(inner) = text
         .strip_prefix(b"\"")
         .and_then(|rest| rest.strip_suffix(b"\""))
@@ -65,7 +65,7 @@
 }
 
 /// Whole microseconds.
-pub fn cost_hint(text: &str) -> Option<Nanos> {
+pub fn parse_cost_hint(text: &str) -> Option<Nanos> {
     dec_uint::<_, u64, ContextError>
         .parse(text)
         .ok()?
@@ -73,7 +73,7 @@
 }
 
 /// A load report in the text form of `endpoint-load-metrics`; what it does not name stays unknown.
-pub fn load(text: &str) -> Option<LoadReport> {
+pub fn parse_load_report(text: &str) -> Option<LoadReport> {
     let name = take_while(1.., |c: char| {
         c.is_ascii_alphanumeric() || "_.-".contains(c)
     });
@@ -130,7 +130,7 @@
 
 /// A copy of headers and path in one piece of memory of their own. As they come they are parts of their
 /// connection's read buffer, and a hit that waits would keep all 8 KiB of it.
-pub fn apart(headers: &HeaderMap, path: &str) -> (HeaderMap, Uri) {
+pub fn detached_copy(headers: &HeaderMap, path: &str) -> (HeaderMap, Uri) {
     let all = path.len() + headers.values().map(HeaderValue::len).sum::<usize>();
     let mut whole = BytesMut::with_capacity(all);
     whole.extend_from_slice(path.as_bytes());
@@ -167,10 +167,10 @@
                 .into_iter()
                 .chain([("123456789m", None), ("-1S", None), ("1 S", None)])
         {
-            assert_eq!(time_left(text), wanted, "{text}");
+            assert_eq!(parse_timeout(text), wanted, "{text}");
         }
         for time in [0, 999, 99_999_999, 100_000_000, 2_000_000_123, u64::MAX] {
-            let read = time_left(&as_time_left(time)).expect("its own form");
+            let read = parse_timeout(&format_timeout(time)).expect("its own form");
             assert!(
                 read <= time && (time > 99_999_999_000_000_000 || time - read <= time / 10_000),
                 "{time}"
@@ -182,15 +182,24 @@
             ("a", false),
             ("\"\"", false),
         ] {
-            assert_eq!(is_mark(mark.as_bytes()), good, "{mark}");
+            assert_eq!(is_idempotency_key(mark.as_bytes()), good, "{mark}");
         }
-        assert!(!is_mark(b"\"a\"b\"") && !is_mark(b"\"\\\"") && !is_mark(&[b'"', 200, b'"']));
-        let told = load("TEXT cpu_utilization=0.3, named_metrics.in_flight=4,eps=1e1,odd=2")
-            .expect("a report");
+        assert!(
+            !is_idempotency_key(b"\"a\"b\"")
+                && !is_idempotency_key(b"\"\\\"")
+                && !is_idempotency_key(&[b'"', 200, b'"'])
+        );
+        let told =
+            parse_load_report("TEXT cpu_utilization=0.3, named_metrics.in_flight=4,eps=1e1,odd=2")
+                .expect("a report");
         assert_eq!(
             (told.busy, told.in_flight, told.failed_per_s),
             (Some(0.3), Some(4.0), Some(10.0))
         );
-        assert!(load("JSON {}").is_none() && load("TEXT a=b").is_none() && load("").is_none());
+        assert!(
+            parse_load_report("JSON {}").is_none()
+                && parse_load_report("TEXT a=b").is_none()
+                && parse_load_report("").is_none()
+        );
     }
 }
--- a/crates/sidecar/src/lib.rs
+++ b/crates/sidecar/src/lib.rs
@@ -5,26 +5,26 @@
 //! listeners, connections to pods, the feeds of node list and release desk. Two of either share nothing.
 
 mod admin;
-pub mod answers;
+pub mod client_stream;
 mod configuration;
 pub mod daemon;
+pub mod dispatcher;
 pub mod distributor;
 pub mod engine;
-mod fellowship;
-mod guard;
-mod guarded;
-pub mod heads;
-pub mod hub;
-mod keeper;
-mod links;
+pub mod events;
+mod exactly_once;
+pub mod headers;
+mod membership;
+mod persister;
+mod pod_registry;
 mod proxy;
-mod roll;
+mod replication;
+pub mod responses;
+pub mod route_slots;
 pub mod routes;
-mod shell;
-pub mod slots;
-mod spreading;
-pub mod tap;
-pub mod told;
+mod takeover_service;
+mod transport;
+mod upstream;
 
-pub use daemon::{listen, queued, serve, Addresses, StartError};
-pub use fellowship::FellowshipError;
+pub use daemon::{listen, serve, take_queued_connections, Addresses, StartError};
+pub use membership::FellowshipError;
--- a/crates/sidecar/src/keeper.rs
+++ b/crates/sidecar/src/persister.rs
@@ -9,7 +9,7 @@
 use tokio::sync::watch;
 
 /// Dropped, it waits until the last version that it was given is on disk.
-pub struct Keeper {
+pub struct Persister {
     mailbox: Arc<Mailbox>,
     kept: watch::Receiver<Version>,
     thread: Option<JoinHandle<()>>,
@@ -46,8 +46,8 @@
     }
 }
 
-impl Keeper {
-    pub fn start(store: Store) -> Keeper {
+impl Persister {
+    pub fn start(store: Store) -> Persister {
         let mailbox = Arc::new(Mailbox::default());
         let (tell, kept) = watch::channel(store.snapshot().version());
         let thread = std::thread::Builder::new().name("configuration".to_string());
@@ -56,7 +56,7 @@
         if let Err(error) = &thread {
             tracing::warn!(%error, "no thread that keeps the configuration: a restart begins without one");
         }
-        Keeper {
+        Persister {
             mailbox,
             kept,
             thread: thread.ok(),
@@ -75,7 +75,7 @@
     }
 }
 
-impl Drop for Keeper {
+impl Drop for Persister {
     fn drop(&mut self) {
         self.mailbox.change(|contents| contents.closed = true);
         if let Some(thread) = self.thread.take() {
--- a/crates/sidecar/src/roll.rs
+++ b/crates/sidecar/src/pod_registry.rs
@@ -20,7 +20,7 @@
 /// decision module has taken in a list since: so the table holds the pods listed and those that hits wait
 /// for, and no more.
 #[derive(Default)]
-pub struct Roll {
+pub struct PodRegistry {
     by_name: HashMap<String, PodId>,
     slots: Vec<Option<Known>>,
     free: Vec<PodId>,
@@ -42,13 +42,13 @@
         })
 }
 
-impl Roll {
-    pub fn new(zones: Vec<String>, machines: Vec<String>, reuse: bool) -> Roll {
-        Roll {
+impl PodRegistry {
+    pub fn new(zones: Vec<String>, machines: Vec<String>, reuse: bool) -> PodRegistry {
+        PodRegistry {
             zones,
             machines,
             reuse,
-            ..Roll::default()
+            ..PodRegistry::default()
         }
     }
 
--- a/crates/sidecar/src/proxy.rs
+++ b/crates/sidecar/src/proxy.rs
@@ -1,14 +1,14 @@
 //! A hit's way: read at the door, taken, forwarded as the engine says, answered once.
 
-use crate::answers::{self, and_close, errored, plain};
-use crate::engine::Asked;
-use crate::guard::Going;
-use crate::guarded::{self, Guarded};
-use crate::heads;
-use crate::hub::End;
-use crate::links::Lease;
+use crate::dispatcher::AttemptResult;
+use crate::engine::RequestAttributes;
+use crate::exactly_once::{self, Guarded};
+use crate::headers;
+use crate::responses::{self, and_close, failed, plain};
 use crate::routes::Route;
-use crate::shell::Shell;
+use crate::takeover_service::Going;
+use crate::transport::Shell;
+use crate::upstream::Lease;
 use bytes::{Bytes, BytesMut};
 use havenplank::interface::{
     stable_hash, AttemptEnd, HealthCheckResult, Idempotency, Nanos, PodId, RequestId,
@@ -96,7 +96,7 @@
 }
 
 /// A hit as it will be sent, as often as it must be.
-pub struct Ask {
+pub struct PreparedRequest {
     pub method: Method,
     pub uri: Uri,
     pub headers: HeaderMap,
@@ -108,8 +108,8 @@
 }
 
 /// Whole seconds, as the header has no finer ones, and never later than was decided.
-pub fn bounced(retry_after: Nanos) -> Response<Body> {
-    answers::bounced(Some(HeaderValue::from(retry_after / 1_000_000_000)))
+pub fn rejected(retry_after: Nanos) -> Response<Body> {
+    responses::rejected(Some(HeaderValue::from(retry_after / 1_000_000_000)))
 }
 
 /// Told to the engine when the client is gone before its answer.
@@ -120,7 +120,7 @@
 
 impl Drop for Owed {
     fn drop(&mut self) {
-        self.shell.left(self.hit);
+        self.shell.client_left(self.hit);
     }
 }
 
@@ -135,22 +135,22 @@
         Err((status, why)) => return Ok(and_close(plain(status, why))),
     };
     if shell.is_full() {
-        return Ok(and_close(bounced(1_000_000_000)));
+        return Ok(and_close(rejected(1_000_000_000)));
     }
     let spent = arrived.elapsed().as_nanos() as Nanos + shell.site.door.answer_margin;
-    let asked = Asked {
-        left: asked.left.saturating_sub(spent),
+    let asked = RequestAttributes {
+        remaining: asked.remaining.saturating_sub(spent),
         ..asked
     };
     if let Some(guard) = shell.guard.clone().filter(|_| ask.guarded.is_some()) {
-        return Ok(guarded::serve(shell, guard, asked, ask).await);
+        return Ok(exactly_once::serve(shell, guard, asked, ask).await);
     }
     let (answer, answered) = oneshot::channel();
-    let hit = shell.take(asked, ask, answer);
+    let hit = shell.dispatch(asked, ask, answer);
     let owed = Owed { shell, hit };
     let response = answered.await;
     // An engine that stops with a hit in hand is a fault; the client is told that nothing is promised.
-    let response = response.unwrap_or_else(|_| errored(false));
+    let response = response.unwrap_or_else(|_| failed(false));
     drop(owed);
     Ok(response)
 }
@@ -159,7 +159,10 @@
 type Refused = (StatusCode, &'static str);
 
 /// Reads a hit whole, so that it can be sent again, and refuses what is no hit.
-async fn read(shell: &Rc<Shell>, request: Request<Incoming>) -> Result<(Asked, Ask), Refused> {
+async fn read(
+    shell: &Rc<Shell>,
+    request: Request<Incoming>,
+) -> Result<(RequestAttributes, PreparedRequest), Refused> {
     let (site, door) = (&shell.site, &shell.site.door);
     let (parts, body) = request.into_parts();
     let routes = shell.routes();
@@ -181,7 +184,7 @@
     let rules = &route.rules;
     let bad = |text| Err((StatusCode::BAD_REQUEST, text));
     let mark = parts.headers.get(MARK);
-    if mark.is_some_and(|mark| !heads::is_mark(mark.as_bytes())) {
+    if mark.is_some_and(|mark| !headers::is_idempotency_key(mark.as_bytes())) {
         return bad("Idempotency-Key: expected a text in quotes\n");
     }
     if mark.is_none() && rules.idempotency == Idempotency::Keyed {
@@ -193,25 +196,25 @@
             .get(name)
             .map(|value| value.to_str().unwrap_or(""))
     };
-    let asked_time = text(&site.headers.timeout).map(heads::time_left);
+    let asked_time = text(&site.headers.timeout).map(headers::parse_timeout);
     if asked_time == Some(None) {
         return bad("time-out: expected up to 8 digits and H, M, S, m, u or n\n");
     }
     let tenant = text(&site.headers.tenant).and_then(|name| Some((name, routes.tenant(name)?)));
-    let asked = Asked {
-        group: route.group(),
+    let asked = RequestAttributes {
+        route_class: route.group(),
         tenant: tenant.and_then(|(_, tenant)| tenant.index),
         key: parts
             .headers
             .get(&site.headers.key)
             .map_or(0, |key| stable_hash(key.as_bytes())),
         // A client may wait less than its path group allows, never longer.
-        left: asked_time
+        remaining: asked_time
             .flatten()
             .unwrap_or(Nanos::MAX)
             .min(rules.client_timeout),
-        cost_hint: text(&site.headers.cost_hint).and_then(heads::cost_hint),
-        repeat: false,
+        cost_hint: text(&site.headers.cost_hint).and_then(headers::parse_cost_hint),
+        is_retry: false,
     };
     let work = shell.guard.as_ref().filter(|_| route.guard != Guard::Off);
     let tenant = work.and(tenant).map(|(name, _)| name.to_string());
@@ -238,18 +241,18 @@
         }
     };
     let mut headers = parts.headers;
-    heads::strip_hop_by_hop(&mut headers);
+    headers::strip_hop_by_hop(&mut headers);
     headers.remove(CONTENT_LENGTH);
     let path = parts.uri.path_and_query().map_or("/", |path| path.as_str());
-    let (mut headers, uri) = heads::apart(&headers, path);
+    let (mut headers, uri) = headers::detached_copy(&headers, path);
     let guarded = work.map(|guard| {
         let named = headers.get(MARK).or(headers.get(&site.headers.mark));
-        guarded::of(guard, &route, tenant, named, (&parts.method, path, &body))
+        exactly_once::of(guard, &route, tenant, named, (&parts.method, path, &body))
     });
     headers.append(VIA, shell.via.clone());
     Ok((
         asked,
-        Ask {
+        PreparedRequest {
             method: parts.method,
             uri,
             headers,
@@ -263,14 +266,14 @@
 /// Carries one forward out and tells the engine how it ended.
 pub async fn forward(
     shell: Rc<Shell>,
-    ask: Rc<Ask>,
+    ask: Rc<PreparedRequest>,
     nth: (RequestId, u32),
     pod: PodId,
     time_out: Nanos,
 ) {
     let (sent, time) = (Cell::new(false), Duration::from_nanos(time_out));
     shell
-        .timed(
+        .run_attempt(
             nth,
             time,
             &sent,
@@ -281,14 +284,14 @@
 
 async fn exchange(
     shell: &Rc<Shell>,
-    ask: &Ask,
+    ask: &PreparedRequest,
     (hit, nth): (RequestId, u32),
     pod: PodId,
     time: Duration,
     sent: &Cell<bool>,
-) -> End<Response<Body>> {
+) -> AttemptResult<Response<Body>> {
     let began = Instant::now();
-    let Some(address) = shell.address(pod) else {
+    let Some(address) = shell.pod_address(pod) else {
         return AttemptEnd::NotSent.into();
     };
     let mut fresh = false;
@@ -298,16 +301,16 @@
             return AttemptEnd::ConnectFailed.into();
         };
         if let (Some(guarded), None) = (&ask.guarded, &going) {
-            match guarded::before(shell, guarded, pod).await {
+            match exactly_once::before(shell, guarded, pod).await {
                 Ok(told) => going = told,
-                Err(guarded::NotOurs) => {
+                Err(exactly_once::NotOurs) => {
                     lease.give_back();
                     return AttemptEnd::NotSent.into();
                 }
             }
         }
         // Chosen when it had no connection yet: the pod may drain by now, or its build be closed.
-        if !shell.may_go(hit, nth) || !guarded::may(shell, ask) {
+        if !shell.may_send(hit, nth) || !exactly_once::may(shell, ask) {
             lease.give_back();
             return AttemptEnd::NotSent.into();
         }
@@ -315,7 +318,8 @@
         *request.method_mut() = ask.method.clone();
         *request.uri_mut() = ask.uri.clone();
         *request.headers_mut() = ask.headers.clone();
-        let left = heads::as_time_left(time.saturating_sub(began.elapsed()).as_nanos() as Nanos);
+        let left =
+            headers::format_timeout(time.saturating_sub(began.elapsed()).as_nanos() as Nanos);
         if let Ok(left) = HeaderValue::from_str(&left) {
             request
                 .headers_mut()
@@ -346,7 +350,7 @@
         .headers
         .get("endpoint-load-metrics")
         .filter(|_| rules.load);
-    let load = load.and_then(|text| heads::load(text.to_str().ok()?));
+    let load = load.and_then(|text| headers::parse_load_report(text.to_str().ok()?));
     let unseen =
         parts.status == rules.unseen_status && parts.headers.contains_key(&rules.unseen_header);
     let end = match parts.status {
@@ -357,7 +361,7 @@
     if end.never_ran() {
         going.iter().for_each(Going::never_ran);
     }
-    heads::strip_hop_by_hop(&mut parts.headers);
+    headers::strip_hop_by_hop(&mut parts.headers);
     let read = match ask.route.rules.stream {
         true => Ok((Bytes::new(), false)),
         false => collect(&mut body, shell.site.door.answer_bytes).await,
@@ -376,10 +380,10 @@
         }
     } else {
         // Nobody reads on in an answer that goes nowhere: its connection closes with the lease.
-        return End {
+        return AttemptResult {
             end,
             load,
-            answer: None,
+            response: None,
         };
     };
     if let Some(name) = shell.pod_name(pod) {
@@ -388,10 +392,10 @@
     if end == AttemptEnd::Served {
         going.iter().for_each(Going::delivered);
     }
-    End {
+    AttemptResult {
         end,
         load,
-        answer: Some(Response::from_parts(parts, body)),
+        response: Some(Response::from_parts(parts, body)),
     }
 }
 
@@ -426,7 +430,7 @@
 pub async fn probe(shell: &Rc<Shell>, pod: PodId) -> HealthCheckResult {
     let (began, rules) = (Instant::now(), &shell.site.links);
     let asked = async {
-        let Some(address) = shell.address(pod) else {
+        let Some(address) = shell.pod_address(pod) else {
             return (AttemptEnd::NotSent, None);
         };
         let Ok(mut lease) = shell.links.take(address, true).await else {
@@ -445,7 +449,7 @@
             .headers()
             .get("endpoint-load-metrics")
             .filter(|_| rules.load);
-        let load = load.and_then(|text| heads::load(text.to_str().ok()?));
+        let load = load.and_then(|text| headers::parse_load_report(text.to_str().ok()?));
         (
             if response.status().is_server_error() {
                 AttemptEnd::Failed
--- a/crates/sidecar/src/spreading.rs
+++ b/crates/sidecar/src/replication.rs
@@ -1,7 +1,7 @@
 //! The messages and the time around a [`Spreader`]: it talks on the sockets that peers have for each other, and hears from
 //! the membership who lives.
 
-use crate::fellowship::Fellowship;
+use crate::membership::Fellowship;
 use havenplank_configuration::message::Message;
 use havenplank_configuration::snapshot::Snapshot;
 use havenplank_configuration::spread::{Effect, Event, Glance, Nanos, Peer, Peers, Spreader};
--- a/crates/sidecar/src/answers.rs
+++ b/crates/sidecar/src/responses.rs
@@ -10,7 +10,7 @@
 }
 
 /// A retry is harmless; when to come back in the protocol's own form, none for no advice.
-pub fn bounced<B: From<&'static str>>(retry_after: Option<HeaderValue>) -> Response<B> {
+pub fn rejected<B: From<&'static str>>(retry_after: Option<HeaderValue>) -> Response<B> {
     let mut response = plain(
         StatusCode::SERVICE_UNAVAILABLE,
         "bounced: a retry is harmless\n",
@@ -22,7 +22,7 @@
 }
 
 /// Promises nothing.
-pub fn errored<B: From<&'static str>>(late: bool) -> Response<B> {
+pub fn failed<B: From<&'static str>>(late: bool) -> Response<B> {
     match late {
         true => plain(StatusCode::GATEWAY_TIMEOUT, "errored: out of time\n"),
         false => plain(StatusCode::BAD_GATEWAY, "errored: it may have run\n"),
--- a/crates/sidecar/src/routes.rs
+++ b/crates/sidecar/src/routes.rs
@@ -4,7 +4,7 @@
 //! while running order means nothing, and the most specific pattern does. A lookup costs one hash of the path and one
 //! walk down a trie of the path's own length, however many routes there are.
 
-use crate::slots::Slot;
+use crate::route_slots::Slot;
 use havenplank::interface::{RouteClass, RouteClassId};
 use havenplank_configuration::record::BackupMode;
 use havenplank_configuration::snapshot::Snapshot;
--- a/crates/sidecar/src/guard.rs
+++ b/crates/sidecar/src/takeover_service.rs
@@ -1,7 +1,7 @@
 //! Work in hand and the sidecars that guard it: the takeover's decision on the fellowship, and the hits here that wait
 //! for what fellows say.
 
-use crate::fellowship::Fellowship;
+use crate::membership::Fellowship;
 use havenplank_membership::wire::Life;
 use havenplank_settings::{Takeover as Settings, DISTRIBUTOR_ZONE};
 use havenplank_takeover::placement::{pick, Candidate};
--- a/crates/sidecar/src/shell.rs
+++ b/crates/sidecar/src/transport.rs
@@ -1,14 +1,14 @@
 //! What all tasks of one sidecar share, and what its engine asks of the world: the door, the pods, the line protocols.
 
-use crate::answers;
 use crate::configuration::Configuration;
-use crate::fellowship::Fellowship;
-use crate::guard::Guard;
-use crate::guarded::Final;
-use crate::hub::{Hub, Outside};
-use crate::links::Links;
-use crate::proxy::{self, Ask, Body};
+use crate::dispatcher::{Dispatcher, Transport};
+use crate::exactly_once::Final;
+use crate::membership::Fellowship;
+use crate::proxy::{self, Body, PreparedRequest};
+use crate::responses;
 use crate::routes::RouteTable;
+use crate::takeover_service::Guard;
+use crate::upstream::Links;
 use havenplank::interface::*;
 use havenplank_line_protocol::{desk, nodes};
 use havenplank_settings::Site;
@@ -43,15 +43,15 @@
     pub stopping: Cell<bool>,
 }
 
-pub type Shell = Hub<Lines>;
+pub type Shell = Dispatcher<Lines>;
 
-impl Outside for Lines {
-    type Ask = Ask;
-    type Answer = Response<Body>;
+impl Transport for Lines {
+    type Request = PreparedRequest;
+    type Response = Response<Body>;
 
-    fn forward(
+    fn send_attempt(
         hub: Rc<Shell>,
-        ask: Rc<Ask>,
+        ask: Rc<PreparedRequest>,
         nth: (RequestId, u32),
         pod: PodId,
         time_out: Nanos,
@@ -59,16 +59,16 @@
         proxy::forward(hub, ask, nth, pod, time_out)
     }
 
-    fn bounced(&self, retry_after: Nanos) -> Response<Body> {
-        let mut answer = proxy::bounced(retry_after);
+    fn rejected(&self, retry_after: Nanos) -> Response<Body> {
+        let mut answer = proxy::rejected(retry_after);
         if self.guard.is_some() {
             answer.extensions_mut().insert(Final::Bounced);
         }
         answer
     }
 
-    fn errored(&self, late: bool) -> Response<Body> {
-        let mut answer = answers::errored(late);
+    fn failed(&self, late: bool) -> Response<Body> {
+        let mut answer = responses::failed(late);
         if self.guard.is_some() {
             answer.extensions_mut().insert(Final::Errored);
         }
@@ -76,7 +76,7 @@
     }
 
     /// Sends a vote and sees to it that it is answered: not sent is refused, no answer in time is unknown.
-    fn vote(hub: &Rc<Shell>, vote: u64, build: Build, stage: usize, voice: Vote) {
+    fn cast_vote(hub: &Rc<Shell>, vote: u64, build: Build, stage: usize, voice: Vote) {
         let line = desk::ask_vote(vote, build, stage, voice);
         let sent = hub.desk_up.get() && hub.desk_asks.try_send(line).is_ok();
         let (hub, wait) = (
@@ -93,7 +93,7 @@
                 VoteReceipt::Rejected
             };
             hub.call(|engine, now| {
-                engine.voted(
+                engine.vote_answered(
                     now,
                     vote,
                     VoteReply {
@@ -105,19 +105,19 @@
         });
     }
 
-    fn probe(hub: &Rc<Shell>, probe: u64, pod: PodId) {
+    fn health_check(hub: &Rc<Shell>, probe: u64, pod: PodId) {
         let hub = hub.clone();
         spawn_local(async move {
             let end = proxy::probe(&hub, pod).await;
-            hub.call(|engine, now| engine.probed(now, probe, end));
+            hub.call(|engine, now| engine.health_check_ended(now, probe, end));
         });
     }
 
-    fn ask_list(hub: &Rc<Shell>) {
+    fn poll_endpoints(hub: &Rc<Shell>) {
         ask_nodes(hub, nodes::ask_whole());
     }
 
-    fn watch_list(hub: &Rc<Shell>, on: bool) {
+    fn watch_endpoints(hub: &Rc<Shell>, on: bool) {
         ask_nodes(hub, nodes::ask_watch(on));
     }
 }
@@ -126,7 +126,7 @@
     if hub.nodes_asks.try_send(line).is_err() {
         // In a task of its own, as the engine may be in the middle of what asked for it.
         let hub = hub.clone();
-        spawn_local(async move { hub.call(|engine, now| engine.list_failed(now)) });
+        spawn_local(async move { hub.call(|engine, now| engine.endpoint_watch_failed(now)) });
     }
 }
 
@@ -135,7 +135,7 @@
     /// their forwards have ended, else they could pile up forwards past the bound.
     pub fn is_full(&self) -> bool {
         let guarded = self.guard.as_ref().map_or(0, |guard| guard.hits());
-        self.stopping.get() || self.look().held().max(guarded) >= self.site.door.hits
+        self.stopping.get() || self.engine().requests_held().max(guarded) >= self.site.door.hits
     }
 
     /// The routes in force now; whoever holds them goes on by them.
@@ -144,6 +144,6 @@
     }
 
     pub fn pod_name(&self, pod: PodId) -> Option<HeaderValue> {
-        HeaderValue::from_str(self.look().pod_name(pod)?).ok()
+        HeaderValue::from_str(self.engine().pod_name(pod)?).ok()
     }
 }
--- a/crates/sidecar/src/links.rs
+++ b/crates/sidecar/src/upstream.rs
@@ -18,7 +18,7 @@
 type Sender = SendRequest<Full<Bytes>>;
 
 /// No connection was had in time: the pod is down, out of reach or at its cap.
-pub struct NoLink;
+pub struct NoConnection;
 
 struct Pool {
     /// One for each connection in use; those waiting for one are hits in flight, which the door bounds, and
@@ -80,14 +80,16 @@
     }
 
     /// An idle connection, else a new one. `fresh` passes over idle ones, as one of them just proved closed.
-    pub async fn take(&self, address: SocketAddr, fresh: bool) -> Result<Lease, NoLink> {
+    pub async fn take(&self, address: SocketAddr, fresh: bool) -> Result<Lease, NoConnection> {
         let pool = self.pool(address);
         let began = Instant::now();
         let permit = match pool.permits.clone().try_acquire_owned() {
             Ok(permit) => permit,
             Err(_) => {
                 let waited = timeout(self.connect_time, pool.permits.clone().acquire_owned()).await;
-                waited.map_err(|_| NoLink)?.map_err(|_| NoLink)?
+                waited
+                    .map_err(|_| NoConnection)?
+                    .map_err(|_| NoConnection)?
             }
         };
         loop {
@@ -111,8 +113,8 @@
         let left = self.connect_time.saturating_sub(began.elapsed());
         let sender = timeout(left, connect(address))
             .await
-            .map_err(|_| NoLink)?
-            .map_err(|_| NoLink)?;
+            .map_err(|_| NoConnection)?
+            .map_err(|_| NoConnection)?;
         Ok(Lease {
             sender,
             pool,
--- a/crates/sidecar/tests/engine.rs
+++ b/crates/sidecar/tests/engine.rs
@@ -5,16 +5,18 @@
 };
 use havenplank_line_protocol::nodes::Listed;
 use havenplank_settings::{load, Given};
-use havenplank_sidecar::engine::{Asked, Effect, Engine, EPOCH};
-use havenplank_sidecar::told::Terms;
+use havenplank_sidecar::engine::{Effect, Engine, RequestAttributes, EPOCH};
+use havenplank_sidecar::events::EngineSettings;
 use std::path::Path;
 
 const MS: Nanos = 1_000_000;
 const S: Nanos = 1_000 * MS;
 
-fn site() -> Terms {
+fn site() -> EngineSettings {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/site.star");
-    Terms::from(&load(&file, &Given::new()).unwrap_or_else(|problems| panic!("{problems}")))
+    EngineSettings::from(
+        &load(&file, &Given::new()).unwrap_or_else(|problems| panic!("{problems}")),
+    )
 }
 
 fn listed(n: u16, build: u32, life: u64, age: Nanos) -> Listed {
@@ -32,32 +34,32 @@
     }
 }
 
-fn asked(n: u64) -> Asked {
+fn asked(n: u64) -> RequestAttributes {
     let group = (n % 3) as usize;
-    Asked {
-        group,
+    RequestAttributes {
+        route_class: group,
         tenant: None,
         key: n % 7 + 1,
-        left: S,
+        remaining: S,
         cost_hint: None,
-        repeat: false,
+        is_retry: false,
     }
 }
 
 fn effects(engine: &mut Engine) -> Vec<Effect> {
-    std::iter::from_fn(|| engine.effect()).collect()
+    std::iter::from_fn(|| engine.next_effect()).collect()
 }
 
 /// A run of 20 s: old pods answer well, those of build 2 fail; every effect, in order.
 fn run(seed: u64, vote_answered: bool) -> Vec<(Nanos, Effect)> {
     let site = site();
     let mut engine = Engine::new(EPOCH, seed, &site);
-    engine.begin(EPOCH);
+    engine.start(EPOCH);
     let old = (0..6)
         .map(|n| listed(n, 1, 1, 0))
         .chain((6..9).map(|n| listed(n, 2, 1, 10 * S)));
-    engine.list(EPOCH, true, old.collect());
-    engine.news(
+    engine.update_endpoints(EPOCH, true, old.collect());
+    engine.update_stage(
         EPOCH,
         Stage {
             build: 2,
@@ -71,21 +73,26 @@
     let mut done = Vec::new();
     for tick in 0..20_000 {
         let now = EPOCH + tick * MS;
-        if engine.next_wake().is_some_and(|at| at <= now) {
-            engine.wake(now);
+        if engine.next_timer().is_some_and(|at| at <= now) {
+            engine.run_timers(now);
         }
         if tick % 5 == 0 {
-            engine.hit(now, asked(tick / 5));
+            engine.handle_request(now, asked(tick / 5));
         }
         while let Some(at) = out.iter().position(|(due, ..)| *due <= now) {
             let (_, hit, nth, end) = out.remove(at);
-            engine.ended(now, hit, nth, end, 30 * MS, None);
+            engine.attempt_ended(now, hit, nth, end, 30 * MS, None);
         }
         for effect in effects(&mut engine) {
             match &effect {
-                Effect::Forward { hit, nth, pod, .. } => {
+                Effect::SendAttempt {
+                    request: hit,
+                    attempt: nth,
+                    pod,
+                    ..
+                } => {
                     assert!(
-                        engine.may_go(now, *hit, *nth),
+                        engine.may_send(now, *hit, *nth),
                         "nothing has changed since it was chosen"
                     );
                     let end = if *pod >= 6 {
@@ -95,13 +102,13 @@
                     };
                     out.push((now + 30 * MS, *hit, *nth, end));
                 }
-                Effect::Vote { vote, .. } => {
+                Effect::CastVote { id: vote, .. } => {
                     let heard = if vote_answered {
                         VoteReceipt::Counted
                     } else {
                         VoteReceipt::Unknown
                     };
-                    engine.voted(
+                    engine.vote_answered(
                         now,
                         *vote,
                         VoteReply {
@@ -110,7 +117,7 @@
                         },
                     );
                     // An answer that comes again is nobody's.
-                    engine.voted(
+                    engine.vote_answered(
                         now,
                         *vote,
                         VoteReply {
@@ -142,8 +149,8 @@
             .filter(|(_, effect)| {
                 matches!(
                     effect,
-                    Effect::Vote {
-                        voice: Vote::RollBack,
+                    Effect::CastVote {
+                        vote: Vote::RollBack,
                         ..
                     }
                 )
@@ -162,61 +169,70 @@
 fn each_hit_has_one_answer_and_nothing_after_it() {
     let site = site();
     let mut engine = Engine::new(EPOCH, 1, &site);
-    engine.begin(EPOCH);
-    let hit = engine.hit(EPOCH, asked(0));
+    engine.start(EPOCH);
+    let hit = engine.handle_request(EPOCH, asked(0));
     assert!(
-        effects(&mut engine).contains(&Effect::Bounce {
-            hit,
+        effects(&mut engine).contains(&Effect::Reject {
+            request: hit,
             retry_after: S
         }),
         "no pods: at once"
     );
-    engine.list(EPOCH, true, vec![listed(0, 1, 1, 0)]);
-    let hit = engine.hit(EPOCH, asked(2));
+    engine.update_endpoints(EPOCH, true, vec![listed(0, 1, 1, 0)]);
+    let hit = engine.handle_request(EPOCH, asked(2));
     assert!(matches!(
         effects(&mut engine)[..],
-        [Effect::Forward { nth: 0, .. }]
+        [Effect::SendAttempt { attempt: 0, .. }]
     ));
-    assert!(!engine.ended(EPOCH + S, hit, 0, AttemptEnd::TimedOut, S, None));
-    assert_eq!(effects(&mut engine), [Effect::Error { hit, late: true }]);
+    assert!(!engine.attempt_ended(EPOCH + S, hit, 0, AttemptEnd::TimedOut, S, None));
+    assert_eq!(
+        effects(&mut engine),
+        [Effect::Fail {
+            request: hit,
+            timed_out: true
+        }]
+    );
     assert!(
-        !engine.ended(EPOCH + S, hit, 0, AttemptEnd::Served, S, None),
+        !engine.attempt_ended(EPOCH + S, hit, 0, AttemptEnd::Served, S, None),
         "its forward ended before"
     );
-    assert!(!engine.may_go(EPOCH + S, hit, 0) && effects(&mut engine).is_empty());
-    let hit = engine.hit(EPOCH + S, asked(2));
+    assert!(!engine.may_send(EPOCH + S, hit, 0) && effects(&mut engine).is_empty());
+    let hit = engine.handle_request(EPOCH + S, asked(2));
     effects(&mut engine);
-    engine.left(EPOCH + S, hit);
+    engine.client_left(EPOCH + S, hit);
     assert!(
-        !engine.ended(EPOCH + S, hit, 0, AttemptEnd::Served, MS, None),
+        !engine.attempt_ended(EPOCH + S, hit, 0, AttemptEnd::Served, MS, None),
         "nobody is there to be answered"
     );
-    assert!(effects(&mut engine).is_empty() && engine.glance().hits == 0);
+    assert!(effects(&mut engine).is_empty() && engine.status().hits == 0);
 }
 
 #[test]
 fn a_pod_that_came_back_is_another_and_names_do_not_pile_up() {
     let site = site();
     let mut engine = Engine::new(EPOCH, 1, &site);
-    engine.list(EPOCH, true, vec![listed(0, 1, 1, 0)]);
-    let hit = engine.hit(EPOCH, asked(0));
-    assert!(engine.may_go(EPOCH, hit, 0));
-    engine.list(EPOCH + MS, false, vec![listed(0, 1, 2, 0)]);
+    engine.update_endpoints(EPOCH, true, vec![listed(0, 1, 1, 0)]);
+    let hit = engine.handle_request(EPOCH, asked(0));
+    assert!(engine.may_send(EPOCH, hit, 0));
+    engine.update_endpoints(EPOCH + MS, false, vec![listed(0, 1, 2, 0)]);
     assert!(
-        !engine.may_go(EPOCH + MS, hit, 0),
+        !engine.may_send(EPOCH + MS, hit, 0),
         "another life, even where both began long ago"
     );
-    engine.ended(EPOCH + MS, hit, 0, AttemptEnd::NotSent, MS, None);
+    engine.attempt_ended(EPOCH + MS, hit, 0, AttemptEnd::NotSent, MS, None);
     // A thousand lists of new names: indices are used again once nothing is out there.
     let mut most = 0;
     for n in 0..1_000 {
         let now = EPOCH + S + n as Nanos * MS;
-        engine.list(now, true, vec![listed(n as u16 + 10, 1, 1, 0)]);
-        let hit = engine.hit(now, asked(0));
+        engine.update_endpoints(now, true, vec![listed(n as u16 + 10, 1, 1, 0)]);
+        let hit = engine.handle_request(now, asked(0));
         for effect in effects(&mut engine) {
-            if let Effect::Forward { nth, pod, .. } = effect {
+            if let Effect::SendAttempt {
+                attempt: nth, pod, ..
+            } = effect
+            {
                 most = most.max(pod);
-                engine.ended(now, hit, nth, AttemptEnd::Served, MS, None);
+                engine.attempt_ended(now, hit, nth, AttemptEnd::Served, MS, None);
             }
         }
     }
@@ -234,16 +250,22 @@
     };
     let begin = |past: Vec<PriorAttempt>, group| {
         let mut engine = Engine::new(EPOCH, 1, &site);
-        engine.begin(EPOCH);
-        let given = engine.list(
+        engine.start(EPOCH);
+        let given = engine.update_endpoints(
             EPOCH,
             true,
             (0..3).map(|n| listed(n, 1, 1, 60 * S)).collect(),
         );
         assert_eq!(given, [Some(0), Some(1), Some(2)]);
         effects(&mut engine);
-        engine.resumed(EPOCH, past);
-        engine.hit(EPOCH, Asked { group, ..asked(0) });
+        engine.resume_next_request(EPOCH, past);
+        engine.handle_request(
+            EPOCH,
+            RequestAttributes {
+                route_class: group,
+                ..asked(0)
+            },
+        );
         effects(&mut engine)
     };
     for n in 0..3 {
@@ -253,29 +275,26 @@
             .collect();
         let went = begin(others, mutating);
         assert!(
-            matches!(went[..], [Effect::Forward { pod, nth: 0, .. }] if pod == n),
+            matches!(went[..], [Effect::SendAttempt { pod, attempt: 0, .. }] if pod == n),
             "{went:?}"
         );
     }
     let may = vec![earlier(Some(0), S, false), earlier(None, S, true)];
     assert!(matches!(
         begin(may.clone(), mutating)[..],
-        [Effect::Error { .. }]
+        [Effect::Fail { .. }]
     ));
     assert!(matches!(
         begin(may.clone(), tagged)[..],
-        [Effect::Forward { .. }]
+        [Effect::SendAttempt { .. }]
     ));
     // Past the six seconds in which pods drop its repeats the first one counts, whatever came later.
     let long_ago = vec![earlier(Some(0), 7 * S, true), earlier(Some(1), S, true)];
-    assert!(matches!(
-        begin(long_ago, tagged)[..],
-        [Effect::Error { .. }]
-    ));
+    assert!(matches!(begin(long_ago, tagged)[..], [Effect::Fail { .. }]));
     let used_up = (0..4).map(|_| earlier(None, S, false)).collect();
     assert!(matches!(
         begin(used_up, mutating)[..],
-        [Effect::Bounce { .. }]
+        [Effect::Reject { .. }]
     ));
 }
 
@@ -283,36 +302,36 @@
 fn a_repeat_that_waits_for_a_connection_past_its_window_does_not_go() {
     let mut site = site();
     let (tagged, window) = (1, 200 * MS);
-    site.groups[tagged].1.dedup_window = window;
+    site.route_classes[tagged].1.dedup_window = window;
     let mut engine = Engine::new(EPOCH, 1, &site);
-    engine.begin(EPOCH);
-    engine.list(
+    engine.start(EPOCH);
+    engine.update_endpoints(
         EPOCH,
         true,
         (0..3).map(|n| listed(n, 1, 1, 60 * S)).collect(),
     );
     // Hits before it, without which there is no budget for a retry.
     for _ in 0..30 {
-        let hit = engine.hit(EPOCH, asked(0));
-        engine.ended(EPOCH, hit, 0, AttemptEnd::Served, MS, None);
+        let hit = engine.handle_request(EPOCH, asked(0));
+        engine.attempt_ended(EPOCH, hit, 0, AttemptEnd::Served, MS, None);
     }
     let mut repeated = |first: AttemptEnd| {
-        let hit = engine.hit(
+        let hit = engine.handle_request(
             EPOCH,
-            Asked {
-                group: tagged,
+            RequestAttributes {
+                route_class: tagged,
                 ..asked(0)
             },
         );
         effects(&mut engine);
-        assert!(engine.may_go(EPOCH, hit, 0), "no window yet");
-        engine.ended(EPOCH + window / 2, hit, 0, first, MS, None);
+        assert!(engine.may_send(EPOCH, hit, 0), "no window yet");
+        engine.attempt_ended(EPOCH + window / 2, hit, 0, first, MS, None);
         assert!(matches!(
             effects(&mut engine)[..],
-            [Effect::Forward { nth: 1, .. }]
+            [Effect::SendAttempt { attempt: 1, .. }]
         ));
-        let within = engine.may_go(EPOCH + window - 1, hit, 1);
-        (within, engine.may_go(EPOCH + window, hit, 1))
+        let within = engine.may_send(EPOCH + window - 1, hit, 1);
+        (within, engine.may_send(EPOCH + window, hit, 1))
     };
     assert_eq!(
         repeated(AttemptEnd::Reset),
@@ -331,12 +350,12 @@
     let mut site = site();
     site.exposure.sticky_keys = true;
     let mut engine = Engine::new(EPOCH, 3, &site);
-    engine.begin(EPOCH);
+    engine.start(EPOCH);
     let pods = (0..4)
         .map(|n| listed(n, 1, 1, 60 * S))
         .chain((4..8).map(|n| listed(n, 2, 1, 60 * S)));
-    engine.list(EPOCH, true, pods.collect());
-    engine.news(
+    engine.update_endpoints(EPOCH, true, pods.collect());
+    engine.update_stage(
         EPOCH,
         Stage {
             build: 2,
@@ -349,18 +368,21 @@
     let (mut ended, mut builds) = (false, Vec::new());
     for n in 0..120 {
         let now = EPOCH + n * 100 * MS;
-        let hit = engine.hit(
+        let hit = engine.handle_request(
             now,
-            Asked {
+            RequestAttributes {
                 key: 5,
-                group: 0,
+                route_class: 0,
                 ..asked(0)
             },
         );
         let mut after = Vec::new();
         for effect in effects(&mut engine) {
-            if let Effect::Forward {
-                hit: of, nth, pod, ..
+            if let Effect::SendAttempt {
+                request: of,
+                attempt: nth,
+                pod,
+                ..
             } = effect
             {
                 if of != hit {
@@ -376,9 +398,9 @@
             }
         }
         for (nth, end) in after {
-            engine.ended(now + MS, hit, nth, end, MS, None);
+            engine.attempt_ended(now + MS, hit, nth, end, MS, None);
         }
-        engine.left(now + MS, hit);
+        engine.client_left(now + MS, hit);
         effects(&mut engine);
     }
     assert!(builds.len() > 20);
--- a/crates/sidecar/tests/routes.rs
+++ b/crates/sidecar/tests/routes.rs
@@ -8,10 +8,10 @@
 use havenplank_configuration::version::Version;
 use havenplank_line_protocol::nodes::Listed;
 use havenplank_settings::{Group, Guard};
-use havenplank_sidecar::engine::{Asked, Effect, Engine, EPOCH};
+use havenplank_sidecar::engine::{Effect, Engine, RequestAttributes, EPOCH};
+use havenplank_sidecar::events::EngineSettings;
+use havenplank_sidecar::route_slots::{Slot, SlotCounts};
 use havenplank_sidecar::routes::{routes_of, KnownTenant, RouteTable};
-use havenplank_sidecar::slots::{Slot, SlotCounts};
-use havenplank_sidecar::told::Terms;
 use proptest::prelude::*;
 use std::collections::HashSet;
 use std::path::Path;
@@ -67,13 +67,13 @@
 
 /// An engine without routes of its own settings.
 fn engine(per_class: bool) -> Engine {
-    static TERMS: LazyLock<Terms> = LazyLock::new(|| {
+    static TERMS: LazyLock<EngineSettings> = LazyLock::new(|| {
         let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/site.star");
         let site = havenplank_settings::load(&file, &Default::default());
-        Terms::from(&site.unwrap_or_else(|problems| panic!("{problems}")))
+        EngineSettings::from(&site.unwrap_or_else(|problems| panic!("{problems}")))
     });
     let mut terms = TERMS.clone();
-    terms.groups.clear();
+    terms.route_classes.clear();
     terms.exposure.per_class = per_class;
     Engine::new(EPOCH, 1, &terms)
 }
@@ -241,20 +241,20 @@
 }
 
 fn ask(engine: &mut Engine, slot: &Slot) -> (u64, Nanos) {
-    let asked = Asked {
-        group: slot.group(),
+    let asked = RequestAttributes {
+        route_class: slot.group(),
         tenant: None,
         key: 0,
-        left: 10 * S,
+        remaining: 10 * S,
         cost_hint: None,
-        repeat: false,
+        is_retry: false,
     };
-    let hit = engine.hit(EPOCH, asked);
-    let effects: Vec<Effect> = std::iter::from_fn(|| engine.effect()).collect();
+    let hit = engine.handle_request(EPOCH, asked);
+    let effects: Vec<Effect> = std::iter::from_fn(|| engine.next_effect()).collect();
     let time_out = effects.iter().find_map(|effect| match effect {
-        Effect::Forward {
-            hit: known,
-            time_out,
+        Effect::SendAttempt {
+            request: known,
+            timeout: time_out,
             ..
         } if *known == hit => Some(*time_out),
         _ => None,
@@ -268,8 +268,8 @@
 #[test]
 fn a_request_ends_by_the_rules_it_began_with_and_its_slot_is_free_only_then() {
     let mut engine = engine(true);
-    engine.begin(EPOCH);
-    engine.list(EPOCH, true, (0..4).map(listed).collect());
+    engine.start(EPOCH);
+    engine.update_endpoints(EPOCH, true, (0..4).map(listed).collect());
     let old = engine.set_routes(
         EPOCH,
         &[("a".into(), rules(2 * S)), ("b".into(), rules(3 * S))],
@@ -300,12 +300,15 @@
         }
     );
     for (hit, retried) in [(hit, true), (other, false)] {
-        engine.ended(EPOCH + 10 * MS, hit, 0, AttemptEnd::Reset, 10 * MS, None);
-        let effects: Vec<Effect> = std::iter::from_fn(|| engine.effect()).collect();
+        engine.attempt_ended(EPOCH + 10 * MS, hit, 0, AttemptEnd::Reset, 10 * MS, None);
+        let effects: Vec<Effect> = std::iter::from_fn(|| engine.next_effect()).collect();
         let again = effects.iter().any(
-            |effect| matches!(effect, Effect::Forward { hit: known, nth: 1, .. } if *known == hit),
+            |effect| matches!(effect, Effect::SendAttempt { request: known, attempt: 1, .. } if *known == hit),
         );
-        let failed = effects.contains(&Effect::Error { hit, late: false });
+        let failed = effects.contains(&Effect::Fail {
+            request: hit,
+            timed_out: false,
+        });
         assert_eq!((again, failed), (retried, !retried), "{effects:?}");
     }
     // While the old request is out, no route may get its slot.
@@ -315,7 +318,7 @@
         3,
         "slot 0 is held by a request, slots 1 and 2 by tables"
     );
-    assert!(engine.ended(EPOCH + 20 * MS, hit, 1, AttemptEnd::Served, 10 * MS, None));
+    assert!(engine.attempt_ended(EPOCH + 20 * MS, hit, 1, AttemptEnd::Served, 10 * MS, None));
     drop((new, third));
     assert_eq!(
         engine.slot_counts(),
@@ -356,11 +359,13 @@
 #[test]
 fn tallies_and_flags_find_a_route_by_its_name_as_long_as_it_is_in_force() {
     let mut engine = engine(false);
-    engine.list(EPOCH, true, vec![listed(0)]);
+    engine.update_endpoints(EPOCH, true, vec![listed(0)]);
     engine.set_routes(EPOCH, &[("a".into(), rules(S))]);
-    assert!(engine.flagged(EPOCH, "pod-0", "a", 0));
+    assert!(engine.report_fault(EPOCH, "pod-0", "a", 0));
     engine.set_routes(EPOCH, &[("b".into(), rules(S))]);
-    assert!(!engine.flagged(EPOCH, "pod-0", "a", 0) && engine.flagged(EPOCH, "pod-0", "b", 0));
+    assert!(
+        !engine.report_fault(EPOCH, "pod-0", "a", 0) && engine.report_fault(EPOCH, "pod-0", "b", 0)
+    );
 }
 
 #[test]
--- a/crates/trace/src/columns.rs
+++ b/crates/trace/src/columns.rs
@@ -5,8 +5,8 @@
 use havenplank::interface::*;
 use havenplank_line_protocol::lines::MOST_PODS;
 use havenplank_line_protocol::nodes::Listed;
-use havenplank_sidecar::engine::{Asked, Effect};
-use havenplank_sidecar::told::Told;
+use havenplank_sidecar::engine::{Effect, RequestAttributes};
+use havenplank_sidecar::events::Event;
 use integer_encoding::VarInt;
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
@@ -228,23 +228,29 @@
 fn walk(w: &mut impl Way, kind: u16, source: u64, record: &mut Record) -> Result<(), Wrong> {
     let (c, own) = (kind * FIELDS, record.own);
     match &mut record.what {
-        What::Told(told) => match told {
-            Told::Begin | Told::ListFailed => Ok(()),
-            Told::IncomingRequest { hit, asked } => {
+        What::Event(told) => match told {
+            Event::Started | Event::EndpointWatchFailed => Ok(()),
+            Event::RequestArrived {
+                request: hit,
+                attributes: asked,
+            } => {
                 w.hit(c, source, hit)?;
-                w.index(c + 1, &mut asked.group)?;
+                w.index(c + 1, &mut asked.route_class)?;
                 w.maybe(c + 2, &mut asked.tenant, 0, |w, tenant| {
                     w.index(c + 3, tenant)
                 })?;
                 w.key(c + 4, &mut asked.key)?;
-                w.near(c + 5, asked.group as u64, &mut asked.left)?;
-                *w.last((1, source)) = asked.left;
+                w.near(c + 5, asked.route_class as u64, &mut asked.remaining)?;
+                *w.last((1, source)) = asked.remaining;
                 w.maybe(c + 6, &mut asked.cost_hint, 0, |w, cost| {
                     w.number(c + 7, cost)
                 })?;
-                w.flag(c + 8, &mut asked.repeat)
+                w.flag(c + 8, &mut asked.is_retry)
             }
-            Told::Resumed { hit, past } => {
+            Event::RequestResumed {
+                request: hit,
+                prior_attempts: past,
+            } => {
                 w.hit(c, source, hit)?;
                 let mut count = past.len();
                 w.index(c + 1, &mut count)?;
@@ -266,18 +272,22 @@
                 }
                 Ok(())
             }
-            Told::MayGo { hit, nth, may } => {
+            Event::SendPermission {
+                request: hit,
+                attempt: nth,
+                allowed: may,
+            } => {
                 w.hit(c, source, hit)?;
                 w.small(c + 1, nth)?;
                 w.flag(c + 2, may)
             }
-            Told::AttemptEnd {
-                hit,
-                nth,
+            Event::AttemptEnded {
+                request: hit,
+                attempt: nth,
                 end,
                 took,
                 load: said,
-                passed,
+                delivered: passed,
             } => {
                 w.hit(c, source, hit)?;
                 w.small(c + 1, nth)?;
@@ -291,8 +301,12 @@
                 w.flag(c + 4, passed)?;
                 load(w, c + 5, said)
             }
-            Told::Left { hit } => w.hit(c, source, hit),
-            Told::List { whole, pods, given } => {
+            Event::ClientLeft { request: hit } => w.hit(c, source, hit),
+            Event::EndpointsListed {
+                complete: whole,
+                pods,
+                pod_ids: given,
+            } => {
                 w.flag(c, whole)?;
                 let mut count = pods.len();
                 w.index(c + 1, &mut count)?;
@@ -309,21 +323,24 @@
                 }
                 Ok(())
             }
-            Told::News(news) => stage(w, c, news),
-            Told::Voted { vote, news } => {
+            Event::StageChanged(news) => stage(w, c, news),
+            Event::VoteAnswered { vote, reply: news } => {
                 w.number(c, vote)?;
                 w.one(c + 1, &mut news.receipt, &HEARD)?;
                 w.maybe(c + 2, &mut news.stage, NO_STAGE, |w, news| {
                     stage(w, c + 3, news)
                 })
             }
-            Told::Probed { probe, end } => {
+            Event::HealthCheckEnded {
+                check: probe,
+                result: end,
+            } => {
                 w.near(c, 0, probe)?;
                 w.one(c + 1, &mut end.end, &ENDS)?;
                 w.number(c + 2, &mut end.took)?;
                 load(w, c + 3, &mut end.load)
             }
-            Told::Tally(tally) => {
+            Event::TallyReported(tally) => {
                 w.small(c, &mut tally.build)?;
                 w.index(c + 1, &mut tally.group)?;
                 w.number(c + 2, &mut tally.count)?;
@@ -331,19 +348,23 @@
                 w.number(c + 4, &mut tally.mean_latency)?;
                 w.number(c + 5, &mut tally.age)
             }
-            Told::Flagged { pod, group, ago } => {
+            Event::FaultReported {
+                pod,
+                route_class: group,
+                ago,
+            } => {
                 w.card(c, pod, &mut record.pod)?;
                 w.index(c + 1, group)?;
                 w.number(c + 2, ago)
             }
-            Told::Wake(wake) => w.near(c, source, wake),
+            Event::TimerFired(wake) => w.near(c, source, wake),
         },
-        What::Did(effect) => match effect {
-            Effect::Forward {
-                hit,
-                nth,
+        What::Effect(effect) => match effect {
+            Effect::SendAttempt {
+                request: hit,
+                attempt: nth,
                 pod,
-                time_out,
+                timeout: time_out,
             } => {
                 w.hit(c, source, hit)?;
                 w.small(c + 1, nth)?;
@@ -353,35 +374,44 @@
                 *w.last((c + 3, source)) = *w.last((1, source));
                 w.near(c + 3, source, time_out)
             }
-            Effect::Cancel { hit, nth } => {
+            Effect::CancelAttempt {
+                request: hit,
+                attempt: nth,
+            } => {
                 w.hit(c, source, hit)?;
                 w.small(c + 1, nth)
             }
-            Effect::Bounce { hit, retry_after } => {
+            Effect::Reject {
+                request: hit,
+                retry_after,
+            } => {
                 w.hit(c, source, hit)?;
                 w.number(c + 1, retry_after)
             }
-            Effect::Error { hit, late } => {
+            Effect::Fail {
+                request: hit,
+                timed_out: late,
+            } => {
                 w.hit(c, source, hit)?;
                 w.flag(c + 1, late)
             }
-            Effect::Vote {
-                vote,
+            Effect::CastVote {
+                id: vote,
                 build,
                 stage,
-                voice,
+                vote: voice,
             } => {
                 w.number(c, vote)?;
                 w.small(c + 1, build)?;
                 w.index(c + 2, stage)?;
                 w.one(c + 3, voice, &VOICES)
             }
-            Effect::Probe { probe, pod } => {
+            Effect::HealthCheck { check: probe, pod } => {
                 w.near(c, 0, probe)?;
                 w.card(c + 1, pod, &mut record.pod)
             }
-            Effect::AskList => Ok(()),
-            Effect::WatchList(on) => w.flag(c, on),
+            Effect::PollEndpoints => Ok(()),
+            Effect::WatchEndpoints(on) => w.flag(c, on),
             Effect::Log(line) => w.text(c, line),
         },
         What::Lost { hits, records } => {
@@ -435,31 +465,31 @@
 /// The number of each kind; new kinds get new numbers, and none is ever given twice.
 fn kind_of(what: &What) -> u16 {
     match what {
-        What::Told(told) => match told {
-            Told::Begin => 1,
-            Told::IncomingRequest { .. } => 2,
-            Told::MayGo { .. } => 3,
-            Told::AttemptEnd { .. } => 4,
-            Told::Left { .. } => 5,
-            Told::List { .. } => 6,
-            Told::ListFailed => 7,
-            Told::News(_) => 8,
-            Told::Voted { .. } => 9,
-            Told::Probed { .. } => 10,
-            Told::Tally(_) => 11,
-            Told::Flagged { .. } => 12,
-            Told::Wake(_) => 13,
-            Told::Resumed { .. } => 14,
+        What::Event(told) => match told {
+            Event::Started => 1,
+            Event::RequestArrived { .. } => 2,
+            Event::SendPermission { .. } => 3,
+            Event::AttemptEnded { .. } => 4,
+            Event::ClientLeft { .. } => 5,
+            Event::EndpointsListed { .. } => 6,
+            Event::EndpointWatchFailed => 7,
+            Event::StageChanged(_) => 8,
+            Event::VoteAnswered { .. } => 9,
+            Event::HealthCheckEnded { .. } => 10,
+            Event::TallyReported(_) => 11,
+            Event::FaultReported { .. } => 12,
+            Event::TimerFired(_) => 13,
+            Event::RequestResumed { .. } => 14,
         },
-        What::Did(effect) => match effect {
-            Effect::Forward { .. } => 16,
-            Effect::Cancel { .. } => 17,
-            Effect::Bounce { .. } => 18,
-            Effect::Error { .. } => 19,
-            Effect::Vote { .. } => 20,
-            Effect::Probe { .. } => 21,
-            Effect::AskList => 22,
-            Effect::WatchList(_) => 23,
+        What::Effect(effect) => match effect {
+            Effect::SendAttempt { .. } => 16,
+            Effect::CancelAttempt { .. } => 17,
+            Effect::Reject { .. } => 18,
+            Effect::Fail { .. } => 19,
+            Effect::CastVote { .. } => 20,
+            Effect::HealthCheck { .. } => 21,
+            Effect::PollEndpoints => 22,
+            Effect::WatchEndpoints(_) => 23,
             Effect::Log(_) => 24,
         },
         What::Lost { .. } => 25,
@@ -467,13 +497,13 @@
 }
 
 fn blank(kind: u64) -> Option<What> {
-    let asked = || Asked {
-        group: 0,
+    let asked = || RequestAttributes {
+        route_class: 0,
         tenant: None,
         key: 0,
-        left: 0,
+        remaining: 0,
         cost_hint: None,
-        repeat: false,
+        is_retry: false,
     };
     let tally = || Tally {
         build: 0,
@@ -483,13 +513,13 @@
         mean_latency: 0,
         age: 0,
     };
-    let ended = || Told::AttemptEnd {
-        hit: 0,
-        nth: 0,
+    let ended = || Event::AttemptEnded {
+        request: 0,
+        attempt: 0,
         end: AttemptEnd::Failed,
         took: 0,
         load: None,
-        passed: false,
+        delivered: false,
     };
     let news = || VoteReply {
         receipt: VoteReceipt::Unknown,
@@ -501,69 +531,72 @@
         load: None,
     };
     Some(match kind {
-        1 => What::Told(Told::Begin),
-        2 => What::Told(Told::IncomingRequest {
-            hit: 0,
-            asked: asked(),
+        1 => What::Event(Event::Started),
+        2 => What::Event(Event::RequestArrived {
+            request: 0,
+            attributes: asked(),
         }),
-        3 => What::Told(Told::MayGo {
-            hit: 0,
-            nth: 0,
-            may: false,
+        3 => What::Event(Event::SendPermission {
+            request: 0,
+            attempt: 0,
+            allowed: false,
         }),
-        4 => What::Told(ended()),
-        5 => What::Told(Told::Left { hit: 0 }),
-        6 => What::Told(Told::List {
-            whole: false,
+        4 => What::Event(ended()),
+        5 => What::Event(Event::ClientLeft { request: 0 }),
+        6 => What::Event(Event::EndpointsListed {
+            complete: false,
             pods: Vec::new(),
-            given: Vec::new(),
+            pod_ids: Vec::new(),
         }),
-        7 => What::Told(Told::ListFailed),
-        8 => What::Told(Told::News(NO_STAGE)),
-        9 => What::Told(Told::Voted {
+        7 => What::Event(Event::EndpointWatchFailed),
+        8 => What::Event(Event::StageChanged(NO_STAGE)),
+        9 => What::Event(Event::VoteAnswered {
             vote: 0,
-            news: news(),
+            reply: news(),
         }),
-        10 => What::Told(Told::Probed {
-            probe: 0,
-            end: end(),
+        10 => What::Event(Event::HealthCheckEnded {
+            check: 0,
+            result: end(),
         }),
-        11 => What::Told(Told::Tally(tally())),
-        12 => What::Told(Told::Flagged {
+        11 => What::Event(Event::TallyReported(tally())),
+        12 => What::Event(Event::FaultReported {
             pod: 0,
-            group: 0,
+            route_class: 0,
             ago: 0,
         }),
-        13 => What::Told(Told::Wake(0)),
-        14 => What::Told(Told::Resumed {
-            hit: 0,
-            past: Vec::new(),
+        13 => What::Event(Event::TimerFired(0)),
+        14 => What::Event(Event::RequestResumed {
+            request: 0,
+            prior_attempts: Vec::new(),
         }),
-        16 => What::Did(Effect::Forward {
-            hit: 0,
-            nth: 0,
+        16 => What::Effect(Effect::SendAttempt {
+            request: 0,
+            attempt: 0,
             pod: 0,
-            time_out: 0,
+            timeout: 0,
+        }),
+        17 => What::Effect(Effect::CancelAttempt {
+            request: 0,
+            attempt: 0,
         }),
-        17 => What::Did(Effect::Cancel { hit: 0, nth: 0 }),
-        18 => What::Did(Effect::Bounce {
-            hit: 0,
+        18 => What::Effect(Effect::Reject {
+            request: 0,
             retry_after: 0,
         }),
-        19 => What::Did(Effect::Error {
-            hit: 0,
-            late: false,
+        19 => What::Effect(Effect::Fail {
+            request: 0,
+            timed_out: false,
         }),
-        20 => What::Did(Effect::Vote {
-            vote: 0,
+        20 => What::Effect(Effect::CastVote {
+            id: 0,
             build: 0,
             stage: 0,
-            voice: Vote::None,
+            vote: Vote::None,
         }),
-        21 => What::Did(Effect::Probe { probe: 0, pod: 0 }),
-        22 => What::Did(Effect::AskList),
-        23 => What::Did(Effect::WatchList(false)),
-        24 => What::Did(Effect::Log(String::new())),
+        21 => What::Effect(Effect::HealthCheck { check: 0, pod: 0 }),
+        22 => What::Effect(Effect::PollEndpoints),
+        23 => What::Effect(Effect::WatchEndpoints(false)),
+        24 => What::Effect(Effect::Log(String::new())),
         25 => What::Lost {
             hits: 0,
             records: 0,
--- a/crates/trace/src/from_wire.rs
+++ b/crates/trace/src/from_wire.rs
@@ -8,8 +8,8 @@
 use havenplank_adapter::line::Line;
 use havenplank_adapter::setup::{Names, Setup};
 use havenplank_line_protocol::nodes::Listed;
-use havenplank_sidecar::engine::{Asked, Effect};
-use havenplank_sidecar::told::{Terms, Told};
+use havenplank_sidecar::engine::{Effect, RequestAttributes};
+use havenplank_sidecar::events::{EngineSettings, Event};
 use std::collections::{HashMap, VecDeque};
 use std::io::{BufRead, Write};
 use std::net::SocketAddr;
@@ -40,7 +40,7 @@
     calls: u64,
     votes: VecDeque<u64>,
     probes: HashMap<PodId, VecDeque<u64>>,
-    told: Vec<Told>,
+    told: Vec<Event>,
 }
 
 impl Scribe {
@@ -84,19 +84,19 @@
             votes,
             list,
         } = setup;
-        let terms = Terms {
+        let terms = EngineSettings {
             name: format!("sidecar-{sidecar}"),
-            place,
+            position: place,
             zones: names.zones.clone(),
             machines: names.machines.clone(),
             tenants: names.tenants.clone(),
-            groups: names.groups.iter().cloned().zip(groups).collect(),
-            forwards,
+            route_classes: names.groups.iter().cloned().zip(groups).collect(),
+            attempts: forwards,
             pods,
             exposure,
             votes,
-            list,
-            reuse: false,
+            endpoint_list: list,
+            reuse_pod_ids: false,
         };
         let (life, until) = (seed ^ now, Nanos::MAX);
         let source = Source {
@@ -139,7 +139,7 @@
     }
 
     fn begin(&mut self) {
-        self.told.push(Told::Begin);
+        self.told.push(Event::Started);
     }
 
     fn list(&mut self, whole: bool, rows: &[Row]) {
@@ -182,11 +182,15 @@
             });
             given.push(Some(id));
         }
-        self.told.push(Told::List { whole, pods, given });
+        self.told.push(Event::EndpointsListed {
+            complete: whole,
+            pods,
+            pod_ids: given,
+        });
     }
 
     fn list_failed(&mut self) {
-        self.told.push(Told::ListFailed);
+        self.told.push(Event::EndpointWatchFailed);
     }
 
     fn hit(&mut self, name: &str, hit: IncomingRequest) {
@@ -208,15 +212,18 @@
             out: Vec::new(),
         };
         self.hits.insert(name.to_string(), held);
-        let asked = Asked {
-            group,
+        let asked = RequestAttributes {
+            route_class: group,
             tenant,
             key,
-            left,
+            remaining: left,
             cost_hint,
-            repeat,
+            is_retry: repeat,
         };
-        self.told.push(Told::IncomingRequest { hit: id, asked });
+        self.told.push(Event::RequestArrived {
+            request: id,
+            attributes: asked,
+        });
     }
 
     fn ended(&mut self, name: &str, nth: usize, outcome: AttemptOutcome) {
@@ -233,46 +240,50 @@
         let passed = held.open && end == AttemptEnd::Served;
         held.open &= !passed;
         let (hit, nth) = (held.id, nth as u32);
-        self.told.push(Told::AttemptEnd {
-            hit,
-            nth,
+        self.told.push(Event::AttemptEnded {
+            request: hit,
+            attempt: nth,
             end,
             took,
             load,
-            passed,
+            delivered: passed,
         });
         self.sweep(name);
     }
 
     fn left(&mut self, name: &str) {
         if let Some(hit) = self.hits.get(name).map(|held| held.id) {
-            self.told.push(Told::Left { hit });
+            self.told.push(Event::ClientLeft { request: hit });
             self.close(name);
         }
     }
 
     fn woken(&mut self, id: u64) {
         // An engine counts its wakes from 1, the adapter from 0.
-        self.told.push(Told::Wake(id.saturating_add(1)));
+        self.told.push(Event::TimerFired(id.saturating_add(1)));
     }
 
     fn news(&mut self, stage: Stage) {
-        self.told.push(Told::News(stage));
+        self.told.push(Event::StageChanged(stage));
     }
 
     fn voted(&mut self, news: VoteReply) {
         if let Some(vote) = self.votes.pop_front() {
-            self.told.push(Told::Voted { vote, news });
+            self.told.push(Event::VoteAnswered { vote, reply: news });
         }
     }
 
     fn tally(&mut self, tally: Tally) {
-        self.told.push(Told::Tally(tally));
+        self.told.push(Event::TallyReported(tally));
     }
 
     fn flagged(&mut self, pod: &str, group: RouteClassId, ago: Nanos) {
         if let Some(pod) = self.pods.get(pod).copied() {
-            self.told.push(Told::Flagged { pod, group, ago });
+            self.told.push(Event::FaultReported {
+                pod,
+                route_class: group,
+                ago,
+            });
         }
     }
 
@@ -281,7 +292,10 @@
             return;
         };
         if let Some(probe) = self.probes.get_mut(pod).and_then(VecDeque::pop_front) {
-            self.told.push(Told::Probed { probe, end });
+            self.told.push(Event::HealthCheckEnded {
+                check: probe,
+                result: end,
+            });
         }
     }
 }
@@ -306,34 +320,34 @@
         self.by(sidecar, |scribe| {
             let pod = scribe.pods.get(pod).copied().unwrap_or(PodId::MAX);
             let Some(held) = scribe.hits.get_mut(hit) else {
-                return Effect::Forward {
-                    hit: RequestId::MAX,
-                    nth: 0,
+                return Effect::SendAttempt {
+                    request: RequestId::MAX,
+                    attempt: 0,
                     pod,
-                    time_out,
+                    timeout: time_out,
                 };
             };
             held.out.push(true);
-            Effect::Forward {
-                hit: held.id,
-                nth: held.out.len() as u32 - 1,
+            Effect::SendAttempt {
+                request: held.id,
+                attempt: held.out.len() as u32 - 1,
                 pod,
-                time_out,
+                timeout: time_out,
             }
         });
     }
 
     fn cancel(&mut self, sidecar: u64, hit: &str, nth: u32) {
-        self.by(sidecar, |scribe| Effect::Cancel {
-            hit: scribe.id(hit),
-            nth,
+        self.by(sidecar, |scribe| Effect::CancelAttempt {
+            request: scribe.id(hit),
+            attempt: nth,
         });
     }
 
     fn bounce(&mut self, sidecar: u64, hit: &str, retry_after: Nanos) {
         self.by(sidecar, |scribe| {
-            let bounced = Effect::Bounce {
-                hit: scribe.id(hit),
+            let bounced = Effect::Reject {
+                request: scribe.id(hit),
                 retry_after,
             };
             scribe.close(hit);
@@ -347,9 +361,9 @@
                 .hits
                 .get(hit)
                 .is_some_and(|held| scribe.now >= held.deadline);
-            let errored = Effect::Error {
-                hit: scribe.id(hit),
-                late,
+            let errored = Effect::Fail {
+                request: scribe.id(hit),
+                timed_out: late,
             };
             scribe.close(hit);
             errored
@@ -360,11 +374,11 @@
         self.by(sidecar, |scribe| {
             let vote = scribe.call();
             scribe.votes.push_back(vote);
-            Effect::Vote {
-                vote,
+            Effect::CastVote {
+                id: vote,
                 build,
                 stage,
-                voice,
+                vote: voice,
             }
         });
     }
@@ -376,16 +390,16 @@
                 scribe.pods.get(pod).copied().unwrap_or(PodId::MAX),
             );
             scribe.probes.entry(pod).or_default().push_back(probe);
-            Effect::Probe { probe, pod }
+            Effect::HealthCheck { check: probe, pod }
         });
     }
 
     fn ask_list(&mut self, sidecar: u64) {
-        self.by(sidecar, |_| Effect::AskList);
+        self.by(sidecar, |_| Effect::PollEndpoints);
     }
 
     fn watch_list(&mut self, sidecar: u64, on: bool) {
-        self.by(sidecar, |_| Effect::WatchList(on));
+        self.by(sidecar, |_| Effect::WatchEndpoints(on));
     }
 
     fn log(&mut self, sidecar: u64, text: &str) {
@@ -488,7 +502,7 @@
                 lives += 1;
             }
             for told in std::mem::take(&mut scribe.told) {
-                put(scribe, What::Told(told))?;
+                put(scribe, What::Event(told))?;
             }
         }
         let Some(turn) = turn else { continue };
@@ -504,7 +518,7 @@
             let ends = acts::read(&line, &mut deeds).map_err(TraceError::Unfit)?;
             for (sidecar, effect) in deeds.done {
                 if let Some(Some(scribe)) = wire.instances.get(&sidecar) {
-                    put(scribe, What::Did(effect))?;
+                    put(scribe, What::Effect(effect))?;
                 }
             }
             match ends {
--- a/crates/trace/src/merge.rs
+++ b/crates/trace/src/merge.rs
@@ -3,7 +3,7 @@
 use crate::file::{Reader, TraceError, Writer};
 use crate::record::{Head, Record, Source, What};
 use havenplank::interface::Nanos;
-use havenplank_sidecar::told::Told;
+use havenplank_sidecar::events::Event;
 use std::collections::HashMap;
 use std::io::{Read, Seek, Write};
 
@@ -40,7 +40,7 @@
 }
 
 /// What two sidecars hear of in the same words: the state of a pod's life, and a stage. The first hearing counts.
-type Event = (u64, u64, u64, u64);
+type SharedEvent = (u64, u64, u64, u64);
 
 fn wall(source: &Source, own: Nanos) -> i128 {
     source.wall as i128 + own as i128 - source.began as i128
@@ -55,9 +55,11 @@
 }
 
 /// The first hearing of each shared event, by the sources' own walls. Reads only blocks that hold such.
-fn events<R: Read + Seek>(reader: &mut Reader<R>) -> Result<Vec<HashMap<Event, i128>>, TraceError> {
+fn events<R: Read + Seek>(
+    reader: &mut Reader<R>,
+) -> Result<Vec<HashMap<SharedEvent, i128>>, TraceError> {
     let sources = reader.head.sources.clone();
-    let mut heard: Vec<HashMap<Event, i128>> = vec![HashMap::new(); sources.len()];
+    let mut heard: Vec<HashMap<SharedEvent, i128>> = vec![HashMap::new(); sources.len()];
     let wanted: Vec<usize> = reader
         .index
         .iter()
@@ -82,7 +84,7 @@
                 continue;
             }
             match &record.what {
-                What::Told(Told::News(stage)) => {
+                What::Event(Event::StageChanged(stage)) => {
                     let event = (
                         0,
                         stage.build as u64,
@@ -92,8 +94,10 @@
                     heard.entry(event).or_insert(at);
                 }
                 // What a list tells at a start was true before; only changes are news to all at once.
-                What::Told(Told::List {
-                    whole: false, pods, ..
+                What::Event(Event::EndpointsListed {
+                    complete: false,
+                    pods,
+                    ..
                 }) => {
                     for pod in pods {
                         heard
@@ -147,7 +151,7 @@
 
 /// Sets the clocks: first the source with the most events, as it stands; then, each time, the one that shares
 /// the most events with those set before.
-fn clocks(sources: &[Source], heard: &[HashMap<Event, i128>]) -> Vec<Clock> {
+fn clocks(sources: &[Source], heard: &[HashMap<SharedEvent, i128>]) -> Vec<Clock> {
     let blank = |source: &Source| Clock {
         name: source.terms.name.clone(),
         life: source.life,
@@ -159,7 +163,7 @@
     };
     let mut clocks: Vec<Clock> = sources.iter().map(blank).collect();
     let mut left: Vec<usize> = (0..sources.len()).collect();
-    let mut agreed: HashMap<Event, Vec<i128>> = HashMap::new();
+    let mut agreed: HashMap<SharedEvent, Vec<i128>> = HashMap::new();
     while !left.is_empty() {
         let shared = |n: usize| match agreed.is_empty() {
             true => heard[n].len(),
@@ -173,7 +177,7 @@
             .max_by_key(|at| (shared(left[*at]), std::cmp::Reverse(*at)))
             .unwrap_or(0);
         let n = left.remove(best);
-        let together = |(event, own): (&Event, &i128)| {
+        let together = |(event, own): (&SharedEvent, &i128)| {
             let told = agreed.get(event)?;
             Some((*own, median(&mut told.clone())?))
         };
@@ -274,7 +278,7 @@
         ));
     }
     let (sources, places) = sources_of(&readers)?;
-    let mut heard: Vec<HashMap<Event, i128>> = vec![HashMap::new(); sources.len()];
+    let mut heard: Vec<HashMap<SharedEvent, i128>> = vec![HashMap::new(); sources.len()];
     for (reader, of) in readers.iter_mut().zip(&places) {
         for (events, place) in events(reader)?.into_iter().zip(of) {
             for (event, at) in events {
--- a/crates/trace/src/record.rs
+++ b/crates/trace/src/record.rs
@@ -2,7 +2,7 @@
 
 use havenplank::interface::{Build, Nanos, PodId, RequestId, Stage};
 use havenplank_sidecar::engine::Effect;
-use havenplank_sidecar::told::{Terms, Told};
+use havenplank_sidecar::events::{EngineSettings, Event};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
@@ -22,8 +22,8 @@
 
 #[derive(Clone, Debug, PartialEq)]
 pub enum What {
-    Told(Told),
-    Did(Effect),
+    Event(Event),
+    Effect(Effect),
     /// So many hits, and so many of other records, are missing since the last such line. Hits that were begun
     /// before it and whose end does not follow have lost records where `records` is not 0.
     Lost {
@@ -52,7 +52,7 @@
 /// One life of one sidecar.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Source {
-    pub terms: Terms,
+    pub terms: EngineSettings,
     /// Where its chance started.
     pub seed: u64,
     /// A number that no other life has: parts with the same one belong together.
@@ -134,30 +134,42 @@
     /// The hit it belongs to; `None` for what is about none.
     pub fn hit(&self) -> Option<RequestId> {
         match &self.what {
-            What::Told(Told::IncomingRequest { hit, .. } | Told::MayGo { hit, .. })
-            | What::Told(
-                Told::AttemptEnd { hit, .. } | Told::Left { hit } | Told::Resumed { hit, .. },
+            What::Event(
+                Event::RequestArrived { request: hit, .. }
+                | Event::SendPermission { request: hit, .. },
             )
-            | What::Did(Effect::Forward { hit, .. } | Effect::Cancel { hit, .. })
-            | What::Did(Effect::Bounce { hit, .. } | Effect::Error { hit, .. }) => Some(*hit),
+            | What::Event(
+                Event::AttemptEnded { request: hit, .. }
+                | Event::ClientLeft { request: hit }
+                | Event::RequestResumed { request: hit, .. },
+            )
+            | What::Effect(
+                Effect::SendAttempt { request: hit, .. }
+                | Effect::CancelAttempt { request: hit, .. },
+            )
+            | What::Effect(
+                Effect::Reject { request: hit, .. } | Effect::Fail { request: hit, .. },
+            ) => Some(*hit),
             _ => None,
         }
     }
 
     pub fn begins_hit(&self) -> bool {
-        matches!(self.what, What::Told(Told::IncomingRequest { .. }))
+        matches!(self.what, What::Event(Event::RequestArrived { .. }))
     }
 
     /// A hit begins with it or right after it.
     pub fn opens_hit(&self) -> bool {
-        self.begins_hit() || matches!(self.what, What::Told(Told::Resumed { .. }))
+        self.begins_hit() || matches!(self.what, What::Event(Event::RequestResumed { .. }))
     }
 
     /// The pod's index, where it names one.
     pub fn pod_index(&self) -> Option<PodId> {
         match &self.what {
-            What::Did(Effect::Forward { pod, .. } | Effect::Probe { pod, .. }) => Some(*pod),
-            What::Told(Told::Flagged { pod, .. }) => Some(*pod),
+            What::Effect(Effect::SendAttempt { pod, .. } | Effect::HealthCheck { pod, .. }) => {
+                Some(*pod)
+            }
+            What::Event(Event::FaultReported { pod, .. }) => Some(*pod),
             _ => None,
         }
     }
@@ -165,14 +177,17 @@
     /// The stage that it tells of.
     pub fn stage(&self) -> Option<Stage> {
         match &self.what {
-            What::Told(Told::News(stage)) => Some(*stage),
-            What::Told(Told::Voted { news, .. }) => news.stage,
+            What::Event(Event::StageChanged(stage)) => Some(*stage),
+            What::Event(Event::VoteAnswered { reply: news, .. }) => news.stage,
             _ => None,
         }
     }
 
     /// Whether other sidecars were told the same at about the same time.
     pub fn is_shared(&self) -> bool {
-        matches!(self.what, What::Told(Told::List { .. } | Told::News(_)))
+        matches!(
+            self.what,
+            What::Event(Event::EndpointsListed { .. } | Event::StageChanged(_))
+        )
     }
 }
