--- a/crates/trace/src/recorder.rs
+++ b/crates/trace/src/recorder.rs
@@ -6,7 +6,7 @@
 use havenplank::interface::{Nanos, PodId, RequestId};
 use havenplank_line_protocol::nodes::Listed;
 use havenplank_sidecar::engine::Effect;
-use havenplank_sidecar::told::{Told, Witness};
+use havenplank_sidecar::events::{Event, Observer};
 use std::collections::VecDeque;
 use std::fs::File;
 use std::io::{self, Write};
@@ -329,18 +329,22 @@
     }
 }
 
-impl Witness for Recorder {
-    fn told(&mut self, now: Nanos, told: Told) {
+impl Observer for Recorder {
+    fn told(&mut self, now: Nanos, told: Event) {
         match &told {
-            Told::IncomingRequest { hit, .. } => self.begins(now, *hit),
-            Told::List { pods, given, .. } => self.listed(pods, given),
+            Event::RequestArrived { request: hit, .. } => self.begins(now, *hit),
+            Event::EndpointsListed {
+                pods,
+                pod_ids: given,
+                ..
+            } => self.listed(pods, given),
             _ => {}
         }
-        self.put(now, What::Told(told));
+        self.put(now, What::Event(told));
     }
 
     fn did(&mut self, now: Nanos, effect: &Effect) {
-        self.put(now, What::Did(effect.clone()));
+        self.put(now, What::Effect(effect.clone()));
     }
 }
 
--- a/crates/trace/src/replay.rs
+++ b/crates/trace/src/replay.rs
@@ -4,7 +4,7 @@
 use crate::record::{Record, Source, What};
 use havenplank::interface::Nanos;
 use havenplank_sidecar::engine::{Effect, Engine};
-use havenplank_sidecar::told::{Terms, Told};
+use havenplank_sidecar::events::{EngineSettings, Event};
 use std::collections::HashMap;
 use std::io::{Read, Seek};
 
@@ -62,10 +62,10 @@
             let why = format!("{name}: cannot be played again, as the trace {why}");
             return Err(TraceError::Unfit(why));
         }
-        let Terms {
-            groups,
+        let EngineSettings {
+            route_classes: groups,
             exposure,
-            place,
+            position: place,
             zones,
             ..
         } = &source.terms;
@@ -112,13 +112,17 @@
     }
 
     /// Whether a call names nothing that these settings lack: a file may hold what no sidecar was told.
-    fn fits(&self, told: &Told) -> bool {
+    fn fits(&self, told: &Event) -> bool {
         match told {
-            Told::IncomingRequest { asked, .. } => asked.group < self.groups,
-            Told::Tally(tally) => tally.group < self.groups,
-            Told::Flagged { pod, group, .. } => {
-                *group < self.groups && self.engine.pod_name(*pod).is_some()
-            }
+            Event::RequestArrived {
+                attributes: asked, ..
+            } => asked.route_class < self.groups,
+            Event::TallyReported(tally) => tally.group < self.groups,
+            Event::FaultReported {
+                pod,
+                route_class: group,
+                ..
+            } => *group < self.groups && self.engine.pod_name(*pod).is_some(),
             _ => true,
         }
     }
@@ -144,36 +148,40 @@
             return;
         }
         match record.what {
-            What::Told(told) if !self.fits(&told) => {
+            What::Event(told) if !self.fits(&told) => {
                 self.compare(at, told, "no such path group or pod", false);
             }
-            What::Told(told) => {
-                self.outcome.hits += matches!(told, Told::IncomingRequest { .. }) as u64;
+            What::Event(told) => {
+                self.outcome.hits += matches!(told, Event::RequestArrived { .. }) as u64;
                 let said = match &told {
-                    Told::MayGo { may, .. } => Some(*may),
-                    Told::AttemptEnd { passed, .. } => Some(*passed),
+                    Event::SendPermission { allowed: may, .. } => Some(*may),
+                    Event::AttemptEnded {
+                        delivered: passed, ..
+                    } => Some(*passed),
                     _ => None,
                 };
                 let given = match &told {
-                    Told::List { given, whole, pods } => {
-                        Some((given.clone(), *whole, pods.clone()))
-                    }
+                    Event::EndpointsListed {
+                        pod_ids: given,
+                        complete: whole,
+                        pods,
+                    } => Some((given.clone(), *whole, pods.clone())),
                     _ => None,
                 };
                 if let Some((given, whole, pods)) = given {
-                    let now = self.engine.list(at, whole, pods);
+                    let now = self.engine.update_endpoints(at, whole, pods);
                     let same = given == now;
                     self.compare(at, given, now, same);
                 } else {
                     let shown = said.map(|_| told.clone());
-                    let now = self.engine.tell(at, told);
+                    let now = self.engine.replay(at, told);
                     if let Some(shown) = shown {
                         self.compare(at, shown, now, said == now);
                     }
                 }
             }
-            What::Did(effect) => {
-                let now = self.engine.effect();
+            What::Effect(effect) => {
+                let now = self.engine.next_effect();
                 let same = now.as_ref().is_some_and(|now| self.same(&effect, now));
                 self.compare(at, effect, now, same);
             }
@@ -207,7 +215,7 @@
     pub fn finish(mut self, closed: bool) -> Outcome {
         let at = self.last;
         if closed && self.until == Nanos::MAX && !self.is_over() {
-            if let Some(more) = self.engine.effect() {
+            if let Some(more) = self.engine.next_effect() {
                 self.compare(at, "nothing more", more, false);
             }
         }
--- a/crates/trace/src/show.rs
+++ b/crates/trace/src/show.rs
@@ -5,7 +5,7 @@
 use havenplank::interface::*;
 use havenplank_line_protocol::nodes::Listed;
 use havenplank_sidecar::engine::Effect;
-use havenplank_sidecar::told::Told;
+use havenplank_sidecar::events::Event;
 use serde_json::{json, Map, Value};
 
 fn phase_name(phase: Phase) -> &'static str {
@@ -93,7 +93,7 @@
         |names: Option<&Vec<String>>, at: usize| names.and_then(|names| names.get(at)).cloned();
     let group = |at: usize| {
         terms
-            .and_then(|terms| terms.groups.get(at))
+            .and_then(|terms| terms.route_classes.get(at))
             .map(|(name, _)| name.clone())
     };
     let pod = record
@@ -101,35 +101,43 @@
         .as_ref()
         .map(|pod| json!({"name": pod.name, "build": pod.build, "index": pod.pod}));
     let (kind, fields) = match &record.what {
-        What::Told(told) => match told {
-            Told::Begin => ("begin", json!({})),
-            Told::IncomingRequest { hit, asked } => {
+        What::Event(told) => match told {
+            Event::Started => ("begin", json!({})),
+            Event::RequestArrived {
+                request: hit,
+                attributes: asked,
+            } => {
                 let tenant = asked
                     .tenant
                     .and_then(|at| name(terms.map(|terms| &terms.tenants), at));
                 let fields = json!({
-                    "hit": hit, "path_group": group(asked.group), "customer": tenant, "key": asked.key,
-                    "left_ns": asked.left, "cost_hint_ns": asked.cost_hint, "repeat": asked.repeat,
+                    "hit": hit, "path_group": group(asked.route_class), "customer": tenant, "key": asked.key,
+                    "left_ns": asked.remaining, "cost_hint_ns": asked.cost_hint, "repeat": asked.is_retry,
                 });
                 ("hit", fields)
             }
-            Told::Resumed { hit, past } => {
+            Event::RequestResumed {
+                request: hit,
+                prior_attempts: past,
+            } => {
                 let one = |earlier: &PriorAttempt| json!({"index": earlier.pod, "ago_ns": earlier.ago, "may_have_run": earlier.may_have_run});
                 (
                     "resumed",
                     json!({"hit": hit, "past": past.iter().map(one).collect::<Vec<_>>()}),
                 )
             }
-            Told::MayGo { hit, nth, may } => {
-                ("may_go", json!({"hit": hit, "nth": nth, "may": may}))
-            }
-            Told::AttemptEnd {
-                hit,
-                nth,
+            Event::SendPermission {
+                request: hit,
+                attempt: nth,
+                allowed: may,
+            } => ("may_go", json!({"hit": hit, "nth": nth, "may": may})),
+            Event::AttemptEnded {
+                request: hit,
+                attempt: nth,
                 end,
                 took,
                 load: said,
-                passed,
+                delivered: passed,
             } => {
                 let fields = json!({
                     "hit": hit, "nth": nth, "end": ended(*end), "took_ns": took, "load": load(said),
@@ -137,8 +145,12 @@
                 });
                 ("ended", fields)
             }
-            Told::Left { hit } => ("left", json!({"hit": hit})),
-            Told::List { whole, pods, given } => {
+            Event::ClientLeft { request: hit } => ("left", json!({"hit": hit})),
+            Event::EndpointsListed {
+                complete: whole,
+                pods,
+                pod_ids: given,
+            } => {
                 let pods: Vec<Value> = pods
                     .iter()
                     .zip(given)
@@ -146,62 +158,77 @@
                     .collect();
                 ("list", json!({"whole": whole, "pods": pods}))
             }
-            Told::ListFailed => ("list_failed", json!({})),
-            Told::News(news) => ("news", stage(news)),
-            Told::Voted { vote, news } => {
+            Event::EndpointWatchFailed => ("list_failed", json!({})),
+            Event::StageChanged(news) => ("news", stage(news)),
+            Event::VoteAnswered { vote, reply: news } => {
                 let told = news.stage.as_ref().map(stage);
                 (
                     "voted",
                     json!({"vote": vote, "heard": receipt_name(news.receipt), "stage": told}),
                 )
             }
-            Told::Probed { probe, end } => {
+            Event::HealthCheckEnded {
+                check: probe,
+                result: end,
+            } => {
                 let fields = json!({"probe": probe, "end": ended(end.end), "took_ns": end.took, "load": load(&end.load)});
                 ("probed", fields)
             }
-            Told::Tally(tally) => {
+            Event::TallyReported(tally) => {
                 let fields = json!({
                     "build": tally.build, "path_group": group(tally.group), "count": tally.count,
                     "failed": tally.failed, "mean_latency_ns": tally.mean_latency, "age_ns": tally.age,
                 });
                 ("tally", fields)
             }
-            Told::Flagged { group: at, ago, .. } => {
-                ("flagged", json!({"path_group": group(*at), "ago_ns": ago}))
-            }
-            Told::Wake(wake) => ("wake", json!({"wake": wake})),
+            Event::FaultReported {
+                route_class: at,
+                ago,
+                ..
+            } => ("flagged", json!({"path_group": group(*at), "ago_ns": ago})),
+            Event::TimerFired(wake) => ("wake", json!({"wake": wake})),
         },
-        What::Did(effect) => match effect {
-            Effect::Forward {
-                hit, nth, time_out, ..
+        What::Effect(effect) => match effect {
+            Effect::SendAttempt {
+                request: hit,
+                attempt: nth,
+                timeout: time_out,
+                ..
             } => (
                 "forward",
                 json!({"hit": hit, "nth": nth, "time_out_ns": time_out}),
             ),
-            Effect::Cancel { hit, nth } => ("cancel", json!({"hit": hit, "nth": nth})),
-            Effect::Bounce { hit, retry_after } => {
-                ("bounce", json!({"hit": hit, "come_back_ns": retry_after}))
-            }
-            Effect::Error { hit, late } => ("error", json!({"hit": hit, "late": late})),
-            Effect::Vote {
-                vote,
+            Effect::CancelAttempt {
+                request: hit,
+                attempt: nth,
+            } => ("cancel", json!({"hit": hit, "nth": nth})),
+            Effect::Reject {
+                request: hit,
+                retry_after,
+            } => ("bounce", json!({"hit": hit, "come_back_ns": retry_after})),
+            Effect::Fail {
+                request: hit,
+                timed_out: late,
+            } => ("error", json!({"hit": hit, "late": late})),
+            Effect::CastVote {
+                id: vote,
                 build,
                 stage,
-                voice,
+                vote: voice,
             } => (
                 "vote",
                 json!({"vote": vote, "build": build, "stage": stage, "voice": vote_name(*voice)}),
             ),
-            Effect::Probe { probe, .. } => ("probe", json!({"probe": probe})),
-            Effect::AskList => ("ask_list", json!({})),
-            Effect::WatchList(on) => ("watch_list", json!({"on": on})),
+            Effect::HealthCheck { check: probe, .. } => ("probe", json!({"probe": probe})),
+            Effect::PollEndpoints => ("ask_list", json!({})),
+            Effect::WatchEndpoints(on) => ("watch_list", json!({"on": on})),
             Effect::Log(text) => ("log", json!({"text": text})),
         },
         What::Lost { hits, records } => ("lost", json!({"hits": hits, "records": records})),
     };
     let side = match &record.what {
-        What::Told(_) => "told",
-        What::Did(_) => "did",
+        What::Event(_) => "told",
+        What::Effect(_) => "did",
         What::Lost { .. } => "lost",
     };
     let mut line = json!({"at": record.at, "source": record.source, side: kind});
--- a/crates/trace/src/summary.rs
+++ b/crates/trace/src/summary.rs
@@ -5,7 +5,7 @@
 use crate::trips::{Answer, Trip, Trips};
 use havenplank::interface::*;
 use havenplank_sidecar::engine::Effect;
-use havenplank_sidecar::told::Told;
+use havenplank_sidecar::events::Event;
 use hdrhistogram::Histogram;
 use std::collections::{BTreeMap, HashMap};
 use std::io::{Read, Seek};
@@ -192,7 +192,7 @@
         if let Some(trip) = trips.record(&record) {
             let (name, rules) = match reader.head.sources[trip.source]
                 .terms
-                .groups
+                .route_classes
                 .get(trip.group)
             {
                 Some((name, rules)) => (name.as_str(), rules.latency_objective),
@@ -222,15 +222,15 @@
 impl Summary {
     fn count(&mut self, record: &Record) {
         match &record.what {
-            What::Told(Told::IncomingRequest { .. }) => self.hits += 1,
+            What::Event(Event::RequestArrived { .. }) => self.hits += 1,
             What::Lost { hits, records } => {
                 self.lost_hits += hits;
                 self.lost_records += records;
             }
-            What::Did(Effect::Vote {
+            What::Effect(Effect::CastVote {
                 build,
                 stage,
-                voice: said,
+                vote: said,
                 ..
             }) => {
                 *row(
@@ -310,10 +310,10 @@
         self.least_cap = self.least_cap.min(stage.cap);
         let of = |group: RouteClassId| if rules.per_class { group } else { 0 };
         match &record.what {
-            What::Told(Told::IncomingRequest { asked, .. }) => {
-                *self.taken.entry(of(asked.group)).or_default() += 1.0
-            }
-            What::Did(Effect::Forward { hit, .. }) => {
+            What::Event(Event::RequestArrived {
+                attributes: asked, ..
+            }) => *self.taken.entry(of(asked.route_class)).or_default() += 1.0,
+            What::Effect(Effect::SendAttempt { request: hit, .. }) => {
                 let is_trial =
                     |pod: &Option<Arc<Card>>| pod.as_ref().is_some_and(|pod| pod.build == build);
                 let trip = trips.get(record.source, *hit);
--- a/crates/trace/src/trips.rs
+++ b/crates/trace/src/trips.rs
@@ -3,7 +3,7 @@
 use crate::record::{Card, Record, Source, What};
 use havenplank::interface::{AttemptEnd, Nanos, RequestId, RouteClassId};
 use havenplank_sidecar::engine::Effect;
-use havenplank_sidecar::told::Told;
+use havenplank_sidecar::events::Event;
 use std::collections::HashMap;
 use std::sync::Arc;
 
@@ -55,7 +55,9 @@
 
 /// The longest that a hit of any source may last.
 pub fn longest(sources: &[Source]) -> Nanos {
-    let groups = sources.iter().flat_map(|source| &source.terms.groups);
+    let groups = sources
+        .iter()
+        .flat_map(|source| &source.terms.route_classes);
     groups
         .map(|(_, rules)| rules.client_timeout)
         .max()
@@ -97,11 +99,15 @@
             return None;
         }
         let key = (record.source, record.hit()?);
-        if let What::Told(Told::IncomingRequest { hit, asked }) = &record.what {
+        if let What::Event(Event::RequestArrived {
+            request: hit,
+            attributes: asked,
+        }) = &record.what
+        {
             if self.open.len() >= MOST {
                 self.give_up(at);
             }
-            let (source, hit, group) = (record.source, *hit, asked.group);
+            let (source, hit, group) = (record.source, *hit, asked.route_class);
             let trip = Trip {
                 source,
                 hit,
@@ -116,15 +122,18 @@
         }
         let trip = self.open.get_mut(&key)?;
         match &record.what {
-            What::Did(Effect::Forward { .. }) => {
+            What::Effect(Effect::SendAttempt { .. }) => {
                 trip.forwards.push(Forward {
                     pod: record.pod.clone(),
                     sent: at,
                     end: None,
                 });
             }
-            What::Told(Told::AttemptEnd {
-                nth, end, passed, ..
+            What::Event(Event::AttemptEnded {
+                attempt: nth,
+                end,
+                delivered: passed,
+                ..
             }) => {
                 if let Some(forward) = trip.forwards.get_mut(*nth as usize) {
                     forward.end = Some((*end, at));
@@ -134,9 +143,9 @@
                     trip.delivered_by = Some(*nth as usize);
                 }
             }
-            What::Did(Effect::Bounce { .. }) => trip.answer = Some((Answer::Bounced, at)),
-            What::Did(Effect::Error { .. }) => trip.answer = Some((Answer::Errored, at)),
-            What::Told(Told::Left { .. }) => {
+            What::Effect(Effect::Reject { .. }) => trip.answer = Some((Answer::Bounced, at)),
+            What::Effect(Effect::Fail { .. }) => trip.answer = Some((Answer::Errored, at)),
+            What::Event(Event::ClientLeft { .. }) => {
                 trip.answer.get_or_insert((Answer::Left, at));
             }
             _ => {}
--- a/crates/trace/src/veil.rs
+++ b/crates/trace/src/veil.rs
@@ -4,7 +4,7 @@
 use crate::record::{Card, Head, Record, Standing, What};
 use havenplank_line_protocol::nodes::Listed;
 use havenplank_sidecar::engine::Effect;
-use havenplank_sidecar::told::Told;
+use havenplank_sidecar::events::Event;
 use std::collections::HashMap;
 use std::io::{Read, Seek, Write};
 use std::net::{IpAddr, Ipv6Addr, SocketAddr};
@@ -112,7 +112,7 @@
             veil(&mut terms.machines, "machine");
             veil(&mut terms.tenants, "customer");
             terms
-                .groups
+                .route_classes
                 .iter_mut()
                 .for_each(|(name, _)| *name = self.name("group", name));
         }
@@ -127,9 +127,13 @@
     fn record(&mut self, record: &mut Record) {
         record.pod = record.pod.take().map(|card| self.card(&card));
         match &mut record.what {
-            What::Told(Told::IncomingRequest { asked, .. }) => asked.key = self.key(asked.key),
-            What::Told(Told::List { pods, .. }) => pods.iter_mut().for_each(|pod| self.pod(pod)),
-            What::Did(Effect::Log(text)) => *text = self.name("log", text),
+            What::Event(Event::RequestArrived {
+                attributes: asked, ..
+            }) => asked.key = self.key(asked.key),
+            What::Event(Event::EndpointsListed { pods, .. }) => {
+                pods.iter_mut().for_each(|pod| self.pod(pod))
+            }
+            What::Effect(Effect::Log(text)) => *text = self.name("log", text),
             _ => {}
         }
     }
--- a/crates/trace/tests/common/mod.rs
+++ b/crates/trace/tests/common/mod.rs
@@ -5,8 +5,8 @@
 use havenplank::interface::*;
 use havenplank_line_protocol::nodes::Listed;
 use havenplank_settings::{load, Given};
-use havenplank_sidecar::engine::{Asked, Effect, Engine, EPOCH};
-use havenplank_sidecar::told::Terms;
+use havenplank_sidecar::engine::{Effect, Engine, RequestAttributes, EPOCH};
+use havenplank_sidecar::events::EngineSettings;
 use havenplank_trace::file::Reader;
 use havenplank_trace::recorder::{Limits, Recorder, Shelf, Writing};
 use havenplank_trace::{Record, Source};
@@ -21,10 +21,10 @@
 /// When the world began, in nanoseconds since 1970.
 pub const BASE: Nanos = 1_700_000_000 * S;
 
-pub fn terms(name: &str) -> Terms {
+pub fn terms(name: &str) -> EngineSettings {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/site.star");
     let given = Given::from([("name".to_string(), name.to_string())]);
-    Terms::from(&load(&file, &given).unwrap_or_else(|problems| panic!("{problems}")))
+    EngineSettings::from(&load(&file, &given).unwrap_or_else(|problems| panic!("{problems}")))
 }
 
 /// One life of one sidecar.
@@ -156,12 +156,12 @@
 /// Lives through `life`, its engine recorded by `recorder`.
 pub fn live(life: &Life, recorder: Recorder) {
     let mut engine =
-        Engine::new(EPOCH, life.seed, &terms(&life.name)).watched_by(Box::new(recorder));
+        Engine::new(EPOCH, life.seed, &terms(&life.name)).with_observer(Box::new(recorder));
     let mut chance = Rand64::new(life.seed as u128);
-    engine.begin(EPOCH);
+    engine.start(EPOCH);
     let mut first: Vec<Listed> = (0..12).map(|n| pod(n, PodState::Running, 1, 1)).collect();
     first.extend((12..16).map(|n| pod(n, PodState::Running, 2, 1)));
-    engine.list(EPOCH, true, first);
+    engine.update_endpoints(EPOCH, true, first);
     let mut heard = life.starts.div_ceil(EVENT);
     let mut due = heard * EVENT + chance.rand_range(0..life.notice + 1);
     let mut out: Vec<(Nanos, u64, u32, AttemptEnd, Nanos)> = Vec::new();
@@ -169,13 +169,13 @@
     for tick in 0..life.lasts / step {
         let time = life.starts + tick * step + chance.rand_range(0..step / 2);
         let now = life.own(time);
-        if engine.next_wake().is_some_and(|at| at <= now) {
-            engine.wake(now);
+        if engine.next_timer().is_some_and(|at| at <= now) {
+            engine.run_timers(now);
         }
         while due <= time {
             match event(heard) {
-                Event::Pod(pod) => drop(engine.list(now, false, vec![pod])),
-                Event::Stage(stage) => engine.news(now, stage),
+                Event::Pod(pod) => drop(engine.update_endpoints(now, false, vec![pod])),
+                Event::Stage(stage) => engine.update_stage(now, stage),
             }
             heard += 1;
             due = heard * EVENT + chance.rand_range(0..life.notice + 1);
@@ -184,21 +184,21 @@
             let group = (tick / 5 % 3) as usize;
             let (tenant, key) = (Some((tick % 2) as usize), chance.rand_range(1..40) << 20);
             let left = [2 * S, 3 * S, 3 * S][group] - 20 * MS - chance.rand_range(20_000..60_000);
-            engine.hit(
+            engine.handle_request(
                 now,
-                Asked {
-                    group,
+                RequestAttributes {
+                    route_class: group,
                     tenant,
                     key,
-                    left,
+                    remaining: left,
                     cost_hint: None,
-                    repeat: false,
+                    is_retry: false,
                 },
             );
         }
         if tick % 400 == 7 {
-            engine.tally(now, 1, "query", (40, 1), 30 * MS, S);
-            engine.flagged(now, "searchnode13.krakow.example.org", "query", S);
+            engine.update_tally(now, 1, "query", (40, 1), 30 * MS, S);
+            engine.report_fault(now, "searchnode13.krakow.example.org", "query", S);
         }
         while let Some(at) = out.iter().position(|(due, ..)| *due <= time) {
             let (_, hit, nth, end, sent) = out.remove(at);
@@ -207,12 +207,17 @@
                 busy: Some(0.333),
                 ..LoadReport::default()
             };
-            engine.ended(now, hit, nth, end, now - sent + 30_000, Some(load));
+            engine.attempt_ended(now, hit, nth, end, now - sent + 30_000, Some(load));
         }
-        while let Some(effect) = engine.effect() {
+        while let Some(effect) = engine.next_effect() {
             match effect {
-                Effect::Forward { hit, nth, pod, .. } => {
-                    let may = engine.may_go(now, hit, nth);
+                Effect::SendAttempt {
+                    request: hit,
+                    attempt: nth,
+                    pod,
+                    ..
+                } => {
+                    let may = engine.may_send(now, hit, nth);
                     let fails = chance.rand_range(0..100) < if pod >= 12 { 30 } else { 2 };
                     let end = match (may, fails) {
                         (false, _) => AttemptEnd::NotSent,
@@ -227,8 +232,8 @@
                         now,
                     ));
                 }
-                Effect::Vote { vote, .. } => {
-                    engine.voted(
+                Effect::CastVote { id: vote, .. } => {
+                    engine.vote_answered(
                         now,
                         vote,
                         VoteReply {
@@ -237,8 +242,8 @@
                         },
                     );
                 }
-                Effect::Probe { probe, .. } => {
-                    engine.probed(
+                Effect::HealthCheck { check: probe, .. } => {
+                    engine.health_check_ended(
                         now,
                         probe,
                         HealthCheckResult {
--- a/crates/trace/tests/files.rs
+++ b/crates/trace/tests/files.rs
@@ -5,7 +5,7 @@
 use common::*;
 use havenplank::interface::PriorAttempt;
 use havenplank_sidecar::engine::{Effect, EPOCH};
-use havenplank_sidecar::told::Told;
+use havenplank_sidecar::events::Event;
 use havenplank_trace::file::{Reader, MAGIC};
 use havenplank_trace::{replay, Head, Record, TraceError, What, Writer};
 use proptest::prelude::*;
@@ -44,7 +44,10 @@
             may_have_run: false,
         },
     ];
-    let what = What::Told(Told::Resumed { hit, past });
+    let what = What::Event(Event::RequestResumed {
+        request: hit,
+        prior_attempts: past,
+    });
     records.insert(
         at,
         Record {
@@ -260,10 +263,12 @@
     let (mut hits, mut took, mut to_pod, mut listed) = (0, 0, 0, 0);
     for record in &records {
         match &record.what {
-            What::Told(Told::IncomingRequest { asked, .. }) => hits += asked.left,
-            What::Told(Told::AttemptEnd { took: ns, .. }) => took += ns,
-            What::Told(Told::List { pods, .. }) => listed += pods.len(),
-            What::Did(Effect::Forward { .. }) => {
+            What::Event(Event::RequestArrived {
+                attributes: asked, ..
+            }) => hits += asked.remaining,
+            What::Event(Event::AttemptEnded { took: ns, .. }) => took += ns,
+            What::Event(Event::EndpointsListed { pods, .. }) => listed += pods.len(),
+            What::Effect(Effect::SendAttempt { .. }) => {
                 let name = record.pod.as_ref().map(|pod| pod.name.as_str());
                 to_pod += (name == Some("searchnode3.krakow.example.org")) as u32;
             }
--- a/crates/trace/tests/recorder.rs
+++ b/crates/trace/tests/recorder.rs
@@ -4,7 +4,7 @@
 
 use common::*;
 use havenplank_sidecar::engine::EPOCH;
-use havenplank_sidecar::told::Told;
+use havenplank_sidecar::events::Event;
 use havenplank_trace::recorder::{Folder, Recorder, Shelf};
 use havenplank_trace::{merge, replay, summary, Record, TraceError, What, Writer};
 use std::collections::{HashMap, HashSet};
@@ -296,7 +296,7 @@
     // Nor is it a difference in a copy, which is closed, that the last call's effects were not written.
     let told = found
         .iter()
-        .rposition(|record| matches!(record.what, What::Told(Told::IncomingRequest { .. })))
+        .rposition(|record| matches!(record.what, What::Event(Event::RequestArrived { .. })))
         .unwrap();
     let mut writer = Writer::new(Vec::new(), &open(&bytes).head, Vec::new()).unwrap();
     found[..=told]
@@ -312,7 +312,7 @@
     }
     let first = found
         .iter()
-        .find(|record| matches!(record.what, What::Told(Told::Begin)))
+        .find(|record| matches!(record.what, What::Event(Event::Started)))
         .unwrap();
     assert_eq!(first.at, EPOCH);
 }
--- a/crates/trace/tests/tools.rs
+++ b/crates/trace/tests/tools.rs
@@ -5,7 +5,7 @@
 use common::*;
 use havenplank::interface::{AttemptEnd, Nanos};
 use havenplank_sidecar::engine::{Effect, EPOCH};
-use havenplank_sidecar::told::Told;
+use havenplank_sidecar::events::Event;
 use havenplank_trace::file::{Reader, Writer};
 use havenplank_trace::{cut, merge, replay, summary, veil, Record, TraceError, What};
 use oorandom::Rand64;
@@ -40,10 +40,21 @@
     let records = all(&file);
     let nth = records
         .iter()
-        .position(|r| matches!(r.what, What::Did(Effect::Forward { hit: 500, .. })))
+        .position(|r| {
+            matches!(
+                r.what,
+                What::Effect(Effect::SendAttempt { request: 500, .. })
+            )
+        })
         .unwrap();
     let other = rewritten(&file, |n, record| {
-        if let (true, What::Did(Effect::Forward { time_out, .. })) = (n == nth, &mut record.what) {
+        if let (
+            true,
+            What::Effect(Effect::SendAttempt {
+                timeout: time_out, ..
+            }),
+        ) = (n == nth, &mut record.what)
+        {
             *time_out += 1;
         }
     });
@@ -59,7 +70,7 @@
     // And an effect that was left out at the end.
     let last = records
         .iter()
-        .rposition(|r| matches!(r.what, What::Did(_)))
+        .rposition(|r| matches!(r.what, What::Effect(_)))
         .unwrap();
     let mut writer = Writer::new(Vec::new(), &open(&file).head, Vec::new()).unwrap();
     let short = records
@@ -175,8 +186,10 @@
     // What all were told at once now lies as close as the telling took.
     let mut heard: HashMap<(u64, u64, u64), (Nanos, Nanos)> = HashMap::new();
     for record in merged.iter() {
-        if let What::Told(Told::List {
-            whole: false, pods, ..
+        if let What::Event(Event::EndpointsListed {
+            complete: false,
+            pods,
+            ..
         }) = &record.what
         {
             let key = (
@@ -249,10 +262,10 @@
             .chain(&terms.tenants)
             .cloned(),
     );
-    names.extend(terms.groups.iter().map(|(name, _)| name.clone()));
+    names.extend(terms.route_classes.iter().map(|(name, _)| name.clone()));
     for record in all(&file) {
         match record.what {
-            What::Told(Told::List { pods, .. }) => {
+            What::Event(Event::EndpointsListed { pods, .. }) => {
                 for pod in pods {
                     names.extend([
                         pod.name,
@@ -262,8 +275,10 @@
                     ]);
                 }
             }
-            What::Told(Told::IncomingRequest { asked, .. }) => drop(keys.insert(asked.key)),
-            What::Did(Effect::Log(text)) => drop(names.insert(text)),
+            What::Event(Event::RequestArrived {
+                attributes: asked, ..
+            }) => drop(keys.insert(asked.key)),
+            What::Effect(Effect::Log(text)) => drop(names.insert(text)),
             _ => {}
         }
     }
@@ -281,7 +296,9 @@
     let veiled: HashSet<u64> = all(&bytes)
         .into_iter()
         .filter_map(|record| match record.what {
-            What::Told(Told::IncomingRequest { asked, .. }) => Some(asked.key),
+            What::Event(Event::RequestArrived {
+                attributes: asked, ..
+            }) => Some(asked.key),
             _ => None,
         })
         .collect();
@@ -329,21 +346,28 @@
     let sum = |of: fn(&summary::Figures) -> u64| summary.builds.values().map(of).sum::<u64>();
     assert!(damage.is_none() && summary.hits == 1_200 && summary.records == records.len() as u64);
     assert_eq!(sum(|f| f.hits) + summary.unfinished, 1_200);
-    let delivered =
-        count(&|what| matches!(what, What::Told(Told::AttemptEnd { passed: true, .. })));
+    let delivered = count(&|what| {
+        matches!(
+            what,
+            What::Event(Event::AttemptEnded {
+                delivered: true,
+                ..
+            })
+        )
+    });
     assert!(sum(|f| f.delivered) == delivered && delivered > 1_000);
     assert_eq!(
         sum(|f| f.bounced),
-        count(&|what| matches!(what, What::Did(Effect::Bounce { .. })))
+        count(&|what| matches!(what, What::Effect(Effect::Reject { .. })))
     );
     assert_eq!(
         sum(|f| f.errored),
-        count(&|what| matches!(what, What::Did(Effect::Error { .. })))
+        count(&|what| matches!(what, What::Effect(Effect::Fail { .. })))
     );
     let errors = count(&|what| {
         matches!(
             what,
-            What::Told(Told::AttemptEnd {
+            What::Event(Event::AttemptEnded {
                 end: AttemptEnd::Failed,
                 ..
             })
