--- a/crates/capacity/src/tables.rs
+++ b/crates/capacity/src/tables.rs
@@ -7,8 +7,7 @@
 use havenplank::Visits;
 use havenplank_line_protocol::nodes::Listed;
 use havenplank_settings::Site;
-use havenplank_sidecar::engine::{Effect, Engine, RequestAttributes, EPOCH};
-use havenplank_sidecar::events::EngineSettings;
+use havenplank_sidecar::engine::{Effect, Engine, EngineSettings, RequestAttributes, EPOCH};
 use havenplank_sidecar::routes::RouteTable;
 use hdrhistogram::Histogram;
 use oorandom::Rand64;
--- a/crates/capacity/tests/tables.rs
+++ b/crates/capacity/tests/tables.rs
@@ -6,8 +6,7 @@
 use havenplank_capacity::tables::{route_table, Driver};
 use havenplank_line_protocol::nodes::{self, Listed};
 use havenplank_settings::{load, Given};
-use havenplank_sidecar::engine::{Effect, Engine, RequestAttributes, EPOCH};
-use havenplank_sidecar::events::EngineSettings;
+use havenplank_sidecar::engine::{Effect, Engine, EngineSettings, RequestAttributes, EPOCH};
 use oorandom::Rand64;
 
 const MS: Nanos = 1_000_000;
@@ -131,7 +130,10 @@
     let route = table
         .find("GET", &samples::route_path(4_499))
         .expect("the last route");
-    assert_eq!((route.name.as_str(), route.group()), ("route-4499", 4_499));
+    assert_eq!(
+        (route.name.as_str(), route.route_class()),
+        ("route-4499", 4_499)
+    );
     assert_eq!(
         table
             .tenant("tenant-149999")
@@ -247,7 +249,8 @@
                     drop(engine.update_endpoints(now, false, vec![change.clone()]))
                 });
                 // Makes this one's sides anew.
-                pair.by_wholes.update_endpoints(pair.now, true, pods.clone());
+                pair.by_wholes
+                    .update_endpoints(pair.now, true, pods.clone());
             }
             let (key, left) = (step + 1, S);
             let asked = RequestAttributes {
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -2,8 +2,8 @@
 
 use anyhow::Context;
 use havenplank_settings::Site;
-use havenplank_sidecar::engine::EPOCH;
-use havenplank_sidecar::events::{EngineSettings, Observer};
+use havenplank_sidecar::engine::{EngineSettings, EPOCH};
+use havenplank_sidecar::events::Observer;
 use havenplank_trace::recorder::{Folder, Limits, Recorder, Writing};
 use havenplank_trace::Source;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -5,7 +5,7 @@
 use havenplank_adapter::line::{Fields, Line};
 use havenplank_adapter::setup;
 use havenplank_line_protocol::nodes::Listed;
-use havenplank_sidecar::events::EngineSettings;
+use havenplank_sidecar::engine::EngineSettings;
 use serde_json::{Map, Value};
 use std::net::SocketAddr;
 use std::path::Path;
--- a/crates/sidecar/examples/route_lookup.rs
+++ b/crates/sidecar/examples/route_lookup.rs
@@ -3,8 +3,7 @@
 
 use havenplank::interface::{DedupScope, Idempotency, RouteClass};
 use havenplank_settings::{Group, Guard};
-use havenplank_sidecar::engine::{Engine, EPOCH};
-use havenplank_sidecar::events::EngineSettings;
+use havenplank_sidecar::engine::{Engine, EngineSettings, EPOCH};
 use havenplank_sidecar::routes::RouteTable;
 use std::hint::black_box;
 use std::path::Path;
@@ -67,7 +66,7 @@
         let began = Instant::now();
         for n in 0..LOOKUPS {
             let path = &paths[n % paths.len()];
-            black_box(table.find("GET", path).map(|route| route.group()));
+            black_box(table.find("GET", path).map(|route| route.route_class()));
         }
         let lookup_ns = began.elapsed().as_nanos() as f64 / LOOKUPS as f64;
         let versions: Vec<Vec<Group>> = (1..=u64::from(SWAPS))
--- a/crates/sidecar/src/admin.rs
+++ b/crates/sidecar/src/admin.rs
@@ -44,13 +44,13 @@
     let stage = glance.stage.map(|stage| {
         json!({"build": stage.build, "stage": stage.stage, "phase": format!("{:?}", stage.phase), "cap": stage.cap})
     });
-    let (failures, slow, by_share) = glance.sums;
+    let sums = glance.test_sums;
     let mut state = json!({
         "name": shell.site.name,
-        "hits_in_flight": glance.hits,
-        "pods_running": glance.pods,
+        "hits_in_flight": glance.requests,
+        "pods_running": glance.running_pods,
         "stage": stage,
-        "sums": {"failures": failures, "slow": slow, "by_share": by_share},
+        "sums": {"failures": sums.failures, "slow": sums.slow, "by_share": sums.by_share},
     });
     if let Some(configuration) = shell.configuration.get() {
         state["configuration"] = configuration.state();
--- a/crates/sidecar/src/daemon.rs
+++ b/crates/sidecar/src/daemon.rs
@@ -4,8 +4,8 @@
 use crate::client_stream::ClientStream;
 use crate::configuration::{self, Kept};
 use crate::dispatcher::Dispatcher;
-use crate::engine::{Engine, EPOCH};
-use crate::events::{EngineSettings, Observer};
+use crate::engine::{Engine, EngineSettings, EPOCH};
+use crate::events::Observer;
 use crate::exactly_once;
 use crate::membership::{Fellowship, FellowshipError};
 use crate::proxy::{self, Body};
@@ -218,7 +218,7 @@
     shell.stopping.set(true);
     let _ = stopping.send(true);
     let longest = shell.engine().longest_time_out();
-    let held = shell.status().hits;
+    let held = shell.status().requests;
     tracing::info!(hits_in_flight = held, "stopping");
     // Each connection ends with the answer it owes, and none can owe one longer than this.
     let closed = timeout(Duration::from_nanos(longest) + STOP_MARGIN, door).await;
--- /dev/null
+++ b/crates/sidecar/src/engine/endpoints.rs
@@ -0,0 +1,85 @@
+//! What service discovery, health checks and clients tell the engine of pods.
+
+use super::Engine;
+use crate::events::Event;
+use havenplank::interface::{Endpoint, HealthCheckResult, Nanos, PodId, RouteClassId};
+use havenplank_line_protocol::nodes::Listed;
+
+impl Engine {
+    /// Takes an endpoint list in, in place of all before where it is `complete`. Returns the index of each of its pods,
+    /// valid as long as the pod is listed or has attempts in flight; `None` where no index was left.
+    pub fn update_endpoints(
+        &mut self,
+        now: Nanos,
+        complete: bool,
+        pods: Vec<Listed>,
+    ) -> Vec<Option<PodId>> {
+        self.advance(now);
+        let observed = self.observer.is_some().then(|| pods.clone());
+        let endpoints = self.host.pods.apply(self.host.now, complete, pods);
+        let pod_ids: Vec<Option<PodId>> = endpoints
+            .iter()
+            .map(|endpoint| endpoint.map(|endpoint| endpoint.pod))
+            .collect();
+        if let Some(pods) = observed {
+            self.observe(|| Event::EndpointsListed {
+                complete,
+                pods,
+                pod_ids: pod_ids.clone(),
+            });
+        }
+        let endpoints: Vec<Endpoint> = endpoints.into_iter().flatten().collect();
+        self.host.set_endpoints(complete, &endpoints);
+        self.router
+            .update_endpoints(&mut self.host, complete, &endpoints);
+        self.host.pods.sweep();
+        pod_ids
+    }
+
+    /// Takes in that service discovery could not be reached.
+    pub fn endpoint_watch_failed(&mut self, now: Nanos) {
+        self.advance(now);
+        self.observe(|| Event::EndpointWatchFailed);
+        self.router.endpoint_watch_failed(&mut self.host);
+    }
+
+    /// Takes in a health check's result; one that came before is passed over.
+    pub fn health_check_ended(&mut self, now: Nanos, check: u64, result: HealthCheckResult) {
+        self.advance(now);
+        if let Some(on_done) = self.host.health_checks.remove(&check) {
+            self.observe(|| Event::HealthCheckEnded {
+                check,
+                result: result.clone(),
+            });
+            on_done(&mut self.router, &mut self.host, result);
+        }
+    }
+
+    /// Takes in that a client found an answer wrong that came `ago`. Returns false where the pod or route class is not
+    /// known.
+    pub fn report_fault(&mut self, now: Nanos, pod: &str, route_class: &str, ago: Nanos) -> bool {
+        let pod = self.pod_id(pod);
+        let Some((pod, route_class)) = pod.zip(self.route_class(route_class)) else {
+            return false;
+        };
+        self.record_fault(now, pod, route_class, ago);
+        true
+    }
+
+    pub(super) fn record_fault(
+        &mut self,
+        now: Nanos,
+        pod: PodId,
+        route_class: RouteClassId,
+        ago: Nanos,
+    ) {
+        self.advance(now);
+        self.observe(|| Event::FaultReported {
+            pod,
+            route_class,
+            ago,
+        });
+        self.router
+            .report_fault(&mut self.host, pod, route_class, ago);
+    }
+}
--- /dev/null
+++ b/crates/sidecar/src/engine/replay.rs
@@ -0,0 +1,67 @@
+//! Recorded events, played again.
+
+use super::Engine;
+use crate::events::Event;
+use havenplank::interface::Nanos;
+
+impl Engine {
+    /// Makes the call that an event recorded. Returns whether an attempt may be sent, or whether a response goes to
+    /// the client, where the event is of that kind.
+    pub fn replay(&mut self, now: Nanos, event: Event) -> Option<bool> {
+        match event {
+            Event::SendPermission {
+                request, attempt, ..
+            } => return Some(self.may_send(now, request, attempt)),
+            Event::AttemptEnded {
+                request,
+                attempt,
+                end,
+                took,
+                load,
+                ..
+            } => return Some(self.attempt_ended(now, request, attempt, end, took, load)),
+            Event::RequestArrived { attributes, .. } => {
+                self.handle_request(now, attributes);
+            }
+            Event::RequestResumed { prior_attempts, .. } => {
+                self.resume_next_request(now, prior_attempts);
+            }
+            Event::ClientLeft { request } => self.client_left(now, request),
+            Event::Started => self.start(now),
+            Event::TimerFired(timer) => {
+                self.advance(now);
+                self.run_timer(timer);
+            }
+            shared => self.replay_shared(now, shared),
+        }
+        None
+    }
+
+    /// Replays what came from service discovery, the control plane or a health check.
+    fn replay_shared(&mut self, now: Nanos, event: Event) {
+        match event {
+            Event::EndpointsListed { complete, pods, .. } => {
+                self.update_endpoints(now, complete, pods);
+            }
+            Event::EndpointWatchFailed => self.endpoint_watch_failed(now),
+            Event::StageChanged(stage) => self.update_stage(now, stage),
+            Event::VoteAnswered { vote, reply } => self.vote_answered(now, vote, reply),
+            Event::HealthCheckEnded { check, result } => {
+                self.health_check_ended(now, check, result);
+            }
+            Event::TallyReported(tally) => self.record_tally(now, tally),
+            Event::FaultReported {
+                pod,
+                route_class,
+                ago,
+            } => self.record_fault(now, pod, route_class, ago),
+            Event::Started
+            | Event::RequestArrived { .. }
+            | Event::RequestResumed { .. }
+            | Event::SendPermission { .. }
+            | Event::AttemptEnded { .. }
+            | Event::ClientLeft { .. }
+            | Event::TimerFired(_) => {}
+        }
+    }
+}
--- a/crates/sidecar/src/exactly_once.rs
+++ b/crates/sidecar/src/exactly_once.rs
@@ -421,7 +421,7 @@
     let routes = shell.routes();
     let route = routes.named(&kept.group)?.clone();
     let asked = RequestAttributes {
-        route_class: route.group(),
+        route_class: route.route_class(),
         tenant: kept
             .tenant
             .as_ref()
--- a/crates/sidecar/src/pod_registry.rs
+++ b/crates/sidecar/src/pod_registry.rs
@@ -8,168 +8,160 @@
 
 /// Zones and kinds of machine that a list may name beyond those of the settings; further ones count as the
 /// last.
-const MOST_NAMES: usize = 256;
+const MAX_NAMES: usize = 256;
 
-struct Known {
+/// Indices that are in use at once: twice what a list may hold. A pod beyond that gets nothing until others have
+/// gone.
+const MAX_INDICES: usize = 2 * MOST_PODS;
+
+/// The start time that stands for "long ago"; the clock of an engine starts far later.
+pub const LONG_AGO: Nanos = 0;
+
+struct RegisteredPod {
     listed: Listed,
     started: Nanos,
-    forwards_out: u32,
+    attempts_in_flight: u32,
+}
+
+impl RegisteredPod {
+    /// Returns its age now, at least 1, or 0 where it started long ago.
+    fn age(&self, now: Nanos) -> Nanos {
+        if self.started <= LONG_AGO + 1 {
+            0
+        } else {
+            now.saturating_sub(self.started).max(1)
+        }
+    }
+
+    fn is_idle_and_gone(&self) -> bool {
+        self.listed.state == PodState::Gone && self.attempts_in_flight == 0
+    }
 }
 
-/// An index is given to another pod only once the list dropped its pod, nothing is out there, and the
-/// decision module has taken in a list since: so the table holds the pods listed and those that hits wait
-/// for, and no more.
+/// Gives each pod an index. An index goes to another pod only once the list dropped its pod, no attempt is in
+/// flight there, and the decisions have taken in a list since: so the table holds the pods listed and those that
+/// requests wait for, and no more.
 #[derive(Default)]
 pub struct PodRegistry {
     by_name: HashMap<String, PodId>,
-    slots: Vec<Option<Known>>,
+    pods: Vec<Option<RegisteredPod>>,
     free: Vec<PodId>,
     zones: Vec<String>,
     machines: Vec<String>,
     /// Off for a recorded host that kept each name its index for good, so that draws fall on the same pods.
-    reuse: bool,
-}
-
-fn place(names: &mut Vec<String>, name: &str) -> usize {
-    names
-        .iter()
-        .position(|known| known == name)
-        .unwrap_or_else(|| {
-            if names.len() < MOST_NAMES {
-                names.push(name.to_string());
-            }
-            names.len() - 1
-        })
+    reuse_pod_ids: bool,
 }
 
 impl PodRegistry {
-    pub fn new(zones: Vec<String>, machines: Vec<String>, reuse: bool) -> PodRegistry {
+    /// Builds a registry that knows these zones and kinds of machine by their index.
+    pub fn new(zones: Vec<String>, machines: Vec<String>, reuse_pod_ids: bool) -> PodRegistry {
         PodRegistry {
             zones,
             machines,
-            reuse,
+            reuse_pod_ids,
             ..PodRegistry::default()
         }
     }
 
+    /// Returns the index of a pod.
     pub fn find(&self, name: &str) -> Option<PodId> {
         self.by_name.get(name).copied()
     }
 
+    /// Returns the name of a pod.
     pub fn name(&self, id: PodId) -> Option<&str> {
-        Some(&self.slots.get(id)?.as_ref()?.listed.name)
+        Some(&self.pod(id)?.listed.name)
     }
 
+    /// Returns where a pod listens.
     pub fn address(&self, id: PodId) -> Option<SocketAddr> {
-        Some(self.slots.get(id)?.as_ref()?.listed.address)
+        Some(self.pod(id)?.listed.address)
     }
 
-    pub fn sent(&mut self, id: PodId) {
-        if let Some(Some(known)) = self.slots.get_mut(id) {
-            known.forwards_out += 1;
+    /// Counts an attempt that goes to a pod.
+    pub fn attempt_sent(&mut self, id: PodId) {
+        if let Some(Some(pod)) = self.pods.get_mut(id) {
+            pod.attempts_in_flight += 1;
         }
     }
 
-    pub fn ended(&mut self, id: PodId) {
-        if let Some(Some(known)) = self.slots.get_mut(id) {
-            known.forwards_out = known.forwards_out.saturating_sub(1);
+    /// Counts an attempt that has ended.
+    pub fn attempt_ended(&mut self, id: PodId) {
+        if let Some(Some(pod)) = self.pods.get_mut(id) {
+            pod.attempts_in_flight = pod.attempts_in_flight.saturating_sub(1);
         }
     }
 
-    /// The pods as last listed and when each started, as a list to be kept.
+    /// Returns the pods as last listed with their ages now, as a list to be cached.
     pub fn listed(&self, now: Nanos) -> Vec<Listed> {
-        let live = self
-            .slots
-            .iter()
-            .flatten()
-            .filter(|known| known.listed.state != PodState::Gone);
-        let aged = |known: &Known| {
-            let age = if known.started <= LONG_AGO + 1 {
-                0
-            } else {
-                now.saturating_sub(known.started).max(1)
-            };
-            Listed {
-                age,
-                ..known.listed.clone()
+        let pods = self.pods.iter().flatten();
+        let live = pods.filter(|pod| pod.listed.state != PodState::Gone);
+        let aged = live.map(|pod| Listed {
+            age: pod.age(now),
+            ..pod.listed.clone()
+        });
+        aged.collect()
+    }
+
+    /// Takes a list in and maps it to endpoints, `None` for a pod that no index was left for.
+    ///
+    /// The same incarnation keeps the start time it had when first listed; another incarnation, build or address makes
+    /// a pod that started anew under its old name.
+    pub fn apply(
+        &mut self,
+        now: Nanos,
+        complete: bool,
+        pods: Vec<Listed>,
+    ) -> Vec<Option<Endpoint>> {
+        if complete {
+            for pod in self.pods.iter_mut().flatten() {
+                pod.listed.state = PodState::Gone;
             }
+        }
+        let register = |listed| self.register(now, listed);
+        pods.into_iter().map(register).collect()
+    }
+
+    fn register(&mut self, now: Nanos, listed: Listed) -> Option<Endpoint> {
+        let pod = self.index(&listed.name)?;
+        let zone = index_of_name(&mut self.zones, &listed.zone);
+        let machine = index_of_name(&mut self.machines, &listed.machine);
+        let before = self.pods[pod].as_ref();
+        let started = start_time(now, before, &listed);
+        let endpoint = Endpoint {
+            pod,
+            name_hash: stable_hash(listed.name.as_bytes()),
+            state: listed.state,
+            build: listed.build,
+            started,
+            zone,
+            machine,
+            cell: listed.cell,
+            size: listed.size,
         };
-        live.map(aged).collect()
+        let attempts_in_flight = before.map_or(0, |pod| pod.attempts_in_flight);
+        self.pods[pod] = Some(RegisteredPod {
+            listed,
+            started,
+            attempts_in_flight,
+        });
+        Some(endpoint)
     }
 
-    /// Takes a list in and maps it to the module's entries, `None` for a pod that no index was left for. The same life keeps the start time it had when
-    /// first listed; another life, build or address makes a pod that started anew under its old name.
-    pub fn apply(&mut self, now: Nanos, whole: bool, pods: Vec<Listed>) -> Vec<Option<Endpoint>> {
-        if whole {
-            self.slots
-                .iter_mut()
-                .flatten()
-                .for_each(|known| known.listed.state = PodState::Gone);
-        }
-        let mut entries = Vec::with_capacity(pods.len());
-        for listed in pods {
-            // Twice what a list may hold is in use at once: such a pod gets nothing until others have gone.
-            let Some(pod) = self.index(&listed.name) else {
-                entries.push(None);
-                continue;
-            };
-            let (zone, machine) = (
-                place(&mut self.zones, &listed.zone),
-                place(&mut self.machines, &listed.machine),
-            );
-            let slot = &mut self.slots[pod];
-            let before = slot
-                .as_ref()
-                .map(|known| (known.started, known.listed.life, known.listed.address));
-            let started = match before {
-                Some((started, life, address))
-                    if (life, address) == (listed.life, listed.address) =>
-                {
-                    started
-                }
-                // Long ago twice is two lives all the same, and the module tells them by this.
-                Some((LONG_AGO, ..)) if listed.age == 0 => LONG_AGO + 1,
-                _ if listed.age == 0 => LONG_AGO,
-                _ => now.saturating_sub(listed.age).max(LONG_AGO + 2),
-            };
-            let mark = stable_hash(listed.name.as_bytes());
-            let Listed {
-                state,
-                build,
-                cell,
-                size,
-                ..
-            } = listed;
-            let forwards_out = slot.as_ref().map_or(0, |known| known.forwards_out);
-            *slot = Some(Known {
-                listed,
-                started,
-                forwards_out,
-            });
-            entries.push(Some(Endpoint {
-                pod,
-                name_hash: mark,
-                state,
-                build,
-                started,
-                zone,
-                machine,
-                cell,
-                size,
-            }));
-        }
-        entries
+    fn pod(&self, id: PodId) -> Option<&RegisteredPod> {
+        self.pods.get(id)?.as_ref()
     }
 
+    /// Returns the index of a name, a new one where it has none; `None` where none is left.
     fn index(&mut self, name: &str) -> Option<PodId> {
         if let Some(id) = self.by_name.get(name) {
             return Some(*id);
         }
         let id = match self.free.pop() {
             Some(id) => id,
-            None if self.slots.len() < 2 * MOST_PODS => {
-                self.slots.push(None);
-                self.slots.len() - 1
+            None if self.pods.len() < MAX_INDICES => {
+                self.pods.push(None);
+                self.pods.len() - 1
             }
             None => return None,
         };
@@ -177,21 +169,40 @@
         Some(id)
     }
 
-    /// Frees the indices of pods that are gone for good; to be called after the module took the list in.
+    /// Frees the indices of pods that are gone for good; to be called after the decisions took the list in.
     pub fn sweep(&mut self) {
-        if !self.reuse {
+        if !self.reuse_pod_ids {
             return;
         }
-        for (id, slot) in self.slots.iter_mut().enumerate() {
-            let gone =
-                |known: &mut Known| known.listed.state == PodState::Gone && known.forwards_out == 0;
-            if let Some(known) = slot.take_if(gone) {
-                self.by_name.remove(&known.listed.name);
+        for (id, slot) in self.pods.iter_mut().enumerate() {
+            if let Some(pod) = slot.take_if(|pod| pod.is_idle_and_gone()) {
+                self.by_name.remove(&pod.listed.name);
                 self.free.push(id);
             }
         }
     }
 }
 
-/// The start time that stands for "long ago"; the clock of an engine starts far later.
-pub const LONG_AGO: Nanos = 0;
+/// Returns when a listed pod started: as before where it is the same incarnation at the same address.
+fn start_time(now: Nanos, before: Option<&RegisteredPod>, listed: &Listed) -> Nanos {
+    match before {
+        Some(pod) if (pod.listed.life, pod.listed.address) == (listed.life, listed.address) => {
+            pod.started
+        }
+        // Long ago twice is two incarnations all the same, and the decisions tell them by this.
+        Some(pod) if pod.started == LONG_AGO && listed.age == 0 => LONG_AGO + 1,
+        _ if listed.age == 0 => LONG_AGO,
+        _ => now.saturating_sub(listed.age).max(LONG_AGO + 2),
+    }
+}
+
+/// Returns the index of a name, adding it where there is room; else the last index.
+fn index_of_name(names: &mut Vec<String>, name: &str) -> usize {
+    let known = names.iter().position(|known| known == name);
+    known.unwrap_or_else(|| {
+        if names.len() < MAX_NAMES {
+            names.push(name.to_string());
+        }
+        names.len() - 1
+    })
+}
--- a/crates/sidecar/src/proxy.rs
+++ b/crates/sidecar/src/proxy.rs
@@ -202,7 +202,7 @@
     }
     let tenant = text(&site.headers.tenant).and_then(|name| Some((name, routes.tenant(name)?)));
     let asked = RequestAttributes {
-        route_class: route.group(),
+        route_class: route.route_class(),
         tenant: tenant.and_then(|(_, tenant)| tenant.index),
         key: parts
             .headers
--- a/crates/sidecar/src/route_slots.rs
+++ b/crates/sidecar/src/route_slots.rs
@@ -10,7 +10,7 @@
 pub struct Slot(Rc<RouteClassId>);
 
 impl Slot {
-    pub fn group(&self) -> RouteClassId {
+    pub fn route_class(&self) -> RouteClassId {
         *self.0
     }
 }
--- a/crates/sidecar/src/routes.rs
+++ b/crates/sidecar/src/routes.rs
@@ -25,8 +25,8 @@
 
 impl Route {
     /// Its index in the decisions, which means this version as long as the route lives.
-    pub fn group(&self) -> RouteClassId {
-        self.slot.group()
+    pub fn route_class(&self) -> RouteClassId {
+        self.slot.route_class()
     }
 }
 
--- a/crates/sidecar/tests/engine.rs
+++ b/crates/sidecar/tests/engine.rs
@@ -5,8 +5,7 @@
 };
 use havenplank_line_protocol::nodes::Listed;
 use havenplank_settings::{load, Given};
-use havenplank_sidecar::engine::{Effect, Engine, RequestAttributes, EPOCH};
-use havenplank_sidecar::events::EngineSettings;
+use havenplank_sidecar::engine::{Effect, Engine, EngineSettings, RequestAttributes, EPOCH};
 use std::path::Path;
 
 const MS: Nanos = 1_000_000;
@@ -204,7 +203,7 @@
         !engine.attempt_ended(EPOCH + S, hit, 0, AttemptEnd::Served, MS, None),
         "nobody is there to be answered"
     );
-    assert!(effects(&mut engine).is_empty() && engine.status().hits == 0);
+    assert!(effects(&mut engine).is_empty() && engine.status().requests == 0);
 }
 
 #[test]
--- a/crates/sidecar/tests/routes.rs
+++ b/crates/sidecar/tests/routes.rs
@@ -8,8 +8,7 @@
 use havenplank_configuration::version::Version;
 use havenplank_line_protocol::nodes::Listed;
 use havenplank_settings::{Group, Guard};
-use havenplank_sidecar::engine::{Effect, Engine, RequestAttributes, EPOCH};
-use havenplank_sidecar::events::EngineSettings;
+use havenplank_sidecar::engine::{Effect, Engine, EngineSettings, RequestAttributes, EPOCH};
 use havenplank_sidecar::route_slots::{Slot, SlotCounts};
 use havenplank_sidecar::routes::{routes_of, KnownTenant, RouteTable};
 use proptest::prelude::*;
@@ -172,12 +171,12 @@
             }
             for (slot, route) in slots.iter().zip(&routes) {
                 for (other, known) in &held {
-                    prop_assert!(slot.group() != other.group() || route == known, "{:?} {:?}", route, known);
+                    prop_assert!(slot.route_class() != other.route_class() || route == known, "{:?} {:?}", route, known);
                 }
             }
-            let indices: HashSet<usize> = slots.iter().map(Slot::group).collect();
+            let indices: HashSet<usize> = slots.iter().map(Slot::route_class).collect();
             prop_assert_eq!(indices.len(), routes.len());
-            let distinct: HashSet<usize> = held.iter().map(|(slot, _)| slot.group()).chain(indices).collect();
+            let distinct: HashSet<usize> = held.iter().map(|(slot, _)| slot.route_class()).chain(indices).collect();
             let counts = engine.slot_counts();
             prop_assert_eq!((counts.in_force, counts.in_force + counts.retired), (routes.len(), distinct.len()));
             // The most that two versions and all that is held could ever ask for.
@@ -217,7 +216,10 @@
         (name("GET", "/other"), name("PUT", "/other")),
         (Some("rest"), None)
     );
-    assert_eq!(table.named("r-12").map(|route| route.group()), Some(12));
+    assert_eq!(
+        table.named("r-12").map(|route| route.route_class()),
+        Some(12)
+    );
     let index = |name| table.tenant(name).and_then(|tenant| tenant.index);
     assert_eq!(
         (index("first"), index("second"), index("x")),
@@ -242,7 +244,7 @@
 
 fn ask(engine: &mut Engine, slot: &Slot) -> (u64, Nanos) {
     let asked = RequestAttributes {
-        route_class: slot.group(),
+        route_class: slot.route_class(),
         tenant: None,
         key: 0,
         remaining: 10 * S,
@@ -282,7 +284,7 @@
     };
     let new = engine.set_routes(EPOCH, &[("a".into(), mutating), ("b".into(), rules(3 * S))]);
     assert_eq!(old[1], new[1], "an unchanged route keeps its slot");
-    assert_ne!(old[0].group(), new[0].group());
+    assert_ne!(old[0].route_class(), new[0].route_class());
     let (other, time_out) = ask(&mut engine, &new[0]);
     assert_eq!(
         time_out,
@@ -314,7 +316,7 @@
     // While the old request is out, no route may get its slot.
     let third = engine.set_routes(EPOCH, &[("a".into(), mutating), ("c".into(), rules(S))]);
     assert_eq!(
-        third[1].group(),
+        third[1].route_class(),
         3,
         "slot 0 is held by a request, slots 1 and 2 by tables"
     );
@@ -336,7 +338,7 @@
             ("d".into(), rules(S)),
         ],
     );
-    assert!([0, 1].contains(&fourth[2].group()), "free by now");
+    assert!([0, 1].contains(&fourth[2].route_class()), "free by now");
     assert_eq!(engine.slot_counts().all, 4);
 }
 
--- a/crates/trace/src/record.rs
+++ b/crates/trace/src/record.rs
@@ -1,8 +1,8 @@
 //! What a trace holds, as data: tools turn records into other records, so here they are values and not calls.
 
 use havenplank::interface::{Build, Nanos, PodId, RequestId, Stage};
-use havenplank_sidecar::engine::Effect;
-use havenplank_sidecar::events::{EngineSettings, Event};
+use havenplank_sidecar::engine::{Effect, EngineSettings};
+use havenplank_sidecar::events::Event;
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
--- a/crates/trace/src/recorder.rs
+++ b/crates/trace/src/recorder.rs
@@ -330,7 +330,7 @@
 }
 
 impl Observer for Recorder {
-    fn told(&mut self, now: Nanos, told: Event) {
+    fn on_event(&mut self, now: Nanos, told: Event) {
         match &told {
             Event::RequestArrived { request: hit, .. } => self.begins(now, *hit),
             Event::EndpointsListed {
@@ -343,7 +343,7 @@
         self.put(now, What::Event(told));
     }
 
-    fn did(&mut self, now: Nanos, effect: &Effect) {
+    fn on_effect(&mut self, now: Nanos, effect: &Effect) {
         self.put(now, What::Effect(effect.clone()));
     }
 }
--- a/crates/trace/src/replay.rs
+++ b/crates/trace/src/replay.rs
@@ -3,8 +3,8 @@
 use crate::file::{Reader, TraceError};
 use crate::record::{Record, Source, What};
 use havenplank::interface::Nanos;
-use havenplank_sidecar::engine::{Effect, Engine};
-use havenplank_sidecar::events::{EngineSettings, Event};
+use havenplank_sidecar::engine::{Effect, Engine, EngineSettings};
+use havenplank_sidecar::events::Event;
 use std::collections::HashMap;
 use std::io::{Read, Seek};
 
--- a/crates/trace/tests/common/mod.rs
+++ b/crates/trace/tests/common/mod.rs
@@ -5,8 +5,7 @@
 use havenplank::interface::*;
 use havenplank_line_protocol::nodes::Listed;
 use havenplank_settings::{load, Given};
-use havenplank_sidecar::engine::{Effect, Engine, RequestAttributes, EPOCH};
-use havenplank_sidecar::events::EngineSettings;
+use havenplank_sidecar::engine::{Effect, Engine, EngineSettings, RequestAttributes, EPOCH};
 use havenplank_trace::file::Reader;
 use havenplank_trace::recorder::{Limits, Recorder, Shelf, Writing};
 use havenplank_trace::{Record, Source};
