--- a/crates/sidecar/src/routes.rs
+++ b/crates/sidecar/src/routes.rs
@@ -4,7 +4,7 @@
 //! while running order means nothing, and the most specific pattern does. A lookup costs one hash of the path and one
 //! walk down a trie of the path's own length, however many routes there are.
 
-use crate::slots::Slot;
+use crate::route_slots::Slot;
 use havenplank::interface::{RouteClass, RouteClassId};
 use havenplank_configuration::record::BackupMode;
 use havenplank_configuration::snapshot::Snapshot;
@@ -25,8 +25,8 @@
 
 impl Route {
     /// Its index in the decisions, which means this version as long as the route lives.
-    pub fn group(&self) -> RouteClassId {
-        self.slot.group()
+    pub fn route_class(&self) -> RouteClassId {
+        self.slot.route_class()
     }
 }
 
