--- /dev/null
+++ b/crates/platform/src/attempt.rs
@@ -0,0 +1,162 @@
+//! Sends one attempt to a pod and tells the engine how it ended.
+
+use crate::attempt_outcome::{
+    end_of, end_without_connection, on_write_failure, reuse_of, WriteFailure,
+};
+use crate::counters::{increment, CountGuard};
+use crate::idle_timeout::Reuse;
+use crate::pod_pool::{PodConnection, Wanted};
+use crate::pod_response::{self, PodResponse, ResponseError};
+use crate::prepared_request::PreparedRequest;
+use crate::shell::{Body, Shell};
+use crate::wire_headers::LOAD_REPORT;
+use havenplank::interface::{AttemptEnd, Nanos, PodId, RequestId};
+use havenplank_sidecar::dispatcher::AttemptResult;
+use havenplank_sidecar::headers::strip_hop_by_hop;
+use http_body_util::Full;
+use hyper::header::CONTENT_LENGTH;
+use hyper::Response;
+use std::cell::Cell;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+type AttemptResponse = Response<Body>;
+
+/// One attempt on its way.
+struct Attempt {
+    shell: Rc<Shell>,
+    request: Rc<PreparedRequest>,
+    request_id: RequestId,
+    number: u32,
+    pod: PodId,
+    timeout: Duration,
+    /// Set once the last byte is written: before that the pod cannot have begun.
+    written: Cell<bool>,
+}
+
+/// Carries one attempt out and tells the engine how it ended. Where its time runs out its connection is closed.
+pub(crate) async fn send(
+    shell: Rc<Shell>,
+    request: Rc<PreparedRequest>,
+    (request_id, number): (RequestId, u32),
+    pod: PodId,
+    timeout: Nanos,
+) {
+    let attempt = Attempt {
+        shell,
+        request,
+        request_id,
+        number,
+        pod,
+        timeout: Duration::from_nanos(timeout),
+        written: Cell::new(false),
+    };
+    attempt
+        .shell
+        .run_attempt(
+            (request_id, number),
+            attempt.timeout,
+            &attempt.written,
+            attempt.exchange(),
+        )
+        .await;
+}
+
+impl Attempt {
+    async fn exchange(&self) -> AttemptResult<AttemptResponse> {
+        let Some(address) = self.shell.pod_address(self.pod) else {
+            return AttemptEnd::NotSent.into();
+        };
+        let mut connection = match self.write(address).await {
+            Ok(connection) => connection,
+            Err(end) => return end.into(),
+        };
+        self.written.set(true);
+        let pods = &self.shell.pods;
+        let _in_flight = CountGuard::new(&pods.counters.in_flight);
+        increment(&pods.counters.sent);
+        match pod_response::read(&mut connection.stream, &pods.memory).await {
+            Ok(response) => self.finish(response, address, connection),
+            Err(error) => {
+                self.log_unusable(&connection, error);
+                pods.pool.record_reuse(&connection, reuse_of(error));
+                AttemptEnd::Reset.into()
+            }
+        }
+    }
+
+    /// Writes the request whole on an idle or new connection, and once more on a new one where the idle one broke.
+    async fn write(&self, address: SocketAddr) -> Result<PodConnection, AttemptEnd> {
+        let began = Instant::now();
+        let pool = &self.shell.pods.pool;
+        let mut wanted = Wanted::IdleOrNew;
+        loop {
+            let mut connection = pool
+                .take(address, wanted)
+                .await
+                .map_err(end_without_connection)?;
+            // It was chosen before it had a connection: the pod may drain by now, or its build be closed.
+            if !self.shell.may_send(self.request_id, self.number) {
+                pool.give_back(address, connection);
+                return Err(AttemptEnd::NotSent);
+            }
+            let remaining = self.timeout.saturating_sub(began.elapsed());
+            let bytes = self.request.with_remaining_time(remaining);
+            if connection.write(&bytes).await.is_ok() {
+                return Ok(connection);
+            }
+            match on_write_failure(connection.idle_before) {
+                WriteFailure::GiveUp => return Err(AttemptEnd::ConnectFailed),
+                WriteFailure::UseNewConnection => {
+                    pool.record_reuse(&connection, Reuse::Broken);
+                    wanted = Wanted::New;
+                }
+            }
+        }
+    }
+
+    fn finish(
+        &self,
+        response: PodResponse,
+        address: SocketAddr,
+        connection: PodConnection,
+    ) -> AttemptResult<AttemptResponse> {
+        let pods = &self.shell.pods;
+        pods.pool.record_reuse(&connection, Reuse::Answered);
+        if response.is_reusable {
+            pods.pool.give_back(address, connection);
+        }
+        let report = response.headers.get(LOAD_REPORT);
+        let load = report.and_then(|report| pods.decode_load(report.as_bytes()));
+        let end = end_of(response.status, &response.headers);
+        let delivered = (end == AttemptEnd::Served).then(|| client_response(response));
+        AttemptResult {
+            end,
+            load,
+            response: delivered,
+        }
+    }
+
+    fn log_unusable(&self, connection: &PodConnection, error: ResponseError) {
+        let idle_us = connection.idle_before.map(|idle| idle.as_micros() as u64);
+        tracing::debug!(
+            request = self.request_id,
+            attempt = self.number,
+            pod = self.pod,
+            idle_us,
+            reason = %error,
+            "unusable response"
+        );
+    }
+}
+
+/// Returns the response for the client: the pod's body and headers, but for those of one connection.
+fn client_response(response: PodResponse) -> AttemptResponse {
+    let mut headers = response.headers;
+    strip_hop_by_hop(&mut headers);
+    headers.remove(CONTENT_LENGTH);
+    let mut delivered = Response::new(Full::new(response.body));
+    *delivered.headers_mut() = headers;
+    delivered
+}
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -1,141 +1,207 @@
 //! The configuration file of the platform, decoded into what the parts take.
 
-use crate::{control_plane, discovery};
+use crate::control_plane::messages::decode_stage;
+use crate::discovery::list_update::{self, ListUpdate};
+use crate::fields::{self, parse_object, FieldError};
+use crate::wall_clock::UnixTime;
 use havenplank::interface::{Nanos, Stage};
-use havenplank_adapter::line::{Fields, Line};
-use havenplank_adapter::setup;
-use havenplank_line_protocol::endpoint_list::ListedEndpoint;
+use havenplank_adapter::line::Fields;
+use havenplank_adapter::setup::{self, Setup};
 use havenplank_sidecar::engine::EngineSettings;
-use serde_json::{Map, Value};
+use std::io;
 use std::net::SocketAddr;
-use std::path::Path;
+use std::ops::RangeInclusive;
+use std::path::{Path, PathBuf};
 use std::time::Duration;
 
+/// Descriptors of the process. With more, shares of them would not fit the counters of what may be open.
+const DESCRIPTORS: RangeInclusive<usize> = 64..=1 << 20;
+/// Memory of the process, in megabytes.
+const MEMORY_MB: RangeInclusive<u64> = 16..=1 << 16;
+const BYTES_PER_MB: usize = 1_000_000;
+const SEED_RADIX: u32 = 16;
+
 /// What one sidecar is told at its start, and again at SIGHUP.
 pub struct Config {
+    /// Where clients connect.
     pub listen: SocketAddr,
-    pub nodes: SocketAddr,
-    pub desk: SocketAddr,
+    /// Where discovery is reached.
+    pub discovery: SocketAddr,
+    /// Where the control plane is reached.
+    pub control_plane: SocketAddr,
+    /// The state of the newest build, where it is known.
     pub stage: Option<Stage>,
-    /// The pods as this sidecar last held them, and the list's version then.
-    pub known: (u64, Vec<ListedEndpoint>),
+    /// The endpoints as this sidecar last had them, with the list's version then.
+    pub known: ListUpdate,
+    /// Seed of the router's random choices and of the jitter between reconnections.
     pub seed: u64,
-    pub sockets: usize,
-    /// Bytes of memory, over which the platform ends us.
-    pub memory: usize,
-    pub terms: EngineSettings,
-    /// The columns of a load report; none where pods report nothing.
-    pub load: Vec<String>,
-    pub links: Links,
-    /// How long before a hit's time is up its answer must leave.
-    pub answer_margin: Nanos,
+    /// Descriptors that the process may open.
+    pub descriptors: usize,
+    /// Bytes of memory, over which the platform ends the process.
+    pub memory_bytes: usize,
+    /// What the engine is built from.
+    pub engine: EngineSettings,
+    /// Fields of a load report; none where pods report nothing.
+    pub load_fields: Vec<String>,
+    /// Connections to pods.
+    pub pod_connections: PodConnectionSettings,
+    /// How long before a request's deadline its response must leave.
+    pub response_margin: Nanos,
 }
 
 /// Connections to pods.
 #[derive(Clone, Copy, Debug)]
-pub struct Links {
-    pub connect_time: Duration,
+pub struct PodConnectionSettings {
+    /// Bound on getting a connection.
+    pub connect_timeout: Duration,
     /// After which idle time the pod's machine closes a connection, at the latest.
-    pub idle: Duration,
+    pub idle_limit: Duration,
 }
 
-/// Why a configuration was refused: file, field and what was wrong there.
+/// Why a configuration file was refused.
 #[derive(Debug, thiserror::Error)]
-#[error("{0}")]
-pub struct Refused(String);
-
-/// Takes a JSON object apart field by field; `what` names it in complaints.
-pub fn object(what: &str, text: &[u8]) -> Result<Line, String> {
-    let value: Value =
-        serde_json::from_slice(text).map_err(|e| format!("{what}: not JSON ({e})"))?;
-    match value {
-        Value::Object(fields) => Ok(line(what, fields)),
-        _ => Err(format!("{what}: expected a JSON object")),
-    }
-}
-
-pub fn line(what: &str, fields: Map<String, Value>) -> Line {
-    Line {
-        number: 1,
-        verb: what.to_string(),
-        fields,
-    }
-}
-
-fn address(fields: &Fields, field: &str) -> Result<SocketAddr, String> {
-    fields
-        .text(field)?
-        .parse()
-        .map_err(|_| fields.complain(field, "expected an IP address with a port"))
+pub enum ConfigError {
+    /// The file cannot be read.
+    #[error("{}: {source}", file.display())]
+    Read {
+        /// The file.
+        file: PathBuf,
+        /// Why it cannot be read.
+        #[source]
+        source: io::Error,
+    },
+    /// Something in it is missing or wrong.
+    #[error("{}: {source}", file.display())]
+    Invalid {
+        /// The file.
+        file: PathBuf,
+        /// The field, and what was expected there.
+        #[source]
+        source: FieldError,
+    },
 }
 
 impl Config {
+    /// Reads a configuration file.
+    ///
     /// # Errors
     /// A file that cannot be read, or the first field in it that is missing or wrong.
-    pub fn load(file: &Path) -> Result<Config, Refused> {
-        let refused = |why: String| Refused(format!("{}: {why}", file.display()));
-        let text = std::fs::read(file).map_err(|error| refused(error.to_string()))?;
-        Config::read(&text).map_err(refused)
+    pub fn load(file: &Path) -> Result<Config, ConfigError> {
+        let text = std::fs::read(file).map_err(|source| ConfigError::Read {
+            file: file.to_path_buf(),
+            source,
+        })?;
+        Config::parse(&text).map_err(|source| ConfigError::Invalid {
+            file: file.to_path_buf(),
+            source,
+        })
     }
 
+    /// Decodes the text of a configuration file.
+    ///
     /// # Errors
     /// The first field that is missing or wrong.
-    pub fn read(text: &[u8]) -> Result<Config, String> {
-        let whole = object("configuration", text)?;
-        let f = whole.of();
-        let settings = f.object("settings")?;
+    pub fn parse(text: &[u8]) -> Result<Config, FieldError> {
+        let object = parse_object("configuration", text)?;
+        let root = object.of();
+        let settings = root.object("settings")?;
         let setup = setup::read(&settings)?;
-        let (limits, rules) = (settings.object("limits")?, settings.object("rules")?);
-        let machine = f.object("limits")?;
-        let sockets = machine.whole("sockets")? as usize;
-        // Above, shares of it would not fit the counters of what may be open.
-        if !(64..=1 << 20).contains(&sockets) {
-            return Err(machine.complain("sockets", "expected 64 to 1048576"));
-        }
-        let memory = machine.whole("memory_mb")?;
-        if !(16..=1 << 16).contains(&memory) {
-            return Err(machine.complain("memory_mb", "expected 16 to 65536"));
-        }
-        let seed = f.text("seed")?;
-        let seed = u64::from_str_radix(seed, 16)
-            .map_err(|_| f.complain("seed", "expected 16 hex digits"))?;
-        let deployer = f.object("deployer")?;
-        let stage = match deployer.maybe_has("news") {
-            true => Some(control_plane::stage(&deployer.object("news")?)?),
-            false => None,
-        };
-        let known = discovery::read(&f.object("known")?, discovery::wall())?;
-        let names = setup.names;
-        let terms = EngineSettings {
-            name: f.text("name")?.to_string(),
-            position: setup.place,
-            zones: names.zones,
-            machines: names.machines,
-            tenants: names.tenants,
-            route_classes: names.groups.into_iter().zip(setup.groups).collect(),
-            attempts: setup.forwards,
-            pods: setup.pods,
-            exposure: setup.exposure,
-            votes: setup.votes,
-            endpoint_list: setup.list,
-            reuse_pod_ids: true,
-        };
+        let descriptors = descriptors(&root)?;
+        let memory_bytes = memory_bytes(&root)?;
+        let seed = seed(&root)?;
+        let deployer = root.object("deployer")?;
+        let stage = stage(&deployer)?;
+        let known = list_update::decode(&root.object("known")?, UnixTime::now())?;
+        let name = root.text("name")?.to_string();
+        let load_fields = setup.names.load.clone();
         Ok(Config {
-            listen: address(&f, "listen")?,
-            nodes: address(&f, "discovery")?,
-            desk: address(&deployer, "address")?,
+            listen: address(&root, "listen")?,
+            discovery: address(&root, "discovery")?,
+            control_plane: address(&deployer, "address")?,
             stage,
-            known: (known.seq, known.pods),
+            known,
             seed,
-            sockets,
-            memory: memory as usize * 1_000_000,
-            terms,
-            load: names.load,
-            links: Links {
-                connect_time: Duration::from_nanos(limits.whole("dialTimeoutNs")?),
-                idle: Duration::from_nanos(limits.whole("connIdleNs")?),
-            },
-            answer_margin: rules.whole_or("answerSlackNs", 0)?,
+            descriptors,
+            memory_bytes,
+            engine: engine_settings(name, setup),
+            load_fields,
+            pod_connections: pod_connections(&settings)?,
+            response_margin: response_margin(&settings)?,
         })
     }
 }
+
+fn address(fields: &Fields, field: &str) -> Result<SocketAddr, FieldError> {
+    let parsed = fields.text(field)?.parse();
+    parsed.map_err(|_| fields::invalid(fields, field, "expected an IP address with a port"))
+}
+
+fn descriptors(root: &Fields) -> Result<usize, FieldError> {
+    let limits = root.object("limits")?;
+    let descriptors = limits.whole("sockets")? as usize;
+    if !DESCRIPTORS.contains(&descriptors) {
+        return Err(fields::invalid(
+            &limits,
+            "sockets",
+            "expected 64 to 1048576",
+        ));
+    }
+    Ok(descriptors)
+}
+
+fn memory_bytes(root: &Fields) -> Result<usize, FieldError> {
+    let limits = root.object("limits")?;
+    let megabytes = limits.whole("memory_mb")?;
+    if !MEMORY_MB.contains(&megabytes) {
+        return Err(fields::invalid(
+            &limits,
+            "memory_mb",
+            "expected 16 to 65536",
+        ));
+    }
+    Ok(megabytes as usize * BYTES_PER_MB)
+}
+
+fn seed(root: &Fields) -> Result<u64, FieldError> {
+    let digits = root.text("seed")?;
+    u64::from_str_radix(digits, SEED_RADIX)
+        .map_err(|_| fields::invalid(root, "seed", "expected 16 hex digits"))
+}
+
+fn stage(deployer: &Fields) -> Result<Option<Stage>, FieldError> {
+    if !deployer.maybe_has("news") {
+        return Ok(None);
+    }
+    decode_stage(&deployer.object("news")?).map(Some)
+}
+
+fn pod_connections(settings: &Fields) -> Result<PodConnectionSettings, FieldError> {
+    let limits = settings.object("limits")?;
+    Ok(PodConnectionSettings {
+        connect_timeout: Duration::from_nanos(limits.whole("dialTimeoutNs")?),
+        idle_limit: Duration::from_nanos(limits.whole("connIdleNs")?),
+    })
+}
+
+fn response_margin(settings: &Fields) -> Result<Nanos, FieldError> {
+    let rules = settings.object("rules")?;
+    Ok(rules.whole_or("answerSlackNs", 0)?)
+}
+
+fn engine_settings(name: String, setup: Setup) -> EngineSettings {
+    let names = setup.names;
+    EngineSettings {
+        name,
+        position: setup.place,
+        zones: names.zones,
+        machines: names.machines,
+        tenants: names.tenants,
+        route_classes: names.groups.into_iter().zip(setup.groups).collect(),
+        attempts: setup.forwards,
+        pods: setup.pods,
+        exposure: setup.exposure,
+        votes: setup.votes,
+        endpoint_list: setup.list,
+        reuse_pod_ids: true,
+    }
+}
--- /dev/null
+++ b/crates/platform/src/control_plane/messages.rs
@@ -0,0 +1,191 @@
+//! The JSON-RPC messages of the control plane: names and words of the wire are mapped here and nowhere else.
+
+use crate::fields::{self, parse_object, FieldError};
+use havenplank::interface::{Build, Nanos, Phase, Stage, Vote, VoteReceipt, VoteReply};
+use havenplank_adapter::line::{Fields, Line};
+use serde_json::json;
+
+const NANOS_PER_MILLI: Nanos = 1_000_000;
+/// The id of the call that asks for notifications; votes count on from here.
+const FOLLOW_ID: u64 = 0;
+
+/// Identifies a call on its connection.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(super) enum Call {
+    /// Asks for notifications.
+    Follow,
+    /// Casts the engine's vote of that id.
+    Vote(u64),
+}
+
+impl Call {
+    fn id(self) -> u64 {
+        match self {
+            Call::Follow => FOLLOW_ID,
+            Call::Vote(vote) => vote + FOLLOW_ID + 1,
+        }
+    }
+}
+
+/// Returns the line that asks for notifications.
+pub(super) fn follow_line() -> String {
+    let call = json!({"jsonrpc": "2.0", "id": Call::Follow.id(), "method": "follow"});
+    format!("{call}\n")
+}
+
+/// Returns the line that casts a vote.
+pub(super) fn vote_line(id: u64, build: Build, stage: usize, vote: Vote) -> String {
+    let opinion = match vote {
+        Vote::None => "none",
+        Vote::Advance => "on",
+        Vote::Hold => "hold",
+        Vote::RollBack => "back",
+    };
+    let params = json!({"image": build, "ring": stage, "opinion": opinion});
+    let id = Call::Vote(id).id();
+    let call = json!({"jsonrpc": "2.0", "id": id, "method": "castBallot", "params": params});
+    format!("{call}\n")
+}
+
+/// Decodes the state of the newest build.
+///
+/// # Errors
+/// The first field that is missing or wrong.
+pub(crate) fn decode_stage(fields: &Fields) -> Result<Stage, FieldError> {
+    let phase = decode_phase(fields)?;
+    let cap = fields.number("ceiling")?;
+    if !(0.0..=1.0).contains(&cap) {
+        return Err(fields::invalid(
+            fields,
+            "ceiling",
+            "expected a number from 0 to 1",
+        ));
+    }
+    let build = fields.whole("image")?.min(u64::from(Build::MAX));
+    Ok(Stage {
+        build: build as Build,
+        stage: fields.whole("ring")? as usize,
+        phase,
+        cap,
+        age: fields
+            .whole_or("lag_ms", 0)?
+            .saturating_mul(NANOS_PER_MILLI),
+    })
+}
+
+fn decode_phase(fields: &Fields) -> Result<Phase, FieldError> {
+    match fields.text("progress")? {
+        "canary" => Ok(Phase::Trial),
+        "reverting" => Ok(Phase::RollingBack),
+        "stable" => Ok(Phase::Released),
+        "reverted" => Ok(Phase::Withdrawn),
+        _ => Err(fields::invalid(
+            fields,
+            "progress",
+            "expected canary, reverting, stable or reverted",
+        )),
+    }
+}
+
+/// A wrong answer that a client found.
+#[derive(Debug, PartialEq)]
+pub(super) struct Fault {
+    pub(super) pod: String,
+    pub(super) route_class: String,
+    /// How long ago its attempt was sent.
+    pub(super) ago: Nanos,
+}
+
+/// A line of the control plane.
+pub(super) enum Message {
+    /// The state of the newest build.
+    Stage(Stage),
+    /// A wrong answer.
+    Fault(Fault),
+    /// A ping, or a notification that is not known here.
+    Other,
+    /// The reply to a call.
+    Reply(Reply),
+}
+
+/// Decodes one line.
+///
+/// # Errors
+/// A text that is no object, and the first field that is missing or wrong.
+pub(super) fn decode(line: &str) -> Result<Message, FieldError> {
+    let line = parse_object("control plane", line.as_bytes())?;
+    let fields = line.of();
+    match fields.maybe_text("method")? {
+        Some("progress") => Ok(Message::Stage(decode_stage(&fields.object("params")?)?)),
+        Some("complaint") => Ok(Message::Fault(decode_fault(&fields.object("params")?)?)),
+        Some(_) => Ok(Message::Other),
+        None => Ok(Message::Reply(Reply { line })),
+    }
+}
+
+fn decode_fault(params: &Fields) -> Result<Fault, FieldError> {
+    Ok(Fault {
+        pod: params.text("host")?.to_string(),
+        route_class: params.text("type")?.to_string(),
+        ago: params.whole("lag_ms")?.saturating_mul(NANOS_PER_MILLI),
+    })
+}
+
+/// Why a reply cannot be used.
+#[derive(Debug, thiserror::Error)]
+pub(super) enum ReplyError {
+    #[error(transparent)]
+    Fields(#[from] FieldError),
+    #[error("the control plane refused to send notifications")]
+    FollowRefused,
+    #[error("an error that the control plane does not have: {0:?}")]
+    UnknownError(String),
+}
+
+/// A reply, read once it is known which call it answers.
+pub(super) struct Reply {
+    line: Line,
+}
+
+impl Reply {
+    /// Checks that the reply answers the oldest call without one.
+    pub(super) fn check_answers(&self, oldest: Option<Call>) -> Result<Call, ReplyError> {
+        let fields = self.line.of();
+        let id = fields.whole("id").map_err(FieldError::from)?;
+        match oldest {
+            Some(call) if call.id() == id => Ok(call),
+            _ => Err(fields::invalid(&fields, "id", "a reply to no call").into()),
+        }
+    }
+
+    /// Reads the reply to the call that asks for notifications.
+    pub(super) fn read_follow(&self) -> Result<(), ReplyError> {
+        match self.line.of().maybe_has("error") {
+            true => Err(ReplyError::FollowRefused),
+            false => Ok(()),
+        }
+    }
+
+    /// Reads the reply to a vote.
+    pub(super) fn read_vote(&self) -> Result<VoteReply, ReplyError> {
+        let fields = self.line.of();
+        if !fields.maybe_has("error") {
+            let result = fields.object("result").map_err(FieldError::from)?;
+            let stage = decode_stage(&result)?;
+            return Ok(VoteReply {
+                receipt: VoteReceipt::Counted,
+                stage: Some(stage),
+            });
+        }
+        let error = fields.object("error").map_err(FieldError::from)?;
+        let receipt = match error.text("message").map_err(FieldError::from)? {
+            "throttled" | "internal" | "invalid" => VoteReceipt::Rejected,
+            "conflict" => VoteReceipt::Stale,
+            other => return Err(ReplyError::UnknownError(other.to_string())),
+        };
+        Ok(VoteReply {
+            receipt,
+            stage: None,
+        })
+    }
+}
--- /dev/null
+++ b/crates/platform/src/discovery/mod.rs
@@ -0,0 +1,145 @@
+//! Follows the endpoint list of discovery and hands its updates to the engine.
+//!
+//! [`watch_selection`] decides which watch is in force, [`list_update`] decodes, [`watch`] is one watch's connection.
+
+pub mod list_update;
+mod watch;
+pub mod watch_selection;
+
+use crate::reconnect::backoff;
+use crate::shell::Shell;
+use havenplank_line_protocol::backoff::Backoff;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Instant;
+use tokio::sync::watch::Receiver;
+use tokio::time::sleep_until;
+use watch::{Received, Watch, WatchError};
+use watch_selection::{ListVersion, OnCandidateMessage, OpenCandidate, Verdict, WatchSelection};
+
+/// The connections that belong to a [`WatchSelection`].
+struct DiscoveryClient {
+    shell: Rc<Shell>,
+    selection: WatchSelection,
+    active: Option<Watch>,
+    candidate: Option<Watch>,
+    backoff: Backoff,
+}
+
+/// Follows the list from a version on; ends only when the sender of `address` is dropped.
+pub(crate) async fn follow(
+    shell: Rc<Shell>,
+    mut address: Receiver<SocketAddr>,
+    since: ListVersion,
+    seed: u64,
+) {
+    let current = *address.borrow_and_update();
+    let mut client = DiscoveryClient {
+        shell,
+        selection: WatchSelection::new(Instant::now(), current, since),
+        active: None,
+        candidate: None,
+        backoff: backoff(seed),
+    };
+    loop {
+        let deadline = client.selection.next_deadline();
+        tokio::select! {
+            changed = address.changed() => {
+                if changed.is_err() {
+                    return;
+                }
+                client.on_address_change(*address.borrow_and_update());
+            }
+            received = Watch::next(&mut client.active) => client.on_active(received),
+            received = Watch::next(&mut client.candidate) => client.on_candidate(received),
+            () = sleep_until(deadline.into()) => client.on_deadline(),
+        }
+    }
+}
+
+impl DiscoveryClient {
+    fn on_address_change(&mut self, to: SocketAddr) {
+        tracing::info!(%to, "endpoint list: address changed");
+        let target = self.selection.on_address_change(Instant::now(), to);
+        self.open_candidate(target);
+    }
+
+    fn on_deadline(&mut self) {
+        let due = self.selection.on_deadline(Instant::now());
+        if due.drop_active {
+            self.log_end(&WatchError::Silent);
+            self.active = None;
+        }
+        if let Some(target) = due.open {
+            self.open_candidate(target);
+        }
+    }
+
+    fn on_active(&mut self, received: Result<Received, WatchError>) {
+        match received {
+            Ok(received) => {
+                let verdict = self
+                    .selection
+                    .on_active_message(Instant::now(), received.message());
+                self.apply(verdict, received);
+            }
+            Err(reason) => {
+                self.log_end(&reason);
+                self.active = None;
+                let delay = self.backoff.next_delay();
+                self.selection.on_active_end(Instant::now(), delay);
+            }
+        }
+    }
+
+    fn on_candidate(&mut self, received: Result<Received, WatchError>) {
+        match received {
+            Ok(received) => self.on_candidate_message(received),
+            Err(reason) => {
+                self.log_end(&reason);
+                self.candidate = None;
+                let delay = self.backoff.next_delay();
+                self.selection.on_candidate_end(Instant::now(), delay);
+            }
+        }
+    }
+
+    fn on_candidate_message(&mut self, received: Received) {
+        let now = Instant::now();
+        match self.selection.on_candidate_message(now, received.message()) {
+            Some(OnCandidateMessage::Promote(verdict)) => {
+                self.active = self.candidate.take();
+                self.backoff.reset();
+                self.apply(verdict, received);
+            }
+            Some(OnCandidateMessage::Replace(target)) => self.open_candidate(target),
+            None => {}
+        }
+    }
+
+    fn open_candidate(&mut self, target: OpenCandidate) {
+        self.candidate = Some(Watch::open(target));
+    }
+
+    fn apply(&self, verdict: Verdict, received: Received) {
+        let Received::Update(update) = received else {
+            return;
+        };
+        tracing::debug!(
+            version = update.version,
+            complete = update.complete,
+            endpoints = update.endpoints.len(),
+            "endpoint list"
+        );
+        if verdict == Verdict::Apply {
+            self.shell.call(|engine, now| {
+                engine.update_endpoints(now, update.complete, update.endpoints)
+            });
+        }
+    }
+
+    fn log_end(&self, reason: &WatchError) {
+        let version = self.selection.version();
+        tracing::warn!(service = "endpoint list", %reason, version, "connection ended");
+    }
+}
--- /dev/null
+++ b/crates/platform/src/discovery/watch.rs
@@ -0,0 +1,154 @@
+//! One watch on the endpoint list: an HTTP response that stays open and carries JSON objects.
+
+use super::list_update::{self, ListUpdate};
+use super::watch_selection::{OpenCandidate, WatchMessage};
+use crate::fields::{parse_object, FieldError};
+use crate::json_stream::{JsonStream, MalformedStream, StreamItem};
+use crate::limits::{MAX_LIST_OBJECT_BYTES, WATCH_QUEUE, WATCH_READ_BUFFER_BYTES};
+use crate::reconnect::AbortOnDrop;
+use crate::wall_clock::UnixTime;
+use bytes::Bytes;
+use http_body_util::{BodyExt, Empty};
+use hyper::body::Incoming;
+use hyper::client::conn::http1::{self, SendRequest};
+use hyper::header::HOST;
+use hyper::{Request, Response, StatusCode};
+use hyper_util::rt::TokioIo;
+use std::io;
+use std::net::SocketAddr;
+use tokio::net::TcpStream;
+use tokio::sync::mpsc;
+use tokio::task::spawn_local;
+
+/// Why a watch ended.
+#[derive(Debug, thiserror::Error)]
+pub(super) enum WatchError {
+    #[error("cannot connect: {0}")]
+    Connect(#[source] io::Error),
+    #[error("HTTP failed: {0}")]
+    Http(#[from] hyper::Error),
+    #[error("no such request: {0}")]
+    Request(#[from] hyper::http::Error),
+    #[error("status {0}, expected 200")]
+    Status(StatusCode),
+    #[error(transparent)]
+    Malformed(#[from] MalformedStream),
+    #[error(transparent)]
+    Fields(#[from] FieldError),
+    #[error("closed by the service")]
+    Closed,
+    #[error("no line in time")]
+    Silent,
+    #[error("its task ended")]
+    TaskEnded,
+}
+
+/// A complete message of a watch, decoded.
+pub(super) enum Received {
+    KeepAlive,
+    Update(ListUpdate),
+}
+
+impl Received {
+    /// Returns what the selection of watches needs of it.
+    pub(super) fn message(&self) -> WatchMessage {
+        match self {
+            Received::KeepAlive => WatchMessage::KeepAlive,
+            Received::Update(update) => WatchMessage::Update {
+                version: update.version,
+                complete: update.complete,
+            },
+        }
+    }
+}
+
+type Queue = mpsc::Sender<Result<Received, WatchError>>;
+
+/// A watch in a task of its own, which ends when this is dropped. It hands on what it receives and touches nothing
+/// else.
+pub(super) struct Watch {
+    _task: AbortOnDrop,
+    received: mpsc::Receiver<Result<Received, WatchError>>,
+}
+
+impl Watch {
+    pub(super) fn open(target: OpenCandidate) -> Watch {
+        let (queue, received) = mpsc::channel(WATCH_QUEUE);
+        let task = spawn_local(async move {
+            let ended = run(target, &queue).await;
+            let reason = ended.err().unwrap_or(WatchError::Closed);
+            // Where nobody listens any more nobody asks why.
+            let _ = queue.send(Err(reason)).await;
+        });
+        Watch {
+            _task: AbortOnDrop(task.abort_handle()),
+            received,
+        }
+    }
+
+    /// Waits for the next message of a watch; for ever where there is none.
+    pub(super) async fn next(watch: &mut Option<Watch>) -> Result<Received, WatchError> {
+        let Some(watch) = watch else {
+            return std::future::pending().await;
+        };
+        let received = watch.received.recv().await;
+        received.unwrap_or(Err(WatchError::TaskEnded))
+    }
+}
+
+async fn run(target: OpenCandidate, queue: &Queue) -> Result<(), WatchError> {
+    let (mut sender, _connection) = connect(target.address).await?;
+    let path = format!("/v1/servers?follow=1&since={}", target.since);
+    let request = Request::get(path)
+        .header(HOST, target.address.to_string())
+        .body(Empty::<Bytes>::new())?;
+    let response = sender.send_request(request).await?;
+    if response.status() != StatusCode::OK {
+        return Err(WatchError::Status(response.status()));
+    }
+    receive(response, queue).await
+}
+
+async fn connect(
+    address: SocketAddr,
+) -> Result<(SendRequest<Empty<Bytes>>, AbortOnDrop), WatchError> {
+    let stream = TcpStream::connect(address)
+        .await
+        .map_err(WatchError::Connect)?;
+    let _ = stream.set_nodelay(true);
+    let (sender, connection) = http1::Builder::new()
+        .max_buf_size(WATCH_READ_BUFFER_BYTES)
+        .handshake(TokioIo::new(stream))
+        .await?;
+    let driver = spawn_local(connection);
+    Ok((sender, AbortOnDrop(driver.abort_handle())))
+}
+
+/// Hands on the objects of a response until it ends or nobody takes them any more.
+async fn receive(response: Response<Incoming>, queue: &Queue) -> Result<(), WatchError> {
+    let mut body = response.into_body();
+    let mut stream = JsonStream::new(MAX_LIST_OBJECT_BYTES);
+    while let Some(frame) = body.frame().await {
+        let Ok(data) = frame?.into_data() else {
+            continue;
+        };
+        stream.push(&data);
+        while let Some(item) = stream.next_item()? {
+            if queue.send(Ok(decode(item)?)).await.is_err() {
+                return Ok(());
+            }
+        }
+    }
+    Ok(())
+}
+
+fn decode(item: StreamItem) -> Result<Received, FieldError> {
+    match item {
+        StreamItem::LineEnd => Ok(Received::KeepAlive),
+        StreamItem::Object(text) => {
+            let object = parse_object("endpoint list", &text)?;
+            let update = list_update::decode(&object.of(), UnixTime::now())?;
+            Ok(Received::Update(update))
+        }
+    }
+}
--- /dev/null
+++ b/crates/platform/src/fields.rs
@@ -0,0 +1,55 @@
+//! JSON objects taken apart field by field; errors name the object, the path to the field and what was expected.
+
+use havenplank_adapter::line::{Fields, Line};
+use serde_json::Value;
+
+/// Why an object was refused.
+#[derive(Debug, thiserror::Error)]
+pub enum FieldError {
+    /// The text is no JSON.
+    #[error("{object}: not JSON ({source})")]
+    NotJson {
+        /// What the object is.
+        object: &'static str,
+        /// Where it stops being JSON.
+        #[source]
+        source: serde_json::Error,
+    },
+    /// The text is JSON, but no object.
+    #[error("{object}: expected a JSON object")]
+    NotAnObject {
+        /// What the object is.
+        object: &'static str,
+    },
+    /// A field is missing or wrong, in the words of the reader of fields.
+    #[error("{0}")]
+    Field(String),
+}
+
+impl From<String> for FieldError {
+    fn from(complaint: String) -> FieldError {
+        FieldError::Field(complaint)
+    }
+}
+
+/// Parses an object; `object` names it in errors.
+///
+/// # Errors
+/// A text that is no JSON object.
+pub fn parse_object(object: &'static str, text: &[u8]) -> Result<Line, FieldError> {
+    let value =
+        serde_json::from_slice(text).map_err(|source| FieldError::NotJson { object, source })?;
+    let Value::Object(fields) = value else {
+        return Err(FieldError::NotAnObject { object });
+    };
+    Ok(Line {
+        number: 1,
+        verb: object.to_string(),
+        fields,
+    })
+}
+
+/// Returns the error for a field whose value is not what was expected.
+pub(crate) fn invalid(fields: &Fields, field: &str, expected: &str) -> FieldError {
+    FieldError::Field(fields.complain(field, expected))
+}
--- /dev/null
+++ b/crates/platform/src/id_claim.rs
@@ -0,0 +1,64 @@
+//! A request's claim on its correlation id, held while it is in flight.
+
+use crate::client_connection::ClientConnection;
+use crate::in_flight_ids::{may_take_over, EarlierRequest, IdConflict, IdHolder};
+use crate::shell::Shell;
+use havenplank::interface::{Idempotency, RequestId};
+use hyper::header::HeaderValue;
+use std::rc::Rc;
+
+/// The id of a request in flight, free again when this is dropped.
+pub(crate) struct IdClaim {
+    shell: Rc<Shell>,
+    client: Rc<ClientConnection>,
+    id: HeaderValue,
+}
+
+impl IdClaim {
+    /// Claims an id. An earlier request with the same id, whose client is gone, ends in favour of this one.
+    ///
+    /// # Errors
+    /// The earlier request goes on; see [`may_take_over`].
+    pub(crate) fn new(
+        shell: &Rc<Shell>,
+        client: &Rc<ClientConnection>,
+        id: &HeaderValue,
+        idempotency: Idempotency,
+    ) -> Result<IdClaim, IdConflict> {
+        if let Some(earlier) = shell.clients.in_flight_ids.holder(id) {
+            may_take_over(earlier_request(shell, &earlier), idempotency)?;
+            earlier.client.abort();
+            if let Some(request) = earlier.request {
+                shell.client_gone(request);
+            }
+        }
+        let ids = &shell.clients.in_flight_ids;
+        ids.insert(id.clone(), client.clone());
+        Ok(IdClaim {
+            shell: shell.clone(),
+            client: client.clone(),
+            id: id.clone(),
+        })
+    }
+
+    /// The request that holds the id was dispatched.
+    pub(crate) fn set_request(&self, request: RequestId) {
+        let ids = &self.shell.clients.in_flight_ids;
+        ids.set_request(&self.id, request);
+    }
+}
+
+impl Drop for IdClaim {
+    fn drop(&mut self) {
+        let ids = &self.shell.clients.in_flight_ids;
+        ids.release(&self.id, &self.client);
+    }
+}
+
+fn earlier_request(shell: &Shell, earlier: &IdHolder) -> EarlierRequest {
+    let was_forwarded = |request| shell.was_forwarded(request);
+    EarlierRequest {
+        is_client_gone: earlier.client.stream.is_closed(),
+        may_have_run: earlier.request.is_some_and(was_forwarded),
+    }
+}
--- /dev/null
+++ b/crates/platform/src/pod_response/framing.rs
@@ -0,0 +1,46 @@
+//! How long a response's body is, and whether its connection goes on.
+
+use super::ResponseError;
+use hyper::header::{HeaderMap, HeaderValue, CONNECTION, CONTENT_LENGTH, TRANSFER_ENCODING};
+
+/// How the end of a body is told.
+#[derive(Debug, PartialEq)]
+pub(super) enum Framing {
+    /// By its length, in bytes.
+    Length(usize),
+    /// By a last chunk.
+    Chunked,
+}
+
+/// Returns how the end of the body is told. Two lengths or two framings are refused, and so is an end by close, which
+/// a break looks just like.
+pub(super) fn of(headers: &HeaderMap) -> Result<Framing, ResponseError> {
+    let lengths: Vec<&HeaderValue> = headers.get_all(CONTENT_LENGTH).iter().collect();
+    let encodings: Vec<&HeaderValue> = headers.get_all(TRANSFER_ENCODING).iter().collect();
+    match (&lengths[..], &encodings[..]) {
+        ([length], []) => {
+            let length = parse_length(length).ok_or(ResponseError::InvalidLength)?;
+            Ok(Framing::Length(length))
+        }
+        ([], [encoding]) if encoding.as_bytes().eq_ignore_ascii_case(b"chunked") => {
+            Ok(Framing::Chunked)
+        }
+        ([], []) => Err(ResponseError::NoLength),
+        _ => Err(ResponseError::AmbiguousLength),
+    }
+}
+
+fn parse_length(value: &HeaderValue) -> Option<usize> {
+    let text = value.to_str().ok()?;
+    let is_number = text.bytes().all(|byte| byte.is_ascii_digit());
+    is_number.then(|| text.parse().ok()).flatten()
+}
+
+/// Returns whether the pod closes the connection behind this response.
+pub(super) fn closes(headers: &HeaderMap) -> bool {
+    let is_close = |word: &[u8]| word.trim_ascii().eq_ignore_ascii_case(b"close");
+    headers.get_all(CONNECTION).iter().any(|value| {
+        let mut words = value.as_bytes().split(|byte| *byte == b',');
+        words.any(is_close)
+    })
+}
--- /dev/null
+++ b/crates/platform/src/request_reader.rs
@@ -0,0 +1,220 @@
+//! Reads a client's request whole, so that it can be sent again, and refuses what is no request.
+
+use crate::client_connection::ClientConnection;
+use crate::id_claim::IdClaim;
+use crate::in_flight_ids::IdConflict;
+use crate::limits::{MAX_BODY_BYTES, MAX_CORRELATION_ID_BYTES};
+use crate::prepared_request::PreparedRequest;
+use crate::request_error::RequestError;
+use crate::shell::Shell;
+use crate::wire_headers::{
+    CORRELATION_ID, COST_HINT, IDEMPOTENCY_KEY, KEY_COOKIE, REMAINING_TIME, RETRY, TENANT,
+};
+use bytes::Bytes;
+use havenplank::interface::{stable_hash, Idempotency, Nanos, RouteClass, RouteClassId};
+use havenplank_sidecar::engine::RequestAttributes;
+use havenplank_sidecar::headers::{parse_cost_hint, strip_hop_by_hop};
+use http_body_util::{BodyExt, LengthLimitError, Limited};
+use hyper::body::{Body, Incoming};
+use hyper::header::{
+    HeaderMap, HeaderName, HeaderValue, CONTENT_LENGTH, COOKIE, TRANSFER_ENCODING,
+};
+use hyper::http::request::Parts;
+use hyper::{Method, Request};
+use std::rc::Rc;
+use std::time::Instant;
+use tokio::time::timeout_at;
+
+const NANOS_PER_MILLI: Nanos = 1_000_000;
+/// Nine digits of milliseconds are some days.
+const MAX_REMAINING_TIME_DIGITS: usize = 9;
+
+/// A request, read whole.
+pub(crate) struct ReadRequest {
+    /// What the engine is told of it; the remaining time counts from its first byte.
+    pub(crate) attributes: RequestAttributes,
+    /// What is sent to pods.
+    pub(crate) prepared: PreparedRequest,
+    /// Its correlation id.
+    pub(crate) id: IdClaim,
+}
+
+/// Reads a request that began then.
+///
+/// # Errors
+/// What is no request, and one whose id is in flight.
+pub(crate) async fn read(
+    shell: &Rc<Shell>,
+    client: &Rc<ClientConnection>,
+    request: Request<Incoming>,
+    began: Instant,
+) -> Result<ReadRequest, RequestError> {
+    let (parts, body) = request.into_parts();
+    let class = check_target(shell, &parts)?;
+    let rules = shell.route_classes[class].1;
+    let method = check_method(&parts, &rules)?;
+    check_body(&body, &rules)?;
+    let id = correlation_id(&parts.headers)?;
+    check_idempotency_key(&parts.headers, &rules)?;
+    let remaining = remaining_time(&parts.headers)?;
+    let attributes = RequestAttributes {
+        route_class: class,
+        tenant: tenant(shell, &parts.headers),
+        key: key(&parts.headers).map_or(0, stable_hash),
+        remaining: remaining.min(rules.client_timeout),
+        cost_hint: cost_hint(&parts.headers),
+        is_retry: parts.headers.get(RETRY).is_some_and(|value| value == "1"),
+    };
+    let claim = IdClaim::new(shell, client, id, rules.idempotency);
+    let id = claim.map_err(|conflict| match conflict {
+        IdConflict::ClientWaits => RequestError::IdInFlight,
+        IdConflict::MayHaveRun => RequestError::IdMayHaveRun,
+    })?;
+    let body = read_body(body, client, began).await?;
+    Ok(ReadRequest {
+        attributes,
+        prepared: prepare(&method, &parts, body),
+        id,
+    })
+}
+
+/// Checks where a request goes and returns its route class.
+fn check_target(shell: &Shell, parts: &Parts) -> Result<RouteClassId, RequestError> {
+    if parts.headers.contains_key(TRANSFER_ENCODING) {
+        return Err(RequestError::TransferEncoding);
+    }
+    if parts.uri.authority().is_some() || parts.method == Method::CONNECT {
+        return Err(RequestError::NotAPath);
+    }
+    route_class(shell, parts.uri.path()).ok_or(RequestError::UnknownRouteClass)
+}
+
+/// Finds the route class that the first part of a path names.
+fn route_class(shell: &Shell, path: &str) -> Option<RouteClassId> {
+    let name = path.strip_prefix('/')?.split('/').next()?;
+    let mut classes = shell.route_classes.iter();
+    classes.position(|(known, _)| known == name)
+}
+
+fn check_method(parts: &Parts, rules: &RouteClass) -> Result<Method, RequestError> {
+    let method = match rules.idempotency {
+        Idempotency::Idempotent => Method::GET,
+        Idempotency::Keyed | Idempotency::NonIdempotent => Method::POST,
+    };
+    if parts.method != method {
+        return Err(RequestError::WrongMethod);
+    }
+    Ok(method)
+}
+
+/// Checks a body by what its head says of it.
+fn check_body(body: &Incoming, rules: &RouteClass) -> Result<(), RequestError> {
+    if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
+        return Err(RequestError::BodyTooLarge);
+    }
+    if rules.idempotency == Idempotency::Idempotent && !body.is_end_stream() {
+        return Err(RequestError::UnexpectedBody);
+    }
+    Ok(())
+}
+
+fn correlation_id(headers: &HeaderMap) -> Result<&HeaderValue, RequestError> {
+    let id = single(headers, &CORRELATION_ID, RequestError::SeveralIds)?;
+    let is_valid = |id: &&HeaderValue| {
+        let length = id.len();
+        (1..=MAX_CORRELATION_ID_BYTES).contains(&length)
+            && id.as_bytes().iter().all(u8::is_ascii_graphic)
+    };
+    id.filter(is_valid).ok_or(RequestError::InvalidId)
+}
+
+fn check_idempotency_key(headers: &HeaderMap, rules: &RouteClass) -> Result<(), RequestError> {
+    let several = RequestError::SeveralIdempotencyKeys;
+    let key = single(headers, &IDEMPOTENCY_KEY, several)?;
+    let is_missing = key.is_none_or(HeaderValue::is_empty);
+    if rules.idempotency == Idempotency::Keyed && is_missing {
+        return Err(RequestError::MissingIdempotencyKey);
+    }
+    Ok(())
+}
+
+fn remaining_time(headers: &HeaderMap) -> Result<Nanos, RequestError> {
+    let value = single(
+        headers,
+        &REMAINING_TIME,
+        RequestError::SeveralRemainingTimes,
+    )?;
+    value
+        .and_then(parse_millis)
+        .ok_or(RequestError::InvalidRemainingTime)
+}
+
+/// Parses whole milliseconds, up to some days.
+fn parse_millis(value: &HeaderValue) -> Option<Nanos> {
+    let text = value.to_str().ok()?;
+    let is_number = text.bytes().all(|byte| byte.is_ascii_digit());
+    if !is_number || text.len() > MAX_REMAINING_TIME_DIGITS {
+        return None;
+    }
+    text.parse::<Nanos>().ok()?.checked_mul(NANOS_PER_MILLI)
+}
+
+/// Returns the one value of a header; an error where there are several.
+fn single<'a>(
+    headers: &'a HeaderMap,
+    name: &HeaderName,
+    several: RequestError,
+) -> Result<Option<&'a HeaderValue>, RequestError> {
+    let mut values = headers.get_all(name).iter();
+    match (values.next(), values.next()) {
+        (value, None) => Ok(value),
+        _ => Err(several),
+    }
+}
+
+fn tenant(shell: &Shell, headers: &HeaderMap) -> Option<usize> {
+    let name = headers.get(TENANT)?;
+    shell.tenants.iter().position(|known| name == known)
+}
+
+/// Returns the key in the cookie, where the deployment has keys; a cookie that cannot be read is none.
+fn key(headers: &HeaderMap) -> Option<&[u8]> {
+    let lines = headers.get_all(COOKIE).iter();
+    let mut cookies = lines.flat_map(|line| line.as_bytes().split(|byte| *byte == b';'));
+    let key = cookies.find_map(|cookie| cookie.trim_ascii().strip_prefix(KEY_COOKIE))?;
+    (!key.is_empty()).then_some(key)
+}
+
+fn cost_hint(headers: &HeaderMap) -> Option<Nanos> {
+    parse_cost_hint(headers.get(COST_HINT)?.to_str().ok()?)
+}
+
+async fn read_body(
+    body: Incoming,
+    client: &ClientConnection,
+    began: Instant,
+) -> Result<Bytes, RequestError> {
+    if body.is_end_stream() {
+        return Ok(Bytes::new());
+    }
+    let deadline = client.slot().read_by(began);
+    let reading = Limited::new(body, MAX_BODY_BYTES).collect();
+    match timeout_at(deadline.into(), reading).await {
+        Ok(Ok(body)) => Ok(body.to_bytes()),
+        Ok(Err(error)) if error.is::<LengthLimitError>() => Err(RequestError::BodyTooLarge),
+        Ok(Err(_)) => Err(RequestError::BodyBroken),
+        Err(_) => Err(RequestError::BodyTooSlow),
+    }
+}
+
+/// Prepares a request for pods: method, path, body and headers pass on, but for headers of one connection and the
+/// remaining time, which each attempt states anew.
+fn prepare(method: &Method, parts: &Parts, body: Bytes) -> PreparedRequest {
+    let path = parts.uri.path_and_query();
+    let path = path.map_or("/", |path| path.as_str());
+    let mut headers = parts.headers.clone();
+    strip_hop_by_hop(&mut headers);
+    headers.remove(CONTENT_LENGTH);
+    headers.remove(REMAINING_TIME);
+    PreparedRequest::new(method, path, &headers, body)
+}
--- /dev/null
+++ b/crates/platform/src/service.rs
@@ -0,0 +1,197 @@
+//! Runs one sidecar: start, reload, stop.
+
+use crate::client_session::StopTime;
+use crate::client_table::ClientTable;
+use crate::config::Config;
+use crate::connection_slots::{DescriptorBudget, STOP_ACCEPT_TIME};
+use crate::limits::{STOP_MARGIN, STOP_POLL_INTERVAL, SWEEP_INTERVAL};
+use crate::pod_client::PodClient;
+use crate::shell::{Platform, Shell};
+use crate::vote_queue::VoteQueue;
+use crate::{control_plane, discovery, listener, state_log};
+use havenplank_sidecar::engine::{Engine, EPOCH};
+use havenplank_sidecar::{listen, StartError};
+use std::cell::Cell;
+use std::collections::HashSet;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+use tokio::net::TcpListener;
+use tokio::sync::{mpsc, oneshot, watch};
+use tokio::task::{spawn_local, JoinHandle, JoinSet};
+use tokio::time::{sleep, sleep_until};
+
+/// What a running sidecar is told by whoever started it.
+pub enum Command {
+    /// A new configuration: the addresses of discovery and control plane in it hold from now on.
+    Reload(Box<Config>),
+    /// Take no more requests, answer those taken, and return.
+    Stop,
+}
+
+/// Runs one sidecar on the present thread until it is told to stop. Needs a `LocalRuntime` of tokio with time and I/O.
+/// `ready` is called with the address once it listens.
+///
+/// # Errors
+/// An address that cannot be listened on. Services that are out of reach are no error: they are tried on.
+pub async fn serve(
+    config: Config,
+    commands: mpsc::Receiver<Command>,
+    ready: impl FnOnce(SocketAddr),
+) -> Result<(), StartError> {
+    let (listener, address) = listen(config.listen).await?;
+    let shell = new_shell(&config);
+    let services = ServiceAddresses::new(&config);
+    start_engine(&shell, &config);
+    let mut tasks = JoinSet::new();
+    tasks.spawn_local(shell.clone().run_timers());
+    services.follow(&shell, &config, &mut tasks);
+    tasks.spawn_local(sweep_pods(shell.clone()));
+    tasks.spawn_local(state_log::run(shell.clone()));
+    let accepting = Accepting::start(&shell, listener);
+    ready(address);
+    obey(commands, &services).await;
+    accepting.stop(&shell).await;
+    Ok(())
+}
+
+fn new_shell(config: &Config) -> Rc<Shell> {
+    let engine = Engine::new(EPOCH, config.seed, &config.engine);
+    let budget = DescriptorBudget::new(config.descriptors);
+    let pods = PodClient::new(
+        config.pod_connections,
+        config.load_fields.clone(),
+        budget.pods,
+        config.memory_bytes,
+    );
+    let platform = Platform {
+        route_classes: config.engine.route_classes.clone(),
+        tenants: config.engine.tenants.clone(),
+        vote_settings: config.engine.votes.clone(),
+        response_margin: config.response_margin,
+        clients: ClientTable::new(budget),
+        pods,
+        votes: VoteQueue::default(),
+        stopping: Cell::new(false),
+    };
+    Shell::new(engine, platform)
+}
+
+/// Hands the engine what the configuration knows of list and stage, and starts it.
+fn start_engine(shell: &Rc<Shell>, config: &Config) {
+    let known = config.known.endpoints.clone();
+    shell.call(|engine, now| engine.update_endpoints(now, true, known));
+    if let Some(stage) = config.stage {
+        shell.call(|engine, now| engine.update_stage(now, stage));
+    }
+    shell.call(|engine, now| engine.start(now));
+}
+
+/// The addresses of discovery and control plane, which a reload may change.
+struct ServiceAddresses {
+    discovery: watch::Sender<SocketAddr>,
+    control_plane: watch::Sender<SocketAddr>,
+}
+
+impl ServiceAddresses {
+    fn new(config: &Config) -> ServiceAddresses {
+        ServiceAddresses {
+            discovery: watch::Sender::new(config.discovery),
+            control_plane: watch::Sender::new(config.control_plane),
+        }
+    }
+
+    fn follow(&self, shell: &Rc<Shell>, config: &Config, tasks: &mut JoinSet<()>) {
+        tasks.spawn_local(discovery::follow(
+            shell.clone(),
+            self.discovery.subscribe(),
+            config.known.version,
+            config.seed ^ 1,
+        ));
+        tasks.spawn_local(control_plane::follow(
+            shell.clone(),
+            self.control_plane.subscribe(),
+            config.seed ^ 2,
+        ));
+    }
+
+    fn reload(&self, config: &Config) {
+        let Config {
+            discovery,
+            control_plane,
+            ..
+        } = config;
+        tracing::info!(%discovery, %control_plane, "reloaded");
+        set_if_changed(&self.discovery, *discovery);
+        set_if_changed(&self.control_plane, *control_plane);
+    }
+}
+
+fn set_if_changed(sender: &watch::Sender<SocketAddr>, address: SocketAddr) {
+    sender.send_if_modified(|current| std::mem::replace(current, address) != address);
+}
+
+/// Carries commands out until one says to stop or no more can come.
+async fn obey(mut commands: mpsc::Receiver<Command>, services: &ServiceAddresses) {
+    while let Some(command) = commands.recv().await {
+        match command {
+            Command::Reload(config) => services.reload(&config),
+            Command::Stop => return,
+        }
+    }
+}
+
+/// The task that accepts connections, and how it is stopped.
+struct Accepting {
+    task: JoinHandle<()>,
+    stop: watch::Sender<StopTime>,
+    close: oneshot::Sender<()>,
+}
+
+impl Accepting {
+    fn start(shell: &Rc<Shell>, listener: TcpListener) -> Accepting {
+        let (stop, stop_time) = watch::channel(None);
+        let (close, closed) = oneshot::channel();
+        let task = listener::accept(shell.clone(), listener, stop_time, closed);
+        Accepting {
+            task: spawn_local(task),
+            stop,
+            close,
+        }
+    }
+
+    /// Takes new connections for a while, then returns once all have closed.
+    async fn stop(self, shell: &Rc<Shell>) {
+        let stopped_at = Instant::now();
+        shell.stopping.set(true);
+        let _ = self.stop.send(Some(stopped_at));
+        tracing::info!(requests = shell.in_flight(), "stopping");
+        sleep_until((stopped_at + STOP_ACCEPT_TIME).into()).await;
+        let _ = self.close.send(());
+        // Until it has taken what had come by then.
+        let _ = self.task.await;
+        wait_closed(shell).await;
+        tracing::info!(requests = shell.in_flight(), "stopped");
+    }
+}
+
+/// Waits until all clients' connections have closed. Each ends by its own times; this bounds them all.
+async fn wait_closed(shell: &Shell) {
+    let timeouts = shell.route_classes.iter();
+    let longest = timeouts.map(|(_, rules)| rules.client_timeout).max();
+    let longest = Duration::from_nanos(longest.unwrap_or(0));
+    let until = Instant::now() + longest + STOP_MARGIN;
+    while shell.clients.open() > 0 && Instant::now() < until {
+        sleep(STOP_POLL_INTERVAL).await;
+    }
+}
+
+/// Closes idle connections to pods that are of no more use, once a second.
+async fn sweep_pods(shell: Rc<Shell>) {
+    loop {
+        sleep(SWEEP_INTERVAL).await;
+        let listed = shell.listed_pods();
+        let listed: HashSet<SocketAddr> = listed.into_iter().map(|pod| pod.address).collect();
+        shell.pods.pool.sweep(&listed);
+    }
+}
--- a/crates/platform/tests/common/mod.rs
+++ b/crates/platform/tests/common/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code, reason = "each test file uses its part of it")]
 
 use havenplank_emulator::scripted::{configuration, entry, Peer, Talk};
-use havenplank_platform::{serve, Config, Orders};
+use havenplank_platform::{serve, Command, Config};
 use serde_json::Value;
 use std::future::Future;
 use std::net::SocketAddr;
@@ -19,10 +19,10 @@
 /// A sidecar between peers that say what the test says.
 pub struct Rig {
     pub at: SocketAddr,
-    pub nodes: Peer,
-    pub desk: Peer,
+    pub discovery: Peer,
+    pub control_plane: Peer,
     pub pod: Peer,
-    pub orders: mpsc::Sender<Orders>,
+    pub commands: mpsc::Sender<Command>,
     pub ended: oneshot::Receiver<()>,
     _sidecar: Sidecar,
 }
@@ -37,32 +37,32 @@
 }
 
 pub fn config(whole: &Value) -> Config {
-    Config::read(whole.to_string().as_bytes()).expect("a configuration")
+    Config::parse(whole.to_string().as_bytes()).expect("a configuration")
 }
 
 impl Rig {
     /// One pod, `p`, of build 7; `change` has the last word on the configuration.
     pub async fn new(change: impl FnOnce(&mut Value)) -> Rig {
-        let [nodes, desk, pod] =
+        let [discovery, control_plane, pod] =
             [Peer::new().await, Peer::new().await, Peer::new().await].map(Result::unwrap);
         let hosts = [entry("p", pod.at().unwrap(), 7, "active")];
-        let mut whole = configuration(nodes.at().unwrap(), desk.at().unwrap(), &hosts);
+        let mut whole = configuration(discovery.at().unwrap(), control_plane.at().unwrap(), &hosts);
         change(&mut whole);
-        let (orders, ordered) = mpsc::channel(4);
+        let (commands, received) = mpsc::channel(4);
         let ((ready, at), (end, ended)) = (oneshot::channel(), oneshot::channel());
         let sidecar = Sidecar(spawn_local(async move {
             let ready = |at| ready.send(at).expect("the test waits");
-            serve(config(&whole), ordered, ready)
+            serve(config(&whole), received, ready)
                 .await
                 .expect("a sidecar that starts");
             let _ = end.send(());
         }));
         Rig {
             at: at.await.expect("a sidecar"),
-            nodes,
-            desk,
+            discovery,
+            control_plane,
             pod,
-            orders,
+            commands,
             ended,
             _sidecar: sidecar,
         }
@@ -73,7 +73,7 @@
     }
 
     /// A client's connection with a hit on it, and the pod's with the forward read from it.
-    pub async fn hit(&self, bytes: &str) -> (Talk, Talk) {
+    pub async fn request(&self, bytes: &str) -> (Talk, Talk) {
         let mut client = self.client().await;
         client.say(bytes).await.unwrap();
         let mut pod = self.pod.accept().await.unwrap();
@@ -82,7 +82,7 @@
     }
 }
 
-pub fn hit(line: &str, id: &str, more: &str, body: &str) -> String {
+pub fn request(line: &str, id: &str, more: &str, body: &str) -> String {
     let length = if body.is_empty() {
         String::new()
     } else {
@@ -92,7 +92,7 @@
 }
 
 pub fn get(id: &str) -> String {
-    hit("GET /read/a?b=1", id, "", "")
+    request("GET /read/a?b=1", id, "", "")
 }
 
 pub fn test(work: impl Future<Output = ()>) {
@@ -105,8 +105,8 @@
 
 const WORD: &str = r#"{"jsonrpc":"2.0","id":0,"result":true}"#;
 
-pub async fn followed(desk: &Peer) -> Talk {
-    let mut talk = desk.accept().await.unwrap();
+pub async fn followed(control_plane: &Peer) -> Talk {
+    let mut talk = control_plane.accept().await.unwrap();
     assert!(talk.line().await.unwrap().contains(r#""method":"follow""#));
     talk.say(format!("{WORD}\n")).await.unwrap();
     talk
--- a/crates/platform/tests/crossings.rs
+++ b/crates/platform/tests/crossings.rs
@@ -3,9 +3,9 @@
 
 mod common;
 
-use common::{get, hit, rested, test, turns, Rig, HEALTH, OK, OK_CLOSE};
+use common::{get, request, rested, test, turns, Rig, HEALTH, OK, OK_CLOSE};
 use havenplank_emulator::scripted::{header, Talk};
-use havenplank_platform::Orders;
+use havenplank_platform::Command;
 use serde_json::{json, Value};
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, TcpStream};
@@ -43,7 +43,7 @@
 fn a_stop_answers_what_lies_in_the_accept_queue_when_the_listener_closes() {
     test(async {
         let rig = Rig::new(|whole| whole["limits"]["sockets"] = json!(2048)).await;
-        rig.orders.send(Orders::Stop).await.ok().unwrap();
+        rig.commands.send(Command::Stop).await.ok().unwrap();
         let told = Instant::now();
         sleep(550 * MS).await;
         // The runtime stands still past the 0.6 s after which no more are taken, and turns once for the timer.
@@ -145,7 +145,7 @@
             let rig = Rig::new(roomy).await;
             let slow = slow_reader(&rig, &large()).await;
             if stop {
-                rig.orders.send(Orders::Stop).await.ok().unwrap();
+                rig.commands.send(Command::Stop).await.ok().unwrap();
             }
             // An idle connection closes after 2 s.
             sleep(2300 * MS).await;
@@ -167,7 +167,7 @@
         })
         .await;
         let slow = slow_reader(&rig, &large()).await;
-        rig.orders.send(Orders::Stop).await.ok().unwrap();
+        rig.commands.send(Command::Stop).await.ok().unwrap();
         let began = Instant::now();
         rig.ended.await.unwrap();
         assert!(began.elapsed() < 2500 * MS, "{:?}", began.elapsed());
@@ -192,7 +192,7 @@
             let mut other = rig.client().await;
             other.say(HEALTH).await.unwrap();
             assert_eq!(other.answer().await.unwrap().0, 200);
-            rig.orders.send(Orders::Stop).await.ok().unwrap();
+            rig.commands.send(Command::Stop).await.ok().unwrap();
             assert!(other.ends().await, "the stop was heard");
             client.say(&bytes[20..]).await.unwrap();
             let mut pod = rig.pod.accept().await.unwrap();
@@ -215,13 +215,13 @@
     test(async {
         for _ in 0..20 {
             let rig = Rig::new(|_| {}).await;
-            let (mut client, mut pod) = rig.hit(&get("i1")).await;
+            let (mut client, mut pod) = rig.request(&get("i1")).await;
             pod.say(OK).await.unwrap();
             assert_eq!(client.answer().await.unwrap().0, 200);
             rested().await;
             // No await that turns the runtime between the two.
             client.say(get("i2")).await.unwrap();
-            rig.orders.try_send(Orders::Stop).ok().unwrap();
+            rig.commands.try_send(Command::Stop).ok().unwrap();
             pod.message().await.unwrap();
             pod.say(OK).await.unwrap();
             assert_eq!(client.answer().await.unwrap().0, 200);
@@ -260,7 +260,7 @@
 }
 
 fn post(class: &str, id: &str) -> String {
-    hit(&format!("POST /{class}"), id, "idempotency-key: k\r\n", "x")
+    request(&format!("POST /{class}"), id, "idempotency-key: k\r\n", "x")
 }
 
 /// The same id again, its first client closed but not heard to have: the second is read first.
@@ -269,7 +269,7 @@
     test(async {
         // Idempotent: the first is ended, the second served.
         let rig = Rig::new(|_| {}).await;
-        let (first, mut pod) = rig.hit(&get("same")).await;
+        let (first, mut pod) = rig.request(&get("same")).await;
         let mut second = rig.client().await;
         second.say(HEALTH).await.unwrap();
         assert_eq!(second.answer().await.unwrap().0, 200);
@@ -282,7 +282,7 @@
         assert_eq!(second.answer().await.unwrap().0, 200);
         // Not idempotent and sent on: it may have run, and does not run again.
         for class in ["mark", "write"] {
-            let (first, mut pod) = rig.hit(&post(class, class)).await;
+            let (first, mut pod) = rig.request(&post(class, class)).await;
             let mut second = rig.client().await;
             second.say(HEALTH).await.unwrap();
             assert_eq!(second.answer().await.unwrap().0, 200);
@@ -314,7 +314,7 @@
     test(async {
         for behind in ["\r\n", "GET /read HTTP/1.1\r\n", &"x".repeat(9000)] {
             let rig = Rig::new(patient).await;
-            let (mut client, mut pod) = rig.hit(&get("i1").replace("800", "8000")).await;
+            let (mut client, mut pod) = rig.request(&get("i1").replace("800", "8000")).await;
             client.say(behind).await.unwrap();
             // Read by now, so that its close comes by itself.
             let mut other = rig.client().await;
@@ -337,7 +337,7 @@
 fn bytes_behind_a_request_are_the_next_one() {
     test(async {
         let rig = Rig::new(|_| {}).await;
-        let (mut client, mut pod) = rig.hit(&get("i1")).await;
+        let (mut client, mut pod) = rig.request(&get("i1")).await;
         for n in 2..5 {
             let next = get(&format!("i{n}"));
             client.say(&next[..10]).await.unwrap();
@@ -358,7 +358,7 @@
     test(async {
         for (class, asked_again) in [("read", true), ("write", false)] {
             let rig = Rig::new(|_| {}).await;
-            let (mut client, mut pod) = rig.hit(&get("i0")).await;
+            let (mut client, mut pod) = rig.request(&get("i0")).await;
             pod.say(OK).await.unwrap();
             assert_eq!(client.answer().await.unwrap().0, 200);
             rested().await;
@@ -395,7 +395,7 @@
         client.write_all(HEALTH.as_bytes()).unwrap();
         let mut heard = client.try_clone().unwrap();
         off_thread(move || heard.read(&mut [0; 4096]).unwrap()).await;
-        rig.orders.send(Orders::Stop).await.ok().unwrap();
+        rig.commands.send(Command::Stop).await.ok().unwrap();
         let mut heard = client.try_clone().unwrap();
         let end = off_thread(move || heard.read(&mut [0; 16])).await;
         assert_eq!(end.unwrap(), 0);
@@ -417,7 +417,7 @@
     test(async {
         for late in [0, 1, 5, 20] {
             let rig = Rig::new(|_| {}).await;
-            let (mut client, mut pod) = rig.hit(&get("i1")).await;
+            let (mut client, mut pod) = rig.request(&get("i1")).await;
             pod.say(OK).await.unwrap();
             assert_eq!(client.answer().await.unwrap().2, "ok");
             // On its way to the pod before the second answer is on its way back.
@@ -516,7 +516,7 @@
     test(async {
         let pod = Busy::new();
         let (rig, mut client) = pod.waiting().await;
-        rig.orders.send(Orders::Stop).await.ok().unwrap();
+        rig.commands.send(Command::Stop).await.ok().unwrap();
         sleep(700 * MS).await;
         let pod = pod.emptied();
         let (stream, _) = pod.accept().await.unwrap();
@@ -535,7 +535,7 @@
     test(async {
         for class in ["mark", "write"] {
             let rig = Rig::new(|_| {}).await;
-            let (first, mut pod) = rig.hit(&post(class, "same")).await;
+            let (first, mut pod) = rig.request(&post(class, "same")).await;
             let mut second = rig.client().await;
             second.say(HEALTH).await.unwrap();
             assert_eq!(second.answer().await.unwrap().0, 200);
--- a/crates/platform/tests/idle_timeout.rs
+++ b/crates/platform/tests/idle_timeout.rs
@@ -1,26 +1,36 @@
 //! Tests of `src/idle_timeout.rs`.
 
-use havenplank_platform::idle_timeout::IdleTimeout;
+use havenplank_platform::idle_timeout::{IdleTimeout, Reuse};
 use std::time::{Duration, Instant};
 
 const MS: Duration = Duration::from_millis(1);
 
+/// Every `nth` request breaks.
+fn breaks_every(nth: u32, request: u32) -> Reuse {
+    match request.is_multiple_of(nth) {
+        true => Reuse::Broken,
+        false => Reuse::Answered,
+    }
+}
+
 #[test]
-fn ages_that_break_are_not_waited_for_and_are_tried_again() {
-    let (began, most) = (Instant::now(), Duration::from_secs(20));
-    let mut keep = IdleTimeout::new(began, most);
-    // One in ten breaks at any age: no reason to close.
+fn idle_times_that_break_are_not_waited_for_and_are_tried_again() {
+    let (began, pod_limit) = (Instant::now(), Duration::from_secs(20));
+    let longest = Duration::from_secs(14);
+    let mut timeout = IdleTimeout::new(began, pod_limit);
+    // One in ten breaks after any idle time: no reason to close.
     for n in 0..400u32 {
-        keep.used(began, MS * (1 + n % 300), n % 10 == 0);
+        timeout.record(began, MS * (1 + n % 300), breaks_every(10, n));
     }
-    assert_eq!(keep.time(), most);
+    assert_eq!(timeout.current(), longest);
     // From 128 ms on every second one breaks.
     for n in 0..400u32 {
         let idle = MS * (1 + n % 300);
-        keep.used(began, idle, n % if idle < 128 * MS { 10 } else { 2 } == 0);
+        let nth = if idle < 128 * MS { 10 } else { 2 };
+        timeout.record(began, idle, breaks_every(nth, n));
     }
-    assert_eq!(keep.time(), 128 * MS);
+    assert_eq!(timeout.current(), 128 * MS);
     // Minutes later what was learnt has faded.
-    keep.used(began + Duration::from_secs(400), MS, false);
-    assert_eq!(keep.time(), most);
+    timeout.record(began + Duration::from_secs(400), MS, Reuse::Answered);
+    assert_eq!(timeout.current(), longest);
 }
--- a/crates/platform/tests/lists.rs
+++ b/crates/platform/tests/lists.rs
@@ -4,8 +4,8 @@
 
 use common::{config, get, test, turns, Rig, OK_CLOSE};
 use havenplank_emulator::scripted::{chunk, configuration, entry, list, Peer, Talk, WATCH};
-use havenplank_platform::objects::{Objects, Piece, Spoilt};
-use havenplank_platform::Orders;
+use havenplank_platform::json_stream::{JsonStream, MalformedStream, StreamItem};
+use havenplank_platform::Command;
 use proptest::prelude::*;
 use serde_json::json;
 use socket2::{Domain, Socket, Type};
@@ -17,7 +17,7 @@
 
 /// A watch that is in force, its first word said and heard.
 async fn watching(rig: &Rig, seq: u64) -> Talk {
-    let mut watch = rig.nodes.accept().await.unwrap();
+    let mut watch = rig.discovery.accept().await.unwrap();
     watch.message().await.unwrap();
     watch
         .say(WATCH.to_string() + &chunk(&list(seq, false, &[])))
@@ -64,7 +64,7 @@
         watch.say(chunk(&told)).await.unwrap();
         turns(&rig).await;
         reaches(&rig, &rig.pod, "i2").await;
-        assert!(rig.nodes.is_alone().await, "no new watch was needed");
+        assert!(rig.discovery.is_alone().await, "no new watch was needed");
     });
 }
 
@@ -77,10 +77,10 @@
         let mut old = watching(&rig, 4).await;
         let silent = Instant::now();
         let next = async {
-            let mut next = rig.nodes.accept().await.unwrap();
+            let mut next = rig.discovery.accept().await.unwrap();
             next.message().await.unwrap();
             // Answers nothing. The one after it does.
-            let mut last = rig.nodes.accept().await.unwrap();
+            let mut last = rig.discovery.accept().await.unwrap();
             assert!(last.message().await.unwrap().0.contains("since=4 "));
             drop(next);
             last
@@ -117,7 +117,7 @@
     test(async {
         let rig = Rig::new(|_| {}).await;
         let mut old = watching(&rig, 4).await;
-        let mut next = rig.nodes.accept().await.unwrap();
+        let mut next = rig.discovery.accept().await.unwrap();
         next.message().await.unwrap();
         let other = Peer::new().await.unwrap();
         let moved = entry("p", other.at().unwrap(), 7, "active");
@@ -143,22 +143,22 @@
     test(async {
         let rig = Rig::new(|_| {}).await;
         let mut old = watching(&rig, 8).await;
-        let (nodes, desk) = (Peer::new().await.unwrap(), Peer::new().await.unwrap());
+        let (discovery, control_plane) = (Peer::new().await.unwrap(), Peer::new().await.unwrap());
         let here = entry("p", rig.pod.at().unwrap(), 7, "active");
         let whole = configuration(
-            nodes.at().unwrap(),
-            desk.at().unwrap(),
+            discovery.at().unwrap(),
+            control_plane.at().unwrap(),
             std::slice::from_ref(&here),
         );
         // Twice: the second takes the place of the first, which has not spoken.
         for _ in 0..2 {
-            rig.orders
-                .send(Orders::Reload(Box::new(config(&whole))))
+            rig.commands
+                .send(Command::Reload(Box::new(config(&whole))))
                 .await
                 .ok()
                 .unwrap();
         }
-        let mut new = nodes.accept().await.unwrap();
+        let mut new = discovery.accept().await.unwrap();
         assert!(new.message().await.unwrap().0.contains("since=8 "));
         let [one, two] = [Peer::new().await, Peer::new().await].map(Result::unwrap);
         let at = |peer: &Peer| entry("p", peer.at().unwrap(), 7, "active");
@@ -176,11 +176,11 @@
         turns(&rig).await;
         reaches(&rig, &two, "i2").await;
         // SIGHUP, then SIGTERM at once.
-        rig.orders
-            .try_send(Orders::Reload(Box::new(config(&whole))))
+        rig.commands
+            .try_send(Command::Reload(Box::new(config(&whole))))
             .ok()
             .unwrap();
-        rig.orders.try_send(Orders::Stop).ok().unwrap();
+        rig.commands.try_send(Command::Stop).ok().unwrap();
         rig.ended.await.unwrap();
     });
 }
@@ -197,10 +197,10 @@
             .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
             .unwrap();
         let at = closed.local_addr().unwrap().as_socket().unwrap();
-        let desk = Peer::new().await.unwrap();
-        let whole = configuration(at, desk.at().unwrap(), &[]);
-        rig.orders
-            .send(Orders::Reload(Box::new(config(&whole))))
+        let control_plane = Peer::new().await.unwrap();
+        let whole = configuration(at, control_plane.at().unwrap(), &[]);
+        rig.commands
+            .send(Command::Reload(Box::new(config(&whole))))
             .await
             .ok()
             .unwrap();
@@ -220,22 +220,22 @@
     });
 }
 
-fn pieces(objects: &mut Objects) -> Result<Vec<Piece>, Spoilt> {
-    std::iter::from_fn(|| objects.cut().transpose()).collect()
+fn pieces(objects: &mut JsonStream) -> Result<Vec<StreamItem>, MalformedStream> {
+    std::iter::from_fn(|| objects.next_item().transpose()).collect()
 }
 
 const STREAM: &str = "\n {\"a\": [{\"b\\\"}\": \"]{\\\\\"}, 1]}{}\r\n\t{\n \"c\":\n {}\n}\n";
 
 #[test]
 fn objects_come_out_the_same_wherever_they_are_cut() {
-    let mut whole = Objects::new(100);
-    whole.feed(STREAM.as_bytes());
+    let mut whole = JsonStream::new(100);
+    whole.push(STREAM.as_bytes());
     let whole = pieces(&mut whole).unwrap();
     let objects: Vec<serde_json::Value> = whole
         .iter()
         .filter_map(|piece| match piece {
-            Piece::Line => None,
-            Piece::Object(object) => Some(serde_json::from_slice(object).unwrap()),
+            StreamItem::LineEnd => None,
+            StreamItem::Object(object) => Some(serde_json::from_slice(object).unwrap()),
         })
         .collect();
     assert_eq!(
@@ -248,10 +248,10 @@
     );
     assert_eq!(whole.len(), 6);
     for cut in 0..STREAM.len() {
-        let mut parts = Objects::new(100);
-        parts.feed(&STREAM.as_bytes()[..cut]);
+        let mut parts = JsonStream::new(100);
+        parts.push(&STREAM.as_bytes()[..cut]);
         let mut got = pieces(&mut parts).unwrap();
-        parts.feed(&STREAM.as_bytes()[cut..]);
+        parts.push(&STREAM.as_bytes()[cut..]);
         got.extend(pieces(&mut parts).unwrap());
         assert_eq!(got, whole, "cut at {cut}");
     }
@@ -260,12 +260,15 @@
 #[test]
 fn what_is_no_stream_of_objects_is_named() {
     for (said, why) in [
-        ("x", Spoilt::Stray { byte: b'x' }),
-        ("{} ]", Spoilt::Stray { byte: b']' }),
-        ("{\"a\": \"0123456789\"}", Spoilt::Long { most: 10 }),
+        ("x", MalformedStream::StrayByte { byte: b'x' }),
+        ("{} ]", MalformedStream::StrayByte { byte: b']' }),
+        (
+            "{\"a\": \"0123456789\"}",
+            MalformedStream::ObjectTooLong { max_bytes: 10 },
+        ),
     ] {
-        let mut objects = Objects::new(10);
-        objects.feed(said.as_bytes());
+        let mut objects = JsonStream::new(10);
+        objects.push(said.as_bytes());
         assert_eq!(pieces(&mut objects), Err(why), "{said}");
     }
 }
@@ -278,13 +281,13 @@
     ) {
         let mut bytes = STREAM.as_bytes().to_vec();
         bytes[at] ^= flip;
-        let mut whole = Objects::new(100);
-        whole.feed(&bytes);
+        let mut whole = JsonStream::new(100);
+        whole.push(&bytes);
         let whole = pieces(&mut whole);
-        let mut parts = Objects::new(100);
-        parts.feed(&bytes[..cut]);
+        let mut parts = JsonStream::new(100);
+        parts.push(&bytes[..cut]);
         let first = pieces(&mut parts);
-        parts.feed(&bytes[cut..]);
+        parts.push(&bytes[cut..]);
         let got = first.and_then(|mut first| {
             first.extend(pieces(&mut parts)?);
             Ok(first)
--- a/crates/platform/tests/traps.rs
+++ b/crates/platform/tests/traps.rs
@@ -2,9 +2,9 @@
 
 mod common;
 
-use common::{config, followed, get, hit, rested, test, Rig, NEVER, OK, OK_CLOSE};
+use common::{config, followed, get, request, rested, test, Rig, NEVER, OK, OK_CLOSE};
 use havenplank_emulator::scripted::{chunk, configuration, entry, header, list, Peer, Talk, WATCH};
-use havenplank_platform::{Config, Orders};
+use havenplank_platform::{Command, Config};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -14,13 +14,13 @@
 fn a_hit_goes_on_unchanged_and_its_time_runs_from_its_first_byte() {
     test(async {
         let rig = Rig::new(|_| {}).await;
-        let (mut client, hit) = (
+        let (mut client, request) = (
             rig.client().await,
-            hit("POST /mark/a?b=1", "i1", "idempotency-key: k\r\n", "{body}"),
+            request("POST /mark/a?b=1", "i1", "idempotency-key: k\r\n", "{body}"),
         );
-        client.say(&hit[..9]).await.unwrap();
+        client.say(&request[..9]).await.unwrap();
         sleep(Duration::from_millis(150)).await;
-        client.say(&hit[9..]).await.unwrap();
+        client.say(&request[9..]).await.unwrap();
         let mut pod = rig.pod.accept().await.unwrap();
         let (head, body) = pod.message().await.unwrap();
         assert!(head.starts_with("post /mark/a?b=1 http/1.1\n"), "{head}");
@@ -32,7 +32,7 @@
         pod.say(OK).await.unwrap();
         assert_eq!(client.answer().await.unwrap().0, 200);
         // With 300 ms left, 150 of them spent unread, less than 150 remain.
-        let short = hit.replace("i1", "i2").replace("800", "300");
+        let short = request.replace("i1", "i2").replace("800", "300");
         client.say(&short[..9]).await.unwrap();
         sleep(Duration::from_millis(150)).await;
         client.say(&short[9..]).await.unwrap();
@@ -46,7 +46,7 @@
 fn a_client_that_closes_ends_its_forward() {
     test(async {
         let rig = Rig::new(|_| {}).await;
-        let (client, mut pod) = rig.hit(&get("i1")).await;
+        let (client, mut pod) = rig.request(&get("i1")).await;
         drop(client);
         assert!(pod.ends().await);
     });
@@ -63,9 +63,9 @@
             }
         })
         .await;
-        let (mut busy, mut pod) = rig.hit(&get("busy").replace("800", "60000")).await;
+        let (mut busy, mut pod) = rig.request(&get("busy").replace("800", "60000")).await;
         let post = |more: &str| {
-            hit(
+            request(
                 "POST /mark",
                 "i",
                 &format!("idempotency-key: k\r\n{more}"),
@@ -80,10 +80,10 @@
             get("i").replace("800", "soon"),
             get("i").replace("800", "-5"),
             get("i").replace("x-time-left-ms: 800\r\n", ""),
-            hit("GET /unknown", "i", "", ""),
-            hit("POST /read", "i", "", "x"),
-            hit("GET /read", "i", "", "x"),
-            hit("POST /mark", "i", "", "x"),
+            request("GET /unknown", "i", "", ""),
+            request("POST /read", "i", "", "x"),
+            request("GET /read", "i", "", "x"),
+            request("POST /mark", "i", "", "x"),
             post("content-length: -1\r\n"),
             post("content-length: 62914560\r\n"),
             post("content-length: 99999999999999999999999\r\n"),
@@ -121,7 +121,7 @@
 fn silent_connections_make_room_for_those_who_ask_and_never_for_them() {
     test(async {
         let rig = Rig::new(|_| {}).await;
-        let (mut busy, mut pod) = rig.hit(&get("busy")).await;
+        let (mut busy, mut pod) = rig.request(&get("busy")).await;
         let mut silent = Vec::new();
         for _ in 0..60 {
             silent.push(rig.client().await);
@@ -194,7 +194,7 @@
     test(async {
         for (said, wanted) in cases {
             let rig = Rig::new(|whole| whole["settings"]["limits"]["maxAttempts"] = json!(1)).await;
-            let (mut client, mut pod) = rig.hit(&hit("POST /write", "i", "", "x")).await;
+            let (mut client, mut pod) = rig.request(&request("POST /write", "i", "", "x")).await;
             pod.say(&said).await.unwrap();
             // What is not whole by its close would be waited for.
             drop(pod);
@@ -206,7 +206,10 @@
         // Nothing listens: it never ran.
         let rig = Rig::new(|whole| whole["known"]["hosts"][0]["dial"] = json!("127.0.0.1:1")).await;
         let mut client = rig.client().await;
-        client.say(hit("POST /write", "i", "", "x")).await.unwrap();
+        client
+            .say(request("POST /write", "i", "", "x"))
+            .await
+            .unwrap();
         let (status, head, _) = client.answer().await.unwrap();
         assert_eq!((status, header(&head, "retry-after")), (503, Some("1.500")));
     });
@@ -217,7 +220,7 @@
     test(async {
         let report = json!({"how": "piggyback", "columns": ["busy_reqs"]});
         let rig = Rig::new(|whole| whole["settings"]["loadReport"] = report).await;
-        let (mut client, mut pod) = rig.hit(&get("i0")).await;
+        let (mut client, mut pod) = rig.request(&get("i0")).await;
         for (n, told) in [
             "{\"busy_reqs\": 3}",
             "{\"busy_reqs\": \"x\"}",
@@ -244,7 +247,7 @@
 fn an_answer_over_the_protocols_bound_is_delivered_whole() {
     test(async {
         let rig = Rig::new(|_| {}).await;
-        let (mut client, mut pod) = rig.hit(&get("i1")).await;
+        let (mut client, mut pod) = rig.request(&get("i1")).await;
         let body = "y".repeat(400_000);
         pod.say(format!(
             "HTTP/1.1 200 OK\r\ncontent-length: 400000\r\n\r\n{body}"
@@ -260,7 +263,7 @@
 fn an_endless_answer_is_dropped_and_its_connection_closed() {
     test(async {
         let rig = Rig::new(|_| {}).await;
-        let (mut client, mut pod) = rig.hit(&hit("POST /write", "i", "", "x")).await;
+        let (mut client, mut pod) = rig.request(&request("POST /write", "i", "", "x")).await;
         pod.say("HTTP/1.1 200 OK\r\ncontent-length: 3000000000\r\n\r\n")
             .await
             .unwrap();
@@ -274,7 +277,7 @@
     test(async {
         for late in [false, true] {
             let rig = Rig::new(|_| {}).await;
-            let (mut client, mut pod) = rig.hit(&get("i1")).await;
+            let (mut client, mut pod) = rig.request(&get("i1")).await;
             let extra = OK.replace("ok", "no");
             pod.say(if late {
                 OK.to_string()
@@ -308,7 +311,7 @@
     test(async {
         let rig =
             Rig::new(|whole| whole["settings"]["limits"]["connIdleNs"] = json!(400_000_000)).await;
-        let (mut client, mut pod) = rig.hit(&get("i1")).await;
+        let (mut client, mut pod) = rig.request(&get("i1")).await;
         pod.say(OK).await.unwrap();
         assert_eq!(client.answer().await.unwrap().0, 200);
         sleep(Duration::from_millis(300)).await;
@@ -323,7 +326,7 @@
 fn the_list_is_followed_through_noise_and_pods_that_return_as_others() {
     test(async {
         let rig = Rig::new(|_| {}).await;
-        let mut watch = rig.nodes.accept().await.unwrap();
+        let mut watch = rig.discovery.accept().await.unwrap();
         assert!(watch
             .message()
             .await
@@ -342,7 +345,7 @@
             .unwrap();
         assert!(watch.ends().await);
         // Known to the last line that could be read, and the pod is where that said.
-        let mut watch = rig.nodes.accept().await.unwrap();
+        let mut watch = rig.discovery.accept().await.unwrap();
         assert!(watch.message().await.unwrap().0.contains("since=5 "));
         let mut client = rig.client().await;
         client.say(get("i1")).await.unwrap();
@@ -397,7 +400,7 @@
             pod.say(OK).await.unwrap();
             assert_eq!(client.answer().await.unwrap().0, 200);
         }
-        let mut talk = followed(&rig.desk).await;
+        let mut talk = followed(&rig.control_plane).await;
         let call = vote(&mut talk).await;
         assert_eq!(
             (&call["method"], &call["params"]["image"]),
@@ -407,7 +410,7 @@
         // Not to be read: it may count. The vote is cast again where the desk speaks clearly.
         talk.say("{\"jsonrpc\":\"2.0\",\"id\":\n").await.unwrap();
         assert!(talk.ends().await);
-        let mut talk = followed(&rig.desk).await;
+        let mut talk = followed(&rig.control_plane).await;
         let again: Value = serde_json::from_str(&talk.line().await.unwrap()).unwrap();
         assert_eq!(again["params"], call["params"]);
         let full = json!({"jsonrpc": "2.0", "id": again["id"], "error": {"code": 1, "message": "throttled"}});
@@ -425,9 +428,9 @@
 fn a_desk_that_falls_silent_is_asked_anew() {
     test(async {
         let rig = Rig::new(|_| {}).await;
-        let mut talk = followed(&rig.desk).await;
+        let mut talk = followed(&rig.control_plane).await;
         assert!(talk.ends().await);
-        followed(&rig.desk).await;
+        followed(&rig.control_plane).await;
     });
 }
 
@@ -435,25 +438,29 @@
 fn a_reload_opens_the_new_links_before_the_old_ones_go() {
     test(async {
         let rig = Rig::new(|_| {}).await;
-        let mut old = rig.nodes.accept().await.unwrap();
+        let mut old = rig.discovery.accept().await.unwrap();
         old.message().await.unwrap();
         let here = entry("p", rig.pod.at().unwrap(), 7, "active");
         old.say(WATCH.to_string() + &chunk(&list(4, false, &[])))
             .await
             .unwrap();
-        let (nodes, desk) = (Peer::new().await.unwrap(), Peer::new().await.unwrap());
-        let whole = configuration(nodes.at().unwrap(), desk.at().unwrap(), &[here]);
-        let (mut client, mut pod) = rig.hit(&get("i0")).await;
+        let (discovery, control_plane) = (Peer::new().await.unwrap(), Peer::new().await.unwrap());
+        let whole = configuration(
+            discovery.at().unwrap(),
+            control_plane.at().unwrap(),
+            &[here],
+        );
+        let (mut client, mut pod) = rig.request(&get("i0")).await;
         pod.say(OK).await.unwrap();
         assert_eq!(client.answer().await.unwrap().0, 200);
-        rig.orders
-            .send(Orders::Reload(Box::new(config(&whole))))
+        rig.commands
+            .send(Command::Reload(Box::new(config(&whole))))
             .await
             .ok()
             .unwrap();
-        let mut new = nodes.accept().await.unwrap();
+        let mut new = discovery.accept().await.unwrap();
         assert!(new.message().await.unwrap().0.contains("since=4 "));
-        followed(&desk).await;
+        followed(&control_plane).await;
         // The old one is still heard, line after line, until the new one speaks.
         let [other, third] = [Peer::new().await, Peer::new().await].map(Result::unwrap);
         for to in [&other, &third] {
@@ -475,8 +482,8 @@
 fn a_stop_answers_what_was_taken_and_what_still_comes() {
     test(async {
         let rig = Rig::new(|_| {}).await;
-        let (mut client, mut pod) = rig.hit(&get("i1")).await;
-        rig.orders.send(Orders::Stop).await.ok().unwrap();
+        let (mut client, mut pod) = rig.request(&get("i1")).await;
+        rig.commands.send(Command::Stop).await.ok().unwrap();
         let mut late = rig.client().await;
         late.say("GET /healthz HTTP/1.1\r\n\r\n").await.unwrap();
         assert_eq!(late.answer().await.unwrap().0, 503);
@@ -513,7 +520,7 @@
             let more = "cookie: other=1; sid=k1\r\nx-account: t\r\nx-weight-hint: 5\r\n";
             let mut client = rig.client().await;
             client
-                .say(hit("GET /read", &format!("i{n}"), more, ""))
+                .say(request("GET /read", &format!("i{n}"), more, ""))
                 .await
                 .unwrap();
             let (mut pod, is_newer) = tokio::select! {
@@ -553,10 +560,11 @@
     ] {
         let mut whole = whole.clone();
         *whole.pointer_mut(path).unwrap() = value;
-        let why = Config::read(whole.to_string().as_bytes())
+        let why = Config::parse(whole.to_string().as_bytes())
             .err()
-            .expect("refused");
+            .expect("refused")
+            .to_string();
         assert!(why.contains(told), "{why}");
     }
-    assert!(Config::read(b"{").is_err() && Config::read(b"[]").is_err());
+    assert!(Config::parse(b"{").is_err() && Config::parse(b"[]").is_err());
 }
--- /dev/null
+++ b/crates/platform/tests/unit/pod_pool.rs
@@ -0,0 +1,39 @@
+//! Tests of `src/pod_pool.rs`.
+
+use super::*;
+use tokio::net::TcpListener;
+
+async fn peer() -> (TcpListener, SocketAddr) {
+    let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+    let address = listener.local_addr().unwrap();
+    (listener, address)
+}
+
+#[test]
+fn a_permit_that_comes_free_goes_to_who_waits_for_it() {
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()
+        .unwrap();
+    runtime.block_on(async {
+        let (_one, first_address) = peer().await;
+        let (_two, second_address) = peer().await;
+        let settings = PodConnectionSettings {
+            connect_timeout: Duration::from_secs(5),
+            idle_limit: Duration::from_secs(30),
+        };
+        let pool = PodPool::new(settings, 1);
+        let first = pool.take(first_address, Wanted::IdleOrNew).await;
+        let first = first.ok().unwrap();
+        let began = Instant::now();
+        let (second, ()) = tokio::join!(pool.take(second_address, Wanted::IdleOrNew), async {
+            pool.give_back(first_address, first)
+        });
+        assert!(second.is_ok() && began.elapsed() < settings.connect_timeout);
+        assert_eq!(pool.counts(), ConnectionCounts { open: 1, idle: 0 });
+        assert_eq!(pool.waiting.get(), 0);
+        // With nobody waiting it is kept.
+        pool.give_back(second_address, second.ok().unwrap());
+        assert_eq!(pool.counts(), ConnectionCounts { open: 1, idle: 1 });
+    });
+}
--- /dev/null
+++ b/crates/platform/tests/watch_selection.rs
@@ -0,0 +1,120 @@
+//! Tests of `src/discovery/watch_selection.rs`.
+
+use havenplank_platform::discovery::watch_selection::{
+    OnCandidateMessage, OpenCandidate, Verdict, WatchMessage, WatchSelection,
+};
+use std::net::SocketAddr;
+use std::time::{Duration, Instant};
+
+const MS: Duration = Duration::from_millis(1);
+
+fn address(port: u16) -> SocketAddr {
+    ([127, 0, 0, 1], port).into()
+}
+
+fn changes(version: u64) -> WatchMessage {
+    WatchMessage::Update {
+        version,
+        complete: false,
+    }
+}
+
+fn complete(version: u64) -> WatchMessage {
+    WatchMessage::Update {
+        version,
+        complete: true,
+    }
+}
+
+/// With one active watch on a list of version 4, its last message received at the start.
+fn with_active(start: Instant) -> WatchSelection {
+    let mut selection = WatchSelection::new(start, address(1), 3);
+    let due = selection.on_deadline(start);
+    let first = OpenCandidate {
+        address: address(1),
+        since: 3,
+    };
+    assert_eq!((due.drop_active, due.open), (false, Some(first)));
+    let promoted = selection.on_candidate_message(start, changes(4));
+    assert_eq!(promoted, Some(OnCandidateMessage::Promote(Verdict::Apply)));
+    selection
+}
+
+#[test]
+fn opens_a_candidate_beside_an_overdue_watch_and_gives_that_up_once_silent() {
+    let start = Instant::now();
+    let mut selection = with_active(start);
+    let since_four = OpenCandidate {
+        address: address(1),
+        since: 4,
+    };
+    // A candidate when the watch is overdue, and anew each second while none speaks.
+    for at in [2500, 3500] {
+        assert_eq!(selection.next_deadline(), start + at * MS);
+        let due = selection.on_deadline(start + at * MS);
+        assert_eq!((due.drop_active, due.open), (false, Some(since_four)));
+    }
+    // At 4.5 s the watch is given up and the candidate is a second old.
+    assert_eq!(selection.next_deadline(), start + 4500 * MS);
+    let due = selection.on_deadline(start + 4500 * MS);
+    assert_eq!((due.drop_active, due.open), (true, Some(since_four)));
+    // The last one within the 6 s after which what was missed counts as told.
+    assert_eq!(selection.next_deadline(), start + 5500 * MS);
+}
+
+#[test]
+fn an_overdue_watch_that_speaks_again_stays_active_beside_its_candidate() {
+    let start = Instant::now();
+    let mut selection = with_active(start);
+    selection.on_deadline(start + 2500 * MS);
+    let verdict = selection.on_active_message(start + 2600 * MS, changes(6));
+    assert_eq!((verdict, selection.version()), (Verdict::Apply, 6));
+    // The candidate speaks of what lies before that: it is active from then on and sets nothing back.
+    let outcome = selection.on_candidate_message(start + 2700 * MS, changes(5));
+    assert_eq!(outcome, Some(OnCandidateMessage::Promote(Verdict::Ignore)));
+    assert_eq!(selection.version(), 6);
+}
+
+#[test]
+fn a_complete_list_may_go_back_but_not_by_a_message_older_than_the_last() {
+    let start = Instant::now();
+    let mut selection = with_active(start);
+    selection.on_address_change(start, address(2));
+    selection.on_active_message(start, changes(9));
+    // Asked from version 4, told of 3, and 9 was heard meanwhile: asked again from there.
+    let outcome = selection.on_candidate_message(start, complete(3));
+    let again = OpenCandidate {
+        address: address(2),
+        since: 9,
+    };
+    assert_eq!(outcome, Some(OnCandidateMessage::Replace(again)));
+    let outcome = selection.on_candidate_message(start, complete(3));
+    assert_eq!(outcome, Some(OnCandidateMessage::Promote(Verdict::Apply)));
+    assert_eq!(selection.version(), 3);
+}
+
+#[test]
+fn a_watch_that_ended_is_opened_again_after_the_backoff_at_the_present_address() {
+    let start = Instant::now();
+    let mut selection = with_active(start);
+    selection.on_active_end(start, 30 * MS);
+    assert_eq!(selection.next_deadline(), start + 30 * MS);
+    assert_eq!(selection.on_deadline(start + 29 * MS).open, None);
+    let opened = selection.on_deadline(start + 30 * MS).open;
+    assert_eq!(opened.map(|open| open.address), Some(address(1)));
+    selection.on_candidate_end(start + 40 * MS, 60 * MS);
+    assert_eq!(selection.next_deadline(), start + 100 * MS);
+    // A move does not wait for that.
+    let opened = selection.on_address_change(start + 50 * MS, address(2));
+    assert_eq!(opened.address, address(2));
+}
+
+#[test]
+fn an_active_watch_at_a_former_address_has_a_candidate_at_the_present_one_without_delay() {
+    let start = Instant::now();
+    let mut selection = with_active(start);
+    selection.on_address_change(start, address(2));
+    selection.on_candidate_end(start + 10 * MS, 20 * MS);
+    // Not as late as for a watch that is overdue.
+    assert_eq!(selection.next_deadline(), start + 30 * MS);
+}
