--- a/crates/sidecar/tests/routes.rs
+++ b/crates/sidecar/tests/routes.rs
@@ -8,10 +8,9 @@
 use havenplank_configuration::version::Version;
 use havenplank_line_protocol::endpoint_list::ListedEndpoint;
 use havenplank_settings::RouteClassSettings;
-use havenplank_sidecar::engine::{Asked, Effect, Engine, EPOCH};
+use havenplank_sidecar::engine::{Effect, Engine, EngineSettings, RequestAttributes, EPOCH};
+use havenplank_sidecar::route_slots::{Slot, SlotCounts};
 use havenplank_sidecar::routes::{routes_of, KnownTenant, RouteTable};
-use havenplank_sidecar::slots::{Slot, SlotCounts};
-use havenplank_sidecar::told::Terms;
 use proptest::prelude::*;
 use std::collections::HashSet;
 use std::path::Path;
@@ -67,13 +66,13 @@
 
 /// An engine without routes of its own settings.
 fn engine(per_class: bool) -> Engine {
-    static TERMS: LazyLock<Terms> = LazyLock::new(|| {
+    static TERMS: LazyLock<EngineSettings> = LazyLock::new(|| {
         let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/site.star");
         let site = havenplank_settings::load(&file, &Default::default());
-        Terms::from(&site.unwrap_or_else(|problems| panic!("{problems}")))
+        EngineSettings::from(&site.unwrap_or_else(|problems| panic!("{problems}")))
     });
     let mut terms = TERMS.clone();
-    terms.groups.clear();
+    terms.route_classes.clear();
     terms.exposure.per_class = per_class;
     Engine::new(EPOCH, 1, &terms)
 }
@@ -172,12 +171,12 @@
             }
             for (slot, route) in slots.iter().zip(&routes) {
                 for (other, known) in &held {
-                    prop_assert!(slot.group() != other.group() || route == known, "{:?} {:?}", route, known);
+                    prop_assert!(slot.route_class() != other.route_class() || route == known, "{:?} {:?}", route, known);
                 }
             }
-            let indices: HashSet<usize> = slots.iter().map(Slot::group).collect();
+            let indices: HashSet<usize> = slots.iter().map(Slot::route_class).collect();
             prop_assert_eq!(indices.len(), routes.len());
-            let distinct: HashSet<usize> = held.iter().map(|(slot, _)| slot.group()).chain(indices).collect();
+            let distinct: HashSet<usize> = held.iter().map(|(slot, _)| slot.route_class()).chain(indices).collect();
             let counts = engine.slot_counts();
             prop_assert_eq!((counts.in_force, counts.in_force + counts.retired), (routes.len(), distinct.len()));
             // The most that two versions and all that is held could ever ask for.
@@ -217,7 +216,10 @@
         (name("GET", "/other"), name("PUT", "/other")),
         (Some("rest"), None)
     );
-    assert_eq!(table.named("r-12").map(|route| route.group()), Some(12));
+    assert_eq!(
+        table.named("r-12").map(|route| route.route_class()),
+        Some(12)
+    );
     let index = |name| table.tenant(name).and_then(|tenant| tenant.index);
     assert_eq!(
         (index("first"), index("second"), index("x")),
@@ -241,20 +243,20 @@
 }
 
 fn ask(engine: &mut Engine, slot: &Slot) -> (u64, Nanos) {
-    let asked = Asked {
-        group: slot.group(),
+    let asked = RequestAttributes {
+        route_class: slot.route_class(),
         tenant: None,
         key: 0,
-        left: 10 * S,
+        remaining: 10 * S,
         cost_hint: None,
-        repeat: false,
+        is_retry: false,
     };
-    let hit = engine.hit(EPOCH, asked);
-    let effects: Vec<Effect> = std::iter::from_fn(|| engine.effect()).collect();
+    let hit = engine.handle_request(EPOCH, asked);
+    let effects: Vec<Effect> = std::iter::from_fn(|| engine.next_effect()).collect();
     let time_out = effects.iter().find_map(|effect| match effect {
-        Effect::Forward {
-            hit: known,
-            time_out,
+        Effect::SendAttempt {
+            request: known,
+            timeout: time_out,
             ..
         } if *known == hit => Some(*time_out),
         _ => None,
@@ -268,8 +270,8 @@
 #[test]
 fn a_request_ends_by_the_rules_it_began_with_and_its_slot_is_free_only_then() {
     let mut engine = engine(true);
-    engine.begin(EPOCH);
-    engine.list(EPOCH, true, (0..4).map(listed).collect());
+    engine.start(EPOCH);
+    engine.update_endpoints(EPOCH, true, (0..4).map(listed).collect());
     let old = engine.set_routes(
         EPOCH,
         &[("a".into(), rules(2 * S)), ("b".into(), rules(3 * S))],
@@ -282,7 +284,7 @@
     };
     let new = engine.set_routes(EPOCH, &[("a".into(), mutating), ("b".into(), rules(3 * S))]);
     assert_eq!(old[1], new[1], "an unchanged route keeps its slot");
-    assert_ne!(old[0].group(), new[0].group());
+    assert_ne!(old[0].route_class(), new[0].route_class());
     let (other, time_out) = ask(&mut engine, &new[0]);
     assert_eq!(
         time_out,
@@ -300,22 +302,25 @@
         }
     );
     for (hit, retried) in [(hit, true), (other, false)] {
-        engine.ended(EPOCH + 10 * MS, hit, 0, AttemptEnd::Reset, 10 * MS, None);
-        let effects: Vec<Effect> = std::iter::from_fn(|| engine.effect()).collect();
+        engine.attempt_ended(EPOCH + 10 * MS, hit, 0, AttemptEnd::Reset, 10 * MS, None);
+        let effects: Vec<Effect> = std::iter::from_fn(|| engine.next_effect()).collect();
         let again = effects.iter().any(
-            |effect| matches!(effect, Effect::Forward { hit: known, nth: 1, .. } if *known == hit),
+            |effect| matches!(effect, Effect::SendAttempt { request: known, attempt: 1, .. } if *known == hit),
         );
-        let failed = effects.contains(&Effect::Error { hit, late: false });
+        let failed = effects.contains(&Effect::Fail {
+            request: hit,
+            timed_out: false,
+        });
         assert_eq!((again, failed), (retried, !retried), "{effects:?}");
     }
     // While the old request is out, no route may get its slot.
     let third = engine.set_routes(EPOCH, &[("a".into(), mutating), ("c".into(), rules(S))]);
     assert_eq!(
-        third[1].group(),
+        third[1].route_class(),
         3,
         "slot 0 is held by a request, slots 1 and 2 by tables"
     );
-    assert!(engine.ended(EPOCH + 20 * MS, hit, 1, AttemptEnd::Served, 10 * MS, None));
+    assert!(engine.attempt_ended(EPOCH + 20 * MS, hit, 1, AttemptEnd::Served, 10 * MS, None));
     drop((new, third));
     assert_eq!(
         engine.slot_counts(),
@@ -333,7 +338,7 @@
             ("d".into(), rules(S)),
         ],
     );
-    assert!([0, 1].contains(&fourth[2].group()), "free by now");
+    assert!([0, 1].contains(&fourth[2].route_class()), "free by now");
     assert_eq!(engine.slot_counts().all, 4);
 }
 
@@ -356,11 +361,13 @@
 #[test]
 fn tallies_and_flags_find_a_route_by_its_name_as_long_as_it_is_in_force() {
     let mut engine = engine(false);
-    engine.list(EPOCH, true, vec![listed(0)]);
+    engine.update_endpoints(EPOCH, true, vec![listed(0)]);
     engine.set_routes(EPOCH, &[("a".into(), rules(S))]);
-    assert!(engine.flagged(EPOCH, "pod-0", "a", 0));
+    assert!(engine.report_fault(EPOCH, "pod-0", "a", 0));
     engine.set_routes(EPOCH, &[("b".into(), rules(S))]);
-    assert!(!engine.flagged(EPOCH, "pod-0", "a", 0) && engine.flagged(EPOCH, "pod-0", "b", 0));
+    assert!(
+        !engine.report_fault(EPOCH, "pod-0", "a", 0) && engine.report_fault(EPOCH, "pod-0", "b", 0)
+    );
 }
 
 #[test]
