--- /dev/null
+++ b/crates/capacity/src/tables/lookups.rs
@@ -0,0 +1,50 @@
+//! What a lookup of a route or a tenant costs the proxy.
+
+use super::table::Table;
+use super::timed::Timed;
+use super::Options;
+use crate::error::CapacityError;
+use crate::report::Section;
+use crate::samples;
+use havenplank_settings::Site;
+use havenplank_sidecar::engine::{Engine, EngineSettings, EPOCH};
+use havenplank_sidecar::routes::RouteTable;
+use oorandom::Rand64;
+use std::time::Instant;
+
+/// Returns the table in which the proxy finds routes and tenants, and its engine, which gives each route its index.
+pub fn route_table(site: &Site) -> RouteTable {
+    let engine = Engine::new(EPOCH, 1, &EngineSettings::from(site));
+    RouteTable::from_settings(&site.route_classes, engine.slots(), &site.tenants)
+}
+
+pub(super) fn lookups(options: &Options) -> Result<Section, CapacityError> {
+    let mut rng = Rand64::new(u128::from(options.seed));
+    let mut by_routes = Table::new("routes");
+    for routes in &options.routes {
+        let (table, mut timed) = (route_table(&samples::site(*routes, 1)?), Timed::new()?);
+        for _ in 0..options.requests {
+            let path = samples::route_path(rng.rand_range(0..*routes as u64) as usize);
+            let began = Instant::now();
+            std::hint::black_box(table.find("GET", &path));
+            timed.record(began.elapsed());
+        }
+        by_routes.put_times("route_lookup", *routes, &timed);
+    }
+    let mut by_tenants = Table::new("tenants");
+    for tenants in &options.tenants {
+        let (table, mut timed) = (route_table(&samples::site(1, *tenants)?), Timed::new()?);
+        for _ in 0..options.requests {
+            let name = samples::tenant(rng.rand_range(0..*tenants as u64) as usize);
+            let began = Instant::now();
+            std::hint::black_box(table.tenant(&name));
+            timed.record(began.elapsed());
+        }
+        by_tenants.put_times("tenant_lookup", *tenants, &timed);
+    }
+    let notes =
+        ["in the proxy's own table; drawn evenly, each found; a reading of the clock is in each time"];
+    let mut section = by_routes.section("Lookup of routes and tenants", &notes);
+    section.series.extend(by_tenants.section("", &[]).series);
+    Ok(section)
+}
--- a/crates/capacity/tests/tables.rs
+++ b/crates/capacity/tests/tables.rs
@@ -27,9 +27,9 @@
     let fetched = |pods: usize| {
         let mut driver = driver(pods);
         driver.requests(200, 700).expect("requests");
-        let before = driver.counts().forwards;
+        let before = driver.counts().attempts;
         let visits = driver.visits_of(|driver| (0..AT_ONCE).for_each(|_| driver.request()));
-        assert_eq!(driver.counts().forwards - before, AT_ONCE);
+        assert_eq!(driver.counts().attempts - before, AT_ONCE);
         assert_eq!(
             visits.sorted + visits.passed,
             0,
--- a/crates/configuration/examples/figures.rs
+++ b/crates/configuration/examples/figures.rs
@@ -80,7 +80,7 @@
     )?;
     println!("compile_ms {}", begun.elapsed().as_millis());
 
-    let whole = Delta::between(&Snapshot::empty(), &compiled, compiled.version());
+    let whole = Snapshot::empty().delta_to(&compiled, compiled.version());
     println!("encoded_bytes {}", whole.encode().len());
     let wanted: Vec<u16> = (0..1024).collect();
     let (mut sent, mut pieces) = (0, Vec::<Chunk>::new());
--- a/crates/configuration/src/chunk.rs
+++ b/crates/configuration/src/chunk.rs
@@ -21,13 +21,16 @@
 /// What a snapshot consists of, so that a receiver knows which buckets it lacks.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Manifest {
+    /// The version of the snapshot.
     pub version: Version,
+    /// The digest of all its records.
     pub digest: Digest,
-    /// Of each bucket, in order.
+    /// The digest of each bucket, in order.
     pub buckets: Vec<Digest>,
 }
 
 impl Manifest {
+    /// Returns the manifest of a snapshot.
     pub fn of(snapshot: &Snapshot) -> Manifest {
         Manifest {
             version: snapshot.version(),
@@ -40,7 +43,9 @@
 /// Some whole buckets of a snapshot.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Chunk {
+    /// The version of the snapshot.
     pub version: Version,
+    /// Numbers of the buckets.
     pub buckets: Vec<u16>,
     /// The records of each bucket after their count, compressed with zstd.
     pub body: Vec<u8>,
@@ -126,6 +131,7 @@
         Ok(Assembly { manifest, buckets })
     }
 
+    /// Returns the version that is being received.
     pub fn version(&self) -> Version {
         self.manifest.version
     }
--- a/crates/configuration/src/compile.rs
+++ b/crates/configuration/src/compile.rs
@@ -1,10 +1,9 @@
 //! Compiles an operator's script into a configuration, or into every mistake that it has.
 
-use crate::error::InvalidRecord;
 use crate::patterns;
 use crate::record::{
-    BackupMode, Record, RecordKind, RequestRules, Route, Service, Tenant, TenantLimits,
-    MAX_IN_FLIGHT, MAX_PRIORITY_WEIGHT, MAX_REQUESTS_PER_S,
+    BackupMode, InvalidRecord, Record, RecordKind, RequestRules, Route, Service, Tenant,
+    TenantLimits, MAX_IN_FLIGHT, MAX_PRIORITY_WEIGHT, MAX_REQUESTS_PER_S,
 };
 use crate::snapshot::Snapshot;
 use crate::tenant_file;
--- a/crates/configuration/src/delta.rs
+++ b/crates/configuration/src/delta.rs
@@ -4,7 +4,6 @@
 use crate::encoding::append;
 use crate::error::DecodeError;
 use crate::record::{Record, RecordKey};
-use crate::snapshot::Snapshot;
 use crate::version::Version;
 use serde::{Deserialize, Serialize};
 
@@ -19,10 +18,12 @@
 pub enum Change {
     /// New, or in place of the one with the same key.
     Put(Record),
+    /// Gone.
     Remove(RecordKey),
 }
 
 impl Change {
+    /// Returns the key of the record that changes.
     pub fn key(&self) -> RecordKey {
         match self {
             Change::Put(record) => record.key(),
@@ -34,11 +35,13 @@
 /// The way from one version to another.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Delta {
+    /// The version that it builds on.
     pub from: Version,
+    /// The version that it leads to.
     pub to: Version,
-    /// Of the result.
+    /// The digest of the result.
     pub digest: Digest,
-    /// By key, each once.
+    /// What changes, by key, each key once.
     pub changes: Vec<Change>,
 }
 
@@ -52,33 +55,6 @@
 }
 
 impl Delta {
-    /// What leads from `old` to the records of `new_records` as version `to`.
-    pub fn between(old: &Snapshot, new_records: &Snapshot, to: Version) -> Delta {
-        let mut changes = Vec::new();
-        for (before, after) in old.buckets().iter().zip(new_records.buckets()) {
-            if before.digest() == after.digest() {
-                continue;
-            }
-            for record in after.records() {
-                if old.find_record(record) != Some(record) {
-                    changes.push(Change::Put(record.clone()));
-                }
-            }
-            let gone = before
-                .records()
-                .iter()
-                .filter(|record| new_records.find_record(record).is_none());
-            changes.extend(gone.map(|record| Change::Remove(record.key())));
-        }
-        changes.sort_by_cached_key(Change::key);
-        Delta {
-            from: old.version(),
-            to,
-            digest: new_records.digest(),
-            changes,
-        }
-    }
-
     /// The bytes that [`Delta::decode`] reads.
     pub fn encode(&self) -> Vec<u8> {
         let header = Header {
--- a/crates/configuration/src/disk.rs
+++ b/crates/configuration/src/disk.rs
@@ -7,12 +7,24 @@
 /// The steps that change what is on disk.
 pub trait Disk: Send {
     /// Writes all bytes at the end of a file.
+    ///
+    /// # Errors
+    /// As the disk gives them.
     fn write(&mut self, file: &mut File, bytes: &[u8]) -> io::Result<()>;
     /// Returns once a file or folder is on disk.
+    ///
+    /// # Errors
+    /// As the disk gives them.
     fn sync(&mut self, file: &File) -> io::Result<()>;
     /// Puts a file in place of another.
+    ///
+    /// # Errors
+    /// As the disk gives them.
     fn rename(&mut self, from: &Path, to: &Path) -> io::Result<()>;
     /// Cuts a file off.
+    ///
+    /// # Errors
+    /// As the disk gives them.
     fn truncate(&mut self, file: &File, bytes: u64) -> io::Result<()>;
 }
 
--- a/crates/configuration/src/interval.rs
+++ b/crates/configuration/src/interval.rs
@@ -6,15 +6,18 @@
 /// The names from one on, up to another that is not among them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Interval {
+    /// The first name that can be in it.
     pub from: String,
-    /// `None` for no upper end.
+    /// The first name behind it; `None` for no upper end.
     pub to: Option<String>,
 }
 
 /// A part of an interval, and the places of its names in the list that was split.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Part {
+    /// The part.
     pub interval: Interval,
+    /// Places of its names in the list that was split.
     pub names: Range<usize>,
 }
 
@@ -27,6 +30,7 @@
         }
     }
 
+    /// Returns whether a name is in it.
     pub fn contains(&self, name: &str) -> bool {
         self.from.as_str() <= name && self.to.as_deref().is_none_or(|to| name < to)
     }
--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -3,6 +3,16 @@
 //! A distributor, the single writer of an epoch, compiles the operator's script into an immutable snapshot; each
 //! change of it is a numbered delta. Sidecars hold the newest version they have heard of, whole or not at all.
 
+#![warn(missing_docs)]
+#![warn(
+    clippy::too_many_lines,
+    clippy::too_many_arguments,
+    clippy::cognitive_complexity,
+    clippy::missing_errors_doc,
+    clippy::wildcard_imports,
+    clippy::type_complexity
+)]
+
 mod bucket;
 pub mod chunk;
 pub mod compile;
--- a/crates/configuration/src/message.rs
+++ b/crates/configuration/src/message.rs
@@ -24,7 +24,9 @@
 /// Which configuration somebody holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
+    /// The version.
     pub version: Version,
+    /// The digest of all its records.
     pub digest: Digest,
 }
 
@@ -44,16 +46,20 @@
 /// A peer that does not have the polled version in force.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PeerBehind {
+    /// The peer's name.
     pub name: String,
+    /// How it stands to the version.
     pub lag_reason: LagReason,
 }
 
 /// How many of how many have a version in force, or a newer one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tally {
+    /// How many have it.
     pub have: u32,
+    /// How many were counted.
     pub of: u32,
-    /// [`MAX_BEHIND`] at most.
+    /// Names of those that do not have it, [`MAX_BEHIND`] at most.
     pub behind: Vec<PeerBehind>,
     /// Those that are behind beyond the named ones.
     pub more: u32,
@@ -62,32 +68,43 @@
 /// The question how many of an interval have a version in force.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Poll {
+    /// The number of the round, which the writer counts.
     pub round: u64,
+    /// The version that is asked for.
     pub claim: Claim,
+    /// The names that are asked.
     pub interval: Interval,
-    /// How long the answer may take.
+    /// How long the answer may take, in milliseconds.
     pub timeout_ms: u32,
 }
 
 /// The answer to a [`Poll`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
+    /// The round of the poll.
     pub round: u64,
+    /// The version that was asked for.
     pub version: Version,
+    /// The names that were asked.
     pub interval: Interval,
+    /// Who has it.
     pub tally: Tally,
 }
 
+/// One message between peers. Peers of other releases read it by the order of variants and fields.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
     /// A version is new here. The delta that leads to it is with it where it fits a datagram.
     Announce {
+        /// The version that is new.
         claim: Claim,
+        /// The encoded delta.
         delta: Option<Vec<u8>>,
     },
     /// What do you have? Answered by [`Message::Current`], [`Message::Deltas`], [`Message::Manifest`], or another
     /// pull where the asked one is behind itself.
     Pull {
+        /// What the asker holds.
         claim: Claim,
         /// How many bytes the answer may have; 0 asks for the claim alone.
         max_answer_bytes: u32,
@@ -96,29 +113,41 @@
     },
     /// This is what is held here, and nothing more comes.
     Current {
+        /// What is held.
         claim: Claim,
     },
     /// Encoded deltas that lead on from what the asker has, and where all of them lead.
     Deltas {
+        /// Where all of them lead.
         claim: Claim,
+        /// Each encoded, in order.
         deltas: Vec<Vec<u8>>,
     },
+    /// What a whole snapshot consists of.
     Manifest(Manifest),
     /// Asks for one chunk with some of these buckets.
     Want {
+        /// The snapshot.
         claim: Claim,
+        /// Numbers of the buckets that are missing.
         buckets: Vec<u16>,
     },
+    /// Some whole buckets of a snapshot.
     Chunk(Chunk),
     /// The wanted version is not held here, or no more is given away now.
     Unavailable {
+        /// The version that was asked for.
         wanted: Version,
+        /// What is held instead.
         claim: Claim,
     },
+    /// Asks who of an interval has a version in force.
     Poll(Poll),
+    /// Answers a poll.
     Report(Report),
     /// A higher epoch is in force: its writer has replaced yours.
     Superseded {
+        /// The version that is in force.
         by: Claim,
     },
 }
@@ -126,14 +155,27 @@
 /// Why bytes are no message.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MessageError {
+    /// More bytes than a message may have.
     #[error("a message of {found} bytes, {most} at most", most = MAX_MESSAGE_BYTES)]
-    TooLong { found: usize },
+    TooLong {
+        /// How many there are.
+        found: usize,
+    },
+    /// Bytes that are no such encoding.
     #[error("cut short or no such encoding: {0}")]
     Malformed(#[from] postcard::Error),
+    /// Bytes after the end.
     #[error("{found} bytes too many at the end")]
-    Trailing { found: usize },
+    Trailing {
+        /// How many.
+        found: usize,
+    },
+    /// A field that no sender writes so.
     #[error("{field} is out of its bounds")]
-    OutOfBounds { field: &'static str },
+    OutOfBounds {
+        /// Its name.
+        field: &'static str,
+    },
 }
 
 impl Message {
--- a/crates/configuration/src/record.rs
+++ b/crates/configuration/src/record.rs
@@ -1,6 +1,5 @@
 //! What changes while sidecars run: services, the routes that lead to them, and tenants with their limits.
 
-use crate::error::InvalidRecord;
 use havenplank::interface::{DedupScope, Idempotency, Nanos, RouteClass};
 pub use havenplank_settings::BackupMode;
 use serde::{Deserialize, Serialize};
@@ -30,6 +29,7 @@
 /// A group of pods that answers requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Service {
+    /// Its name, which no other service has.
     pub name: String,
     /// Where its pods may be; empty for any zone.
     pub zones: Vec<String>,
@@ -41,6 +41,7 @@
 /// prefix before a shorter one. The order of routes never matters.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Route {
+    /// Its name, which no other route has.
     pub name: String,
     /// The name of a [`Service`].
     pub service: String,
@@ -48,65 +49,86 @@
     pub methods: Vec<String>,
     /// Whole paths, or the start of one where the last character is `*`.
     pub paths: Vec<String>,
+    /// How its requests are treated.
     pub rules: RequestRules,
 }
 
 /// How the requests of a route are treated: [`RouteClass`] and the backup mode, comparable and serialisable.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RequestRules {
+    /// Whether a request may run twice.
     pub idempotency: Idempotency,
+    /// The pods that drop a repeat of a keyed request.
     pub dedup_scope: DedupScope,
-    /// How long, from the first attempt that may have run, repeats of a keyed request are dropped.
+    /// How long, from the first attempt that may have run, repeats of a keyed request are dropped, in nanoseconds.
     pub dedup_window: Nanos,
+    /// The time within which an answer earns its whole priority weight, in nanoseconds.
     pub latency_objective: Nanos,
+    /// How long a client waits at most, in nanoseconds.
     pub deadline: Nanos,
+    /// How much serving a request counts against others.
     #[serde(rename = "benefit")]
     pub priority_weight: f64,
     /// Share of the priority weight that an answer past the latency target still earns.
     #[serde(rename = "late_benefit")]
     pub late_weight: f64,
+    /// Whether responses are passed on as they come.
     pub stream: bool,
+    /// Whether and when backups learn of requests in flight.
     pub backup: BackupMode,
 }
 
 /// A tenant of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tenant {
+    /// Its name, which no other tenant has.
     pub name: String,
+    /// What it may use.
     pub limits: TenantLimits,
 }
 
 /// What a tenant may use; `None` for no limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TenantLimits {
+    /// Requests that are admitted a second.
     pub requests_per_s: Option<u32>,
+    /// Requests in flight at once.
     pub in_flight: Option<u32>,
 }
 
 /// One entry of a configuration. A route is boxed, as tenants are many and an enum is as large as its largest variant.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Record {
+    /// A group of pods.
     Service(Service),
+    /// A class of requests.
     Route(Box<Route>),
+    /// A tenant.
     Tenant(Tenant),
 }
 
 /// The kinds of [`Record`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum RecordKind {
+    /// Of [`Service`].
     Service,
+    /// Of [`Route`].
     Route,
+    /// Of [`Tenant`].
     Tenant,
 }
 
 /// What tells one record from all others.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RecordKey {
+    /// The kind of the record.
     pub kind: RecordKind,
+    /// Its name, which no other of its kind has.
     pub name: String,
 }
 
 impl Record {
+    /// Returns its kind.
     pub fn kind(&self) -> RecordKind {
         match self {
             Record::Service(_) => RecordKind::Service,
@@ -115,6 +137,7 @@
         }
     }
 
+    /// Returns its name.
     pub fn name(&self) -> &str {
         match self {
             Record::Service(service) => &service.name,
@@ -123,6 +146,7 @@
         }
     }
 
+    /// Returns its key.
     pub fn key(&self) -> RecordKey {
         RecordKey {
             kind: self.kind(),
@@ -220,6 +244,20 @@
     }
 }
 
+/// A record with a field out of its bounds.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{record}: {field}: found {found}; expected {expected}")]
+pub struct InvalidRecord {
+    /// The record.
+    pub record: RecordKey,
+    /// The field, as the script names it.
+    pub field: &'static str,
+    /// Its value, or what is wrong about it.
+    pub found: String,
+    /// What it may be.
+    pub expected: String,
+}
+
 fn ensure(
     valid: bool,
     key: (RecordKind, &str),
--- a/crates/configuration/src/replication/acknowledgement.rs
+++ b/crates/configuration/src/replication/acknowledgement.rs
@@ -12,8 +12,11 @@
 /// A name that the last round found behind, and when a round of the present series first did.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BehindSince {
+    /// The peer's name.
     pub name: String,
+    /// How it stands to the polled version.
     pub lag_reason: LagReason,
+    /// When a round of the present series first found it behind, on the writer's clock, in nanoseconds.
     pub since: Nanos,
 }
 
--- a/crates/configuration/src/replication/gossip.rs
+++ b/crates/configuration/src/replication/gossip.rs
@@ -96,7 +96,7 @@
         let max_answer_bytes = u32::try_from(left).unwrap_or(u32::MAX);
         self.pending_pull = Some(PendingPull {
             peer: peer.clone(),
-            until: now.saturating_add(self.settings.answer),
+            until: now.saturating_add(self.settings.answer_timeout),
         });
         let message = Message::Pull {
             claim: self.verified.claim(),
@@ -115,7 +115,8 @@
 
     /// Asks again soon, somebody at random.
     pub(super) fn retry(&mut self, now: Nanos) {
-        let wait = self.settings.retry + self.rng.rand_range(0..self.settings.retry.max(1));
+        let wait =
+            self.settings.retry_delay + self.rng.rand_range(0..self.settings.retry_delay.max(1));
         let at = now.saturating_add(wait).max(self.fetching.ready_at());
         self.retry_at = Some(self.retry_at.map_or(at, |before| before.min(at)));
     }
--- a/crates/configuration/src/replication/installation.rs
+++ b/crates/configuration/src/replication/installation.rs
@@ -11,7 +11,9 @@
 /// A version that the host could not take in.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Rejection {
+    /// The version.
     pub version: Version,
+    /// Why, in the words of the host.
     pub reason: String,
 }
 
@@ -21,8 +23,15 @@
     pub(super) since: Nanos,
     offered: Option<Snapshot>,
     pub(super) rejected: Option<Rejection>,
-    /// When the rejected version is offered again, and the wait after that.
-    again: Option<(Nanos, Nanos)>,
+    retry: Option<OfferRetry>,
+}
+
+/// When a rejected version is offered again.
+#[derive(Clone, Copy)]
+struct OfferRetry {
+    at: Nanos,
+    /// The wait after that.
+    backoff: Nanos,
 }
 
 impl Installation {
@@ -32,7 +41,7 @@
             since: now,
             offered: None,
             rejected: None,
-            again: None,
+            retry: None,
         }
     }
 
@@ -50,7 +59,7 @@
     }
 
     pub(super) fn next_wake(&self) -> Option<Nanos> {
-        self.again.map(|(at, _)| at)
+        self.retry.map(|retry| retry.at)
     }
 
     /// `None` where the claimed version or a newer one is in force.
@@ -93,17 +102,18 @@
         if self.installation.offered.take_if(fits).is_none() {
             return;
         }
-        let again = self
-            .installation
-            .rejected
-            .as_ref()
-            .is_some_and(|before| before.version == version);
-        let wait = match self.installation.again {
-            Some((_, wait)) if again => wait,
+        let before = self.installation.rejected.as_ref();
+        let is_repeat = before.is_some_and(|before| before.version == version);
+        let backoff = match self.installation.retry {
+            Some(retry) if is_repeat => retry.backoff,
             _ => self.settings.initial_offer_backoff,
         };
-        let doubled = wait.saturating_mul(2).min(self.settings.max_offer_backoff);
-        self.installation.again = Some((now.saturating_add(wait), doubled));
+        self.installation.retry = Some(OfferRetry {
+            at: now.saturating_add(backoff),
+            backoff: backoff
+                .saturating_mul(2)
+                .min(self.settings.max_offer_backoff),
+        });
         let rejection = Rejection {
             version,
             reason: shortened(reason),
@@ -124,9 +134,13 @@
     }
 
     pub(super) fn offer_where_due(&mut self, now: Nanos) {
-        if let Some((_, wait)) = self.installation.again.filter(|(at, _)| *at <= now) {
+        let due = self.installation.retry.filter(|retry| retry.at <= now);
+        if let Some(retry) = due {
             // Moved on at once, so that a host that does not answer is not asked in each turn.
-            self.installation.again = Some((now.saturating_add(wait), wait));
+            self.installation.retry = Some(OfferRetry {
+                at: now.saturating_add(retry.backoff),
+                ..retry
+            });
             self.offer(now);
         }
     }
--- a/crates/configuration/src/replication/mod.rs
+++ b/crates/configuration/src/replication/mod.rs
@@ -71,15 +71,18 @@
 /// What a process does with configurations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
+    /// Takes versions over.
     Sidecar,
     /// Publishes the versions of one epoch.
     Writer {
+        /// The epoch.
         epoch: u64,
     },
 }
 
 /// What a process brings from before its start.
 pub struct CachedConfiguration {
+    /// The version that was in force, or none.
     pub snapshot: Snapshot,
     /// Deltas that led to it, as far as they are kept.
     pub deltas: Vec<Arc<Delta>>,
@@ -88,13 +91,17 @@
 /// What the host is to do.
 #[derive(Clone, Debug)]
 pub enum Effect {
+    /// Sends a message to a peer; it may be lost.
     Send {
+        /// The peer.
         to: Life,
+        /// What it is told.
         message: Message,
     },
     /// A whole new version; the host answers with [`Replicator::confirm_installed`] or [`Replicator::report_rejected`]. One that came
     /// before and was not answered yet is void.
     Install(Snapshot),
+    /// Tells operators.
     Event(Event),
 }
 
@@ -103,30 +110,44 @@
 pub enum Event {
     /// Another process holds the same version with other records: two writers share an epoch.
     Conflict {
+        /// The version.
         version: Version,
+        /// The digest of its records here.
         verified: Digest,
+        /// The digest that the other one claims.
         other: Digest,
+        /// The other process.
         from: Life,
     },
     /// This writer has been replaced and publishes no more.
     Superseded {
+        /// The version that shows it.
         by: Claim,
     },
+    /// The host could not take a version in.
     Rejected(Rejection),
-    /// A whole snapshot is being fetched; so many buckets are missing.
+    /// A whole snapshot is being fetched.
     TransferBegan {
+        /// Its version.
         version: Version,
+        /// Buckets that are missing.
         missing: usize,
     },
+    /// A whole snapshot was fetched and verified.
     TransferDone {
+        /// Its version.
         version: Version,
     },
     /// The source of a transfer was silent, refused or sent something wrong; another one takes its place.
     SourceChanged {
+        /// The version that is fetched.
         version: Version,
+        /// The source that is given up.
         from: Life,
     },
+    /// No source gave the whole snapshot; the next pull may begin another transfer.
     TransferFailed {
+        /// Its version.
         version: Version,
     },
 }
@@ -134,14 +155,31 @@
 /// Why a version was not published.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PublishError {
+    /// Sidecars publish nothing.
     #[error("this process is not the writer")]
     NotWriter,
+    /// Another writer has taken over.
     #[error("version {} is in force elsewhere; another writer has taken over and this one publishes no more", by.version)]
-    Superseded { by: Claim },
+    Superseded {
+        /// The version that shows it.
+        by: Claim,
+    },
+    /// A version that is not newer than what is here.
     #[error("version {version} is not newer than {verified}, which is held")]
-    NotNewer { version: Version, verified: Version },
+    NotNewer {
+        /// The version to be published.
+        version: Version,
+        /// The newest one here.
+        verified: Version,
+    },
+    /// A version of another epoch.
     #[error("version {version} is not of epoch {epoch}, which this writer has")]
-    WrongEpoch { version: Version, epoch: u64 },
+    WrongEpoch {
+        /// The version to be published.
+        version: Version,
+        /// The epoch of this writer.
+        epoch: u64,
+    },
 }
 
 /// The part of one process in the replication of configurations.
@@ -179,25 +217,22 @@
 }
 
 impl Replicator {
+    /// Returns the part of process `me`, which begins at `now` with what it cached and draws from `seed`.
     pub fn new(
         now: Nanos,
         seed: u64,
         me: Peer,
         role: Role,
-        kept: CachedConfiguration,
+        cached: CachedConfiguration,
         settings: ReplicationSettings,
     ) -> Replicator {
+        let snapshot = cached.snapshot;
         let mut history = History::new(settings.max_history_deltas, settings.max_history_bytes);
-        kept.deltas
-            .into_iter()
-            .for_each(|delta| history.push(delta));
-        let verified = VerifiedVersions::new(kept.snapshot.clone(), history);
-        let starts_empty = kept.snapshot.version() == Version::NONE;
-        let first = if starts_empty {
-            settings.fetch_start_bytes
-        } else {
-            settings.fetch_burst_bytes
-        };
+        for delta in cached.deltas {
+            history.push(delta);
+        }
+        let verified = VerifiedVersions::new(snapshot.clone(), history);
+        let is_empty = snapshot.version() == Version::NONE;
         let mut rng = Rand64::new(u128::from(seed));
         let next_pull = now.saturating_add(rng.rand_range(0..FIRST_PULL));
         Replicator {
@@ -207,7 +242,7 @@
             peers: Peers::default(),
             newest_heard: verified.claim(),
             verified,
-            installation: Installation::new(now, kept.snapshot),
+            installation: Installation::new(now, snapshot),
             behind_since: None,
             superseded: None,
             conflict: None,
@@ -215,18 +250,8 @@
             next_pull,
             retry_at: None,
             wants_whole: false,
-            fetching: Budget::new(
-                now,
-                settings.fetch_bytes_per_s,
-                settings.fetch_burst_bytes,
-                first,
-            ),
-            serving: Budget::new(
-                now,
-                settings.serve_bytes_per_s,
-                settings.serve_burst_bytes,
-                settings.serve_burst_bytes,
-            ),
+            fetching: settings.fetch_budget(now, is_empty),
+            serving: settings.serve_budget(now),
             transfer: None,
             polls: VecDeque::new(),
             polling: Polling::new(now, role, &settings),
@@ -238,12 +263,12 @@
         }
     }
 
-    /// Who lives, as the membership has it; this process may be among them.
+    /// Sets the peers that live, as the membership has them; this process may be among them.
     pub fn set_peers(&mut self, peers: Peers) {
         self.peers = peers;
     }
 
-    /// What the host is to do next. It empties this after each call.
+    /// Takes out what the host is to do next. It empties this after each call.
     pub fn next_effect(&mut self) -> Option<Effect> {
         self.effects.pop_front()
     }
@@ -282,7 +307,7 @@
         Ok(())
     }
 
-    /// When [`Replicator::wake`] is due.
+    /// Returns when [`Replicator::wake`] is due.
     pub fn next_wake(&self) -> Option<Nanos> {
         let transfer = self
             .transfer
--- a/crates/configuration/src/replication/peers.rs
+++ b/crates/configuration/src/replication/peers.rs
@@ -10,6 +10,7 @@
 /// One peer and where it runs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Peer {
+    /// Its name and incarnation.
     pub life: Life,
     /// The part before the first `/` is its region.
     pub zone: String,
@@ -30,30 +31,34 @@
 }
 
 impl Peers {
-    /// Of two with one name the later life stays.
+    /// Returns the list of these peers. Of two with one name the later life stays.
     pub fn new(mut peers: Vec<Peer>) -> Peers {
         peers.sort_by(|a, b| (&a.life.name, b.life.life).cmp(&(&b.life.name, a.life.life)));
         peers.dedup_by(|later, first| later.life.name == first.life.name);
         Peers(Arc::new(peers))
     }
 
+    /// Returns how many there are.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
+    /// Returns whether there is none.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
+    /// Returns the name of the peer at a place in the order of names.
     pub fn name(&self, place: usize) -> &str {
         &self.0[place].life.name
     }
 
+    /// Returns the name and incarnation of the peer at a place in the order of names.
     pub fn life(&self, place: usize) -> &Life {
         &self.0[place].life
     }
 
-    /// A random peer other than `me`, of the wished reach where a few draws find one, else any.
+    /// Draws a random peer other than `me`, of the wished reach where a few draws find one, else any.
     pub fn draw(&self, rng: &mut Rand64, me: &Peer, reach: Reach) -> Option<Life> {
         let mut fallback = None;
         if self.is_empty() {
@@ -74,7 +79,7 @@
     }
 }
 
-/// The region of a zone.
+/// Returns the region of a zone.
 pub fn region(zone: &str) -> &str {
     zone.split('/').next().unwrap_or(zone)
 }
--- a/crates/configuration/src/replication/status.rs
+++ b/crates/configuration/src/replication/status.rs
@@ -12,9 +12,11 @@
 pub struct Counts {
     /// No message, or with a delta that is none.
     pub unreadable: u64,
+    /// Deltas and chunks that were here already.
     pub repeats: u64,
+    /// Deltas that did not apply.
     pub unfit_deltas: u64,
-    /// Claims of a version that is held with another digest.
+    /// Claims of a version that is verified here with another digest.
     pub conflicts: u64,
     /// Announcements and polls of an epoch that was replaced.
     pub lower_epochs: u64,
@@ -28,57 +30,80 @@
     pub dropped_polls: u64,
 }
 
+/// What a process knows of its configuration. Times are on its own monotonic clock, in nanoseconds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Status {
-    /// In force, with its digest and since when.
+    /// The version in force.
     pub version: Version,
+    /// The digest of the version in force.
     pub digest: Digest,
+    /// Since when it is in force.
     pub in_force_since: Nanos,
-    /// Verified and passed on.
+    /// The newest version that was verified by its digest and is passed on.
     pub verified: Version,
+    /// The newest version that any peer has claimed.
     pub newest_heard: Version,
     /// Since when a newer version is known to exist that is not in force here.
     pub behind_since: Option<Nanos>,
+    /// The version that the host could not take in last.
     pub rejected: Option<Rejection>,
-    /// When any peer was last heard, and when a poll of the writer last came here. The writer polls everybody at least
-    /// once a [`ReplicationSettings::max_poll_interval`](super::ReplicationSettings): who has heard none for longer is cut off from it, and what is in
-    /// force may be as old as that.
+    /// When any peer was last heard.
     pub heard_at: Option<Nanos>,
+    /// When a poll of the writer last came here. The writer polls everybody at least once a
+    /// [`max_poll_interval`](super::ReplicationSettings::max_poll_interval): who has heard none for longer is cut off
+    /// from it, and what is in force may be as old as that.
     pub polled_at: Option<Nanos>,
+    /// How many peers are thought to live.
     pub peers: usize,
+    /// The whole snapshot that is being fetched.
     pub transfer: Option<TransferStatus>,
+    /// What a writer knows beyond a sidecar; `None` at a sidecar.
     pub writer: Option<WriterStatus>,
+    /// Messages that changed nothing.
     pub counts: Counts,
 }
 
+/// A whole snapshot that is being fetched.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TransferStatus {
+    /// Its version.
     pub version: Version,
+    /// The name of the peer that gives it.
     pub source: String,
+    /// Buckets that are missing yet.
     pub missing_buckets: usize,
 }
 
 /// What a writer knows beyond a sidecar.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WriterStatus {
+    /// The epoch of its versions.
     pub epoch: u64,
-    /// It publishes no more.
+    /// By whom it was replaced; it publishes no more then.
     pub superseded: Option<Claim>,
-    /// The last finished round.
+    /// The last finished round of polls.
     pub round: Option<RoundStatus>,
 }
 
+/// A finished round of polls.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RoundStatus {
+    /// The polled version.
     pub version: Version,
+    /// When it ended, on the writer's monotonic clock, in nanoseconds.
     pub at: Nanos,
+    /// How many have the version or a newer one in force.
     pub have: u32,
+    /// How many were counted.
     pub of: u32,
+    /// Those that do not have it, as far as they are named.
     pub behind: Vec<BehindSince>,
+    /// How many more do not have it.
     pub more: u32,
 }
 
 impl Replicator {
+    /// Returns what this process knows of its configuration.
     pub fn status(&self) -> Status {
         let in_force = self.installation.snapshot();
         let transfer = self.transfer.as_ref().map(|transfer| TransferStatus {
--- a/crates/configuration/src/replication/transfer.rs
+++ b/crates/configuration/src/replication/transfer.rs
@@ -100,7 +100,7 @@
         let Some(transfer) = self.transfer.as_mut().filter(|_| left > 0) else {
             return;
         };
-        transfer.until = Some(now.saturating_add(self.settings.answer));
+        transfer.until = Some(now.saturating_add(self.settings.answer_timeout));
         let message = Message::Want {
             claim: transfer.claim,
             buckets: transfer.assembly.missing(),
--- a/crates/configuration/src/snapshot.rs
+++ b/crates/configuration/src/snapshot.rs
@@ -19,6 +19,7 @@
 pub const MAX_TENANTS: usize = 500_000;
 
 impl RecordKind {
+    /// All kinds, in the order in which buckets hold them.
     pub const ALL: [RecordKind; 3] = [RecordKind::Service, RecordKind::Route, RecordKind::Tenant];
 
     /// How many of this kind a configuration may have.
@@ -101,6 +102,7 @@
         Ok(snapshot)
     }
 
+    /// Returns its version.
     pub fn version(&self) -> Version {
         self.version
     }
@@ -113,14 +115,17 @@
         }
     }
 
+    /// Returns the digest of all its records.
     pub fn digest(&self) -> Digest {
         self.digest
     }
 
+    /// Returns the record of a key.
     pub fn get(&self, key: &RecordKey) -> Option<&Record> {
         self.find(key.kind, &key.name)
     }
 
+    /// Returns the service of a name.
     pub fn service(&self, name: &str) -> Option<&Service> {
         match self.find(RecordKind::Service, name) {
             Some(Record::Service(service)) => Some(service),
@@ -128,6 +133,7 @@
         }
     }
 
+    /// Returns the route of a name.
     pub fn route(&self, name: &str) -> Option<&Route> {
         match self.find(RecordKind::Route, name) {
             Some(Record::Route(route)) => Some(route),
@@ -135,6 +141,7 @@
         }
     }
 
+    /// Returns the tenant of a name.
     pub fn tenant(&self, name: &str) -> Option<&Tenant> {
         match self.find(RecordKind::Tenant, name) {
             Some(Record::Tenant(tenant)) => Some(tenant),
@@ -174,6 +181,7 @@
         self.buckets.iter().flat_map(|bucket| bucket.records())
     }
 
+    /// Returns how many records of a kind there are.
     pub fn count(&self, kind: RecordKind) -> usize {
         self.buckets.iter().map(|bucket| bucket.count(kind)).sum()
     }
@@ -209,6 +217,33 @@
         Ok(next)
     }
 
+    /// Returns the delta that leads from this configuration to the records of another one, as version `to`.
+    pub fn delta_to(&self, new_records: &Snapshot, to: Version) -> Delta {
+        let mut changes = Vec::new();
+        for (before, after) in self.buckets.iter().zip(new_records.buckets.iter()) {
+            if before.digest() == after.digest() {
+                continue;
+            }
+            let put = after
+                .records()
+                .iter()
+                .filter(|record| self.find_record(record) != Some(*record));
+            changes.extend(put.map(|record| Change::Put(record.clone())));
+            let gone = before
+                .records()
+                .iter()
+                .filter(|record| new_records.find_record(record).is_none());
+            changes.extend(gone.map(|record| Change::Remove(record.key())));
+        }
+        changes.sort_by_cached_key(Change::key);
+        Delta {
+            from: self.version,
+            to,
+            digest: new_records.digest(),
+            changes,
+        }
+    }
+
     /// The digest of each bucket; two snapshots agree in a bucket where its digests are equal.
     pub fn bucket_digests(&self) -> Vec<Digest> {
         self.buckets.iter().map(|bucket| bucket.digest()).collect()
--- a/crates/configuration/src/snapshot_file.rs
+++ b/crates/configuration/src/snapshot_file.rs
@@ -3,6 +3,7 @@
 use crate::bucket::BUCKETS;
 use crate::digest::Digest;
 use crate::encoding::{append, append_bucket, compress, decompress, read_bucket};
+use crate::error::{ApplyError, DecodeError};
 use crate::snapshot::Snapshot;
 use crate::version::Version;
 use std::sync::Arc;
@@ -32,50 +33,73 @@
     Some(bytes)
 }
 
+/// Why bytes are no file of a snapshot.
+#[derive(Debug, thiserror::Error)]
+pub(crate) enum SnapshotFileError {
+    #[error("shorter than its header")]
+    NoHeader,
+    #[error("not a snapshot of this release")]
+    NoMagic,
+    #[error("{found} bytes of body, its header states others")]
+    BodyLength { found: usize },
+    #[error("its checksum differs")]
+    Checksum,
+    #[error("its body cannot be decompressed")]
+    Decompress,
+    #[error(transparent)]
+    Header(#[from] postcard::Error),
+    #[error(transparent)]
+    Bucket(#[from] DecodeError),
+    #[error("{found} bytes too many in its body")]
+    Trailing { found: usize },
+    #[error(transparent)]
+    Records(#[from] ApplyError),
+    #[error("its records have digest {found}, it states {stated}")]
+    Digest { found: Digest, stated: Digest },
+}
+
 /// The snapshot of a file.
 ///
 /// # Errors
-/// What is wrong with the file, in a few words.
-pub(crate) fn decode(bytes: &[u8]) -> Result<Snapshot, String> {
-    let (magic, rest) = bytes.split_first_chunk().ok_or("shorter than its header")?;
-    let (length, rest) = rest.split_first_chunk().ok_or("shorter than its header")?;
-    let (hash, body) = rest
-        .split_first_chunk::<HASH_BYTES>()
-        .ok_or("shorter than its header")?;
+/// What is wrong with the file.
+pub(crate) fn decode(bytes: &[u8]) -> Result<Snapshot, SnapshotFileError> {
+    let no_header = SnapshotFileError::NoHeader;
+    let Some((magic, rest)) = bytes.split_first_chunk() else {
+        return Err(no_header);
+    };
+    let Some((length, rest)) = rest.split_first_chunk() else {
+        return Err(no_header);
+    };
+    let Some((hash, body)) = rest.split_first_chunk::<HASH_BYTES>() else {
+        return Err(no_header);
+    };
     if magic != MAGIC {
-        return Err("not a snapshot of this release".to_string());
+        return Err(SnapshotFileError::NoMagic);
     }
     if u64::from_le_bytes(*length) != body.len() as u64 {
-        return Err(format!(
-            "{} bytes of body, its header states others",
-            body.len()
-        ));
+        return Err(SnapshotFileError::BodyLength { found: body.len() });
     }
     if blake3::hash(body) != *hash {
-        return Err("its checksum differs".to_string());
+        return Err(SnapshotFileError::Checksum);
     }
-    let raw = decompress(body, MAX_RAW_BYTES).ok_or("its body cannot be decompressed")?;
-    read(&raw)
+    read(&decompress(body, MAX_RAW_BYTES).ok_or(SnapshotFileError::Decompress)?)
 }
 
-fn read(raw: &[u8]) -> Result<Snapshot, String> {
-    let header = postcard::take_from_bytes::<(Version, Digest)>(raw);
-    let ((version, digest), mut rest) = header.map_err(|error| error.to_string())?;
+fn read(raw: &[u8]) -> Result<Snapshot, SnapshotFileError> {
+    let ((version, stated), mut rest) = postcard::take_from_bytes::<(Version, Digest)>(raw)?;
     let mut buckets = Vec::with_capacity(BUCKETS);
     for number in 0..BUCKETS {
-        let (bucket, after) = read_bucket(number, rest).map_err(|error| error.to_string())?;
+        let (bucket, after) = read_bucket(number, rest)?;
         rest = after;
         buckets.push(Arc::new(bucket));
     }
     if !rest.is_empty() {
-        return Err(format!("{} bytes too many in its body", rest.len()));
+        return Err(SnapshotFileError::Trailing { found: rest.len() });
     }
-    let snapshot = Snapshot::from_buckets(version, buckets).map_err(|error| error.to_string())?;
-    if snapshot.digest() != digest {
-        return Err(format!(
-            "its records have digest {}, it states {digest}",
-            snapshot.digest()
-        ));
+    let snapshot = Snapshot::from_buckets(version, buckets)?;
+    let found = snapshot.digest();
+    if found != stated {
+        return Err(SnapshotFileError::Digest { found, stated });
     }
     Ok(snapshot)
 }
--- a/crates/configuration/src/store.rs
+++ b/crates/configuration/src/store.rs
@@ -33,39 +33,66 @@
 /// Why a store cannot be opened or written.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
+    /// Another process holds the folder.
     #[error("{} is used by another process; end that one, or give this one a folder of its own", .folder.display())]
-    Locked { folder: PathBuf },
+    Locked {
+        /// The folder.
+        folder: PathBuf,
+    },
+    /// The disk or the file system failed.
     #[error("cannot {action} {}: {source}; mend the disk, then start again", .path.display())]
     Disk {
+        /// What was tried.
         action: &'static str,
+        /// At which file or folder.
         path: PathBuf,
+        /// Why it failed.
         source: io::Error,
     },
+    /// A file holds what no store writes.
     #[error(
         "{} is damaged at byte {offset}: {found}; move its folder aside and start again: a sidecar fetches the \
          configuration from a peer, a distributor compiles its script under a higher epoch",
         .path.display()
     )]
     Damaged {
+        /// The file.
         path: PathBuf,
+        /// The first byte that is wrong.
         offset: usize,
+        /// What is wrong there.
         found: String,
     },
+    /// One of the two files is not there.
     #[error(
         "{} is missing beside {present}; put it back, or move the folder aside and start again: a sidecar fetches \
          the configuration from a peer, a distributor compiles its script under a higher epoch",
         .path.display()
     )]
     Missing {
+        /// The missing file.
         path: PathBuf,
+        /// The name of the other one.
         present: &'static str,
     },
+    /// The disk has failed before.
     #[error("an earlier error of the disk was final; mend the disk, then start again")]
     Failed,
+    /// A snapshot that is not newer.
     #[error("version {offered} is not newer than {have}")]
-    NotNewer { have: Version, offered: Version },
+    NotNewer {
+        /// The stored version.
+        have: Version,
+        /// The one to be stored.
+        offered: Version,
+    },
+    /// A snapshot that does not fit its file.
     #[error("{bytes} bytes, more than the file of a store may have")]
-    TooLong { bytes: u64 },
+    TooLong {
+        /// Bytes that it would take; 0 where there was no memory to encode it.
+        bytes: u64,
+    },
+    /// A delta does not lead on from the stored version.
     #[error(transparent)]
     Apply(#[from] ApplyError),
 }
@@ -73,15 +100,19 @@
 /// A torn end of the log, which was cut off: a delta whose append never returned.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TornTail {
+    /// Where it began.
     pub offset: u64,
+    /// Its length.
     pub bytes: u64,
 }
 
 /// What opening found.
 pub struct Opened {
+    /// The store, ready to be written.
     pub store: Store,
     /// The deltas of the log that lead to the present version, oldest first.
     pub deltas: Vec<Arc<Delta>>,
+    /// What was cut off the log, if it was torn.
     pub torn_tail: Option<TornTail>,
 }
 
@@ -315,12 +346,11 @@
 
 fn read_snapshot(path: &Path) -> Result<Snapshot, StoreError> {
     let bytes = read_bounded(path, snapshot_file::MAX_FILE_BYTES)?;
-    let damaged = |found| StoreError::Damaged {
+    snapshot_file::decode(&bytes).map_err(|error| StoreError::Damaged {
         path: path.to_path_buf(),
         offset: 0,
-        found,
-    };
-    snapshot_file::decode(&bytes).map_err(damaged)
+        found: error.to_string(),
+    })
 }
 
 fn read_bounded(path: &Path, most: u64) -> Result<Vec<u8>, StoreError> {
--- a/crates/configuration/src/tenant_file.rs
+++ b/crates/configuration/src/tenant_file.rs
@@ -3,7 +3,7 @@
 use crate::record::{Tenant, TenantLimits};
 use serde::Deserialize;
 use std::fs::File;
-use std::io::Read;
+use std::io::{self, Read};
 use std::path::{Component, Path};
 
 /// The longest file of tenants: room for the most tenants that a configuration may have.
@@ -32,18 +32,25 @@
     !path.is_empty() && parts.all(|part| matches!(part, Component::Normal(_)))
 }
 
-/// The text of the file.
+/// Why the file cannot be read.
+#[derive(Debug, thiserror::Error)]
+pub(crate) enum TenantFileError {
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    #[error("more than {MAX_FILE_BYTES} bytes")]
+    TooLong,
+}
+
+/// Reads the text of the file.
 ///
 /// # Errors
-/// Why it cannot be read.
-pub(crate) fn read(path: &Path) -> Result<String, String> {
+/// It cannot be read, is not UTF-8 or too long.
+pub(crate) fn read(path: &Path) -> Result<String, TenantFileError> {
     let mut text = String::new();
-    let file = File::open(path).map_err(|error| error.to_string())?;
-    file.take(MAX_FILE_BYTES + 1)
-        .read_to_string(&mut text)
-        .map_err(|error| error.to_string())?;
+    let mut file = File::open(path)?.take(MAX_FILE_BYTES + 1);
+    file.read_to_string(&mut text)?;
     if text.len() as u64 > MAX_FILE_BYTES {
-        return Err(format!("more than {MAX_FILE_BYTES} bytes"));
+        return Err(TenantFileError::TooLong);
     }
     Ok(text)
 }
--- a/crates/configuration/tests/data.rs
+++ b/crates/configuration/tests/data.rs
@@ -97,7 +97,7 @@
     #[test]
     fn a_delta_leads_from_one_snapshot_to_another(before in any_records(), after in any_records()) {
         let (old, new) = (snapshot(1, before), snapshot(9, after));
-        let delta = Delta::between(&old, &new, version(2));
+        let delta = old.delta_to(&new, version(2));
         let sent = Delta::decode(&delta.encode());
         prop_assert_eq!(sent.as_ref(), Ok(&delta));
         let applied = old.apply(&delta).expect("it fits");
@@ -132,7 +132,7 @@
                 false => drop(map.remove(&record.key())),
             }
             let target = snapshot(0, map.values().cloned());
-            held = held.apply(&Delta::between(&held, &target, held.version().next())).expect("it fits");
+            held = held.apply(&held.delta_to(&target, held.version().next())).expect("it fits");
             prop_assert_eq!(held.get(&record.key()), map.get(&record.key()));
         }
         for kind in RecordKind::ALL {
@@ -176,7 +176,7 @@
     fn a_delta_that_was_cut_or_changed_is_an_error_or_equal(
         records in any_records(), at in any::<prop::sample::Index>(), bit in 0u8..8,
     ) {
-        let delta = Delta::between(&Snapshot::empty(), &snapshot(1, records), version(1));
+        let delta = Snapshot::empty().delta_to(&snapshot(1, records), version(1));
         let mut bytes = delta.encode();
         let at = at.index(bytes.len());
         prop_assert!(Delta::decode(&bytes[..at]).is_err());
@@ -218,7 +218,7 @@
 #[test]
 fn a_delta_of_another_base_or_another_result_changes_nothing() {
     let (old, new) = (snapshot(1, tenants(5)), snapshot(2, tenants(6)));
-    let delta = Delta::between(&old, &new, version(2));
+    let delta = old.delta_to(&new, version(2));
     let newer = new.apply(&delta);
     assert_eq!(
         newer,
@@ -314,7 +314,7 @@
     assert_eq!(changed.len(), 1);
     assert_eq!(fetch(&old, &new), Ok(new.clone()));
     assert_eq!(
-        Delta::between(&old, &new, version(2)).changes,
+        old.delta_to(&new, version(2)).changes,
         [Change::Put(tenant("one more", 1))]
     );
     let older = Assembly::new(&new, Manifest::of(&old)).map(drop);
--- a/crates/configuration/tests/store.rs
+++ b/crates/configuration/tests/store.rs
@@ -33,7 +33,7 @@
 }
 
 fn step(number: u64) -> Delta {
-    Delta::between(&wanted(number - 1), &wanted(number), version(number))
+    wanted(number - 1).delta_to(&wanted(number), version(number))
 }
 
 /// A closed store that holds all versions, of which the snapshot has the first ones.
@@ -352,7 +352,7 @@
     };
     for number in 1..=2 {
         let next = many(number as u32);
-        let delta = Delta::between(store.snapshot(), &next, version(number));
+        let delta = store.snapshot().delta_to(&next, version(number));
         store.append(&delta).expect("appended");
     }
     let log_bytes = fs::metadata(folder.path().join("log"))
--- a/crates/configuration/tests/unit/message.rs
+++ b/crates/configuration/tests/unit/message.rs
@@ -27,18 +27,27 @@
     })
 }
 
-#[test]
-fn what_is_encoded_is_read_back_and_what_is_out_of_bounds_is_refused() {
+/// A tally of one peer that has the version and one, `c`, that is silent.
+fn tally() -> Tally {
     let mut tally = Tally::default();
     tally.add_having();
     tally.add_behind("c", LagReason::Silent);
+    tally
+}
+
+fn decoded(message: &Message) -> Result<Message, MessageError> {
+    Message::decode(&message.encode().unwrap())
+}
+
+#[test]
+fn what_is_encoded_is_read_back_and_nothing_shorter_or_longer() {
     let good = [
         Message::Announce {
             claim: claim(),
             delta: Some(vec![1, 2]),
         },
         Message::Manifest(Manifest::of(&Snapshot::empty())),
-        report(tally.clone()),
+        report(tally()),
     ];
     for message in good {
         let bytes = message.encode().unwrap();
@@ -50,71 +59,64 @@
             Err(MessageError::Trailing { found: 1 })
         );
     }
-    let bad = [
-        (
-            report(Tally {
-                of: 3,
-                ..tally.clone()
-            }),
-            "of",
-        ),
-        (
-            report(Tally {
-                more: u32::MAX,
-                ..tally.clone()
-            }),
-            "of",
-        ),
-        (
-            report(Tally {
-                behind: vec![tally.behind[0].clone(); 17],
-                ..tally.clone()
-            }),
-            "behind",
-        ),
-        (
-            Message::Want {
-                claim: claim(),
-                buckets: vec![0; BUCKETS + 1],
-            },
-            "buckets",
-        ),
-        (
-            Message::Deltas {
-                claim: claim(),
-                deltas: vec![vec![]; MAX_DELTAS + 1],
-            },
-            "deltas",
-        ),
-    ];
-    for (message, field) in bad {
-        let read = Message::decode(&message.encode().unwrap());
+}
+
+#[test]
+fn a_report_whose_tally_contradicts_itself_or_its_interval_is_refused() {
+    let of = Tally { of: 3, ..tally() };
+    let more = Tally {
+        more: u32::MAX,
+        ..tally()
+    };
+    let behind = Tally {
+        behind: vec![tally().behind[0].clone(); MAX_BEHIND + 1],
+        ..tally()
+    };
+    let outside = Tally {
+        behind: vec![PeerBehind {
+            name: "d".into(),
+            lag_reason: LagReason::Silent,
+        }],
+        ..tally()
+    };
+    for (tally, field) in [
+        (of, "of"),
+        (more, "of"),
+        (behind, "behind"),
+        (outside, "behind"),
+    ] {
+        let read = decoded(&report(tally));
         assert_eq!(read, Err(MessageError::OutOfBounds { field }));
     }
-    let outside = PeerBehind {
-        name: "d".into(),
-        lag_reason: LagReason::Silent,
+}
+
+#[test]
+fn a_list_out_of_its_bounds_is_refused() {
+    let want = Message::Want {
+        claim: claim(),
+        buckets: vec![0; BUCKETS + 1],
+    };
+    let deltas = Message::Deltas {
+        claim: claim(),
+        deltas: vec![vec![]; MAX_DELTAS + 1],
     };
-    let read = Message::decode(
-        &report(Tally {
-            behind: vec![outside],
-            ..tally
-        })
-        .encode()
-        .unwrap(),
-    );
-    assert_eq!(read, Err(MessageError::OutOfBounds { field: "behind" }));
+    for (message, field) in [(want, "buckets"), (deltas, "deltas")] {
+        assert_eq!(decoded(&message), Err(MessageError::OutOfBounds { field }));
+    }
+}
+
+#[test]
+fn a_message_that_is_too_long_is_neither_read_nor_written() {
     let long = vec![0; MAX_MESSAGE_BYTES + 1];
     assert!(matches!(
         Message::decode(&long),
         Err(MessageError::TooLong { .. })
     ));
-    assert!(Message::Announce {
+    let announce = Message::Announce {
         claim: claim(),
-        delta: Some(long)
-    }
-    .encode()
-    .is_err());
+        delta: Some(long),
+    };
+    assert!(announce.encode().is_err());
 }
 
 proptest! {
--- a/crates/settings/src/reader.rs
+++ b/crates/settings/src/reader.rs
@@ -6,15 +6,24 @@
 use std::fmt;
 use std::ops::RangeInclusive;
 
+/// The longest value that a problem shows whole.
+const MAX_SHOWN_BYTES: usize = 60;
+const ELLIPSIS: &str = "...";
+/// The longest span, in nanoseconds: no wait is longer.
+const DAY: Nanos = 86_400_000_000_000;
+
 /// One mistake: where it stands, what was found there and what was expected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problem {
+    /// The file, as it was named.
     pub file: String,
     /// Counted from 1; 0 where the mistake has no line, as with a record that is missing.
     pub line: usize,
     /// `record.field`, or the record alone.
     pub field: String,
+    /// What stands there.
     pub found: String,
+    /// What may stand there.
     pub expected: String,
 }
 
@@ -39,9 +48,13 @@
 /// A call of a record function in the script, as it stands there.
 #[derive(Clone, Debug)]
 pub struct Row {
+    /// The name of the function.
     pub kind: &'static str,
+    /// The file in which the call stands.
     pub file: String,
+    /// Its line, counted from 1.
     pub line: usize,
+    /// The named arguments.
     pub fields: Map<String, Value>,
 }
 
@@ -54,6 +67,7 @@
 }
 
 impl<'a> Reader<'a> {
+    /// Returns a reader of a row that adds to these problems.
     pub fn new(row: &'a Row, problems: &'a mut Vec<Problem>) -> Reader<'a> {
         Reader {
             row,
@@ -62,6 +76,7 @@
         }
     }
 
+    /// Adds a problem of a field.
     pub fn complain(&mut self, field: &str, found: impl Into<String>, expected: impl Into<String>) {
         self.problems.push(Problem {
             file: self.row.file.clone(),
@@ -72,6 +87,7 @@
         });
     }
 
+    /// Returns whether a field stands there and is not `None`.
     pub fn has(&self, field: &str) -> bool {
         self.row
             .fields
@@ -79,7 +95,8 @@
             .is_some_and(|value| !value.is_null())
     }
 
-    /// Whether a field stands here that has another place now: it is complained of as that, not as unknown.
+    /// Returns whether a field stands there, and counts it as known: for one that is optional, or that has another place now
+    /// and is reported as that.
     pub fn moved(&mut self, field: &'static str) -> bool {
         self.asked.insert(field);
         self.has(field)
@@ -103,20 +120,13 @@
         };
         let parsed = parse(value);
         if parsed.is_none() {
-            let mut found = value.to_string();
-            if found.len() > 60 {
-                let cut = (0..=57)
-                    .rev()
-                    .find(|at| found.is_char_boundary(*at))
-                    .unwrap_or(0);
-                found.truncate(cut);
-                found.push_str("...");
-            }
-            self.complain(field, format!("found {found}"), wanted);
+            let found = format!("found {}", shortened(value.to_string()));
+            self.complain(field, found, wanted);
         }
         parsed
     }
 
+    /// Reads a text that is not empty.
     pub fn text(&mut self, field: &'static str) -> String {
         let full = |value: &Value| {
             value
@@ -128,23 +138,26 @@
             .unwrap_or_default()
     }
 
+    /// Reads a text where there is one.
     pub fn maybe_text(&mut self, field: &'static str) -> Option<String> {
         self.asked.insert(field);
         self.has(field).then(|| self.text(field))
     }
 
+    /// Reads a whole number within a range.
     pub fn whole(&mut self, field: &'static str, range: RangeInclusive<u64>) -> u64 {
         let wanted = format!("a whole number from {} to {}", range.start(), range.end());
         let within = |value: &Value| value.as_u64().filter(|n| range.contains(n));
         self.take(field, &wanted, within).unwrap_or(*range.start())
     }
 
-    /// A whole number where there is one.
+    /// Reads a whole number within a range where there is one.
     pub fn maybe_whole(&mut self, field: &'static str, range: RangeInclusive<u64>) -> Option<u64> {
         self.asked.insert(field);
         self.has(field).then(|| self.whole(field, range))
     }
 
+    /// Reads a whole number within a range, or a default.
     pub fn whole_or(
         &mut self,
         field: &'static str,
@@ -159,12 +172,14 @@
         }
     }
 
+    /// Reads a number within a range.
     pub fn number(&mut self, field: &'static str, range: RangeInclusive<f64>) -> f64 {
         let wanted = format!("a number from {} to {}", range.start(), range.end());
         let within = |value: &Value| value.as_f64().filter(|n| range.contains(n));
         self.take(field, &wanted, within).unwrap_or(*range.start())
     }
 
+    /// Reads a number within a range, or a default.
     pub fn number_or(
         &mut self,
         field: &'static str,
@@ -179,6 +194,7 @@
         }
     }
 
+    /// Reads `True` or `False`, or a default.
     pub fn flag_or(&mut self, field: &'static str, absent: bool) -> bool {
         self.asked.insert(field);
         if !self.has(field) {
@@ -188,18 +204,17 @@
             .unwrap_or(absent)
     }
 
-    /// A span such as "250ms" or "1m 30s", in whole nanoseconds; one day at most, as no wait here is longer.
+    /// Reads a span such as "250ms" or "1m 30s", in whole nanoseconds; one day at most, as no wait here is longer.
     pub fn span(&mut self, field: &'static str) -> Nanos {
         self.span_from(field, 0)
     }
 
-    /// The same, but not 0; what is missing or wrong reads as 0 all the same.
+    /// Reads a span above 0; what is missing or wrong reads as 0 all the same.
     pub fn span_above_0(&mut self, field: &'static str) -> Nanos {
         self.span_from(field, 1)
     }
 
     fn span_from(&mut self, field: &'static str, least: Nanos) -> Nanos {
-        const DAY: Nanos = 86_400_000_000_000;
         let parse = |value: &Value| {
             let span = humantime::parse_duration(value.as_str()?).ok()?;
             Nanos::try_from(span.as_nanos())
@@ -211,6 +226,7 @@
         self.take(field, &wanted, parse).unwrap_or(0)
     }
 
+    /// Reads a span, or a default in nanoseconds.
     pub fn span_or(&mut self, field: &'static str, absent: Nanos) -> Nanos {
         self.asked.insert(field);
         if self.has(field) {
@@ -220,7 +236,7 @@
         }
     }
 
-    /// A size such as "64KiB" or a whole number of bytes.
+    /// Reads a size such as "64KiB" or a whole number of bytes within a range, or a default.
     pub fn size_or(&mut self, field: &'static str, range: RangeInclusive<u64>, absent: u64) -> u64 {
         self.asked.insert(field);
         if !self.has(field) {
@@ -243,6 +259,7 @@
         self.take(field, &wanted, parse).unwrap_or(absent)
     }
 
+    /// Reads one of some words, as the value that stands for it.
     pub fn choice<T: Copy>(&mut self, field: &'static str, choices: &[(&str, T)]) -> Option<T> {
         let names: Vec<&str> = choices.iter().map(|(name, _)| *name).collect();
         let one = |value: &Value| {
@@ -255,6 +272,7 @@
         self.take(field, &format!("one of {}", names.join(", ")), one)
     }
 
+    /// Reads a list of texts, one at least.
     pub fn texts(&mut self, field: &'static str) -> Vec<String> {
         let all = |value: &Value| {
             let full = |text: &Value| {
@@ -273,6 +291,7 @@
             .unwrap_or_default()
     }
 
+    /// Reads a list of texts, or an empty one.
     pub fn texts_or_none(&mut self, field: &'static str) -> Vec<String> {
         self.asked.insert(field);
         if self.has(field) {
@@ -282,6 +301,7 @@
         }
     }
 
+    /// Reads a list of shares from 0 to 1, one at least.
     pub fn shares(&mut self, field: &'static str) -> Vec<f64> {
         let all = |value: &Value| {
             let share = |n: &Value| n.as_f64().filter(|n| (0.0..=1.0).contains(n));
@@ -296,11 +316,12 @@
             .unwrap_or_else(|| vec![0.0])
     }
 
-    /// A field by the type's own parser, such as a socket address or a header name.
+    /// Reads a field by the type's own parser, such as a socket address or a header name.
     pub fn parsed<T: std::str::FromStr>(&mut self, field: &'static str, wanted: &str) -> Option<T> {
         self.take(field, wanted, |value| value.as_str()?.parse().ok())
     }
 
+    /// Reports the fields that nobody has asked for.
     pub fn finish(mut self) {
         let known = self.asked.iter().copied().collect::<Vec<_>>().join(", ");
         for field in self.row.fields.keys() {
@@ -310,3 +331,15 @@
         }
     }
 }
+
+/// Cuts off a value that is too long to be shown.
+fn shortened(mut value: String) -> String {
+    if value.len() <= MAX_SHOWN_BYTES {
+        return value;
+    }
+    let longest = MAX_SHOWN_BYTES - ELLIPSIS.len();
+    let end = (0..=longest).rev().find(|end| value.is_char_boundary(*end));
+    value.truncate(end.unwrap_or(0));
+    value.push_str(ELLIPSIS);
+    value
+}
--- a/crates/settings/src/script.rs
+++ b/crates/settings/src/script.rs
@@ -13,6 +13,7 @@
 use starlark::values::{none::NoneType, Value};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
+use std::io;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::path::{Component, Path, PathBuf};
 
@@ -183,7 +184,7 @@
         let file = self.folder.join(path);
         let text = match read(&file, self.bounds.file_bytes) {
             Ok(text) => text,
-            Err(why) => return refuse(why),
+            Err(error) => return refuse(error.to_string()),
         };
         self.open.borrow_mut().push(path.to_string());
         let module = run(&file.display().to_string(), text, self.globals, self);
@@ -221,14 +222,21 @@
     }
 }
 
-fn read(file: &Path, most_bytes: u64) -> Result<String, String> {
-    let size = std::fs::metadata(file)
-        .map_err(|e| format!("cannot be read ({e})"))?
-        .len();
-    if size > most_bytes {
-        return Err(format!("{size} bytes, expected {most_bytes} at most"));
+/// Why a file of a script cannot be read.
+#[derive(Debug, thiserror::Error)]
+enum ReadError {
+    #[error("cannot be read ({0})")]
+    Io(#[from] io::Error),
+    #[error("{found} bytes, expected {most} at most")]
+    TooLong { found: u64, most: u64 },
+}
+
+fn read(file: &Path, most: u64) -> Result<String, ReadError> {
+    let found = std::fs::metadata(file)?.len();
+    if found > most {
+        return Err(ReadError::TooLong { found, most });
     }
-    std::fs::read_to_string(file).map_err(|e| format!("cannot be read ({e})"))
+    Ok(std::fs::read_to_string(file)?)
 }
 
 fn run(
@@ -309,26 +317,14 @@
     bounds: Bounds,
 ) -> Result<Vec<Row>, Problems> {
     let shown = file.display().to_string();
-    let problem = |line: usize, field: &str, found: String, expected: &str| {
-        let (file, field, expected) = (shown.clone(), field.to_string(), expected.to_string());
-        Problem {
-            file,
-            line,
-            field,
-            found,
-            expected,
-        }
-    };
     let text = read(file, bounds.file_bytes)
-        .map_err(|why| Problems(vec![problem(0, "script", why, "a readable file")]))?;
-    let folder = file.parent().unwrap_or(Path::new("")).to_path_buf();
-    let (done, open) = (RefCell::default(), RefCell::default());
+        .map_err(|error| script_problem(&shown, 0, error.to_string(), "a readable file"))?;
     let beside = Beside {
-        folder,
+        folder: file.parent().unwrap_or(Path::new("")).to_path_buf(),
         globals,
         bounds,
-        done,
-        open,
+        done: RefCell::default(),
+        open: RefCell::default(),
     };
     SHEET.set(Some(Sheet {
         rows: Vec::new(),
@@ -338,29 +334,33 @@
     // A value past what the interpreter can hold at all makes it panic.
     let ran = catch_unwind(AssertUnwindSafe(|| run(&shown, text, globals, &beside)));
     let rows = SHEET.take().map_or_else(Vec::new, |sheet| sheet.rows);
-    let Ok(ran) = ran else {
-        let found = "a value too large for the interpreter".to_string();
-        return Err(Problems(vec![problem(
-            0,
-            "script",
-            found,
-            "a script that runs",
-        )]));
-    };
-    if let Err(error) = ran {
-        let line = error
-            .span()
-            .map_or(0, |span| span.resolve_span().begin.line + 1);
-        let mut found = problem(
-            line,
-            "script",
-            error.without_diagnostic().to_string(),
-            "a script that runs",
-        );
-        if let Some(span) = error.span() {
-            found.file = span.filename().to_string();
+    match ran {
+        Ok(Ok(_)) => Ok(rows),
+        Ok(Err(error)) => Err(failed_run(&shown, &error)),
+        Err(_) => {
+            let found = "a value too large for the interpreter".to_string();
+            Err(script_problem(&shown, 0, found, RUNNING_SCRIPT))
         }
-        return Err(Problems(vec![found]));
     }
-    Ok(rows)
+}
+
+const RUNNING_SCRIPT: &str = "a script that runs";
+
+/// The problem of a script that did not run to its end, in the file and at the line where it stopped.
+fn failed_run(file: &str, error: &starlark::Error) -> Problems {
+    let span = error.span();
+    let file = span.map_or(file, |span| span.filename());
+    let line = span.map_or(0, |span| span.resolve_span().begin.line + 1);
+    let found = error.without_diagnostic().to_string();
+    script_problem(file, line, found, RUNNING_SCRIPT)
+}
+
+fn script_problem(file: &str, line: usize, found: String, expected: &str) -> Problems {
+    Problems(vec![Problem {
+        file: file.to_string(),
+        line,
+        field: "script".to_string(),
+        found,
+        expected: expected.to_string(),
+    }])
 }
--- a/crates/sidecar/src/distributor.rs
+++ b/crates/sidecar/src/distributor.rs
@@ -6,7 +6,6 @@
 use crate::replication::{Host, Spreading};
 use bytes::Bytes;
 use havenplank_configuration::compile::compile;
-use havenplank_configuration::delta::Delta;
 use havenplank_configuration::replication::{
     CachedConfiguration, Peer, PublishError, ReplicationSettings, Replicator, Role, RoundStatus,
 };
@@ -294,7 +293,7 @@
             epoch: self.epoch,
             number: have.version().number.saturating_add(1),
         };
-        let delta = Delta::between(&have, compiled, to);
+        let delta = have.delta_to(compiled, to);
         let changes = delta.changes.len();
         let snapshot = self.store.append(&delta)?.clone();
         tracing::info!(version = %to, digest = %snapshot.digest(), changes, "stored");
--- a/crates/sidecar/src/persister.rs
+++ b/crates/sidecar/src/persister.rs
@@ -1,6 +1,5 @@
 //! Keeps the configuration in force on disk, on a thread of its own: no request waits for a sync.
 
-use havenplank_configuration::delta::Delta;
 use havenplank_configuration::snapshot::Snapshot;
 use havenplank_configuration::store::{Store, StoreError};
 use havenplank_configuration::version::Version;
@@ -101,6 +100,6 @@
     if snapshot.version() <= store.snapshot().version() {
         return Ok(());
     }
-    let delta = Delta::between(store.snapshot(), snapshot, snapshot.version());
+    let delta = store.snapshot().delta_to(snapshot, snapshot.version());
     store.append(&delta).map(drop)
 }
