--- a/crates/capacity/src/configuration.rs
+++ b/crates/capacity/src/configuration.rs
@@ -10,28 +10,41 @@
 pub const CHANGES_A_DAY: u64 = 6_800;
 /// Bytes a second and share of a core that a sidecar may spend on all control.
 pub const BYTES_PER_S_BUDGET: f64 = 13_000.0;
+/// The share of a core that a sidecar may spend on all control.
 pub const CORE_SHARE_BUDGET: f64 = 0.019;
 /// Seconds within which a change is in force everywhere.
 pub const SECONDS_BUDGET: f64 = 5.0;
 
-/// A named scenario of a fleet of some size, by seed.
-pub type Scenario = (&'static str, fn(usize, u64) -> Outcome);
+/// What happens to a fleet.
+pub struct Scenario {
+    /// Its name in reports.
+    pub title: &'static str,
+    /// Plays it with so many processes, by seed.
+    pub play: fn(usize, u64) -> Outcome,
+}
 
+/// All scenarios, in the order in which they are measured.
 pub const SCENARIOS: [Scenario; 5] = [
-    ("changes every 12.7 s", scenarios::steady),
-    ("ten changes at once", scenarios::burst),
-    (
-        "one in a hundred restarts with an old version",
-        scenarios::restart_old,
-    ),
-    (
-        "one in a hundred restarts without any",
-        scenarios::restart_empty,
-    ),
-    (
-        "one region cut off for an hour's changes",
-        scenarios::region_cut,
-    ),
+    Scenario {
+        title: "changes every 12.7 s",
+        play: scenarios::steady,
+    },
+    Scenario {
+        title: "ten changes at once",
+        play: scenarios::burst,
+    },
+    Scenario {
+        title: "one in a hundred restarts with an old version",
+        play: scenarios::restart_old,
+    },
+    Scenario {
+        title: "one in a hundred restarts without any",
+        play: scenarios::restart_empty,
+    },
+    Scenario {
+        title: "one region cut off for an hour's changes",
+        play: scenarios::region_cut,
+    },
 ];
 
 /// One section a scenario, with a point for each number of processes.
@@ -42,48 +55,73 @@
         .collect()
 }
 
-/// A quantity of an outcome, by its name.
-type Quantity = (&'static str, fn(&Outcome) -> f64);
+/// A quantity of an outcome.
+struct Quantity {
+    /// With its unit at the end.
+    name: &'static str,
+    of: fn(&Outcome) -> f64,
+}
 
 const QUANTITIES: [Quantity; 11] = [
-    ("in_force_p50_s", |outcome| outcome.quantile(0.5)),
-    ("in_force_p99_s", |outcome| outcome.quantile(0.99)),
-    ("in_force_worst_s", |outcome| outcome.quantile(1.0)),
-    ("not_reached", |outcome| outcome.not_reached as f64),
-    ("sidecar_sent_bytes_per_s", |outcome| {
-        outcome.mean.bytes_per_s
-    }),
-    ("sidecar_sent_messages_per_s", |outcome| {
-        outcome.mean.messages_per_s
-    }),
-    ("busiest_sidecar_sent_bytes_per_s", |outcome| {
-        outcome.busiest_bytes_per_s
-    }),
-    ("busiest_sidecar_heard_bytes_per_s", |outcome| {
-        outcome.busiest_heard_bytes_per_s
-    }),
-    ("writer_sent_bytes_per_s", |outcome| {
-        outcome.writer.bytes_per_s
-    }),
-    ("writer_sent_messages_per_s", |outcome| {
-        outcome.writer.messages_per_s
-    }),
-    ("decision_core_share", |outcome| outcome.mean.core_share),
+    Quantity {
+        name: "in_force_p50_s",
+        of: |outcome| outcome.quantile(0.5),
+    },
+    Quantity {
+        name: "in_force_p99_s",
+        of: |outcome| outcome.quantile(0.99),
+    },
+    Quantity {
+        name: "in_force_worst_s",
+        of: |outcome| outcome.quantile(1.0),
+    },
+    Quantity {
+        name: "not_reached",
+        of: |outcome| outcome.not_reached as f64,
+    },
+    Quantity {
+        name: "sidecar_sent_bytes_per_s",
+        of: |outcome| outcome.mean.bytes_per_s,
+    },
+    Quantity {
+        name: "sidecar_sent_messages_per_s",
+        of: |outcome| outcome.mean.messages_per_s,
+    },
+    Quantity {
+        name: "busiest_sidecar_sent_bytes_per_s",
+        of: |outcome| outcome.busiest_bytes_per_s,
+    },
+    Quantity {
+        name: "busiest_sidecar_heard_bytes_per_s",
+        of: |outcome| outcome.busiest_heard_bytes_per_s,
+    },
+    Quantity {
+        name: "writer_sent_bytes_per_s",
+        of: |outcome| outcome.writer.bytes_per_s,
+    },
+    Quantity {
+        name: "writer_sent_messages_per_s",
+        of: |outcome| outcome.writer.messages_per_s,
+    },
+    Quantity {
+        name: "decision_core_share",
+        of: |outcome| outcome.mean.core_share,
+    },
 ];
 
 /// What one scenario gives at each size.
-pub fn section((title, play): &Scenario, sizes: &[usize], seed: u64) -> Section {
+pub fn section(scenario: &Scenario, sizes: &[usize], seed: u64) -> Section {
     let outcomes: Vec<(usize, Outcome)> = sizes
         .iter()
-        .map(|size| (*size, play(*size, seed)))
+        .map(|size| (*size, (scenario.play)(*size, seed)))
         .collect();
-    let series = QUANTITIES.iter().map(|(name, value)| {
+    let series = QUANTITIES.iter().map(|quantity| {
         let point = |(size, outcome): &(usize, Outcome)| Point {
             size: *size as f64,
-            value: value(outcome),
+            value: (quantity.of)(outcome),
         };
         Series::new(
-            name,
+            quantity.name,
             "sidecars",
             "simulated",
             outcomes.iter().map(point).collect(),
@@ -102,7 +140,7 @@
         OVERHEAD
     );
     Section {
-        title: format!("configuration: {title}"),
+        title: format!("configuration: {}", scenario.title),
         series: series.collect(),
         notes: [budgets, network].into_iter().chain(notes).collect(),
     }
--- a/crates/capacity/src/configuration/scenarios.rs
+++ b/crates/capacity/src/configuration/scenarios.rs
@@ -24,12 +24,15 @@
 /// What a process spends on average.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Cost {
+    /// Bytes sent a second, with what is around each message.
     pub bytes_per_s: f64,
+    /// Messages sent a second.
     pub messages_per_s: f64,
     /// Processor time of decision and codec, by the wall clock around each call.
     pub core_share: f64,
 }
 
+/// What a scenario shows.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
     /// Seconds until in force, ascending.
@@ -38,11 +41,15 @@
     pub not_reached: usize,
     /// Of a sidecar.
     pub mean: Cost,
+    /// Of the writer.
     pub writer: Cost,
+    /// Bytes a second that the busiest sidecar sends.
     pub busiest_bytes_per_s: f64,
+    /// Bytes a second that the busiest sidecar receives.
     pub busiest_heard_bytes_per_s: f64,
     /// The longest message of all, with what is around it.
     pub longest_message: u64,
+    /// What else a reader should know, in words.
     pub note: String,
 }
 
--- a/crates/capacity/src/discovery.rs
+++ b/crates/capacity/src/discovery.rs
@@ -23,9 +23,12 @@
 const VOTE_CAST_AGAIN_AFTER_S: f64 = 0.85 * (VOTE_LIFE_S - 1.0);
 const ETHERNET_BYTES_PER_S: f64 = 125e6;
 
+/// What is measured.
 #[derive(Clone, Debug)]
 pub struct Options {
+    /// Sizes of the whole list.
     pub pods: Vec<usize>,
+    /// Sizes of the fleet.
     pub sidecars: Vec<usize>,
     /// Pods of the services that one sidecar calls.
     pub subsets: Vec<usize>,
@@ -34,6 +37,7 @@
 }
 
 impl Options {
+    /// Returns small sizes for CI.
     pub fn quick() -> Options {
         Options {
             pods: vec![100, 1_000],
@@ -43,6 +47,7 @@
         }
     }
 
+    /// Returns sizes up to those to plan with.
     pub fn full() -> Options {
         Options {
             pods: vec![100, 1_000, 5_000, 10_000, 21_000],
@@ -73,11 +78,15 @@
 /// Bytes of the news of a stage, of a vote and of its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ControlBytes {
+    /// Of the notice of a stage.
     pub news: usize,
+    /// Of a vote.
     pub vote: usize,
+    /// Of the answer to a vote.
     pub answer: usize,
 }
 
+/// Returns the bytes of each line between a sidecar and the control plane.
 pub fn control_bytes() -> ControlBytes {
     let stage = Stage {
         build: 1_042,
--- a/crates/capacity/src/hollow.rs
+++ b/crates/capacity/src/hollow.rs
@@ -14,19 +14,25 @@
 /// What one sidecar spent and saw since its start; kept over its restarts.
 #[derive(Clone, Debug, Default)]
 pub struct Cost {
+    /// Datagrams that came.
     pub received: u64,
+    /// Bytes of the datagrams that came.
     pub received_bytes: u64,
+    /// Datagrams sent.
     pub sent: u64,
+    /// Bytes of the datagrams sent.
     pub sent_bytes: u64,
     /// Time within the sidecar's own code, the network's left out.
     pub processor: Duration,
     /// Peers that membership declared lost, and suspected.
     pub lost: u64,
+    /// Peers that membership suspected.
     pub suspected: u64,
     /// Rows of tables visited by membership and quorum state; the same on every machine.
     pub rows_visited: u64,
 }
 
+/// A sidecar of which only membership and views run.
 pub struct HollowSidecar {
     node: Node,
     views: Views,
@@ -76,6 +82,7 @@
 }
 
 impl HollowSidecar {
+    /// Returns a sidecar that begins now, with the cost of its earlier incarnations.
     pub fn new(now: Nanos, node: Node, cost: Cost) -> HollowSidecar {
         let views = Views::new(now, node.fellows().me().who.clone(), QuorumRules::default());
         let earlier_rows = cost.rows_visited;
@@ -89,10 +96,12 @@
         }
     }
 
+    /// Returns what it spent and saw.
     pub fn cost(&self) -> &Cost {
         &self.cost
     }
 
+    /// Returns its quorum state.
     pub fn standing(&self) -> Standing {
         self.views.place().standing().0
     }
@@ -110,6 +119,7 @@
         })
     }
 
+    /// Tells its peers that it leaves.
     pub fn leave(&mut self) {
         self.node.leave();
     }
--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -3,6 +3,16 @@
 //! Each module measures one part of the program and returns a [`report::Section`]; the program prints them or writes
 //! them as JSON. What is counted (messages, bytes, steps) is the same on every machine; what is timed is not.
 
+#![warn(missing_docs)]
+#![warn(
+    clippy::too_many_lines,
+    clippy::too_many_arguments,
+    clippy::cognitive_complexity,
+    clippy::missing_errors_doc,
+    clippy::wildcard_imports,
+    clippy::type_complexity
+)]
+
 pub mod configuration;
 pub mod discovery;
 pub mod error;
--- a/crates/capacity/src/membership.rs
+++ b/crates/capacity/src/membership.rs
@@ -29,6 +29,7 @@
 /// What is measured.
 #[derive(Clone, Debug)]
 pub struct Options {
+    /// Sizes of the fleet.
     pub sizes: Vec<usize>,
     /// Ends of the windows after the common start, in seconds.
     pub windows_s: Vec<u64>,
@@ -158,6 +159,7 @@
         fleet
     }
 
+    /// Returns how many sidecars there are.
     pub fn size(&self) -> usize {
         self.incarnations.len()
     }
--- a/crates/capacity/src/membership_sockets.rs
+++ b/crates/capacity/src/membership_sockets.rs
@@ -26,6 +26,7 @@
 /// What is measured.
 #[derive(Clone, Debug)]
 pub struct Options {
+    /// Sizes of the fleet.
     pub sizes: Vec<usize>,
     /// Ends of the windows after the common start, in seconds.
     pub windows_s: Vec<u64>,
@@ -52,10 +53,27 @@
 /// Why a size was not measured.
 #[derive(Debug, thiserror::Error)]
 pub enum Refusal {
+    /// More than half of the available memory would be taken.
     #[error("{size} sidecars need {needed} bytes of memory; half of what is available is {half}")]
-    Memory { size: usize, needed: u64, half: u64 },
+    Memory {
+        /// Sidecars.
+        size: usize,
+        /// Bytes that they need.
+        needed: u64,
+        /// Half of the bytes available.
+        half: u64,
+    },
+    /// More than half of the descriptors would be taken.
     #[error("{size} sidecars need {needed} descriptors; half of the limit is {half}")]
-    Descriptors { size: usize, needed: u64, half: u64 },
+    Descriptors {
+        /// Sidecars.
+        size: usize,
+        /// Descriptors that they need.
+        needed: u64,
+        /// Half of the limit.
+        half: u64,
+    },
+    /// The system gives no socket.
     #[error("no socket on loopback: {0}")]
     Socket(#[from] io::Error),
 }
@@ -71,6 +89,8 @@
     rest.split_whitespace().next()?.parse().ok()
 }
 
+/// Checks that a size fits this machine.
+///
 /// # Errors
 /// A size that would take more than half of the memory or of the descriptors.
 pub fn check(size: usize) -> Result<(), Refusal> {
--- a/crates/capacity/src/report.rs
+++ b/crates/capacity/src/report.rs
@@ -8,6 +8,7 @@
 pub struct Point {
     /// What was varied: sidecars, pods, routes or tenants.
     pub size: f64,
+    /// The figure, in the unit that the name of its series ends in.
     pub value: f64,
 }
 
@@ -31,11 +32,14 @@
     pub size_of: String,
     /// How it was measured: `simulated`, `sockets` or `process`.
     pub measured_on: String,
+    /// By size, in the order measured.
     pub points: Vec<Point>,
+    /// The line through the points; `None` for fewer than two sizes.
     pub fit: Option<Fit>,
 }
 
 impl Series {
+    /// Returns a series with its line fitted.
     pub fn new(name: &str, size_of: &str, measured_on: &str, points: Vec<Point>) -> Series {
         let fit = fit(&points);
         Series {
@@ -66,7 +70,9 @@
 /// Figures that belong together, as one table.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Section {
+    /// What was measured.
     pub title: String,
+    /// The quantities measured together.
     pub series: Vec<Series>,
     /// What a reader must know of how they came about: seeds, spans, what was left out or refused.
     pub notes: Vec<String>,
--- a/crates/capacity/src/samples.rs
+++ b/crates/capacity/src/samples.rs
@@ -6,8 +6,11 @@
 use havenplank_settings::{load, Given, Site};
 use std::net::{Ipv4Addr, SocketAddr};
 
+/// Zones of the sample fleet.
 pub const ZONES: usize = 4;
+/// Services of the sample fleet.
 pub const SERVICES: usize = 400;
+/// Sidecars of the sample fleet.
 pub const SIDECARS: usize = 1_600;
 /// The pods of one service in the mean.
 pub const PODS_OF_SERVICE: usize = 52;
@@ -40,14 +43,17 @@
     }
 }
 
+/// Returns so many pods that have been running since long ago.
 pub fn pods(count: usize) -> Vec<ListedEndpoint> {
     (0..count).map(pod).collect()
 }
 
+/// Returns a path that the route of a number takes.
 pub fn route_path(number: usize) -> String {
     format!("/service-{}/route-{number}/item", number % SERVICES)
 }
 
+/// Returns the name of the tenant of a number.
 pub fn tenant(number: usize) -> String {
     format!("tenant-{number}")
 }
--- a/crates/configuration-simulation/src/fleet.rs
+++ b/crates/configuration-simulation/src/fleet.rs
@@ -13,8 +13,12 @@
 use havenplank_membership::wire::Life;
 use std::collections::BTreeMap;
 
+/// Nanoseconds of a millisecond.
 pub const MS: Nanos = 1_000_000;
+/// Nanoseconds of a second.
 pub const SECOND: Nanos = 1_000 * MS;
+/// The process that writes epoch 1.
+const FIRST_WRITER: Id = 0;
 /// Zones of each region.
 const ZONES: [usize; 4] = [4, 4, 3, 3];
 
@@ -91,13 +95,27 @@
         .collect()
 }
 
+/// A version that a writer has published.
+#[derive(Clone, Copy, Debug)]
+pub struct Publication {
+    /// When, on the network's clock.
+    pub at: Nanos,
+    /// Which.
+    pub version: Version,
+    /// By whom.
+    pub writer: Id,
+}
+
+/// Processes on a simulated network, of which the first one is the writer.
 pub struct Fleet {
+    /// The network, which keeps the time.
     pub net: Net<Process>,
+    /// What processes are started with from now on.
     pub settings: ReplicationSettings,
     seed: u64,
     lives: BTreeMap<Id, u64>,
-    /// Publications: when, what, by whom.
-    pub published: Vec<(Nanos, Version, Id)>,
+    /// Publications, in order.
+    pub published: Vec<Publication>,
     /// The contents that writers gave each version: more than one where two wrote the same.
     pub digests: BTreeMap<Version, Vec<Digest>>,
     changes: u64,
@@ -112,6 +130,7 @@
         Fleet::with_clocks(count, seed, base, weather, |_| Clock::default())
     }
 
+    /// Returns a fleet as [`Fleet::new`] does, with a clock for each process.
     pub fn with_clocks(
         count: usize,
         seed: u64,
@@ -134,7 +153,7 @@
             width: 5,
         };
         for id in 0..count {
-            let role = if id == 0 {
+            let role = if id == FIRST_WRITER {
                 Role::Writer { epoch: 1 }
             } else {
                 Role::Sidecar
@@ -177,6 +196,7 @@
             .wrapping_add(id as u64 * 64 + self.lives[&id])
     }
 
+    /// Returns a process as its peers know it, in its present incarnation.
     pub fn peer(&self, id: Id) -> Peer {
         Peer {
             life: Life {
@@ -201,12 +221,14 @@
         }
     }
 
+    /// Tells a process who lives.
     pub fn tell(&mut self, id: Id, peers: &Peers) {
         if let Some(process) = self.net.part_mut(id) {
             process.replicator.set_peers(peers.clone());
         }
     }
 
+    /// Returns the next change, other than all before.
     pub fn next_change(&mut self) -> Vec<Change> {
         self.changes += 1;
         change(self.changes, self.tenants, self.width)
@@ -226,10 +248,15 @@
         let digest = writer.in_force.digest();
         self.digests.entry(version).or_default().push(digest);
         self.net.post(id);
-        self.published.push((now, version, id));
+        self.published.push(Publication {
+            at: now,
+            version,
+            writer: id,
+        });
         Ok(version)
     }
 
+    /// Lets time pass, in nanoseconds.
     pub fn run_for(&mut self, span: Nanos) {
         let until = self.net.now() + span;
         self.net.run(until, |_, _| {});
@@ -241,19 +268,16 @@
         let published = self
             .published
             .iter()
-            .filter(|(at, _, writer)| *at >= from && *writer == 0);
-        let mut latencies = Vec::new();
-        for (at, version, _) in published {
-            for id in ids {
-                let log = self
-                    .net
-                    .part(*id)
-                    .map(|process| process.log.as_slice())
-                    .unwrap_or_default();
-                let first = log.partition_point(|(_, there, _)| there < version);
-                latencies.push(log.get(first).map(|(came, _, _)| came.saturating_sub(*at)));
-            }
-        }
-        latencies
+            .filter(|publication| publication.at >= from && publication.writer == FIRST_WRITER);
+        published
+            .flat_map(|publication| ids.iter().map(|id| self.latency(publication, *id)))
+            .collect()
+    }
+
+    fn latency(&self, publication: &Publication, id: Id) -> Option<Nanos> {
+        let log = &self.net.part(id)?.log;
+        let first = log.partition_point(|installed| installed.version < publication.version);
+        let installed = log.get(first)?;
+        Some(installed.at.saturating_sub(publication.at))
     }
 }
--- a/crates/configuration-simulation/src/process.rs
+++ b/crates/configuration-simulation/src/process.rs
@@ -31,9 +31,13 @@
 /// What a process sent, heard and spent.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Traffic {
+    /// Messages sent.
     pub sent: u64,
+    /// Bytes sent, with what is around each message.
     pub sent_bytes: u64,
+    /// Messages that came.
     pub heard: u64,
+    /// Bytes that came, with what is around each message.
     pub heard_bytes: u64,
     /// The longest message, with its overhead.
     pub longest: u64,
@@ -41,14 +45,28 @@
     pub processor: Duration,
 }
 
+/// A version that came into force.
+#[derive(Clone, Copy, Debug)]
+pub struct Installed {
+    /// When, on the process's own clock.
+    pub at: Nanos,
+    /// Which.
+    pub version: Version,
+}
+
+/// One process: the replicator of the product, and a host that takes in what it offers.
 pub struct Process {
+    /// The replicator.
     pub replicator: Replicator,
+    /// Itself, as peers know it.
     pub me: Peer,
+    /// What it sent, heard and spent.
     pub traffic: Traffic,
     /// In force at the host, as it would be kept on disk.
     pub in_force: Snapshot,
     /// When each version came into force.
-    pub log: Vec<(Nanos, Version, Digest)>,
+    pub log: Vec<Installed>,
+    /// What the replicator told operators.
     pub events: Vec<Event>,
     /// The host rejects versions while this holds.
     pub rejects: bool,
@@ -65,6 +83,7 @@
 }
 
 impl Process {
+    /// Returns a process that begins at `now` with what it cached.
     pub fn new(
         now: Nanos,
         seed: u64,
@@ -150,7 +169,10 @@
             "{}: version {after} came into force after {before}",
             self.me.life.name
         );
-        self.log.push((now, after, snapshot.digest()));
+        self.log.push(Installed {
+            at: now,
+            version: after,
+        });
         self.in_force = snapshot;
     }
 
