--- a/crates/adapter/src/door.rs
+++ b/crates/adapter/src/door.rs
@@ -3,7 +3,7 @@
 use crate::line::{Fields, Line};
 use crate::setup::{self, Names, Setup};
 use havenplank::interface::*;
-use havenplank::logic::Router;
+use havenplank::Router;
 use serde_json::Value;
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 use std::fmt::Write as _;
@@ -383,7 +383,17 @@
 impl Hears for Instance {
     fn attach(now: Nanos, sidecar: u64, seed: u64, s: Setup) -> Instance {
         let logic = Router::new(
-            now, seed, s.place, s.groups, s.forwards, s.pods, s.exposure, s.votes, s.list,
+            now,
+            seed,
+            RouterSettings {
+                position: s.place,
+                route_classes: s.groups,
+                attempts: s.forwards,
+                pods: s.pods,
+                exposure: s.exposure,
+                votes: s.votes,
+                endpoint_list: s.list,
+            },
         );
         let door = Door {
             now,
--- a/crates/sidecar/src/engine.rs
+++ b/crates/sidecar/src/engine.rs
@@ -4,7 +4,7 @@
 use crate::slots::{Slot, SlotCounts, Slots};
 use crate::told::{Terms, Told, Witness};
 use havenplank::interface::*;
-use havenplank::logic::Router;
+use havenplank::Router;
 use havenplank::Visits;
 use havenplank_line_protocol::nodes::Listed;
 use std::cmp::Reverse;
@@ -271,13 +271,15 @@
         let logic = Router::new(
             desk.now,
             seed,
-            terms.place.clone(),
-            terms.groups.iter().map(|(_, rules)| *rules).collect(),
-            terms.forwards.clone(),
-            terms.pods.clone(),
-            terms.exposure.clone(),
-            terms.votes.clone(),
-            terms.list.clone(),
+            RouterSettings {
+                position: terms.place.clone(),
+                route_classes: terms.groups.iter().map(|(_, rules)| *rules).collect(),
+                attempts: terms.forwards.clone(),
+                pods: terms.pods.clone(),
+                exposure: terms.exposure.clone(),
+                votes: terms.votes.clone(),
+                endpoint_list: terms.list.clone(),
+            },
         );
         let slots = Slots::new(terms.groups.iter().cloned());
         Engine {
--- a/crates/sidecar/src/slots.rs
+++ b/crates/sidecar/src/slots.rs
@@ -1,7 +1,7 @@
 //! The indices that routes have in the decision module: which are in force, and which a request still holds.
 
 use havenplank::interface::{Nanos, RouteClass, RouteClassId};
-use havenplank::logic::RouteClassChange;
+use havenplank::RouteClassChange;
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
 
--- /dev/null
+++ b/src/binomial.rs
@@ -0,0 +1,39 @@
+//! The tail of the binomial distribution. Arithmetic only.
+
+#[cfg(test)]
+mod tests;
+
+const BISECTION_STEPS: u32 = 40;
+
+/// The largest error rate of each of `instances` independent tests, up to `ceiling`, with which at least `needed`
+/// of them err together with a probability of at most `joint_rate`.
+pub(crate) fn largest_error_rate(
+    instances: usize,
+    needed: usize,
+    joint_rate: f64,
+    ceiling: f64,
+) -> f64 {
+    let mut allowed = 0.0;
+    let mut above = ceiling;
+    for _ in 0..BISECTION_STEPS {
+        let middle: f64 = 0.5 * (allowed + above);
+        if 1.0 - fewer_than(instances, needed, middle) <= joint_rate {
+            allowed = middle;
+        } else {
+            above = middle;
+        }
+    }
+    allowed
+}
+
+/// The probability that fewer than `needed` of `instances` err, each with the probability `rate`.
+fn fewer_than(instances: usize, needed: usize, rate: f64) -> f64 {
+    let mut log_term = instances as f64 * (1.0 - rate).ln();
+    let mut sum = 0.0;
+    for n in 0..needed.min(instances + 1) {
+        sum += log_term.exp();
+        let ways = (instances - n) as f64 / (n + 1) as f64;
+        log_term += (ways * rate / (1.0 - rate)).ln();
+    }
+    sum
+}
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,12 +1,41 @@
-//! havenplank: a hit router and release judge.
+//! havenplank: the decisions of a sidecar that routes requests and judges releases.
 //!
-//! [`logic`] holds every decision, [`interface`] the calls and effects between it and whatever hosts it.
+//! A [`Router`] is built from [`interface::RouterSettings`], is told what arrives and asks for effects through
+//! [`interface::Host`]. It does no input or output, has no clock and draws its random numbers from a seed, so
+//! the same calls always give the same decisions. Each decision has a module of its own; `router` calls them
+//! in the order of a request's life.
+
+#![warn(missing_docs)]
+#![warn(
+    clippy::too_many_lines,
+    clippy::too_many_arguments,
+    clippy::cognitive_complexity,
+    clippy::missing_errors_doc,
+    clippy::wildcard_imports,
+    clippy::type_complexity
+)]
 
-mod groups;
 pub mod interface;
-pub mod logic;
-mod state;
-mod table;
-mod tail;
 
-pub use state::Visits;
+mod admission;
+mod binomial;
+mod endpoint_list;
+mod exposure;
+mod hedging;
+mod latency;
+mod outlier;
+mod pod_table;
+mod request;
+mod retry;
+mod route_class;
+mod router;
+mod selection;
+mod sequential_test;
+mod slow_start;
+mod time;
+mod voting;
+mod window;
+
+pub use pod_table::Visits;
+pub use route_class::RouteClassChange;
+pub use router::Router;
--- /dev/null
+++ b/src/router.rs
@@ -0,0 +1,437 @@
+//! The router: the order of the steps in a request's life, and what each callback continues with.
+//!
+//! A host calls [`Router::start`] once and the other methods as things arrive; effects leave through [`Host`]. Each
+//! attempt, vote and timer leaves a callback that is handed its result: there the state of a request in flight
+//! lives. Nothing is decided here; each decision has its own module.
+
+use crate::admission::ConcurrencyLimit;
+use crate::endpoint_list::EndpointListWatch;
+use crate::exposure::{AnnouncedStage, Exposure, WINDOW_SLICES};
+use crate::interface::{
+    AttemptOutcome, AttemptSettings, Endpoint, FleetPosition, Host, IncomingRequest, Nanos, Phase,
+    PodId, PriorAttempt, RouteClassId, RouterSettings, Stage, Tally, VoteReply,
+};
+use crate::latency;
+use crate::outlier::{self, OutlierDetector};
+use crate::pod_table::{PodTable, Visits};
+use crate::request::{Attempt, EndedAttempt, InFlightRequest, PossibleRun};
+use crate::retry::RetryBudget;
+use crate::route_class::{max_priority_weight, RouteClassChange, RouteClasses};
+use crate::selection::{self, Subsetting};
+use crate::sequential_test::{evidence, Bounds, SequentialTest};
+use crate::slow_start::SlowStart;
+use crate::voting::{Ballot, VoteState};
+use crate::window::SlidingWindow;
+use oorandom::Rand64;
+use std::cell::RefCell;
+use std::rc::Rc;
+
+type SharedRequest = Rc<RefCell<InFlightRequest>>;
+
+/// The state of all decisions of one instance.
+pub struct Router {
+    pub(crate) random: Rand64,
+    pub(crate) position: FleetPosition,
+    pub(crate) attempt_settings: AttemptSettings,
+    pub(crate) route_classes: RouteClasses,
+    pub(crate) pods: PodTable,
+    pub(crate) announced: Option<AnnouncedStage>,
+    /// Requests taken since the start.
+    pub(crate) requests: u32,
+    pub(crate) endpoint_list: EndpointListWatch,
+    pub(crate) limit: ConcurrencyLimit,
+    pub(crate) subsetting: Subsetting,
+    pub(crate) slow_start: SlowStart,
+    pub(crate) outlier: OutlierDetector,
+    pub(crate) retry_budget: RetryBudget,
+    pub(crate) exposure: Exposure,
+    pub(crate) sequential_test: SequentialTest,
+    pub(crate) voting: VoteState,
+}
+
+impl Router {
+    /// A router that knows no pods yet. The same seed and calls give the same decisions.
+    pub fn new(now: Nanos, seed: u64, settings: RouterSettings) -> Router {
+        let classes = settings.route_classes;
+        let instances = settings.position.instances.max(1);
+        let needed = settings.votes.rollback_quorum.clamp(1, instances);
+        Router {
+            random: Rand64::new(seed as u128),
+            pods: PodTable::default(),
+            announced: None,
+            requests: 0,
+            endpoint_list: EndpointListWatch::new(settings.endpoint_list),
+            limit: ConcurrencyLimit::new(),
+            subsetting: Subsetting::default(),
+            slow_start: SlowStart::new(settings.pods),
+            outlier: OutlierDetector::new(&classes),
+            retry_budget: RetryBudget::new(),
+            exposure: Exposure::new(settings.exposure, now, classes.len()),
+            sequential_test: SequentialTest::new(Bounds::new(instances, needed)),
+            voting: VoteState::new(settings.votes),
+            position: settings.position,
+            attempt_settings: settings.attempts,
+            route_classes: RouteClasses::new(classes, latency::initial_mean),
+        }
+    }
+
+    /// Begins to follow the endpoint list and to look at the pods' health at intervals. To be called once.
+    pub fn start(&mut self, host: &mut dyn Host) {
+        if self.endpoint_list.must_be_requested() {
+            host.watch_endpoints(true);
+        }
+        schedule_update(host);
+    }
+
+    fn update(&mut self, host: &mut dyn Host) {
+        let now = host.now();
+        self.update_pods(now);
+        self.update_periods(now);
+        self.update_sampling(now);
+        self.evaluate_vote(host);
+        if self.exposure.is_part_update_due(now) {
+            if !self.on_trial() {
+                self.sequential_test.periods.learn_usual();
+            }
+            let in_doubt = self.sequential_test.in_doubt();
+            self.exposure.update_part(now, in_doubt);
+        }
+        schedule_update(host);
+    }
+
+    fn update_pods(&mut self, now: Nanos) {
+        self.slow_start.update(now, &mut self.pods);
+        self.subsetting.update(
+            now,
+            &self.position,
+            &mut self.pods,
+            &self.outlier,
+            &self.slow_start,
+        );
+        self.outlier.update_panic_mode(now, &self.pods);
+    }
+
+    /// Takes in the whole endpoint list or changes to it.
+    pub fn update_endpoints(&mut self, host: &mut dyn Host, whole: bool, endpoints: &[Endpoint]) {
+        self.endpoint_list.record_list();
+        let overload_window = self.slow_start.settings.overload_window;
+        let window = || SlidingWindow::new(overload_window, WINDOW_SLICES);
+        self.pods.apply(whole, endpoints, window);
+        self.update_pods(host.now());
+        let on_trial = self.sequential_test.build;
+        let pods = &self.pods;
+        self.exposure
+            .counts
+            .retain_builds(|build| build >= on_trial || pods.count_of_build(build) > 0);
+    }
+
+    /// Takes in that the watch on the endpoint list failed.
+    pub fn endpoint_watch_failed(&mut self, host: &mut dyn Host) {
+        let wait = self.endpoint_list.record_failure(&mut self.random);
+        host.set_timer(wait, Box::new(|_, host, ()| host.watch_endpoints(true)));
+    }
+
+    /// Takes in changed route classes, between two calls: requests in flight keep the index, and so the rules, that
+    /// they began with. `in_force` are the classes that requests may still be taken for.
+    pub fn set_route_classes(&mut self, changes: &[RouteClassChange], in_force: &[RouteClassId]) {
+        for change in changes {
+            let fresh = change.predecessor.is_none();
+            self.route_classes.apply(change);
+            self.exposure
+                .counts
+                .set_bucket(change.group, change.bucket, fresh);
+        }
+        let rules = || in_force.iter().map(|class| &self.route_classes[*class]);
+        self.outlier.follow_objectives(rules());
+        self.route_classes.max_priority_weight = max_priority_weight(rules());
+    }
+
+    /// Takes in the stage that the control plane announced.
+    pub fn update_stage(&mut self, host: &mut dyn Host, stage: Stage) {
+        let known = self.announced.map(|announced| announced.stage);
+        if known.is_none_or(|known| (known.build, known.stage) != (stage.build, stage.stage)) {
+            self.sequential_test.restart(stage.build);
+            self.voting.restart_stage();
+            self.exposure.restart_stage();
+            self.pods.forget_evidence();
+        }
+        let going = matches!(stage.phase, Phase::RollingBack | Phase::Withdrawn);
+        if going || known.is_some_and(|known| known.build != stage.build) {
+            self.exposure.forget_sticky_keys();
+        }
+        let began = host.now().saturating_sub(stage.age);
+        self.announced = Some(AnnouncedStage { stage, began });
+        self.evaluate_vote(host);
+    }
+
+    /// Takes in the control plane's sampled count of all instances' attempts, which no decision uses.
+    pub fn update_tally(&mut self, _host: &mut dyn Host, _tally: Tally) {}
+
+    /// Takes in a fault that a client found in a pod's answer, to a request that was sent `ago`.
+    pub fn report_fault(
+        &mut self,
+        host: &mut dyn Host,
+        pod: PodId,
+        _class: RouteClassId,
+        ago: Nanos,
+    ) {
+        if self.record_reported_fault(host.now(), pod, ago) {
+            self.evaluate_vote(host);
+        }
+    }
+
+    fn evaluate_vote(&mut self, host: &mut dyn Host) {
+        let Some(AnnouncedStage { stage, began }) = self.announced else {
+            return;
+        };
+        let now = host.now();
+        let latest_start = self.pods.latest_start(stage.build).unwrap_or(began);
+        let running_for = now.saturating_sub(latest_start.max(began));
+        let ballot = self
+            .voting
+            .wanted(now, &self.sequential_test, stage, running_for);
+        let Some(vote) = self.voting.take_due(now, ballot) else {
+            return;
+        };
+        let (build, number) = (stage.build, stage.stage);
+        let sums = self.sums();
+        host.log(&format!(
+            "vote {vote:?} build {build} stage {number} sums {sums:.2?}"
+        ));
+        let on_reply = move |router: &mut Router, host: &mut dyn Host, reply: VoteReply| {
+            router.vote_answered(host, now, ballot, reply);
+        };
+        host.cast_vote(build, number, vote, Box::new(on_reply));
+    }
+
+    fn vote_answered(
+        &mut self,
+        host: &mut dyn Host,
+        cast_at: Nanos,
+        ballot: Ballot,
+        reply: VoteReply,
+    ) {
+        let now = host.now();
+        self.voting
+            .record_receipt(now, cast_at, ballot, reply.receipt, &mut self.random);
+        match reply.stage {
+            Some(stage) => self.update_stage(host, stage),
+            None => self.evaluate_vote(host),
+        }
+    }
+
+    /// Takes a request; it is answered through the host, now or later.
+    pub fn handle_request(&mut self, host: &mut dyn Host, request: IncomingRequest) {
+        let now = host.now();
+        self.exposure.counts.add_request(now, request.class);
+        self.retry_budget.record_request(now);
+        self.requests = self.requests.saturating_add(1);
+        self.resume_request(host, request, &[]);
+    }
+
+    /// Goes on with a request that another instance took and sent so. It was counted there, once.
+    pub fn resume_request(
+        &mut self,
+        host: &mut dyn Host,
+        request: IncomingRequest,
+        prior: &[PriorAttempt],
+    ) {
+        let now = host.now();
+        self.subsetting.record_in_flight(self.limit.in_flight);
+        let objective = self.route_classes[request.class].latency_objective;
+        let in_flight = InFlightRequest::new(now, &request, objective, prior, &self.pods);
+        let in_flight = Rc::new(RefCell::new(in_flight));
+        if self.admits(request.class) {
+            return self.next_attempt(host, in_flight);
+        }
+        self.record_rejection(now);
+        self.give_up(host, &in_flight);
+    }
+
+    fn next_attempt(&mut self, host: &mut dyn Host, request: SharedRequest) {
+        let now = host.now();
+        let spent = now >= request.borrow().deadline || self.is_exhausted(&request.borrow());
+        let chosen = if spent {
+            None
+        } else {
+            self.choose_pod(now, &request.borrow())
+        };
+        // A pod that is not in the table could not be sent to, and the request would be left without an answer.
+        let Some(pod) = chosen.filter(|pod| self.pods.get(*pod).is_some()) else {
+            return self.give_up(host, &request);
+        };
+        let timeout = self.attempt_timeout(now, &request.borrow());
+        self.send_attempt(host, &request, pod, timeout);
+        self.plan_hedge(host, &request, pod);
+    }
+
+    fn send_attempt(
+        &mut self,
+        host: &mut dyn Host,
+        request: &SharedRequest,
+        id: PodId,
+        timeout: Nanos,
+    ) {
+        let now = host.now();
+        let Some(pod) = self.pods.get(id) else {
+            return;
+        };
+        let attempt = Attempt {
+            pod: id,
+            endpoint: pod.endpoint,
+            sent_at: now,
+            warm: self.slow_start.is_warm(now, &pod.endpoint),
+            evenly_loaded: self.is_evenly_loaded(pod),
+            first: request.borrow().tried.is_empty(),
+        };
+        self.pods.count_attempt(now, id);
+        self.limit.in_flight += 1;
+        let (request_id, class) = (request.borrow().id, request.borrow().class);
+        self.exposure
+            .counts
+            .add_attempt(now, attempt.endpoint.build, class);
+        request.borrow_mut().tried.push(id);
+        request.borrow_mut().attempts_in_flight += 1;
+        let request = request.clone();
+        let on_end = move |router: &mut Router, host: &mut dyn Host, outcome| {
+            router.attempt_ended(host, request, &attempt, &outcome);
+        };
+        host.send_attempt(request_id, id, timeout, Box::new(on_end));
+    }
+
+    fn plan_hedge(&mut self, host: &mut dyn Host, request: &SharedRequest, pod: PodId) {
+        let sent_at = host.now();
+        let endpoint = self.pods.get(pod).map(|pod| pod.endpoint);
+        let Some(delay) = self.hedge_delay(sent_at, &request.borrow(), endpoint) else {
+            return;
+        };
+        let first_run = endpoint.map(|endpoint| PossibleRun {
+            at: sent_at,
+            zone: endpoint.zone,
+            cell: endpoint.cell,
+        });
+        let request = request.clone();
+        let on_timer = move |router: &mut Router, host: &mut dyn Host, ()| {
+            router.send_hedge(host, &request, first_run);
+        };
+        host.set_timer(delay, Box::new(on_timer));
+    }
+
+    /// Sends a hedged attempt; `first_run`: when and where the attempt in flight may run.
+    fn send_hedge(
+        &mut self,
+        host: &mut dyn Host,
+        request: &SharedRequest,
+        first_run: Option<PossibleRun>,
+    ) {
+        let now = host.now();
+        let timeout = self.hedge_timeout(now, &request.borrow());
+        let is_open = host.is_open(request.borrow().id);
+        let Some(timeout) = timeout.filter(|_| is_open) else {
+            return;
+        };
+        let before = std::mem::replace(&mut request.borrow_mut().possible_run, first_run);
+        let chosen = self.choose_pod(now, &request.borrow());
+        let Some(pod) = chosen else {
+            request.borrow_mut().possible_run = before;
+            return;
+        };
+        self.retry_budget.record_retry(now);
+        self.send_attempt(host, request, pod, timeout);
+    }
+
+    fn attempt_ended(
+        &mut self,
+        host: &mut dyn Host,
+        request: SharedRequest,
+        attempt: &Attempt,
+        outcome: &AttemptOutcome,
+    ) {
+        request.borrow_mut().attempts_in_flight -= 1;
+        self.learn_from(host, &request.borrow(), attempt, outcome);
+        if outcome.over || !host.is_open(request.borrow().id) {
+            return;
+        }
+        let now = host.now();
+        let end = outcome.end;
+        if !end.never_ran() && request.borrow().possible_run.is_none() {
+            request.borrow_mut().possible_run = Some(PossibleRun {
+                at: attempt.sent_at,
+                zone: attempt.endpoint.zone,
+                cell: attempt.endpoint.cell,
+            });
+        }
+        // The other attempt may still deliver, and sees to the request if it does not.
+        if request.borrow().attempts_in_flight > 0 {
+            return;
+        }
+        if !self.may_retry(now, &request.borrow(), end) {
+            return self.give_up(host, &request);
+        }
+        self.retry_budget.record_retry(now);
+        let avoids_trial = self.avoids_trial_after(attempt, end);
+        request.borrow_mut().avoids_trial |= avoids_trial;
+        self.next_attempt(host, request);
+    }
+
+    /// Hands an ended attempt to every decision that learns from it.
+    fn learn_from(
+        &mut self,
+        host: &mut dyn Host,
+        request: &InFlightRequest,
+        attempt: &Attempt,
+        outcome: &AttemptOutcome,
+    ) {
+        let (now, end) = (host.now(), outcome.end);
+        let pace = self.learn_latency(request.class, attempt, outcome);
+        let ejection_part = outlier::draw_ejection_part(&mut self.random);
+        let pod = self.pods.get(attempt.pod);
+        let pod_silent = pod.is_none_or(|pod| self.outlier.is_silent(now, pod));
+        if let Some(pod) = self.pods.get_mut(attempt.pod) {
+            pod.in_flight = pod.in_flight.saturating_sub(1);
+            selection::learn_slowness(now, pod, end, pace.ratio);
+            self.slow_start.record_end(now, pod, end);
+            self.outlier
+                .record_end(now, pod, attempt, end, ejection_part);
+        }
+        let ended = EndedAttempt {
+            attempt,
+            outcome,
+            latency_objective: self.route_classes[request.class].latency_objective,
+            slow: pace.slow,
+            pod_silent,
+        };
+        self.limit.record_end(now, &ended);
+        if evidence::is_heard(&ended) {
+            self.record_evidence(now, &ended);
+            self.evaluate_vote(host);
+        }
+        self.bind_answered_key(request.key, attempt, end);
+    }
+
+    /// Gives the final answer at once, whatever time is left.
+    fn give_up(&mut self, host: &mut dyn Host, request: &SharedRequest) {
+        let request = request.borrow();
+        if self.is_client_retry_harmless(host.now(), &request) {
+            host.reject(request.id, self.attempt_settings.max_retry_after);
+        } else {
+            host.fail(request.id);
+        }
+    }
+
+    /// The sums of the sequential test on failures, on slow answers and of the alternating periods.
+    pub fn sums(&self) -> (f64, f64, f64) {
+        let test = &self.sequential_test;
+        (test.failure_sum, test.slow_sum, test.periods.sum)
+    }
+
+    /// The pods that were looked at since the start.
+    pub fn visits(&self) -> Visits {
+        self.pods.visits()
+    }
+}
+
+fn schedule_update(host: &mut dyn Host) {
+    let on_timer = |router: &mut Router, host: &mut dyn Host, ()| router.update(host);
+    host.set_timer(outlier::UPDATE_INTERVAL, Box::new(on_timer));
+}
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -2,7 +2,7 @@
 //! `key=value` pairs, several stand on a line.
 //! Pods answer as their `acts` say; nothing here models a machine, a queue or a network.
 
-use havenplank::{interface::*, logic::Router};
+use havenplank::{interface::*, Router};
 use std::collections::{BTreeMap, HashMap};
 use test_case::test_case;
 
@@ -112,12 +112,10 @@
         self.finish(hit, "errored");
     }
     fn cast_vote(&mut self, _: Build, _: usize, voice: Vote, then: Callback<VoteReply>) {
-        self.count(format!("votes:{voice:?}").to_lowercase());
+        let word = vote_word(voice);
+        self.count(format!("votes:{word}"));
         let last = self.now as f64 / 1e9;
-        let first = self
-            .counts
-            .entry(format!("first:{voice:?}").to_lowercase())
-            .or_insert(last);
+        let first = self.counts.entry(format!("first:{word}")).or_insert(last);
         let gap = last - *first;
         self.counts.insert("vote_gap".into(), gap);
         let heard = if self.unheard {
@@ -153,6 +151,16 @@
     fn log(&mut self, _: &str) {}
 }
 
+/// A vote as the notation of the cases writes it.
+fn vote_word(vote: Vote) -> &'static str {
+    match vote {
+        Vote::None => "none",
+        Vote::Advance => "on",
+        Vote::Hold => "hold",
+        Vote::RollBack => "back",
+    }
+}
+
 fn span(text: &str) -> Nanos {
     let (number, unit) = match text.strip_suffix("ms") {
         Some(number) => (number, 1e6),
@@ -255,7 +263,16 @@
             instances: self.number("instances", 1.0) as usize,
             zone: 0,
         };
-        Router::new(now, 7, place, groups, rules, pods, exposure, votes, list)
+        let settings = RouterSettings {
+            position: place,
+            route_classes: groups,
+            attempts: rules,
+            pods,
+            exposure,
+            votes,
+            endpoint_list: list,
+        };
+        Router::new(now, 7, settings)
     }
 }
 
