--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -54,6 +54,16 @@
     }
 }
 
+/// The word that the cases use for a vote.
+fn vote_word(vote: Vote) -> &'static str {
+    match vote {
+        Vote::None => "none",
+        Vote::Advance => "on",
+        Vote::Hold => "hold",
+        Vote::RollBack => "back",
+    }
+}
+
 impl Host for Stand {
     fn now(&self) -> Nanos {
         self.now
