--- a/src/router.rs
+++ b/src/router.rs
@@ -9,7 +9,7 @@
 use crate::exposure::{AnnouncedStage, Exposure, WINDOW_SLICES};
 use crate::interface::{
     AttemptOutcome, AttemptSettings, Endpoint, FleetPosition, Host, IncomingRequest, Nanos, Phase,
-    PodId, PriorAttempt, RouteClassId, RouterSettings, Stage, Tally, VoteReply,
+    PodId, PriorAttempt, RouteClassId, RouterSettings, Stage, Tally, Vote, VoteReply,
 };
 use crate::latency;
 use crate::outlier::{self, OutlierDetector};
@@ -196,7 +196,8 @@
         let (build, number) = (stage.build, stage.stage);
         let sums = self.sums();
         host.log(&format!(
-            "vote {vote:?} build {build} stage {number} sums {sums:.2?}"
+            "vote {} build {build} stage {number} sums {sums:.2?}",
+            recorded_word(vote)
         ));
         let on_reply = move |router: &mut Router, host: &mut dyn Host, reply: VoteReply| {
             router.vote_answered(host, now, ballot, reply);
@@ -431,6 +432,17 @@
     }
 }
 
+/// The word for a vote in the log. Traces record the line and a replay compares it, so the words stay as the first
+/// recorded traces have them.
+fn recorded_word(vote: Vote) -> &'static str {
+    match vote {
+        Vote::None => "None",
+        Vote::Advance => "On",
+        Vote::Hold => "Hold",
+        Vote::RollBack => "Back",
+    }
+}
+
 fn schedule_update(host: &mut dyn Host) {
     let on_timer = |router: &mut Router, host: &mut dyn Host, ()| router.update(host);
     host.set_timer(outlier::UPDATE_INTERVAL, Box::new(on_timer));
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -161,16 +161,6 @@
     fn log(&mut self, _: &str) {}
 }
 
-/// A vote as the notation of the cases writes it.
-fn vote_word(vote: Vote) -> &'static str {
-    match vote {
-        Vote::None => "none",
-        Vote::Advance => "on",
-        Vote::Hold => "hold",
-        Vote::RollBack => "back",
-    }
-}
-
 fn span(text: &str) -> Nanos {
     let (number, unit) = match text.strip_suffix("ms") {
         Some(number) => (number, 1e6),
