--- a/crates/adapter/src/line.rs
+++ b/crates/adapter/src/line.rs
@@ -1,24 +1,40 @@
-//! One line of the wire, read field by field, with plain complaints on what is malformed.
+//! One line of the wire, read field by field.
 
+use crate::error::WireError;
+use crate::wire_names::field;
 use serde_json::{Map, Value};
 
+/// A JSON object with a verb.
 pub struct Line {
+    /// Its number, from 1.
     pub number: u64,
+    /// What it tells or asks for.
     pub verb: String,
+    /// All its fields.
     pub fields: Map<String, Value>,
 }
 
 impl Line {
-    pub fn read(number: u64, text: &[u8]) -> Result<Line, String> {
-        let value: Value = serde_json::from_slice(text)
-            .map_err(|e| format!("line {number}: not a JSON object ({e})"))?;
+    /// Reads a line of JSON.
+    ///
+    /// # Errors
+    /// What is no JSON object or has no verb.
+    pub fn read(number: u64, text: &[u8]) -> Result<Line, WireError> {
+        let value: Value = serde_json::from_slice(text).map_err(|source| WireError::NotJson {
+            line: number,
+            source,
+        })?;
         let Value::Object(fields) = value else {
-            return Err(format!("line {number}: not a JSON object"));
+            return Err(WireError::NotAnObject { line: number });
         };
-        let verb = match fields.get("verb") {
+        let malformed = |problem| WireError::Verb {
+            line: number,
+            problem,
+        };
+        let verb = match fields.get(field::VERB) {
             Some(Value::String(verb)) => verb.clone(),
-            Some(_) => return Err(format!("line {number}: field verb: not text")),
-            None => return Err(format!("line {number}: field verb: missing")),
+            Some(_) => return Err(malformed("not text")),
+            None => return Err(malformed("missing")),
         };
         Ok(Line {
             number,
@@ -27,10 +43,16 @@
         })
     }
 
-    pub fn complain(&self, field: &str, what: &str) -> String {
-        format!("line {}: {}: field {field}: {what}", self.number, self.verb)
+    fn error(&self, field: &str, problem: &'static str) -> WireError {
+        WireError::Field {
+            line: self.number,
+            verb: self.verb.clone(),
+            field: field.to_string(),
+            problem,
+        }
     }
 
+    /// Its fields, to be read.
     pub fn of(&self) -> Fields<'_> {
         Fields {
             line: self,
@@ -40,7 +62,7 @@
     }
 }
 
-/// The fields of a line or of an object inside it, with the path to them for complaints.
+/// The fields of a line or of an object inside it, with the path to them for errors.
 pub struct Fields<'a> {
     line: &'a Line,
     path: String,
@@ -52,81 +74,126 @@
 }
 
 impl<'a> Fields<'a> {
-    pub fn complain(&self, field: &str, what: &str) -> String {
-        self.line.complain(&format!("{}{field}", self.path), what)
+    /// The error that a field is malformed.
+    pub(crate) fn error(&self, field: &str, problem: &'static str) -> WireError {
+        self.line.error(&format!("{}{field}", self.path), problem)
+    }
+
+    /// The text of the error that a field is malformed, for callers whose errors are text.
+    pub fn complain(&self, field: &str, problem: &'static str) -> String {
+        self.error(field, problem).to_string()
     }
 
     fn want<T>(
         &self,
         field: &str,
         read: impl Fn(&'a Value) -> Option<T>,
-        what: &str,
-    ) -> Result<T, String> {
-        let value = present(self.map.get(field)).ok_or_else(|| self.complain(field, "missing"))?;
-        read(value).ok_or_else(|| self.complain(field, what))
+        problem: &'static str,
+    ) -> Result<T, WireError> {
+        let value = present(self.map.get(field)).ok_or_else(|| self.error(field, "missing"))?;
+        read(value).ok_or_else(|| self.error(field, problem))
     }
 
     fn may<T>(
         &self,
         field: &str,
         read: impl Fn(&'a Value) -> Option<T>,
-        what: &str,
-    ) -> Result<Option<T>, String> {
+        problem: &'static str,
+    ) -> Result<Option<T>, WireError> {
         match present(self.map.get(field)) {
             None => Ok(None),
             Some(value) => read(value)
                 .map(Some)
-                .ok_or_else(|| self.complain(field, what)),
+                .ok_or_else(|| self.error(field, problem)),
         }
     }
 
-    pub fn whole(&self, field: &str) -> Result<u64, String> {
+    /// A whole number.
+    ///
+    /// # Errors
+    /// One that is missing or no whole number.
+    pub fn whole(&self, field: &str) -> Result<u64, WireError> {
         self.want(field, Value::as_u64, "not a whole number")
     }
 
-    pub fn whole_or(&self, field: &str, other: u64) -> Result<u64, String> {
+    /// A whole number, or another where it is absent.
+    ///
+    /// # Errors
+    /// One that is no whole number.
+    pub fn whole_or(&self, field: &str, other: u64) -> Result<u64, WireError> {
         Ok(self
             .may(field, Value::as_u64, "not a whole number")?
             .unwrap_or(other))
     }
 
-    pub fn maybe_whole(&self, field: &str) -> Result<Option<u64>, String> {
+    /// A whole number, or none where it is absent.
+    ///
+    /// # Errors
+    /// One that is no whole number.
+    pub fn maybe_whole(&self, field: &str) -> Result<Option<u64>, WireError> {
         self.may(field, Value::as_u64, "not a whole number")
     }
 
-    pub fn number(&self, field: &str) -> Result<f64, String> {
+    /// A number.
+    ///
+    /// # Errors
+    /// One that is missing or no number.
+    pub fn number(&self, field: &str) -> Result<f64, WireError> {
         self.want(field, Value::as_f64, "not a number")
     }
 
-    pub fn number_or(&self, field: &str, other: f64) -> Result<f64, String> {
+    /// A number, or another where it is absent.
+    ///
+    /// # Errors
+    /// One that is no number.
+    pub fn number_or(&self, field: &str, other: f64) -> Result<f64, WireError> {
         Ok(self
             .may(field, Value::as_f64, "not a number")?
             .unwrap_or(other))
     }
 
-    pub fn text(&self, field: &str) -> Result<&'a str, String> {
+    /// Text.
+    ///
+    /// # Errors
+    /// One that is missing or not text.
+    pub fn text(&self, field: &str) -> Result<&'a str, WireError> {
         self.want(field, Value::as_str, "not text")
     }
 
-    pub fn maybe_text(&self, field: &str) -> Result<Option<&'a str>, String> {
+    /// Text, or none where it is absent.
+    ///
+    /// # Errors
+    /// One that is not text.
+    pub fn maybe_text(&self, field: &str) -> Result<Option<&'a str>, WireError> {
         self.may(field, Value::as_str, "not text")
     }
 
     /// Text, or none where it is absent or 0.
-    pub fn maybe_name(&self, field: &str) -> Result<Option<&'a str>, String> {
+    ///
+    /// # Errors
+    /// One that is neither.
+    pub fn maybe_name(&self, field: &str) -> Result<Option<&'a str>, WireError> {
         match self.map.get(field) {
             Some(Value::Number(number)) if number.as_u64() == Some(0) => Ok(None),
             _ => self.maybe_text(field),
         }
     }
 
-    pub fn flag(&self, field: &str) -> Result<bool, String> {
+    /// True or false; false where it is absent.
+    ///
+    /// # Errors
+    /// One that is neither.
+    pub fn flag(&self, field: &str) -> Result<bool, WireError> {
         Ok(self
             .may(field, Value::as_bool, "not true or false")?
             .unwrap_or(false))
     }
 
-    pub fn object(&self, field: &str) -> Result<Fields<'a>, String> {
+    /// An object.
+    ///
+    /// # Errors
+    /// One that is missing or no object.
+    pub fn object(&self, field: &str) -> Result<Fields<'a>, WireError> {
         let map = self.want(field, Value::as_object, "not an object")?;
         Ok(Fields {
             line: self.line,
@@ -135,21 +202,34 @@
         })
     }
 
+    /// Whether a field is there and not null.
     pub fn maybe_has(&self, field: &str) -> bool {
         present(self.map.get(field)).is_some()
     }
 
-    pub fn maybe_numbers(&self, field: &str) -> Result<Option<Vec<f64>>, String> {
+    /// A row of numbers, or none where it is absent.
+    ///
+    /// # Errors
+    /// One that is no row of numbers.
+    pub fn maybe_numbers(&self, field: &str) -> Result<Option<Vec<f64>>, WireError> {
         let read = |value: &'a Value| value.as_array()?.iter().map(Value::as_f64).collect();
         self.may(field, read, "not a row of numbers")
     }
 
-    pub fn numbers(&self, field: &str) -> Result<Vec<f64>, String> {
+    /// A row of numbers.
+    ///
+    /// # Errors
+    /// One that is missing or no row of numbers.
+    pub fn numbers(&self, field: &str) -> Result<Vec<f64>, WireError> {
         self.maybe_numbers(field)?
-            .ok_or_else(|| self.complain(field, "missing"))
+            .ok_or_else(|| self.error(field, "missing"))
     }
 
-    pub fn words(&self, field: &str) -> Result<Vec<String>, String> {
+    /// A row of names; empty where it is absent.
+    ///
+    /// # Errors
+    /// One that is no row of names.
+    pub fn words(&self, field: &str) -> Result<Vec<String>, WireError> {
         let read = |value: &'a Value| {
             value
                 .as_array()?
@@ -162,7 +242,11 @@
             .unwrap_or_default())
     }
 
-    pub fn objects(&self, field: &str) -> Result<Vec<Fields<'a>>, String> {
+    /// A row of objects.
+    ///
+    /// # Errors
+    /// One that is missing or no row of objects.
+    pub fn objects(&self, field: &str) -> Result<Vec<Fields<'a>>, WireError> {
         let rows = self.want(field, Value::as_array, "not a row of objects")?;
         let object = |(n, row): (usize, &'a Value)| {
             let path = format!("{}{field}[{n}]", self.path);
@@ -172,18 +256,21 @@
                     path: path + ".",
                     map,
                 }),
-                None => Err(self.line.complain(&path, "not an object")),
+                None => Err(self.line.error(&path, "not an object")),
             }
         };
         rows.iter().enumerate().map(object).collect()
     }
 
     /// The position of a name among those the settings gave.
-    pub fn named(&self, field: &str, names: &[String]) -> Result<usize, String> {
+    ///
+    /// # Errors
+    /// One that is missing, not text or not among them.
+    pub fn named(&self, field: &str, names: &[String]) -> Result<usize, WireError> {
         let name = self.text(field)?;
         names
             .iter()
             .position(|known| known == name)
-            .ok_or_else(|| self.complain(field, "a name not in the settings"))
+            .ok_or_else(|| self.error(field, "a name not in the settings"))
     }
 }
--- a/crates/adapter/src/setup.rs
+++ b/crates/adapter/src/setup.rs
@@ -1,45 +1,109 @@
-//! The settings of an instance, decoded into the module's own records.
+//! The settings of an instance, decoded into the router's own records.
 
+use crate::error::WireError;
 use crate::line::Fields;
-use havenplank::interface::*;
+use crate::wire_names;
+use havenplank::interface::{
+    AttemptSettings, DedupScope, EndpointListSettings, ExposureSettings, FleetPosition,
+    PodSettings, RouteClass, RouterSettings, VoteSettings,
+};
 
-/// The names that the wire uses for what the module knows by index.
+/// The names that the wire uses for what the router knows by index.
 pub struct Names {
+    /// Of the route classes.
     pub groups: Vec<String>,
+    /// Of the tenants.
     pub tenants: Vec<String>,
+    /// Of the zones; grows with the endpoint list.
     pub zones: Vec<String>,
+    /// Of the machine types; grows with the endpoint list.
     pub machines: Vec<String>,
+    /// Of the columns of a load report.
     pub load: Vec<String>,
 }
 
+/// The settings of an instance.
 pub struct Setup {
+    /// What the wire calls the router's indices.
     pub names: Names,
+    /// The instance's place in the fleet.
     pub place: FleetPosition,
+    /// The route classes by index.
     pub groups: Vec<RouteClass>,
+    /// What the attempts of a request may do.
     pub forwards: AttemptSettings,
+    /// What pods bear.
     pub pods: PodSettings,
+    /// How a build on trial is kept within its cap.
     pub exposure: ExposureSettings,
+    /// How releases are voted on.
     pub votes: VoteSettings,
+    /// How the endpoint list comes.
     pub list: EndpointListSettings,
 }
 
-fn group(row: &Fields) -> Result<RouteClass, String> {
-    let kind = match row.text("semantics")? {
-        "free" => Idempotency::Idempotent,
-        "guarded" => Idempotency::Keyed,
-        "single_shot" => Idempotency::NonIdempotent,
-        _ => return Err(row.complain("semantics", "not free, guarded or single_shot")),
-    };
-    let scope = match row.maybe_text("keyScope")? {
-        None | Some("all") => DedupScope::All,
-        Some("zone") => DedupScope::Zone,
-        Some("cell") => DedupScope::Cell,
-        Some(_) => return Err(row.complain("keyScope", "not all, zone or cell")),
+impl Setup {
+    /// The names, and what a router is built from.
+    pub fn into_parts(self) -> (Names, RouterSettings) {
+        let settings = RouterSettings {
+            position: self.place,
+            route_classes: self.groups,
+            attempts: self.forwards,
+            pods: self.pods,
+            exposure: self.exposure,
+            votes: self.votes,
+            endpoint_list: self.list,
+        };
+        (self.names, settings)
+    }
+}
+
+/// Decodes the settings of an instance.
+///
+/// # Errors
+/// The first field that is missing or wrong.
+pub fn read(settings: &Fields) -> Result<Setup, WireError> {
+    let rows = settings.objects("classes")?;
+    if rows.is_empty() {
+        return Err(settings.error("classes", "no path group"));
+    }
+    let groups = rows.iter().map(route_class).collect::<Result<_, _>>()?;
+    let instances = settings.whole("instances")? as usize;
+    if instances == 0 {
+        return Err(settings.error("instances", "zero instances"));
+    }
+    let names = names(settings, &rows)?;
+    let place = FleetPosition {
+        rank: settings.whole_or("rank", 0)? as usize,
+        instances,
+        zone: settings.named("locality", &names.zones)?,
     };
+    let limits = settings.object("limits")?;
+    let rules = settings.object("rules")?;
+    let trial = settings.object("familyInfo")?;
+    Ok(Setup {
+        names,
+        place,
+        groups,
+        forwards: attempts(settings, &limits)?,
+        pods: pods(&rules, &limits)?,
+        exposure: exposure(&trial)?,
+        votes: votes(&trial)?,
+        list: endpoint_list(settings, &rules)?,
+    })
+}
+
+fn route_class(row: &Fields) -> Result<RouteClass, WireError> {
+    let idempotency = wire_names::idempotency(row.text("semantics")?)
+        .ok_or_else(|| row.error("semantics", "not free, guarded or single_shot"))?;
+    let scope = row.maybe_text("keyScope")?;
+    let dedup_scope = scope
+        .map_or(Some(DedupScope::All), wire_names::dedup_scope)
+        .ok_or_else(|| row.error("keyScope", "not all, zone or cell"))?;
     let client_timeout = row.whole("giveUpNs")?;
     Ok(RouteClass {
-        idempotency: kind,
-        dedup_scope: scope,
+        idempotency,
+        dedup_scope,
         dedup_window: row.whole_or("windowNs", 0)?,
         latency_objective: row.whole_or("onTimeNs", client_timeout)?,
         client_timeout,
@@ -49,111 +113,101 @@
     })
 }
 
-pub fn read(settings: &Fields) -> Result<Setup, String> {
-    let rows = settings.objects("classes")?;
-    if rows.is_empty() {
-        return Err(settings.complain("classes", "no path group"));
-    }
-    let groups = rows.iter().map(group).collect::<Result<Vec<_>, _>>()?;
-    let instances = settings.whole("instances")? as usize;
-    if instances == 0 {
-        return Err(settings.complain("instances", "zero instances"));
-    }
-    let group_names = rows
-        .iter()
-        .map(|row| Ok(row.text("name")?.to_string()))
-        .collect::<Result<_, String>>()?;
-    let zones = settings.words("azs")?;
-    let zone = settings.named("locality", &zones)?;
-    let mut tenants = Vec::new();
-    if settings.maybe_has("orgs") {
-        for row in settings.objects("orgs")? {
-            tenants.push(row.text("name")?.to_string());
-        }
-    }
-    let load = match settings.maybe_has("loadReport") {
-        true => settings.object("loadReport")?.words("columns")?,
-        false => Vec::new(),
+fn names(settings: &Fields, classes: &[Fields]) -> Result<Names, WireError> {
+    let load = if settings.maybe_has("loadReport") {
+        settings.object("loadReport")?.words("columns")?
+    } else {
+        Vec::new()
+    };
+    let tenants = if settings.maybe_has("orgs") {
+        row_names(&settings.objects("orgs")?)?
+    } else {
+        Vec::new()
     };
-    let names = Names {
-        groups: group_names,
+    Ok(Names {
+        groups: row_names(classes)?,
         tenants,
-        zones,
+        zones: settings.words("azs")?,
         machines: settings.words("skus")?,
         load,
-    };
-    let limits = settings.object("limits")?;
-    let rules = settings.object("rules")?;
-    let trial = settings.object("familyInfo")?;
-    let cross_zone_cost = match settings.maybe_has("prices") {
-        true => settings.object("prices")?.number_or("crossZone", 0.0)?,
-        false => 0.0,
+    })
+}
+
+fn row_names(rows: &[Fields]) -> Result<Vec<String>, WireError> {
+    let names = rows.iter().map(|row| row.text("name").map(String::from));
+    names.collect()
+}
+
+fn attempts(settings: &Fields, limits: &Fields) -> Result<AttemptSettings, WireError> {
+    let cross_zone_cost = if settings.maybe_has("prices") {
+        settings.object("prices")?.number_or("crossZone", 0.0)?
+    } else {
+        0.0
     };
     let max_retry_after = if limits.flag("retryAfter")? {
         limits.whole_or("maxRetryAfterNs", 0)?
     } else {
         0
     };
-    let poll_only = match settings.text("discovery")? {
-        "automatic" => false,
-        "subscribe" => true,
-        _ => return Err(settings.complain("discovery", "not automatic or subscribe")),
-    };
-    let control = match trial.text("control")? {
-        "first_voice" => ReleaseControl::AnyVote,
-        "by_count" => ReleaseControl::Quorum,
-        "automatic" => ReleaseControl::Timed,
-        _ => return Err(trial.complain("control", "not first_voice, by_count or automatic")),
-    };
+    Ok(AttemptSettings {
+        max_attempts: limits.whole_or("maxAttempts", 1)?.min(u32::MAX as u64) as u32,
+        hedging: limits.flag("secondCopies")?,
+        may_cancel: limits.flag("mayCancel")?,
+        max_retry_after,
+        cross_zone_cost,
+    })
+}
+
+fn pods(rules: &Fields, limits: &Fields) -> Result<PodSettings, WireError> {
+    Ok(PodSettings {
+        drain_grace: rules.whole("drainGraceNs")?,
+        initial_capacity: rules.number("coldShare")?,
+        warm_up: rules.whole("warmUpNs")?,
+        overload_multiple: rules.number("fallMultiple")?,
+        overload_window: rules.whole("fallNs")?,
+        health_checks: limits.flag("probing")?,
+    })
+}
+
+fn exposure(trial: &Fields) -> Result<ExposureSettings, WireError> {
     let per_class = match trial.text("counts")? {
         "all" => false,
         "each_class" => true,
-        _ => return Err(trial.complain("counts", "not all or each_class")),
+        _ => return Err(trial.error("counts", "not all or each_class")),
     };
-    Ok(Setup {
-        names,
-        place: FleetPosition {
-            rank: settings.whole_or("rank", 0)? as usize,
-            instances,
-            zone,
-        },
-        groups,
-        forwards: AttemptSettings {
-            max_attempts: limits.whole_or("maxAttempts", 1)?.min(u32::MAX as u64) as u32,
-            hedging: limits.flag("secondCopies")?,
-            may_cancel: limits.flag("mayCancel")?,
-            max_retry_after,
-            cross_zone_cost,
-        },
-        pods: PodSettings {
-            drain_grace: rules.whole("drainGraceNs")?,
-            initial_capacity: rules.number("coldShare")?,
-            warm_up: rules.whole("warmUpNs")?,
-            overload_multiple: rules.number("fallMultiple")?,
-            overload_window: rules.whole("fallNs")?,
-            health_checks: limits.flag("probing")?,
-        },
-        exposure: ExposureSettings {
-            window: trial.whole("exposureWindowNs")?,
-            free_attempts: trial.number("free")?,
-            per_class,
-            idempotent_only_stages: trial.whole_or("shielded", 0)? as usize,
-            sticky_keys: trial.flag("oneWay")?,
-            blue_green: trial.maybe_text("style")? != Some("replace"),
-            caps: trial.numbers("mostShares")?,
-        },
-        votes: VoteSettings {
-            control,
-            advance_quorum: trial.whole_or("toAdvance", 0)? as usize,
-            rollback_quorum: trial.whole_or("noesNeeded", 1)?.max(1) as usize,
-            ttl: trial.whole("ballotTtlNs")?,
-            call_timeout: trial.whole("callTimeoutNs")?,
-            calls_per_second: trial.number_or("votesPerS", 0.0)?,
-            stage_duration: trial.whole_or("autoAfterNs", 0)?,
-        },
-        list: EndpointListSettings {
-            poll_only,
-            poll_interval: rules.whole_or("mustAskInNs", 0)?,
-        },
+    Ok(ExposureSettings {
+        window: trial.whole("exposureWindowNs")?,
+        free_attempts: trial.number("free")?,
+        per_class,
+        idempotent_only_stages: trial.whole_or("shielded", 0)? as usize,
+        sticky_keys: trial.flag("oneWay")?,
+        blue_green: trial.maybe_text("style")? != Some("replace"),
+        caps: trial.numbers("mostShares")?,
+    })
+}
+
+fn votes(trial: &Fields) -> Result<VoteSettings, WireError> {
+    let control = wire_names::release_control(trial.text("control")?)
+        .ok_or_else(|| trial.error("control", "not first_voice, by_count or automatic"))?;
+    Ok(VoteSettings {
+        control,
+        advance_quorum: trial.whole_or("toAdvance", 0)? as usize,
+        rollback_quorum: trial.whole_or("noesNeeded", 1)?.max(1) as usize,
+        ttl: trial.whole("ballotTtlNs")?,
+        call_timeout: trial.whole("callTimeoutNs")?,
+        calls_per_second: trial.number_or("votesPerS", 0.0)?,
+        stage_duration: trial.whole_or("autoAfterNs", 0)?,
+    })
+}
+
+fn endpoint_list(settings: &Fields, rules: &Fields) -> Result<EndpointListSettings, WireError> {
+    let poll_only = match settings.text("discovery")? {
+        "automatic" => false,
+        "subscribe" => true,
+        _ => return Err(settings.error("discovery", "not automatic or subscribe")),
+    };
+    Ok(EndpointListSettings {
+        poll_only,
+        poll_interval: rules.whole_or("mustAskInNs", 0)?,
     })
 }
--- a/crates/platform/src/pods.rs
+++ b/crates/platform/src/pods.rs
@@ -8,7 +8,7 @@
 use crate::node::Shell;
 use bytes::{Buf, Bytes, BytesMut};
 use havenplank::interface::{AttemptEnd, HealthCheckResult, Nanos, PodId, RequestId};
-use havenplank_adapter::door::load_of;
+use havenplank_adapter::load_report::load_of;
 use havenplank_sidecar::hub::End;
 use http_body_util::Full;
 use hyper::header::{
--- a/crates/trace/src/from_wire.rs
+++ b/crates/trace/src/from_wire.rs
@@ -3,9 +3,11 @@
 use crate::file::{TraceError, Writer};
 use crate::record::{Card, Head, Record, Source, What};
 use havenplank::interface::*;
-use havenplank_adapter::acts::{self, Acts};
-use havenplank_adapter::door::{Hears, Row, Wire};
+use havenplank_adapter::actions::{self, ActionListener};
+use havenplank_adapter::decode::{InstanceListener, ListedPod};
+use havenplank_adapter::error::WireError;
 use havenplank_adapter::line::Line;
+use havenplank_adapter::session::Session;
 use havenplank_adapter::setup::{Names, Setup};
 use havenplank_line_protocol::endpoint_list::ListedEndpoint;
 use havenplank_sidecar::engine::{Asked, Effect};
@@ -72,7 +74,7 @@
     }
 }
 
-impl Hears for Scribe {
+impl InstanceListener for Scribe {
     fn attach(now: Nanos, sidecar: u64, seed: u64, setup: Setup) -> Scribe {
         let Setup {
             names,
@@ -126,7 +128,7 @@
         }
     }
 
-    fn at(&mut self, now: Nanos) {
+    fn set_time(&mut self, now: Nanos) {
         self.now = now;
     }
 
@@ -134,21 +136,21 @@
         &self.names
     }
 
-    fn knows(&self, pod: &str) -> bool {
+    fn knows_pod(&self, pod: &str) -> bool {
         self.pods.contains_key(pod)
     }
 
-    fn begin(&mut self) {
+    fn start(&mut self) {
         self.told.push(Told::Begin);
     }
 
-    fn list(&mut self, whole: bool, rows: &[Row]) {
+    fn update_endpoints(&mut self, whole: bool, rows: &[ListedPod]) {
         let (mut pods, mut given) = (Vec::new(), Vec::new());
-        for Row {
+        for ListedPod {
             pod,
             zone,
             machine,
-            entry,
+            endpoint: entry,
         } in rows
         {
             let next = self.cards.len();
@@ -185,11 +187,11 @@
         self.told.push(Told::List { whole, pods, given });
     }
 
-    fn list_failed(&mut self) {
+    fn endpoint_watch_failed(&mut self) {
         self.told.push(Told::ListFailed);
     }
 
-    fn hit(&mut self, name: &str, hit: IncomingRequest) {
+    fn handle_request(&mut self, name: &str, hit: IncomingRequest) {
         let id = self.next_hit;
         self.next_hit += 1;
         let IncomingRequest {
@@ -219,7 +221,7 @@
         self.told.push(Told::IncomingRequest { hit: id, asked });
     }
 
-    fn ended(&mut self, name: &str, nth: usize, outcome: AttemptOutcome) {
+    fn attempt_ended(&mut self, name: &str, nth: usize, outcome: AttemptOutcome) {
         let Some(held) = self.hits.get_mut(name) else {
             return;
         };
@@ -244,39 +246,39 @@
         self.sweep(name);
     }
 
-    fn left(&mut self, name: &str) {
+    fn client_left(&mut self, name: &str) {
         if let Some(hit) = self.hits.get(name).map(|held| held.id) {
             self.told.push(Told::Left { hit });
             self.close(name);
         }
     }
 
-    fn woken(&mut self, id: u64) {
+    fn timer_fired(&mut self, id: u64) {
         // An engine counts its wakes from 1, the adapter from 0.
         self.told.push(Told::Wake(id.saturating_add(1)));
     }
 
-    fn news(&mut self, stage: Stage) {
+    fn update_stage(&mut self, stage: Stage) {
         self.told.push(Told::News(stage));
     }
 
-    fn voted(&mut self, news: VoteReply) {
+    fn vote_answered(&mut self, news: VoteReply) {
         if let Some(vote) = self.votes.pop_front() {
             self.told.push(Told::Voted { vote, news });
         }
     }
 
-    fn tally(&mut self, tally: Tally) {
+    fn update_tally(&mut self, tally: Tally) {
         self.told.push(Told::Tally(tally));
     }
 
-    fn flagged(&mut self, pod: &str, group: RouteClassId, ago: Nanos) {
+    fn report_fault(&mut self, pod: &str, group: RouteClassId, ago: Nanos) {
         if let Some(pod) = self.pods.get(pod).copied() {
             self.told.push(Told::Flagged { pod, group, ago });
         }
     }
 
-    fn probed(&mut self, pod: &str, end: HealthCheckResult) {
+    fn health_checked(&mut self, pod: &str, end: HealthCheckResult) {
         let Some(pod) = self.pods.get(pod) else {
             return;
         };
@@ -288,7 +290,7 @@
 
 /// What the instances did, put down as it is read. Those that were stopped are passed over.
 struct Deeds<'a> {
-    wire: &'a mut Wire<Scribe>,
+    wire: &'a mut Session<Scribe>,
     done: Vec<(u64, Effect)>,
 }
 
@@ -301,8 +303,8 @@
     }
 }
 
-impl Acts for Deeds<'_> {
-    fn forward(&mut self, sidecar: u64, hit: &str, pod: &str, time_out: Nanos) {
+impl ActionListener for Deeds<'_> {
+    fn attempt(&mut self, sidecar: u64, hit: &str, pod: &str, time_out: Nanos) {
         self.by(sidecar, |scribe| {
             let pod = scribe.pods.get(pod).copied().unwrap_or(PodId::MAX);
             let Some(held) = scribe.hits.get_mut(hit) else {
@@ -330,7 +332,7 @@
         });
     }
 
-    fn bounce(&mut self, sidecar: u64, hit: &str, retry_after: Nanos) {
+    fn reject(&mut self, sidecar: u64, hit: &str, retry_after: Nanos) {
         self.by(sidecar, |scribe| {
             let bounced = Effect::Bounce {
                 hit: scribe.id(hit),
@@ -341,7 +343,7 @@
         });
     }
 
-    fn error(&mut self, sidecar: u64, hit: &str) {
+    fn fail(&mut self, sidecar: u64, hit: &str) {
         self.by(sidecar, |scribe| {
             let late = scribe
                 .hits
@@ -369,7 +371,7 @@
         });
     }
 
-    fn probe(&mut self, sidecar: u64, pod: &str) {
+    fn health_check(&mut self, sidecar: u64, pod: &str) {
         self.by(sidecar, |scribe| {
             let (probe, pod) = (
                 scribe.call(),
@@ -380,11 +382,11 @@
         });
     }
 
-    fn ask_list(&mut self, sidecar: u64) {
+    fn poll_endpoints(&mut self, sidecar: u64) {
         self.by(sidecar, |_| Effect::AskList);
     }
 
-    fn watch_list(&mut self, sidecar: u64, on: bool) {
+    fn watch_endpoints(&mut self, sidecar: u64, on: bool) {
         self.by(sidecar, |_| Effect::WatchList(on));
     }
 
@@ -393,6 +395,10 @@
     }
 }
 
+fn unfit(error: WireError) -> TraceError {
+    TraceError::Unfit(error.to_string())
+}
+
 /// Reads lines of one pipe, with their numbers.
 struct Lines<I> {
     input: I,
@@ -417,9 +423,7 @@
             }
             self.number += 1;
             if !self.text.iter().all(u8::is_ascii_whitespace) {
-                return Line::read(self.number, &self.text)
-                    .map(Some)
-                    .map_err(TraceError::Unfit);
+                return Line::read(self.number, &self.text).map(Some).map_err(unfit);
             }
         }
     }
@@ -431,10 +435,10 @@
 /// A line that is none of the wire's.
 pub fn sources(input: impl BufRead) -> Result<Vec<Source>, TraceError> {
     let (mut lines, mut wire, mut sources) =
-        (Lines::new(input), Wire::<Scribe>::default(), Vec::new());
+        (Lines::new(input), Session::<Scribe>::default(), Vec::new());
     while let Some(line) = lines.next()? {
         let sidecar = line.of().whole("sidecar").ok();
-        wire.line(line).map_err(TraceError::Unfit)?;
+        wire.line(line).map_err(unfit)?;
         let scribe = sidecar
             .and_then(|sidecar| wire.instances.get_mut(&sidecar))
             .and_then(Option::as_mut);
@@ -459,7 +463,7 @@
 ) -> Result<u64, TraceError> {
     let (mut heard, mut said) = (Lines::new(heard), Lines::new(said));
     let mut writer = Writer::new(out, &Head::new(sources), Vec::new())?;
-    let mut wire = Wire::<Scribe>::default();
+    let mut wire = Session::<Scribe>::default();
     let (mut lives, mut count) = (0, 0);
     let mut put = |scribe: &Scribe, what: What| {
         let record = Record {
@@ -478,7 +482,7 @@
     };
     while let Some(line) = heard.next()? {
         let sidecar = line.of().whole("sidecar").ok();
-        let turn = wire.line(line).map_err(TraceError::Unfit)?;
+        let turn = wire.line(line).map_err(unfit)?;
         let scribe = sidecar
             .and_then(|sidecar| wire.instances.get_mut(&sidecar))
             .and_then(Option::as_mut);
@@ -501,7 +505,7 @@
                 wire: &mut wire,
                 done: Vec::new(),
             };
-            let ends = acts::read(&line, &mut deeds).map_err(TraceError::Unfit)?;
+            let ends = actions::read(&line, &mut deeds).map_err(unfit)?;
             for (sidecar, effect) in deeds.done {
                 if let Some(Some(scribe)) = wire.instances.get(&sidecar) {
                     put(scribe, What::Did(effect))?;
--- a/crates/trace/tests/wire.rs
+++ b/crates/trace/tests/wire.rs
@@ -3,8 +3,9 @@
 mod common;
 
 use common::*;
-use havenplank_adapter::door::{Instance, Wire};
+use havenplank_adapter::instance::Instance;
 use havenplank_adapter::line::Line;
+use havenplank_adapter::session::Session;
 use havenplank_trace::{from_wire, replay, TraceError};
 use oorandom::Rand64;
 use std::collections::HashMap;
@@ -16,7 +17,7 @@
 /// and go under the same names, forwards that fail, a build on trial.
 fn pipes() -> (String, String) {
     let (mut input, mut output) = (String::new(), Vec::new());
-    let (mut wire, mut chance) = (Wire::<Instance>::default(), Rand64::new(3));
+    let (mut wire, mut chance) = (Session::<Instance>::default(), Rand64::new(3));
     // Hits that wait for their forward: when it ends, the line without its sidecar's number, and the sidecar.
     let mut due: Vec<(u64, String)> = Vec::new();
     let mut alarms: Vec<(u64, String)> = Vec::new();
