--- a/crates/line-protocol/src/client.rs
+++ b/crates/line-protocol/src/client.rs
@@ -2,7 +2,7 @@
 
 use crate::backoff::Backoff;
 use crate::codec::{greeting, LineCodec, LineParser};
-use crate::ProtocolError;
+use crate::error::ProtocolError;
 use futures_util::{SinkExt, StreamExt};
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/line-protocol/src/codec.rs
+++ b/crates/line-protocol/src/codec.rs
@@ -1,7 +1,7 @@
 //! The framing that all protocols share: lines of bounded length, each parsed as a whole, after a greeting.
 
+use crate::error::{ParseError, ProtocolError};
 use crate::grammar::{self, then, word};
-use crate::{ParseError, ProtocolError};
 use bytes::{Buf, BytesMut};
 use tokio_util::codec::{Decoder, Encoder};
 use winnow::combinator::{opt, preceded};
--- a/crates/line-protocol/src/control_plane/notification.rs
+++ b/crates/line-protocol/src/control_plane/notification.rs
@@ -1,9 +1,9 @@
 //! The control plane's lines: `stage`, `voted`, `tally` and `flagged`, each with its number on the connection.
 
-use super::{ClassTally, Notification, PROTOCOL};
+use super::calls::{ClassTally, Notification, PROTOCOL};
 use crate::codec::{parse_greeting, LineParser, Sequence};
+use crate::error::ParseError;
 use crate::grammar::{self, name_of, non_negative, then, uint32, uint64, word};
-use crate::ParseError;
 use havenplank::interface::{Nanos, Phase, Stage, VoteReceipt, VoteReply};
 use std::fmt::Write as _;
 use winnow::combinator::opt;
--- a/crates/line-protocol/src/control_plane/request.rs
+++ b/crates/line-protocol/src/control_plane/request.rs
@@ -1,9 +1,9 @@
 //! The subscribers' lines: the greeting with a name, then `vote NUMBER BUILD STAGE VOTE`.
 
-use super::{Request, PROTOCOL};
+use super::calls::{Request, PROTOCOL};
 use crate::codec::{parse_greeting, LineParser};
+use crate::error::ParseError;
 use crate::grammar::{self, name_of, then, uint32, uint64};
-use crate::ParseError;
 use havenplank::interface::{Build, Vote};
 use winnow::combinator::preceded;
 
--- a/crates/line-protocol/src/endpoint_list/cache.rs
+++ b/crates/line-protocol/src/endpoint_list/cache.rs
@@ -1,8 +1,10 @@
 //! A list cached in a file: the service's own lines, greeting and one complete list.
 
-use super::{write_list, ListedEndpoint, NotificationParser, Subscriber, PROTOCOL};
+use super::calls::Subscriber;
+use super::endpoint::{ListedEndpoint, PROTOCOL};
+use super::notification::{write_list, NotificationParser};
 use crate::codec::{greeting, LineParser};
-use crate::CachedListError;
+use crate::error::CachedListError;
 
 /// Takes the last complete list out of what is parsed.
 struct CompleteList(Option<Vec<ListedEndpoint>>);
--- a/crates/line-protocol/src/endpoint_list/notification.rs
+++ b/crates/line-protocol/src/endpoint_list/notification.rs
@@ -1,9 +1,10 @@
 //! The service's lines: `whole|changes SEQ COUNT` and that many `pod` lines, or `failed SEQ REASON`.
 
-use super::{ListedEndpoint, Notification, PROTOCOL};
+use super::calls::Notification;
+use super::endpoint::{ListedEndpoint, PROTOCOL};
 use crate::codec::{parse_greeting, LineParser, Sequence, MAX_ENDPOINTS};
+use crate::error::ParseError;
 use crate::grammar::{self, expected, int64, name_of, non_negative, then, uint32, uint64, word};
-use crate::ParseError;
 use havenplank::interface::PodState;
 use std::fmt::Write as _;
 use winnow::combinator::{alt, preceded};
--- a/crates/line-protocol/src/endpoint_list/request.rs
+++ b/crates/line-protocol/src/endpoint_list/request.rs
@@ -1,8 +1,9 @@
 //! The subscribers' lines: the greeting with a name, then `whole` or `watch on|off`.
 
-use super::{Request, PROTOCOL};
+use super::calls::Request;
+use super::endpoint::PROTOCOL;
 use crate::codec::{parse_greeting, LineParser};
-use crate::ParseError;
+use crate::error::ParseError;
 
 /// Parses the subscribers' lines.
 #[derive(Default)]
--- a/crates/line-protocol/src/grammar.rs
+++ b/crates/line-protocol/src/grammar.rs
@@ -1,6 +1,6 @@
 //! Parsers for the words and numbers of a line.
 
-use crate::ParseError;
+use crate::error::ParseError;
 use winnow::ascii::{dec_int, dec_uint, float};
 use winnow::combinator::preceded;
 use winnow::error::{ContextError, StrContext, StrContextValue};
--- a/crates/platform/src/attempt_outcome.rs
+++ b/crates/platform/src/attempt_outcome.rs
@@ -1,6 +1,6 @@
 //! Decides what a pod's response, or the lack of one, means for an attempt and for its connection.
 //!
-//! The table is the protocol's, "what comes back". Tests: `tests/traps.rs`, `each_answer_of_a_pod_is_told_rightly`, and
+//! The table is the protocol's, "what comes back". Tests: `tests/traps.rs`, `each_response_of_a_pod_has_its_outcome`, and
 //! `tests/crossings.rs`, `a_kept_connection_reset_under_a_request_counts_as_may_have_run`.
 
 use crate::idle_timeout::Reuse;
--- a/crates/platform/src/control_plane/mod.rs
+++ b/crates/platform/src/control_plane/mod.rs
@@ -4,18 +4,20 @@
 
 pub(crate) mod messages;
 mod session;
+mod vote_reply;
 
 use crate::limits::VOTE_REPLY_LINGER;
 use crate::reconnect;
 use crate::shell::Shell;
 use crate::vote_queue::Ballot;
-use havenplank::interface::{Build, Stage, Vote, VoteReceipt, VoteReply};
+use havenplank::interface::{Build, Vote, VoteReceipt};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::sync::watch;
 use tokio::task::spawn_local;
 use tokio::time::sleep;
+use vote_reply::report_reply;
 
 /// Keeps a session up; ends only when the sender of `address` is dropped.
 pub(crate) async fn follow(shell: Rc<Shell>, address: watch::Receiver<SocketAddr>, seed: u64) {
@@ -43,8 +45,3 @@
         }
     });
 }
-
-fn report_reply(shell: &Rc<Shell>, vote: u64, receipt: VoteReceipt, stage: Option<Stage>) {
-    let reply = VoteReply { receipt, stage };
-    shell.call(|engine, now| engine.vote_answered(now, vote, reply));
-}
--- a/crates/platform/src/control_plane/session.rs
+++ b/crates/platform/src/control_plane/session.rs
@@ -1,7 +1,7 @@
 //! One connection to the control plane: calls written, their replies in order, and notifications between them.
 
 use super::messages::{self, Call, Fault, Message, Reply, ReplyError};
-use super::report_reply;
+use super::vote_reply::report_reply;
 use crate::fields::FieldError;
 use crate::limits::{
     CONTROL_PLANE_SILENCE, CONTROL_PLANE_WRITE_TIMEOUT, MAX_CONTROL_PLANE_LINE_BYTES,
--- a/crates/platform/src/discovery/mod.rs
+++ b/crates/platform/src/discovery/mod.rs
@@ -1,6 +1,6 @@
 //! Follows the endpoint list of discovery and hands its updates to the engine.
 //!
-//! [`watch_selection`] decides which watch is in force, [`list_update`] decodes, [`watch`] is one watch's connection.
+//! [`watch_selection`] decides which watch is in force, [`list_update`] decodes, `watch` is one watch's connection.
 
 pub mod list_update;
 mod watch;
--- a/crates/platform/src/pod_response/framing.rs
+++ b/crates/platform/src/pod_response/framing.rs
@@ -1,6 +1,6 @@
 //! How long a response's body is, and whether its connection goes on.
 
-use super::ResponseError;
+use super::error::ResponseError;
 use hyper::header::{HeaderMap, HeaderValue, CONNECTION, CONTENT_LENGTH, TRANSFER_ENCODING};
 
 /// How the end of a body is told.
--- a/crates/platform/src/pod_response/head.rs
+++ b/crates/platform/src/pod_response/head.rs
@@ -1,6 +1,6 @@
 //! Parses the head of a response.
 
-use super::ResponseError;
+use super::error::ResponseError;
 use crate::limits::{MAX_HEADERS, MAX_HEAD_BYTES};
 use bytes::{Buf, BytesMut};
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
--- a/crates/platform/src/pod_response/mod.rs
+++ b/crates/platform/src/pod_response/mod.rs
@@ -3,12 +3,14 @@
 //! This lies beneath `hyper`, on its parser `httparse`: whether a request's last byte was written, and whether bytes
 //! lie unread on a kept connection, `hyper`'s client does not tell (`tests/beneath.rs`).
 
+mod error;
 mod framing;
 mod head;
 
 use crate::limits::{MAX_BODY_BYTES, MAX_HEAD_BYTES, MAX_INFORMATIONAL_RESPONSES};
 use crate::response_memory::{with_share, ResponseMemory};
 use bytes::{Buf, Bytes, BytesMut};
+pub(crate) use error::ResponseError;
 use framing::Framing;
 use head::Head;
 use hyper::header::HeaderMap;
@@ -30,43 +32,6 @@
     pub(crate) is_reusable: bool,
 }
 
-/// Why a response cannot be read, or is not complete: its request may have run.
-#[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
-pub(crate) enum ResponseError {
-    #[error("closed without a response")]
-    ClosedUnanswered,
-    #[error("reset without a response")]
-    ResetUnanswered,
-    #[error("closed within the response")]
-    ClosedWithin,
-    #[error("reset within the response")]
-    ResetWithin,
-    #[error("informational responses without end")]
-    TooManyInformational,
-    #[error("a head of over {MAX_HEAD_BYTES} bytes")]
-    HeadTooLong,
-    #[error("a head that is not HTTP")]
-    InvalidHead,
-    #[error("a status that is not HTTP")]
-    InvalidStatus,
-    #[error("a header that is not HTTP")]
-    InvalidHeader,
-    #[error("its length is no number")]
-    InvalidLength,
-    #[error("its length is not told")]
-    NoLength,
-    #[error("its length is told in several ways")]
-    AmbiguousLength,
-    #[error("its length exceeds what memory allows")]
-    TooLong,
-    #[error("chunks exceed what memory allows")]
-    ChunksTooLong,
-    #[error("a chunk without a size")]
-    InvalidChunkSize,
-    #[error("a chunk without its end")]
-    InvalidChunkEnd,
-}
-
 /// Reads one response; informational ones before it are skipped.
 pub(crate) async fn read(
     stream: &mut TcpStream,
--- a/crates/platform/tests/common/mod.rs
+++ b/crates/platform/tests/common/mod.rs
@@ -72,7 +72,7 @@
         Talk::to(self.at).await.expect("a sidecar")
     }
 
-    /// A client's connection with a hit on it, and the pod's with the forward read from it.
+    /// A client's connection with a request on it, and the pod's with the attempt read from it.
     pub async fn request(&self, bytes: &str) -> (Talk, Talk) {
         let mut client = self.client().await;
         client.say(bytes).await.unwrap();
@@ -103,12 +103,12 @@
     runtime.block_on(LocalSet::new().run_until(work));
 }
 
-const WORD: &str = r#"{"jsonrpc":"2.0","id":0,"result":true}"#;
+const FOLLOWED: &str = r#"{"jsonrpc":"2.0","id":0,"result":true}"#;
 
 pub async fn followed(control_plane: &Peer) -> Talk {
     let mut talk = control_plane.accept().await.unwrap();
     assert!(talk.line().await.unwrap().contains(r#""method":"follow""#));
-    talk.say(format!("{WORD}\n")).await.unwrap();
+    talk.say(format!("{FOLLOWED}\n")).await.unwrap();
     talk
 }
 
--- a/crates/platform/tests/crossings.rs
+++ b/crates/platform/tests/crossings.rs
@@ -44,10 +44,10 @@
     test(async {
         let rig = Rig::new(|whole| whole["limits"]["sockets"] = json!(2048)).await;
         rig.commands.send(Command::Stop).await.ok().unwrap();
-        let told = Instant::now();
+        let stopped = Instant::now();
         sleep(550 * MS).await;
         // The runtime stands still past the 0.6 s after which no more are taken, and turns once for the timer.
-        std::thread::sleep((700 * MS).saturating_sub(told.elapsed()));
+        std::thread::sleep((700 * MS).saturating_sub(stopped.elapsed()));
         yield_now().await;
         // Before it turns again: the system accepts these, and nobody has heard of them.
         let late: Vec<TcpStream> = (0..100)
@@ -120,9 +120,9 @@
     whole["limits"]["memory_mb"] = json!(1024);
 }
 
-/// A full door against an answer that is handed over and not yet written.
+/// A full listener against an answer that is handed over and not yet written.
 #[test]
-fn an_answer_not_yet_written_is_not_turned_out_for_newcomers() {
+fn an_answer_not_yet_written_is_not_evicted_for_newcomers() {
     test(async {
         let rig = Rig::new(roomy).await;
         let slow = slow_reader(&rig, &large()).await;
@@ -229,9 +229,9 @@
     });
 }
 
-/// A full door against a request that lies in the socket of the connection that would go.
+/// A full listener against a request that lies in the socket of the connection that would go.
 #[test]
-fn a_request_that_just_came_is_not_turned_out() {
+fn a_request_that_just_came_is_not_evicted() {
     test(async {
         let rig = Rig::new(|_| {}).await;
         let mut kept = Vec::new();
--- a/crates/platform/tests/lists.rs
+++ b/crates/platform/tests/lists.rs
@@ -4,9 +4,7 @@
 
 use common::{config, get, test, turns, Rig, OK_CLOSE};
 use havenplank_emulator::scripted::{chunk, configuration, entry, list, Peer, Talk, WATCH};
-use havenplank_platform::json_stream::{JsonStream, MalformedStream, StreamItem};
 use havenplank_platform::Command;
-use proptest::prelude::*;
 use serde_json::json;
 use socket2::{Domain, Socket, Type};
 use std::net::SocketAddr;
@@ -15,7 +13,7 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-/// A watch that is in force, its first word said and heard.
+/// A watch that is in force, its first message received.
 async fn watching(rig: &Rig, seq: u64) -> Talk {
     let mut watch = rig.discovery.accept().await.unwrap();
     watch.message().await.unwrap();
@@ -42,26 +40,26 @@
 }
 
 #[test]
-fn an_indented_list_is_one_word_wherever_it_is_cut() {
+fn an_indented_list_is_one_message_wherever_it_is_cut() {
     test(async {
         let rig = Rig::new(|_| {}).await;
         let mut watch = watching(&rig, 4).await;
         let other = Peer::new().await.unwrap();
         let moved = entry("p", other.at().unwrap(), 7, "active");
-        let told = json!({"seq": 5, "whole": false, "hosts": [moved]});
-        let told = format!("\t {}\n\n", serde_json::to_string_pretty(&told).unwrap());
-        assert!(told.matches('\n').count() > 10);
-        for byte in told.chars() {
+        let update = json!({"seq": 5, "whole": false, "hosts": [moved]});
+        let update = format!("\t {}\n\n", serde_json::to_string_pretty(&update).unwrap());
+        assert!(update.matches('\n').count() > 10);
+        for byte in update.chars() {
             watch.say(chunk(&byte.to_string())).await.unwrap();
         }
-        // VoteReceipt by the time that a word after it is.
+        // Taken in by the time that a message after it is.
         watch.say(chunk("\n")).await.unwrap();
         turns(&rig).await;
         reaches(&rig, &other, "i1").await;
         // Two on one line, and the watch still stands.
         let back = entry("p", rig.pod.at().unwrap(), 7, "active");
-        let told = list(6, false, &[]).trim().to_string() + &list(7, false, &[back]);
-        watch.say(chunk(&told)).await.unwrap();
+        let updates = list(6, false, &[]).trim().to_string() + &list(7, false, &[back]);
+        watch.say(chunk(&updates)).await.unwrap();
         turns(&rig).await;
         reaches(&rig, &rig.pod, "i2").await;
         assert!(rig.discovery.is_alone().await, "no new watch was needed");
@@ -71,7 +69,7 @@
 /// The silent watch's 6 s, in the worst way: silent right after its last word, but for half a word that dribbles,
 /// and the next watch silent, too.
 #[test]
-fn a_silent_watch_is_made_good_within_its_six_seconds() {
+fn a_silent_watch_is_replaced_within_its_six_seconds() {
     test(async {
         let rig = Rig::new(|_| {}).await;
         let mut old = watching(&rig, 4).await;
@@ -113,7 +111,7 @@
 
 /// A watch that is only late is not given up while the one that was opened in doubt says nothing.
 #[test]
-fn a_late_watch_is_still_heard_beside_the_one_that_doubts_it() {
+fn a_late_watch_stays_active_beside_its_candidate() {
     test(async {
         let rig = Rig::new(|_| {}).await;
         let mut old = watching(&rig, 4).await;
@@ -139,7 +137,7 @@
 
 /// SIGHUP against two list sessions: only the one in force is heard, and a whole list may go back.
 #[test]
-fn after_a_reload_the_old_list_is_not_heard_and_a_whole_one_may_go_back() {
+fn after_a_reload_the_former_watch_is_ignored_and_a_complete_list_may_go_back() {
     test(async {
         let rig = Rig::new(|_| {}).await;
         let mut old = watching(&rig, 8).await;
@@ -187,7 +185,7 @@
 
 /// A list session at the old address that speaks on while the new one is out of reach: the new one is tried on.
 #[test]
-fn a_reload_to_an_address_out_of_reach_is_tried_on_while_the_old_list_is_heard() {
+fn a_reload_to_an_address_out_of_reach_is_retried_while_the_former_watch_is_active() {
     test(async {
         let rig = Rig::new(|_| {}).await;
         let mut old = watching(&rig, 4).await;
@@ -219,79 +217,3 @@
             .unwrap();
     });
 }
-
-fn pieces(objects: &mut JsonStream) -> Result<Vec<StreamItem>, MalformedStream> {
-    std::iter::from_fn(|| objects.next_item().transpose()).collect()
-}
-
-const STREAM: &str = "\n {\"a\": [{\"b\\\"}\": \"]{\\\\\"}, 1]}{}\r\n\t{\n \"c\":\n {}\n}\n";
-
-#[test]
-fn objects_come_out_the_same_wherever_they_are_cut() {
-    let mut whole = JsonStream::new(100);
-    whole.push(STREAM.as_bytes());
-    let whole = pieces(&mut whole).unwrap();
-    let objects: Vec<serde_json::Value> = whole
-        .iter()
-        .filter_map(|piece| match piece {
-            StreamItem::LineEnd => None,
-            StreamItem::Object(object) => Some(serde_json::from_slice(object).unwrap()),
-        })
-        .collect();
-    assert_eq!(
-        objects,
-        [
-            json!({"a": [{"b\"}": "]{\\"}, 1]}),
-            json!({}),
-            json!({"c": {}})
-        ]
-    );
-    assert_eq!(whole.len(), 6);
-    for cut in 0..STREAM.len() {
-        let mut parts = JsonStream::new(100);
-        parts.push(&STREAM.as_bytes()[..cut]);
-        let mut got = pieces(&mut parts).unwrap();
-        parts.push(&STREAM.as_bytes()[cut..]);
-        got.extend(pieces(&mut parts).unwrap());
-        assert_eq!(got, whole, "cut at {cut}");
-    }
-}
-
-#[test]
-fn what_is_no_stream_of_objects_is_named() {
-    for (said, why) in [
-        ("x", MalformedStream::StrayByte { byte: b'x' }),
-        ("{} ]", MalformedStream::StrayByte { byte: b']' }),
-        (
-            "{\"a\": \"0123456789\"}",
-            MalformedStream::ObjectTooLong { max_bytes: 10 },
-        ),
-    ] {
-        let mut objects = JsonStream::new(10);
-        objects.push(said.as_bytes());
-        assert_eq!(pieces(&mut objects), Err(why), "{said}");
-    }
-}
-
-proptest! {
-    /// A byte flipped anywhere: pieces or a named fault, the same wherever it is cut.
-    #[test]
-    fn a_flipped_stream_reads_the_same_wherever_it_is_cut(
-        at in 0..STREAM.len(), flip in 1u8.., cut in 0..STREAM.len()
-    ) {
-        let mut bytes = STREAM.as_bytes().to_vec();
-        bytes[at] ^= flip;
-        let mut whole = JsonStream::new(100);
-        whole.push(&bytes);
-        let whole = pieces(&mut whole);
-        let mut parts = JsonStream::new(100);
-        parts.push(&bytes[..cut]);
-        let first = pieces(&mut parts);
-        parts.push(&bytes[cut..]);
-        let got = first.and_then(|mut first| {
-            first.extend(pieces(&mut parts)?);
-            Ok(first)
-        });
-        prop_assert_eq!(got, whole);
-    }
-}
--- a/crates/platform/tests/traps.rs
+++ b/crates/platform/tests/traps.rs
@@ -1,4 +1,4 @@
-//! The platform's traps, one test each, over loopback between scripted peers.
+//! What the platform's protocol asks for, one test each, over loopback between scripted peers.
 
 mod common;
 
@@ -11,7 +11,7 @@
 use tokio::time::sleep;
 
 #[test]
-fn a_hit_goes_on_unchanged_and_its_time_runs_from_its_first_byte() {
+fn a_request_passes_on_unchanged_and_its_time_runs_from_its_first_byte() {
     test(async {
         let rig = Rig::new(|_| {}).await;
         let (mut client, request) = (
@@ -24,8 +24,8 @@
         let mut pod = rig.pod.accept().await.unwrap();
         let (head, body) = pod.message().await.unwrap();
         assert!(head.starts_with("post /mark/a?b=1 http/1.1\n"), "{head}");
-        let told = ["x-correlation-id", "idempotency-key"].map(|name| header(&head, name));
-        assert_eq!((told, body.as_str()), ([Some("i1"), Some("k")], "{body}"));
+        let sent = ["x-correlation-id", "idempotency-key"].map(|name| header(&head, name));
+        assert_eq!((sent, body.as_str()), ([Some("i1"), Some("k")], "{body}"));
         // The pod is waited for until the target latency, but no longer than the client waits.
         let left: u64 = header(&head, "x-time-left-ms").unwrap().parse().unwrap();
         assert!(left <= 400, "{left}");
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_client_that_closes_ends_its_forward() {
+fn a_client_that_closes_ends_its_attempt() {
     test(async {
         let rig = Rig::new(|_| {}).await;
         let (client, mut pod) = rig.request(&get("i1")).await;
@@ -53,9 +53,9 @@
 }
 
 #[test]
-fn what_is_no_hit_gets_an_error_and_a_close_and_reaches_no_pod() {
+fn an_invalid_request_gets_an_error_and_a_close_and_reaches_no_pod() {
     test(async {
-        // One hit stays in flight all the while.
+        // One request stays in flight all the while.
         let rig = Rig::new(|whole| {
             for group in whole["settings"]["classes"].as_array_mut().unwrap() {
                 (group["onTimeNs"], group["giveUpNs"]) =
@@ -103,7 +103,7 @@
             assert!((400..500).contains(&status), "{status} to {bytes:.90}");
             assert!(client.ends().await, "{bytes:.90}");
         }
-        // Half a hit, and nothing more.
+        // Half a request, and nothing more.
         let mut half = rig.client().await;
         half.say("POST /mark HTTP/1.1\r\ncontent-le").await.unwrap();
         assert!(half.ends().await);
@@ -148,15 +148,15 @@
             assert_eq!(client.answer().await.unwrap().0, 200);
             stayed.push(client);
         }
-        // Four fifths of a third of 128 are 34, and the door has places for 45: long before it is idle for 2 s.
+        // Four fifths of a third of 128 are 34, and the listener has places for 45: long before it is idle for 2 s.
         let first = tokio::time::timeout(Duration::from_secs(1), stayed[0].ends()).await;
         assert!(first.expect("closed at once"));
     });
 }
 
-/// What a pod sends, and what a client of a mutating hit gets: 503 promises that it never ran.
+/// What a pod sends, and what the client of a non-idempotent request gets: 503 promises that it never ran.
 #[test]
-fn each_answer_of_a_pod_is_told_rightly() {
+fn each_response_of_a_pod_has_its_outcome() {
     let cases = [
         (OK.to_string(), 200),
         (
@@ -221,7 +221,7 @@
         let report = json!({"how": "piggyback", "columns": ["busy_reqs"]});
         let rig = Rig::new(|whole| whole["settings"]["loadReport"] = report).await;
         let (mut client, mut pod) = rig.request(&get("i0")).await;
-        for (n, told) in [
+        for (n, report) in [
             "{\"busy_reqs\": 3}",
             "{\"busy_reqs\": \"x\"}",
             "{",
@@ -231,10 +231,10 @@
         .iter()
         .enumerate()
         {
-            pod.say(OK.replace("\r\n\r\n", &format!("\r\nx-backend-load: {told}\r\n\r\n")))
+            pod.say(OK.replace("\r\n\r\n", &format!("\r\nx-backend-load: {report}\r\n\r\n")))
                 .await
                 .unwrap();
-            assert_eq!(client.answer().await.unwrap().0, 200, "{told}");
+            assert_eq!(client.answer().await.unwrap().0, 200, "{report}");
             // On the same connection: it was not taken for spoilt.
             rested().await;
             client.say(get(&format!("i{}", n + 1))).await.unwrap();
@@ -356,9 +356,14 @@
         assert!(rig.pod.is_alone().await);
         // A line may come in pieces; whole lists drop what they do not name.
         let back = entry("q", rig.pod.at().unwrap(), 7, "active");
-        let told = list(9, true, &[back]);
+        let complete = list(9, true, &[back]);
         watch
-            .say(WATCH.to_string() + &chunk(&told[..20]) + &chunk(&told[20..]) + &chunk("\n"))
+            .say(
+                WATCH.to_string()
+                    + &chunk(&complete[..20])
+                    + &chunk(&complete[20..])
+                    + &chunk("\n"),
+            )
             .await
             .unwrap();
         // Nothing is kept open to where no pod is listed.
@@ -369,17 +374,17 @@
     });
 }
 
-/// Wrong answers of the one pod, which runs build 7, told until a vote against it comes.
+/// Wrong answers of the one pod, which runs build 7, reported until a vote against it comes.
 async fn vote(talk: &mut Talk) -> Value {
     let news = json!({"image": 7, "ring": 0, "progress": "canary", "ceiling": 0.5, "lag_ms": 0});
     let wrong = json!({"host": "p", "type": "read", "lag_ms": 5});
-    let mut told =
+    let mut lines =
         json!({"jsonrpc": "2.0", "method": "progress", "params": news}).to_string() + "\n";
     for _ in 0..40 {
-        told +=
+        lines +=
             &(json!({"jsonrpc": "2.0", "method": "complaint", "params": wrong}).to_string() + "\n");
     }
-    talk.say(told).await.unwrap();
+    talk.say(lines).await.unwrap();
     serde_json::from_str(&talk.line().await.unwrap()).unwrap()
 }
 
@@ -407,7 +412,7 @@
             (&json!("castBallot"), &json!(7))
         );
         assert_eq!(call["params"]["opinion"], "back");
-        // Not to be read: it may count. The vote is cast again where the desk speaks clearly.
+        // Not to be read: it may count. The vote is cast again where the control plane answers.
         talk.say("{\"jsonrpc\":\"2.0\",\"id\":\n").await.unwrap();
         assert!(talk.ends().await);
         let mut talk = followed(&rig.control_plane).await;
@@ -425,7 +430,7 @@
 }
 
 #[test]
-fn a_desk_that_falls_silent_is_asked_anew() {
+fn a_silent_control_plane_is_connected_anew() {
     test(async {
         let rig = Rig::new(|_| {}).await;
         let mut talk = followed(&rig.control_plane).await;
@@ -435,7 +440,7 @@
 }
 
 #[test]
-fn a_reload_opens_the_new_links_before_the_old_ones_go() {
+fn a_reload_opens_the_new_connections_before_the_old_ones_close() {
     test(async {
         let rig = Rig::new(|_| {}).await;
         let mut old = rig.discovery.accept().await.unwrap();
@@ -545,7 +550,7 @@
 fn a_bad_configuration_is_named_by_its_field() {
     let at: SocketAddr = "127.0.0.1:9".parse().unwrap();
     let whole = configuration(at, at, &[]);
-    for (path, value, told) in [
+    for (path, value, field) in [
         ("/listen", json!("here"), "listen"),
         ("/limits/sockets", json!(3), "limits.sockets"),
         ("/limits/sockets", json!(u64::MAX / 4), "limits.sockets"),
@@ -564,7 +569,7 @@
             .err()
             .expect("refused")
             .to_string();
-        assert!(why.contains(told), "{why}");
+        assert!(why.contains(field), "{why}");
     }
     assert!(Config::parse(b"{").is_err() && Config::parse(b"[]").is_err());
 }
