--- a/crates/line-protocol/src/endpoint_list/notification.rs
+++ b/crates/line-protocol/src/endpoint_list/notification.rs
@@ -62,7 +62,7 @@
     }
 
     fn parse_failure(&mut self, rest: &str) -> Result<Notification, ParseError> {
-        let (number, reason) = rest.split_once(' ').unwrap_or((rest, "no reason told"));
+        let (number, reason) = rest.split_once(' ').unwrap_or((rest, "no reason given"));
         let number = grammar::parse_whole(number, uint64("a number"))?;
         self.sequence.advance(number)?;
         let reason = reason.to_string();
--- a/crates/line-protocol/src/error.rs
+++ b/crates/line-protocol/src/error.rs
@@ -66,7 +66,7 @@
         expected: u64,
     },
     /// A list announces more endpoints than one may hold.
-    #[error("too many pods, expected {max} at most")]
+    #[error("too many endpoints, expected {max} at most")]
     TooManyEndpoints {
         /// The bound.
         max: usize,
@@ -105,6 +105,6 @@
         source: ParseError,
     },
     /// The text ends before its list does, or holds changes only.
-    #[error("cut short, expected one whole list")]
+    #[error("cut short, expected one complete list")]
     Incomplete,
 }
--- a/crates/line-protocol/tests/endpoint_list.rs
+++ b/crates/line-protocol/tests/endpoint_list.rs
@@ -49,7 +49,7 @@
         ),
         (
             text.replace("whole 1 2", "whole 1 99999999"),
-            "line 2: too many pods",
+            "line 2: too many endpoints",
         ),
         (
             text.replace("hello nodes 1", "hello nodes 2"),
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -21,7 +21,7 @@
 const BYTES_PER_MB: usize = 1_000_000;
 const SEED_RADIX: u32 = 16;
 
-/// What one sidecar is told at its start, and again at SIGHUP.
+/// The settings of one sidecar, read at its start and again at SIGHUP.
 pub struct Config {
     /// Where clients connect.
     pub listen: SocketAddr,
--- a/crates/platform/src/control_plane/session.rs
+++ b/crates/platform/src/control_plane/session.rs
@@ -47,7 +47,7 @@
     Closed,
 }
 
-/// What was asked on a connection and not answered, in order.
+/// Calls written on a connection and not answered, in order.
 struct Session {
     shell: Rc<Shell>,
     /// Bounded by the votes that the router has out and the call that asks for notifications.
--- a/crates/platform/src/discovery/watch_selection.rs
+++ b/crates/platform/src/discovery/watch_selection.rs
@@ -67,7 +67,7 @@
 pub enum OnCandidateMessage {
     /// It is the active watch from now on, with this verdict on its message.
     Promote(Verdict),
-    /// It told of a time before the last message of the active watch: another takes its place.
+    /// Its list is older than the last message of the active watch: another candidate takes its place.
     Replace(OpenCandidate),
 }
 
@@ -170,7 +170,7 @@
         let WatchMessage::Update { version, complete } = message else {
             return Verdict::Ignore;
         };
-        // Changes up to a version that is known already would set back what was told since.
+        // Changes up to a version that is known already would set back what was received since.
         if !complete && version < self.version {
             return Verdict::Ignore;
         }
--- a/crates/platform/src/pod_response/error.rs
+++ b/crates/platform/src/pod_response/error.rs
@@ -25,9 +25,9 @@
     InvalidHeader,
     #[error("its length is no number")]
     InvalidLength,
-    #[error("its length is not told")]
+    #[error("it states no length")]
     NoLength,
-    #[error("its length is told in several ways")]
+    #[error("it states its length in several ways")]
     AmbiguousLength,
     #[error("its length exceeds what memory allows")]
     TooLong,
--- a/crates/platform/src/pod_response/framing.rs
+++ b/crates/platform/src/pod_response/framing.rs
@@ -3,7 +3,7 @@
 use super::error::ResponseError;
 use hyper::header::{HeaderMap, HeaderValue, CONNECTION, CONTENT_LENGTH, TRANSFER_ENCODING};
 
-/// How the end of a body is told.
+/// How the end of a body is marked.
 #[derive(Debug, PartialEq)]
 pub(super) enum Framing {
     /// By its length, in bytes.
@@ -12,7 +12,7 @@
     Chunked,
 }
 
-/// Returns how the end of the body is told. Two lengths or two framings are refused, and so is an end by close, which
+/// Returns how the end of the body is marked. Two lengths or two framings are refused, and so is an end by close, which
 /// a break looks just like.
 pub(super) fn of(headers: &HeaderMap) -> Result<Framing, ResponseError> {
     let lengths: Vec<&HeaderValue> = headers.get_all(CONTENT_LENGTH).iter().collect();
--- a/crates/platform/src/pod_response/mod.rs
+++ b/crates/platform/src/pod_response/mod.rs
@@ -1,7 +1,7 @@
 //! Reads a pod's response whole, bounded, from a connection.
 //!
 //! This lies beneath `hyper`, on its parser `httparse`: whether a request's last byte was written, and whether bytes
-//! lie unread on a kept connection, `hyper`'s client does not tell (`tests/beneath.rs`).
+//! lie unread on a kept connection, `hyper`'s client does not show (`tests/beneath.rs`).
 
 mod error;
 mod framing;
@@ -123,7 +123,7 @@
                 return Err(ResponseError::ChunksTooLong);
             }
             let size = chunk.size as usize;
-            // How much will come is not told: a share for all that may, and for a chunk that is still being read.
+            // How much will come is unknown: a share for all that may, and for a chunk that is still being read.
             if share.is_none() && body.len() + size > MAX_BODY_BYTES {
                 let most = 2 * self.memory.max_response_bytes();
                 share = self.memory.reserve(most).await;
--- a/crates/platform/src/request_handler.rs
+++ b/crates/platform/src/request_handler.rs
@@ -97,7 +97,7 @@
     let in_flight = InFlight { shell, request };
     id.set_request(request);
     let response = tokio::select! {
-        // An engine that stops with a request in flight is a fault; the client is told that nothing is promised.
+        // An engine that stops with a request in flight is a fault; the response promises nothing.
         response = response => response.unwrap_or_else(|_| failed(false)),
         // HTTP looks for its close only while no other bytes lie in front of that. Nobody reads this response.
         () = client.stream.closed() => and_close(failed(false)),
--- a/crates/platform/src/request_reader.rs
+++ b/crates/platform/src/request_reader.rs
@@ -31,7 +31,7 @@
 
 /// A request, read whole.
 pub(crate) struct ReadRequest {
-    /// What the engine is told of it; the remaining time counts from its first byte.
+    /// What the engine knows of it; the remaining time counts from its first byte.
     pub(crate) attributes: RequestAttributes,
     /// What is sent to pods.
     pub(crate) prepared: PreparedRequest,
--- a/crates/platform/src/service.rs
+++ b/crates/platform/src/service.rs
@@ -21,7 +21,7 @@
 use tokio::task::{spawn_local, JoinHandle, JoinSet};
 use tokio::time::{sleep, sleep_until};
 
-/// What a running sidecar is told by whoever started it.
+/// A command to a running sidecar.
 pub enum Command {
     /// A new configuration: the addresses of discovery and control plane in it hold from now on.
     Reload(Box<Config>),
