--- a/crates/platform/src/attempt_outcome.rs
+++ b/crates/platform/src/attempt_outcome.rs
@@ -1,6 +1,7 @@
 //! Decides what a pod's response, or the lack of one, means for an attempt and for its connection.
 //!
-//! The table is the protocol's, "what comes back". Tests: `tests/traps.rs`, `each_response_of_a_pod_has_its_outcome`, and
+//! The table is the protocol's, "what comes back". Tests: `tests/unit/attempt_outcome.rs`; over sockets `tests/traps.rs`,
+//! `each_response_of_a_pod_has_its_outcome`, and
 //! `tests/crossings.rs`, `a_kept_connection_reset_under_a_request_counts_as_may_have_run`.
 
 use crate::idle_timeout::Reuse;
@@ -70,3 +71,7 @@
         None => WriteFailure::GiveUp,
     }
 }
+
+#[cfg(test)]
+#[path = "../tests/unit/attempt_outcome.rs"]
+mod tests;
--- a/crates/platform/src/in_flight_ids.rs
+++ b/crates/platform/src/in_flight_ids.rs
@@ -1,7 +1,7 @@
 //! The correlation ids of requests in flight, and what becomes of a request whose id is in flight already.
 //!
 //! A client whose connection ended under a request that it takes for unread sends that request once more, and its close
-//! may be noticed here after that. Tests: `tests/crossings.rs`,
+//! may be noticed here after that. Tests: `tests/unit/in_flight_ids.rs`; over sockets `tests/crossings.rs`,
 //! `a_request_sent_again_after_its_connection_ended_is_not_taken_for_another_clients`.
 
 use crate::client_connection::ClientConnection;
@@ -90,3 +90,7 @@
         }
     }
 }
+
+#[cfg(test)]
+#[path = "../tests/unit/in_flight_ids.rs"]
+mod tests;
--- /dev/null
+++ b/crates/platform/tests/unit/attempt_outcome.rs
@@ -0,0 +1,45 @@
+//! Tests of `src/attempt_outcome.rs`.
+
+use super::*;
+use hyper::header::HeaderValue;
+
+#[test]
+fn only_a_200_is_served_and_only_a_marked_503_or_504_never_ran() {
+    let unmarked = HeaderMap::new();
+    let mut marked = HeaderMap::new();
+    marked.insert(UNPROCESSED, HeaderValue::from_static("1"));
+    let mut denied = HeaderMap::new();
+    denied.insert(UNPROCESSED, HeaderValue::from_static("0"));
+    for (status, headers, expected) in [
+        (200, &unmarked, AttemptEnd::Served),
+        (200, &marked, AttemptEnd::Served),
+        (503, &marked, AttemptEnd::Rejected),
+        (504, &marked, AttemptEnd::Rejected),
+        (503, &unmarked, AttemptEnd::Failed),
+        (503, &denied, AttemptEnd::Failed),
+        (500, &marked, AttemptEnd::Failed),
+        (204, &marked, AttemptEnd::Failed),
+    ] {
+        let status = StatusCode::from_u16(status).unwrap();
+        assert_eq!(end_of(status, headers), expected, "{status} {headers:?}");
+    }
+}
+
+#[test]
+fn only_a_connection_that_ended_unanswered_speaks_against_keeping_it_idle() {
+    for (error, expected) in [
+        (ResponseError::ClosedUnanswered, Reuse::Broken),
+        (ResponseError::ResetUnanswered, Reuse::Broken),
+        (ResponseError::ClosedWithin, Reuse::Answered),
+        (ResponseError::InvalidHead, Reuse::Answered),
+    ] {
+        assert_eq!(reuse_of(error), expected, "{error}");
+    }
+}
+
+#[test]
+fn a_request_is_written_again_only_where_its_connection_was_a_kept_one() {
+    let kept = Some(Duration::from_millis(30));
+    assert_eq!(on_write_failure(kept), WriteFailure::UseNewConnection);
+    assert_eq!(on_write_failure(None), WriteFailure::GiveUp);
+}
