--- a/crates/platform/src/node.rs
+++ b/crates/platform/src/node.rs
@@ -8,7 +8,7 @@
 use crate::{control_plane, discovery};
 use bytes::Bytes;
 use havenplank::interface::*;
-use havenplank_sidecar::dispatcher::{Dispatcher, Transport};
+use havenplank_sidecar::dispatcher::{AttemptId, Dispatcher, Transport};
 use havenplank_sidecar::engine::{Engine, EPOCH};
 use havenplank_sidecar::{listen, responses, StartError};
 use http_body_util::Full;
@@ -57,11 +57,11 @@
     fn send_attempt(
         hub: Rc<Shell>,
         ask: Rc<Ask>,
-        nth: (RequestId, u32),
+        attempt: AttemptId,
         pod: PodId,
         time_out: Nanos,
     ) -> impl Future<Output = ()> + 'static {
-        pods::forward(hub, ask, nth, pod, time_out)
+        pods::forward(hub, ask, attempt, pod, time_out)
     }
 
     fn rejected(&self, retry_after: Nanos) -> Response<Full<Bytes>> {
--- a/crates/platform/src/pods.rs
+++ b/crates/platform/src/pods.rs
@@ -7,9 +7,9 @@
 use crate::idle_timeout::{self, IdleTimeout};
 use crate::node::Shell;
 use bytes::{Buf, Bytes, BytesMut};
-use havenplank::interface::{AttemptEnd, HealthCheckResult, Nanos, PodId, RequestId};
+use havenplank::interface::{AttemptEnd, HealthCheckResult, Nanos, PodId};
 use havenplank_adapter::door::load_of;
-use havenplank_sidecar::dispatcher::AttemptResult;
+use havenplank_sidecar::dispatcher::{AttemptId, AttemptResult};
 use http_body_util::Full;
 use hyper::header::{
     HeaderMap, HeaderName, HeaderValue, CONNECTION, CONTENT_LENGTH, TRANSFER_ENCODING,
@@ -268,7 +268,7 @@
 pub async fn forward(
     shell: Rc<Shell>,
     ask: Rc<Ask>,
-    nth: (RequestId, u32),
+    attempt: AttemptId,
     pod: PodId,
     time_out: Nanos,
 ) {
@@ -276,10 +276,10 @@
     let (whole, time) = (Cell::new(false), Duration::from_nanos(time_out));
     shell
         .run_attempt(
-            nth,
+            attempt,
             time,
             &whole,
-            exchange(&shell, &ask, nth, pod, time, &whole),
+            exchange(&shell, &ask, attempt, pod, time, &whole),
         )
         .await;
 }
@@ -287,7 +287,7 @@
 async fn exchange(
     shell: &Rc<Shell>,
     ask: &Ask,
-    (hit, nth): (RequestId, u32),
+    attempt: AttemptId,
     pod: PodId,
     time: Duration,
     whole: &Cell<bool>,
@@ -304,7 +304,7 @@
             Err(NoConnection::Permits) => return AttemptEnd::NotSent.into(),
         };
         // Chosen when it had no connection yet: the pod may drain by now, or its build be closed.
-        if !shell.may_send(hit, nth) {
+        if !shell.may_send(attempt) {
             pods.give_back(address, connection);
             return AttemptEnd::NotSent.into();
         }
@@ -335,7 +335,14 @@
         Err(Spoilt(why)) => {
             pods.used(&connection, matches!(why, NOTHING | RESET));
             let idle_us = connection.idle.map(|idle| idle.as_micros() as u64);
-            tracing::debug!(hit, nth, pod, idle_us, why, "answer spoilt");
+            tracing::debug!(
+                hit = attempt.request,
+                nth = attempt.number,
+                pod,
+                idle_us,
+                why,
+                "answer spoilt"
+            );
             return AttemptEnd::Reset.into();
         }
     };
--- a/crates/sidecar/src/admin.rs
+++ b/crates/sidecar/src/admin.rs
@@ -1,23 +1,35 @@
 //! The operators' listener: a look at the state, and wrong answers reported.
 
-use crate::proxy::Body;
+use crate::body::Body;
 use crate::responses::plain;
-use crate::transport::Shell;
+use crate::shell::Shell;
+use crate::state_report::state_report;
 use havenplank::interface::Nanos;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
 use hyper::header::{HeaderValue, CONTENT_TYPE};
 use hyper::{Method, Request, Response, StatusCode};
-use serde_json::{json, Value};
+use serde_json::Value;
 use std::convert::Infallible;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::timeout;
 
-const BODY: usize = 4096;
+/// The longest body of a report.
+const MAX_BODY_BYTES: usize = 4096;
+/// How long a report's body may take.
 const BODY_TIME: Duration = Duration::from_secs(2);
+const NANOS_PER_MILLI: Nanos = 1_000_000;
 
-/// `GET /state`, and `POST /flagged` with `{"pod": ..., "path_group": ..., "ago_ms": ...}`.
+/// Why a report of a wrong answer is refused.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{0}")]
+struct ReportRefused(&'static str);
+
+/// Answers `GET /state`, and `POST /flagged` with `{"pod": ..., "path_group": ..., "ago_ms": ...}`.
+///
+/// # Errors
+/// Never.
 pub async fn serve(
     shell: Rc<Shell>,
     request: Request<Incoming>,
@@ -25,9 +37,9 @@
     let (method, path) = (request.method().clone(), request.uri().path().to_string());
     Ok(match (method, path.as_str()) {
         (Method::GET, "/state") => state(&shell),
-        (Method::POST, "/flagged") => match flagged(&shell, request).await {
+        (Method::POST, "/flagged") => match report_fault(&shell, request).await {
             Ok(()) => plain(StatusCode::NO_CONTENT, ""),
-            Err(why) => {
+            Err(ReportRefused(why)) => {
                 tracing::info!(why, "flagged refused");
                 plain(StatusCode::BAD_REQUEST, why)
             }
@@ -40,69 +52,36 @@
 }
 
 fn state(shell: &Shell) -> Response<Body> {
-    let glance = shell.status();
-    let stage = glance.stage.map(|stage| {
-        json!({"build": stage.build, "stage": stage.stage, "phase": format!("{:?}", stage.phase), "cap": stage.cap})
-    });
-    let sums = glance.test_sums;
-    let mut state = json!({
-        "name": shell.site.name,
-        "hits_in_flight": glance.requests,
-        "pods_running": glance.running_pods,
-        "stage": stage,
-        "sums": {"failures": sums.failures, "slow": sums.slow, "by_share": sums.by_share},
-    });
-    if let Some(configuration) = shell.configuration.get() {
-        state["configuration"] = configuration.state();
-    }
-    if let Some(guard) = &shell.guard {
-        let glance = guard.glance();
-        state["takeover"] = json!({
-            "held": glance.held, "kept": glance.kept, "waiting": glance.waiting,
-            "unguarded": glance.unguarded, "turned_away": glance.turned_away, "taken_over": glance.taken_over,
-        });
-    }
-    if let Some(fellowship) = &shell.fellowship {
-        let glance = fellowship.glance();
-        state["fellowship"] = json!({
-            "living": glance.living, "slowness": glance.slowness, "sent": glance.sent, "sent_bytes": glance.sent_bytes,
-            "refused": glance.refused, "overrun": glance.overrun, "unsent": glance.unsent,
-        });
-        let disputes = glance.disputes.iter().map(|dispute| {
-            json!({
-                "with": dispute.with, "it_misses": dispute.it_misses, "we_miss": dispute.we_miss, "roster": dispute.roster,
-            })
-        });
-        state["standing"] = json!({
-            "is": glance.standing, "for_ms": glance.stands_for / 1_000_000, "belong": glance.belong, "reached": glance.reached,
-            "missing": glance.missing, "deaf_to_us": glance.deaf_to_us, "unsteady": glance.unsteady,
-            "disputes": disputes.collect::<Vec<_>>(),
-        });
-    }
-    let mut response = Response::new(Body::Whole(Full::new(format!("{state}\n").into())));
+    let text = format!("{}\n", state_report(shell));
+    let mut response = Response::new(Body::Complete(Full::new(text.into())));
     response
         .headers_mut()
         .insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     response
 }
 
-async fn flagged(shell: &Rc<Shell>, request: Request<Incoming>) -> Result<(), &'static str> {
-    let body = timeout(BODY_TIME, Limited::new(request.into_body(), BODY).collect()).await;
-    let body = body
-        .map_err(|_| "the body took too long\n")?
-        .map_err(|_| "expected 4096 bytes at most\n")?;
-    let told: Value =
-        serde_json::from_slice(&body.to_bytes()).map_err(|_| "expected a JSON object\n")?;
-    let pod = told["pod"].as_str().ok_or("pod: expected a text\n")?;
-    let group = told["path_group"]
+async fn report_fault(shell: &Rc<Shell>, request: Request<Incoming>) -> Result<(), ReportRefused> {
+    let body = Limited::new(request.into_body(), MAX_BODY_BYTES).collect();
+    let body = timeout(BODY_TIME, body)
+        .await
+        .map_err(|_| ReportRefused("the body took too long\n"))?
+        .map_err(|_| ReportRefused("expected 4096 bytes at most\n"))?;
+    let report: Value = serde_json::from_slice(&body.to_bytes())
+        .map_err(|_| ReportRefused("expected a JSON object\n"))?;
+    let pod = report["pod"]
+        .as_str()
+        .ok_or(ReportRefused("pod: expected a text\n"))?;
+    let route_class = report["path_group"]
         .as_str()
-        .ok_or("path_group: expected a text\n")?;
-    let ago = told["ago_ms"]
+        .ok_or(ReportRefused("path_group: expected a text\n"))?;
+    let ago_ms = report["ago_ms"]
         .as_u64()
-        .ok_or("ago_ms: expected a whole number\n")?;
-    let ago: Nanos = ago.checked_mul(1_000_000).ok_or("ago_ms: too long ago\n")?;
-    match shell.report_fault(pod, group, ago) {
+        .ok_or(ReportRefused("ago_ms: expected a whole number\n"))?;
+    let ago = ago_ms
+        .checked_mul(NANOS_PER_MILLI)
+        .ok_or(ReportRefused("ago_ms: too long ago\n"))?;
+    match shell.report_fault(pod, route_class, ago) {
         true => Ok(()),
-        false => Err("pod or path_group: not known\n"),
+        false => Err(ReportRefused("pod or path_group: not known\n")),
     }
 }
--- a/crates/sidecar/src/client_stream.rs
+++ b/crates/sidecar/src/client_stream.rs
@@ -1,4 +1,4 @@
-//! A client's stream that tells when a hit began, when its answer was written and when the client closed, and that
+//! A client's stream that knows when a request began, when its answer was written and when the client closed, and that
 //! can be drained once HTTP is done with it.
 
 use bytes::{Buf, BytesMut};
@@ -19,66 +19,69 @@
 /// What is read and thrown away of a connection that closes, at most, and for how long.
 const DRAIN_BYTES: usize = 1 << 20;
 const DRAIN_TIME: Duration = Duration::from_millis(500);
-/// What is read ahead of a client while its hit is served, to see it close behind that. One that sends more is none
+/// What is read ahead of a client while its request is served, to see it close behind that. One that sends more is none
 /// of the protocol, which has one request at a time; its close is not looked for.
 const AHEAD_BYTES: usize = 16 << 10;
 
 struct Stream {
     socket: TcpStream,
-    /// When the first byte came that no hit was read from yet.
-    first: Cell<Option<Instant>>,
+    /// When the first byte came that no request was read from yet.
+    first_unread: Cell<Option<Instant>>,
     /// Read ahead of HTTP, which gets it first; whom to wake then.
-    ahead: RefCell<BytesMut>,
+    read_ahead: RefCell<BytesMut>,
     reader: Cell<Option<Waker>>,
     /// HTTP has taken the whole of an answer, and wrote all that it had.
-    taken: Cell<bool>,
-    written: Cell<Option<Instant>>,
+    response_taken: Cell<bool>,
+    response_written: Cell<Option<Instant>>,
     /// Since when the client takes no more of what is to be written.
-    stuck: Cell<Option<Instant>>,
+    write_blocked: Cell<Option<Instant>>,
 }
 
+/// A client's stream; its clones are the same stream.
 #[derive(Clone)]
 pub struct ClientStream(Rc<Stream>);
 
 impl ClientStream {
+    /// Wraps a socket.
     pub fn new(socket: TcpStream) -> ClientStream {
-        let (first, reader, written, stuck) = Default::default();
-        let (ahead, taken) = (RefCell::default(), Cell::new(false));
+        let (first_unread, reader, response_written, write_blocked) = Default::default();
+        let (read_ahead, response_taken) = (RefCell::default(), Cell::new(false));
         ClientStream(Rc::new(Stream {
             socket,
-            first,
-            ahead,
+            first_unread,
+            read_ahead,
             reader,
-            taken,
-            written,
-            stuck,
+            response_taken,
+            response_written,
+            write_blocked,
         }))
     }
 
+    /// Returns when the first byte came that no request was read from yet.
     pub fn request_began(&self) -> Option<Instant> {
-        self.0.first.get()
+        self.0.first_unread.get()
     }
 
-    /// When the hit that was just read began; what comes from here on is the next one.
+    /// Takes when the request that was just read began; what comes from here on is the next one.
     pub fn take_request_began(&self) -> Option<Instant> {
-        self.0.first.take()
+        self.0.first_unread.take()
     }
 
-    /// When the last byte of an answer was written, if one was since this was asked.
+    /// Takes when the last byte of an answer was written, if one was since this was asked.
     pub fn take_response_written(&self) -> Option<Instant> {
-        self.0.written.take()
+        self.0.response_written.take()
     }
 
-    /// Since when the client reads nothing of an answer that is there to be written.
+    /// Returns since when the client reads nothing of an answer that is there to be written.
     pub fn write_blocked_since(&self) -> Option<Instant> {
-        self.0.stuck.get()
+        self.0.write_blocked.get()
     }
 
-    /// An answer's body, which tells when HTTP has taken all of it.
+    /// Wraps an answer's body, which notes when HTTP has taken all of it.
     pub fn track_body<B>(&self, body: B) -> TrackedBody<B> {
         TrackedBody {
             body,
-            tap: self.clone(),
+            stream: self.clone(),
         }
     }
 
@@ -87,13 +90,13 @@
         socket2::SockRef::from(&self.0.socket).peek(&mut byte)
     }
 
-    /// Whether bytes of the client lie here that HTTP has not read. Asks the socket itself, as the runtime learns of
+    /// Returns whether bytes of the client lie here that HTTP has not read. Asks the socket itself, as the runtime learns of
     /// bytes only when it polls.
     pub fn has_unread(&self) -> bool {
-        !self.0.ahead.borrow().is_empty() || self.peek().is_ok_and(|bytes| bytes > 0)
+        !self.0.read_ahead.borrow().is_empty() || self.peek().is_ok_and(|bytes| bytes > 0)
     }
 
-    /// Whether the client has closed, as far as no unread bytes lie in front of that.
+    /// Returns whether the client has closed, as far as no unread bytes lie in front of that.
     pub fn is_closed(&self) -> bool {
         match self.peek() {
             Ok(bytes) => bytes == 0,
@@ -101,21 +104,24 @@
         }
     }
 
-    /// Ends once the client has closed, also behind bytes that HTTP does not read while a hit is served.
+    /// Ends once the client has closed, also behind bytes that HTTP does not read while a request is served.
     pub async fn closed(&self) {
         let mut read = [0; 512];
         loop {
             if self.0.socket.readable().await.is_err() {
                 return;
             }
-            if self.0.ahead.borrow().len() >= AHEAD_BYTES {
+            if self.0.read_ahead.borrow().len() >= AHEAD_BYTES {
                 return pending().await;
             }
             match self.0.socket.try_read(&mut read) {
                 Ok(0) => return,
                 Ok(more) => {
-                    self.note();
-                    self.0.ahead.borrow_mut().extend_from_slice(&read[..more]);
+                    self.note_read();
+                    self.0
+                        .read_ahead
+                        .borrow_mut()
+                        .extend_from_slice(&read[..more]);
                     if let Some(reader) = self.0.reader.take() {
                         reader.wake();
                     }
@@ -126,21 +132,21 @@
         }
     }
 
-    fn waits(&self) -> Poll<io::Result<usize>> {
+    fn write_waits(&self) -> Poll<io::Result<usize>> {
         self.0
-            .stuck
-            .set(self.0.stuck.get().or_else(|| Some(Instant::now())));
+            .write_blocked
+            .set(self.0.write_blocked.get().or_else(|| Some(Instant::now())));
         Poll::Pending
     }
 
-    fn wrote(&self, done: io::Result<usize>) -> Poll<io::Result<usize>> {
-        self.0.stuck.set(None);
+    fn write_done(&self, done: io::Result<usize>) -> Poll<io::Result<usize>> {
+        self.0.write_blocked.set(None);
         Poll::Ready(done)
     }
 
-    fn note(&self) {
-        if self.0.first.get().is_none() {
-            self.0.first.set(Some(Instant::now()));
+    fn note_read(&self) {
+        if self.0.first_unread.get().is_none() {
+            self.0.first_unread.set(Some(Instant::now()));
         }
     }
 
@@ -169,11 +175,11 @@
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let mut ahead = self.0.ahead.borrow_mut();
-        if !ahead.is_empty() {
-            let part = ahead.len().min(buf.remaining());
-            buf.put_slice(&ahead[..part]);
-            ahead.advance(part);
+        let mut read_ahead = self.0.read_ahead.borrow_mut();
+        if !read_ahead.is_empty() {
+            let part = read_ahead.len().min(buf.remaining());
+            buf.put_slice(&read_ahead[..part]);
+            read_ahead.advance(part);
             return Poll::Ready(Ok(()));
         }
         self.0.reader.set(Some(cx.waker().clone()));
@@ -183,7 +189,7 @@
                 Ok(read) => {
                     buf.advance(read);
                     if read > 0 {
-                        self.note();
+                        self.note_read();
                     }
                     return Poll::Ready(Ok(()));
                 }
@@ -202,11 +208,11 @@
     ) -> Poll<io::Result<usize>> {
         loop {
             if self.0.socket.poll_write_ready(cx)?.is_pending() {
-                return self.waits();
+                return self.write_waits();
             }
             match self.0.socket.try_write(buf) {
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
-                done => return self.wrote(done),
+                done => return self.write_done(done),
             }
         }
     }
@@ -218,11 +224,11 @@
     ) -> Poll<io::Result<usize>> {
         loop {
             if self.0.socket.poll_write_ready(cx)?.is_pending() {
-                return self.waits();
+                return self.write_waits();
             }
             match self.0.socket.try_write_vectored(bufs) {
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
-                done => return self.wrote(done),
+                done => return self.write_done(done),
             }
         }
     }
@@ -233,8 +239,8 @@
 
     /// Called only where nothing is left to be written of what HTTP has taken.
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        if self.0.taken.take() {
-            self.0.written.set(Some(Instant::now()));
+        if self.0.response_taken.take() {
+            self.0.response_written.set(Some(Instant::now()));
         }
         Poll::Ready(Ok(()))
     }
@@ -247,12 +253,12 @@
 /// An answer on its way. HTTP drops it once all of it is taken, before it writes the last of it.
 pub struct TrackedBody<B> {
     body: B,
-    tap: ClientStream,
+    stream: ClientStream,
 }
 
 impl<B> Drop for TrackedBody<B> {
     fn drop(&mut self) {
-        self.tap.0.taken.set(true);
+        self.stream.0.response_taken.set(true);
     }
 }
 
--- a/crates/sidecar/src/configuration.rs
+++ b/crates/sidecar/src/configuration.rs
@@ -1,15 +1,15 @@
 //! Routes and tenants that change while a sidecar runs: a version that peers bring is checked, put in force between two
-//! requests, and kept for the next start.
+//! requests, and cached on disk for the next start.
 
 use crate::persister::Persister;
-use crate::replication::{Host, Spreading};
+use crate::replication::{Host, Replication};
 use crate::routes::{routes_of, RouteTable};
-use crate::transport::Shell;
+use crate::shell::{ConfigurationSource, Shell};
 use havenplank::interface::RouteClass;
 use havenplank_configuration::delta::Delta;
 use havenplank_configuration::record::BackupMode;
 use havenplank_configuration::snapshot::Snapshot;
-use havenplank_configuration::spread::{Kept as Held, Peer, Role, Rules, Spreader};
+use havenplank_configuration::spread::{Kept as InstalledVersion, Peer, Role, Rules, Spreader};
 use havenplank_configuration::store::{Opened, Store, StoreError};
 use havenplank_settings::Site;
 use serde_json::Value;
@@ -21,26 +21,39 @@
 /// Why a version cannot be put in force here.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InstallError {
+    /// A route asks for what this sidecar has no settings for.
     #[error(
         "route {route:?} asks for backups, but the settings of this sidecar have no takeover(...)"
     )]
-    NoTakeover { route: String },
+    NoTakeover {
+        /// The route's name.
+        route: String,
+    },
+    /// A service stands in a zone that this sidecar does not know.
     #[error("service {service:?} names zone {zone:?}, which is none of this sidecar's zones")]
-    UnknownZone { service: String, zone: String },
+    UnknownZone {
+        /// The service's name.
+        service: String,
+        /// The zone's name.
+        zone: String,
+    },
+    /// The sidecar is stopping.
     #[error("this sidecar is stopping")]
     Stopping,
 }
 
-/// The version that an earlier run kept, with the store that holds it.
-pub struct Kept {
+/// The version that an earlier run cached, with the store that holds it.
+pub struct CachedConfiguration {
     store: Store,
     deltas: Vec<Arc<Delta>>,
 }
 
-impl Kept {
+impl CachedConfiguration {
+    /// Opens the folder in which versions are cached.
+    ///
     /// # Errors
     /// A folder that another process uses, or that cannot be read.
-    pub fn open(folder: &Path) -> Result<Kept, StoreError> {
+    pub fn open(folder: &Path) -> Result<CachedConfiguration, StoreError> {
         let Opened {
             store,
             deltas,
@@ -52,98 +65,91 @@
                 "the end of an unfinished write was cut off the kept configuration"
             );
         }
-        Ok(Kept { store, deltas })
+        Ok(CachedConfiguration { store, deltas })
     }
 }
 
 /// The configuration of one sidecar.
-pub struct Configuration {
-    spreading: Rc<Spreading<InForce>>,
+struct Configuration {
+    replication: Rc<Replication<InForce>>,
 }
 
-impl Configuration {
-    /// What an operator sees.
-    pub fn state(&self) -> Value {
-        let mut state = self.spreading.state();
-        state["kept"] = self.spreading.host().keeper.kept().to_string().into();
+impl ConfigurationSource for Configuration {
+    fn state(&self) -> Value {
+        let mut state = self.replication.state();
+        let persisted = self.replication.host().persister.persisted();
+        state["kept"] = persisted.to_string().into();
         state
     }
 }
 
-/// Puts the kept version in force and takes newer ones from peers from now on. Nothing happens where the settings have
-/// no configuration or no peers.
-pub fn start(shell: &Rc<Shell>, kept: Kept, seed: u64) {
+/// Puts the cached version in force and takes newer ones from peers from now on. Nothing happens where the settings
+/// have no configuration or no peers.
+pub fn start(shell: &Rc<Shell>, cached: CachedConfiguration, seed: u64) {
     let site = &shell.site;
-    let settings = (
-        site.configuration.as_ref(),
-        site.fellowship.as_ref(),
-        shell.fellowship.as_ref(),
-    );
-    let (Some(settings), Some(membership), Some(fellowship)) = settings else {
+    let settings = site.configuration.as_ref().zip(site.fellowship.as_ref());
+    let Some(((settings, peers), membership)) = settings.zip(shell.membership.as_ref()) else {
         return;
     };
-    let held = begin(shell, &kept);
-    let zone = site.zones.get(site.place.zone).cloned().unwrap_or_default();
+    let installed = install_cached(shell, &cached);
     let me = Peer {
-        life: fellowship.me().clone(),
-        zone,
+        life: membership.me().clone(),
+        zone: site.zones.get(site.place.zone).cloned().unwrap_or_default(),
     };
     let rules = Rules {
         fetch_bytes_per_s: settings.fetch_bytes_per_s,
         serve_bytes_per_s: settings.serve_bytes_per_s,
         ..Rules::default()
     };
-    let spreader = Spreader::new(
-        fellowship.now(),
-        seed ^ me.life.life,
-        me,
-        Role::Sidecar,
-        held,
-        rules,
-    );
+    let seed = seed ^ me.life.life;
+    let spreader = Spreader::new(membership.now(), seed, me, Role::Sidecar, installed, rules);
     let host = InForce {
         shell: Rc::downgrade(shell),
-        keeper: Persister::start(kept.store),
+        persister: Persister::start(cached.store),
     };
-    let period = Duration::from_nanos(membership.period);
-    let spreading = Spreading::start(fellowship, spreader, host, period);
+    let period = Duration::from_nanos(peers.period);
+    let replication = Replication::start(membership, spreader, host, period);
     let _ = shell
         .configuration
-        .set(Rc::new(Configuration { spreading }));
+        .set(Box::new(Configuration { replication }));
 }
 
-/// Puts the kept version in force; an empty one where that is not possible any more, so that it is fetched and offered
-/// again.
-fn begin(shell: &Rc<Shell>, kept: &Kept) -> Held {
-    let snapshot = kept.store.snapshot().clone();
+/// Puts the cached version in force; an empty one where that is not possible any more, so that it is fetched and
+/// offered again.
+fn install_cached(shell: &Shell, cached: &CachedConfiguration) -> InstalledVersion {
+    let snapshot = cached.store.snapshot().clone();
     let version = snapshot.version();
     match install(shell, &snapshot) {
         Ok(()) => {
             tracing::info!(%version, digest = %snapshot.digest(), "kept configuration in force");
-            Held {
+            InstalledVersion {
                 snapshot,
-                deltas: kept.deltas.clone(),
+                deltas: cached.deltas.clone(),
             }
         }
         Err(reason) => {
             tracing::error!(%version, %reason, "the kept configuration cannot be put in force");
-            let empty = Snapshot::empty();
-            if let Err(reason) = install(shell, &empty) {
-                tracing::error!(%reason, "no configuration");
-            }
-            Held {
-                snapshot: empty,
-                deltas: Vec::new(),
-            }
+            install_empty(shell)
         }
     }
 }
 
-/// What puts versions in force in a sidecar.
+fn install_empty(shell: &Shell) -> InstalledVersion {
+    let snapshot = Snapshot::empty();
+    if let Err(reason) = install(shell, &snapshot) {
+        tracing::error!(%reason, "no configuration");
+    }
+    InstalledVersion {
+        snapshot,
+        deltas: Vec::new(),
+    }
+}
+
+/// Puts versions in force in a sidecar.
 struct InForce {
     /// The shell owns the configuration, and so is not owned by it.
     shell: Weak<Shell>,
-    keeper: Persister,
+    persister: Persister,
 }
 
 impl Host for InForce {
@@ -152,12 +158,12 @@
     fn install(&self, snapshot: &Snapshot) -> Result<(), InstallError> {
         let shell = self.shell.upgrade().ok_or(InstallError::Stopping)?;
         install(&shell, snapshot)?;
-        self.keeper.keep(snapshot.clone());
+        self.persister.persist(snapshot.clone());
         Ok(())
     }
 }
 
-/// Swaps routes and tenants whole, with their rules in the decisions, in one call between two requests.
+/// Swaps all routes and tenants, with their rules in the decisions, in one call between two requests.
 fn install(shell: &Shell, snapshot: &Snapshot) -> Result<(), InstallError> {
     check(&shell.site, snapshot)?;
     let groups = routes_of(snapshot);
@@ -171,20 +177,22 @@
     Ok(())
 }
 
-/// Whether this sidecar has all that the version asks of it.
+/// Checks that this sidecar has all that the version asks of it.
 fn check(site: &Site, snapshot: &Snapshot) -> Result<(), InstallError> {
-    let backed_up = snapshot
-        .routes()
-        .find(|route| route.rules.backup != BackupMode::Off);
+    let mut routes = snapshot.routes();
+    let backed_up = routes.find(|route| route.rules.backup != BackupMode::Off);
     if let Some(route) = backed_up.filter(|_| site.takeover.is_none()) {
         return Err(InstallError::NoTakeover {
             route: route.name.clone(),
         });
     }
     for service in snapshot.services() {
-        if let Some(zone) = service.zones.iter().find(|zone| !site.zones.contains(zone)) {
-            let (service, zone) = (service.name.clone(), zone.clone());
-            return Err(InstallError::UnknownZone { service, zone });
+        let unknown = service.zones.iter().find(|zone| !site.zones.contains(zone));
+        if let Some(zone) = unknown {
+            return Err(InstallError::UnknownZone {
+                service: service.name.clone(),
+                zone: zone.clone(),
+            });
         }
     }
     Ok(())
--- /dev/null
+++ b/crates/sidecar/src/dispatcher/mod.rs
@@ -0,0 +1,352 @@
+//! Hands requests to one engine and carries its effects out through a [`Transport`]: its clock, its timers, and the
+//! requests that wait for their final answer.
+
+mod pending;
+mod transport;
+
+pub use transport::{AttemptResult, Transport};
+
+use crate::engine::{Effect, Engine, EngineStatus, RequestAttributes, EPOCH};
+use crate::route_slots::Slot;
+use havenplank::interface::{
+    AttemptEnd, LoadReport, Nanos, PodId, PriorAttempt, RequestId, RouteClass,
+};
+use havenplank_line_protocol::nodes::Listed;
+use pending::{AttemptTask, PendingResponse};
+use std::cell::{Cell, Ref, RefCell};
+use std::collections::HashMap;
+use std::future::Future;
+use std::net::SocketAddr;
+use std::ops::Deref;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+use tokio::sync::{oneshot, Notify};
+use tokio::task::spawn_local;
+use tokio::time::{sleep_until, timeout};
+
+/// How long the timer task sleeps while no timer is set; it is woken when one is.
+const IDLE_SLEEP: Duration = Duration::from_secs(3600);
+
+/// Names an attempt.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct AttemptId {
+    /// The request that it is an attempt of.
+    pub request: RequestId,
+    /// Its number within the request, counted from 0.
+    pub number: u32,
+}
+
+/// The engine is borrowed for one call at a time and never across an await. What the transport keeps for
+/// itself is reached as if it were the dispatcher's own.
+pub struct Dispatcher<T: Transport> {
+    transport: T,
+    began: Instant,
+    engine: RefCell<Engine>,
+    /// Requests that wait for their final answer; the listener's limit bounds it.
+    pending: RefCell<HashMap<RequestId, PendingResponse<T>>>,
+    /// When the timer task wakes next, on the engine's clock.
+    armed_for: Cell<Nanos>,
+    /// Wakes the timer task for something earlier.
+    rearm: Notify,
+}
+
+impl<T: Transport> Deref for Dispatcher<T> {
+    type Target = T;
+
+    fn deref(&self) -> &T {
+        &self.transport
+    }
+}
+
+impl<T: Transport> Dispatcher<T> {
+    /// Puts a transport around an engine. The engine's clock goes on from [`EPOCH`] as of now.
+    pub fn new(engine: Engine, transport: T) -> Rc<Dispatcher<T>> {
+        Rc::new(Dispatcher {
+            transport,
+            began: Instant::now(),
+            engine: RefCell::new(engine),
+            pending: RefCell::default(),
+            armed_for: Cell::new(0),
+            rearm: Notify::new(),
+        })
+    }
+
+    /// Makes one call into the engine, then carries out all that it left to do.
+    pub fn call<R>(self: &Rc<Self>, work: impl FnOnce(&mut Engine, Nanos) -> R) -> R {
+        let done = work(&mut self.engine.borrow_mut(), self.now());
+        self.perform_effects();
+        done
+    }
+
+    /// Puts routes in force between two requests; see [`Engine::set_routes`].
+    pub fn set_routes(&self, routes: &[(String, RouteClass)]) -> Vec<Slot> {
+        self.engine.borrow_mut().set_routes(self.now(), routes)
+    }
+
+    /// Returns the engine for a look that changes nothing; not to be held across a call or an await.
+    pub fn engine(&self) -> Ref<'_, Engine> {
+        self.engine.borrow()
+    }
+
+    /// Runs the engine's timers when they are due; never ends.
+    pub async fn run_timers(self: Rc<Self>) {
+        loop {
+            let next = self.engine().next_timer();
+            self.armed_for.set(next.unwrap_or(Nanos::MAX));
+            let at = next.map(|at| self.began + Duration::from_nanos(at.saturating_sub(EPOCH)));
+            tokio::select! {
+                () = sleep_until(at.unwrap_or(Instant::now() + IDLE_SLEEP).into()) => {
+                    self.call(|engine, now| engine.run_timers(now));
+                }
+                () = self.rearm.notified() => {}
+            }
+        }
+    }
+
+    /// Takes a request, whose final answer goes to `responder`.
+    pub fn dispatch(
+        self: &Rc<Self>,
+        attributes: RequestAttributes,
+        request: T::Request,
+        responder: oneshot::Sender<T::Response>,
+    ) -> RequestId {
+        self.dispatch_resumed(None, attributes, Rc::new(request), responder)
+    }
+
+    /// Takes a request; with prior attempts, one that another sidecar took and sent these for.
+    pub fn dispatch_resumed(
+        self: &Rc<Self>,
+        prior_attempts: Option<Vec<PriorAttempt>>,
+        attributes: RequestAttributes,
+        request: Rc<T::Request>,
+        responder: oneshot::Sender<T::Response>,
+    ) -> RequestId {
+        if let Some(prior_attempts) = prior_attempts {
+            let mut engine = self.engine.borrow_mut();
+            engine.resume_next_request(self.now(), prior_attempts);
+        }
+        let id = self
+            .engine
+            .borrow_mut()
+            .handle_request(self.now(), attributes);
+        let pending = PendingResponse {
+            request,
+            responder,
+            attempts: Vec::new(),
+        };
+        self.pending.borrow_mut().insert(id, pending);
+        self.perform_effects();
+        id
+    }
+
+    /// Ends a client's wait, by its answer or without; attempts in flight go on.
+    pub fn client_left(self: &Rc<Self>, request: RequestId) {
+        let pending = self.pending.borrow_mut().remove(&request);
+        if pending.is_some() {
+            self.call(|engine, now| engine.client_left(now, request));
+        }
+    }
+
+    /// Does the same where the protocol says that a client that closed wants nothing more: its attempts end, too.
+    pub fn client_gone(self: &Rc<Self>, request: RequestId) {
+        let pending = self.pending.borrow_mut().remove(&request);
+        let Some(pending) = pending else { return };
+        tracing::debug!(request, "client gone");
+        self.call(|engine, now| engine.client_left(now, request));
+        for (number, task) in (0..).zip(&pending.attempts) {
+            self.abort_attempt(AttemptId { request, number }, task);
+        }
+    }
+
+    /// Returns whether an attempt may have been begun for a request. Of one that was answered that is no longer known.
+    pub fn was_forwarded(&self, request: RequestId) -> bool {
+        let pending = self.pending.borrow();
+        let pending = pending.get(&request);
+        pending.is_none_or(|pending| !pending.attempts.is_empty())
+    }
+
+    /// Returns whether an attempt may still be written; to be asked right before.
+    pub fn may_send(self: &Rc<Self>, attempt: AttemptId) -> bool {
+        let AttemptId { request, number } = attempt;
+        let now = self.now();
+        let allowed = self.engine.borrow_mut().may_send(now, request, number);
+        if !allowed {
+            tracing::debug!(
+                request,
+                attempt = number,
+                "attempt not sent: its pod or build closed while it waited"
+            );
+        }
+        allowed
+    }
+
+    /// Takes in how an attempt ended after `took`; its response goes to the client where the engine says so.
+    pub fn attempt_ended(
+        self: &Rc<Self>,
+        attempt: AttemptId,
+        end: AttemptEnd,
+        took: Nanos,
+        load: Option<LoadReport>,
+        response: Option<T::Response>,
+    ) {
+        let AttemptId { request, number } = attempt;
+        let now = self.now();
+        let delivered = self
+            .engine
+            .borrow_mut()
+            .attempt_ended(now, request, number, end, took, load);
+        tracing::debug!(
+            request,
+            attempt = number,
+            ?end,
+            took_us = took / 1_000,
+            "attempt ended"
+        );
+        if delivered {
+            let response = response.unwrap_or_else(|| self.transport.failed(false));
+            self.respond(request, response);
+        }
+        self.perform_effects();
+    }
+
+    /// Carries one attempt out by its protocol's exchange and takes in how it ended. `sent` is set once the pod may
+    /// have begun. Where time runs out the exchange is dropped, and its connection with it.
+    pub async fn run_attempt(
+        self: &Rc<Self>,
+        attempt: AttemptId,
+        time: Duration,
+        sent: &Cell<bool>,
+        exchange: impl Future<Output = AttemptResult<T::Response>>,
+    ) {
+        let began = Instant::now();
+        let result = match timeout(time, exchange).await {
+            Ok(result) => result,
+            Err(_) if sent.get() => AttemptEnd::TimedOut.into(),
+            // The client's time ran out first: nothing was sent, and the pod is not to blame.
+            Err(_) => AttemptEnd::NotSent.into(),
+        };
+        let AttemptResult {
+            end,
+            load,
+            response,
+        } = result;
+        let took = began.elapsed().as_nanos() as Nanos;
+        self.attempt_ended(attempt, end, took, load, response);
+    }
+
+    /// Returns how many requests wait for their final answer.
+    pub fn in_flight(&self) -> usize {
+        self.pending.borrow().len()
+    }
+
+    /// Returns where a pod listens.
+    pub fn pod_address(&self, pod: PodId) -> Option<SocketAddr> {
+        self.engine().pod_address(pod)
+    }
+
+    /// Returns what an operator may look at.
+    pub fn status(&self) -> EngineStatus {
+        self.engine().status()
+    }
+
+    /// Returns the endpoint list as last heard.
+    pub fn listed_pods(&self) -> Vec<Listed> {
+        self.engine().listed_pods()
+    }
+
+    /// Takes in that a client found an answer wrong; see [`Engine::report_fault`].
+    pub fn report_fault(self: &Rc<Self>, pod: &str, route_class: &str, ago: Nanos) -> bool {
+        self.call(|engine, now| engine.report_fault(now, pod, route_class, ago))
+    }
+
+    fn now(&self) -> Nanos {
+        EPOCH + self.began.elapsed().as_nanos() as Nanos
+    }
+
+    fn perform_effects(self: &Rc<Self>) {
+        loop {
+            let effect = self.engine.borrow_mut().next_effect();
+            let Some(effect) = effect else { break };
+            self.perform(effect);
+        }
+        let next = self.engine().next_timer().unwrap_or(Nanos::MAX);
+        if next < self.armed_for.replace(next) {
+            self.rearm.notify_one();
+        }
+    }
+
+    fn perform(self: &Rc<Self>, effect: Effect) {
+        match effect {
+            Effect::SendAttempt {
+                request,
+                attempt: number,
+                pod,
+                timeout,
+            } => self.send_attempt(AttemptId { request, number }, pod, timeout),
+            Effect::CancelAttempt {
+                request,
+                attempt: number,
+            } => self.cancel_attempt(AttemptId { request, number }),
+            Effect::Reject {
+                request,
+                retry_after,
+            } => {
+                tracing::debug!(request, retry_after_us = retry_after / 1_000, "rejected");
+                self.respond(request, self.transport.rejected(retry_after));
+            }
+            Effect::Fail { request, timed_out } => {
+                tracing::debug!(request, timed_out, "failed");
+                self.respond(request, self.transport.failed(timed_out));
+            }
+            Effect::CastVote {
+                id,
+                build,
+                stage,
+                vote,
+            } => {
+                tracing::info!(id, build, stage, ?vote, "vote");
+                T::cast_vote(self, id, build, stage, vote);
+            }
+            Effect::HealthCheck { check, pod } => T::health_check(self, check, pod),
+            Effect::PollEndpoints => T::poll_endpoints(self),
+            Effect::WatchEndpoints(on) => T::watch_endpoints(self, on),
+            Effect::Log(line) => tracing::info!(decision = line, "decided"),
+        }
+    }
+
+    fn send_attempt(self: &Rc<Self>, attempt: AttemptId, pod: PodId, timeout: Nanos) {
+        let mut all = self.pending.borrow_mut();
+        if let Some(pending) = all.get_mut(&attempt.request) {
+            let request = pending.request.clone();
+            let task = T::send_attempt(self.clone(), request, attempt, pod, timeout);
+            let handle = spawn_local(task).abort_handle();
+            pending.attempts.push(AttemptTask::new(handle));
+        }
+    }
+
+    fn cancel_attempt(self: &Rc<Self>, attempt: AttemptId) {
+        let all = self.pending.borrow();
+        let pending = all.get(&attempt.request);
+        let task = pending.and_then(|pending| pending.attempts.get(attempt.number as usize));
+        let task = task.cloned();
+        drop(all);
+        if let Some(task) = task {
+            self.abort_attempt(attempt, &task);
+        }
+    }
+
+    /// Ends an attempt that is in flight: its connection closes with its task.
+    fn abort_attempt(self: &Rc<Self>, attempt: AttemptId, task: &AttemptTask) {
+        if let Some(took) = task.abort() {
+            self.attempt_ended(attempt, AttemptEnd::Cancelled, took, None, None);
+        }
+    }
+
+    fn respond(&self, request: RequestId, response: T::Response) {
+        let pending = self.pending.borrow_mut().remove(&request);
+        if let Some(pending) = pending {
+            // Where the client has left meanwhile nobody is there to be answered.
+            let _ = pending.responder.send(response);
+        }
+    }
+}
--- a/crates/sidecar/src/distributor.rs
+++ b/crates/sidecar/src/distributor.rs
@@ -1,9 +1,9 @@
 //! The single writer of a configuration: compiles the operator's script, stores each version before any peer hears of it,
 //! and knows how many peers have it in force.
 
-use crate::daemon::{listen, StartError};
-use crate::membership::{Fellowship, FellowshipError};
-use crate::replication::{Host, Spreading};
+use crate::listener::{listen, ListenError};
+use crate::membership::{Membership, MembershipError};
+use crate::replication::{Host, Replication};
 use bytes::Bytes;
 use havenplank_configuration::compile::compile;
 use havenplank_configuration::delta::Delta;
@@ -13,7 +13,7 @@
 };
 use havenplank_configuration::store::{Opened, Store, StoreError};
 use havenplank_configuration::version::Version;
-use havenplank_settings::{Fellowship as Membership, Given, Problems, DISTRIBUTOR_ZONE};
+use havenplank_settings::{Fellowship as MembershipSettings, Given, Problems, DISTRIBUTOR_ZONE};
 use http_body_util::Full;
 use hyper::body::Incoming;
 use hyper::header::{HeaderValue, CONTENT_TYPE};
@@ -66,7 +66,8 @@
     pub script: PathBuf,
     /// Values that the script reads.
     pub given: Given,
-    pub membership: Membership,
+    /// Where and with whom it talks.
+    pub membership: MembershipSettings,
     pub admin: SocketAddr,
     pub store: PathBuf,
     pub epoch: EpochChoice,
@@ -78,10 +79,11 @@
     Script(#[from] Problems),
     #[error("--store: {0}")]
     Store(#[from] StoreError),
+    /// The membership cannot start.
     #[error("{0}")]
-    Fellowship(#[from] FellowshipError),
+    Membership(#[from] MembershipError),
     #[error("{0}")]
-    Listen(#[from] StartError),
+    Listen(#[from] ListenError),
     #[error(
         "--epoch {asked}: the store holds version {stored}; expected its epoch or a higher one"
     )]
@@ -127,7 +129,7 @@
     settings: DistributorSettings,
     store: Store,
     epoch: u64,
-    spreading: Rc<Spreading<Newest>>,
+    replication: Rc<Replication<Newest>>,
     last_round: Option<RoundGlance>,
     /// The newest version of peers that is ahead of the store, once that was logged.
     ahead: Option<Version>,
@@ -164,8 +166,9 @@
         EpochChoice::AsStored | EpochChoice::ReplaceWriter => stored.epoch.max(FIRST_EPOCH),
     };
     let (admin_listener, admin) = listen(settings.admin).await?;
-    let membership = &settings.membership;
-    let fellowship = Fellowship::bind(membership, &settings.name, DISTRIBUTOR_ZONE).await?;
+    let membership_settings = &settings.membership;
+    let membership =
+        Membership::bind(membership_settings, &settings.name, DISTRIBUTOR_ZONE).await?;
     let mut reloads = signal(SignalKind::hangup()).map_err(DistributorError::Signal)?;
     let role = match settings.epoch {
         EpochChoice::ReplaceWriter => Role::Sidecar,
@@ -175,51 +178,54 @@
         snapshot: store.snapshot().clone(),
         deltas,
     };
-    let spreader = spreader(&fellowship, role, kept);
-    let period = Duration::from_nanos(membership.period);
-    let spreading = Spreading::start(&fellowship, spreader, Newest::default(), period);
-    fellowship.run(membership.keys.clone());
+    let spreader = spreader(&membership, role, kept);
+    let period = Duration::from_nanos(membership_settings.period);
+    let replication = Replication::start(&membership, spreader, Newest::default(), period);
+    membership.run(membership_settings.keys.clone());
     let replaces = settings.epoch == EpochChoice::ReplaceWriter;
     let mut distributor = Distributor {
         settings,
         store,
         epoch,
-        spreading,
+        replication,
         last_round: None,
         ahead: None,
     };
     spawn_local(serve_operators(
         admin_listener,
         distributor.settings.name.clone(),
-        distributor.spreading.clone(),
+        distributor.replication.clone(),
     ));
-    if let Some(membership) = fellowship.at() {
-        ready(DistributorAddresses { membership, admin });
+    if let Some(address) = membership.address() {
+        ready(DistributorAddresses {
+            membership: address,
+            admin,
+        });
     }
     if replaces {
-        distributor.replace_writer(&fellowship).await?;
+        distributor.replace_writer(&membership).await?;
     }
     distributor.publish(&compiled)?;
     tokio::select! {
         () = distributor.follow(&mut reloads) => {}
         () = stop => {}
     }
-    fellowship.leave();
+    membership.leave();
     Ok(())
 }
 
-fn spreader(fellowship: &Fellowship, role: Role, kept: Kept) -> Spreader {
+fn spreader(membership: &Membership, role: Role, kept: Kept) -> Spreader {
     let me = Peer {
-        life: fellowship.me().clone(),
+        life: membership.me().clone(),
         zone: DISTRIBUTOR_ZONE.to_string(),
     };
     let seed = me.life.life;
-    Spreader::new(fellowship.now(), seed, me, role, kept, Rules::default())
+    Spreader::new(membership.now(), seed, me, role, kept, Rules::default())
 }
 
 impl Distributor {
     /// Fetches the newest version that peers have, and becomes the writer of the next epoch.
-    async fn replace_writer(&mut self, fellowship: &Fellowship) -> Result<(), DistributorError> {
+    async fn replace_writer(&mut self, membership: &Membership) -> Result<(), DistributorError> {
         let newest = timeout(REPLACE_PATIENCE, self.newest())
             .await
             .map_err(|_| DistributorError::NobodyHeard)?;
@@ -235,8 +241,8 @@
             snapshot,
             deltas: Vec::new(),
         };
-        self.spreading.replace_spreader(spreader(
-            fellowship,
+        self.replication.replace_spreader(spreader(
+            membership,
             Role::Writer { epoch: self.epoch },
             kept,
         ));
@@ -247,15 +253,15 @@
     async fn newest(&self) -> Option<Snapshot> {
         let (mut settled, mut last) = (Instant::now(), Version::NONE);
         loop {
-            let glance = self.spreading.glance();
-            if glance.newest_heard != last
-                || glance.heard_at.is_none()
-                || glance.version != glance.newest_heard
+            let status = self.replication.status();
+            if status.newest_heard != last
+                || status.heard_at.is_none()
+                || status.version != status.newest_heard
             {
-                (settled, last) = (Instant::now(), glance.newest_heard);
+                (settled, last) = (Instant::now(), status.newest_heard);
             }
             if settled.elapsed() >= REPLACE_SETTLED {
-                return self.spreading.host().0.borrow().clone();
+                return self.replication.host().0.borrow().clone();
             }
             sleep(REPLACE_LOOK).await;
         }
@@ -264,8 +270,8 @@
     /// Publishes what was compiled where it differs from the newest version: on disk first, then told.
     fn publish(&mut self, compiled: &Snapshot) -> Result<(), DistributorError> {
         if let Some(by) = self
-            .spreading
-            .glance()
+            .replication
+            .status()
             .writer
             .and_then(|writer| writer.superseded)
         {
@@ -273,7 +279,7 @@
         }
         let (ours, theirs) = (
             self.store.snapshot().version(),
-            self.spreading.glance().newest_heard,
+            self.replication.status().newest_heard,
         );
         if theirs > ours {
             return Err(DistributorError::NewerElsewhere { ours, theirs });
@@ -291,7 +297,7 @@
         let changes = delta.changes.len();
         let snapshot = self.store.append(&delta)?.clone();
         tracing::info!(version = %to, digest = %snapshot.digest(), changes, "stored");
-        self.spreading
+        self.replication
             .call(|spreader, now| spreader.published(now, Arc::new(delta), snapshot))?;
         tracing::info!(version = %to, "published");
         Ok(())
@@ -335,15 +341,15 @@
     fn report(&mut self) {
         let (ours, theirs) = (
             self.store.snapshot().version(),
-            self.spreading.glance().newest_heard,
+            self.replication.status().newest_heard,
         );
         if theirs > ours && self.ahead.replace(theirs) != Some(theirs) {
             let error = DistributorError::NewerElsewhere { ours, theirs };
             tracing::error!(%error, "not the newest");
         }
         let Some(round) = self
-            .spreading
-            .glance()
+            .replication
+            .status()
             .writer
             .and_then(|writer| writer.round)
         else {
@@ -361,7 +367,11 @@
     }
 }
 
-async fn serve_operators(listener: TcpListener, name: String, spreading: Rc<Spreading<Newest>>) {
+async fn serve_operators(
+    listener: TcpListener,
+    name: String,
+    replication: Rc<Replication<Newest>>,
+) {
     let permits = Arc::new(Semaphore::new(ADMIN_CONNECTIONS));
     loop {
         let permit = permits.clone().acquire_owned().await;
@@ -370,17 +380,19 @@
             sleep(REPLACE_LOOK).await;
             continue;
         };
-        let (name, spreading) = (name.clone(), spreading.clone());
+        let (name, replication) = (name.clone(), replication.clone());
         spawn_local(async move {
-            let _ = timeout(ADMIN_TIME, operator(stream, &name, &spreading)).await;
+            let _ = timeout(ADMIN_TIME, operator(stream, &name, &replication)).await;
             drop(permit);
         });
     }
 }
 
-async fn operator(stream: TcpStream, name: &str, spreading: &Spreading<Newest>) {
+async fn operator(stream: TcpStream, name: &str, replication: &Replication<Newest>) {
     let service =
-        service_fn(|request| async move { Ok::<_, Infallible>(answer(&request, name, spreading)) });
+        service_fn(
+            |request| async move { Ok::<_, Infallible>(answer(&request, name, replication)) },
+        );
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .serve_connection(TokioIo::new(stream), service);
@@ -393,7 +405,7 @@
 fn answer(
     request: &Request<Incoming>,
     name: &str,
-    spreading: &Spreading<Newest>,
+    replication: &Replication<Newest>,
 ) -> Response<Full<Bytes>> {
     if (request.method(), request.uri().path()) != (&Method::GET, "/state") {
         let mut response = Response::new(Full::new(Bytes::from_static(b"expected GET /state\n")));
@@ -402,8 +414,8 @@
     }
     let state = json!({
         "name": name,
-        "configuration": spreading.state(),
-        "writer": spreading.writer_state(),
+        "configuration": replication.state(),
+        "writer": replication.writer_state(),
     });
     let mut response = Response::new(Full::new(Bytes::from(format!("{state}\n"))));
     response
--- a/crates/sidecar/src/exactly_once.rs
+++ b/crates/sidecar/src/exactly_once.rs
@@ -1,456 +1,286 @@
-//! The way of a hit whose work other sidecars guard: claimed, forwarded once its guardians know, answered once, by
-//! whoever holds it at its end. Which of these may be done when is decided in `havenplank-takeover`, what is done next
-//! by the module.
+//! The way of a request that other sidecars back up: leased, sent once its backups know, answered once, by whoever owns
+//! it at its end. Which of these may be done when is decided in `havenplank-takeover`, what is done next by the
+//! decisions.
 
+use crate::backup_record::{self, BackedUpRequest};
+use crate::body::Body;
 use crate::engine::RequestAttributes;
-use crate::headers;
-use crate::proxy::{rejected, Body, PreparedRequest};
-use crate::responses::{failed, plain};
-use crate::routes::Route;
-use crate::takeover_service::{mark, mark_text, Claim, Going, Guard};
-use crate::transport::Shell;
-use bytes::Bytes;
+use crate::outcome::{outcome_of, response_of};
+use crate::prepared_request::{PreparedRequest, Protection};
+use crate::responses::{failed, plain, rejected_for};
+use crate::shell::Shell;
+use crate::takeover_service::{
+    request_id_text, AnnouncedAttempt, LeaseReply, LeaseRequest, OwnerWatch, TakeoverService,
+};
 use havenplank::interface::{DedupScope, Idempotency, Nanos, PodId, PriorAttempt};
-use havenplank_settings::Guard as Mode;
-use havenplank_takeover::record::{AttemptState, Outcome, Record, RequestId};
-use http_body_util::{BodyExt, Full};
-use hyper::header::{HeaderMap, HeaderName, HeaderValue};
-use hyper::{Method, Response, StatusCode};
-use serde::{Deserialize, Serialize};
-use std::cell::Cell;
+use havenplank_takeover::record::{Attempt, AttemptState, Outcome, Record, RequestId};
+use hyper::{Response, StatusCode};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 use tokio::sync::oneshot;
 use tokio::task::spawn_local;
 use tokio::time::timeout;
 
-/// A hit or an answer longer than this is not kept by others, in bytes.
-const LONGEST: usize = 256 << 10;
+const KEY_REUSED: &str =
+    "Idempotency-Key: another hit was sent under it; expected the same hit or another key\n";
 
-/// Marks the answers that a sidecar made itself.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Final {
-    Bounced,
-    Errored,
-}
-
-/// One piece of guarded work.
-pub struct Guarded {
-    pub mark: RequestId,
-    /// The tenant that asks, where it is one of the configuration.
-    tenant: Option<String>,
-    /// The client can name it, and so finds it again.
-    named: bool,
-    sum: u64,
-    /// Forwards wait until guardians know.
-    wait: bool,
-    /// Cleared where nobody guards it after all.
-    on: Cell<bool>,
-    /// Some forward of it was announced.
-    announced: Cell<bool>,
-}
-
-/// The work that a hit is: by the client's key or the hit's own mark within its path group.
-pub fn of(
-    guard: &Guard,
-    route: &Route,
-    tenant: Option<String>,
-    named: Option<&HeaderValue>,
-    (method, path, body): (&Method, &str, &Bytes),
-) -> Guarded {
-    let name = named.map(|name| mark(&[route.name.as_bytes(), name.as_bytes()]));
-    let sum = mark(&[method.as_str().as_bytes(), path.as_bytes(), body]) as u64;
-    Guarded {
-        mark: name.unwrap_or_else(|| guard.own_mark()),
-        tenant,
-        named: name.is_some(),
-        sum,
-        wait: route.guard == Mode::BeforeForward,
-        on: Cell::new(true),
-        announced: Cell::new(false),
-    }
-}
-
-/// Headers as they travel between sidecars.
-type Heads = Vec<(String, Vec<u8>)>;
-
-/// A hit as its guardians keep it. By names, as two sidecars may number path groups and tenants differently.
-#[derive(Serialize, Deserialize)]
-struct Kept {
-    group: String,
-    #[serde(rename = "customer")]
-    tenant: Option<String>,
-    key: u64,
-    cost_hint: Option<Nanos>,
-    method: String,
-    path: String,
-    headers: Heads,
-    body: Vec<u8>,
-}
-
-#[derive(Serialize, Deserialize)]
-struct KeptAnswer {
-    status: u16,
-    headers: Heads,
-    body: Vec<u8>,
-}
-
-fn heads_of(headers: &HeaderMap) -> Heads {
-    headers
-        .iter()
-        .map(|(name, value)| (name.to_string(), value.as_bytes().to_vec()))
-        .collect()
-}
-
-fn heads_from(heads: &Heads) -> HeaderMap {
-    let header = |(name, value): &(String, Vec<u8>)| {
-        Some((
-            name.parse::<HeaderName>().ok()?,
-            HeaderValue::from_bytes(value).ok()?,
-        ))
-    };
-    heads.iter().filter_map(header).collect()
-}
-
-fn keep(asked: &RequestAttributes, ask: &PreparedRequest, work: &Guarded) -> Option<Vec<u8>> {
-    let kept = Kept {
-        group: ask.route.name.clone(),
-        tenant: work.tenant.clone(),
-        key: asked.key,
-        cost_hint: asked.cost_hint,
-        method: ask.method.to_string(),
-        path: ask
-            .uri
-            .path_and_query()
-            .map_or("/", |path| path.as_str())
-            .to_string(),
-        headers: heads_of(&ask.headers),
-        body: ask.body.to_vec(),
-    };
-    postcard::to_stdvec(&kept)
-        .ok()
-        .filter(|bytes| bytes.len() <= LONGEST)
-}
-
-/// Serves a hit in a task of its own: its work goes on though its client leaves.
+/// Serves a request in a task of its own: it goes on though its client leaves.
 pub async fn serve(
     shell: Rc<Shell>,
-    guard: Rc<Guard>,
-    asked: RequestAttributes,
-    ask: PreparedRequest,
+    service: Rc<TakeoverService>,
+    attributes: RequestAttributes,
+    request: PreparedRequest,
 ) -> Response<Body> {
-    let (answer, answered) = oneshot::channel();
-    let serving = guard.serving();
+    let (responder, answered) = oneshot::channel();
+    let serving = service.count_serving();
     spawn_local(async move {
         let _serving = serving;
+        let response = serve_leased(&shell, &service, attributes, request).await;
         // Where the client has left meanwhile nobody is there to be answered.
-        let _ = answer.send(claimed(&shell, &guard, asked, ask).await);
+        let _ = responder.send(response);
     });
     answered.await.unwrap_or_else(|_| failed(false))
 }
 
-async fn claimed(
+async fn serve_leased(
     shell: &Rc<Shell>,
-    guard: &Rc<Guard>,
-    asked: RequestAttributes,
-    ask: PreparedRequest,
+    service: &Rc<TakeoverService>,
+    attributes: RequestAttributes,
+    request: PreparedRequest,
 ) -> Response<Body> {
     let began = Instant::now();
-    let ask = Rc::new(ask);
-    let Some(work) = &ask.guarded else {
+    let request = Rc::new(request);
+    let Some(protection) = &request.protection else {
         return failed(false);
     };
-    let (mark, sum, wait) = (work.mark, work.sum, work.wait);
-    let Some(bytes) = keep(&asked, &ask, work) else {
-        work.on.set(false);
-        return run(shell, guard, None, asked, ask.clone(), mark).await;
+    let owned = Owned {
+        shell,
+        service,
+        id: protection.id,
     };
-    if wait {
-        let rules = &ask.route.rules;
-        let dropped =
-            rules.idempotency == Idempotency::Keyed && rules.dedup_scope == DedupScope::All;
-        let strict = work.named && rules.idempotency != Idempotency::Idempotent && !dropped;
-        // Work that was claimed and given up elsewhere leaves nobody who knows it: then it is claimed anew, as long as
-        // its client waits.
-        let claim = loop {
-            let left = asked
-                .remaining
-                .saturating_sub(began.elapsed().as_nanos() as Nanos);
-            match guard.claim(mark, sum, (bytes.clone(), strict), left).await {
-                Claim::Nobody if began.elapsed().as_nanos() < u128::from(asked.remaining) => {}
-                claim => break claim,
-            }
-        };
-        match claim {
-            Claim::Taken => {}
-            Claim::Unguarded => work.on.set(false),
-            Claim::Unsure => return rejected(shell.site.forwards.max_retry_after),
-            Claim::Done(done) => return answer_of(done),
-            Claim::Differs => {
-                let why =
-                    "Idempotency-Key: another hit was sent under it; expected the same hit or another key\n";
-                return plain(StatusCode::UNPROCESSABLE_ENTITY, why);
-            }
-            Claim::Nobody => return failed(true),
+    let Some(payload) = backup_record::encode(&attributes, &request, protection) else {
+        protection.backed_up.set(false);
+        return owned.finish(None, attributes, request).await;
+    };
+    let lease = LeaseRequest {
+        id: protection.id,
+        digest: protection.digest,
+        payload: &payload,
+        exactly_once: must_not_repeat(&request, protection),
+        remaining: attributes.remaining,
+    };
+    if protection.announces_first() {
+        match request_lease(service, lease, began).await {
+            LeaseReply::Granted => {}
+            LeaseReply::Unprotected => protection.backed_up.set(false),
+            refused => return response_to_refusal(shell, refused),
         }
     } else {
-        guard.claim_behind(mark, sum, bytes, asked.remaining);
+        service.request_lease_in_background(lease);
     }
-    let left = asked
-        .remaining
-        .saturating_sub(began.elapsed().as_nanos() as Nanos);
-    run(
-        shell,
-        guard,
-        None,
-        RequestAttributes {
-            remaining: left,
-            ..asked
-        },
-        ask.clone(),
-        mark,
-    )
-    .await
+    let attributes = RequestAttributes {
+        remaining: remaining_since(began, attributes.remaining),
+        ..attributes
+    };
+    owned.finish(None, attributes, request.clone()).await
 }
 
-/// Lets the module finish a hit; or, where its work is lost to another, waits for that one's answer.
-async fn run(
-    shell: &Rc<Shell>,
-    guard: &Rc<Guard>,
-    past: Option<Vec<PriorAttempt>>,
-    asked: RequestAttributes,
-    ask: Rc<PreparedRequest>,
-    mark: RequestId,
-) -> Response<Body> {
-    let (kind, left) = (
-        ask.route.rules.idempotency,
-        Duration::from_nanos(asked.remaining),
-    );
-    let began = Instant::now();
-    let (lost, told) = guard.watch(mark);
-    let (answer, answered) = oneshot::channel();
-    let hit = shell.dispatch_resumed(past, asked, ask.clone(), answer);
-    let response = tokio::select! {
-        // A hit that is answered here is answered, whatever else is known by now.
-        biased;
-        response = answered => response.unwrap_or_else(|_| failed(false)),
-        Ok(()) = lost => {
-            shell.client_left(hit);
-            let claim = timeout(left.saturating_sub(began.elapsed()), told).await;
-            guard.forget(mark);
-            return match claim {
-                Ok(Ok(Claim::Done(done))) => answer_of(done),
-                _ => failed(true),
-            };
-        }
-    };
-    let (response, done) = last_word(response, kind, ask.guarded.as_ref()).await;
-    guard.finish(mark, done);
-    response
+/// Returns whether the request must not run twice, whatever that costs: its client counts on its key, and no pod drops
+/// a repeat.
+fn must_not_repeat(request: &PreparedRequest, protection: &Protection) -> bool {
+    let rules = &request.route.rules;
+    let pods_drop_repeats =
+        rules.idempotency == Idempotency::Keyed && rules.dedup_scope == DedupScope::All;
+    protection.has_client_key && rules.idempotency != Idempotency::Idempotent && !pods_drop_repeats
 }
 
-/// What the guardians keep of an answer. A bounce tells the client that a retry does no harm. Where it cannot name
-/// the work, and guardians may believe for a moment longer that it is to be finished, that is not sure: if this
-/// sidecar were lost now, both the retry and a takeover would run. So it promises nothing.
-async fn last_word(
-    response: Response<Body>,
-    kind: Idempotency,
-    work: Option<&Guarded>,
-) -> (Response<Body>, Outcome) {
-    let again = kind != Idempotency::NonIdempotent;
-    let doubtful =
-        work.is_some_and(|work| !work.named && work.announced.get() && work.on.get()) && !again;
-    match response.extensions().get::<Final>() {
-        Some(Final::Bounced) if doubtful => (failed(false), Outcome::Failed { retryable: again }),
-        Some(Final::Bounced) => (response, Outcome::Rejected),
-        Some(Final::Errored) => (response, Outcome::Failed { retryable: again }),
-        None => {
-            let (parts, body) = response.into_parts();
-            let Body::Whole(whole) = body else {
-                // Passed on as it comes: too long to be kept.
-                return (
-                    Response::from_parts(parts, body),
-                    Outcome::Served(Vec::new()),
-                );
-            };
-            let whole = whole
-                .collect()
-                .await
-                .map(|whole| whole.to_bytes())
-                .unwrap_or_default();
-            let (status, headers) = (parts.status.as_u16(), heads_of(&parts.headers));
-            let kept = KeptAnswer {
-                status,
-                headers,
-                body: whole.to_vec(),
-            };
-            let kept = postcard::to_stdvec(&kept)
-                .ok()
-                .filter(|bytes| bytes.len() <= LONGEST);
-            let response = Response::from_parts(parts, Body::Whole(Full::new(whole)));
-            (response, Outcome::Served(kept.unwrap_or_default()))
+/// Asks for a lease until it is granted or refused. A request that was leased and given up elsewhere leaves nobody who
+/// knows it: then the lease is asked for anew, as long as its client waits.
+async fn request_lease(
+    service: &TakeoverService,
+    request: LeaseRequest<'_>,
+    began: Instant,
+) -> LeaseReply {
+    loop {
+        let remaining = remaining_since(began, request.remaining);
+        let lease = LeaseRequest {
+            remaining,
+            ..request
+        };
+        match service.request_lease(lease).await {
+            LeaseReply::Unknown if elapsed(began) < request.remaining => {}
+            reply => return reply,
         }
     }
 }
 
-/// The answer to a client that came back.
-fn answer_of(done: Outcome) -> Response<Body> {
-    let delivered = match done {
-        Outcome::Rejected => return rejected(0),
-        Outcome::Failed { .. } => return failed(false),
-        Outcome::Served(kept) if kept.is_empty() => {
-            return plain(
-                StatusCode::BAD_GATEWAY,
-                "errored: it ran, but its answer was too long to be kept\n",
-            )
-        }
-        Outcome::Served(kept) => kept,
-    };
-    let Ok(KeptAnswer {
-        status,
-        headers,
-        body,
-    }) = postcard::from_bytes(&delivered)
-    else {
-        return plain(
-            StatusCode::BAD_GATEWAY,
-            "errored: it ran, but its kept answer cannot be read here\n",
-        );
-    };
-    let mut response = Response::new(Body::Whole(Full::new(body.into())));
-    *response.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY);
-    *response.headers_mut() = heads_from(&headers);
-    response
+fn elapsed(began: Instant) -> Nanos {
+    Nanos::try_from(began.elapsed().as_nanos()).unwrap_or(Nanos::MAX)
+}
+
+fn remaining_since(began: Instant, remaining: Nanos) -> Nanos {
+    remaining.saturating_sub(elapsed(began))
+}
+
+fn response_to_refusal(shell: &Shell, reply: LeaseReply) -> Response<Body> {
+    match reply {
+        LeaseReply::Uncertain => rejected_for(shell.site.forwards.max_retry_after),
+        LeaseReply::Finished(outcome) => response_of(outcome),
+        LeaseReply::KeyReused => plain(StatusCode::UNPROCESSABLE_ENTITY, KEY_REUSED),
+        LeaseReply::Unknown | LeaseReply::Granted | LeaseReply::Unprotected => failed(true),
+    }
+}
+
+/// A request that is owned here.
+struct Owned<'a> {
+    shell: &'a Rc<Shell>,
+    service: &'a Rc<TakeoverService>,
+    id: RequestId,
+}
+
+impl Owned<'_> {
+    /// Lets the decisions finish a request; or, where it is lost to another sidecar, waits for that one's answer.
+    async fn finish(
+        &self,
+        prior_attempts: Option<Vec<PriorAttempt>>,
+        attributes: RequestAttributes,
+        request: Rc<PreparedRequest>,
+    ) -> Response<Body> {
+        let began = Instant::now();
+        let remaining = Duration::from_nanos(attributes.remaining);
+        let OwnerWatch { lost, outcome } = self.service.watch(self.id);
+        let (responder, answered) = oneshot::channel();
+        let dispatched =
+            self.shell
+                .dispatch_resumed(prior_attempts, attributes, request.clone(), responder);
+        let response = tokio::select! {
+            // A request that is answered here is answered, whatever else is known by now.
+            biased;
+            response = answered => response.unwrap_or_else(|_| failed(false)),
+            Ok(()) = lost => {
+                self.shell.client_left(dispatched);
+                let left = remaining.saturating_sub(began.elapsed());
+                let outcome = timeout(left, outcome).await;
+                self.service.forget_closed_waiters(self.id);
+                return match outcome {
+                    Ok(Ok(LeaseReply::Finished(outcome))) => response_of(outcome),
+                    _ => failed(true),
+                };
+            }
+        };
+        let (response, outcome) = outcome_of(response, &request).await;
+        self.service.finish(self.id, outcome);
+        response
+    }
 }
 
-/// The work is another's, or it is not sure whose.
+/// The request is another sidecar's, or it is not sure whose.
+#[derive(Debug)]
 pub struct NotOurs;
 
-/// Tells the guardians that a forward is about to go; nothing where nobody guards it.
-pub async fn before(
-    shell: &Rc<Shell>,
-    work: &Guarded,
+/// Tells the backups that an attempt is about to be sent; nothing where nobody backs the request up.
+///
+/// # Errors
+/// The attempt may not be sent, as the request is not surely ours.
+pub async fn announce_attempt(
+    shell: &Shell,
+    protection: &Protection,
     pod: PodId,
-) -> Result<Option<Going>, NotOurs> {
-    let Some(guard) = shell.guard.as_ref().filter(|_| work.on.get()) else {
+) -> Result<Option<AnnouncedAttempt>, NotOurs> {
+    let service = shell.takeover.as_ref();
+    let Some(service) = service.filter(|_| protection.backed_up.get()) else {
         return Ok(None);
     };
-    let name = shell.engine().pod_name(pod).unwrap_or_default().to_string();
-    work.announced.set(true);
-    match guard.before(work.mark, &name, work.wait).await {
-        None if work.wait => Err(NotOurs),
-        going => Ok(going),
+    let pod = shell.engine().pod_name(pod).unwrap_or_default().to_string();
+    let wait = protection.announces_first();
+    protection.announced.set(true);
+    match service.announce_attempt(protection.id, &pod, wait).await {
+        None if wait => Err(NotOurs),
+        announced => Ok(announced),
     }
 }
 
-/// Whether a guarded forward may be written at this moment.
-pub fn may(shell: &Rc<Shell>, ask: &PreparedRequest) -> bool {
-    let Some(work) = ask
-        .guarded
-        .as_ref()
-        .filter(|work| work.wait && work.on.get())
-    else {
+/// Returns whether an attempt of this request may be written at this moment.
+pub fn may_send(shell: &Shell, request: &PreparedRequest) -> bool {
+    let leased =
+        |protection: &&Protection| protection.announces_first() && protection.backed_up.get();
+    let Some(protection) = request.protection.as_ref().filter(leased) else {
         return true;
     };
-    let may = shell
-        .guard
-        .as_ref()
-        .is_some_and(|guard| guard.may(work.mark));
-    if !may {
+    let service = shell.takeover.as_ref();
+    let may_send = service.is_some_and(|service| service.may_send(protection.id));
+    if !may_send {
         tracing::warn!(
-            mark = mark_text(work.mark),
+            mark = request_id_text(protection.id),
             "forward not sent: the right to the work is lost or unsure"
         );
     }
-    may
+    may_send
 }
 
-/// Finishes work that was another's.
+/// Finishes a request that was another sidecar's.
 pub fn take_over(shell: &Rc<Shell>, record: Record) {
-    let Some(guard) = shell.guard.clone() else {
+    let Some(service) = shell.takeover.clone() else {
         return;
     };
-    let (shell, mark, began) = (shell.clone(), record.request, Instant::now());
+    let shell = shell.clone();
     spawn_local(async move {
-        let may_have_run = record
-            .attempts
-            .iter()
-            .filter(|past| past.state != AttemptState::NeverRan)
-            .count();
-        let (forwards, left_ms) = (record.attempts.len(), record.remaining / 1_000_000);
-        tracing::info!(
-            mark = mark_text(mark),
-            forwards,
-            may_have_run,
-            left_ms,
-            "work taken over"
-        );
-        let ended = match read(&shell, &record) {
-            Some((asked, ask)) => {
-                let earlier = |past: &havenplank_takeover::record::Attempt| PriorAttempt {
-                    pod: shell.engine().pod_id(&past.pod),
-                    ago: past.age,
-                    may_have_run: past.state != AttemptState::NeverRan,
-                };
-                let past = Some(record.attempts.iter().map(earlier).collect());
-                run(&shell, &guard, past, asked, Rc::new(ask), mark)
-                    .await
-                    .status()
-            }
-            None => {
-                tracing::warn!(
-                    mark = mark_text(mark),
-                    "work of a path group that is not known here: errored"
-                );
-                guard.finish(mark, Outcome::Failed { retryable: false });
-                StatusCode::BAD_GATEWAY
-            }
-        };
+        let (id, began) = (record.request, Instant::now());
+        log_takeover(&record);
+        let status = finish_record(&shell, &service, &record).await;
         let took_ms = began.elapsed().as_millis() as u64;
         tracing::info!(
-            mark = mark_text(mark),
-            status = ended.as_u16(),
+            mark = request_id_text(id),
+            status = status.as_u16(),
             took_ms,
             "work finished"
         );
     });
 }
 
-fn read(shell: &Shell, record: &Record) -> Option<(RequestAttributes, PreparedRequest)> {
-    let kept: Kept = postcard::from_bytes(&record.payload).ok()?;
-    let routes = shell.routes();
-    let route = routes.named(&kept.group)?.clone();
-    let asked = RequestAttributes {
-        route_class: route.route_class(),
-        tenant: kept
-            .tenant
-            .as_ref()
-            .and_then(|name| routes.tenant(name)?.index),
-        key: kept.key,
-        remaining: record.remaining.min(route.rules.client_timeout),
-        cost_hint: kept.cost_hint,
-        is_retry: false,
+fn log_takeover(record: &Record) {
+    let may_have_run = record.attempts.iter().filter(|prior| may_have_run(prior));
+    tracing::info!(
+        mark = request_id_text(record.request),
+        forwards = record.attempts.len(),
+        may_have_run = may_have_run.count(),
+        left_ms = record.remaining / 1_000_000,
+        "work taken over"
+    );
+}
+
+fn may_have_run(attempt: &Attempt) -> bool {
+    attempt.state != AttemptState::NeverRan
+}
+
+async fn finish_record(
+    shell: &Rc<Shell>,
+    service: &Rc<TakeoverService>,
+    record: &Record,
+) -> StatusCode {
+    let Some(backed_up) = backup_record::decode(&shell.routes(), record) else {
+        tracing::warn!(
+            mark = request_id_text(record.request),
+            "work of a path group that is not known here: errored"
+        );
+        service.finish(record.request, Outcome::Failed { retryable: false });
+        return StatusCode::BAD_GATEWAY;
     };
-    let (headers, uri) = headers::detached_copy(&heads_from(&kept.headers), &kept.path);
-    let guarded = Guarded {
-        mark: record.request,
-        tenant: kept.tenant,
-        named: false,
-        sum: record.digest,
-        wait: route.guard != Mode::Behind,
-        on: Cell::new(true),
-        announced: Cell::new(true),
+    let BackedUpRequest {
+        attributes,
+        request,
+    } = backed_up;
+    let prior = |prior: &Attempt| PriorAttempt {
+        pod: shell.engine().pod_id(&prior.pod),
+        ago: prior.age,
+        may_have_run: may_have_run(prior),
+    };
+    let prior_attempts = record.attempts.iter().map(prior).collect();
+    let owned = Owned {
+        shell,
+        service,
+        id: record.request,
     };
-    let method = kept.method.parse().ok()?;
-    Some((
-        asked,
-        PreparedRequest {
-            method,
-            uri,
-            headers,
-            body: kept.body.into(),
-            route,
-            guarded: Some(guarded),
-        },
-    ))
+    let response = owned.finish(Some(prior_attempts), attributes, Rc::new(request));
+    response.await.status()
 }
--- a/crates/sidecar/src/headers.rs
+++ b/crates/sidecar/src/headers.rs
@@ -1,4 +1,4 @@
-//! What headers say: time left, marks, keys, load; and which of them stay behind.
+//! What headers say: remaining time, idempotency key, load; and which of them stay behind.
 
 use bytes::BytesMut;
 use havenplank::interface::{LoadReport, Nanos};
@@ -10,10 +10,19 @@
 use winnow::prelude::*;
 use winnow::token::{one_of, take_while};
 
-/// Longest mark against repeats, in bytes.
-const MARK: usize = 256;
+/// The header in which a client names its request, so that it runs once (IETF draft `Idempotency-Key`).
+pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
+/// The header in which a pod reports its load (ORCA).
+pub const LOAD_REPORT: &str = "endpoint-load-metrics";
 
-/// A time in the form of `grpc-timeout`: up to eight digits, then H, M, S, m, u or n.
+/// The longest idempotency key, in bytes.
+const MAX_IDEMPOTENCY_KEY_BYTES: usize = 256;
+/// One more than the largest count that the eight digits of `grpc-timeout` hold.
+const TIMEOUT_COUNT_LIMIT: Nanos = 100_000_000;
+/// The longest time that the units of [`format_timeout`] express.
+const LONGEST_TIMEOUT: &str = "99999999S";
+
+/// Parses a time in the form of `grpc-timeout`: up to eight digits, then H, M, S, m, u or n.
 pub fn parse_timeout(text: &str) -> Option<Nanos> {
     let unit =
         one_of::<_, _, ContextError>(['H', 'M', 'S', 'm', 'u', 'n']).map(|unit: char| match unit {
@@ -29,7 +38,7 @@
     count.checked_mul(unit)
 }
 
-/// The same form, rounded down to a whole count of the finest unit that eight digits hold.
+/// Formats a time in the same form, rounded down to a whole count of the finest unit that eight digits hold.
 pub fn format_timeout(time: Nanos) -> String {
     let units = [
         (1, 'n'),
@@ -37,13 +46,15 @@
         (1_000_000, 'm'),
         (1_000_000_000, 'S'),
     ];
-    let fits = units.iter().find(|(unit, _)| time / unit < 100_000_000);
-    fits.map_or("99999999S".to_string(), |(unit, letter)| {
+    let fits = units
+        .iter()
+        .find(|(unit, _)| time / unit < TIMEOUT_COUNT_LIMIT);
+    fits.map_or(LONGEST_TIMEOUT.to_string(), |(unit, letter)| {
         format!("{}{letter}", time / unit)
     })
 }
 
-/// Whether a mark has the form of the `Idempotency-Key` draft: a structured string in quotes, not empty.
+/// Returns whether a key has the form of the `Idempotency-Key` draft: a structured string in quotes, not empty.
 pub fn is_idempotency_key(text: &[u8]) -> bool {
     let Some(inner) = text
         .strip_prefix(b"\"")
@@ -61,10 +72,10 @@
             _ => return false,
         }
     }
-    !escaped && !inner.is_empty() && inner.len() <= MARK
+    !escaped && !inner.is_empty() && inner.len() <= MAX_IDEMPOTENCY_KEY_BYTES
 }
 
-/// Whole microseconds.
+/// Parses a cost hint: whole microseconds.
 pub fn parse_cost_hint(text: &str) -> Option<Nanos> {
     dec_uint::<_, u64, ContextError>
         .parse(text)
@@ -72,7 +83,7 @@
         .checked_mul(1_000)
 }
 
-/// A load report in the text form of `endpoint-load-metrics`; what it does not name stays unknown.
+/// Parses a load report in the text form of `endpoint-load-metrics`; what it does not name stays unknown.
 pub fn parse_load_report(text: &str) -> Option<LoadReport> {
     let name = take_while(1.., |c: char| {
         c.is_ascii_alphanumeric() || "_.-".contains(c)
@@ -99,6 +110,7 @@
     Some(load)
 }
 
+/// Headers that speak of one connection only.
 const HOP_BY_HOP: [&str; 9] = [
     "connection",
     "keep-alive",
@@ -111,7 +123,7 @@
     "upgrade",
 ];
 
-/// Takes out what speaks of one connection only (RFC 9110, 7.6.1), with all that `Connection` names.
+/// Removes what speaks of one connection only (RFC 9110, 7.6.1), with all that `Connection` names.
 pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
@@ -128,8 +140,8 @@
     }
 }
 
-/// A copy of headers and path in one piece of memory of their own. As they come they are parts of their
-/// connection's read buffer, and a hit that waits would keep all 8 KiB of it.
+/// Copies headers and path into one piece of memory of their own. As they come they are parts of their
+/// connection's read buffer, and a request that waits would keep all 8 KiB of it.
 pub fn detached_copy(headers: &HeaderMap, path: &str) -> (HeaderMap, Uri) {
     let all = path.len() + headers.values().map(HeaderValue::len).sum::<usize>();
     let mut whole = BytesMut::with_capacity(all);
@@ -149,57 +161,3 @@
     let uri = Uri::from_maybe_shared(whole.slice(..path.len()));
     (copy, uri.unwrap_or_else(|_| Uri::from_static("/")))
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn times_marks_and_loads() {
-        let times = [
-            ("250m", Some(250_000_000)),
-            ("3S", Some(3_000_000_000)),
-            ("", None),
-            ("5", None),
-        ];
-        for (text, wanted) in
-            times
-                .into_iter()
-                .chain([("123456789m", None), ("-1S", None), ("1 S", None)])
-        {
-            assert_eq!(parse_timeout(text), wanted, "{text}");
-        }
-        for time in [0, 999, 99_999_999, 100_000_000, 2_000_000_123, u64::MAX] {
-            let read = parse_timeout(&format_timeout(time)).expect("its own form");
-            assert!(
-                read <= time && (time > 99_999_999_000_000_000 || time - read <= time / 10_000),
-                "{time}"
-            );
-        }
-        for (mark, good) in [
-            ("\"a\"", true),
-            ("\"a\\\"b\"", true),
-            ("a", false),
-            ("\"\"", false),
-        ] {
-            assert_eq!(is_idempotency_key(mark.as_bytes()), good, "{mark}");
-        }
-        assert!(
-            !is_idempotency_key(b"\"a\"b\"")
-                && !is_idempotency_key(b"\"\\\"")
-                && !is_idempotency_key(&[b'"', 200, b'"'])
-        );
-        let told =
-            parse_load_report("TEXT cpu_utilization=0.3, named_metrics.in_flight=4,eps=1e1,odd=2")
-                .expect("a report");
-        assert_eq!(
-            (told.busy, told.in_flight, told.failed_per_s),
-            (Some(0.3), Some(4.0), Some(10.0))
-        );
-        assert!(
-            parse_load_report("JSON {}").is_none()
-                && parse_load_report("TEXT a=b").is_none()
-                && parse_load_report("").is_none()
-        );
-    }
-}
--- a/crates/sidecar/src/membership.rs
+++ b/crates/sidecar/src/membership.rs
@@ -1,9 +1,9 @@
-//! Where a sidecar hears the others: the fellowship's sockets and keys, who here reads which kind of message, and what
-//! it may believe of its own place.
+//! Where a sidecar hears the others: the membership's sockets and keys, who here reads which kind of message, and
+//! whether it may believe that it sees enough of them.
 
 use havenplank_membership::node::{Happened, Node};
 use havenplank_membership::shell::{log, new_life, read_keys, KeysError, Talker};
-use havenplank_membership::standing::{Dispute, Rules as Belonging, Standing};
+use havenplank_membership::standing::{Dispute, Rules as QuorumRules, Standing};
 use havenplank_membership::swim::{News, Rules, State};
 use havenplank_membership::views::{Change, Views, VIEWS};
 use havenplank_membership::wire::Life;
@@ -18,58 +18,77 @@
 use tokio::task::spawn_local;
 use tokio::time::{interval, MissedTickBehavior};
 
-/// Names of each sort that an operator is shown, at most; `Glance::reached` is whole.
-const SHOWN: usize = 32;
+/// Names of each sort that an operator is shown, at most; [`MembershipStatus::reached`] counts all.
+const SHOWN_NAMES: usize = 32;
+/// How much of a period a member has to answer a ping: 3 of 10 parts.
+const ANSWER_PARTS: (u64, u64) = (3, 10);
 
-/// Why a sidecar has no fellowship.
+/// Why a sidecar has no membership.
 #[derive(Debug, thiserror::Error)]
-pub enum FellowshipError {
+pub enum MembershipError {
+    /// The key file gives no keys.
     #[error("fellowship.keys: {0}")]
     Keys(#[from] KeysError),
-    #[error("fellowship.listen {at}: {error}; expected an address of this machine whose port is free for UDP and TCP")]
+    /// The address cannot be bound.
+    #[error("fellowship.listen {at}: {source}; expected an address of this machine whose port is free for UDP and TCP")]
     Listen {
+        /// The address that was asked for.
         at: SocketAddr,
-        error: std::io::Error,
+        /// Why not.
+        source: std::io::Error,
     },
 }
 
 /// Reads the messages of one kind.
-type Ear = Rc<dyn Fn(&Life, &[u8])>;
+type MessageHandler = Rc<dyn Fn(&Life, &[u8])>;
 
-pub struct Fellowship {
+/// This sidecar among the others.
+pub struct Membership {
     talker: Rc<Talker>,
     me: Life,
-    /// By kind of message. One row a part of the program that talks, set at the start.
-    ears: RefCell<BTreeMap<u8, Ear>>,
+    /// By kind of message. One entry a part of the program that talks, set at the start.
+    handlers: RefCell<BTreeMap<u8, MessageHandler>>,
     views: RefCell<Views>,
-    /// Views are told to one fellow after the other, once a period.
+    /// Views are sent to one member after the other, once a period.
     period: Duration,
 }
 
 /// What an operator may look at.
 #[derive(Clone, Debug, Default)]
-pub struct Glance {
+pub struct MembershipStatus {
+    /// Names of the others that live, as far as known here.
     pub living: Vec<String>,
+    /// How far this sidecar's own slowness stretches its time-outs.
     pub slowness: u32,
+    /// Its quorum state.
     pub standing: Option<Standing>,
     /// For how long that has held, in ns.
     pub stands_for: u64,
+    /// How many members there should be.
     pub belong: usize,
     /// Of those who belong, itself counted.
     pub reached: usize,
+    /// Names of those who are not reached.
     pub missing: Vec<String>,
+    /// Names of those who do not hear this one.
     pub deaf_to_us: Vec<String>,
+    /// Names of those who came and went of late.
     pub unsteady: Vec<String>,
+    /// With whom it does not agree on who is there.
     pub disputes: Vec<Dispute>,
+    /// Messages sent since the start.
     pub sent: u64,
+    /// Bytes of those.
     pub sent_bytes: u64,
-    /// Letters refused for what they are, and messages lost for want of room here, on either side.
+    /// Frames refused for what they are since the start.
     pub refused: u64,
+    /// Messages lost for want of room to receive since the start.
     pub overrun: u64,
+    /// Messages lost for want of room to send since the start.
     pub unsent: u64,
 }
 
-impl Fellowship {
+impl Membership {
     /// Binds the sockets; the others are met once it runs.
     ///
     /// # Errors
@@ -78,81 +97,76 @@
         settings: &Settings,
         name: &str,
         zone: &str,
-    ) -> Result<Rc<Fellowship>, FellowshipError> {
+    ) -> Result<Rc<Membership>, MembershipError> {
         let keys = read_keys(&settings.keys)?;
         let me = Life {
             name: name.to_string(),
             life: new_life(),
         };
+        let (parts, of) = ANSWER_PARTS;
         let rules = Rules {
             period: settings.period,
-            answer: settings.period * 3 / 10,
+            answer: settings.period * parts / of,
             ..Rules::default()
         };
         let talker = Talker::bind(settings.listen, |now, bound| {
-            let at = settings.advertise.unwrap_or(bound);
-            let (who, zone) = (me.clone(), zone.to_string());
             let news = News {
-                who,
-                at,
-                zone,
+                who: me.clone(),
+                at: settings.advertise.unwrap_or(bound),
+                zone: zone.to_string(),
                 round: 0,
                 state: State::Lives,
             };
             let seed = me.life ^ u64::from(bound.port()) << 48;
             Node::new(now, seed, news, settings.meet.clone(), rules, keys)
         });
-        let talker = talker.await.map_err(|error| FellowshipError::Listen {
+        let talker = talker.await.map_err(|source| MembershipError::Listen {
             at: settings.listen,
-            error,
+            source,
         })?;
         talker.call(|node, _| node.reads(VIEWS));
-        let views = RefCell::new(Views::new(talker.now(), me.clone(), Belonging::default()));
-        let period = Duration::from_nanos(settings.period);
-        let ears = RefCell::default();
-        Ok(Rc::new(Fellowship {
+        let views = Views::new(talker.now(), me.clone(), QuorumRules::default());
+        Ok(Rc::new(Membership {
             talker,
             me,
-            ears,
-            views,
-            period,
+            handlers: RefCell::default(),
+            views: RefCell::new(views),
+            period: Duration::from_nanos(settings.period),
         }))
     }
 
-    /// From now on messages of this kind come here. One part of the program owns a kind.
-    pub fn reads(&self, kind: u8, ear: impl Fn(&Life, &[u8]) + 'static) {
+    /// Hands messages of this kind to `handler` from now on. One part of the program owns a kind.
+    pub fn on_message(&self, kind: u8, handler: impl Fn(&Life, &[u8]) + 'static) {
         self.talker.call(|node, _| node.reads(kind));
-        self.ears.borrow_mut().insert(kind, Rc::new(ear));
+        self.handlers.borrow_mut().insert(kind, Rc::new(handler));
     }
 
     /// Meets the others and goes on until the thread's tasks end. `keys` is read again at SIGHUP.
     pub fn run(self: &Rc<Self>, keys: PathBuf) {
-        let hears = self.clone();
-        spawn_local(
-            self.talker
-                .clone()
-                .run(move |_, happened| hears.happened(happened)),
-        );
-        spawn_local(self.clone().reload(keys));
-        spawn_local(self.clone().tell_views());
+        let membership = self.clone();
+        let talker = self.talker.clone();
+        spawn_local(talker.run(move |_, happened| membership.handle(happened)));
+        spawn_local(self.clone().reload_keys(keys));
+        spawn_local(self.clone().send_views());
     }
 
-    fn happened(&self, happened: Happened) {
+    fn handle(&self, happened: Happened) {
         match happened {
             Happened::Came {
                 from,
                 kind: VIEWS,
                 body,
             } => {
-                let received = self.views.borrow_mut().receive(self.now(), &from, &body);
+                let now = self.now();
+                let received = self.views.borrow_mut().receive(now, &from, &body);
                 if received.is_err() {
                     tracing::warn!(fellow = from.name, "view passed over: not readable");
                 }
             }
             Happened::Came { from, kind, body } => {
-                let ear = self.ears.borrow().get(&kind).cloned();
-                if let Some(ear) = ear {
-                    ear(&from, &body);
+                let handler = self.handlers.borrow().get(&kind).cloned();
+                if let Some(handler) = handler {
+                    handler(&from, &body);
                 }
             }
             Happened::Told(event) => {
@@ -162,15 +176,14 @@
         }
     }
 
-    /// Once a period, who lives is told to the decision on our place, and our view to one fellow.
-    async fn tell_views(self: Rc<Self>) {
-        let mut beat = interval(self.period);
-        beat.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    /// Once a period, tells who lives to the decision on the quorum state, and our view to one member.
+    async fn send_views(self: Rc<Self>) {
+        let mut periods = interval(self.period);
+        periods.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
-            beat.tick().await;
-            let change = self
-                .talker
-                .call(|node, now| self.views.borrow_mut().tick(now, node));
+            periods.tick().await;
+            let tick = |node: &mut Node, now| self.views.borrow_mut().tick(now, node);
+            let change = self.talker.call(tick);
             if let Some(change) = change {
                 self.log_change(change);
             }
@@ -187,61 +200,61 @@
         }
     }
 
-    async fn reload(self: Rc<Self>, file: PathBuf) {
+    async fn reload_keys(self: Rc<Self>, file: PathBuf) {
         let Ok(mut hangups) = signal(SignalKind::hangup()) else {
             return;
         };
         while hangups.recv().await.is_some() {
             match read_keys(&file) {
-                Ok(read) => {
-                    tracing::info!(keys = read.len(), "keys read again");
-                    self.talker.call(|node, _| node.rekey(read));
+                Ok(keys) => {
+                    tracing::info!(keys = keys.len(), "keys read again");
+                    self.talker.call(|node, _| node.rekey(keys));
                 }
                 Err(why) => tracing::warn!(%why, "keys refused, the old ones stay"),
             }
         }
     }
 
+    /// Returns this sidecar's name and incarnation.
     pub fn me(&self) -> &Life {
         &self.me
     }
 
-    /// Nanoseconds since the start, on the monotonic clock.
+    /// Returns the time since the start on the monotonic clock, in ns.
     pub fn now(&self) -> u64 {
         self.talker.now()
     }
 
-    /// Where other sidecars reach it.
-    pub fn at(&self) -> Option<SocketAddr> {
+    /// Returns where other sidecars reach it.
+    pub fn address(&self) -> Option<SocketAddr> {
         self.talker.at().ok()
     }
 
-    /// Says something to a fellow. One that is not known any more hears nothing, as if it were lost on the way.
-    pub fn say(&self, to: &Life, kind: u8, body: Vec<u8>) {
+    /// Sends a message to a member. One that is not known any more hears nothing, as if it were lost on the way.
+    pub fn send(&self, to: &Life, kind: u8, body: Vec<u8>) {
         self.talker.call(|node, _| node.send(to, kind, body));
     }
 
-    /// The others that live, as far as known here.
-    pub fn living<T>(&self, look: impl FnOnce(&mut dyn Iterator<Item = &News>) -> T) -> T {
+    /// Looks at the others that live, as far as known here.
+    pub fn with_living<T>(&self, look: impl FnOnce(&mut dyn Iterator<Item = &News>) -> T) -> T {
         self.talker
             .call(|node, _| look(&mut node.fellows().living()))
     }
 
-    /// Tells the others that it goes.
+    /// Tells the others that it leaves.
     pub fn leave(&self) {
         self.talker.call(|node, _| node.leave());
     }
 
-    pub fn glance(&self) -> Glance {
+    /// Returns what an operator may look at.
+    pub fn status(&self) -> MembershipStatus {
         let unsent = self.talker.lost();
         let (now, views) = (self.now(), self.views.borrow());
         let place = views.place();
         let (standing, since) = place.standing();
-        let shown =
-            |names: &mut dyn Iterator<Item = &str>| names.take(SHOWN).map(str::to_string).collect();
         let mut disputes = place.disputes(now);
-        disputes.truncate(SHOWN);
-        self.talker.call(|node, _| Glance {
+        disputes.truncate(SHOWN_NAMES);
+        self.talker.call(|node, _| MembershipStatus {
             living: node
                 .fellows()
                 .living()
@@ -252,9 +265,9 @@
             stands_for: now.saturating_sub(since),
             belong: place.belong(),
             reached: place.belong() - place.missing(now).count(),
-            missing: shown(&mut place.missing(now)),
-            deaf_to_us: shown(&mut place.deaf_to_us(now)),
-            unsteady: shown(&mut place.unsteady(now)),
+            missing: shown(place.missing(now)),
+            deaf_to_us: shown(place.deaf_to_us(now)),
+            unsteady: shown(place.unsteady(now)),
             disputes,
             sent: node.sent,
             sent_bytes: node.sent_bytes,
@@ -264,3 +277,8 @@
         })
     }
 }
+
+/// Returns as many names as an operator is shown.
+fn shown<'a>(names: impl Iterator<Item = &'a str>) -> Vec<String> {
+    names.take(SHOWN_NAMES).map(str::to_string).collect()
+}
--- a/crates/sidecar/src/persister.rs
+++ b/crates/sidecar/src/persister.rs
@@ -1,4 +1,4 @@
-//! Keeps the configuration in force on disk, on a thread of its own: no request waits for a sync.
+//! Writes the configuration in force to disk, on a thread of its own: no request waits for a sync.
 
 use havenplank_configuration::delta::Delta;
 use havenplank_configuration::snapshot::Snapshot;
@@ -8,14 +8,14 @@
 use std::thread::JoinHandle;
 use tokio::sync::watch;
 
-/// Dropped, it waits until the last version that it was given is on disk.
+/// Writes versions to a store. Dropped, it waits until the last version that it was given is on disk.
 pub struct Persister {
     mailbox: Arc<Mailbox>,
-    kept: watch::Receiver<Version>,
+    persisted: watch::Receiver<Version>,
     thread: Option<JoinHandle<()>>,
 }
 
-/// Room for one version: a newer one takes the place of one that waits, however slow the disk is.
+/// Holds one version: a newer one takes the place of one that waits, however slow the disk is.
 #[derive(Default)]
 struct Mailbox {
     contents: Mutex<Contents>,
@@ -47,31 +47,32 @@
 }
 
 impl Persister {
+    /// Starts the thread that writes to this store.
     pub fn start(store: Store) -> Persister {
         let mailbox = Arc::new(Mailbox::default());
-        let (tell, kept) = watch::channel(store.snapshot().version());
+        let (report, persisted) = watch::channel(store.snapshot().version());
         let thread = std::thread::Builder::new().name("configuration".to_string());
         let offered = mailbox.clone();
-        let thread = thread.spawn(move || keep_all(store, &offered, &tell));
+        let thread = thread.spawn(move || persist_all(store, &offered, &report));
         if let Err(error) = &thread {
             tracing::warn!(%error, "no thread that keeps the configuration: a restart begins without one");
         }
         Persister {
             mailbox,
-            kept,
+            persisted,
             thread: thread.ok(),
         }
     }
 
-    /// Keeps a version in time; of several that wait, the newest alone.
-    pub fn keep(&self, snapshot: Snapshot) {
+    /// Writes a version in time; of several that wait, the newest alone.
+    pub fn persist(&self, snapshot: Snapshot) {
         self.mailbox
             .change(|contents| contents.newest = Some(snapshot));
     }
 
-    /// The version that a restart would find.
-    pub fn kept(&self) -> Version {
-        *self.kept.borrow()
+    /// Returns the version that a restart would find.
+    pub fn persisted(&self) -> Version {
+        *self.persisted.borrow()
     }
 }
 
@@ -84,20 +85,20 @@
     }
 }
 
-fn keep_all(mut store: Store, offered: &Mailbox, tell: &watch::Sender<Version>) {
+fn persist_all(mut store: Store, offered: &Mailbox, report: &watch::Sender<Version>) {
     while let Some(newest) = offered.take() {
-        if let Err(error) = keep(&mut store, &newest) {
+        if let Err(error) = persist(&mut store, &newest) {
             tracing::error!(%error, "the configuration could not be kept; a restart begins with an older one");
             if matches!(error, StoreError::Disk { .. } | StoreError::Failed) {
                 return;
             }
         }
-        let _ = tell.send(store.snapshot().version());
+        let _ = report.send(store.snapshot().version());
     }
 }
 
-/// What changed since the version on disk is appended, so that a small change is a small write.
-fn keep(store: &mut Store, snapshot: &Snapshot) -> Result<(), StoreError> {
+/// Appends what changed since the version on disk, so that a small change is a small write.
+fn persist(store: &mut Store, snapshot: &Snapshot) -> Result<(), StoreError> {
     if snapshot.version() <= store.snapshot().version() {
         return Ok(());
     }
--- /dev/null
+++ b/crates/sidecar/src/prepared_request.rs
@@ -0,0 +1,140 @@
+//! A request as it will be sent to pods, and what protects it from running twice.
+
+use crate::routes::Route;
+use crate::takeover_service::{request_id, TakeoverService};
+use bytes::Bytes;
+use havenplank_settings::Guard as Backup;
+use havenplank_takeover::record::RequestId;
+use hyper::header::{HeaderMap, HeaderValue};
+use hyper::{Method, Uri};
+use std::cell::Cell;
+use std::rc::Rc;
+
+/// A request as it will be sent, as often as it must be.
+pub struct PreparedRequest {
+    /// Its method.
+    pub method: Method,
+    /// Its path and query.
+    pub uri: Uri,
+    /// Its headers, without those of its client's connection.
+    pub headers: HeaderMap,
+    /// All of its body.
+    pub body: Bytes,
+    /// The route that took it: it ends by this version of it, whatever is in force by then.
+    pub route: Rc<Route>,
+    /// What its backups know it by, where sidecars back each other up.
+    pub protection: Option<Protection>,
+}
+
+impl PreparedRequest {
+    /// Returns its path with its query.
+    pub fn path(&self) -> &str {
+        self.uri.path_and_query().map_or("/", |path| path.as_str())
+    }
+}
+
+/// The final answers that a sidecar makes itself; an extension of the response.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum OwnAnswer {
+    /// The request never ran.
+    Rejected,
+    /// The request may have run.
+    Failed,
+}
+
+/// When backups must know of an attempt.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Announcement {
+    /// Before it is sent.
+    First,
+    /// Some time; it is sent at once.
+    InBackground,
+}
+
+/// What keeps a request from running twice though its sidecar is lost.
+pub struct Protection {
+    /// Names the request among sidecars.
+    pub id: RequestId,
+    /// Hash of what was asked, to tell another request under the same key.
+    pub digest: u64,
+    /// The tenant that asks, where it is one of the configuration.
+    pub tenant: Option<String>,
+    /// Whether the client can name it, and so finds it again.
+    pub has_client_key: bool,
+    /// When its backups must know of an attempt.
+    pub announcement: Announcement,
+    /// Cleared where nobody backs it up after all.
+    pub backed_up: Cell<bool>,
+    /// Set once some attempt of it was announced.
+    pub announced: Cell<bool>,
+}
+
+/// What a request is told apart by.
+#[derive(Clone, Copy)]
+pub struct RequestContent<'a> {
+    /// Its method.
+    pub method: &'a Method,
+    /// Its path and query.
+    pub path: &'a str,
+    /// All of its body.
+    pub body: &'a Bytes,
+}
+
+impl Protection {
+    /// Protects a request under its client's key, or under an id of its own within its route.
+    pub fn new(
+        service: &TakeoverService,
+        route: &Route,
+        tenant: Option<String>,
+        client_key: Option<&HeaderValue>,
+        content: RequestContent<'_>,
+    ) -> Protection {
+        let RequestContent { method, path, body } = content;
+        let key = client_key.map(|key| request_id(&[route.name.as_bytes(), key.as_bytes()]));
+        let digest = request_id(&[method.as_str().as_bytes(), path.as_bytes(), body]) as u64;
+        Protection {
+            id: key.unwrap_or_else(|| service.generate_request_id()),
+            digest,
+            tenant,
+            has_client_key: key.is_some(),
+            announcement: Announcement::of(route),
+            backed_up: Cell::new(true),
+            announced: Cell::new(false),
+        }
+    }
+
+    /// Protects a request that was taken over: the sidecar that had it may have announced it.
+    pub fn taken_over(
+        id: RequestId,
+        digest: u64,
+        tenant: Option<String>,
+        route: &Route,
+    ) -> Protection {
+        Protection {
+            id,
+            digest,
+            tenant,
+            has_client_key: false,
+            announcement: match route.backup {
+                Backup::Behind => Announcement::InBackground,
+                Backup::BeforeForward | Backup::Off => Announcement::First,
+            },
+            backed_up: Cell::new(true),
+            announced: Cell::new(true),
+        }
+    }
+
+    /// Returns whether attempts wait until backups know of them.
+    pub fn announces_first(&self) -> bool {
+        self.announcement == Announcement::First
+    }
+}
+
+impl Announcement {
+    fn of(route: &Route) -> Announcement {
+        match route.backup {
+            Backup::BeforeForward => Announcement::First,
+            Backup::Behind | Backup::Off => Announcement::InBackground,
+        }
+    }
+}
--- a/crates/sidecar/src/replication.rs
+++ b/crates/sidecar/src/replication.rs
@@ -1,7 +1,7 @@
-//! The messages and the time around a [`Spreader`]: it talks on the sockets that peers have for each other, and hears from
-//! the membership who lives.
+//! The messages and the time around a [`Spreader`]: replicates configuration versions on the sockets that peers have for
+//! each other, and learns from the membership who lives.
 
-use crate::membership::Fellowship;
+use crate::membership::Membership;
 use havenplank_configuration::message::Message;
 use havenplank_configuration::snapshot::Snapshot;
 use havenplank_configuration::spread::{Effect, Event, Glance, Nanos, Peer, Peers, Spreader};
@@ -16,13 +16,13 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// The kind of message in which configurations travel.
-const KIND: u8 = 4;
+/// The membership's kind of message in which configurations travel.
+const MESSAGE_KIND: u8 = 4;
 const NS_PER_MS: Nanos = 1_000_000;
 /// However much is due, others on the thread get their turn between two wakes.
 const SHORTEST_WAIT: Duration = Duration::from_millis(1);
 
-/// Who takes versions over.
+/// Takes versions over.
 pub trait Host: 'static {
     type Error: Display;
 
@@ -33,48 +33,49 @@
     fn install(&self, snapshot: &Snapshot) -> Result<(), Self::Error>;
 }
 
-pub struct Spreading<H> {
-    fellowship: Rc<Fellowship>,
+/// Replicates versions between this process and its peers.
+pub struct Replication<H> {
+    membership: Rc<Membership>,
     spreader: RefCell<Spreader>,
     host: H,
     period: Duration,
     rearm: Notify,
 }
 
-impl<H: Host> Spreading<H> {
+impl<H: Host> Replication<H> {
     /// Reads messages from now on, and wakes the spreader until the thread's tasks end. Peers are read anew from the
     /// membership once a period.
     pub fn start(
-        fellowship: &Rc<Fellowship>,
+        membership: &Rc<Membership>,
         spreader: Spreader,
         host: H,
         period: Duration,
-    ) -> Rc<Spreading<H>> {
-        let fellowship = fellowship.clone();
-        let spreading = Rc::new(Spreading {
-            fellowship,
+    ) -> Rc<Replication<H>> {
+        let membership = membership.clone();
+        let replication = Rc::new(Replication {
+            membership,
             spreader: RefCell::new(spreader),
             host,
             period,
             rearm: Notify::new(),
         });
-        let reader = spreading.clone();
-        spreading
-            .fellowship
-            .reads(KIND, move |from, body| reader.heard(from, body));
-        spawn_local(spreading.clone().wakes());
-        spawn_local(spreading.clone().follow_membership());
-        spreading
+        let receiver = replication.clone();
+        replication
+            .membership
+            .on_message(MESSAGE_KIND, move |from, body| receiver.receive(from, body));
+        spawn_local(replication.clone().run_timers());
+        spawn_local(replication.clone().follow_membership());
+        replication
     }
 
-    /// One call on the spreader, then all that it left to do.
+    /// Makes one call on the spreader, then carries out all that it left to do.
     pub fn call<T>(&self, work: impl FnOnce(&mut Spreader, Nanos) -> T) -> T {
-        let done = work(&mut self.spreader.borrow_mut(), self.fellowship.now());
-        self.carry_out();
+        let done = work(&mut self.spreader.borrow_mut(), self.membership.now());
+        self.perform_effects();
         done
     }
 
-    /// Goes on in another role; what the one before had left to do is dropped.
+    /// Goes on in another role, with another spreader; what the one before had left to do is dropped.
     pub fn replace_spreader(&self, mut spreader: Spreader) {
         spreader.peers(self.living());
         self.spreader.replace(spreader);
@@ -86,18 +87,23 @@
             life: news.who.clone(),
             zone: news.zone.clone(),
         };
-        Peers::new(self.fellowship.living(|others| others.map(peer).collect()))
+        Peers::new(
+            self.membership
+                .with_living(|others| others.map(peer).collect()),
+        )
     }
 
-    pub fn glance(&self) -> Glance {
+    /// Returns how far versions have come.
+    pub fn status(&self) -> Glance {
         self.spreader.borrow().glance()
     }
 
+    /// Returns whom versions are handed to.
     pub fn host(&self) -> &H {
         &self.host
     }
 
-    fn heard(&self, from: &Life, body: &[u8]) {
+    fn receive(&self, from: &Life, body: &[u8]) {
         match Message::decode(body) {
             Ok(message) => {
                 self.call(|spreader, now| spreader.heard(now, from, message, body.len()))
@@ -110,11 +116,11 @@
         self.rearm.notify_one();
     }
 
-    async fn wakes(self: Rc<Self>) {
+    async fn run_timers(self: Rc<Self>) {
         loop {
             let next = self.spreader.borrow().next_wake();
             let wait = next.map_or(self.period, |at| {
-                Duration::from_nanos(at.saturating_sub(self.fellowship.now())).max(SHORTEST_WAIT)
+                Duration::from_nanos(at.saturating_sub(self.membership.now())).max(SHORTEST_WAIT)
             });
             tokio::select! {
                 () = sleep(wait) => self.call(|spreader, now| spreader.wake(now)),
@@ -131,13 +137,13 @@
         }
     }
 
-    fn carry_out(&self) {
+    fn perform_effects(&self) {
         loop {
             let effect = self.spreader.borrow_mut().effect();
             match effect {
                 None => break,
                 Some(Effect::Send { to, message }) => match message.encode() {
-                    Ok(body) => self.fellowship.say(&to, KIND, body),
+                    Ok(body) => self.membership.send(&to, MESSAGE_KIND, body),
                     Err(error) => tracing::warn!(peer = to.name, %error, "message not sent"),
                 },
                 Some(Effect::Install(snapshot)) => self.install(&snapshot),
@@ -148,7 +154,7 @@
     }
 
     fn install(&self, snapshot: &Snapshot) {
-        let (version, now) = (snapshot.version(), self.fellowship.now());
+        let (version, now) = (snapshot.version(), self.membership.now());
         match self.host.install(snapshot) {
             Ok(()) => {
                 tracing::info!(%version, digest = %snapshot.digest(), "configuration in force");
@@ -161,31 +167,31 @@
         }
     }
 
-    /// What an operator sees.
+    /// Returns what an operator sees.
     pub fn state(&self) -> Value {
-        let (glance, now) = (self.glance(), self.fellowship.now());
+        let (status, now) = (self.status(), self.membership.now());
         let age_ms = |at: Nanos| now.saturating_sub(at) / NS_PER_MS;
-        let rejected = glance
+        let rejected = status
             .rejected
             .map(|rejection| json!({"version": rejection.version.to_string(), "reason": rejection.reason}));
-        let transfer = glance.transfer.map(|transfer| {
+        let transfer = status.transfer.map(|transfer| {
             json!({
                 "version": transfer.version.to_string(), "from": transfer.source,
                 "missing_buckets": transfer.missing_buckets,
             })
         });
-        let counts = glance.counts;
+        let counts = status.counts;
         json!({
-            "version": glance.version.to_string(),
-            "digest": glance.digest.to_string(),
-            "age_ms": age_ms(glance.in_force_since),
-            "held": glance.held.to_string(),
-            "newest_heard": glance.newest_heard.to_string(),
-            "behind_ms": glance.behind_since.map(age_ms),
+            "version": status.version.to_string(),
+            "digest": status.digest.to_string(),
+            "age_ms": age_ms(status.in_force_since),
+            "held": status.held.to_string(),
+            "newest_heard": status.newest_heard.to_string(),
+            "behind_ms": status.behind_since.map(age_ms),
             "rejected": rejected,
-            "heard_ms_ago": glance.heard_at.map(age_ms),
-            "polled_ms_ago": glance.polled_at.map(age_ms),
-            "peers": glance.peers,
+            "heard_ms_ago": status.heard_at.map(age_ms),
+            "polled_ms_ago": status.polled_at.map(age_ms),
+            "peers": status.peers,
             "transfer": transfer,
             "counts": {
                 "unreadable": counts.unreadable, "repeats": counts.repeats, "unfit_deltas": counts.unfit_deltas,
@@ -195,12 +201,12 @@
         })
     }
 
-    /// What an operator sees of a writer: how many of how many have the last polled version, and who has not.
+    /// Returns what an operator sees of a writer: how many of how many have the last polled version, and who has not.
     pub fn writer_state(&self) -> Value {
-        let Some(writer) = self.glance().writer else {
+        let Some(writer) = self.status().writer else {
             return Value::Null;
         };
-        let now = self.fellowship.now();
+        let now = self.membership.now();
         let age_ms = |at: Nanos| now.saturating_sub(at) / NS_PER_MS;
         let round = writer.round.map(|round| {
             let behind = round.behind.iter().map(|peer| {
--- /dev/null
+++ b/crates/sidecar/src/request_reader.rs
@@ -0,0 +1,172 @@
+//! Reads a client's request in full, so that it can be sent again, and refuses what is none.
+
+use crate::engine::RequestAttributes;
+use crate::headers::{self, IDEMPOTENCY_KEY};
+use crate::prepared_request::{PreparedRequest, Protection, RequestContent};
+use crate::routes::{Route, RouteTable};
+use crate::shell::Shell;
+use bytes::Bytes;
+use havenplank::interface::{stable_hash, Idempotency, Nanos};
+use havenplank_settings::Guard as Backup;
+use http_body_util::{BodyExt, LengthLimitError, Limited};
+use hyper::body::{Body as _, Incoming};
+use hyper::header::{HeaderMap, CONTENT_LENGTH, VIA};
+use hyper::http::request::Parts;
+use hyper::{Request, StatusCode};
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::timeout;
+
+/// Why a request was refused before it was taken.
+pub struct Refused {
+    /// The status of the answer.
+    pub status: StatusCode,
+    /// Its text.
+    pub reason: &'static str,
+}
+
+impl Refused {
+    const fn new(status: StatusCode, reason: &'static str) -> Refused {
+        Refused { status, reason }
+    }
+
+    const fn bad_request(reason: &'static str) -> Refused {
+        Refused::new(StatusCode::BAD_REQUEST, reason)
+    }
+}
+
+const TOO_LARGE: Refused = Refused::new(
+    StatusCode::PAYLOAD_TOO_LARGE,
+    "the body is over the limit\n",
+);
+
+/// Reads a request in full.
+///
+/// # Errors
+/// No route takes it, a header is malformed, or its body is too long, too slow or broke off.
+pub async fn read(
+    shell: &Rc<Shell>,
+    request: Request<Incoming>,
+) -> Result<(RequestAttributes, PreparedRequest), Refused> {
+    let (parts, body) = request.into_parts();
+    let routes = shell.routes();
+    let route = find_route(&routes, &parts)?;
+    check_idempotency_key(&parts.headers, &route)?;
+    let tenant_name = text(&parts.headers, &shell.site.headers.tenant);
+    let tenant = tenant_name.and_then(|name| Some((name, routes.tenant(name)?)));
+    let index = tenant.and_then(|(_, tenant)| tenant.index);
+    let attributes = attributes(shell, &parts.headers, &route, index)?;
+    let takeover = shell.takeover.as_ref();
+    let takeover = takeover.filter(|_| route.backup != Backup::Off);
+    let tenant = takeover.and(tenant).map(|(name, _)| name.to_string());
+    // A request that waits for its body holds its own route, not the table.
+    drop(routes);
+    let body = read_body(shell, body).await?;
+    let mut headers = parts.headers;
+    headers::strip_hop_by_hop(&mut headers);
+    headers.remove(CONTENT_LENGTH);
+    let path = parts.uri.path_and_query().map_or("/", |path| path.as_str());
+    let (mut headers, uri) = headers::detached_copy(&headers, path);
+    let protection = takeover.map(|service| {
+        let key = headers.get(IDEMPOTENCY_KEY);
+        let key = key.or(headers.get(&shell.site.headers.mark));
+        let content = RequestContent {
+            method: &parts.method,
+            path,
+            body: &body,
+        };
+        Protection::new(service, &route, tenant, key, content)
+    });
+    headers.append(VIA, shell.via.clone());
+    let prepared = PreparedRequest {
+        method: parts.method,
+        uri,
+        headers,
+        body,
+        route,
+        protection,
+    };
+    Ok((attributes, prepared))
+}
+
+fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+    headers.get(name).map(|value| value.to_str().unwrap_or(""))
+}
+
+fn find_route(routes: &RouteTable, parts: &Parts) -> Result<Rc<Route>, Refused> {
+    let route = routes.find(parts.method.as_str(), parts.uri.path());
+    route.cloned().ok_or_else(|| {
+        if routes.awaits_configuration() {
+            Refused::new(
+                StatusCode::SERVICE_UNAVAILABLE,
+                "no configuration has been heard yet; a retry is harmless\n",
+            )
+        } else {
+            Refused::new(
+                StatusCode::NOT_FOUND,
+                "no path group takes this method and path\n",
+            )
+        }
+    })
+}
+
+fn check_idempotency_key(headers: &HeaderMap, route: &Route) -> Result<(), Refused> {
+    match headers.get(IDEMPOTENCY_KEY) {
+        Some(key) if !headers::is_idempotency_key(key.as_bytes()) => Err(Refused::bad_request(
+            "Idempotency-Key: expected a text in quotes\n",
+        )),
+        None if route.rules.idempotency == Idempotency::Keyed => Err(Refused::bad_request(
+            "Idempotency-Key: needed by this path group\n",
+        )),
+        _ => Ok(()),
+    }
+}
+
+/// Reads what the decisions see of a request.
+fn attributes(
+    shell: &Shell,
+    headers: &HeaderMap,
+    route: &Route,
+    tenant: Option<usize>,
+) -> Result<RequestAttributes, Refused> {
+    let names = &shell.site.headers;
+    let asked_time = text(headers, &names.timeout).map(headers::parse_timeout);
+    if asked_time == Some(None) {
+        return Err(Refused::bad_request(
+            "time-out: expected up to 8 digits and H, M, S, m, u or n\n",
+        ));
+    }
+    let key = headers.get(&names.key);
+    Ok(RequestAttributes {
+        route_class: route.route_class(),
+        tenant,
+        key: key.map_or(0, |key| stable_hash(key.as_bytes())),
+        // A client may wait less than its route class allows, never longer.
+        remaining: asked_time
+            .flatten()
+            .unwrap_or(Nanos::MAX)
+            .min(route.rules.client_timeout),
+        cost_hint: text(headers, &names.cost_hint).and_then(headers::parse_cost_hint),
+        is_retry: false,
+    })
+}
+
+async fn read_body(shell: &Shell, body: Incoming) -> Result<Bytes, Refused> {
+    let limits = &shell.site.door;
+    if body.size_hint().lower() > limits.body_bytes as u64 {
+        return Err(TOO_LARGE);
+    }
+    if body.is_end_stream() {
+        return Ok(Bytes::new());
+    }
+    let collected = Limited::new(body, limits.body_bytes).collect();
+    match timeout(Duration::from_nanos(limits.body_time), collected).await {
+        Ok(Ok(body)) => Ok(body.to_bytes()),
+        Ok(Err(error)) if error.downcast_ref::<LengthLimitError>().is_some() => Err(TOO_LARGE),
+        Ok(Err(_)) => Err(Refused::bad_request("the body broke off\n")),
+        Err(_) => Err(Refused::new(
+            StatusCode::REQUEST_TIMEOUT,
+            "the body took too long\n",
+        )),
+    }
+}
--- a/crates/sidecar/src/responses.rs
+++ b/crates/sidecar/src/responses.rs
@@ -1,15 +1,20 @@
-//! Final answers that a sidecar makes itself, for whichever kind of body its front sends.
+//! Final answers that a sidecar makes itself, for whichever kind of body its transport sends.
 
+use havenplank::interface::Nanos;
 use hyper::header::{HeaderValue, CONNECTION, RETRY_AFTER};
 use hyper::{Response, StatusCode};
 
+const NANOS_PER_SECOND: Nanos = 1_000_000_000;
+
+/// Builds an answer of this status and text.
 pub fn plain<B: From<&'static str>>(status: StatusCode, text: &'static str) -> Response<B> {
     let mut response = Response::new(B::from(text));
     *response.status_mut() = status;
     response
 }
 
-/// A retry is harmless; when to come back in the protocol's own form, none for no advice.
+/// Builds the answer that a request was rejected: a retry is harmless. `retry_after` is in the protocol's own form,
+/// none for no advice.
 pub fn rejected<B: From<&'static str>>(retry_after: Option<HeaderValue>) -> Response<B> {
     let mut response = plain(
         StatusCode::SERVICE_UNAVAILABLE,
@@ -21,15 +26,21 @@
     response
 }
 
-/// Promises nothing.
-pub fn failed<B: From<&'static str>>(late: bool) -> Response<B> {
-    match late {
+/// Builds the answer that a request was rejected, with whole seconds, as the header has no finer ones, and never later
+/// than was decided.
+pub fn rejected_for<B: From<&'static str>>(retry_after: Nanos) -> Response<B> {
+    rejected(Some(HeaderValue::from(retry_after / NANOS_PER_SECOND)))
+}
+
+/// Builds the answer that a request failed: it promises nothing.
+pub fn failed<B: From<&'static str>>(timed_out: bool) -> Response<B> {
+    match timed_out {
         true => plain(StatusCode::GATEWAY_TIMEOUT, "errored: out of time\n"),
         false => plain(StatusCode::BAD_GATEWAY, "errored: it may have run\n"),
     }
 }
 
-/// The rest of the connection is of no use.
+/// Says that the connection closes after this answer, as the rest of it is of no use.
 pub fn and_close<B>(mut response: Response<B>) -> Response<B> {
     response
         .headers_mut()
--- a/crates/sidecar/src/route_slots.rs
+++ b/crates/sidecar/src/route_slots.rs
@@ -1,4 +1,4 @@
-//! The indices that routes have in the decision module: which are in force, and which a request still holds.
+//! The indices that routes have in the decisions: which are in force, and which a request still holds.
 
 use havenplank::interface::{Nanos, RouteClass, RouteClassId};
 use havenplank::logic::RouteClassChange;
@@ -10,6 +10,7 @@
 pub struct Slot(Rc<RouteClassId>);
 
 impl Slot {
+    /// Returns the index.
     pub fn route_class(&self) -> RouteClassId {
         *self.0
     }
@@ -20,6 +21,7 @@
 pub struct SlotCounts {
     /// Given out at any time: no more than routes and requests that were held at once.
     pub all: usize,
+    /// Those of the routes in force.
     pub in_force: usize,
     /// Replaced or removed, and held by a request or a route table.
     pub retired: usize,
@@ -50,6 +52,7 @@
 }
 
 impl Slots {
+    /// Gives each of these routes a slot, in their order.
     pub fn new(routes: impl Iterator<Item = (String, RouteClass)>) -> Slots {
         let mut slots = Slots {
             rows: Vec::new(),
@@ -71,12 +74,12 @@
         slots
     }
 
-    /// The slot of a request that comes under this index.
+    /// Returns the slot of a request that comes under this index, to be held until it has ended.
     pub fn hold(&self, group: RouteClassId) -> Option<Slot> {
         self.rows.get(group).map(|row| row.slot.clone())
     }
 
-    /// The slot in force of this name.
+    /// Returns the slot in force of this name.
     pub fn find(&self, name: &str) -> Option<RouteClassId> {
         self.latest
             .get(name)
@@ -84,6 +87,7 @@
             .filter(|group| self.rows[*group].in_force)
     }
 
+    /// Returns the slots in force, in the order of their indices.
     pub fn in_force(&self) -> Vec<Slot> {
         self.rows
             .iter()
@@ -92,12 +96,13 @@
             .collect()
     }
 
-    /// The longest client time-out of all that are in force or held.
+    /// Returns the longest client time-out of all that are in force or held.
     pub fn longest_time_out(&self) -> Nanos {
         let used = self.rows.iter().filter(|row| !row.is_free());
         used.map(|row| row.rules.client_timeout).max().unwrap_or(0)
     }
 
+    /// Returns how many slots there are.
     pub fn counts(&self) -> SlotCounts {
         let in_force = self.rows.iter().filter(|row| row.in_force).count();
         let free = self.rows.iter().filter(|row| row.is_free()).count();
--- a/crates/sidecar/src/routes.rs
+++ b/crates/sidecar/src/routes.rs
@@ -1,4 +1,4 @@
-//! Which route takes a request: an immutable table, built once for each configuration and swapped whole.
+//! Which route takes a request: an immutable table, built once for each configuration and replaced as one.
 //!
 //! Of the routes whose methods and paths fit, the first of the settings takes a request; in a configuration that changes
 //! while running order means nothing, and the most specific pattern does. A lookup costs one hash of the path and one
@@ -9,7 +9,7 @@
 use havenplank_configuration::record::BackupMode;
 use havenplank_configuration::snapshot::Snapshot;
 use havenplank_configuration::version::Version;
-use havenplank_settings::{Group, Guard};
+use havenplank_settings::{Group, Guard as Backup};
 use patricia_tree::StringPatriciaMap;
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -17,14 +17,17 @@
 /// One version of a route, for as long as any request that began with it.
 #[derive(Debug)]
 pub struct Route {
+    /// Its name.
     pub name: String,
+    /// Its rules in the decisions.
     pub rules: RouteClass,
-    pub guard: Guard,
+    /// Whether and when backups know of its requests.
+    pub backup: Backup,
     slot: Slot,
 }
 
 impl Route {
-    /// Its index in the decisions, which means this version as long as the route lives.
+    /// Returns its index in the decisions, which means this version as long as the route lives.
     pub fn route_class(&self) -> RouteClassId {
         self.slot.route_class()
     }
@@ -101,13 +104,13 @@
 pub struct RouteTable {
     routes: Vec<Rc<Route>>,
     by_name: HashMap<String, Order>,
-    whole_paths: HashMap<String, Candidates>,
+    exact_paths: HashMap<String, Candidates>,
     prefixes: StringPatriciaMap<Candidates>,
     tenants: Tenants,
 }
 
 impl RouteTable {
-    /// Routes and tenants of the settings, with the slot of each route in the decisions.
+    /// Builds a table of the routes and tenants of the settings, with the slot of each route in the decisions.
     pub fn from_settings(groups: &[Group], slots: Vec<Slot>, tenants: &[String]) -> RouteTable {
         let mut listed = HashMap::new();
         for (index, name) in tenants.iter().enumerate() {
@@ -116,7 +119,7 @@
         RouteTable::build(groups, slots, Precedence::Order, Tenants::Listed(listed))
     }
 
-    /// Routes of a snapshot, as [`routes_of`] tells them, and its tenants.
+    /// Builds a table of the routes of a snapshot, as [`routes_of`] returns them, and of its tenants.
     pub fn from_snapshot(snapshot: Snapshot, groups: &[Group], slots: Vec<Slot>) -> RouteTable {
         RouteTable::build(
             groups,
@@ -133,13 +136,13 @@
         tenants: Tenants,
     ) -> RouteTable {
         let (mut routes, mut by_name) = (Vec::with_capacity(groups.len()), HashMap::new());
-        let mut whole_paths: HashMap<String, Candidates> = HashMap::new();
+        let mut exact_paths: HashMap<String, Candidates> = HashMap::new();
         let mut prefixes: HashMap<&str, Candidates> = HashMap::new();
         for (group, slot) in groups.iter().zip(slots) {
             let order = routes.len() as Order;
             for pattern in &group.paths {
                 let candidates = match pattern.strip_suffix('*') {
-                    None => whole_paths.entry(pattern.clone()).or_default(),
+                    None => exact_paths.entry(pattern.clone()).or_default(),
                     Some(prefix) => prefixes.entry(prefix).or_default(),
                 };
                 candidates.add(&group.methods, precedence.rank(pattern, order));
@@ -151,37 +154,39 @@
             routes.push(Rc::new(Route {
                 name: name.clone(),
                 rules: *rules,
-                guard: *guard,
+                backup: *guard,
                 slot,
             }));
         }
         RouteTable {
             routes,
             by_name,
-            whole_paths,
+            exact_paths,
             prefixes: prefixes.into_iter().collect(),
             tenants,
         }
     }
 
-    /// The route that takes this method and path.
+    /// Returns the route that takes this method and path.
     pub fn find(&self, method: &str, path: &str) -> Option<&Rc<Route>> {
-        let whole = self
-            .whole_paths
+        let exact = self
+            .exact_paths
             .get(path)
             .and_then(|candidates| candidates.first(method));
         let prefixes = self.prefixes.common_prefix_values(path);
         let first = prefixes
             .filter_map(|candidates| candidates.first(method))
-            .chain(whole)
+            .chain(exact)
             .min()?;
         self.routes.get(first.order as usize)
     }
 
+    /// Returns the route of this name.
     pub fn named(&self, name: &str) -> Option<&Rc<Route>> {
         self.routes.get(*self.by_name.get(name)? as usize)
     }
 
+    /// Returns the tenant of this name.
     pub fn tenant(&self, name: &str) -> Option<KnownTenant> {
         match &self.tenants {
             Tenants::Listed(listed) => listed.get(name).map(|index| KnownTenant {
@@ -193,21 +198,23 @@
         }
     }
 
+    /// Returns how many routes there are.
     pub fn len(&self) -> usize {
         self.routes.len()
     }
 
+    /// Returns whether there is no route.
     pub fn is_empty(&self) -> bool {
         self.routes.is_empty()
     }
 
-    /// Whether routes come from a configuration of which no version has been heard yet.
+    /// Returns whether routes come from a configuration of which no version has been heard yet.
     pub fn awaits_configuration(&self) -> bool {
         matches!(&self.tenants, Tenants::Configured(snapshot) if snapshot.version() == Version::NONE)
     }
 }
 
-/// The routes of a snapshot, by name.
+/// Returns the routes of a snapshot, by name.
 pub fn routes_of(snapshot: &Snapshot) -> Vec<Group> {
     let mut routes: Vec<Group> = snapshot
         .routes()
@@ -217,9 +224,9 @@
             paths: route.paths.clone(),
             rules: route.rules.into(),
             guard: match route.rules.backup {
-                BackupMode::Off => Guard::Off,
-                BackupMode::BeforeAttempt => Guard::BeforeForward,
-                BackupMode::Behind => Guard::Behind,
+                BackupMode::Off => Backup::Off,
+                BackupMode::BeforeAttempt => Backup::BeforeForward,
+                BackupMode::Behind => Backup::Behind,
             },
         })
         .collect();
--- /dev/null
+++ b/crates/sidecar/src/state_report.rs
@@ -0,0 +1,89 @@
+//! What `GET /state` shows, as JSON. Its names are those of `docs/running.md` and `docs/takeover.md`.
+
+use crate::membership::MembershipStatus;
+use crate::shell::Shell;
+use crate::takeover_service::TakeoverStatus;
+use serde_json::{json, Value};
+
+const NANOS_PER_MILLI: u64 = 1_000_000;
+
+/// Builds what an operator sees of a sidecar.
+pub fn state_report(shell: &Shell) -> Value {
+    let mut state = engine(shell);
+    if let Some(configuration) = shell.configuration.get() {
+        state["configuration"] = configuration.state();
+    }
+    if let Some(takeover) = &shell.takeover {
+        state["takeover"] = takeover_report(&takeover.status());
+    }
+    if let Some(membership) = &shell.membership {
+        let status = membership.status();
+        state["fellowship"] = membership_report(&status);
+        state["standing"] = quorum_report(&status);
+    }
+    state
+}
+
+fn engine(shell: &Shell) -> Value {
+    let status = shell.status();
+    let stage = status.stage.map(|stage| {
+        json!({
+            "build": stage.build,
+            "stage": stage.stage,
+            "phase": format!("{:?}", stage.phase),
+            "cap": stage.cap,
+        })
+    });
+    let sums = status.test_sums;
+    json!({
+        "name": shell.site.name,
+        "hits_in_flight": status.requests,
+        "pods_running": status.running_pods,
+        "stage": stage,
+        "sums": {"failures": sums.failures, "slow": sums.slow, "by_share": sums.by_share},
+    })
+}
+
+fn takeover_report(status: &TakeoverStatus) -> Value {
+    json!({
+        "held": status.owned,
+        "kept": status.replicas,
+        "waiting": status.waiting,
+        "unguarded": status.unprotected,
+        "turned_away": status.rejected_records,
+        "taken_over": status.taken_over,
+    })
+}
+
+fn membership_report(status: &MembershipStatus) -> Value {
+    json!({
+        "living": status.living,
+        "slowness": status.slowness,
+        "sent": status.sent,
+        "sent_bytes": status.sent_bytes,
+        "refused": status.refused,
+        "overrun": status.overrun,
+        "unsent": status.unsent,
+    })
+}
+
+fn quorum_report(status: &MembershipStatus) -> Value {
+    let disputes = status.disputes.iter().map(|dispute| {
+        json!({
+            "with": dispute.with,
+            "it_misses": dispute.it_misses,
+            "we_miss": dispute.we_miss,
+            "roster": dispute.roster,
+        })
+    });
+    json!({
+        "is": status.standing,
+        "for_ms": status.stands_for / NANOS_PER_MILLI,
+        "belong": status.belong,
+        "reached": status.reached,
+        "missing": status.missing,
+        "deaf_to_us": status.deaf_to_us,
+        "unsteady": status.unsteady,
+        "disputes": disputes.collect::<Vec<_>>(),
+    })
+}
--- a/crates/sidecar/src/takeover_service.rs
+++ b/crates/sidecar/src/takeover_service.rs
@@ -1,7 +1,7 @@
-//! Work in hand and the sidecars that guard it: the takeover's decision on the fellowship, and the hits here that wait
-//! for what fellows say.
+//! The takeover of requests among sidecars: its decisions on the membership's sockets, and the requests here that wait
+//! for what they decide.
 
-use crate::membership::Fellowship;
+use crate::membership::Membership;
 use havenplank_membership::wire::Life;
 use havenplank_settings::{Takeover as Settings, DISTRIBUTOR_ZONE};
 use havenplank_takeover::placement::{pick, Candidate};
@@ -15,66 +15,151 @@
 use tokio::task::spawn_local;
 use tokio::time::{interval, timeout, MissedTickBehavior};
 
-/// The fellowship's kind of message that is ours.
-const KIND: u8 = 2;
+/// The membership's kind of message that is ours.
+const MESSAGE_KIND: u8 = 2;
+/// How often within a lease it is looked at what is due.
+const TICKS_PER_LEASE: Nanos = 24;
+const SHORTEST_TICK: Duration = Duration::from_millis(2);
 
-/// What became of a claim on a piece of work.
+/// The answer to a lease request.
 #[derive(Debug)]
-pub enum Claim {
-    /// Ours, and its guardians know.
-    Taken,
-    /// Ours, though nobody guards it.
-    Unguarded,
-    /// It may be in hand elsewhere, and those who would know cannot be reached.
-    Unsure,
-    /// Its answer, by whoever finished it.
-    Done(Outcome),
-    /// Another hit under the same key.
-    Differs,
+pub enum LeaseReply {
+    /// Ours, and its backups know.
+    Granted,
+    /// Ours, though nobody backs it up.
+    Unprotected,
+    /// It may be in flight elsewhere, and those who would know cannot be reached.
+    Uncertain,
+    /// It has its outcome, by whoever finished it.
+    Finished(Outcome),
+    /// Another request under the same key.
+    KeyReused,
     /// Whoever had it is gone, or its time is up.
-    Nobody,
+    Unknown,
 }
 
-/// Those here that wait for word on one piece of work.
+/// Those here that wait for word on one request.
 #[derive(Default)]
-struct Waits {
-    claimant: Option<oneshot::Sender<Claim>>,
-    answers: Vec<oneshot::Sender<Claim>>,
-    goes: HashMap<usize, oneshot::Sender<()>>,
+struct Waiters {
+    lease: Option<oneshot::Sender<LeaseReply>>,
+    outcome: Vec<oneshot::Sender<LeaseReply>>,
+    attempt_ready: HashMap<usize, oneshot::Sender<()>>,
     lost: Option<oneshot::Sender<()>>,
 }
 
+impl Waiters {
+    fn reply_to_lease(&mut self, reply: LeaseReply) {
+        if let Some(waiter) = self.lease.take() {
+            let _ = waiter.send(reply);
+        }
+    }
+
+    /// Waits for the outcome in place of the lease, as another sidecar owns the request.
+    fn join(&mut self) {
+        self.outcome.extend(self.lease.take());
+    }
+
+    fn attempt_ready(&mut self, attempt: usize) {
+        if let Some(waiter) = self.attempt_ready.remove(&attempt) {
+            let _ = waiter.send(());
+        }
+    }
+
+    fn lose(&mut self) {
+        self.attempt_ready.clear();
+        if let Some(waiter) = self.lost.take() {
+            let _ = waiter.send(());
+        }
+    }
+
+    fn finish(&mut self, outcome: &Outcome) {
+        let waiters = self.lease.take().into_iter().chain(self.outcome.drain(..));
+        for waiter in waiters {
+            let _ = waiter.send(LeaseReply::Finished(outcome.clone()));
+        }
+        self.lose();
+    }
+
+    fn give_up(&mut self) {
+        for waiter in self.outcome.drain(..) {
+            let _ = waiter.send(LeaseReply::Unknown);
+        }
+    }
+
+    /// Drops whoever went away, and returns whether anybody is left.
+    fn is_needed(&mut self) -> bool {
+        self.outcome.retain(|waiter| !waiter.is_closed());
+        let leases = self
+            .lease
+            .as_ref()
+            .is_some_and(|waiter| !waiter.is_closed());
+        let owns = self.lost.as_ref().is_some_and(|waiter| !waiter.is_closed());
+        leases || owns || !self.outcome.is_empty() || !self.attempt_ready.is_empty()
+    }
+}
+
 /// What an operator may look at.
 #[derive(Clone, Debug, Default)]
-pub struct Glance {
-    pub held: usize,
-    pub kept: usize,
+pub struct TakeoverStatus {
+    /// Requests owned here.
+    pub owned: usize,
+    /// Records of others kept here.
+    pub replicas: usize,
+    /// Requests whose outcome is waited for here.
     pub waiting: usize,
-    pub unguarded: u64,
-    pub turned_away: u64,
+    /// Requests served without backups since the start.
+    pub unprotected: u64,
+    /// Records of others rejected for want of room since the start.
+    pub rejected_records: u64,
+    /// Requests taken over since the start.
     pub taken_over: u64,
 }
 
-pub struct Guard {
-    fellowship: Rc<Fellowship>,
+/// A request for which a lease is asked.
+#[derive(Clone, Copy, Debug)]
+pub struct LeaseRequest<'a> {
+    /// Names the request among sidecars.
+    pub id: RequestId,
+    /// Hash of what was asked.
+    pub digest: u64,
+    /// The request as its backups keep it.
+    pub payload: &'a [u8],
+    /// Whether it must not run twice, whatever that costs.
+    pub exactly_once: bool,
+    /// Time left until its client gives up.
+    pub remaining: Nanos,
+}
+
+/// What the owner of a request hears of it.
+pub struct OwnerWatch {
+    /// Another sidecar owns it now.
+    pub lost: oneshot::Receiver<()>,
+    /// Its outcome, if another finishes it.
+    pub outcome: oneshot::Receiver<LeaseReply>,
+}
+
+/// Backs up other sidecars' requests, and has them back up those of this one.
+pub struct TakeoverService {
+    membership: Rc<Membership>,
     takeover: RefCell<Takeover>,
-    /// Rows leave once nobody waits any more; one waiter a hit at the door at most, and the door bounds those.
-    waits: RefCell<HashMap<RequestId, Waits>>,
-    many: usize,
+    /// Entries leave once nobody waits any more; one waiter a request at most, and the listener bounds those.
+    waiters: RefCell<HashMap<RequestId, Waiters>>,
+    /// Backups of a request.
+    backups: usize,
     tick: Duration,
-    own_marks: Cell<u64>,
-    /// Shared by each hit that is served here, so that it counts them: they go on though their client leaves.
+    generated_ids: Cell<u64>,
+    /// Shared by each request that is served here, so that it counts them: they go on though their client leaves.
     serving: Rc<()>,
-    /// Work to be finished here; no more than records that are kept, each of which begins once.
-    begun: mpsc::UnboundedSender<Record>,
+    /// Requests to be finished here; no more than records that are kept, each of which begins once.
+    taken_over: mpsc::UnboundedSender<Record>,
 }
 
-impl Guard {
-    /// Begins to guard. What comes out is work that is to be finished here.
+impl TakeoverService {
+    /// Starts backing up. What comes out are requests that are to be finished here.
     pub fn start(
         settings: &Settings,
-        fellowship: &Rc<Fellowship>,
-    ) -> (Rc<Guard>, mpsc::UnboundedReceiver<Record>) {
+        membership: &Rc<Membership>,
+    ) -> (Rc<TakeoverService>, mpsc::UnboundedReceiver<Record>) {
         let rules = Rules {
             lease: settings.lease,
             max_owned: settings.held,
@@ -83,340 +168,348 @@
             retention: settings.keep,
             ..Rules::default()
         };
-        let (begun, begins) = mpsc::unbounded_channel();
-        let me = fellowship.me();
-        let guard = Rc::new(Guard {
-            takeover: RefCell::new(Takeover::new(fellowship.now(), me.life, me.clone(), rules)),
-            fellowship: fellowship.clone(),
-            waits: RefCell::default(),
-            many: settings.guardians,
-            tick: Duration::from_nanos(settings.lease / 24).max(Duration::from_millis(2)),
-            own_marks: Cell::new(0),
+        let (sender, taken_over) = mpsc::unbounded_channel();
+        let me = membership.me();
+        let takeover = Takeover::new(membership.now(), me.life, me.clone(), rules);
+        let service = Rc::new(TakeoverService {
+            takeover: RefCell::new(takeover),
+            membership: membership.clone(),
+            waiters: RefCell::default(),
+            backups: settings.guardians,
+            tick: Duration::from_nanos(settings.lease / TICKS_PER_LEASE).max(SHORTEST_TICK),
+            generated_ids: Cell::new(0),
             serving: Rc::default(),
-            begun,
+            taken_over: sender,
         });
-        let hears = guard.clone();
-        fellowship.reads(KIND, move |from, body| hears.heard(from, body));
-        spawn_local(guard.clone().ticks());
-        (guard, begins)
+        let receiver = service.clone();
+        membership.on_message(MESSAGE_KIND, move |from, body| receiver.receive(from, body));
+        spawn_local(service.clone().run_timers());
+        (service, taken_over)
     }
 
-    /// What is due is looked at often enough for a lease: what is waited for comes with messages, and a timer set
-    /// anew at each of them would look through all records each time.
-    async fn ticks(self: Rc<Self>) {
-        let mut beat = interval(self.tick);
-        beat.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    /// Looks at what is due often enough for a lease: what is waited for comes with messages, and a timer set anew at
+    /// each of them would look through all records each time.
+    async fn run_timers(self: Rc<Self>) {
+        let mut ticks = interval(self.tick);
+        ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
-            beat.tick().await;
-            let now = self.fellowship.now();
+            ticks.tick().await;
+            let now = self.membership.now();
             self.takeover.borrow_mut().wake(now);
-            self.act_all();
+            self.perform_effects();
         }
     }
 
-    fn heard(&self, from: &Life, body: &[u8]) {
+    fn receive(&self, from: &Life, body: &[u8]) {
         match postcard::from_bytes::<Message>(body) {
             Ok(message) => {
-                let now = self.fellowship.now();
+                let now = self.membership.now();
                 self.takeover.borrow_mut().receive(now, from, message);
-                self.act_all();
+                self.perform_effects();
             }
-            Err(_) => tracing::warn!(
-                fellow = from.name,
-                "word on work in hand passed over: not readable"
+            Err(error) => tracing::warn!(
+                peer = from.name,
+                %error,
+                "takeover message passed over: not readable"
             ),
         }
     }
 
-    fn act(&self, effect: Effect) {
+    /// Carries out all that a call left to do.
+    fn perform_effects(&self) {
+        loop {
+            let effect = self.takeover.borrow_mut().effect();
+            let Some(effect) = effect else { return };
+            self.perform(effect);
+        }
+    }
+
+    fn perform(&self, effect: Effect) {
         match effect {
             Effect::Send { to, message } => {
                 if let Ok(body) = postcard::to_stdvec(&message) {
-                    self.fellowship.say(&to, KIND, body);
+                    self.membership.send(&to, MESSAGE_KIND, body);
                 }
             }
-            Effect::Claimed(mark) => self.claimed(mark, Claim::Taken),
-            Effect::Unprotected(mark) => self.claimed(mark, Claim::Unguarded),
-            Effect::Uncertain(mark) => self.claimed(mark, Claim::Unsure),
-            Effect::KeyReused(mark) => self.claimed(mark, Claim::Differs),
-            Effect::Joined(mark) => {
-                self.waiting(mark, |waits| waits.answers.extend(waits.claimant.take()))
+            Effect::Claimed(id) => self.reply_to_lease(id, LeaseReply::Granted),
+            Effect::Unprotected(id) => self.reply_to_lease(id, LeaseReply::Unprotected),
+            Effect::Uncertain(id) => self.reply_to_lease(id, LeaseReply::Uncertain),
+            Effect::KeyReused(id) => self.reply_to_lease(id, LeaseReply::KeyReused),
+            Effect::Joined(id) => self.with_waiters(id, Waiters::join),
+            Effect::AttemptReady(id, attempt) => {
+                self.with_waiters(id, |waiters| waiters.attempt_ready(attempt));
             }
-            Effect::AttemptReady(mark, nth) => self.waiting(mark, |waits| {
-                if let Some(go) = waits.goes.remove(&nth) {
-                    let _ = go.send(());
-                }
-            }),
-            Effect::Lost(mark) => {
+            Effect::Lost(id) => {
                 tracing::warn!(
-                    mark = mark_text(mark),
+                    mark = request_id_text(id),
                     "work lost to another: nothing more is sent for it here"
                 );
-                self.waiting(mark, |waits| {
-                    waits.goes.clear();
-                    if let Some(lost) = waits.lost.take() {
-                        let _ = lost.send(());
-                    }
-                });
+                self.with_waiters(id, Waiters::lose);
             }
-            Effect::Finished(mark, done) => self.waiting(mark, |waits| {
-                waits
-                    .claimant
-                    .take()
-                    .into_iter()
-                    .chain(waits.answers.drain(..))
-                    .for_each(|waits| {
-                        let _ = waits.send(Claim::Done(done.clone()));
-                    });
-                waits.goes.clear();
-                if let Some(lost) = waits.lost.take() {
-                    let _ = lost.send(());
-                }
-            }),
-            Effect::Unknown(mark) => self.waiting(mark, |waits| {
-                waits
-                    .answers
-                    .drain(..)
-                    .for_each(|waits| drop(waits.send(Claim::Nobody)));
-            }),
-            Effect::TakenOver(record) => drop(self.begun.send(record)),
+            Effect::Finished(id, outcome) => {
+                self.with_waiters(id, |waiters| waiters.finish(&outcome));
+            }
+            Effect::Unknown(id) => self.with_waiters(id, Waiters::give_up),
+            Effect::TakenOver(record) => drop(self.taken_over.send(record)),
         }
     }
 
-    fn claimed(&self, mark: RequestId, claim: Claim) {
-        self.waiting(mark, |waits| {
-            if let Some(claimant) = waits.claimant.take() {
-                let _ = claimant.send(claim);
-            }
-        });
+    fn reply_to_lease(&self, id: RequestId, reply: LeaseReply) {
+        self.with_waiters(id, |waiters| waiters.reply_to_lease(reply));
     }
 
-    /// Changes who waits for a piece of work, and forgets it once nobody does.
-    fn waiting(&self, mark: RequestId, change: impl FnOnce(&mut Waits)) {
-        let mut all = self.waits.borrow_mut();
-        let Some(waits) = all.get_mut(&mark) else {
+    /// Changes who waits for a request, and forgets it once nobody does.
+    fn with_waiters(&self, id: RequestId, change: impl FnOnce(&mut Waiters)) {
+        let mut all = self.waiters.borrow_mut();
+        let Some(waiters) = all.get_mut(&id) else {
             return;
         };
-        change(waits);
-        waits.answers.retain(|answer| !answer.is_closed());
-        let claims = waits
-            .claimant
-            .as_ref()
-            .is_some_and(|claimant| !claimant.is_closed());
-        let holds = waits.lost.as_ref().is_some_and(|lost| !lost.is_closed());
-        if !claims && !holds && waits.answers.is_empty() && waits.goes.is_empty() {
-            all.remove(&mark);
+        change(waiters);
+        if !waiters.is_needed() {
+            all.remove(&id);
         }
     }
 
-    /// A mark for a hit that its client cannot name.
-    pub fn own_mark(&self) -> RequestId {
-        self.own_marks.set(self.own_marks.get() + 1);
-        let me = self.fellowship.me();
-        let (name, life) = (me.name.as_bytes(), me.life.to_le_bytes());
-        mark(&[name, &life, &self.own_marks.get().to_le_bytes()])
+    /// Generates an id for a request that its client cannot name.
+    pub fn generate_request_id(&self) -> RequestId {
+        let number = self.generated_ids.get() + 1;
+        self.generated_ids.set(number);
+        let me = self.membership.me();
+        request_id(&[
+            me.name.as_bytes(),
+            &me.life.to_le_bytes(),
+            &number.to_le_bytes(),
+        ])
     }
 
-    fn backups(&self, mark: RequestId) -> Vec<Life> {
-        self.fellowship.living(|others| {
+    fn backups_of(&self, id: RequestId) -> Vec<Life> {
+        self.membership.with_living(|others| {
             // A distributor of the configuration takes nobody's work over.
             let sidecars = others.filter(|news| news.zone != DISTRIBUTOR_ZONE);
-            let others: Vec<Candidate<'_>> = sidecars
+            let candidates: Vec<Candidate<'_>> = sidecars
                 .map(|news| Candidate {
                     who: &news.who,
                     zone: &news.zone,
                 })
                 .collect();
-            pick(mark, &others, self.many)
+            pick(id, &candidates, self.backups)
         })
     }
 
-    /// Claims a piece of work, and waits until it is ours or done: no longer than its client does.
-    pub async fn claim(
-        self: &Rc<Self>,
-        mark: RequestId,
-        sum: u64,
-        hit: (Vec<u8>, bool),
-        left: Nanos,
-    ) -> Claim {
-        let (guardians, now) = (self.backups(mark), self.fellowship.now());
-        let (tell, told) = oneshot::channel();
-        self.takeover
-            .borrow_mut()
-            .claim(now, mark, sum, hit, left, guardians);
-        let mut joined = false;
-        loop {
-            let effect = self.takeover.borrow_mut().effect();
-            match effect {
-                Some(Effect::Finished(known, done)) if known == mark => return Claim::Done(done),
-                Some(Effect::KeyReused(known)) if known == mark => return Claim::Differs,
-                Some(Effect::Unprotected(known)) if known == mark => return Claim::Unguarded,
-                Some(Effect::Uncertain(known)) if known == mark => return Claim::Unsure,
-                Some(Effect::Joined(known)) if known == mark => joined = true,
-                Some(effect) => self.act(effect),
-                None => break,
+    /// Asks for the lease on a request, and waits until it is ours or has its outcome: no longer than its client does.
+    pub async fn request_lease(&self, request: LeaseRequest<'_>) -> LeaseReply {
+        let LeaseRequest { id, remaining, .. } = request;
+        let (sender, reply) = oneshot::channel();
+        match self.begin_lease_request(request) {
+            Begun::Replied(reply) => return reply,
+            Begun::Waits => self.waiters.borrow_mut().entry(id).or_default().lease = Some(sender),
+            Begun::Joined => {
+                let mut all = self.waiters.borrow_mut();
+                all.entry(id).or_default().outcome.push(sender);
             }
         }
-        {
-            let mut all = self.waits.borrow_mut();
-            let waits = all.entry(mark).or_default();
-            match joined {
-                true => waits.answers.push(tell),
-                false => waits.claimant = Some(tell),
-            }
-        }
-        let claim = timeout(Duration::from_nanos(left), told).await;
+        let reply = timeout(Duration::from_nanos(remaining), reply).await;
         // Whoever waited in vain is not told any more.
-        self.forget(mark);
-        claim.ok().and_then(Result::ok).unwrap_or(Claim::Nobody)
+        self.forget_closed_waiters(id);
+        reply
+            .ok()
+            .and_then(Result::ok)
+            .unwrap_or(LeaseReply::Unknown)
     }
 
-    /// The same without waiting; where another has it, the hit is served all the same, as a repeat does no harm.
-    pub fn claim_behind(&self, mark: RequestId, sum: u64, ask: Vec<u8>, left: Nanos) {
-        let (guardians, now) = (self.backups(mark), self.fellowship.now());
-        self.takeover
-            .borrow_mut()
-            .claim_in_background(now, mark, sum, ask, left, guardians);
-        self.act_all();
+    fn begin_lease_request(&self, request: LeaseRequest<'_>) -> Begun {
+        let LeaseRequest { id, .. } = request;
+        let (backups, now) = (self.backups_of(id), self.membership.now());
+        let payload = (request.payload.to_vec(), request.exactly_once);
+        self.takeover.borrow_mut().claim(
+            now,
+            id,
+            request.digest,
+            payload,
+            request.remaining,
+            backups,
+        );
+        let mut begun = Begun::Waits;
+        loop {
+            let effect = self.takeover.borrow_mut().effect();
+            let reply = match effect {
+                Some(Effect::Finished(known, outcome)) if known == id => {
+                    LeaseReply::Finished(outcome)
+                }
+                Some(Effect::KeyReused(known)) if known == id => LeaseReply::KeyReused,
+                Some(Effect::Unprotected(known)) if known == id => LeaseReply::Unprotected,
+                Some(Effect::Uncertain(known)) if known == id => LeaseReply::Uncertain,
+                Some(Effect::Joined(known)) if known == id => {
+                    begun = Begun::Joined;
+                    continue;
+                }
+                Some(effect) => {
+                    self.perform(effect);
+                    continue;
+                }
+                None => return begun,
+            };
+            return Begun::Replied(reply);
+        }
     }
 
-    /// Forgets whoever waits no more.
-    pub fn forget(&self, mark: RequestId) {
-        self.waiting(mark, |_| {});
+    /// Asks for the lease without waiting; where another has it, the request is served all the same, as a repeat does
+    /// no harm.
+    pub fn request_lease_in_background(&self, request: LeaseRequest<'_>) {
+        let (backups, now) = (self.backups_of(request.id), self.membership.now());
+        self.takeover.borrow_mut().claim_in_background(
+            now,
+            request.id,
+            request.digest,
+            request.payload.to_vec(),
+            request.remaining,
+            backups,
+        );
+        self.perform_effects();
     }
 
-    /// For whoever holds a piece of work: told when it is lost, and its answer if another finishes it.
-    pub fn watch(&self, mark: RequestId) -> (oneshot::Receiver<()>, oneshot::Receiver<Claim>) {
-        let (lose, lost) = oneshot::channel();
-        let (tell, told) = oneshot::channel();
-        let mut all = self.waits.borrow_mut();
-        let waits = all.entry(mark).or_default();
-        waits.lost = Some(lose);
-        waits.answers.push(tell);
-        (lost, told)
+    /// Forgets whoever waits no more for a request.
+    pub fn forget_closed_waiters(&self, id: RequestId) {
+        self.with_waiters(id, |_| {});
     }
 
-    /// The final answer of work that we hold, for its guardians and for whoever joined it here.
-    pub fn finish(&self, mark: RequestId, done: Outcome) {
-        let now = self.fellowship.now();
-        self.takeover.borrow_mut().finish(now, mark, done.clone());
-        self.act_all();
-        self.act(Effect::Finished(mark, done));
+    /// Watches a request that is owned here.
+    pub fn watch(&self, id: RequestId) -> OwnerWatch {
+        let (lose, lost) = oneshot::channel();
+        let (finish, outcome) = oneshot::channel();
+        let mut all = self.waiters.borrow_mut();
+        let waiters = all.entry(id).or_default();
+        waiters.lost = Some(lose);
+        waiters.outcome.push(finish);
+        OwnerWatch { lost, outcome }
     }
 
-    /// Everything that a call left.
-    fn act_all(&self) {
-        loop {
-            let effect = self.takeover.borrow_mut().effect();
-            let Some(effect) = effect else { return };
-            self.act(effect);
-        }
+    /// Tells the outcome of a request that is owned here to its backups and to whoever joined it here.
+    pub fn finish(&self, id: RequestId, outcome: Outcome) {
+        let now = self.membership.now();
+        self.takeover.borrow_mut().finish(now, id, outcome.clone());
+        self.perform_effects();
+        self.perform(Effect::Finished(id, outcome));
     }
 
-    /// Tells the guardians of a forward, and where `wait` says so waits until they know. `None` where it may not go.
-    pub async fn before(self: &Rc<Self>, mark: RequestId, pod: &str, wait: bool) -> Option<Going> {
-        let (go, gone) = oneshot::channel();
-        let now = self.fellowship.now();
-        let nth = self.takeover.borrow_mut().begin_attempt(now, mark, pod)?;
-        let going = Going {
-            guard: self.clone(),
-            mark,
-            nth,
+    /// Tells the backups of an attempt, and where `wait` says so waits until they know. `None` where it may not be
+    /// sent.
+    pub async fn announce_attempt(
+        self: &Rc<Self>,
+        id: RequestId,
+        pod: &str,
+        wait: bool,
+    ) -> Option<AnnouncedAttempt> {
+        let now = self.membership.now();
+        let attempt = self.takeover.borrow_mut().begin_attempt(now, id, pod)?;
+        let announced = AnnouncedAttempt {
+            service: self.clone(),
+            id,
+            attempt,
             sent: Cell::new(false),
-            told: Cell::new(false),
+            served: Cell::new(false),
         };
-        if wait {
-            self.waits
-                .borrow_mut()
-                .entry(mark)
-                .or_default()
-                .goes
-                .insert(nth, go);
+        let ready = wait.then(|| self.wait_for_backups(id, attempt));
+        self.perform_effects();
+        if let Some(ready) = ready {
+            ready.await.ok()?;
         }
-        self.act_all();
-        if wait {
-            gone.await.ok()?;
-        }
-        Some(going)
+        Some(announced)
+    }
+
+    fn wait_for_backups(&self, id: RequestId, attempt: usize) -> oneshot::Receiver<()> {
+        let (sender, ready) = oneshot::channel();
+        let mut all = self.waiters.borrow_mut();
+        let waiters = all.entry(id).or_default();
+        waiters.attempt_ready.insert(attempt, sender);
+        ready
     }
 
-    /// Whether a forward of this work may be written at this moment.
-    pub fn may(&self, mark: RequestId) -> bool {
-        self.takeover.borrow().may_send(self.fellowship.now(), mark)
+    /// Returns whether an attempt of this request may be written at this moment.
+    pub fn may_send(&self, id: RequestId) -> bool {
+        self.takeover.borrow().may_send(self.membership.now(), id)
     }
 
-    /// To be held as long as a hit is served.
-    pub fn serving(&self) -> Rc<()> {
+    /// Counts a request as served here for as long as this is held.
+    pub fn count_serving(&self) -> Rc<()> {
         self.serving.clone()
     }
 
-    /// Hits that are claimed, joined or served, also those under one key.
-    pub fn hits(&self) -> usize {
+    /// Returns how many requests wait for a lease or an outcome or are served, also those under one key.
+    pub fn serving(&self) -> usize {
         Rc::strong_count(&self.serving) - 1
     }
 
-    pub fn glance(&self) -> Glance {
+    /// Returns what an operator may look at.
+    pub fn status(&self) -> TakeoverStatus {
         let takeover = self.takeover.borrow();
-        let (held, kept, waiting) = takeover.sizes();
-        let (unguarded, turned_away) = (takeover.unprotected, takeover.rejected_records);
-        let taken_over = takeover.taken_over;
-        Glance {
-            held,
-            kept,
+        let (owned, replicas, waiting) = takeover.sizes();
+        TakeoverStatus {
+            owned,
+            replicas,
             waiting,
-            unguarded,
-            turned_away,
-            taken_over,
+            unprotected: takeover.unprotected,
+            rejected_records: takeover.rejected_records,
+            taken_over: takeover.taken_over,
         }
     }
 }
 
-/// One forward that guardians were told of; whatever becomes of the task that carries it, they hear how it went.
-pub struct Going {
-    guard: Rc<Guard>,
-    mark: RequestId,
-    nth: usize,
+/// How far a lease request came at once.
+enum Begun {
+    Replied(LeaseReply),
+    /// Backups are asked.
+    Waits,
+    /// Another sidecar owns it, and tells its outcome.
+    Joined,
+}
+
+/// One attempt that backups were told of; whatever becomes of the task that carries it, they hear how it went.
+pub struct AnnouncedAttempt {
+    service: Rc<TakeoverService>,
+    id: RequestId,
+    attempt: usize,
     sent: Cell<bool>,
-    told: Cell<bool>,
+    served: Cell<bool>,
 }
 
-impl Going {
-    /// From here on it may have run.
-    pub fn sent(&self, sent: bool) {
+impl AnnouncedAttempt {
+    /// Notes whether it may have run from here on.
+    pub fn set_sent(&self, sent: bool) {
         self.sent.set(sent);
     }
 
-    /// The pod's answer proves that it never ran.
+    /// Notes that the pod's answer proves that it never ran.
     pub fn never_ran(&self) {
         self.sent.set(false);
     }
 
-    /// It is the final answer, which says it all.
-    pub fn delivered(&self) {
-        self.told.set(true);
+    /// Notes that its response is the final answer, which says it all.
+    pub fn served(&self) {
+        self.served.set(true);
     }
 }
 
-impl Drop for Going {
+impl Drop for AnnouncedAttempt {
     fn drop(&mut self) {
-        if !self.told.get() {
-            let now = self.guard.fellowship.now();
-            let went = if self.sent.get() {
-                AttemptState::MayHaveRun
-            } else {
-                AttemptState::NeverRan
-            };
-            self.guard
-                .takeover
-                .borrow_mut()
-                .end_attempt(now, self.mark, self.nth, went);
-            self.guard.act_all();
+        if self.served.get() {
+            return;
         }
+        let now = self.service.membership.now();
+        let state = if self.sent.get() {
+            AttemptState::MayHaveRun
+        } else {
+            AttemptState::NeverRan
+        };
+        let mut takeover = self.service.takeover.borrow_mut();
+        takeover.end_attempt(now, self.id, self.attempt, state);
+        drop(takeover);
+        self.service.perform_effects();
     }
 }
 
-/// Of these parts, told apart by their lengths.
-pub fn mark(parts: &[&[u8]]) -> RequestId {
+/// Hashes these parts to a request id; parts are told apart by their lengths.
+pub fn request_id(parts: &[&[u8]]) -> RequestId {
     let mut hash = blake3::Hasher::new();
     for part in parts {
         hash.update(&(part.len() as u64).to_le_bytes()).update(part);
@@ -426,6 +519,7 @@
     RequestId::from_le_bytes(bytes)
 }
 
-pub fn mark_text(mark: RequestId) -> String {
-    format!("{mark:032x}")
+/// Formats a request id for the log.
+pub fn request_id_text(id: RequestId) -> String {
+    format!("{id:032x}")
 }
--- a/crates/sidecar/src/transport.rs
+++ b/crates/sidecar/src/transport.rs
@@ -1,149 +1,95 @@
-//! What all tasks of one sidecar share, and what its engine asks of the world: the door, the pods, the line protocols.
+//! How a sidecar's effects leave: attempts and health checks to pods, lines to service discovery and control plane.
 
-use crate::configuration::Configuration;
-use crate::dispatcher::{Dispatcher, Transport};
-use crate::exactly_once::Final;
-use crate::membership::Fellowship;
-use crate::proxy::{self, Body, PreparedRequest};
+use crate::attempt;
+use crate::body::Body;
+use crate::dispatcher::{AttemptId, Transport};
+use crate::health_check;
+use crate::prepared_request::{OwnAnswer, PreparedRequest};
 use crate::responses;
-use crate::routes::RouteTable;
-use crate::takeover_service::Guard;
-use crate::upstream::Links;
-use havenplank::interface::*;
+use crate::shell::{Shell, Sidecar};
+use havenplank::interface::{Build, Nanos, PodId, Vote, VoteReceipt, VoteReply};
 use havenplank_line_protocol::{desk, nodes};
-use havenplank_settings::Site;
-use hyper::header::{HeaderName, HeaderValue};
 use hyper::Response;
-use std::cell::{Cell, OnceCell, RefCell};
 use std::future::Future;
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::sync::{mpsc, Notify};
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// The line protocols around the engine, and what all tasks of one sidecar share.
-pub struct Lines {
-    pub site: Site,
-    /// The routes in force; swapped whole.
-    pub routes: RefCell<Rc<RouteTable>>,
-    /// What brings them while the process runs; unset where they are those of the settings.
-    pub configuration: OnceCell<Rc<Configuration>>,
-    pub links: Links,
-    pub via: HeaderValue,
-    pub timeout_header: HeaderName,
-    /// `None` where no sidecar knows of another.
-    pub fellowship: Option<Rc<Fellowship>>,
-    /// `None` where no sidecar guards another's work.
-    pub guard: Option<Rc<Guard>>,
-    pub keep: Notify,
-    pub nodes_asks: mpsc::Sender<String>,
-    pub desk_asks: mpsc::Sender<String>,
-    pub desk_up: Cell<bool>,
-    pub stopping: Cell<bool>,
-}
-
-pub type Shell = Dispatcher<Lines>;
-
-impl Transport for Lines {
+impl Transport for Sidecar {
     type Request = PreparedRequest;
     type Response = Response<Body>;
 
     fn send_attempt(
-        hub: Rc<Shell>,
-        ask: Rc<PreparedRequest>,
-        nth: (RequestId, u32),
+        shell: Rc<Shell>,
+        request: Rc<PreparedRequest>,
+        attempt: AttemptId,
         pod: PodId,
-        time_out: Nanos,
+        timeout: Nanos,
     ) -> impl Future<Output = ()> + 'static {
-        proxy::forward(hub, ask, nth, pod, time_out)
+        attempt::send(shell, request, attempt, pod, Duration::from_nanos(timeout))
     }
 
     fn rejected(&self, retry_after: Nanos) -> Response<Body> {
-        let mut answer = proxy::rejected(retry_after);
-        if self.guard.is_some() {
-            answer.extensions_mut().insert(Final::Bounced);
-        }
-        answer
+        self.marked(OwnAnswer::Rejected, responses::rejected_for(retry_after))
     }
 
-    fn failed(&self, late: bool) -> Response<Body> {
-        let mut answer = responses::failed(late);
-        if self.guard.is_some() {
-            answer.extensions_mut().insert(Final::Errored);
-        }
-        answer
+    fn failed(&self, timed_out: bool) -> Response<Body> {
+        self.marked(OwnAnswer::Failed, responses::failed(timed_out))
     }
 
-    /// Sends a vote and sees to it that it is answered: not sent is refused, no answer in time is unknown.
-    fn cast_vote(hub: &Rc<Shell>, vote: u64, build: Build, stage: usize, voice: Vote) {
-        let line = desk::ask_vote(vote, build, stage, voice);
-        let sent = hub.desk_up.get() && hub.desk_asks.try_send(line).is_ok();
-        let (hub, wait) = (
-            hub.clone(),
-            Duration::from_nanos(hub.site.votes.call_timeout),
-        );
+    /// Sends a vote and sees to it that it is answered: not sent is rejected, no answer in time is unknown.
+    fn cast_vote(shell: &Rc<Shell>, id: u64, build: Build, stage: usize, vote: Vote) {
+        let line = desk::ask_vote(id, build, stage, vote);
+        let sent =
+            shell.control_plane_up.get() && shell.control_plane_requests.try_send(line).is_ok();
+        let shell = shell.clone();
         spawn_local(async move {
-            if sent {
-                sleep(wait).await;
-            }
-            let heard = if sent {
+            let receipt = if sent {
+                sleep(Duration::from_nanos(shell.site.votes.call_timeout)).await;
                 VoteReceipt::Unknown
             } else {
                 VoteReceipt::Rejected
             };
-            hub.call(|engine, now| {
-                engine.vote_answered(
-                    now,
-                    vote,
-                    VoteReply {
-                        receipt: heard,
-                        stage: None,
-                    },
-                )
-            });
+            let reply = VoteReply {
+                receipt,
+                stage: None,
+            };
+            shell.call(|engine, now| engine.vote_answered(now, id, reply));
         });
     }
 
-    fn health_check(hub: &Rc<Shell>, probe: u64, pod: PodId) {
-        let hub = hub.clone();
+    fn health_check(shell: &Rc<Shell>, check: u64, pod: PodId) {
+        let shell = shell.clone();
         spawn_local(async move {
-            let end = proxy::probe(&hub, pod).await;
-            hub.call(|engine, now| engine.health_check_ended(now, probe, end));
+            let result = health_check::check(&shell, pod).await;
+            shell.call(|engine, now| engine.health_check_ended(now, check, result));
         });
     }
 
-    fn poll_endpoints(hub: &Rc<Shell>) {
-        ask_nodes(hub, nodes::ask_whole());
+    fn poll_endpoints(shell: &Rc<Shell>) {
+        ask_discovery(shell, nodes::ask_whole());
     }
 
-    fn watch_endpoints(hub: &Rc<Shell>, on: bool) {
-        ask_nodes(hub, nodes::ask_watch(on));
+    fn watch_endpoints(shell: &Rc<Shell>, on: bool) {
+        ask_discovery(shell, nodes::ask_watch(on));
     }
 }
 
-fn ask_nodes(hub: &Rc<Shell>, line: String) {
-    if hub.nodes_asks.try_send(line).is_err() {
-        // In a task of its own, as the engine may be in the middle of what asked for it.
-        let hub = hub.clone();
-        spawn_local(async move { hub.call(|engine, now| engine.endpoint_watch_failed(now)) });
+impl Sidecar {
+    /// Marks an answer as this sidecar's own, for the backups that keep it.
+    fn marked(&self, answer: OwnAnswer, mut response: Response<Body>) -> Response<Body> {
+        if self.takeover.is_some() {
+            response.extensions_mut().insert(answer);
+        }
+        response
     }
 }
 
-impl Shell {
-    /// Whether the door holds as many hits as it may, or stops. Clients that ask and leave at once count until
-    /// their forwards have ended, else they could pile up forwards past the bound.
-    pub fn is_full(&self) -> bool {
-        let guarded = self.guard.as_ref().map_or(0, |guard| guard.hits());
-        self.stopping.get() || self.engine().requests_held().max(guarded) >= self.site.door.hits
-    }
-
-    /// The routes in force now; whoever holds them goes on by them.
-    pub fn routes(&self) -> Rc<RouteTable> {
-        self.routes.borrow().clone()
-    }
-
-    pub fn pod_name(&self, pod: PodId) -> Option<HeaderValue> {
-        HeaderValue::from_str(self.engine().pod_name(pod)?).ok()
+fn ask_discovery(shell: &Rc<Shell>, line: String) {
+    if shell.discovery_requests.try_send(line).is_err() {
+        // In a task of its own, as the engine may be in the middle of what asked for it.
+        let shell = shell.clone();
+        spawn_local(async move { shell.call(|engine, now| engine.endpoint_watch_failed(now)) });
     }
 }
