--- a/crates/sidecar/src/dispatcher/mod.rs
+++ b/crates/sidecar/src/dispatcher/mod.rs
@@ -11,7 +11,7 @@
 use havenplank::interface::{
     AttemptEnd, LoadReport, Nanos, PodId, PriorAttempt, RequestId, RouteClass,
 };
-use havenplank_line_protocol::nodes::Listed;
+use havenplank_line_protocol::endpoint_list::ListedEndpoint;
 use pending::{AttemptTask, PendingResponse};
 use std::cell::{Cell, Ref, RefCell};
 use std::collections::HashMap;
@@ -250,7 +250,7 @@
     }
 
     /// Returns the endpoint list as last heard.
-    pub fn listed_pods(&self) -> Vec<Listed> {
+    pub fn listed_pods(&self) -> Vec<ListedEndpoint> {
         self.engine().listed_pods()
     }
 
--- a/crates/sidecar/src/endpoint_cache.rs
+++ b/crates/sidecar/src/endpoint_cache.rs
@@ -2,7 +2,8 @@
 
 use crate::shell::Shell;
 use havenplank::interface::Nanos;
-use havenplank_line_protocol::nodes::{self, Listed};
+use havenplank_line_protocol::endpoint_list::{self, ListedEndpoint};
+use havenplank_line_protocol::CachedListError;
 use std::io;
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
@@ -15,7 +16,7 @@
     #[error("{0}")]
     Unreadable(#[from] io::Error),
     #[error("{0}")]
-    Malformed(String),
+    Malformed(#[from] CachedListError),
 }
 
 /// Takes in the list that an earlier run wrote.
@@ -34,9 +35,9 @@
 }
 
 /// Reads a cached list. Its pods' ages go on from when the file was written.
-fn read(path: &Path) -> Result<Vec<Listed>, CacheError> {
+fn read(path: &Path) -> Result<Vec<ListedEndpoint>, CacheError> {
     let text = std::fs::read_to_string(path)?;
-    let mut pods = nodes::read_kept(&text).map_err(CacheError::Malformed)?;
+    let mut pods = endpoint_list::decode_cached(&text)?;
     let written = std::fs::metadata(path).and_then(|metadata| metadata.modified());
     let age = written.map_or(Duration::ZERO, |at| {
         SystemTime::now().duration_since(at).unwrap_or_default()
@@ -54,7 +55,7 @@
     };
     loop {
         shell.endpoints_changed.notified().await;
-        let text = nodes::keep(&shell.listed_pods());
+        let text = endpoint_list::encode_cached(&shell.listed_pods());
         let path = path.clone();
         if let Ok(Err(error)) = spawn_blocking(move || replace(&path, &text)).await {
             tracing::warn!(%error, "the list could not be kept");
--- a/crates/sidecar/src/engine/endpoints.rs
+++ b/crates/sidecar/src/engine/endpoints.rs
@@ -3,7 +3,7 @@
 use super::Engine;
 use crate::events::Event;
 use havenplank::interface::{Endpoint, HealthCheckResult, Nanos, PodId, RouteClassId};
-use havenplank_line_protocol::nodes::Listed;
+use havenplank_line_protocol::endpoint_list::ListedEndpoint;
 
 impl Engine {
     /// Takes an endpoint list in, in place of all before where it is `complete`. Returns the index of each of its pods,
@@ -12,7 +12,7 @@
         &mut self,
         now: Nanos,
         complete: bool,
-        pods: Vec<Listed>,
+        pods: Vec<ListedEndpoint>,
     ) -> Vec<Option<PodId>> {
         self.advance(now);
         let observed = self.observer.is_some().then(|| pods.clone());
--- a/crates/sidecar/src/engine/lookups.rs
+++ b/crates/sidecar/src/engine/lookups.rs
@@ -4,7 +4,7 @@
 use super::Engine;
 use havenplank::interface::{PodId, PodState, RouteClassId, Stage};
 use havenplank::Visits;
-use havenplank_line_protocol::nodes::Listed;
+use havenplank_line_protocol::endpoint_list::ListedEndpoint;
 use std::net::SocketAddr;
 
 /// What an operator may look at.
@@ -48,7 +48,7 @@
     }
 
     /// Returns the endpoint list as last heard, to be cached for a start without service discovery.
-    pub fn listed_pods(&self) -> Vec<Listed> {
+    pub fn listed_pods(&self) -> Vec<ListedEndpoint> {
         self.host.pods.listed(self.host.now)
     }
 
--- a/crates/sidecar/src/events.rs
+++ b/crates/sidecar/src/events.rs
@@ -5,7 +5,7 @@
     AttemptEnd, HealthCheckResult, LoadReport, Nanos, PodId, PriorAttempt, RequestId, RouteClassId,
     Stage, Tally, VoteReply,
 };
-use havenplank_line_protocol::nodes::Listed;
+use havenplank_line_protocol::endpoint_list::ListedEndpoint;
 
 /// One call on an engine, with what it returned where it returns something.
 #[derive(Clone, Debug, PartialEq)]
@@ -60,7 +60,7 @@
         /// Whether it is all of the list, or changes only.
         complete: bool,
         /// The pods listed.
-        pods: Vec<Listed>,
+        pods: Vec<ListedEndpoint>,
         /// The index of each pod, `None` where none was left for it.
         pod_ids: Vec<Option<PodId>>,
     },
--- a/crates/sidecar/src/pod_registry.rs
+++ b/crates/sidecar/src/pod_registry.rs
@@ -1,8 +1,8 @@
 //! The pods by name: which index each has, where it listens and since when it runs.
 
 use havenplank::interface::{stable_hash, Endpoint, Nanos, PodId, PodState};
-use havenplank_line_protocol::lines::MOST_PODS;
-use havenplank_line_protocol::nodes::Listed;
+use havenplank_line_protocol::codec::MAX_ENDPOINTS;
+use havenplank_line_protocol::endpoint_list::ListedEndpoint;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
@@ -12,13 +12,13 @@
 
 /// Indices that are in use at once: twice what a list may hold. A pod beyond that gets nothing until others have
 /// gone.
-const MAX_INDICES: usize = 2 * MOST_PODS;
+const MAX_INDICES: usize = 2 * MAX_ENDPOINTS;
 
 /// The start time that stands for "long ago"; the clock of an engine starts far later.
 pub const LONG_AGO: Nanos = 0;
 
 struct RegisteredPod {
-    listed: Listed,
+    listed: ListedEndpoint,
     started: Nanos,
     attempts_in_flight: u32,
 }
@@ -93,10 +93,10 @@
     }
 
     /// Returns the pods as last listed with their ages now, as a list to be cached.
-    pub fn listed(&self, now: Nanos) -> Vec<Listed> {
+    pub fn listed(&self, now: Nanos) -> Vec<ListedEndpoint> {
         let pods = self.pods.iter().flatten();
         let live = pods.filter(|pod| pod.listed.state != PodState::Gone);
-        let aged = live.map(|pod| Listed {
+        let aged = live.map(|pod| ListedEndpoint {
             age: pod.age(now),
             ..pod.listed.clone()
         });
@@ -111,7 +111,7 @@
         &mut self,
         now: Nanos,
         complete: bool,
-        pods: Vec<Listed>,
+        pods: Vec<ListedEndpoint>,
     ) -> Vec<Option<Endpoint>> {
         if complete {
             for pod in self.pods.iter_mut().flatten() {
@@ -122,7 +122,7 @@
         pods.into_iter().map(register).collect()
     }
 
-    fn register(&mut self, now: Nanos, listed: Listed) -> Option<Endpoint> {
+    fn register(&mut self, now: Nanos, listed: ListedEndpoint) -> Option<Endpoint> {
         let pod = self.index(&listed.name)?;
         let zone = index_of_name(&mut self.zones, &listed.zone);
         let machine = index_of_name(&mut self.machines, &listed.machine);
@@ -184,9 +184,12 @@
 }
 
 /// Returns when a listed pod started: as before where it is the same incarnation at the same address.
-fn start_time(now: Nanos, before: Option<&RegisteredPod>, listed: &Listed) -> Nanos {
+fn start_time(now: Nanos, before: Option<&RegisteredPod>, listed: &ListedEndpoint) -> Nanos {
     match before {
-        Some(pod) if (pod.listed.life, pod.listed.address) == (listed.life, listed.address) => {
+        Some(pod)
+            if (pod.listed.incarnation, pod.listed.address)
+                == (listed.incarnation, listed.address) =>
+        {
             pod.started
         }
         // Long ago twice is two incarnations all the same, and the decisions tell them by this.
--- a/crates/sidecar/src/routes.rs
+++ b/crates/sidecar/src/routes.rs
@@ -88,7 +88,7 @@
 #[derive(Debug)]
 enum Tenants {
     /// By name, the index in the settings.
-    Listed(HashMap<String, usize>),
+    ListedEndpoint(HashMap<String, usize>),
     Configured(Snapshot),
 }
 
@@ -116,7 +116,12 @@
         for (index, name) in tenants.iter().enumerate() {
             listed.entry(name.clone()).or_insert(index);
         }
-        RouteTable::build(groups, slots, Precedence::Order, Tenants::Listed(listed))
+        RouteTable::build(
+            groups,
+            slots,
+            Precedence::Order,
+            Tenants::ListedEndpoint(listed),
+        )
     }
 
     /// Builds a table of the routes of a snapshot, as [`routes_of`] returns them, and of its tenants.
@@ -189,7 +194,7 @@
     /// Returns the tenant of this name.
     pub fn tenant(&self, name: &str) -> Option<KnownTenant> {
         match &self.tenants {
-            Tenants::Listed(listed) => listed.get(name).map(|index| KnownTenant {
+            Tenants::ListedEndpoint(listed) => listed.get(name).map(|index| KnownTenant {
                 index: Some(*index),
             }),
             Tenants::Configured(snapshot) => {
--- a/crates/sidecar/src/transport.rs
+++ b/crates/sidecar/src/transport.rs
@@ -8,7 +8,7 @@
 use crate::responses;
 use crate::shell::{Shell, Sidecar};
 use havenplank::interface::{Build, Nanos, PodId, Vote, VoteReceipt, VoteReply};
-use havenplank_line_protocol::{desk, nodes};
+use havenplank_line_protocol::{control_plane, endpoint_list};
 use hyper::Response;
 use std::future::Future;
 use std::rc::Rc;
@@ -40,7 +40,7 @@
 
     /// Sends a vote and sees to it that it is answered: not sent is rejected, no answer in time is unknown.
     fn cast_vote(shell: &Rc<Shell>, id: u64, build: Build, stage: usize, vote: Vote) {
-        let line = desk::ask_vote(id, build, stage, vote);
+        let line = control_plane::vote_line(id, build, stage, vote);
         let sent =
             shell.control_plane_up.get() && shell.control_plane_requests.try_send(line).is_ok();
         let shell = shell.clone();
@@ -68,11 +68,11 @@
     }
 
     fn poll_endpoints(shell: &Rc<Shell>) {
-        ask_discovery(shell, nodes::ask_whole());
+        ask_discovery(shell, endpoint_list::poll_line());
     }
 
     fn watch_endpoints(shell: &Rc<Shell>, on: bool) {
-        ask_discovery(shell, nodes::ask_watch(on));
+        ask_discovery(shell, endpoint_list::watch_line(on));
     }
 }
 
--- a/crates/trace/src/merge.rs
+++ b/crates/trace/src/merge.rs
@@ -101,7 +101,7 @@
                 }) => {
                     for pod in pods {
                         heard
-                            .entry((1, number(&pod.name), pod.life, pod.state as u64))
+                            .entry((1, number(&pod.name), pod.incarnation, pod.state as u64))
                             .or_insert(at);
                     }
                 }
