--- a/crates/capacity/src/configuration/fleet.rs
+++ b/crates/capacity/src/configuration/fleet.rs
@@ -8,7 +8,7 @@
 use havenplank_configuration::spread::{Kept, Nanos, Peer, Peers, PublishError, Role, Rules};
 use havenplank_configuration::version::Version;
 use havenplank_emulator::net::{Clock, Id, Net, Weather};
-use havenplank_membership::wire::Life;
+use havenplank_membership::member::MemberId;
 use std::collections::BTreeMap;
 
 pub const MS: Nanos = 1_000_000;
@@ -176,9 +176,9 @@
 
     pub fn peer(&self, id: Id) -> Peer {
         Peer {
-            life: Life {
+            life: MemberId {
                 name: name(id),
-                life: self.lives[&id],
+                incarnation: self.lives[&id],
             },
             zone: zone(id),
         }
--- a/crates/capacity/src/configuration/process.rs
+++ b/crates/capacity/src/configuration/process.rs
@@ -9,7 +9,7 @@
 };
 use havenplank_configuration::version::Version;
 use havenplank_emulator::net::{Id, Net, Part};
-use havenplank_membership::wire::Life;
+use havenplank_membership::member::MemberId;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -22,8 +22,8 @@
 /// What crosses the simulated network.
 #[derive(Serialize, Deserialize)]
 struct Envelope {
-    from: Life,
-    to: Life,
+    from: MemberId,
+    to: MemberId,
     body: Vec<u8>,
 }
 
@@ -166,7 +166,7 @@
         }
     }
 
-    fn send(&mut self, to: Life, message: &Message) {
+    fn send(&mut self, to: MemberId, message: &Message) {
         let began = Instant::now();
         let Ok(body) = message.encode() else { return };
         self.traffic.processor += began.elapsed();
--- a/crates/capacity/src/hollow.rs
+++ b/crates/capacity/src/hollow.rs
@@ -1,11 +1,13 @@
 //! A sidecar with everything left out but membership and views: the real code, driven by a network of the test's choice.
 
 use havenplank_emulator::net::{Nanos, Part};
-use havenplank_membership::node::{Happened, Node};
-use havenplank_membership::standing::{Rules as QuorumRules, Standing};
-use havenplank_membership::swim::{Event, News, Rules, State};
-use havenplank_membership::views::{Views, VIEWS};
-use havenplank_membership::wire::{Key, Life};
+use havenplank_membership::keys::Key;
+use havenplank_membership::member::MemberId;
+use havenplank_membership::member::{Member, MemberState};
+use havenplank_membership::node::{Node, NodeEvent};
+use havenplank_membership::quorum::{QuorumState, Rules as QuorumRules};
+use havenplank_membership::swim::{MemberEvent, Rules};
+use havenplank_membership::view_exchange::{ViewExchange, VIEW_KIND};
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
@@ -29,7 +31,7 @@
 
 pub struct HollowSidecar {
     node: Node,
-    views: Views,
+    views: ViewExchange,
     period: Nanos,
     next_tick: Nanos,
     cost: Cost,
@@ -50,17 +52,17 @@
     incarnation: u64,
     seeds: Vec<SocketAddr>,
 ) -> Node {
-    let who = Life {
+    let id = MemberId {
         name: name(number),
-        life: incarnation,
+        incarnation: incarnation,
     };
     let zone = format!("zone-{:02}", number % ZONES);
-    let me = News {
-        who,
-        at,
+    let me = Member {
+        id,
+        address: at,
         zone,
-        round: 0,
-        state: State::Lives,
+        refutations: 0,
+        state: MemberState::Alive,
     };
     let seed = (number as u64) << 32 | incarnation;
     let mut node = Node::new(
@@ -71,13 +73,17 @@
         Rules::default(),
         vec![Key::new([7; 32])],
     );
-    node.reads(VIEWS);
+    node.accept_kind(VIEW_KIND);
     node
 }
 
 impl HollowSidecar {
     pub fn new(now: Nanos, node: Node, cost: Cost) -> HollowSidecar {
-        let views = Views::new(now, node.fellows().me().who.clone(), QuorumRules::default());
+        let views = ViewExchange::new(
+            now,
+            node.membership().me().id.clone(),
+            QuorumRules::default(),
+        );
         let earlier_rows = cost.rows_visited;
         HollowSidecar {
             node,
@@ -93,20 +99,21 @@
         &self.cost
     }
 
-    pub fn standing(&self) -> Standing {
-        self.views.place().standing().0
+    pub fn standing(&self) -> QuorumState {
+        self.views.quorum().state()
     }
 
     /// How many peers it takes for living.
     pub fn living(&self) -> usize {
-        self.node.fellows().living().count()
+        self.node.membership().alive().count()
     }
 
     /// Whether it takes this incarnation for living.
     pub fn sees(&self, name: &str, incarnation: u64) -> bool {
-        let known = self.node.fellows().get(name);
+        let known = self.node.membership().get(name);
         known.is_some_and(|news| {
-            news.who.life == incarnation && matches!(news.state, State::Lives | State::Suspected(_))
+            news.id.incarnation == incarnation
+                && matches!(news.state, MemberState::Alive | MemberState::Suspected(_))
         })
     }
 
@@ -118,24 +125,24 @@
         let began = Instant::now();
         work(self);
         self.cost.processor += began.elapsed();
-        let rows = self.node.fellows().rows_visited() + self.views.place().rows_visited();
+        let rows = self.node.membership().rows_visited() + self.views.quorum().rows_visited();
         self.cost.rows_visited = self.earlier_rows + rows;
     }
 
     fn take_events(&mut self, now: Nanos) {
-        while let Some(happened) = self.node.happened() {
+        while let Some(happened) = self.node.next_event() {
             match happened {
-                Happened::Came {
+                NodeEvent::Message {
                     from,
-                    kind: VIEWS,
+                    kind: VIEW_KIND,
                     body,
                 } => {
                     let _ = self.views.receive(now, &from, &body);
                 }
-                Happened::Came { .. } => {}
-                Happened::Told(event) => {
-                    self.cost.lost += u64::from(matches!(event, Event::Lost(_)));
-                    self.cost.suspected += u64::from(matches!(event, Event::Suspected(_)));
+                NodeEvent::Message { .. } => {}
+                NodeEvent::Membership(event) => {
+                    self.cost.lost += u64::from(matches!(event, MemberEvent::Lost(_)));
+                    self.cost.suspected += u64::from(matches!(event, MemberEvent::Suspected(_)));
                     self.views.observe(now, &event);
                 }
             }
@@ -148,7 +155,7 @@
         self.cost.received += 1;
         self.cost.received_bytes += bytes.len() as u64;
         self.timed(|sidecar| {
-            sidecar.node.heard(now, bytes);
+            sidecar.node.receive_datagram(now, bytes);
             sidecar.take_events(now);
         });
     }
@@ -173,7 +180,7 @@
     }
 
     fn datagram(&mut self) -> Option<(SocketAddr, Vec<u8>)> {
-        let datagram = self.node.datagram()?;
+        let datagram = self.node.next_datagram()?;
         self.cost.sent += 1;
         self.cost.sent_bytes += datagram.1.len() as u64;
         Some(datagram)
--- a/crates/capacity/src/membership.rs
+++ b/crates/capacity/src/membership.rs
@@ -7,7 +7,7 @@
 use crate::hollow::{self, Cost, HollowSidecar};
 use crate::report::{fit, Point, Section, Series};
 use havenplank_emulator::net::{Clock, Id, Nanos, Net, Weather};
-use havenplank_membership::standing::Standing;
+use havenplank_membership::quorum::QuorumState;
 use std::net::SocketAddr;
 
 const SECOND: Nanos = 1_000_000_000;
@@ -217,7 +217,7 @@
     }
 
     fn share_agreed(&self) -> f64 {
-        self.share(|part| part.standing() == Standing::Agreed)
+        self.share(|part| part.standing() == QuorumState::Agreed)
     }
 
     /// Seconds until something holds; none within [`PATIENCE`].
--- a/crates/capacity/src/membership_sockets.rs
+++ b/crates/capacity/src/membership_sockets.rs
@@ -3,11 +3,11 @@
 use crate::hollow;
 use crate::membership::{resident_bytes, Figures};
 use crate::report::Section;
-use havenplank_membership::node::Happened;
-use havenplank_membership::shell::Talker;
-use havenplank_membership::standing::Rules as QuorumRules;
+use havenplank_membership::node::NodeEvent;
+use havenplank_membership::quorum::Rules as QuorumRules;
 use havenplank_membership::swim::Rules;
-use havenplank_membership::views::{Views, VIEWS};
+use havenplank_membership::transport::Transport;
+use havenplank_membership::view_exchange::{ViewExchange, VIEW_KIND};
 use std::cell::RefCell;
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -61,7 +61,7 @@
 }
 
 struct Running {
-    talker: Rc<Talker>,
+    transport: Rc<Transport>,
 }
 
 /// A number in a file of the system, in the line that begins so.
@@ -91,46 +91,54 @@
 impl Running {
     async fn start(number: usize, seeds: Vec<SocketAddr>) -> io::Result<Running> {
         let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
-        let talker = Talker::bind(any, |now, at| hollow::node(now, at, number, 1, seeds)).await?;
-        let me = talker.call(|node, _| node.fellows().me().who.clone());
-        let views = Rc::new(RefCell::new(Views::new(
-            talker.now(),
+        let transport =
+            Transport::bind(any, |now, at| hollow::node(now, at, number, 1, seeds)).await?;
+        let me = transport.call(|node, _| node.membership().me().id.clone());
+        let views = Rc::new(RefCell::new(ViewExchange::new(
+            transport.now(),
             me,
             QuorumRules::default(),
         )));
         let heard = views.clone();
-        spawn_local(talker.clone().run(move |talker, happened| match happened {
-            Happened::Came {
-                from,
-                kind: VIEWS,
-                body,
-            } => {
-                let _ = heard.borrow_mut().receive(talker.now(), &from, &body);
-            }
-            Happened::Came { .. } => {}
-            Happened::Told(event) => heard.borrow_mut().observe(talker.now(), &event),
-        }));
-        spawn_local(tell_views(talker.clone(), views));
-        Ok(Running { talker })
+        spawn_local(
+            transport
+                .clone()
+                .run(move |transport, happened| match happened {
+                    NodeEvent::Message {
+                        from,
+                        kind: VIEW_KIND,
+                        body,
+                    } => {
+                        let _ = heard.borrow_mut().receive(transport.now(), &from, &body);
+                    }
+                    NodeEvent::Message { .. } => {}
+                    NodeEvent::Membership(event) => {
+                        heard.borrow_mut().observe(transport.now(), &event)
+                    }
+                }),
+        );
+        spawn_local(tell_views(transport.clone(), views));
+        Ok(Running { transport })
     }
 
     fn living(&self) -> usize {
-        self.talker.call(|node, _| node.fellows().living().count())
+        self.transport
+            .call(|node, _| node.membership().alive().count())
     }
 
     /// Messages that came, messages sent, and their bytes.
     fn counts(&self) -> [u64; 3] {
-        self.talker
-            .call(|node, _| [node.came, node.sent, node.sent_bytes])
+        self.transport
+            .call(|node, _| [node.received, node.sent, node.sent_bytes])
     }
 }
 
-async fn tell_views(talker: Rc<Talker>, views: Rc<RefCell<Views>>) {
+async fn tell_views(transport: Rc<Transport>, views: Rc<RefCell<ViewExchange>>) {
     let mut beat = interval(Duration::from_nanos(Rules::default().period));
     beat.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         beat.tick().await;
-        talker.call(|node, now| views.borrow_mut().tick(now, node));
+        transport.call(|node, now| views.borrow_mut().tick(now, node));
     }
 }
 
@@ -141,7 +149,7 @@
     for number in 0..size {
         let sidecar = Running::start(number, seeds.clone()).await?;
         if seeds.len() < SEEDS {
-            seeds.push(sidecar.talker.at()?);
+            seeds.push(sidecar.transport.local_address()?);
         }
         running.push(sidecar);
     }
--- a/crates/cli/src/fellow.rs
+++ b/crates/cli/src/fellow.rs
@@ -1,10 +1,11 @@
 //! `havenplank fellow`: one member of the fellowship by itself, to try its network and key before sidecars use it.
 
 use anyhow::Context;
-use havenplank_membership::node::{Happened, Node};
-use havenplank_membership::shell::{log, new_life, read_keys, Talker};
-use havenplank_membership::swim::{News, Rules, State};
-use havenplank_membership::wire::{Life, NAME};
+use havenplank_membership::keys::read_keys;
+use havenplank_membership::member::{Member, MemberId, MemberState, MAX_NAME_BYTES};
+use havenplank_membership::node::{Node, NodeEvent};
+use havenplank_membership::swim::Rules;
+use havenplank_membership::transport::{log_event, new_incarnation, Transport};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -41,10 +42,13 @@
     let period = Duration::from(args.period);
     let wrong = [
         (
-            args.name.is_empty() || args.name.len() > NAME,
+            args.name.is_empty() || args.name.len() > MAX_NAME_BYTES,
             "--name: expected 1 to 64 bytes",
         ),
-        (args.zone.len() > NAME, "--zone: expected 64 bytes at most"),
+        (
+            args.zone.len() > MAX_NAME_BYTES,
+            "--zone: expected 64 bytes at most",
+        ),
         (
             !(10..=60_000).contains(&period.as_millis()),
             "--period: expected 10ms to 60s",
@@ -70,31 +74,31 @@
         let mut reload = signal(SignalKind::hangup()).context("SIGHUP")?;
         let (period, who) = (
             period.as_nanos() as u64,
-            Life {
+            MemberId {
                 name: args.name.clone(),
-                life: new_life(),
+                incarnation: new_incarnation(),
             },
         );
         let rules = Rules {
             period,
-            answer: period * 3 / 10,
+            ping_timeout: period * 3 / 10,
             ..Rules::default()
         };
-        let talker = Talker::bind(args.listen, |now, bound| {
+        let transport = Transport::bind(args.listen, |now, bound| {
             let at = args.advertise.unwrap_or(bound);
-            let me = News {
-                who,
-                at,
+            let me = Member {
+                id: who,
+                address: at,
                 zone: args.zone.clone(),
-                round: 0,
-                state: State::Lives,
+                refutations: 0,
+                state: MemberState::Alive,
             };
-            let seed = me.who.life ^ u64::from(bound.port()) << 48;
+            let seed = me.id.incarnation ^ u64::from(bound.port()) << 48;
             Node::new(now, seed, me, args.meet.clone(), rules, read)
         });
-        let talker = talker.await.with_context(|| args.listen.to_string())?;
-        tracing::info!(name = args.name, listen = %talker.at()?, "fellow listening");
-        tokio::task::spawn_local(talker.clone().run(|_, happened| tell(happened)));
+        let transport = transport.await.with_context(|| args.listen.to_string())?;
+        tracing::info!(name = args.name, listen = %transport.local_address()?, "fellow listening");
+        tokio::task::spawn_local(transport.clone().run(|_, happened| tell(happened)));
         let mut beat = interval(Duration::from_secs(1));
         loop {
             tokio::select! {
@@ -103,40 +107,40 @@
                 _ = reload.recv() => match read_keys(&args.keys) {
                     Ok(read) => {
                         tracing::info!(keys = read.len(), "keys read again");
-                        talker.call(|node, _| node.rekey(read));
+                        transport.call(|node, _| node.replace_keys(read));
                     }
                     Err(why) => tracing::warn!(%why, "keys refused, the old ones stay"),
                 },
-                _ = beat.tick() => state(&talker),
+                _ = beat.tick() => state(&transport),
             }
         }
-        talker.call(|node, _| node.leave());
+        transport.call(|node, _| node.leave());
         tracing::info!("fellow left");
         Ok(0)
     })
 }
 
-fn tell(happened: Happened) {
-    if let Happened::Told(event) = happened {
-        log(event);
+fn tell(happened: NodeEvent) {
+    if let NodeEvent::Membership(event) = happened {
+        log_event(event);
     }
 }
 
 /// Once a second, what this one believes beside what came over the wire.
-fn state(talker: &Rc<Talker>) {
-    talker.call(|node, _| {
+fn state(transport: &Rc<Transport>) {
+    transport.call(|node, _| {
         let living: Vec<&str> = node
-            .fellows()
-            .living()
-            .map(|news| news.who.name.as_str())
+            .membership()
+            .alive()
+            .map(|news| news.id.name.as_str())
             .collect();
         tracing::info!(
             living = living.join(","),
-            slowness = node.fellows().slowness(),
+            slowness = node.membership().health_score(),
             sent = node.sent,
             sent_bytes = node.sent_bytes,
-            came = node.came,
-            refused = node.refused.total(),
+            came = node.received,
+            refused = node.rejected.total(),
             "state"
         );
     });
--- a/crates/configuration/src/spread/acknowledge.rs
+++ b/crates/configuration/src/spread/acknowledge.rs
@@ -6,7 +6,7 @@
 use crate::interval::Interval;
 use crate::message::{Message, Poll, Report, Standing, Tally};
 use crate::version::Version;
-use havenplank_membership::wire::Life;
+use havenplank_membership::member::MemberId;
 use std::collections::VecDeque;
 
 /// A name that the last round found behind, and when a round of the present series first did.
@@ -120,7 +120,7 @@
         );
     }
 
-    fn open(&mut self, parent: Option<Life>, poll: Poll) {
+    fn open(&mut self, parent: Option<MemberId>, poll: Poll) {
         if self.polls.len() >= OPEN_POLLS {
             self.polls.pop_front();
             self.counts.dropped_polls += 1;
@@ -137,7 +137,7 @@
         ));
     }
 
-    pub(super) fn heard_poll(&mut self, now: Nanos, from: &Life, poll: Poll) {
+    pub(super) fn heard_poll(&mut self, now: Nanos, from: &MemberId, poll: Poll) {
         self.note(now, from, poll.claim);
         if self.refuse_lower_epoch(from, poll.claim) {
             return;
@@ -156,7 +156,7 @@
         }
     }
 
-    pub(super) fn heard_report(&mut self, now: Nanos, from: &Life, report: Report) {
+    pub(super) fn heard_report(&mut self, now: Nanos, from: &MemberId, report: Report) {
         let mut counted = false;
         for open in &mut self.polls {
             let same = open.poll.round == report.round && open.poll.claim.version == report.version;
--- a/crates/configuration/src/spread/gossip.rs
+++ b/crates/configuration/src/spread/gossip.rs
@@ -6,7 +6,7 @@
 use crate::delta::Delta;
 use crate::error::ApplyError;
 use crate::message::{Claim, Message, DATAGRAM_BYTES, MAX_DELTAS, MAX_MESSAGE_BYTES};
-use havenplank_membership::wire::Life;
+use havenplank_membership::member::MemberId;
 use std::sync::Arc;
 
 /// What a message with deltas has around each of them, at most.
@@ -16,7 +16,7 @@
 
 /// A pull that waits for its answer.
 pub(super) struct Asked {
-    peer: Life,
+    peer: MemberId,
     until: Nanos,
 }
 
@@ -30,7 +30,7 @@
         let encoded = delta
             .map(Delta::encode)
             .filter(|bytes| bytes.len() + DELTAS_OVERHEAD <= DATAGRAM_BYTES);
-        let mut told: Vec<Life> =
+        let mut told: Vec<MemberId> =
             Vec::with_capacity(self.rules.fan_out_near + self.rules.fan_out_far);
         for (reach, count) in [
             (Reach::Near, self.rules.fan_out_near),
@@ -78,7 +78,7 @@
     }
 
     /// Asks one peer what it has, unless an answer is awaited.
-    pub(super) fn ask(&mut self, now: Nanos, peer: &Life) {
+    pub(super) fn ask(&mut self, now: Nanos, peer: &MemberId) {
         if self.asked.as_ref().is_some_and(|asked| asked.until > now) {
             return;
         }
@@ -98,7 +98,7 @@
     }
 
     /// Ends the wait for an answer, where this peer was asked.
-    pub(super) fn answered_by(&mut self, from: &Life) -> bool {
+    pub(super) fn answered_by(&mut self, from: &MemberId) -> bool {
         self.asked.take_if(|asked| asked.peer == *from).is_some()
     }
 
@@ -110,7 +110,7 @@
     }
 
     /// Takes note of what another holds.
-    pub(super) fn note(&mut self, now: Nanos, from: &Life, claim: Claim) {
+    pub(super) fn note(&mut self, now: Nanos, from: &MemberId, claim: Claim) {
         let contradiction = self.held.contradiction(claim);
         if let Some(held) = contradiction {
             self.counts.conflicts += 1;
@@ -150,7 +150,7 @@
     pub(super) fn heard_announce(
         &mut self,
         now: Nanos,
-        from: &Life,
+        from: &MemberId,
         claim: Claim,
         delta: Option<Vec<u8>>,
     ) {
@@ -173,7 +173,7 @@
     }
 
     /// Tells a writer, or whoever repeats it, that a higher epoch is in force.
-    pub(super) fn refuse_lower_epoch(&mut self, to: &Life, claim: Claim) -> bool {
+    pub(super) fn refuse_lower_epoch(&mut self, to: &MemberId, claim: Claim) -> bool {
         let lower = claim.version.epoch < self.held.version().epoch;
         if lower {
             self.counts.lower_epochs += 1;
@@ -186,7 +186,7 @@
     }
 
     /// The deltas that led on, this one and early ones that follow it.
-    fn take_delta(&mut self, now: Nanos, from: &Life, delta: Delta) -> Vec<Arc<Delta>> {
+    fn take_delta(&mut self, now: Nanos, from: &MemberId, delta: Delta) -> Vec<Arc<Delta>> {
         match self.held.take(delta) {
             Taken::Applied(deltas) => {
                 self.head_changed(now);
@@ -215,7 +215,7 @@
     pub(super) fn heard_pull(
         &mut self,
         now: Nanos,
-        from: &Life,
+        from: &MemberId,
         claim: Claim,
         room: u32,
         whole: bool,
@@ -232,7 +232,7 @@
     }
 
     /// Gives what leads on from there: deltas as far as there is room, else the manifest.
-    fn serve(&mut self, now: Nanos, to: &Life, claim: Claim, room: u32, whole: bool) {
+    fn serve(&mut self, now: Nanos, to: &MemberId, claim: Claim, room: u32, whole: bool) {
         let chain = if whole { None } else { self.held.since(claim) };
         let deltas = chain
             .map(|chain| first_that_fit(&chain, room))
@@ -248,7 +248,7 @@
     }
 
     /// Sends something long within the budget for others.
-    pub(super) fn send_served(&mut self, now: Nanos, to: &Life, message: Message) {
+    pub(super) fn send_served(&mut self, now: Nanos, to: &MemberId, message: Message) {
         let bytes = match &message {
             Message::Deltas { deltas, .. } => deltas.iter().map(Vec::len).sum(),
             Message::Chunk(chunk) => chunk.body.len(),
@@ -259,7 +259,7 @@
         self.send(to, message);
     }
 
-    pub(super) fn heard_current(&mut self, now: Nanos, from: &Life, claim: Claim) {
+    pub(super) fn heard_current(&mut self, now: Nanos, from: &MemberId, claim: Claim) {
         self.note(now, from, claim);
         let answered = self.answered_by(from);
         if claim.version <= self.held.version() || self.transfer.is_some() {
@@ -276,7 +276,7 @@
     pub(super) fn heard_deltas(
         &mut self,
         now: Nanos,
-        from: &Life,
+        from: &MemberId,
         claim: Claim,
         deltas: &[Vec<u8>],
         bytes: usize,
@@ -298,7 +298,12 @@
     }
 
     /// Applies deltas in order, as far as they lead on. The last one that did.
-    fn take_deltas(&mut self, now: Nanos, from: &Life, deltas: &[Vec<u8>]) -> Option<Arc<Delta>> {
+    fn take_deltas(
+        &mut self,
+        now: Nanos,
+        from: &MemberId,
+        deltas: &[Vec<u8>],
+    ) -> Option<Arc<Delta>> {
         let mut last = None;
         for encoded in deltas {
             let Ok(delta) = Delta::decode(encoded) else {
@@ -317,7 +322,7 @@
         last
     }
 
-    pub(super) fn heard_superseded(&mut self, now: Nanos, from: &Life, by: Claim) {
+    pub(super) fn heard_superseded(&mut self, now: Nanos, from: &MemberId, by: Claim) {
         self.note(now, from, by);
         if by.version > self.held.version() {
             self.ask(now, from);
--- a/crates/configuration/src/spread/mod.rs
+++ b/crates/configuration/src/spread/mod.rs
@@ -54,7 +54,7 @@
 use crate::message::{Claim, Message};
 use crate::snapshot::Snapshot;
 use crate::version::Version;
-use havenplank_membership::wire::Life;
+use havenplank_membership::member::MemberId;
 use oorandom::Rand64;
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -88,7 +88,7 @@
 #[derive(Clone, Debug)]
 pub enum Effect {
     Send {
-        to: Life,
+        to: MemberId,
         message: Message,
     },
     /// A whole new version; the host answers with [`Spreader::installed`] or [`Spreader::rejected`]. One that came
@@ -105,7 +105,7 @@
         version: Version,
         held: Digest,
         other: Digest,
-        from: Life,
+        from: MemberId,
     },
     /// This writer has been replaced and publishes no more.
     Superseded {
@@ -123,7 +123,7 @@
     /// The source of a transfer was silent, refused or sent something wrong; another one takes its place.
     SourceChanged {
         version: Version,
-        from: Life,
+        from: MemberId,
     },
     TransferFailed {
         version: Version,
@@ -296,7 +296,7 @@
     }
 
     /// Takes in a message. `bytes` is its encoded length.
-    pub fn heard(&mut self, now: Nanos, from: &Life, message: Message, bytes: usize) {
+    pub fn heard(&mut self, now: Nanos, from: &MemberId, message: Message, bytes: usize) {
         self.heard_at = Some(now);
         match message {
             Message::Announce { claim, delta } => self.heard_announce(now, from, claim, delta),
@@ -322,7 +322,7 @@
         self.counts.unreadable += 1;
     }
 
-    fn send(&mut self, to: &Life, message: Message) {
+    fn send(&mut self, to: &MemberId, message: Message) {
         self.effects.push_back(Effect::Send {
             to: to.clone(),
             message,
--- a/crates/configuration/src/spread/peers.rs
+++ b/crates/configuration/src/spread/peers.rs
@@ -1,6 +1,6 @@
 //! The peers that are thought to live, shared and sorted by name.
 
-use havenplank_membership::wire::Life;
+use havenplank_membership::member::MemberId;
 use oorandom::Rand64;
 use std::sync::Arc;
 
@@ -10,7 +10,7 @@
 /// One peer and where it runs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Peer {
-    pub life: Life,
+    pub life: MemberId,
     /// The part before the first `/` is its region.
     pub zone: String,
 }
@@ -32,7 +32,9 @@
 impl Peers {
     /// Of two with one name the later life stays.
     pub fn new(mut peers: Vec<Peer>) -> Peers {
-        peers.sort_by(|a, b| (&a.life.name, b.life.life).cmp(&(&b.life.name, a.life.life)));
+        peers.sort_by(|a, b| {
+            (&a.life.name, b.life.incarnation).cmp(&(&b.life.name, a.life.incarnation))
+        });
         peers.dedup_by(|later, first| later.life.name == first.life.name);
         Peers(Arc::new(peers))
     }
@@ -49,12 +51,12 @@
         &self.0[place].life.name
     }
 
-    pub fn life(&self, place: usize) -> &Life {
+    pub fn life(&self, place: usize) -> &MemberId {
         &self.0[place].life
     }
 
     /// A random peer other than `me`, of the wished reach where a few draws find one, else any.
-    pub fn draw(&self, chance: &mut Rand64, me: &Peer, reach: Reach) -> Option<Life> {
+    pub fn draw(&self, chance: &mut Rand64, me: &Peer, reach: Reach) -> Option<MemberId> {
         let mut fallback = None;
         if self.is_empty() {
             return None;
--- a/crates/configuration/src/spread/poll.rs
+++ b/crates/configuration/src/spread/poll.rs
@@ -8,7 +8,7 @@
 use super::Nanos;
 use crate::interval::Part;
 use crate::message::{Poll, Report, Standing, Tally};
-use havenplank_membership::wire::Life;
+use havenplank_membership::member::MemberId;
 use oorandom::Rand64;
 
 /// Heads tried for one interval: with 1% loss each way two would leave one of 1,600 silent in every second round.
@@ -30,14 +30,14 @@
 struct Child {
     part: Part,
     /// Those asked so far, [`ATTEMPTS`] at most.
-    heads: Vec<Life>,
+    heads: Vec<MemberId>,
     expires: Nanos,
     closed: bool,
 }
 
 pub struct OpenPoll {
     /// Who gets the report; `None` at the writer, whose poll it is.
-    pub parent: Option<Life>,
+    pub parent: Option<MemberId>,
     pub poll: Poll,
     peers: Peers,
     /// The branches of the rules and two more at most.
@@ -49,7 +49,7 @@
 impl OpenPoll {
     pub fn new(
         poll: Poll,
-        parent: Option<Life>,
+        parent: Option<MemberId>,
         own_name: &str,
         own: Option<Standing>,
         peers: Peers,
@@ -83,7 +83,7 @@
     }
 
     /// Asks the heads that are due, and gives up on intervals where all were silent.
-    pub fn due(&mut self, now: Nanos, chance: &mut Rand64) -> Vec<(Life, Poll)> {
+    pub fn due(&mut self, now: Nanos, chance: &mut Rand64) -> Vec<(MemberId, Poll)> {
         let mut asked = Vec::new();
         for child in self
             .children
@@ -118,7 +118,7 @@
     ///
     /// # Errors
     /// Why it was not counted.
-    pub fn report(&mut self, from: &Life, report: Report) -> Result<(), Uncounted> {
+    pub fn report(&mut self, from: &MemberId, report: Report) -> Result<(), Uncounted> {
         let asked = |child: &&mut Child| {
             child.part.interval == report.interval && child.heads.contains(from)
         };
@@ -168,7 +168,7 @@
 }
 
 /// A random peer of the interval, another one than before where there is one.
-fn next_head(child: &Child, peers: &Peers, chance: &mut Rand64) -> Life {
+fn next_head(child: &Child, peers: &Peers, chance: &mut Rand64) -> MemberId {
     let names = &child.part.names;
     let drawn = names.start + chance.rand_range(0..names.len() as u64) as usize;
     let tried = child.heads.contains(peers.life(drawn));
--- a/crates/configuration/src/spread/transfer.rs
+++ b/crates/configuration/src/spread/transfer.rs
@@ -6,13 +6,13 @@
 use crate::chunk::{chunk, Assembly, Chunk, Manifest};
 use crate::message::{Claim, Message};
 use crate::version::Version;
-use havenplank_membership::wire::Life;
+use havenplank_membership::member::MemberId;
 
 /// A transfer under way; there is one at most.
 pub(super) struct Transfer {
     claim: Claim,
     assembly: Assembly,
-    source: Life,
+    source: MemberId,
     /// Until when the source may answer, where a chunk was asked for.
     until: Option<Nanos>,
     /// Sources that failed in a row.
@@ -24,7 +24,7 @@
         self.claim.version
     }
 
-    pub(super) fn source(&self) -> &Life {
+    pub(super) fn source(&self) -> &MemberId {
         &self.source
     }
 
@@ -45,7 +45,7 @@
     pub(super) fn heard_manifest(
         &mut self,
         now: Nanos,
-        from: &Life,
+        from: &MemberId,
         manifest: Manifest,
         bytes: usize,
     ) {
@@ -174,7 +174,13 @@
         self.want(now);
     }
 
-    pub(super) fn heard_want(&mut self, now: Nanos, from: &Life, claim: Claim, buckets: &[u16]) {
+    pub(super) fn heard_want(
+        &mut self,
+        now: Nanos,
+        from: &MemberId,
+        claim: Claim,
+        buckets: &[u16],
+    ) {
         let allowed = self.serving.left(now) > 0;
         let found = self
             .held
@@ -194,7 +200,7 @@
         }
     }
 
-    pub(super) fn heard_chunk(&mut self, now: Nanos, from: &Life, chunk: Chunk, bytes: usize) {
+    pub(super) fn heard_chunk(&mut self, now: Nanos, from: &MemberId, chunk: Chunk, bytes: usize) {
         self.fetching.spend(now, bytes);
         let fits = |transfer: &&mut Transfer| {
             transfer.source == *from && transfer.version() == chunk.version
@@ -216,7 +222,7 @@
     pub(super) fn heard_unavailable(
         &mut self,
         now: Nanos,
-        from: &Life,
+        from: &MemberId,
         wanted: Version,
         claim: Claim,
     ) {
--- a/crates/configuration/tests/spread.rs
+++ b/crates/configuration/tests/spread.rs
@@ -22,7 +22,7 @@
 };
 use havenplank_configuration::version::Version;
 use havenplank_emulator::net::{Clock, Id, Net, Weather};
-use havenplank_membership::wire::Life;
+use havenplank_membership::member::MemberId;
 use oorandom::Rand64;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -657,15 +657,15 @@
 struct Alone {
     spreader: Spreader,
     base: Snapshot,
-    peer: Life,
+    peer: MemberId,
 }
 
 impl Alone {
     fn new() -> Alone {
         let peer = |name: &str| Peer {
-            life: Life {
+            life: MemberId {
                 name: name.into(),
-                life: 1,
+                incarnation: 1,
             },
             zone: "r/z".into(),
         };
@@ -815,9 +815,9 @@
         deltas: Vec::new(),
     };
     let me = Peer {
-        life: Life {
+        life: MemberId {
             name: "a".into(),
-            life: 1,
+            incarnation: 1,
         },
         zone: "r/z".into(),
     };
--- a/crates/configuration/tests/unit/poll.rs
+++ b/crates/configuration/tests/unit/poll.rs
@@ -8,9 +8,9 @@
 use crate::version::Version;
 
 fn peers(count: u64) -> Peers {
-    let life = |n| Life {
+    let life = |n| MemberId {
         name: format!("s-{n:03}"),
-        life: 1,
+        incarnation: 1,
     };
     Peers::new(
         (0..count)
@@ -70,9 +70,9 @@
     assert_ne!(first, second);
     assert_eq!(poll.interval, same.interval);
     // A stranger's report counts nothing; the late one of the first head counts, the second one's no more.
-    let stranger = Life {
+    let stranger = MemberId {
         name: "s-040".into(),
-        life: 9,
+        incarnation: 9,
     };
     assert_eq!(
         open.report(&stranger, answer(poll, 10)),
--- a/crates/membership/src/follow_ups.rs
+++ b/crates/membership/src/follow_ups.rs
@@ -1,6 +1,6 @@
 //! Which peers get a view out of turn, and when. Bounded in number; the oldest is dropped for a new one.
 
-use crate::wire::Life;
+use crate::member::MemberId;
 use crate::Nanos;
 use std::collections::VecDeque;
 
@@ -9,7 +9,7 @@
 const MOST_WAITING: usize = 64;
 
 struct FollowUp {
-    to: Life,
+    to: MemberId,
     due: Nanos,
 }
 
@@ -21,7 +21,7 @@
 
 impl FollowUps {
     /// Plans a view for this peer; the earlier time holds where one is planned already.
-    pub fn plan(&mut self, to: &Life, due: Nanos) {
+    pub fn plan(&mut self, to: &MemberId, due: Nanos) {
         if let Some(known) = self.waiting.iter_mut().find(|known| known.to == *to) {
             known.due = known.due.min(due);
             return;
@@ -36,7 +36,7 @@
     }
 
     /// The peer whose view is due and was planned first.
-    pub fn take_due(&mut self, now: Nanos) -> Option<Life> {
+    pub fn take_due(&mut self, now: Nanos) -> Option<MemberId> {
         let at = self.waiting.iter().position(|known| known.due <= now)?;
         self.waiting.remove(at).map(|known| known.to)
     }
--- a/crates/membership/src/wire.rs
+++ b/crates/membership/src/frame.rs
@@ -2,19 +2,18 @@
 //!
 //! What is forged, cut, repeated, too long or meant for another life changes nothing and is counted by reason.
 
+use crate::keys::Key;
+use crate::member::{MemberId, MAX_NAME_BYTES};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
-use std::fmt;
 
 /// The first byte of a datagram. Another version is counted and passed over, so that both can run side by side.
 pub const VERSION: u8 = 1;
 /// Longest datagram sent and read, in bytes: below what an Ethernet frame carries after IP and UDP.
-pub const LONGEST: usize = 1_200;
+pub const MAX_DATAGRAM_BYTES: usize = 1_200;
 /// Longest letter that goes over a stream, in bytes.
-pub const LONGEST_STREAM: usize = 1 << 20;
+pub const MAX_STREAM_BYTES: usize = 1 << 20;
 const SUM: usize = 16;
-/// What may be in a name, at most, in bytes.
-pub const NAME: usize = 64;
 /// Counts behind the newest one that may still come, in any order, each once. A sidecar with a thousand hits a second
 /// sends so many letters in some 300 ms.
 const BEHIND: u64 = 4_096;
@@ -22,85 +21,33 @@
 
 /// How a letter travels. It is part of what is summed, so that neither can be played back as the other.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum Channel {
     Datagram,
     Stream,
 }
 
-impl Way {
+impl Channel {
     fn first_byte(self) -> u8 {
         match self {
-            Way::Datagram => VERSION,
-            Way::Stream => VERSION | 0x80,
+            Channel::Datagram => VERSION,
+            Channel::Stream => VERSION | 0x80,
         }
     }
 
     pub fn longest(self) -> usize {
         match self {
-            Way::Datagram => LONGEST,
-            Way::Stream => LONGEST_STREAM,
+            Channel::Datagram => MAX_DATAGRAM_BYTES,
+            Channel::Stream => MAX_STREAM_BYTES,
         }
     }
 }
 
-/// A key of the fellowship. Its text form is 64 hex digits.
-#[derive(Clone, PartialEq, Eq)]
-pub struct Key([u8; 32]);
-
-impl fmt::Debug for Key {
-    /// Never the key itself, wherever settings are logged.
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("Key(..)")
-    }
-}
-
-/// Why a line of a key file is no key.
-#[derive(Debug, thiserror::Error, PartialEq, Eq)]
-#[error("line {line}: expected a key of 64 hex digits")]
-pub struct NotAKey {
-    pub line: usize,
-}
-
-impl Key {
-    pub fn new(bytes: [u8; 32]) -> Key {
-        Key(bytes)
-    }
-
-    /// The keys of a file, one a line; empty lines and those that begin with `#` are passed over. The first one
-    /// seals, all of them open: a new key goes to every fellow behind the old one first, then before it.
-    ///
-    /// # Errors
-    /// The first line that is no key; a file without any counts as one at line 1.
-    pub fn read(text: &str) -> Result<Vec<Key>, NotAKey> {
-        let mut keys = Vec::new();
-        for (n, line) in text.lines().enumerate() {
-            let line = line.trim();
-            if line.is_empty() || line.starts_with('#') {
-                continue;
-            }
-            let hash = blake3::Hash::from_hex(line).map_err(|_| NotAKey { line: n + 1 })?;
-            keys.push(Key(*hash.as_bytes()));
-        }
-        if keys.is_empty() {
-            return Err(NotAKey { line: 1 });
-        }
-        Ok(keys)
-    }
-}
-
-/// One fellow's life: its name, and a number that grows with each start under that name.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Life {
-    pub name: String,
-    pub life: u64,
-}
-
 /// One datagram's content.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Letter {
-    pub from: Life,
+pub struct Envelope {
+    pub from: MemberId,
     /// Whom it is for; a name of no letters where the sender knows an address only.
-    pub to: Life,
+    pub to: MemberId,
     /// Grows by one with each letter of a life, so that a repeat can be told.
     pub count: u64,
     /// Which package's message it is, and that message.
@@ -110,7 +57,7 @@
 
 /// Why a datagram changed nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Refused {
+pub enum Rejection {
     TooLong,
     TooShort,
     OtherVersion,
@@ -130,14 +77,14 @@
 
 /// Datagrams passed over, by reason. As many rows as there are reasons.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Counts(BTreeMap<Refused, u64>);
+pub struct RejectionCounts(BTreeMap<Rejection, u64>);
 
-impl Counts {
-    pub fn add(&mut self, why: Refused) {
+impl RejectionCounts {
+    pub fn add(&mut self, why: Rejection) {
         *self.0.entry(why).or_default() += 1;
     }
 
-    pub fn of(&self, why: Refused) -> u64 {
+    pub fn of(&self, why: Rejection) -> u64 {
         self.0.get(&why).copied().unwrap_or(0)
     }
 
@@ -147,26 +94,26 @@
 }
 
 /// How many bytes of body a letter between these two may carry.
-pub fn room(from: &Life, to: &Life) -> usize {
+pub fn room(from: &MemberId, to: &MemberId) -> usize {
     // Two names and lives, count, kind, lengths: each integer takes ten bytes at most.
     let round = SUM + 1 + from.name.len() + to.name.len() + 7 * 10;
-    LONGEST.saturating_sub(round)
+    MAX_DATAGRAM_BYTES.saturating_sub(round)
 }
 
 /// `None` for a letter that is too long for this way.
-pub fn seal(key: &Key, letter: &Letter, way: Way) -> Option<Vec<u8>> {
-    let mut bytes = vec![way.first_byte()];
-    bytes.extend(postcard::to_stdvec(letter).ok()?);
+pub fn seal(key: &Key, envelope: &Envelope, channel: Channel) -> Option<Vec<u8>> {
+    let mut bytes = vec![channel.first_byte()];
+    bytes.extend(postcard::to_stdvec(envelope).ok()?);
     let sum = blake3::keyed_hash(&key.0, &bytes);
     bytes.extend_from_slice(&sum.as_bytes()[..SUM]);
-    (bytes.len() <= way.longest()).then_some(bytes)
+    (bytes.len() <= channel.longest()).then_some(bytes)
 }
 
 /// # Errors
 /// Why it says nothing to us.
-pub fn open(keys: &[Key], bytes: &[u8], way: Way) -> Result<Letter, Refused> {
-    if bytes.len() > way.longest() {
-        return Err(Refused::TooLong);
+pub fn open(keys: &[Key], bytes: &[u8], channel: Channel) -> Result<Envelope, Rejection> {
+    if bytes.len() > channel.longest() {
+        return Err(Rejection::TooLong);
     }
     let Some((body, sum)) = bytes
         .len()
@@ -174,10 +121,10 @@
         .filter(|at| *at > 1)
         .map(|at| bytes.split_at(at))
     else {
-        return Err(Refused::TooShort);
+        return Err(Rejection::TooShort);
     };
-    if body[0] != way.first_byte() {
-        return Err(Refused::OtherVersion);
+    if body[0] != channel.first_byte() {
+        return Err(Rejection::OtherVersion);
     }
     let fits = |key: &&Key| {
         let own = blake3::keyed_hash(&key.0, body);
@@ -188,32 +135,32 @@
             .fold(0, |differ, (a, b)| differ | (a ^ b))
             == 0
     };
-    keys.iter().find(fits).ok_or(Refused::BadSum)?;
-    let letter: Letter = postcard::from_bytes(&body[1..]).map_err(|_| Refused::Unreadable)?;
-    let named = |life: &Life| life.name.len() <= NAME;
-    if letter.from.name.is_empty() || !named(&letter.from) || !named(&letter.to) {
-        return Err(Refused::Unreadable);
+    keys.iter().find(fits).ok_or(Rejection::BadSum)?;
+    let envelope: Envelope = postcard::from_bytes(&body[1..]).map_err(|_| Rejection::Unreadable)?;
+    let named = |life: &MemberId| life.name.len() <= MAX_NAME_BYTES;
+    if envelope.from.name.is_empty() || !named(&envelope.from) || !named(&envelope.to) {
+        return Err(Rejection::Unreadable);
     }
-    Ok(letter)
+    Ok(envelope)
 }
 
 /// Which counts of one sender's life came already: a ring of bits, each cleared as the newest count passes it.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub struct ReplayWindow {
     newest: u64,
     ring: Box<[u64; WORDS]>,
 }
 
-impl Default for Seen {
-    fn default() -> Seen {
-        Seen {
+impl Default for ReplayWindow {
+    fn default() -> ReplayWindow {
+        ReplayWindow {
             newest: 0,
             ring: Box::new([0; WORDS]),
         }
     }
 }
 
-impl Seen {
+impl ReplayWindow {
     /// Notes a count; false for one that came before or lies too far behind.
     pub fn first(&mut self, count: u64) -> bool {
         if count == 0 || count.saturating_add(BEHIND) < self.newest {
@@ -239,12 +186,12 @@
     use proptest::prelude::*;
     use std::collections::HashSet;
 
-    fn letter(body: Vec<u8>) -> Letter {
-        let life = |name: &str, life| Life {
+    fn envelope(body: Vec<u8>) -> Envelope {
+        let life = |name: &str, life| MemberId {
             name: name.into(),
-            life,
+            incarnation: life,
         };
-        Letter {
+        Envelope {
             from: life("s-1", 7),
             to: life("s-2", 9),
             count: 3,
@@ -257,69 +204,60 @@
     fn every_cut_and_every_changed_byte_is_refused() {
         let key = Key::new([7; 32]);
         let keys = std::slice::from_ref(&key);
-        let whole = letter(vec![1, 2, 3]);
-        let bytes = seal(&key, &whole, Way::Datagram).unwrap();
+        let whole = envelope(vec![1, 2, 3]);
+        let bytes = seal(&key, &whole, Channel::Datagram).unwrap();
         assert_eq!(
-            open(&[Key::new([8; 32]), key.clone()], &bytes, Way::Datagram),
+            open(&[Key::new([8; 32]), key.clone()], &bytes, Channel::Datagram),
             Ok(whole)
         );
         for at in 0..bytes.len() {
-            assert!(open(keys, &bytes[..at], Way::Datagram).is_err());
+            assert!(open(keys, &bytes[..at], Channel::Datagram).is_err());
             for bit in 0..8 {
                 let mut changed = bytes.clone();
                 changed[at] ^= 1 << bit;
                 assert!(
-                    open(keys, &changed, Way::Datagram).is_err(),
+                    open(keys, &changed, Channel::Datagram).is_err(),
                     "byte {at}, bit {bit}"
                 );
             }
         }
         assert_eq!(
-            open(&[Key::new([8; 32])], &bytes, Way::Datagram),
-            Err(Refused::BadSum)
+            open(&[Key::new([8; 32])], &bytes, Channel::Datagram),
+            Err(Rejection::BadSum)
         );
-        for way in [Way::Datagram, Way::Stream] {
+        for channel in [Channel::Datagram, Channel::Stream] {
+            assert_eq!(
+                open(keys, &vec![1; channel.longest() + 1], channel),
+                Err(Rejection::TooLong)
+            );
             assert_eq!(
-                open(keys, &vec![1; way.longest() + 1], way),
-                Err(Refused::TooLong)
+                seal(&key, &envelope(vec![0; channel.longest()]), channel),
+                None
             );
-            assert_eq!(seal(&key, &letter(vec![0; way.longest()]), way), None);
         }
-        assert_eq!(open(keys, &bytes, Way::Stream), Err(Refused::OtherVersion));
+        assert_eq!(
+            open(keys, &bytes, Channel::Stream),
+            Err(Rejection::OtherVersion)
+        );
         // A name from the wire may be longer than any of ours: no room, and no panic.
         assert_eq!(
             room(
-                &letter(vec![]).from,
-                &Life {
-                    name: "n".repeat(LONGEST),
-                    life: 1
+                &envelope(vec![]).from,
+                &MemberId {
+                    name: "n".repeat(MAX_DATAGRAM_BYTES),
+                    incarnation: 1
                 }
             ),
             0
         );
-        let most = room(&letter(vec![]).from, &letter(vec![]).to);
-        assert!(seal(&key, &letter(vec![0; most]), Way::Datagram).is_some());
-    }
-
-    #[test]
-    fn keys_are_read_line_by_line() {
-        let line = "0f".repeat(32);
-        assert_eq!(
-            Key::read(&format!("# the new one\n{line}\n\n")),
-            Ok(vec![Key::new([15; 32])])
-        );
-        assert_eq!(
-            Key::read(&format!("{line}\nshort\n")),
-            Err(NotAKey { line: 2 })
-        );
-        assert_eq!(Key::read("\n"), Err(NotAKey { line: 1 }));
-        assert_eq!(format!("{:?}", Key::new([15; 32])), "Key(..)");
+        let most = room(&envelope(vec![]).from, &envelope(vec![]).to);
+        assert!(seal(&key, &envelope(vec![0; most]), Channel::Datagram).is_some());
     }
 
     proptest! {
         #[test]
         fn a_count_is_taken_once(counts in proptest::collection::vec(1u64..12_000, 1..900)) {
-            let (mut seen, mut model, mut newest) = (Seen::default(), HashSet::new(), 0);
+            let (mut seen, mut model, mut newest) = (ReplayWindow::default(), HashSet::new(), 0);
             for count in counts {
                 let fresh = count + BEHIND >= newest && model.insert(count);
                 prop_assert_eq!(seen.first(count), fresh);
@@ -329,7 +267,7 @@
 
         #[test]
         fn noise_is_refused_without_a_panic(bytes in proptest::collection::vec(any::<u8>(), 0..1_400)) {
-            prop_assert!(open(&[Key::new([7; 32])], &bytes, Way::Datagram).is_err());
+            prop_assert!(open(&[Key::new([7; 32])], &bytes, Channel::Datagram).is_err());
         }
     }
 }
--- a/crates/membership/src/peers.rs
+++ b/crates/membership/src/member_table.rs
@@ -1,6 +1,6 @@
 //! The table of peers, with indexes beside it, so that no question on the steady path walks all of it.
 
-use crate::swim::News;
+use crate::member::Member;
 use crate::Nanos;
 use oorandom::Rand64;
 use std::cell::Cell;
@@ -9,8 +9,8 @@
 use std::ops::Bound;
 
 /// One peer, living or gone.
-pub(crate) struct Peer {
-    pub news: News,
+pub(crate) struct KnownMember {
+    pub member: Member,
     /// Since when it lives, or is gone.
     pub since: Nanos,
     /// Who suspects it, and since when.
@@ -27,12 +27,12 @@
 }
 
 struct Row {
-    peer: Peer,
+    peer: KnownMember,
     /// What its news take in a message, in bytes.
     size: usize,
 }
 
-pub(crate) struct Peers {
+pub(crate) struct MemberTable {
     by_name: BTreeMap<String, Row>,
     /// Names of those that live, in no order, so that one can be drawn by chance; and where each stands there.
     living: Vec<String>,
@@ -47,9 +47,9 @@
     rows_visited: Cell<u64>,
 }
 
-impl Peers {
-    pub fn new(most_changes: usize) -> Peers {
-        Peers {
+impl MemberTable {
+    pub fn new(most_changes: usize) -> MemberTable {
+        MemberTable {
             by_name: BTreeMap::new(),
             living: Vec::new(),
             positions: HashMap::new(),
@@ -69,37 +69,39 @@
         self.living.len()
     }
 
-    pub fn get(&self, name: &str) -> Option<&Peer> {
+    pub fn get(&self, name: &str) -> Option<&KnownMember> {
         self.visit(1);
         self.by_name.get(name).map(|row| &row.peer)
     }
 
     /// A peer's news and what they take in a message.
-    pub fn news_with_size(&self, name: &str) -> Option<(&News, usize)> {
+    pub fn news_with_size(&self, name: &str) -> Option<(&Member, usize)> {
         self.visit(1);
-        self.by_name.get(name).map(|row| (&row.peer.news, row.size))
+        self.by_name
+            .get(name)
+            .map(|row| (&row.peer.member, row.size))
     }
 
     /// All that live, by name.
-    pub fn living(&self) -> impl Iterator<Item = &News> {
+    pub fn living(&self) -> impl Iterator<Item = &Member> {
         let rows = self.by_name.values().inspect(|_| self.visit(1));
-        rows.map(|row| &row.peer.news)
-            .filter(|news| news.is_there())
+        rows.map(|row| &row.peer.member)
+            .filter(|member| member.is_alive())
     }
 
     /// Those that live behind a name, by name.
-    pub fn living_after<'a>(&'a self, name: &str) -> impl Iterator<Item = (&'a News, usize)> {
+    pub fn living_after<'a>(&'a self, name: &str) -> impl Iterator<Item = (&'a Member, usize)> {
         let rows = self
             .by_name
             .range::<str, _>((Bound::Excluded(name), Bound::Unbounded));
         let rows = rows
             .inspect(|_| self.visit(1))
-            .map(|(_, row)| (&row.peer.news, row.size));
-        rows.filter(|(news, _)| news.is_there())
+            .map(|(_, row)| (&row.peer.member, row.size));
+        rows.filter(|(member, _)| member.is_alive())
     }
 
     /// Those that do not live, by name.
-    pub fn gone(&self) -> impl Iterator<Item = &Peer> {
+    pub fn gone(&self) -> impl Iterator<Item = &KnownMember> {
         self.gone.iter().filter_map(|name| self.get(name))
     }
 
@@ -108,7 +110,7 @@
     }
 
     /// So many of those that live, drawn by chance without one, each once: the first draws of a shuffle.
-    pub fn draw(&self, chance: &mut Rand64, many: usize, without: Option<&str>) -> Vec<&News> {
+    pub fn draw(&self, chance: &mut Rand64, many: usize, without: Option<&str>) -> Vec<&Member> {
         let count = self.living.len();
         let mut moved: HashMap<usize, usize> = HashMap::new();
         let mut drawn = Vec::new();
@@ -122,7 +124,7 @@
             moved.insert(other, displaced);
             let name = &self.living[chosen];
             if Some(name.as_str()) != without {
-                drawn.extend(self.get(name).map(|peer| &peer.news));
+                drawn.extend(self.get(name).map(|peer| &peer.member));
             }
         }
         drawn
@@ -134,26 +136,26 @@
         &self.living
     }
 
-    pub fn insert(&mut self, peer: Peer) {
-        let name = peer.news.who.name.clone();
+    pub fn insert(&mut self, peer: KnownMember) {
+        let name = peer.member.id.name.clone();
         self.remove(&name);
         let row = Row {
-            size: encoded_size(&peer.news),
+            size: encoded_size(&peer.member),
             peer,
         };
-        self.index(&name, &row.peer.news);
+        self.index(&name, &row.peer.member);
         self.by_name.insert(name, row);
     }
 
     /// Changes a peer; nothing happens where none has that name.
-    pub fn update(&mut self, name: &str, change: impl FnOnce(&mut Peer)) {
+    pub fn update(&mut self, name: &str, change: impl FnOnce(&mut KnownMember)) {
         let Some(mut row) = self.by_name.remove(name) else {
             return;
         };
-        self.unindex(name, &row.peer.news);
+        self.unindex(name, &row.peer.member);
         change(&mut row.peer);
-        row.size = encoded_size(&row.peer.news);
-        self.index(name, &row.peer.news);
+        row.size = encoded_size(&row.peer.member);
+        self.index(name, &row.peer.member);
         self.by_name.insert(name.to_string(), row);
     }
 
@@ -161,7 +163,7 @@
         let Some(row) = self.by_name.remove(name) else {
             return false;
         };
-        self.unindex(name, &row.peer.news);
+        self.unindex(name, &row.peer.member);
         true
     }
 
@@ -189,18 +191,18 @@
         }
     }
 
-    fn index(&mut self, name: &str, news: &News) {
+    fn index(&mut self, name: &str, member: &Member) {
         self.note_change(name);
-        if !news.is_there() {
+        if !member.is_alive() {
             self.gone.insert(name.to_string());
             return;
         }
         self.positions.insert(name.to_string(), self.living.len());
         self.living.push(name.to_string());
-        *self.addresses.entry(news.at).or_default() += 1;
+        *self.addresses.entry(member.address).or_default() += 1;
     }
 
-    fn unindex(&mut self, name: &str, news: &News) {
+    fn unindex(&mut self, name: &str, member: &Member) {
         self.note_change(name);
         self.gone.remove(name);
         let Some(position) = self.positions.remove(name) else {
@@ -210,15 +212,15 @@
         if let Some(moved) = self.living.get(position) {
             self.positions.insert(moved.clone(), position);
         }
-        if let Some(count) = self.addresses.get_mut(&news.at) {
+        if let Some(count) = self.addresses.get_mut(&member.address) {
             *count -= 1;
             if *count == 0 {
-                self.addresses.remove(&news.at);
+                self.addresses.remove(&member.address);
             }
         }
     }
 }
 
-fn encoded_size(news: &News) -> usize {
-    postcard::to_stdvec(news).map_or(usize::MAX, |bytes| bytes.len())
+fn encoded_size(member: &Member) -> usize {
+    postcard::to_stdvec(member).map_or(usize::MAX, |bytes| bytes.len())
 }
--- a/crates/membership/src/standing.rs
+++ b/crates/membership/src/quorum.rs
@@ -8,9 +8,9 @@
 //! Of the three promises (docs/fellows.md) this is none of the first kind: it says what a sidecar knows, and leases say
 //! what it may do. Standing falls at once and rises only after a while.
 
-pub use crate::roster::Row;
-use crate::roster::{Difference, Digests, Member, Roster};
-use crate::wire::{Life, NAME};
+use crate::member::{MemberId, MAX_NAME_BYTES};
+pub use crate::voters::VoterRecord;
+use crate::voters::{Difference, Digests, Voter, VoterTable};
 use crate::Nanos;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -52,7 +52,7 @@
 
 /// From the best to the worst.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Standing {
+pub enum QuorumState {
     /// More than half of those who belong are reached, and see the same.
     Agreed,
     /// More than half are reached, and some see it otherwise.
@@ -67,7 +67,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct View {
     /// Digests of all who belong, and of those of them that live by its membership.
-    pub roster: u64,
+    pub voters: u64,
     pub living: u64,
     /// Who belongs and does not live, the first of them; and how many there are.
     pub missing: Vec<String>,
@@ -75,7 +75,7 @@
     /// Whom I would have go.
     pub out: Vec<(String, u64, u32)>,
     /// Its own row; while rosters differ, or that is not known, also a part of the table, another one each time.
-    pub rows: Vec<Row>,
+    pub rows: Vec<VoterRecord>,
 }
 
 /// Who sees what otherwise.
@@ -87,83 +87,88 @@
     pub it_misses: Vec<String>,
     pub we_miss: Vec<String>,
     /// Whether it has another roster.
-    pub roster: bool,
+    pub voters: bool,
 }
 
-pub struct Place {
-    me: Row,
+pub struct Quorum {
+    me: VoterRecord,
     rules: Rules,
     /// By name, those that went among them for `Rules::leaves`; `Rules::most` bounds it.
-    roster: Roster,
-    standing: Standing,
+    voters: VoterTable,
+    state: QuorumState,
     since: Nanos,
     /// A better standing than ours, and since when it holds.
-    better: Option<(Standing, Nanos)>,
+    better: Option<(QuorumState, Nanos)>,
     /// Where the next part of the roster begins.
     told: String,
-    pub turned_away: u64,
+    pub rejected_voters: u64,
 }
 
-impl Place {
-    pub fn new(now: Nanos, me: Life, rules: Rules) -> Place {
-        let me = Row {
-            who: me,
+impl Quorum {
+    pub fn new(now: Nanos, me: MemberId, rules: Rules) -> Quorum {
+        let me = VoterRecord {
+            id: me,
             entry: 0,
             belongs: true,
         };
-        Place {
+        Quorum {
             me,
             rules,
-            roster: Roster::default(),
-            standing: Standing::Alone,
+            voters: VoterTable::default(),
+            state: QuorumState::Alone,
             since: now,
             better: None,
             told: String::new(),
-            turned_away: 0,
+            rejected_voters: 0,
         }
     }
 
-    /// What holds now, and since when.
-    pub fn standing(&self) -> (Standing, Nanos) {
-        (self.standing, self.since)
+    /// The state in force.
+    pub fn state(&self) -> QuorumState {
+        self.state
+    }
+
+    /// Since when that state is in force.
+    pub fn state_since(&self) -> Nanos {
+        self.since
     }
 
     /// How many belong, ourselves among them.
-    pub fn belong(&self) -> usize {
-        1 + self.roster.count_belonging()
+    pub fn voter_count(&self) -> usize {
+        1 + self.voters.count_belonging()
     }
 
     /// Rows of the roster that were visited so far: a measure of work that is the same on every machine.
     pub fn rows_visited(&self) -> u64 {
-        self.roster.rows_visited()
+        self.voters.rows_visited()
     }
 
     /// Who belongs and is not reached.
     pub fn missing(&self, now: Nanos) -> impl Iterator<Item = &str> {
         self.members()
             .filter(move |m| !self.reaches(now, m))
-            .map(|m| m.row.who.name.as_str())
+            .map(|m| m.row.id.name.as_str())
     }
 
     /// Who is heard here but says that it does not hear us.
     pub fn deaf_to_us(&self, now: Nanos) -> impl Iterator<Item = &str> {
         self.members()
             .filter(move |m| m.lives && self.misses_us(now, m))
-            .map(|m| m.row.who.name.as_str())
+            .map(|m| m.row.id.name.as_str())
     }
 
     /// Who came back too often or too lately to count.
-    pub fn unsteady(&self, now: Nanos) -> impl Iterator<Item = &str> {
+    pub fn flapping(&self, now: Nanos) -> impl Iterator<Item = &str> {
         self.members()
             .filter(move |m| m.lives && !self.steady(now, m))
-            .map(|m| m.row.who.name.as_str())
+            .map(|m| m.row.id.name.as_str())
     }
 
     pub fn disputes(&self, now: Nanos) -> Vec<Dispute> {
         let missing = self.members().filter(|member| !member.lives);
-        let ours: BTreeSet<&str> = missing.map(|member| member.row.who.name.as_str()).collect();
-        let roster = self.roster.digest_roster(&self.me);
-        let of = |member: &Member| {
+        let ours: BTreeSet<&str> = missing.map(|member| member.row.id.name.as_str()).collect();
+        let voters = self.voters.digest_roster(&self.me);
+        let of = |member: &Voter| {
             let (since, (_, view)) = (member.differs?.since, member.said.as_ref()?);
             let theirs: BTreeSet<&str> = view.missing.iter().map(String::as_str).collect();
             let only = |one: &BTreeSet<&str>, other: &BTreeSet<&str>| {
@@ -172,14 +177,14 @@
                     .map(|name| name.to_string())
                     .collect()
             };
-            let with = member.row.who.name.clone();
+            let with = member.row.id.name.clone();
             let (it_misses, we_miss) = (only(&theirs, &ours), only(&ours, &theirs));
             Some(Dispute {
                 with,
                 since,
                 it_misses,
                 we_miss,
-                roster: view.roster != roster,
+                voters: view.voters != voters,
             })
         };
         self.members()
@@ -189,7 +194,7 @@
     }
 
     /// Whether one that is reached has seen it otherwise for long enough, and said so again.
-    fn disputes_with(&self, now: Nanos, member: &Member) -> bool {
+    fn disputes_with(&self, now: Nanos, member: &Voter) -> bool {
         member
             .differs
             .is_some_and(|difference| difference.confirmed)
@@ -197,25 +202,25 @@
     }
 
     /// Whether its last view differed when it was heard, and is what we see by now.
-    fn has_settled(&self, member: &Member) -> bool {
+    fn has_settled(&self, member: &Voter) -> bool {
         let said = member.said.as_ref().map(|(_, view)| Digests::from(view));
-        member.differs.is_some() && said == Some(self.roster.digests(&self.me))
+        member.differs.is_some() && said == Some(self.voters.digests(&self.me))
     }
 
     /// Differences that our own news has ended since.
     fn drop_settled(&mut self) {
         let settled = self
-            .roster
+            .voters
             .notable()
             .filter(|member| self.has_settled(member));
-        let settled: Vec<String> = settled.map(|member| member.row.who.name.clone()).collect();
+        let settled: Vec<String> = settled.map(|member| member.row.id.name.clone()).collect();
         for name in settled {
-            self.roster.update(&name, |member| member.differs = None);
+            self.voters.update(&name, |member| member.differs = None);
         }
     }
 
     /// The difference with this peer, now that it said another view that differs.
-    fn difference(&self, now: Nanos, member: &Member) -> Difference {
+    fn difference(&self, now: Nanos, member: &Voter) -> Difference {
         let earlier = member.differs.filter(|_| !self.has_settled(member));
         let since = earlier.map_or(now, |difference| difference.since);
         let confirmed = earlier.is_some_and(|difference| difference.confirmed)
@@ -224,67 +229,67 @@
     }
 
     /// Those who belong and of whom there is something to see; of the others, all is as it should be.
-    fn members(&self) -> impl Iterator<Item = &Member> {
-        self.roster.notable().filter(|member| member.row.belongs)
+    fn members(&self) -> impl Iterator<Item = &Voter> {
+        self.voters.notable().filter(|member| member.row.belongs)
     }
 
-    fn steady(&self, now: Nanos, member: &Member) -> bool {
+    fn steady(&self, now: Nanos, member: &Voter) -> bool {
         now.saturating_sub(member.since) >= self.steady_after(member)
     }
 
     /// How long one must stay after it came back, so often as it came and went.
-    fn steady_after(&self, member: &Member) -> Nanos {
+    fn steady_after(&self, member: &Voter) -> Nanos {
         self.rules.calms * ((1 << member.flaps) - 1)
     }
 
-    fn misses_us(&self, now: Nanos, member: &Member) -> bool {
+    fn misses_us(&self, now: Nanos, member: &Voter) -> bool {
         member
             .misses_us
             .is_some_and(|at| now.saturating_sub(at) < self.rules.word)
     }
 
-    fn reaches(&self, now: Nanos, member: &Member) -> bool {
+    fn reaches(&self, now: Nanos, member: &Voter) -> bool {
         member.lives && self.steady(now, member) && !self.misses_us(now, member)
     }
 
     /// Who lives, by membership: all of them.
-    pub fn living<'a>(&mut self, now: Nanos, living: impl Iterator<Item = &'a Life>) {
-        let living: BTreeMap<&str, &Life> = living.map(|who| (who.name.as_str(), who)).collect();
-        for who in living.values() {
-            self.meet(now, who);
+    pub fn set_alive<'a>(&mut self, now: Nanos, living: impl Iterator<Item = &'a MemberId>) {
+        let living: BTreeMap<&str, &MemberId> = living.map(|id| (id.name.as_str(), id)).collect();
+        for id in living.values() {
+            self.meet(now, id);
         }
-        for name in self.roster.names() {
+        for name in self.voters.names() {
             self.set_lives(now, &name, living.get(name.as_str()).copied());
         }
         self.forgive(now);
     }
 
     /// What membership says of some: who of a name lives, if any.
-    pub fn living_changed<'a>(
+    pub fn update_alive<'a>(
         &mut self,
         now: Nanos,
-        changed: impl Iterator<Item = (&'a str, Option<&'a Life>)>,
+        changed: impl Iterator<Item = (&'a str, Option<&'a MemberId>)>,
     ) {
-        for (name, who) in changed {
-            if let Some(who) = who {
-                self.meet(now, who);
+        for (name, id) in changed {
+            if let Some(id) = id {
+                self.meet(now, id);
             }
-            self.set_lives(now, name, who);
+            self.set_lives(now, name, id);
         }
         self.forgive(now);
     }
 
     /// One that lives belongs, unless its row says otherwise.
-    fn meet(&mut self, now: Nanos, who: &Life) {
+    fn meet(&mut self, now: Nanos, id: &MemberId) {
         let known = self
-            .roster
-            .get(&who.name)
-            .is_some_and(|member| member.row.who.life >= who.life);
+            .voters
+            .get(&id.name)
+            .is_some_and(|member| member.row.id.incarnation >= id.incarnation);
         if !known {
             self.learn(
                 now,
-                Row {
-                    who: who.clone(),
+                VoterRecord {
+                    id: id.clone(),
                     entry: 0,
                     belongs: true,
                 },
@@ -292,15 +297,15 @@
         }
     }
 
-    fn set_lives(&mut self, now: Nanos, name: &str, who: Option<&Life>) {
-        let Some(member) = self.roster.get(name) else {
+    fn set_lives(&mut self, now: Nanos, name: &str, id: Option<&MemberId>) {
+        let Some(member) = self.voters.get(name) else {
             return;
         };
-        let lives = who.is_some_and(|who| *who == member.row.who);
+        let lives = id.is_some_and(|id| *id == member.row.id);
         if lives == member.lives {
             return;
         }
-        self.roster.update(name, |member| {
+        self.voters.update(name, |member| {
             // What was never met here has not come back.
             if !lives {
                 member.flaps = (member.flaps + 1).min(FLAPS);
@@ -312,8 +317,8 @@
 
     /// Who lives need not go; who has been steady for far longer than it had to be is forgiven a step.
     fn forgive(&mut self, now: Nanos) {
-        for name in self.roster.notable_names() {
-            let Some(member) = self.roster.get(&name).filter(|member| member.lives) else {
+        for name in self.voters.notable_names() {
+            let Some(member) = self.voters.get(&name).filter(|member| member.lives) else {
                 continue;
             };
             let wait = self.steady_after(member);
@@ -321,7 +326,7 @@
             if !steady && member.out.is_empty() {
                 continue;
             }
-            self.roster.update(&name, |member| {
+            self.voters.update(&name, |member| {
                 member.out.clear();
                 if steady {
                     (member.flaps, member.since) = (member.flaps - 1, now - wait);
@@ -331,26 +336,26 @@
     }
 
     /// Our name was known under a later life: ours is this one now.
-    pub fn reborn(&mut self, who: &Life) {
-        self.me = Row {
-            who: who.clone(),
+    pub fn set_own_id(&mut self, id: &MemberId) {
+        self.me = VoterRecord {
+            id: id.clone(),
             entry: 0,
             belongs: true,
         };
-        self.roster.forget_digests(true);
+        self.voters.forget_digests(true);
     }
 
     /// It said goodbye.
-    pub fn left(&mut self, now: Nanos, who: &Life) {
+    pub fn left(&mut self, now: Nanos, id: &MemberId) {
         let row = self
-            .roster
-            .get(&who.name)
+            .voters
+            .get(&id.name)
             .map(|member| member.row.clone())
-            .filter(|row| row.who == *who);
+            .filter(|row| row.id == *id);
         if let Some(row) = row {
             self.learn(
                 now,
-                Row {
+                VoterRecord {
                     belongs: false,
                     ..row
                 },
@@ -358,30 +363,33 @@
         }
     }
 
-    fn learn(&mut self, now: Nanos, row: Row) {
-        if row.who.name == self.me.who.name {
+    fn learn(&mut self, now: Nanos, row: VoterRecord) {
+        if row.id.name == self.me.id.name {
             // Voted out while we were away, maybe: we are here.
-            if row.who.life == self.me.who.life && !row.belongs && row.entry >= self.me.entry {
+            if row.id.incarnation == self.me.id.incarnation
+                && !row.belongs
+                && row.entry >= self.me.entry
+            {
                 self.me.entry = row.entry.saturating_add(1);
-                self.roster.forget_digests(true);
+                self.voters.forget_digests(true);
             }
             return;
         }
-        if row.who.name.is_empty() || row.who.name.len() > NAME {
+        if row.id.name.is_empty() || row.id.name.len() > MAX_NAME_BYTES {
             return;
         }
-        match self.roster.get(&row.who.name) {
+        match self.voters.get(&row.id.name) {
             Some(member) if row.newer(&member.row) => self.replace(now, row),
             Some(_) => {}
-            None if self.roster.len() >= self.rules.most => self.turned_away += 1,
-            None => self.roster.insert(Member::new(now, row)),
+            None if self.voters.len() >= self.rules.most => self.rejected_voters += 1,
+            None => self.voters.insert(Voter::new(now, row)),
         }
     }
 
-    fn replace(&mut self, now: Nanos, row: Row) {
-        let name = row.who.name.clone();
-        self.roster.update(&name, |member| {
-            if member.row.who != row.who {
+    fn replace(&mut self, now: Nanos, row: VoterRecord) {
+        let name = row.id.name.clone();
+        self.voters.update(&name, |member| {
+            if member.row.id != row.id {
                 // A start after a goodbye is no coming and going.
                 member.flaps *= member.row.belongs as u32;
                 member.lives = false;
@@ -400,35 +408,36 @@
     /// Returns when that peer is to be told our view out of turn, if it is: after [`Rules::settles`] where the views
     /// differ, so that both learn whether they still do; at once where they agree and what we told it last does not, so
     /// that it learns that they do.
-    pub fn heard(&mut self, now: Nanos, from: &Life, mut view: View) -> Option<Nanos> {
+    pub fn receive_view(&mut self, now: Nanos, from: &MemberId, mut view: View) -> Option<Nanos> {
         view.rows
             .drain(..)
             .take(ROWS)
             .for_each(|row| self.learn(now, row));
         view.missing.truncate(NAMED);
-        view.missing.retain(|name| name.len() <= NAME);
+        view.missing.retain(|name| name.len() <= MAX_NAME_BYTES);
         for (name, life, entry) in std::mem::take(&mut view.out).into_iter().take(NAMED) {
-            let meant = |member: &Member| (member.row.who.life, member.row.entry) == (life, entry);
+            let meant =
+                |member: &Voter| (member.row.id.incarnation, member.row.entry) == (life, entry);
             if self
-                .roster
+                .voters
                 .get(&name)
                 .is_some_and(|member| !member.lives && meant(member))
             {
-                self.roster.update(&name, |member| {
+                self.voters.update(&name, |member| {
                     member.out.insert(from.name.clone(), now);
                 });
             }
         }
         let member = self
-            .roster
+            .voters
             .get(&from.name)
-            .filter(|member| member.row.who == *from)?;
-        let misses_us = view.missing.contains(&self.me.who.name);
-        let ours = self.roster.digests(&self.me);
+            .filter(|member| member.row.id == *from)?;
+        let misses_us = view.missing.contains(&self.me.id.name);
+        let ours = self.voters.digests(&self.me);
         let differs = Digests::from(&view) != ours;
         let difference = differs.then(|| self.difference(now, member));
         let outdated = member.told.is_some_and(|told| told != ours);
-        self.roster.update(&from.name, |member| {
+        self.voters.update(&from.name, |member| {
             member.misses_us = misses_us.then_some(now);
             member.differs = difference;
             member.said = Some((now, view));
@@ -441,40 +450,40 @@
     }
 
     /// What to say to this fellow now.
-    pub fn view(&mut self, now: Nanos, to: &Life) -> View {
+    pub fn view_for(&mut self, now: Nanos, to: &MemberId) -> View {
         let missing = self.members().filter(|member| !member.lives);
-        let missing: Vec<String> = missing.map(|member| member.row.who.name.clone()).collect();
+        let missing: Vec<String> = missing.map(|member| member.row.id.name.clone()).collect();
         let out = self
             .members()
             .filter(|member| self.long_missed(now, member));
         let out = out
             .take(NAMED)
-            .map(|m| (m.row.who.name.clone(), m.row.who.life, m.row.entry))
+            .map(|m| (m.row.id.name.clone(), m.row.id.incarnation, m.row.entry))
             .collect();
-        let digests = self.roster.digests(&self.me);
-        let Digests { roster, living } = digests;
+        let digests = self.voters.digests(&self.me);
+        let Digests { voters, living } = digests;
         let said = self
-            .roster
+            .voters
             .get(&to.name)
             .and_then(|member| member.said.as_ref());
-        let alike = said.is_some_and(|(_, view)| view.roster == roster);
+        let alike = said.is_some_and(|(_, view)| view.voters == voters);
         let many = if alike { 1 } else { ROWS };
         let mut rows = vec![self.me.clone()];
-        let behind = self.roster.behind(&self.told);
+        let behind = self.voters.behind(&self.told);
         rows.extend(behind.take(many - 1).map(|member| member.row.clone()));
         if !alike {
             let through = rows.len() < ROWS;
             self.told = if through {
                 String::new()
             } else {
-                rows[ROWS - 1].who.name.clone()
+                rows[ROWS - 1].id.name.clone()
             };
         }
-        self.roster
+        self.voters
             .update(&to.name, |member| member.told = Some(digests));
         let missed = missing.len() as u32;
         View {
-            roster,
+            voters,
             living,
             missing: missing.into_iter().take(NAMED).collect(),
             missed,
@@ -483,17 +492,17 @@
         }
     }
 
-    fn long_missed(&self, now: Nanos, member: &Member) -> bool {
+    fn long_missed(&self, now: Nanos, member: &Voter) -> bool {
         !member.lives && now.saturating_sub(member.since) >= self.rules.leaves
     }
 
     /// Looks again, and tells a change: what was before, and what is.
-    pub fn look(&mut self, now: Nanos) -> Option<(Standing, Standing)> {
+    pub fn update(&mut self, now: Nanos) -> Option<(QuorumState, QuorumState)> {
         self.vote_out(now);
         self.expire(now);
         self.drop_settled();
         let seen = self.seen(now);
-        let was = self.standing;
+        let was = self.state;
         if seen >= was {
             self.better = None;
         } else {
@@ -505,13 +514,13 @@
                 return None;
             }
             self.better = None;
-            (self.standing, self.since) = (held, now);
+            (self.state, self.since) = (held, now);
             return Some((was, held));
         }
         if seen == was {
             return None;
         }
-        (self.standing, self.since) = (seen, now);
+        (self.state, self.since) = (seen, now);
         Some((was, seen))
     }
 
@@ -519,51 +528,51 @@
     fn expire(&mut self, now: Nanos) {
         let (leaves, word) = (self.rules.leaves, self.rules.word);
         let old = |at: Nanos| now.saturating_sub(at) >= word;
-        for name in self.roster.notable_names() {
-            let Some(member) = self.roster.get(&name) else {
+        for name in self.voters.notable_names() {
+            let Some(member) = self.voters.get(&name) else {
                 continue;
             };
             if !member.row.belongs && now.saturating_sub(member.since) >= leaves {
-                self.roster.remove(&name);
+                self.voters.remove(&name);
             } else if member.out.values().any(|at| old(*at)) {
-                self.roster
+                self.voters
                     .update(&name, |member| member.out.retain(|_, at| !old(*at)));
             }
         }
         while let Some(name) = self
-            .roster
+            .voters
             .oldest_view()
             .filter(|(at, _)| old(*at))
             .map(|(_, name)| name)
         {
-            self.roster
+            self.voters
                 .update(&name, |member| (member.said, member.differs) = (None, None));
         }
     }
 
-    fn seen(&self, now: Nanos) -> Standing {
+    fn seen(&self, now: Nanos) -> QuorumState {
         let unreached = self
             .members()
             .filter(|member| member.lives && !self.reaches(now, member))
             .count();
-        let reached = 1 + self.roster.count_living() - unreached;
+        let reached = 1 + self.voters.count_living() - unreached;
         if reached == 1 {
-            Standing::Alone
-        } else if 2 * reached <= self.belong() {
-            Standing::Few
+            QuorumState::Alone
+        } else if 2 * reached <= self.voter_count() {
+            QuorumState::Few
         } else if !self.members().any(|member| self.disputes_with(now, member)) {
-            Standing::Agreed
+            QuorumState::Agreed
         } else {
-            Standing::Disputed
+            QuorumState::Disputed
         }
     }
 
     /// Who has been missed for long by more than half of all who belong, the missed ones among them, goes.
     fn vote_out(&mut self, now: Nanos) {
-        let (belong, word) = (self.belong(), self.rules.word);
+        let (belong, word) = (self.voter_count(), self.rules.word);
         let lasts = |at: &Nanos| now.saturating_sub(*at) < word;
         let belongs = |name: &str| {
-            self.roster
+            self.voters
                 .get(name)
                 .is_some_and(|member| member.row.belongs)
         };
@@ -577,8 +586,8 @@
                     .filter(|(name, at)| belongs(name) && lasts(at));
                 2 * (1 + by.count()) > belong
             });
-        let out: Vec<Row> = out
-            .map(|member| Row {
+        let out: Vec<VoterRecord> = out
+            .map(|member| VoterRecord {
                 belongs: false,
                 ..member.row.clone()
             })
--- a/crates/membership/src/swim.rs
+++ b/crates/membership/src/swim.rs
@@ -7,10 +7,11 @@
 //!
 //! Of the three promises (docs/fellows.md) everything here belongs to the last: it holds while enough can talk.
 
-use crate::gossip::{Gossip, Offer};
-pub use crate::news::{Effect, Event, News, State, Talk};
-use crate::peers::{Changes, Peer, Peers};
-use crate::wire::Life;
+pub use crate::member::{Member, MemberState};
+use crate::member::{MemberId, MAX_NAME_BYTES};
+use crate::member_table::{Changes, KnownMember, MemberTable};
+pub use crate::message::{Effect, MemberEvent, Message};
+use crate::update_queue::{Offer, UpdateQueue};
 use crate::Nanos;
 use oorandom::Rand64;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -36,14 +37,14 @@
     /// One fellow is asked in each.
     pub period: Nanos,
     /// How long a direct answer may take; under half of the period.
-    pub answer: Nanos,
+    pub ping_timeout: Nanos,
     /// Fellows that are asked to ask, where one does not answer.
-    pub helpers: usize,
+    pub indirect_probes: usize,
     /// Fellows known at most, those that are gone among them. Beyond it the longest gone is forgotten, and where
     /// none is gone a newcomer is passed over and counted.
-    pub most: usize,
+    pub max_members: usize,
     /// How long one that is gone stays known, so that old news does not bring it back.
-    pub keep_gone: Nanos,
+    pub dead_retention: Nanos,
 }
 
 impl Default for Rules {
@@ -51,10 +52,10 @@
         let ms = 1_000_000;
         Rules {
             period: 500 * ms,
-            answer: 150 * ms,
-            helpers: 3,
-            most: 4_096,
-            keep_gone: 600_000 * ms,
+            ping_timeout: 150 * ms,
+            indirect_probes: 3,
+            max_members: 4_096,
+            dead_retention: 600_000 * ms,
         }
     }
 }
@@ -63,7 +64,7 @@
 enum Due {
     Period,
     NoAnswer(u64),
-    Suspicion(Life, u32),
+    Suspicion(MemberId, u32),
     Nack(u64),
     Expires(u64),
     Forget(String),
@@ -72,7 +73,7 @@
 /// The one that is being asked in this period.
 struct Probe {
     nonce: u64,
-    who: Life,
+    id: MemberId,
     answered: bool,
     /// Helpers that said nothing at all, neither yes nor no.
     unheard: usize,
@@ -80,15 +81,15 @@
 
 /// A question that waits for a stranger's or another's answer.
 enum Waits {
-    Stranger(Life),
-    For { asker: Life, nonce: u64 },
+    Stranger(MemberId),
+    For { asker: MemberId, nonce: u64 },
 }
 
-pub struct Fellows {
+pub struct Membership {
     rules: Rules,
-    me: News,
-    /// By name, those that are gone among them; `Rules::most` bounds it.
-    peers: Peers,
+    me: Member,
+    /// By name, those that are gone among them; `Rules::max_members` bounds it.
+    member_table: MemberTable,
     /// Addresses from the settings.
     seeds: Vec<SocketAddr>,
     /// The order in which fellows are asked, shuffled anew when it is through.
@@ -98,9 +99,9 @@
     waits: BTreeMap<u64, Waits>,
     /// Peers whose whole table is being fetched, piece by piece, `WAITING` at most. A refresh is one piece alone: the
     /// rest of the table behind it would cost more the larger the fleet is.
-    catching_up: BTreeSet<Life>,
+    catching_up: BTreeSet<MemberId>,
     /// News that ride on pings.
-    gossip: Gossip,
+    gossip: UpdateQueue,
     due: BTreeMap<(Nanos, u64), Due>,
     asked: u64,
     periods: u64,
@@ -108,102 +109,110 @@
     chance: Rand64,
     effects: VecDeque<Effect>,
     /// Newcomers passed over as the table was full.
-    pub turned_away: u64,
+    pub rejected_joins: u64,
 }
 
-impl Fellows {
+impl Membership {
     /// `me` begins as living, in round 0.
-    pub fn new(now: Nanos, seed: u64, me: News, seeds: Vec<SocketAddr>, rules: Rules) -> Fellows {
-        let peers = Peers::new(rules.most);
-        let mut fellows = Fellows {
+    pub fn new(
+        now: Nanos,
+        seed: u64,
+        me: Member,
+        seeds: Vec<SocketAddr>,
+        rules: Rules,
+    ) -> Membership {
+        let member_table = MemberTable::new(rules.max_members);
+        let mut membership = Membership {
             rules,
-            me: News {
-                round: 0,
-                state: State::Lives,
+            me: Member {
+                refutations: 0,
+                state: MemberState::Alive,
                 ..me
             },
-            peers,
+            member_table,
             seeds,
             turn: Vec::new(),
             probe: None,
             waits: BTreeMap::new(),
             catching_up: BTreeSet::new(),
-            gossip: Gossip::default(),
+            gossip: UpdateQueue::default(),
             due: BTreeMap::new(),
             asked: 0,
             periods: 0,
             slow: 0,
             chance: Rand64::new(seed as u128),
             effects: VecDeque::new(),
-            turned_away: 0,
+            rejected_joins: 0,
         };
         // Scattered, lest all that start together ask together.
-        let first = fellows.chance.rand_range(0..fellows.rules.period.max(1));
-        fellows.at(now + first, Due::Period);
-        fellows
+        let first = membership
+            .chance
+            .rand_range(0..membership.rules.period.max(1));
+        membership.schedule(now + first, Due::Period);
+        membership
     }
 
-    pub fn me(&self) -> &News {
+    pub fn me(&self) -> &Member {
         &self.me
     }
 
     /// Those that live, suspected ones among them, by name; not ourselves.
-    pub fn living(&self) -> impl Iterator<Item = &News> {
-        self.peers.living()
+    pub fn alive(&self) -> impl Iterator<Item = &Member> {
+        self.member_table.living()
     }
 
     /// The one that lives and follows this name; behind the last one, the first.
-    pub fn living_after(&self, name: &str) -> Option<&News> {
+    pub fn alive_after(&self, name: &str) -> Option<&Member> {
         let next = self
-            .peers
+            .member_table
             .living_after(name)
-            .chain(self.peers.living_after(""))
+            .chain(self.member_table.living_after(""))
             .next();
-        next.map(|(news, _)| news)
+        next.map(|(member, _)| member)
     }
 
-    pub fn get(&self, name: &str) -> Option<&News> {
-        self.peers.get(name).map(|peer| &peer.news)
+    pub fn get(&self, name: &str) -> Option<&Member> {
+        self.member_table.get(name).map(|peer| &peer.member)
     }
 
     /// Whether this life is known and not gone.
-    pub fn lives(&self, who: &Life) -> bool {
-        self.get(&who.name)
-            .is_some_and(|news| news.who == *who && news.is_there())
+    pub fn is_alive(&self, id: &MemberId) -> bool {
+        self.get(&id.name)
+            .is_some_and(|member| member.id == *id && member.is_alive())
     }
 
     /// Of whom something changed since this was last asked.
     pub fn take_changes(&mut self) -> Changes {
-        self.peers.take_changes()
+        self.member_table.take_changes()
     }
 
     /// Rows of the table that were visited so far: a measure of work that is the same on every machine.
     pub fn rows_visited(&self) -> u64 {
-        self.peers.rows_visited()
+        self.member_table.rows_visited()
     }
 
     /// How slow this sidecar takes itself to be, 0 to 8.
-    pub fn slowness(&self) -> u32 {
+    pub fn health_score(&self) -> u32 {
         self.slow
     }
 
-    pub fn effect(&mut self) -> Option<Effect> {
+    pub fn next_effect(&mut self) -> Option<Effect> {
         self.effects.pop_front()
     }
 
     pub fn next_wake(&self) -> Option<Nanos> {
-        self.due.keys().next().map(|(at, _)| *at)
+        self.due.keys().next().map(|(address, _)| *address)
     }
 
     /// Carries out what is due. Where we come late ourselves, nobody is blamed for an answer that may lie unread.
     pub fn wake(&mut self, now: Nanos) {
         while let Some(entry) = self.due.first_entry().filter(|entry| entry.key().0 <= now) {
-            let ((at, _), due) = entry.remove_entry();
-            let late = now - at > self.rules.answer;
+            let ((address, _), due) = entry.remove_entry();
+            let late = now - address > self.rules.ping_timeout;
             match due {
                 Due::Period => self.period(now, late),
                 Due::NoAnswer(nonce) => self.no_answer(nonce, late),
-                Due::Suspicion(who, round) => self.condemn(now, who, round, late),
+                Due::Suspicion(id, refutations) => self.condemn(now, id, refutations, late),
                 Due::Nack(nonce) => self.nack(nonce),
                 Due::Expires(nonce) => {
                     self.waits.remove(&nonce);
@@ -215,13 +224,13 @@
 
     /// Says goodbye: the helpers of this moment pass it on.
     pub fn leave(&mut self) {
-        self.me.state = State::Left;
+        self.me.state = MemberState::Left;
         let about = vec![self.me.clone()];
-        for (to, at) in self.some(self.rules.helpers.max(3), None) {
+        for (to, address) in self.some(self.rules.indirect_probes.max(3), None) {
             self.say(
                 to,
-                at,
-                Talk::Table {
+                address,
+                Message::Table {
                     about: about.clone(),
                     more: false,
                 },
@@ -230,71 +239,77 @@
     }
 
     /// What a fellow or a stranger said; false where only fellows have a word in that.
-    pub fn heard(&mut self, now: Nanos, from: &Life, talk: Talk) -> bool {
-        let fellow = self.lives(from);
-        match talk {
-            Talk::Hello { me } if me.who == *from => self.challenge(now, from, me.at),
-            Talk::Ping { nonce, me, about } if me.who == *from => {
-                let (to, at) = (from.clone(), me.at);
+    pub fn heard(&mut self, now: Nanos, from: &MemberId, message: Message) -> bool {
+        let fellow = self.is_alive(from);
+        match message {
+            Message::Join { me } if me.id == *from => self.challenge(now, from, me.address),
+            Message::Ping { nonce, me, about } if me.id == *from => {
+                let (to, address) = (from.clone(), me.address);
                 if fellow {
                     self.learn(now, me, from);
                     about
                         .into_iter()
-                        .for_each(|news| self.learn(now, news, from));
+                        .for_each(|member| self.learn(now, member, from));
                 } else {
-                    self.challenge(now, from, at);
+                    self.challenge(now, from, address);
                     // What a stranger holds against us may be refuted all the same.
-                    let us = self.me.who.name.clone();
+                    let us = self.me.id.name.clone();
                     about
                         .into_iter()
-                        .filter(|news| news.who.name == us)
-                        .for_each(|news| self.learn_of_us(news));
+                        .filter(|member| member.id.name == us)
+                        .for_each(|member| self.learn_of_us(member));
                 }
                 let about = self.pack(&to);
                 self.say(
                     to,
-                    at,
-                    Talk::Ack {
+                    address,
+                    Message::Ack {
                         nonce,
                         me: self.me.clone(),
                         about,
                     },
                 );
             }
-            Talk::Ack { nonce, me, about } if me.who == *from => {
+            Message::Ack { nonce, me, about } if me.id == *from => {
                 return self.answered(now, from, nonce, me, about)
             }
             _ if !fellow => return false,
-            Talk::Ask { nonce, who, at } => self.ask_for(now, from, nonce, who, at),
-            Talk::Nack { nonce } => {
+            Message::PingRequest { nonce, id, address } => {
+                self.ask_for(now, from, nonce, id, address)
+            }
+            Message::Nack { nonce } => {
                 if let Some(probe) = self.probe.as_mut().filter(|probe| probe.nonce == nonce) {
                     probe.unheard = probe.unheard.saturating_sub(1);
                 }
             }
-            Talk::Want { after } => self.tell_table(from, &after),
-            Talk::Table { about, more } => {
-                let last = about.last().map(|news| news.who.name.clone());
+            Message::TableRequest { after } => self.tell_table(from, &after),
+            Message::Table { about, more } => {
+                let last = about.last().map(|member| member.id.name.clone());
                 about
                     .into_iter()
-                    .for_each(|news| self.learn(now, news, from));
+                    .for_each(|member| self.learn(now, member, from));
                 self.fetch_next(from, last.filter(|_| more));
             }
-            Talk::Hello { .. } | Talk::Ping { .. } | Talk::Ack { .. } => return false,
+            Message::Join { .. } | Message::Ping { .. } | Message::Ack { .. } => return false,
         }
         true
     }
 
-    fn at(&mut self, time: Nanos, due: Due) {
+    fn schedule(&mut self, time: Nanos, due: Due) {
         self.asked += 1;
         self.due.insert((time, self.asked), due);
     }
 
-    fn say(&mut self, to: Life, at: SocketAddr, talk: Talk) {
-        self.effects.push_back(Effect::Say { to, at, talk });
+    fn say(&mut self, to: MemberId, address: SocketAddr, message: Message) {
+        self.effects.push_back(Effect::Send {
+            to,
+            address,
+            message,
+        });
     }
 
-    fn told(&mut self, event: Event) {
-        self.effects.push_back(Effect::Told(event));
+    fn told(&mut self, event: MemberEvent) {
+        self.effects.push_back(Effect::Event(event));
     }
 
     fn slower(&mut self, by: u32) {
@@ -318,14 +333,21 @@
                 self.slower(1);
             } else {
                 self.slower(1 + probe.unheard as u32);
-                let by = State::Suspected(self.me.who.name.clone());
-                if let Some(news) = self
-                    .get(&probe.who.name)
-                    .filter(|news| news.who == probe.who)
+                let by = MemberState::Suspected(self.me.id.name.clone());
+                if let Some(member) = self
+                    .get(&probe.id.name)
+                    .filter(|member| member.id == probe.id)
                     .cloned()
                 {
-                    let by_us = self.me.who.clone();
-                    self.learn(now, News { state: by, ..news }, &by_us);
+                    let by_us = self.me.id.clone();
+                    self.learn(
+                        now,
+                        Member {
+                            state: by,
+                            ..member
+                        },
+                        &by_us,
+                    );
                 }
             }
         } else if late {
@@ -333,12 +355,12 @@
         }
         self.periods += 1;
         self.look_round();
-        if let Some((who, at)) = self.next_in_turn() {
-            let (nonce, about) = (self.nonce(), self.pack(&who));
+        if let Some((id, address)) = self.next_in_turn() {
+            let (nonce, about) = (self.nonce(), self.pack(&id));
             self.say(
-                who.clone(),
-                at,
-                Talk::Ping {
+                id.clone(),
+                address,
+                Message::Ping {
                     nonce,
                     me: self.me.clone(),
                     about,
@@ -346,26 +368,26 @@
             );
             self.probe = Some(Probe {
                 nonce,
-                who,
+                id,
                 answered: false,
                 unheard: 0,
             });
-            self.at(
-                now + self.stretched(self.rules.answer),
+            self.schedule(
+                now + self.stretched(self.rules.ping_timeout),
                 Due::NoAnswer(nonce),
             );
         }
-        self.at(now + self.stretched(self.rules.period), Due::Period);
+        self.schedule(now + self.stretched(self.rules.period), Due::Period);
     }
 
-    fn next_in_turn(&mut self) -> Option<(Life, SocketAddr)> {
+    fn next_in_turn(&mut self) -> Option<(MemberId, SocketAddr)> {
         for _ in 0..2 {
             while let Some(name) = self.turn.pop() {
-                if let Some(news) = self.get(&name).filter(|news| news.is_there()) {
-                    return Some((news.who.clone(), news.at));
+                if let Some(member) = self.get(&name).filter(|member| member.is_alive()) {
+                    return Some((member.id.clone(), member.address));
                 }
             }
-            let mut names: Vec<String> = self.peers.living_names().to_vec();
+            let mut names: Vec<String> = self.member_table.living_names().to_vec();
             for n in (1..names.len()).rev() {
                 names.swap(n, self.chance.rand_range(0..n as u64 + 1) as usize);
             }
@@ -377,28 +399,30 @@
     /// One address that no living fellow has, of the seeds and of those that are gone, gets a hello: each period
     /// while we are alone, else now and then. So a split that heals is noticed from either side.
     fn look_round(&mut self) {
-        let alone = self.peers.count_living() == 0;
+        let alone = self.member_table.count_living() == 0;
         if alone || self.periods.is_multiple_of(LOOK) {
             let gone = self
-                .peers
+                .member_table
                 .gone()
-                .filter(|peer| peer.news.state == State::Gone);
+                .filter(|peer| peer.member.state == MemberState::Dead);
             let places = self
                 .seeds
                 .iter()
                 .copied()
-                .chain(gone.map(|peer| peer.news.at));
-            let met = |at: &SocketAddr| *at == self.me.at || self.peers.lives_at(at);
-            let places: Vec<SocketAddr> = places.filter(|at| !met(at)).collect();
-            if let Some(at) = self.pick(&places) {
-                let nobody = Life {
+                .chain(gone.map(|peer| peer.member.address));
+            let met = |address: &SocketAddr| {
+                *address == self.me.address || self.member_table.lives_at(address)
+            };
+            let places: Vec<SocketAddr> = places.filter(|address| !met(address)).collect();
+            if let Some(address) = self.pick(&places) {
+                let nobody = MemberId {
                     name: String::new(),
-                    life: 0,
+                    incarnation: 0,
                 };
                 self.say(
                     nobody,
-                    at,
-                    Talk::Hello {
+                    address,
+                    Message::Join {
                         me: self.me.clone(),
                     },
                 );
@@ -412,13 +436,13 @@
             let after = from
                 .into_iter()
                 .next()
-                .map(|(who, _)| who.name)
+                .map(|(id, _)| id.name)
                 .unwrap_or_default();
-            for (to, at) in self.some(1, None) {
+            for (to, address) in self.some(1, None) {
                 self.say(
                     to,
-                    at,
-                    Talk::Want {
+                    address,
+                    Message::TableRequest {
                         after: after.clone(),
                     },
                 );
@@ -427,17 +451,17 @@
     }
 
     fn pick<T: Clone>(&mut self, all: &[T]) -> Option<T> {
-        let at = self.chance.rand_range(0..all.len().max(1) as u64) as usize;
-        all.get(at).cloned()
+        let address = self.chance.rand_range(0..all.len().max(1) as u64) as usize;
+        all.get(address).cloned()
     }
 
     /// So many living fellows by chance, without one.
-    fn some(&mut self, many: usize, without: Option<&Life>) -> Vec<(Life, SocketAddr)> {
-        let without = without.map(|who| who.name.as_str());
-        let drawn = self.peers.draw(&mut self.chance, many, without);
+    fn some(&mut self, many: usize, without: Option<&MemberId>) -> Vec<(MemberId, SocketAddr)> {
+        let without = without.map(|id| id.name.as_str());
+        let drawn = self.member_table.draw(&mut self.chance, many, without);
         drawn
             .into_iter()
-            .map(|news| (news.who.clone(), news.at))
+            .map(|member| (member.id.clone(), member.address))
             .collect()
     }
 
@@ -452,11 +476,11 @@
         if late {
             return;
         }
-        let who = probe.who.clone();
-        let Some(at) = self.get(&who.name).map(|news| news.at) else {
+        let id = probe.id.clone();
+        let Some(address) = self.get(&id.name).map(|member| member.address) else {
             return;
         };
-        let helpers = self.some(self.rules.helpers, Some(&who));
+        let helpers = self.some(self.rules.indirect_probes, Some(&id));
         if let Some(probe) = &mut self.probe {
             probe.unheard = helpers.len();
         }
@@ -464,20 +488,27 @@
             self.say(
                 helper,
                 its,
-                Talk::Ask {
+                Message::PingRequest {
                     nonce,
-                    who: who.clone(),
-                    at,
+                    id: id.clone(),
+                    address,
                 },
             );
         }
     }
 
-    fn ask_for(&mut self, now: Nanos, asker: &Life, nonce: u64, who: Life, at: SocketAddr) {
-        if self.waits.len() >= WAITING || who.name.len() > crate::wire::NAME {
+    fn ask_for(
+        &mut self,
+        now: Nanos,
+        asker: &MemberId,
+        nonce: u64,
+        id: MemberId,
+        address: SocketAddr,
+    ) {
+        if self.waits.len() >= WAITING || id.name.len() > MAX_NAME_BYTES {
             return;
         }
-        let (own, about) = (self.nonce(), self.pack(&who));
+        let (own, about) = (self.nonce(), self.pack(&id));
         self.waits.insert(
             own,
             Waits::For {
@@ -486,88 +517,88 @@
             },
         );
         self.say(
-            who,
-            at,
-            Talk::Ping {
+            id,
+            address,
+            Message::Ping {
                 nonce: own,
                 me: self.me.clone(),
                 about,
             },
         );
-        self.at(now + self.rules.answer, Due::Nack(own));
-        self.at(now + 4 * self.rules.period, Due::Expires(own));
+        self.schedule(now + self.rules.ping_timeout, Due::Nack(own));
+        self.schedule(now + 4 * self.rules.period, Due::Expires(own));
     }
 
     fn nack(&mut self, own: u64) {
         if let Some(Waits::For { asker, nonce }) = self.waits.get(&own) {
             let (asker, nonce) = (asker.clone(), *nonce);
-            if let Some(at) = self.get(&asker.name).map(|news| news.at) {
-                self.say(asker, at, Talk::Nack { nonce });
+            if let Some(address) = self.get(&asker.name).map(|member| member.address) {
+                self.say(asker, address, Message::Nack { nonce });
             }
         }
     }
 
     /// A stranger, a new life or one thought gone must answer a number that nobody could know before.
-    fn challenge(&mut self, now: Nanos, who: &Life, at: SocketAddr) {
-        let known = self.get(&who.name);
-        let old = known.is_some_and(|news| who.life < news.who.life);
-        let there = known.is_some_and(|news| news.who == *who && news.is_there());
-        if old || who.name == self.me.who.name || self.waits.len() >= WAITING {
+    fn challenge(&mut self, now: Nanos, id: &MemberId, address: SocketAddr) {
+        let known = self.get(&id.name);
+        let old = known.is_some_and(|member| id.incarnation < member.id.incarnation);
+        let there = known.is_some_and(|member| member.id == *id && member.is_alive());
+        if old || id.name == self.me.id.name || self.waits.len() >= WAITING {
             return;
         }
-        let (nonce, about) = (self.nonce(), self.pack(who));
+        let (nonce, about) = (self.nonce(), self.pack(id));
         if there {
             // It does not know us, or thinks us gone: our ping is its reason to ask us.
             return self.say(
-                who.clone(),
-                at,
-                Talk::Ping {
+                id.clone(),
+                address,
+                Message::Ping {
                     nonce,
                     me: self.me.clone(),
                     about,
                 },
             );
         }
-        self.waits.insert(nonce, Waits::Stranger(who.clone()));
+        self.waits.insert(nonce, Waits::Stranger(id.clone()));
         self.say(
-            who.clone(),
-            at,
-            Talk::Ping {
+            id.clone(),
+            address,
+            Message::Ping {
                 nonce,
                 me: self.me.clone(),
                 about,
             },
         );
-        self.at(now + 4 * self.rules.period, Due::Expires(nonce));
+        self.schedule(now + 4 * self.rules.period, Due::Expires(nonce));
     }
 
     fn answered(
         &mut self,
         now: Nanos,
-        from: &Life,
+        from: &MemberId,
         nonce: u64,
-        me: News,
-        about: Vec<News>,
+        me: Member,
+        about: Vec<Member>,
     ) -> bool {
         match self.waits.remove(&nonce) {
-            Some(Waits::Stranger(who)) if who == *from => {
-                let at = me.at;
+            Some(Waits::Stranger(id)) if id == *from => {
+                let address = me.address;
                 self.learn(now, me, from);
                 if self
                     .get(&from.name)
-                    .is_some_and(|news| news.who == *from && news.is_there())
+                    .is_some_and(|member| member.id == *from && member.is_alive())
                 {
                     about
                         .into_iter()
-                        .for_each(|news| self.learn(now, news, from));
+                        .for_each(|member| self.learn(now, member, from));
                     // What happened while we did not know each other.
                     if self.catching_up.len() < WAITING {
                         self.catching_up.insert(from.clone());
                     }
                     self.say(
                         from.clone(),
-                        at,
-                        Talk::Want {
+                        address,
+                        Message::TableRequest {
                             after: String::new(),
                         },
                     );
@@ -575,11 +606,11 @@
                 return true;
             }
             Some(Waits::For { asker, nonce }) => {
-                if let Some(at) = self.get(&asker.name).map(|news| news.at) {
+                if let Some(address) = self.get(&asker.name).map(|member| member.address) {
                     self.say(
                         asker,
-                        at,
-                        Talk::Ack {
+                        address,
+                        Message::Ack {
                             nonce,
                             me: self.me.clone(),
                             about: vec![me],
@@ -598,8 +629,8 @@
             return false;
         };
         // From itself, or a helper's word for it.
-        let itself = probe.who == *from;
-        let for_it = about.first().is_some_and(|news| news.who == probe.who);
+        let itself = probe.id == *from;
+        let for_it = about.first().is_some_and(|member| member.id == probe.id);
         if !itself && !for_it {
             return false;
         }
@@ -607,53 +638,56 @@
         self.learn(now, me, from);
         about
             .into_iter()
-            .for_each(|news| self.learn(now, news, from));
+            .for_each(|member| self.learn(now, member, from));
         true
     }
 
     /// The next piece of a table that is fetched whole, if there is one.
-    fn fetch_next(&mut self, from: &Life, after: Option<String>) {
+    fn fetch_next(&mut self, from: &MemberId, after: Option<String>) {
         if !self.catching_up.contains(from) {
             return;
         }
-        match after.zip(self.get(&from.name).map(|news| news.at)) {
-            Some((after, at)) => self.say(from.clone(), at, Talk::Want { after }),
+        match after.zip(self.get(&from.name).map(|member| member.address)) {
+            Some((after, address)) => {
+                self.say(from.clone(), address, Message::TableRequest { after })
+            }
             None => {
                 self.catching_up.remove(from);
             }
         }
     }
 
-    fn tell_table(&mut self, to: &Life, after: &str) {
-        let Some(at) = self.get(&to.name).map(|news| news.at) else {
+    fn tell_table(&mut self, to: &MemberId, after: &str) {
+        let Some(address) = self.get(&to.name).map(|member| member.address) else {
             return;
         };
-        let mut left = crate::wire::room(&self.me.who, to);
+        let mut left = crate::frame::room(&self.me.id, to);
         let mut about = Vec::new();
-        let mut rest = self.peers.living_after(after).peekable();
-        while let Some((news, _)) = rest.next_if(|(_, size)| take(&mut left, *size)) {
-            about.push(news.clone());
+        let mut rest = self.member_table.living_after(after).peekable();
+        while let Some((member, _)) = rest.next_if(|(_, size)| take(&mut left, *size)) {
+            about.push(member.clone());
         }
         let more = rest.peek().is_some() && !about.is_empty();
         drop(rest);
-        self.say(to.clone(), at, Talk::Table { about, more });
+        self.say(to.clone(), address, Message::Table { about, more });
     }
 
     /// News that have been sent least, as many as fit, what the receiver must refute before all.
-    fn pack(&mut self, to: &Life) -> Vec<News> {
+    fn pack(&mut self, to: &MemberId) -> Vec<Member> {
         // Two news of the largest size stay free, for `me` and what stands round it.
-        let mut left = crate::wire::room(&self.me.who, to).saturating_sub(400);
-        let often = SENT_ON * (self.peers.len() as f64 + 2.0).log2().ceil() as u32;
+        let mut left = crate::frame::room(&self.me.id, to).saturating_sub(400);
+        let often = SENT_ON * (self.member_table.len() as f64 + 2.0).log2().ceil() as u32;
         let mut about = Vec::new();
-        let peers = &self.peers;
-        if let Some((news, size)) = peers.news_with_size(&to.name) {
-            let refute = news.state != State::Lives && news.who.life >= to.life;
+        let member_table = &self.member_table;
+        if let Some((member, size)) = member_table.news_with_size(&to.name) {
+            let refute =
+                member.state != MemberState::Alive && member.id.incarnation >= to.incarnation;
             if refute && take(&mut left, size) {
-                about.push(news.clone());
+                about.push(member.clone());
             }
         }
         self.gossip.fill(often, |name| {
-            let Some((news, size)) = peers.news_with_size(name) else {
+            let Some((member, size)) = member_table.news_with_size(name) else {
                 return Offer::Obsolete;
             };
             if name == to.name {
@@ -662,181 +696,193 @@
             if !take(&mut left, size) {
                 return Offer::Misfit;
             }
-            about.push(news.clone());
+            about.push(member.clone());
             Offer::Taken
         });
         about
     }
 
     /// Takes one piece of news in; what says nothing new changes nothing.
-    fn learn(&mut self, now: Nanos, news: News, by: &Life) {
-        if news.who.name == self.me.who.name {
-            return self.learn_of_us(news);
+    fn learn(&mut self, now: Nanos, member: Member, by: &MemberId) {
+        if member.id.name == self.me.id.name {
+            return self.learn_of_us(member);
         }
-        if news.who.name.is_empty() || news.who.name.len() > crate::wire::NAME {
+        if member.id.name.is_empty() || member.id.name.len() > MAX_NAME_BYTES {
             return;
         }
-        let Some(known) = self.peers.get(&news.who.name) else {
-            if news.is_there() && self.make_room() {
-                self.enter(now, news);
+        let Some(known) = self.member_table.get(&member.id.name) else {
+            if member.is_alive() && self.make_room() {
+                self.enter(now, member);
             }
             return;
         };
-        if news.who.life > known.news.who.life {
-            if known.news.is_there() {
-                let old = known.news.who.clone();
-                self.told(Event::Lost(old));
+        if member.id.incarnation > known.member.id.incarnation {
+            if known.member.is_alive() {
+                let old = known.member.id.clone();
+                self.told(MemberEvent::Lost(old));
             }
-            return self.enter(now, news);
+            return self.enter(now, member);
         }
-        if news.who.life < known.news.who.life {
+        if member.id.incarnation < known.member.id.incarnation {
             return;
         }
-        if confirms(&news, known) {
-            return self.confirm(now, news);
+        if confirms(&member, known) {
+            return self.confirm(now, member);
         }
-        if !news.overrides(&known.news) {
+        if !member.overrides(&known.member) {
             return;
         }
-        let (was, who) = (known.news.is_there(), news.who.clone());
-        let was_doubted = matches!(known.news.state, State::Suspected(_));
-        let there = news.is_there();
-        let (state, round) = (news.state.clone(), news.round);
+        let (was, id) = (known.member.is_alive(), member.id.clone());
+        let was_doubted = matches!(known.member.state, MemberState::Suspected(_));
+        let there = member.is_alive();
+        let (state, refutations) = (member.state.clone(), member.refutations);
         // Only its own word moves an address.
-        let at = if *by == who { news.at } else { known.news.at };
-        self.peers.update(&who.name, |peer| {
+        let address = if *by == id {
+            member.address
+        } else {
+            known.member.address
+        };
+        self.member_table.update(&id.name, |peer| {
             if was != there {
                 peer.since = now;
             }
             peer.doubted.clear();
-            peer.news = News { at, ..news };
-            if let State::Suspected(one) = &peer.news.state {
+            peer.member = Member { address, ..member };
+            if let MemberState::Suspected(one) = &peer.member.state {
                 peer.doubted.insert(one.clone());
                 peer.doubted_at = now;
             }
         });
-        self.gossip.add(&who.name);
+        self.gossip.add(&id.name);
         if was && !there {
-            self.forget_later(now, &who.name);
+            self.forget_later(now, &id.name);
         }
         match state {
-            State::Lives if !was => self.told(Event::Joined(who)),
-            State::Lives if was_doubted => self.told(Event::Cleared(who)),
-            State::Lives => {}
-            State::Suspected(_) => {
-                self.told(Event::Suspected(who.clone()));
-                self.suspicion(now, who, round);
+            MemberState::Alive if !was => self.told(MemberEvent::Joined(id)),
+            MemberState::Alive if was_doubted => self.told(MemberEvent::Refuted(id)),
+            MemberState::Alive => {}
+            MemberState::Suspected(_) => {
+                self.told(MemberEvent::Suspected(id.clone()));
+                self.suspicion(now, id, refutations);
             }
-            State::Gone if was => self.told(Event::Lost(who)),
-            State::Left if was => self.told(Event::Left(who)),
-            State::Gone | State::Left => {}
+            MemberState::Dead if was => self.told(MemberEvent::Lost(id)),
+            MemberState::Left if was => self.told(MemberEvent::Left(id)),
+            MemberState::Dead | MemberState::Left => {}
         }
     }
 
     /// One more who suspects the same: passed on as it was heard, so that others can count it, too.
-    fn confirm(&mut self, now: Nanos, news: News) {
-        let (who, round) = (news.who, news.round);
-        self.peers.update(&who.name, |peer| {
-            if let State::Suspected(one) = &news.state {
+    fn confirm(&mut self, now: Nanos, member: Member) {
+        let (id, refutations) = (member.id, member.refutations);
+        self.member_table.update(&id.name, |peer| {
+            if let MemberState::Suspected(one) = &member.state {
                 peer.doubted.insert(one.clone());
             }
-            peer.news.state = news.state;
+            peer.member.state = member.state;
         });
-        self.gossip.add(&who.name);
-        self.suspicion(now, who, round);
-    }
-
-    fn learn_of_us(&mut self, news: News) {
-        if news.who.life > self.me.who.life {
-            self.me.who.life = news.who.life.saturating_add(1);
-            self.me.round = 0;
-            let us = self.me.who.clone();
-            return self.told(Event::Reborn(us));
-        }
-        let refutes = matches!(news.state, State::Suspected(_) | State::Gone)
-            && self.me.state == State::Lives;
-        if news.who.life == self.me.who.life && refutes && news.round >= self.me.round {
+        self.gossip.add(&id.name);
+        self.suspicion(now, id, refutations);
+    }
+
+    fn learn_of_us(&mut self, member: Member) {
+        if member.id.incarnation > self.me.id.incarnation {
+            self.me.id.incarnation = member.id.incarnation.saturating_add(1);
+            self.me.refutations = 0;
+            let us = self.me.id.clone();
+            return self.told(MemberEvent::IncarnationRaised(us));
+        }
+        let refutes = matches!(member.state, MemberState::Suspected(_) | MemberState::Dead)
+            && self.me.state == MemberState::Alive;
+        if member.id.incarnation == self.me.id.incarnation
+            && refutes
+            && member.refutations >= self.me.refutations
+        {
             // Our own pings and answers carry it from now on.
-            self.me.round = news.round.saturating_add(1);
+            self.me.refutations = member.refutations.saturating_add(1);
             self.slower(1);
         }
     }
 
-    fn enter(&mut self, now: Nanos, news: News) {
-        let (who, round, state) = (news.who.clone(), news.round, news.state.clone());
-        let there = news.is_there();
+    fn enter(&mut self, now: Nanos, member: Member) {
+        let (id, refutations, state) =
+            (member.id.clone(), member.refutations, member.state.clone());
+        let there = member.is_alive();
         let doubted = match &state {
-            State::Suspected(by) => BTreeSet::from([by.clone()]),
+            MemberState::Suspected(by) => BTreeSet::from([by.clone()]),
             _ => BTreeSet::new(),
         };
-        self.peers.insert(Peer {
-            news,
+        self.member_table.insert(KnownMember {
+            member,
             since: now,
             doubted,
             doubted_at: now,
         });
-        self.gossip.add(&who.name);
+        self.gossip.add(&id.name);
         if !there {
-            self.forget_later(now, &who.name);
+            self.forget_later(now, &id.name);
         }
         if there {
             // Somewhere in this round's order, so that it need not wait for the next.
-            let at = self.chance.rand_range(0..self.turn.len() as u64 + 1) as usize;
-            self.turn.insert(at, who.name.clone());
-            self.told(Event::Joined(who.clone()));
+            let address = self.chance.rand_range(0..self.turn.len() as u64 + 1) as usize;
+            self.turn.insert(address, id.name.clone());
+            self.told(MemberEvent::Joined(id.clone()));
         }
-        if matches!(state, State::Suspected(_)) {
-            self.suspicion(now, who, round);
+        if matches!(state, MemberState::Suspected(_)) {
+            self.suspicion(now, id, refutations);
         }
     }
 
     /// Whether one more fits; the longest gone makes way.
     fn make_room(&mut self) -> bool {
-        if self.peers.len() < self.rules.most {
+        if self.member_table.len() < self.rules.max_members {
             return true;
         }
         let longest = self
-            .peers
+            .member_table
             .gone()
             .min_by_key(|peer| peer.since)
-            .map(|peer| peer.news.who.name.clone());
+            .map(|peer| peer.member.id.name.clone());
         match longest {
             Some(name) => {
                 self.remove(&name);
                 true
             }
             None => {
-                self.turned_away += 1;
+                self.rejected_joins += 1;
                 false
             }
         }
     }
 
     fn remove(&mut self, name: &str) {
-        if self.peers.remove(name) {
-            self.effects.push_back(Effect::Forgot(name.to_string()));
+        if self.member_table.remove(name) {
+            self.effects.push_back(Effect::Forget(name.to_string()));
         }
     }
 
     fn forget_later(&mut self, now: Nanos, name: &str) {
-        self.at(now + self.rules.keep_gone, Due::Forget(name.to_string()));
+        self.schedule(
+            now + self.rules.dead_retention,
+            Due::Forget(name.to_string()),
+        );
     }
 
     /// Unless it came back, or went again, meanwhile.
     fn forget(&mut self, now: Nanos, name: &str) {
-        let keep = self.rules.keep_gone;
-        let gone = |peer: &Peer| !peer.news.is_there() && now.saturating_sub(peer.since) >= keep;
-        if self.peers.get(name).is_some_and(gone) {
+        let keep = self.rules.dead_retention;
+        let gone =
+            |peer: &KnownMember| !peer.member.is_alive() && now.saturating_sub(peer.since) >= keep;
+        if self.member_table.get(name).is_some_and(gone) {
             self.remove(name);
         }
     }
 
     /// Until when one is suspected: the more others confirm it, the shorter, by Lifeguard's logarithm.
-    fn suspicion(&mut self, now: Nanos, who: Life, round: u32) {
-        let Some(peer) = self.peers.get(&who.name) else {
+    fn suspicion(&mut self, now: Nanos, id: MemberId, refutations: u32) {
+        let Some(peer) = self.member_table.get(&id.name) else {
             return;
         };
-        let many = self.peers.count_living() as f64 + 1.0;
+        let many = self.member_table.count_living() as f64 + 1.0;
         let least = SUSPECTED * many.log10().max(1.0) * self.rules.period as f64;
         let most = SUSPECTED_AT_MOST * least;
         let confirm = CONFIRM.min((many as usize).saturating_sub(2));
@@ -848,40 +894,44 @@
         };
         let wait = (most - (most - least) * shorter).max(least);
         let until = (peer.doubted_at + wait as Nanos).max(now);
-        self.at(until, Due::Suspicion(who, round));
+        self.schedule(until, Due::Suspicion(id, refutations));
     }
 
-    fn condemn(&mut self, now: Nanos, who: Life, round: u32, late: bool) {
-        let Some(news) = self
-            .get(&who.name)
-            .filter(|news| news.who == who && news.round == round)
+    fn condemn(&mut self, now: Nanos, id: MemberId, refutations: u32, late: bool) {
+        let Some(member) = self
+            .get(&id.name)
+            .filter(|member| member.id == id && member.refutations == refutations)
         else {
             return;
         };
-        if !matches!(news.state, State::Suspected(_)) {
+        if !matches!(member.state, MemberState::Suspected(_)) {
             return;
         }
         if late {
             // A refutation may lie unread: one more period.
-            return self.at(now + self.rules.period, Due::Suspicion(who, round));
+            return self.schedule(now + self.rules.period, Due::Suspicion(id, refutations));
         }
         let (gone, us) = (
-            News {
-                state: State::Gone,
-                ..news.clone()
+            Member {
+                state: MemberState::Dead,
+                ..member.clone()
             },
-            self.me.who.clone(),
+            self.me.id.clone(),
         );
         self.learn(now, gone, &us);
     }
 }
 
 /// Whether this is one more suspicion of the same life and round, of the first few.
-fn confirms(news: &News, known: &Peer) -> bool {
-    let (State::Suspected(one), State::Suspected(_)) = (&news.state, &known.news.state) else {
+fn confirms(member: &Member, known: &KnownMember) -> bool {
+    let (MemberState::Suspected(one), MemberState::Suspected(_)) =
+        (&member.state, &known.member.state)
+    else {
         return false;
     };
-    news.round == known.news.round && known.doubted.len() < CONFIRM && !known.doubted.contains(one)
+    member.refutations == known.member.refutations
+        && known.doubted.len() < CONFIRM
+        && !known.doubted.contains(one)
 }
 
 /// Takes so many bytes of what is left, where they fit.
--- a/crates/membership/src/shell.rs
+++ b/crates/membership/src/transport.rs
@@ -1,9 +1,10 @@
 //! The sockets of a sidecar: feeds [`Node`] with datagrams and time, and sends what it leaves. What is too long for a
 //! datagram goes over TCP to the same address and port, a frame a letter.
 
-use crate::node::{Happened, Node};
-use crate::swim::Event;
-use crate::wire::{Key, Life, NotAKey, LONGEST, LONGEST_STREAM};
+use crate::frame::{MAX_DATAGRAM_BYTES, MAX_STREAM_BYTES};
+use crate::member::MemberId;
+use crate::node::{Node, NodeEvent};
+use crate::swim::MemberEvent;
 use crate::Nanos;
 use bytes::Bytes;
 use futures_util::{SinkExt, StreamExt};
@@ -11,7 +12,6 @@
 use std::collections::HashMap;
 use std::io;
 use std::net::SocketAddr;
-use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use tokio::net::{TcpListener, TcpStream, UdpSocket};
@@ -32,7 +32,7 @@
 /// Ports that the system chose for UDP and somebody else has for TCP, before we give up.
 const PORTS: usize = 16;
 
-pub struct Talker {
+pub struct Transport {
     node: RefCell<Node>,
     socket: UdpSocket,
     listener: TcpListener,
@@ -47,58 +47,33 @@
     lost: Cell<u64>,
 }
 
-/// Why a key file gives no keys.
-#[derive(Debug, thiserror::Error)]
-pub enum KeysError {
-    #[error("{file}: {error}; expected a file of keys that this process may read", file = file.display())]
-    Unreadable { file: PathBuf, error: io::Error },
-    #[error("{file}, {error}", file = file.display())]
-    NotAKey { file: PathBuf, error: NotAKey },
-}
-
-/// The keys of a file; why not, with its name, where it has none.
-///
-/// # Errors
-/// A file that cannot be read, or a line that is no key.
-pub fn read_keys(file: &Path) -> Result<Vec<Key>, KeysError> {
-    let text = std::fs::read_to_string(file);
-    let text = text.map_err(|error| KeysError::Unreadable {
-        file: file.to_path_buf(),
-        error,
-    })?;
-    Key::read(&text).map_err(|error| KeysError::NotAKey {
-        file: file.to_path_buf(),
-        error,
-    })
-}
-
 /// A number that grows with each start under a name.
-pub fn new_life() -> u64 {
+pub fn new_incarnation() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map_or(1, |since| since.as_millis() as u64)
 }
 
 /// Logs who came and went.
-pub fn log(event: Event) {
-    let (what, Life { name, life }) = match event {
-        Event::Joined(who) => ("fellow joined", who),
-        Event::Suspected(who) => ("fellow suspected", who),
-        Event::Cleared(who) => ("fellow cleared", who),
-        Event::Lost(who) => ("fellow lost", who),
-        Event::Left(who) => ("fellow left us", who),
-        Event::Reborn(who) => ("own life was behind and is newer now", who),
+pub fn log_event(event: MemberEvent) {
+    let (what, MemberId { name, incarnation }) = match event {
+        MemberEvent::Joined(id) => ("fellow joined", id),
+        MemberEvent::Suspected(id) => ("fellow suspected", id),
+        MemberEvent::Refuted(id) => ("fellow cleared", id),
+        MemberEvent::Lost(id) => ("fellow lost", id),
+        MemberEvent::Left(id) => ("fellow left us", id),
+        MemberEvent::IncarnationRaised(id) => ("own life was behind and is newer now", id),
     };
-    tracing::info!(fellow = name, life, "{what}");
+    tracing::info!(fellow = name, life = incarnation, "{what}");
 }
 
 fn codec() -> LengthDelimitedCodec {
     LengthDelimitedCodec::builder()
-        .max_frame_length(LONGEST_STREAM)
+        .max_frame_length(MAX_STREAM_BYTES)
         .new_codec()
 }
 
-impl Talker {
+impl Transport {
     /// `make` gets the address that the socket is bound to.
     ///
     /// # Errors
@@ -106,8 +81,8 @@
     pub async fn bind(
         at: SocketAddr,
         make: impl FnOnce(Nanos, SocketAddr) -> Node,
-    ) -> io::Result<Rc<Talker>> {
-        let (socket, listener) = Talker::both(at).await?;
+    ) -> io::Result<Rc<Transport>> {
+        let (socket, listener) = Transport::both(at).await?;
         let bound = socket.local_addr()?;
         let (node, rearm, streams) = (
             RefCell::new(make(0, bound)),
@@ -117,7 +92,7 @@
         let (heard, hears) = mpsc::channel(LETTERS);
         let (began, hears) = (Instant::now(), RefCell::new(Some(hears)));
         let lost = Cell::new(0);
-        Ok(Rc::new(Talker {
+        Ok(Rc::new(Transport {
             node,
             socket,
             listener,
@@ -145,12 +120,12 @@
 
     /// # Errors
     /// What the system says of the socket.
-    pub fn at(&self) -> io::Result<SocketAddr> {
+    pub fn local_address(&self) -> io::Result<SocketAddr> {
         self.socket.local_addr()
     }
 
     /// What could not be put on its way, datagrams and letters, as a socket or a stream was full.
-    pub fn lost(&self) -> u64 {
+    pub fn dropped_sends(&self) -> u64 {
         self.lost.get()
     }
 
@@ -170,7 +145,7 @@
     /// What a full socket does not take is lost, as the network might have lost it.
     fn flush(self: &Rc<Self>) {
         loop {
-            let Some((at, bytes)) = self.node.borrow_mut().datagram() else {
+            let Some((at, bytes)) = self.node.borrow_mut().next_datagram() else {
                 break;
             };
             if self.socket.try_send_to(&bytes, at).is_err() {
@@ -178,16 +153,16 @@
             }
         }
         loop {
-            let Some((at, bytes)) = self.node.borrow_mut().stream() else {
+            let Some((at, bytes)) = self.node.borrow_mut().next_stream_message() else {
                 break;
             };
             let mut streams = self.streams.borrow_mut();
-            let letters = streams.entry(at).or_insert_with(|| {
-                let (letters, waiting) = mpsc::channel(LETTERS);
+            let envelopes = streams.entry(at).or_insert_with(|| {
+                let (envelopes, waiting) = mpsc::channel(LETTERS);
                 spawn_local(self.clone().carry(at, waiting));
-                letters
+                envelopes
             });
-            if letters.try_send(bytes.into()).is_err() {
+            if envelopes.try_send(bytes.into()).is_err() {
                 self.lost.set(self.lost.get() + 1);
             }
         }
@@ -198,8 +173,8 @@
         if let Ok(Ok(stream)) = timeout(CONNECT, TcpStream::connect(at)).await {
             let _ = stream.set_nodelay(true);
             let mut frames = Framed::new(stream, codec());
-            while let Ok(Some(letter)) = timeout(IDLE, waiting.recv()).await {
-                if !matches!(timeout(CONNECT, frames.send(letter)).await, Ok(Ok(()))) {
+            while let Ok(Some(envelope)) = timeout(IDLE, waiting.recv()).await {
+                if !matches!(timeout(CONNECT, frames.send(envelope)).await, Ok(Ok(()))) {
                     break;
                 }
             }
@@ -222,8 +197,8 @@
                         let (places, heard) = (places.clone(), self.heard.clone());
                         open.spawn_local(async move {
                             let mut frames = Framed::new(stream, codec());
-                            while let Ok(Some(Ok(letter))) = timeout(2 * IDLE, frames.next()).await {
-                                if heard.send(letter.freeze()).await.is_err() {
+                            while let Ok(Some(Ok(envelope))) = timeout(2 * IDLE, frames.next()).await {
+                                if heard.send(envelope.freeze()).await.is_err() {
                                     break;
                                 }
                             }
@@ -239,9 +214,9 @@
     }
 
     /// Runs until it is dropped; `on` hears what happens, after the call that brought it.
-    pub async fn run(self: Rc<Self>, mut on: impl FnMut(&Rc<Talker>, Happened)) {
+    pub async fn run(self: Rc<Self>, mut on: impl FnMut(&Rc<Transport>, NodeEvent)) {
         // One byte more than the longest, so that a longer one shows as such.
-        let mut bytes = [0; LONGEST + 1];
+        let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         let Some(mut hears) = self.hears.borrow_mut().take() else {
             return;
         };
@@ -259,9 +234,9 @@
                 () = sleep_until(due.into()) => {}
                 () = self.rearm.notified() => {}
                 () = &mut listening => {}
-                Some(letter) = hears.recv() => {
+                Some(envelope) = hears.recv() => {
                     let now = self.now();
-                    self.node.borrow_mut().heard_stream(now, &letter);
+                    self.node.borrow_mut().receive_stream_message(now, &envelope);
                 }
             }
             // What lies in the socket first: an answer that came in time must not count as late. But only a turn's
@@ -271,7 +246,7 @@
             self.node.borrow_mut().wake(now);
             self.flush();
             loop {
-                let happened = self.node.borrow_mut().happened();
+                let happened = self.node.borrow_mut().next_event();
                 let Some(happened) = happened else { break };
                 on(&self, happened);
             }
@@ -286,7 +261,9 @@
                 return;
             };
             let now = self.now();
-            self.node.borrow_mut().heard(now, &bytes[..length]);
+            self.node
+                .borrow_mut()
+                .receive_datagram(now, &bytes[..length]);
         }
     }
 }
--- a/crates/membership/src/gossip.rs
+++ b/crates/membership/src/update_queue.rs
@@ -17,13 +17,13 @@
 }
 
 #[derive(Default)]
-pub(crate) struct Gossip {
+pub(crate) struct UpdateQueue {
     /// By how often it was sent, then by name.
     order: BTreeSet<(u32, String)>,
     sent: HashMap<String, u32>,
 }
 
-impl Gossip {
+impl UpdateQueue {
     /// News of this name begin anew.
     pub fn add(&mut self, name: &str) {
         self.remove(name);
--- a/crates/membership/src/views.rs
+++ b/crates/membership/src/view_exchange.rs
@@ -2,28 +2,28 @@
 //! view each period, and one more out of turn where a follow-up is due. No I/O; the sidecar's shell and the simulated network drive the same code.
 
 use crate::follow_ups::FollowUps;
+use crate::member::MemberId;
+use crate::member_table::Changes;
 use crate::node::Node;
-use crate::peers::Changes;
-use crate::standing::{Place, Rules, Standing, View};
-use crate::swim::Event;
-use crate::wire::Life;
+use crate::quorum::{Quorum, QuorumState, Rules, View};
+use crate::swim::MemberEvent;
 use crate::Nanos;
 
 /// The kind of message in which views are told.
-pub const VIEWS: u8 = 3;
+pub const VIEW_KIND: u8 = 3;
 
 /// A change of the quorum state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Change {
-    pub was: Standing,
-    pub is: Standing,
+    pub was: QuorumState,
+    pub is: QuorumState,
 }
 
 /// Periods between two looks at all who live; in between, only those who changed are looked at.
 const RESYNC: u64 = 120;
 
-pub struct Views {
-    place: Place,
+pub struct ViewExchange {
+    quorum: Quorum,
     periods: u64,
     /// Whom our view was told last: it goes round by name, beginning behind our own, so that sidecars that started
     /// together do not all tell the same one.
@@ -31,26 +31,26 @@
     follow_ups: FollowUps,
 }
 
-impl Views {
-    pub fn new(now: Nanos, me: Life, rules: Rules) -> Views {
+impl ViewExchange {
+    pub fn new(now: Nanos, me: MemberId, rules: Rules) -> ViewExchange {
         let told = me.name.clone();
-        Views {
-            place: Place::new(now, me, rules),
+        ViewExchange {
+            quorum: Quorum::new(now, me, rules),
             periods: 0,
             told,
             follow_ups: FollowUps::default(),
         }
     }
 
-    pub fn place(&self) -> &Place {
-        &self.place
+    pub fn quorum(&self) -> &Quorum {
+        &self.quorum
     }
 
     /// What membership told.
-    pub fn observe(&mut self, now: Nanos, event: &Event) {
+    pub fn observe(&mut self, now: Nanos, event: &MemberEvent) {
         match event {
-            Event::Left(who) => self.place.left(now, who),
-            Event::Reborn(who) => self.place.reborn(who),
+            MemberEvent::Left(id) => self.quorum.left(now, id),
+            MemberEvent::IncarnationRaised(id) => self.quorum.set_own_id(id),
             _ => {}
         }
     }
@@ -59,9 +59,14 @@
     ///
     /// # Errors
     /// A body that is no view; it changes nothing.
-    pub fn receive(&mut self, now: Nanos, from: &Life, body: &[u8]) -> Result<(), postcard::Error> {
+    pub fn receive(
+        &mut self,
+        now: Nanos,
+        from: &MemberId,
+        body: &[u8],
+    ) -> Result<(), postcard::Error> {
         let view: View = postcard::from_bytes(body)?;
-        if let Some(due) = self.place.heard(now, from, view) {
+        if let Some(due) = self.quorum.receive_view(now, from, view) {
             self.follow_ups.plan(from, due);
         }
         Ok(())
@@ -71,11 +76,11 @@
     /// whose follow-up is due.
     pub fn tick(&mut self, now: Nanos, node: &mut Node) -> Option<Change> {
         self.learn_who_lives(now, node);
-        let change = self.place.look(now).map(|(was, is)| Change { was, is });
+        let change = self.quorum.update(now).map(|(was, is)| Change { was, is });
         if let Some(to) = node
-            .fellows()
-            .living_after(&self.told)
-            .map(|news| news.who.clone())
+            .membership()
+            .alive_after(&self.told)
+            .map(|member| member.id.clone())
         {
             self.tell(now, node, &to);
             self.told = to.name;
@@ -83,36 +88,37 @@
         if let Some(to) = self
             .follow_ups
             .take_due(now)
-            .filter(|to| node.fellows().lives(to))
+            .filter(|to| node.membership().is_alive(to))
         {
             self.tell(now, node, &to);
         }
         change
     }
 
-    fn tell(&mut self, now: Nanos, node: &mut Node, to: &Life) {
-        if let Ok(body) = postcard::to_stdvec(&self.place.view(now, to)) {
-            node.send(to, VIEWS, body);
+    fn tell(&mut self, now: Nanos, node: &mut Node, to: &MemberId) {
+        if let Ok(body) = postcard::to_stdvec(&self.quorum.view_for(now, to)) {
+            node.send(to, VIEW_KIND, body);
         }
     }
 
     fn learn_who_lives(&mut self, now: Nanos, node: &mut Node) {
         let changes = node.take_changes();
         self.periods += 1;
-        let peers = node.fellows();
+        let member_table = node.membership();
         match changes {
             Changes::Names(names) if !self.periods.is_multiple_of(RESYNC) => {
-                let who = |name: &String| {
-                    peers
+                let id = |name: &String| {
+                    member_table
                         .get(name)
-                        .map(|news| &news.who)
-                        .filter(|who| peers.lives(who))
+                        .map(|member| &member.id)
+                        .filter(|id| member_table.is_alive(id))
                 };
-                let changed = names.iter().map(|name| (name.as_str(), who(name)));
-                self.place.living_changed(now, changed);
+                let changed = names.iter().map(|name| (name.as_str(), id(name)));
+                self.quorum.update_alive(now, changed);
             }
             Changes::Names(_) | Changes::All => {
-                self.place.living(now, peers.living().map(|news| &news.who));
+                self.quorum
+                    .set_alive(now, member_table.alive().map(|member| &member.id));
             }
         }
     }
--- a/crates/membership/src/roster.rs
+++ b/crates/membership/src/voters.rs
@@ -1,8 +1,8 @@
 //! Who belongs, with what is known of each: rows by name, and beside them the few of whom there is something to see, so
 //! that no look each period walks all rows. Digests are kept until a row changes.
 
-use crate::standing::View;
-use crate::wire::Life;
+use crate::member::MemberId;
+use crate::quorum::View;
 use crate::Nanos;
 use serde::{Deserialize, Serialize};
 use std::cell::Cell;
@@ -11,17 +11,18 @@
 
 /// One who belongs, or did.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Row {
-    pub who: Life,
+pub struct VoterRecord {
+    pub id: MemberId,
     /// Raised by itself alone, to come back after it was voted out.
     pub entry: u32,
     pub belongs: bool,
 }
 
-impl Row {
+impl VoterRecord {
     /// A later life or entry is newer; of the same one, going is.
-    pub(crate) fn newer(&self, known: &Row) -> bool {
-        (self.who.life, self.entry, !self.belongs) > (known.who.life, known.entry, !known.belongs)
+    pub(crate) fn newer(&self, known: &VoterRecord) -> bool {
+        (self.id.incarnation, self.entry, !self.belongs)
+            > (known.id.incarnation, known.entry, !known.belongs)
     }
 }
 
@@ -37,22 +38,22 @@
 /// What a view says of the sender's tables, in short.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Digests {
-    pub roster: u64,
+    pub voters: u64,
     pub living: u64,
 }
 
 impl From<&View> for Digests {
     fn from(view: &View) -> Digests {
         Digests {
-            roster: view.roster,
+            voters: view.voters,
             living: view.living,
         }
     }
 }
 
 #[derive(Clone, Debug)]
-pub(crate) struct Member {
-    pub row: Row,
+pub(crate) struct Voter {
+    pub row: VoterRecord,
     pub lives: bool,
     /// Since when it lives, or is missed.
     pub since: Nanos,
@@ -68,9 +69,9 @@
     pub out: BTreeMap<String, Nanos>,
 }
 
-impl Member {
-    pub fn new(now: Nanos, row: Row) -> Member {
-        Member {
+impl Voter {
+    pub fn new(now: Nanos, row: VoterRecord) -> Voter {
+        Voter {
             row,
             lives: false,
             since: now,
@@ -94,8 +95,8 @@
 }
 
 #[derive(Default)]
-pub(crate) struct Roster {
-    members: BTreeMap<String, Member>,
+pub(crate) struct VoterTable {
+    members: BTreeMap<String, Voter>,
     /// Names of members that are notable.
     notable: BTreeSet<String>,
     /// When each member's view was heard, and its name.
@@ -108,7 +109,7 @@
     rows_visited: Cell<u64>,
 }
 
-impl Roster {
+impl VoterTable {
     pub fn len(&self) -> usize {
         self.members.len()
     }
@@ -122,7 +123,7 @@
         self.living
     }
 
-    pub fn get(&self, name: &str) -> Option<&Member> {
+    pub fn get(&self, name: &str) -> Option<&Voter> {
         self.visit(1);
         self.members.get(name)
     }
@@ -138,12 +139,12 @@
     }
 
     /// Members that are notable, by name.
-    pub fn notable(&self) -> impl Iterator<Item = &Member> {
+    pub fn notable(&self) -> impl Iterator<Item = &Voter> {
         self.notable.iter().filter_map(|name| self.get(name))
     }
 
     /// Members behind a name, by name.
-    pub fn behind(&self, name: &str) -> impl Iterator<Item = &Member> {
+    pub fn behind(&self, name: &str) -> impl Iterator<Item = &Voter> {
         let members = self
             .members
             .range::<str, _>((Bound::Excluded(name), Bound::Unbounded));
@@ -155,8 +156,8 @@
         self.views.first().cloned()
     }
 
-    pub fn insert(&mut self, member: Member) {
-        let name = member.row.who.name.clone();
+    pub fn insert(&mut self, member: Voter) {
+        let name = member.row.id.name.clone();
         self.remove(&name);
         self.count_in(&name, &member);
         self.forget_digests(true);
@@ -171,7 +172,7 @@
     }
 
     /// Changes a member; nothing happens where none has that name.
-    pub fn update(&mut self, name: &str, change: impl FnOnce(&mut Member)) {
+    pub fn update(&mut self, name: &str, change: impl FnOnce(&mut Voter)) {
         let Some(mut member) = self.members.remove(name) else {
             return;
         };
@@ -190,24 +191,24 @@
     }
 
     /// Both digests, as a view says them.
-    pub fn digests(&self, me: &Row) -> Digests {
+    pub fn digests(&self, me: &VoterRecord) -> Digests {
         Digests {
-            roster: self.digest_roster(me),
+            voters: self.digest_roster(me),
             living: self.digest_living(me),
         }
     }
 
     /// Of all who belong, and of us.
-    pub fn digest_roster(&self, me: &Row) -> u64 {
+    pub fn digest_roster(&self, me: &VoterRecord) -> u64 {
         kept(&self.roster_digest, || {
             let rows = self.belonging().map(|member| &member.row).chain([me]);
-            digest(rows.map(|row| (row.who.name.as_str(), row.who.life, row.entry)))
+            digest(rows.map(|row| (row.id.name.as_str(), row.id.incarnation, row.entry)))
         })
     }
 
     /// Of all who belong and live, and of us. By membership alone: who comes and goes counts differently at each for a
     /// while.
-    pub fn digest_living(&self, me: &Row) -> u64 {
+    pub fn digest_living(&self, me: &VoterRecord) -> u64 {
         kept(&self.living_digest, || {
             let rows = self
                 .belonging()
@@ -215,7 +216,7 @@
                 .map(|member| &member.row);
             digest(
                 rows.chain([me])
-                    .map(|row| (row.who.name.as_str(), row.who.life, 0)),
+                    .map(|row| (row.id.name.as_str(), row.id.incarnation, 0)),
             )
         })
     }
@@ -228,7 +229,7 @@
         }
     }
 
-    fn belonging(&self) -> impl Iterator<Item = &Member> {
+    fn belonging(&self) -> impl Iterator<Item = &Voter> {
         self.members
             .values()
             .inspect(|_| self.visit(1))
@@ -239,7 +240,7 @@
         self.rows_visited.set(self.rows_visited.get() + rows);
     }
 
-    fn count_in(&mut self, name: &str, member: &Member) {
+    fn count_in(&mut self, name: &str, member: &Voter) {
         self.visit(1);
         self.belonging += usize::from(member.row.belongs);
         self.living += usize::from(member.row.belongs && member.lives);
@@ -250,7 +251,7 @@
             .extend(member.said.as_ref().map(|(at, _)| (*at, name.to_string())));
     }
 
-    fn count_out(&mut self, name: &str, member: &Member) {
+    fn count_out(&mut self, name: &str, member: &Voter) {
         self.belonging -= usize::from(member.row.belongs);
         self.living -= usize::from(member.row.belongs && member.lives);
         self.notable.remove(name);
--- a/crates/membership/tests/frames.rs
+++ b/crates/membership/tests/frames.rs
@@ -3,54 +3,56 @@
 mod common;
 
 use common::{recorded_bytes, to_hex};
-use havenplank_membership::standing::{Row, View};
-use havenplank_membership::swim::{News, State, Talk};
-use havenplank_membership::wire::{self, Key, Letter, Life, Way};
+use havenplank_membership::frame::{self, Channel, Envelope};
+use havenplank_membership::keys::Key;
+use havenplank_membership::member::MemberId;
+use havenplank_membership::quorum::{View, VoterRecord};
+use havenplank_membership::swim::{Member, MemberState, Message};
 use serde::{de::DeserializeOwned, Serialize};
 use std::fmt::Debug;
 
 const FRAMES: &str = include_str!("fixtures/frames.txt");
 
-fn life(name: &str, life: u64) -> Life {
-    Life {
+fn life(name: &str, life: u64) -> MemberId {
+    MemberId {
         name: name.into(),
-        life,
+        incarnation: life,
     }
 }
 
-fn news(name: &str, state: State) -> News {
-    News {
-        who: life(name, 1_764_752_400_000),
-        at: "10.1.2.3:7200".parse().unwrap(),
+fn news(name: &str, state: MemberState) -> Member {
+    Member {
+        id: life(name, 1_764_752_400_000),
+        address: "10.1.2.3:7200".parse().unwrap(),
         zone: "zone-a".into(),
-        round: 300,
+        refutations: 300,
         state,
     }
 }
 
 /// One piece of news in each state, and an address of the other family.
-fn all_states() -> Vec<News> {
-    let suspected = State::Suspected("s-9".into());
-    let other_family = News {
-        at: "[fd00::7]:65535".parse().unwrap(),
-        ..news("s-5", State::Left)
+fn all_states() -> Vec<Member> {
+    let suspected = MemberState::Suspected("s-9".into());
+    let other_family = Member {
+        address: "[fd00::7]:65535".parse().unwrap(),
+        ..news("s-5", MemberState::Left)
     };
     vec![
-        news("s-2", State::Lives),
+        news("s-2", MemberState::Alive),
         news("s-3", suspected),
-        news("s-4", State::Gone),
+        news("s-4", MemberState::Dead),
         other_family,
     ]
 }
 
 fn view() -> View {
-    let row = |name: &str, entry, belongs| Row {
-        who: life(name, 7),
+    let row = |name: &str, entry, belongs| VoterRecord {
+        id: life(name, 7),
         entry,
         belongs,
     };
     View {
-        roster: 0x0123_4567_89ab_cdef,
+        voters: 0x0123_4567_89ab_cdef,
         living: u64::MAX,
         missing: vec!["s-8".into(), "s-9".into()],
         missed: 1_000,
@@ -75,31 +77,31 @@
 
 #[test]
 fn membership_messages_are_encoded_as_recorded() {
-    let (me, about) = (news("s-1", State::Lives), all_states());
+    let (me, about) = (news("s-1", MemberState::Alive), all_states());
     let nonce = 0xfedc_ba98_7654_3210;
-    assert_same("hello", &Talk::Hello { me: me.clone() });
-    let ping = Talk::Ping {
+    assert_same("hello", &Message::Join { me: me.clone() });
+    let ping = Message::Ping {
         nonce,
         me: me.clone(),
         about: about.clone(),
     };
     assert_same("ping", &ping);
-    let ack = Talk::Ack {
+    let ack = Message::Ack {
         nonce,
         me,
         about: about.clone(),
     };
     assert_same("ack", &ack);
-    let ask = Talk::Ask {
+    let ask = Message::PingRequest {
         nonce,
-        who: life("s-2", 9),
-        at: "10.1.2.4:7201".parse().unwrap(),
+        id: life("s-2", 9),
+        address: "10.1.2.4:7201".parse().unwrap(),
     };
     assert_same("ask", &ask);
-    assert_same("nack", &Talk::Nack { nonce });
+    assert_same("nack", &Message::Nack { nonce });
     let after = "s-17".into();
-    assert_same("want", &Talk::Want { after });
-    assert_same("table", &Talk::Table { about, more: true });
+    assert_same("want", &Message::TableRequest { after });
+    assert_same("table", &Message::Table { about, more: true });
 }
 
 #[test]
@@ -110,17 +112,17 @@
 #[test]
 fn a_sealed_letter_is_encoded_as_recorded_on_both_ways() {
     let key = Key::new([7; 32]);
-    let letter = Letter {
+    let letter = Envelope {
         from: life("s-1", 1_764_752_400_000),
         to: life("s-2", 9),
         count: 4_097,
         kind: 3,
         body: postcard::to_stdvec(&view()).unwrap(),
     };
-    for (name, way) in [("datagram", Way::Datagram), ("stream", Way::Stream)] {
-        let sealed = wire::seal(&key, &letter, way).unwrap();
+    for (name, way) in [("datagram", Channel::Datagram), ("stream", Channel::Stream)] {
+        let sealed = frame::seal(&key, &letter, way).unwrap();
         assert_recorded(name, &sealed);
-        let opened = wire::open(std::slice::from_ref(&key), &sealed, way);
+        let opened = frame::open(std::slice::from_ref(&key), &sealed, way);
         assert_eq!(opened.as_ref(), Ok(&letter), "{name}");
     }
 }
--- a/crates/membership/tests/standing.rs
+++ b/crates/membership/tests/quorum.rs
@@ -1,10 +1,12 @@
 //! Standing over the simulated network, on the membership that sockets drive: what each believes of its own place.
 
 use havenplank_emulator::net::{Clock, Id, Nanos, Net, Part, Weather};
-use havenplank_membership::node::{Happened, Node};
-use havenplank_membership::standing::{Place, Row, Rules, Standing, View};
-use havenplank_membership::swim::{Event, News, Rules as Membership, State};
-use havenplank_membership::wire::{Key, Life};
+use havenplank_membership::keys::Key;
+use havenplank_membership::member::MemberId;
+use havenplank_membership::member::{Member, MemberState};
+use havenplank_membership::node::{Node, NodeEvent};
+use havenplank_membership::quorum::{Quorum, QuorumState, Rules, View, VoterRecord};
+use havenplank_membership::swim::{MemberEvent, Rules as Membership};
 use proptest::prelude::*;
 use std::net::SocketAddr;
 
@@ -15,31 +17,32 @@
 /// A member that says its view to one fellow in turn, as the sidecar does.
 struct Fellow {
     node: Node,
-    place: Place,
+    place: Quorum,
     next: Nanos,
     turn: usize,
-    changes: Vec<(Nanos, Standing, Standing)>,
+    changes: Vec<(Nanos, QuorumState, QuorumState)>,
 }
 
 impl Part for Fellow {
     fn heard(&mut self, now: Nanos, bytes: &[u8]) {
-        self.node.heard(now, bytes);
+        self.node.receive_datagram(now, bytes);
         self.look(now);
     }
     fn wake(&mut self, now: Nanos) {
         self.node.wake(now);
         if now >= self.next {
             self.next = now + BEAT;
-            let living: Vec<Life> = self
+            let living: Vec<MemberId> = self
                 .node
-                .fellows()
-                .living()
-                .map(|news| news.who.clone())
+                .membership()
+                .alive()
+                .map(|news| news.id.clone())
                 .collect();
-            self.place.living(now, living.iter());
+            self.place.set_alive(now, living.iter());
             if !living.is_empty() {
                 self.turn = (self.turn + 1) % living.len();
-                let view = postcard::to_stdvec(&self.place.view(now, &living[self.turn])).unwrap();
+                let view =
+                    postcard::to_stdvec(&self.place.view_for(now, &living[self.turn])).unwrap();
                 self.node.send(&living[self.turn], KIND, view);
             }
         }
@@ -49,19 +52,22 @@
         self.node.next_wake().into_iter().chain([self.next]).min()
     }
     fn datagram(&mut self) -> Option<(SocketAddr, Vec<u8>)> {
-        self.node.datagram()
+        self.node.next_datagram()
     }
 }
 
 impl Fellow {
     fn new(now: Nanos, at: SocketAddr, name: String, life: u64, rules: Rules) -> Fellow {
-        let who = Life { name, life };
-        let me = News {
-            who: who.clone(),
-            at,
+        let who = MemberId {
+            name,
+            incarnation: life,
+        };
+        let me = Member {
+            id: who.clone(),
+            address: at,
             zone: "z".into(),
-            round: 0,
-            state: State::Lives,
+            refutations: 0,
+            state: MemberState::Alive,
         };
         let seed = at
             .ip()
@@ -77,8 +83,8 @@
             Membership::default(),
             vec![Key::new([7; 32])],
         );
-        node.reads(KIND);
-        let place = Place::new(now, who, rules);
+        node.accept_kind(KIND);
+        let place = Quorum::new(now, who, rules);
         Fellow {
             node,
             place,
@@ -89,18 +95,20 @@
     }
 
     fn look(&mut self, now: Nanos) {
-        while let Some(happened) = self.node.happened() {
+        while let Some(happened) = self.node.next_event() {
             match happened {
-                Happened::Told(Event::Left(who)) => self.place.left(now, &who),
-                Happened::Told(Event::Reborn(who)) => self.place.reborn(&who),
-                Happened::Told(_) => {}
-                Happened::Came { from, body, .. } => {
+                NodeEvent::Membership(MemberEvent::Left(who)) => self.place.left(now, &who),
+                NodeEvent::Membership(MemberEvent::IncarnationRaised(who)) => {
+                    self.place.set_own_id(&who)
+                }
+                NodeEvent::Membership(_) => {}
+                NodeEvent::Message { from, body, .. } => {
                     let view: View = postcard::from_bytes(&body).unwrap();
-                    self.place.heard(now, &from, view);
+                    self.place.receive_view(now, &from, view);
                 }
             }
         }
-        if let Some((was, is)) = self.place.look(now) {
+        if let Some((was, is)) = self.place.update(now) {
             self.changes.push((now, was, is));
         }
     }
@@ -130,11 +138,11 @@
     net
 }
 
-fn standing(net: &Net<Fellow>, id: Id) -> Standing {
-    net.part(id).unwrap().place.standing().0
+fn standing(net: &Net<Fellow>, id: Id) -> QuorumState {
+    net.part(id).unwrap().place.state()
 }
 
-fn all(net: &Net<Fellow>, ids: &[Id]) -> Vec<Standing> {
+fn all(net: &Net<Fellow>, ids: &[Id]) -> Vec<QuorumState> {
     ids.iter().map(|id| standing(net, *id)).collect()
 }
 
@@ -153,49 +161,49 @@
         net.run(60 * S, |_, _| {});
         let ids: Vec<Id> = net.ids().collect();
         assert!(
-            all(&net, &ids).iter().all(|is| *is == Standing::Agreed),
+            all(&net, &ids).iter().all(|is| *is == QuorumState::Agreed),
             "seed {seed}: {:?}",
             all(&net, &ids)
         );
         net.split(&[&few, &many]);
         net.run(120 * S, |_, _| {});
         assert!(
-            all(&net, &few).iter().all(|is| *is == Standing::Few),
+            all(&net, &few).iter().all(|is| *is == QuorumState::Few),
             "seed {seed}: {:?}",
             all(&net, &few)
         );
         // Far longer than it takes the others to vote them out: they still count all nine.
         net.run(700 * S, |_, _| {});
         assert!(
-            all(&net, &few).iter().all(|is| *is == Standing::Few),
+            all(&net, &few).iter().all(|is| *is == QuorumState::Few),
             "seed {seed}: {:?}",
             all(&net, &few)
         );
         assert!(
             few.iter()
-                .all(|id| net.part(*id).unwrap().place.belong() == 9),
+                .all(|id| net.part(*id).unwrap().place.voter_count() == 9),
             "seed {seed}"
         );
         assert!(
-            all(&net, &many).iter().all(|is| *is == Standing::Agreed),
+            all(&net, &many).iter().all(|is| *is == QuorumState::Agreed),
             "seed {seed}: {:?}",
             all(&net, &many)
         );
         assert!(
             many.iter()
-                .all(|id| net.part(*id).unwrap().place.belong() == 5),
+                .all(|id| net.part(*id).unwrap().place.voter_count() == 5),
             "seed {seed}: voted out"
         );
         net.heal();
         net.run(900 * S, |_, _| {});
         assert!(
-            all(&net, &ids).iter().all(|is| *is == Standing::Agreed),
+            all(&net, &ids).iter().all(|is| *is == QuorumState::Agreed),
             "seed {seed}: {:?}",
             all(&net, &ids)
         );
         assert!(
             ids.iter()
-                .all(|id| net.part(*id).unwrap().place.belong() == 9),
+                .all(|id| net.part(*id).unwrap().place.voter_count() == 9),
             "seed {seed}: they are back"
         );
     }
@@ -218,9 +226,9 @@
         net.run(140 * S, |_, _| {});
         for group in &groups {
             let wanted = match (group.len(), 2 * group.len() > next) {
-                (1, _) => Standing::Alone,
-                (_, true) => Standing::Agreed,
-                (_, false) => Standing::Few,
+                (1, _) => QuorumState::Alone,
+                (_, true) => QuorumState::Agreed,
+                (_, false) => QuorumState::Few,
             };
             assert!(
                 all(&net, group).iter().all(|is| *is == wanted),
@@ -241,13 +249,14 @@
     net.heal();
     net.run(300 * S, |_, _| {});
     let changes = &net.part(0).unwrap().changes[from..];
-    let ways: Vec<(Standing, Standing)> = changes.iter().map(|(_, was, is)| (*was, *is)).collect();
+    let ways: Vec<(QuorumState, QuorumState)> =
+        changes.iter().map(|(_, was, is)| (*was, *is)).collect();
     assert_eq!(
         ways.first(),
-        Some(&(Standing::Agreed, Standing::Few)),
+        Some(&(QuorumState::Agreed, QuorumState::Few)),
         "{ways:?}"
     );
-    assert_eq!(standing(&net, 0), Standing::Agreed, "{ways:?}");
+    assert_eq!(standing(&net, 0), QuorumState::Agreed, "{ways:?}");
     // Straight to the worse, never from one better to another within less than it must hold.
     for pair in changes.windows(2) {
         let ((at, _, was), (then, _, is)) = (pair[0], pair[1]);
@@ -269,13 +278,13 @@
         net.kill(id);
     }
     net.run(100 * S, |_, _| {});
-    let belong = |net: &Net<Fellow>| net.part(0).unwrap().place.belong();
-    assert_eq!((belong(&net), standing(&net, 0)), (5, Standing::Agreed));
+    let belong = |net: &Net<Fellow>| net.part(0).unwrap().place.voter_count();
+    assert_eq!((belong(&net), standing(&net, 0)), (5, QuorumState::Agreed));
     [2, 3, 4].into_iter().for_each(|id| net.kill(id));
     net.run(200 * S, |_, _| {});
     assert_eq!(
         (belong(&net), standing(&net, 0)),
-        (5, Standing::Few),
+        (5, QuorumState::Few),
         "two of five, for good"
     );
     net.restart(2, |now, at| {
@@ -284,7 +293,7 @@
     net.run(260 * S, |_, _| {});
     assert_eq!(
         (belong(&net), standing(&net, 0)),
-        (5, Standing::Agreed),
+        (5, QuorumState::Agreed),
         "a restart belongs as it did"
     );
     let missing: Vec<String> = net
@@ -297,10 +306,10 @@
     assert_eq!(missing, [name(3), name(4)]);
 }
 
-fn view(missing: &[&str], rows: Vec<Row>) -> View {
+fn view(missing: &[&str], rows: Vec<VoterRecord>) -> View {
     let missing: Vec<String> = missing.iter().map(|name| name.to_string()).collect();
     View {
-        roster: 0,
+        voters: 0,
         living: 0,
         missed: missing.len() as u32,
         missing,
@@ -309,87 +318,94 @@
     }
 }
 
-fn life(id: Id) -> Life {
-    Life {
+fn life(id: Id) -> MemberId {
+    MemberId {
         name: name(id),
-        life: 1,
+        incarnation: 1,
     }
 }
 
 #[test]
 fn a_better_standing_is_believed_only_once_it_has_held() {
-    let mut place = Place::new(0, life(0), Rules::default());
+    let mut place = Quorum::new(0, life(0), Rules::default());
     let (both, none) = ([life(1), life(2)], []);
-    place.living(0, both.iter());
-    assert_eq!((place.look(0), place.look(2 * S)), (None, None));
+    place.set_alive(0, both.iter());
+    assert_eq!((place.update(0), place.update(2 * S)), (None, None));
     // A moment without them, and it begins anew.
-    place.living(2 * S, none.iter());
-    assert_eq!(place.look(2 * S), None, "it never rose");
-    place.living(2 * S + 1, both.iter());
+    place.set_alive(2 * S, none.iter());
+    assert_eq!(place.update(2 * S), None, "it never rose");
+    place.set_alive(2 * S + 1, both.iter());
     // They came back: steady after 3 s, and then it must hold for as long.
     assert_eq!(
-        (place.look(4 * S), place.look(5 * S + 2), place.look(7 * S)),
+        (
+            place.update(4 * S),
+            place.update(5 * S + 2),
+            place.update(7 * S)
+        ),
         (None, None, None)
     );
     assert_eq!(
-        place.look(8 * S + 2),
-        Some((Standing::Alone, Standing::Agreed))
+        place.update(8 * S + 2),
+        Some((QuorumState::Alone, QuorumState::Agreed))
     );
 }
 
 #[test]
 fn one_that_was_voted_out_comes_back_by_an_entry_of_its_own() {
-    let mut out = Place::new(0, life(0), Rules::default());
-    let gone = Row {
-        who: life(0),
+    let mut out = Quorum::new(0, life(0), Rules::default());
+    let gone = VoterRecord {
+        id: life(0),
         entry: 0,
         belongs: false,
     };
-    out.heard(0, &life(1), view(&[], vec![gone.clone()]));
-    let own = out.view(0, &life(1)).rows[0].clone();
+    out.receive_view(0, &life(1), view(&[], vec![gone.clone()]));
+    let own = out.view_for(0, &life(1)).rows[0].clone();
     assert_eq!(
         own,
-        Row {
-            who: life(0),
+        VoterRecord {
+            id: life(0),
             entry: 1,
             belongs: true
         }
     );
-    let mut other = Place::new(0, life(1), Rules::default());
-    other.heard(0, &life(2), view(&[], vec![gone.clone()]));
-    other.living(0, [life(0)].iter());
+    let mut other = Quorum::new(0, life(1), Rules::default());
+    other.receive_view(0, &life(2), view(&[], vec![gone.clone()]));
+    other.set_alive(0, [life(0)].iter());
     assert_eq!(
-        other.belong(),
+        other.voter_count(),
         1,
         "that it lives brings it back for nobody who knows that it is out"
     );
-    other.heard(0, &life(0), view(&[], vec![own]));
-    other.heard(0, &life(2), view(&[], vec![gone]));
-    assert_eq!(other.belong(), 2);
+    other.receive_view(0, &life(0), view(&[], vec![own]));
+    other.receive_view(0, &life(2), view(&[], vec![gone]));
+    assert_eq!(other.voter_count(), 2);
 }
 
 #[test]
 fn one_that_does_not_hear_us_is_not_reached_and_named_so() {
-    let mut place = Place::new(0, life(0), Rules::default());
+    let mut place = Quorum::new(0, life(0), Rules::default());
     let others = [life(1), life(2)];
-    place.living(0, others.iter());
-    place.look(0);
-    place.look(4 * S);
-    assert_eq!(place.standing().0, Standing::Agreed);
-    place.heard(5 * S, &life(1), view(&["s-00"], Vec::new()));
+    place.set_alive(0, others.iter());
+    place.update(0);
+    place.update(4 * S);
+    assert_eq!(place.state(), QuorumState::Agreed);
+    place.receive_view(5 * S, &life(1), view(&["s-00"], Vec::new()));
     assert_eq!(place.deaf_to_us(5 * S).collect::<Vec<_>>(), ["s-01"]);
     assert_eq!(place.missing(5 * S).collect::<Vec<_>>(), ["s-01"]);
-    place.heard(5 * S, &life(2), view(&["s-00"], Vec::new()));
-    assert_eq!(place.look(5 * S), Some((Standing::Agreed, Standing::Alone)));
+    place.receive_view(5 * S, &life(2), view(&["s-00"], Vec::new()));
+    assert_eq!(
+        place.update(5 * S),
+        Some((QuorumState::Agreed, QuorumState::Alone))
+    );
 }
 
 #[test]
 fn of_an_absurd_view_only_as_much_is_read_as_anyone_says() {
-    let mut place = Place::new(0, life(0), Rules::default());
-    place.living(0, [life(1)].iter());
+    let mut place = Quorum::new(0, life(0), Rules::default());
+    place.set_alive(0, [life(1)].iter());
     let rows = (100..10_100)
-        .map(|id| Row {
-            who: life(id),
+        .map(|id| VoterRecord {
+            id: life(id),
             entry: 0,
             belongs: true,
         })
@@ -397,23 +413,26 @@
     let names: Vec<String> = (0..10_000).map(|n| format!("{n:060}")).collect();
     let mut missing: Vec<&str> = names.iter().map(String::as_str).collect();
     missing.push("s-00");
-    place.heard(S, &life(1), view(&missing, rows));
-    assert_eq!((place.belong(), place.deaf_to_us(S).count()), (2 + 12, 0));
+    place.receive_view(S, &life(1), view(&missing, rows));
+    assert_eq!(
+        (place.voter_count(), place.deaf_to_us(S).count()),
+        (2 + 12, 0)
+    );
 }
 
 #[test]
 fn views_that_go_on_differing_are_a_dispute_that_says_who_misses_whom() {
-    let mut place = Place::new(0, life(0), Rules::default());
-    let others: Vec<Life> = (1..5).map(life).collect();
-    place.living(0, others.iter());
-    place.look(0);
-    place.look(4 * S);
-    place.heard(5 * S, &life(1), view(&["s-03"], Vec::new()));
-    assert_eq!(place.look(5 * S), None, "news takes its time");
-    place.heard(16 * S, &life(1), view(&["s-03"], Vec::new()));
+    let mut place = Quorum::new(0, life(0), Rules::default());
+    let others: Vec<MemberId> = (1..5).map(life).collect();
+    place.set_alive(0, others.iter());
+    place.update(0);
+    place.update(4 * S);
+    place.receive_view(5 * S, &life(1), view(&["s-03"], Vec::new()));
+    assert_eq!(place.update(5 * S), None, "news takes its time");
+    place.receive_view(16 * S, &life(1), view(&["s-03"], Vec::new()));
     assert_eq!(
-        place.look(16 * S),
-        Some((Standing::Agreed, Standing::Disputed))
+        place.update(16 * S),
+        Some((QuorumState::Agreed, QuorumState::Disputed))
     );
     let disputes = place.disputes(16 * S);
     assert_eq!(
@@ -421,22 +440,22 @@
         (1, "s-01", 5 * S)
     );
     assert_eq!(disputes[0].it_misses, ["s-03"]);
-    assert!(disputes[0].roster && disputes[0].we_miss.is_empty());
+    assert!(disputes[0].voters && disputes[0].we_miss.is_empty());
 }
 
 #[test]
 fn one_that_comes_and_goes_counts_for_less_and_less() {
-    let mut place = Place::new(0, life(0), Rules::default());
+    let mut place = Quorum::new(0, life(0), Rules::default());
     let (both, one) = ([life(1), life(2)], [life(1)]);
-    place.living(0, both.iter());
+    place.set_alive(0, both.iter());
     let mut now = 10 * S;
     let mut waits = Vec::new();
     for _ in 0..4 {
-        place.living(now, one.iter());
-        place.living(now + S, both.iter());
+        place.set_alive(now, one.iter());
+        place.set_alive(now + S, both.iter());
         now += S;
         let back = now;
-        while place.unsteady(now).next().is_some() {
+        while place.flapping(now).next().is_some() {
             now += S;
         }
         waits.push((now - back) / S);
@@ -444,26 +463,26 @@
     assert_eq!(waits, [3, 9, 21, 45]);
     // Forgiven after a long steady time.
     now += 4_000 * S;
-    (0..50).for_each(|n| place.living(now + n * 400 * S, both.iter()));
+    (0..50).for_each(|n| place.set_alive(now + n * 400 * S, both.iter()));
     now += 50 * 400 * S;
-    place.living(now, one.iter());
-    place.living(now, both.iter());
-    assert!(place.unsteady(now + 3 * S).next().is_none());
+    place.set_alive(now, one.iter());
+    place.set_alive(now, both.iter());
+    assert!(place.flapping(now + 3 * S).next().is_none());
 }
 
 /// A minority's word, however often it is said and by whatever lives, takes nobody out of the roster.
 #[test]
 fn only_more_than_half_of_all_who_belong_vote_one_out() {
     for (voters, gone) in [(1, false), (2, true)] {
-        let mut place = Place::new(0, life(0), Rules::default());
-        let five: Vec<Life> = (1..5).map(life).collect();
-        place.living(0, five.iter());
-        place.living(S, five[..voters].iter());
+        let mut place = Quorum::new(0, life(0), Rules::default());
+        let five: Vec<MemberId> = (1..5).map(life).collect();
+        place.set_alive(0, five.iter());
+        place.set_alive(S, five[..voters].iter());
         let now = 700 * S;
         for _ in 0..3 {
             for voter in &five[..voters] {
                 let out = vec![(name(4), 1, 0)];
-                place.heard(
+                place.receive_view(
                     now,
                     voter,
                     View {
@@ -474,7 +493,7 @@
             }
             // A stranger has no word in it.
             let out = vec![(name(4), 1, 0)];
-            place.heard(
+            place.receive_view(
                 now,
                 &life(9),
                 View {
@@ -482,25 +501,27 @@
                     ..view(&[], Vec::new())
                 },
             );
-            place.look(now);
+            place.update(now);
         }
         assert_eq!(
-            place.belong() == 4,
+            place.voter_count() == 4,
             gone,
             "{voters} voters beside us, of five"
         );
     }
 }
 
-fn rows() -> impl Strategy<Value = Vec<Row>> {
+fn rows() -> impl Strategy<Value = Vec<VoterRecord>> {
     let row =
-        (1..5usize, 1..3u64, 0..3u32, any::<bool>()).prop_map(|(id, life, entry, belongs)| Row {
-            who: Life {
-                name: name(id),
-                life,
-            },
-            entry,
-            belongs,
+        (1..5usize, 1..3u64, 0..3u32, any::<bool>()).prop_map(|(id, life, entry, belongs)| {
+            VoterRecord {
+                id: MemberId {
+                    name: name(id),
+                    incarnation: life,
+                },
+                entry,
+                belongs,
+            }
         });
     prop::collection::vec(row, 0..10)
 }
@@ -509,12 +530,12 @@
     /// Rosters merge alike in any order and however often.
     #[test]
     fn rosters_merge_in_any_order_and_any_number_of_times(one in rows(), two in rows()) {
-        let tell = |all: &[&Vec<Row>]| {
-            let mut place = Place::new(0, life(0), Rules::default());
+        let tell = |all: &[&Vec<VoterRecord>]| {
+            let mut place = Quorum::new(0, life(0), Rules::default());
             for rows in all {
-                place.heard(0, &life(1), view(&[], rows.to_vec()));
+                place.receive_view(0, &life(1), view(&[], rows.to_vec()));
             }
-            place.view(0, &life(1)).roster
+            place.view_for(0, &life(1)).voters
         };
         prop_assert_eq!(tell(&[&one, &two]), tell(&[&two, &one, &two, &one]));
     }
--- a/crates/membership/tests/simulated.rs
+++ b/crates/membership/tests/simulated.rs
@@ -1,16 +1,19 @@
 //! The fellowship over the simulated network: the same code as on sockets, by seed, without a sleep.
 
 use havenplank_emulator::net::{Clock, Id, Nanos, Net, Part, Weather};
-use havenplank_membership::node::{Happened, Node, WAITING};
-use havenplank_membership::swim::{Event, News, Rules, State};
-use havenplank_membership::wire::{Key, Life, Refused};
+use havenplank_membership::frame::Rejection;
+use havenplank_membership::keys::Key;
+use havenplank_membership::member::MemberId;
+use havenplank_membership::member::{Member, MemberState};
+use havenplank_membership::node::{Node, NodeEvent, MAX_PENDING_MESSAGES};
+use havenplank_membership::swim::{MemberEvent, Rules};
 use std::net::SocketAddr;
 
 const S: Nanos = 1_000_000_000;
 
 struct Fellow {
     node: Node,
-    told: Vec<(Nanos, Event)>,
+    told: Vec<(Nanos, MemberEvent)>,
     /// Datagrams that came, to be played again.
     came: Vec<Vec<u8>>,
 }
@@ -18,7 +21,7 @@
 impl Part for Fellow {
     fn heard(&mut self, now: Nanos, bytes: &[u8]) {
         self.came.push(bytes.to_vec());
-        self.node.heard(now, bytes);
+        self.node.receive_datagram(now, bytes);
         self.look(now);
     }
     fn wake(&mut self, now: Nanos) {
@@ -29,22 +32,22 @@
         self.node.next_wake()
     }
     fn datagram(&mut self) -> Option<(SocketAddr, Vec<u8>)> {
-        self.node.datagram()
+        self.node.next_datagram()
     }
 }
 
 impl Fellow {
     fn new(now: Nanos, at: SocketAddr, name: &str, life: u64, key: u8) -> Fellow {
-        let who = Life {
+        let id = MemberId {
             name: name.into(),
-            life,
+            incarnation: life,
         };
-        let me = News {
-            who,
-            at,
+        let me = Member {
+            id,
+            address: at,
             zone: "z".into(),
-            round: 0,
-            state: State::Lives,
+            refutations: 0,
+            state: MemberState::Alive,
         };
         let seeds = vec![Net::<Fellow>::address(0)];
         let seed = u64::from(key) << 32
@@ -68,8 +71,8 @@
     }
 
     fn look(&mut self, now: Nanos) {
-        while let Some(happened) = self.node.happened() {
-            if let Happened::Told(event) = happened {
+        while let Some(happened) = self.node.next_event() {
+            if let NodeEvent::Membership(event) = happened {
                 self.told.push((now, event));
             }
         }
@@ -77,16 +80,16 @@
 
     fn names(&self) -> Vec<String> {
         self.node
-            .fellows()
-            .living()
-            .map(|news| news.who.name.clone())
+            .membership()
+            .alive()
+            .map(|news| news.id.name.clone())
             .collect()
     }
 
     fn lost(&self) -> usize {
         self.told
             .iter()
-            .filter(|(_, event)| matches!(event, Event::Lost(_)))
+            .filter(|(_, event)| matches!(event, MemberEvent::Lost(_)))
             .count()
     }
 }
@@ -177,21 +180,21 @@
                 net.part(*id)
                     .unwrap()
                     .node
-                    .fellows()
+                    .membership()
                     .get(&name(5))
                     .unwrap()
-                    .who
-                    .life,
+                    .id
+                    .incarnation,
                 2
             );
         }
         // What was sent to its first life, played to the second, changes nothing.
         let now = net.own_time(5);
         let part = net.part_mut(5).unwrap();
-        let (told, before) = (part.told.len(), part.node.refused.total());
+        let (told, before) = (part.told.len(), part.node.rejected.total());
         old.iter().for_each(|bytes| part.heard(now, bytes));
         assert_eq!(
-            (part.told.len(), part.node.refused.total() - before),
+            (part.told.len(), part.node.rejected.total() - before),
             (told, old.len() as u64)
         );
     }
@@ -215,7 +218,7 @@
             .told
             .iter()
             .any(|(_, event)| match event {
-                Event::Lost(who) | Event::Suspected(who) => who.name != name(4),
+                MemberEvent::Lost(who) | MemberEvent::Suspected(who) => who.name != name(4),
                 _ => false,
             })
     };
@@ -224,7 +227,7 @@
     assert!(
         !woken
             .iter()
-            .any(|(_, event)| matches!(event, Event::Lost(_))),
+            .any(|(_, event)| matches!(event, MemberEvent::Lost(_))),
         "{woken:?}"
     );
 }
@@ -263,7 +266,7 @@
     net.run(30 * S, |_, _| {});
     let all: Vec<Id> = (0..6).collect();
     assert!(agree(&net, &all));
-    assert!(net.part(0).unwrap().node.refused.of(Refused::BadSum) > 5);
+    assert!(net.part(0).unwrap().node.rejected.of(Rejection::BadSum) > 5);
     // Everything that 0 ever heard, again, minutes later, and to another than it was for.
     net.run(300 * S, |_, _| {});
     let old = net.part(0).unwrap().came.clone();
@@ -275,8 +278,8 @@
         assert_eq!(part.told.len(), told);
         while part.datagram().is_some() {}
     }
-    assert!(net.part(0).unwrap().node.refused.of(Refused::Repeated) > 100);
-    assert!(net.part(1).unwrap().node.refused.of(Refused::NotForUs) > 100);
+    assert!(net.part(0).unwrap().node.rejected.of(Rejection::Repeated) > 100);
+    assert!(net.part(1).unwrap().node.rejected.of(Rejection::NotForUs) > 100);
     net.run(330 * S, |_, _| {});
     assert!(agree(&net, &all));
 }
@@ -292,7 +295,7 @@
         vec![new],
     ] {
         for id in 0..6 {
-            net.part_mut(id).unwrap().node.rekey(keys.clone());
+            net.part_mut(id).unwrap().node.replace_keys(keys.clone());
             net.run(net.now() + 3 * S, |_, _| {});
         }
     }
@@ -313,47 +316,47 @@
     let mut net = fleet(2, 1, Weather::default());
     net.run(10 * S, |_, _| {});
     let now = net.own_time(1);
-    let to = Life {
+    let to = MemberId {
         name: name(1),
-        life: 1,
+        incarnation: 1,
     };
     let sender = net.part_mut(0).unwrap();
     let mut letters = Vec::new();
-    let burst = WAITING + 50;
+    let burst = MAX_PENDING_MESSAGES + 50;
     for n in 0..burst + 2 {
         let kind = if n < burst { 2 } else { 3 };
         assert!(sender.node.send(&to, kind, vec![n as u8]));
-        letters.extend(sender.node.datagram());
+        letters.extend(sender.node.next_datagram());
     }
     let hears = &mut net.part_mut(1).unwrap().node;
-    hears.reads(2);
-    hears.reads(3);
+    hears.accept_kind(2);
+    hears.accept_kind(3);
     letters
         .iter()
-        .for_each(|(_, letter)| hears.heard(now, letter));
-    assert_eq!(hears.overrun, [(2, 50)].into());
+        .for_each(|(_, letter)| hears.receive_datagram(now, letter));
+    assert_eq!(hears.overflowed, [(2, 50)].into());
     // In the order in which they came, the newest lost; then there is room again.
     let mut came = Vec::new();
-    while let Some(happened) = hears.happened() {
+    while let Some(happened) = hears.next_event() {
         came.extend(match happened {
-            Happened::Came { kind, body, .. } => Some((kind, body[0])),
-            Happened::Told(_) => None,
+            NodeEvent::Message { kind, body, .. } => Some((kind, body[0])),
+            NodeEvent::Membership(_) => None,
         });
     }
-    let wanted = (0..WAITING)
+    let wanted = (0..MAX_PENDING_MESSAGES)
         .map(|n| (2, n as u8))
         .chain([(3, burst as u8), (3, burst as u8 + 1)]);
     assert_eq!(came, wanted.collect::<Vec<_>>());
     let sender = &mut net.part_mut(0).unwrap().node;
     assert!(sender.send(&to, 2, vec![9]));
-    let (_, letter) = sender.datagram().unwrap();
+    let (_, letter) = sender.next_datagram().unwrap();
     let hears = &mut net.part_mut(1).unwrap().node;
-    hears.heard(now, &letter);
+    hears.receive_datagram(now, &letter);
     assert!(matches!(
-        hears.happened(),
-        Some(Happened::Came { kind: 2, .. })
+        hears.next_event(),
+        Some(NodeEvent::Message { kind: 2, .. })
     ));
-    assert_eq!(hears.overrun, [(2, 50)].into());
+    assert_eq!(hears.overflowed, [(2, 50)].into());
 }
 
 #[test]
--- a/crates/sidecar/src/configuration.rs
+++ b/crates/sidecar/src/configuration.rs
@@ -95,7 +95,7 @@
     };
     let spreader = Spreader::new(
         fellowship.now(),
-        seed ^ me.life.life,
+        seed ^ me.life.incarnation,
         me,
         Role::Sidecar,
         held,
--- a/crates/sidecar/src/distributor.rs
+++ b/crates/sidecar/src/distributor.rs
@@ -213,7 +213,7 @@
         life: fellowship.me().clone(),
         zone: DISTRIBUTOR_ZONE.to_string(),
     };
-    let seed = me.life.life;
+    let seed = me.life.incarnation;
     Spreader::new(fellowship.now(), seed, me, role, kept, Rules::default())
 }
 
--- a/crates/sidecar/src/fellowship.rs
+++ b/crates/sidecar/src/fellowship.rs
@@ -1,12 +1,13 @@
 //! Where a sidecar hears the others: the fellowship's sockets and keys, who here reads which kind of message, and what
 //! it may believe of its own place.
 
-use havenplank_membership::node::{Happened, Node};
-use havenplank_membership::shell::{log, new_life, read_keys, KeysError, Talker};
-use havenplank_membership::standing::{Dispute, Rules as Belonging, Standing};
-use havenplank_membership::swim::{News, Rules, State};
-use havenplank_membership::views::{Change, Views, VIEWS};
-use havenplank_membership::wire::Life;
+use havenplank_membership::keys::{read_keys, KeyFileError};
+use havenplank_membership::member::{Member, MemberId, MemberState};
+use havenplank_membership::node::{Node, NodeEvent};
+use havenplank_membership::quorum::{Dispute, QuorumState, Rules as Belonging};
+use havenplank_membership::swim::Rules;
+use havenplank_membership::transport::{log_event, new_incarnation, Transport};
+use havenplank_membership::view_exchange::{Change, ViewExchange, VIEW_KIND};
 use havenplank_settings::Fellowship as Settings;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -25,7 +26,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum FellowshipError {
     #[error("fellowship.keys: {0}")]
-    Keys(#[from] KeysError),
+    Keys(#[from] KeyFileError),
     #[error("fellowship.listen {at}: {error}; expected an address of this machine whose port is free for UDP and TCP")]
     Listen {
         at: SocketAddr,
@@ -34,14 +35,14 @@
 }
 
 /// Reads the messages of one kind.
-type Ear = Rc<dyn Fn(&Life, &[u8])>;
+type Ear = Rc<dyn Fn(&MemberId, &[u8])>;
 
 pub struct Fellowship {
-    talker: Rc<Talker>,
-    me: Life,
+    transport: Rc<Transport>,
+    me: MemberId,
     /// By kind of message. One row a part of the program that talks, set at the start.
     ears: RefCell<BTreeMap<u8, Ear>>,
-    views: RefCell<Views>,
+    views: RefCell<ViewExchange>,
     /// Views are told to one fellow after the other, once a period.
     period: Duration,
 }
@@ -51,7 +52,7 @@
 pub struct Glance {
     pub living: Vec<String>,
     pub slowness: u32,
-    pub standing: Option<Standing>,
+    pub standing: Option<QuorumState>,
     /// For how long that has held, in ns.
     pub stands_for: u64,
     pub belong: usize,
@@ -80,38 +81,42 @@
         zone: &str,
     ) -> Result<Rc<Fellowship>, FellowshipError> {
         let keys = read_keys(&settings.keys)?;
-        let me = Life {
+        let me = MemberId {
             name: name.to_string(),
-            life: new_life(),
+            incarnation: new_incarnation(),
         };
         let rules = Rules {
             period: settings.period,
-            answer: settings.period * 3 / 10,
+            ping_timeout: settings.period * 3 / 10,
             ..Rules::default()
         };
-        let talker = Talker::bind(settings.listen, |now, bound| {
-            let at = settings.advertise.unwrap_or(bound);
-            let (who, zone) = (me.clone(), zone.to_string());
-            let news = News {
-                who,
-                at,
+        let transport = Transport::bind(settings.listen, |now, bound| {
+            let address = settings.advertise.unwrap_or(bound);
+            let (id, zone) = (me.clone(), zone.to_string());
+            let news = Member {
+                id,
+                address,
                 zone,
-                round: 0,
-                state: State::Lives,
+                refutations: 0,
+                state: MemberState::Alive,
             };
-            let seed = me.life ^ u64::from(bound.port()) << 48;
+            let seed = me.incarnation ^ u64::from(bound.port()) << 48;
             Node::new(now, seed, news, settings.meet.clone(), rules, keys)
         });
-        let talker = talker.await.map_err(|error| FellowshipError::Listen {
+        let transport = transport.await.map_err(|error| FellowshipError::Listen {
             at: settings.listen,
             error,
         })?;
-        talker.call(|node, _| node.reads(VIEWS));
-        let views = RefCell::new(Views::new(talker.now(), me.clone(), Belonging::default()));
+        transport.call(|node, _| node.accept_kind(VIEW_KIND));
+        let views = RefCell::new(ViewExchange::new(
+            transport.now(),
+            me.clone(),
+            Belonging::default(),
+        ));
         let period = Duration::from_nanos(settings.period);
         let ears = RefCell::default();
         Ok(Rc::new(Fellowship {
-            talker,
+            transport,
             me,
             ears,
             views,
@@ -120,8 +125,8 @@
     }
 
     /// From now on messages of this kind come here. One part of the program owns a kind.
-    pub fn reads(&self, kind: u8, ear: impl Fn(&Life, &[u8]) + 'static) {
-        self.talker.call(|node, _| node.reads(kind));
+    pub fn reads(&self, kind: u8, ear: impl Fn(&MemberId, &[u8]) + 'static) {
+        self.transport.call(|node, _| node.accept_kind(kind));
         self.ears.borrow_mut().insert(kind, Rc::new(ear));
     }
 
@@ -129,7 +134,7 @@
     pub fn run(self: &Rc<Self>, keys: PathBuf) {
         let hears = self.clone();
         spawn_local(
-            self.talker
+            self.transport
                 .clone()
                 .run(move |_, happened| hears.happened(happened)),
         );
@@ -137,11 +142,11 @@
         spawn_local(self.clone().tell_views());
     }
 
-    fn happened(&self, happened: Happened) {
+    fn happened(&self, happened: NodeEvent) {
         match happened {
-            Happened::Came {
+            NodeEvent::Message {
                 from,
-                kind: VIEWS,
+                kind: VIEW_KIND,
                 body,
             } => {
                 let received = self.views.borrow_mut().receive(self.now(), &from, &body);
@@ -149,15 +154,15 @@
                     tracing::warn!(fellow = from.name, "view passed over: not readable");
                 }
             }
-            Happened::Came { from, kind, body } => {
+            NodeEvent::Message { from, kind, body } => {
                 let ear = self.ears.borrow().get(&kind).cloned();
                 if let Some(ear) = ear {
                     ear(&from, &body);
                 }
             }
-            Happened::Told(event) => {
+            NodeEvent::Membership(event) => {
                 self.views.borrow_mut().observe(self.now(), &event);
-                log(event);
+                log_event(event);
             }
         }
     }
@@ -169,7 +174,7 @@
         loop {
             beat.tick().await;
             let change = self
-                .talker
+                .transport
                 .call(|node, now| self.views.borrow_mut().tick(now, node));
             if let Some(change) = change {
                 self.log_change(change);
@@ -179,7 +184,10 @@
 
     fn log_change(&self, Change { was, is }: Change) {
         let (now, views) = (self.now(), self.views.borrow());
-        let (belong, missing) = (views.place().belong(), views.place().missing(now).count());
+        let (belong, missing) = (
+            views.quorum().voter_count(),
+            views.quorum().missing(now).count(),
+        );
         if is > was {
             tracing::warn!(?was, ?is, belong, missing, "standing");
         } else {
@@ -195,71 +203,71 @@
             match read_keys(&file) {
                 Ok(read) => {
                     tracing::info!(keys = read.len(), "keys read again");
-                    self.talker.call(|node, _| node.rekey(read));
+                    self.transport.call(|node, _| node.replace_keys(read));
                 }
                 Err(why) => tracing::warn!(%why, "keys refused, the old ones stay"),
             }
         }
     }
 
-    pub fn me(&self) -> &Life {
+    pub fn me(&self) -> &MemberId {
         &self.me
     }
 
     /// Nanoseconds since the start, on the monotonic clock.
     pub fn now(&self) -> u64 {
-        self.talker.now()
+        self.transport.now()
     }
 
     /// Where other sidecars reach it.
     pub fn at(&self) -> Option<SocketAddr> {
-        self.talker.at().ok()
+        self.transport.local_address().ok()
     }
 
     /// Says something to a fellow. One that is not known any more hears nothing, as if it were lost on the way.
-    pub fn say(&self, to: &Life, kind: u8, body: Vec<u8>) {
-        self.talker.call(|node, _| node.send(to, kind, body));
+    pub fn say(&self, to: &MemberId, kind: u8, body: Vec<u8>) {
+        self.transport.call(|node, _| node.send(to, kind, body));
     }
 
     /// The others that live, as far as known here.
-    pub fn living<T>(&self, look: impl FnOnce(&mut dyn Iterator<Item = &News>) -> T) -> T {
-        self.talker
-            .call(|node, _| look(&mut node.fellows().living()))
+    pub fn living<T>(&self, look: impl FnOnce(&mut dyn Iterator<Item = &Member>) -> T) -> T {
+        self.transport
+            .call(|node, _| look(&mut node.membership().alive()))
     }
 
     /// Tells the others that it goes.
     pub fn leave(&self) {
-        self.talker.call(|node, _| node.leave());
+        self.transport.call(|node, _| node.leave());
     }
 
     pub fn glance(&self) -> Glance {
-        let unsent = self.talker.lost();
+        let unsent = self.transport.dropped_sends();
         let (now, views) = (self.now(), self.views.borrow());
-        let place = views.place();
-        let (standing, since) = place.standing();
+        let place = views.quorum();
+        let (standing, since) = (place.state(), place.state_since());
         let shown =
             |names: &mut dyn Iterator<Item = &str>| names.take(SHOWN).map(str::to_string).collect();
         let mut disputes = place.disputes(now);
         disputes.truncate(SHOWN);
-        self.talker.call(|node, _| Glance {
+        self.transport.call(|node, _| Glance {
             living: node
-                .fellows()
-                .living()
-                .map(|news| news.who.name.clone())
+                .membership()
+                .alive()
+                .map(|news| news.id.name.clone())
                 .collect(),
-            slowness: node.fellows().slowness(),
+            slowness: node.membership().health_score(),
             standing: Some(standing),
             stands_for: now.saturating_sub(since),
-            belong: place.belong(),
-            reached: place.belong() - place.missing(now).count(),
+            belong: place.voter_count(),
+            reached: place.voter_count() - place.missing(now).count(),
             missing: shown(&mut place.missing(now)),
             deaf_to_us: shown(&mut place.deaf_to_us(now)),
-            unsteady: shown(&mut place.unsteady(now)),
+            unsteady: shown(&mut place.flapping(now)),
             disputes,
             sent: node.sent,
             sent_bytes: node.sent_bytes,
-            refused: node.refused.total(),
-            overrun: node.overrun.values().sum(),
+            refused: node.rejected.total(),
+            overrun: node.overflowed.values().sum(),
             unsent,
         })
     }
