--- a/crates/sidecar/src/guard.rs
+++ b/crates/sidecar/src/guard.rs
@@ -2,11 +2,13 @@
 //! for what fellows say.
 
 use crate::fellowship::Fellowship;
-use havenplank_membership::wire::Life;
+use havenplank_membership::member::MemberId;
 use havenplank_settings::{Takeover as Settings, DISTRIBUTOR_ZONE};
-use havenplank_takeover::placement::{pick, Candidate};
+use havenplank_takeover::placement::{choose_backups, Candidate};
 use havenplank_takeover::record::{AttemptState, Message, Outcome, Record, RequestId};
-use havenplank_takeover::{Effect, Nanos, Rules, Takeover};
+use havenplank_takeover::{
+    Effect, IncomingRequest, Nanos, RequiredAcks, Rules, TableSizes, Takeover,
+};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -86,7 +88,12 @@
         let (begun, begins) = mpsc::unbounded_channel();
         let me = fellowship.me();
         let guard = Rc::new(Guard {
-            takeover: RefCell::new(Takeover::new(fellowship.now(), me.life, me.clone(), rules)),
+            takeover: RefCell::new(Takeover::new(
+                fellowship.now(),
+                me.incarnation,
+                me.clone(),
+                rules,
+            )),
             fellowship: fellowship.clone(),
             waits: RefCell::default(),
             many: settings.guardians,
@@ -114,7 +121,7 @@
         }
     }
 
-    fn heard(&self, from: &Life, body: &[u8]) {
+    fn heard(&self, from: &MemberId, body: &[u8]) {
         match postcard::from_bytes::<Message>(body) {
             Ok(message) => {
                 let now = self.fellowship.now();
@@ -213,21 +220,21 @@
     pub fn own_mark(&self) -> RequestId {
         self.own_marks.set(self.own_marks.get() + 1);
         let me = self.fellowship.me();
-        let (name, life) = (me.name.as_bytes(), me.life.to_le_bytes());
+        let (name, life) = (me.name.as_bytes(), me.incarnation.to_le_bytes());
         mark(&[name, &life, &self.own_marks.get().to_le_bytes()])
     }
 
-    fn backups(&self, mark: RequestId) -> Vec<Life> {
+    fn backups(&self, mark: RequestId) -> Vec<MemberId> {
         self.fellowship.living(|others| {
             // A distributor of the configuration takes nobody's work over.
             let sidecars = others.filter(|news| news.zone != DISTRIBUTOR_ZONE);
             let others: Vec<Candidate<'_>> = sidecars
                 .map(|news| Candidate {
-                    who: &news.who,
+                    id: &news.id,
                     zone: &news.zone,
                 })
                 .collect();
-            pick(mark, &others, self.many)
+            choose_backups(mark, &others, self.many)
         })
     }
 
@@ -241,12 +248,22 @@
     ) -> Claim {
         let (guardians, now) = (self.backups(mark), self.fellowship.now());
         let (tell, told) = oneshot::channel();
-        self.takeover
-            .borrow_mut()
-            .claim(now, mark, sum, hit, left, guardians);
+        let (payload, strict) = hit;
+        let required = match strict {
+            true => RequiredAcks::All,
+            false => RequiredAcks::Majority,
+        };
+        let incoming = IncomingRequest {
+            request: mark,
+            digest: sum,
+            payload,
+            remaining: left,
+            backups: guardians,
+        };
+        self.takeover.borrow_mut().claim(now, incoming, required);
         let mut joined = false;
         loop {
-            let effect = self.takeover.borrow_mut().effect();
+            let effect = self.takeover.borrow_mut().next_effect();
             match effect {
                 Some(Effect::Finished(known, done)) if known == mark => return Claim::Done(done),
                 Some(Effect::KeyReused(known)) if known == mark => return Claim::Differs,
@@ -274,9 +291,16 @@
     /// The same without waiting; where another has it, the hit is served all the same, as a repeat does no harm.
     pub fn claim_behind(&self, mark: RequestId, sum: u64, ask: Vec<u8>, left: Nanos) {
         let (guardians, now) = (self.backups(mark), self.fellowship.now());
+        let incoming = IncomingRequest {
+            request: mark,
+            digest: sum,
+            payload: ask,
+            remaining: left,
+            backups: guardians,
+        };
         self.takeover
             .borrow_mut()
-            .claim_in_background(now, mark, sum, ask, left, guardians);
+            .claim_in_background(now, incoming);
         self.act_all();
     }
 
@@ -307,7 +331,7 @@
     /// Everything that a call left.
     fn act_all(&self) {
         loop {
-            let effect = self.takeover.borrow_mut().effect();
+            let effect = self.takeover.borrow_mut().next_effect();
             let Some(effect) = effect else { return };
             self.act(effect);
         }
@@ -357,7 +381,11 @@
 
     pub fn glance(&self) -> Glance {
         let takeover = self.takeover.borrow();
-        let (held, kept, waiting) = takeover.sizes();
+        let TableSizes {
+            owned: held,
+            replicas: kept,
+            waiting,
+        } = takeover.table_sizes();
         let (unguarded, turned_away) = (takeover.unprotected, takeover.rejected_records);
         let taken_over = takeover.taken_over;
         Glance {
--- a/crates/sidecar/src/spreading.rs
+++ b/crates/sidecar/src/spreading.rs
@@ -5,8 +5,8 @@
 use havenplank_configuration::message::Message;
 use havenplank_configuration::snapshot::Snapshot;
 use havenplank_configuration::spread::{Effect, Event, Glance, Nanos, Peer, Peers, Spreader};
-use havenplank_membership::swim::News;
-use havenplank_membership::wire::Life;
+use havenplank_membership::member::Member;
+use havenplank_membership::member::MemberId;
 use serde_json::{json, Value};
 use std::cell::RefCell;
 use std::fmt::Display;
@@ -82,8 +82,8 @@
     }
 
     fn living(&self) -> Peers {
-        let peer = |news: &News| Peer {
-            life: news.who.clone(),
+        let peer = |news: &Member| Peer {
+            life: news.id.clone(),
             zone: news.zone.clone(),
         };
         Peers::new(self.fellowship.living(|others| others.map(peer).collect()))
@@ -97,7 +97,7 @@
         &self.host
     }
 
-    fn heard(&self, from: &Life, body: &[u8]) {
+    fn heard(&self, from: &MemberId, body: &[u8]) {
         match Message::decode(body) {
             Ok(message) => {
                 self.call(|spreader, now| spreader.heard(now, from, message, body.len()))
--- a/crates/takeover/src/lib.rs
+++ b/crates/takeover/src/lib.rs
@@ -10,4 +10,4 @@
 
 pub use havenplank_membership::Nanos;
 pub use rules::Rules;
-pub use takeover::{Effect, Takeover};
+pub use takeover::{Effect, IncomingRequest, RequiredAcks, TableSizes, Takeover};
--- a/crates/takeover/src/placement.rs
+++ b/crates/takeover/src/placement.rs
@@ -1,95 +1,76 @@
 //! Chooses the backups of a request by rendezvous hashing, so that every sidecar with the same peers finds the same ones.
 
 use crate::record::RequestId;
-use havenplank_membership::wire::Life;
+use havenplank_membership::member::MemberId;
+use std::collections::HashMap;
 
 /// A peer that may be chosen as a backup.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate<'a> {
-    pub who: &'a Life,
+    /// The peer.
+    pub id: &'a MemberId,
+    /// The zone that it runs in.
     pub zone: &'a str,
 }
 
-/// The first `many` peers in this request's order: the first of each zone before the second of any.
-pub fn pick(request: RequestId, fellows: &[Candidate<'_>], many: usize) -> Vec<Life> {
-    let weight = |fellow: &Candidate<'_>| {
-        let mut hash = blake3::Hasher::new();
-        hash.update(&request.to_le_bytes())
-            .update(fellow.who.name.as_bytes());
-        *hash.finalize().as_bytes()
-    };
-    let mut ranked: Vec<([u8; 32], &Candidate<'_>)> =
-        fellows.iter().map(|f| (weight(f), f)).collect();
-    ranked.sort_by(|one, two| two.0.cmp(&one.0).then_with(|| one.1.who.cmp(two.1.who)));
-    let mut picked: Vec<(usize, usize, &Life)> = Vec::new();
-    for (rank, (_, fellow)) in ranked.iter().enumerate() {
-        let before = ranked[..rank]
-            .iter()
-            .filter(|(_, other)| other.zone == fellow.zone)
-            .count();
-        picked.push((before, rank, fellow.who));
-    }
-    picked.sort();
-    picked
+/// Returns the first `count` peers in this request's order: the first of each zone before the second of any.
+///
+/// A peer that joins or leaves changes the choice of those requests alone that it backs up. Fewer than `count` are
+/// returned where there are fewer candidates.
+pub fn choose_backups(
+    request: RequestId,
+    candidates: &[Candidate<'_>],
+    count: usize,
+) -> Vec<MemberId> {
+    let mut chosen: Vec<Ranked<'_>> = spread_over_zones(&rank(request, candidates));
+    chosen.sort_by_key(|ranked| (ranked.earlier_in_zone, ranked.rank));
+    chosen.truncate(count);
+    chosen.into_iter().map(|ranked| ranked.id.clone()).collect()
+}
+
+/// A candidate's place in the order of a request.
+struct Ranked<'a> {
+    id: &'a MemberId,
+    /// Its rank among all candidates, from 0.
+    rank: usize,
+    /// Candidates of its zone with a better rank.
+    earlier_in_zone: usize,
+}
+
+/// Sorts the candidates by the request's hash weights, the heaviest first.
+fn rank<'a>(request: RequestId, candidates: &[Candidate<'a>]) -> Vec<Candidate<'a>> {
+    let mut weighted: Vec<([u8; blake3::OUT_LEN], Candidate<'a>)> = candidates
+        .iter()
+        .map(|candidate| (weight(request, candidate), *candidate))
+        .collect();
+    weighted.sort_by(|(one, first), (other, second)| {
+        other.cmp(one).then_with(|| first.id.cmp(second.id))
+    });
+    weighted
         .into_iter()
-        .take(many)
-        .map(|(_, _, who)| who.clone())
+        .map(|(_, candidate)| candidate)
         .collect()
 }
 
-#[cfg(test)]
-mod tests {
-    use super::*;
+/// The weight of a candidate for a request. The name alone counts: a restarted peer keeps its weight.
+fn weight(request: RequestId, candidate: &Candidate<'_>) -> [u8; blake3::OUT_LEN] {
+    let mut hash = blake3::Hasher::new();
+    hash.update(&request.to_le_bytes());
+    hash.update(candidate.id.name.as_bytes());
+    *hash.finalize().as_bytes()
+}
 
-    #[test]
-    fn zones_come_in_turn_and_a_loss_moves_only_what_it_held() {
-        let lives: Vec<Life> = (0..30)
-            .map(|n| Life {
-                name: format!("s-{n}"),
-                life: 1,
-            })
-            .collect();
-        let fellows: Vec<Candidate<'_>> = lives
-            .iter()
-            .enumerate()
-            .map(|(n, who)| Candidate {
-                who,
-                zone: ["a", "b", "c"][n % 3],
-            })
-            .collect();
-        let zone = |who: &Life| {
-            fellows
-                .iter()
-                .find(|f| f.who == who)
-                .map(|f| f.zone)
-                .unwrap()
-        };
-        let mut moved = 0;
-        for request in 0..300 {
-            let three = pick(request, &fellows, 3);
-            let mut zones: Vec<&str> = three.iter().map(zone).collect();
-            zones.sort();
-            assert_eq!(zones, ["a", "b", "c"]);
-            let without: Vec<Candidate<'_>> = fellows
-                .iter()
-                .filter(|f| f.who.name != "s-4")
-                .copied()
-                .collect();
-            let remaining = pick(request, &without, 3);
-            if three.contains(&lives[4]) {
-                moved += 1;
-                assert_eq!(
-                    remaining.iter().filter(|who| three.contains(who)).count(),
-                    2
-                );
-            } else {
-                assert_eq!(remaining, three);
-            }
+fn spread_over_zones<'a>(candidates: &[Candidate<'a>]) -> Vec<Ranked<'a>> {
+    let mut in_zone: HashMap<&str, usize> = HashMap::new();
+    let ranked = |(rank, candidate): (usize, &Candidate<'a>)| {
+        let count = in_zone.entry(candidate.zone).or_default();
+        let earlier_in_zone = *count;
+        *count += 1;
+        Ranked {
+            id: candidate.id,
+            rank,
+            earlier_in_zone,
         }
-        assert!(
-            (10..=55).contains(&moved),
-            "{moved} of 300 requests were guarded by one of thirty"
-        );
-        assert_eq!(pick(1, &fellows[..2], 3).len(), 2);
-    }
+    };
+    candidates.iter().enumerate().map(ranked).collect()
 }
--- a/crates/takeover/src/record.rs
+++ b/crates/takeover/src/record.rs
@@ -3,7 +3,7 @@
 //! All types travel as `postcard`, which encodes fields and variants by position: their order is part of the protocol.
 
 use crate::Nanos;
-use havenplank_membership::wire::Life;
+use havenplank_membership::member::MemberId;
 use serde::{Deserialize, Serialize};
 
 /// Identifies a request: a hash of the client's idempotency key, or of a unique value where it sent none.
@@ -56,7 +56,7 @@
 pub struct Record {
     pub request: RequestId,
     /// The sidecar that may act on the request.
-    pub owner: Life,
+    pub owner: MemberId,
     /// Grows with each change of owner.
     pub term: u32,
     /// Grows with each change that the owner of this term makes.
@@ -65,7 +65,7 @@
     /// request without backups, so nobody else may take over.
     pub confirmed: bool,
     /// The backups, the same from beginning to end.
-    pub backups: Vec<Life>,
+    pub backups: Vec<MemberId>,
     /// A hash of the request, which reveals a different request under the same key.
     pub digest: u64,
     /// The encoded request.
@@ -128,7 +128,7 @@
     Owned {
         request: RequestId,
         term: u32,
-        by: Life,
+        by: MemberId,
         differs: bool,
     },
     /// No room for another record.
--- a/crates/takeover/src/takeover.rs
+++ b/crates/takeover/src/takeover.rs
@@ -16,10 +16,12 @@
 mod owner;
 mod waiter;
 
+pub use claim::{IncomingRequest, RequiredAcks};
+
 use crate::record::{Message, Outcome, Record, RequestId};
 use crate::{Nanos, Rules};
 use backup::Replica;
-use havenplank_membership::wire::Life;
+use havenplank_membership::member::MemberId;
 use oorandom::Rand64;
 use owner::OwnedRequest;
 use std::collections::{BTreeMap, VecDeque};
@@ -30,7 +32,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Effect {
     /// Send this message.
-    Send { to: Life, message: Message },
+    Send { to: MemberId, message: Message },
     /// More than half of the backups have the request: it may begin.
     Claimed(RequestId),
     /// They know of the attempt with this index. Ask [`Takeover::may_send`] right before the write.
@@ -53,10 +55,21 @@
     Unknown(RequestId),
 }
 
+/// The number of entries in each table of a [`Takeover`].
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct TableSizes {
+    /// Requests in flight here.
+    pub owned: usize,
+    /// Records kept for other sidecars.
+    pub replicas: usize,
+    /// Requests whose outcome is awaited here.
+    pub waiting: usize,
+}
+
 /// The in-flight requests of one sidecar, the records it keeps for others, and the clients that wait for an answer.
 #[derive(Clone)]
 pub struct Takeover {
-    me: Life,
+    me: MemberId,
     rules: Rules,
     /// Requests in flight here; removed when all backups know the outcome, or [`Rules::retention`] after the deadline.
     owned: BTreeMap<RequestId, OwnedRequest>,
@@ -67,10 +80,10 @@
     /// a waiting client, whose number the listener bounds.
     waiting: BTreeMap<RequestId, Waiting>,
     /// Until when this sidecar takes over nothing from an owner. Removed with the last record kept for it.
-    granted: BTreeMap<Life, Nanos>,
+    granted: BTreeMap<MemberId, Nanos>,
     /// For each owner the value of `withdrawals` when this sidecar last voted against it. An owner without an entry has
     /// the current value, so that an entry that was removed and added again never shows an earlier epoch.
-    epochs: BTreeMap<Life, u32>,
+    epochs: BTreeMap<MemberId, u32>,
     withdrawals: u32,
     /// By backup: until when its lease to this sidecar lasts, and its epoch. Removed with the last request it backs up.
     leases: BTreeMap<String, (Nanos, u32)>,
@@ -111,7 +124,7 @@
 
 impl Takeover {
     /// An empty state machine; `seed` drives the retry jitter only.
-    pub fn new(now: Nanos, seed: u64, me: Life, rules: Rules) -> Takeover {
+    pub fn new(now: Nanos, seed: u64, me: MemberId, rules: Rules) -> Takeover {
         Takeover {
             me,
             rules,
@@ -133,7 +146,7 @@
     }
 
     /// The next effect to carry out, if any.
-    pub fn effect(&mut self) -> Option<Effect> {
+    pub fn next_effect(&mut self) -> Option<Effect> {
         self.effects.pop_front()
     }
 
@@ -152,9 +165,13 @@
         owned.chain(renew).chain(replica).chain(waiting).min()
     }
 
-    /// The sizes of the tables: requests in flight, records kept for others, and requests waited for.
-    pub fn sizes(&self) -> (usize, usize, usize) {
-        (self.owned.len(), self.replicas.len(), self.waiting.len())
+    /// Returns the sizes of the tables.
+    pub fn table_sizes(&self) -> TableSizes {
+        TableSizes {
+            owned: self.owned.len(),
+            replicas: self.replicas.len(),
+            waiting: self.waiting.len(),
+        }
     }
 
     /// The record kept here for the request's owner.
@@ -163,7 +180,7 @@
     }
 
     /// Handles a message of another sidecar.
-    pub fn receive(&mut self, now: Nanos, from: &Life, message: Message) {
+    pub fn receive(&mut self, now: Nanos, from: &MemberId, message: Message) {
         match message {
             Message::Store { record, stamp } if record.owner == *from => {
                 self.on_store(now, from, record, stamp)
@@ -228,7 +245,7 @@
     /// Forgets leases, granted or held, that no record or request needs any more.
     fn prune_leases(&mut self, now: Nanos) {
         let (replicas, owned) = (&self.replicas, &self.owned);
-        let is_owner = |owner: &Life| replicas.values().any(|replica| replica.owner == *owner);
+        let is_owner = |owner: &MemberId| replicas.values().any(|replica| replica.owner == *owner);
         self.granted
             .retain(|owner, until| now < *until || is_owner(owner));
         self.epochs
@@ -244,7 +261,7 @@
             .retain(|name, _| owned.values().any(|owned| backs_up(name, owned)));
     }
 
-    fn send(&mut self, to: &Life, message: Message) {
+    fn send(&mut self, to: &MemberId, message: Message) {
         self.effects.push_back(Effect::Send {
             to: to.clone(),
             message,
--- a/crates/takeover/src/takeover/backup.rs
+++ b/crates/takeover/src/takeover/backup.rs
@@ -3,7 +3,7 @@
 use super::Takeover;
 use crate::record::{Message, Outcome, Record, RequestId};
 use crate::Nanos;
-use havenplank_membership::wire::Life;
+use havenplank_membership::member::MemberId;
 use std::collections::BTreeMap;
 
 /// The record of a request, kept for its owner.
@@ -13,8 +13,8 @@
     pub(super) as_of: Nanos,
     /// The latest term that this sidecar voted in, and for whom; the record's own term and owner before any vote.
     pub(super) term: u32,
-    pub(super) owner: Life,
-    pub(super) waiters: Vec<Life>,
+    pub(super) owner: MemberId,
+    pub(super) waiters: Vec<MemberId>,
     /// This sidecar's own candidacy: its term, and the records of the backups that voted for it.
     pub(super) votes: Option<(u32, BTreeMap<String, Record>)>,
     pub(super) try_at: Nanos,
@@ -23,19 +23,25 @@
 
 impl Takeover {
     /// Grants an owner another lease, and returns its epoch.
-    pub(super) fn grant_lease(&mut self, now: Nanos, owner: &Life) -> u32 {
+    pub(super) fn grant_lease(&mut self, now: Nanos, owner: &MemberId) -> u32 {
         let until = now + self.rules.lease;
         let promised = self.granted.entry(owner.clone()).or_default();
         *promised = (*promised).max(until);
         self.epoch(owner)
     }
 
-    fn epoch(&mut self, owner: &Life) -> u32 {
+    fn epoch(&mut self, owner: &MemberId) -> u32 {
         *self.epochs.entry(owner.clone()).or_insert(self.withdrawals)
     }
 
     /// Stores an owner's newest record, unless something that is known here stands against it.
-    pub(super) fn on_store(&mut self, now: Nanos, from: &Life, mut record: Record, stamp: Nanos) {
+    pub(super) fn on_store(
+        &mut self,
+        now: Nanos,
+        from: &MemberId,
+        mut record: Record,
+        stamp: Nanos,
+    ) {
         let (request, term, version) = (record.request, record.term, record.version);
         if let Some(Outcome::Served(answer)) = record.outcome.as_mut().filter(|_| self.is_full()) {
             answer.clear();
@@ -58,7 +64,7 @@
     }
 
     /// Gives up a request that is owned here to a record of a later term. Refuses any other record and returns false.
-    fn yield_to_record(&mut self, now: Nanos, from: &Life, record: &Record) -> bool {
+    fn yield_to_record(&mut self, now: Nanos, from: &MemberId, record: &Record) -> bool {
         let Some(owned) = self.owned.get(&record.request) else {
             return true;
         };
@@ -82,7 +88,7 @@
 
     /// Keeps a record. Refuses one of an earlier term or of a finished request, and one without room for it, and
     /// returns false.
-    fn accept_record(&mut self, now: Nanos, from: &Life, record: Record) -> bool {
+    fn accept_record(&mut self, now: Nanos, from: &MemberId, record: Record) -> bool {
         let request = record.request;
         let Some(replica) = self.replicas.get(&request) else {
             if self.is_full() {
@@ -104,7 +110,7 @@
     }
 
     /// Follows an owner in its term, and replaces the record if the owner's is newer.
-    fn update_replica(&mut self, now: Nanos, from: &Life, record: Record) {
+    fn update_replica(&mut self, now: Nanos, from: &MemberId, record: Record) {
         let forget = now
             .saturating_add(record.remaining)
             .saturating_add(self.rules.retention);
@@ -147,7 +153,7 @@
     }
 
     /// Renews the lease of an owner for which records are kept.
-    pub(super) fn on_renew_lease(&mut self, now: Nanos, from: &Life, stamp: Nanos) {
+    pub(super) fn on_renew_lease(&mut self, now: Nanos, from: &MemberId, stamp: Nanos) {
         if self.replicas.values().any(|replica| replica.owner == *from) {
             let epoch = self.grant_lease(now, from);
             self.send(from, Message::LeaseRenewed { stamp, epoch });
@@ -155,7 +161,7 @@
     }
 
     /// Drops the record of a claim that was given up before any attempt.
-    pub(super) fn on_release(&mut self, from: &Life, request: RequestId, term: u32) {
+    pub(super) fn on_release(&mut self, from: &MemberId, request: RequestId, term: u32) {
         let is_released = |replica: &Replica| {
             replica.owner == *from && replica.term == term && replica.record.attempts.is_empty()
         };
@@ -182,7 +188,13 @@
             || self.replica_bytes >= self.rules.max_replica_bytes
     }
 
-    pub(super) fn insert_replica(&mut self, now: Nanos, record: Record, term: u32, owner: Life) {
+    pub(super) fn insert_replica(
+        &mut self,
+        now: Nanos,
+        record: Record,
+        term: u32,
+        owner: MemberId,
+    ) {
         let forget = now
             .saturating_add(record.remaining)
             .saturating_add(self.rules.retention);
@@ -221,7 +233,7 @@
     }
 
     /// Starts a new epoch for an owner: what it was acknowledged before counts no more for its requests.
-    pub(super) fn withdraw_from(&mut self, owner: &Life) {
+    pub(super) fn withdraw_from(&mut self, owner: &MemberId) {
         self.withdrawals += 1;
         self.epochs.insert(owner.clone(), self.withdrawals);
         self.granted.entry(owner.clone()).or_default();
@@ -239,13 +251,13 @@
     }
 
     /// Whether an owner in this term is the one to follow.
-    fn follows(&self, owner: &Life, term: u32) -> bool {
+    fn follows(&self, owner: &MemberId, term: u32) -> bool {
         term > self.term || (term == self.term && self.owner == *owner)
     }
 }
 
 /// The refusal of another owner's record: the outcome, if it is known and the request is the same, else the owner.
-pub(super) fn refusal(record: &Record, term: u32, owner: &Life, digest: u64) -> Message {
+pub(super) fn refusal(record: &Record, term: u32, owner: &MemberId, digest: u64) -> Message {
     let request = record.request;
     let differs = record.digest != digest;
     match record.outcome.clone().filter(|_| !differs) {
--- a/crates/takeover/src/takeover/claim.rs
+++ b/crates/takeover/src/takeover/claim.rs
@@ -5,25 +5,42 @@
 use super::{Effect, Takeover};
 use crate::record::{Message, Record, RequestId};
 use crate::Nanos;
-use havenplank_membership::wire::Life;
+use havenplank_membership::member::MemberId;
 use std::collections::{BTreeMap, BTreeSet};
 
+/// The delay of a claim in the background is the lease divided by this.
+const BACKGROUND_DELAY_PER_LEASE: Nanos = 6;
+
+/// A request that arrived here, as its backups are to keep it.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct IncomingRequest {
+    /// The request.
+    pub request: RequestId,
+    /// A hash of the request, which reveals a different request under the same key.
+    pub digest: u64,
+    /// The encoded request.
+    pub payload: Vec<u8>,
+    /// The time left until the client's deadline.
+    pub remaining: Nanos,
+    /// Its backups; this sidecar must not be among them.
+    pub backups: Vec<MemberId>,
+}
+
+/// How many backups must acknowledge a claim before the request may begin.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub enum RequiredAcks {
+    /// More than half of them.
+    Majority,
+    /// Each of them must report that it knows no other owner. The client may have sent the request before and a repeat
+    /// could do harm, and most of the first claim's backups may be lost by now, so a majority of the current ones proves
+    /// nothing.
+    All,
+}
+
 impl Takeover {
-    /// Claims a request that arrived here. `payload` is the request as it is stored; `backups` must not name this
-    /// sidecar.
-    ///
-    /// `exactly_once` says that the client may have sent the request before and that a repeat could do harm. Most of the
-    /// first claim's backups may be lost by now, so a majority of the current ones proves nothing: each of them must
-    /// report that it knows no other owner.
-    pub fn claim(
-        &mut self,
-        now: Nanos,
-        request: RequestId,
-        digest: u64,
-        (payload, exactly_once): (Vec<u8>, bool),
-        remaining: Nanos,
-        backups: Vec<Life>,
-    ) {
+    /// Claims a request that arrived here, once as many backups as `required` have acknowledged it.
+    pub fn claim(&mut self, now: Nanos, incoming: IncomingRequest, required: RequiredAcks) {
+        let (request, digest) = (incoming.request, incoming.digest);
         if let Some(owned) = self.owned.get(&request) {
             if !owned.record.reopens_for(digest) {
                 let effect = claim_effect(&owned.record, digest);
@@ -39,80 +56,61 @@
                 let effect = claim_effect(&replica.record, digest);
                 let backups = replica.record.backups.clone();
                 return match effect {
-                    Effect::Joined(_) => self.join(now, request, digest, remaining, backups),
+                    Effect::Joined(_) => {
+                        self.join(now, request, digest, incoming.remaining, backups)
+                    }
                     effect => self.effects.push_back(effect),
                 };
             }
         };
-        if backups.is_empty() || self.owned.len() >= self.rules.max_owned {
-            return self.claim_failed(request, exactly_once);
+        if incoming.backups.is_empty() || self.owned.len() >= self.rules.max_owned {
+            return self.claim_failed(request, required);
         }
-        let record = self.new_record(request, term, digest, payload, remaining, backups);
-        let claim_until = Some(now + self.rules.lease.min(remaining / 2));
+        let claim_until = Some(now + self.rules.lease.min(incoming.remaining / 2));
+        let record = self.new_record(incoming, term);
         self.own(now, record, claim_until, now);
         if let Some(owned) = self.owned.get_mut(&request) {
-            owned.exactly_once = exactly_once;
+            owned.required = required;
         }
     }
 
-    fn claim_failed(&mut self, request: RequestId, exactly_once: bool) {
+    fn claim_failed(&mut self, request: RequestId, required: RequiredAcks) {
         self.unprotected += 1;
-        self.effects.push_back(if exactly_once {
-            Effect::Uncertain(request)
-        } else {
-            Effect::Unprotected(request)
+        self.effects.push_back(match required {
+            RequiredAcks::All => Effect::Uncertain(request),
+            RequiredAcks::Majority => Effect::Unprotected(request),
         });
     }
 
     /// Claims an idempotent request, which is served whatever becomes of the claim. Its backups are told after a delay:
     /// most requests are finished by then and cost no message.
-    pub fn claim_in_background(
-        &mut self,
-        now: Nanos,
-        request: RequestId,
-        digest: u64,
-        payload: Vec<u8>,
-        remaining: Nanos,
-        backups: Vec<Life>,
-    ) {
+    pub fn claim_in_background(&mut self, now: Nanos, incoming: IncomingRequest) {
+        let request = incoming.request;
         if self.owned.contains_key(&request) || self.replicas.contains_key(&request) {
             return;
         }
-        if backups.is_empty() || self.owned.len() >= self.rules.max_owned {
+        if incoming.backups.is_empty() || self.owned.len() >= self.rules.max_owned {
             self.unprotected += 1;
             return;
         }
-        let record = self.new_record(request, 0, digest, payload, remaining, backups);
-        let announce_at = now + self.rules.lease / 6;
-        self.own(
-            now,
-            record,
-            Some(announce_at + self.rules.lease.min(remaining / 2)),
-            announce_at,
-        );
+        let announce_at = now + self.rules.lease / BACKGROUND_DELAY_PER_LEASE;
+        let claim_until = announce_at + self.rules.lease.min(incoming.remaining / 2);
+        let record = self.new_record(incoming, 0);
+        self.own(now, record, Some(claim_until), announce_at);
     }
 
-    fn new_record(
-        &self,
-        request: RequestId,
-        term: u32,
-        digest: u64,
-        payload: Vec<u8>,
-        remaining: Nanos,
-        backups: Vec<Life>,
-    ) -> Record {
-        let (owner, attempts) = (self.me.clone(), Vec::new());
+    fn new_record(&self, incoming: IncomingRequest, term: u32) -> Record {
         Record {
-            request,
-            owner,
+            request: incoming.request,
+            owner: self.me.clone(),
             term,
             version: 1,
             confirmed: false,
-            backups,
-            digest,
-            payload,
-            remaining,
-            attempts,
+            backups: incoming.backups,
+            digest: incoming.digest,
+            payload: incoming.payload,
+            remaining: incoming.remaining,
+            attempts: Vec::new(),
             outcome: None,
         }
     }
@@ -127,13 +125,12 @@
     ) {
         let request = record.request;
         let (acks, refused, pending_attempts) = (BTreeMap::new(), BTreeSet::new(), Vec::new());
-        let exactly_once = false;
         let owned = OwnedRequest {
             record,
             as_of: now,
             acks,
             claim_until,
-            exactly_once,
+            required: RequiredAcks::Majority,
             refused,
             pending_attempts,
             announce_at,
@@ -160,7 +157,7 @@
             .iter()
             .for_each(|backup| self.send(backup, Message::Release { request, term }));
         if owned.refused.is_empty() {
-            return self.claim_failed(request, owned.exactly_once);
+            return self.claim_failed(request, owned.required);
         }
         let remaining = owned.record.remaining.saturating_sub(now - owned.as_of);
         self.join(now, request, digest, remaining, backups);
@@ -170,10 +167,10 @@
     pub(super) fn on_owned(
         &mut self,
         now: Nanos,
-        from: &Life,
+        from: &MemberId,
         request: RequestId,
         term: u32,
-        by: &Life,
+        by: &MemberId,
         differs: bool,
     ) {
         if let Some(waiting) = self.waiting.get_mut(&request) {
@@ -202,7 +199,7 @@
         owned.refused.insert(from.name.clone());
         // A single candidate may have failed to win its election; a majority of reports means that it won.
         let outvoted = owned.refused.len() >= owned.record.majority();
-        let yields = owned.exactly_once || outvoted;
+        let yields = owned.required == RequiredAcks::All || outvoted;
         match owned.claim_until.is_some() {
             true if differs => self.reject_claim(request),
             true if yields => self.give_up(now, request),
@@ -224,7 +221,7 @@
     }
 
     /// A backup has no room for the record of a claim.
-    pub(super) fn on_full(&mut self, now: Nanos, from: &Life, request: RequestId) {
+    pub(super) fn on_full(&mut self, now: Nanos, from: &MemberId, request: RequestId) {
         let Some(owned) = self
             .owned
             .get_mut(&request)
--- a/crates/takeover/src/takeover/election.rs
+++ b/crates/takeover/src/takeover/election.rs
@@ -4,7 +4,7 @@
 use super::{Effect, Takeover};
 use crate::record::{AttemptState, Message, Record, RequestId};
 use crate::Nanos;
-use havenplank_membership::wire::Life;
+use havenplank_membership::member::MemberId;
 use std::collections::BTreeMap;
 
 impl Takeover {
@@ -70,7 +70,7 @@
             term,
             BTreeMap::from([(self.me.name.clone(), record.clone())]),
         ));
-        let others: Vec<Life> = record
+        let others: Vec<MemberId> = record
             .backups
             .iter()
             .filter(|life| **life != self.me)
@@ -94,7 +94,7 @@
     pub(super) fn on_request_vote(
         &mut self,
         now: Nanos,
-        from: &Life,
+        from: &MemberId,
         request: RequestId,
         term: u32,
         stamp: Nanos,
@@ -117,7 +117,7 @@
     fn yield_to_candidate(
         &mut self,
         now: Nanos,
-        from: &Life,
+        from: &MemberId,
         request: RequestId,
         term: u32,
     ) -> bool {
@@ -140,7 +140,14 @@
     }
 
     /// Votes for a candidate of a later term, unless the owner's lease still stands.
-    fn vote_for(&mut self, now: Nanos, from: &Life, request: RequestId, term: u32, stamp: Nanos) {
+    fn vote_for(
+        &mut self,
+        now: Nanos,
+        from: &MemberId,
+        request: RequestId,
+        term: u32,
+        stamp: Nanos,
+    ) {
         let Some(replica) = self.replicas.get_mut(&request) else {
             return;
         };
@@ -182,7 +189,7 @@
     pub(super) fn on_vote_granted(
         &mut self,
         now: Nanos,
-        from: &Life,
+        from: &MemberId,
         record: Record,
         term: u32,
         (stamp, epoch): (Nanos, u32),
--- a/crates/takeover/src/takeover/owner.rs
+++ b/crates/takeover/src/takeover/owner.rs
@@ -1,9 +1,10 @@
 //! The owner's side: requests in flight here, the leases that allow acting on them, and their replication.
 
+use super::claim::RequiredAcks;
 use super::{Effect, Takeover};
 use crate::record::{Attempt, AttemptState, Message, Outcome, Record, RequestId};
 use crate::Nanos;
-use havenplank_membership::wire::Life;
+use havenplank_membership::member::MemberId;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A backup's latest acknowledgement of one request.
@@ -21,8 +22,8 @@
     pub(super) acks: BTreeMap<String, Ack>,
     /// The claim's time-out; none once the claim has succeeded.
     pub(super) claim_until: Option<Nanos>,
-    /// The request may have been in flight elsewhere before, and a repeat could do harm.
-    pub(super) exactly_once: bool,
+    /// How many backups must acknowledge the claim.
+    pub(super) required: RequiredAcks,
     /// Backups that reported another owner.
     pub(super) refused: BTreeSet<String>,
     /// Attempts not yet written, each with the version of the record that first lists it.
@@ -99,7 +100,7 @@
     /// The number of backups that hold at least this version and whose lease is valid. This sidecar counts as a backup
     /// like any other: its own lease expires, too, unless the event loop runs.
     fn leased_backups(&self, now: Nanos, owned: &OwnedRequest, version: u32) -> usize {
-        let is_leased = |backup: &&Life| {
+        let is_leased = |backup: &&MemberId| {
             let ack = owned.acks.get(&backup.name);
             let lease = self.leases.get(&backup.name);
             ack.zip(lease).is_some_and(|(ack, (until, epoch))| {
@@ -124,13 +125,13 @@
         }
         owned.retry_at = retry_at;
         let record = owned.record.later(now - owned.as_of);
-        let knows = |life: &Life, owned: &OwnedRequest| {
+        let knows = |life: &MemberId, owned: &OwnedRequest| {
             owned
                 .acks
                 .get(&life.name)
                 .is_some_and(|a| a.version >= record.version)
         };
-        let (own, rest): (Vec<Life>, Vec<Life>) = record
+        let (own, rest): (Vec<MemberId>, Vec<MemberId>) = record
             .backups
             .iter()
             .filter(|life| !knows(life, owned))
@@ -167,10 +168,9 @@
         let majority = owned.record.majority();
         let version_known = |version| self.leased_backups(now, owned, version) >= majority;
         let all = owned.record.backups.len();
-        let claimed = if owned.exactly_once {
-            self.leased_backups(now, owned, 1) >= all
-        } else {
-            version_known(1)
+        let claimed = match owned.required {
+            RequiredAcks::All => self.leased_backups(now, owned, 1) >= all,
+            RequiredAcks::Majority => version_known(1),
         };
         let taken = owned.claim_until.is_some() && claimed;
         let go: Vec<usize> = owned
@@ -215,7 +215,7 @@
             .owned
             .values()
             .filter(|owned| owned.record.outcome.is_none() && now >= owned.announce_at);
-        let backups: BTreeSet<Life> = open
+        let backups: BTreeSet<MemberId> = open
             .flat_map(|owned| owned.record.backups.iter().cloned())
             .collect();
         for backup in backups {
@@ -260,7 +260,7 @@
     pub(super) fn on_stored(
         &mut self,
         now: Nanos,
-        from: &Life,
+        from: &MemberId,
         (request, term, version): (RequestId, u32, u32),
         (stamp, epoch): (Nanos, u32),
     ) {
@@ -283,7 +283,7 @@
     }
 
     /// Extends a lease. It counts from when it was asked for, shortened by the drift of two clocks.
-    pub(super) fn extend_lease(&mut self, now: Nanos, from: &Life, stamp: Nanos, epoch: u32) {
+    pub(super) fn extend_lease(&mut self, now: Nanos, from: &MemberId, stamp: Nanos, epoch: u32) {
         if stamp > now {
             return;
         }
--- a/crates/takeover/src/takeover/waiter.rs
+++ b/crates/takeover/src/takeover/waiter.rs
@@ -3,7 +3,7 @@
 use super::{Effect, Takeover};
 use crate::record::{Message, Outcome, RequestId};
 use crate::Nanos;
-use havenplank_membership::wire::Life;
+use havenplank_membership::member::MemberId;
 use std::collections::BTreeSet;
 
 /// Sidecars that one backup tells of an outcome, at most; a further one has to ask again.
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Waiting {
     pub(super) digest: u64,
-    pub(super) backups: Vec<Life>,
+    pub(super) backups: Vec<MemberId>,
     pub(super) unknown_at: BTreeSet<String>,
     /// When a backup last reported it as in flight.
     pub(super) last_known: Nanos,
@@ -29,7 +29,7 @@
         request: RequestId,
         digest: u64,
         remaining: Nanos,
-        backups: Vec<Life>,
+        backups: Vec<MemberId>,
     ) {
         self.effects.push_back(Effect::Joined(request));
         self.await_outcome(now, request, digest, remaining, backups);
@@ -42,7 +42,7 @@
         request: RequestId,
         digest: u64,
         remaining: Nanos,
-        backups: Vec<Life>,
+        backups: Vec<MemberId>,
     ) {
         let waiting = Waiting {
             digest,
@@ -82,7 +82,7 @@
         }
         waiting.retry_at = retry_at;
         let digest = waiting.digest;
-        let backups: Vec<Life> = waiting
+        let backups: Vec<MemberId> = waiting
             .backups
             .iter()
             .filter(|life| **life != self.me)
@@ -94,7 +94,7 @@
     }
 
     /// A sidecar waits for the outcome of a request that this one may know.
-    pub(super) fn on_await_outcome(&mut self, from: &Life, request: RequestId, digest: u64) {
+    pub(super) fn on_await_outcome(&mut self, from: &MemberId, request: RequestId, digest: u64) {
         if let Some(owned) = self.owned.get(&request) {
             let term = owned.record.term;
             if let Some(outcome) = owned
@@ -210,7 +210,7 @@
     }
 
     /// A backup does not know the request that is waited for.
-    pub(super) fn on_unknown(&mut self, from: &Life, request: RequestId) {
+    pub(super) fn on_unknown(&mut self, from: &MemberId, request: RequestId) {
         let Some(waiting) = self.waiting.get_mut(&request) else {
             return;
         };
--- a/crates/takeover/tests/every_order.rs
+++ b/crates/takeover/tests/every_order.rs
@@ -6,9 +6,9 @@
 //!
 //! By hand, more faults: HAVENPLANK_FAULTS=3 cargo test --release -p havenplank-takeover --test every_order
 
-use havenplank_membership::wire::Life;
+use havenplank_membership::member::MemberId;
 use havenplank_takeover::record::{AttemptState, Message, Outcome, RequestId};
-use havenplank_takeover::{Effect, Nanos, Rules, Takeover};
+use havenplank_takeover::{Effect, IncomingRequest, Nanos, RequiredAcks, Rules, Takeover};
 use rayon::prelude::*;
 use std::collections::hash_map::DefaultHasher;
 use std::collections::HashSet;
@@ -24,10 +24,10 @@
 /// All states with one fault, as recorded: a change of the decisions or of what they depend on moves it.
 const RECORDED_STATES: usize = 1_390_875;
 
-fn life(id: usize) -> Life {
-    Life {
+fn life(id: usize) -> MemberId {
+    MemberId {
         name: format!("s-{id}"),
-        life: 1,
+        incarnation: 1,
     }
 }
 
@@ -112,7 +112,14 @@
         };
         let backups = (1..MANY).map(life).collect();
         world.call(0, |takeover, now| {
-            takeover.claim(now, REQUEST, 5, (vec![1], false), 6 * STEP, backups);
+            let incoming = IncomingRequest {
+                request: REQUEST,
+                digest: 5,
+                payload: vec![1],
+                remaining: 6 * STEP,
+                backups,
+            };
+            takeover.claim(now, incoming, RequiredAcks::Majority);
         });
         world
     }
@@ -130,7 +137,7 @@
         call(&mut sidecar.takeover, now);
         while let Some(effect) = self.sidecars[id]
             .as_mut()
-            .and_then(|one| one.takeover.effect())
+            .and_then(|one| one.takeover.next_effect())
         {
             self.carry_out(id, now, effect);
         }
--- a/crates/takeover/tests/frames.rs
+++ b/crates/takeover/tests/frames.rs
@@ -3,16 +3,16 @@
 mod common;
 
 use common::{recorded_bytes, to_hex};
-use havenplank_membership::wire::Life;
+use havenplank_membership::member::MemberId;
 use havenplank_takeover::record::{Attempt, AttemptState, Message, Outcome, Record};
 
 const FRAMES: &str = include_str!("fixtures/frames.txt");
 const REQUEST: u128 = 0x0123_4567_89ab_cdef_0011_2233_4455_6677;
 
-fn life(name: &str) -> Life {
-    Life {
+fn life(name: &str) -> MemberId {
+    MemberId {
         name: name.into(),
-        life: 1_764_752_400_000,
+        incarnation: 1_764_752_400_000,
     }
 }
 
--- a/crates/takeover/tests/simulated.rs
+++ b/crates/takeover/tests/simulated.rs
@@ -1,10 +1,10 @@
 //! Takeovers over the simulated network: what no seed may break, and what must come about while enough can talk.
 
 use havenplank_emulator::net::{Clock, Fate, Id, Nanos, Net, Part, Weather};
-use havenplank_membership::wire::Life;
-use havenplank_takeover::placement::{pick, Candidate};
+use havenplank_membership::member::MemberId;
+use havenplank_takeover::placement::{choose_backups, Candidate};
 use havenplank_takeover::record::{AttemptState, Message, Outcome, Record, RequestId};
-use havenplank_takeover::{Effect, Rules, Takeover};
+use havenplank_takeover::{Effect, IncomingRequest, RequiredAcks, Rules, TableSizes, Takeover};
 use oorandom::Rand64;
 use rayon::prelude::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -22,8 +22,8 @@
 /// A sidecar that finishes mutating hits: one forward, another only if the last one never ran.
 struct Sidecar {
     takeover: Takeover,
-    me: Life,
-    fellows: Vec<Life>,
+    me: MemberId,
+    fellows: Vec<MemberId>,
     acts: BTreeMap<(Nanos, u64), Act>,
     acted: u64,
     chance: Rand64,
@@ -45,10 +45,10 @@
     arrived: blake3::Hasher,
 }
 
-fn life(id: Id) -> Life {
-    Life {
+fn life(id: Id) -> MemberId {
+    MemberId {
         name: format!("s-{id}"),
-        life: 1,
+        incarnation: 1,
     }
 }
 
@@ -87,16 +87,16 @@
         self.acts.insert((time, self.acted), act);
     }
 
-    fn backups(&self, request: RequestId, many: usize) -> Vec<Life> {
-        let zone = |who: &Life| ZONES[who.name[2..].parse::<usize>().unwrap() % 3];
+    fn backups(&self, request: RequestId, many: usize) -> Vec<MemberId> {
+        let zone = |who: &MemberId| ZONES[who.name[2..].parse::<usize>().unwrap() % 3];
         let others = self.fellows.iter().filter(|who| **who != self.me);
         let others: Vec<Candidate<'_>> = others
             .map(|who| Candidate {
-                who,
+                id: who,
                 zone: zone(who),
             })
             .collect();
-        pick(request, &others, many)
+        choose_backups(request, &others, many)
     }
 
     fn go_on(&mut self, now: Nanos, record: &Record) {
@@ -116,7 +116,7 @@
     }
 
     fn carry_out(&mut self, now: Nanos) {
-        while let Some(effect) = self.takeover.effect() {
+        while let Some(effect) = self.takeover.next_effect() {
             match effect {
                 Effect::Send { to, message } => {
                     let id = to.name[2..].parse().unwrap();
@@ -174,7 +174,8 @@
 impl Part for Sidecar {
     fn heard(&mut self, now: Nanos, bytes: &[u8]) {
         self.arrived.update(bytes);
-        let (from, to, message): (Life, Life, Message) = postcard::from_bytes(bytes).unwrap();
+        let (from, to, message): (MemberId, MemberId, Message) =
+            postcard::from_bytes(bytes).unwrap();
         if to == self.me {
             self.takeover.receive(now, &from, message);
             self.carry_out(now);
@@ -192,8 +193,18 @@
                             backups.iter().map(|life| life.name.as_str()).collect();
                         format!("takes it, backups {names:?}")
                     });
-                    self.takeover
-                        .claim(now, request, sum, (vec![1], strict), 6 * S, backups);
+                    let required = match strict {
+                        true => RequiredAcks::All,
+                        false => RequiredAcks::Majority,
+                    };
+                    let incoming = IncomingRequest {
+                        request: request,
+                        digest: sum,
+                        payload: vec![1],
+                        remaining: 6 * S,
+                        backups,
+                    };
+                    self.takeover.claim(now, incoming, required);
                 }
                 Act::End(request, nth) => {
                     let never = self.chance.rand_float() < self.never_ran;
@@ -419,7 +430,7 @@
 fn read(net: &mut Net<Sidecar>, moved: Id, story: &mut Vec<(Nanos, Option<RequestId>, String)>) {
     let now = net.now();
     for passed in net.written.iter_mut().flat_map(|written| written.drain(..)) {
-        let (from, to, message): (Life, Life, Message) =
+        let (from, to, message): (MemberId, MemberId, Message) =
             postcard::from_bytes(&passed.bytes).unwrap();
         let (request, said) = brief(&message);
         let way = match passed.fate {
@@ -533,10 +544,11 @@
     run.play(if kind == Kind::Long { 60 * S } else { 30 * S });
     let mut broken = run.broken();
     let parts = || run.net.ids().filter_map(|id| run.net.part(id));
-    let left = parts()
-        .map(|part| part.takeover.sizes())
-        .fold((0, 0, 0), |a, b| (a.0 + b.0, a.1 + b.1, a.2 + b.2));
-    if left != (0, 0, 0) {
+    let left: Vec<TableSizes> = parts()
+        .map(|part| part.takeover.table_sizes())
+        .filter(|sizes| *sizes != TableSizes::default())
+        .collect();
+    if !left.is_empty() {
         broken.push(format!(
             "seed {seed}: {left:?} in tables when all times are up"
         ));
@@ -701,7 +713,7 @@
 /// itself, with the slowest holder, the fastest guardians and words that take no time.
 #[test]
 fn no_lease_outlasts_a_promise_while_clocks_drift_less_than_stated() {
-    let lives: Vec<Life> = (0..4).map(life).collect();
+    let lives: Vec<MemberId> = (0..4).map(life).collect();
     let rules = Rules::default();
     let (slow, fast) = (1_000_000 - rules.drift_ppm, 1_000_000 + rules.drift_ppm);
     let own = |time: Nanos, rate: u64| time / 1_000 * rate / 1_000;
@@ -709,11 +721,18 @@
         .iter()
         .map(|me| Takeover::new(0, 1, me.clone(), rules.clone()))
         .collect();
-    all[0].claim(0, 1, 5, (vec![1], false), 6 * S, lives[1..].to_vec());
+    let incoming = IncomingRequest {
+        request: 1,
+        digest: 5,
+        payload: vec![1],
+        remaining: 6 * S,
+        backups: lives[1..].to_vec(),
+    };
+    all[0].claim(0, incoming, RequiredAcks::Majority);
     // The first forward is known to all at time 0, and nothing is heard after.
     let mut turns = VecDeque::from([0]);
     while let Some(id) = turns.pop_front() {
-        while let Some(effect) = all[id].effect() {
+        while let Some(effect) = all[id].next_effect() {
             match effect {
                 Effect::Send { to, message } => {
                     let to = lives.iter().position(|life| *life == to).unwrap();
@@ -757,7 +776,7 @@
             .map(|life| life.name[2..].parse().unwrap())
             .collect();
         dead.iter().for_each(|id| run.kill(*id));
-        let living: Vec<Life> = (0..8).filter(|id| !dead.contains(id)).map(life).collect();
+        let living: Vec<MemberId> = (0..8).filter(|id| !dead.contains(id)).map(life).collect();
         for id in (0..8).filter(|id| !dead.contains(id)) {
             run.net.part_mut(id).unwrap().fellows = living.clone();
         }
@@ -889,16 +908,25 @@
     let at = run.net.own_time(0);
     let first = run.net.part_mut(0).unwrap();
     for request in [1, 2] {
-        let backups = first.backups(request, 3);
-        first
-            .takeover
-            .claim_in_background(at, request, 5, vec![1], 6 * S, backups);
+        let incoming = IncomingRequest {
+            request,
+            digest: 5,
+            payload: vec![1],
+            remaining: 6 * S,
+            backups: first.backups(request, 3),
+        };
+        first.takeover.claim_in_background(at, incoming);
         assert_eq!(first.takeover.begin_attempt(at, request, "pod"), Some(0));
     }
     first
         .takeover
         .finish(at + 50 * MS, 1, Outcome::Served(vec![1]));
-    assert!(first.takeover.effect().is_none() && first.takeover.sizes() == (1, 0, 0));
+    assert!(first.takeover.next_effect().is_none());
+    let only_the_second = TableSizes {
+        owned: 1,
+        ..TableSizes::default()
+    };
+    assert_eq!(first.takeover.table_sizes(), only_the_second);
     run.play(400 * MS);
     let keeps = |run: &Run, request| {
         (1..4)
@@ -917,7 +945,7 @@
 
 #[test]
 fn records_stop_at_their_bytes_and_answers_beyond_are_not_kept() {
-    let lives: Vec<Life> = (0..2).map(life).collect();
+    let lives: Vec<MemberId> = (0..2).map(life).collect();
     let rules = Rules {
         max_replica_bytes: 1_000,
         ..Rules::default()
@@ -938,7 +966,7 @@
     };
     let mut reply_to = |record: Record| {
         backup.receive(0, &lives[0], Message::Store { record, stamp: 0 });
-        match backup.effect() {
+        match backup.next_effect() {
             Some(Effect::Send { message, .. }) => message,
             other => panic!("{other:?}"),
         }
@@ -963,7 +991,7 @@
         Some(Outcome::Served(Vec::new()))
     );
     backup.wake(10 * S);
-    assert_eq!(backup.sizes(), (0, 0, 0));
+    assert_eq!(backup.table_sizes(), TableSizes::default());
     backup.wake(10 * S);
     backup.receive(
         10 * S,
