--- a/crates/cli/tests/configuration.rs
+++ b/crates/cli/tests/configuration.rs
@@ -86,8 +86,9 @@
         }
         std::fs::write(folder.join("keys"), "0123456789abcdef".repeat(4)).expect("written");
         std::fs::write(folder.join("pods"), encode_cached(&listed)).expect("written");
-        let relays = Relays::bind(SIDECARS + 2, 7).await.expect("relays");
-        relays.carry_streams().await.expect("relays of streams");
+        let relays = Relays::bind_with_streams(SIDECARS + 2, 7)
+            .await
+            .expect("relays of streams");
         let folder = folder.to_path_buf();
         let mut fleet = Fleet {
             folder,
--- a/crates/emulator/src/day.rs
+++ b/crates/emulator/src/day.rs
@@ -169,14 +169,15 @@
         day.offers.clone(),
         names,
     );
-    let feeds = (free_address().await?, free_address().await?);
+    let (nodes_listener, desk_listener) = (loopback_listener().await?, loopback_listener().await?);
+    let feeds = (nodes_listener.local_addr()?, desk_listener.local_addr()?);
     let targets: Vec<Rc<Target>> = (0..day.sidecars)
         .map(|n| Target::new(&format!("sidecar-{n}")))
         .collect();
     let clients = Clients::new(book.clone(), site.clone(), &day, targets.clone(), seed ^ 2);
     let mut tasks = JoinSet::new();
-    tasks.spawn_local(nodes.clone().serve(feeds.0));
-    tasks.spawn_local(desk.clone().serve(feeds.1));
+    tasks.spawn_local(nodes.clone().serve(nodes_listener));
+    tasks.spawn_local(desk.clone().serve(desk_listener));
     let looked = fleet.clone();
     tasks.spawn_local(async move {
         loop {
@@ -254,9 +255,9 @@
     })
 }
 
-/// An address that was free a moment ago.
-async fn free_address() -> std::io::Result<SocketAddr> {
-    TcpListener::bind("127.0.0.1:0").await?.local_addr()
+/// A listener at a port that the system chooses. It is kept until it is served on: a port that is let go may be taken.
+async fn loopback_listener() -> std::io::Result<TcpListener> {
+    TcpListener::bind("127.0.0.1:0").await
 }
 
 impl Runner {
--- a/crates/emulator/src/desk.rs
+++ b/crates/emulator/src/desk.rs
@@ -10,7 +10,6 @@
 use havenplank_line_protocol::control_plane;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
-use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
@@ -322,13 +321,22 @@
         VoteReceipt::Counted
     }
 
-    /// Serves on an address until dropped; while away, nothing listens there.
-    pub async fn serve(self: Rc<Self>, address: SocketAddr) {
+    /// Serves on a listener, and later on its address, until dropped; while away, nothing listens there.
+    pub async fn serve(self: Rc<Self>, listener: TcpListener) {
+        let Ok(address) = listener.local_addr() else {
+            return;
+        };
+        let mut first = Some(listener);
         loop {
             while self.away.get() {
+                first = None;
                 sleep(Duration::from_millis(20)).await;
             }
-            let Ok(listener) = TcpListener::bind(address).await else {
+            let listener = match first.take() {
+                Some(listener) => Ok(listener),
+                None => TcpListener::bind(address).await,
+            };
+            let Ok(listener) = listener else {
                 sleep(Duration::from_millis(20)).await;
                 continue;
             };
--- a/crates/emulator/src/relay.rs
+++ b/crates/emulator/src/relay.rs
@@ -4,11 +4,12 @@
 //! shows from its source, so that every direction between two processes can be cut, slowed or thinned by itself. Streams
 //! are carried on demand; who opened one does not show, so that any cut towards a process cuts all streams to it.
 
+use havenplank_membership::port_pair::PortPair;
 use oorandom::Rand64;
 use std::cell::RefCell;
 use std::collections::{HashMap, HashSet};
 use std::io;
-use std::net::SocketAddr;
+use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::io::copy_bidirectional;
@@ -16,6 +17,8 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
+/// On loopback, at a port that the system chooses.
+const ANY_PORT: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 const LONGEST: usize = 65_536;
 /// Datagrams that are held back at once, at most; what comes on top is lost.
 const HELD: usize = 10_000;
@@ -52,11 +55,34 @@
 }
 
 impl Relays {
-    /// Needs a `LocalSet` or `LocalRuntime`; the relays end with it.
+    /// Binds relays that carry datagrams and refuse streams. Needs a `LocalSet` or `LocalRuntime`; the relays end with it.
     ///
     /// # Errors
     /// No sockets to be had.
     pub async fn bind(many: usize, seed: u64) -> io::Result<Relays> {
+        let mut relays = Relays::new(many, seed);
+        for to in 0..many {
+            let socket = UdpSocket::bind(ANY_PORT).await?;
+            relays.carry_datagrams(socket, to)?;
+        }
+        Ok(relays)
+    }
+
+    /// Binds relays that carry datagrams and, on the same ports, streams.
+    ///
+    /// # Errors
+    /// No sockets to be had.
+    pub async fn bind_with_streams(many: usize, seed: u64) -> io::Result<Relays> {
+        let mut relays = Relays::new(many, seed);
+        for to in 0..many {
+            let pair = PortPair::bind(ANY_PORT).await?;
+            relays.carry_datagrams(pair.datagrams, to)?;
+            spawn_local(relay_streams(relays.table.clone(), pair.streams, to));
+        }
+        Ok(relays)
+    }
+
+    fn new(many: usize, seed: u64) -> Relays {
         let table = Table {
             sources: HashMap::new(),
             targets: vec![None; many],
@@ -67,13 +93,16 @@
             carried: 0,
             lost: 0,
         };
-        let (table, mut at) = (Rc::new(RefCell::new(table)), Vec::new());
-        for to in 0..many {
-            let socket = Rc::new(UdpSocket::bind("127.0.0.1:0").await?);
-            at.push(socket.local_addr()?);
-            spawn_local(relay(table.clone(), socket, to));
+        Relays {
+            table: Rc::new(RefCell::new(table)),
+            at: Vec::new(),
         }
-        Ok(Relays { table, at })
+    }
+
+    fn carry_datagrams(&mut self, socket: UdpSocket, to: usize) -> io::Result<()> {
+        self.at.push(socket.local_addr()?);
+        spawn_local(relay(self.table.clone(), Rc::new(socket), to));
+        Ok(())
     }
 
     /// What others must be told as the address of a process.
@@ -81,18 +110,6 @@
         self.at[id]
     }
 
-    /// Carries streams as well from now on.
-    ///
-    /// # Errors
-    /// A port that is taken for TCP.
-    pub async fn carry_streams(&self) -> io::Result<()> {
-        for (to, at) in self.at.iter().enumerate() {
-            let listener = TcpListener::bind(at).await?;
-            spawn_local(relay_streams(self.table.clone(), listener, to));
-        }
-        Ok(())
-    }
-
     /// Where a process has its own socket now; a later life of it may have another.
     pub fn serves(&self, id: usize, own: SocketAddr) {
         let mut table = self.table.borrow_mut();
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -7,6 +7,7 @@
 mod member_table;
 mod message;
 pub mod node;
+pub mod port_pair;
 pub mod quorum;
 pub mod swim;
 pub mod transport;
--- a/crates/membership/src/transport.rs
+++ b/crates/membership/src/transport.rs
@@ -4,6 +4,7 @@
 use crate::frame::{MAX_DATAGRAM_BYTES, MAX_STREAM_BYTES};
 use crate::member::MemberId;
 use crate::node::{Node, NodeEvent};
+use crate::port_pair::PortPair;
 use crate::swim::MemberEvent;
 use crate::Nanos;
 use bytes::Bytes;
@@ -29,8 +30,6 @@
 const CONNECT: Duration = Duration::from_millis(500);
 /// A stream that carried nothing for so long is closed by whoever opened it, later by whoever took it.
 const IDLE: Duration = Duration::from_secs(20);
-/// Ports that the system chose for UDP and somebody else has for TCP, before we give up.
-const PORTS: usize = 16;
 
 pub struct Transport {
     node: RefCell<Node>,
@@ -82,7 +81,10 @@
         at: SocketAddr,
         make: impl FnOnce(Nanos, SocketAddr) -> Node,
     ) -> io::Result<Rc<Transport>> {
-        let (socket, listener) = Transport::both(at).await?;
+        let PortPair {
+            datagrams: socket,
+            streams: listener,
+        } = PortPair::bind(at).await?;
         let bound = socket.local_addr()?;
         let (node, rearm, streams) = (
             RefCell::new(make(0, bound)),
@@ -105,19 +107,6 @@
         }))
     }
 
-    /// One port for both.
-    async fn both(at: SocketAddr) -> io::Result<(UdpSocket, TcpListener)> {
-        let mut tries = 0;
-        loop {
-            let socket = UdpSocket::bind(at).await?;
-            match TcpListener::bind(socket.local_addr()?).await {
-                Ok(listener) => return Ok((socket, listener)),
-                Err(error) if at.port() != 0 || tries >= PORTS => return Err(error),
-                Err(_) => tries += 1,
-            }
-        }
-    }
-
     /// # Errors
     /// What the system says of the socket.
     pub fn local_address(&self) -> io::Result<SocketAddr> {
