--- a/crates/adapter/src/line.rs
+++ b/crates/adapter/src/line.rs
@@ -74,8 +74,8 @@
 }
 
 impl<'a> Fields<'a> {
-    /// The error that a field is malformed.
-    pub(crate) fn error(&self, field: &str, problem: &'static str) -> WireError {
+    /// Returns the error that a field is malformed.
+    pub fn error(&self, field: &str, problem: &'static str) -> WireError {
         self.line.error(&format!("{}{field}", self.path), problem)
     }
 
--- a/crates/sidecar/src/takeover_service.rs
+++ b/crates/sidecar/src/takeover_service.rs
@@ -2,11 +2,13 @@
 //! for what they decide.
 
 use crate::membership::Membership;
-use havenplank_membership::wire::Life;
+use havenplank_membership::member::MemberId;
 use havenplank_settings::{Takeover as Settings, DISTRIBUTOR_ZONE};
-use havenplank_takeover::placement::{pick, Candidate};
+use havenplank_takeover::placement::{choose_backups, Candidate};
 use havenplank_takeover::record::{AttemptState, Message, Outcome, Record, RequestId};
-use havenplank_takeover::{Effect, Nanos, Rules, Takeover};
+use havenplank_takeover::{
+    Effect, IncomingRequest, Nanos, RequiredAcks, Rules, TableSizes, Takeover,
+};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -170,7 +172,7 @@
         };
         let (sender, taken_over) = mpsc::unbounded_channel();
         let me = membership.me();
-        let takeover = Takeover::new(membership.now(), me.life, me.clone(), rules);
+        let takeover = Takeover::new(membership.now(), me.incarnation, me.clone(), rules);
         let service = Rc::new(TakeoverService {
             takeover: RefCell::new(takeover),
             membership: membership.clone(),
@@ -200,7 +202,7 @@
         }
     }
 
-    fn receive(&self, from: &Life, body: &[u8]) {
+    fn receive(&self, from: &MemberId, body: &[u8]) {
         match postcard::from_bytes::<Message>(body) {
             Ok(message) => {
                 let now = self.membership.now();
@@ -218,7 +220,7 @@
     /// Carries out all that a call left to do.
     fn perform_effects(&self) {
         loop {
-            let effect = self.takeover.borrow_mut().effect();
+            let effect = self.takeover.borrow_mut().next_effect();
             let Some(effect) = effect else { return };
             self.perform(effect);
         }
@@ -277,22 +279,22 @@
         let me = self.membership.me();
         request_id(&[
             me.name.as_bytes(),
-            &me.life.to_le_bytes(),
+            &me.incarnation.to_le_bytes(),
             &number.to_le_bytes(),
         ])
     }
 
-    fn backups_of(&self, id: RequestId) -> Vec<Life> {
+    fn backups_of(&self, id: RequestId) -> Vec<MemberId> {
         self.membership.with_living(|others| {
             // A distributor of the configuration takes nobody's work over.
             let sidecars = others.filter(|news| news.zone != DISTRIBUTOR_ZONE);
             let candidates: Vec<Candidate<'_>> = sidecars
                 .map(|news| Candidate {
-                    who: &news.who,
+                    id: &news.id,
                     zone: &news.zone,
                 })
                 .collect();
-            pick(id, &candidates, self.backups)
+            choose_backups(id, &candidates, self.backups)
         })
     }
 
@@ -319,19 +321,16 @@
 
     fn begin_lease_request(&self, request: LeaseRequest<'_>) -> Begun {
         let LeaseRequest { id, .. } = request;
-        let (backups, now) = (self.backups_of(id), self.membership.now());
-        let payload = (request.payload.to_vec(), request.exactly_once);
-        self.takeover.borrow_mut().claim(
-            now,
-            id,
-            request.digest,
-            payload,
-            request.remaining,
-            backups,
-        );
+        let required = match request.exactly_once {
+            true => RequiredAcks::All,
+            false => RequiredAcks::Majority,
+        };
+        let incoming = self.incoming(&request);
+        let now = self.membership.now();
+        self.takeover.borrow_mut().claim(now, incoming, required);
         let mut begun = Begun::Waits;
         loop {
-            let effect = self.takeover.borrow_mut().effect();
+            let effect = self.takeover.borrow_mut().next_effect();
             let reply = match effect {
                 Some(Effect::Finished(known, outcome)) if known == id => {
                     LeaseReply::Finished(outcome)
@@ -356,18 +355,25 @@
     /// Asks for the lease without waiting; where another has it, the request is served all the same, as a repeat does
     /// no harm.
     pub fn request_lease_in_background(&self, request: LeaseRequest<'_>) {
-        let (backups, now) = (self.backups_of(request.id), self.membership.now());
-        self.takeover.borrow_mut().claim_in_background(
-            now,
-            request.id,
-            request.digest,
-            request.payload.to_vec(),
-            request.remaining,
-            backups,
-        );
+        let incoming = self.incoming(&request);
+        let now = self.membership.now();
+        self.takeover
+            .borrow_mut()
+            .claim_in_background(now, incoming);
         self.perform_effects();
     }
 
+    /// Returns a request as the decisions take it, with its backups.
+    fn incoming(&self, request: &LeaseRequest<'_>) -> IncomingRequest {
+        IncomingRequest {
+            request: request.id,
+            digest: request.digest,
+            payload: request.payload.to_vec(),
+            remaining: request.remaining,
+            backups: self.backups_of(request.id),
+        }
+    }
+
     /// Forgets whoever waits no more for a request.
     pub fn forget_closed_waiters(&self, id: RequestId) {
         self.with_waiters(id, |_| {});
@@ -443,7 +449,11 @@
     /// Returns what an operator may look at.
     pub fn status(&self) -> TakeoverStatus {
         let takeover = self.takeover.borrow();
-        let (owned, replicas, waiting) = takeover.sizes();
+        let TableSizes {
+            owned,
+            replicas,
+            waiting,
+        } = takeover.table_sizes();
         TakeoverStatus {
             owned,
             replicas,
