--- a/crates/adapter/src/lib.rs
+++ b/crates/adapter/src/lib.rs
@@ -1,5 +1,5 @@
-//! The simulator's wire, decoded into calls and encoded from actions, for instances that decide and for whoever
-//! writes down what they heard.
+//! The simulator's wire, decoded into calls and encoded from actions, for instances that decide and for
+//! whoever writes down what they heard.
 
 #![warn(missing_docs)]
 #![warn(
--- a/src/admission.rs
+++ b/src/admission.rs
@@ -1,8 +1,8 @@
 //! Admission: a limit on the attempts in flight that follows latency.
 //!
-//! Inputs: which answers take too large a part of their latency objective. What a queue would make late is rejected
-//! on arrival, those of the lowest priority first. Covers overload, lost pods and slow fleets alike. Harm: where
-//! many requests are heavy by nature, the limit is lower than the pods could bear.
+//! Inputs: which answers take too large a part of their latency objective. What a queue would make late is
+//! rejected on arrival, those of the lowest priority first. Covers overload, lost pods and slow fleets alike.
+//! Harm: where many requests are heavy by nature, the limit is lower than the pods could bear.
 
 use crate::interface::{AttemptEnd, Nanos, RouteClassId};
 use crate::request::EndedAttempt;
--- a/src/binomial.rs
+++ b/src/binomial.rs
@@ -5,8 +5,8 @@
 
 const BISECTION_STEPS: u32 = 40;
 
-/// The largest error rate of each of `instances` independent tests, up to `ceiling`, with which at least `needed`
-/// of them err together with a probability of at most `joint_rate`.
+/// The largest error rate of each of `instances` independent tests, up to `ceiling`, with which at least
+/// `needed` of them err together with a probability of at most `joint_rate`.
 pub(crate) fn largest_error_rate(
     instances: usize,
     needed: usize,
--- a/src/endpoint_list.rs
+++ b/src/endpoint_list.rs
@@ -1,8 +1,8 @@
 //! The endpoint list: how it is followed, and when it is asked for again.
 //!
-//! Inputs: failures of the watch. A watch that failed may or may not be in force, so it is asked for again, later
-//! each time and at scattered moments. Harm: with long waits a stale list stays in force; with short ones many
-//! instances crowd service discovery.
+//! Inputs: failures of the watch. A watch that failed may or may not be in force, so it is asked for again,
+//! later each time and at scattered moments. Harm: with long waits a stale list stays in force; with short
+//! ones many instances crowd service discovery.
 
 use crate::interface::{EndpointListSettings, Nanos};
 use crate::time::SECOND;
--- a/src/exposure.rs
+++ b/src/exposure.rs
@@ -1,8 +1,9 @@
 //! The exposure cap: how much of the attempts a build on trial may take.
 //!
-//! Inputs: attempts sent to the build and requests taken over the cap's window, the announced stage, the idempotency
-//! of the route class. The cap is a hard rule; the part of it that is used follows the sequential test's doubt.
-//! Harm: a build that gets too little is never judged; without other pods a cap rejects requests.
+//! Inputs: attempts sent to the build and requests taken over the cap's window, the announced stage, the
+//! idempotency of the route class. The cap is a hard rule; the part of it that is used follows the sequential
+//! test's doubt. Harm: a build that gets too little is never judged; without other pods a cap rejects
+//! requests.
 
 mod counts;
 
@@ -88,7 +89,8 @@
         self.counts.attempts(now, build, class) as f64 + 1.0 <= most
     }
 
-    /// The part of the cap in use for as long as other builds can take the rest; without them the whole of it.
+    /// The part of the cap in use for as long as other builds can take the rest; without them the whole of
+    /// it.
     fn usable_part(&self, others: bool, sends: bool) -> f64 {
         if others {
             self.part * sends as u8 as f64
@@ -129,8 +131,8 @@
 }
 
 impl Router {
-    /// The cap a build is under, or none where it is not on trial. One not announced is in its first stage; where
-    /// keys stick it gets nothing, as keys that it answered could not be held to it.
+    /// The cap a build is under, or none where it is not on trial. One not announced is in its first stage;
+    /// where keys stick it gets nothing, as keys that it answered could not be held to it.
     pub(crate) fn cap(&self, build: Build) -> Option<f64> {
         let first = if self.exposure.settings.sticky_keys {
             0.0
@@ -219,13 +221,13 @@
         open.into_iter().map(|group| group.index).collect()
     }
 
-    /// Whether an attempt that was chosen a while ago may still go out: while it waits for a connection, its pod
-    /// may drain or come back as another, or the stage may change. One that waited long is counted again, lest
-    /// attempts that were chosen apart leave together and pass the cap at once. A keyed request that may have run
-    /// is not repeated past its window.
+    /// Whether an attempt that was chosen a while ago may still go out: while it waits for a connection, its
+    /// pod may drain or come back as another, or the stage may change. One that waited long is counted again,
+    /// lest attempts that were chosen apart leave together and pass the cap at once. A keyed request that may
+    /// have run is not repeated past its window.
     ///
-    /// `request` is its class and key, `endpoint` the pod as it was chosen, `times` when it was chosen and when the
-    /// request may have run first.
+    /// `request` is its class and key, `endpoint` the pod as it was chosen, `times` when it was chosen and
+    /// when the request may have run first.
     pub fn may_still_send(
         &mut self,
         now: Nanos,
--- a/src/exposure/counts.rs
+++ b/src/exposure/counts.rs
@@ -10,8 +10,8 @@
 }
 
 /// What a cap is counted by. A bucket is the window of a route class, or of all where the cap holds for all
-/// together. Classes that follow one another under one name share a bucket: a cap counts by name, whatever version
-/// of the rules a request began with.
+/// together. Classes that follow one another under one name share a bucket: a cap counts by name, whatever
+/// version of the rules a request began with.
 pub(crate) struct ExposureCounts {
     per_class: bool,
     window: Nanos,
--- a/src/hedging.rs
+++ b/src/hedging.rs
@@ -1,9 +1,9 @@
 //! Hedging: when a second attempt goes out beside a first that has not ended.
 //!
-//! Inputs: what nine in ten answers keep, the part of late answers, the retry budget, the time left. An answer that
-//! is far later while few are late waits for a silent connection or pod, not for work. The hedged attempt runs
-//! beside the first, as a heavy request is as heavy elsewhere, and never waits past the objective. Harm: where many
-//! requests are heavy by nature, work is done twice.
+//! Inputs: what nine in ten answers keep, the part of late answers, the retry budget, the time left. An
+//! answer that is far later while few are late waits for a silent connection or pod, not for work. The hedged
+//! attempt runs beside the first, as a heavy request is as heavy elsewhere, and never waits past the
+//! objective. Harm: where many requests are heavy by nature, work is done twice.
 
 use crate::interface::{Endpoint, Idempotency, Nanos};
 use crate::request::InFlightRequest;
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,8 +1,8 @@
 //! The interface of the router: what a host tells it and what it asks of a host.
 //!
 //! A host builds a [`Router`](crate::Router) from [`RouterSettings`], calls its methods as things arrive and
-//! carries out what comes back through [`Host`]. Whatever takes a [`Callback`] is kept by the host and handed its
-//! result once, so the state of a request in flight lives in its callbacks.
+//! carries out what comes back through [`Host`]. Whatever takes a [`Callback`] is kept by the host and handed
+//! its result once, so the state of a request in flight lives in its callbacks.
 
 mod endpoint;
 mod host;
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -112,7 +112,7 @@
 #[derive(Clone, Debug)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct PodSettings {
-    /// How long a draining pod still takes requests.
+    /// How long after it began to drain a pod may still be sent to.
     pub drain_grace: Nanos,
     /// Share of its capacity that a pod has at its start, at least.
     #[cfg_attr(feature = "serde", serde(rename = "cold_share"))]
--- a/src/latency.rs
+++ b/src/latency.rs
@@ -1,7 +1,7 @@
 //! Which answers are slow, against what was learnt outside trials.
 //!
-//! Inputs: latencies by route class and machine type, as a new build starts on few pods. Hedging and the sequential
-//! test go by the result. Harm: what is learnt from few requests lags behind a change of the load.
+//! Inputs: latencies by route class and machine type, as a new build starts on few pods. Hedging and the
+//! sequential test go by the result. Harm: what is learnt from few requests lags behind a change of the load.
 
 use crate::interface::{AttemptEnd, AttemptOutcome, RouteClass, RouteClassId};
 use crate::pod_table::Pod;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,9 @@
 //! havenplank: the decisions of a sidecar that routes requests and judges releases.
 //!
-//! A [`Router`] is built from [`interface::RouterSettings`], is told what arrives and asks for effects through
-//! [`interface::Host`]. It does no input or output, has no clock and draws its random numbers from a seed, so
-//! the same calls always give the same decisions. Each decision has a module of its own; `router` calls them
-//! in the order of a request's life.
+//! A [`Router`] is built from [`interface::RouterSettings`], is told what arrives and asks for effects
+//! through [`interface::Host`]. It does no input or output, has no clock and draws its random numbers from a
+//! seed, so the same calls always give the same decisions. Each decision has a module of its own; `router`
+//! calls them in the order of a request's life.
 
 #![warn(missing_docs)]
 #![warn(
--- a/src/outlier.rs
+++ b/src/outlier.rs
@@ -1,8 +1,8 @@
 //! Outlier ejection: when a pod is kept from requests, for how long, and how it recovers.
 //!
-//! Inputs: how attempts to a pod end, and how long it is silent. Health is judged by symptom, whatever its cause.
-//! A pod that comes back gets one request at a time until it answers. Harm: where the fault is not the pods',
-//! ejecting them would crowd the rest, so ejections are ignored when most pods look unhealthy.
+//! Inputs: how attempts to a pod end, and how long it is silent. Health is judged by symptom, whatever its
+//! cause. A pod that comes back gets one request at a time until it answers. Harm: where the fault is not the
+//! pods', ejecting them would crowd the rest, so ejections are ignored when most pods look unhealthy.
 
 use crate::interface::{AttemptEnd, Nanos, RouteClass};
 use crate::pod_table::{Pod, PodTable};
@@ -48,7 +48,8 @@
         self.silence_limit = shortest.unwrap_or(self.silence_limit);
     }
 
-    /// Whether a pod has let its attempts wait for too long; with several in flight half the time is too long.
+    /// Whether a pod has let its attempts wait for too long; with several in flight half the time is too
+    /// long.
     pub(crate) fn is_silent(&self, now: Nanos, pod: &Pod) -> bool {
         let silent_for = if pod.in_flight == 0 {
             0
@@ -80,8 +81,9 @@
         self.panic_mode = PANIC_DIVISOR * healthy < pods.count;
     }
 
-    /// Takes in how an attempt ended. A time-out tells of the pod only if nothing came from it since, and if it was
-    /// not cut short by a client with little time left. `ejection_part` is from [`draw_ejection_part`].
+    /// Takes in how an attempt ended. A time-out tells of the pod only if nothing came from it since, and if
+    /// it was not cut short by a client with little time left. `ejection_part` is from
+    /// [`draw_ejection_part`].
     pub(crate) fn record_end(
         &self,
         now: Nanos,
--- a/src/pod_table.rs
+++ b/src/pod_table.rs
@@ -99,8 +99,8 @@
         }
     }
 
-    /// What its pods say together, added up in the order of their indices, so that rounding does not depend on
-    /// which change came when.
+    /// What its pods say together, added up in the order of their indices, so that rounding does not depend
+    /// on which change came when.
     fn sum_up(&mut self, slots: &[Option<Pod>]) {
         self.size = 0.0;
         self.latest_start = 0;
@@ -169,8 +169,8 @@
         self.visits.set(visits);
     }
 
-    /// Takes a list in; a pod that started anew or runs another build is a new one under an old index. Changes
-    /// cost what the groups of the changed pods hold, and leave the table as the whole list would.
+    /// Takes a list in; a pod that started anew or runs another build is a new one under an old index.
+    /// Changes cost what the groups of the changed pods hold, and leave the table as the whole list would.
     pub(crate) fn apply(
         &mut self,
         whole: bool,
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -1,8 +1,8 @@
 //! Retries: whether another attempt is safe, worth it and within budget, and what the client is told else.
 //!
-//! Inputs: the idempotency of the route class, what may have run and when, attempts so far, time left, and the
-//! budget. Retries are bounded by requests taken, lest a sick fleet be asked more. Harm: a budget that is used up
-//! turns single failures into errors.
+//! Inputs: the idempotency of the route class, what may have run and when, attempts so far, time left, and
+//! the budget. Retries are bounded by requests taken, lest a sick fleet be asked more. Harm: a budget that is
+//! used up turns single failures into errors.
 
 use crate::exposure::WINDOW_SLICES;
 use crate::interface::{AttemptEnd, DedupScope, Idempotency, Nanos};
@@ -85,8 +85,8 @@
             && self.retry_budget.allows_retry(now, !end.never_ran())
     }
 
-    /// How long an attempt may take. A time-out before the objective would do the work twice just when pods are
-    /// slow; hung pods are told by their silence.
+    /// How long an attempt may take. A time-out before the objective would do the work twice just when pods
+    /// are slow; hung pods are told by their silence.
     pub(crate) fn attempt_timeout(&self, now: Nanos, request: &InFlightRequest) -> Nanos {
         let rules = self.route_classes[request.class];
         let left = request.deadline - now;
@@ -96,7 +96,8 @@
         }
     }
 
-    /// Whether a client that tries again later can do no harm, so that the request is rejected rather than failed.
+    /// Whether a client that tries again later can do no harm, so that the request is rejected rather than
+    /// failed.
     pub(crate) fn is_client_retry_harmless(&self, now: Nanos, request: &InFlightRequest) -> bool {
         let rules = self.route_classes[request.class];
         let Some(run) = request.possible_run else {
--- a/src/router.rs
+++ b/src/router.rs
@@ -1,8 +1,8 @@
 //! The router: the order of the steps in a request's life, and what each callback continues with.
 //!
-//! A host calls [`Router::start`] once and the other methods as things arrive; effects leave through [`Host`]. Each
-//! attempt, vote and timer leaves a callback that is handed its result: there the state of a request in flight
-//! lives. Nothing is decided here; each decision has its own module.
+//! A host calls [`Router::start`] once and the other methods as things arrive; effects leave through
+//! [`Host`]. Each attempt, vote and timer leaves a callback that is handed its result: there the state of a
+//! request in flight lives. Nothing is decided here; each decision has its own module.
 
 use crate::admission::ConcurrencyLimit;
 use crate::endpoint_list::EndpointListWatch;
@@ -131,8 +131,8 @@
         host.set_timer(wait, Box::new(|_, host, ()| host.watch_endpoints(true)));
     }
 
-    /// Takes in changed route classes, between two calls: requests in flight keep the index, and so the rules, that
-    /// they began with. `in_force` are the classes that requests may still be taken for.
+    /// Takes in changed route classes, between two calls: requests in flight keep the index, and so the
+    /// rules, that they began with. `in_force` are the classes that requests may still be taken for.
     pub fn set_route_classes(&mut self, changes: &[RouteClassChange], in_force: &[RouteClassId]) {
         for change in changes {
             let fresh = change.predecessor.is_none();
@@ -257,7 +257,8 @@
         } else {
             self.choose_pod(now, &request.borrow())
         };
-        // A pod that is not in the table could not be sent to, and the request would be left without an answer.
+        // A pod that is not in the table could not be sent to, and the request would be left without an
+        // answer.
         let Some(pod) = chosen.filter(|pod| self.pods.get(*pod).is_some()) else {
             return self.give_up(host, &request);
         };
@@ -432,8 +433,8 @@
     }
 }
 
-/// The word for a vote in the log. Traces record the line and a replay compares it, so the words stay as the first
-/// recorded traces have them.
+/// The word for a vote in the log. Traces record the line and a replay compares it, so the words stay as the
+/// first recorded traces have them.
 fn recorded_word(vote: Vote) -> &'static str {
     match vote {
         Vote::None => "None",
--- a/src/selection.rs
+++ b/src/selection.rs
@@ -1,8 +1,9 @@
 //! Endpoint selection: which pod gets the next attempt of a request.
 //!
-//! Inputs: the pod groups left open by the exposure cap, attempts in flight, learnt slowness, warm-up and zones.
-//! Two pods are drawn at random near and two in other zones, and the least loaded of them is taken after tilts for
-//! zone and build. Harm: a pod that looks idle because it fails quickly draws requests until it is ejected.
+//! Inputs: the pod groups left open by the exposure cap, attempts in flight, learnt slowness, warm-up and
+//! zones. Two pods are drawn at random near and two in other zones, and the least loaded of them is taken
+//! after tilts for zone and build. Harm: a pod that looks idle because it fails quickly draws requests until
+//! it is ejected.
 
 mod subset;
 
@@ -65,8 +66,8 @@
         }
     }
 
-    /// Groups by their size. Beside the earlier build's pods the newest ones stand for as many of them and take
-    /// over their part; a build on trial is drawn by what sampling adds.
+    /// Groups by their size. Beside the earlier build's pods the newest ones stand for as many of them and
+    /// take over their part; a build on trial is drawn by what sampling adds.
     fn weigh_groups(&self, open: &[usize], newest: Build) -> Vec<WeightedGroup> {
         let groups = &self.pods.groups;
         let size = |of_newest: bool| -> f64 {
@@ -100,8 +101,8 @@
         open.iter().map(weigh).collect()
     }
 
-    /// Draws two pods and keeps the least loaded. Idle ones tie and the first drawn goes: with few requests nearly
-    /// all are idle, and the fastest would get them all.
+    /// Draws two pods and keeps the least loaded. Idle ones tie and the first drawn goes: with few requests
+    /// nearly all are idle, and the fastest would get them all.
     fn draw_candidates(
         &mut self,
         now: Nanos,
@@ -159,8 +160,8 @@
         chosen
     }
 
-    /// Any pod that may take the request, from a random one on; as the last resort one that looks unhealthy or
-    /// failed it before.
+    /// Any pod that may take the request, from a random one on; as the last resort one that looks unhealthy
+    /// or failed it before.
     fn choose_any(
         &mut self,
         now: Nanos,
--- a/src/selection/subset.rs
+++ b/src/selection/subset.rs
@@ -1,9 +1,10 @@
 //! Deterministic subsets: which pods of each group this instance sends to.
 //!
-//! Hundreds of instances that each open connections to every pod cost the pods more than their requests do. So each
-//! keeps to a stretch of every group; all instances order a group alike, and an instance's rank tells where its
-//! stretch begins. A stretch goes on past unhealthy pods, and a cold pod counts for its part. Inputs: rank, number
-//! of instances, pods, attempts in flight. Harm: where ranks collide, some pods get more than others.
+//! Hundreds of instances that each open connections to every pod cost the pods more than their requests do.
+//! So each keeps to a stretch of every group; all instances order a group alike, and an instance's rank tells
+//! where its stretch begins. A stretch goes on past unhealthy pods, and a cold pod counts for its part.
+//! Inputs: rank, number of instances, pods, attempts in flight. Harm: where ranks collide, some pods get more
+//! than others.
 
 use super::GOLDEN_RATIO;
 use crate::interface::{FleetPosition, Nanos};
--- a/src/sequential_test.rs
+++ b/src/sequential_test.rs
@@ -1,9 +1,9 @@
 //! Wald's sequential test on whether the build on trial does worse than the one before.
 //!
-//! Inputs: how this instance's own attempts end, by build. Each outcome adds a log-likelihood ratio to a sum; the
-//! expected share of failures is the build's share of attempts. A sum above the upper bound speaks against the
-//! build, one below the lower bound for it. Harm: a false rejection sends a sound build back, a missed one leaves
-//! a bad build in place; the bounds weigh the two.
+//! Inputs: how this instance's own attempts end, by build. Each outcome adds a log-likelihood ratio to a sum;
+//! the expected share of failures is the build's share of attempts. A sum above the upper bound speaks
+//! against the build, one below the lower bound for it. Harm: a false rejection sends a sound build back, a
+//! missed one leaves a bad build in place; the bounds weigh the two.
 
 pub(crate) mod evidence;
 mod periods;
@@ -21,7 +21,8 @@
 const ALPHA: f64 = 0.01;
 /// The rate of bad builds that may pass.
 const BETA: f64 = 0.1;
-/// How many times likelier a failure is on a bad build, for failures that a connection or a queue can cause, too.
+/// How many times likelier a failure is on a bad build, for failures that a connection or a queue can cause,
+/// too.
 const SHARED_FAILURE_ODDS: f64 = 2.0;
 /// The same for errors and wrong answers: sound builds make next to none, so the answer may come quicker.
 const OWN_FAILURE_ODDS: f64 = 4.0;
@@ -46,9 +47,9 @@
 }
 
 impl Bounds {
-    /// Wald's bounds for one of `instances` where `needed` of them must agree. Alpha is that of the verdict, so each
-    /// gets the part with which as many false rejections as move a release are no likelier; where any one decides,
-    /// less by the logarithm of their number only; where many must agree, up to beta.
+    /// Wald's bounds for one of `instances` where `needed` of them must agree. Alpha is that of the verdict,
+    /// so each gets the part with which as many false rejections as move a release are no likelier; where any
+    /// one decides, less by the logarithm of their number only; where many must agree, up to beta.
     pub(crate) fn new(instances: usize, needed: usize) -> Bounds {
         let part = largest_error_rate(instances, needed, ALPHA, BETA);
         let alpha = part.clamp(ALPHA / (1.0 + (instances as f64).ln()), BETA);
@@ -59,8 +60,9 @@
     }
 }
 
-/// The build's share of the attempts that ended. Failures come that late, too, and what a draining pod turned away
-/// could not have failed; counted at sending, a quickly growing share would look like the build's bad luck.
+/// The build's share of the attempts that ended. Failures come that late, too, and what a draining pod turned
+/// away could not have failed; counted at sending, a quickly growing share would look like the build's bad
+/// luck.
 struct TrialShare {
     long: BuildCounts,
     short: BuildCounts,
@@ -94,8 +96,8 @@
         }
     }
 
-    /// The higher of a long and a short look: at a stage's start the share leaps, and the long look alone would
-    /// blame the build for having more attempts than it counts.
+    /// The higher of a long and a short look: at a stage's start the share leaps, and the long look alone
+    /// would blame the build for having more attempts than it counts.
     fn value(&mut self, now: Nanos) -> f64 {
         let long_trial = self.long.on_trial.upper_bound(now) as f64;
         let long_all = self.long.all.upper_bound(now) as f64;
@@ -125,7 +127,8 @@
     pub(crate) bounds: Bounds,
     /// The newest build that the control plane announced.
     pub(crate) build: Build,
-    /// By how much this instance draws the build on trial more often than its size says; 0 where it is sampled out.
+    /// By how much this instance draws the build on trial more often than its size says; 0 where it is
+    /// sampled out.
     pub(crate) oversampling: f64,
     /// Attempts to the build that ended in this stage.
     pub(crate) outcomes: u32,
@@ -174,8 +177,8 @@
         self.worst_sum().max(self.slow_sum) > self.bounds.reject / 2.0
     }
 
-    /// Begins a stage. What speaks against a build is carried over, as a low rate of wrong answers never fills the
-    /// sum within one stage. What speaks for it is not: more traffic may bring out more.
+    /// Begins a stage. What speaks against a build is carried over, as a low rate of wrong answers never
+    /// fills the sum within one stage. What speaks for it is not: more traffic may bring out more.
     pub(crate) fn restart(&mut self, build: Build) {
         if build != self.build {
             self.share.forget_trial();
@@ -189,11 +192,12 @@
         self.periods.sum = self.periods.sum.max(0.0);
     }
 
-    /// Counts an attempt that ended; `own_failure` is an error or a wrong answer, which a pod makes by itself.
+    /// Counts an attempt that ended; `own_failure` is an error or a wrong answer, which a pod makes by
+    /// itself.
     ///
-    /// Once the build on trial has most of the load, its share nears 1 and the test goes blind. So for own failures
-    /// the earlier build keeps most of the share from memory, failing as it last did. Harm: callers that begin to
-    /// err after the earlier build's last answer speak against a sound build.
+    /// Once the build on trial has most of the load, its share nears 1 and the test goes blind. So for own
+    /// failures the earlier build keeps most of the share from memory, failing as it last did. Harm: callers
+    /// that begin to err after the earlier build's last answer speak against a sound build.
     fn record_end(&mut self, now: Nanos, build: Build, own_failure: bool) {
         if build < self.build {
             let observed = own_failure as u8 as f64;
@@ -224,9 +228,9 @@
         step
     }
 
-    /// Takes in an answer among the slowest tenth and returns what it added: a slow build fails nothing, so the sum
-    /// of failures never hears of it. Harm: a sound build that is kept busier than the earlier one looks slow, so
-    /// the sum rests once the build has a third of the load.
+    /// Takes in an answer among the slowest tenth and returns what it added: a slow build fails nothing, so
+    /// the sum of failures never hears of it. Harm: a sound build that is kept busier than the earlier one
+    /// looks slow, so the sum rests once the build has a third of the load.
     fn record_slow_answer(&mut self, now: Nanos, build: Build) -> f64 {
         let share = self.share.value(now);
         let step = if share <= SLOW_MAX_SHARE {
--- a/src/sequential_test/evidence.rs
+++ b/src/sequential_test/evidence.rs
@@ -1,9 +1,9 @@
 //! What an ended attempt says of its build.
 //!
-//! Inputs: an attempt's outcome, its pod and the load. Not heard are a young pod, which fails for being cold; a
-//! hung pod while others of its build answer; lateness while much is late, as it tells of load; and one pod alone
-//! beyond a part of the bound, as machines fail by themselves, too. Harm: the verdict on a bad build with few pods
-//! comes late.
+//! Inputs: an attempt's outcome, its pod and the load. Not heard are a young pod, which fails for being cold;
+//! a hung pod while others of its build answer; lateness while much is late, as it tells of load; and one pod
+//! alone beyond a part of the bound, as machines fail by themselves, too. Harm: the verdict on a bad build
+//! with few pods comes late.
 
 use super::periods::PeriodAnswer;
 use crate::admission::ConcurrencyLimit;
@@ -18,7 +18,8 @@
 /// The part of the upper bound after which one pod alone says no more.
 const ONE_POD_LIMIT: f64 = 0.4;
 
-/// Whether an attempt is heard at all. What fails again elsewhere is the request's own doing, so only first ones are.
+/// Whether an attempt is heard at all. What fails again elsewhere is the request's own doing, so only first
+/// ones are.
 pub(crate) fn is_heard(ended: &EndedAttempt) -> bool {
     let end = ended.outcome.end;
     (end.is_failure() || end == AttemptEnd::Served) && ended.attempt.first
--- a/src/sequential_test/periods.rs
+++ b/src/sequential_test/periods.rs
@@ -1,9 +1,9 @@
 //! The trial share by alternating periods: whether a build slows the pods of all builds.
 //!
-//! A build that slows every pod alike leaves the test nothing to compare, so time does: while the earlier pods are
-//! slower than before the trial, the build's share is withheld in every other period of a clock that all instances
-//! know from the stage's start, as one alone moves nothing. Inputs: slow answers of earlier pods. Harm: a sound
-//! build is blamed while another slowdown keeps the same rhythm.
+//! A build that slows every pod alike leaves the test nothing to compare, so time does: while the earlier
+//! pods are slower than before the trial, the build's share is withheld in every other period of a clock that
+//! all instances know from the stage's start, as one alone moves nothing. Inputs: slow answers of earlier
+//! pods. Harm: a sound build is blamed while another slowdown keeps the same rhythm.
 
 use super::{SequentialTest, SLOW_ODDS};
 use crate::interface::Nanos;
@@ -93,8 +93,8 @@
 }
 
 impl SequentialTest {
-    /// Follows the clock. `trial_began`: none where periods do not alternate. Where several instances must agree (`shared_verdict`), one weighs rounds in which only
-    /// others withheld the share, too.
+    /// Follows the clock. `trial_began`: none where periods do not alternate. Where several instances must
+    /// agree (`shared_verdict`), one weighs rounds in which only others withheld the share, too.
     fn advance_periods(&mut self, now: Nanos, trial_began: Option<Nanos>, shared_verdict: bool) {
         self.periods.active &= trial_began.is_some();
         let period = trial_began.map_or(Period::default(), |trial_began| Period {
@@ -160,8 +160,8 @@
             .advance_periods(now, trial_began, shared_verdict);
     }
 
-    /// Counts a request that the concurrency limit rejected as a slow answer, which it would have been: the limit
-    /// must not hide a build that slows every pod.
+    /// Counts a request that the concurrency limit rejected as a slow answer, which it would have been: the
+    /// limit must not hide a build that slows every pod.
     pub(crate) fn record_rejection(&mut self, now: Nanos) {
         let answer = PeriodAnswer {
             sent_at: now,
--- a/src/sequential_test/sampling.rs
+++ b/src/sequential_test/sampling.rs
@@ -1,9 +1,9 @@
 //! Which instances send to the build on trial, and how much more than its size says.
 //!
-//! A thin share at each of many instances tells none of them enough, and a bad build stays. So a sample of them
-//! takes the trial's attempts, each as many more as the cap and its memory leave room for, the rest none: as many
-//! reach the pods, and fewer instances hear more. Inputs: rank, build and number of instances, so that all agree
-//! without a word. Harm: where the rank is wrong, too many or too few send to the build.
+//! A thin share at each of many instances tells none of them enough, and a bad build stays. So a sample of
+//! them takes the trial's attempts, each as many more as the cap and its memory leave room for, the rest
+//! none: as many reach the pods, and fewer instances hear more. Inputs: rank, build and number of instances,
+//! so that all agree without a word. Harm: where the rank is wrong, too many or too few send to the build.
 
 use super::{Bounds, MEMORY_SHARE};
 use crate::exposure::Exposure;
@@ -28,7 +28,8 @@
         self.sequential_test.bounds = Bounds::new(judging, needed);
     }
 
-    /// The part of the instances that sends to the build on trial, whose pods are `share` of the fleet's size.
+    /// The part of the instances that sends to the build on trial, whose pods are `share` of the fleet's
+    /// size.
     fn sampled_part(&mut self, now: Nanos, share: f64) -> f64 {
         let instances = self.position.instances;
         let needed = self.voting.settings.rollback_quorum;
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -1,8 +1,8 @@
 //! Slow start: how much a pod that warms up may get from all sidecars together.
 //!
-//! Inputs: a pod's age and size, and what warm pods of its machine type answer to this instance. Answers are the
-//! guide, not attempts, since attempts outrun any capacity when the rest of the fleet is lost or full. Harm: where
-//! the settings call pods cold for longer than they are, warm ones carry more than they need to.
+//! Inputs: a pod's age and size, and what warm pods of its machine type answer to this instance. Answers are
+//! the guide, not attempts, since attempts outrun any capacity when the rest of the fleet is lost or full.
+//! Harm: where the settings call pods cold for longer than they are, warm ones carry more than they need to.
 
 use crate::exposure::WINDOW_SLICES;
 use crate::interface::{AttemptEnd, Endpoint, Nanos, PodId, PodSettings};
@@ -87,9 +87,10 @@
         Some(machine.answers.upper_bound(now) as f64 / machine.size)
     }
 
-    /// Whether a pod has room for one more attempt, which a warm one always has. A part under one attempt is drawn
-    /// for, lest those of many instances add up: `luck` is a draw from 0 to the window's requests for each unit of
-    /// size that the pod is drawn from. In a subset a pod hears from fewer instances, and each has more of it.
+    /// Whether a pod has room for one more attempt, which a warm one always has. A part under one attempt is
+    /// drawn for, lest those of many instances add up: `luck` is a draw from 0 to the window's requests for
+    /// each unit of size that the pod is drawn from. In a subset a pod hears from fewer instances, and each
+    /// has more of it.
     pub(crate) fn has_room(
         &mut self,
         now: Nanos,
--- a/src/voting.rs
+++ b/src/voting.rs
@@ -1,9 +1,9 @@
 //! Which vote this instance casts on the build on trial, and when.
 //!
-//! Inputs: the sums of the sequential test, the time since the newest pod of the build started, the votes' lifetime
-//! and how many calls the control plane takes. A vote in force is renewed late in its life, at scattered moments.
-//! Harm: an early vote to advance takes the time that votes against need; a vote that can move nothing keeps
-//! others from being heard.
+//! Inputs: the sums of the sequential test, the time since the newest pod of the build started, the votes'
+//! lifetime and how many calls the control plane takes. A vote in force is renewed late in its life, at
+//! scattered moments. Harm: an early vote to advance takes the time that votes against need; a vote that can
+//! move nothing keeps others from being heard.
 
 use crate::interface::{
     Build, Nanos, Phase, ReleaseControl, Stage, Vote, VoteReceipt, VoteSettings,
@@ -113,8 +113,8 @@
         }
     }
 
-    /// Whether as many votes to advance can be in force together as move a stage: of those that the control plane
-    /// takes within a vote's life, twice a second's worth come at once.
+    /// Whether as many votes to advance can be in force together as move a stage: of those that the control
+    /// plane takes within a vote's life, twice a second's worth come at once.
     fn can_advance(&self) -> bool {
         let settings = &self.settings;
         let life_s = settings.ttl as f64 / SECOND as f64;
@@ -144,8 +144,8 @@
         Some(vote)
     }
 
-    /// Takes in how a ballot that was cast at `cast_at` was received, and plans the next call: late in the vote's
-    /// life, but so that a call that times out can be made again before it lapses.
+    /// Takes in how a ballot that was cast at `cast_at` was received, and plans the next call: late in the
+    /// vote's life, but so that a call that times out can be made again before it lapses.
     pub(crate) fn record_receipt(
         &mut self,
         now: Nanos,
