--- a/crates/adapter/src/error.rs
+++ b/crates/adapter/src/error.rs
@@ -38,10 +38,3 @@
         problem: &'static str,
     },
 }
-
-/// For callers whose errors are text.
-impl From<WireError> for String {
-    fn from(error: WireError) -> String {
-        error.to_string()
-    }
-}
--- a/crates/adapter/src/line.rs
+++ b/crates/adapter/src/line.rs
@@ -74,16 +74,11 @@
 }
 
 impl<'a> Fields<'a> {
-    /// The error that a field is malformed.
-    pub(crate) fn error(&self, field: &str, problem: &'static str) -> WireError {
+    /// The error that a field is malformed; `problem` says what it is not, or what was expected.
+    pub fn error(&self, field: &str, problem: &'static str) -> WireError {
         self.line.error(&format!("{}{field}", self.path), problem)
     }
 
-    /// The text of the error that a field is malformed, for callers whose errors are text.
-    pub fn complain(&self, field: &str, problem: &'static str) -> String {
-        self.error(field, problem).to_string()
-    }
-
     fn want<T>(
         &self,
         field: &str,
