--- a/crates/adapter/tests/wire.rs
+++ b/crates/adapter/tests/wire.rs
@@ -9,6 +9,11 @@
 const KNOCK: &str =
     r#"{"verb":"KNOCK","sidecar":0,"opId":"a","grade":"read","graceNs":900000000,"odd":1}"#;
 
+const ROUND: &str = r#"{"verb":"ROUND","momentNs":5000,"turn":1}"#;
+const GO: &str = r#"{"verb":"GO"}"#;
+const TIMER: &str = r#"{"verb":"TIMER","sidecar":0,"keyBack":"0","fromNowNs":200000000}"#;
+const WATCH: &str = r#"{"verb":"TAIL","sidecar":0,"enable":true}"#;
+
 fn adapter(lines: &[&str]) -> Output {
     let mut adapter = Command::new(env!("CARGO_BIN_EXE_havenplank-adapter"))
         .stdin(Stdio::piped())
@@ -31,10 +36,6 @@
 
 #[test]
 fn a_transcript_from_start_to_end() {
-    let (round, go) = (
-        r#"{"verb":"ROUND","momentNs":5000,"turn":1}"#,
-        r#"{"verb":"GO"}"#,
-    );
     let draining = LIST.replace("Running", "Stopping");
     let delta = HELD.replace("cached", "delta");
     let gone = r#"{"verb":"RETURNED","sidecar":0,"opId":"x","trial":0,"pod":"p1","ending":305,"latencyNs":9}"#;
@@ -46,13 +47,13 @@
     let off = r#"{"verb":"POWER_OFF","sidecar":0}"#;
     let start = attach();
     let out = adapter(&[
-        round,
+        ROUND,
         &start,
         LIST,
         HELD,
         KNOCK,
-        go,
-        round,
+        GO,
+        ROUND,
         gone,
         ok,
         hangup,
@@ -62,25 +63,23 @@
         &second,
         r#"{"verb":"DANCE"}"#,
         r#"{"verb":"DANCE"}"#,
-        go,
-        round,
+        GO,
+        ROUND,
         off,
         &start,
         LIST,
         HELD,
-        go,
+        GO,
     ]);
-    let timer = r#"{"verb":"TIMER","sidecar":0,"keyBack":"0","fromNowNs":200000000}"#;
-    let tail = r#"{"verb":"TAIL","sidecar":0,"enable":true}"#;
     let expected = [
-        tail,
-        timer,
+        WATCH,
+        TIMER,
         r#"{"verb":"ATTEMPT","sidecar":0,"opId":"a","pod":"p1","patienceNs":500000000}"#,
         r#"{"verb":"YIELD","turn":1}"#,
         r#"{"verb":"REFUSE","sidecar":0,"opId":"b","waitNs":300000000}"#,
         r#"{"verb":"YIELD","turn":1}"#,
-        tail,
-        timer,
+        WATCH,
+        TIMER,
         r#"{"verb":"YIELD","turn":1}"#,
     ];
     assert_eq!(
--- a/src/exposure.rs
+++ b/src/exposure.rs
@@ -24,6 +24,9 @@
 /// Keys that are remembered as answered by the newest build; beyond, every key counts as such.
 const MAX_STICKY_KEYS: usize = 1 << 16;
 const PART_UPDATE_INTERVAL: Nanos = SECOND;
+/// What the used part is multiplied by at each update, in doubt and else.
+const DOUBT_FACTOR: f64 = 0.5;
+const GROWTH_FACTOR: f64 = 2.0;
 
 /// The stage that the control plane announced last.
 #[derive(Clone, Copy)]
@@ -105,7 +108,11 @@
 
     /// Halves the part in use on doubt and doubles it else.
     pub(crate) fn update_part(&mut self, now: Nanos, in_doubt: bool) {
-        let factor = if in_doubt { 0.5 } else { 2.0 };
+        let factor = if in_doubt {
+            DOUBT_FACTOR
+        } else {
+            GROWTH_FACTOR
+        };
         self.part = (self.part * factor).clamp(MIN_PART, 1.0);
         self.part_updated_at = now;
     }
--- a/src/latency.rs
+++ b/src/latency.rs
@@ -4,6 +4,7 @@
 //! sequential test go by the result. Harm: what is learnt from few requests lags behind a change of the load.
 
 use crate::interface::{AttemptEnd, AttemptOutcome, RouteClass, RouteClassId};
+use crate::learning_rate::LearningRate;
 use crate::pod_table::Pod;
 use crate::request::Attempt;
 use crate::router::Router;
@@ -18,6 +19,18 @@
 /// What the ninth decile moves up for a slow answer and down for another, as parts of a step.
 const STEP_UP: f64 = 0.9;
 const STEP_DOWN: f64 = -0.1;
+/// A step of the ninth decile against the mean, by requests taken.
+const STEP_RATE: LearningRate = LearningRate {
+    numerator: 20.0,
+    min: 0.02,
+    max: 0.5,
+};
+/// The weight of the latest answer in the mean, by requests taken.
+const MEAN_RATE: LearningRate = LearningRate {
+    numerator: 2.0,
+    min: 0.01,
+    max: 0.2,
+};
 
 /// The mean latency assumed of a class of which nothing is learnt yet, in nanoseconds.
 pub(crate) fn initial_mean(class: &RouteClass) -> f64 {
@@ -63,10 +76,10 @@
         let ninth_decile = &mut latency.ninth_decile[machine];
         let slow = informative && took > *ninth_decile;
         if answered {
-            latency.mean += (took - latency.mean) * (2.0 / requests).clamp(0.01, 0.2);
+            latency.mean += (took - latency.mean) * MEAN_RATE.after(requests);
         }
         if informative && learns {
-            let step = latency.mean * (20.0 / requests).clamp(0.02, 0.5);
+            let step = latency.mean * STEP_RATE.after(requests);
             let moved = *ninth_decile + step * if slow { STEP_UP } else { STEP_DOWN };
             *ninth_decile = moved.min(MAX_NINTH_DECILE * latency.mean);
         }
--- /dev/null
+++ b/src/learning_rate.rs
@@ -0,0 +1,15 @@
+//! Learning rates that fall as more is known.
+
+/// The weight of the latest observation in a running estimate.
+pub(crate) struct LearningRate {
+    /// The rate is this number over the observations.
+    pub(crate) numerator: f64,
+    pub(crate) min: f64,
+    pub(crate) max: f64,
+}
+
+impl LearningRate {
+    pub(crate) fn after(&self, observations: f64) -> f64 {
+        (self.numerator / observations).clamp(self.min, self.max)
+    }
+}
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -23,6 +23,7 @@
 mod exposure;
 mod hedging;
 mod latency;
+mod learning_rate;
 mod outlier;
 mod pod_table;
 mod request;
--- a/src/selection.rs
+++ b/src/selection.rs
@@ -23,6 +23,10 @@
 const CROSS_ZONE_TILT: f64 = 12.0;
 /// The part of their weight that the earlier build's pods keep at least: the sequential test needs both.
 const MIN_EARLIER_PART: f64 = 0.4;
+/// The chance that a drawn pod is taken which carries as much as the mean of its group.
+const ACCEPTANCE: f64 = 0.5;
+/// The end of the range that slow start's luck is drawn from, so that its mean is 1.
+const MAX_LUCK: f64 = 2.0;
 /// Draws for two pods, at most.
 const MAX_DRAWS: u32 = 16;
 /// The weight of the latest answer in a pod's slowness, and the greatest slowness that one answer can show.
@@ -139,7 +143,7 @@
         // One for all draws of this attempt: a chance for each would add up to a certainty.
         let windows = self.slow_start.settings.overload_window as f64 / RetryBudget::WINDOW as f64;
         let requests = self.retry_budget.requests(now) as f64;
-        let luck = 2.0 * self.random.rand_float() * windows * requests / total.max(1e-9);
+        let luck = MAX_LUCK * self.random.rand_float() * windows * requests / total.max(1e-9);
         let mut chosen = Vec::new();
         for _ in 0..MAX_DRAWS {
             let group_point = self.random.rand_float() * total;
@@ -148,10 +152,9 @@
             let Some(drawn) = drawn.filter(|_| chosen.len() < 2) else {
                 break;
             };
-            let carries = self
-                .pods
-                .get(drawn.id)
-                .map_or(0.0, |pod| 0.5 / (self.burden(now, pod) * drawn.mean_size));
+            let carries = self.pods.get(drawn.id).map_or(0.0, |pod| {
+                ACCEPTANCE / (self.burden(now, pod) * drawn.mean_size)
+            });
             let taken = self.random.rand_float() < carries && !chosen.contains(&drawn.id);
             if taken && self.may_take(now, request, drawn.id, false, luck) {
                 chosen.push(drawn.id);
--- a/src/sequential_test/periods.rs
+++ b/src/sequential_test/periods.rs
@@ -7,6 +7,7 @@
 
 use super::{SequentialTest, SLOW_ODDS};
 use crate::interface::Nanos;
+use crate::learning_rate::LearningRate;
 use crate::router::Router;
 use crate::time::SECOND;
 
@@ -16,6 +17,12 @@
 const MIN_USUAL_SLOW_PART: f64 = 0.1;
 /// The weight of the latest second in the usual part.
 const USUAL_LEARNING_RATE: f64 = 0.2;
+/// The weight of the latest answer in the slow part: a few seconds' answers count, but no fewer than eight.
+const SLOW_PART_RATE: LearningRate = LearningRate {
+    numerator: 3.0,
+    min: 0.002,
+    max: 0.12,
+};
 const PERIOD: Nanos = 4 * SECOND;
 /// From a period's start, answers that tell of the one before.
 const SETTLING_TIME: Nanos = 2 * SECOND;
@@ -130,8 +137,7 @@
 
     /// Counts an answer of an earlier build's pod in its period.
     pub(super) fn record_earlier_answer(&mut self, answer: &PeriodAnswer) {
-        // A few seconds' answers, but no fewer than eight.
-        let learning_rate = (3.0 / answer.requests as f64).clamp(0.002, 0.12);
+        let learning_rate = SLOW_PART_RATE.after(answer.requests as f64);
         let periods = &mut self.periods;
         let slow = answer.slow as u8 as f64;
         periods.slow_part += (slow - periods.slow_part) * learning_rate;
--- a/src/sequential_test/sampling.rs
+++ b/src/sequential_test/sampling.rs
@@ -13,6 +13,9 @@
 use crate::selection::GOLDEN_RATIO;
 use crate::voting;
 
+/// Instances that are sampled in for each vote that a rejection needs, at least.
+const SAMPLED_PER_VOTE: f64 = 2.0;
+
 impl Router {
     pub(crate) fn update_sampling(&mut self, now: Nanos) {
         let instances = self.position.instances;
@@ -44,8 +47,8 @@
         let outcomes =
             share * self.retry_budget.requests(now) as f64 * voting::ADVANCE_AFTER as f64
                 / RetryBudget::WINDOW as f64;
-        let least =
-            (outcomes / voting::ENOUGH_OUTCOMES as f64).max(2.0 * needed as f64 / instances as f64);
+        let least = (outcomes / voting::ENOUGH_OUTCOMES as f64)
+            .max(SAMPLED_PER_VOTE * needed as f64 / instances as f64);
         part.max(least.min(1.0))
     }
 }
--- a/src/voting.rs
+++ b/src/voting.rs
@@ -26,6 +26,8 @@
 /// From which part of a vote's life it is renewed, and over which part the moments are spread.
 const RENEWAL_START: f64 = 0.75;
 const RENEWAL_SPREAD: f64 = 0.2;
+/// The seconds' worth of calls that the control plane takes at once.
+const CALL_BURST_S: f64 = 2.0;
 
 /// A vote on one stage of a build.
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -114,11 +116,11 @@
     }
 
     /// Whether as many votes to advance can be in force together as move a stage: of those that the control
-    /// plane takes within a vote's life, twice a second's worth come at once.
+    /// plane takes within a vote's life, a burst comes at once.
     fn can_advance(&self) -> bool {
         let settings = &self.settings;
         let life_s = settings.ttl as f64 / SECOND as f64;
-        let most = settings.calls_per_second * (2.0 + life_s);
+        let most = settings.calls_per_second * (CALL_BURST_S + life_s);
         settings.control != ReleaseControl::Quorum
             || settings.calls_per_second <= 0.0
             || settings.advance_quorum as f64 <= most
