--- a/crates/adapter/src/line.rs
+++ b/crates/adapter/src/line.rs
@@ -74,7 +74,7 @@
 }
 
 impl<'a> Fields<'a> {
-    /// Returns the error that a field is malformed.
+    /// The error that a field is malformed; `problem` says what it is not, or what was expected.
     pub fn error(&self, field: &str, problem: &'static str) -> WireError {
         self.line.error(&format!("{}{field}", self.path), problem)
     }
--- a/crates/platform/src/fields.rs
+++ b/crates/platform/src/fields.rs
@@ -22,7 +22,7 @@
         /// What the object is.
         object: &'static str,
     },
-    /// A field is missing or wrong, in the words of the reader of fields.
+    /// A field is missing or wrong.
     #[error(transparent)]
     Field(#[from] WireError),
 }
--- a/src/sequential_test/periods.rs
+++ b/src/sequential_test/periods.rs
@@ -1,12 +1,13 @@
 //! The trial share by alternating periods: whether a build slows the pods of all builds.
 //!
-//! A build that slows every pod alike leaves the test nothing to compare, so time does: while the earlier pods are
-//! slower than before the trial, the build's share is withheld in every other period of a clock that all instances
-//! know from the stage's start, as one alone moves nothing. Inputs: slow answers of earlier pods. Harm: a sound
-//! build is blamed while another slowdown keeps the same rhythm.
+//! A build that slows every pod alike leaves the test nothing to compare, so time does: while the earlier
+//! pods are slower than before the trial, the build's share is withheld in every other period of a clock that
+//! all instances know from the stage's start, as one alone moves nothing. Inputs: slow answers of earlier
+//! pods. Harm: a sound build is blamed while another slowdown keeps the same rhythm.
 
 use super::{SequentialTest, SLOW_ODDS};
 use crate::interface::Nanos;
+use crate::learning_rate::LearningRate;
 use crate::router::Router;
 use crate::time::SECOND;
 
@@ -16,6 +17,12 @@
 const MIN_USUAL_SLOW_PART: f64 = 0.1;
 /// The weight of the latest second in the usual part.
 const USUAL_LEARNING_RATE: f64 = 0.2;
+/// The weight of the latest answer in the slow part: a few seconds' answers count, but no fewer than eight.
+const SLOW_PART_RATE: LearningRate = LearningRate {
+    numerator: 3.0,
+    min: 0.002,
+    max: 0.12,
+};
 const PERIOD: Nanos = 4 * SECOND;
 /// From a period's start, answers that tell of the one before.
 const SETTLING_TIME: Nanos = 2 * SECOND;
@@ -93,8 +100,8 @@
 }
 
 impl SequentialTest {
-    /// Follows the clock. `trial_began`: none where periods do not alternate. Where several instances must agree (`shared_verdict`), one weighs rounds in which only
-    /// others withheld the share, too.
+    /// Follows the clock. `trial_began`: none where periods do not alternate. Where several instances must
+    /// agree (`shared_verdict`), one weighs rounds in which only others withheld the share, too.
     fn advance_periods(&mut self, now: Nanos, trial_began: Option<Nanos>, shared_verdict: bool) {
         self.periods.active &= trial_began.is_some();
         let period = trial_began.map_or(Period::default(), |trial_began| Period {
@@ -130,8 +137,7 @@
 
     /// Counts an answer of an earlier build's pod in its period.
     pub(super) fn record_earlier_answer(&mut self, answer: &PeriodAnswer) {
-        // A few seconds' answers, but no fewer than eight.
-        let learning_rate = (3.0 / answer.requests as f64).clamp(0.002, 0.12);
+        let learning_rate = SLOW_PART_RATE.after(answer.requests as f64);
         let periods = &mut self.periods;
         let slow = answer.slow as u8 as f64;
         periods.slow_part += (slow - periods.slow_part) * learning_rate;
@@ -160,8 +166,8 @@
             .advance_periods(now, trial_began, shared_verdict);
     }
 
-    /// Counts a request that the concurrency limit rejected as a slow answer, which it would have been: the limit
-    /// must not hide a build that slows every pod.
+    /// Counts a request that the concurrency limit rejected as a slow answer, which it would have been: the
+    /// limit must not hide a build that slows every pod.
     pub(crate) fn record_rejection(&mut self, now: Nanos) {
         let answer = PeriodAnswer {
             sent_at: now,
