--- a/crates/sidecar/src/attempt.rs
+++ b/crates/sidecar/src/attempt.rs
@@ -22,7 +22,7 @@
 /// Which pod served, for whoever reports an answer as wrong.
 const POD_HEADER: &str = "x-pod";
 
-/// Carries one attempt out and tells the engine how it ended.
+/// Carries one attempt out and reports its end to the engine.
 pub async fn send(
     shell: Rc<Shell>,
     request: Rc<PreparedRequest>,
--- a/crates/sidecar/src/backup_record.rs
+++ b/crates/sidecar/src/backup_record.rs
@@ -9,7 +9,7 @@
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
 use serde::{Deserialize, Serialize};
 
-/// The longest request or answer that others keep, in bytes.
+/// The longest request or answer that backups keep, in bytes.
 pub const MAX_RECORD_BYTES: usize = 256 << 10;
 
 /// Headers as they travel between sidecars.
@@ -56,7 +56,7 @@
     headers.iter().filter_map(header).collect()
 }
 
-/// Encodes a request for its backups; `None` where it is too long to be kept.
+/// Encodes a request for its backups; `None` where it is too long to be stored.
 pub fn encode(
     attributes: &RequestAttributes,
     request: &PreparedRequest,
@@ -78,24 +78,24 @@
 
 /// Decodes a request that was backed up; `None` where it cannot be read, or no route here has its name.
 pub fn decode(routes: &RouteTable, record: &Record) -> Option<BackedUpRequest> {
-    let kept: RequestRecord = postcard::from_bytes(&record.payload).ok()?;
-    let route = routes.named(&kept.route_class)?.clone();
-    let tenant = kept.tenant.as_ref();
+    let stored: RequestRecord = postcard::from_bytes(&record.payload).ok()?;
+    let route = routes.named(&stored.route_class)?.clone();
+    let tenant = stored.tenant.as_ref();
     let attributes = RequestAttributes {
         route_class: route.route_class(),
         tenant: tenant.and_then(|name| routes.tenant(name)?.index),
-        key: kept.key,
+        key: stored.key,
         remaining: record.remaining.min(route.rules.client_timeout),
-        cost_hint: kept.cost_hint,
+        cost_hint: stored.cost_hint,
         is_retry: false,
     };
-    let (headers, uri) = headers::detached_copy(&header_map(&kept.headers), &kept.path);
-    let protection = Protection::taken_over(record.request, record.digest, kept.tenant, &route);
+    let (headers, uri) = headers::detached_copy(&header_map(&stored.headers), &stored.path);
+    let protection = Protection::taken_over(record.request, record.digest, stored.tenant, &route);
     let request = PreparedRequest {
-        method: kept.method.parse().ok()?,
+        method: stored.method.parse().ok()?,
         uri,
         headers,
-        body: kept.body.into(),
+        body: stored.body.into(),
         route,
         protection: Some(protection),
     };
@@ -104,3 +104,7 @@
         request,
     })
 }
+
+#[cfg(test)]
+#[path = "../tests/unit/backup_record.rs"]
+mod tests;
--- a/crates/sidecar/src/daemon.rs
+++ b/crates/sidecar/src/daemon.rs
@@ -245,9 +245,9 @@
 /// What accepts connections.
 struct Listeners {
     clients: tokio::task::JoinHandle<()>,
-    /// Told once no more clients are accepted.
+    /// Set once no more clients are accepted.
     stopping: watch::Sender<bool>,
-    /// Operators may look on until the end: they are never told, and end when this is dropped.
+    /// Operators may look on until the end: they are never asked to end, and end when this is dropped.
     operators: JoinSet<()>,
     _operators_open: watch::Sender<bool>,
 }
@@ -281,12 +281,12 @@
         }
     }
 
-    /// Accepts no more clients, and waits until each connection has ended with the answer that it owes.
+    /// Accepts no more clients, and waits until each connection has ended with the answer that its client waits for.
     async fn stop(self, shell: &Shell) {
         shell.stopping.set(true);
         let _ = self.stopping.send(true);
         tracing::info!(hits_in_flight = shell.status().requests, "stopping");
-        // None can owe an answer longer than this.
+        // None can wait for an answer longer than this.
         let longest = Duration::from_nanos(shell.engine().longest_time_out());
         let closed = timeout(longest + STOP_MARGIN, self.clients).await;
         let left = shell.in_flight();
--- a/crates/sidecar/src/dispatcher/mod.rs
+++ b/crates/sidecar/src/dispatcher/mod.rs
@@ -249,7 +249,7 @@
         self.engine().status()
     }
 
-    /// Returns the endpoint list as last heard.
+    /// Returns the endpoint list as last received.
     pub fn listed_pods(&self) -> Vec<ListedEndpoint> {
         self.engine().listed_pods()
     }
--- a/crates/sidecar/src/dispatcher/transport.rs
+++ b/crates/sidecar/src/dispatcher/transport.rs
@@ -12,7 +12,7 @@
     /// A final answer on its way to the client.
     type Response: 'static;
 
-    /// Carries one attempt out and tells [`Dispatcher::attempt_ended`] once how it ended.
+    /// Carries one attempt out and calls [`Dispatcher::attempt_ended`] once with how it ended.
     fn send_attempt(
         dispatcher: Rc<Dispatcher<Self>>,
         request: Rc<Self::Request>,
--- a/crates/sidecar/src/distributor/mod.rs
+++ b/crates/sidecar/src/distributor/mod.rs
@@ -1,4 +1,4 @@
-//! The single writer of a configuration: compiles the operator's script, stores each version before any peer hears of it,
+//! The single writer of a configuration: compiles the operator's script, stores each version before any peer learns of it,
 //! and knows how many peers have it in force.
 
 mod epoch;
@@ -20,17 +20,18 @@
 use std::future::Future;
 use std::net::SocketAddr;
 use std::path::PathBuf;
+use std::rc::Rc;
 use std::time::Duration;
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::task::spawn_local;
 use writer::{NewestVersion, Writer};
 
-/// All that a distributor is told before it starts.
+/// The settings of a distributor.
 #[derive(Clone, Debug)]
 pub struct DistributorSettings {
     /// Its name among the members.
     pub name: String,
-    /// The script that says the configuration.
+    /// The script that states the configuration.
     pub script: PathBuf,
     /// Values that the script reads.
     pub given: Given,
@@ -70,20 +71,7 @@
     let membership =
         Membership::bind(&settings.membership, &settings.name, DISTRIBUTOR_ZONE).await?;
     let mut reloads = signal(SignalKind::hangup()).map_err(DistributorError::Signal)?;
-    let role = match settings.epoch {
-        EpochChoice::ReplaceWriter => Role::Sidecar,
-        EpochChoice::AsStored | EpochChoice::Number(_) => Role::Writer { epoch },
-    };
-    let installed = InstalledVersion {
-        snapshot: opened.store.snapshot().clone(),
-        deltas: opened.deltas,
-    };
-    let replication = Replication::start(
-        &membership,
-        spreader(&membership, role, installed),
-        NewestVersion::default(),
-        Duration::from_nanos(settings.membership.period),
-    );
+    let replication = start_replication(&settings, &membership, &opened, epoch);
     membership.run(settings.membership.keys.clone());
     spawn_local(operators::serve(
         operators,
@@ -110,6 +98,26 @@
     Ok(())
 }
 
+/// Takes part in the replication: as the writer, or as one that only listens where it replaces another writer.
+fn start_replication(
+    settings: &DistributorSettings,
+    membership: &Rc<Membership>,
+    opened: &Opened,
+    epoch: u64,
+) -> Rc<Replication<NewestVersion>> {
+    let role = match settings.epoch {
+        EpochChoice::ReplaceWriter => Role::Sidecar,
+        EpochChoice::AsStored | EpochChoice::Number(_) => Role::Writer { epoch },
+    };
+    let installed = InstalledVersion {
+        snapshot: opened.store.snapshot().clone(),
+        deltas: opened.deltas.clone(),
+    };
+    let spreader = spreader(membership, role, installed);
+    let period = Duration::from_nanos(settings.membership.period);
+    Replication::start(membership, spreader, NewestVersion::default(), period)
+}
+
 fn open_store(settings: &DistributorSettings) -> Result<Opened, DistributorError> {
     let opened = Store::open(&settings.store)?;
     if let Some(torn) = &opened.torn_tail {
--- a/crates/sidecar/src/distributor/writer.rs
+++ b/crates/sidecar/src/distributor/writer.rs
@@ -1,4 +1,4 @@
-//! The writer: stores each version before any peer hears of it, publishes it, and reports who has it in force.
+//! The writer: stores each version before any peer learns of it, publishes it, and reports who has it in force.
 
 use super::{spreader, DistributorError, DistributorSettings};
 use crate::membership::Membership;
@@ -22,7 +22,7 @@
 const REPORT_PERIOD: Duration = Duration::from_secs(1);
 /// How long a writer that replaces another looks for the newest version.
 pub(super) const REPLACE_PATIENCE: Duration = Duration::from_secs(30);
-/// How long it must hear of no newer one.
+/// How long none newer may be announced before the newest counts as found.
 const REPLACE_SETTLED: Duration = Duration::from_secs(2);
 /// How often it looks.
 const REPLACE_POLL: Duration = Duration::from_millis(50);
@@ -95,7 +95,7 @@
         Ok(())
     }
 
-    /// Returns the newest version of the peers, once none newer was heard of for a while.
+    /// Returns the newest version of the peers, once none newer was announced for a while.
     async fn settled_newest(&self) -> Option<Snapshot> {
         let (mut settled, mut last) = (Instant::now(), Version::NONE);
         loop {
--- a/crates/sidecar/src/engine/endpoints.rs
+++ b/crates/sidecar/src/engine/endpoints.rs
@@ -1,4 +1,4 @@
-//! What service discovery, health checks and clients tell the engine of pods.
+//! What the engine takes in of pods: from service discovery, health checks and clients.
 
 use super::Engine;
 use crate::events::Event;
--- a/crates/sidecar/src/engine/lookups.rs
+++ b/crates/sidecar/src/engine/lookups.rs
@@ -14,7 +14,7 @@
     pub requests: usize,
     /// Pods that are listed as running.
     pub running_pods: usize,
-    /// The last stage heard of.
+    /// The last stage received.
     pub stage: Option<Stage>,
     /// The sequential test's sums on the build on trial.
     pub test_sums: TestSums,
@@ -47,7 +47,7 @@
         self.host.pods.name(pod)
     }
 
-    /// Returns the endpoint list as last heard, to be cached for a start without service discovery.
+    /// Returns the endpoint list as last received, to be cached for a start without service discovery.
     pub fn listed_pods(&self) -> Vec<ListedEndpoint> {
         self.host.pods.listed(self.host.now)
     }
--- a/crates/sidecar/src/engine/release.rs
+++ b/crates/sidecar/src/engine/release.rs
@@ -1,4 +1,4 @@
-//! What the control plane tells the engine of releases.
+//! What the engine takes in of releases, from the control plane.
 
 use super::Engine;
 use crate::events::Event;
--- a/crates/sidecar/src/engine/requests.rs
+++ b/crates/sidecar/src/engine/requests.rs
@@ -8,7 +8,7 @@
 };
 
 impl Engine {
-    /// Takes a request: from here on it is owed one final answer.
+    /// Takes a request: from here on it gets one final answer.
     pub fn handle_request(&mut self, now: Nanos, attributes: RequestAttributes) -> RequestId {
         self.advance(now);
         let id = self.host.next_request;
--- a/crates/sidecar/src/exactly_once.rs
+++ b/crates/sidecar/src/exactly_once.rs
@@ -9,10 +9,11 @@
 use crate::prepared_request::{PreparedRequest, Protection};
 use crate::responses::{failed, plain, rejected_for};
 use crate::shell::Shell;
+use crate::takeover_policy::must_not_repeat;
 use crate::takeover_service::{
     request_id_text, AnnouncedAttempt, LeaseReply, LeaseRequest, OwnerWatch, TakeoverService,
 };
-use havenplank::interface::{DedupScope, Idempotency, Nanos, PodId, PriorAttempt};
+use havenplank::interface::{Nanos, PodId, PriorAttempt};
 use havenplank_takeover::record::{Attempt, AttemptState, Outcome, Record, RequestId};
 use hyper::{Response, StatusCode};
 use std::rc::Rc;
@@ -66,7 +67,7 @@
         id: protection.id,
         digest: protection.digest,
         payload: &payload,
-        exactly_once: must_not_repeat(&request, protection),
+        exactly_once: must_not_repeat(&request.route.rules, protection.has_client_key),
         remaining: attributes.remaining,
     };
     if protection.announces_first() {
@@ -85,15 +86,6 @@
     owned.finish(None, attributes, request.clone()).await
 }
 
-/// Returns whether the request must not run twice, whatever that costs: its client counts on its key, and no pod drops
-/// a repeat.
-fn must_not_repeat(request: &PreparedRequest, protection: &Protection) -> bool {
-    let rules = &request.route.rules;
-    let pods_drop_repeats =
-        rules.idempotency == Idempotency::Keyed && rules.dedup_scope == DedupScope::All;
-    protection.has_client_key && rules.idempotency != Idempotency::Idempotent && !pods_drop_repeats
-}
-
 /// Asks for a lease until it is granted or refused. A request that was leased and given up elsewhere leaves nobody who
 /// knows it: then the lease is asked for anew, as long as its client waits.
 async fn request_lease(
--- a/crates/sidecar/src/headers.rs
+++ b/crates/sidecar/src/headers.rs
@@ -144,20 +144,20 @@
 /// connection's read buffer, and a request that waits would keep all 8 KiB of it.
 pub fn detached_copy(headers: &HeaderMap, path: &str) -> (HeaderMap, Uri) {
     let all = path.len() + headers.values().map(HeaderValue::len).sum::<usize>();
-    let mut whole = BytesMut::with_capacity(all);
-    whole.extend_from_slice(path.as_bytes());
+    let mut memory = BytesMut::with_capacity(all);
+    memory.extend_from_slice(path.as_bytes());
     headers
         .values()
-        .for_each(|value| whole.extend_from_slice(value.as_bytes()));
-    let whole = whole.freeze();
+        .for_each(|value| memory.extend_from_slice(value.as_bytes()));
+    let memory = memory.freeze();
     let (mut copy, mut at) = (HeaderMap::with_capacity(headers.len() + 1), path.len());
     for (name, value) in headers {
         let end = at + value.len();
-        if let Ok(value) = HeaderValue::from_maybe_shared(whole.slice(at..end)) {
+        if let Ok(value) = HeaderValue::from_maybe_shared(memory.slice(at..end)) {
             copy.append(name.clone(), value);
         }
         at = end;
     }
-    let uri = Uri::from_maybe_shared(whole.slice(..path.len()));
+    let uri = Uri::from_maybe_shared(memory.slice(..path.len()));
     (copy, uri.unwrap_or_else(|_| Uri::from_static("/")))
 }
--- a/crates/sidecar/src/lib.rs
+++ b/crates/sidecar/src/lib.rs
@@ -1,6 +1,6 @@
 //! The sidecar as a library: an engine that owns one decision module, and the proxy around it.
 //!
-//! [`engine::Engine`] is free of sockets and clocks: it is told what happens and when, and leaves effects to
+//! [`engine::Engine`] is free of sockets and clocks: it takes in what happens and when, and leaves effects to
 //! carry out, so that a recorded run can be played through it. [`dispatcher::Dispatcher`] hands requests to it and
 //! carries its effects out through a [`dispatcher::Transport`]. [`serve`] runs one with HTTP/1.1 listeners, connections
 //! to pods, and the feeds of service discovery and control plane. Two of either share nothing.
@@ -49,6 +49,7 @@
 pub mod routes;
 mod shell;
 mod state_report;
+mod takeover_policy;
 mod takeover_service;
 mod transport;
 mod upstream;
--- a/crates/sidecar/src/outcome.rs
+++ b/crates/sidecar/src/outcome.rs
@@ -4,6 +4,7 @@
 use crate::body::Body;
 use crate::prepared_request::{OwnAnswer, PreparedRequest, Protection};
 use crate::responses::{failed, plain, rejected_for};
+use crate::takeover_policy::may_promise_that_it_never_ran;
 use bytes::Bytes;
 use havenplank::interface::Idempotency;
 use havenplank_takeover::record::Outcome;
@@ -20,35 +21,24 @@
     body: Vec<u8>,
 }
 
-/// Decides what backups keep of an answer, and which answer goes to the client.
-///
-/// A rejection tells the client that a retry does no harm. Where it cannot name the request, and backups may believe
-/// for a moment longer that it is to be finished, that is not sure: if this sidecar were lost now, both the retry and a
-/// takeover would run. So the client is promised nothing.
+/// Returns what backups keep of an answer, and the answer that goes to the client: a rejection becomes a failure where
+/// it would promise too much.
 pub async fn outcome_of(
     response: Response<Body>,
     request: &PreparedRequest,
 ) -> (Response<Body>, Outcome) {
-    let retryable = request.route.rules.idempotency != Idempotency::NonIdempotent;
+    let idempotency = request.route.rules.idempotency;
+    let retryable = idempotency != Idempotency::NonIdempotent;
+    let known = request.protection.as_ref().map(Protection::knowledge);
+    let may_reject = known.is_none_or(|known| may_promise_that_it_never_ran(idempotency, known));
     match response.extensions().get::<OwnAnswer>() {
-        Some(OwnAnswer::Rejected) if retryable || !may_be_taken_over(request) => {
-            (response, Outcome::Rejected)
-        }
+        Some(OwnAnswer::Rejected) if may_reject => (response, Outcome::Rejected),
         Some(OwnAnswer::Rejected) => (failed(false), Outcome::Failed { retryable }),
         Some(OwnAnswer::Failed) => (response, Outcome::Failed { retryable }),
         None => served(response).await,
     }
 }
 
-/// Returns whether backups may believe for a moment longer that a request is to be finished, though its client cannot
-/// name it.
-fn may_be_taken_over(request: &PreparedRequest) -> bool {
-    let is_in_doubt = |protection: &Protection| {
-        !protection.has_client_key && protection.announced.get() && protection.backed_up.get()
-    };
-    request.protection.as_ref().is_some_and(is_in_doubt)
-}
-
 async fn served(response: Response<Body>) -> (Response<Body>, Outcome) {
     let (parts, body) = response.into_parts();
     let Body::Complete(body) = body else {
@@ -98,3 +88,7 @@
     *response.headers_mut() = header_map(&record.headers);
     Some(response)
 }
+
+#[cfg(test)]
+#[path = "../tests/unit/outcome.rs"]
+mod tests;
--- a/crates/sidecar/src/prepared_request.rs
+++ b/crates/sidecar/src/prepared_request.rs
@@ -1,6 +1,7 @@
 //! A request as it will be sent to pods, and what protects it from running twice.
 
 use crate::routes::Route;
+use crate::takeover_policy::Knowledge;
 use crate::takeover_service::{request_id, TakeoverService};
 use bytes::Bytes;
 use havenplank_settings::Guard as Backup;
@@ -124,6 +125,15 @@
         }
     }
 
+    /// Returns what is known of the request now.
+    pub fn knowledge(&self) -> Knowledge {
+        Knowledge {
+            has_client_key: self.has_client_key,
+            announced: self.announced.get(),
+            backed_up: self.backed_up.get(),
+        }
+    }
+
     /// Returns whether attempts wait until backups know of them.
     pub fn announces_first(&self) -> bool {
         self.announcement == Announcement::First
--- a/crates/sidecar/src/proxy.rs
+++ b/crates/sidecar/src/proxy.rs
@@ -29,7 +29,7 @@
     }
 }
 
-/// Answers one request of a client. What is refused before it is taken is owed nothing by the decisions.
+/// Answers one request of a client. The decisions know nothing of what is refused before it is taken.
 ///
 /// # Errors
 /// Never.
@@ -58,7 +58,7 @@
     let request = shell.dispatch(attributes, request, responder);
     let client = ClientGuard { shell, request };
     let response = answered.await;
-    // An engine that stops with a request in flight is a fault; the client is told that nothing is promised.
+    // An engine that stops with a request in flight is a fault; the client gets an answer that promises nothing.
     let response = response.unwrap_or_else(|_| failed(false));
     drop(client);
     Ok(response)
--- a/crates/sidecar/src/replication.rs
+++ b/crates/sidecar/src/replication.rs
@@ -26,7 +26,7 @@
 pub trait Host: 'static {
     type Error: Display;
 
-    /// Puts a whole version in force, in one call.
+    /// Puts a complete version in force, in one call.
     ///
     /// # Errors
     /// Why it cannot be; what was in force stays.
--- a/crates/sidecar/src/route_slots.rs
+++ b/crates/sidecar/src/route_slots.rs
@@ -27,9 +27,18 @@
     pub retired: usize,
 }
 
+/// What a replacement may use again.
+struct FreeIndices {
+    slots: Vec<RouteClassId>,
+    /// Looked up with the first route that needs one.
+    buckets: Option<Vec<usize>>,
+}
+
+/// One version of a route.
 struct Row {
     name: String,
     rules: RouteClass,
+    /// Where the decisions count its requests.
     bucket: usize,
     in_force: bool,
     slot: Slot,
@@ -113,63 +122,77 @@
         }
     }
 
-    /// Puts these routes in force in place of all before. The slot of each, in their order, and what has changed for
-    /// the decisions. A route that stays as it was keeps its slot; names are expected once each.
+    /// Puts these routes in force in place of all before. Returns the slot of each, in their order, and what has
+    /// changed for the decisions. A route that stays as it was keeps its slot; names are expected once each.
     pub fn replace(
         &mut self,
         routes: &[(String, RouteClass)],
     ) -> (Vec<Slot>, Vec<RouteClassChange>) {
         let names: HashSet<&str> = routes.iter().map(|(name, _)| name.as_str()).collect();
-        let mut free = self.free_slots(&names);
-        let kept: HashSet<RouteClassId> = routes
-            .iter()
-            .filter_map(|route| self.unchanged(route))
-            .collect();
-        for (group, row) in self.rows.iter_mut().enumerate() {
-            row.in_force &= kept.contains(&group);
-        }
-        let mut free_buckets = None;
+        let mut free = FreeIndices {
+            slots: self.free_slots(&names),
+            buckets: None,
+        };
+        self.retire_all_but(routes);
         let (mut slots, mut changes) = (Vec::with_capacity(routes.len()), Vec::new());
-        for route @ (name, rules) in routes {
+        for route in routes {
             if let Some(group) = self.unchanged(route) {
                 slots.push(self.rows[group].slot.clone());
                 continue;
             }
-            let predecessor = self.latest.get(name).copied();
-            let bucket = match predecessor {
-                Some(known) => self.rows[known].bucket,
-                None => self.free_bucket(&mut free_buckets),
-            };
-            self.bucket_users[bucket] += 1;
-            let group = free.pop().unwrap_or(self.rows.len());
-            let slot = Slot(Rc::new(group));
-            let row = Row {
-                name: name.clone(),
-                rules: *rules,
-                bucket,
-                in_force: true,
-                slot: slot.clone(),
-            };
-            match self.rows.get_mut(group) {
-                None => self.rows.push(row),
-                Some(known) => {
-                    let before = std::mem::replace(known, row);
-                    self.forget(&before, group);
-                }
-            }
-            self.latest.insert(name.clone(), group);
-            slots.push(slot);
-            changes.push(RouteClassChange {
-                group,
-                rules: *rules,
-                predecessor,
-                bucket,
-            });
+            let change = self.add(route, &mut free);
+            slots.push(self.rows[change.group].slot.clone());
+            changes.push(change);
         }
         (slots, changes)
     }
 
-    /// Slots that nothing holds, but for those whose routes come back under their names: they are predecessors.
+    /// Takes all routes out of force that do not stay as they are.
+    fn retire_all_but(&mut self, routes: &[(String, RouteClass)]) {
+        let unchanged = routes.iter().filter_map(|route| self.unchanged(route));
+        let unchanged: HashSet<RouteClassId> = unchanged.collect();
+        for (group, row) in self.rows.iter_mut().enumerate() {
+            row.in_force &= unchanged.contains(&group);
+        }
+    }
+
+    /// Gives a new or changed route a slot.
+    fn add(
+        &mut self,
+        (name, rules): &(String, RouteClass),
+        free: &mut FreeIndices,
+    ) -> RouteClassChange {
+        let predecessor = self.latest.get(name).copied();
+        let bucket = match predecessor {
+            Some(known) => self.rows[known].bucket,
+            None => self.free_bucket(&mut free.buckets),
+        };
+        self.bucket_users[bucket] += 1;
+        let group = free.slots.pop().unwrap_or(self.rows.len());
+        let row = Row {
+            name: name.clone(),
+            rules: *rules,
+            bucket,
+            in_force: true,
+            slot: Slot(Rc::new(group)),
+        };
+        match self.rows.get_mut(group) {
+            None => self.rows.push(row),
+            Some(known) => {
+                let before = std::mem::replace(known, row);
+                self.forget(&before, group);
+            }
+        }
+        self.latest.insert(name.clone(), group);
+        RouteClassChange {
+            group,
+            rules: *rules,
+            predecessor,
+            bucket,
+        }
+    }
+
+    /// Returns slots that nothing holds, but for those whose routes come back under their names: they are predecessors.
     fn free_slots(&self, names: &HashSet<&str>) -> Vec<RouteClassId> {
         let comes_back = |group: RouteClassId, name: &str| {
             names.contains(name) && self.latest.get(name) == Some(&group)
@@ -184,13 +207,13 @@
             .collect()
     }
 
-    /// The slot in force of a route that stays as it is.
+    /// Returns the slot in force of a route that stays as it is.
     fn unchanged(&self, (name, rules): &(String, RouteClass)) -> Option<RouteClassId> {
         self.find(name)
             .filter(|group| self.rows[*group].rules == *rules)
     }
 
-    /// A bucket that no slot uses. Those that were free at the start of a replacement are looked up once.
+    /// Returns a bucket that no slot uses. Those that were free at the start of a replacement are looked up once.
     fn free_bucket(&mut self, free: &mut Option<Vec<usize>>) -> usize {
         let users = &self.bucket_users;
         let free = free.get_or_insert_with(|| {
--- a/crates/sidecar/src/routes.rs
+++ b/crates/sidecar/src/routes.rs
@@ -47,7 +47,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Precedence {
     Order,
-    /// A whole path before a prefix, a longer prefix before a shorter one.
+    /// An exact path before a prefix, a longer prefix before a shorter one.
     Specificity,
 }
 
@@ -213,7 +213,7 @@
         self.routes.is_empty()
     }
 
-    /// Returns whether routes come from a configuration of which no version has been heard yet.
+    /// Returns whether routes come from a configuration of which no version has come yet.
     pub fn awaits_configuration(&self) -> bool {
         matches!(&self.tenants, Tenants::Configured(snapshot) if snapshot.version() == Version::NONE)
     }
--- a/crates/sidecar/src/takeover_service.rs
+++ b/crates/sidecar/src/takeover_service.rs
@@ -130,7 +130,7 @@
     pub remaining: Nanos,
 }
 
-/// What the owner of a request hears of it.
+/// What the owner of a request is notified of.
 pub struct OwnerWatch {
     /// Another sidecar owns it now.
     pub lost: oneshot::Receiver<()>,
@@ -309,7 +309,7 @@
             }
         }
         let reply = timeout(Duration::from_nanos(remaining), reply).await;
-        // Whoever waited in vain is not told any more.
+        // Whoever waited in vain is not notified any more.
         self.forget_closed_waiters(id);
         reply
             .ok()
@@ -464,7 +464,7 @@
     Joined,
 }
 
-/// One attempt that backups were told of; whatever becomes of the task that carries it, they hear how it went.
+/// One attempt that was announced to backups; whatever becomes of the task that carries it, they learn how it ended.
 pub struct AnnouncedAttempt {
     service: Rc<TakeoverService>,
     id: RequestId,
