--- a/crates/sidecar/examples/route_lookup.rs
+++ b/crates/sidecar/examples/route_lookup.rs
@@ -13,7 +13,7 @@
 const SWAPS: u32 = 20;
 const SECOND: u64 = 1_000_000_000;
 
-fn routes(many: usize, version: u64) -> Vec<Group> {
+fn routes(count: usize, version: u64) -> Vec<Group> {
     let rules = RouteClass {
         idempotency: Idempotency::Idempotent,
         dedup_scope: DedupScope::All,
@@ -35,7 +35,7 @@
         rules: if n == 0 { changed } else { rules },
         guard: Guard::Off,
     };
-    (0..many).map(route).collect()
+    (0..count).map(route).collect()
 }
 
 fn put_in_force(engine: &mut Engine, groups: &[Group]) -> RouteTable {
@@ -50,16 +50,16 @@
 fn main() {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/site.star");
     let site = havenplank_settings::load(&file, &Default::default());
-    let terms = EngineSettings::from(&site.unwrap_or_else(|problems| panic!("{problems}")));
-    for many in [10, 100, 1_000, 4_500] {
-        let mut engine = Engine::new(EPOCH, 1, &terms);
-        let mut table = put_in_force(&mut engine, &routes(many, 0));
+    let settings = EngineSettings::from(&site.unwrap_or_else(|problems| panic!("{problems}")));
+    for count in [10, 100, 1_000, 4_500] {
+        let mut engine = Engine::new(EPOCH, 1, &settings);
+        let mut table = put_in_force(&mut engine, &routes(count, 0));
         let paths: Vec<String> = (0..1_024)
             .map(|n| {
                 format!(
                     "/service-{}/api/route-{}/item/7",
-                    n * 7 % many % 400,
-                    n * 7 % many
+                    n * 7 % count % 400,
+                    n * 7 % count
                 )
             })
             .collect();
@@ -70,7 +70,7 @@
         }
         let lookup_ns = began.elapsed().as_nanos() as f64 / LOOKUPS as f64;
         let versions: Vec<Vec<Group>> = (1..=u64::from(SWAPS))
-            .map(|version| routes(many, version))
+            .map(|version| routes(count, version))
             .collect();
         let began = Instant::now();
         for groups in &versions {
@@ -78,7 +78,7 @@
         }
         let swap_us = began.elapsed().as_micros() as f64 / f64::from(SWAPS);
         println!(
-            "routes {many}: lookup_ns {lookup_ns:.0}, put_in_force_us {swap_us:.0}, held {}",
+            "routes {count}: lookup_ns {lookup_ns:.0}, put_in_force_us {swap_us:.0}, held {}",
             table.len()
         );
     }
--- a/crates/sidecar/tests/engine.rs
+++ b/crates/sidecar/tests/engine.rs
@@ -1,4 +1,4 @@
-//! The engine by itself: virtual time, no sockets, and the same decisions each time it is told the same.
+//! The engine by itself: virtual time, no sockets, and the same decisions for the same events.
 
 use havenplank::interface::{
     AttemptEnd, Nanos, Phase, PodState, PriorAttempt, Stage, Vote, VoteReceipt, VoteReply,
@@ -11,7 +11,7 @@
 const MS: Nanos = 1_000_000;
 const S: Nanos = 1_000 * MS;
 
-fn site() -> EngineSettings {
+fn settings() -> EngineSettings {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/site.star");
     EngineSettings::from(
         &load(&file, &Given::new()).unwrap_or_else(|problems| panic!("{problems}")),
@@ -33,10 +33,10 @@
     }
 }
 
-fn asked(n: u64) -> RequestAttributes {
-    let group = (n % 3) as usize;
+fn attributes(n: u64) -> RequestAttributes {
+    let route_class = (n % 3) as usize;
     RequestAttributes {
-        route_class: group,
+        route_class,
         tenant: None,
         key: n % 7 + 1,
         remaining: S,
@@ -51,8 +51,8 @@
 
 /// A run of 20 s: old pods answer well, those of build 2 fail; every effect, in order.
 fn run(seed: u64, vote_answered: bool) -> Vec<(Nanos, Effect)> {
-    let site = site();
-    let mut engine = Engine::new(EPOCH, seed, &site);
+    let settings = settings();
+    let mut engine = Engine::new(EPOCH, seed, &settings);
     engine.start(EPOCH);
     let old = (0..6)
         .map(|n| listed(n, 1, 1, 0))
@@ -68,7 +68,7 @@
             age: S,
         },
     );
-    let mut out: Vec<(Nanos, u64, u32, AttemptEnd)> = Vec::new();
+    let mut in_flight: Vec<(Nanos, u64, u32, AttemptEnd)> = Vec::new();
     let mut done = Vec::new();
     for tick in 0..20_000 {
         let now = EPOCH + tick * MS;
@@ -76,22 +76,22 @@
             engine.run_timers(now);
         }
         if tick % 5 == 0 {
-            engine.handle_request(now, asked(tick / 5));
+            engine.handle_request(now, attributes(tick / 5));
         }
-        while let Some(at) = out.iter().position(|(due, ..)| *due <= now) {
-            let (_, hit, nth, end) = out.remove(at);
-            engine.attempt_ended(now, hit, nth, end, 30 * MS, None);
+        while let Some(at) = in_flight.iter().position(|(due, ..)| *due <= now) {
+            let (_, request, attempt, end) = in_flight.remove(at);
+            engine.attempt_ended(now, request, attempt, end, 30 * MS, None);
         }
         for effect in effects(&mut engine) {
             match &effect {
                 Effect::SendAttempt {
-                    request: hit,
-                    attempt: nth,
+                    request,
+                    attempt,
                     pod,
                     ..
                 } => {
                     assert!(
-                        engine.may_send(now, *hit, *nth),
+                        engine.may_send(now, *request, *attempt),
                         "nothing has changed since it was chosen"
                     );
                     let end = if *pod >= 6 {
@@ -99,10 +99,10 @@
                     } else {
                         AttemptEnd::Served
                     };
-                    out.push((now + 30 * MS, *hit, *nth, end));
+                    in_flight.push((now + 30 * MS, *request, *attempt, end));
                 }
                 Effect::CastVote { id: vote, .. } => {
-                    let heard = if vote_answered {
+                    let receipt = if vote_answered {
                         VoteReceipt::Counted
                     } else {
                         VoteReceipt::Unknown
@@ -111,11 +111,11 @@
                         now,
                         *vote,
                         VoteReply {
-                            receipt: heard,
+                            receipt,
                             stage: None,
                         },
                     );
-                    // An answer that comes again is nobody's.
+                    // A reply that comes again is passed over.
                     engine.vote_answered(
                         now,
                         *vote,
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn the_same_told_gives_the_same_decisions() {
+fn the_same_events_and_seed_give_the_same_decisions() {
     let (first, again, other) = (run(1, true), run(1, true), run(2, true));
     assert!(first.len() > 4_000, "{}", first.len());
     assert_eq!(first, again);
@@ -143,7 +143,7 @@
 
 #[test]
 fn a_vote_without_an_answer_is_cast_again() {
-    let backs = |run: Vec<(Nanos, Effect)>| {
+    let rollback_votes = |run: Vec<(Nanos, Effect)>| {
         run.iter()
             .filter(|(_, effect)| {
                 matches!(
@@ -156,7 +156,7 @@
             })
             .count()
     };
-    let (answered, unanswered) = (backs(run(1, true)), backs(run(1, false)));
+    let (answered, unanswered) = (rollback_votes(run(1, true)), rollback_votes(run(1, false)));
     assert!(
         (1..=6).contains(&answered),
         "renewed within its life of 6 s: {answered}"
@@ -165,73 +165,70 @@
 }
 
 #[test]
-fn each_hit_has_one_answer_and_nothing_after_it() {
-    let site = site();
-    let mut engine = Engine::new(EPOCH, 1, &site);
+fn each_request_gets_one_final_answer_and_no_effect_after_it() {
+    let settings = settings();
+    let mut engine = Engine::new(EPOCH, 1, &settings);
     engine.start(EPOCH);
-    let hit = engine.handle_request(EPOCH, asked(0));
+    let request = engine.handle_request(EPOCH, attributes(0));
     assert!(
         effects(&mut engine).contains(&Effect::Reject {
-            request: hit,
+            request,
             retry_after: S
         }),
         "no pods: at once"
     );
     engine.update_endpoints(EPOCH, true, vec![listed(0, 1, 1, 0)]);
-    let hit = engine.handle_request(EPOCH, asked(2));
+    let request = engine.handle_request(EPOCH, attributes(2));
     assert!(matches!(
         effects(&mut engine)[..],
         [Effect::SendAttempt { attempt: 0, .. }]
     ));
-    assert!(!engine.attempt_ended(EPOCH + S, hit, 0, AttemptEnd::TimedOut, S, None));
+    assert!(!engine.attempt_ended(EPOCH + S, request, 0, AttemptEnd::TimedOut, S, None));
     assert_eq!(
         effects(&mut engine),
         [Effect::Fail {
-            request: hit,
+            request,
             timed_out: true
         }]
     );
     assert!(
-        !engine.attempt_ended(EPOCH + S, hit, 0, AttemptEnd::Served, S, None),
-        "its forward ended before"
+        !engine.attempt_ended(EPOCH + S, request, 0, AttemptEnd::Served, S, None),
+        "its attempt ended before"
     );
-    assert!(!engine.may_send(EPOCH + S, hit, 0) && effects(&mut engine).is_empty());
-    let hit = engine.handle_request(EPOCH + S, asked(2));
+    assert!(!engine.may_send(EPOCH + S, request, 0) && effects(&mut engine).is_empty());
+    let request = engine.handle_request(EPOCH + S, attributes(2));
     effects(&mut engine);
-    engine.client_left(EPOCH + S, hit);
+    engine.client_left(EPOCH + S, request);
     assert!(
-        !engine.attempt_ended(EPOCH + S, hit, 0, AttemptEnd::Served, MS, None),
+        !engine.attempt_ended(EPOCH + S, request, 0, AttemptEnd::Served, MS, None),
         "nobody is there to be answered"
     );
     assert!(effects(&mut engine).is_empty() && engine.status().requests == 0);
 }
 
 #[test]
-fn a_pod_that_came_back_is_another_and_names_do_not_pile_up() {
-    let site = site();
-    let mut engine = Engine::new(EPOCH, 1, &site);
+fn a_restarted_pod_is_another_and_indices_are_used_again() {
+    let settings = settings();
+    let mut engine = Engine::new(EPOCH, 1, &settings);
     engine.update_endpoints(EPOCH, true, vec![listed(0, 1, 1, 0)]);
-    let hit = engine.handle_request(EPOCH, asked(0));
-    assert!(engine.may_send(EPOCH, hit, 0));
+    let request = engine.handle_request(EPOCH, attributes(0));
+    assert!(engine.may_send(EPOCH, request, 0));
     engine.update_endpoints(EPOCH + MS, false, vec![listed(0, 1, 2, 0)]);
     assert!(
-        !engine.may_send(EPOCH + MS, hit, 0),
-        "another life, even where both began long ago"
+        !engine.may_send(EPOCH + MS, request, 0),
+        "another incarnation, even where both began long ago"
     );
-    engine.attempt_ended(EPOCH + MS, hit, 0, AttemptEnd::NotSent, MS, None);
-    // A thousand lists of new names: indices are used again once nothing is out there.
+    engine.attempt_ended(EPOCH + MS, request, 0, AttemptEnd::NotSent, MS, None);
+    // A thousand lists of new names: indices are used again once nothing is in flight there.
     let mut most = 0;
     for n in 0..1_000 {
         let now = EPOCH + S + n as Nanos * MS;
         engine.update_endpoints(now, true, vec![listed(n as u16 + 10, 1, 1, 0)]);
-        let hit = engine.handle_request(now, asked(0));
+        let request = engine.handle_request(now, attributes(0));
         for effect in effects(&mut engine) {
-            if let Effect::SendAttempt {
-                attempt: nth, pod, ..
-            } = effect
-            {
+            if let Effect::SendAttempt { attempt, pod, .. } = effect {
                 most = most.max(pod);
-                engine.attempt_ended(now, hit, nth, AttemptEnd::Served, MS, None);
+                engine.attempt_ended(now, request, attempt, AttemptEnd::Served, MS, None);
             }
         }
     }
@@ -239,30 +236,30 @@
 }
 
 #[test]
-fn a_hit_taken_elsewhere_goes_on_by_what_may_have_run() {
-    let site = site();
-    let [tagged, mutating] = [1, 2];
-    let earlier = |pod, ago, may_have_run| PriorAttempt {
+fn a_resumed_request_is_retried_only_where_its_prior_attempts_allow_it() {
+    let settings = settings();
+    let [keyed, non_idempotent] = [1, 2];
+    let prior = |pod, ago, may_have_run| PriorAttempt {
         pod,
         ago,
         may_have_run,
     };
-    let begin = |past: Vec<PriorAttempt>, group| {
-        let mut engine = Engine::new(EPOCH, 1, &site);
+    let begin = |prior_attempts: Vec<PriorAttempt>, route_class| {
+        let mut engine = Engine::new(EPOCH, 1, &settings);
         engine.start(EPOCH);
-        let given = engine.update_endpoints(
+        let pod_ids = engine.update_endpoints(
             EPOCH,
             true,
             (0..3).map(|n| listed(n, 1, 1, 60 * S)).collect(),
         );
-        assert_eq!(given, [Some(0), Some(1), Some(2)]);
+        assert_eq!(pod_ids, [Some(0), Some(1), Some(2)]);
         effects(&mut engine);
-        engine.resume_next_request(EPOCH, past);
+        engine.resume_next_request(EPOCH, prior_attempts);
         engine.handle_request(
             EPOCH,
             RequestAttributes {
-                route_class: group,
-                ..asked(0)
+                route_class,
+                ..attributes(0)
             },
         );
         effects(&mut engine)
@@ -270,67 +267,67 @@
     for n in 0..3 {
         let others = (0..3)
             .filter(|pod| *pod != n)
-            .map(|pod| earlier(Some(pod), S, false))
+            .map(|pod| prior(Some(pod), S, false))
             .collect();
-        let went = begin(others, mutating);
+        let effects_left = begin(others, non_idempotent);
         assert!(
-            matches!(went[..], [Effect::SendAttempt { pod, attempt: 0, .. }] if pod == n),
-            "{went:?}"
+            matches!(effects_left[..], [Effect::SendAttempt { pod, attempt: 0, .. }] if pod == n),
+            "{effects_left:?}"
         );
     }
-    let may = vec![earlier(Some(0), S, false), earlier(None, S, true)];
+    let may = vec![prior(Some(0), S, false), prior(None, S, true)];
     assert!(matches!(
-        begin(may.clone(), mutating)[..],
+        begin(may.clone(), non_idempotent)[..],
         [Effect::Fail { .. }]
     ));
     assert!(matches!(
-        begin(may.clone(), tagged)[..],
+        begin(may.clone(), keyed)[..],
         [Effect::SendAttempt { .. }]
     ));
-    // Past the six seconds in which pods drop its repeats the first one counts, whatever came later.
-    let long_ago = vec![earlier(Some(0), 7 * S, true), earlier(Some(1), S, true)];
-    assert!(matches!(begin(long_ago, tagged)[..], [Effect::Fail { .. }]));
-    let used_up = (0..4).map(|_| earlier(None, S, false)).collect();
+    // Past the six seconds in which pods drop its repeats the first attempt counts, whatever came later.
+    let long_ago = vec![prior(Some(0), 7 * S, true), prior(Some(1), S, true)];
+    assert!(matches!(begin(long_ago, keyed)[..], [Effect::Fail { .. }]));
+    let used_up = (0..4).map(|_| prior(None, S, false)).collect();
     assert!(matches!(
-        begin(used_up, mutating)[..],
+        begin(used_up, non_idempotent)[..],
         [Effect::Reject { .. }]
     ));
 }
 
 #[test]
-fn a_repeat_that_waits_for_a_connection_past_its_window_does_not_go() {
-    let mut site = site();
-    let (tagged, window) = (1, 200 * MS);
-    site.route_classes[tagged].1.dedup_window = window;
-    let mut engine = Engine::new(EPOCH, 1, &site);
+fn a_retry_that_waited_past_the_dedup_window_is_not_sent() {
+    let mut settings = settings();
+    let (keyed, window) = (1, 200 * MS);
+    settings.route_classes[keyed].1.dedup_window = window;
+    let mut engine = Engine::new(EPOCH, 1, &settings);
     engine.start(EPOCH);
     engine.update_endpoints(
         EPOCH,
         true,
         (0..3).map(|n| listed(n, 1, 1, 60 * S)).collect(),
     );
-    // Hits before it, without which there is no budget for a retry.
+    // Requests before it, without which there is no budget for a retry.
     for _ in 0..30 {
-        let hit = engine.handle_request(EPOCH, asked(0));
-        engine.attempt_ended(EPOCH, hit, 0, AttemptEnd::Served, MS, None);
+        let request = engine.handle_request(EPOCH, attributes(0));
+        engine.attempt_ended(EPOCH, request, 0, AttemptEnd::Served, MS, None);
     }
     let mut repeated = |first: AttemptEnd| {
-        let hit = engine.handle_request(
+        let request = engine.handle_request(
             EPOCH,
             RequestAttributes {
-                route_class: tagged,
-                ..asked(0)
+                route_class: keyed,
+                ..attributes(0)
             },
         );
         effects(&mut engine);
-        assert!(engine.may_send(EPOCH, hit, 0), "no window yet");
-        engine.attempt_ended(EPOCH + window / 2, hit, 0, first, MS, None);
+        assert!(engine.may_send(EPOCH, request, 0), "no window yet");
+        engine.attempt_ended(EPOCH + window / 2, request, 0, first, MS, None);
         assert!(matches!(
             effects(&mut engine)[..],
             [Effect::SendAttempt { attempt: 1, .. }]
         ));
-        let within = engine.may_send(EPOCH + window - 1, hit, 1);
-        (within, engine.may_send(EPOCH + window, hit, 1))
+        let within = engine.may_send(EPOCH + window - 1, request, 1);
+        (within, engine.may_send(EPOCH + window, request, 1))
     };
     assert_eq!(
         repeated(AttemptEnd::Reset),
@@ -344,11 +341,11 @@
     );
 }
 
-/// Builds that hits of one key go to after a forward of it to the newest, all of which end so.
+/// Builds that requests of one key go to after an attempt of it at the newest, all of which end so.
 fn builds_after(each: AttemptEnd) -> Vec<u32> {
-    let mut site = site();
-    site.exposure.sticky_keys = true;
-    let mut engine = Engine::new(EPOCH, 3, &site);
+    let mut settings = settings();
+    settings.exposure.sticky_keys = true;
+    let mut engine = Engine::new(EPOCH, 3, &settings);
     engine.start(EPOCH);
     let pods = (0..4)
         .map(|n| listed(n, 1, 1, 60 * S))
@@ -367,24 +364,24 @@
     let (mut ended, mut builds) = (false, Vec::new());
     for n in 0..120 {
         let now = EPOCH + n * 100 * MS;
-        let hit = engine.handle_request(
+        let request = engine.handle_request(
             now,
             RequestAttributes {
                 key: 5,
                 route_class: 0,
-                ..asked(0)
+                ..attributes(0)
             },
         );
         let mut after = Vec::new();
         for effect in effects(&mut engine) {
             if let Effect::SendAttempt {
                 request: of,
-                attempt: nth,
+                attempt,
                 pod,
                 ..
             } = effect
             {
-                if of != hit {
+                if of != request {
                     continue;
                 }
                 let newest = pod >= 4;
@@ -393,13 +390,13 @@
                 }
                 let end = if newest { each } else { AttemptEnd::Served };
                 ended |= newest;
-                after.push((nth, end));
+                after.push((attempt, end));
             }
         }
-        for (nth, end) in after {
-            engine.attempt_ended(now + MS, hit, nth, end, MS, None);
+        for (attempt, end) in after {
+            engine.attempt_ended(now + MS, request, attempt, end, MS, None);
         }
-        engine.client_left(now + MS, hit);
+        engine.client_left(now + MS, request);
         effects(&mut engine);
     }
     assert!(builds.len() > 20);
@@ -407,7 +404,7 @@
 }
 
 #[test]
-fn a_key_that_the_newest_build_may_have_answered_goes_to_no_earlier_one() {
+fn a_key_that_the_newest_build_may_have_served_goes_to_no_earlier_build() {
     for end in [
         AttemptEnd::Served,
         AttemptEnd::Reset,
--- a/crates/sidecar/tests/routes.rs
+++ b/crates/sidecar/tests/routes.rs
@@ -66,15 +66,15 @@
 
 /// An engine without routes of its own settings.
 fn engine(per_class: bool) -> Engine {
-    static TERMS: LazyLock<EngineSettings> = LazyLock::new(|| {
+    static SETTINGS: LazyLock<EngineSettings> = LazyLock::new(|| {
         let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/site.star");
         let site = havenplank_settings::load(&file, &Default::default());
         EngineSettings::from(&site.unwrap_or_else(|problems| panic!("{problems}")))
     });
-    let mut terms = TERMS.clone();
-    terms.route_classes.clear();
-    terms.exposure.per_class = per_class;
-    Engine::new(EPOCH, 1, &terms)
+    let mut settings = SETTINGS.clone();
+    settings.route_classes.clear();
+    settings.exposure.per_class = per_class;
+    Engine::new(EPOCH, 1, &settings)
 }
 
 fn slots(engine: &mut Engine, groups: &[Group]) -> Vec<Slot> {
@@ -242,8 +242,8 @@
     }
 }
 
-fn ask(engine: &mut Engine, slot: &Slot) -> (u64, Nanos) {
-    let asked = RequestAttributes {
+fn send_request(engine: &mut Engine, slot: &Slot) -> (u64, Nanos) {
+    let attributes = RequestAttributes {
         route_class: slot.route_class(),
         tenant: None,
         key: 0,
@@ -251,19 +251,19 @@
         cost_hint: None,
         is_retry: false,
     };
-    let hit = engine.handle_request(EPOCH, asked);
+    let request = engine.handle_request(EPOCH, attributes);
     let effects: Vec<Effect> = std::iter::from_fn(|| engine.next_effect()).collect();
-    let time_out = effects.iter().find_map(|effect| match effect {
+    let timeout = effects.iter().find_map(|effect| match effect {
         Effect::SendAttempt {
             request: known,
-            timeout: time_out,
+            timeout,
             ..
-        } if *known == hit => Some(*time_out),
+        } if *known == request => Some(*timeout),
         _ => None,
     });
     (
-        hit,
-        time_out.unwrap_or_else(|| panic!("no forward in {effects:?}")),
+        request,
+        timeout.unwrap_or_else(|| panic!("no attempt in {effects:?}")),
     )
 }
 
@@ -276,8 +276,8 @@
         EPOCH,
         &[("a".into(), rules(2 * S)), ("b".into(), rules(3 * S))],
     );
-    let (hit, time_out) = ask(&mut engine, &old[0]);
-    assert_eq!(time_out, 2 * S);
+    let (request, timeout) = send_request(&mut engine, &old[0]);
+    assert_eq!(timeout, 2 * S);
     let mutating = RouteClass {
         idempotency: Idempotency::NonIdempotent,
         ..rules(5 * S)
@@ -285,9 +285,9 @@
     let new = engine.set_routes(EPOCH, &[("a".into(), mutating), ("b".into(), rules(3 * S))]);
     assert_eq!(old[1], new[1], "an unchanged route keeps its slot");
     assert_ne!(old[0].route_class(), new[0].route_class());
-    let (other, time_out) = ask(&mut engine, &new[0]);
+    let (other, timeout) = send_request(&mut engine, &new[0]);
     assert_eq!(
-        time_out,
+        timeout,
         10 * S,
         "non-idempotent: the whole time its client waits"
     );
@@ -301,14 +301,21 @@
             retired: 1
         }
     );
-    for (hit, retried) in [(hit, true), (other, false)] {
-        engine.attempt_ended(EPOCH + 10 * MS, hit, 0, AttemptEnd::Reset, 10 * MS, None);
+    for (request, retried) in [(request, true), (other, false)] {
+        engine.attempt_ended(
+            EPOCH + 10 * MS,
+            request,
+            0,
+            AttemptEnd::Reset,
+            10 * MS,
+            None,
+        );
         let effects: Vec<Effect> = std::iter::from_fn(|| engine.next_effect()).collect();
         let again = effects.iter().any(
-            |effect| matches!(effect, Effect::SendAttempt { request: known, attempt: 1, .. } if *known == hit),
+            |effect| matches!(effect, Effect::SendAttempt { request: known, attempt: 1, .. } if *known == request),
         );
         let failed = effects.contains(&Effect::Fail {
-            request: hit,
+            request,
             timed_out: false,
         });
         assert_eq!((again, failed), (retried, !retried), "{effects:?}");
@@ -320,7 +327,14 @@
         3,
         "slot 0 is held by a request, slots 1 and 2 by tables"
     );
-    assert!(engine.attempt_ended(EPOCH + 20 * MS, hit, 1, AttemptEnd::Served, 10 * MS, None));
+    assert!(engine.attempt_ended(
+        EPOCH + 20 * MS,
+        request,
+        1,
+        AttemptEnd::Served,
+        10 * MS,
+        None
+    ));
     drop((new, third));
     assert_eq!(
         engine.slot_counts(),
@@ -359,7 +373,7 @@
 }
 
 #[test]
-fn tallies_and_flags_find_a_route_by_its_name_as_long_as_it_is_in_force() {
+fn tallies_and_fault_reports_find_a_route_by_its_name_while_it_is_in_force() {
     let mut engine = engine(false);
     engine.update_endpoints(EPOCH, true, vec![listed(0)]);
     engine.set_routes(EPOCH, &[("a".into(), rules(S))]);
