--- a/crates/cli/src/bench_takeover.rs
+++ b/crates/cli/src/bench_takeover.rs
@@ -230,15 +230,15 @@
         let joined: Vec<usize> = group
             .sidecars
             .iter_mut()
-            .map(|sidecar| sidecar.said("fellow joined"))
+            .map(|sidecar| sidecar.said("member joined"))
             .collect();
         group.sidecars[id] = group.launch(id).await?;
         group.sidecars[id]
-            .until("fellow joined", SIDECARS - 1)
+            .until("member joined", SIDECARS - 1)
             .await?;
         for other in (0..SIDECARS).filter(|other| *other != id) {
             group.sidecars[other]
-                .until("fellow joined", joined[other] + 1)
+                .until("member joined", joined[other] + 1)
                 .await?;
         }
     }
@@ -348,7 +348,7 @@
             }
             let guarding = (sums(&group).await?.1 - before.1).saturating_sub(quiet);
             let lost: Vec<usize> =
-                group.sidecars.iter_mut().map(|sidecar| sidecar.said("fellow lost")).collect();
+                group.sidecars.iter_mut().map(|sidecar| sidecar.said("member lost")).collect();
             group.sidecars[size - 1].signal(Signal::KILL)?;
             let (killed, mut heard) = (Instant::now(), vec![None; size - 1]);
             while heard.iter().any(Option::is_none) {
@@ -357,7 +357,7 @@
                     "not all of {size} heard of a loss"
                 );
                 for (id, heard) in heard.iter_mut().enumerate().filter(|(_, heard)| heard.is_none()) {
-                    if group.sidecars[id].said("fellow lost") > lost[id] {
+                    if group.sidecars[id].said("member lost") > lost[id] {
                         *heard = Some(killed.elapsed().as_millis() as u64);
                     }
                 }
--- a/crates/cli/tests/configuration.rs
+++ b/crates/cli/tests/configuration.rs
@@ -102,7 +102,7 @@
         }
         for sidecar in &mut fleet.sidecars {
             sidecar
-                .until("fellow joined", SIDECARS - 1)
+                .until("member joined", SIDECARS - 1)
                 .await
                 .expect("all meet");
         }
--- a/crates/cli/tests/fellows.rs
+++ b/crates/cli/tests/fellows.rs
@@ -29,7 +29,7 @@
     }
 
     fn said(&self, what: &str, of: &str) -> usize {
-        let of = format!("fellow=\"{of}\"");
+        let of = format!("member=\"{of}\"");
         self.told
             .iter()
             .filter(|line| line.contains(what) && line.contains(&of))
@@ -196,7 +196,7 @@
         group.agree(&[0, 1, 3]).await;
         assert!([0, 1, 3]
             .iter()
-            .all(|id| group.fellows[*id].said("fellow lost", "s-2") == 1));
+            .all(|id| group.fellows[*id].said("member lost", "s-2") == 1));
         group.fellows[2] = group.launch(2).await;
         group.agree(&[0, 1, 2, 3]).await;
         let lives = |fellow: &Fellow| -> Vec<String> {
@@ -217,7 +217,7 @@
         group.agree(&[0, 2, 3]).await;
         assert!([0, 2, 3]
             .iter()
-            .all(|id| group.fellows[*id].said("fellow lost", "s-1") == 0));
+            .all(|id| group.fellows[*id].said("member lost", "s-1") == 0));
     });
 }
 
@@ -231,7 +231,7 @@
             .until("it is lost", |fellows| {
                 [0, 2, 3]
                     .iter()
-                    .all(|id| fellows[*id].said("fellow lost", "s-1") > 0)
+                    .all(|id| fellows[*id].said("member lost", "s-1") > 0)
             })
             .await;
         group.fellows[1].signal("CONT");
@@ -240,7 +240,7 @@
         assert!(
             [0, 2, 3]
                 .iter()
-                .all(|id| woken.said("fellow lost", &format!("s-{id}")) == 0),
+                .all(|id| woken.said("member lost", &format!("s-{id}")) == 0),
             "{:?}",
             woken.told
         );
--- a/crates/cli/tests/takeover.rs
+++ b/crates/cli/tests/takeover.rs
@@ -376,7 +376,7 @@
             group.sidecars[id] = next;
             // The first one has nobody but itself to meet; the others find it again by themselves.
             group.sidecars[id]
-                .until("fellow joined", 3)
+                .until("member joined", 3)
                 .await
                 .expect("known again");
         }
--- a/crates/emulator/src/hands.rs
+++ b/crates/emulator/src/hands.rs
@@ -300,7 +300,7 @@
             group.sidecars.push(sidecar);
         }
         for sidecar in &mut group.sidecars {
-            sidecar.until("fellow joined", many - 1).await?;
+            sidecar.until("member joined", many - 1).await?;
         }
         Ok(group)
     }
--- a/crates/membership/src/follow_ups.rs
+++ b/crates/membership/src/follow_ups.rs
@@ -6,13 +6,14 @@
 
 /// Follow-ups that wait, at most. Two are planned a period at the busiest (one for each view heard, in and out of
 /// turn) and one is sent, so one that is dropped has waited for 32 periods or more.
-const MOST_WAITING: usize = 64;
+const MAX_WAITING: usize = 64;
 
 struct FollowUp {
     to: MemberId,
     due: Nanos,
 }
 
+/// The views that are to be told out of turn.
 #[derive(Default)]
 pub(crate) struct FollowUps {
     /// In the order in which they were planned; one for each peer.
@@ -26,7 +27,7 @@
             known.due = known.due.min(due);
             return;
         }
-        if self.waiting.len() >= MOST_WAITING {
+        if self.waiting.len() >= MAX_WAITING {
             self.waiting.pop_front();
         }
         self.waiting.push_back(FollowUp {
@@ -35,9 +36,9 @@
         });
     }
 
-    /// The peer whose view is due and was planned first.
+    /// Removes and returns the peer whose view is due and was planned first.
     pub fn take_due(&mut self, now: Nanos) -> Option<MemberId> {
-        let at = self.waiting.iter().position(|known| known.due <= now)?;
-        self.waiting.remove(at).map(|known| known.to)
+        let position = self.waiting.iter().position(|known| known.due <= now)?;
+        self.waiting.remove(position).map(|known| known.to)
     }
 }
--- a/crates/membership/src/keys.rs
+++ b/crates/membership/src/keys.rs
@@ -3,92 +3,94 @@
 use std::path::{Path, PathBuf};
 use std::{fmt, io};
 
-/// A key of the fellowship. Its text form is 64 hex digits.
+/// The length of a key, in bytes. Its text form has two hex digits a byte.
+const KEY_BYTES: usize = 32;
+
+/// A key that all members share.
 #[derive(Clone, PartialEq, Eq)]
-pub struct Key(pub(crate) [u8; 32]);
+pub struct Key([u8; KEY_BYTES]);
 
 impl fmt::Debug for Key {
-    /// Never the key itself, wherever settings are logged.
+    /// Never shows the key itself, wherever settings are logged.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("Key(..)")
     }
 }
 
-/// Why a line of a key file is no key.
+/// A line of a key file is no key.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 #[error("line {line}: expected a key of 64 hex digits")]
 pub struct InvalidKey {
+    /// The number of the line, from 1.
     pub line: usize,
 }
 
+/// A key file gives no keys.
+#[derive(Debug, thiserror::Error)]
+pub enum KeyFileError {
+    /// The file cannot be read.
+    #[error("{file}: {source}; expected a file of keys that this process may read", file = file.display())]
+    Unreadable {
+        /// The file.
+        file: PathBuf,
+        /// What the system says of it.
+        source: io::Error,
+    },
+    /// The file can be read, and a line of it is no key.
+    #[error("{file}, {source}", file = file.display())]
+    InvalidKey {
+        /// The file.
+        file: PathBuf,
+        /// Which line it is.
+        source: InvalidKey,
+    },
+}
+
 impl Key {
-    pub fn new(bytes: [u8; 32]) -> Key {
+    /// Makes a key of these bytes.
+    pub fn new(bytes: [u8; KEY_BYTES]) -> Key {
         Key(bytes)
     }
 
-    /// The keys of a file, one a line; empty lines and those that begin with `#` are passed over. The first one
-    /// seals, all of them open: a new key goes to every fellow behind the old one first, then before it.
+    /// Reads the keys of a file's text, one a line; empty lines and those that begin with `#` are skipped. The first key
+    /// seals frames, all of them open frames: a new key goes to every member behind the old one first, then before it.
     ///
     /// # Errors
-    /// The first line that is no key; a file without any counts as one at line 1.
+    /// The first line that is no key; a text without any counts as one at line 1.
     pub fn read(text: &str) -> Result<Vec<Key>, InvalidKey> {
         let mut keys = Vec::new();
-        for (n, line) in text.lines().enumerate() {
+        for (index, line) in text.lines().enumerate() {
             let line = line.trim();
             if line.is_empty() || line.starts_with('#') {
                 continue;
             }
-            let hash = blake3::Hash::from_hex(line).map_err(|_| InvalidKey { line: n + 1 })?;
-            keys.push(Key(*hash.as_bytes()));
+            let invalid = |_| InvalidKey { line: index + 1 };
+            let bytes = blake3::Hash::from_hex(line).map_err(invalid)?;
+            keys.push(Key(*bytes.as_bytes()));
         }
         if keys.is_empty() {
             return Err(InvalidKey { line: 1 });
         }
         Ok(keys)
     }
-}
 
-/// Why a key file gives no keys.
-#[derive(Debug, thiserror::Error)]
-pub enum KeyFileError {
-    #[error("{file}: {error}; expected a file of keys that this process may read", file = file.display())]
-    Unreadable { file: PathBuf, error: io::Error },
-    #[error("{file}, {error}", file = file.display())]
-    InvalidKey { file: PathBuf, error: InvalidKey },
+    /// Hashes a frame's content with this key.
+    pub(crate) fn tag(&self, content: &[u8]) -> blake3::Hash {
+        blake3::keyed_hash(&self.0, content)
+    }
 }
 
-/// The keys of a file; why not, with its name, where it has none.
+/// Reads the keys of a file, as [`Key::read`] does.
 ///
 /// # Errors
 /// A file that cannot be read, or a line that is no key.
 pub fn read_keys(file: &Path) -> Result<Vec<Key>, KeyFileError> {
-    let text = std::fs::read_to_string(file);
-    let text = text.map_err(|error| KeyFileError::Unreadable {
+    let text = std::fs::read_to_string(file).map_err(|source| KeyFileError::Unreadable {
         file: file.to_path_buf(),
-        error,
+        source,
     })?;
-    Key::read(&text).map_err(|error| KeyFileError::InvalidKey {
+    Key::read(&text).map_err(|source| KeyFileError::InvalidKey {
         file: file.to_path_buf(),
-        error,
+        source,
     })
 }
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn keys_are_read_line_by_line() {
-        let line = "0f".repeat(32);
-        assert_eq!(
-            Key::read(&format!("# the new one\n{line}\n\n")),
-            Ok(vec![Key::new([15; 32])])
-        );
-        assert_eq!(
-            Key::read(&format!("{line}\nshort\n")),
-            Err(InvalidKey { line: 2 })
-        );
-        assert_eq!(Key::read("\n"), Err(InvalidKey { line: 1 }));
-        assert_eq!(format!("{:?}", Key::new([15; 32])), "Key(..)");
-    }
-}
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -1,65 +1,63 @@
-//! What peers tell each other of the membership, and what a sidecar tells its own parts of it.
+//! The messages of the membership protocol.
+//!
+//! They travel as `postcard`, which encodes fields and variants by position: their order is part of the protocol.
 
 use crate::member::{Member, MemberId};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// What fellows say to each other about the fellowship.
+/// What members say to each other about the membership. A `nonce` is drawn at random for each ping, so that nobody can
+/// answer a ping that it has not received.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// A stranger, or one thought gone, asks to be asked.
+    /// A stranger, or one that is thought dead, asks to be pinged.
     Join {
-        me: Member,
+        /// Who sends this.
+        sender: Member,
     },
+    /// Asks for an [`Message::Ack`].
     Ping {
+        /// Returned with the answer.
         nonce: u64,
-        me: Member,
-        about: Vec<Member>,
+        /// Who sends this.
+        sender: Member,
+        /// Updates of other members.
+        updates: Vec<Member>,
     },
+    /// The answer to a ping.
     Ack {
+        /// That of the ping.
         nonce: u64,
-        me: Member,
-        about: Vec<Member>,
+        /// Who sends this.
+        sender: Member,
+        /// Updates of other members; first the target, where this passes on the answer to a
+        /// [`Message::PingRequest`].
+        updates: Vec<Member>,
     },
-    /// Ping this one for me.
+    /// Asks the receiver to ping the target for the sender.
     PingRequest {
+        /// That of the sender's own ping.
         nonce: u64,
-        id: MemberId,
+        /// Who is to be pinged.
+        target: MemberId,
+        /// Where the target is reached.
         address: SocketAddr,
     },
-    /// It has not answered me either, so far; I am here.
+    /// The target of a ping request has not answered the receiver of that request either, which is there itself.
     Nack {
+        /// That of the ping request.
         nonce: u64,
     },
-    /// A piece of the table: the names behind this one.
+    /// Asks for a part of the member table.
     TableRequest {
+        /// The part begins behind this name.
         after: String,
     },
+    /// A part of the member table, by name.
     Table {
-        about: Vec<Member>,
+        /// The members of this part.
+        members: Vec<Member>,
+        /// Whether there are more behind the last one.
         more: bool,
     },
 }
-
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum MemberEvent {
-    Joined(MemberId),
-    Suspected(MemberId),
-    Refuted(MemberId),
-    Lost(MemberId),
-    Left(MemberId),
-    /// Our name was known under a later life than ours, from before a start with a clock set back: ours is higher now.
-    IncarnationRaised(MemberId),
-}
-
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Effect {
-    Send {
-        to: MemberId,
-        address: SocketAddr,
-        message: Message,
-    },
-    Event(MemberEvent),
-    /// Nothing is known of this name any more.
-    Forget(String),
-}
--- a/crates/membership/src/node.rs
+++ b/crates/membership/src/node.rs
@@ -1,58 +1,66 @@
-//! Decision and codec together: datagrams in, datagrams out. The shell and the simulated network both drive this.
+//! The membership together with its frames: datagrams in, datagrams out. No I/O; sockets and the simulated network of
+//! the tests drive the same code.
 
-use crate::frame::{self, Channel, Envelope, Rejection, RejectionCounts, ReplayWindow};
+use crate::frame::{self, Channel, Envelope};
+use crate::inbox::Inbox;
+pub use crate::inbox::{NodeEvent, MAX_PENDING_MESSAGES};
 use crate::keys::Key;
 use crate::member::{Member, MemberId};
-use crate::member_table::Changes;
-use crate::swim::{Effect, MemberEvent, Membership, Message, Rules};
+use crate::message::Message;
+use crate::rejection::{Rejection, RejectionCounts};
+use crate::replay::ReplayWindows;
+use crate::swim::{Changes, Effect, Membership, Rules};
 use crate::Nanos;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-/// The kind of the fellowship's own messages; other packages take theirs from 2 on.
+/// The kind of the membership's own messages; other packages take theirs from 2 on.
 pub const MEMBERSHIP_KIND: u8 = 1;
-/// Messages of one other kind that wait to be read here, at most; a further one is lost, as on the way. The fellowship's
-/// own are taken in as they come, so that a burst of another kind never keeps them waiting.
-pub const MAX_PENDING_MESSAGES: usize = 256;
 
-/// What has happened since the last look.
+/// A sealed frame on its way out.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum NodeEvent {
-    Membership(MemberEvent),
-    /// A message of another package, from a fellow that lives.
-    Message {
-        from: MemberId,
-        kind: u8,
-        body: Vec<u8>,
-    },
+struct Outgoing {
+    address: SocketAddr,
+    bytes: Vec<u8>,
 }
 
+/// What one channel keeps: the number of frames sent, and which of those received came before.
+#[derive(Default)]
+struct ChannelState {
+    last_sequence: u64,
+    replays: ReplayWindows,
+    /// The caller empties this after each call.
+    outgoing: VecDeque<Outgoing>,
+}
+
+/// One member: the membership protocol, and the messages of other packages between members.
 pub struct Node {
     membership: Membership,
+    /// The first one seals, all of them open; there is at least one.
     keys: Vec<Key>,
-    count: u64,
-    /// By name, the counts of its present life. Rows leave with the fellow.
-    seen: BTreeMap<String, (u64, ReplayWindow)>,
-    /// The same for streams, which overtake and are overtaken.
-    seen_streams: BTreeMap<String, (u64, ReplayWindow)>,
-    count_streams: u64,
-    /// Kinds of other packages that are read here.
-    kinds: Vec<u8>,
+    datagrams: ChannelState,
+    /// For what is too long for a datagram. Streams and datagrams overtake each other, so each has its own numbers.
+    streams: ChannelState,
+    /// The kinds of other packages that are read here.
+    accepted_kinds: Vec<u8>,
+    inbox: Inbox,
+    /// Frames received that changed nothing, by reason.
     pub rejected: RejectionCounts,
+    /// Frames sent, over both channels.
     pub sent: u64,
+    /// Bytes of those frames.
     pub sent_bytes: u64,
+    /// Frames received, over both channels.
     pub received: u64,
-    out: VecDeque<(SocketAddr, Vec<u8>)>,
-    /// What is too long for a datagram. The shell empties both after each call.
-    streams: VecDeque<(SocketAddr, Vec<u8>)>,
-    happened: VecDeque<NodeEvent>,
-    /// By kind, messages that wait, and those that were lost for it. One row a kind that is read here.
-    waiting: BTreeMap<u8, usize>,
+    /// By kind, messages of other packages that were dropped as too many waited to be read.
     pub overflowed: BTreeMap<u8, u64>,
 }
 
 impl Node {
-    /// The first key seals, all open; there must be one.
+    /// Makes a node that knows no other member yet. Its first probe is scattered over a period by `seed`, which also
+    /// draws nonces and the order of probes. `seeds` are addresses of members to begin with.
+    ///
+    /// The first key seals frames, all of them open frames; there must be one.
     pub fn new(
         now: Nanos,
         seed: u64,
@@ -64,170 +72,181 @@
         Node {
             membership: Membership::new(now, seed, me, seeds, rules),
             keys,
-            count: 0,
-            seen: BTreeMap::new(),
-            seen_streams: BTreeMap::new(),
-            count_streams: 0,
-            kinds: Vec::new(),
+            datagrams: ChannelState::default(),
+            streams: ChannelState::default(),
+            accepted_kinds: Vec::new(),
+            inbox: Inbox::default(),
             rejected: RejectionCounts::default(),
             sent: 0,
             sent_bytes: 0,
             received: 0,
-            out: VecDeque::new(),
-            streams: VecDeque::new(),
-            happened: VecDeque::new(),
-            waiting: BTreeMap::new(),
             overflowed: BTreeMap::new(),
         }
     }
 
-    /// Reads messages of this kind from now on; of others they are counted and passed over.
+    /// Passes messages of this kind on from now on; those of other kinds are counted and dropped.
     pub fn accept_kind(&mut self, kind: u8) {
-        self.kinds.push(kind);
+        self.accepted_kinds.push(kind);
     }
 
+    /// Returns the membership.
     pub fn membership(&self) -> &Membership {
         &self.membership
     }
 
-    /// Of whom something changed since this was last asked.
+    /// Returns the members that changed since this was last asked.
     pub fn take_changes(&mut self) -> Changes {
         self.membership.take_changes()
     }
 
-    /// Keys read anew. An empty list is passed over: a fellowship without a key would be none.
+    /// Replaces the keys. An empty list is ignored: without a key nothing could be sent.
     pub fn replace_keys(&mut self, keys: Vec<Key>) {
         if !keys.is_empty() {
             self.keys = keys;
         }
     }
 
+    /// Returns the next datagram to send, and where to.
     pub fn next_datagram(&mut self) -> Option<(SocketAddr, Vec<u8>)> {
-        self.out.pop_front()
+        let outgoing = self.datagrams.outgoing.pop_front()?;
+        Some((outgoing.address, outgoing.bytes))
     }
 
-    /// A letter for the stream to this address.
+    /// Returns the next frame for the stream to an address, and that address.
     pub fn next_stream_message(&mut self) -> Option<(SocketAddr, Vec<u8>)> {
-        self.streams.pop_front()
+        let outgoing = self.streams.outgoing.pop_front()?;
+        Some((outgoing.address, outgoing.bytes))
     }
 
+    /// Returns the next event that has not been read.
     pub fn next_event(&mut self) -> Option<NodeEvent> {
-        let happened = self.happened.pop_front();
-        if let Some(NodeEvent::Message { kind, .. }) = &happened {
-            self.waiting
-                .entry(*kind)
-                .and_modify(|waiting| *waiting -= 1);
-        }
-        happened
+        self.inbox.pop()
     }
 
+    /// Returns when [`Node::wake`] is due next.
     pub fn next_wake(&self) -> Option<Nanos> {
         self.membership.next_wake()
     }
 
+    /// Does what is due by now.
     pub fn wake(&mut self, now: Nanos) {
         self.membership.wake(now);
-        self.carry_out();
+        self.carry_out_effects();
     }
 
+    /// Tells some members that this one leaves; they pass it on.
     pub fn leave(&mut self) {
         self.membership.leave();
-        self.carry_out();
+        self.carry_out_effects();
     }
 
-    /// Sends a message of another package to a fellow that lives, as a datagram or over a stream by its length; false
-    /// where none of that life is known or it is too long for either.
+    /// Sends a message of another package to a member, as a datagram or over a stream by its length. Returns false
+    /// where that incarnation is not known, or the message is too long for either.
     pub fn send(&mut self, to: &MemberId, kind: u8, body: Vec<u8>) -> bool {
-        let Some(member) = self
-            .membership
-            .get(&to.name)
+        let known = self.membership.get(&to.name);
+        let Some(address) = known
             .filter(|member| member.id == *to)
+            .map(|member| member.address)
         else {
             return false;
         };
-        let at = member.address;
-        self.seal(to.clone(), at, kind, body)
+        self.seal_and_queue(to.clone(), address, kind, body)
     }
 
-    /// One datagram that came, from wherever.
+    /// Handles one datagram that came, from wherever.
     pub fn receive_datagram(&mut self, now: Nanos, bytes: &[u8]) {
-        self.hear(now, bytes, Channel::Datagram);
+        self.receive(now, bytes, Channel::Datagram);
     }
 
-    /// One letter that came over a stream.
+    /// Handles one frame that came over a stream.
     pub fn receive_stream_message(&mut self, now: Nanos, bytes: &[u8]) {
-        self.hear(now, bytes, Channel::Stream);
+        self.receive(now, bytes, Channel::Stream);
     }
 
-    fn hear(&mut self, now: Nanos, bytes: &[u8], channel: Channel) {
+    fn receive(&mut self, now: Nanos, bytes: &[u8], channel: Channel) {
         self.received += 1;
-        if let Err(why) = self.take(now, bytes, channel) {
-            self.rejected.add(why);
+        if let Err(reason) = self.handle_frame(now, bytes, channel) {
+            self.rejected.add(reason);
         }
-        self.carry_out();
+        self.carry_out_effects();
     }
 
-    fn take(&mut self, now: Nanos, bytes: &[u8], channel: Channel) -> Result<(), Rejection> {
-        let Envelope {
-            from,
-            to,
-            count,
-            kind,
-            body,
-        } = frame::open(&self.keys, bytes, channel)?;
+    fn handle_frame(
+        &mut self,
+        now: Nanos,
+        bytes: &[u8],
+        channel: Channel,
+    ) -> Result<(), Rejection> {
+        let envelope = frame::open(&self.keys, bytes, channel)?;
+        self.check_receiver(&envelope)?;
+        self.check_sender(&envelope, channel)?;
+        match envelope.kind {
+            MEMBERSHIP_KIND => self.handle_membership_message(now, &envelope),
+            _ => self.handle_other_message(envelope),
+        }
+    }
+
+    /// Only a join may be sent to an address whose member the sender does not know.
+    fn check_receiver(&self, envelope: &Envelope) -> Result<(), Rejection> {
         let me = &self.membership.me().id;
-        let hello = to.name.is_empty() && kind == MEMBERSHIP_KIND;
-        if from == *me || !(hello || to == *me) {
+        let is_for_us =
+            envelope.to == *me || (envelope.to.name.is_empty() && envelope.kind == MEMBERSHIP_KIND);
+        if envelope.from == *me || !is_for_us {
             return Err(Rejection::NotForUs);
         }
-        let known = self.membership.get(&from.name);
-        if known.is_some_and(|member| from.incarnation < member.id.incarnation) {
-            return Err(Rejection::OldLife);
+        Ok(())
+    }
+
+    /// Rejects what an earlier incarnation sends, and repeats of a known one. Repeats of a stranger change nothing, as
+    /// it is let in by an answer to a number that was drawn for it.
+    fn check_sender(&mut self, envelope: &Envelope, channel: Channel) -> Result<(), Rejection> {
+        let from = &envelope.from;
+        let Some(known) = self.membership.get(&from.name) else {
+            return Ok(());
+        };
+        if from.incarnation < known.id.incarnation {
+            return Err(Rejection::OldIncarnation);
         }
-        if known.is_some_and(|member| member.id == from) {
-            let seen = if channel == Channel::Stream {
-                &mut self.seen_streams
-            } else {
-                &mut self.seen
-            };
-            let row = seen.entry(from.name.clone()).or_default();
-            if row.0 != from.incarnation {
-                *row = (from.incarnation, ReplayWindow::default());
-            }
-            if !row.1.first(count) {
-                return Err(Rejection::Repeated);
-            }
+        if known.id != *from {
+            return Ok(());
         }
-        if kind == MEMBERSHIP_KIND {
-            let message: Message =
-                postcard::from_bytes(&body).map_err(|_| Rejection::Unreadable)?;
-            if hello && !matches!(message, Message::Join { .. }) {
-                return Err(Rejection::NotForUs);
-            }
-            return self
-                .membership
-                .heard(now, &from, message)
-                .then_some(())
-                .ok_or(Rejection::Stranger);
+        let replays = &mut self.channel(channel).replays;
+        replays
+            .accept(from, envelope.sequence)
+            .then_some(())
+            .ok_or(Rejection::Repeated)
+    }
+
+    fn handle_membership_message(
+        &mut self,
+        now: Nanos,
+        envelope: &Envelope,
+    ) -> Result<(), Rejection> {
+        let message: Message =
+            postcard::from_bytes(&envelope.body).map_err(|_| Rejection::Unreadable)?;
+        if envelope.to.name.is_empty() && !matches!(message, Message::Join { .. }) {
+            return Err(Rejection::NotForUs);
         }
-        if !self.kinds.contains(&kind) {
+        self.membership.receive(now, &envelope.from, message)
+    }
+
+    fn handle_other_message(&mut self, envelope: Envelope) -> Result<(), Rejection> {
+        let Envelope {
+            from, kind, body, ..
+        } = envelope;
+        if !self.accepted_kinds.contains(&kind) {
             return Err(Rejection::UnknownKind);
         }
         if !self.membership.is_alive(&from) {
             return Err(Rejection::Stranger);
         }
-        let waiting = self.waiting.entry(kind).or_default();
-        if *waiting >= MAX_PENDING_MESSAGES {
+        if !self.inbox.push_message(from, kind, body) {
             *self.overflowed.entry(kind).or_default() += 1;
-            return Ok(());
         }
-        *waiting += 1;
-        self.happened
-            .push_back(NodeEvent::Message { from, kind, body });
         Ok(())
     }
 
-    fn carry_out(&mut self) {
+    fn carry_out_effects(&mut self) {
         while let Some(effect) = self.membership.next_effect() {
             match effect {
                 Effect::Send {
@@ -236,44 +255,55 @@
                     message,
                 } => {
                     if let Ok(body) = postcard::to_stdvec(&message) {
-                        self.seal(to, address, MEMBERSHIP_KIND, body);
+                        self.seal_and_queue(to, address, MEMBERSHIP_KIND, body);
                     }
                 }
                 Effect::Forget(name) => {
-                    self.seen.remove(&name);
-                    self.seen_streams.remove(&name);
+                    self.datagrams.replays.remove(&name);
+                    self.streams.replays.remove(&name);
                 }
-                Effect::Event(event) => self.happened.push_back(NodeEvent::Membership(event)),
+                Effect::Event(event) => self.inbox.push_membership(event),
             }
         }
     }
 
-    fn seal(&mut self, to: MemberId, address: SocketAddr, kind: u8, body: Vec<u8>) -> bool {
+    /// Queues a message on the first channel that it fits; false where it fits neither.
+    fn seal_and_queue(
+        &mut self,
+        to: MemberId,
+        address: SocketAddr,
+        kind: u8,
+        body: Vec<u8>,
+    ) -> bool {
         let mut envelope = Envelope {
             from: self.membership.me().id.clone(),
             to,
-            count: self.count + 1,
+            sequence: 0,
             kind,
             body,
         };
-        if let Some(bytes) = frame::seal(&self.keys[0], &envelope, Channel::Datagram) {
-            self.count += 1;
-            self.note_sent(&bytes);
-            self.out.push_back((address, bytes));
-            return true;
+        for channel in [Channel::Datagram, Channel::Stream] {
+            envelope.sequence = self.channel(channel).last_sequence + 1;
+            if let Some(bytes) = frame::seal(&self.keys[0], &envelope, channel) {
+                self.queue(channel, Outgoing { address, bytes });
+                return true;
+            }
         }
-        envelope.count = self.count_streams + 1;
-        let Some(bytes) = frame::seal(&self.keys[0], &envelope, Channel::Stream) else {
-            return false;
-        };
-        self.count_streams += 1;
-        self.note_sent(&bytes);
-        self.streams.push_back((address, bytes));
-        true
+        false
     }
 
-    fn note_sent(&mut self, bytes: &[u8]) {
+    fn queue(&mut self, channel: Channel, outgoing: Outgoing) {
         self.sent += 1;
-        self.sent_bytes += bytes.len() as u64;
+        self.sent_bytes += outgoing.bytes.len() as u64;
+        let channel = self.channel(channel);
+        channel.last_sequence += 1;
+        channel.outgoing.push_back(outgoing);
+    }
+
+    fn channel(&mut self, channel: Channel) -> &mut ChannelState {
+        match channel {
+            Channel::Datagram => &mut self.datagrams,
+            Channel::Stream => &mut self.streams,
+        }
     }
 }
--- /dev/null
+++ b/crates/membership/src/quorum/eviction.rs
@@ -0,0 +1,108 @@
+//! Eviction: who has been missed for long by more than half of all voters is a voter no more.
+//!
+//! The missing ones count among all voters, so that of two parts at most one can evict the other. What may go wrong: if
+//! more than half are gone for good, nobody can be evicted, and the state stays at few until they are started again.
+
+use super::record::VoterRecord;
+use super::view::EvictionVote;
+use super::voter::Voter;
+use super::Quorum;
+use crate::Nanos;
+
+impl Quorum {
+    /// Evicts the voters that we and enough others have missed for long.
+    pub(super) fn evict(&mut self, now: Nanos) {
+        let evicted: Vec<VoterRecord> = self
+            .notable_voters()
+            .filter(|voter| self.is_long_missed(now, voter))
+            .filter(|voter| 2 * (1 + self.count_eviction_votes(now, voter)) > self.voter_count())
+            .map(|voter| VoterRecord {
+                is_voter: false,
+                ..voter.record.clone()
+            })
+            .collect();
+        for record in evicted {
+            self.merge(now, record);
+        }
+    }
+
+    /// Counts the votes of others that are voters themselves and said so of late.
+    fn count_eviction_votes(&self, now: Nanos, voter: &Voter) -> usize {
+        let is_voter = |name: &str| {
+            let voter = self.voters.get(name);
+            voter.is_some_and(|voter| voter.record.is_voter)
+        };
+        voter
+            .eviction_votes
+            .iter()
+            .filter(|(name, at)| is_voter(name) && !self.is_outdated(now, **at))
+            .count()
+    }
+
+    pub(super) fn is_long_missed(&self, now: Nanos, voter: &Voter) -> bool {
+        !voter.is_alive && now.saturating_sub(voter.since) >= self.rules.eviction_delay
+    }
+
+    /// Returns our own votes.
+    pub(super) fn own_eviction_votes(&self, now: Nanos) -> impl Iterator<Item = EvictionVote> + '_ {
+        self.notable_voters()
+            .filter(move |voter| self.is_long_missed(now, voter))
+            .map(|voter| EvictionVote {
+                name: voter.name().to_string(),
+                incarnation: voter.record.id.incarnation,
+                rejoins: voter.record.rejoins,
+            })
+    }
+
+    /// Notes another sidecar's vote, if it means the incarnation that is missed here, too.
+    pub(super) fn receive_eviction_vote(&mut self, now: Nanos, from: &str, vote: &EvictionVote) {
+        let is_meant = |voter: &Voter| {
+            !voter.is_alive
+                && voter.record.id.incarnation == vote.incarnation
+                && voter.record.rejoins == vote.rejoins
+        };
+        if self.voters.get(&vote.name).is_some_and(is_meant) {
+            self.voters.update(&vote.name, |voter| {
+                voter.eviction_votes.insert(from.to_string(), now);
+            });
+        }
+    }
+
+    /// Forgets those that are no voters for long, and statements that are too old to count.
+    pub(super) fn expire(&mut self, now: Nanos) {
+        for name in self.voters.notable_names() {
+            let Some(voter) = self.voters.get(&name) else {
+                continue;
+            };
+            let is_gone = !voter.record.is_voter
+                && now.saturating_sub(voter.since) >= self.rules.eviction_delay;
+            let has_outdated_votes = voter
+                .eviction_votes
+                .values()
+                .any(|at| self.is_outdated(now, *at));
+            if is_gone {
+                self.voters.remove(&name);
+            } else if has_outdated_votes {
+                self.drop_outdated_votes(now, &name);
+            }
+        }
+        while let Some(name) = self
+            .voters
+            .oldest_view_if(|heard_at| self.is_outdated(now, heard_at))
+        {
+            self.voters.update(&name, |voter| {
+                voter.heard = None;
+                voter.disagreement = None;
+            });
+        }
+    }
+
+    fn drop_outdated_votes(&mut self, now: Nanos, name: &str) {
+        let lifetime = self.rules.statement_lifetime;
+        self.voters.update(name, |voter| {
+            voter
+                .eviction_votes
+                .retain(|_, at| now.saturating_sub(*at) < lifetime);
+        });
+    }
+}
--- /dev/null
+++ b/crates/membership/src/swim/member_table.rs
@@ -0,0 +1,233 @@
+//! The table of other members, with indexes beside it, so that no question on the steady path walks all of it.
+
+use crate::member::Member;
+use crate::Nanos;
+use oorandom::Rand64;
+use std::cell::Cell;
+use std::collections::{BTreeMap, BTreeSet, HashMap};
+use std::net::SocketAddr;
+use std::ops::Bound;
+
+/// A member, alive or dead, with what only this sidecar knows of it.
+pub(super) struct KnownMember {
+    pub member: Member,
+    /// Since when it is alive, or is not.
+    pub since: Nanos,
+    /// The names of those who suspect it.
+    pub suspected_by: BTreeSet<String>,
+    /// Since when it is suspected.
+    pub suspected_at: Nanos,
+}
+
+/// Which members changed since the last look.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum Changes {
+    /// Any of them may have.
+    All,
+    /// Those of these names.
+    Names(BTreeSet<String>),
+}
+
+struct Row {
+    known: KnownMember,
+    /// What the member takes in a message, in bytes.
+    size: usize,
+}
+
+/// All other members by name.
+pub(super) struct MemberTable {
+    by_name: BTreeMap<String, Row>,
+    /// The names of the living, in no order, so that one can be drawn at random.
+    alive: Vec<String>,
+    /// Where each name stands in `alive`.
+    positions: HashMap<String, usize>,
+    /// The addresses of the living, and how many are at each.
+    addresses: HashMap<SocketAddr, usize>,
+    /// The names of those that are dead or have left.
+    dead: BTreeSet<String>,
+    changes: Changes,
+    /// Changed names that are kept one by one, at most; beyond it all count as changed.
+    max_changes: usize,
+    rows_visited: Cell<u64>,
+}
+
+impl MemberTable {
+    pub fn new(max_changes: usize) -> MemberTable {
+        MemberTable {
+            by_name: BTreeMap::new(),
+            alive: Vec::new(),
+            positions: HashMap::new(),
+            addresses: HashMap::new(),
+            dead: BTreeSet::new(),
+            changes: Changes::All,
+            max_changes,
+            rows_visited: Cell::new(0),
+        }
+    }
+
+    pub fn len(&self) -> usize {
+        self.by_name.len()
+    }
+
+    pub fn count_alive(&self) -> usize {
+        self.alive.len()
+    }
+
+    pub fn get(&self, name: &str) -> Option<&KnownMember> {
+        self.count_visits(1);
+        self.by_name.get(name).map(|row| &row.known)
+    }
+
+    /// Returns a member and what it takes in a message, in bytes.
+    pub fn get_with_size(&self, name: &str) -> Option<(&Member, usize)> {
+        self.count_visits(1);
+        self.by_name
+            .get(name)
+            .map(|row| (&row.known.member, row.size))
+    }
+
+    /// Returns all living members, by name.
+    pub fn alive(&self) -> impl Iterator<Item = &Member> {
+        let rows = self.by_name.values().inspect(|_| self.count_visits(1));
+        rows.map(|row| &row.known.member)
+            .filter(|member| member.is_alive())
+    }
+
+    /// Returns the living members behind a name, by name, and what each takes in a message, in bytes.
+    pub fn alive_after<'a>(&'a self, name: &str) -> impl Iterator<Item = (&'a Member, usize)> {
+        let behind = (Bound::Excluded(name), Bound::Unbounded);
+        let rows = self.by_name.range::<str, _>(behind);
+        rows.inspect(|_| self.count_visits(1))
+            .map(|(_, row)| (&row.known.member, row.size))
+            .filter(|(member, _)| member.is_alive())
+    }
+
+    /// Returns those that are dead or have left, by name.
+    pub fn dead(&self) -> impl Iterator<Item = &KnownMember> {
+        self.dead.iter().filter_map(|name| self.get(name))
+    }
+
+    pub fn is_alive_at(&self, address: &SocketAddr) -> bool {
+        self.addresses.contains_key(address)
+    }
+
+    /// Draws so many living members at random, each once, leaving one out: the first draws of a shuffle.
+    pub fn draw(&self, random: &mut Rand64, count: usize, without: Option<&str>) -> Vec<&Member> {
+        let alive = self.alive.len();
+        let mut moved: HashMap<usize, usize> = HashMap::new();
+        let mut drawn = Vec::new();
+        for position in 0..alive {
+            if drawn.len() >= count {
+                break;
+            }
+            let other = random.rand_range(position as u64..alive as u64) as usize;
+            let chosen = moved.get(&other).copied().unwrap_or(other);
+            let displaced = moved.get(&position).copied().unwrap_or(position);
+            moved.insert(other, displaced);
+            let name = &self.alive[chosen];
+            if Some(name.as_str()) != without {
+                drawn.extend(self.get(name).map(|known| &known.member));
+            }
+        }
+        drawn
+    }
+
+    /// Returns the names of all living members, in no order.
+    pub fn alive_names(&self) -> &[String] {
+        self.count_visits(self.alive.len() as u64);
+        &self.alive
+    }
+
+    pub fn insert(&mut self, known: KnownMember) {
+        let name = known.member.id.name.clone();
+        self.remove(&name);
+        let row = Row {
+            size: encoded_bytes(&known.member),
+            known,
+        };
+        self.index(&name, &row.known.member);
+        self.by_name.insert(name, row);
+    }
+
+    /// Changes a member; nothing happens where none has that name.
+    pub fn update(&mut self, name: &str, change: impl FnOnce(&mut KnownMember)) {
+        let Some(mut row) = self.by_name.remove(name) else {
+            return;
+        };
+        self.unindex(name, &row.known.member);
+        change(&mut row.known);
+        row.size = encoded_bytes(&row.known.member);
+        self.index(name, &row.known.member);
+        self.by_name.insert(name.to_string(), row);
+    }
+
+    /// Removes a member; false where none has that name.
+    pub fn remove(&mut self, name: &str) -> bool {
+        let Some(row) = self.by_name.remove(name) else {
+            return false;
+        };
+        self.unindex(name, &row.known.member);
+        true
+    }
+
+    /// Returns the names that changed since this was last asked.
+    pub fn take_changes(&mut self) -> Changes {
+        std::mem::replace(&mut self.changes, Changes::Names(BTreeSet::new()))
+    }
+
+    pub fn rows_visited(&self) -> u64 {
+        self.rows_visited.get()
+    }
+
+    fn count_visits(&self, rows: u64) {
+        self.rows_visited.set(self.rows_visited.get() + rows);
+    }
+
+    fn note_change(&mut self, name: &str) {
+        self.count_visits(1);
+        if let Changes::Names(names) = &mut self.changes {
+            if names.len() < self.max_changes {
+                names.insert(name.to_string());
+            } else {
+                self.changes = Changes::All;
+            }
+        }
+    }
+
+    fn index(&mut self, name: &str, member: &Member) {
+        self.note_change(name);
+        if !member.is_alive() {
+            self.dead.insert(name.to_string());
+            return;
+        }
+        self.positions.insert(name.to_string(), self.alive.len());
+        self.alive.push(name.to_string());
+        *self.addresses.entry(member.address).or_default() += 1;
+    }
+
+    fn unindex(&mut self, name: &str, member: &Member) {
+        self.note_change(name);
+        self.dead.remove(name);
+        let Some(position) = self.positions.remove(name) else {
+            return;
+        };
+        self.alive.swap_remove(position);
+        if let Some(moved) = self.alive.get(position) {
+            self.positions.insert(moved.clone(), position);
+        }
+        self.release_address(&member.address);
+    }
+
+    fn release_address(&mut self, address: &SocketAddr) {
+        if let Some(count) = self.addresses.get_mut(address) {
+            *count -= 1;
+            if *count == 0 {
+                self.addresses.remove(address);
+            }
+        }
+    }
+}
+
+fn encoded_bytes(member: &Member) -> usize {
+    postcard::to_stdvec(member).map_or(usize::MAX, |bytes| bytes.len())
+}
--- /dev/null
+++ b/crates/membership/src/transport/event_log.rs
@@ -0,0 +1,17 @@
+//! Logs changes of the membership.
+
+use crate::event::MemberEvent;
+use crate::member::MemberId;
+
+/// Logs a change of the membership, one line at info.
+pub fn log_event(event: MemberEvent) {
+    let (what, MemberId { name, incarnation }) = match event {
+        MemberEvent::Joined(id) => ("member joined", id),
+        MemberEvent::Suspected(id) => ("member suspected", id),
+        MemberEvent::Refuted(id) => ("member refuted suspicion", id),
+        MemberEvent::Lost(id) => ("member lost", id),
+        MemberEvent::Left(id) => ("member left", id),
+        MemberEvent::IncarnationRaised(id) => ("own incarnation was behind and is raised", id),
+    };
+    tracing::info!(member = name, incarnation, "{what}");
+}
--- a/crates/membership/src/view_exchange.rs
+++ b/crates/membership/src/view_exchange.rs
@@ -1,52 +1,49 @@
-//! Keeps a sidecar's quorum state up to date: takes membership's news and peers' views in, and tells one peer its own
-//! view each period, and one more out of turn where a follow-up is due. No I/O; the sidecar's shell and the simulated network drive the same code.
+//! Keeps a sidecar's quorum state up to date: takes in changes of the membership and peers' views, and tells one peer its
+//! own view each period, and one more out of turn where a follow-up is due. No I/O; the sidecar's transport and the
+//! simulated network drive the same code.
 
+use crate::event::MemberEvent;
 use crate::follow_ups::FollowUps;
 use crate::member::MemberId;
-use crate::member_table::Changes;
 use crate::node::Node;
-use crate::quorum::{Quorum, QuorumState, Rules, View};
-use crate::swim::MemberEvent;
+pub use crate::quorum::Change;
+use crate::quorum::{Quorum, Rules, View};
+use crate::swim::Changes;
 use crate::Nanos;
 
 /// The kind of message in which views are told.
 pub const VIEW_KIND: u8 = 3;
+/// Periods between two looks at all members; in between, only those that changed are looked at.
+const RESYNC_PERIODS: u64 = 120;
 
-/// A change of the quorum state.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Change {
-    pub was: QuorumState,
-    pub is: QuorumState,
-}
-
-/// Periods between two looks at all who live; in between, only those who changed are looked at.
-const RESYNC: u64 = 120;
-
+/// A [`Quorum`] together with the exchange of views.
 pub struct ViewExchange {
     quorum: Quorum,
     periods: u64,
-    /// Whom our view was told last: it goes round by name, beginning behind our own, so that sidecars that started
-    /// together do not all tell the same one.
-    told: String,
+    /// Who was told our view last. It goes round by name, beginning behind our own, so that sidecars that started together
+    /// do not all tell the same one.
+    last_told: String,
     follow_ups: FollowUps,
 }
 
 impl ViewExchange {
+    /// Begins with a quorum of one.
     pub fn new(now: Nanos, me: MemberId, rules: Rules) -> ViewExchange {
-        let told = me.name.clone();
+        let last_told = me.name.clone();
         ViewExchange {
             quorum: Quorum::new(now, me, rules),
             periods: 0,
-            told,
+            last_told,
             follow_ups: FollowUps::default(),
         }
     }
 
+    /// Returns the quorum.
     pub fn quorum(&self) -> &Quorum {
         &self.quorum
     }
 
-    /// What membership told.
+    /// Takes in a change of the membership.
     pub fn observe(&mut self, now: Nanos, event: &MemberEvent) {
         match event {
             MemberEvent::Left(id) => self.quorum.left(now, id),
@@ -55,7 +52,7 @@
         }
     }
 
-    /// A peer's view.
+    /// Takes in a peer's view.
     ///
     /// # Errors
     /// A body that is no view; it changes nothing.
@@ -72,27 +69,29 @@
         Ok(())
     }
 
-    /// Once a period: learns who lives, judges the quorum state anew and tells one peer our view, and one more
-    /// whose follow-up is due.
+    /// Does what is due once a period: learns who is alive, judges the quorum state anew and tells one peer our view, and
+    /// one more whose follow-up is due. Returns a change of the state.
     pub fn tick(&mut self, now: Nanos, node: &mut Node) -> Option<Change> {
-        self.learn_who_lives(now, node);
-        let change = self.quorum.update(now).map(|(was, is)| Change { was, is });
-        if let Some(to) = node
-            .membership()
-            .alive_after(&self.told)
-            .map(|member| member.id.clone())
-        {
+        self.learn_who_is_alive(now, node);
+        let change = self.quorum.update(now);
+        self.tell_next(now, node);
+        self.tell_follow_up(now, node);
+        change
+    }
+
+    fn tell_next(&mut self, now: Nanos, node: &mut Node) {
+        let next = node.membership().alive_after(&self.last_told);
+        if let Some(to) = next.map(|member| member.id.clone()) {
             self.tell(now, node, &to);
-            self.told = to.name;
+            self.last_told = to.name;
         }
-        if let Some(to) = self
-            .follow_ups
-            .take_due(now)
-            .filter(|to| node.membership().is_alive(to))
-        {
+    }
+
+    fn tell_follow_up(&mut self, now: Nanos, node: &mut Node) {
+        let due = self.follow_ups.take_due(now);
+        if let Some(to) = due.filter(|to| node.membership().is_alive(to)) {
             self.tell(now, node, &to);
         }
-        change
     }
 
     fn tell(&mut self, now: Nanos, node: &mut Node, to: &MemberId) {
@@ -101,24 +100,22 @@
         }
     }
 
-    fn learn_who_lives(&mut self, now: Nanos, node: &mut Node) {
+    fn learn_who_is_alive(&mut self, now: Nanos, node: &mut Node) {
         let changes = node.take_changes();
         self.periods += 1;
-        let member_table = node.membership();
+        let members = node.membership();
         match changes {
-            Changes::Names(names) if !self.periods.is_multiple_of(RESYNC) => {
-                let id = |name: &String| {
-                    member_table
-                        .get(name)
-                        .map(|member| &member.id)
-                        .filter(|id| member_table.is_alive(id))
+            Changes::Names(names) if !self.periods.is_multiple_of(RESYNC_PERIODS) => {
+                let alive_id = |name: &String| {
+                    let known = members.get(name).map(|member| &member.id);
+                    known.filter(|id| members.is_alive(id))
                 };
-                let changed = names.iter().map(|name| (name.as_str(), id(name)));
+                let changed = names.iter().map(|name| (name.as_str(), alive_id(name)));
                 self.quorum.update_alive(now, changed);
             }
             Changes::Names(_) | Changes::All => {
-                self.quorum
-                    .set_alive(now, member_table.alive().map(|member| &member.id));
+                let alive = members.alive().map(|member| &member.id);
+                self.quorum.set_alive(now, alive);
             }
         }
     }
--- a/crates/membership/tests/follow_ups.rs
+++ b/crates/membership/tests/follow_ups.rs
@@ -5,7 +5,7 @@
 use havenplank_membership::member::MemberId;
 use havenplank_membership::member::{Member, MemberState};
 use havenplank_membership::node::{Node, NodeEvent};
-use havenplank_membership::quorum::{Quorum, QuorumState, Rules, View};
+use havenplank_membership::quorum::{Change, Quorum, QuorumState, Rules, View};
 use havenplank_membership::swim::Rules as Membership;
 use havenplank_membership::view_exchange::{ViewExchange, VIEW_KIND};
 use std::net::SocketAddr;
@@ -21,8 +21,8 @@
 
 impl Sidecar {
     fn new(now: Nanos, at: SocketAddr, id: Id) -> Sidecar {
-        let who = life(id);
-        let news = Member {
+        let who = member_id(id);
+        let member = Member {
             id: who.clone(),
             address: at,
             zone: "zone".into(),
@@ -31,7 +31,7 @@
         };
         let seeds = vec![Net::<Sidecar>::address(0)];
         let keys = vec![Key::new([7; 32])];
-        let mut node = Node::new(now, id as u64, news, seeds, Membership::default(), keys);
+        let mut node = Node::new(now, id as u64, member, seeds, Membership::default(), keys);
         node.accept_kind(VIEW_KIND);
         Sidecar {
             node,
@@ -80,7 +80,7 @@
     }
 }
 
-fn life(id: Id) -> MemberId {
+fn member_id(id: Id) -> MemberId {
     MemberId {
         name: format!("s-{id:03}"),
         incarnation: 1,
@@ -90,38 +90,38 @@
 /// A view whose digests are nobody's.
 fn differing_view() -> View {
     View {
-        voters: 0,
-        living: 0,
-        missed: 0,
+        voters_digest: 0,
+        alive_digest: 0,
+        missing_count: 0,
         missing: Vec::new(),
-        out: Vec::new(),
-        rows: Vec::new(),
+        evictions: Vec::new(),
+        records: Vec::new(),
     }
 }
 
-/// The place of sidecar 0 among five, and when it came to agree.
-fn agreed_place() -> (Quorum, Nanos) {
-    let mut place = Quorum::new(0, life(0), Rules::default());
-    let others: Vec<MemberId> = (1..5).map(life).collect();
-    place.set_alive(0, others.iter());
-    place.update(0);
-    place.update(4 * SECOND);
-    assert_eq!(place.state(), QuorumState::Agreed);
-    (place, 4 * SECOND)
+/// The quorum of sidecar 0 among five, and when it came to agree.
+fn agreed_quorum() -> (Quorum, Nanos) {
+    let mut quorum = Quorum::new(0, member_id(0), Rules::default());
+    let others: Vec<MemberId> = (1..5).map(member_id).collect();
+    quorum.set_alive(0, others.iter());
+    quorum.update(0);
+    quorum.update(4 * SECOND);
+    assert_eq!(quorum.state(), QuorumState::Agreed);
+    (quorum, 4 * SECOND)
 }
 
 #[test]
 fn one_differing_view_is_no_dispute_however_long_its_sender_is_silent() {
-    let (mut place, now) = agreed_place();
-    place.receive_view(now, &life(1), differing_view());
+    let (mut quorum, now) = agreed_quorum();
+    quorum.receive_view(now, &member_id(1), differing_view());
     for seconds in 0..290 {
         assert_eq!(
-            place.update(now + seconds * SECOND),
+            quorum.update(now + seconds * SECOND),
             None,
             "after {seconds} s"
         );
     }
-    assert!(place.disputes(now + 290 * SECOND).is_empty());
+    assert!(quorum.disputes(now + 290 * SECOND).is_empty());
 }
 
 /// Shares of sidecars that agree, each ten seconds after a common start.
@@ -155,58 +155,61 @@
 }
 
 #[test]
-fn a_difference_that_stays_is_a_dispute_once_a_second_view_says_so() {
-    let (mut place, now) = agreed_place();
-    let settles = Rules::default().settles;
+fn a_lasting_difference_is_a_dispute_once_a_second_view_shows_it() {
+    let (mut quorum, now) = agreed_quorum();
+    let settles = Rules::default().dispute_delay;
     assert_eq!(
-        place.receive_view(now, &life(1), differing_view()),
+        quorum.receive_view(now, &member_id(1), differing_view()),
         Some(now + settles),
         "asked again later"
     );
-    place.receive_view(now + settles - 1, &life(1), differing_view());
+    quorum.receive_view(now + settles - 1, &member_id(1), differing_view());
     assert_eq!(
-        place.update(now + settles),
+        quorum.update(now + settles),
         None,
         "too early to say that it stays"
     );
-    place.receive_view(now + settles, &life(1), differing_view());
+    quorum.receive_view(now + settles, &member_id(1), differing_view());
     assert_eq!(
-        place.update(now + settles),
-        Some((QuorumState::Agreed, QuorumState::Disputed))
+        quorum.update(now + settles),
+        Some(Change {
+            was: QuorumState::Agreed,
+            is: QuorumState::Disputed,
+        })
     );
 }
 
 #[test]
-fn a_difference_that_our_own_news_ends_begins_anew_with_the_next() {
-    let (mut place, now) = agreed_place();
-    let all: Vec<MemberId> = (1..5).map(life).collect();
-    place.set_alive(now, all[..3].iter());
-    let without_the_last = place.view_for(now, &life(1));
-    place.set_alive(now, all.iter());
-    place.receive_view(now, &life(1), without_the_last);
-    place.set_alive(now + SECOND, all[..3].iter());
-    assert_eq!(place.update(now + SECOND), None);
+fn a_difference_that_our_own_updates_settled_begins_anew_with_the_next() {
+    let (mut quorum, now) = agreed_quorum();
+    let all: Vec<MemberId> = (1..5).map(member_id).collect();
+    quorum.set_alive(now, all[..3].iter());
+    let without_the_last = quorum.view_for(now, &member_id(1));
+    quorum.set_alive(now, all.iter());
+    quorum.receive_view(now, &member_id(1), without_the_last);
+    quorum.set_alive(now + SECOND, all[..3].iter());
+    assert_eq!(quorum.update(now + SECOND), None);
     // Another difference, long after: not the second view of the first.
-    place.receive_view(now + 60 * SECOND, &life(1), differing_view());
-    assert_eq!(place.update(now + 60 * SECOND), None);
-    assert!(place.disputes(now + 60 * SECOND).is_empty());
+    quorum.receive_view(now + 60 * SECOND, &member_id(1), differing_view());
+    assert_eq!(quorum.update(now + 60 * SECOND), None);
+    assert!(quorum.disputes(now + 60 * SECOND).is_empty());
 }
 
 #[test]
-fn a_peer_that_last_heard_otherwise_is_told_at_once_that_views_agree() {
-    let (mut place, now) = agreed_place();
-    let all: Vec<MemberId> = (1..5).map(life).collect();
-    place.view_for(now, &life(1));
-    place.set_alive(now, all[..3].iter());
-    let mut agreeing = place.view_for(now, &life(2));
-    agreeing.rows.clear();
+fn a_peer_that_was_told_an_old_view_is_told_at_once_that_views_agree() {
+    let (mut quorum, now) = agreed_quorum();
+    let all: Vec<MemberId> = (1..5).map(member_id).collect();
+    quorum.view_for(now, &member_id(1));
+    quorum.set_alive(now, all[..3].iter());
+    let mut agreeing = quorum.view_for(now, &member_id(2));
+    agreeing.records.clear();
     assert_eq!(
-        place.receive_view(now, &life(1), agreeing.clone()),
+        quorum.receive_view(now, &member_id(1), agreeing.clone()),
         Some(now)
     );
-    place.view_for(now, &life(1));
+    quorum.view_for(now, &member_id(1));
     assert_eq!(
-        place.receive_view(now, &life(1), agreeing),
+        quorum.receive_view(now, &member_id(1), agreeing),
         None,
         "it knows now"
     );
@@ -214,35 +217,93 @@
 
 /// The peer misses a fourth that we reach. Of regular views there is one only; the rest are follow-ups, each as it is due.
 #[test]
-fn a_third_seen_differently_shows_on_both_sides_by_follow_ups_alone() {
-    let settles = Rules::default().settles;
-    let (mut place, now) = agreed_place();
-    let mut peer = Quorum::new(now, life(1), Rules::default());
-    let others: Vec<MemberId> = [0, 2, 3].map(life).to_vec();
+fn a_third_seen_differently_is_a_dispute_on_both_sides_by_follow_ups_alone() {
+    let settles = Rules::default().dispute_delay;
+    let (mut quorum, now) = agreed_quorum();
+    let mut peer = Quorum::new(now, member_id(1), Rules::default());
+    let others: Vec<MemberId> = [0, 2, 3].map(member_id).to_vec();
     peer.set_alive(now, others.iter());
     peer.update(now);
     peer.update(now + settles);
     assert_eq!(peer.state(), QuorumState::Agreed);
 
     let at = now + settles;
-    let asked = place
-        .receive_view(at, &life(1), peer.view_for(at, &life(0)))
+    let asked = quorum
+        .receive_view(at, &member_id(1), peer.view_for(at, &member_id(0)))
         .unwrap();
     let answered = peer
-        .receive_view(asked, &life(0), place.view_for(asked, &life(1)))
+        .receive_view(asked, &member_id(0), quorum.view_for(asked, &member_id(1)))
         .unwrap();
     assert_eq!((asked - at, answered - asked), (settles, settles));
-    let asked_again = place
-        .receive_view(answered, &life(1), peer.view_for(answered, &life(0)))
+    let asked_again = quorum
+        .receive_view(
+            answered,
+            &member_id(1),
+            peer.view_for(answered, &member_id(0)),
+        )
         .unwrap();
     assert_eq!(
-        place.update(answered),
-        Some((QuorumState::Agreed, QuorumState::Disputed))
+        quorum.update(answered),
+        Some(Change {
+            was: QuorumState::Agreed,
+            is: QuorumState::Disputed,
+        })
+    );
+    peer.receive_view(
+        asked_again,
+        &member_id(0),
+        quorum.view_for(asked_again, &member_id(1)),
     );
-    peer.receive_view(asked_again, &life(0), place.view_for(asked_again, &life(1)));
     assert_eq!(
         peer.update(asked_again),
-        Some((QuorumState::Agreed, QuorumState::Disputed))
+        Some(Change {
+            was: QuorumState::Agreed,
+            is: QuorumState::Disputed,
+        })
     );
     assert_eq!(asked_again - at, 3 * settles);
 }
+
+/// All that a run by seed carries, counted, with the states that it ends in.
+#[test]
+fn views_by_seed_carry_the_recorded_messages_and_bytes() {
+    let weather = Weather {
+        loss: 0.05,
+        ..Weather::default()
+    };
+    let mut net = Net::new(3, weather);
+    for id in 0..9 {
+        let clock = Clock {
+            began: id as Nanos * 77 * SECOND,
+            drift_ppm: (id as i64 % 3 - 1) * 1_000,
+        };
+        net.join(clock, |now, at| Sidecar::new(now, at, id));
+    }
+    net.run(60 * SECOND, |_, _| {});
+    net.split(&[&[0, 1, 2, 3], &[4, 5, 6, 7, 8]]);
+    net.run(200 * SECOND, |_, _| {});
+    net.heal();
+    net.pause(2);
+    net.run(300 * SECOND, |_, _| {});
+    net.unpause(2);
+    net.kill(7);
+    // Long enough for an eviction, too.
+    net.run(1_200 * SECOND, |_, _| {});
+    let ends: Vec<String> = net
+        .ids()
+        .filter_map(|id| net.part(id))
+        .map(|part| {
+            let quorum = part.views.quorum();
+            let rows = quorum.rows_visited() + part.node.membership().rows_visited();
+            format!(
+                "{:?} since {} of {}, {rows} rows",
+                quorum.state(),
+                quorum.state_since(),
+                quorum.voter_count()
+            )
+        })
+        .collect();
+    let text = format!("{} {} {ends:?}", net.carried, net.carried_bytes);
+    let digest = blake3::hash(text.as_bytes()).to_hex();
+    assert_eq!(&digest[..16], "fcf4298eaea2e76e", "{text}");
+}
--- a/crates/membership/tests/frames.rs
+++ b/crates/membership/tests/frames.rs
@@ -5,24 +5,24 @@
 use common::{recorded_bytes, to_hex};
 use havenplank_membership::frame::{self, Channel, Envelope};
 use havenplank_membership::keys::Key;
-use havenplank_membership::member::MemberId;
-use havenplank_membership::quorum::{View, VoterRecord};
-use havenplank_membership::swim::{Member, MemberState, Message};
+use havenplank_membership::member::{Member, MemberId, MemberState};
+use havenplank_membership::message::Message;
+use havenplank_membership::quorum::{EvictionVote, View, VoterRecord};
 use serde::{de::DeserializeOwned, Serialize};
 use std::fmt::Debug;
 
 const FRAMES: &str = include_str!("fixtures/frames.txt");
 
-fn life(name: &str, life: u64) -> MemberId {
+fn member_id(name: &str, member_id: u64) -> MemberId {
     MemberId {
         name: name.into(),
-        incarnation: life,
+        incarnation: member_id,
     }
 }
 
-fn news(name: &str, state: MemberState) -> Member {
+fn member(name: &str, state: MemberState) -> Member {
     Member {
-        id: life(name, 1_764_752_400_000),
+        id: member_id(name, 1_764_752_400_000),
         address: "10.1.2.3:7200".parse().unwrap(),
         zone: "zone-a".into(),
         refutations: 300,
@@ -35,29 +35,34 @@
     let suspected = MemberState::Suspected("s-9".into());
     let other_family = Member {
         address: "[fd00::7]:65535".parse().unwrap(),
-        ..news("s-5", MemberState::Left)
+        ..member("s-5", MemberState::Left)
     };
     vec![
-        news("s-2", MemberState::Alive),
-        news("s-3", suspected),
-        news("s-4", MemberState::Dead),
+        member("s-2", MemberState::Alive),
+        member("s-3", suspected),
+        member("s-4", MemberState::Dead),
         other_family,
     ]
 }
 
 fn view() -> View {
     let row = |name: &str, entry, belongs| VoterRecord {
-        id: life(name, 7),
-        entry,
-        belongs,
+        id: member_id(name, 7),
+        rejoins: entry,
+        is_voter: belongs,
+    };
+    let vote = EvictionVote {
+        name: "s-9".into(),
+        incarnation: 5,
+        rejoins: 2,
     };
     View {
-        voters: 0x0123_4567_89ab_cdef,
-        living: u64::MAX,
+        voters_digest: 0x0123_4567_89ab_cdef,
+        alive_digest: u64::MAX,
         missing: vec!["s-8".into(), "s-9".into()],
-        missed: 1_000,
-        out: vec![("s-9".into(), 5, 2)],
-        rows: vec![row("s-1", 0, true), row("s-9", 128, false)],
+        missing_count: 1_000,
+        evictions: vec![vote],
+        records: vec![row("s-1", 0, true), row("s-9", 128, false)],
     }
 }
 
@@ -77,31 +82,40 @@
 
 #[test]
 fn membership_messages_are_encoded_as_recorded() {
-    let (me, about) = (news("s-1", MemberState::Alive), all_states());
+    let (sender, updates) = (member("s-1", MemberState::Alive), all_states());
     let nonce = 0xfedc_ba98_7654_3210;
-    assert_same("hello", &Message::Join { me: me.clone() });
+    assert_same(
+        "hello",
+        &Message::Join {
+            sender: sender.clone(),
+        },
+    );
     let ping = Message::Ping {
         nonce,
-        me: me.clone(),
-        about: about.clone(),
+        sender: sender.clone(),
+        updates: updates.clone(),
     };
     assert_same("ping", &ping);
     let ack = Message::Ack {
         nonce,
-        me,
-        about: about.clone(),
+        sender,
+        updates: updates.clone(),
     };
     assert_same("ack", &ack);
     let ask = Message::PingRequest {
         nonce,
-        id: life("s-2", 9),
+        target: member_id("s-2", 9),
         address: "10.1.2.4:7201".parse().unwrap(),
     };
     assert_same("ask", &ask);
     assert_same("nack", &Message::Nack { nonce });
     let after = "s-17".into();
     assert_same("want", &Message::TableRequest { after });
-    assert_same("table", &Message::Table { about, more: true });
+    let table = Message::Table {
+        members: updates,
+        more: true,
+    };
+    assert_same("table", &table);
 }
 
 #[test]
@@ -113,9 +127,9 @@
 fn a_sealed_letter_is_encoded_as_recorded_on_both_ways() {
     let key = Key::new([7; 32]);
     let letter = Envelope {
-        from: life("s-1", 1_764_752_400_000),
-        to: life("s-2", 9),
-        count: 4_097,
+        from: member_id("s-1", 1_764_752_400_000),
+        to: member_id("s-2", 9),
+        sequence: 4_097,
         kind: 3,
         body: postcard::to_stdvec(&view()).unwrap(),
     };
--- a/crates/membership/tests/quorum.rs
+++ b/crates/membership/tests/quorum.rs
@@ -1,29 +1,31 @@
-//! Standing over the simulated network, on the membership that sockets drive: what each believes of its own place.
+//! The quorum state over the simulated network, on the membership that sockets drive.
 
 use havenplank_emulator::net::{Clock, Id, Nanos, Net, Part, Weather};
 use havenplank_membership::keys::Key;
 use havenplank_membership::member::MemberId;
 use havenplank_membership::member::{Member, MemberState};
 use havenplank_membership::node::{Node, NodeEvent};
-use havenplank_membership::quorum::{Quorum, QuorumState, Rules, View, VoterRecord};
+use havenplank_membership::quorum::{
+    Change, EvictionVote, Quorum, QuorumState, Rules, View, VoterRecord,
+};
 use havenplank_membership::swim::{MemberEvent, Rules as Membership};
 use proptest::prelude::*;
 use std::net::SocketAddr;
 
 const S: Nanos = 1_000_000_000;
 const KIND: u8 = 3;
-const BEAT: Nanos = S / 2;
+const PERIOD: Nanos = S / 2;
 
-/// A member that says its view to one fellow in turn, as the sidecar does.
-struct Fellow {
+/// A member that tells its view to one other in turn, as the sidecar does.
+struct Sidecar {
     node: Node,
-    place: Quorum,
+    quorum: Quorum,
     next: Nanos,
     turn: usize,
     changes: Vec<(Nanos, QuorumState, QuorumState)>,
 }
 
-impl Part for Fellow {
+impl Part for Sidecar {
     fn heard(&mut self, now: Nanos, bytes: &[u8]) {
         self.node.receive_datagram(now, bytes);
         self.look(now);
@@ -31,18 +33,18 @@
     fn wake(&mut self, now: Nanos) {
         self.node.wake(now);
         if now >= self.next {
-            self.next = now + BEAT;
+            self.next = now + PERIOD;
             let living: Vec<MemberId> = self
                 .node
                 .membership()
                 .alive()
-                .map(|news| news.id.clone())
+                .map(|member| member.id.clone())
                 .collect();
-            self.place.set_alive(now, living.iter());
+            self.quorum.set_alive(now, living.iter());
             if !living.is_empty() {
                 self.turn = (self.turn + 1) % living.len();
                 let view =
-                    postcard::to_stdvec(&self.place.view_for(now, &living[self.turn])).unwrap();
+                    postcard::to_stdvec(&self.quorum.view_for(now, &living[self.turn])).unwrap();
                 self.node.send(&living[self.turn], KIND, view);
             }
         }
@@ -56,11 +58,11 @@
     }
 }
 
-impl Fellow {
-    fn new(now: Nanos, at: SocketAddr, name: String, life: u64, rules: Rules) -> Fellow {
+impl Sidecar {
+    fn new(now: Nanos, at: SocketAddr, name: String, member_id: u64, rules: Rules) -> Sidecar {
         let who = MemberId {
             name,
-            incarnation: life,
+            incarnation: member_id,
         };
         let me = Member {
             id: who.clone(),
@@ -73,8 +75,8 @@
             .ip()
             .to_string()
             .bytes()
-            .fold(life, |sum, byte| sum * 31 + byte as u64);
-        let seeds = vec![Net::<Fellow>::address(0)];
+            .fold(member_id, |sum, byte| sum * 31 + byte as u64);
+        let seeds = vec![Net::<Sidecar>::address(0)];
         let mut node = Node::new(
             now,
             seed,
@@ -84,10 +86,10 @@
             vec![Key::new([7; 32])],
         );
         node.accept_kind(KIND);
-        let place = Quorum::new(now, who, rules);
-        Fellow {
+        let quorum = Quorum::new(now, who, rules);
+        Sidecar {
             node,
-            place,
+            quorum,
             next: now,
             turn: 0,
             changes: Vec::new(),
@@ -97,18 +99,18 @@
     fn look(&mut self, now: Nanos) {
         while let Some(happened) = self.node.next_event() {
             match happened {
-                NodeEvent::Membership(MemberEvent::Left(who)) => self.place.left(now, &who),
+                NodeEvent::Membership(MemberEvent::Left(who)) => self.quorum.left(now, &who),
                 NodeEvent::Membership(MemberEvent::IncarnationRaised(who)) => {
-                    self.place.set_own_id(&who)
+                    self.quorum.set_own_id(&who)
                 }
                 NodeEvent::Membership(_) => {}
                 NodeEvent::Message { from, body, .. } => {
                     let view: View = postcard::from_bytes(&body).unwrap();
-                    self.place.receive_view(now, &from, view);
+                    self.quorum.receive_view(now, &from, view);
                 }
             }
         }
-        if let Some((was, is)) = self.place.update(now) {
+        if let Some(Change { was, is }) = self.quorum.update(now) {
             self.changes.push((now, was, is));
         }
     }
@@ -118,7 +120,7 @@
     format!("s-{id:02}")
 }
 
-fn fleet(many: usize, seed: u64, rules: &Rules) -> Net<Fellow> {
+fn fleet(many: usize, seed: u64, rules: &Rules) -> Net<Sidecar> {
     let mut net = Net::new(
         seed,
         Weather {
@@ -132,28 +134,28 @@
             drift_ppm: (id as i64 % 3 - 1) * 1_000,
         };
         net.join(clock, |now, at| {
-            Fellow::new(now, at, name(id), 1, rules.clone())
+            Sidecar::new(now, at, name(id), 1, rules.clone())
         });
     }
     net
 }
 
-fn standing(net: &Net<Fellow>, id: Id) -> QuorumState {
-    net.part(id).unwrap().place.state()
+fn state(net: &Net<Sidecar>, id: Id) -> QuorumState {
+    net.part(id).unwrap().quorum.state()
 }
 
-fn all(net: &Net<Fellow>, ids: &[Id]) -> Vec<QuorumState> {
-    ids.iter().map(|id| standing(net, *id)).collect()
+fn all(net: &Net<Sidecar>, ids: &[Id]) -> Vec<QuorumState> {
+    ids.iter().map(|id| state(net, *id)).collect()
 }
 
 #[test]
-fn a_whole_fleet_agrees_and_a_minority_knows_that_it_is_one_however_long_it_lasts() {
+fn a_minority_knows_that_it_is_one_however_long_a_split_lasts() {
     for seed in 0..6 {
         let mut net = fleet(
             9,
             seed,
             &Rules {
-                leaves: 40 * S,
+                eviction_delay: 40 * S,
                 ..Rules::default()
             },
         );
@@ -172,7 +174,7 @@
             "seed {seed}: {:?}",
             all(&net, &few)
         );
-        // Far longer than it takes the others to vote them out: they still count all nine.
+        // Far longer than it takes the others to evict them: they still count all nine.
         net.run(700 * S, |_, _| {});
         assert!(
             all(&net, &few).iter().all(|is| *is == QuorumState::Few),
@@ -181,7 +183,7 @@
         );
         assert!(
             few.iter()
-                .all(|id| net.part(*id).unwrap().place.voter_count() == 9),
+                .all(|id| net.part(*id).unwrap().quorum.voter_count() == 9),
             "seed {seed}"
         );
         assert!(
@@ -191,8 +193,8 @@
         );
         assert!(
             many.iter()
-                .all(|id| net.part(*id).unwrap().place.voter_count() == 5),
-            "seed {seed}: voted out"
+                .all(|id| net.part(*id).unwrap().quorum.voter_count() == 5),
+            "seed {seed}: evicted"
         );
         net.heal();
         net.run(900 * S, |_, _| {});
@@ -203,14 +205,14 @@
         );
         assert!(
             ids.iter()
-                .all(|id| net.part(*id).unwrap().place.voter_count() == 9),
+                .all(|id| net.part(*id).unwrap().quorum.voter_count() == 9),
             "seed {seed}: they are back"
         );
     }
 }
 
 #[test]
-fn halves_are_few_on_both_sides_and_thirds_everywhere() {
+fn no_half_and_no_third_takes_itself_for_a_majority() {
     for (seed, parts) in [(1, vec![4, 4]), (2, vec![3, 3, 3]), (3, vec![1, 7])] {
         let mut net = fleet(parts.iter().sum(), seed, &Rules::default());
         net.run(60 * S, |_, _| {});
@@ -240,7 +242,7 @@
 }
 
 #[test]
-fn it_falls_at_once_and_rises_only_after_a_while() {
+fn the_state_falls_at_once_and_rises_after_a_delay() {
     let mut net = fleet(5, 4, &Rules::default());
     net.run(60 * S, |_, _| {});
     let from = net.part(0).unwrap().changes.len();
@@ -256,19 +258,19 @@
         Some(&(QuorumState::Agreed, QuorumState::Few)),
         "{ways:?}"
     );
-    assert_eq!(standing(&net, 0), QuorumState::Agreed, "{ways:?}");
+    assert_eq!(state(&net, 0), QuorumState::Agreed, "{ways:?}");
     // Straight to the worse, never from one better to another within less than it must hold.
     for pair in changes.windows(2) {
         let ((at, _, was), (then, _, is)) = (pair[0], pair[1]);
         assert!(
-            is > was || then - at >= Rules::default().calms,
+            is > was || then - at >= Rules::default().recovery_delay,
             "{changes:?}"
         );
     }
 }
 
 #[test]
-fn goodbyes_shrink_the_roster_and_losses_do_not() {
+fn leaving_removes_a_voter_and_loss_does_not() {
     let mut net = fleet(7, 5, &Rules::default());
     net.run(60 * S, |_, _| {});
     for id in [5, 6] {
@@ -278,47 +280,47 @@
         net.kill(id);
     }
     net.run(100 * S, |_, _| {});
-    let belong = |net: &Net<Fellow>| net.part(0).unwrap().place.voter_count();
-    assert_eq!((belong(&net), standing(&net, 0)), (5, QuorumState::Agreed));
+    let belong = |net: &Net<Sidecar>| net.part(0).unwrap().quorum.voter_count();
+    assert_eq!((belong(&net), state(&net, 0)), (5, QuorumState::Agreed));
     [2, 3, 4].into_iter().for_each(|id| net.kill(id));
     net.run(200 * S, |_, _| {});
     assert_eq!(
-        (belong(&net), standing(&net, 0)),
+        (belong(&net), state(&net, 0)),
         (5, QuorumState::Few),
         "two of five, for good"
     );
     net.restart(2, |now, at| {
-        Fellow::new(now, at, name(2), 2, Rules::default())
+        Sidecar::new(now, at, name(2), 2, Rules::default())
     });
     net.run(260 * S, |_, _| {});
     assert_eq!(
-        (belong(&net), standing(&net, 0)),
+        (belong(&net), state(&net, 0)),
         (5, QuorumState::Agreed),
         "a restart belongs as it did"
     );
     let missing: Vec<String> = net
         .part(0)
         .unwrap()
-        .place
+        .quorum
         .missing(net.own_time(0))
         .map(str::to_string)
         .collect();
     assert_eq!(missing, [name(3), name(4)]);
 }
 
-fn view(missing: &[&str], rows: Vec<VoterRecord>) -> View {
+fn view(missing: &[&str], records: Vec<VoterRecord>) -> View {
     let missing: Vec<String> = missing.iter().map(|name| name.to_string()).collect();
     View {
-        voters: 0,
-        living: 0,
-        missed: missing.len() as u32,
+        voters_digest: 0,
+        alive_digest: 0,
+        missing_count: missing.len() as u32,
         missing,
-        out: Vec::new(),
-        rows,
+        evictions: Vec::new(),
+        records,
     }
 }
 
-fn life(id: Id) -> MemberId {
+fn member_id(id: Id) -> MemberId {
     MemberId {
         name: name(id),
         incarnation: 1,
@@ -326,136 +328,145 @@
 }
 
 #[test]
-fn a_better_standing_is_believed_only_once_it_has_held() {
-    let mut place = Quorum::new(0, life(0), Rules::default());
-    let (both, none) = ([life(1), life(2)], []);
-    place.set_alive(0, both.iter());
-    assert_eq!((place.update(0), place.update(2 * S)), (None, None));
+fn a_better_state_is_believed_only_after_it_has_held() {
+    let mut quorum = Quorum::new(0, member_id(0), Rules::default());
+    let (both, none) = ([member_id(1), member_id(2)], []);
+    quorum.set_alive(0, both.iter());
+    assert_eq!((quorum.update(0), quorum.update(2 * S)), (None, None));
     // A moment without them, and it begins anew.
-    place.set_alive(2 * S, none.iter());
-    assert_eq!(place.update(2 * S), None, "it never rose");
-    place.set_alive(2 * S + 1, both.iter());
+    quorum.set_alive(2 * S, none.iter());
+    assert_eq!(quorum.update(2 * S), None, "it never rose");
+    quorum.set_alive(2 * S + 1, both.iter());
     // They came back: steady after 3 s, and then it must hold for as long.
     assert_eq!(
         (
-            place.update(4 * S),
-            place.update(5 * S + 2),
-            place.update(7 * S)
+            quorum.update(4 * S),
+            quorum.update(5 * S + 2),
+            quorum.update(7 * S)
         ),
         (None, None, None)
     );
     assert_eq!(
-        place.update(8 * S + 2),
-        Some((QuorumState::Alone, QuorumState::Agreed))
+        quorum.update(8 * S + 2),
+        Some(Change {
+            was: QuorumState::Alone,
+            is: QuorumState::Agreed,
+        })
     );
 }
 
 #[test]
-fn one_that_was_voted_out_comes_back_by_an_entry_of_its_own() {
-    let mut out = Quorum::new(0, life(0), Rules::default());
+fn an_evicted_voter_returns_by_a_rejoin_of_its_own() {
+    let mut evicted = Quorum::new(0, member_id(0), Rules::default());
     let gone = VoterRecord {
-        id: life(0),
-        entry: 0,
-        belongs: false,
+        id: member_id(0),
+        rejoins: 0,
+        is_voter: false,
     };
-    out.receive_view(0, &life(1), view(&[], vec![gone.clone()]));
-    let own = out.view_for(0, &life(1)).rows[0].clone();
+    evicted.receive_view(0, &member_id(1), view(&[], vec![gone.clone()]));
+    let own = evicted.view_for(0, &member_id(1)).records[0].clone();
     assert_eq!(
         own,
         VoterRecord {
-            id: life(0),
-            entry: 1,
-            belongs: true
+            id: member_id(0),
+            rejoins: 1,
+            is_voter: true
         }
     );
-    let mut other = Quorum::new(0, life(1), Rules::default());
-    other.receive_view(0, &life(2), view(&[], vec![gone.clone()]));
-    other.set_alive(0, [life(0)].iter());
+    let mut other = Quorum::new(0, member_id(1), Rules::default());
+    other.receive_view(0, &member_id(2), view(&[], vec![gone.clone()]));
+    other.set_alive(0, [member_id(0)].iter());
     assert_eq!(
         other.voter_count(),
         1,
-        "that it lives brings it back for nobody who knows that it is out"
+        "being alive does not make a voter of one that was evicted"
     );
-    other.receive_view(0, &life(0), view(&[], vec![own]));
-    other.receive_view(0, &life(2), view(&[], vec![gone]));
+    other.receive_view(0, &member_id(0), view(&[], vec![own]));
+    other.receive_view(0, &member_id(2), view(&[], vec![gone]));
     assert_eq!(other.voter_count(), 2);
 }
 
 #[test]
-fn one_that_does_not_hear_us_is_not_reached_and_named_so() {
-    let mut place = Quorum::new(0, life(0), Rules::default());
-    let others = [life(1), life(2)];
-    place.set_alive(0, others.iter());
-    place.update(0);
-    place.update(4 * S);
-    assert_eq!(place.state(), QuorumState::Agreed);
-    place.receive_view(5 * S, &life(1), view(&["s-00"], Vec::new()));
-    assert_eq!(place.deaf_to_us(5 * S).collect::<Vec<_>>(), ["s-01"]);
-    assert_eq!(place.missing(5 * S).collect::<Vec<_>>(), ["s-01"]);
-    place.receive_view(5 * S, &life(2), view(&["s-00"], Vec::new()));
+fn a_voter_that_does_not_hear_us_counts_as_missing_and_is_named() {
+    let mut quorum = Quorum::new(0, member_id(0), Rules::default());
+    let others = [member_id(1), member_id(2)];
+    quorum.set_alive(0, others.iter());
+    quorum.update(0);
+    quorum.update(4 * S);
+    assert_eq!(quorum.state(), QuorumState::Agreed);
+    quorum.receive_view(5 * S, &member_id(1), view(&["s-00"], Vec::new()));
+    assert_eq!(quorum.deaf_to_us(5 * S).collect::<Vec<_>>(), ["s-01"]);
+    assert_eq!(quorum.missing(5 * S).collect::<Vec<_>>(), ["s-01"]);
+    quorum.receive_view(5 * S, &member_id(2), view(&["s-00"], Vec::new()));
     assert_eq!(
-        place.update(5 * S),
-        Some((QuorumState::Agreed, QuorumState::Alone))
+        quorum.update(5 * S),
+        Some(Change {
+            was: QuorumState::Agreed,
+            is: QuorumState::Alone,
+        })
     );
 }
 
 #[test]
-fn of_an_absurd_view_only_as_much_is_read_as_anyone_says() {
-    let mut place = Quorum::new(0, life(0), Rules::default());
-    place.set_alive(0, [life(1)].iter());
-    let rows = (100..10_100)
+fn only_the_allowed_length_of_a_view_is_read() {
+    let mut quorum = Quorum::new(0, member_id(0), Rules::default());
+    quorum.set_alive(0, [member_id(1)].iter());
+    let records = (100..10_100)
         .map(|id| VoterRecord {
-            id: life(id),
-            entry: 0,
-            belongs: true,
+            id: member_id(id),
+            rejoins: 0,
+            is_voter: true,
         })
         .collect();
     let names: Vec<String> = (0..10_000).map(|n| format!("{n:060}")).collect();
     let mut missing: Vec<&str> = names.iter().map(String::as_str).collect();
     missing.push("s-00");
-    place.receive_view(S, &life(1), view(&missing, rows));
+    quorum.receive_view(S, &member_id(1), view(&missing, records));
     assert_eq!(
-        (place.voter_count(), place.deaf_to_us(S).count()),
+        (quorum.voter_count(), quorum.deaf_to_us(S).count()),
         (2 + 12, 0)
     );
 }
 
 #[test]
-fn views_that_go_on_differing_are_a_dispute_that_says_who_misses_whom() {
-    let mut place = Quorum::new(0, life(0), Rules::default());
-    let others: Vec<MemberId> = (1..5).map(life).collect();
-    place.set_alive(0, others.iter());
-    place.update(0);
-    place.update(4 * S);
-    place.receive_view(5 * S, &life(1), view(&["s-03"], Vec::new()));
-    assert_eq!(place.update(5 * S), None, "news takes its time");
-    place.receive_view(16 * S, &life(1), view(&["s-03"], Vec::new()));
+fn views_that_still_differ_later_are_a_dispute_that_names_who_is_missed() {
+    let mut quorum = Quorum::new(0, member_id(0), Rules::default());
+    let others: Vec<MemberId> = (1..5).map(member_id).collect();
+    quorum.set_alive(0, others.iter());
+    quorum.update(0);
+    quorum.update(4 * S);
+    quorum.receive_view(5 * S, &member_id(1), view(&["s-03"], Vec::new()));
+    assert_eq!(quorum.update(5 * S), None, "updates take their time");
+    quorum.receive_view(16 * S, &member_id(1), view(&["s-03"], Vec::new()));
     assert_eq!(
-        place.update(16 * S),
-        Some((QuorumState::Agreed, QuorumState::Disputed))
+        quorum.update(16 * S),
+        Some(Change {
+            was: QuorumState::Agreed,
+            is: QuorumState::Disputed,
+        })
     );
-    let disputes = place.disputes(16 * S);
+    let disputes = quorum.disputes(16 * S);
     assert_eq!(
         (disputes.len(), disputes[0].with.as_str(), disputes[0].since),
         (1, "s-01", 5 * S)
     );
     assert_eq!(disputes[0].it_misses, ["s-03"]);
-    assert!(disputes[0].voters && disputes[0].we_miss.is_empty());
+    assert!(disputes[0].voters_differ && disputes[0].we_miss.is_empty());
 }
 
 #[test]
-fn one_that_comes_and_goes_counts_for_less_and_less() {
-    let mut place = Quorum::new(0, life(0), Rules::default());
-    let (both, one) = ([life(1), life(2)], [life(1)]);
-    place.set_alive(0, both.iter());
+fn a_flapping_voter_counts_after_a_longer_wait_each_time() {
+    let mut quorum = Quorum::new(0, member_id(0), Rules::default());
+    let (both, one) = ([member_id(1), member_id(2)], [member_id(1)]);
+    quorum.set_alive(0, both.iter());
     let mut now = 10 * S;
     let mut waits = Vec::new();
     for _ in 0..4 {
-        place.set_alive(now, one.iter());
-        place.set_alive(now + S, both.iter());
+        quorum.set_alive(now, one.iter());
+        quorum.set_alive(now + S, both.iter());
         now += S;
         let back = now;
-        while place.flapping(now).next().is_some() {
+        while quorum.flapping(now).next().is_some() {
             now += S;
         }
         waits.push((now - back) / S);
@@ -463,79 +474,85 @@
     assert_eq!(waits, [3, 9, 21, 45]);
     // Forgiven after a long steady time.
     now += 4_000 * S;
-    (0..50).for_each(|n| place.set_alive(now + n * 400 * S, both.iter()));
+    (0..50).for_each(|n| quorum.set_alive(now + n * 400 * S, both.iter()));
     now += 50 * 400 * S;
-    place.set_alive(now, one.iter());
-    place.set_alive(now, both.iter());
-    assert!(place.flapping(now + 3 * S).next().is_none());
+    quorum.set_alive(now, one.iter());
+    quorum.set_alive(now, both.iter());
+    assert!(quorum.flapping(now + 3 * S).next().is_none());
 }
 
-/// A minority's word, however often it is said and by whatever lives, takes nobody out of the roster.
 #[test]
-fn only_more_than_half_of_all_who_belong_vote_one_out() {
+fn a_voter_is_evicted_by_more_than_half_of_all_voters_alone() {
     for (voters, gone) in [(1, false), (2, true)] {
-        let mut place = Quorum::new(0, life(0), Rules::default());
-        let five: Vec<MemberId> = (1..5).map(life).collect();
-        place.set_alive(0, five.iter());
-        place.set_alive(S, five[..voters].iter());
+        let mut quorum = Quorum::new(0, member_id(0), Rules::default());
+        let five: Vec<MemberId> = (1..5).map(member_id).collect();
+        quorum.set_alive(0, five.iter());
+        quorum.set_alive(S, five[..voters].iter());
         let now = 700 * S;
         for _ in 0..3 {
             for voter in &five[..voters] {
-                let out = vec![(name(4), 1, 0)];
-                place.receive_view(
+                let evictions = vec![eviction_vote(4)];
+                quorum.receive_view(
                     now,
                     voter,
                     View {
-                        out,
+                        evictions,
                         ..view(&[], Vec::new())
                     },
                 );
             }
-            // A stranger has no word in it.
-            let out = vec![(name(4), 1, 0)];
-            place.receive_view(
+            // A stranger has no vote.
+            let evictions = vec![eviction_vote(4)];
+            quorum.receive_view(
                 now,
-                &life(9),
+                &member_id(9),
                 View {
-                    out,
+                    evictions,
                     ..view(&[], Vec::new())
                 },
             );
-            place.update(now);
+            quorum.update(now);
         }
         assert_eq!(
-            place.voter_count() == 4,
+            quorum.voter_count() == 4,
             gone,
             "{voters} voters beside us, of five"
         );
     }
 }
 
-fn rows() -> impl Strategy<Value = Vec<VoterRecord>> {
-    let row =
-        (1..5usize, 1..3u64, 0..3u32, any::<bool>()).prop_map(|(id, life, entry, belongs)| {
+fn eviction_vote(id: Id) -> EvictionVote {
+    EvictionVote {
+        name: name(id),
+        incarnation: 1,
+        rejoins: 0,
+    }
+}
+
+fn records() -> impl Strategy<Value = Vec<VoterRecord>> {
+    let record =
+        (1..5usize, 1..3u64, 0..3u32, any::<bool>()).prop_map(|(id, member_id, entry, belongs)| {
             VoterRecord {
                 id: MemberId {
                     name: name(id),
-                    incarnation: life,
+                    incarnation: member_id,
                 },
-                entry,
-                belongs,
+                rejoins: entry,
+                is_voter: belongs,
             }
         });
-    prop::collection::vec(row, 0..10)
+    prop::collection::vec(record, 0..10)
 }
 
 proptest! {
-    /// Rosters merge alike in any order and however often.
     #[test]
-    fn rosters_merge_in_any_order_and_any_number_of_times(one in rows(), two in rows()) {
+    fn voter_records_merge_alike_in_any_order_and_however_often(one in records(), two in records()) {
         let tell = |all: &[&Vec<VoterRecord>]| {
-            let mut place = Quorum::new(0, life(0), Rules::default());
-            for rows in all {
-                place.receive_view(0, &life(1), view(&[], rows.to_vec()));
+            let mut quorum = Quorum::new(0, member_id(0), Rules::default());
+            for records in all {
+                quorum.receive_view(0, &member_id(1), view(&[], records.to_vec()));
             }
-            place.view_for(0, &life(1)).voters
+            quorum.view_for(0, &member_id(1)).voters_digest
         };
         prop_assert_eq!(tell(&[&one, &two]), tell(&[&two, &one, &two, &one]));
     }
--- a/crates/membership/tests/simulated.rs
+++ b/crates/membership/tests/simulated.rs
@@ -1,32 +1,32 @@
-//! The fellowship over the simulated network: the same code as on sockets, by seed, without a sleep.
+//! The membership over the simulated network: the same code as on sockets, by seed, without a sleep.
 
 use havenplank_emulator::net::{Clock, Id, Nanos, Net, Part, Weather};
-use havenplank_membership::frame::Rejection;
 use havenplank_membership::keys::Key;
 use havenplank_membership::member::MemberId;
 use havenplank_membership::member::{Member, MemberState};
 use havenplank_membership::node::{Node, NodeEvent, MAX_PENDING_MESSAGES};
+use havenplank_membership::rejection::Rejection;
 use havenplank_membership::swim::{MemberEvent, Rules};
 use std::net::SocketAddr;
 
 const S: Nanos = 1_000_000_000;
 
-struct Fellow {
+struct Sidecar {
     node: Node,
-    told: Vec<(Nanos, MemberEvent)>,
+    events: Vec<(Nanos, MemberEvent)>,
     /// Datagrams that came, to be played again.
-    came: Vec<Vec<u8>>,
+    arrived: Vec<Vec<u8>>,
 }
 
-impl Part for Fellow {
+impl Part for Sidecar {
     fn heard(&mut self, now: Nanos, bytes: &[u8]) {
-        self.came.push(bytes.to_vec());
+        self.arrived.push(bytes.to_vec());
         self.node.receive_datagram(now, bytes);
-        self.look(now);
+        self.take_events(now);
     }
     fn wake(&mut self, now: Nanos) {
         self.node.wake(now);
-        self.look(now);
+        self.take_events(now);
     }
     fn next_wake(&self) -> Option<Nanos> {
         self.node.next_wake()
@@ -36,11 +36,11 @@
     }
 }
 
-impl Fellow {
-    fn new(now: Nanos, at: SocketAddr, name: &str, life: u64, key: u8) -> Fellow {
+impl Sidecar {
+    fn new(now: Nanos, at: SocketAddr, name: &str, incarnation: u64, key: u8) -> Sidecar {
         let id = MemberId {
             name: name.into(),
-            incarnation: life,
+            incarnation,
         };
         let me = Member {
             id,
@@ -49,12 +49,12 @@
             refutations: 0,
             state: MemberState::Alive,
         };
-        let seeds = vec![Net::<Fellow>::address(0)];
+        let seeds = vec![Net::<Sidecar>::address(0)];
         let seed = u64::from(key) << 32
             | at.ip()
                 .to_string()
                 .bytes()
-                .fold(life, |sum, byte| sum * 31 + byte as u64);
+                .fold(incarnation, |sum, byte| sum * 31 + byte as u64);
         let node = Node::new(
             now,
             seed,
@@ -63,17 +63,17 @@
             Rules::default(),
             vec![Key::new([key; 32])],
         );
-        Fellow {
+        Sidecar {
             node,
-            told: Vec::new(),
-            came: Vec::new(),
+            events: Vec::new(),
+            arrived: Vec::new(),
         }
     }
 
-    fn look(&mut self, now: Nanos) {
-        while let Some(happened) = self.node.next_event() {
-            if let NodeEvent::Membership(event) = happened {
-                self.told.push((now, event));
+    fn take_events(&mut self, now: Nanos) {
+        while let Some(event) = self.node.next_event() {
+            if let NodeEvent::Membership(event) = event {
+                self.events.push((now, event));
             }
         }
     }
@@ -82,12 +82,12 @@
         self.node
             .membership()
             .alive()
-            .map(|news| news.id.name.clone())
+            .map(|member| member.id.name.clone())
             .collect()
     }
 
-    fn lost(&self) -> usize {
-        self.told
+    fn count_lost(&self) -> usize {
+        self.events
             .iter()
             .filter(|(_, event)| matches!(event, MemberEvent::Lost(_)))
             .count()
@@ -98,7 +98,7 @@
     format!("s-{id:04}")
 }
 
-fn fleet(many: usize, seed: u64, weather: Weather) -> Net<Fellow> {
+fn fleet(many: usize, seed: u64, weather: Weather) -> Net<Sidecar> {
     let mut net = Net::new(seed, weather);
     for id in 0..many {
         // Clocks that never agree: other starts, and up to a thousandth fast or slow.
@@ -106,13 +106,13 @@
             began: id as Nanos * 77 * S,
             drift_ppm: (id as i64 % 3 - 1) * 1_000,
         };
-        net.join(clock, |now, at| Fellow::new(now, at, &name(id), 1, 7));
+        net.join(clock, |now, at| Sidecar::new(now, at, &name(id), 1, 7));
     }
     net
 }
 
 /// Whether each of these knows all of these and nobody else.
-fn agree(net: &Net<Fellow>, ids: &[Id]) -> bool {
+fn agree(net: &Net<Sidecar>, ids: &[Id]) -> bool {
     let all: Vec<String> = ids.iter().map(|id| name(*id)).collect();
     ids.iter().all(|id| {
         let others: Vec<String> = all
@@ -125,8 +125,8 @@
 }
 
 #[test]
-fn all_meet_through_one_address_and_nobody_is_lost_while_a_tenth_of_all_datagrams_is() {
-    let mut lost = 0;
+fn members_meet_through_one_address_and_none_is_lost_when_a_tenth_of_datagrams_is() {
+    let mut count_lost = 0;
     for seed in 0..8 {
         let mut net = fleet(
             16,
@@ -142,20 +142,20 @@
         assert!(
             agree(&net, &all),
             "seed {seed}: {:?}",
-            net.part(3).map(Fellow::names)
+            net.part(3).map(Sidecar::names)
         );
         net.run(120 * S, |_, _| {});
         assert!(agree(&net, &all), "seed {seed}");
-        lost += net
+        count_lost += net
             .ids()
-            .map(|id| net.part(id).unwrap().lost())
+            .map(|id| net.part(id).unwrap().count_lost())
             .sum::<usize>();
     }
-    assert_eq!(lost, 0);
+    assert_eq!(count_lost, 0);
 }
 
 #[test]
-fn a_dead_fellow_is_gone_at_all_others_and_its_next_life_is_another() {
+fn a_dead_member_is_lost_everywhere_and_its_next_incarnation_is_another() {
     for seed in 0..8 {
         let mut net = fleet(
             24,
@@ -166,12 +166,12 @@
             },
         );
         net.run(20 * S, |_, _| {});
-        let old = net.part(5).unwrap().came.clone();
+        let old = net.part(5).unwrap().arrived.clone();
         net.kill(5);
         net.run(50 * S, |_, _| {});
         let others: Vec<Id> = net.ids().filter(|id| *id != 5).collect();
         assert!(agree(&net, &others), "seed {seed}");
-        net.restart(5, |now, at| Fellow::new(now, at, &name(5), 2, 7));
+        net.restart(5, |now, at| Sidecar::new(now, at, &name(5), 2, 7));
         net.run(70 * S, |_, _| {});
         let all: Vec<Id> = net.ids().collect();
         assert!(agree(&net, &all), "seed {seed}");
@@ -191,17 +191,17 @@
         // What was sent to its first life, played to the second, changes nothing.
         let now = net.own_time(5);
         let part = net.part_mut(5).unwrap();
-        let (told, before) = (part.told.len(), part.node.rejected.total());
+        let (events, before) = (part.events.len(), part.node.rejected.total());
         old.iter().for_each(|bytes| part.heard(now, bytes));
         assert_eq!(
-            (part.told.len(), part.node.rejected.total() - before),
-            (told, old.len() as u64)
+            (part.events.len(), part.node.rejected.total() - before),
+            (events, old.len() as u64)
         );
     }
 }
 
 #[test]
-fn a_paused_fellow_is_lost_comes_back_by_itself_and_blames_nobody() {
+fn a_paused_member_is_lost_returns_by_itself_and_suspects_nobody() {
     let mut net = fleet(12, 3, Weather::default());
     net.run(20 * S, |_, _| {});
     net.pause(4);
@@ -211,19 +211,19 @@
     net.unpause(4);
     net.run(100 * S, |_, _| {});
     let all: Vec<Id> = net.ids().collect();
-    assert!(agree(&net, &all), "{:?}", net.part(4).map(Fellow::names));
+    assert!(agree(&net, &all), "{:?}", net.part(4).map(Sidecar::names));
     let blamed = |id: &Id| {
         net.part(*id)
             .unwrap()
-            .told
+            .events
             .iter()
             .any(|(_, event)| match event {
-                MemberEvent::Lost(who) | MemberEvent::Suspected(who) => who.name != name(4),
+                MemberEvent::Lost(id) | MemberEvent::Suspected(id) => id.name != name(4),
                 _ => false,
             })
     };
     assert!(!others.iter().any(blamed), "somebody else was suspected");
-    let woken = &net.part(4).unwrap().told;
+    let woken = &net.part(4).unwrap().events;
     assert!(
         !woken
             .iter()
@@ -233,7 +233,7 @@
 }
 
 #[test]
-fn halves_that_were_cut_off_from_each_other_find_together_again() {
+fn two_halves_of_a_split_merge_after_it_heals() {
     for seed in 0..4 {
         let mut net = fleet(10, seed, Weather::default());
         net.run(20 * S, |_, _| {});
@@ -247,35 +247,35 @@
         assert!(
             agree(&net, &all),
             "seed {seed}: {:?}",
-            net.part(0).map(Fellow::names)
+            net.part(0).map(Sidecar::names)
         );
     }
 }
 
 #[test]
-fn strangers_forgers_and_repeats_get_no_word_in() {
+fn strangers_forged_frames_and_repeats_change_nothing() {
     let mut net = fleet(6, 1, Weather::default());
     // One with another key, under a name that is free and one that is not.
-    for life in [1, 9] {
+    for incarnation in [1, 9] {
         let id = net.ids().count();
-        let taken = if life == 1 { name(id) } else { name(2) };
+        let taken = if incarnation == 1 { name(id) } else { name(2) };
         net.join(Clock::default(), |now, at| {
-            Fellow::new(now, at, &taken, life, 8)
+            Sidecar::new(now, at, &taken, incarnation, 8)
         });
     }
     net.run(30 * S, |_, _| {});
     let all: Vec<Id> = (0..6).collect();
     assert!(agree(&net, &all));
-    assert!(net.part(0).unwrap().node.rejected.of(Rejection::BadSum) > 5);
+    assert!(net.part(0).unwrap().node.rejected.of(Rejection::BadTag) > 5);
     // Everything that 0 ever heard, again, minutes later, and to another than it was for.
     net.run(300 * S, |_, _| {});
-    let old = net.part(0).unwrap().came.clone();
+    let old = net.part(0).unwrap().arrived.clone();
     for id in [0, 1] {
         let now = net.own_time(id);
         let part = net.part_mut(id).unwrap();
-        let told = part.told.len();
+        let events = part.events.len();
         old.iter().for_each(|bytes| part.heard(now, bytes));
-        assert_eq!(part.told.len(), told);
+        assert_eq!(part.events.len(), events);
         while part.datagram().is_some() {}
     }
     assert!(net.part(0).unwrap().node.rejected.of(Rejection::Repeated) > 100);
@@ -285,7 +285,7 @@
 }
 
 #[test]
-fn a_new_key_comes_in_without_a_stop() {
+fn a_key_is_replaced_without_losing_a_member() {
     let mut net = fleet(6, 2, Weather::default());
     net.run(20 * S, |_, _| {});
     let (old, new) = (Key::new([7; 32]), Key::new([9; 32]));
@@ -304,15 +304,14 @@
     assert!(agree(&net, &all));
     assert_eq!(
         net.ids()
-            .map(|id| net.part(id).unwrap().lost())
+            .map(|id| net.part(id).unwrap().count_lost())
             .sum::<usize>(),
         0
     );
 }
 
-/// A kind of message that nobody reads in time keeps neither the fellowship's own nor another kind waiting.
 #[test]
-fn a_burst_of_one_kind_is_bounded_and_starves_nobody() {
+fn a_burst_of_one_kind_of_message_is_bounded_and_delays_no_other_kind() {
     let mut net = fleet(2, 1, Weather::default());
     net.run(10 * S, |_, _| {});
     let now = net.own_time(1);
@@ -321,24 +320,24 @@
         incarnation: 1,
     };
     let sender = net.part_mut(0).unwrap();
-    let mut letters = Vec::new();
+    let mut datagrams = Vec::new();
     let burst = MAX_PENDING_MESSAGES + 50;
     for n in 0..burst + 2 {
         let kind = if n < burst { 2 } else { 3 };
         assert!(sender.node.send(&to, kind, vec![n as u8]));
-        letters.extend(sender.node.next_datagram());
+        datagrams.extend(sender.node.next_datagram());
     }
-    let hears = &mut net.part_mut(1).unwrap().node;
-    hears.accept_kind(2);
-    hears.accept_kind(3);
-    letters
+    let receiver = &mut net.part_mut(1).unwrap().node;
+    receiver.accept_kind(2);
+    receiver.accept_kind(3);
+    datagrams
         .iter()
-        .for_each(|(_, letter)| hears.receive_datagram(now, letter));
-    assert_eq!(hears.overflowed, [(2, 50)].into());
+        .for_each(|(_, datagram)| receiver.receive_datagram(now, datagram));
+    assert_eq!(receiver.overflowed, [(2, 50)].into());
     // In the order in which they came, the newest lost; then there is room again.
-    let mut came = Vec::new();
-    while let Some(happened) = hears.next_event() {
-        came.extend(match happened {
+    let mut arrived = Vec::new();
+    while let Some(event) = receiver.next_event() {
+        arrived.extend(match event {
             NodeEvent::Message { kind, body, .. } => Some((kind, body[0])),
             NodeEvent::Membership(_) => None,
         });
@@ -346,21 +345,21 @@
     let wanted = (0..MAX_PENDING_MESSAGES)
         .map(|n| (2, n as u8))
         .chain([(3, burst as u8), (3, burst as u8 + 1)]);
-    assert_eq!(came, wanted.collect::<Vec<_>>());
+    assert_eq!(arrived, wanted.collect::<Vec<_>>());
     let sender = &mut net.part_mut(0).unwrap().node;
     assert!(sender.send(&to, 2, vec![9]));
-    let (_, letter) = sender.next_datagram().unwrap();
-    let hears = &mut net.part_mut(1).unwrap().node;
-    hears.receive_datagram(now, &letter);
+    let (_, datagram) = sender.next_datagram().unwrap();
+    let receiver = &mut net.part_mut(1).unwrap().node;
+    receiver.receive_datagram(now, &datagram);
     assert!(matches!(
-        hears.next_event(),
+        receiver.next_event(),
         Some(NodeEvent::Message { kind: 2, .. })
     ));
-    assert_eq!(hears.overflowed, [(2, 50)].into());
+    assert_eq!(receiver.overflowed, [(2, 50)].into());
 }
 
 #[test]
-fn what_each_sends_stays_flat_as_the_fleet_grows() {
+fn what_each_member_sends_does_not_grow_with_the_fleet() {
     let each = |many: usize| {
         let mut net = fleet(many, 1, Weather::default());
         net.run(40 * S, |_, _| {});
@@ -393,10 +392,10 @@
             net.run(20 * S, |_, _| {});
             net.kill(5);
             net.run(60 * S, |_, _| {});
-            net.restart(5, |now, at| Fellow::new(now, at, &name(5), 2, 7));
+            net.restart(5, |now, at| Sidecar::new(now, at, &name(5), 2, 7));
             net.run(90 * S, |_, _| {});
             let mut arrived = blake3::Hasher::new();
-            for bytes in net.ids().flat_map(|id| &net.part(id).unwrap().came) {
+            for bytes in net.ids().flat_map(|id| &net.part(id).unwrap().arrived) {
                 arrived.update(bytes);
             }
             let digest = &arrived.finalize().to_hex()[..16];
--- a/crates/sidecar/src/admin.rs
+++ b/crates/sidecar/src/admin.rs
@@ -70,7 +70,7 @@
         });
         let disputes = glance.disputes.iter().map(|dispute| {
             json!({
-                "with": dispute.with, "it_misses": dispute.it_misses, "we_miss": dispute.we_miss, "roster": dispute.voters,
+                "with": dispute.with, "it_misses": dispute.it_misses, "we_miss": dispute.we_miss, "roster": dispute.voters_differ,
             })
         });
         state["standing"] = json!({
