--- a/crates/cli/tests/fellows.rs
+++ b/crates/cli/tests/fellows.rs
@@ -205,7 +205,7 @@
                 .iter()
                 .filter(|line| line.contains("joined") && line.contains("\"s-2\""));
             joined
-                .filter_map(|line| Some(line.split("life=").nth(1)?.to_string()))
+                .filter_map(|line| Some(line.split("incarnation=").nth(1)?.to_string()))
                 .collect()
         };
         assert!([0, 1, 3].iter().all(|id| {
--- a/crates/sidecar/src/guard.rs
+++ b/crates/sidecar/src/guard.rs
@@ -4,8 +4,9 @@
 use crate::fellowship::Fellowship;
 use havenplank_membership::member::MemberId;
 use havenplank_settings::{Takeover as Settings, DISTRIBUTOR_ZONE};
+use havenplank_takeover::message::Message;
 use havenplank_takeover::placement::{choose_backups, Candidate};
-use havenplank_takeover::record::{AttemptState, Message, Outcome, Record, RequestId};
+use havenplank_takeover::record::{AttemptState, Outcome, Record, RequestId};
 use havenplank_takeover::{
     Effect, IncomingRequest, Nanos, RequiredAcks, Rules, TableSizes, Takeover,
 };
--- a/crates/takeover/src/lib.rs
+++ b/crates/takeover/src/lib.rs
@@ -1,8 +1,19 @@
 //! In-flight requests survive the loss of their sidecar: backups keep a record of each, and one of them finishes it.
 //!
 //! [`Takeover`] is the state machine, free of I/O: the time and a random seed are arguments. [`Rules`] are its limits.
-//! [`record`] holds the replicated record and the messages between sidecars. [`placement`] chooses the backups.
+//! [`record`] holds the replicated record, [`message`] the messages between sidecars. [`placement`] chooses the backups.
 
+#![warn(missing_docs)]
+#![warn(
+    clippy::too_many_lines,
+    clippy::too_many_arguments,
+    clippy::cognitive_complexity,
+    clippy::missing_errors_doc,
+    clippy::wildcard_imports,
+    clippy::type_complexity
+)]
+
+pub mod message;
 pub mod placement;
 pub mod record;
 mod rules;
--- a/crates/takeover/src/record.rs
+++ b/crates/takeover/src/record.rs
@@ -1,4 +1,4 @@
-//! The replicated record of an in-flight request, and the messages between its owner, its backups and waiting sidecars.
+//! The replicated record of an in-flight request.
 //!
 //! All types travel as `postcard`, which encodes fields and variants by position: their order is part of the protocol.
 
@@ -27,6 +27,7 @@
     pub pod: String,
     /// How long ago it was about to be written.
     pub age: Nanos,
+    /// How it ended, as far as known.
     pub state: AttemptState,
 }
 
@@ -37,8 +38,11 @@
     Served(Vec<u8>),
     /// Rejected: it had no effect, or the pods drop a repeat.
     Rejected,
-    /// Failed. `retryable`: the pods drop a repeat of what may have run.
-    Failed { retryable: bool },
+    /// Failed.
+    Failed {
+        /// Whether the client may retry: the pods drop a repeat of what may have run.
+        retryable: bool,
+    },
 }
 
 impl Outcome {
@@ -54,6 +58,7 @@
 /// What the owner of a request and its backups know of it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Record {
+    /// The request.
     pub request: RequestId,
     /// The sidecar that may act on the request.
     pub owner: MemberId,
@@ -79,7 +84,7 @@
 }
 
 impl Record {
-    /// The record as of a later moment. Only time spans travel, as no two clocks agree.
+    /// Returns the record as of a later moment. Only time spans travel, as no two clocks agree.
     pub fn later(&self, by: Nanos) -> Record {
         let mut record = self.clone();
         record.remaining = record.remaining.saturating_sub(by);
@@ -90,7 +95,7 @@
         record
     }
 
-    /// The bytes of the request and of its answer.
+    /// Returns the bytes of the request and of its answer.
     pub fn weight(&self) -> usize {
         let answer = match &self.outcome {
             Some(Outcome::Served(answer)) => answer.len(),
@@ -104,62 +109,8 @@
         self.digest == digest && self.outcome.as_ref().is_some_and(Outcome::reopens)
     }
 
-    /// The number of backups that is more than half of them.
+    /// Returns the number of backups that is more than half of them.
     pub fn majority(&self) -> usize {
         self.backups.len() / 2 + 1
     }
 }
-
-/// What sidecars send to each other. A `stamp` is a time of the first sender's own clock, returned unchanged.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Message {
-    /// To a backup: keep this record, or this newer version of it.
-    Store { record: Record, stamp: Nanos },
-    /// The record is kept.
-    Stored {
-        request: RequestId,
-        term: u32,
-        version: u32,
-        stamp: Nanos,
-        epoch: u32,
-    },
-    /// Another sidecar owns the request, by a later term or an earlier claim. `differs`: the key belongs to a different
-    /// request.
-    Owned {
-        request: RequestId,
-        term: u32,
-        by: MemberId,
-        differs: bool,
-    },
-    /// No room for another record.
-    Full { request: RequestId },
-    /// To a backup: renew the lease on all requests that it keeps for the sender.
-    RenewLease { stamp: Nanos },
-    /// The lease is renewed.
-    LeaseRenewed { stamp: Nanos, epoch: u32 },
-    /// The sender stands as the owner of the request in this term.
-    RequestVote {
-        request: RequestId,
-        term: u32,
-        stamp: Nanos,
-    },
-    /// A vote for the candidate, with the record that the voter keeps.
-    VoteGranted {
-        record: Record,
-        term: u32,
-        stamp: Nanos,
-        epoch: u32,
-    },
-    /// To a backup: report the outcome when it is known.
-    AwaitOutcome { request: RequestId, digest: u64 },
-    /// The final outcome.
-    Finished {
-        request: RequestId,
-        term: u32,
-        outcome: Outcome,
-    },
-    /// The request is not known here.
-    Unknown { request: RequestId },
-    /// A claim is given up; no attempt was made.
-    Release { request: RequestId, term: u32 },
-}
--- a/crates/takeover/src/takeover.rs
+++ b/crates/takeover/src/takeover.rs
@@ -12,49 +12,27 @@
 
 mod backup;
 mod claim;
+mod effect;
 mod election;
+mod leases;
 mod owner;
 mod waiter;
 
 pub use claim::{IncomingRequest, RequiredAcks};
+pub use effect::Effect;
 
-use crate::record::{Message, Outcome, Record, RequestId};
+use crate::message::Message;
+use crate::record::{Record, RequestId};
 use crate::{Nanos, Rules};
 use backup::Replica;
 use havenplank_membership::member::MemberId;
+use leases::Lease;
 use oorandom::Rand64;
-use owner::OwnedRequest;
+use owner::{Ack, OwnedRequest};
 use std::collections::{BTreeMap, VecDeque};
 use std::hash::{Hash, Hasher};
 use waiter::Waiting;
 
-/// What the caller has to carry out.
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Effect {
-    /// Send this message.
-    Send { to: MemberId, message: Message },
-    /// More than half of the backups have the request: it may begin.
-    Claimed(RequestId),
-    /// They know of the attempt with this index. Ask [`Takeover::may_send`] right before the write.
-    AttemptReady(RequestId, usize),
-    /// Another sidecar owns the request; its answer will follow.
-    Joined(RequestId),
-    /// Too few backups can be reached or have room: the request is served without them.
-    Unprotected(RequestId),
-    /// The same, for a request that may be in flight elsewhere and must not run twice: reject it; nothing was sent.
-    Uncertain(RequestId),
-    /// A different request under the same idempotency key is in flight.
-    KeyReused(RequestId),
-    /// This sidecar owns the request now: finish it, considering its earlier attempts.
-    TakenOver(Record),
-    /// Another sidecar owns the request now: send nothing more for it. Its answer will follow.
-    Lost(RequestId),
-    /// The final outcome of a request that was waited for here.
-    Finished(RequestId, Outcome),
-    /// None of its backups knows the request any more.
-    Unknown(RequestId),
-}
-
 /// The number of entries in each table of a [`Takeover`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TableSizes {
@@ -86,7 +64,7 @@
     epochs: BTreeMap<MemberId, u32>,
     withdrawals: u32,
     /// By backup: until when its lease to this sidecar lasts, and its epoch. Removed with the last request it backs up.
-    leases: BTreeMap<String, (Nanos, u32)>,
+    leases: BTreeMap<String, Lease>,
     renew_at: Nanos,
     random: Rand64,
     effects: VecDeque<Effect>,
@@ -191,7 +169,10 @@
                 version,
                 stamp,
                 epoch,
-            } => self.on_stored(now, from, (request, term, version), (stamp, epoch)),
+            } => {
+                self.extend_lease(now, from, stamp, epoch);
+                self.on_stored(now, from, request, term, Ack { version, epoch });
+            }
             Message::Owned {
                 request,
                 term,
@@ -242,25 +223,6 @@
         self.prune_leases(now);
     }
 
-    /// Forgets leases, granted or held, that no record or request needs any more.
-    fn prune_leases(&mut self, now: Nanos) {
-        let (replicas, owned) = (&self.replicas, &self.owned);
-        let is_owner = |owner: &MemberId| replicas.values().any(|replica| replica.owner == *owner);
-        self.granted
-            .retain(|owner, until| now < *until || is_owner(owner));
-        self.epochs
-            .retain(|owner, _| self.granted.contains_key(owner));
-        let backs_up = |name: &String, owned: &OwnedRequest| {
-            owned
-                .record
-                .backups
-                .iter()
-                .any(|backup| backup.name == *name)
-        };
-        self.leases
-            .retain(|name, _| owned.values().any(|owned| backs_up(name, owned)));
-    }
-
     fn send(&mut self, to: &MemberId, message: Message) {
         self.effects.push_back(Effect::Send {
             to: to.clone(),
--- a/crates/takeover/src/takeover/backup.rs
+++ b/crates/takeover/src/takeover/backup.rs
@@ -1,7 +1,8 @@
 //! The backup's side: records kept for other sidecars, the leases granted to their owners, and the owners' epochs.
 
 use super::Takeover;
-use crate::record::{Message, Outcome, Record, RequestId};
+use crate::message::Message;
+use crate::record::{Outcome, Record, RequestId};
 use crate::Nanos;
 use havenplank_membership::member::MemberId;
 use std::collections::BTreeMap;
@@ -10,30 +11,30 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Replica {
     pub(super) record: Record,
+    /// When the record was received: its time spans count from then.
     pub(super) as_of: Nanos,
     /// The latest term that this sidecar voted in, and for whom; the record's own term and owner before any vote.
     pub(super) term: u32,
     pub(super) owner: MemberId,
+    /// Sidecars to tell of the outcome.
     pub(super) waiters: Vec<MemberId>,
-    /// This sidecar's own candidacy: its term, and the records of the backups that voted for it.
-    pub(super) votes: Option<(u32, BTreeMap<String, Record>)>,
+    /// This sidecar's own candidacy, if it stands.
+    pub(super) candidacy: Option<Candidacy>,
+    /// When this sidecar may next stand as a candidate.
     pub(super) try_at: Nanos,
+    /// When the record is dropped.
     pub(super) forget: Nanos,
 }
 
-impl Takeover {
-    /// Grants an owner another lease, and returns its epoch.
-    pub(super) fn grant_lease(&mut self, now: Nanos, owner: &MemberId) -> u32 {
-        let until = now + self.rules.lease;
-        let promised = self.granted.entry(owner.clone()).or_default();
-        *promised = (*promised).max(until);
-        self.epoch(owner)
-    }
-
-    fn epoch(&mut self, owner: &MemberId) -> u32 {
-        *self.epochs.entry(owner.clone()).or_insert(self.withdrawals)
-    }
+/// A candidacy of this sidecar for a request.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub(super) struct Candidacy {
+    pub(super) term: u32,
+    /// By name, the records of the backups that voted for it.
+    pub(super) votes: BTreeMap<String, Record>,
+}
 
+impl Takeover {
     /// Stores an owner's newest record, unless something that is known here stands against it.
     pub(super) fn on_store(
         &mut self,
@@ -152,14 +153,6 @@
         self.finish_waiting(request, outcome);
     }
 
-    /// Renews the lease of an owner for which records are kept.
-    pub(super) fn on_renew_lease(&mut self, now: Nanos, from: &MemberId, stamp: Nanos) {
-        if self.replicas.values().any(|replica| replica.owner == *from) {
-            let epoch = self.grant_lease(now, from);
-            self.send(from, Message::LeaseRenewed { stamp, epoch });
-        }
-    }
-
     /// Drops the record of a claim that was given up before any attempt.
     pub(super) fn on_release(&mut self, from: &MemberId, request: RequestId, term: u32) {
         let is_released = |replica: &Replica| {
@@ -200,7 +193,6 @@
             .saturating_add(self.rules.retention);
         let request = record.request;
         self.replica_bytes += record.weight();
-        let (waiters, votes) = (Vec::new(), None);
         let try_at = if record.confirmed {
             now
         } else {
@@ -213,8 +205,8 @@
                 as_of: now,
                 term,
                 owner,
-                waiters,
-                votes,
+                waiters: Vec::new(),
+                candidacy: None,
                 try_at,
                 forget,
             },
@@ -231,13 +223,6 @@
             self.withdraw_from(&replica.owner);
         }
     }
-
-    /// Starts a new epoch for an owner: what it was acknowledged before counts no more for its requests.
-    pub(super) fn withdraw_from(&mut self, owner: &MemberId) {
-        self.withdrawals += 1;
-        self.epochs.insert(owner.clone(), self.withdrawals);
-        self.granted.entry(owner.clone()).or_default();
-    }
 }
 
 impl Replica {
--- a/crates/takeover/src/takeover/claim.rs
+++ b/crates/takeover/src/takeover/claim.rs
@@ -1,16 +1,19 @@
 //! Claims of requests that arrived here. A claim ends in one of three ways: this sidecar owns the request, it joins
 //! another owner's, or the request is served without backups.
 
-use super::owner::OwnedRequest;
+use super::owner::{OwnedRequest, FIRST_VERSION};
 use super::{Effect, Takeover};
-use crate::record::{Message, Record, RequestId};
+use crate::message::Message;
+use crate::record::{Record, RequestId};
 use crate::Nanos;
 use havenplank_membership::member::MemberId;
-use std::collections::{BTreeMap, BTreeSet};
 
 /// The delay of a claim in the background is the lease divided by this.
 const BACKGROUND_DELAY_PER_LEASE: Nanos = 6;
 
+/// The term of a request that no other claim is known of.
+const FIRST_TERM: u32 = 0;
+
 /// A request that arrived here, as its backups are to keep it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct IncomingRequest {
@@ -49,7 +52,7 @@
             self.retire(now, request);
         }
         let term = match self.replicas.get(&request) {
-            None => 0,
+            None => FIRST_TERM,
             // A retry that the client was allowed starts anew, in a later term than any record of the first try.
             Some(replica) if replica.record.reopens_for(digest) => replica.term.saturating_add(1),
             Some(replica) => {
@@ -66,12 +69,13 @@
         if incoming.backups.is_empty() || self.owned.len() >= self.rules.max_owned {
             return self.claim_failed(request, required);
         }
-        let claim_until = Some(now + self.rules.lease.min(incoming.remaining / 2));
-        let record = self.new_record(incoming, term);
-        self.own(now, record, claim_until, now);
-        if let Some(owned) = self.owned.get_mut(&request) {
-            owned.required = required;
-        }
+        let claim_until = self.claim_until(now, incoming.remaining);
+        let owned = OwnedRequest {
+            claim_until: Some(claim_until),
+            required,
+            ..OwnedRequest::new(now, self.new_record(incoming, term))
+        };
+        self.own(now, owned);
     }
 
     fn claim_failed(&mut self, request: RequestId, required: RequiredAcks) {
@@ -94,9 +98,19 @@
             return;
         }
         let announce_at = now + self.rules.lease / BACKGROUND_DELAY_PER_LEASE;
-        let claim_until = announce_at + self.rules.lease.min(incoming.remaining / 2);
-        let record = self.new_record(incoming, 0);
-        self.own(now, record, Some(claim_until), announce_at);
+        let claim_until = self.claim_until(announce_at, incoming.remaining);
+        let owned = OwnedRequest {
+            claim_until: Some(claim_until),
+            announce_at,
+            ..OwnedRequest::new(now, self.new_record(incoming, FIRST_TERM))
+        };
+        self.own(now, owned);
+    }
+
+    /// The time-out of a claim: a lease, and half of the client's time at most, so that the rest suffices to serve the
+    /// request without backups.
+    fn claim_until(&self, begin: Nanos, remaining: Nanos) -> Nanos {
+        begin + self.rules.lease.min(remaining / 2)
     }
 
     fn new_record(&self, incoming: IncomingRequest, term: u32) -> Record {
@@ -104,7 +118,7 @@
             request: incoming.request,
             owner: self.me.clone(),
             term,
-            version: 1,
+            version: FIRST_VERSION,
             confirmed: false,
             backups: incoming.backups,
             digest: incoming.digest,
@@ -116,27 +130,8 @@
     }
 
     /// Enters a request as owned here and sends its record to the backups.
-    pub(super) fn own(
-        &mut self,
-        now: Nanos,
-        record: Record,
-        claim_until: Option<Nanos>,
-        announce_at: Nanos,
-    ) {
-        let request = record.request;
-        let (acks, refused, pending_attempts) = (BTreeMap::new(), BTreeSet::new(), Vec::new());
-        let owned = OwnedRequest {
-            record,
-            as_of: now,
-            acks,
-            claim_until,
-            required: RequiredAcks::Majority,
-            refused,
-            pending_attempts,
-            announce_at,
-            retry_at: now,
-            retries: 0,
-        };
+    pub(super) fn own(&mut self, now: Nanos, owned: OwnedRequest) {
+        let request = owned.record.request;
         self.owned.insert(request, owned);
         self.replicate(now, request);
     }
@@ -186,13 +181,13 @@
         if *by == self.me && term <= owned.record.term {
             return;
         }
+        let is_claim = owned.claim_until.is_some();
         // A claim that has moved on to a later term ignores reports of an earlier one.
-        let answers = if owned.claim_until.is_some() {
-            term >= owned.record.term
-        } else {
-            term > owned.record.term
+        let is_outdated = match is_claim {
+            true => term < owned.record.term,
+            false => term <= owned.record.term,
         };
-        if !answers {
+        if is_outdated {
             return;
         }
         owned.acks.remove(&from.name);
@@ -200,7 +195,7 @@
         // A single candidate may have failed to win its election; a majority of reports means that it won.
         let outvoted = owned.refused.len() >= owned.record.majority();
         let yields = owned.required == RequiredAcks::All || outvoted;
-        match owned.claim_until.is_some() {
+        match is_claim {
             true if differs => self.reject_claim(request),
             true if yields => self.give_up(now, request),
             false if outvoted => self.lose(now, request),
--- a/crates/takeover/src/takeover/election.rs
+++ b/crates/takeover/src/takeover/election.rs
@@ -1,12 +1,17 @@
 //! Elections of a new owner once a granted lease has expired: candidacy, votes and their count.
 
-use super::backup::{refusal, Replica};
+use super::backup::{refusal, Candidacy, Replica};
+use super::owner::OwnedRequest;
 use super::{Effect, Takeover};
-use crate::record::{AttemptState, Message, Record, RequestId};
+use crate::message::Message;
+use crate::record::{AttemptState, Record, RequestId};
 use crate::Nanos;
 use havenplank_membership::member::MemberId;
 use std::collections::BTreeMap;
 
+/// The random delay before a candidacy is at most, and that between two at least, the lease divided by this.
+const JITTERS_PER_LEASE: Nanos = 4;
+
 impl Takeover {
     /// When this backup may next stand as a candidate for a request.
     pub(super) fn election_due(&self, replica: &Replica) -> Nanos {
@@ -34,58 +39,54 @@
             .for_each(|request| self.request_votes(now, request));
     }
 
-    /// Asks the other backups for their votes, after one random delay.
+    /// Stands as a candidate, once the random delay before it is over.
     fn request_votes(&mut self, now: Nanos, request: RequestId) {
-        let pause = self
-            .random
-            .rand_range(self.rules.lease / 4..self.rules.lease + 1);
-        if self
-            .replicas
-            .get(&request)
-            .is_some_and(|replica| !replica.record.confirmed)
-        {
-            // No attempt of it had to be known here, and another claim may follow.
-            return self.drop_replica(request);
-        }
+        let lease = self.rules.lease;
+        let pause = self.random.rand_range(lease / JITTERS_PER_LEASE..lease + 1);
         let Some(replica) = self.replicas.get_mut(&request) else {
             return;
         };
-        replica.try_at = now + pause;
-        // The first round only draws a random delay: all leases expire at once, and two simultaneous candidates both lose.
-        if replica.votes.is_none() {
-            replica.votes = Some((replica.term, BTreeMap::new()));
-            let jitter = self.random.rand_range(0..self.rules.lease / 4 + 1);
-            if let Some(replica) = self.replicas.get_mut(&request) {
-                replica.try_at = now + jitter;
-            }
+        if !replica.record.confirmed {
+            // No attempt of it had to be known here, and another claim may follow.
+            return self.drop_replica(request);
+        }
+        // All leases expire at once, and two simultaneous candidates both lose.
+        if replica.candidacy.is_none() {
+            let jitter = self.random.rand_range(0..lease / JITTERS_PER_LEASE + 1);
+            replica.candidacy = Some(Candidacy {
+                term: replica.term,
+                votes: BTreeMap::new(),
+            });
+            replica.try_at = now + jitter;
             return;
         }
+        replica.try_at = now + pause;
+        self.stand(now, request);
+    }
+
+    /// Votes for ourselves in the next term, and asks the other backups for their votes.
+    fn stand(&mut self, now: Nanos, request: RequestId) {
         let Some(replica) = self.replicas.get_mut(&request) else {
             return;
         };
-        let (term, old) = (replica.term.saturating_add(1), replica.owner.clone());
-        (replica.term, replica.owner) = (term, self.me.clone());
+        let term = replica.term.saturating_add(1);
+        replica.term = term;
+        let previous = std::mem::replace(&mut replica.owner, self.me.clone());
         let record = replica.record.later(now - replica.as_of);
-        replica.votes = Some((
+        replica.candidacy = Some(Candidacy {
             term,
-            BTreeMap::from([(self.me.name.clone(), record.clone())]),
-        ));
-        let others: Vec<MemberId> = record
-            .backups
-            .iter()
-            .filter(|life| **life != self.me)
-            .cloned()
-            .collect();
-        self.withdraw_from(&old);
-        for other in others {
-            self.send(
-                &other,
-                Message::RequestVote {
+            votes: BTreeMap::from([(self.me.name.clone(), record.clone())]),
+        });
+        self.withdraw_from(&previous);
+        for backup in record.backups.iter().filter(|backup| **backup != self.me) {
+            self.effects.push_back(Effect::Send {
+                to: backup.clone(),
+                message: Message::RequestVote {
                     request,
                     term,
                     stamp: now,
                 },
-            );
+            });
         }
         self.count_votes(now, request);
     }
@@ -170,7 +171,8 @@
             return;
         }
         let previous = std::mem::replace(&mut replica.owner, from.clone());
-        (replica.term, replica.votes) = (term, None);
+        replica.term = term;
+        replica.candidacy = None;
         let record = replica.record.later(now - replica.as_of);
         self.withdraw_from(&previous);
         let epoch = self.grant_lease(now, from);
@@ -205,8 +207,9 @@
         if !replica.record.backups.contains(from) {
             return;
         }
-        if let Some((_, votes)) = replica.votes.as_mut().filter(|(own, _)| *own == term) {
-            votes.insert(from.name.clone(), record);
+        let candidacy = replica.candidacy.as_mut();
+        if let Some(candidacy) = candidacy.filter(|candidacy| candidacy.term == term) {
+            candidacy.votes.insert(from.name.clone(), record);
         }
         self.extend_lease(now, from, stamp, epoch);
         self.count_votes(now, request);
@@ -217,19 +220,20 @@
         let Some(replica) = self.replicas.get(&request) else {
             return;
         };
-        let Some((term, votes)) = replica.votes.as_ref() else {
+        let Some(candidacy) = replica.candidacy.as_ref() else {
             return;
         };
-        if votes.len() < replica.record.majority() {
+        if candidacy.votes.len() < replica.record.majority() {
             return;
         }
-        let newest = votes
+        let term = candidacy.term;
+        let newest = candidacy
+            .votes
             .values()
             .max_by_key(|record| (record.term, record.version));
         let Some(mut record) = newest.cloned() else {
             return;
         };
-        let term = *term;
         self.replicas.remove(&request);
         (record.term, record.version, record.owner) =
             (term, record.version.saturating_add(1), self.me.clone());
@@ -243,6 +247,6 @@
         self.waiting.remove(&request);
         self.effects.push_back(Effect::TakenOver(record.clone()));
         // Sidecars that wait for the outcome here ask again by themselves.
-        self.own(now, record, None, now);
+        self.own(now, OwnedRequest::new(now, record));
     }
 }
--- a/crates/takeover/src/takeover/owner.rs
+++ b/crates/takeover/src/takeover/owner.rs
@@ -1,8 +1,10 @@
 //! The owner's side: requests in flight here, the leases that allow acting on them, and their replication.
 
 use super::claim::RequiredAcks;
+use super::leases::RENEWALS_PER_LEASE;
 use super::{Effect, Takeover};
-use crate::record::{Attempt, AttemptState, Message, Outcome, Record, RequestId};
+use crate::message::Message;
+use crate::record::{Attempt, AttemptState, Outcome, Record, RequestId};
 use crate::Nanos;
 use havenplank_membership::member::MemberId;
 use std::collections::{BTreeMap, BTreeSet};
@@ -14,11 +16,22 @@
     pub(super) epoch: u32,
 }
 
+/// An attempt that the backups have yet to acknowledge.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub(super) struct PendingAttempt {
+    /// Its place among the attempts of the record.
+    pub(super) index: usize,
+    /// The version of the record that first lists it.
+    pub(super) version: u32,
+}
+
 /// A request that this sidecar claims or owns.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct OwnedRequest {
     pub(super) record: Record,
+    /// When the record last changed: its time spans count from then.
     pub(super) as_of: Nanos,
+    /// By name, what the backups have acknowledged.
     pub(super) acks: BTreeMap<String, Ack>,
     /// The claim's time-out; none once the claim has succeeded.
     pub(super) claim_until: Option<Nanos>,
@@ -26,8 +39,8 @@
     pub(super) required: RequiredAcks,
     /// Backups that reported another owner.
     pub(super) refused: BTreeSet<String>,
-    /// Attempts not yet written, each with the version of the record that first lists it.
-    pub(super) pending_attempts: Vec<(usize, u32)>,
+    /// Attempts not yet written.
+    pub(super) pending_attempts: Vec<PendingAttempt>,
     /// When the record is first sent to the backups.
     pub(super) announce_at: Nanos,
     /// When an unacknowledged record is sent again, and how often it was.
@@ -35,6 +48,15 @@
     pub(super) retries: u32,
 }
 
+/// The first retry of what a client waits for comes after the lease divided by this; each further one takes twice as long.
+const FIRST_RETRIES_PER_LEASE: Nanos = 24;
+/// How often that doubles, at most.
+const MAX_DOUBLINGS: u32 = 3;
+/// The version of a record that is sent first.
+pub(super) const FIRST_VERSION: u32 = 1;
+/// How often an outcome is sent again to backups that do not acknowledge it.
+const MAX_OUTCOME_RETRIES: u32 = 8;
+
 impl Takeover {
     /// Whether an attempt of this request may be written now; to be asked right before the write. The window between the
     /// two is harmless: a non-idempotent attempt that may have run is never sent again, and of a keyed one the pods
@@ -43,7 +65,7 @@
         self.owned.get(&request).is_some_and(|owned| {
             owned.claim_until.is_none()
                 && owned.record.outcome.is_none()
-                && self.leased_backups(now, owned, 1) >= owned.record.majority()
+                && self.is_stored(now, owned, FIRST_VERSION)
         })
     }
 
@@ -58,7 +80,10 @@
             })
         });
         let index = owned.record.attempts.len() - 1;
-        owned.pending_attempts.push((index, owned.record.version));
+        owned.pending_attempts.push(PendingAttempt {
+            index,
+            version: owned.record.version,
+        });
         self.replicate(now, request);
         Some(index)
     }
@@ -97,65 +122,36 @@
         self.replicate(now, request);
     }
 
-    /// The number of backups that hold at least this version and whose lease is valid. This sidecar counts as a backup
-    /// like any other: its own lease expires, too, unless the event loop runs.
-    fn leased_backups(&self, now: Nanos, owned: &OwnedRequest, version: u32) -> usize {
-        let is_leased = |backup: &&MemberId| {
-            let ack = owned.acks.get(&backup.name);
-            let lease = self.leases.get(&backup.name);
-            ack.zip(lease).is_some_and(|(ack, (until, epoch))| {
-                ack.version >= version && ack.epoch == *epoch && now < *until
-            })
-        };
-        owned.record.backups.iter().filter(is_leased).count()
-    }
-
     /// Sends the record to the backups that have not acknowledged this version.
     pub(super) fn replicate(&mut self, now: Nanos, request: RequestId) {
+        let (lease, own_lease) = (self.rules.lease, self.own_lease(now));
         let Some(owned) = self.owned.get_mut(&request) else {
             return;
         };
-        // What a client waits for is sent again soon, then with exponential backoff.
-        let waited = owned.claim_until.is_some() || !owned.pending_attempts.is_empty();
-        let soon = (self.rules.lease / 24) << owned.retries.min(3);
-        let retry_at = now + if waited { soon } else { self.rules.lease / 3 };
         if now < owned.announce_at {
             owned.retry_at = owned.announce_at;
             return;
         }
-        owned.retry_at = retry_at;
+        owned.retry_at = now + owned.retry_delay(lease);
         let record = owned.record.later(now - owned.as_of);
-        let knows = |life: &MemberId, owned: &OwnedRequest| {
-            owned
-                .acks
-                .get(&life.name)
-                .is_some_and(|a| a.version >= record.version)
-        };
-        let (own, rest): (Vec<MemberId>, Vec<MemberId>) = record
-            .backups
-            .iter()
-            .filter(|life| !knows(life, owned))
-            .cloned()
-            .partition(|life| *life == self.me);
-        for backup in own {
-            // This sidecar is a backup itself: stored at once. Only `on_request_vote` here can vote against it.
-            let epoch = 0;
-            let ack = Ack {
-                version: record.version,
-                epoch,
-            };
-            owned.acks.insert(backup.name.clone(), ack);
-            self.leases
-                .insert(backup.name, (now + self.rules.lease, epoch));
-        }
-        for backup in rest {
-            self.send(
-                &backup,
-                Message::Store {
-                    record: record.clone(),
-                    stamp: now,
-                },
-            );
+        for backup in owned.backups_without_version(record.version) {
+            if backup == self.me {
+                // This sidecar is a backup itself: stored at once. Only `on_request_vote` here can vote against it.
+                let ack = Ack {
+                    version: record.version,
+                    epoch: own_lease.epoch,
+                };
+                owned.acks.insert(backup.name.clone(), ack);
+                self.leases.insert(backup.name, own_lease);
+            } else {
+                self.effects.push_back(Effect::Send {
+                    to: backup,
+                    message: Message::Store {
+                        record: record.clone(),
+                        stamp: now,
+                    },
+                });
+            }
         }
         self.advance(now, request);
     }
@@ -165,66 +161,45 @@
         let Some(owned) = self.owned.get(&request) else {
             return;
         };
-        let majority = owned.record.majority();
-        let version_known = |version| self.leased_backups(now, owned, version) >= majority;
-        let all = owned.record.backups.len();
-        let claimed = match owned.required {
-            RequiredAcks::All => self.leased_backups(now, owned, 1) >= all,
-            RequiredAcks::Majority => version_known(1),
-        };
-        let taken = owned.claim_until.is_some() && claimed;
-        let go: Vec<usize> = owned
+        let is_claimed = owned.claim_until.is_some() && self.has_required_acks(now, owned);
+        let ready: Vec<usize> = owned
             .pending_attempts
             .iter()
-            .filter(|(_, v)| version_known(*v))
-            .map(|(nth, _)| *nth)
+            .filter(|attempt| self.is_stored(now, owned, attempt.version))
+            .map(|attempt| attempt.index)
             .collect();
-        let told = owned.record.outcome.is_some() && {
-            let version = owned.record.version;
-            owned.record.backups.iter().all(|g| {
-                owned
-                    .acks
-                    .get(&g.name)
-                    .is_some_and(|ack| ack.version >= version)
-            })
-        };
+        let is_finished = owned.record.outcome.is_some() && owned.is_stored_everywhere();
         let Some(owned) = self.owned.get_mut(&request) else {
             return;
         };
-        owned.pending_attempts.retain(|(nth, _)| !go.contains(nth));
-        if taken {
+        owned
+            .pending_attempts
+            .retain(|attempt| !ready.contains(&attempt.index));
+        if is_claimed {
             owned.claim_until = None;
             // Replicated with the next change, which is the first attempt.
             owned.change(now, |record| record.confirmed = true);
             self.effects.push_back(Effect::Claimed(request));
         }
-        self.effects
-            .extend(go.into_iter().map(|nth| Effect::AttemptReady(request, nth)));
-        if told {
+        for index in ready {
+            self.effects.push_back(Effect::AttemptReady(request, index));
+        }
+        if is_finished {
             self.retire(now, request);
         }
     }
 
-    /// Asks the backups of all open requests to renew their leases.
-    pub(super) fn renew_leases(&mut self, now: Nanos) {
-        if now < self.renew_at {
-            return;
-        }
-        self.renew_at = now + self.rules.lease / 3;
-        let open = self
-            .owned
-            .values()
-            .filter(|owned| owned.record.outcome.is_none() && now >= owned.announce_at);
-        let backups: BTreeSet<MemberId> = open
-            .flat_map(|owned| owned.record.backups.iter().cloned())
-            .collect();
-        for backup in backups {
-            if backup == self.me {
-                self.leases.insert(backup.name, (now + self.rules.lease, 0));
-            } else {
-                self.send(&backup, Message::RenewLease { stamp: now });
-            }
-        }
+    fn has_required_acks(&self, now: Nanos, owned: &OwnedRequest) -> bool {
+        let required = match owned.required {
+            RequiredAcks::All => owned.record.backups.len(),
+            RequiredAcks::Majority => owned.record.majority(),
+        };
+        self.count_leased_backups(now, owned, FIRST_VERSION) >= required
+    }
+
+    /// Whether a majority of the backups hold this version and have granted a lease.
+    fn is_stored(&self, now: Nanos, owned: &OwnedRequest, version: u32) -> bool {
+        self.count_leased_backups(now, owned, version) >= owned.record.majority()
     }
 
     /// Retries each request that is due.
@@ -246,7 +221,7 @@
         owned.retries += 1;
         let over = now.saturating_sub(owned.as_of)
             > owned.record.remaining.saturating_add(self.rules.retention);
-        if over || (owned.record.outcome.is_some() && owned.retries > 8) {
+        if over || (owned.record.outcome.is_some() && owned.retries > MAX_OUTCOME_RETRIES) {
             self.retire(now, request);
             return;
         }
@@ -261,10 +236,10 @@
         &mut self,
         now: Nanos,
         from: &MemberId,
-        (request, term, version): (RequestId, u32, u32),
-        (stamp, epoch): (Nanos, u32),
+        request: RequestId,
+        term: u32,
+        ack: Ack,
     ) {
-        self.extend_lease(now, from, stamp, epoch);
         let Some(owned) = self
             .owned
             .get_mut(&request)
@@ -275,54 +250,13 @@
         if !owned.record.backups.contains(from) {
             return;
         }
-        let ack = owned.acks.entry(from.name.clone()).or_default();
-        if (epoch, version) > (ack.epoch, ack.version) {
-            *ack = Ack { version, epoch };
+        let known = owned.acks.entry(from.name.clone()).or_default();
+        if (ack.epoch, ack.version) > (known.epoch, known.version) {
+            *known = ack;
         }
         self.advance(now, request);
     }
 
-    /// Extends a lease. It counts from when it was asked for, shortened by the drift of two clocks.
-    pub(super) fn extend_lease(&mut self, now: Nanos, from: &MemberId, stamp: Nanos, epoch: u32) {
-        if stamp > now {
-            return;
-        }
-        let drift = self.rules.lease / 1_000_000 * 2 * self.rules.drift_ppm;
-        let until = stamp + self.rules.lease.saturating_sub(drift);
-        let lease = self.leases.entry(from.name.clone()).or_default();
-        if epoch < lease.1 {
-            return;
-        }
-        let new_epoch = epoch > lease.1;
-        *lease = if new_epoch {
-            (until, epoch)
-        } else {
-            (lease.0.max(until), epoch)
-        };
-        if new_epoch {
-            // Its records of our requests must be sent anew: it may have voted for another owner.
-            let backs_up = |owned: &OwnedRequest| {
-                owned.record.backups.contains(from) && owned.acks.contains_key(&from.name)
-            };
-            let requests: Vec<RequestId> = self
-                .owned
-                .iter()
-                .filter(|(_, owned)| backs_up(owned))
-                .map(|(request, _)| *request)
-                .collect();
-            for request in requests {
-                if let Some(owned) = self
-                    .owned
-                    .get_mut(&request)
-                    .filter(|h| h.acks[&from.name].epoch < epoch)
-                {
-                    owned.acks.remove(&from.name);
-                    self.replicate(now, request);
-                }
-            }
-        }
-    }
-
     /// Moves a request that is no longer owned here to the records kept for others. If it was taken over here, the other
     /// backups' majorities count on that record; if it arrived here, a later claim may choose this sidecar as a backup,
     /// and it may be the only one of that majority to know the request.
@@ -350,6 +284,48 @@
 }
 
 impl OwnedRequest {
+    /// A request whose record is sent at once and that needs no claim.
+    pub(super) fn new(now: Nanos, record: Record) -> OwnedRequest {
+        OwnedRequest {
+            record,
+            as_of: now,
+            acks: BTreeMap::new(),
+            claim_until: None,
+            required: RequiredAcks::Majority,
+            refused: BTreeSet::new(),
+            pending_attempts: Vec::new(),
+            announce_at: now,
+            retry_at: now,
+            retries: 0,
+        }
+    }
+
+    /// When to send an unacknowledged record again. What a client waits for is sent again soon, then with exponential
+    /// backoff.
+    fn retry_delay(&self, lease: Nanos) -> Nanos {
+        let is_waited_for = self.claim_until.is_some() || !self.pending_attempts.is_empty();
+        if is_waited_for {
+            (lease / FIRST_RETRIES_PER_LEASE) << self.retries.min(MAX_DOUBLINGS)
+        } else {
+            lease / RENEWALS_PER_LEASE
+        }
+    }
+
+    /// Returns the backups that have not acknowledged this version of the record.
+    fn backups_without_version(&self, version: u32) -> Vec<MemberId> {
+        let lacks_version = |backup: &&MemberId| {
+            let ack = self.acks.get(&backup.name);
+            ack.is_none_or(|ack| ack.version < version)
+        };
+        let backups = self.record.backups.iter();
+        backups.filter(lacks_version).cloned().collect()
+    }
+
+    /// Whether each backup has acknowledged the present version.
+    fn is_stored_everywhere(&self) -> bool {
+        self.backups_without_version(self.record.version).is_empty()
+    }
+
     /// Changes the record and raises its version.
     pub(super) fn change(&mut self, now: Nanos, change: impl FnOnce(&mut Record)) {
         self.record = self.record.later(now - self.as_of);
--- a/crates/takeover/src/takeover/waiter.rs
+++ b/crates/takeover/src/takeover/waiter.rs
@@ -1,7 +1,8 @@
 //! Clients that retried: waiting for the outcome of a request that another sidecar owns, and telling those that wait.
 
 use super::{Effect, Takeover};
-use crate::record::{Message, Outcome, RequestId};
+use crate::message::Message;
+use crate::record::{Outcome, Record, RequestId};
 use crate::Nanos;
 use havenplank_membership::member::MemberId;
 use std::collections::BTreeSet;
@@ -96,65 +97,20 @@
     /// A sidecar waits for the outcome of a request that this one may know.
     pub(super) fn on_await_outcome(&mut self, from: &MemberId, request: RequestId, digest: u64) {
         if let Some(owned) = self.owned.get(&request) {
-            let term = owned.record.term;
-            if let Some(outcome) = owned
-                .record
-                .outcome
-                .clone()
-                .filter(|_| owned.record.digest == digest)
-            {
-                return self.send(
-                    from,
-                    Message::Finished {
-                        request,
-                        term,
-                        outcome,
-                    },
-                );
-            }
-            let by = owned.record.owner.clone();
-            return self.send(
-                from,
-                Message::Owned {
-                    request,
-                    term,
-                    by,
-                    differs: false,
-                },
-            );
+            let record = &owned.record;
+            let report = progress(record, record.term, &record.owner, digest);
+            return self.send(from, report);
         }
         let Some(replica) = self.replicas.get_mut(&request) else {
             return self.send(from, Message::Unknown { request });
         };
-        let term = replica.term;
-        if let Some(outcome) = replica
-            .record
-            .outcome
-            .clone()
-            .filter(|_| replica.record.digest == digest)
-        {
-            return self.send(
-                from,
-                Message::Finished {
-                    request,
-                    term,
-                    outcome,
-                },
-            );
-        }
-        if !replica.waiters.contains(from) && replica.waiters.len() < MAX_WAITERS {
+        let report = progress(&replica.record, replica.term, &replica.owner, digest);
+        let is_open = matches!(report, Message::Owned { .. });
+        let has_room = replica.waiters.len() < MAX_WAITERS;
+        if is_open && has_room && !replica.waiters.contains(from) {
             replica.waiters.push(from.clone());
         }
-        let by = replica.owner.clone();
-        self.send(
-            from,
-            Message::Owned {
-                request,
-                term,
-                by,
-                differs: false,
-            },
-        );
+        self.send(from, report);
     }
 
     /// A backup reports the final outcome.
@@ -165,41 +121,53 @@
         term: u32,
         outcome: Outcome,
     ) {
-        let reopens = outcome.reopens();
-        if let Some(replica) = self.replicas.get_mut(&request) {
-            // A rejection does not end a later term, whose request may be in flight. Our own candidacy is not, yet.
-            let ours =
-                replica.owner == self.me && replica.votes.is_some() && term >= replica.record.term;
-            if !reopens || term == replica.term || ours {
-                replica.record.outcome.get_or_insert(outcome.clone());
-                replica.votes = None;
-            }
-        }
+        self.finish_replica(request, term, &outcome);
+        let owned = self.owned.get(&request);
         // Finished already: a claim comes too late, and an owner only tells its backups.
-        let open = self
-            .owned
-            .get_mut(&request)
-            .filter(|owned| owned.record.outcome.is_none());
-        if let Some(owned) = open {
-            let claiming = owned.claim_until.is_some();
-            if reopens && term < owned.record.term {
-                return;
-            }
-            if reopens && claiming {
-                // The client's retry: in a later term than the rejected one.
-                owned.record.term = term.saturating_add(1);
-                owned.acks.clear();
-                owned.refused.clear();
-                return self.replicate(now, request);
-            }
-            if claiming {
-                self.owned.remove(&request);
-            } else {
-                self.finish(now, request, outcome.clone());
-            }
-            return self.effects.push_back(Effect::Finished(request, outcome));
+        let is_open = owned.is_some_and(|owned| owned.record.outcome.is_none());
+        if is_open {
+            self.finish_elsewhere(now, request, term, outcome);
+        } else {
+            self.finish_waiting(request, outcome);
+        }
+    }
+
+    /// Notes the outcome in the record kept here. A rejection does not end a later term, whose request may be in flight.
+    /// Our own candidacy is not, yet.
+    fn finish_replica(&mut self, request: RequestId, term: u32, outcome: &Outcome) {
+        let Some(replica) = self.replicas.get_mut(&request) else {
+            return;
+        };
+        let is_our_candidacy =
+            replica.owner == self.me && replica.candidacy.is_some() && term >= replica.record.term;
+        if !outcome.reopens() || term == replica.term || is_our_candidacy {
+            replica.record.outcome.get_or_insert(outcome.clone());
+            replica.candidacy = None;
+        }
+    }
+
+    /// Ends an open request here that another sidecar has finished. A claim that follows an allowed retry goes on in a
+    /// later term than the rejected one.
+    fn finish_elsewhere(&mut self, now: Nanos, request: RequestId, term: u32, outcome: Outcome) {
+        let Some(owned) = self.owned.get_mut(&request) else {
+            return;
+        };
+        let is_claim = owned.claim_until.is_some();
+        if outcome.reopens() && term < owned.record.term {
+            return;
         }
-        self.finish_waiting(request, outcome);
+        if outcome.reopens() && is_claim {
+            owned.record.term = term.saturating_add(1);
+            owned.acks.clear();
+            owned.refused.clear();
+            return self.replicate(now, request);
+        }
+        if is_claim {
+            self.owned.remove(&request);
+        } else {
+            self.finish(now, request, outcome.clone());
+        }
+        self.effects.push_back(Effect::Finished(request, outcome));
     }
 
     /// Passes the outcome to clients that wait for it here.
@@ -225,3 +193,21 @@
         }
     }
 }
+
+/// What a waiting sidecar is told: the outcome, if it is known and the request is the same, else the owner.
+fn progress(record: &Record, term: u32, owner: &MemberId, digest: u64) -> Message {
+    let request = record.request;
+    match record.outcome.clone().filter(|_| record.digest == digest) {
+        Some(outcome) => Message::Finished {
+            request,
+            term,
+            outcome,
+        },
+        None => Message::Owned {
+            request,
+            term,
+            by: owner.clone(),
+            differs: false,
+        },
+    }
+}
--- a/crates/takeover/tests/every_order.rs
+++ b/crates/takeover/tests/every_order.rs
@@ -7,7 +7,8 @@
 //! By hand, more faults: HAVENPLANK_FAULTS=3 cargo test --release -p havenplank-takeover --test every_order
 
 use havenplank_membership::member::MemberId;
-use havenplank_takeover::record::{AttemptState, Message, Outcome, RequestId};
+use havenplank_takeover::message::Message;
+use havenplank_takeover::record::{AttemptState, Outcome, RequestId};
 use havenplank_takeover::{Effect, IncomingRequest, Nanos, RequiredAcks, Rules, Takeover};
 use rayon::prelude::*;
 use std::collections::hash_map::DefaultHasher;
--- a/crates/takeover/tests/frames.rs
+++ b/crates/takeover/tests/frames.rs
@@ -4,7 +4,8 @@
 
 use common::{recorded_bytes, to_hex};
 use havenplank_membership::member::MemberId;
-use havenplank_takeover::record::{Attempt, AttemptState, Message, Outcome, Record};
+use havenplank_takeover::message::Message;
+use havenplank_takeover::record::{Attempt, AttemptState, Outcome, Record};
 
 const FRAMES: &str = include_str!("fixtures/frames.txt");
 const REQUEST: u128 = 0x0123_4567_89ab_cdef_0011_2233_4455_6677;
--- a/crates/takeover/tests/simulated.rs
+++ b/crates/takeover/tests/simulated.rs
@@ -2,8 +2,9 @@
 
 use havenplank_emulator::net::{Clock, Fate, Id, Nanos, Net, Part, Weather};
 use havenplank_membership::member::MemberId;
+use havenplank_takeover::message::Message;
 use havenplank_takeover::placement::{choose_backups, Candidate};
-use havenplank_takeover::record::{AttemptState, Message, Outcome, Record, RequestId};
+use havenplank_takeover::record::{AttemptState, Outcome, Record, RequestId};
 use havenplank_takeover::{Effect, IncomingRequest, RequiredAcks, Rules, TableSizes, Takeover};
 use oorandom::Rand64;
 use rayon::prelude::*;
@@ -198,7 +199,7 @@
                         false => RequiredAcks::Majority,
                     };
                     let incoming = IncomingRequest {
-                        request: request,
+                        request,
                         digest: sum,
                         payload: vec![1],
                         remaining: 6 * S,
