--- a/crates/capacity/tests/tables.rs
+++ b/crates/capacity/tests/tables.rs
@@ -6,8 +6,7 @@
 use havenplank_capacity::tables::{route_table, Driver};
 use havenplank_line_protocol::endpoint_list::{self, ListedEndpoint};
 use havenplank_settings::{load, Given};
-use havenplank_sidecar::engine::{Asked, Effect, Engine, EPOCH};
-use havenplank_sidecar::told::Terms;
+use havenplank_sidecar::engine::{Effect, Engine, EngineSettings, RequestAttributes, EPOCH};
 use oorandom::Rand64;
 
 const MS: Nanos = 1_000_000;
@@ -132,7 +131,10 @@
     let route = table
         .find("GET", &samples::route_path(4_499))
         .expect("the last route");
-    assert_eq!((route.name.as_str(), route.group()), ("route-4499", 4_499));
+    assert_eq!(
+        (route.name.as_str(), route.route_class()),
+        ("route-4499", 4_499)
+    );
     assert_eq!(
         table
             .tenant("tenant-149999")
@@ -175,12 +177,12 @@
             .zip(&mut effects)
         {
             call(engine, self.now);
-            effects.extend(std::iter::from_fn(|| engine.effect()));
+            effects.extend(std::iter::from_fn(|| engine.next_effect()));
         }
         assert_eq!(effects[0], effects[1], "at {} ms", (self.now - EPOCH) / MS);
         self.attempts += effects[0]
             .iter()
-            .filter(|effect| matches!(effect, Effect::Forward { .. }))
+            .filter(|effect| matches!(effect, Effect::SendAttempt { .. }))
             .count();
     }
 }
@@ -228,7 +230,7 @@
 fn changes_lead_to_the_same_decisions_as_whole_lists() {
     for seed in 0..6 {
         let site = samples::site(3, 3).expect("settings of a scale test");
-        let engine = || Engine::new(EPOCH, seed, &Terms::from(&site));
+        let engine = || Engine::new(EPOCH, seed, &EngineSettings::from(&site));
         let mut chance = Rand64::new(seed as u128);
         let mut pods: Vec<ListedEndpoint> =
             (0..60).map(|number| any_pod(number, &mut chance)).collect();
@@ -238,28 +240,31 @@
             now: EPOCH,
             attempts: 0,
         };
-        pair.compare(|engine, now| engine.begin(now));
-        pair.compare(|engine, now| drop(engine.list(now, true, pods.clone())));
+        pair.compare(|engine, now| engine.start(now));
+        pair.compare(|engine, now| drop(engine.update_endpoints(now, true, pods.clone())));
         for step in 0..1_500u64 {
             pair.now += 20 * MS;
-            pair.compare(|engine, now| engine.wake(now));
+            pair.compare(|engine, now| engine.run_timers(now));
             if step % 3 == 0 {
                 let change = change(&mut pods, step, &mut chance);
-                pair.compare(|engine, now| drop(engine.list(now, false, vec![change.clone()])));
+                pair.compare(|engine, now| {
+                    drop(engine.update_endpoints(now, false, vec![change.clone()]))
+                });
                 // Makes this one's sides anew.
-                pair.by_wholes.list(pair.now, true, pods.clone());
+                pair.by_wholes
+                    .update_endpoints(pair.now, true, pods.clone());
             }
             let (key, left) = (step + 1, S);
-            let asked = Asked {
-                group: 0,
+            let asked = RequestAttributes {
+                route_class: 0,
                 tenant: None,
                 key,
-                left,
+                remaining: left,
                 cost_hint: None,
-                repeat: false,
+                is_retry: false,
             };
             pair.compare(|engine, now| {
-                engine.hit(now, asked.clone());
+                engine.handle_request(now, asked.clone());
             });
             let end = if chance.rand_range(0..10) == 0 {
                 AttemptEnd::Failed
@@ -268,7 +273,7 @@
             };
             if let Some(hit) = step.checked_sub(5) {
                 pair.compare(|engine, now| {
-                    engine.ended(now, hit, 0, end, 100 * MS, None);
+                    engine.attempt_ended(now, hit, 0, end, 100 * MS, None);
                 });
             }
         }
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -200,16 +200,6 @@
     }
 }
 
-/// The word for a vote in the log. Recorded traces hold this line and a replay compares it, so it stays.
-fn logged_word(vote: Vote) -> &'static str {
-    match vote {
-        Vote::None => "None",
-        Vote::Advance => "On",
-        Vote::Hold => "Hold",
-        Vote::RollBack => "Back",
-    }
-}
-
 impl Voter {
     const ON_AFTER: Nanos = 3 * S;
     const ON_AFTER_THIN: Nanos = 6 * S;
@@ -705,7 +695,7 @@
         ) = (stage, self.sums());
         host.log(&format!(
             "vote {} build {build} stage {number} sums {sums:.2?}",
-            logged_word(voice)
+            recorded_word(voice)
         ));
         let then = move |router: &mut Router, host: &mut dyn Host, news: VoteReply| {
             router.voter.calling = false;
@@ -1217,3 +1207,14 @@
         drawn
     }
 }
+
+/// Returns the word for a vote in the log. Traces record the line and a replay compares it, so the words stay as the
+/// first recorded traces have them.
+fn recorded_word(vote: Vote) -> &'static str {
+    match vote {
+        Vote::None => "None",
+        Vote::Advance => "On",
+        Vote::Hold => "Hold",
+        Vote::RollBack => "Back",
+    }
+}
