--- a/crates/platform/src/attempt_outcome.rs
+++ b/crates/platform/src/attempt_outcome.rs
@@ -24,10 +24,10 @@
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT
     );
     let is_unprocessed = headers.get(UNPROCESSED).is_some_and(|value| value == "1");
-    match may_be_unprocessed && is_unprocessed {
-        true => AttemptEnd::Rejected,
-        false => AttemptEnd::Failed,
+    if may_be_unprocessed && is_unprocessed {
+        return AttemptEnd::Rejected;
     }
+    AttemptEnd::Failed
 }
 
 /// Returns how an attempt or health check ended that got no connection.
--- a/crates/platform/src/control_plane/messages.rs
+++ b/crates/platform/src/control_plane/messages.rs
@@ -1,11 +1,11 @@
 //! The JSON-RPC messages of the control plane: names and words of the wire are mapped here and nowhere else.
 
 use crate::fields::{self, parse_object, FieldError};
+use crate::units::NANOS_PER_MILLI;
 use havenplank::interface::{Build, Nanos, Phase, Stage, Vote, VoteReceipt, VoteReply};
 use havenplank_adapter::line::{Fields, Line};
 use serde_json::json;
 
-const NANOS_PER_MILLI: Nanos = 1_000_000;
 /// The id of the call that asks for notifications; votes count on from here.
 const FOLLOW_ID: u64 = 0;
 
@@ -160,10 +160,10 @@
 
     /// Reads the reply to the call that asks for notifications.
     pub(super) fn read_follow(&self) -> Result<(), ReplyError> {
-        match self.line.of().maybe_has("error") {
-            true => Err(ReplyError::FollowRefused),
-            false => Ok(()),
+        if self.line.of().maybe_has("error") {
+            return Err(ReplyError::FollowRefused);
         }
+        Ok(())
     }
 
     /// Reads the reply to a vote.
--- a/crates/platform/src/discovery/list_update.rs
+++ b/crates/platform/src/discovery/list_update.rs
@@ -1,14 +1,13 @@
 //! Decodes the endpoint list of discovery: the fields of the wire are mapped here and nowhere else.
 
 use crate::fields::{self, FieldError};
+use crate::units::NANOS_PER_MILLI;
 use crate::wall_clock::UnixTime;
 use havenplank::interface::{Build, Nanos, PodState};
 use havenplank_adapter::line::Fields;
 use havenplank_line_protocol::codec::MAX_ENDPOINTS;
 use havenplank_line_protocol::endpoint_list::ListedEndpoint;
 
-const NANOS_PER_MILLI: Nanos = 1_000_000;
-
 /// The complete list, or the entries that changed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListUpdate {
--- a/crates/platform/src/health_check.rs
+++ b/crates/platform/src/health_check.rs
@@ -48,9 +48,10 @@
         Ok(connection) => connection,
         Err(reason) => return end_without_connection(reason).into(),
     };
-    let path = match pods.has_load_reports() {
-        true => LOAD_PATH,
-        false => HEALTH_PATH,
+    let path = if pods.has_load_reports() {
+        LOAD_PATH
+    } else {
+        HEALTH_PATH
     };
     let request = format!("GET {path} HTTP/1.1\r\nHost: {address}\r\n\r\n");
     if connection.write(request.as_bytes()).await.is_err() {
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -48,6 +48,7 @@
 mod shell;
 mod state_log;
 mod transport;
+mod units;
 mod vote_queue;
 mod wall_clock;
 mod wire_headers;
--- a/crates/platform/src/request_handler.rs
+++ b/crates/platform/src/request_handler.rs
@@ -65,10 +65,10 @@
 }
 
 fn health(is_stopping: bool) -> Response<Body> {
-    match is_stopping {
-        false => plain(StatusCode::OK, "ready\n"),
-        true => and_close(plain(StatusCode::SERVICE_UNAVAILABLE, "stopping\n")),
+    if is_stopping {
+        return and_close(plain(StatusCode::SERVICE_UNAVAILABLE, "stopping\n"));
     }
+    plain(StatusCode::OK, "ready\n")
 }
 
 fn refuse(shell: &Shell, error: RequestError) -> Response<Body> {
@@ -104,9 +104,10 @@
     };
     let is_stopping = in_flight.shell.stopping.get();
     Handled {
-        response: match is_stopping {
-            true => and_close(response),
-            false => response,
+        response: if is_stopping {
+            and_close(response)
+        } else {
+            response
         },
         deadline: Some(deadline),
     }
--- a/crates/platform/src/request_reader.rs
+++ b/crates/platform/src/request_reader.rs
@@ -7,6 +7,7 @@
 use crate::prepared_request::PreparedRequest;
 use crate::request_error::RequestError;
 use crate::shell::Shell;
+use crate::units::NANOS_PER_MILLI;
 use crate::wire_headers::{
     CORRELATION_ID, COST_HINT, IDEMPOTENCY_KEY, KEY_COOKIE, REMAINING_TIME, RETRY, TENANT,
 };
@@ -25,7 +26,6 @@
 use std::time::Instant;
 use tokio::time::timeout_at;
 
-const NANOS_PER_MILLI: Nanos = 1_000_000;
 /// Nine digits of milliseconds are some days.
 const MAX_REMAINING_TIME_DIGITS: usize = 9;
 
--- a/crates/platform/src/transport.rs
+++ b/crates/platform/src/transport.rs
@@ -5,6 +5,7 @@
 use crate::health_check;
 use crate::prepared_request::PreparedRequest;
 use crate::shell::{Body, Platform, Shell};
+use crate::units::{NANOS_PER_MILLI, NANOS_PER_SECOND};
 use havenplank::interface::{Build, Nanos, PodId, Vote};
 use havenplank_sidecar::dispatcher::{AttemptId, Transport};
 use havenplank_sidecar::responses;
@@ -14,9 +15,6 @@
 use std::rc::Rc;
 use tokio::task::spawn_local;
 
-const NANOS_PER_SECOND: Nanos = 1_000_000_000;
-const NANOS_PER_MILLI: Nanos = 1_000_000;
-
 impl Transport for Platform {
     type Request = PreparedRequest;
     type Response = Response<Body>;
--- /dev/null
+++ b/crates/platform/src/units.rs
@@ -0,0 +1,6 @@
+//! Units of time on the wire, in the engine's nanoseconds.
+
+use havenplank::interface::Nanos;
+
+pub(crate) const NANOS_PER_MILLI: Nanos = 1_000_000;
+pub(crate) const NANOS_PER_SECOND: Nanos = 1_000_000_000;
--- a/crates/platform/tests/idle_timeout.rs
+++ b/crates/platform/tests/idle_timeout.rs
@@ -7,10 +7,10 @@
 
 /// Every `nth` request breaks.
 fn breaks_every(nth: u32, request: u32) -> Reuse {
-    match request.is_multiple_of(nth) {
-        true => Reuse::Broken,
-        false => Reuse::Answered,
+    if request.is_multiple_of(nth) {
+        return Reuse::Broken;
     }
+    Reuse::Answered
 }
 
 #[test]
