--- a/crates/configuration-simulation/src/fleet.rs
+++ b/crates/configuration-simulation/src/fleet.rs
@@ -10,7 +10,7 @@
 use havenplank_configuration::snapshot::Snapshot;
 use havenplank_configuration::version::Version;
 use havenplank_emulator::net::{Clock, Id, Net, Weather};
-use havenplank_membership::wire::Life;
+use havenplank_membership::member::MemberId;
 use std::collections::BTreeMap;
 
 /// Nanoseconds of a millisecond.
@@ -199,9 +199,9 @@
     /// Returns a process as its peers know it, in its present incarnation.
     pub fn peer(&self, id: Id) -> Peer {
         Peer {
-            life: Life {
+            life: MemberId {
                 name: name(id),
-                life: self.lives[&id],
+                incarnation: self.lives[&id],
             },
             zone: zone(id),
         }
--- a/crates/configuration/src/replication/gossip.rs
+++ b/crates/configuration/src/replication/gossip.rs
@@ -6,7 +6,7 @@
 use crate::delta::Delta;
 use crate::error::ApplyError;
 use crate::message::{Claim, Message, DATAGRAM_BYTES, MAX_DELTAS, MAX_MESSAGE_BYTES};
-use havenplank_membership::wire::Life;
+use havenplank_membership::member::MemberId;
 use std::sync::Arc;
 
 /// What a message with deltas has around each of them, at most.
@@ -16,7 +16,7 @@
 
 /// A pull that waits for its answer.
 pub(super) struct PendingPull {
-    peer: Life,
+    peer: MemberId,
     until: Nanos,
 }
 
@@ -30,7 +30,7 @@
         let encoded = delta
             .map(Delta::encode)
             .filter(|bytes| bytes.len() + DELTAS_OVERHEAD <= DATAGRAM_BYTES);
-        let mut told: Vec<Life> = Vec::with_capacity(
+        let mut told: Vec<MemberId> = Vec::with_capacity(
             self.settings.same_region_fan_out + self.settings.other_region_fan_out,
         );
         for (reach, count) in [
@@ -79,7 +79,7 @@
     }
 
     /// Asks one peer what it has, unless an answer is awaited.
-    pub(super) fn ask(&mut self, now: Nanos, peer: &Life) {
+    pub(super) fn ask(&mut self, now: Nanos, peer: &MemberId) {
         if self
             .pending_pull
             .as_ref()
@@ -107,7 +107,7 @@
     }
 
     /// Ends the wait for an answer, where this peer was asked.
-    pub(super) fn take_answer_from(&mut self, from: &Life) -> bool {
+    pub(super) fn take_answer_from(&mut self, from: &MemberId) -> bool {
         self.pending_pull
             .take_if(|pending_pull| pending_pull.peer == *from)
             .is_some()
@@ -122,7 +122,7 @@
     }
 
     /// Takes note of what another holds.
-    pub(super) fn observe_claim(&mut self, now: Nanos, from: &Life, claim: Claim) {
+    pub(super) fn observe_claim(&mut self, now: Nanos, from: &MemberId, claim: Claim) {
         let contradiction = self.verified.contradiction(claim);
         if let Some(verified) = contradiction {
             self.counts.conflicts += 1;
@@ -162,7 +162,7 @@
     pub(super) fn handle_announce(
         &mut self,
         now: Nanos,
-        from: &Life,
+        from: &MemberId,
         claim: Claim,
         delta: Option<Vec<u8>>,
     ) {
@@ -185,7 +185,7 @@
     }
 
     /// Tells a writer, or whoever repeats it, that a higher epoch is in force.
-    pub(super) fn refuse_lower_epoch(&mut self, to: &Life, claim: Claim) -> bool {
+    pub(super) fn refuse_lower_epoch(&mut self, to: &MemberId, claim: Claim) -> bool {
         let lower = claim.version.epoch < self.verified.version().epoch;
         if lower {
             self.counts.lower_epochs += 1;
@@ -198,7 +198,7 @@
     }
 
     /// The deltas that led on, this one and early ones that follow it.
-    fn take_delta(&mut self, now: Nanos, from: &Life, delta: Delta) -> Vec<Arc<Delta>> {
+    fn take_delta(&mut self, now: Nanos, from: &MemberId, delta: Delta) -> Vec<Arc<Delta>> {
         match self.verified.take(delta) {
             DeltaOutcome::Applied(deltas) => {
                 self.handle_newer_head(now);
@@ -228,7 +228,7 @@
     pub(super) fn handle_pull(
         &mut self,
         now: Nanos,
-        from: &Life,
+        from: &MemberId,
         claim: Claim,
         max_answer_bytes: u32,
         whole: bool,
@@ -248,7 +248,14 @@
     }
 
     /// Gives what leads on from there: deltas as far as there is room, else the manifest.
-    fn serve(&mut self, now: Nanos, to: &Life, claim: Claim, max_answer_bytes: u32, whole: bool) {
+    fn serve(
+        &mut self,
+        now: Nanos,
+        to: &MemberId,
+        claim: Claim,
+        max_answer_bytes: u32,
+        whole: bool,
+    ) {
         let chain = if whole {
             None
         } else {
@@ -268,7 +275,7 @@
     }
 
     /// Sends something long within the budget for others.
-    pub(super) fn send_served(&mut self, now: Nanos, to: &Life, message: Message) {
+    pub(super) fn send_served(&mut self, now: Nanos, to: &MemberId, message: Message) {
         let bytes = match &message {
             Message::Deltas { deltas, .. } => deltas.iter().map(Vec::len).sum(),
             Message::Chunk(chunk) => chunk.body.len(),
@@ -279,7 +286,7 @@
         self.send(to, message);
     }
 
-    pub(super) fn handle_current(&mut self, now: Nanos, from: &Life, claim: Claim) {
+    pub(super) fn handle_current(&mut self, now: Nanos, from: &MemberId, claim: Claim) {
         self.observe_claim(now, from, claim);
         let answered = self.take_answer_from(from);
         if claim.version <= self.verified.version() || self.transfer.is_some() {
@@ -296,7 +303,7 @@
     pub(super) fn handle_deltas(
         &mut self,
         now: Nanos,
-        from: &Life,
+        from: &MemberId,
         claim: Claim,
         deltas: &[Vec<u8>],
         bytes: usize,
@@ -318,7 +325,12 @@
     }
 
     /// Applies deltas in order, as far as they lead on. The last one that did.
-    fn take_deltas(&mut self, now: Nanos, from: &Life, deltas: &[Vec<u8>]) -> Option<Arc<Delta>> {
+    fn take_deltas(
+        &mut self,
+        now: Nanos,
+        from: &MemberId,
+        deltas: &[Vec<u8>],
+    ) -> Option<Arc<Delta>> {
         let mut last = None;
         for encoded in deltas {
             let Ok(delta) = Delta::decode(encoded) else {
@@ -337,7 +349,7 @@
         last
     }
 
-    pub(super) fn handle_superseded(&mut self, now: Nanos, from: &Life, by: Claim) {
+    pub(super) fn handle_superseded(&mut self, now: Nanos, from: &MemberId, by: Claim) {
         self.observe_claim(now, from, by);
         if by.version > self.verified.version() {
             self.ask(now, from);
--- a/crates/configuration/src/replication/mod.rs
+++ b/crates/configuration/src/replication/mod.rs
@@ -55,7 +55,7 @@
 use crate::message::{Claim, Message};
 use crate::snapshot::Snapshot;
 use crate::version::Version;
-use havenplank_membership::wire::Life;
+use havenplank_membership::member::MemberId;
 use oorandom::Rand64;
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -94,7 +94,7 @@
     /// Sends a message to a peer; it may be lost.
     Send {
         /// The peer.
-        to: Life,
+        to: MemberId,
         /// What it is told.
         message: Message,
     },
@@ -117,7 +117,7 @@
         /// The digest that the other one claims.
         other: Digest,
         /// The other process.
-        from: Life,
+        from: MemberId,
     },
     /// This writer has been replaced and publishes no more.
     Superseded {
@@ -143,7 +143,7 @@
         /// The version that is fetched.
         version: Version,
         /// The source that is given up.
-        from: Life,
+        from: MemberId,
     },
     /// No source gave the whole snapshot; the next pull may begin another transfer.
     TransferFailed {
@@ -334,7 +334,7 @@
     }
 
     /// Takes in a message. `bytes` is its encoded length.
-    pub fn handle_message(&mut self, now: Nanos, from: &Life, message: Message, bytes: usize) {
+    pub fn handle_message(&mut self, now: Nanos, from: &MemberId, message: Message, bytes: usize) {
         self.heard_at = Some(now);
         match message {
             Message::Announce { claim, delta } => self.handle_announce(now, from, claim, delta),
@@ -364,7 +364,7 @@
         self.counts.unreadable += 1;
     }
 
-    fn send(&mut self, to: &Life, message: Message) {
+    fn send(&mut self, to: &MemberId, message: Message) {
         self.effects.push_back(Effect::Send {
             to: to.clone(),
             message,
--- /dev/null
+++ b/crates/membership/src/frame.rs
@@ -0,0 +1,120 @@
+//! The frames that carry messages: a version, an envelope in `postcard`, and a `blake3` tag keyed with the group's key.
+//!
+//! A frame that is forged, cut, repeated, too long or meant for another incarnation changes nothing and is counted by
+//! its [`Rejection`].
+
+use crate::keys::Key;
+use crate::member::{MemberId, MAX_NAME_BYTES};
+use crate::rejection::Rejection;
+use serde::{Deserialize, Serialize};
+
+/// The first byte of a datagram. Frames of another version are counted and skipped, so that both can run side by side.
+pub const VERSION: u8 = 1;
+/// The longest datagram sent and read, in bytes: below what an Ethernet frame carries after IP and UDP.
+pub const MAX_DATAGRAM_BYTES: usize = 1_200;
+/// The longest frame on a stream, in bytes.
+pub const MAX_STREAM_BYTES: usize = 1 << 20;
+/// In the first byte, marks a frame on a stream.
+const STREAM_FLAG: u8 = 0x80;
+const VERSION_BYTES: usize = 1;
+/// The authentication tag at the end: the first half of a `blake3` hash.
+const TAG_BYTES: usize = 16;
+/// What `postcard` needs for the integers of an envelope, at most: incarnations, sequence number, kind and lengths.
+const MAX_INTEGER_BYTES: usize = 7 * 10;
+
+/// How a frame travels. It is part of what is authenticated, so that neither can be replayed as the other.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Channel {
+    /// As one UDP datagram.
+    Datagram,
+    /// As one frame on a TCP stream.
+    Stream,
+}
+
+impl Channel {
+    fn first_byte(self) -> u8 {
+        match self {
+            Channel::Datagram => VERSION,
+            Channel::Stream => VERSION | STREAM_FLAG,
+        }
+    }
+
+    /// Returns the longest frame, in bytes.
+    pub fn max_bytes(self) -> usize {
+        match self {
+            Channel::Datagram => MAX_DATAGRAM_BYTES,
+            Channel::Stream => MAX_STREAM_BYTES,
+        }
+    }
+}
+
+/// A message with its sender and receiver. The order of the fields is part of the protocol.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+pub struct Envelope {
+    /// Who sends it.
+    pub from: MemberId,
+    /// Who is to read it; a name of no letters where the sender knows an address only.
+    pub to: MemberId,
+    /// Grows by one with each frame of an incarnation and channel, from 1, so that a repeat can be told.
+    pub sequence: u64,
+    /// Which package's message it is.
+    pub kind: u8,
+    /// The encoded message.
+    pub body: Vec<u8>,
+}
+
+/// Returns how many bytes of body fit into a datagram between these two.
+pub fn max_body_bytes(from: &MemberId, to: &MemberId) -> usize {
+    let names = from.name.len() + to.name.len();
+    MAX_DATAGRAM_BYTES.saturating_sub(VERSION_BYTES + TAG_BYTES + names + MAX_INTEGER_BYTES)
+}
+
+/// Encodes and authenticates an envelope. Returns `None` if it is too long for this channel.
+pub fn seal(key: &Key, envelope: &Envelope, channel: Channel) -> Option<Vec<u8>> {
+    let mut bytes = vec![channel.first_byte()];
+    bytes.extend(postcard::to_stdvec(envelope).ok()?);
+    let tag = key.tag(&bytes);
+    bytes.extend_from_slice(&tag.as_bytes()[..TAG_BYTES]);
+    (bytes.len() <= channel.max_bytes()).then_some(bytes)
+}
+
+/// Checks and decodes a frame. Any of the keys may have sealed it.
+///
+/// # Errors
+/// Why the frame says nothing to this member.
+pub fn open(keys: &[Key], bytes: &[u8], channel: Channel) -> Result<Envelope, Rejection> {
+    if bytes.len() > channel.max_bytes() {
+        return Err(Rejection::TooLong);
+    }
+    let (content, tag) = split_tag(bytes).ok_or(Rejection::TooShort)?;
+    if content[0] != channel.first_byte() {
+        return Err(Rejection::OtherVersion);
+    }
+    if !keys.iter().any(|key| is_authentic(key, content, tag)) {
+        return Err(Rejection::BadTag);
+    }
+    let envelope: Envelope =
+        postcard::from_bytes(&content[VERSION_BYTES..]).map_err(|_| Rejection::Unreadable)?;
+    let has_valid_names = !envelope.from.name.is_empty()
+        && envelope.from.name.len() <= MAX_NAME_BYTES
+        && envelope.to.name.len() <= MAX_NAME_BYTES;
+    has_valid_names
+        .then_some(envelope)
+        .ok_or(Rejection::Unreadable)
+}
+
+/// Parts the tag from what it authenticates, which is the version and at least one byte.
+fn split_tag(bytes: &[u8]) -> Option<(&[u8], &[u8])> {
+    let content_bytes = bytes.len().checked_sub(TAG_BYTES)?;
+    (content_bytes > VERSION_BYTES).then(|| bytes.split_at(content_bytes))
+}
+
+/// Whether the tag is the key's. It takes the same time wherever the two differ.
+fn is_authentic(key: &Key, content: &[u8], tag: &[u8]) -> bool {
+    let expected = key.tag(content);
+    let differing_bits = expected.as_bytes()[..TAG_BYTES]
+        .iter()
+        .zip(tag)
+        .fold(0, |bits, (one, other)| bits | (one ^ other));
+    differing_bits == 0
+}
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,22 +1,39 @@
-//! Who is there: which other sidecars live, known to each within seconds and at a flat cost.
+//! Which other sidecars are there: known to each within seconds and at a cost that does not grow with the fleet.
 //!
-//! [`standing`] says what a sidecar may believe of its own place: who belongs, how many of them it reaches.
-//! [`views`] keeps that up to date and tells one peer of it each period.
-//! [`swim`] decides: free of I/O, with time and chance handed in. [`wire`] turns what it says into keyed datagrams
-//! and back. [`node`] is both together, as the simulated network of the tests drives it; [`shell`] gives it one UDP
-//! socket. Other packages send their own kinds of message through the same socket, key and codec.
+//! Decisions are free of I/O; the time and random seeds are arguments. [`swim`] decides which members are alive.
+//! [`quorum`] says what a sidecar may believe of its own place: who votes, and how many of those it reaches;
+//! [`view_exchange`] keeps that up to date.
+//!
+//! [`member`] holds what is known of a member. [`message`] has the messages of the membership, and [`frame`] turns
+//! envelopes into authenticated bytes and back. [`node`] is membership and frames together, as the simulated network of
+//! the tests drives it; [`transport`] gives it sockets. Other packages send their own kinds of message through the same
+//! sockets, keys and frames.
+
+#![warn(missing_docs)]
+#![warn(
+    clippy::too_many_lines,
+    clippy::too_many_arguments,
+    clippy::cognitive_complexity,
+    clippy::missing_errors_doc,
+    clippy::wildcard_imports,
+    clippy::type_complexity
+)]
 
+pub mod event;
 mod follow_ups;
-mod gossip;
-pub mod news;
+pub mod frame;
+mod inbox;
+pub mod keys;
+pub mod member;
+pub mod message;
 pub mod node;
-pub mod peers;
-mod roster;
-pub mod shell;
-pub mod standing;
+pub mod port_pair;
+pub mod quorum;
+pub mod rejection;
+pub mod replay;
 pub mod swim;
-pub mod views;
-pub mod wire;
+pub mod transport;
+pub mod view_exchange;
 
 /// Whole nanoseconds on this process's own monotonic clock, or a span.
 pub type Nanos = u64;
--- /dev/null
+++ b/crates/membership/src/view_exchange.rs
@@ -0,0 +1,122 @@
+//! Keeps a sidecar's quorum state up to date: takes in changes of the membership and peers' views, and tells one peer its
+//! own view each period, and one more out of turn where a follow-up is due. No I/O; the sidecar's transport and the
+//! simulated network drive the same code.
+
+use crate::event::MemberEvent;
+use crate::follow_ups::FollowUps;
+use crate::member::MemberId;
+use crate::node::Node;
+pub use crate::quorum::Change;
+use crate::quorum::{Quorum, Rules, View};
+use crate::swim::Changes;
+use crate::Nanos;
+
+/// The kind of message in which views are told.
+pub const VIEW_KIND: u8 = 3;
+/// Periods between two looks at all members; in between, only those that changed are looked at.
+const RESYNC_PERIODS: u64 = 120;
+
+/// A [`Quorum`] together with the exchange of views.
+pub struct ViewExchange {
+    quorum: Quorum,
+    periods: u64,
+    /// Who was told our view last. It goes round by name, beginning behind our own, so that sidecars that started together
+    /// do not all tell the same one.
+    last_told: String,
+    follow_ups: FollowUps,
+}
+
+impl ViewExchange {
+    /// Begins with a quorum of one.
+    pub fn new(now: Nanos, me: MemberId, rules: Rules) -> ViewExchange {
+        let last_told = me.name.clone();
+        ViewExchange {
+            quorum: Quorum::new(now, me, rules),
+            periods: 0,
+            last_told,
+            follow_ups: FollowUps::default(),
+        }
+    }
+
+    /// Returns the quorum.
+    pub fn quorum(&self) -> &Quorum {
+        &self.quorum
+    }
+
+    /// Takes in a change of the membership.
+    pub fn observe(&mut self, now: Nanos, event: &MemberEvent) {
+        match event {
+            MemberEvent::Left(id) => self.quorum.left(now, id),
+            MemberEvent::IncarnationRaised(id) => self.quorum.set_own_id(id),
+            _ => {}
+        }
+    }
+
+    /// Takes in a peer's view.
+    ///
+    /// # Errors
+    /// A body that is no view; it changes nothing.
+    pub fn receive(
+        &mut self,
+        now: Nanos,
+        from: &MemberId,
+        body: &[u8],
+    ) -> Result<(), postcard::Error> {
+        let view: View = postcard::from_bytes(body)?;
+        if let Some(due) = self.quorum.receive_view(now, from, view) {
+            self.follow_ups.plan(from, due);
+        }
+        Ok(())
+    }
+
+    /// Does what is due once a period: learns who is alive, judges the quorum state anew and tells one peer our view, and
+    /// one more whose follow-up is due. Returns a change of the state.
+    pub fn tick(&mut self, now: Nanos, node: &mut Node) -> Option<Change> {
+        self.learn_who_is_alive(now, node);
+        let change = self.quorum.update(now);
+        self.tell_next(now, node);
+        self.tell_follow_up(now, node);
+        change
+    }
+
+    fn tell_next(&mut self, now: Nanos, node: &mut Node) {
+        let next = node.membership().alive_after(&self.last_told);
+        if let Some(to) = next.map(|member| member.id.clone()) {
+            self.tell(now, node, &to);
+            self.last_told = to.name;
+        }
+    }
+
+    fn tell_follow_up(&mut self, now: Nanos, node: &mut Node) {
+        let due = self.follow_ups.take_due(now);
+        if let Some(to) = due.filter(|to| node.membership().is_alive(to)) {
+            self.tell(now, node, &to);
+        }
+    }
+
+    fn tell(&mut self, now: Nanos, node: &mut Node, to: &MemberId) {
+        if let Ok(body) = postcard::to_stdvec(&self.quorum.view_for(now, to)) {
+            node.send(to, VIEW_KIND, body);
+        }
+    }
+
+    fn learn_who_is_alive(&mut self, now: Nanos, node: &mut Node) {
+        let changes = node.take_changes();
+        self.periods += 1;
+        let members = node.membership();
+        match changes {
+            Changes::Names(names) if !self.periods.is_multiple_of(RESYNC_PERIODS) => {
+                let alive_id = |name: &String| {
+                    let known = members.get(name).map(|member| &member.id);
+                    known.filter(|id| members.is_alive(id))
+                };
+                let changed = names.iter().map(|name| (name.as_str(), alive_id(name)));
+                self.quorum.update_alive(now, changed);
+            }
+            Changes::Names(_) | Changes::All => {
+                let alive = members.alive().map(|member| &member.id);
+                self.quorum.set_alive(now, alive);
+            }
+        }
+    }
+}
--- a/crates/platform/src/attempt.rs
+++ b/crates/platform/src/attempt.rs
@@ -10,8 +10,8 @@
 use crate::prepared_request::PreparedRequest;
 use crate::shell::{Body, Shell};
 use crate::wire_headers::LOAD_REPORT;
-use havenplank::interface::{AttemptEnd, Nanos, PodId, RequestId};
-use havenplank_sidecar::dispatcher::AttemptResult;
+use havenplank::interface::{AttemptEnd, Nanos, PodId};
+use havenplank_sidecar::dispatcher::{AttemptId, AttemptResult};
 use havenplank_sidecar::headers::strip_hop_by_hop;
 use http_body_util::Full;
 use hyper::header::CONTENT_LENGTH;
@@ -27,8 +27,7 @@
 struct Attempt {
     shell: Rc<Shell>,
     request: Rc<PreparedRequest>,
-    request_id: RequestId,
-    number: u32,
+    id: AttemptId,
     pod: PodId,
     timeout: Duration,
     /// Set once the last byte is written: before that the pod cannot have begun.
@@ -39,27 +38,21 @@
 pub(crate) async fn send(
     shell: Rc<Shell>,
     request: Rc<PreparedRequest>,
-    (request_id, number): (RequestId, u32),
+    id: AttemptId,
     pod: PodId,
     timeout: Nanos,
 ) {
     let attempt = Attempt {
         shell,
         request,
-        request_id,
-        number,
+        id,
         pod,
         timeout: Duration::from_nanos(timeout),
         written: Cell::new(false),
     };
     attempt
         .shell
-        .run_attempt(
-            (request_id, number),
-            attempt.timeout,
-            &attempt.written,
-            attempt.exchange(),
-        )
+        .run_attempt(id, attempt.timeout, &attempt.written, attempt.exchange())
         .await;
 }
 
@@ -97,7 +90,7 @@
                 .await
                 .map_err(end_without_connection)?;
             // It was chosen before it had a connection: the pod may drain by now, or its build be closed.
-            if !self.shell.may_send(self.request_id, self.number) {
+            if !self.shell.may_send(self.id) {
                 pool.give_back(address, connection);
                 return Err(AttemptEnd::NotSent);
             }
@@ -141,8 +134,8 @@
     fn log_unusable(&self, connection: &PodConnection, error: ResponseError) {
         let idle_us = connection.idle_before.map(|idle| idle.as_micros() as u64);
         tracing::debug!(
-            request = self.request_id,
-            attempt = self.number,
+            request = self.id.request,
+            attempt = self.id.number,
             pod = self.pod,
             idle_us,
             reason = %error,
--- a/crates/platform/src/attempt_outcome.rs
+++ b/crates/platform/src/attempt_outcome.rs
@@ -1,6 +1,7 @@
 //! Decides what a pod's response, or the lack of one, means for an attempt and for its connection.
 //!
-//! The table is the protocol's, "what comes back". Tests: `tests/traps.rs`, `each_answer_of_a_pod_is_told_rightly`, and
+//! The table is the protocol's, "what comes back". Tests: `tests/unit/attempt_outcome.rs`; over sockets `tests/traps.rs`,
+//! `each_response_of_a_pod_has_its_outcome`, and
 //! `tests/crossings.rs`, `a_kept_connection_reset_under_a_request_counts_as_may_have_run`.
 
 use crate::idle_timeout::Reuse;
@@ -23,10 +24,10 @@
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT
     );
     let is_unprocessed = headers.get(UNPROCESSED).is_some_and(|value| value == "1");
-    match may_be_unprocessed && is_unprocessed {
-        true => AttemptEnd::Rejected,
-        false => AttemptEnd::Failed,
+    if may_be_unprocessed && is_unprocessed {
+        return AttemptEnd::Rejected;
     }
+    AttemptEnd::Failed
 }
 
 /// Returns how an attempt or health check ended that got no connection.
@@ -70,3 +71,7 @@
         None => WriteFailure::GiveUp,
     }
 }
+
+#[cfg(test)]
+#[path = "../tests/unit/attempt_outcome.rs"]
+mod tests;
--- a/crates/platform/src/control_plane/session.rs
+++ b/crates/platform/src/control_plane/session.rs
@@ -1,7 +1,7 @@
 //! One connection to the control plane: calls written, their replies in order, and notifications between them.
 
 use super::messages::{self, Call, Fault, Message, Reply, ReplyError};
-use super::report_reply;
+use super::vote_reply::report_reply;
 use crate::fields::FieldError;
 use crate::limits::{
     CONTROL_PLANE_SILENCE, CONTROL_PLANE_WRITE_TIMEOUT, MAX_CONTROL_PLANE_LINE_BYTES,
@@ -47,7 +47,7 @@
     Closed,
 }
 
-/// What was asked on a connection and not answered, in order.
+/// Calls written on a connection and not answered, in order.
 struct Session {
     shell: Rc<Shell>,
     /// Bounded by the votes that the router has out and the call that asks for notifications.
--- a/crates/platform/src/request_handler.rs
+++ b/crates/platform/src/request_handler.rs
@@ -65,10 +65,10 @@
 }
 
 fn health(is_stopping: bool) -> Response<Body> {
-    match is_stopping {
-        false => plain(StatusCode::OK, "ready\n"),
-        true => and_close(plain(StatusCode::SERVICE_UNAVAILABLE, "stopping\n")),
+    if is_stopping {
+        return and_close(plain(StatusCode::SERVICE_UNAVAILABLE, "stopping\n"));
     }
+    plain(StatusCode::OK, "ready\n")
 }
 
 fn refuse(shell: &Shell, error: RequestError) -> Response<Body> {
@@ -97,16 +97,17 @@
     let in_flight = InFlight { shell, request };
     id.set_request(request);
     let response = tokio::select! {
-        // An engine that stops with a request in flight is a fault; the client is told that nothing is promised.
+        // An engine that stops with a request in flight is a fault; the response promises nothing.
         response = response => response.unwrap_or_else(|_| failed(false)),
         // HTTP looks for its close only while no other bytes lie in front of that. Nobody reads this response.
         () = client.stream.closed() => and_close(failed(false)),
     };
     let is_stopping = in_flight.shell.stopping.get();
     Handled {
-        response: match is_stopping {
-            true => and_close(response),
-            false => response,
+        response: if is_stopping {
+            and_close(response)
+        } else {
+            response
         },
         deadline: Some(deadline),
     }
--- a/crates/sidecar/src/engine/mod.rs
+++ b/crates/sidecar/src/engine/mod.rs
@@ -22,8 +22,8 @@
 use crate::events::{Event, Observer};
 use crate::pod_registry::PodRegistry;
 use crate::route_slots::{Slot, SlotCounts, Slots};
-use havenplank::interface::{Nanos, PriorAttempt, RouteClass, RouteClassId, Stage};
-use havenplank::logic::Router;
+use havenplank::interface::{Nanos, PriorAttempt, RouteClass, RouteClassId, RouterSettings, Stage};
+use havenplank::Router;
 use host::EngineHost;
 
 /// Where the clock of an engine begins, in ns: ages of pods and stages are taken off it, and on a clock that begins
@@ -54,13 +54,15 @@
         let router = Router::new(
             now,
             seed,
-            settings.position.clone(),
-            route_classes.map(|(_, rules)| *rules).collect(),
-            settings.attempts.clone(),
-            settings.pods.clone(),
-            settings.exposure.clone(),
-            settings.votes.clone(),
-            settings.endpoint_list.clone(),
+            RouterSettings {
+                position: settings.position.clone(),
+                route_classes: route_classes.map(|(_, rules)| *rules).collect(),
+                attempts: settings.attempts.clone(),
+                pods: settings.pods.clone(),
+                exposure: settings.exposure.clone(),
+                votes: settings.votes.clone(),
+                endpoint_list: settings.endpoint_list.clone(),
+            },
         );
         Engine {
             router,
--- a/crates/sidecar/src/membership.rs
+++ b/crates/sidecar/src/membership.rs
@@ -1,12 +1,13 @@
-//! Where a sidecar hears the others: the fellowship's sockets and keys, who here reads which kind of message, and what
-//! it may believe of its own place.
+//! Where a sidecar hears the others: the membership's sockets and keys, who here reads which kind of message, and
+//! whether it may believe that it sees enough of them.
 
-use havenplank_membership::node::{Happened, Node};
-use havenplank_membership::shell::{log, new_life, read_keys, KeysError, Talker};
-use havenplank_membership::standing::{Dispute, Rules as Belonging, Standing};
-use havenplank_membership::swim::{News, Rules, State};
-use havenplank_membership::views::{Change, Views, VIEWS};
-use havenplank_membership::wire::Life;
+use havenplank_membership::keys::{read_keys, KeyFileError};
+use havenplank_membership::member::{Member, MemberId, MemberState};
+use havenplank_membership::node::{Node, NodeEvent};
+use havenplank_membership::quorum::{Dispute, QuorumState, Rules as QuorumRules};
+use havenplank_membership::swim::Rules;
+use havenplank_membership::transport::{log_event, new_incarnation, Transport};
+use havenplank_membership::view_exchange::{Change, ViewExchange, VIEW_KIND};
 use havenplank_settings::MembershipSettings as Settings;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -18,58 +19,77 @@
 use tokio::task::spawn_local;
 use tokio::time::{interval, MissedTickBehavior};
 
-/// Names of each sort that an operator is shown, at most; `Glance::reached` is whole.
-const SHOWN: usize = 32;
+/// Names of each sort that an operator is shown, at most; [`MembershipStatus::reached`] counts all.
+const SHOWN_NAMES: usize = 32;
+/// How much of a period a member has to answer a ping: 3 of 10 parts.
+const ANSWER_PARTS: (u64, u64) = (3, 10);
 
-/// Why a sidecar has no fellowship.
+/// Why a sidecar has no membership.
 #[derive(Debug, thiserror::Error)]
-pub enum FellowshipError {
+pub enum MembershipError {
+    /// The key file gives no keys.
     #[error("fellowship.keys: {0}")]
-    Keys(#[from] KeysError),
-    #[error("fellowship.listen {at}: {error}; expected an address of this machine whose port is free for UDP and TCP")]
+    Keys(#[from] KeyFileError),
+    /// The address cannot be bound.
+    #[error("fellowship.listen {at}: {source}; expected an address of this machine whose port is free for UDP and TCP")]
     Listen {
+        /// The address that was asked for.
         at: SocketAddr,
-        error: std::io::Error,
+        /// Why not.
+        source: std::io::Error,
     },
 }
 
 /// Reads the messages of one kind.
-type Ear = Rc<dyn Fn(&Life, &[u8])>;
+type MessageHandler = Rc<dyn Fn(&MemberId, &[u8])>;
 
-pub struct Fellowship {
-    talker: Rc<Talker>,
-    me: Life,
-    /// By kind of message. One row a part of the program that talks, set at the start.
-    ears: RefCell<BTreeMap<u8, Ear>>,
-    views: RefCell<Views>,
-    /// Views are told to one fellow after the other, once a period.
+/// This sidecar among the others.
+pub struct Membership {
+    transport: Rc<Transport>,
+    me: MemberId,
+    /// By kind of message. One entry a part of the program that talks, set at the start.
+    handlers: RefCell<BTreeMap<u8, MessageHandler>>,
+    views: RefCell<ViewExchange>,
+    /// Views are sent to one member after the other, once a period.
     period: Duration,
 }
 
 /// What an operator may look at.
 #[derive(Clone, Debug, Default)]
-pub struct Glance {
+pub struct MembershipStatus {
+    /// Names of the others that live, as far as known here.
     pub living: Vec<String>,
+    /// How far this sidecar's own slowness stretches its time-outs.
     pub slowness: u32,
-    pub standing: Option<Standing>,
+    /// Its quorum state.
+    pub standing: Option<QuorumState>,
     /// For how long that has held, in ns.
     pub stands_for: u64,
+    /// How many members there should be.
     pub belong: usize,
     /// Of those who belong, itself counted.
     pub reached: usize,
+    /// Names of those who are not reached.
     pub missing: Vec<String>,
+    /// Names of those who do not hear this one.
     pub deaf_to_us: Vec<String>,
+    /// Names of those who came and went of late.
     pub unsteady: Vec<String>,
+    /// With whom it does not agree on who is there.
     pub disputes: Vec<Dispute>,
+    /// Messages sent since the start.
     pub sent: u64,
+    /// Bytes of those.
     pub sent_bytes: u64,
-    /// Letters refused for what they are, and messages lost for want of room here, on either side.
+    /// Frames refused for what they are since the start.
     pub refused: u64,
+    /// Messages lost for want of room to receive since the start.
     pub overrun: u64,
+    /// Messages lost for want of room to send since the start.
     pub unsent: u64,
 }
 
-impl Fellowship {
+impl Membership {
     /// Binds the sockets; the others are met once it runs.
     ///
     /// # Errors
@@ -78,99 +98,93 @@
         settings: &Settings,
         name: &str,
         zone: &str,
-    ) -> Result<Rc<Fellowship>, FellowshipError> {
+    ) -> Result<Rc<Membership>, MembershipError> {
         let keys = read_keys(&settings.keys)?;
-        let me = Life {
+        let me = MemberId {
             name: name.to_string(),
-            life: new_life(),
+            incarnation: new_incarnation(),
         };
+        let (parts, of) = ANSWER_PARTS;
         let rules = Rules {
             period: settings.probe_interval,
-            answer: settings.probe_interval * 3 / 10,
+            ping_timeout: settings.probe_interval * parts / of,
             ..Rules::default()
         };
-        let talker = Talker::bind(settings.listen, |now, bound| {
-            let at = settings.advertise.unwrap_or(bound);
-            let (who, zone) = (me.clone(), zone.to_string());
-            let news = News {
-                who,
-                at,
-                zone,
-                round: 0,
-                state: State::Lives,
+        let transport = Transport::bind(settings.listen, |now, bound| {
+            let news = Member {
+                id: me.clone(),
+                address: settings.advertise.unwrap_or(bound),
+                zone: zone.to_string(),
+                refutations: 0,
+                state: MemberState::Alive,
             };
-            let seed = me.life ^ u64::from(bound.port()) << 48;
+            let seed = me.incarnation ^ u64::from(bound.port()) << 48;
             Node::new(now, seed, news, settings.seeds.clone(), rules, keys)
         });
-        let talker = talker.await.map_err(|error| FellowshipError::Listen {
+        let transport = transport.await.map_err(|source| MembershipError::Listen {
             at: settings.listen,
-            error,
+            source,
         })?;
-        talker.call(|node, _| node.reads(VIEWS));
-        let views = RefCell::new(Views::new(talker.now(), me.clone(), Belonging::default()));
-        let period = Duration::from_nanos(settings.probe_interval);
-        let ears = RefCell::default();
-        Ok(Rc::new(Fellowship {
-            talker,
+        transport.call(|node, _| node.accept_kind(VIEW_KIND));
+        let views = ViewExchange::new(transport.now(), me.clone(), QuorumRules::default());
+        Ok(Rc::new(Membership {
+            transport,
             me,
-            ears,
-            views,
-            period,
+            handlers: RefCell::default(),
+            views: RefCell::new(views),
+            period: Duration::from_nanos(settings.probe_interval),
         }))
     }
 
-    /// From now on messages of this kind come here. One part of the program owns a kind.
-    pub fn reads(&self, kind: u8, ear: impl Fn(&Life, &[u8]) + 'static) {
-        self.talker.call(|node, _| node.reads(kind));
-        self.ears.borrow_mut().insert(kind, Rc::new(ear));
+    /// Hands messages of this kind to `handler` from now on. One part of the program owns a kind.
+    pub fn on_message(&self, kind: u8, handler: impl Fn(&MemberId, &[u8]) + 'static) {
+        self.transport.call(|node, _| node.accept_kind(kind));
+        self.handlers.borrow_mut().insert(kind, Rc::new(handler));
     }
 
     /// Meets the others and goes on until the thread's tasks end. `keys` is read again at SIGHUP.
     pub fn run(self: &Rc<Self>, keys: PathBuf) {
-        let hears = self.clone();
-        spawn_local(
-            self.talker
-                .clone()
-                .run(move |_, happened| hears.happened(happened)),
-        );
-        spawn_local(self.clone().reload(keys));
-        spawn_local(self.clone().tell_views());
+        let membership = self.clone();
+        let transport = self.transport.clone();
+        spawn_local(transport.run(move |_, happened| membership.handle(happened)));
+        spawn_local(self.clone().reload_keys(keys));
+        spawn_local(self.clone().send_views());
     }
 
-    fn happened(&self, happened: Happened) {
+    fn handle(&self, happened: NodeEvent) {
         match happened {
-            Happened::Came {
+            NodeEvent::Message {
                 from,
-                kind: VIEWS,
+                kind: VIEW_KIND,
                 body,
             } => {
-                let received = self.views.borrow_mut().receive(self.now(), &from, &body);
+                let now = self.now();
+                let received = self.views.borrow_mut().receive(now, &from, &body);
                 if received.is_err() {
                     tracing::warn!(fellow = from.name, "view passed over: not readable");
                 }
             }
-            Happened::Came { from, kind, body } => {
-                let ear = self.ears.borrow().get(&kind).cloned();
-                if let Some(ear) = ear {
-                    ear(&from, &body);
+            NodeEvent::Message { from, kind, body } => {
+                let handler = self.handlers.borrow().get(&kind).cloned();
+                if let Some(handler) = handler {
+                    handler(&from, &body);
                 }
             }
-            Happened::Told(event) => {
+            NodeEvent::Membership(event) => {
                 self.views.borrow_mut().observe(self.now(), &event);
-                log(event);
+                log_event(event);
             }
         }
     }
 
-    /// Once a period, who lives is told to the decision on our place, and our view to one fellow.
-    async fn tell_views(self: Rc<Self>) {
-        let mut beat = interval(self.period);
-        beat.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    /// Once a period, tells who lives to the decision on the quorum state, and our view to one member.
+    async fn send_views(self: Rc<Self>) {
+        let mut periods = interval(self.period);
+        periods.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
-            beat.tick().await;
-            let change = self
-                .talker
-                .call(|node, now| self.views.borrow_mut().tick(now, node));
+            periods.tick().await;
+            let tick = |node: &mut Node, now| self.views.borrow_mut().tick(now, node);
+            let change = self.transport.call(tick);
             if let Some(change) = change {
                 self.log_change(change);
             }
@@ -179,7 +193,10 @@
 
     fn log_change(&self, Change { was, is }: Change) {
         let (now, views) = (self.now(), self.views.borrow());
-        let (belong, missing) = (views.place().belong(), views.place().missing(now).count());
+        let (belong, missing) = (
+            views.quorum().voter_count(),
+            views.quorum().missing(now).count(),
+        );
         if is > was {
             tracing::warn!(?was, ?is, belong, missing, "standing");
         } else {
@@ -187,80 +204,85 @@
         }
     }
 
-    async fn reload(self: Rc<Self>, file: PathBuf) {
+    async fn reload_keys(self: Rc<Self>, file: PathBuf) {
         let Ok(mut hangups) = signal(SignalKind::hangup()) else {
             return;
         };
         while hangups.recv().await.is_some() {
             match read_keys(&file) {
-                Ok(read) => {
-                    tracing::info!(keys = read.len(), "keys read again");
-                    self.talker.call(|node, _| node.rekey(read));
+                Ok(keys) => {
+                    tracing::info!(keys = keys.len(), "keys read again");
+                    self.transport.call(|node, _| node.replace_keys(keys));
                 }
                 Err(why) => tracing::warn!(%why, "keys refused, the old ones stay"),
             }
         }
     }
 
-    pub fn me(&self) -> &Life {
+    /// Returns this sidecar's name and incarnation.
+    pub fn me(&self) -> &MemberId {
         &self.me
     }
 
-    /// Nanoseconds since the start, on the monotonic clock.
+    /// Returns the time since the start on the monotonic clock, in ns.
     pub fn now(&self) -> u64 {
-        self.talker.now()
+        self.transport.now()
     }
 
-    /// Where other sidecars reach it.
-    pub fn at(&self) -> Option<SocketAddr> {
-        self.talker.at().ok()
+    /// Returns where other sidecars reach it.
+    pub fn address(&self) -> Option<SocketAddr> {
+        self.transport.local_address().ok()
     }
 
-    /// Says something to a fellow. One that is not known any more hears nothing, as if it were lost on the way.
-    pub fn say(&self, to: &Life, kind: u8, body: Vec<u8>) {
-        self.talker.call(|node, _| node.send(to, kind, body));
+    /// Sends a message to a member. One that is not known any more hears nothing, as if it were lost on the way.
+    pub fn send(&self, to: &MemberId, kind: u8, body: Vec<u8>) {
+        self.transport.call(|node, _| node.send(to, kind, body));
     }
 
-    /// The others that live, as far as known here.
-    pub fn living<T>(&self, look: impl FnOnce(&mut dyn Iterator<Item = &News>) -> T) -> T {
-        self.talker
-            .call(|node, _| look(&mut node.fellows().living()))
+    /// Looks at the others that live, as far as known here.
+    pub fn with_living<T>(&self, look: impl FnOnce(&mut dyn Iterator<Item = &Member>) -> T) -> T {
+        self.transport
+            .call(|node, _| look(&mut node.membership().alive()))
     }
 
-    /// Tells the others that it goes.
+    /// Tells the others that it leaves.
     pub fn leave(&self) {
-        self.talker.call(|node, _| node.leave());
+        self.transport.call(|node, _| node.leave());
     }
 
-    pub fn glance(&self) -> Glance {
-        let unsent = self.talker.lost();
+    /// Returns what an operator may look at.
+    pub fn status(&self) -> MembershipStatus {
+        let unsent = self.transport.dropped_sends();
         let (now, views) = (self.now(), self.views.borrow());
-        let place = views.place();
-        let (standing, since) = place.standing();
-        let shown =
-            |names: &mut dyn Iterator<Item = &str>| names.take(SHOWN).map(str::to_string).collect();
+        let place = views.quorum();
+        let (standing, since) = (place.state(), place.state_since());
         let mut disputes = place.disputes(now);
-        disputes.truncate(SHOWN);
-        self.talker.call(|node, _| Glance {
+        disputes.truncate(SHOWN_NAMES);
+        self.transport.call(|node, _| MembershipStatus {
             living: node
-                .fellows()
-                .living()
-                .map(|news| news.who.name.clone())
+                .membership()
+                .alive()
+                .map(|news| news.id.name.clone())
                 .collect(),
-            slowness: node.fellows().slowness(),
+            slowness: node.membership().health_score(),
             standing: Some(standing),
             stands_for: now.saturating_sub(since),
-            belong: place.belong(),
-            reached: place.belong() - place.missing(now).count(),
-            missing: shown(&mut place.missing(now)),
-            deaf_to_us: shown(&mut place.deaf_to_us(now)),
-            unsteady: shown(&mut place.unsteady(now)),
+            belong: place.voter_count(),
+            reached: place.voter_count() - place.missing(now).count(),
+            missing: shown(place.missing(now)),
+            deaf_to_us: shown(place.deaf_to_us(now)),
+            unsteady: shown(place.flapping(now)),
             disputes,
             sent: node.sent,
             sent_bytes: node.sent_bytes,
-            refused: node.refused.total(),
-            overrun: node.overrun.values().sum(),
+            refused: node.rejected.total(),
+            overrun: node.overflowed.values().sum(),
             unsent,
         })
     }
 }
+
+/// Returns as many names as an operator is shown.
+fn shown<'a>(names: impl Iterator<Item = &'a str>) -> Vec<String> {
+    names.take(SHOWN_NAMES).map(str::to_string).collect()
+}
--- a/crates/sidecar/src/route_slots.rs
+++ b/crates/sidecar/src/route_slots.rs
@@ -1,7 +1,7 @@
-//! The indices that routes have in the decision module: which are in force, and which a request still holds.
+//! The indices that routes have in the decisions: which are in force, and which a request still holds.
 
 use havenplank::interface::{Nanos, RouteClass, RouteClassId};
-use havenplank::logic::RouteClassChange;
+use havenplank::RouteClassChange;
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
 
@@ -10,6 +10,7 @@
 pub struct Slot(Rc<RouteClassId>);
 
 impl Slot {
+    /// Returns the index.
     pub fn route_class(&self) -> RouteClassId {
         *self.0
     }
@@ -20,14 +21,24 @@
 pub struct SlotCounts {
     /// Given out at any time: no more than routes and requests that were held at once.
     pub all: usize,
+    /// Those of the routes in force.
     pub in_force: usize,
     /// Replaced or removed, and held by a request or a route table.
     pub retired: usize,
 }
 
+/// What a replacement may use again.
+struct FreeIndices {
+    slots: Vec<RouteClassId>,
+    /// Looked up with the first route that needs one.
+    buckets: Option<Vec<usize>>,
+}
+
+/// One version of a route.
 struct Row {
     name: String,
     rules: RouteClass,
+    /// Where the decisions count its requests.
     bucket: usize,
     in_force: bool,
     slot: Slot,
@@ -50,6 +61,7 @@
 }
 
 impl Slots {
+    /// Gives each of these routes a slot, in their order.
     pub fn new(routes: impl Iterator<Item = (String, RouteClass)>) -> Slots {
         let mut slots = Slots {
             rows: Vec::new(),
@@ -71,12 +83,12 @@
         slots
     }
 
-    /// The slot of a request that comes under this index.
+    /// Returns the slot of a request that comes under this index, to be held until it has ended.
     pub fn hold(&self, group: RouteClassId) -> Option<Slot> {
         self.rows.get(group).map(|row| row.slot.clone())
     }
 
-    /// The slot in force of this name.
+    /// Returns the slot in force of this name.
     pub fn find(&self, name: &str) -> Option<RouteClassId> {
         self.latest
             .get(name)
@@ -84,6 +96,7 @@
             .filter(|group| self.rows[*group].in_force)
     }
 
+    /// Returns the slots in force, in the order of their indices.
     pub fn in_force(&self) -> Vec<Slot> {
         self.rows
             .iter()
@@ -92,12 +105,13 @@
             .collect()
     }
 
-    /// The longest client time-out of all that are in force or held.
+    /// Returns the longest client time-out of all that are in force or held.
     pub fn longest_time_out(&self) -> Nanos {
         let used = self.rows.iter().filter(|row| !row.is_free());
         used.map(|row| row.rules.client_timeout).max().unwrap_or(0)
     }
 
+    /// Returns how many slots there are.
     pub fn counts(&self) -> SlotCounts {
         let in_force = self.rows.iter().filter(|row| row.in_force).count();
         let free = self.rows.iter().filter(|row| row.is_free()).count();
@@ -108,63 +122,77 @@
         }
     }
 
-    /// Puts these routes in force in place of all before. The slot of each, in their order, and what has changed for
-    /// the decisions. A route that stays as it was keeps its slot; names are expected once each.
+    /// Puts these routes in force in place of all before. Returns the slot of each, in their order, and what has
+    /// changed for the decisions. A route that stays as it was keeps its slot; names are expected once each.
     pub fn replace(
         &mut self,
         routes: &[(String, RouteClass)],
     ) -> (Vec<Slot>, Vec<RouteClassChange>) {
         let names: HashSet<&str> = routes.iter().map(|(name, _)| name.as_str()).collect();
-        let mut free = self.free_slots(&names);
-        let kept: HashSet<RouteClassId> = routes
-            .iter()
-            .filter_map(|route| self.unchanged(route))
-            .collect();
-        for (group, row) in self.rows.iter_mut().enumerate() {
-            row.in_force &= kept.contains(&group);
-        }
-        let mut free_buckets = None;
+        let mut free = FreeIndices {
+            slots: self.free_slots(&names),
+            buckets: None,
+        };
+        self.retire_all_but(routes);
         let (mut slots, mut changes) = (Vec::with_capacity(routes.len()), Vec::new());
-        for route @ (name, rules) in routes {
+        for route in routes {
             if let Some(group) = self.unchanged(route) {
                 slots.push(self.rows[group].slot.clone());
                 continue;
             }
-            let predecessor = self.latest.get(name).copied();
-            let bucket = match predecessor {
-                Some(known) => self.rows[known].bucket,
-                None => self.free_bucket(&mut free_buckets),
-            };
-            self.bucket_users[bucket] += 1;
-            let group = free.pop().unwrap_or(self.rows.len());
-            let slot = Slot(Rc::new(group));
-            let row = Row {
-                name: name.clone(),
-                rules: *rules,
-                bucket,
-                in_force: true,
-                slot: slot.clone(),
-            };
-            match self.rows.get_mut(group) {
-                None => self.rows.push(row),
-                Some(known) => {
-                    let before = std::mem::replace(known, row);
-                    self.forget(&before, group);
-                }
-            }
-            self.latest.insert(name.clone(), group);
-            slots.push(slot);
-            changes.push(RouteClassChange {
-                group,
-                rules: *rules,
-                predecessor,
-                bucket,
-            });
+            let change = self.add(route, &mut free);
+            slots.push(self.rows[change.group].slot.clone());
+            changes.push(change);
         }
         (slots, changes)
     }
 
-    /// Slots that nothing holds, but for those whose routes come back under their names: they are predecessors.
+    /// Takes all routes out of force that do not stay as they are.
+    fn retire_all_but(&mut self, routes: &[(String, RouteClass)]) {
+        let unchanged = routes.iter().filter_map(|route| self.unchanged(route));
+        let unchanged: HashSet<RouteClassId> = unchanged.collect();
+        for (group, row) in self.rows.iter_mut().enumerate() {
+            row.in_force &= unchanged.contains(&group);
+        }
+    }
+
+    /// Gives a new or changed route a slot.
+    fn add(
+        &mut self,
+        (name, rules): &(String, RouteClass),
+        free: &mut FreeIndices,
+    ) -> RouteClassChange {
+        let predecessor = self.latest.get(name).copied();
+        let bucket = match predecessor {
+            Some(known) => self.rows[known].bucket,
+            None => self.free_bucket(&mut free.buckets),
+        };
+        self.bucket_users[bucket] += 1;
+        let group = free.slots.pop().unwrap_or(self.rows.len());
+        let row = Row {
+            name: name.clone(),
+            rules: *rules,
+            bucket,
+            in_force: true,
+            slot: Slot(Rc::new(group)),
+        };
+        match self.rows.get_mut(group) {
+            None => self.rows.push(row),
+            Some(known) => {
+                let before = std::mem::replace(known, row);
+                self.forget(&before, group);
+            }
+        }
+        self.latest.insert(name.clone(), group);
+        RouteClassChange {
+            group,
+            rules: *rules,
+            predecessor,
+            bucket,
+        }
+    }
+
+    /// Returns slots that nothing holds, but for those whose routes come back under their names: they are predecessors.
     fn free_slots(&self, names: &HashSet<&str>) -> Vec<RouteClassId> {
         let comes_back = |group: RouteClassId, name: &str| {
             names.contains(name) && self.latest.get(name) == Some(&group)
@@ -179,13 +207,13 @@
             .collect()
     }
 
-    /// The slot in force of a route that stays as it is.
+    /// Returns the slot in force of a route that stays as it is.
     fn unchanged(&self, (name, rules): &(String, RouteClass)) -> Option<RouteClassId> {
         self.find(name)
             .filter(|group| self.rows[*group].rules == *rules)
     }
 
-    /// A bucket that no slot uses. Those that were free at the start of a replacement are looked up once.
+    /// Returns a bucket that no slot uses. Those that were free at the start of a replacement are looked up once.
     fn free_bucket(&mut self, free: &mut Option<Vec<usize>>) -> usize {
         let users = &self.bucket_users;
         let free = free.get_or_insert_with(|| {
--- a/crates/sidecar/src/routes.rs
+++ b/crates/sidecar/src/routes.rs
@@ -1,4 +1,4 @@
-//! Which route takes a request: an immutable table, built once for each configuration and swapped whole.
+//! Which route takes a request: an immutable table, built once for each configuration and replaced as one.
 //!
 //! Of the routes whose methods and paths fit, the first of the settings takes a request; in a configuration that changes
 //! while running order means nothing, and the most specific pattern does. A lookup costs one hash of the path and one
@@ -16,14 +16,17 @@
 /// One version of a route, for as long as any request that began with it.
 #[derive(Debug)]
 pub struct Route {
+    /// Its name.
     pub name: String,
+    /// Its rules in the decisions.
     pub rules: RouteClass,
-    pub guard: BackupMode,
+    /// Whether and when backups know of its requests.
+    pub backup: BackupMode,
     slot: Slot,
 }
 
 impl Route {
-    /// Its index in the decisions, which means this version as long as the route lives.
+    /// Returns its index in the decisions, which means this version as long as the route lives.
     pub fn route_class(&self) -> RouteClassId {
         self.slot.route_class()
     }
@@ -43,7 +46,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Precedence {
     Order,
-    /// A whole path before a prefix, a longer prefix before a shorter one.
+    /// An exact path before a prefix, a longer prefix before a shorter one.
     Specificity,
 }
 
@@ -84,7 +87,7 @@
 #[derive(Debug)]
 enum Tenants {
     /// By name, the index in the settings.
-    Listed(HashMap<String, usize>),
+    ListedEndpoint(HashMap<String, usize>),
     Configured(Snapshot),
 }
 
@@ -100,13 +103,13 @@
 pub struct RouteTable {
     routes: Vec<Rc<Route>>,
     by_name: HashMap<String, Order>,
-    whole_paths: HashMap<String, Candidates>,
+    exact_paths: HashMap<String, Candidates>,
     prefixes: StringPatriciaMap<Candidates>,
     tenants: Tenants,
 }
 
 impl RouteTable {
-    /// Routes and tenants of the settings, with the slot of each route in the decisions.
+    /// Builds a table of the routes and tenants of the settings, with the slot of each route in the decisions.
     pub fn from_settings(
         groups: &[RouteClassSettings],
         slots: Vec<Slot>,
@@ -116,10 +119,15 @@
         for (index, name) in tenants.iter().enumerate() {
             listed.entry(name.clone()).or_insert(index);
         }
-        RouteTable::build(groups, slots, Precedence::Order, Tenants::Listed(listed))
+        RouteTable::build(
+            groups,
+            slots,
+            Precedence::Order,
+            Tenants::ListedEndpoint(listed),
+        )
     }
 
-    /// Routes of a snapshot, as [`routes_of`] tells them, and its tenants.
+    /// Builds a table of the routes of a snapshot, as [`routes_of`] returns them, and of its tenants.
     pub fn from_snapshot(
         snapshot: Snapshot,
         groups: &[RouteClassSettings],
@@ -140,13 +148,13 @@
         tenants: Tenants,
     ) -> RouteTable {
         let (mut routes, mut by_name) = (Vec::with_capacity(groups.len()), HashMap::new());
-        let mut whole_paths: HashMap<String, Candidates> = HashMap::new();
+        let mut exact_paths: HashMap<String, Candidates> = HashMap::new();
         let mut prefixes: HashMap<&str, Candidates> = HashMap::new();
         for (group, slot) in groups.iter().zip(slots) {
             let order = routes.len() as Order;
             for pattern in &group.paths {
                 let candidates = match pattern.strip_suffix('*') {
-                    None => whole_paths.entry(pattern.clone()).or_default(),
+                    None => exact_paths.entry(pattern.clone()).or_default(),
                     Some(prefix) => prefixes.entry(prefix).or_default(),
                 };
                 candidates.add(&group.methods, precedence.rank(pattern, order));
@@ -161,40 +169,42 @@
             routes.push(Rc::new(Route {
                 name: name.clone(),
                 rules: *rules,
-                guard: *backup,
+                backup: *backup,
                 slot,
             }));
         }
         RouteTable {
             routes,
             by_name,
-            whole_paths,
+            exact_paths,
             prefixes: prefixes.into_iter().collect(),
             tenants,
         }
     }
 
-    /// The route that takes this method and path.
+    /// Returns the route that takes this method and path.
     pub fn find(&self, method: &str, path: &str) -> Option<&Rc<Route>> {
-        let whole = self
-            .whole_paths
+        let exact = self
+            .exact_paths
             .get(path)
             .and_then(|candidates| candidates.first(method));
         let prefixes = self.prefixes.common_prefix_values(path);
         let first = prefixes
             .filter_map(|candidates| candidates.first(method))
-            .chain(whole)
+            .chain(exact)
             .min()?;
         self.routes.get(first.order as usize)
     }
 
+    /// Returns the route of this name.
     pub fn named(&self, name: &str) -> Option<&Rc<Route>> {
         self.routes.get(*self.by_name.get(name)? as usize)
     }
 
+    /// Returns the tenant of this name.
     pub fn tenant(&self, name: &str) -> Option<KnownTenant> {
         match &self.tenants {
-            Tenants::Listed(listed) => listed.get(name).map(|index| KnownTenant {
+            Tenants::ListedEndpoint(listed) => listed.get(name).map(|index| KnownTenant {
                 index: Some(*index),
             }),
             Tenants::Configured(snapshot) => {
@@ -203,21 +213,23 @@
         }
     }
 
+    /// Returns how many routes there are.
     pub fn len(&self) -> usize {
         self.routes.len()
     }
 
+    /// Returns whether there is no route.
     pub fn is_empty(&self) -> bool {
         self.routes.is_empty()
     }
 
-    /// Whether routes come from a configuration of which no version has been heard yet.
+    /// Returns whether routes come from a configuration of which no version has come yet.
     pub fn awaits_configuration(&self) -> bool {
         matches!(&self.tenants, Tenants::Configured(snapshot) if snapshot.version() == Version::NONE)
     }
 }
 
-/// The routes of a snapshot, by name.
+/// Returns the routes of a snapshot, by name.
 pub fn routes_of(snapshot: &Snapshot) -> Vec<RouteClassSettings> {
     let mut routes: Vec<RouteClassSettings> = snapshot
         .routes()
--- a/crates/takeover/src/takeover/backup.rs
+++ b/crates/takeover/src/takeover/backup.rs
@@ -1,41 +1,48 @@
 //! The backup's side: records kept for other sidecars, the leases granted to their owners, and the owners' epochs.
 
 use super::Takeover;
-use crate::record::{Message, Outcome, Record, RequestId};
+use crate::message::Message;
+use crate::record::{Outcome, Record, RequestId};
 use crate::Nanos;
-use havenplank_membership::wire::Life;
+use havenplank_membership::member::MemberId;
 use std::collections::BTreeMap;
 
 /// The record of a request, kept for its owner.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Replica {
     pub(super) record: Record,
+    /// When the record was received: its time spans count from then.
     pub(super) as_of: Nanos,
     /// The latest term that this sidecar voted in, and for whom; the record's own term and owner before any vote.
     pub(super) term: u32,
-    pub(super) owner: Life,
-    pub(super) waiters: Vec<Life>,
-    /// This sidecar's own candidacy: its term, and the records of the backups that voted for it.
-    pub(super) votes: Option<(u32, BTreeMap<String, Record>)>,
+    pub(super) owner: MemberId,
+    /// Sidecars to tell of the outcome.
+    pub(super) waiters: Vec<MemberId>,
+    /// This sidecar's own candidacy, if it stands.
+    pub(super) candidacy: Option<Candidacy>,
+    /// When this sidecar may next stand as a candidate.
     pub(super) try_at: Nanos,
+    /// When the record is dropped.
     pub(super) forget: Nanos,
 }
 
-impl Takeover {
-    /// Grants an owner another lease, and returns its epoch.
-    pub(super) fn grant_lease(&mut self, now: Nanos, owner: &Life) -> u32 {
-        let until = now + self.rules.lease;
-        let promised = self.granted.entry(owner.clone()).or_default();
-        *promised = (*promised).max(until);
-        self.epoch(owner)
-    }
-
-    fn epoch(&mut self, owner: &Life) -> u32 {
-        *self.epochs.entry(owner.clone()).or_insert(self.withdrawals)
-    }
+/// A candidacy of this sidecar for a request.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub(super) struct Candidacy {
+    pub(super) term: u32,
+    /// By name, the records of the backups that voted for it.
+    pub(super) votes: BTreeMap<String, Record>,
+}
 
+impl Takeover {
     /// Stores an owner's newest record, unless something that is known here stands against it.
-    pub(super) fn on_store(&mut self, now: Nanos, from: &Life, mut record: Record, stamp: Nanos) {
+    pub(super) fn on_store(
+        &mut self,
+        now: Nanos,
+        from: &MemberId,
+        mut record: Record,
+        stamp: Nanos,
+    ) {
         let (request, term, version) = (record.request, record.term, record.version);
         if let Some(Outcome::Served(answer)) = record.outcome.as_mut().filter(|_| self.is_full()) {
             answer.clear();
@@ -58,7 +65,7 @@
     }
 
     /// Gives up a request that is owned here to a record of a later term. Refuses any other record and returns false.
-    fn yield_to_record(&mut self, now: Nanos, from: &Life, record: &Record) -> bool {
+    fn yield_to_record(&mut self, now: Nanos, from: &MemberId, record: &Record) -> bool {
         let Some(owned) = self.owned.get(&record.request) else {
             return true;
         };
@@ -82,7 +89,7 @@
 
     /// Keeps a record. Refuses one of an earlier term or of a finished request, and one without room for it, and
     /// returns false.
-    fn accept_record(&mut self, now: Nanos, from: &Life, record: Record) -> bool {
+    fn accept_record(&mut self, now: Nanos, from: &MemberId, record: Record) -> bool {
         let request = record.request;
         let Some(replica) = self.replicas.get(&request) else {
             if self.is_full() {
@@ -104,7 +111,7 @@
     }
 
     /// Follows an owner in its term, and replaces the record if the owner's is newer.
-    fn update_replica(&mut self, now: Nanos, from: &Life, record: Record) {
+    fn update_replica(&mut self, now: Nanos, from: &MemberId, record: Record) {
         let forget = now
             .saturating_add(record.remaining)
             .saturating_add(self.rules.retention);
@@ -146,16 +153,8 @@
         self.finish_waiting(request, outcome);
     }
 
-    /// Renews the lease of an owner for which records are kept.
-    pub(super) fn on_renew_lease(&mut self, now: Nanos, from: &Life, stamp: Nanos) {
-        if self.replicas.values().any(|replica| replica.owner == *from) {
-            let epoch = self.grant_lease(now, from);
-            self.send(from, Message::LeaseRenewed { stamp, epoch });
-        }
-    }
-
     /// Drops the record of a claim that was given up before any attempt.
-    pub(super) fn on_release(&mut self, from: &Life, request: RequestId, term: u32) {
+    pub(super) fn on_release(&mut self, from: &MemberId, request: RequestId, term: u32) {
         let is_released = |replica: &Replica| {
             replica.owner == *from && replica.term == term && replica.record.attempts.is_empty()
         };
@@ -182,13 +181,18 @@
             || self.replica_bytes >= self.rules.max_replica_bytes
     }
 
-    pub(super) fn insert_replica(&mut self, now: Nanos, record: Record, term: u32, owner: Life) {
+    pub(super) fn insert_replica(
+        &mut self,
+        now: Nanos,
+        record: Record,
+        term: u32,
+        owner: MemberId,
+    ) {
         let forget = now
             .saturating_add(record.remaining)
             .saturating_add(self.rules.retention);
         let request = record.request;
         self.replica_bytes += record.weight();
-        let (waiters, votes) = (Vec::new(), None);
         let try_at = if record.confirmed {
             now
         } else {
@@ -201,8 +205,8 @@
                 as_of: now,
                 term,
                 owner,
-                waiters,
-                votes,
+                waiters: Vec::new(),
+                candidacy: None,
                 try_at,
                 forget,
             },
@@ -219,13 +223,6 @@
             self.withdraw_from(&replica.owner);
         }
     }
-
-    /// Starts a new epoch for an owner: what it was acknowledged before counts no more for its requests.
-    pub(super) fn withdraw_from(&mut self, owner: &Life) {
-        self.withdrawals += 1;
-        self.epochs.insert(owner.clone(), self.withdrawals);
-        self.granted.entry(owner.clone()).or_default();
-    }
 }
 
 impl Replica {
@@ -239,13 +236,13 @@
     }
 
     /// Whether an owner in this term is the one to follow.
-    fn follows(&self, owner: &Life, term: u32) -> bool {
+    fn follows(&self, owner: &MemberId, term: u32) -> bool {
         term > self.term || (term == self.term && self.owner == *owner)
     }
 }
 
 /// The refusal of another owner's record: the outcome, if it is known and the request is the same, else the owner.
-pub(super) fn refusal(record: &Record, term: u32, owner: &Life, digest: u64) -> Message {
+pub(super) fn refusal(record: &Record, term: u32, owner: &MemberId, digest: u64) -> Message {
     let request = record.request;
     let differs = record.digest != digest;
     match record.outcome.clone().filter(|_| !differs) {
--- a/crates/trace/tests/common/mod.rs
+++ b/crates/trace/tests/common/mod.rs
@@ -3,6 +3,7 @@
 #![allow(dead_code, clippy::unwrap_used)]
 
 use havenplank::interface::*;
+use havenplank_line_protocol::control_plane::ClassTally;
 use havenplank_line_protocol::endpoint_list::ListedEndpoint;
 use havenplank_settings::{load, Given};
 use havenplank_sidecar::engine::{Effect, Engine, EngineSettings, RequestAttributes, EPOCH};
@@ -196,7 +197,15 @@
             );
         }
         if tick % 400 == 7 {
-            engine.update_tally(now, 1, "query", (40, 1), 30 * MS, S);
+            let tally = ClassTally {
+                build: 1,
+                class: "query".to_string(),
+                count: 40,
+                failed: 1,
+                mean_latency: 30 * MS,
+                age: S,
+            };
+            engine.update_tally(now, &tally);
             engine.report_fault(now, "searchnode13.krakow.example.org", "query", S);
         }
         while let Some(at) = out.iter().position(|(due, ..)| *due <= time) {
