--- a/crates/adapter/src/decode.rs
+++ b/crates/adapter/src/decode.rs
@@ -171,7 +171,7 @@
         end: attempt_end(fields)?,
         took: fields.whole(field::LATENCY)?,
         over: fields.flag("over")?,
-        load: load_report::from_row(&listener.names().load, fields)?,
+        load: load_report::from_row(&listener.names().load_columns, fields)?,
     };
     listener.attempt_ended(name, attempt, outcome);
     Ok(())
@@ -226,7 +226,7 @@
 
 fn health_checked(fields: &Fields, listener: &mut impl InstanceListener) -> Result<(), WireError> {
     let pod = known_pod(fields, listener)?;
-    let load = load_report::from_row(&listener.names().load, fields)?;
+    let load = load_report::from_row(&listener.names().load_columns, fields)?;
     let result = HealthCheckResult {
         end: attempt_end(fields)?,
         took: fields.whole(field::LATENCY)?,
@@ -275,7 +275,7 @@
     fields: &Fields,
     listener: &impl InstanceListener,
 ) -> Result<RouteClassId, WireError> {
-    fields.named(field::ROUTE_CLASS, &listener.names().groups)
+    fields.named(field::ROUTE_CLASS, &listener.names().route_classes)
 }
 
 fn known_pod<'a>(
--- a/crates/adapter/src/instance.rs
+++ b/crates/adapter/src/instance.rs
@@ -220,10 +220,9 @@
 
 impl InstanceListener for Instance {
     fn attach(now: Nanos, sidecar: u64, seed: u64, setup: Setup) -> Instance {
-        let (names, settings) = setup.into_parts();
         Instance {
-            router: Router::new(now, seed, settings),
-            host: WireHost::new(now, sidecar, names),
+            router: Router::new(now, seed, setup.router),
+            host: WireHost::new(now, sidecar, setup.names),
         }
     }
 
--- a/crates/adapter/src/setup.rs
+++ b/crates/adapter/src/setup.rs
@@ -11,7 +11,7 @@
 /// The names that the wire uses for what the router knows by index.
 pub struct Names {
     /// Of the route classes.
-    pub groups: Vec<String>,
+    pub route_classes: Vec<String>,
     /// Of the tenants.
     pub tenants: Vec<String>,
     /// Of the zones; grows with the endpoint list.
@@ -19,43 +19,15 @@
     /// Of the machine types; grows with the endpoint list.
     pub machines: Vec<String>,
     /// Of the columns of a load report.
-    pub load: Vec<String>,
+    pub load_columns: Vec<String>,
 }
 
 /// The settings of an instance.
 pub struct Setup {
     /// What the wire calls the router's indices.
     pub names: Names,
-    /// The instance's place in the fleet.
-    pub place: FleetPosition,
-    /// The route classes by index.
-    pub groups: Vec<RouteClass>,
-    /// What the attempts of a request may do.
-    pub forwards: AttemptSettings,
-    /// What pods bear.
-    pub pods: PodSettings,
-    /// How a build on trial is kept within its cap.
-    pub exposure: ExposureSettings,
-    /// How releases are voted on.
-    pub votes: VoteSettings,
-    /// How the endpoint list comes.
-    pub list: EndpointListSettings,
-}
-
-impl Setup {
-    /// The names, and what a router is built from.
-    pub fn into_parts(self) -> (Names, RouterSettings) {
-        let settings = RouterSettings {
-            position: self.place,
-            route_classes: self.groups,
-            attempts: self.forwards,
-            pods: self.pods,
-            exposure: self.exposure,
-            votes: self.votes,
-            endpoint_list: self.list,
-        };
-        (self.names, settings)
-    }
+    /// What the router is built from.
+    pub router: RouterSettings,
 }
 
 /// Decodes the settings of an instance.
@@ -67,13 +39,13 @@
     if rows.is_empty() {
         return Err(settings.error("classes", "no path group"));
     }
-    let groups = rows.iter().map(route_class).collect::<Result<_, _>>()?;
+    let route_classes = rows.iter().map(route_class).collect::<Result<_, _>>()?;
     let instances = settings.whole("instances")? as usize;
     if instances == 0 {
         return Err(settings.error("instances", "zero instances"));
     }
     let names = names(settings, &rows)?;
-    let place = FleetPosition {
+    let position = FleetPosition {
         rank: settings.whole_or("rank", 0)? as usize,
         instances,
         zone: settings.named("locality", &names.zones)?,
@@ -81,16 +53,16 @@
     let limits = settings.object("limits")?;
     let rules = settings.object("rules")?;
     let trial = settings.object("familyInfo")?;
-    Ok(Setup {
-        names,
-        place,
-        groups,
-        forwards: attempts(settings, &limits)?,
+    let router = RouterSettings {
+        position,
+        route_classes,
+        attempts: attempts(settings, &limits)?,
         pods: pods(&rules, &limits)?,
         exposure: exposure(&trial)?,
         votes: votes(&trial)?,
-        list: endpoint_list(settings, &rules)?,
-    })
+        endpoint_list: endpoint_list(settings, &rules)?,
+    };
+    Ok(Setup { names, router })
 }
 
 fn route_class(row: &Fields) -> Result<RouteClass, WireError> {
@@ -114,7 +86,7 @@
 }
 
 fn names(settings: &Fields, classes: &[Fields]) -> Result<Names, WireError> {
-    let load = if settings.maybe_has("loadReport") {
+    let load_columns = if settings.maybe_has("loadReport") {
         settings.object("loadReport")?.words("columns")?
     } else {
         Vec::new()
@@ -125,11 +97,11 @@
         Vec::new()
     };
     Ok(Names {
-        groups: row_names(classes)?,
+        route_classes: row_names(classes)?,
         tenants,
         zones: settings.words("azs")?,
         machines: settings.words("skus")?,
-        load,
+        load_columns,
     })
 }
 
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -113,7 +113,7 @@
         let stage = stage(&deployer)?;
         let known = list_update::decode(&root.object("known")?, UnixTime::now())?;
         let name = root.text("name")?.to_string();
-        let load_fields = setup.names.load.clone();
+        let load_fields = setup.names.load_columns.clone();
         Ok(Config {
             listen: address(&root, "listen")?,
             discovery: address(&root, "discovery")?,
@@ -189,19 +189,20 @@
 }
 
 fn engine_settings(name: String, setup: Setup) -> EngineSettings {
-    let names = setup.names;
+    let Setup { names, router } = setup;
+    let class_names = names.route_classes.into_iter();
     EngineSettings {
         name,
-        position: setup.place,
+        position: router.position,
         zones: names.zones,
         machines: names.machines,
         tenants: names.tenants,
-        route_classes: names.groups.into_iter().zip(setup.groups).collect(),
-        attempts: setup.forwards,
-        pods: setup.pods,
-        exposure: setup.exposure,
-        votes: setup.votes,
-        endpoint_list: setup.list,
+        route_classes: class_names.zip(router.route_classes).collect(),
+        attempts: router.attempts,
+        pods: router.pods,
+        exposure: router.exposure,
+        votes: router.votes,
+        endpoint_list: router.endpoint_list,
         reuse_pod_ids: true,
     }
 }
--- a/crates/sidecar/src/route_slots.rs
+++ b/crates/sidecar/src/route_slots.rs
@@ -155,7 +155,7 @@
             self.latest.insert(name.clone(), group);
             slots.push(slot);
             changes.push(RouteClassChange {
-                group,
+                class: group,
                 rules: *rules,
                 predecessor,
                 bucket,
--- a/crates/trace/src/from_wire.rs
+++ b/crates/trace/src/from_wire.rs
@@ -76,28 +76,20 @@
 
 impl InstanceListener for Scribe {
     fn attach(now: Nanos, sidecar: u64, seed: u64, setup: Setup) -> Scribe {
-        let Setup {
-            names,
-            place,
-            groups,
-            forwards,
-            pods,
-            exposure,
-            votes,
-            list,
-        } = setup;
+        let Setup { names, router } = setup;
+        let class_names = names.route_classes.iter().cloned();
         let terms = EngineSettings {
             name: format!("sidecar-{sidecar}"),
-            position: place,
+            position: router.position,
             zones: names.zones.clone(),
             machines: names.machines.clone(),
             tenants: names.tenants.clone(),
-            route_classes: names.groups.iter().cloned().zip(groups).collect(),
-            attempts: forwards,
-            pods,
-            exposure,
-            votes,
-            endpoint_list: list,
+            route_classes: class_names.zip(router.route_classes).collect(),
+            attempts: router.attempts,
+            pods: router.pods,
+            exposure: router.exposure,
+            votes: router.votes,
+            endpoint_list: router.endpoint_list,
             reuse_pod_ids: false,
         };
         let (life, until) = (seed ^ now, Nanos::MAX);
--- a/src/route_class.rs
+++ b/src/route_class.rs
@@ -6,7 +6,7 @@
 /// A route class that is new under an index, or whose rules have changed.
 pub struct RouteClassChange {
     /// The index that the class is known by from now on.
-    pub group: RouteClassId,
+    pub class: RouteClassId,
     /// Its rules.
     pub rules: RouteClass,
     /// The class of the same name before it, whose learnt latencies and exposure counts it takes over.
@@ -54,7 +54,7 @@
     }
 
     pub(crate) fn apply(&mut self, change: &RouteClassChange) {
-        let class = change.group;
+        let class = change.class;
         let latency = match change.predecessor {
             Some(known) => self.latencies[known].clone(),
             None => LearntLatency {
--- a/src/router.rs
+++ b/src/router.rs
@@ -139,7 +139,7 @@
             self.route_classes.apply(change);
             self.exposure
                 .counts
-                .set_bucket(change.group, change.bucket, fresh);
+                .set_bucket(change.class, change.bucket, fresh);
         }
         let rules = || in_force.iter().map(|class| &self.route_classes[*class]);
         self.outlier.follow_objectives(rules());
