--- a/crates/platform/src/transport.rs
+++ b/crates/platform/src/transport.rs
@@ -5,8 +5,8 @@
 use crate::health_check;
 use crate::prepared_request::PreparedRequest;
 use crate::shell::{Body, Platform, Shell};
-use havenplank::interface::{Build, Nanos, PodId, RequestId, Vote};
-use havenplank_sidecar::dispatcher::Transport;
+use havenplank::interface::{Build, Nanos, PodId, Vote};
+use havenplank_sidecar::dispatcher::{AttemptId, Transport};
 use havenplank_sidecar::responses;
 use hyper::header::HeaderValue;
 use hyper::Response;
@@ -24,7 +24,7 @@
     fn send_attempt(
         shell: Rc<Shell>,
         request: Rc<PreparedRequest>,
-        id: (RequestId, u32),
+        id: AttemptId,
         pod: PodId,
         timeout: Nanos,
     ) -> impl Future<Output = ()> + 'static {
--- a/crates/sidecar/src/engine/release.rs
+++ b/crates/sidecar/src/engine/release.rs
@@ -2,7 +2,8 @@
 
 use super::Engine;
 use crate::events::Event;
-use havenplank::interface::{Build, Nanos, Stage, Tally, VoteReply};
+use havenplank::interface::{Nanos, Stage, Tally, VoteReply};
+use havenplank_line_protocol::control_plane::ClassTally;
 
 impl Engine {
     /// Takes in the stage that a release has come to.
@@ -26,27 +27,19 @@
         }
     }
 
-    /// Takes in what the control plane counted of a build: all and failed requests, their mean latency and the count's
-    /// age. Returns false where the route class is not one of the settings.
-    pub fn update_tally(
-        &mut self,
-        now: Nanos,
-        build: Build,
-        route_class: &str,
-        (count, failed): (u64, u64),
-        mean_latency: Nanos,
-        age: Nanos,
-    ) -> bool {
-        let Some(group) = self.route_class(route_class) else {
+    /// Takes in what the control plane counted of a build. Returns false where the route class is not one of the
+    /// settings.
+    pub fn update_tally(&mut self, now: Nanos, tally: &ClassTally) -> bool {
+        let Some(group) = self.route_class(&tally.class) else {
             return false;
         };
         let tally = Tally {
-            build,
+            build: tally.build,
             group,
-            count,
-            failed,
-            mean_latency,
-            age,
+            count: tally.count,
+            failed: tally.failed,
+            mean_latency: tally.mean_latency,
+            age: tally.age,
         };
         self.record_tally(now, tally);
         true
