--- a/src/router.rs
+++ b/src/router.rs
@@ -83,144 +83,6 @@
         schedule_update(host);
     }
 
-    fn update(&mut self, host: &mut dyn Host) {
-        let now = host.now();
-        self.update_pods(now);
-        self.update_periods(now);
-        self.update_sampling(now);
-        self.evaluate_vote(host);
-        if self.exposure.is_part_update_due(now) {
-            if !self.on_trial() {
-                self.sequential_test.periods.learn_usual();
-            }
-            let in_doubt = self.sequential_test.in_doubt();
-            self.exposure.update_part(now, in_doubt);
-        }
-        schedule_update(host);
-    }
-
-    fn update_pods(&mut self, now: Nanos) {
-        self.slow_start.update(now, &mut self.pods);
-        self.subsetting.update(
-            now,
-            &self.position,
-            &mut self.pods,
-            &self.outlier,
-            &self.slow_start,
-        );
-        self.outlier.update_panic_mode(now, &self.pods);
-    }
-
-    /// Takes in the whole endpoint list or changes to it.
-    pub fn update_endpoints(&mut self, host: &mut dyn Host, whole: bool, endpoints: &[Endpoint]) {
-        self.endpoint_list.record_list();
-        let overload_window = self.slow_start.settings.overload_window;
-        let window = || SlidingWindow::new(overload_window, WINDOW_SLICES);
-        self.pods.apply(whole, endpoints, window);
-        self.update_pods(host.now());
-        let on_trial = self.sequential_test.build;
-        let pods = &self.pods;
-        self.exposure
-            .counts
-            .retain_builds(|build| build >= on_trial || pods.count_of_build(build) > 0);
-    }
-
-    /// Takes in that the watch on the endpoint list failed.
-    pub fn endpoint_watch_failed(&mut self, host: &mut dyn Host) {
-        let wait = self.endpoint_list.record_failure(&mut self.random);
-        host.set_timer(wait, Box::new(|_, host, ()| host.watch_endpoints(true)));
-    }
-
-    /// Takes in changed route classes, between two calls: requests in flight keep the index, and so the
-    /// rules, that they began with. `in_force` are the classes that requests may still be taken for.
-    pub fn set_route_classes(&mut self, changes: &[RouteClassChange], in_force: &[RouteClassId]) {
-        for change in changes {
-            let fresh = change.predecessor.is_none();
-            self.route_classes.apply(change);
-            self.exposure
-                .counts
-                .set_bucket(change.class, change.bucket, fresh);
-        }
-        let rules = || in_force.iter().map(|class| &self.route_classes[*class]);
-        self.outlier.follow_objectives(rules());
-        self.route_classes.max_priority_weight = max_priority_weight(rules());
-    }
-
-    /// Takes in the stage that the control plane announced.
-    pub fn update_stage(&mut self, host: &mut dyn Host, stage: Stage) {
-        let known = self.announced.map(|announced| announced.stage);
-        if known.is_none_or(|known| (known.build, known.stage) != (stage.build, stage.stage)) {
-            self.sequential_test.restart(stage.build);
-            self.voting.restart_stage();
-            self.exposure.restart_stage();
-            self.pods.forget_evidence();
-        }
-        let going = matches!(stage.phase, Phase::RollingBack | Phase::Withdrawn);
-        if going || known.is_some_and(|known| known.build != stage.build) {
-            self.exposure.forget_sticky_keys();
-        }
-        let began = host.now().saturating_sub(stage.age);
-        self.announced = Some(AnnouncedStage { stage, began });
-        self.evaluate_vote(host);
-    }
-
-    /// Takes in the control plane's sampled count of all instances' attempts, which no decision uses.
-    pub fn update_tally(&mut self, _host: &mut dyn Host, _tally: Tally) {}
-
-    /// Takes in a fault that a client found in a pod's answer, to a request that was sent `ago`.
-    pub fn report_fault(
-        &mut self,
-        host: &mut dyn Host,
-        pod: PodId,
-        _class: RouteClassId,
-        ago: Nanos,
-    ) {
-        if self.record_reported_fault(host.now(), pod, ago) {
-            self.evaluate_vote(host);
-        }
-    }
-
-    fn evaluate_vote(&mut self, host: &mut dyn Host) {
-        let Some(AnnouncedStage { stage, began }) = self.announced else {
-            return;
-        };
-        let now = host.now();
-        let latest_start = self.pods.latest_start(stage.build).unwrap_or(began);
-        let running_for = now.saturating_sub(latest_start.max(began));
-        let ballot = self
-            .voting
-            .wanted(now, &self.sequential_test, stage, running_for);
-        let Some(vote) = self.voting.take_due(now, ballot) else {
-            return;
-        };
-        let (build, number) = (stage.build, stage.stage);
-        let sums = self.sums();
-        host.log(&format!(
-            "vote {} build {build} stage {number} sums {sums:.2?}",
-            recorded_word(vote)
-        ));
-        let on_reply = move |router: &mut Router, host: &mut dyn Host, reply: VoteReply| {
-            router.vote_answered(host, now, ballot, reply);
-        };
-        host.cast_vote(build, number, vote, Box::new(on_reply));
-    }
-
-    fn vote_answered(
-        &mut self,
-        host: &mut dyn Host,
-        cast_at: Nanos,
-        ballot: Ballot,
-        reply: VoteReply,
-    ) {
-        let now = host.now();
-        self.voting
-            .record_receipt(now, cast_at, ballot, reply.receipt, &mut self.random);
-        match reply.stage {
-            Some(stage) => self.update_stage(host, stage),
-            None => self.evaluate_vote(host),
-        }
-    }
-
     /// Takes a request; it is answered through the host, now or later.
     pub fn handle_request(&mut self, host: &mut dyn Host, request: IncomingRequest) {
         let now = host.now();
@@ -249,6 +111,7 @@
         self.give_up(host, &in_flight);
     }
 
+    /// Sends the next attempt, or gives up where there is none to send.
     fn next_attempt(&mut self, host: &mut dyn Host, request: SharedRequest) {
         let now = host.now();
         let spent = now >= request.borrow().deadline || self.is_exhausted(&request.borrow());
@@ -267,6 +130,7 @@
         self.plan_hedge(host, &request, pod);
     }
 
+    /// Sends an attempt and counts it.
     fn send_attempt(
         &mut self,
         host: &mut dyn Host,
@@ -301,6 +165,7 @@
         host.send_attempt(request_id, id, timeout, Box::new(on_end));
     }
 
+    /// Sets the timer for a hedged attempt, where there may be one.
     fn plan_hedge(&mut self, host: &mut dyn Host, request: &SharedRequest, pod: PodId) {
         let sent_at = host.now();
         let endpoint = self.pods.get(pod).map(|pod| pod.endpoint);
@@ -342,6 +207,7 @@
         self.send_attempt(host, request, pod, timeout);
     }
 
+    /// Learns from an attempt that ended, then tries again or gives up unless the request is over.
     fn attempt_ended(
         &mut self,
         host: &mut dyn Host,
@@ -421,6 +287,146 @@
         }
     }
 
+    /// Looks at everything that changes with time alone.
+    fn update(&mut self, host: &mut dyn Host) {
+        let now = host.now();
+        self.update_pods(now);
+        self.update_periods(now);
+        self.update_sampling(now);
+        self.evaluate_vote(host);
+        if self.exposure.is_part_update_due(now) {
+            if !self.on_trial() {
+                self.sequential_test.periods.learn_usual();
+            }
+            let in_doubt = self.sequential_test.in_doubt();
+            self.exposure.update_part(now, in_doubt);
+        }
+        schedule_update(host);
+    }
+
+    fn update_pods(&mut self, now: Nanos) {
+        self.slow_start.update(now, &mut self.pods);
+        self.subsetting.update(
+            now,
+            &self.position,
+            &mut self.pods,
+            &self.outlier,
+            &self.slow_start,
+        );
+        self.outlier.update_panic_mode(now, &self.pods);
+    }
+
+    /// Takes in the whole endpoint list or changes to it.
+    pub fn update_endpoints(&mut self, host: &mut dyn Host, whole: bool, endpoints: &[Endpoint]) {
+        self.endpoint_list.record_list();
+        let overload_window = self.slow_start.settings.overload_window;
+        let window = || SlidingWindow::new(overload_window, WINDOW_SLICES);
+        self.pods.apply(whole, endpoints, window);
+        self.update_pods(host.now());
+        let on_trial = self.sequential_test.build;
+        let pods = &self.pods;
+        self.exposure
+            .counts
+            .retain_builds(|build| build >= on_trial || pods.count_of_build(build) > 0);
+    }
+
+    /// Takes in that the watch on the endpoint list failed.
+    pub fn endpoint_watch_failed(&mut self, host: &mut dyn Host) {
+        let wait = self.endpoint_list.record_failure(&mut self.random);
+        host.set_timer(wait, Box::new(|_, host, ()| host.watch_endpoints(true)));
+    }
+
+    /// Takes in changed route classes, between two calls: requests in flight keep the index, and so the
+    /// rules, that they began with. `in_force` are the classes that requests may still be taken for.
+    pub fn set_route_classes(&mut self, changes: &[RouteClassChange], in_force: &[RouteClassId]) {
+        for change in changes {
+            let fresh = change.predecessor.is_none();
+            self.route_classes.apply(change);
+            self.exposure
+                .counts
+                .set_bucket(change.class, change.bucket, fresh);
+        }
+        let rules = || in_force.iter().map(|class| &self.route_classes[*class]);
+        self.outlier.follow_objectives(rules());
+        self.route_classes.max_priority_weight = max_priority_weight(rules());
+    }
+
+    /// Takes in the stage that the control plane announced.
+    pub fn update_stage(&mut self, host: &mut dyn Host, stage: Stage) {
+        let known = self.announced.map(|announced| announced.stage);
+        if known.is_none_or(|known| (known.build, known.stage) != (stage.build, stage.stage)) {
+            self.sequential_test.restart(stage.build);
+            self.voting.restart_stage();
+            self.exposure.restart_stage();
+            self.pods.forget_evidence();
+        }
+        let going = matches!(stage.phase, Phase::RollingBack | Phase::Withdrawn);
+        if going || known.is_some_and(|known| known.build != stage.build) {
+            self.exposure.forget_sticky_keys();
+        }
+        let began = host.now().saturating_sub(stage.age);
+        self.announced = Some(AnnouncedStage { stage, began });
+        self.evaluate_vote(host);
+    }
+
+    /// Takes in the control plane's sampled count of all instances' attempts, which no decision uses.
+    pub fn update_tally(&mut self, _host: &mut dyn Host, _tally: Tally) {}
+
+    /// Takes in a fault that a client found in a pod's answer, to a request that was sent `ago`.
+    pub fn report_fault(
+        &mut self,
+        host: &mut dyn Host,
+        pod: PodId,
+        _class: RouteClassId,
+        ago: Nanos,
+    ) {
+        if self.record_reported_fault(host.now(), pod, ago) {
+            self.evaluate_vote(host);
+        }
+    }
+
+    /// Casts a vote where one is due.
+    fn evaluate_vote(&mut self, host: &mut dyn Host) {
+        let Some(AnnouncedStage { stage, began }) = self.announced else {
+            return;
+        };
+        let now = host.now();
+        let latest_start = self.pods.latest_start(stage.build).unwrap_or(began);
+        let running_for = now.saturating_sub(latest_start.max(began));
+        let ballot = self
+            .voting
+            .wanted(now, &self.sequential_test, stage, running_for);
+        let Some(vote) = self.voting.take_due(now, ballot) else {
+            return;
+        };
+        let (build, number) = (stage.build, stage.stage);
+        let sums = self.sums();
+        host.log(&format!(
+            "vote {} build {build} stage {number} sums {sums:.2?}",
+            recorded_word(vote)
+        ));
+        let on_reply = move |router: &mut Router, host: &mut dyn Host, reply: VoteReply| {
+            router.vote_answered(host, now, ballot, reply);
+        };
+        host.cast_vote(build, number, vote, Box::new(on_reply));
+    }
+
+    fn vote_answered(
+        &mut self,
+        host: &mut dyn Host,
+        cast_at: Nanos,
+        ballot: Ballot,
+        reply: VoteReply,
+    ) {
+        let now = host.now();
+        self.voting
+            .record_receipt(now, cast_at, ballot, reply.receipt, &mut self.random);
+        match reply.stage {
+            Some(stage) => self.update_stage(host, stage),
+            None => self.evaluate_vote(host),
+        }
+    }
+
     /// The sums of the sequential test on failures, on slow answers and of the alternating periods.
     pub fn sums(&self) -> (f64, f64, f64) {
         let test = &self.sequential_test;
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -80,10 +80,8 @@
 
     /// What the warm pods of a machine type answered of late for each unit of size, where there are any.
     fn answers_by_size(&mut self, now: Nanos, machine: usize) -> Option<f64> {
-        let machine = self.machines.get_mut(machine)?;
-        if machine.size <= 0.0 {
-            return None;
-        }
+        let known = self.machines.get_mut(machine);
+        let machine = known.filter(|machine| machine.size > 0.0)?;
         Some(machine.answers.upper_bound(now) as f64 / machine.size)
     }
 
