--- a/crates/sidecar/src/daemon.rs
+++ b/crates/sidecar/src/daemon.rs
@@ -2,8 +2,8 @@
 
 use crate::configuration::{self, CachedConfiguration};
 use crate::dispatcher::Dispatcher;
+use crate::engine::events::Observer;
 use crate::engine::{Engine, EngineSettings, EPOCH};
-use crate::events::Observer;
 use crate::listener::{accept, listen, Audience, ListenError};
 use crate::membership::{Membership, MembershipError};
 use crate::routes::RouteTable;
--- a/crates/sidecar/src/engine/endpoints.rs
+++ b/crates/sidecar/src/engine/endpoints.rs
@@ -1,7 +1,7 @@
 //! What the engine takes in of pods: from service discovery, health checks and clients.
 
+use super::events::Event;
 use super::Engine;
-use crate::events::Event;
 use havenplank::interface::{Endpoint, HealthCheckResult, Nanos, PodId, RouteClassId};
 use havenplank_line_protocol::endpoint_list::ListedEndpoint;
 
--- a/crates/sidecar/src/events.rs
+++ b/crates/sidecar/src/engine/events.rs
@@ -1,6 +1,6 @@
 //! Events of an engine, as data: for those that observe it, and to replay it.
 
-use crate::engine::{Effect, RequestAttributes};
+use super::{Effect, RequestAttributes};
 use havenplank::interface::{
     AttemptEnd, HealthCheckResult, LoadReport, Nanos, PodId, PriorAttempt, RequestId, RouteClassId,
     Stage, Tally, VoteReply,
--- a/crates/sidecar/src/engine/mod.rs
+++ b/crates/sidecar/src/engine/mod.rs
@@ -5,6 +5,7 @@
 
 mod effect;
 mod endpoints;
+pub mod events;
 mod host;
 mod lookups;
 mod release;
@@ -19,9 +20,9 @@
 pub use request::RequestAttributes;
 pub use settings::EngineSettings;
 
-use crate::events::{Event, Observer};
 use crate::pod_registry::PodRegistry;
 use crate::route_slots::{Slot, SlotCounts, Slots};
+use events::{Event, Observer};
 use havenplank::interface::{Nanos, PriorAttempt, RouteClass, RouteClassId, Stage};
 use havenplank::logic::Router;
 use host::EngineHost;
--- a/crates/sidecar/src/engine/release.rs
+++ b/crates/sidecar/src/engine/release.rs
@@ -1,7 +1,7 @@
 //! What the engine takes in of releases, from the control plane.
 
+use super::events::Event;
 use super::Engine;
-use crate::events::Event;
 use havenplank::interface::{Nanos, Stage, Tally, VoteReply};
 use havenplank_line_protocol::control_plane::ClassTally;
 
--- a/crates/sidecar/src/engine/replay.rs
+++ b/crates/sidecar/src/engine/replay.rs
@@ -1,7 +1,7 @@
 //! Recorded events, played again.
 
+use super::events::Event;
 use super::Engine;
-use crate::events::Event;
 use havenplank::interface::Nanos;
 
 impl Engine {
--- a/crates/sidecar/src/engine/requests.rs
+++ b/crates/sidecar/src/engine/requests.rs
@@ -1,8 +1,8 @@
 //! A request's way through the engine: it arrives, its attempts are sent and end, its client leaves.
 
+use super::events::Event;
 use super::request::InFlightRequest;
 use super::{Engine, RequestAttributes};
-use crate::events::Event;
 use havenplank::interface::{
     AttemptEnd, AttemptOutcome, LoadReport, Nanos, PriorAttempt, RequestId,
 };
--- a/crates/sidecar/src/lib.rs
+++ b/crates/sidecar/src/lib.rs
@@ -31,7 +31,6 @@
 pub mod distributor;
 mod endpoint_cache;
 pub mod engine;
-pub mod events;
 mod exactly_once;
 pub mod headers;
 mod health_check;
@@ -55,5 +54,6 @@
 mod upstream;
 
 pub use daemon::{serve, Addresses, StartError};
+pub use engine::events;
 pub use listener::{listen, take_queued_connections, ListenError};
 pub use membership::MembershipError;
--- a/crates/sidecar/src/takeover_service.rs
+++ b/crates/sidecar/src/takeover_service/mod.rs
@@ -1,11 +1,20 @@
 //! The takeover of requests among sidecars: its decisions on the membership's sockets, and the requests here that wait
 //! for what they decide.
 
+mod announcement;
+mod lease;
+mod request_id;
+mod waiters;
+
+pub use announcement::AnnouncedAttempt;
+pub use lease::LeaseRequest;
+pub use request_id::{request_id, request_id_text};
+
 use crate::membership::Membership;
 use havenplank_membership::wire::Life;
 use havenplank_settings::{Takeover as Settings, DISTRIBUTOR_ZONE};
 use havenplank_takeover::placement::{pick, Candidate};
-use havenplank_takeover::record::{AttemptState, Message, Outcome, Record, RequestId};
+use havenplank_takeover::record::{Message, Outcome, Record, RequestId};
 use havenplank_takeover::{Effect, Nanos, Rules, Takeover};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -13,7 +22,8 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::spawn_local;
-use tokio::time::{interval, timeout, MissedTickBehavior};
+use tokio::time::{interval, MissedTickBehavior};
+use waiters::Waiters;
 
 /// The membership's kind of message that is ours.
 const MESSAGE_KIND: u8 = 2;
@@ -38,66 +48,6 @@
     Unknown,
 }
 
-/// Those here that wait for word on one request.
-#[derive(Default)]
-struct Waiters {
-    lease: Option<oneshot::Sender<LeaseReply>>,
-    outcome: Vec<oneshot::Sender<LeaseReply>>,
-    attempt_ready: HashMap<usize, oneshot::Sender<()>>,
-    lost: Option<oneshot::Sender<()>>,
-}
-
-impl Waiters {
-    fn reply_to_lease(&mut self, reply: LeaseReply) {
-        if let Some(waiter) = self.lease.take() {
-            let _ = waiter.send(reply);
-        }
-    }
-
-    /// Waits for the outcome in place of the lease, as another sidecar owns the request.
-    fn join(&mut self) {
-        self.outcome.extend(self.lease.take());
-    }
-
-    fn attempt_ready(&mut self, attempt: usize) {
-        if let Some(waiter) = self.attempt_ready.remove(&attempt) {
-            let _ = waiter.send(());
-        }
-    }
-
-    fn lose(&mut self) {
-        self.attempt_ready.clear();
-        if let Some(waiter) = self.lost.take() {
-            let _ = waiter.send(());
-        }
-    }
-
-    fn finish(&mut self, outcome: &Outcome) {
-        let waiters = self.lease.take().into_iter().chain(self.outcome.drain(..));
-        for waiter in waiters {
-            let _ = waiter.send(LeaseReply::Finished(outcome.clone()));
-        }
-        self.lose();
-    }
-
-    fn give_up(&mut self) {
-        for waiter in self.outcome.drain(..) {
-            let _ = waiter.send(LeaseReply::Unknown);
-        }
-    }
-
-    /// Drops whoever went away, and returns whether anybody is left.
-    fn is_needed(&mut self) -> bool {
-        self.outcome.retain(|waiter| !waiter.is_closed());
-        let leases = self
-            .lease
-            .as_ref()
-            .is_some_and(|waiter| !waiter.is_closed());
-        let owns = self.lost.as_ref().is_some_and(|waiter| !waiter.is_closed());
-        leases || owns || !self.outcome.is_empty() || !self.attempt_ready.is_empty()
-    }
-}
-
 /// What an operator may look at.
 #[derive(Clone, Debug, Default)]
 pub struct TakeoverStatus {
@@ -115,21 +65,6 @@
     pub taken_over: u64,
 }
 
-/// A request for which a lease is asked.
-#[derive(Clone, Copy, Debug)]
-pub struct LeaseRequest<'a> {
-    /// Names the request among sidecars.
-    pub id: RequestId,
-    /// Hash of what was asked.
-    pub digest: u64,
-    /// The request as its backups keep it.
-    pub payload: &'a [u8],
-    /// Whether it must not run twice, whatever that costs.
-    pub exactly_once: bool,
-    /// Time left until its client gives up.
-    pub remaining: Nanos,
-}
-
 /// What the owner of a request is notified of.
 pub struct OwnerWatch {
     /// Another sidecar owns it now.
@@ -296,78 +231,6 @@
         })
     }
 
-    /// Asks for the lease on a request, and waits until it is ours or has its outcome: no longer than its client does.
-    pub async fn request_lease(&self, request: LeaseRequest<'_>) -> LeaseReply {
-        let LeaseRequest { id, remaining, .. } = request;
-        let (sender, reply) = oneshot::channel();
-        match self.begin_lease_request(request) {
-            Begun::Replied(reply) => return reply,
-            Begun::Waits => self.waiters.borrow_mut().entry(id).or_default().lease = Some(sender),
-            Begun::Joined => {
-                let mut all = self.waiters.borrow_mut();
-                all.entry(id).or_default().outcome.push(sender);
-            }
-        }
-        let reply = timeout(Duration::from_nanos(remaining), reply).await;
-        // Whoever waited in vain is not notified any more.
-        self.forget_closed_waiters(id);
-        reply
-            .ok()
-            .and_then(Result::ok)
-            .unwrap_or(LeaseReply::Unknown)
-    }
-
-    fn begin_lease_request(&self, request: LeaseRequest<'_>) -> Begun {
-        let LeaseRequest { id, .. } = request;
-        let (backups, now) = (self.backups_of(id), self.membership.now());
-        let payload = (request.payload.to_vec(), request.exactly_once);
-        self.takeover.borrow_mut().claim(
-            now,
-            id,
-            request.digest,
-            payload,
-            request.remaining,
-            backups,
-        );
-        let mut begun = Begun::Waits;
-        loop {
-            let effect = self.takeover.borrow_mut().effect();
-            let reply = match effect {
-                Some(Effect::Finished(known, outcome)) if known == id => {
-                    LeaseReply::Finished(outcome)
-                }
-                Some(Effect::KeyReused(known)) if known == id => LeaseReply::KeyReused,
-                Some(Effect::Unprotected(known)) if known == id => LeaseReply::Unprotected,
-                Some(Effect::Uncertain(known)) if known == id => LeaseReply::Uncertain,
-                Some(Effect::Joined(known)) if known == id => {
-                    begun = Begun::Joined;
-                    continue;
-                }
-                Some(effect) => {
-                    self.perform(effect);
-                    continue;
-                }
-                None => return begun,
-            };
-            return Begun::Replied(reply);
-        }
-    }
-
-    /// Asks for the lease without waiting; where another has it, the request is served all the same, as a repeat does
-    /// no harm.
-    pub fn request_lease_in_background(&self, request: LeaseRequest<'_>) {
-        let (backups, now) = (self.backups_of(request.id), self.membership.now());
-        self.takeover.borrow_mut().claim_in_background(
-            now,
-            request.id,
-            request.digest,
-            request.payload.to_vec(),
-            request.remaining,
-            backups,
-        );
-        self.perform_effects();
-    }
-
     /// Forgets whoever waits no more for a request.
     pub fn forget_closed_waiters(&self, id: RequestId) {
         self.with_waiters(id, |_| {});
@@ -392,39 +255,6 @@
         self.perform(Effect::Finished(id, outcome));
     }
 
-    /// Tells the backups of an attempt, and where `wait` says so waits until they know. `None` where it may not be
-    /// sent.
-    pub async fn announce_attempt(
-        self: &Rc<Self>,
-        id: RequestId,
-        pod: &str,
-        wait: bool,
-    ) -> Option<AnnouncedAttempt> {
-        let now = self.membership.now();
-        let attempt = self.takeover.borrow_mut().begin_attempt(now, id, pod)?;
-        let announced = AnnouncedAttempt {
-            service: self.clone(),
-            id,
-            attempt,
-            sent: Cell::new(false),
-            served: Cell::new(false),
-        };
-        let ready = wait.then(|| self.wait_for_backups(id, attempt));
-        self.perform_effects();
-        if let Some(ready) = ready {
-            ready.await.ok()?;
-        }
-        Some(announced)
-    }
-
-    fn wait_for_backups(&self, id: RequestId, attempt: usize) -> oneshot::Receiver<()> {
-        let (sender, ready) = oneshot::channel();
-        let mut all = self.waiters.borrow_mut();
-        let waiters = all.entry(id).or_default();
-        waiters.attempt_ready.insert(attempt, sender);
-        ready
-    }
-
     /// Returns whether an attempt of this request may be written at this moment.
     pub fn may_send(&self, id: RequestId) -> bool {
         self.takeover.borrow().may_send(self.membership.now(), id)
@@ -454,72 +284,3 @@
         }
     }
 }
-
-/// How far a lease request came at once.
-enum Begun {
-    Replied(LeaseReply),
-    /// Backups are asked.
-    Waits,
-    /// Another sidecar owns it, and tells its outcome.
-    Joined,
-}
-
-/// One attempt that was announced to backups; whatever becomes of the task that carries it, they learn how it ended.
-pub struct AnnouncedAttempt {
-    service: Rc<TakeoverService>,
-    id: RequestId,
-    attempt: usize,
-    sent: Cell<bool>,
-    served: Cell<bool>,
-}
-
-impl AnnouncedAttempt {
-    /// Notes whether it may have run from here on.
-    pub fn set_sent(&self, sent: bool) {
-        self.sent.set(sent);
-    }
-
-    /// Notes that the pod's answer proves that it never ran.
-    pub fn never_ran(&self) {
-        self.sent.set(false);
-    }
-
-    /// Notes that its response is the final answer, which says it all.
-    pub fn served(&self) {
-        self.served.set(true);
-    }
-}
-
-impl Drop for AnnouncedAttempt {
-    fn drop(&mut self) {
-        if self.served.get() {
-            return;
-        }
-        let now = self.service.membership.now();
-        let state = if self.sent.get() {
-            AttemptState::MayHaveRun
-        } else {
-            AttemptState::NeverRan
-        };
-        let mut takeover = self.service.takeover.borrow_mut();
-        takeover.end_attempt(now, self.id, self.attempt, state);
-        drop(takeover);
-        self.service.perform_effects();
-    }
-}
-
-/// Hashes these parts to a request id; parts are told apart by their lengths.
-pub fn request_id(parts: &[&[u8]]) -> RequestId {
-    let mut hash = blake3::Hasher::new();
-    for part in parts {
-        hash.update(&(part.len() as u64).to_le_bytes()).update(part);
-    }
-    let mut bytes = [0; 16];
-    bytes.copy_from_slice(&hash.finalize().as_bytes()[..16]);
-    RequestId::from_le_bytes(bytes)
-}
-
-/// Formats a request id for the log.
-pub fn request_id_text(id: RequestId) -> String {
-    format!("{id:032x}")
-}
