--- a/crates/platform/src/fields.rs
+++ b/crates/platform/src/fields.rs
@@ -1,5 +1,6 @@
 //! JSON objects taken apart field by field; errors name the object, the path to the field and what was expected.
 
+use havenplank_adapter::error::WireError;
 use havenplank_adapter::line::{Fields, Line};
 use serde_json::Value;
 
@@ -22,14 +23,8 @@
         object: &'static str,
     },
     /// A field is missing or wrong, in the words of the reader of fields.
-    #[error("{0}")]
-    Field(String),
-}
-
-impl From<String> for FieldError {
-    fn from(complaint: String) -> FieldError {
-        FieldError::Field(complaint)
-    }
+    #[error(transparent)]
+    Field(#[from] WireError),
 }
 
 /// Parses an object; `object` names it in errors.
@@ -50,6 +45,6 @@
 }
 
 /// Returns the error for a field whose value is not what was expected.
-pub(crate) fn invalid(fields: &Fields, field: &str, expected: &str) -> FieldError {
-    FieldError::Field(fields.complain(field, expected))
+pub(crate) fn invalid(fields: &Fields, field: &str, expected: &'static str) -> FieldError {
+    FieldError::Field(fields.error(field, expected))
 }
--- a/crates/platform/src/pod_client.rs
+++ b/crates/platform/src/pod_client.rs
@@ -4,7 +4,7 @@
 use crate::pod_pool::PodPool;
 use crate::response_memory::ResponseMemory;
 use havenplank::interface::LoadReport;
-use havenplank_adapter::door::load_of;
+use havenplank_adapter::load_report::load_of;
 use std::cell::Cell;
 use std::time::Duration;
 
--- a/crates/sidecar/src/configuration.rs
+++ b/crates/sidecar/src/configuration.rs
@@ -101,7 +101,7 @@
         serve_bytes_per_s: settings.serve_bytes_per_s,
         ..Rules::default()
     };
-    let seed = seed ^ me.life.life;
+    let seed = seed ^ me.life.incarnation;
     let spreader = Spreader::new(membership.now(), seed, me, Role::Sidecar, installed, rules);
     let host = InForce {
         shell: Rc::downgrade(shell),
--- a/crates/sidecar/src/distributor/mod.rs
+++ b/crates/sidecar/src/distributor/mod.rs
@@ -135,7 +135,7 @@
         life: membership.me().clone(),
         zone: DISTRIBUTOR_ZONE.to_string(),
     };
-    let seed = me.life.life;
+    let seed = me.life.incarnation;
     Spreader::new(
         membership.now(),
         seed,
--- a/crates/sidecar/src/membership.rs
+++ b/crates/sidecar/src/membership.rs
@@ -1,12 +1,13 @@
 //! Where a sidecar hears the others: the membership's sockets and keys, who here reads which kind of message, and
 //! whether it may believe that it sees enough of them.
 
-use havenplank_membership::node::{Happened, Node};
-use havenplank_membership::shell::{log, new_life, read_keys, KeysError, Talker};
-use havenplank_membership::standing::{Dispute, Rules as QuorumRules, Standing};
-use havenplank_membership::swim::{News, Rules, State};
-use havenplank_membership::views::{Change, Views, VIEWS};
-use havenplank_membership::wire::Life;
+use havenplank_membership::keys::{read_keys, KeyFileError};
+use havenplank_membership::member::{Member, MemberId, MemberState};
+use havenplank_membership::node::{Node, NodeEvent};
+use havenplank_membership::quorum::{Dispute, QuorumState, Rules as QuorumRules};
+use havenplank_membership::swim::Rules;
+use havenplank_membership::transport::{log_event, new_incarnation, Transport};
+use havenplank_membership::view_exchange::{Change, ViewExchange, VIEW_KIND};
 use havenplank_settings::Fellowship as Settings;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -28,7 +29,7 @@
 pub enum MembershipError {
     /// The key file gives no keys.
     #[error("fellowship.keys: {0}")]
-    Keys(#[from] KeysError),
+    Keys(#[from] KeyFileError),
     /// The address cannot be bound.
     #[error("fellowship.listen {at}: {source}; expected an address of this machine whose port is free for UDP and TCP")]
     Listen {
@@ -40,15 +41,15 @@
 }
 
 /// Reads the messages of one kind.
-type MessageHandler = Rc<dyn Fn(&Life, &[u8])>;
+type MessageHandler = Rc<dyn Fn(&MemberId, &[u8])>;
 
 /// This sidecar among the others.
 pub struct Membership {
-    talker: Rc<Talker>,
-    me: Life,
+    transport: Rc<Transport>,
+    me: MemberId,
     /// By kind of message. One entry a part of the program that talks, set at the start.
     handlers: RefCell<BTreeMap<u8, MessageHandler>>,
-    views: RefCell<Views>,
+    views: RefCell<ViewExchange>,
     /// Views are sent to one member after the other, once a period.
     period: Duration,
 }
@@ -61,7 +62,7 @@
     /// How far this sidecar's own slowness stretches its time-outs.
     pub slowness: u32,
     /// Its quorum state.
-    pub standing: Option<Standing>,
+    pub standing: Option<QuorumState>,
     /// For how long that has held, in ns.
     pub stands_for: u64,
     /// How many members there should be.
@@ -99,35 +100,35 @@
         zone: &str,
     ) -> Result<Rc<Membership>, MembershipError> {
         let keys = read_keys(&settings.keys)?;
-        let me = Life {
+        let me = MemberId {
             name: name.to_string(),
-            life: new_life(),
+            incarnation: new_incarnation(),
         };
         let (parts, of) = ANSWER_PARTS;
         let rules = Rules {
             period: settings.period,
-            answer: settings.period * parts / of,
+            ping_timeout: settings.period * parts / of,
             ..Rules::default()
         };
-        let talker = Talker::bind(settings.listen, |now, bound| {
-            let news = News {
-                who: me.clone(),
-                at: settings.advertise.unwrap_or(bound),
+        let transport = Transport::bind(settings.listen, |now, bound| {
+            let member = Member {
+                id: me.clone(),
+                address: settings.advertise.unwrap_or(bound),
                 zone: zone.to_string(),
-                round: 0,
-                state: State::Lives,
+                refutations: 0,
+                state: MemberState::Alive,
             };
-            let seed = me.life ^ u64::from(bound.port()) << 48;
-            Node::new(now, seed, news, settings.meet.clone(), rules, keys)
+            let seed = me.incarnation ^ u64::from(bound.port()) << 48;
+            Node::new(now, seed, member, settings.meet.clone(), rules, keys)
         });
-        let talker = talker.await.map_err(|source| MembershipError::Listen {
+        let transport = transport.await.map_err(|source| MembershipError::Listen {
             at: settings.listen,
             source,
         })?;
-        talker.call(|node, _| node.reads(VIEWS));
-        let views = Views::new(talker.now(), me.clone(), QuorumRules::default());
+        transport.call(|node, _| node.accept_kind(VIEW_KIND));
+        let views = ViewExchange::new(transport.now(), me.clone(), QuorumRules::default());
         Ok(Rc::new(Membership {
-            talker,
+            transport,
             me,
             handlers: RefCell::default(),
             views: RefCell::new(views),
@@ -136,25 +137,25 @@
     }
 
     /// Hands messages of this kind to `handler` from now on. One part of the program owns a kind.
-    pub fn on_message(&self, kind: u8, handler: impl Fn(&Life, &[u8]) + 'static) {
-        self.talker.call(|node, _| node.reads(kind));
+    pub fn on_message(&self, kind: u8, handler: impl Fn(&MemberId, &[u8]) + 'static) {
+        self.transport.call(|node, _| node.accept_kind(kind));
         self.handlers.borrow_mut().insert(kind, Rc::new(handler));
     }
 
     /// Meets the others and goes on until the thread's tasks end. `keys` is read again at SIGHUP.
     pub fn run(self: &Rc<Self>, keys: PathBuf) {
         let membership = self.clone();
-        let talker = self.talker.clone();
-        spawn_local(talker.run(move |_, happened| membership.handle(happened)));
+        let transport = self.transport.clone();
+        spawn_local(transport.run(move |_, event| membership.handle(event)));
         spawn_local(self.clone().reload_keys(keys));
         spawn_local(self.clone().send_views());
     }
 
-    fn handle(&self, happened: Happened) {
-        match happened {
-            Happened::Came {
+    fn handle(&self, event: NodeEvent) {
+        match event {
+            NodeEvent::Message {
                 from,
-                kind: VIEWS,
+                kind: VIEW_KIND,
                 body,
             } => {
                 let now = self.now();
@@ -163,15 +164,15 @@
                     tracing::warn!(fellow = from.name, "view passed over: not readable");
                 }
             }
-            Happened::Came { from, kind, body } => {
+            NodeEvent::Message { from, kind, body } => {
                 let handler = self.handlers.borrow().get(&kind).cloned();
                 if let Some(handler) = handler {
                     handler(&from, &body);
                 }
             }
-            Happened::Told(event) => {
+            NodeEvent::Membership(event) => {
                 self.views.borrow_mut().observe(self.now(), &event);
-                log(event);
+                log_event(event);
             }
         }
     }
@@ -183,7 +184,7 @@
         loop {
             periods.tick().await;
             let tick = |node: &mut Node, now| self.views.borrow_mut().tick(now, node);
-            let change = self.talker.call(tick);
+            let change = self.transport.call(tick);
             if let Some(change) = change {
                 self.log_change(change);
             }
@@ -192,7 +193,10 @@
 
     fn log_change(&self, Change { was, is }: Change) {
         let (now, views) = (self.now(), self.views.borrow());
-        let (belong, missing) = (views.place().belong(), views.place().missing(now).count());
+        let (belong, missing) = (
+            views.quorum().voter_count(),
+            views.quorum().missing(now).count(),
+        );
         if is > was {
             tracing::warn!(?was, ?is, belong, missing, "standing");
         } else {
@@ -208,7 +212,7 @@
             match read_keys(&file) {
                 Ok(keys) => {
                     tracing::info!(keys = keys.len(), "keys read again");
-                    self.talker.call(|node, _| node.rekey(keys));
+                    self.transport.call(|node, _| node.replace_keys(keys));
                 }
                 Err(why) => tracing::warn!(%why, "keys refused, the old ones stay"),
             }
@@ -216,63 +220,63 @@
     }
 
     /// Returns this sidecar's name and incarnation.
-    pub fn me(&self) -> &Life {
+    pub fn me(&self) -> &MemberId {
         &self.me
     }
 
     /// Returns the time since the start on the monotonic clock, in ns.
     pub fn now(&self) -> u64 {
-        self.talker.now()
+        self.transport.now()
     }
 
     /// Returns where other sidecars reach it.
     pub fn address(&self) -> Option<SocketAddr> {
-        self.talker.at().ok()
+        self.transport.local_address().ok()
     }
 
     /// Sends a message to a member. One that is not known any more hears nothing, as if it were lost on the way.
-    pub fn send(&self, to: &Life, kind: u8, body: Vec<u8>) {
-        self.talker.call(|node, _| node.send(to, kind, body));
+    pub fn send(&self, to: &MemberId, kind: u8, body: Vec<u8>) {
+        self.transport.call(|node, _| node.send(to, kind, body));
     }
 
     /// Looks at the others that live, as far as known here.
-    pub fn with_living<T>(&self, look: impl FnOnce(&mut dyn Iterator<Item = &News>) -> T) -> T {
-        self.talker
-            .call(|node, _| look(&mut node.fellows().living()))
+    pub fn with_living<T>(&self, look: impl FnOnce(&mut dyn Iterator<Item = &Member>) -> T) -> T {
+        self.transport
+            .call(|node, _| look(&mut node.membership().alive()))
     }
 
     /// Tells the others that it leaves.
     pub fn leave(&self) {
-        self.talker.call(|node, _| node.leave());
+        self.transport.call(|node, _| node.leave());
     }
 
     /// Returns what an operator may look at.
     pub fn status(&self) -> MembershipStatus {
-        let unsent = self.talker.lost();
+        let unsent = self.transport.dropped_sends();
         let (now, views) = (self.now(), self.views.borrow());
-        let place = views.place();
-        let (standing, since) = place.standing();
-        let mut disputes = place.disputes(now);
+        let quorum = views.quorum();
+        let (standing, since) = (quorum.state(), quorum.state_since());
+        let mut disputes = quorum.disputes(now);
         disputes.truncate(SHOWN_NAMES);
-        self.talker.call(|node, _| MembershipStatus {
+        self.transport.call(|node, _| MembershipStatus {
             living: node
-                .fellows()
-                .living()
-                .map(|news| news.who.name.clone())
+                .membership()
+                .alive()
+                .map(|member| member.id.name.clone())
                 .collect(),
-            slowness: node.fellows().slowness(),
+            slowness: node.membership().health_score(),
             standing: Some(standing),
             stands_for: now.saturating_sub(since),
-            belong: place.belong(),
-            reached: place.belong() - place.missing(now).count(),
-            missing: shown(place.missing(now)),
-            deaf_to_us: shown(place.deaf_to_us(now)),
-            unsteady: shown(place.unsteady(now)),
+            belong: quorum.voter_count(),
+            reached: quorum.voter_count() - quorum.missing(now).count(),
+            missing: shown(quorum.missing(now)),
+            deaf_to_us: shown(quorum.deaf_to_us(now)),
+            unsteady: shown(quorum.flapping(now)),
             disputes,
             sent: node.sent,
             sent_bytes: node.sent_bytes,
-            refused: node.refused.total(),
-            overrun: node.overrun.values().sum(),
+            refused: node.rejected.total(),
+            overrun: node.overflowed.values().sum(),
             unsent,
         })
     }
--- a/crates/sidecar/src/replication.rs
+++ b/crates/sidecar/src/replication.rs
@@ -5,8 +5,8 @@
 use havenplank_configuration::message::Message;
 use havenplank_configuration::snapshot::Snapshot;
 use havenplank_configuration::spread::{Effect, Event, Glance, Nanos, Peer, Peers, Spreader};
-use havenplank_membership::swim::News;
-use havenplank_membership::wire::Life;
+use havenplank_membership::member::Member;
+use havenplank_membership::member::MemberId;
 use serde_json::{json, Value};
 use std::cell::RefCell;
 use std::fmt::Display;
@@ -83,9 +83,9 @@
     }
 
     fn living(&self) -> Peers {
-        let peer = |news: &News| Peer {
-            life: news.who.clone(),
-            zone: news.zone.clone(),
+        let peer = |member: &Member| Peer {
+            life: member.id.clone(),
+            zone: member.zone.clone(),
         };
         Peers::new(
             self.membership
@@ -103,7 +103,7 @@
         &self.host
     }
 
-    fn receive(&self, from: &Life, body: &[u8]) {
+    fn receive(&self, from: &MemberId, body: &[u8]) {
         match Message::decode(body) {
             Ok(message) => {
                 self.call(|spreader, now| spreader.heard(now, from, message, body.len()))
--- a/crates/sidecar/src/takeover_service/lease.rs
+++ b/crates/sidecar/src/takeover_service/lease.rs
@@ -2,7 +2,7 @@
 
 use super::{LeaseReply, TakeoverService};
 use havenplank_takeover::record::RequestId;
-use havenplank_takeover::{Effect, Nanos};
+use havenplank_takeover::{Effect, IncomingRequest, Nanos, RequiredAcks};
 use std::time::Duration;
 use tokio::sync::oneshot;
 use tokio::time::timeout;
@@ -55,19 +55,16 @@
 
     fn begin_lease_request(&self, request: LeaseRequest<'_>) -> Begun {
         let LeaseRequest { id, .. } = request;
-        let (backups, now) = (self.backups_of(id), self.membership.now());
-        let payload = (request.payload.to_vec(), request.exactly_once);
-        self.takeover.borrow_mut().claim(
-            now,
-            id,
-            request.digest,
-            payload,
-            request.remaining,
-            backups,
-        );
+        let required = match request.exactly_once {
+            true => RequiredAcks::All,
+            false => RequiredAcks::Majority,
+        };
+        let incoming = self.incoming(&request);
+        let now = self.membership.now();
+        self.takeover.borrow_mut().claim(now, incoming, required);
         let mut begun = Begun::Waits;
         loop {
-            let effect = self.takeover.borrow_mut().effect();
+            let effect = self.takeover.borrow_mut().next_effect();
             let reply = match effect {
                 Some(Effect::Finished(known, outcome)) if known == id => {
                     LeaseReply::Finished(outcome)
@@ -92,15 +89,22 @@
     /// Asks for the lease without waiting; where another has it, the request is served all the same, as a repeat does
     /// no harm.
     pub fn request_lease_in_background(&self, request: LeaseRequest<'_>) {
-        let (backups, now) = (self.backups_of(request.id), self.membership.now());
-        self.takeover.borrow_mut().claim_in_background(
-            now,
-            request.id,
-            request.digest,
-            request.payload.to_vec(),
-            request.remaining,
-            backups,
-        );
+        let incoming = self.incoming(&request);
+        let now = self.membership.now();
+        self.takeover
+            .borrow_mut()
+            .claim_in_background(now, incoming);
         self.perform_effects();
     }
+
+    /// Returns a request as the decisions take it, with its backups.
+    fn incoming(&self, request: &LeaseRequest<'_>) -> IncomingRequest {
+        IncomingRequest {
+            request: request.id,
+            digest: request.digest,
+            payload: request.payload.to_vec(),
+            remaining: request.remaining,
+            backups: self.backups_of(request.id),
+        }
+    }
 }
--- a/crates/sidecar/src/takeover_service/mod.rs
+++ b/crates/sidecar/src/takeover_service/mod.rs
@@ -11,11 +11,11 @@
 pub use request_id::{request_id, request_id_text};
 
 use crate::membership::Membership;
-use havenplank_membership::wire::Life;
+use havenplank_membership::member::MemberId;
 use havenplank_settings::{Takeover as Settings, DISTRIBUTOR_ZONE};
-use havenplank_takeover::placement::{pick, Candidate};
+use havenplank_takeover::placement::{choose_backups, Candidate};
 use havenplank_takeover::record::{Message, Outcome, Record, RequestId};
-use havenplank_takeover::{Effect, Nanos, Rules, Takeover};
+use havenplank_takeover::{Effect, Nanos, Rules, TableSizes, Takeover};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -105,7 +105,7 @@
         };
         let (sender, taken_over) = mpsc::unbounded_channel();
         let me = membership.me();
-        let takeover = Takeover::new(membership.now(), me.life, me.clone(), rules);
+        let takeover = Takeover::new(membership.now(), me.incarnation, me.clone(), rules);
         let service = Rc::new(TakeoverService {
             takeover: RefCell::new(takeover),
             membership: membership.clone(),
@@ -135,7 +135,7 @@
         }
     }
 
-    fn receive(&self, from: &Life, body: &[u8]) {
+    fn receive(&self, from: &MemberId, body: &[u8]) {
         match postcard::from_bytes::<Message>(body) {
             Ok(message) => {
                 let now = self.membership.now();
@@ -153,7 +153,7 @@
     /// Carries out all that a call left to do.
     fn perform_effects(&self) {
         loop {
-            let effect = self.takeover.borrow_mut().effect();
+            let effect = self.takeover.borrow_mut().next_effect();
             let Some(effect) = effect else { return };
             self.perform(effect);
         }
@@ -212,22 +212,22 @@
         let me = self.membership.me();
         request_id(&[
             me.name.as_bytes(),
-            &me.life.to_le_bytes(),
+            &me.incarnation.to_le_bytes(),
             &number.to_le_bytes(),
         ])
     }
 
-    fn backups_of(&self, id: RequestId) -> Vec<Life> {
+    fn backups_of(&self, id: RequestId) -> Vec<MemberId> {
         self.membership.with_living(|others| {
             // A distributor of the configuration takes nobody's work over.
-            let sidecars = others.filter(|news| news.zone != DISTRIBUTOR_ZONE);
+            let sidecars = others.filter(|member| member.zone != DISTRIBUTOR_ZONE);
             let candidates: Vec<Candidate<'_>> = sidecars
-                .map(|news| Candidate {
-                    who: &news.who,
-                    zone: &news.zone,
+                .map(|member| Candidate {
+                    id: &member.id,
+                    zone: &member.zone,
                 })
                 .collect();
-            pick(id, &candidates, self.backups)
+            choose_backups(id, &candidates, self.backups)
         })
     }
 
@@ -273,7 +273,11 @@
     /// Returns what an operator may look at.
     pub fn status(&self) -> TakeoverStatus {
         let takeover = self.takeover.borrow();
-        let (owned, replicas, waiting) = takeover.sizes();
+        let TableSizes {
+            owned,
+            replicas,
+            waiting,
+        } = takeover.table_sizes();
         TakeoverStatus {
             owned,
             replicas,
--- a/crates/sidecar/tests/unit/backup_record.rs
+++ b/crates/sidecar/tests/unit/backup_record.rs
@@ -6,7 +6,7 @@
 use crate::route_slots::Slots;
 use crate::routes::RouteTable;
 use havenplank::interface::{DedupScope, Idempotency, RouteClass};
-use havenplank_membership::wire::Life;
+use havenplank_membership::member::MemberId;
 use havenplank_settings::{Group, Guard as Backup};
 use havenplank_takeover::record::Record;
 use hyper::header::{HeaderMap, HeaderValue};
@@ -71,9 +71,9 @@
 fn record(payload: &[u8], remaining: u64) -> Record {
     Record {
         request: 7,
-        owner: Life {
+        owner: MemberId {
             name: "s-1".to_string(),
-            life: 1,
+            incarnation: 1,
         },
         term: 1,
         version: 1,
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -2,7 +2,7 @@
 //! `key=value` pairs, several stand on a line.
 //! Pods answer as their `acts` say; nothing here models a machine, a queue or a network.
 
-use havenplank::{interface::*, logic::Router};
+use havenplank::{interface::*, Router};
 use std::collections::{BTreeMap, HashMap};
 use test_case::test_case;
 
@@ -263,7 +263,16 @@
             instances: self.number("instances", 1.0) as usize,
             zone: 0,
         };
-        Router::new(now, 7, place, groups, rules, pods, exposure, votes, list)
+        let settings = RouterSettings {
+            position: place,
+            route_classes: groups,
+            attempts: rules,
+            pods,
+            exposure,
+            votes,
+            endpoint_list: list,
+        };
+        Router::new(now, 7, settings)
     }
 }
 
