--- a/crates/membership/src/follow_ups.rs
+++ b/crates/membership/src/follow_ups.rs
@@ -4,7 +4,7 @@
 use crate::Nanos;
 use std::collections::VecDeque;
 
-/// Follow-ups that wait, at most. Two are planned a period at the busiest (one for each view heard, in and out of
+/// Follow-ups that wait, at most. Two are planned a period at the busiest (one for each view received, in and out of
 /// turn) and one is sent, so one that is dropped has waited for 32 periods or more.
 const MAX_WAITING: usize = 64;
 
@@ -13,7 +13,7 @@
     due: Nanos,
 }
 
-/// The views that are to be told out of turn.
+/// The views that are to be sent out of turn.
 #[derive(Default)]
 pub(crate) struct FollowUps {
     /// In the order in which they were planned; one for each peer.
--- a/crates/membership/src/frame.rs
+++ b/crates/membership/src/frame.rs
@@ -55,7 +55,7 @@
     pub from: MemberId,
     /// Who is to read it; a name of no letters where the sender knows an address only.
     pub to: MemberId,
-    /// Grows by one with each frame of an incarnation and channel, from 1, so that a repeat can be told.
+    /// Grows by one with each frame of an incarnation and channel, from 1, so that a repeat can be recognised.
     pub sequence: u64,
     /// Which package's message it is.
     pub kind: u8,
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -23,7 +23,7 @@
 pub enum MemberState {
     /// It answers.
     Alive,
-    /// It did not answer this member, whose name tells independent suspicions apart.
+    /// It did not answer this member, whose name keeps independent suspicions apart.
     Suspected(String),
     /// It was suspected and did not refute that in time.
     Dead,
--- a/crates/membership/src/quorum/dispute.rs
+++ b/crates/membership/src/quorum/dispute.rs
@@ -14,7 +14,7 @@
 pub struct Dispute {
     /// Its name.
     pub with: String,
-    /// When its first view that differed was heard.
+    /// When its first view that differed was received.
     pub since: Nanos,
     /// Whom it misses and we reach, as far as it named them.
     pub it_misses: Vec<String>,
@@ -61,10 +61,13 @@
         }
     }
 
-    /// Whether its last view differed when it was heard, and is what we see by now.
+    /// Whether its last view differed when it was received, and is what we see by now.
     fn has_settled(&self, voter: &Voter) -> bool {
-        let heard = voter.heard.as_ref().map(|heard| heard.view.digests());
-        voter.disagreement.is_some() && heard == Some(self.voters.digests(&self.me))
+        let received = voter
+            .received
+            .as_ref()
+            .map(|received| received.view.digests());
+        voter.disagreement.is_some() && received == Some(self.voters.digests(&self.me))
     }
 
     /// The disagreement with a voter that has just said another view that differs.
@@ -80,7 +83,7 @@
 }
 
 fn describe(voter: &Voter, we_miss: &BTreeSet<&str>, voters_digest: u64) -> Option<Dispute> {
-    let view = &voter.heard.as_ref()?.view;
+    let view = &voter.received.as_ref()?.view;
     let it_misses: BTreeSet<&str> = view.missing.iter().map(String::as_str).collect();
     Some(Dispute {
         with: voter.name().to_string(),
--- a/crates/membership/src/quorum/eviction.rs
+++ b/crates/membership/src/quorum/eviction.rs
@@ -88,10 +88,10 @@
         }
         while let Some(name) = self
             .voters
-            .oldest_view_if(|heard_at| self.is_outdated(now, heard_at))
+            .oldest_view_if(|received_at| self.is_outdated(now, received_at))
         {
             self.voters.update(&name, |voter| {
-                voter.heard = None;
+                voter.received = None;
                 voter.disagreement = None;
             });
         }
--- a/crates/membership/src/quorum/mod.rs
+++ b/crates/membership/src/quorum/mod.rs
@@ -3,7 +3,7 @@
 //!
 //! Membership says who is likely there now; it forgets the dead, so that any part of the fleet looks like a whole. The
 //! voters do not: who met the others once is a voter until it leaves, or until more than half of all voters have missed
-//! it for a stated time ([`eviction`]). So no minority shrinks its world until it is a majority.
+//! it for a stated time (`eviction`). So no minority shrinks its world until it is a majority.
 //!
 //! Of the three promises (docs/membership.md) this is none of the first kind: it says what a sidecar knows, and leases
 //! say what it may do.
@@ -38,8 +38,8 @@
     /// Those that left or were evicted stay for [`Rules::eviction_delay`]; [`Rules::max_voters`] bounds it.
     voters: VoterTable,
     state: DampedState,
-    /// The name behind which the next part of the table is told.
-    told_until: String,
+    /// The name behind which the next part of the table is sent.
+    sent_until: String,
     /// Voters that were turned away as the table was full.
     pub rejected_voters: u64,
 }
@@ -52,7 +52,7 @@
             rules,
             voters: VoterTable::default(),
             state: DampedState::new(now),
-            told_until: String::new(),
+            sent_until: String::new(),
             rejected_voters: 0,
         }
     }
@@ -84,7 +84,7 @@
             .map(Voter::name)
     }
 
-    /// Returns the names of the voters that are heard here and say that they do not hear us.
+    /// Returns the names of the voters that we reach and that say that they do not reach us.
     pub fn deaf_to_us(&self, now: Nanos) -> impl Iterator<Item = &str> {
         self.notable_voters()
             .filter(move |voter| voter.is_alive && self.misses_us(now, voter))
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Merges a record that was heard or concluded; an older one changes nothing.
+    /// Merges a record that was received or concluded; an older one changes nothing.
     fn merge(&mut self, now: Nanos, record: VoterRecord) {
         let name = &record.id.name;
         if *name == self.me.id.name {
@@ -166,12 +166,12 @@
     }
 
     /// Becomes a voter again, if we were evicted: we are here.
-    fn rejoin(&mut self, heard: &VoterRecord) {
-        let is_eviction = heard.id.incarnation == self.me.id.incarnation
-            && !heard.is_voter
-            && heard.rejoins >= self.me.rejoins;
+    fn rejoin(&mut self, received: &VoterRecord) {
+        let is_eviction = received.id.incarnation == self.me.id.incarnation
+            && !received.is_voter
+            && received.rejoins >= self.me.rejoins;
         if is_eviction {
-            self.me.rejoins = heard.rejoins.saturating_add(1);
+            self.me.rejoins = received.rejoins.saturating_add(1);
             self.voters.forget_voters_digest();
         }
     }
--- a/crates/membership/src/quorum/rules.rs
+++ b/crates/membership/src/quorum/rules.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug)]
 pub struct Rules {
     /// How long views may differ before that is a dispute: updates take their time. Only a second view that differs,
-    /// heard this long after the first or later, shows that they still do.
+    /// received this long after the first or later, shows that they still do.
     pub dispute_delay: Nanos,
     /// How long a better state must hold before it is believed, and how long a voter that came back must stay before it
     /// counts.
--- a/crates/membership/src/quorum/views.rs
+++ b/crates/membership/src/quorum/views.rs
@@ -1,7 +1,7 @@
-//! Views that are heard, and the view that is told next.
+//! Takes in the views of others, and composes the view that is sent next.
 
 use super::view::{View, MAX_NAMES, MAX_RECORDS};
-use super::voter::{HeardView, Voter};
+use super::voter::{ReceivedView, Voter};
 use super::{Quorum, VoterRecord};
 use crate::member::{MemberId, MAX_NAME_BYTES};
 use crate::Nanos;
@@ -9,8 +9,8 @@
 impl Quorum {
     /// Takes in a peer's view. Of one that is longer than any of ours only as much is read, whoever has the key.
     ///
-    /// Returns when that peer is to be told our view out of turn, if it is: after [`Rules::dispute_delay`] where the
-    /// views differ, so that both learn whether they still do; at once where they agree and what we told it last does
+    /// Returns when that peer is to be sent our view out of turn, if it is: after [`Rules::dispute_delay`] where the
+    /// views differ, so that both learn whether they still do; at once where they agree and what we sent it last does
     /// not, so that it learns that they do.
     ///
     /// [`Rules::dispute_delay`]: super::Rules::dispute_delay
@@ -24,11 +24,11 @@
         let ours = self.voters.digests(&self.me);
         let differs = view.digests() != ours;
         let disagreement = differs.then(|| self.continue_disagreement(now, voter));
-        let knows_old_view = voter.told.is_some_and(|told| told != ours);
+        let knows_old_view = voter.sent.is_some_and(|sent| sent != ours);
         self.voters.update(&from.name, |voter| {
             voter.misses_us_at = misses_us.then_some(now);
             voter.disagreement = disagreement;
-            voter.heard = Some(HeardView { at: now, view });
+            voter.received = Some(ReceivedView { at: now, view });
         });
         if differs {
             Some(now + self.rules.dispute_delay)
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Returns the view to tell this peer now.
+    /// Returns the view to send this peer now.
     pub fn view_for(&mut self, now: Nanos, to: &MemberId) -> View {
         let missing = self.notable_voters().filter(|voter| !voter.is_alive);
         let missing: Vec<String> = missing.map(|voter| voter.name().to_string()).collect();
@@ -57,7 +57,7 @@
         let digests = self.voters.digests(&self.me);
         let records = self.next_records(to, digests.voters);
         self.voters
-            .update(&to.name, |voter| voter.told = Some(digests));
+            .update(&to.name, |voter| voter.sent = Some(digests));
         View {
             voters_digest: digests.voters,
             alive_digest: digests.alive,
@@ -70,19 +70,20 @@
 
     /// Our own record, and the next part of the table for a peer that is not known to have the same voters.
     fn next_records(&mut self, to: &MemberId, voters_digest: u64) -> Vec<VoterRecord> {
-        let heard = self
+        let received = self
             .voters
             .get(&to.name)
-            .and_then(|voter| voter.heard.as_ref());
-        let has_same_voters = heard.is_some_and(|heard| heard.view.voters_digest == voters_digest);
+            .and_then(|voter| voter.received.as_ref());
+        let has_same_voters =
+            received.is_some_and(|received| received.view.voters_digest == voters_digest);
         let mut records = vec![self.me.clone()];
         if has_same_voters {
             return records;
         }
-        let part = self.voters.after(&self.told_until).take(MAX_RECORDS - 1);
+        let part = self.voters.after(&self.sent_until).take(MAX_RECORDS - 1);
         records.extend(part.map(|voter: &Voter| voter.record.clone()));
         let is_last_part = records.len() < MAX_RECORDS;
-        self.told_until = if is_last_part {
+        self.sent_until = if is_last_part {
             String::new()
         } else {
             records[MAX_RECORDS - 1].id.name.clone()
--- a/crates/membership/src/quorum/voter.rs
+++ b/crates/membership/src/quorum/voter.rs
@@ -5,19 +5,19 @@
 use crate::Nanos;
 use std::collections::BTreeMap;
 
-/// A peer's view that was not ours when it was heard.
+/// A difference between a peer's view and ours.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Disagreement {
-    /// When the first view that differed was heard.
+    /// When the first view that differed was received.
     pub since: Nanos,
-    /// Whether a later view, heard [`Rules::dispute_delay`](super::Rules::dispute_delay) or more after the first, differed
+    /// Whether a later view, received [`Rules::dispute_delay`](super::Rules::dispute_delay) or more after the first, differed
     /// still.
     pub is_confirmed: bool,
 }
 
-/// A view and when it was heard.
+/// A view and when it was received.
 #[derive(Clone, Debug)]
-pub(super) struct HeardView {
+pub(super) struct ReceivedView {
     pub at: Nanos,
     pub view: View,
 }
@@ -36,10 +36,10 @@
     pub misses_us_at: Option<Nanos>,
     /// Whether its view differs from ours.
     pub disagreement: Option<Disagreement>,
-    /// Its view, when we last heard it.
-    pub heard: Option<HeardView>,
-    /// What we told it last.
-    pub told: Option<Digests>,
+    /// Its last view.
+    pub received: Option<ReceivedView>,
+    /// The digests of the view that we sent it last.
+    pub sent: Option<Digests>,
     /// The names of those who would evict it, and when they last said so. An entry is removed after
     /// [`Rules::statement_lifetime`](super::Rules::statement_lifetime), all of them once the voter is alive.
     pub eviction_votes: BTreeMap<String, Nanos>,
@@ -54,8 +54,8 @@
             flaps: 0,
             misses_us_at: None,
             disagreement: None,
-            heard: None,
-            told: None,
+            received: None,
+            sent: None,
             eviction_votes: BTreeMap::new(),
         }
     }
@@ -75,7 +75,7 @@
 
     /// Forgets what it said: it is not there any more.
     pub fn forget_statements(&mut self) {
-        self.heard = None;
+        self.received = None;
         self.disagreement = None;
         self.misses_us_at = None;
     }
--- a/crates/membership/src/quorum/voter_table.rs
+++ b/crates/membership/src/quorum/voter_table.rs
@@ -18,7 +18,7 @@
     by_name: BTreeMap<String, Voter>,
     /// The names of those that are notable.
     notable: BTreeSet<String>,
-    /// When each one's view was heard, and its name.
+    /// When each one's view was received, and its name.
     views: BTreeSet<(Nanos, String)>,
     voters: usize,
     /// The voters that are alive by membership.
@@ -71,10 +71,10 @@
             .inspect(|_| self.count_visits(1))
     }
 
-    /// Returns whose view was heard longest ago, if that is too long ago.
+    /// Returns whose view was received longest ago, if that is too long ago.
     pub fn oldest_view_if(&self, is_too_old: impl Fn(Nanos) -> bool) -> Option<String> {
-        let (heard_at, name) = self.views.first()?;
-        is_too_old(*heard_at).then(|| name.clone())
+        let (received_at, name) = self.views.first()?;
+        is_too_old(*received_at).then(|| name.clone())
     }
 
     pub fn insert(&mut self, voter: Voter) {
@@ -161,8 +161,8 @@
         if voter.is_notable() {
             self.notable.insert(name.to_string());
         }
-        if let Some(heard) = &voter.heard {
-            self.views.insert((heard.at, name.to_string()));
+        if let Some(received) = &voter.received {
+            self.views.insert((received.at, name.to_string()));
         }
     }
 
@@ -170,8 +170,8 @@
         self.voters -= usize::from(voter.record.is_voter);
         self.alive -= usize::from(voter.record.is_voter && voter.is_alive);
         self.notable.remove(name);
-        if let Some(heard) = &voter.heard {
-            self.views.remove(&(heard.at, name.to_string()));
+        if let Some(received) = &voter.received {
+            self.views.remove(&(received.at, name.to_string()));
         }
     }
 }
--- a/crates/membership/src/replay.rs
+++ b/crates/membership/src/replay.rs
@@ -1,4 +1,4 @@
-//! Tells repeated frames from new ones by the sequence numbers of each sender.
+//! Recognises repeated frames by the sequence numbers of each sender.
 
 use crate::member::MemberId;
 use std::collections::BTreeMap;
--- a/crates/membership/src/swim/mod.rs
+++ b/crates/membership/src/swim/mod.rs
@@ -1,10 +1,10 @@
 //! SWIM with the extensions of Lifeguard: which members are alive. No I/O; time and a random seed are arguments.
 //!
-//! In each protocol period one member is pinged ([`probe`]), through others where it does not answer
-//! ([`indirect_probe`]). Who stays silent is suspected and counts as dead unless it refutes that in time
-//! ([`suspicion`], [`incarnation`]). Updates ride on pings and their answers ([`dissemination`], [`updates`]); whole
-//! tables travel after a join alone ([`table_sync`]). A stranger has to answer a number drawn for it ([`join`]). Who
-//! notices that it is slow itself waits longer before it blames others ([`local_health`]).
+//! In each protocol period one member is pinged (`probe`), through others where it does not answer
+//! (`indirect_probe`). Who stays silent is suspected and counts as dead unless it refutes that in time
+//! (`suspicion`, `incarnation`). Updates ride on pings and their answers (`dissemination`, `updates`); whole
+//! tables travel after a join alone (`table_sync`). A stranger has to answer a number drawn for it (`join`). Who
+//! notices that it is slow itself waits longer before it blames others (`local_health`).
 //!
 //! Of the three promises (docs/membership.md) everything here belongs to the last: it holds while enough members can
 //! talk.
@@ -44,7 +44,7 @@
 const MAX_PENDING_ACKS: usize = 64;
 /// Periods after which such an answer is not waited for any more.
 const PENDING_ACK_PERIODS: Nanos = 4;
-/// Members that are told of a leave, at least.
+/// Members that a leave is sent to, at least.
 const MIN_LEAVE_MESSAGES: usize = 3;
 
 /// What the caller has to carry out.
@@ -232,8 +232,8 @@
     /// Tells some members that this one leaves; they pass it on.
     pub fn leave(&mut self) {
         self.me.state = MemberState::Left;
-        let told = self.rules.indirect_probes.max(MIN_LEAVE_MESSAGES);
-        for contact in self.draw_contacts(told, None) {
+        let receivers = self.rules.indirect_probes.max(MIN_LEAVE_MESSAGES);
+        for contact in self.draw_contacts(receivers, None) {
             let message = Message::Table {
                 members: vec![self.me.clone()],
                 more: false,
--- a/crates/membership/src/swim/updates.rs
+++ b/crates/membership/src/swim/updates.rs
@@ -60,7 +60,7 @@
 
     /// Takes an update of a known incarnation that says more than what was known.
     fn override_known(&mut self, now: Nanos, before: &Member, update: Member, source: &MemberId) {
-        // Only its own word moves an address.
+        // A member alone may change its address.
         let address = if *source == update.id {
             update.address
         } else {
--- a/crates/membership/src/view_exchange.rs
+++ b/crates/membership/src/view_exchange.rs
@@ -1,4 +1,4 @@
-//! Keeps a sidecar's quorum state up to date: takes in changes of the membership and peers' views, and tells one peer its
+//! Keeps a sidecar's quorum state up to date: takes in changes of the membership and peers' views, and sends one peer its
 //! own view each period, and one more out of turn where a follow-up is due. No I/O; the sidecar's transport and the
 //! simulated network drive the same code.
 
@@ -11,7 +11,7 @@
 use crate::swim::Changes;
 use crate::Nanos;
 
-/// The kind of message in which views are told.
+/// The kind of message in which views are sent.
 pub const VIEW_KIND: u8 = 3;
 /// Periods between two looks at all members; in between, only those that changed are looked at.
 const RESYNC_PERIODS: u64 = 120;
@@ -20,20 +20,20 @@
 pub struct ViewExchange {
     quorum: Quorum,
     periods: u64,
-    /// Who was told our view last. It goes round by name, beginning behind our own, so that sidecars that started together
-    /// do not all tell the same one.
-    last_told: String,
+    /// Who received our view last. It goes round by name, beginning behind our own, so that sidecars that started together
+    /// do not all choose the same one.
+    last_receiver: String,
     follow_ups: FollowUps,
 }
 
 impl ViewExchange {
     /// Begins with a quorum of one.
     pub fn new(now: Nanos, me: MemberId, rules: Rules) -> ViewExchange {
-        let last_told = me.name.clone();
+        let last_receiver = me.name.clone();
         ViewExchange {
             quorum: Quorum::new(now, me, rules),
             periods: 0,
-            last_told,
+            last_receiver,
             follow_ups: FollowUps::default(),
         }
     }
@@ -69,32 +69,32 @@
         Ok(())
     }
 
-    /// Does what is due once a period: learns who is alive, judges the quorum state anew and tells one peer our view, and
+    /// Does what is due once a period: learns who is alive, judges the quorum state anew and sends one peer our view, and
     /// one more whose follow-up is due. Returns a change of the state.
     pub fn tick(&mut self, now: Nanos, node: &mut Node) -> Option<Change> {
         self.learn_who_is_alive(now, node);
         let change = self.quorum.update(now);
-        self.tell_next(now, node);
-        self.tell_follow_up(now, node);
+        self.send_to_next(now, node);
+        self.send_follow_up(now, node);
         change
     }
 
-    fn tell_next(&mut self, now: Nanos, node: &mut Node) {
-        let next = node.membership().alive_after(&self.last_told);
+    fn send_to_next(&mut self, now: Nanos, node: &mut Node) {
+        let next = node.membership().alive_after(&self.last_receiver);
         if let Some(to) = next.map(|member| member.id.clone()) {
-            self.tell(now, node, &to);
-            self.last_told = to.name;
+            self.send_view(now, node, &to);
+            self.last_receiver = to.name;
         }
     }
 
-    fn tell_follow_up(&mut self, now: Nanos, node: &mut Node) {
+    fn send_follow_up(&mut self, now: Nanos, node: &mut Node) {
         let due = self.follow_ups.take_due(now);
         if let Some(to) = due.filter(|to| node.membership().is_alive(to)) {
-            self.tell(now, node, &to);
+            self.send_view(now, node, &to);
         }
     }
 
-    fn tell(&mut self, now: Nanos, node: &mut Node, to: &MemberId) {
+    fn send_view(&mut self, now: Nanos, node: &mut Node, to: &MemberId) {
         if let Ok(body) = postcard::to_stdvec(&self.quorum.view_for(now, to)) {
             node.send(to, VIEW_KIND, body);
         }
--- a/crates/takeover/src/takeover/waiter.rs
+++ b/crates/takeover/src/takeover/waiter.rs
@@ -86,7 +86,7 @@
         let backups: Vec<MemberId> = waiting
             .backups
             .iter()
-            .filter(|life| **life != self.me)
+            .filter(|backup| **backup != self.me)
             .cloned()
             .collect();
         for backup in backups {
@@ -186,7 +186,7 @@
         if waiting
             .backups
             .iter()
-            .all(|life| *life == self.me || waiting.unknown_at.contains(&life.name))
+            .all(|backup| *backup == self.me || waiting.unknown_at.contains(&backup.name))
         {
             self.waiting.remove(&request);
             self.effects.push_back(Effect::Unknown(request));
--- a/crates/takeover/tests/every_order.rs
+++ b/crates/takeover/tests/every_order.rs
@@ -1,8 +1,8 @@
-//! Faults at every point, at small size: a holder and three guardians, one hit that must not run twice. Words come in
-//! the order in which they were said; from there so many faults are placed in all ways, each at every point where it
-//! fits: a word lost, doubled, held back behind all others or for a step of time, a sidecar killed, paused or cut
-//! off, two that do not hear each other. How long a pause, a cut or a forward lasts is tried in all ways, too, and
-//! whether the first forward ran.
+//! Faults at every point, at small size: an owner and three backups, one request that must not run twice. Messages arrive
+//! in the order in which they were sent; from there so many faults are placed in all ways, each at every point where it
+//! fits: a message lost, repeated, held back behind all others or for a step of time, a sidecar killed, paused or cut
+//! off, two that do not hear each other. How long a pause, a cut or an attempt lasts is tried in all ways, too, and
+//! whether the first attempt ran.
 //!
 //! By hand, more faults: HAVENPLANK_FAULTS=3 cargo test --release -p havenplank-takeover --test every_order
 
@@ -25,7 +25,7 @@
 /// All states with one fault, as recorded: a change of the decisions or of what they depend on moves it.
 const RECORDED_STATES: usize = 1_390_875;
 
-fn life(id: usize) -> MemberId {
+fn member_id(id: usize) -> MemberId {
     MemberId {
         name: format!("s-{id}"),
         incarnation: 1,
@@ -38,16 +38,16 @@
     paused: bool,
     /// Whom it does not reach, nor they it.
     cut: [bool; MANY],
-    /// Its forward that is at a pod.
+    /// Its attempt that is at a pod.
     out: Option<usize>,
 }
 
-/// One state of all: sidecars, the words under way in their order, and what may still go wrong.
+/// One state of all: sidecars, the messages in flight in their order, and what may still go wrong.
 #[derive(Clone, Hash)]
 struct World {
     step: u64,
     sidecars: Vec<Option<Sidecar>>,
-    flying: Vec<(usize, usize, Message)>,
+    in_flight: Vec<(usize, usize, Message)>,
     effects: usize,
     faults: usize,
     killed: bool,
@@ -55,8 +55,8 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-enum Act {
-    /// The nth word comes; it is the first whose sidecar runs.
+enum Action {
+    /// The nth message arrives; it is the first whose sidecar runs.
     Comes(usize),
     Ran(usize),
     Tick,
@@ -68,7 +68,7 @@
     Doubled(usize),
     /// It goes behind all others.
     Held(usize),
-    /// A step of time passes while words are under way.
+    /// A step of time passes while messages are in flight.
     Late,
     Killed(usize),
     Paused(usize),
@@ -76,11 +76,16 @@
     Parted(usize, usize),
 }
 
-impl Act {
+impl Action {
     fn fault(self) -> bool {
         !matches!(
             self,
-            Act::Comes(_) | Act::Ran(_) | Act::NeverRan(_) | Act::Tick | Act::Wakes(_) | Act::Heals
+            Action::Comes(_)
+                | Action::Ran(_)
+                | Action::NeverRan(_)
+                | Action::Tick
+                | Action::Wakes(_)
+                | Action::Heals
         )
     }
 }
@@ -92,7 +97,8 @@
             ..Rules::default()
         };
         let sidecar = |id| {
-            let takeover = Takeover::new(Self::clock(id, 0), id as u64, life(id), rules.clone());
+            let takeover =
+                Takeover::new(Self::clock(id, 0), id as u64, member_id(id), rules.clone());
             Some(Sidecar {
                 takeover,
                 paused: false,
@@ -101,17 +107,17 @@
             })
         };
         let sidecars = (0..MANY).map(sidecar).collect();
-        let (flying, killed, never_ran) = (Vec::new(), false, false);
+        let (in_flight, killed, never_ran) = (Vec::new(), false, false);
         let mut world = World {
             step: 0,
             sidecars,
-            flying,
+            in_flight,
             effects: 0,
             faults,
             killed,
             never_ran,
         };
-        let backups = (1..MANY).map(life).collect();
+        let backups = (1..MANY).map(member_id).collect();
         world.call(0, |takeover, now| {
             let incoming = IncomingRequest {
                 request: REQUEST,
@@ -158,9 +164,9 @@
                 let same = |known: &(usize, usize, Message)| {
                     (known.0, known.1) == (id, to) && alike(&known.2, &message)
                 };
-                match self.flying.iter().position(same) {
-                    Some(at) => self.flying[at].2 = message,
-                    None => self.flying.push((id, to, message)),
+                match self.in_flight.iter().position(same) {
+                    Some(at) => self.in_flight[at].2 = message,
+                    None => self.in_flight.push((id, to, message)),
                 }
             }
             Effect::Claimed(request) => drop(sidecar.takeover.begin_attempt(now, request, "pod")),
@@ -188,59 +194,59 @@
         }
     }
 
-    fn acts(&self) -> Vec<Act> {
-        let mut acts = Vec::new();
+    fn actions(&self) -> Vec<Action> {
+        let mut actions = Vec::new();
         let runs = |id: usize| self.sidecars[id].as_ref().is_some_and(|one| !one.paused);
-        let first = self.flying.iter().position(|(_, to, _)| runs(*to));
+        let first = self.in_flight.iter().position(|(_, to, _)| runs(*to));
         let fault = self.faults > 0;
         let cut = self
             .sidecars
             .iter()
             .flatten()
             .any(|one| one.cut.contains(&true));
-        acts.extend((first.is_none() && cut).then_some(Act::Heals));
+        actions.extend((first.is_none() && cut).then_some(Action::Heals));
         match first {
             Some(n) => {
-                acts.push(Act::Comes(n));
+                actions.push(Action::Comes(n));
                 if fault {
-                    acts.extend([Act::Lost(n), Act::Doubled(n), Act::Late]);
-                    acts.extend((n + 1 < self.flying.len()).then_some(Act::Held(n)));
+                    actions.extend([Action::Lost(n), Action::Doubled(n), Action::Late]);
+                    actions.extend((n + 1 < self.in_flight.len()).then_some(Action::Held(n)));
                 }
             }
-            None => acts.push(Act::Tick),
+            None => actions.push(Action::Tick),
         }
         for id in 0..MANY {
             let Some(one) = &self.sidecars[id] else {
                 continue;
             };
             if one.out.is_some() && !one.paused {
-                acts.push(Act::Ran(id));
-                acts.extend((!self.never_ran).then_some(Act::NeverRan(id)));
+                actions.push(Action::Ran(id));
+                actions.extend((!self.never_ran).then_some(Action::NeverRan(id)));
             }
             // Between two steps of time only: what comes meanwhile waits for that as well.
-            acts.extend((first.is_none() && one.paused).then_some(Act::Wakes(id)));
-            acts.extend((fault && !self.killed).then_some(Act::Killed(id)));
-            acts.extend((fault && !one.paused).then_some(Act::Paused(id)));
+            actions.extend((first.is_none() && one.paused).then_some(Action::Wakes(id)));
+            actions.extend((fault && !self.killed).then_some(Action::Killed(id)));
+            actions.extend((fault && !one.paused).then_some(Action::Paused(id)));
             if fault && !cut {
-                acts.push(Act::Cut(id));
-                acts.extend((0..id).map(|other| Act::Parted(id, other)));
+                actions.push(Action::Cut(id));
+                actions.extend((0..id).map(|other| Action::Parted(id, other)));
             }
         }
-        acts.retain(|act| self.step < STEPS || !matches!(act, Act::Tick | Act::Late));
-        acts
+        actions.retain(|apply| self.step < STEPS || !matches!(apply, Action::Tick | Action::Late));
+        actions
     }
 
-    fn act(&self, act: Act) -> World {
+    fn apply(&self, apply: Action) -> World {
         let mut next = self.clone();
-        match act {
-            Act::Comes(n) => next.comes(n, true),
-            Act::Doubled(n) => next.comes(n, false),
-            Act::Lost(n) => drop(next.flying.remove(n)),
-            Act::Held(n) => {
-                let word = next.flying.remove(n);
-                next.flying.push(word);
+        match apply {
+            Action::Comes(n) => next.comes(n, true),
+            Action::Doubled(n) => next.comes(n, false),
+            Action::Lost(n) => drop(next.in_flight.remove(n)),
+            Action::Held(n) => {
+                let message = next.in_flight.remove(n);
+                next.in_flight.push(message);
             }
-            Act::Tick | Act::Late => {
+            Action::Tick | Action::Late => {
                 next.step += 1;
                 for id in 0..MANY {
                     if next.sidecars[id].as_ref().is_some_and(|one| !one.paused) {
@@ -248,13 +254,13 @@
                     }
                 }
             }
-            Act::Ran(id) => {
+            Action::Ran(id) => {
                 next.sidecars[id].iter_mut().for_each(|one| one.out = None);
                 next.call(id, |takeover, now| {
                     takeover.finish(now, REQUEST, Outcome::Served(vec![]))
                 });
             }
-            Act::NeverRan(id) => {
+            Action::NeverRan(id) => {
                 next.never_ran = true;
                 next.effects -= 1;
                 let nth = next.sidecars[id]
@@ -266,31 +272,31 @@
                     takeover.begin_attempt(now, REQUEST, "pod");
                 });
             }
-            Act::Killed(id) => {
+            Action::Killed(id) => {
                 next.killed = true;
                 next.sidecars[id] = None;
-                next.flying.retain(|(_, to, _)| *to != id);
+                next.in_flight.retain(|(_, to, _)| *to != id);
             }
-            Act::Paused(id) => next.sidecars[id]
+            Action::Paused(id) => next.sidecars[id]
                 .iter_mut()
                 .for_each(|one| one.paused = true),
-            Act::Wakes(id) => {
+            Action::Wakes(id) => {
                 next.sidecars[id]
                     .iter_mut()
                     .for_each(|one| one.paused = false);
                 next.call(id, |takeover, now| takeover.wake(now));
             }
-            Act::Cut(id) => (0..MANY)
+            Action::Cut(id) => (0..MANY)
                 .filter(|other| *other != id)
                 .for_each(|other| next.cut(id, other, true)),
-            Act::Parted(id, other) => next.cut(id, other, true),
-            Act::Heals => next
+            Action::Parted(id, other) => next.cut(id, other, true),
+            Action::Heals => next
                 .sidecars
                 .iter_mut()
                 .flatten()
                 .for_each(|one| one.cut = [false; MANY]),
         }
-        next.faults -= act.fault() as usize;
+        next.faults -= apply.fault() as usize;
         next
     }
 
@@ -303,12 +309,12 @@
     }
 
     fn comes(&mut self, n: usize, gone: bool) {
-        let (from, to, message) = self.flying[n].clone();
+        let (from, to, message) = self.in_flight[n].clone();
         if gone {
-            self.flying.remove(n);
+            self.in_flight.remove(n);
         }
         self.call(to, |takeover, now| {
-            takeover.receive(now, &life(from), message)
+            takeover.receive(now, &member_id(from), message)
         });
     }
 
@@ -353,25 +359,25 @@
     }
 
     /// Plays on without a fault, and hands out each state in which the next one may come.
-    fn goes_on(&self, from: World, way: Vec<Act>) -> Vec<(World, Vec<Act>)> {
+    fn goes_on(&self, from: World, way: Vec<Action>) -> Vec<(World, Vec<Action>)> {
         let (mut open, mut forks) = (vec![(from, way)], Vec::new());
         while let Some((world, way)) = open.pop() {
-            for act in world.acts() {
-                let next = world.act(act);
+            for apply in world.actions() {
+                let next = world.apply(apply);
                 if self.met(&next) {
                     continue;
                 }
-                let way = [&way[..], &[act]].concat();
+                let way = [&way[..], &[apply]].concat();
                 if let Some(what) = next.broken() {
                     panic!("{what} after {way:?}");
                 }
-                if act.fault() { &mut forks } else { &mut open }.push((next, way));
+                if apply.fault() { &mut forks } else { &mut open }.push((next, way));
             }
         }
         forks
     }
 
-    fn all(&self, from: World, way: Vec<Act>) {
+    fn all(&self, from: World, way: Vec<Action>) {
         self.goes_on(from, way)
             .into_par_iter()
             .for_each(|(world, way)| self.all(world, way));
@@ -406,7 +412,7 @@
 }
 
 #[test]
-fn whatever_order_words_come_in_and_wherever_faults_fall_nothing_happens_twice() {
+fn no_order_of_messages_and_no_fault_runs_a_request_twice() {
     let faults = std::env::var("HAVENPLANK_FAULTS")
         .ok()
         .map_or(1, |text| text.parse().unwrap());
--- a/crates/takeover/tests/placement.rs
+++ b/crates/takeover/tests/placement.rs
@@ -5,13 +5,13 @@
 
 #[test]
 fn backups_alternate_over_zones_and_a_lost_peer_moves_only_its_own_requests() {
-    let lives: Vec<MemberId> = (0..30)
+    let ids: Vec<MemberId> = (0..30)
         .map(|n| MemberId {
             name: format!("s-{n}"),
             incarnation: 1,
         })
         .collect();
-    let fellows: Vec<Candidate<'_>> = lives
+    let candidates: Vec<Candidate<'_>> = ids
         .iter()
         .enumerate()
         .map(|(n, who)| Candidate {
@@ -20,7 +20,7 @@
         })
         .collect();
     let zone = |who: &MemberId| {
-        fellows
+        candidates
             .iter()
             .find(|f| f.id == who)
             .map(|f| f.zone)
@@ -28,17 +28,17 @@
     };
     let mut moved = 0;
     for request in 0..300 {
-        let three = choose_backups(request, &fellows, 3);
+        let three = choose_backups(request, &candidates, 3);
         let mut zones: Vec<&str> = three.iter().map(zone).collect();
         zones.sort();
         assert_eq!(zones, ["a", "b", "c"]);
-        let without: Vec<Candidate<'_>> = fellows
+        let without: Vec<Candidate<'_>> = candidates
             .iter()
             .filter(|f| f.id.name != "s-4")
             .copied()
             .collect();
         let remaining = choose_backups(request, &without, 3);
-        if three.contains(&lives[4]) {
+        if three.contains(&ids[4]) {
             moved += 1;
             assert_eq!(
                 remaining.iter().filter(|who| three.contains(who)).count(),
@@ -52,5 +52,5 @@
         (10..=55).contains(&moved),
         "{moved} of 300 requests were backed up by one of thirty"
     );
-    assert_eq!(choose_backups(1, &fellows[..2], 3).len(), 2);
+    assert_eq!(choose_backups(1, &candidates[..2], 3).len(), 2);
 }
--- a/crates/takeover/tests/simulated.rs
+++ b/crates/takeover/tests/simulated.rs
@@ -15,38 +15,38 @@
 const S: Nanos = 1_000 * MS;
 const ZONES: [&str; 3] = ["a", "b", "c"];
 
-enum Act {
+enum Action {
     IncomingRequest(RequestId, u64),
     End(RequestId, usize),
 }
 
-/// A sidecar that finishes mutating hits: one forward, another only if the last one never ran.
+/// A sidecar that finishes non-idempotent requests: one attempt, another only if the last one never ran.
 struct Sidecar {
     takeover: Takeover,
     me: MemberId,
-    fellows: Vec<MemberId>,
-    acts: BTreeMap<(Nanos, u64), Act>,
-    acted: u64,
-    chance: Rand64,
+    members: Vec<MemberId>,
+    actions: BTreeMap<(Nanos, u64), Action>,
+    scheduled: u64,
+    random: Rand64,
     out: VecDeque<(SocketAddr, Vec<u8>)>,
-    /// Forwards written, that is effects, by mark, and answers known here.
-    wrote: Vec<RequestId>,
+    /// Attempts written, that is effects, by request, and answers known here.
+    written: Vec<RequestId>,
     answers: Vec<(RequestId, Outcome)>,
-    began: Vec<(Nanos, RequestId)>,
-    unguarded: usize,
+    taken_over: Vec<(Nanos, RequestId)>,
+    unprotected: usize,
     differs: usize,
-    /// Parts of forwards that never ran, and of those that are given up at once.
+    /// Shares of attempts that never ran, and of those that are given up at once.
     never_ran: f64,
     gives_up: f64,
-    /// How long a forward takes at most, in ms.
+    /// How long an attempt takes at most, in ms.
     takes: u64,
-    /// What was done for which piece of work, since it was last read; not kept where nobody wants to know.
+    /// What was done for which request, since it was last read; not kept where nobody wants to know.
     story: Option<Vec<(RequestId, String)>>,
     /// Of all that arrived, in its order.
     arrived: blake3::Hasher,
 }
 
-fn life(id: Id) -> MemberId {
+fn member_id(id: Id) -> MemberId {
     MemberId {
         name: format!("s-{id}"),
         incarnation: 1,
@@ -55,19 +55,19 @@
 
 impl Sidecar {
     fn new(now: Nanos, id: Id, many: usize, seed: u64, rules: Rules) -> Sidecar {
-        let me = life(id);
+        let me = member_id(id);
         Sidecar {
             takeover: Takeover::new(now, seed ^ id as u64, me.clone(), rules),
             me,
-            fellows: (0..many).map(life).collect(),
-            acts: BTreeMap::new(),
-            acted: 0,
-            chance: Rand64::new((seed << 8 ^ id as u64) as u128),
+            members: (0..many).map(member_id).collect(),
+            actions: BTreeMap::new(),
+            scheduled: 0,
+            random: Rand64::new((seed << 8 ^ id as u64) as u128),
             out: VecDeque::new(),
-            wrote: Vec::new(),
+            written: Vec::new(),
             answers: Vec::new(),
-            began: Vec::new(),
-            unguarded: 0,
+            taken_over: Vec::new(),
+            unprotected: 0,
             differs: 0,
             never_ran: 0.1,
             gives_up: 0.0,
@@ -83,14 +83,14 @@
         }
     }
 
-    fn at(&mut self, time: Nanos, act: Act) {
-        self.acted += 1;
-        self.acts.insert((time, self.acted), act);
+    fn at(&mut self, time: Nanos, act: Action) {
+        self.scheduled += 1;
+        self.actions.insert((time, self.scheduled), act);
     }
 
     fn backups(&self, request: RequestId, many: usize) -> Vec<MemberId> {
         let zone = |who: &MemberId| ZONES[who.name[2..].parse::<usize>().unwrap() % 3];
-        let others = self.fellows.iter().filter(|who| **who != self.me);
+        let others = self.members.iter().filter(|who| **who != self.me);
         let others: Vec<Candidate<'_>> = others
             .map(|who| Candidate {
                 id: who,
@@ -100,7 +100,7 @@
         choose_backups(request, &others, many)
     }
 
-    fn go_on(&mut self, now: Nanos, record: &Record) {
+    fn resume(&mut self, now: Nanos, record: &Record) {
         let (request, out) = (
             record.request,
             record
@@ -131,41 +131,43 @@
                     let may = self.takeover.may_send(now, request);
                     self.note(request, || {
                         format!(
-                            "forward {nth} {}",
+                            "attempt {nth} {}",
                             if may { "WRITTEN" } else { "not allowed" }
                         )
                     });
                     if may {
-                        self.wrote.push(request);
-                        let takes = self.chance.rand_range(1..self.takes) * MS;
-                        self.at(now + takes, Act::End(request, nth));
+                        self.written.push(request);
+                        let takes = self.random.rand_range(1..self.takes) * MS;
+                        self.at(now + takes, Action::End(request, nth));
                     }
                 }
                 Effect::TakenOver(record) => {
-                    self.began.push((now, record.request));
+                    self.taken_over.push((now, record.request));
                     self.note(record.request, || {
                         format!(
                             "begins, term {} with past {:?}",
                             record.term, record.attempts
                         )
                     });
-                    self.go_on(now, &record);
+                    self.resume(now, &record);
                 }
                 Effect::Finished(request, done) => {
                     self.note(request, || format!("hears {done:?}"));
                     self.answers.push((request, done));
                 }
                 Effect::Unprotected(request) => {
-                    self.note(request, || "WRITTEN unguarded".to_string());
-                    self.unguarded += 1;
-                    self.wrote.push(request);
+                    self.note(request, || "WRITTEN unprotected".to_string());
+                    self.unprotected += 1;
+                    self.written.push(request);
                 }
                 Effect::KeyReused(_) => self.differs += 1,
                 Effect::Joined(request) => self.note(request, || "joins".to_string()),
-                Effect::Uncertain(request) => self.note(request, || "bounces, unsure".to_string()),
+                Effect::Uncertain(request) => {
+                    self.note(request, || "rejects, uncertain".to_string())
+                }
                 Effect::Lost(request) => self.note(request, || "lost it".to_string()),
                 Effect::Unknown(request) => {
-                    self.note(request, || "hears that nobody has it".to_string())
+                    self.note(request, || "learns that nobody knows it".to_string())
                 }
             }
         }
@@ -183,15 +185,21 @@
         }
     }
     fn wake(&mut self, now: Nanos) {
-        while let Some(entry) = self.acts.first_entry().filter(|entry| entry.key().0 <= now) {
+        while let Some(entry) = self
+            .actions
+            .first_entry()
+            .filter(|entry| entry.key().0 <= now)
+        {
             match entry.remove() {
-                Act::IncomingRequest(request, sum) => {
+                Action::IncomingRequest(request, sum) => {
                     let backups = self.backups(request, 3);
-                    // Clients come back with these only.
+                    // Clients retry with these only.
                     let strict = request % 3 == 0;
                     self.note(request, || {
-                        let names: Vec<&str> =
-                            backups.iter().map(|life| life.name.as_str()).collect();
+                        let names: Vec<&str> = backups
+                            .iter()
+                            .map(|member_id| member_id.name.as_str())
+                            .collect();
                         format!("takes it, backups {names:?}")
                     });
                     let required = match strict {
@@ -207,26 +215,26 @@
                     };
                     self.takeover.claim(now, incoming, required);
                 }
-                Act::End(request, nth) => {
-                    let never = self.chance.rand_float() < self.never_ran;
+                Action::End(request, nth) => {
+                    let never = self.random.rand_float() < self.never_ran;
                     self.note(request, || {
                         format!(
-                            "forward {nth} ends, {}",
+                            "attempt {nth} ends, {}",
                             if never { "never ran" } else { "ran" }
                         )
                     });
                     if never {
                         // It never ran after all, so it was no effect; the next one may go.
                         let at = self
-                            .wrote
+                            .written
                             .iter()
                             .position(|known| *known == request)
                             .unwrap();
-                        self.wrote.remove(at);
+                        self.written.remove(at);
                         self.takeover
                             .end_attempt(now, request, nth, AttemptState::NeverRan);
                         // Given up: the client is told that a retry does no harm, and may come back.
-                        match self.chance.rand_float() < self.gives_up {
+                        match self.random.rand_float() < self.gives_up {
                             true => self.takeover.finish(now, request, Outcome::Rejected),
                             false => drop(self.takeover.begin_attempt(now, request, "pod")),
                         }
@@ -242,7 +250,7 @@
         self.carry_out(now);
     }
     fn next_wake(&self) -> Option<Nanos> {
-        let act = self.acts.keys().next().map(|(time, _)| *time);
+        let act = self.actions.keys().next().map(|(time, _)| *time);
         self.takeover.next_wake().into_iter().chain(act).min()
     }
     fn datagram(&mut self) -> Option<(SocketAddr, Vec<u8>)> {
@@ -254,11 +262,11 @@
     seed: u64,
     net: Net<Sidecar>,
     requests: Vec<RequestId>,
-    /// Effects by mark over all sidecars and lives.
-    wrote: BTreeMap<RequestId, usize>,
-    /// All that happened, by time: the piece of work, none where it is about all, and what.
+    /// Effects by request over all sidecars and incarnations.
+    written: BTreeMap<RequestId, usize>,
+    /// All that happened, by time: the request, none where it is about all, and what.
     story: Option<Vec<(Nanos, Option<RequestId>, String)>>,
-    /// Rights shared, as far as seen.
+    /// Requests with two acting owners, as far as seen.
     broken: Vec<String>,
 }
 
@@ -274,12 +282,12 @@
                 Sidecar::new(now, id, many, seed, Rules::default())
             });
         }
-        let (requests, wrote, broken) = (Vec::new(), BTreeMap::new(), Vec::new());
+        let (requests, written, broken) = (Vec::new(), BTreeMap::new(), Vec::new());
         Run {
             seed,
             net,
             requests,
-            wrote,
+            written,
             story: None,
             broken,
         }
@@ -303,18 +311,18 @@
             .for_each(|story| story.push((now, None, what.clone())));
     }
 
-    fn hit(&mut self, id: Id, request: RequestId, after: Nanos) {
+    fn send_request(&mut self, id: Id, request: RequestId, after: Nanos) {
         let at = self.net.own_time(id) + after;
         self.net
             .part_mut(id)
             .unwrap()
-            .at(at, Act::IncomingRequest(request, 5));
+            .at(at, Action::IncomingRequest(request, 5));
         if !self.requests.contains(&request) {
             self.requests.push(request);
         }
     }
 
-    /// Plays on; after every step nobody shares the right to a piece of work.
+    /// Plays on; after every step no request has two acting owners.
     fn play(&mut self, until: Nanos) {
         let (requests, story, broken) = (&self.requests, &mut self.story, &mut self.broken);
         self.net.run(until, |net, moved| {
@@ -350,16 +358,16 @@
 
     fn note(&mut self, id: Id) {
         if let Some(part) = self.net.part_mut(id) {
-            std::mem::take(&mut part.wrote)
+            std::mem::take(&mut part.written)
                 .into_iter()
-                .for_each(|request| *self.wrote.entry(request).or_default() += 1);
+                .for_each(|request| *self.written.entry(request).or_default() += 1);
         }
     }
 
     /// What was broken, with the seed.
     fn broken(&mut self) -> Vec<String> {
         self.net.ids().for_each(|id| self.note(id));
-        let twice = self.wrote.iter().filter(|(_, times)| **times > 1);
+        let twice = self.written.iter().filter(|(_, times)| **times > 1);
         let twice = twice.map(|(request, times)| format!("request {request} had {times} effects"));
         let all = self.broken.drain(..).chain(twice);
         all.map(|what| format!("seed {}: {what}", self.seed))
@@ -371,7 +379,7 @@
     }
 }
 
-/// A record as holder, term, version, firmness and what became of its forwards.
+/// A record as owner, term, version, whether it is confirmed and what became of its attempts.
 fn brief(message: &Message) -> (Option<RequestId>, String) {
     let of = |record: &Record| {
         let states: Vec<AttemptState> = record
@@ -379,7 +387,11 @@
             .iter()
             .map(|attempt| attempt.state)
             .collect();
-        let firm = if record.confirmed { "firm" } else { "not firm" };
+        let confirmed = if record.confirmed {
+            "confirmed"
+        } else {
+            "not confirmed"
+        };
         let Record {
             owner,
             term,
@@ -388,7 +400,7 @@
             ..
         } = record;
         format!(
-            "{} term {term} version {version} {firm} {states:?} {outcome:?}",
+            "{} term {term} version {version} {confirmed} {states:?} {outcome:?}",
             owner.name
         )
     };
@@ -456,15 +468,15 @@
 /// What chance plays with.
 #[derive(Clone, Copy, PartialEq)]
 enum Kind {
-    /// Forwards of 300 ms at most; splits, and sidecars of which nothing leaves.
+    /// Attempts of 300 ms at most; splits, and sidecars of which nothing leaves.
     Short,
-    /// Forwards that outlast leases, and cuts between two at a time, one way.
+    /// Attempts that outlast leases, and cuts between two at a time, one way.
     Long,
 }
 
 /// Chance decides who takes what, who is killed, paused and cut off, and how long; nothing may ever happen twice.
 fn chaos(seed: u64, kind: Kind, tell: bool) -> Played {
-    let mut chance = Rand64::new(seed as u128 + 77);
+    let mut random = Rand64::new(seed as u128 + 77);
     let many = 4 + (seed % 4) as usize;
     let loss = [0.0, 0.1, 0.3][seed as usize % 3];
     let mut run = Run::new(
@@ -487,21 +499,21 @@
         }
     }
     for n in 0..20 {
-        let id = chance.rand_range(0..many as u64) as usize;
-        let after = chance.rand_range(0..4 * S);
-        run.hit(id, n as RequestId, after);
+        let id = random.rand_range(0..many as u64) as usize;
+        let after = random.rand_range(0..4 * S);
+        run.send_request(id, n as RequestId, after);
         if n % 3 == 0 {
-            // The client comes back elsewhere with the same key.
-            let other = chance.rand_range(0..many as u64) as usize;
-            run.hit(other, n as RequestId, after + chance.rand_range(0..S));
+            // The client retries elsewhere with the same key.
+            let other = random.rand_range(0..many as u64) as usize;
+            run.send_request(other, n as RequestId, after + random.rand_range(0..S));
         }
     }
     let (mut now, mut killed) = (0, 0);
     while now < 14 * S {
-        now += chance.rand_range(10 * MS..700 * MS);
+        now += random.rand_range(10 * MS..700 * MS);
         run.play(now);
-        let id = chance.rand_range(0..many as u64) as usize;
-        match chance.rand_range(0..7) {
+        let id = random.rand_range(0..many as u64) as usize;
+        match random.rand_range(0..7) {
             0 if killed < 1 => {
                 killed += 1;
                 run.did(format!("s-{id} is killed"));
@@ -516,13 +528,13 @@
                 (0..many).for_each(|id| run.net.unpause(id));
             }
             4 | 5 if kind == Kind::Long => {
-                let other = (id + 1 + chance.rand_range(0..many as u64 - 1) as usize) % many;
+                let other = (id + 1 + random.rand_range(0..many as u64 - 1) as usize) % many;
                 run.did(format!("s-{other} does not hear s-{id}"));
                 run.net.cut(id, other);
             }
             4 => {
                 let (one, two): (Vec<Id>, Vec<Id>) =
-                    (0..many).partition(|_| chance.rand_float() < 0.5);
+                    (0..many).partition(|_| random.rand_float() < 0.5);
                 run.did(format!("split into {one:?} and {two:?}"));
                 run.net.split(&[&one, &two]);
             }
@@ -541,7 +553,7 @@
     run.did("all is healed and goes on".to_string());
     run.net.heal();
     (0..many).for_each(|id| run.net.unpause(id));
-    // Forwards follow each other here however late it is; the last of them ends some time, and is known for a while.
+    // Attempts follow each other here however late it is; the last of them ends some time, and is known for a while.
     run.play(if kind == Kind::Long { 60 * S } else { 30 * S });
     let mut broken = run.broken();
     let parts = || run.net.ids().filter_map(|id| run.net.part(id));
@@ -554,10 +566,10 @@
             "seed {seed}: {left:?} in tables when all times are up"
         ));
     }
-    let began = parts().map(|part| part.began.len()).sum();
+    let taken_over = parts().map(|part| part.taken_over.len()).sum();
     Played {
-        began,
-        effects: run.wrote.len(),
+        taken_over,
+        effects: run.written.len(),
         broken,
         traffic: traffic(&run.net),
         story: run.story.unwrap_or_default(),
@@ -575,7 +587,7 @@
 }
 
 struct Played {
-    began: usize,
+    taken_over: usize,
     effects: usize,
     broken: Vec<String>,
     traffic: String,
@@ -591,10 +603,10 @@
 }
 
 /// By hand: HAVENPLANK_SEEDS=500000 plays more, HAVENPLANK_FROM begins later. HAVENPLANK_SEED=7 plays one and, with
-/// `--nocapture`, prints its history; HAVENPLANK_MARK=8 keeps to one piece of work.
+/// `--nocapture`, prints its history; HAVENPLANK_REQUEST=8 keeps to one request.
 fn all_seeds(kind: Kind) {
     if let Some(seed) = number("HAVENPLANK_SEED") {
-        let (played, wanted) = (chaos(seed, kind, true), number("HAVENPLANK_MARK"));
+        let (played, wanted) = (chaos(seed, kind, true), number("HAVENPLANK_REQUEST"));
         for (at, request, what) in &played.story {
             if request
                 .is_none_or(|request| wanted.is_none_or(|wanted| request == wanted as RequestId))
@@ -616,14 +628,14 @@
     let played = (from..from + seeds)
         .into_par_iter()
         .map(|seed| chaos(seed, kind, false));
-    let all = played.map(|played| (played.began, played.effects, played.broken));
-    let (began, effects, broken) = all.reduce(|| (0, 0, Vec::new()), sum);
+    let all = played.map(|played| (played.taken_over, played.effects, played.broken));
+    let (taken_over, effects, broken) = all.reduce(|| (0, 0, Vec::new()), sum);
     let bad: BTreeSet<&str> = broken
         .iter()
         .filter_map(|what| what.split(':').next())
         .collect();
     println!(
-        "{began} takeovers, {effects} effects, {} seeds broken",
+        "{taken_over} takeovers, {effects} effects, {} seeds broken",
         bad.len()
     );
     assert!(
@@ -633,35 +645,35 @@
         &broken[..broken.len().min(10)]
     );
     assert!(
-        began as u64 > seeds / 3 && effects as u64 > 5 * seeds,
-        "{began} takeovers, {effects} effects: too quiet to show anything"
+        taken_over as u64 > seeds / 3 && effects as u64 > 5 * seeds,
+        "{taken_over} takeovers, {effects} effects: too quiet to show anything"
     );
 }
 
 #[test]
-fn whatever_is_killed_paused_and_cut_off_nobody_shares_a_right_and_nothing_happens_twice() {
+fn chaos_with_short_attempts_has_one_acting_owner_and_no_effect_twice() {
     all_seeds(Kind::Short);
 }
 
 #[test]
-fn the_same_where_forwards_outlast_leases_and_some_do_not_hear_each_other() {
+fn chaos_with_attempts_that_outlast_leases_has_one_acting_owner_and_no_effect_twice() {
     all_seeds(Kind::Long);
 }
 
-/// 42080: two of three guardians forgot what was done, by clocks that run fast, and agreed to what the third, who had
-/// missed the last words, still believed. 4583 and 4695: a dropped record that left the epoch as it was, and a holder
+/// 42080: two of three backups forgot what was finished, by clocks that run fast, and voted for what the third, who had
+/// missed the last messages, still believed. 4583 and 4695: a dropped record that left the epoch as it was, and an owner
 /// that had forgotten what it finished.
 #[test]
-fn seeds_that_broke_a_promise_once_break_none() {
+fn seeds_that_once_broke_a_promise_break_none() {
     for seed in [4_583, 4_695, 42_080] {
         assert_eq!(chaos(seed, Kind::Short, false).broken, Vec::<String>::new());
     }
 }
 
-/// A guardian is paused with the first words on a piece of work in its socket, and wakes when the others are about to
-/// forget, or have forgotten, how it ended. What it reads there looks new to it.
+/// A backup is paused with the first messages of a request in its socket, and wakes when the others are about to forget,
+/// or have forgotten, how it ended. What it reads there looks new to it.
 #[test]
-fn a_guardian_that_slept_past_the_others_memory_begins_nothing() {
+fn a_backup_that_slept_past_the_others_retention_takes_nothing_over() {
     let (mut knew, mut broken) = (0, Vec::new());
     for seed in 0..number("HAVENPLANK_SEEDS").unwrap_or(400) {
         let mut run = Run::new(
@@ -677,7 +689,7 @@
         }
         (0..4).for_each(|id| run.net.part_mut(id).unwrap().never_ran = 0.5);
         run.net.pause(3);
-        run.hit(0, 1, 0);
+        run.send_request(0, 1, 0);
         // What it would be told of the end does not come.
         run.play(400 * MS);
         (0..3).for_each(|id| run.net.cut(id, 3));
@@ -706,15 +718,15 @@
     );
     assert!(
         knew > 20,
-        "{knew}: too few woke with open work to show anything"
+        "{knew}: too few woke with an open request to show anything"
     );
 }
 
-/// The shortening of a lease is hidden from chance by the scatter of those who would ask: so its edge is looked at by
-/// itself, with the slowest holder, the fastest guardians and words that take no time.
+/// The shortening of a lease is hidden from chance by the jitter of candidacies: so its edge is tested by itself, with the
+/// slowest owner, the fastest backups and messages that take no time.
 #[test]
-fn no_lease_outlasts_a_promise_while_clocks_drift_less_than_stated() {
-    let lives: Vec<MemberId> = (0..4).map(life).collect();
+fn no_lease_outlasts_a_grant_while_clocks_drift_less_than_stated() {
+    let lives: Vec<MemberId> = (0..4).map(member_id).collect();
     let rules = Rules::default();
     let (slow, fast) = (1_000_000 - rules.drift_ppm, 1_000_000 + rules.drift_ppm);
     let own = |time: Nanos, rate: u64| time / 1_000 * rate / 1_000;
@@ -730,13 +742,13 @@
         backups: lives[1..].to_vec(),
     };
     all[0].claim(0, incoming, RequiredAcks::Majority);
-    // The first forward is known to all at time 0, and nothing is heard after.
+    // The first attempt is known to all at time 0, and nothing is received after.
     let mut turns = VecDeque::from([0]);
     while let Some(id) = turns.pop_front() {
         while let Some(effect) = all[id].next_effect() {
             match effect {
                 Effect::Send { to, message } => {
-                    let to = lives.iter().position(|life| *life == to).unwrap();
+                    let to = lives.iter().position(|member_id| *member_id == to).unwrap();
                     let from = lives[id].clone();
                     all[to].receive(0, &from, message);
                     turns.push_back(to);
@@ -761,25 +773,28 @@
     );
 }
 
-/// All that were told of a piece of work are dead, and its client comes back elsewhere: of the new claim's guardians the
-/// one that took it first is the only one to know.
+/// All backups of a request are dead, and its client retries elsewhere: of the new claim's backups the
+/// first owner is the only one to know.
 #[test]
-fn who_took_it_first_remembers_when_all_its_guardians_are_dead() {
+fn the_first_owner_remembers_when_all_its_backups_are_dead() {
     let mut knew = 0;
     for request in 0..60 {
         let mut run = Run::new(8, request as u64, Weather::default());
         let told = run.net.part(0).unwrap().backups(request, 3);
         run.net.part_mut(0).unwrap().never_ran = 0.0;
-        run.hit(0, request, 0);
+        run.send_request(0, request, 0);
         run.play(S);
         let dead: Vec<Id> = told
             .iter()
-            .map(|life| life.name[2..].parse().unwrap())
+            .map(|member_id| member_id.name[2..].parse().unwrap())
             .collect();
         dead.iter().for_each(|id| run.kill(*id));
-        let living: Vec<MemberId> = (0..8).filter(|id| !dead.contains(id)).map(life).collect();
+        let living: Vec<MemberId> = (0..8)
+            .filter(|id| !dead.contains(id))
+            .map(member_id)
+            .collect();
         for id in (0..8).filter(|id| !dead.contains(id)) {
-            run.net.part_mut(id).unwrap().fellows = living.clone();
+            run.net.part_mut(id).unwrap().members = living.clone();
         }
         let other = (1..8).find(|id| !dead.contains(id)).unwrap();
         // Where it is not among those asked, nobody asked knows: what docs/takeover-design.md says is left.
@@ -788,21 +803,21 @@
             .part(other)
             .unwrap()
             .backups(request, 3)
-            .contains(&life(0))
+            .contains(&member_id(0))
         {
             continue;
         }
         knew += 1;
-        run.hit(other, request, 0);
+        run.send_request(other, request, 0);
         run.play(3 * S);
         run.effects_once();
-        assert_eq!(run.wrote.get(&request), Some(&1), "request {request}");
+        assert_eq!(run.written.get(&request), Some(&1), "request {request}");
     }
     assert!(knew > 30, "{knew} of 60 requests asked the one that knew");
 }
 
 #[test]
-fn the_work_of_a_dead_sidecar_is_finished_while_more_than_half_of_its_guardians_live() {
+fn requests_of_a_dead_sidecar_are_finished_while_a_majority_of_backups_lives() {
     let (mut in_time, mut taken) = (0, 0);
     for seed in 0..40 {
         let mut run = Run::new(
@@ -813,7 +828,7 @@
                 ..Weather::default()
             },
         );
-        (0..20).for_each(|n| run.hit(0, n, n as Nanos * 10 * MS));
+        (0..20).for_each(|n| run.send_request(0, n, n as Nanos * 10 * MS));
         run.play(150 * MS + seed * 5 * MS);
         run.kill(0);
         let killed = run.net.now();
@@ -830,14 +845,17 @@
         run.play(killed + 5 * S);
         for request in &known {
             taken += 1;
-            let began = (1..7).find_map(|id| {
+            let taken_over = (1..7).find_map(|id| {
                 let part = run.net.part(id).unwrap();
-                part.began
+                part.taken_over
                     .iter()
                     .find(|(_, known)| known == request)
                     .copied()
             });
-            assert!(began.is_some(), "seed {seed}: nobody finished {request}");
+            assert!(
+                taken_over.is_some(),
+                "seed {seed}: nobody finished {request}"
+            );
             in_time += 1;
         }
         run.effects_once();
@@ -846,20 +864,20 @@
 }
 
 #[test]
-fn one_who_comes_back_elsewhere_joins_and_hears_the_answer_and_another_hit_is_told_apart() {
+fn a_client_that_retries_elsewhere_joins_and_a_different_request_is_told_apart() {
     for seed in 0..40 {
         let mut run = Run::new(6, seed, Weather::default());
-        run.hit(0, 1, 0);
-        run.hit(1, 1, 20 * MS);
-        run.hit(2, 1, 400 * MS);
+        run.send_request(0, 1, 0);
+        run.send_request(1, 1, 20 * MS);
+        run.send_request(2, 1, 400 * MS);
         let at = run.net.own_time(3) + 30 * MS;
         run.net
             .part_mut(3)
             .unwrap()
-            .at(at, Act::IncomingRequest(1, 6));
+            .at(at, Action::IncomingRequest(1, 6));
         run.play(4 * S);
         run.effects_once();
-        assert_eq!(run.wrote.get(&1), Some(&1));
+        assert_eq!(run.written.get(&1), Some(&1));
         for id in [1, 2] {
             let part = run.net.part(id).unwrap();
             assert_eq!(
@@ -873,7 +891,7 @@
 }
 
 #[test]
-fn a_bounce_is_no_last_word_the_client_may_come_back_anywhere_with_its_key() {
+fn a_rejected_client_may_retry_anywhere_with_its_key() {
     for seed in 0..40 {
         let mut run = Run::new(
             6,
@@ -885,15 +903,15 @@
         );
         let first = run.net.part_mut(0).unwrap();
         (first.never_ran, first.gives_up) = (1.0, 1.0);
-        run.hit(0, 1, 0);
-        // Known nowhere but where it was bounced, where it bounced itself, and at a stranger.
-        run.hit((seed % 6) as Id, 1, 1_200 * MS);
+        run.send_request(0, 1, 0);
+        // Known nowhere but where it was rejected, where it rejected itself, and at a stranger.
+        run.send_request((seed % 6) as Id, 1, 1_200 * MS);
         run.play(1_100 * MS);
         (0..6).for_each(|id| run.net.part_mut(id).unwrap().never_ran = 0.0);
-        run.hit(((seed + 1) % 6) as Id, 1, 2_500 * MS);
+        run.send_request(((seed + 1) % 6) as Id, 1, 2_500 * MS);
         run.play(6 * S);
         run.effects_once();
-        assert_eq!(run.wrote.get(&1), Some(&1), "seed {seed}");
+        assert_eq!(run.written.get(&1), Some(&1), "seed {seed}");
         let last = run.net.part(((seed + 1) % 6) as Id).unwrap();
         assert_eq!(
             last.answers.last(),
@@ -904,7 +922,7 @@
 }
 
 #[test]
-fn what_is_told_behind_costs_nothing_when_done_soon_and_is_known_when_not() {
+fn a_claim_in_the_background_costs_nothing_when_finished_soon_and_is_known_when_not() {
     let mut run = Run::new(4, 1, Weather::default());
     let at = run.net.own_time(0);
     let first = run.net.part_mut(0).unwrap();
@@ -945,8 +963,8 @@
 }
 
 #[test]
-fn records_stop_at_their_bytes_and_answers_beyond_are_not_kept() {
-    let lives: Vec<MemberId> = (0..2).map(life).collect();
+fn records_stop_at_their_byte_limit_and_answers_beyond_it_are_not_kept() {
+    let lives: Vec<MemberId> = (0..2).map(member_id).collect();
     let rules = Rules {
         max_replica_bytes: 1_000,
         ..Rules::default()
@@ -982,7 +1000,7 @@
         reply_to(record(4, 1, None)),
         Message::Full { request: 4 }
     ));
-    // Work that it guards already goes on: its end is known, its answer is not.
+    // Requests that it keeps already go on: the end is known, the answer is not.
     assert!(matches!(
         reply_to(record(1, 2, Some(Outcome::Served(vec![1; 50])))),
         Message::Stored { .. }
@@ -1006,12 +1024,12 @@
 }
 
 #[test]
-fn without_guardians_in_reach_a_hit_is_served_unguarded_not_held_up() {
+fn without_backups_in_reach_a_request_is_served_unprotected_not_held_up() {
     let mut run = Run::new(4, 1, Weather::default());
     (1..4).for_each(|id| run.net.cut(id, 0));
-    run.hit(0, 1, 0);
+    run.send_request(0, 1, 0);
     run.play(S);
-    assert_eq!(run.net.part(0).unwrap().unguarded, 1);
+    assert_eq!(run.net.part(0).unwrap().unprotected, 1);
 }
 
 #[test]
