--- a/crates/takeover/src/takeover/effect.rs
+++ b/crates/takeover/src/takeover/effect.rs
@@ -16,7 +16,7 @@
     },
     /// More than half of the backups have the request: it may begin.
     Claimed(RequestId),
-    /// They know of the attempt with this index. Ask [`Takeover::may_send`] right before the write.
+    /// They know of the attempt with this index. Ask [`Takeover::may_send`](crate::Takeover::may_send) right before the write.
     AttemptReady(RequestId, usize),
     /// Another sidecar owns the request; its answer will follow.
     Joined(RequestId),
