--- a/crates/configuration/src/replication/gossip.rs
+++ b/crates/configuration/src/replication/gossip.rs
@@ -21,7 +21,7 @@
 }
 
 impl Replicator {
-    /// Tells a few random peers what is held, with the delta that led to it where it fits a datagram.
+    /// Tells a few random peers the newest verified version, with the delta that led to it where it fits a datagram.
     pub(super) fn announce(&mut self, delta: Option<&Delta>) {
         let claim = delta.map_or(self.verified.claim(), |delta| Claim {
             version: delta.to,
--- a/crates/configuration/src/replication/installation.rs
+++ b/crates/configuration/src/replication/installation.rs
@@ -1,4 +1,4 @@
-//! Between what is held and what the host has in force.
+//! Between what is verified here and what the host has in force.
 
 use super::{Effect, Event, Nanos, Replicator};
 use crate::message::{Claim, LagReason};
@@ -123,7 +123,7 @@
         self.emit(Event::Rejected(rejection));
     }
 
-    /// Offers what is held to the host.
+    /// Offers the newest verified version to the host.
     pub(super) fn offer(&mut self, now: Nanos) {
         let head = self.verified.head().clone();
         self.behind_since.get_or_insert(now);
--- a/crates/configuration/src/replication/mod.rs
+++ b/crates/configuration/src/replication/mod.rs
@@ -2,27 +2,28 @@
 //! handed in, effects are left in a queue.
 //!
 //! Whoever newly holds a version tells a few random peers, with the delta where it fits a datagram, and no more after
-//! that ([`gossip`]). Each process also asks one random peer a period what it has: that reaches whoever the first way
+//! that (`gossip`). Each process also asks one random peer a period what it has: that reaches whoever the first way
 //! missed, was cut off or has restarted. Who is too far behind for deltas fetches the buckets that differ
-//! ([`transfer`]), within a budget of bytes, from any peer that holds the same version. The writer polls the names in
-//! disjoint intervals, each under a head that splits it on ([`acknowledge`]); nobody sends to all.
+//! (`transfer`), within a budget of bytes, from any peer that holds the same version. The writer polls the names in
+//! disjoint intervals, each under a head that splits it on (`acknowledgement`); nobody sends to all.
 //!
-//! **VerifiedVersions and in force.** What is *held* was verified by its digest and is passed on. What is *in force* was taken
-//! over by the host, which answers each [`Effect::Install`] with [`Replicator::confirm_installed`] or [`Replicator::report_rejected`].
+//! **Verified and in force.** What is *verified* has the digest that its writer stated, and is passed on. What is *in
+//! force* was taken over by the host, which answers each [`Effect::Install`] with [`Replicator::confirm_installed`] or
+//! [`Replicator::report_rejected`].
 //! Only what is in force is acknowledged. So a host that rejects a version neither hides it from others nor fetches it
 //! again, and a later version still finds its base. A sidecar stores nothing before it tells: an acknowledgement says
 //! *in force*, never *on disk*. The writer stores before it calls [`Replicator::publish`].
 //!
-//! **What holds always**: versions held and in force never fall; a version is held only with the digest that its
+//! **What holds always**: versions verified and in force never fall; a version is verified only with the digest that its
 //! writer stated; of two contents of one version the first stays; nobody is counted twice in one round. **What holds
 //! while enough can talk**: everybody gets the newest version, and reports are complete. Epochs are fenced by order
 //! alone: a replaced writer stops when it hears of the higher epoch, and what it published meanwhile loses to it.
 //!
-//! Every map and queue is bounded: `effects` by one call, as the host empties it after each; `polls` by [`OPEN_POLLS`],
-//! emptied by a finished or expired round; early deltas, recent snapshots and the history in [`held`]; peers by the
-//! membership; names that are behind by [`MAX_BEHIND`].
+//! Every map and queue is bounded: `effects` by one call, as the host empties it after each; `polls` by `OPEN_POLLS`,
+//! emptied by a finished or expired round; early deltas, recent snapshots and the history in `verified`; peers by the
+//! membership; names that are behind by [`MAX_BEHIND`](crate::message::MAX_BEHIND).
 //!
-//! # Guards taken out by hand
+//! # Tests of each guard
 //! See `tests/replication.rs` of the package `havenplank-configuration-simulation`; its head lists which guard each test
 //! was seen to miss.
 
--- a/crates/configuration/src/replication/poll.rs
+++ b/crates/configuration/src/replication/poll.rs
@@ -13,7 +13,7 @@
 
 /// Heads tried for one interval: with 1% loss each way two would leave one of 1,600 silent in every second round.
 const ATTEMPTS: usize = 3;
-/// CachedConfiguration back from the patience of a poll for the way there and back, at most half of it.
+/// Taken off the time-out of a poll for the way there and back, at most half of it.
 const MARGIN_MS: u32 = 400;
 const MS: Nanos = 1_000_000;
 
--- a/crates/configuration/src/replication/verified.rs
+++ b/crates/configuration/src/replication/verified.rs
@@ -1,4 +1,4 @@
-//! What is held here: the newest verified snapshot, the ones before it, and the deltas that led to it.
+//! What was verified here: the newest snapshot, the ones before it, and the deltas that led to it.
 
 use crate::delta::Delta;
 use crate::digest::Digest;
@@ -24,7 +24,7 @@
     Known,
     /// It builds on a version that is not here yet.
     Early,
-    /// It does not lead on from what is held.
+    /// It does not lead on from the newest verified version.
     Unfit(ApplyError),
 }
 
@@ -63,7 +63,7 @@
         }
     }
 
-    /// The digest under which a recent version is held, where it is another than the claimed one.
+    /// The digest under which a recent version was verified, where it is another than the claimed one.
     pub fn contradiction(&self, claim: Claim) -> Option<Digest> {
         let same = self
             .recent
--- a/crates/sidecar/src/membership.rs
+++ b/crates/sidecar/src/membership.rs
@@ -111,7 +111,7 @@
             ..Rules::default()
         };
         let transport = Transport::bind(settings.listen, |now, bound| {
-            let news = Member {
+            let member = Member {
                 id: me.clone(),
                 address: settings.advertise.unwrap_or(bound),
                 zone: zone.to_string(),
@@ -119,7 +119,7 @@
                 state: MemberState::Alive,
             };
             let seed = me.incarnation ^ u64::from(bound.port()) << 48;
-            Node::new(now, seed, news, settings.seeds.clone(), rules, keys)
+            Node::new(now, seed, member, settings.seeds.clone(), rules, keys)
         });
         let transport = transport.await.map_err(|source| MembershipError::Listen {
             at: settings.listen,
@@ -146,13 +146,13 @@
     pub fn run(self: &Rc<Self>, keys: PathBuf) {
         let membership = self.clone();
         let transport = self.transport.clone();
-        spawn_local(transport.run(move |_, happened| membership.handle(happened)));
+        spawn_local(transport.run(move |_, event| membership.handle(event)));
         spawn_local(self.clone().reload_keys(keys));
         spawn_local(self.clone().send_views());
     }
 
-    fn handle(&self, happened: NodeEvent) {
-        match happened {
+    fn handle(&self, event: NodeEvent) {
+        match event {
             NodeEvent::Message {
                 from,
                 kind: VIEW_KIND,
@@ -254,24 +254,24 @@
     pub fn status(&self) -> MembershipStatus {
         let unsent = self.transport.dropped_sends();
         let (now, views) = (self.now(), self.views.borrow());
-        let place = views.quorum();
-        let (standing, since) = (place.state(), place.state_since());
-        let mut disputes = place.disputes(now);
+        let quorum = views.quorum();
+        let (standing, since) = (quorum.state(), quorum.state_since());
+        let mut disputes = quorum.disputes(now);
         disputes.truncate(SHOWN_NAMES);
         self.transport.call(|node, _| MembershipStatus {
             living: node
                 .membership()
                 .alive()
-                .map(|news| news.id.name.clone())
+                .map(|member| member.id.name.clone())
                 .collect(),
             slowness: node.membership().health_score(),
             standing: Some(standing),
             stands_for: now.saturating_sub(since),
-            belong: place.voter_count(),
-            reached: place.voter_count() - place.missing(now).count(),
-            missing: shown(place.missing(now)),
-            deaf_to_us: shown(place.deaf_to_us(now)),
-            unsteady: shown(place.flapping(now)),
+            belong: quorum.voter_count(),
+            reached: quorum.voter_count() - quorum.missing(now).count(),
+            missing: shown(quorum.missing(now)),
+            deaf_to_us: shown(quorum.deaf_to_us(now)),
+            unsteady: shown(quorum.flapping(now)),
             disputes,
             sent: node.sent,
             sent_bytes: node.sent_bytes,
--- a/crates/sidecar/src/replication.rs
+++ b/crates/sidecar/src/replication.rs
@@ -85,9 +85,9 @@
     }
 
     fn living(&self) -> Peers {
-        let peer = |news: &Member| Peer {
-            life: news.id.clone(),
-            zone: news.zone.clone(),
+        let peer = |member: &Member| Peer {
+            life: member.id.clone(),
+            zone: member.zone.clone(),
         };
         Peers::new(
             self.membership
