--- a/crates/configuration/src/replication/acknowledgement.rs
+++ b/crates/configuration/src/replication/acknowledgement.rs
@@ -108,7 +108,7 @@
         self.close_finished(now);
     }
 
-    /// Whether a round of this writer is under way. The next one waits for its end, which its patience bounds.
+    /// Whether a round of this writer is under way. The next one waits for its end, which its time-out bounds.
     pub(super) fn has_open_round(&self) -> bool {
         self.polls.iter().any(|open| open.parent.is_none())
     }
