--- a/crates/sidecar/src/state_report.rs
+++ b/crates/sidecar/src/state_report.rs
@@ -73,7 +73,7 @@
             "with": dispute.with,
             "it_misses": dispute.it_misses,
             "we_miss": dispute.we_miss,
-            "roster": dispute.voters,
+            "roster": dispute.voters_differ,
         })
     });
     json!({
--- a/crates/sidecar/src/takeover_service.rs
+++ b/crates/sidecar/src/takeover_service.rs
@@ -4,8 +4,9 @@
 use crate::membership::Membership;
 use havenplank_membership::member::MemberId;
 use havenplank_settings::{Takeover as Settings, DISTRIBUTOR_ZONE};
+use havenplank_takeover::message::Message;
 use havenplank_takeover::placement::{choose_backups, Candidate};
-use havenplank_takeover::record::{AttemptState, Message, Outcome, Record, RequestId};
+use havenplank_takeover::record::{AttemptState, Outcome, Record, RequestId};
 use havenplank_takeover::{
     Effect, IncomingRequest, Nanos, RequiredAcks, Rules, TableSizes, Takeover,
 };
@@ -132,7 +133,7 @@
     pub remaining: Nanos,
 }
 
-/// What the owner of a request hears of it.
+/// What the owner of a request is notified of.
 pub struct OwnerWatch {
     /// Another sidecar owns it now.
     pub lost: oneshot::Receiver<()>,
@@ -311,7 +312,7 @@
             }
         }
         let reply = timeout(Duration::from_nanos(remaining), reply).await;
-        // Whoever waited in vain is not told any more.
+        // Whoever waited in vain is not notified any more.
         self.forget_closed_waiters(id);
         reply
             .ok()
@@ -474,7 +475,7 @@
     Joined,
 }
 
-/// One attempt that backups were told of; whatever becomes of the task that carries it, they hear how it went.
+/// One attempt that was announced to backups; whatever becomes of the task that carries it, they learn how it ended.
 pub struct AnnouncedAttempt {
     service: Rc<TakeoverService>,
     id: RequestId,
