--- a/src/sequential_test/sampling.rs
+++ b/src/sequential_test/sampling.rs
@@ -1,9 +1,9 @@
 //! Which instances send to the build on trial, and how much more than its size says.
 //!
-//! A thin share at each of many instances tells none of them enough, and a bad build stays. So a sample of them
-//! takes the trial's attempts, each as many more as the cap and its memory leave room for, the rest none: as many
-//! reach the pods, and fewer instances hear more. Inputs: rank, build and number of instances, so that all agree
-//! without a word. Harm: where the rank is wrong, too many or too few send to the build.
+//! A thin share at each of many instances tells none of them enough, and a bad build stays. So a sample of
+//! them takes the trial's attempts, each as many more as the cap and its memory leave room for, the rest
+//! none: as many reach the pods, and fewer instances hear more. Inputs: rank, build and number of instances,
+//! so that all agree without a word. Harm: where the rank is wrong, too many or too few send to the build.
 
 use super::{Bounds, MEMORY_SHARE};
 use crate::exposure::Exposure;
@@ -13,6 +13,9 @@
 use crate::selection::GOLDEN_RATIO;
 use crate::voting;
 
+/// Instances that are sampled in for each vote that a rejection needs, at least.
+const SAMPLED_PER_VOTE: f64 = 2.0;
+
 impl Router {
     pub(crate) fn update_sampling(&mut self, now: Nanos) {
         let instances = self.position.instances;
@@ -28,7 +31,8 @@
         self.sequential_test.bounds = Bounds::new(judging, needed);
     }
 
-    /// The part of the instances that sends to the build on trial, whose pods are `share` of the fleet's size.
+    /// The part of the instances that sends to the build on trial, whose pods are `share` of the fleet's
+    /// size.
     fn sampled_part(&mut self, now: Nanos, share: f64) -> f64 {
         let instances = self.position.instances;
         let needed = self.voting.settings.rollback_quorum;
@@ -43,8 +47,8 @@
         let outcomes =
             share * self.retry_budget.requests(now) as f64 * voting::ADVANCE_AFTER as f64
                 / RetryBudget::WINDOW as f64;
-        let least =
-            (outcomes / voting::ENOUGH_OUTCOMES as f64).max(2.0 * needed as f64 / instances as f64);
+        let least = (outcomes / voting::ENOUGH_OUTCOMES as f64)
+            .max(SAMPLED_PER_VOTE * needed as f64 / instances as f64);
         part.max(least.min(1.0))
     }
 }
