--- a/crates/capacity/src/configuration/scenarios.rs
+++ b/crates/capacity/src/configuration/scenarios.rs
@@ -1,10 +1,10 @@
 //! What happens to a simulated fleet, and what is measured of it.
 
-use super::fleet::{place_region, tenants, Fleet, SECOND};
-use super::process::{Process, Traffic};
 use super::CHANGES_A_DAY;
+use havenplank_configuration::replication::{Nanos, Role};
 use havenplank_configuration::snapshot::Snapshot;
-use havenplank_configuration::spread::{Nanos, Role};
+use havenplank_configuration_simulation::fleet::{place_region, tenants, Fleet, SECOND};
+use havenplank_configuration_simulation::process::{Process, Traffic};
 use havenplank_emulator::net::{Id, Weather};
 use std::time::Duration;
 
@@ -24,12 +24,15 @@
 /// What a process spends on average.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Cost {
+    /// Bytes sent a second, with what is around each message.
     pub bytes_per_s: f64,
+    /// Messages sent a second.
     pub messages_per_s: f64,
     /// Processor time of decision and codec, by the wall clock around each call.
     pub core_share: f64,
 }
 
+/// What a scenario shows.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
     /// Seconds until in force, ascending.
@@ -38,11 +41,15 @@
     pub not_reached: usize,
     /// Of a sidecar.
     pub mean: Cost,
+    /// Of the writer.
     pub writer: Cost,
+    /// Bytes a second that the busiest sidecar sends.
     pub busiest_bytes_per_s: f64,
+    /// Bytes a second that the busiest sidecar receives.
     pub busiest_heard_bytes_per_s: f64,
     /// The longest message of all, with what is around it.
     pub longest_message: u64,
+    /// What else a reader should know, in words.
     pub note: String,
 }
 
@@ -220,7 +227,7 @@
     let writer = fleet
         .net
         .part(WRITER)
-        .and_then(|writer| writer.spreader.glance().writer);
+        .and_then(|writer| writer.replicator.status().writer);
     match writer.and_then(|writer| writer.round) {
         Some(round) => format!(
             "last round: {} of {} have {}",
--- a/crates/capacity/tests/tables.rs
+++ b/crates/capacity/tests/tables.rs
@@ -27,9 +27,9 @@
     let fetched = |pods: usize| {
         let mut driver = driver(pods);
         driver.requests(200, 700).expect("requests");
-        let before = driver.counts().forwards;
+        let before = driver.counts().attempts;
         let visits = driver.visits_of(|driver| (0..AT_ONCE).for_each(|_| driver.request()));
-        assert_eq!(driver.counts().forwards - before, AT_ONCE);
+        assert_eq!(driver.counts().attempts - before, AT_ONCE);
         assert_eq!(
             visits.sorted + visits.passed,
             0,
@@ -126,7 +126,10 @@
 #[test]
 fn settings_take_4500_routes_and_150000_tenants_and_name_their_limit() {
     let site = samples::site(4_500, 150_000).expect("the size to plan for");
-    assert_eq!((site.groups.len(), site.tenants.len()), (4_500, 150_000));
+    assert_eq!(
+        (site.route_classes.len(), site.tenants.len()),
+        (4_500, 150_000)
+    );
     let table = route_table(&site);
     let route = table
         .find("GET", &samples::route_path(4_499))
--- a/crates/configuration/src/record.rs
+++ b/crates/configuration/src/record.rs
@@ -1,7 +1,7 @@
 //! What changes while sidecars run: services, the routes that lead to them, and tenants with their limits.
 
-use crate::error::InvalidRecord;
 use havenplank::interface::{DedupScope, Idempotency, Nanos, RouteClass};
+pub use havenplank_settings::BackupMode;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
@@ -24,11 +24,12 @@
 /// The longest latency target, deadline or idempotency window: a day.
 pub const MAX_SPAN: Nanos = 86_400_000_000_000;
 /// The largest priority weight of a served request.
-pub const MAX_BENEFIT: f64 = 1e9;
+pub const MAX_PRIORITY_WEIGHT: f64 = 1e9;
 
 /// A group of pods that answers requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Service {
+    /// Its name, which no other service has.
     pub name: String,
     /// Where its pods may be; empty for any zone.
     pub zones: Vec<String>,
@@ -40,6 +41,7 @@
 /// prefix before a shorter one. The order of routes never matters.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Route {
+    /// Its name, which no other route has.
     pub name: String,
     /// The name of a [`Service`].
     pub service: String,
@@ -47,94 +49,86 @@
     pub methods: Vec<String>,
     /// Whole paths, or the start of one where the last character is `*`.
     pub paths: Vec<String>,
+    /// How its requests are treated.
     pub rules: RequestRules,
 }
 
 /// How the requests of a route are treated: [`RouteClass`] and the backup mode, comparable and serialisable.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RequestRules {
-    pub kind: RequestKind,
-    pub scope: IdempotencyScope,
-    /// How long, from the first attempt that may have run, repeats of a keyed request are dropped.
-    pub idempotency_window: Nanos,
-    pub latency_target: Nanos,
+    /// Whether a request may run twice.
+    pub idempotency: Idempotency,
+    /// The pods that drop a repeat of a keyed request.
+    pub dedup_scope: DedupScope,
+    /// How long, from the first attempt that may have run, repeats of a keyed request are dropped, in nanoseconds.
+    pub dedup_window: Nanos,
+    /// The time within which an answer earns its whole priority weight, in nanoseconds.
+    pub latency_objective: Nanos,
+    /// How long a client waits at most, in nanoseconds.
     pub deadline: Nanos,
+    /// How much serving a request counts against others.
     #[serde(rename = "benefit")]
     pub priority_weight: f64,
     /// Share of the priority weight that an answer past the latency target still earns.
     #[serde(rename = "late_benefit")]
     pub late_weight: f64,
+    /// Whether responses are passed on as they come.
     pub stream: bool,
+    /// Whether and when backups learn of requests in flight.
     pub backup: BackupMode,
 }
 
-/// Whether a request may run twice.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum RequestKind {
-    /// Running it twice does what running it once does.
-    Idempotent,
-    /// It carries an idempotency key, by which pods drop repeats.
-    Keyed,
-    /// Running it twice may do harm.
-    NonIdempotent,
-}
-
-/// The pods that drop a repeat of a keyed request.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum IdempotencyScope {
-    All,
-    Zone,
-    Cell,
-}
-
-/// Whether backups know of a route's requests in flight.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum BackupMode {
-    Off,
-    /// Backups know of an attempt before it is sent.
-    BeforeAttempt,
-    /// They are told while it runs; for idempotent requests only.
-    Behind,
-}
-
 /// A tenant of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tenant {
+    /// Its name, which no other tenant has.
     pub name: String,
+    /// What it may use.
     pub limits: TenantLimits,
 }
 
 /// What a tenant may use; `None` for no limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TenantLimits {
+    /// Requests that are admitted a second.
     pub requests_per_s: Option<u32>,
+    /// Requests in flight at once.
     pub in_flight: Option<u32>,
 }
 
 /// One entry of a configuration. A route is boxed, as tenants are many and an enum is as large as its largest variant.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Record {
+    /// A group of pods.
     Service(Service),
+    /// A class of requests.
     Route(Box<Route>),
+    /// A tenant.
     Tenant(Tenant),
 }
 
 /// The kinds of [`Record`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum RecordKind {
+    /// Of [`Service`].
     Service,
+    /// Of [`Route`].
     Route,
+    /// Of [`Tenant`].
     Tenant,
 }
 
 /// What tells one record from all others.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RecordKey {
+    /// The kind of the record.
     pub kind: RecordKind,
+    /// Its name, which no other of its kind has.
     pub name: String,
 }
 
 impl Record {
+    /// Returns its kind.
     pub fn kind(&self) -> RecordKind {
         match self {
             Record::Service(_) => RecordKind::Service,
@@ -143,6 +137,7 @@
         }
     }
 
+    /// Returns its name.
     pub fn name(&self) -> &str {
         match self {
             Record::Service(service) => &service.name,
@@ -151,6 +146,7 @@
         }
     }
 
+    /// Returns its key.
     pub fn key(&self) -> RecordKey {
         RecordKey {
             kind: self.kind(),
@@ -219,18 +215,10 @@
 impl From<RequestRules> for RouteClass {
     fn from(rules: RequestRules) -> RouteClass {
         RouteClass {
-            idempotency: match rules.kind {
-                RequestKind::Idempotent => Idempotency::Idempotent,
-                RequestKind::Keyed => Idempotency::Keyed,
-                RequestKind::NonIdempotent => Idempotency::NonIdempotent,
-            },
-            dedup_scope: match rules.scope {
-                IdempotencyScope::All => DedupScope::All,
-                IdempotencyScope::Zone => DedupScope::Zone,
-                IdempotencyScope::Cell => DedupScope::Cell,
-            },
-            dedup_window: rules.idempotency_window,
-            latency_objective: rules.latency_target,
+            idempotency: rules.idempotency,
+            dedup_scope: rules.dedup_scope,
+            dedup_window: rules.dedup_window,
+            latency_objective: rules.latency_objective,
             client_timeout: rules.deadline,
             priority_weight: rules.priority_weight,
             late_weight: rules.late_weight,
@@ -240,30 +228,36 @@
 }
 
 impl RequestRules {
-    /// The rules of a path group of the settings script, and how its requests in flight are backed up.
-    pub fn from_path_group(group: &RouteClass, backup: BackupMode) -> RequestRules {
+    /// Returns the rules of a route class of the settings script, with the way its requests in flight are backed up.
+    pub fn from_route_class(class: &RouteClass, backup: BackupMode) -> RequestRules {
         RequestRules {
-            kind: match group.idempotency {
-                Idempotency::Idempotent => RequestKind::Idempotent,
-                Idempotency::Keyed => RequestKind::Keyed,
-                Idempotency::NonIdempotent => RequestKind::NonIdempotent,
-            },
-            scope: match group.dedup_scope {
-                DedupScope::All => IdempotencyScope::All,
-                DedupScope::Zone => IdempotencyScope::Zone,
-                DedupScope::Cell => IdempotencyScope::Cell,
-            },
-            idempotency_window: group.dedup_window,
-            latency_target: group.latency_objective,
-            deadline: group.client_timeout,
-            priority_weight: group.priority_weight,
-            late_weight: group.late_weight,
-            stream: group.stream,
+            idempotency: class.idempotency,
+            dedup_scope: class.dedup_scope,
+            dedup_window: class.dedup_window,
+            latency_objective: class.latency_objective,
+            deadline: class.client_timeout,
+            priority_weight: class.priority_weight,
+            late_weight: class.late_weight,
+            stream: class.stream,
             backup,
         }
     }
 }
 
+/// A record with a field out of its bounds.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{record}: {field}: found {found}; expected {expected}")]
+pub struct InvalidRecord {
+    /// The record.
+    pub record: RecordKey,
+    /// The field, as the script names it.
+    pub field: &'static str,
+    /// Its value, or what is wrong about it.
+    pub found: String,
+    /// What it may be.
+    pub expected: String,
+}
+
 fn ensure(
     valid: bool,
     key: (RecordKind, &str),
@@ -388,8 +382,8 @@
 
 fn check_rules(key: (RecordKind, &str), rules: &RequestRules) -> Result<(), InvalidRecord> {
     let spans = [
-        ("idempotency_window", rules.idempotency_window, 0),
-        ("latency_target", rules.latency_target, 1),
+        ("idempotency_window", rules.dedup_window, 0),
+        ("latency_target", rules.latency_objective, 1),
         ("deadline", rules.deadline, 1),
     ];
     for (field, span, least) in spans {
@@ -404,7 +398,7 @@
     }
     // NaN is in no range.
     let shares = [
-        ("benefit", rules.priority_weight, MAX_BENEFIT),
+        ("benefit", rules.priority_weight, MAX_PRIORITY_WEIGHT),
         ("late_benefit", rules.late_weight, 1.0),
     ];
     for (field, share, most) in shares {
@@ -413,7 +407,7 @@
         let valid = (0.0..=most).contains(&share) && share.is_sign_positive();
         ensure(valid, key, field, || share.to_string(), expected)?;
     }
-    let fits = rules.backup != BackupMode::Behind || rules.kind == RequestKind::Idempotent;
+    let fits = rules.backup != BackupMode::Behind || rules.idempotency == Idempotency::Idempotent;
     let expected = || "BeforeAttempt, as a repeat could do harm".to_string();
     ensure(fits, key, "backup", || "Behind".to_string(), expected)
 }
--- a/crates/configuration/src/spread/install.rs
+++ b/crates/configuration/src/replication/installation.rs
@@ -1,7 +1,7 @@
 //! Between what is held and what the host has in force.
 
-use super::{Effect, Event, Nanos, Spreader};
-use crate::message::{Claim, Standing};
+use super::{Effect, Event, Nanos, Replicator};
+use crate::message::{Claim, LagReason};
 use crate::snapshot::Snapshot;
 use crate::version::Version;
 
@@ -11,7 +11,9 @@
 /// A version that the host could not take in.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Rejection {
+    /// The version.
     pub version: Version,
+    /// Why, in the words of the host.
     pub reason: String,
 }
 
@@ -21,8 +23,15 @@
     pub(super) since: Nanos,
     offered: Option<Snapshot>,
     pub(super) rejected: Option<Rejection>,
-    /// When the rejected version is offered again, and the wait after that.
-    again: Option<(Nanos, Nanos)>,
+    retry: Option<OfferRetry>,
+}
+
+/// When a rejected version is offered again.
+#[derive(Clone, Copy)]
+struct OfferRetry {
+    at: Nanos,
+    /// The wait after that.
+    backoff: Nanos,
 }
 
 impl Installation {
@@ -32,7 +41,7 @@
             since: now,
             offered: None,
             rejected: None,
-            again: None,
+            retry: None,
         }
     }
 
@@ -50,11 +59,11 @@
     }
 
     pub(super) fn next_wake(&self) -> Option<Nanos> {
-        self.again.map(|(at, _)| at)
+        self.retry.map(|retry| retry.at)
     }
 
     /// `None` where the claimed version or a newer one is in force.
-    pub(super) fn standing(&self, claim: Claim) -> Option<Standing> {
+    pub(super) fn lag_reason(&self, claim: Claim) -> Option<LagReason> {
         let version = self.version();
         if version > claim.version
             || (version == claim.version && self.in_force.digest() == claim.digest)
@@ -66,16 +75,16 @@
             .as_ref()
             .is_some_and(|rejected| rejected.version == claim.version);
         Some(match (version == claim.version, rejected) {
-            (true, _) => Standing::Differs,
-            (false, true) => Standing::Rejected,
-            (false, false) => Standing::Behind(version),
+            (true, _) => LagReason::Differs,
+            (false, true) => LagReason::Rejected,
+            (false, false) => LagReason::Behind(version),
         })
     }
 }
 
-impl Spreader {
+impl Replicator {
     /// The host has taken over the version that was offered last. Any other is passed over.
-    pub fn installed(&mut self, now: Nanos, version: Version) {
+    pub fn confirm_installed(&mut self, now: Nanos, version: Version) {
         let fits = |offered: &mut Snapshot| offered.version() == version;
         let Some(snapshot) = self.installation.offered.take_if(fits) else {
             return;
@@ -88,34 +97,35 @@
 
     /// The host cannot take over the version that was offered last. What was in force stays; the version is offered
     /// again with growing waits, as what stood in its way may be gone, or until a newer one takes its place.
-    pub fn rejected(&mut self, now: Nanos, version: Version, reason: &str) {
+    pub fn report_rejected(&mut self, now: Nanos, version: Version, reason: &str) {
         let fits = |offered: &mut Snapshot| offered.version() == version;
         if self.installation.offered.take_if(fits).is_none() {
             return;
         }
-        let again = self
-            .installation
-            .rejected
-            .as_ref()
-            .is_some_and(|before| before.version == version);
-        let wait = match self.installation.again {
-            Some((_, wait)) if again => wait,
-            _ => self.rules.first_offer,
+        let before = self.installation.rejected.as_ref();
+        let is_repeat = before.is_some_and(|before| before.version == version);
+        let backoff = match self.installation.retry {
+            Some(retry) if is_repeat => retry.backoff,
+            _ => self.settings.initial_offer_backoff,
         };
-        let doubled = wait.saturating_mul(2).min(self.rules.last_offer);
-        self.installation.again = Some((now.saturating_add(wait), doubled));
+        self.installation.retry = Some(OfferRetry {
+            at: now.saturating_add(backoff),
+            backoff: backoff
+                .saturating_mul(2)
+                .min(self.settings.max_offer_backoff),
+        });
         let rejection = Rejection {
             version,
             reason: shortened(reason),
         };
         self.installation.rejected = Some(rejection.clone());
         self.counts.rejected += 1;
-        self.tell(Event::Rejected(rejection));
+        self.emit(Event::Rejected(rejection));
     }
 
     /// Offers what is held to the host.
     pub(super) fn offer(&mut self, now: Nanos) {
-        let head = self.held.head().clone();
+        let head = self.verified.head().clone();
         self.behind_since.get_or_insert(now);
         self.installation.offered = Some(head.clone());
         self.effects
@@ -124,9 +134,13 @@
     }
 
     pub(super) fn offer_where_due(&mut self, now: Nanos) {
-        if let Some((_, wait)) = self.installation.again.filter(|(at, _)| *at <= now) {
+        let due = self.installation.retry.filter(|retry| retry.at <= now);
+        if let Some(retry) = due {
             // Moved on at once, so that a host that does not answer is not asked in each turn.
-            self.installation.again = Some((now.saturating_add(wait), wait));
+            self.installation.retry = Some(OfferRetry {
+                at: now.saturating_add(retry.backoff),
+                ..retry
+            });
             self.offer(now);
         }
     }
--- a/crates/configuration/src/spread/glance.rs
+++ b/crates/configuration/src/replication/status.rs
@@ -1,8 +1,8 @@
 //! What a process knows of its configuration, for `GET /state` and logs.
 
-use super::acknowledge::BehindSince;
-use super::install::Rejection;
-use super::{Nanos, Role, Spreader};
+use super::acknowledgement::BehindSince;
+use super::installation::Rejection;
+use super::{Nanos, Replicator, Role};
 use crate::digest::Digest;
 use crate::message::Claim;
 use crate::version::Version;
@@ -12,9 +12,11 @@
 pub struct Counts {
     /// No message, or with a delta that is none.
     pub unreadable: u64,
+    /// Deltas and chunks that were here already.
     pub repeats: u64,
+    /// Deltas that did not apply.
     pub unfit_deltas: u64,
-    /// Claims of a version that is held with another digest.
+    /// Claims of a version that is verified here with another digest.
     pub conflicts: u64,
     /// Announcements and polls of an epoch that was replaced.
     pub lower_epochs: u64,
@@ -28,69 +30,92 @@
     pub dropped_polls: u64,
 }
 
+/// What a process knows of its configuration. Times are on its own monotonic clock, in nanoseconds.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Glance {
-    /// In force, with its digest and since when.
+pub struct Status {
+    /// The version in force.
     pub version: Version,
+    /// The digest of the version in force.
     pub digest: Digest,
+    /// Since when it is in force.
     pub in_force_since: Nanos,
-    /// Verified and passed on.
-    pub held: Version,
+    /// The newest version that was verified by its digest and is passed on.
+    pub verified: Version,
+    /// The newest version that any peer has claimed.
     pub newest_heard: Version,
     /// Since when a newer version is known to exist that is not in force here.
     pub behind_since: Option<Nanos>,
+    /// The version that the host could not take in last.
     pub rejected: Option<Rejection>,
-    /// When any peer was last heard, and when a poll of the writer last came here. The writer polls everybody at least
-    /// once a [`Rules::last_poll`](super::Rules): who has heard none for longer is cut off from it, and what is in
-    /// force may be as old as that.
+    /// When any peer was last heard.
     pub heard_at: Option<Nanos>,
+    /// When a poll of the writer last came here. The writer polls everybody at least once a
+    /// [`max_poll_interval`](super::ReplicationSettings::max_poll_interval): who has heard none for longer is cut off
+    /// from it, and what is in force may be as old as that.
     pub polled_at: Option<Nanos>,
+    /// How many peers are thought to live.
     pub peers: usize,
-    pub transfer: Option<TransferGlance>,
-    pub writer: Option<WriterGlance>,
+    /// The whole snapshot that is being fetched.
+    pub transfer: Option<TransferStatus>,
+    /// What a writer knows beyond a sidecar; `None` at a sidecar.
+    pub writer: Option<WriterStatus>,
+    /// Messages that changed nothing.
     pub counts: Counts,
 }
 
+/// A whole snapshot that is being fetched.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct TransferGlance {
+pub struct TransferStatus {
+    /// Its version.
     pub version: Version,
+    /// The name of the peer that gives it.
     pub source: String,
+    /// Buckets that are missing yet.
     pub missing_buckets: usize,
 }
 
 /// What a writer knows beyond a sidecar.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct WriterGlance {
+pub struct WriterStatus {
+    /// The epoch of its versions.
     pub epoch: u64,
-    /// It publishes no more.
+    /// By whom it was replaced; it publishes no more then.
     pub superseded: Option<Claim>,
-    /// The last finished round.
-    pub round: Option<RoundGlance>,
+    /// The last finished round of polls.
+    pub round: Option<RoundStatus>,
 }
 
+/// A finished round of polls.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct RoundGlance {
+pub struct RoundStatus {
+    /// The polled version.
     pub version: Version,
+    /// When it ended, on the writer's monotonic clock, in nanoseconds.
     pub at: Nanos,
+    /// How many have the version or a newer one in force.
     pub have: u32,
+    /// How many were counted.
     pub of: u32,
+    /// Those that do not have it, as far as they are named.
     pub behind: Vec<BehindSince>,
+    /// How many more do not have it.
     pub more: u32,
 }
 
-impl Spreader {
-    pub fn glance(&self) -> Glance {
+impl Replicator {
+    /// Returns what this process knows of its configuration.
+    pub fn status(&self) -> Status {
         let in_force = self.installation.snapshot();
-        let transfer = self.transfer.as_ref().map(|transfer| TransferGlance {
+        let transfer = self.transfer.as_ref().map(|transfer| TransferStatus {
             version: transfer.version(),
             source: transfer.source().name.clone(),
             missing_buckets: transfer.missing(),
         });
-        Glance {
+        Status {
             version: in_force.version(),
             digest: in_force.digest(),
             in_force_since: self.installation.since,
-            held: self.held.version(),
+            verified: self.verified.version(),
             newest_heard: self.newest_heard.version,
             behind_since: self.behind_since,
             rejected: self.installation.rejected.clone(),
@@ -98,16 +123,16 @@
             polled_at: self.polled_at,
             peers: self.peers.len(),
             transfer,
-            writer: self.writer_glance(),
+            writer: self.writer_status(),
             counts: self.counts,
         }
     }
 
-    fn writer_glance(&self) -> Option<WriterGlance> {
+    fn writer_status(&self) -> Option<WriterStatus> {
         let Role::Writer { epoch } = self.role else {
             return None;
         };
-        Some(WriterGlance {
+        Some(WriterStatus {
             epoch,
             superseded: self.superseded,
             round: self.polling.last.clone(),
--- a/crates/sidecar/src/configuration.rs
+++ b/crates/sidecar/src/configuration.rs
@@ -8,8 +8,10 @@
 use havenplank::interface::RouteClass;
 use havenplank_configuration::delta::Delta;
 use havenplank_configuration::record::BackupMode;
+use havenplank_configuration::replication::{
+    CachedConfiguration as InstalledVersion, Peer, ReplicationSettings, Replicator, Role,
+};
 use havenplank_configuration::snapshot::Snapshot;
-use havenplank_configuration::spread::{Kept as InstalledVersion, Peer, Role, Rules, Spreader};
 use havenplank_configuration::store::{Opened, Store, StoreError};
 use havenplank_settings::Site;
 use serde_json::Value;
@@ -87,27 +89,31 @@
 /// have no configuration or no peers.
 pub fn start(shell: &Rc<Shell>, cached: CachedConfiguration, seed: u64) {
     let site = &shell.site;
-    let settings = site.configuration.as_ref().zip(site.fellowship.as_ref());
+    let settings = site.configuration.as_ref().zip(site.membership.as_ref());
     let Some(((settings, peers), membership)) = settings.zip(shell.membership.as_ref()) else {
         return;
     };
     let installed = install_cached(shell, &cached);
     let me = Peer {
         life: membership.me().clone(),
-        zone: site.zones.get(site.place.zone).cloned().unwrap_or_default(),
+        zone: site
+            .zones
+            .get(site.position.zone)
+            .cloned()
+            .unwrap_or_default(),
     };
-    let rules = Rules {
+    let rules = ReplicationSettings {
         fetch_bytes_per_s: settings.fetch_bytes_per_s,
         serve_bytes_per_s: settings.serve_bytes_per_s,
-        ..Rules::default()
+        ..ReplicationSettings::default()
     };
     let seed = seed ^ me.life.incarnation;
-    let spreader = Spreader::new(membership.now(), seed, me, Role::Sidecar, installed, rules);
+    let spreader = Replicator::new(membership.now(), seed, me, Role::Sidecar, installed, rules);
     let host = InForce {
         shell: Rc::downgrade(shell),
         persister: Persister::start(cached.store),
     };
-    let period = Duration::from_nanos(peers.period);
+    let period = Duration::from_nanos(peers.probe_interval);
     let replication = Replication::start(membership, spreader, host, period);
     let _ = shell
         .configuration
--- a/crates/sidecar/src/daemon.rs
+++ b/crates/sidecar/src/daemon.rs
@@ -89,10 +89,10 @@
     }
     let cached = site.configuration.as_ref();
     let cached = cached
-        .map(|settings| CachedConfiguration::open(&settings.keep))
+        .map(|settings| CachedConfiguration::open(&settings.cache_folder))
         .transpose()?;
-    let (clients, listen_address) = listen(site.door.listen).await?;
-    let (operators, admin) = listen(site.door.admin).await?;
+    let (clients, listen_address) = listen(site.listener.listen).await?;
+    let (operators, admin) = listen(site.listener.admin).await?;
     let Parts {
         shell,
         lines,
@@ -102,7 +102,7 @@
         configuration::start(&shell, cached, seed);
     }
     run_membership(&shell);
-    if let Some(path) = &shell.site.kept_list {
+    if let Some(path) = &shell.site.cached_list {
         endpoint_cache::load(&shell, path);
     }
     let _tasks = start_tasks(&shell, seed, lines, taken_over);
@@ -140,11 +140,11 @@
         let timeout_header = HeaderName::try_from(&site.headers.timeout);
         let membership = bind_membership(&site).await?;
         let (takeover, taken_over) = start_takeover(&site, membership.as_ref()).unzip();
-        let routes = RouteTable::from_settings(&site.groups, engine.slots(), &site.tenants);
+        let routes = RouteTable::from_settings(&site.route_classes, engine.slots(), &site.tenants);
         let sidecar = Sidecar {
             routes: RefCell::new(Rc::new(routes)),
             configuration: OnceCell::new(),
-            upstream: UpstreamConnections::new(&site.links),
+            upstream: UpstreamConnections::new(&site.upstream),
             endpoints_changed: Notify::new(),
             discovery_requests,
             control_plane_requests,
@@ -168,10 +168,14 @@
 }
 
 async fn bind_membership(site: &Site) -> Result<Option<Rc<Membership>>, MembershipError> {
-    let Some(settings) = &site.fellowship else {
+    let Some(settings) = &site.membership else {
         return Ok(None);
     };
-    let zone = site.zones.get(site.place.zone).cloned().unwrap_or_default();
+    let zone = site
+        .zones
+        .get(site.position.zone)
+        .cloned()
+        .unwrap_or_default();
     let membership = Membership::bind(settings, &site.name, &zone).await?;
     let address = membership.address();
     let address = address.map_or(String::new(), |address| address.to_string());
@@ -184,13 +188,13 @@
 fn start_takeover(site: &Site, membership: Option<&Rc<Membership>>) -> Option<Takeover> {
     let (settings, membership) = site.takeover.as_ref().zip(membership)?;
     let takeover = TakeoverService::start(settings, membership);
-    tracing::info!(guardians = settings.guardians, "work in hand is guarded");
+    tracing::info!(guardians = settings.backups, "work in hand is guarded");
     Some(takeover)
 }
 
 /// Meets the other sidecars, once all who talk have said which kinds of message they read.
 fn run_membership(shell: &Shell) {
-    let settings = shell.site.fellowship.as_ref();
+    let settings = shell.site.membership.as_ref();
     if let Some((settings, membership)) = settings.zip(shell.membership.as_ref()) {
         membership.run(settings.keys.clone());
     }
@@ -232,7 +236,7 @@
 
 /// Closes connections to pods that were idle too long or whose pods are gone.
 async fn sweep_upstream(shell: Rc<Shell>) {
-    let half_idle = Duration::from_nanos(shell.site.links.idle / 2);
+    let half_idle = Duration::from_nanos(shell.site.upstream.idle_timeout / 2);
     let period = half_idle.max(SHORTEST_SWEEP_PERIOD);
     loop {
         sleep(period).await;
@@ -255,7 +259,7 @@
 impl Listeners {
     fn start(shell: &Rc<Shell>, clients: TcpListener, operators: TcpListener) -> Listeners {
         let (stopping, stopped) = watch::channel(false);
-        let connections = shell.site.door.connections;
+        let connections = shell.site.listener.max_connections;
         let (clients_audience, operators_audience) = (Audience::Clients, Audience::Operators);
         let clients = accept(
             shell.clone(),
--- a/crates/sidecar/src/endpoint_cache.rs
+++ b/crates/sidecar/src/endpoint_cache.rs
@@ -50,7 +50,7 @@
 
 /// Writes the list each time that it changes; never ends where the settings have a file for it.
 pub async fn run(shell: Rc<Shell>) {
-    let Some(path) = shell.site.kept_list.clone() else {
+    let Some(path) = shell.site.cached_list.clone() else {
         return;
     };
     loop {
--- a/crates/sidecar/src/exactly_once.rs
+++ b/crates/sidecar/src/exactly_once.rs
@@ -116,7 +116,7 @@
 
 fn response_to_refusal(shell: &Shell, reply: LeaseReply) -> Response<Body> {
     match reply {
-        LeaseReply::Uncertain => rejected_for(shell.site.forwards.max_retry_after),
+        LeaseReply::Uncertain => rejected_for(shell.site.attempts.max_retry_after),
         LeaseReply::Finished(outcome) => response_of(outcome),
         LeaseReply::KeyReused => plain(StatusCode::UNPROCESSABLE_ENTITY, KEY_REUSED),
         LeaseReply::Unknown | LeaseReply::Granted | LeaseReply::Unprotected => failed(true),
--- a/crates/sidecar/src/health_check.rs
+++ b/crates/sidecar/src/health_check.rs
@@ -15,7 +15,7 @@
 /// Checks a pod's health, within the time for a connect.
 pub async fn check(shell: &Rc<Shell>, pod: PodId) -> HealthCheckResult {
     let began = Instant::now();
-    let time = Duration::from_nanos(shell.site.links.connect_time);
+    let time = Duration::from_nanos(shell.site.upstream.connect_timeout);
     let (end, load) = match timeout(time, exchange(shell, pod)).await {
         Ok(Ok((end, load))) => (end, load),
         Ok(Err(end)) => (end, None),
@@ -36,7 +36,7 @@
     let connection = shell.upstream.acquire(address, Reuse::Never).await;
     let mut connection = connection.map_err(|_| AttemptEnd::ConnectFailed)?;
     let mut request = Request::new(Full::new(Bytes::new()));
-    let path = shell.site.links.probe_path.parse();
+    let path = shell.site.upstream.health_check_path.parse();
     *request.uri_mut() = path.unwrap_or_else(|_| Uri::from_static("/"));
     request.headers_mut().insert(VIA, shell.via.clone());
     let response = connection.sender.send_request(request).await;
--- a/crates/sidecar/src/membership.rs
+++ b/crates/sidecar/src/membership.rs
@@ -8,7 +8,7 @@
 use havenplank_membership::swim::Rules;
 use havenplank_membership::transport::{log_event, new_incarnation, Transport};
 use havenplank_membership::view_exchange::{Change, ViewExchange, VIEW_KIND};
-use havenplank_settings::Fellowship as Settings;
+use havenplank_settings::MembershipSettings as Settings;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -106,8 +106,8 @@
         };
         let (parts, of) = ANSWER_PARTS;
         let rules = Rules {
-            period: settings.period,
-            ping_timeout: settings.period * parts / of,
+            period: settings.probe_interval,
+            ping_timeout: settings.probe_interval * parts / of,
             ..Rules::default()
         };
         let transport = Transport::bind(settings.listen, |now, bound| {
@@ -119,7 +119,7 @@
                 state: MemberState::Alive,
             };
             let seed = me.incarnation ^ u64::from(bound.port()) << 48;
-            Node::new(now, seed, member, settings.meet.clone(), rules, keys)
+            Node::new(now, seed, member, settings.seeds.clone(), rules, keys)
         });
         let transport = transport.await.map_err(|source| MembershipError::Listen {
             at: settings.listen,
@@ -132,7 +132,7 @@
             me,
             handlers: RefCell::default(),
             views: RefCell::new(views),
-            period: Duration::from_nanos(settings.period),
+            period: Duration::from_nanos(settings.probe_interval),
         }))
     }
 
--- a/crates/sidecar/src/proxy.rs
+++ b/crates/sidecar/src/proxy.rs
@@ -45,7 +45,7 @@
     if shell.is_full() {
         return Ok(and_close(rejected_for(RETRY_AFTER_FULL)));
     }
-    let spent = arrived.elapsed().as_nanos() as Nanos + shell.site.door.answer_margin;
+    let spent = arrived.elapsed().as_nanos() as Nanos + shell.site.listener.response_margin;
     let attributes = RequestAttributes {
         remaining: attributes.remaining.saturating_sub(spent),
         ..attributes
--- a/crates/sidecar/src/replication.rs
+++ b/crates/sidecar/src/replication.rs
@@ -1,10 +1,12 @@
-//! The messages and the time around a [`Spreader`]: replicates configuration versions on the sockets that peers have for
+//! The messages and the time around a [`Replicator`]: replicates configuration versions on the sockets that peers have for
 //! each other, and learns from the membership who lives.
 
 use crate::membership::Membership;
 use havenplank_configuration::message::Message;
+use havenplank_configuration::replication::{
+    Effect, Event, Nanos, Peer, Peers, Replicator, Status,
+};
 use havenplank_configuration::snapshot::Snapshot;
-use havenplank_configuration::spread::{Effect, Event, Glance, Nanos, Peer, Peers, Spreader};
 use havenplank_membership::member::Member;
 use havenplank_membership::member::MemberId;
 use serde_json::{json, Value};
@@ -36,7 +38,7 @@
 /// Replicates versions between this process and its peers.
 pub struct Replication<H> {
     membership: Rc<Membership>,
-    spreader: RefCell<Spreader>,
+    spreader: RefCell<Replicator>,
     host: H,
     period: Duration,
     rearm: Notify,
@@ -47,7 +49,7 @@
     /// membership once a period.
     pub fn start(
         membership: &Rc<Membership>,
-        spreader: Spreader,
+        spreader: Replicator,
         host: H,
         period: Duration,
     ) -> Rc<Replication<H>> {
@@ -69,15 +71,15 @@
     }
 
     /// Makes one call on the spreader, then carries out all that it left to do.
-    pub fn call<T>(&self, work: impl FnOnce(&mut Spreader, Nanos) -> T) -> T {
+    pub fn call<T>(&self, work: impl FnOnce(&mut Replicator, Nanos) -> T) -> T {
         let done = work(&mut self.spreader.borrow_mut(), self.membership.now());
         self.perform_effects();
         done
     }
 
     /// Goes on in another role, with another spreader; what the one before had left to do is dropped.
-    pub fn replace_spreader(&self, mut spreader: Spreader) {
-        spreader.peers(self.living());
+    pub fn replace_spreader(&self, mut spreader: Replicator) {
+        spreader.set_peers(self.living());
         self.spreader.replace(spreader);
         self.rearm.notify_one();
     }
@@ -94,8 +96,8 @@
     }
 
     /// Returns how far versions have come.
-    pub fn status(&self) -> Glance {
-        self.spreader.borrow().glance()
+    pub fn status(&self) -> Status {
+        self.spreader.borrow().status()
     }
 
     /// Returns whom versions are handed to.
@@ -106,11 +108,11 @@
     fn receive(&self, from: &MemberId, body: &[u8]) {
         match Message::decode(body) {
             Ok(message) => {
-                self.call(|spreader, now| spreader.heard(now, from, message, body.len()))
+                self.call(|spreader, now| spreader.handle_message(now, from, message, body.len()))
             }
             Err(error) => {
                 tracing::debug!(peer = from.name, %error, "message on the configuration passed over");
-                self.spreader.borrow_mut().unreadable();
+                self.spreader.borrow_mut().count_unreadable();
             }
         }
         self.rearm.notify_one();
@@ -132,14 +134,14 @@
     async fn follow_membership(self: Rc<Self>) {
         loop {
             let peers = self.living();
-            self.spreader.borrow_mut().peers(peers);
+            self.spreader.borrow_mut().set_peers(peers);
             sleep(self.period).await;
         }
     }
 
     fn perform_effects(&self) {
         loop {
-            let effect = self.spreader.borrow_mut().effect();
+            let effect = self.spreader.borrow_mut().next_effect();
             match effect {
                 None => break,
                 Some(Effect::Send { to, message }) => match message.encode() {
@@ -158,12 +160,13 @@
         match self.host.install(snapshot) {
             Ok(()) => {
                 tracing::info!(%version, digest = %snapshot.digest(), "configuration in force");
-                self.spreader.borrow_mut().installed(now, version);
+                self.spreader.borrow_mut().confirm_installed(now, version);
+            }
+            Err(reason) => {
+                self.spreader
+                    .borrow_mut()
+                    .report_rejected(now, version, &reason.to_string())
             }
-            Err(reason) => self
-                .spreader
-                .borrow_mut()
-                .rejected(now, version, &reason.to_string()),
         }
     }
 
@@ -185,7 +188,7 @@
             "version": status.version.to_string(),
             "digest": status.digest.to_string(),
             "age_ms": age_ms(status.in_force_since),
-            "held": status.held.to_string(),
+            "held": status.verified.to_string(),
             "newest_heard": status.newest_heard.to_string(),
             "behind_ms": status.behind_since.map(age_ms),
             "rejected": rejected,
@@ -211,7 +214,7 @@
         let round = writer.round.map(|round| {
             let behind = round.behind.iter().map(|peer| {
                 json!({
-                    "name": peer.name, "standing": format!("{:?}", peer.standing), "for_ms": age_ms(peer.since),
+                    "name": peer.name, "standing": format!("{:?}", peer.lag_reason), "for_ms": age_ms(peer.since),
                 })
             });
             json!({
@@ -228,11 +231,11 @@
     match event {
         Event::Conflict {
             version,
-            held,
+            verified,
             other,
             from,
         } => tracing::error!(
-            %version, %held, %other, peer = from.name,
+            %version, held = %verified, %other, peer = from.name,
             "two contents of one configuration version: two distributors share an epoch"
         ),
         Event::Superseded { by } => {
--- a/crates/sidecar/src/request_reader.rs
+++ b/crates/sidecar/src/request_reader.rs
@@ -7,7 +7,7 @@
 use crate::shell::Shell;
 use bytes::Bytes;
 use havenplank::interface::{stable_hash, Idempotency, Nanos};
-use havenplank_settings::Guard as Backup;
+use havenplank_settings::BackupMode;
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper::body::{Body as _, Incoming};
 use hyper::header::{HeaderMap, CONTENT_LENGTH, VIA};
@@ -57,7 +57,7 @@
     let index = tenant.and_then(|(_, tenant)| tenant.index);
     let attributes = attributes(shell, &parts.headers, &route, index)?;
     let takeover = shell.takeover.as_ref();
-    let takeover = takeover.filter(|_| route.backup != Backup::Off);
+    let takeover = takeover.filter(|_| route.backup != BackupMode::Off);
     let tenant = takeover.and(tenant).map(|(name, _)| name.to_string());
     // A request that waits for its body holds its own route, not the table.
     drop(routes);
@@ -69,7 +69,7 @@
     let (mut headers, uri) = headers::detached_copy(&headers, path);
     let protection = takeover.map(|service| {
         let key = headers.get(IDEMPOTENCY_KEY);
-        let key = key.or(headers.get(&shell.site.headers.mark));
+        let key = key.or(headers.get(&shell.site.headers.request_id));
         let content = RequestContent {
             method: &parts.method,
             path,
@@ -136,7 +136,7 @@
             "time-out: expected up to 8 digits and H, M, S, m, u or n\n",
         ));
     }
-    let key = headers.get(&names.key);
+    let key = headers.get(&names.idempotency_key);
     Ok(RequestAttributes {
         route_class: route.route_class(),
         tenant,
@@ -152,15 +152,15 @@
 }
 
 async fn read_body(shell: &Shell, body: Incoming) -> Result<Bytes, Refused> {
-    let limits = &shell.site.door;
-    if body.size_hint().lower() > limits.body_bytes as u64 {
+    let limits = &shell.site.listener;
+    if body.size_hint().lower() > limits.max_body_bytes as u64 {
         return Err(TOO_LARGE);
     }
     if body.is_end_stream() {
         return Ok(Bytes::new());
     }
-    let collected = Limited::new(body, limits.body_bytes).collect();
-    match timeout(Duration::from_nanos(limits.body_time), collected).await {
+    let collected = Limited::new(body, limits.max_body_bytes).collect();
+    match timeout(Duration::from_nanos(limits.body_timeout), collected).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) if error.downcast_ref::<LengthLimitError>().is_some() => Err(TOO_LARGE),
         Ok(Err(_)) => Err(Refused::bad_request("the body broke off\n")),
--- a/crates/sidecar/src/shell.rs
+++ b/crates/sidecar/src/shell.rs
@@ -61,7 +61,7 @@
             .as_ref()
             .map_or(0, |service| service.serving());
         let held = self.engine().requests_held().max(protected);
-        self.stopping.get() || held >= self.site.door.hits
+        self.stopping.get() || held >= self.site.listener.max_requests
     }
 
     /// Returns the routes in force now; whoever holds them goes on by them.
--- a/crates/sidecar/src/takeover_service/mod.rs
+++ b/crates/sidecar/src/takeover_service/mod.rs
@@ -12,7 +12,7 @@
 
 use crate::membership::Membership;
 use havenplank_membership::member::MemberId;
-use havenplank_settings::{Takeover as Settings, DISTRIBUTOR_ZONE};
+use havenplank_settings::{TakeoverSettings as Settings, DISTRIBUTOR_ZONE};
 use havenplank_takeover::message::Message;
 use havenplank_takeover::placement::{choose_backups, Candidate};
 use havenplank_takeover::record::{Outcome, Record, RequestId};
@@ -98,10 +98,10 @@
     ) -> (Rc<TakeoverService>, mpsc::UnboundedReceiver<Record>) {
         let rules = Rules {
             lease: settings.lease,
-            max_owned: settings.held,
-            max_replicas: settings.kept,
-            max_replica_bytes: settings.kept_bytes,
-            retention: settings.keep,
+            max_owned: settings.max_in_flight,
+            max_replicas: settings.max_records,
+            max_replica_bytes: settings.max_record_bytes,
+            retention: settings.response_retention,
             ..Rules::default()
         };
         let (sender, taken_over) = mpsc::unbounded_channel();
@@ -111,7 +111,7 @@
             takeover: RefCell::new(takeover),
             membership: membership.clone(),
             waiters: RefCell::default(),
-            backups: settings.guardians,
+            backups: settings.backups,
             tick: Duration::from_nanos(settings.lease / TICKS_PER_LEASE).max(SHORTEST_TICK),
             generated_ids: Cell::new(0),
             serving: Rc::default(),
--- a/crates/sidecar/tests/routes.rs
+++ b/crates/sidecar/tests/routes.rs
@@ -2,12 +2,12 @@
 
 use havenplank::interface::{AttemptEnd, DedupScope, Idempotency, Nanos, PodState, RouteClass};
 use havenplank_configuration::record::{
-    BackupMode, Record, RequestKind, RequestRules, Route, Tenant, TenantLimits,
+    BackupMode, Record, RequestRules, Route, Tenant, TenantLimits,
 };
 use havenplank_configuration::snapshot::Snapshot;
 use havenplank_configuration::version::Version;
 use havenplank_line_protocol::endpoint_list::ListedEndpoint;
-use havenplank_settings::{Group, Guard};
+use havenplank_settings::RouteClassSettings;
 use havenplank_sidecar::engine::{Effect, Engine, EngineSettings, RequestAttributes, EPOCH};
 use havenplank_sidecar::route_slots::{Slot, SlotCounts};
 use havenplank_sidecar::routes::{routes_of, KnownTenant, RouteTable};
@@ -33,21 +33,21 @@
     }
 }
 
-fn group(name: String, methods: Vec<String>, paths: Vec<String>) -> Group {
-    Group {
+fn group(name: String, methods: Vec<String>, paths: Vec<String>) -> RouteClassSettings {
+    RouteClassSettings {
         name,
         methods,
         paths,
         rules: rules(S),
-        guard: Guard::Off,
+        backup: BackupMode::Off,
     }
 }
 
 /// A route named by its only pattern.
-fn route(pattern: &str, kind: RequestKind) -> Record {
+fn route(pattern: &str, idempotency: Idempotency) -> Record {
     let rules = RequestRules {
-        kind,
-        ..RequestRules::from_path_group(&rules(S), BackupMode::Off)
+        idempotency,
+        ..RequestRules::from_route_class(&rules(S), BackupMode::Off)
     };
     let (service, paths) = ("search".to_string(), vec![pattern.to_string()]);
     Record::from(Route {
@@ -77,7 +77,7 @@
     Engine::new(EPOCH, 1, &settings)
 }
 
-fn slots(engine: &mut Engine, groups: &[Group]) -> Vec<Slot> {
+fn slots(engine: &mut Engine, groups: &[RouteClassSettings]) -> Vec<Slot> {
     let routes: Vec<_> = groups
         .iter()
         .map(|group| (group.name.clone(), group.rules))
@@ -102,7 +102,7 @@
             1..12,
         ),
     ) {
-        let groups: Vec<Group> = patterns
+        let groups: Vec<RouteClassSettings> = patterns
             .into_iter()
             .enumerate()
             .map(|(n, (methods, paths))| {
@@ -112,7 +112,7 @@
         let slots = slots(&mut engine(false), &groups);
         let table = RouteTable::from_settings(&groups, slots, &[]);
         for (method, path) in requests {
-            let wanted = groups.iter().find(|group| group.fits(method, &path)).map(|group| group.name.as_str());
+            let wanted = groups.iter().find(|group| group.matches(method, &path)).map(|group| group.name.as_str());
             let found = table.find(method, &path).map(|route| route.name.as_str());
             prop_assert_eq!(found, wanted, "{} {:?}", method, path);
         }
@@ -125,7 +125,7 @@
         paths in proptest::collection::vec("/[ab/]{0,6}", 1..12),
     ) {
         let patterns: Vec<String> = patterns.into_iter().collect();
-        let mut records: Vec<Record> = patterns.iter().map(|pattern| route(pattern, RequestKind::Idempotent)).collect();
+        let mut records: Vec<Record> = patterns.iter().map(|pattern| route(pattern, Idempotency::Idempotent)).collect();
         records.rotate_left(rotated % patterns.len().max(1));
         let snapshot = snapshot(1, records);
         let groups = routes_of(&snapshot);
@@ -189,7 +189,7 @@
 
 #[test]
 fn a_lookup_among_many_routes_finds_the_right_one_and_the_first_wins_across_kinds_of_pattern() {
-    let mut groups: Vec<Group> = (0..4_500)
+    let mut groups: Vec<RouteClassSettings> = (0..4_500)
         .map(|n| group(format!("r-{n}"), vec![], vec![format!("/team-{n}/api/*")]))
         .collect();
     groups.push(group(
@@ -390,7 +390,7 @@
         name: "t".to_string(),
         limits: TenantLimits::default(),
     };
-    let records = vec![route("/a", RequestKind::Keyed), Record::from(tenant)];
+    let records = vec![route("/a", Idempotency::Keyed), Record::from(tenant)];
     let (first, empty) = (snapshot(1, records), Snapshot::empty());
     let groups = routes_of(&first);
     assert_eq!(groups[0].rules.idempotency, Idempotency::Keyed);
--- a/crates/sidecar/tests/unit/backup_record.rs
+++ b/crates/sidecar/tests/unit/backup_record.rs
@@ -7,7 +7,7 @@
 use crate::routes::RouteTable;
 use havenplank::interface::{DedupScope, Idempotency, RouteClass};
 use havenplank_membership::member::MemberId;
-use havenplank_settings::{Group, Guard as Backup};
+use havenplank_settings::{BackupMode, RouteClassSettings};
 use havenplank_takeover::record::Record;
 use hyper::header::{HeaderMap, HeaderValue};
 
@@ -26,12 +26,12 @@
         late_weight: 0.0,
         stream: false,
     };
-    let group = Group {
+    let group = RouteClassSettings {
         name: "search".to_string(),
         methods: Vec::new(),
         paths: vec!["/a".to_string()],
         rules,
-        guard: Backup::BeforeForward,
+        backup: BackupMode::BeforeAttempt,
     };
     let slots = Slots::new([("search".to_string(), rules)].into_iter()).in_force();
     RouteTable::from_settings(&[group], slots, &["acme".to_string()])
