--- a/crates/membership/tests/frames.rs
+++ b/crates/membership/tests/frames.rs
@@ -124,19 +124,19 @@
 }
 
 #[test]
-fn a_sealed_letter_is_encoded_as_recorded_on_both_ways() {
+fn a_sealed_envelope_is_encoded_as_recorded_on_both_channels() {
     let key = Key::new([7; 32]);
-    let letter = Envelope {
+    let envelope = Envelope {
         from: member_id("s-1", 1_764_752_400_000),
         to: member_id("s-2", 9),
         sequence: 4_097,
         kind: 3,
         body: postcard::to_stdvec(&view()).unwrap(),
     };
-    for (name, way) in [("datagram", Channel::Datagram), ("stream", Channel::Stream)] {
-        let sealed = frame::seal(&key, &letter, way).unwrap();
+    for (name, channel) in [("datagram", Channel::Datagram), ("stream", Channel::Stream)] {
+        let sealed = frame::seal(&key, &envelope, channel).unwrap();
         assert_recorded(name, &sealed);
-        let opened = frame::open(std::slice::from_ref(&key), &sealed, way);
-        assert_eq!(opened.as_ref(), Ok(&letter), "{name}");
+        let opened = frame::open(std::slice::from_ref(&key), &sealed, channel);
+        assert_eq!(opened.as_ref(), Ok(&envelope), "{name}");
     }
 }
