--- a/crates/sidecar/src/route_slots.rs
+++ b/crates/sidecar/src/route_slots.rs
@@ -141,7 +141,7 @@
                 continue;
             }
             let change = self.add(route, &mut free);
-            slots.push(self.rows[change.group].slot.clone());
+            slots.push(self.rows[change.class].slot.clone());
             changes.push(change);
         }
         (slots, changes)
@@ -185,7 +185,7 @@
         }
         self.latest.insert(name.clone(), group);
         RouteClassChange {
-            group,
+            class: group,
             rules: *rules,
             predecessor,
             bucket,
