--- a/crates/capacity/src/membership_sockets.rs
+++ b/crates/capacity/src/membership_sockets.rs
@@ -154,10 +154,10 @@
 }
 
 async fn tell_views(transport: Rc<Transport>, views: Rc<RefCell<ViewExchange>>) {
-    let mut beat = interval(Duration::from_nanos(Rules::default().period));
-    beat.set_missed_tick_behavior(MissedTickBehavior::Delay);
+    let mut periods = interval(Duration::from_nanos(Rules::default().period));
+    periods.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
-        beat.tick().await;
+        periods.tick().await;
         transport.call(|node, now| views.borrow_mut().tick(now, node));
     }
 }
--- a/crates/configuration-simulation/src/fleet.rs
+++ b/crates/configuration-simulation/src/fleet.rs
@@ -126,8 +126,8 @@
 
 impl Fleet {
     /// Processes that all hold `base` and know each other; the first one is the writer of epoch 1.
-    pub fn new(count: usize, seed: u64, base: &Snapshot, weather: Weather) -> Fleet {
-        Fleet::with_clocks(count, seed, base, weather, |_| Clock::default())
+    pub fn new(count: usize, seed: u64, base: &Snapshot, faults: Weather) -> Fleet {
+        Fleet::with_clocks(count, seed, base, faults, |_| Clock::default())
     }
 
     /// Returns a fleet as [`Fleet::new`] does, with a clock for each process.
@@ -135,10 +135,10 @@
         count: usize,
         seed: u64,
         base: &Snapshot,
-        weather: Weather,
+        faults: Weather,
         clock: impl Fn(Id) -> Clock,
     ) -> Fleet {
-        let mut net = Net::new(seed, weather);
+        let mut net = Net::new(seed, faults);
         net.delay = Some(Box::new(delay));
         let settings = ReplicationSettings::default();
         let mut fleet = Fleet {
--- a/crates/configuration/src/compile.rs
+++ b/crates/configuration/src/compile.rs
@@ -339,10 +339,10 @@
         ..
     }) = record.check()
     {
-        // What the reader has refused is told once.
+        // What the reader has refused is reported once.
         let field = format!("{kind}.{field}");
-        let told = |problem: &Problem| problem.line == location.line && problem.field == field;
-        if !problems.iter().rev().take(MAX_PROBLEMS).any(told) {
+        let reported = |problem: &Problem| problem.line == location.line && problem.field == field;
+        if !problems.iter().rev().take(MAX_PROBLEMS).any(reported) {
             problems.push(location.problem(field, found, expected));
         }
     }
--- a/crates/configuration/src/replication/gossip.rs
+++ b/crates/configuration/src/replication/gossip.rs
@@ -30,7 +30,7 @@
         let encoded = delta
             .map(Delta::encode)
             .filter(|bytes| bytes.len() + DELTAS_OVERHEAD <= DATAGRAM_BYTES);
-        let mut told: Vec<MemberId> = Vec::with_capacity(
+        let mut announced_to: Vec<MemberId> = Vec::with_capacity(
             self.settings.same_region_fan_out + self.settings.other_region_fan_out,
         );
         for (reach, count) in [
@@ -39,10 +39,10 @@
         ] {
             for _ in 0..count {
                 let drawn = self.peers.draw(&mut self.rng, &self.me, reach);
-                told.extend(drawn.filter(|peer| !told.contains(peer)));
+                announced_to.extend(drawn.filter(|peer| !announced_to.contains(peer)));
             }
         }
-        for peer in told {
+        for peer in announced_to {
             self.send(
                 &peer,
                 Message::Announce {
--- a/crates/invariants/src/check/answered.rs
+++ b/crates/invariants/src/check/answered.rs
@@ -13,7 +13,7 @@
 #[derive(Default)]
 struct Ends {
     killed: Vec<Nanos>,
-    told_to_stop: Vec<Nanos>,
+    stops: Vec<Nanos>,
 }
 
 impl Ends {
@@ -24,8 +24,7 @@
         let stopped = |stop: &Nanos| {
             *stop <= request.at + figures.transit && request.at <= stop + request.remaining
         };
-        self.killed.iter().any(|kill| awaited.contains(kill))
-            || self.told_to_stop.iter().any(stopped)
+        self.killed.iter().any(|kill| awaited.contains(kill)) || self.stops.iter().any(stopped)
     }
 }
 
@@ -49,7 +48,7 @@
 
     pub(super) fn note_stop(&mut self, at: Nanos, sidecar: &str) {
         let ends = self.ends.entry(sidecar.to_string()).or_default();
-        ends.told_to_stop.push(at);
+        ends.stops.push(at);
     }
 
     pub(super) fn report_second_answer(
--- a/crates/settings/src/reader.rs
+++ b/crates/settings/src/reader.rs
@@ -248,12 +248,12 @@
             range.end()
         );
         let parse = |value: &Value| {
-            let told = value
+            let written = value
                 .as_str()
                 .and_then(|text| text.parse::<bytesize::ByteSize>().ok());
             value
                 .as_u64()
-                .or(told.map(|size| size.as_u64()))
+                .or(written.map(|size| size.as_u64()))
                 .filter(|n| range.contains(n))
         };
         self.take(field, &wanted, parse).unwrap_or(absent)
--- a/crates/sidecar/src/daemon.rs
+++ b/crates/sidecar/src/daemon.rs
@@ -118,7 +118,7 @@
 }
 
 /// The lines that the engine wants sent.
-struct FeedLines {
+struct RequestLines {
     discovery: mpsc::Receiver<String>,
     control_plane: mpsc::Receiver<String>,
 }
@@ -126,7 +126,7 @@
 /// A sidecar before its tasks run.
 struct Parts {
     shell: Rc<Shell>,
-    lines: FeedLines,
+    lines: RequestLines,
     /// Requests of other sidecars to be finished here.
     taken_over: Option<mpsc::UnboundedReceiver<Record>>,
 }
@@ -158,7 +158,7 @@
         };
         Ok(Parts {
             shell: Dispatcher::new(engine, sidecar),
-            lines: FeedLines {
+            lines: RequestLines {
                 discovery,
                 control_plane,
             },
@@ -204,7 +204,7 @@
 fn start_tasks(
     shell: &Rc<Shell>,
     seed: u64,
-    lines: FeedLines,
+    lines: RequestLines,
     taken_over: Option<mpsc::UnboundedReceiver<Record>>,
 ) -> JoinSet<()> {
     let mut tasks = JoinSet::new();
--- a/crates/takeover/src/takeover/waiter.rs
+++ b/crates/takeover/src/takeover/waiter.rs
@@ -194,7 +194,7 @@
     }
 }
 
-/// What a waiting sidecar is told: the outcome, if it is known and the request is the same, else the owner.
+/// Returns the answer to a waiting sidecar, the outcome, if it is known and the request is the same, else the owner.
 fn progress(record: &Record, term: u32, owner: &MemberId, digest: u64) -> Message {
     let request = record.request;
     match record.outcome.clone().filter(|_| record.digest == digest) {
