--- /dev/null
+++ b/crates/trace/src/columns/encoder.rs
@@ -0,0 +1,189 @@
+//! Encodes records into the columns of one block.
+
+use super::error::ColumnError;
+use super::field_visitor::FieldVisitor;
+use super::kind::kind_number;
+use super::last_values::LastValues;
+use super::visit::visit_record;
+use super::{BlockBody, COLUMN_COUNT, KIND_COLUMN, OWN_TIME_COLUMN, SOURCE_COLUMN, TIME_COLUMN};
+use crate::record::{Card, Record, Standing};
+use havenplank::interface::{Nanos, PodId};
+use integer_encoding::VarInt;
+use std::collections::HashMap;
+use std::sync::Arc;
+
+/// Encodes records into one block. It holds no more than the block does; its owner closes the block at a size.
+pub struct BlockEncoder {
+    columns: Vec<Vec<u8>>,
+    last_values: LastValues,
+    pods: Vec<Card>,
+    pod_entries: HashMap<(usize, PodId), (Arc<Card>, u64)>,
+    keys: Vec<u64>,
+    key_entries: HashMap<u64, u64>,
+    texts: Vec<String>,
+    text_entries: HashMap<String, u64>,
+    standing: Vec<Standing>,
+    source: usize,
+    /// Unpacked bytes of the block so far, about.
+    pub bytes: usize,
+    /// Records encoded so far.
+    pub records: u32,
+    /// Requests that begin in the block.
+    pub requests: u32,
+    /// Records that other sidecars have as well.
+    pub shared: u32,
+    /// Time of the first record, in nanoseconds on the file's clock.
+    pub first: Nanos,
+    /// Time of the last record, in nanoseconds on the file's clock.
+    pub at: Nanos,
+}
+
+impl BlockEncoder {
+    /// Begins a block; `standing` holds the stages in force before its first record.
+    pub fn new(standing: Vec<Standing>) -> BlockEncoder {
+        BlockEncoder {
+            columns: vec![Vec::new(); COLUMN_COUNT],
+            last_values: LastValues::default(),
+            pods: Vec::new(),
+            pod_entries: HashMap::new(),
+            keys: Vec::new(),
+            key_entries: HashMap::new(),
+            texts: Vec::new(),
+            text_entries: HashMap::new(),
+            standing,
+            source: 0,
+            bytes: 0,
+            records: 0,
+            requests: 0,
+            shared: 0,
+            first: 0,
+            at: 0,
+        }
+    }
+
+    /// Adds a record. Time never goes back within a block: an earlier record gets the time of the one before.
+    pub fn put(&mut self, mut record: Record) {
+        if self.records == 0 {
+            self.first = record.at;
+            self.at = record.at;
+        }
+        let at = record.at.max(self.at);
+        let kind = kind_number(&record.what);
+        self.source = record.source;
+        let source = record.source as u64;
+        // Encoding never fails: the errors of the visitor are the decoder's.
+        let mut step = at - self.at;
+        let _ = self.number(KIND_COLUMN, &mut (kind as u64));
+        let _ = self.number(TIME_COLUMN, &mut step);
+        let _ = self.number(SOURCE_COLUMN, &mut { source });
+        let _ = self.delta(OWN_TIME_COLUMN, source, &mut record.own.wrapping_sub(at));
+        let _ = visit_record(self, kind, source, &mut record);
+        self.at = at;
+        self.records += 1;
+        self.requests += record.begins_hit() as u32;
+        self.shared += record.is_shared() as u32;
+    }
+
+    /// Returns the unpacked body of the block.
+    pub fn body(&self) -> Vec<u8> {
+        let columns = self
+            .columns
+            .iter()
+            .enumerate()
+            .filter(|(_, bytes)| !bytes.is_empty());
+        let body = BlockBody {
+            pods: self.pods.clone(),
+            keys: self.keys.clone(),
+            texts: self.texts.clone(),
+            standing: self.standing.clone(),
+            columns: columns
+                .map(|(column, bytes)| (column as u16, &bytes[..]))
+                .collect(),
+        };
+        postcard::to_stdvec(&body).unwrap_or_default()
+    }
+}
+
+impl FieldVisitor for BlockEncoder {
+    fn number(&mut self, column: u16, value: &mut u64) -> Result<(), ColumnError> {
+        let mut space = [0; 10];
+        let used = value.encode_var(&mut space);
+        self.columns[column as usize].extend_from_slice(&space[..used]);
+        self.bytes += used;
+        Ok(())
+    }
+
+    /// Encodes whole thousandths, as most loads are, as an integer, and all other values by their bits.
+    fn float(&mut self, column: u16, value: &mut f64) -> Result<(), ColumnError> {
+        let thousandths = (*value * 1000.0).round();
+        let fits = (0.0..1e15).contains(&thousandths) && thousandths / 1000.0 == *value;
+        if fits && value.is_sign_positive() {
+            return self.number(column, &mut ((thousandths as u64) << 1));
+        }
+        self.number(column, &mut 1)?;
+        self.columns[column as usize].extend_from_slice(&value.to_bits().to_le_bytes());
+        self.bytes += 8;
+        Ok(())
+    }
+
+    fn idempotency_key(&mut self, column: u16, value: &mut u64) -> Result<(), ColumnError> {
+        let next = self.keys.len() as u64;
+        let mut place = *self.key_entries.entry(*value).or_insert(next);
+        if place == next {
+            self.keys.push(*value);
+            self.bytes += 10;
+        }
+        self.number(column, &mut place)
+    }
+
+    fn text(&mut self, column: u16, value: &mut String) -> Result<(), ColumnError> {
+        let mut place = match self.text_entries.get(value.as_str()) {
+            Some(place) => *place,
+            None => {
+                let place = self.texts.len() as u64;
+                self.texts.push(value.clone());
+                self.text_entries.insert(value.clone(), place);
+                self.bytes += value.len() + 4;
+                place
+            }
+        };
+        self.number(column, &mut place)
+    }
+
+    fn pod(
+        &mut self,
+        column: u16,
+        pod: &mut PodId,
+        card: &mut Option<Arc<Card>>,
+    ) -> Result<(), ColumnError> {
+        let nobody = || Card {
+            pod: *pod,
+            build: 0,
+            name: String::new(),
+            zone: String::new(),
+        };
+        let card = card.get_or_insert_with(|| Arc::new(nobody()));
+        let place = (self.source, *pod);
+        let known = self
+            .pod_entries
+            .get(&place)
+            .filter(|(known, _)| Arc::ptr_eq(known, card) || known == card);
+        let mut at = match known {
+            Some((_, at)) => *at,
+            None => {
+                let at = self.pods.len() as u64;
+                self.pods.push((**card).clone());
+                self.pod_entries.insert(place, (card.clone(), at));
+                self.bytes += card.name.len() + card.zone.len() + 8;
+                at
+            }
+        };
+        self.number(column, &mut at)
+    }
+
+    fn last_value(&mut self, column_and_slot: (u16, u64)) -> &mut u64 {
+        self.last_values.entry(column_and_slot)
+    }
+
+    fn mark_unknown(&mut self) {}
+}
--- a/crates/trace/src/file.rs
+++ b/crates/trace/src/file.rs
@@ -1,6 +1,6 @@
 //! The file: greeting, blocks, index. `docs/trace-format.md` describes its bytes.
 
-use crate::columns::{Emptying, Filling, Wrong};
+use crate::columns::{BlockDecoder, BlockEncoder, ColumnError};
 use crate::record::{Head, Record, Standing};
 use havenplank::interface::Nanos;
 use serde::{Deserialize, Serialize};
@@ -167,13 +167,13 @@
 
     /// # Errors
     /// The output's own: what the file holds then ends with its last whole block.
-    pub fn block(&mut self, block: &Filling) -> Result<(), TraceError> {
+    pub fn block(&mut self, block: &BlockEncoder) -> Result<(), TraceError> {
         if block.records == 0 {
             return Ok(());
         }
-        let Filling {
+        let BlockEncoder {
             records,
-            hits,
+            requests: hits,
             shared,
             first,
             at,
@@ -240,7 +240,7 @@
 /// Writes records to a file, block by block. Holds one block.
 pub struct Writer<W: Write> {
     sink: Sink<W>,
-    filling: Filling,
+    filling: BlockEncoder,
     standing: Vec<Standing>,
 }
 
@@ -269,7 +269,7 @@
     pub fn new(out: W, head: &Head, standing: Vec<Standing>) -> Result<Writer<W>, TraceError> {
         Ok(Writer {
             sink: Sink::new(out, head)?,
-            filling: Filling::new(standing.clone()),
+            filling: BlockEncoder::new(standing.clone()),
             standing,
         })
     }
@@ -291,7 +291,7 @@
     /// The output's own.
     pub fn flush(&mut self) -> Result<(), TraceError> {
         self.sink.block(&self.filling)?;
-        self.filling = Filling::new(self.standing.clone());
+        self.filling = BlockEncoder::new(self.standing.clone());
         Ok(())
     }
 
@@ -315,7 +315,7 @@
     /// Where the blocks end that were found, and why, where that is not the file's end.
     damage: Option<(u64, String)>,
     next: usize,
-    present: Option<(u64, Emptying)>,
+    present: Option<(u64, BlockDecoder)>,
     skipped: u64,
     pub standing: Vec<Standing>,
 }
@@ -532,7 +532,9 @@
     pub fn record(&mut self) -> Result<Option<Record>, TraceError> {
         loop {
             if let Some((at, block)) = &mut self.present {
-                let record = block.next().map_err(|wrong: Wrong| damage(*at, wrong))?;
+                let record = block
+                    .next()
+                    .map_err(|wrong: ColumnError| damage(*at, wrong))?;
                 if let Some(record) = record {
                     if record.source >= self.head.sources.len() {
                         return Err(damage(*at, "a source that the greeting lacks"));
@@ -557,7 +559,7 @@
         }
     }
 
-    fn block(&mut self, entry: &Entry) -> Result<Emptying, TraceError> {
+    fn block(&mut self, entry: &Entry) -> Result<BlockDecoder, TraceError> {
         let at = entry.offset;
         let Some((tag, found, sum)) = self.frame(at)? else {
             return Err(damage(at, "the block's frame is wrong"));
@@ -566,7 +568,7 @@
             return Err(damage(at, "not the block that the index tells of"));
         }
         let body = self.packed(entry, sum)?;
-        Emptying::new(body, entry.first)
+        BlockDecoder::new(body, entry.first)
             .map_err(|error| damage(at, format!("the block's body: {error}")))
     }
 }
--- a/crates/trace/src/recorder.rs
+++ b/crates/trace/src/recorder.rs
@@ -1,6 +1,6 @@
 //! The recorder: looks on at an engine, packs in a thread of its own, and never holds up a hit.
 
-use crate::columns::Filling;
+use crate::columns::BlockEncoder;
 use crate::file::{stand, Sink, TraceError, FULL_BYTES, FULL_RECORDS};
 use crate::record::{Card, Head, Record, Source, Standing, What};
 use havenplank::interface::{Nanos, PodId, RequestId};
@@ -153,7 +153,7 @@
 
 /// The witness. Dropping it closes the trace.
 pub struct Recorder {
-    filling: Filling,
+    filling: BlockEncoder,
     standing: Vec<Standing>,
     cards: Vec<Option<Arc<Card>>>,
     /// Hashes below this are in; none for all.
@@ -164,7 +164,7 @@
     spells: VecDeque<(RequestId, Option<RequestId>, Nanos)>,
     lost: (u64, u64),
     shared: Arc<Shared>,
-    to_writer: Sender<Filling>,
+    to_writer: Sender<BlockEncoder>,
 }
 
 /// Spreads hit numbers evenly, so that a share of them is no pattern of them (the finisher of SplitMix64).
@@ -195,7 +195,7 @@
             drop(ends);
         });
         let recorder = Recorder {
-            filling: Filling::new(Vec::new()),
+            filling: BlockEncoder::new(Vec::new()),
             standing: Vec::new(),
             cards: Vec::new(),
             below: (share < 1.0).then_some((share * u64::MAX as f64) as u64),
@@ -278,10 +278,10 @@
     }
 
     fn close(&mut self, now: Nanos) {
-        let full = std::mem::replace(&mut self.filling, Filling::new(self.standing.clone()));
+        let full = std::mem::replace(&mut self.filling, BlockEncoder::new(self.standing.clone()));
         let bytes = full.bytes as u64;
         if self.waiting() + bytes > self.queue {
-            self.lost.0 += full.hits as u64;
+            self.lost.0 += full.requests as u64;
             self.lost.1 += full.records as u64;
         } else {
             self.shared.waiting.fetch_add(bytes, Ordering::Relaxed);
@@ -369,13 +369,13 @@
 }
 
 impl Writes {
-    fn run(mut self, blocks: Receiver<Filling>) {
+    fn run(mut self, blocks: Receiver<BlockEncoder>) {
         for block in blocks {
             if let Err(error) = self.write(&block) {
                 tracing::warn!(%error, records = block.records, "a block of the trace is lost");
                 self.counts
                     .lost_hits
-                    .fetch_add(block.hits as u64, Ordering::Relaxed);
+                    .fetch_add(block.requests as u64, Ordering::Relaxed);
                 self.counts
                     .lost_records
                     .fetch_add(block.records as u64, Ordering::Relaxed);
@@ -393,7 +393,7 @@
         }
     }
 
-    fn write(&mut self, block: &Filling) -> Result<(), TraceError> {
+    fn write(&mut self, block: &BlockEncoder) -> Result<(), TraceError> {
         let (sink, first) = match &mut self.open {
             Some(open) => open,
             None => {
