--- a/crates/cli/src/bench.rs
+++ b/crates/cli/src/bench.rs
@@ -7,14 +7,14 @@
 
 pub use processes::part;
 
-use crate::write_json;
+use crate::{bench_capacity, bench_takeover, bench_trace, write_json};
 use anyhow::bail;
 use load::Load;
 use processes::{serve_node_list, Process};
 use serde_json::json;
 use std::cell::Cell;
 use std::net::SocketAddr;
-use std::path::Path;
+use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::TcpListener;
@@ -71,7 +71,48 @@
     cpu_ns: u64,
 }
 
-pub fn bench(what: &str, seconds: u64, rounds: u64, json: Option<&Path>) -> anyhow::Result<u8> {
+/// Arguments of `havenplank bench`.
+#[derive(clap::Args)]
+pub struct BenchArgs {
+    #[arg(value_name = "BENCH")]
+    bench: String,
+    /// Scale tests to run, of `capacity`; may be repeated, all of them where it is left out.
+    #[arg(long, value_enum, value_name = "PART")]
+    what: Vec<bench_capacity::Part>,
+    /// Smaller sizes of `capacity`, in a minute or two.
+    #[arg(long)]
+    quick: bool,
+    /// Length of each measured turn.
+    #[arg(long, default_value_t = 4)]
+    seconds: u64,
+    #[arg(long, default_value_t = 3)]
+    rounds: u64,
+    /// Requests of the long recording.
+    #[arg(long, default_value_t = 1_000_000)]
+    hits: u64,
+    /// Sidecars killed, one after the other.
+    #[arg(long, default_value_t = 200)]
+    kills: usize,
+    #[arg(long, value_name = "FILE")]
+    json: Option<PathBuf>,
+}
+
+/// Runs the bench that the arguments name.
+///
+/// # Errors
+/// An unknown bench, processes that cannot be started, and a failed measurement.
+pub fn run(args: BenchArgs) -> anyhow::Result<u8> {
+    let json = args.json.as_deref();
+    match args.bench.as_str() {
+        "capacity" => bench_capacity::bench(&args.what, args.quick, json),
+        "trace-file" => bench_trace::bench(args.hits, json),
+        "takeover" => bench_takeover::bench(args.seconds, args.kills, json),
+        "growth" => bench_takeover::growth(args.seconds, json),
+        other => bench(other, args.seconds, args.rounds, json),
+    }
+}
+
+fn bench(what: &str, seconds: u64, rounds: u64, json: Option<&Path>) -> anyhow::Result<u8> {
     let runtime = Builder::new_current_thread().enable_all().build()?;
     let folder = tempfile::tempdir()?;
     runtime.block_on(LocalSet::new().run_until(async {
--- a/crates/cli/src/distribute.rs
+++ b/crates/cli/src/distribute.rs
@@ -96,7 +96,7 @@
     Ok(DistributorSettings {
         name: args.name,
         script: args.script,
-        given: crate::given_of(&args.given)?,
+        given: crate::settings::parse_given(&args.given)?,
         membership,
         admin: args.admin,
         store: args.store,
--- /dev/null
+++ b/crates/cli/src/traces/anonymise.rs
@@ -0,0 +1,51 @@
+//! `havenplank trace anonymise`: copies a trace with pseudonyms in place of names.
+
+use super::files::{open, status, write};
+use anyhow::{bail, Context};
+use havenplank_trace::file::TraceError;
+use havenplank_trace::veil;
+use std::path::Path;
+
+/// Copies a trace with pseudonyms; `key_file` holds their key, or gets a new one.
+pub(super) fn anonymise(file: &Path, output: &Path, key_file: Option<&Path>) -> anyhow::Result<u8> {
+    let mut reader = open(file)?;
+    let key = read_or_create_key(key_file)?;
+    let mut damage = None;
+    let copied = write(output, |out| match veil::anonymise(&mut reader, out, key) {
+        Err(error @ TraceError::Damage { .. }) => {
+            damage = Some(error);
+            Ok(None)
+        }
+        other => other.map(Some),
+    })?;
+    if let Some(records) = copied {
+        println!("{records} records");
+    }
+    Ok(status(file, damage))
+}
+
+/// Returns the key in `file`, which is created with a new key where it does not exist.
+fn read_or_create_key(file: Option<&Path>) -> anyhow::Result<veil::Key> {
+    let Some(file) = file else {
+        return Ok(veil::draw_key()?);
+    };
+    if !file.exists() {
+        let key = veil::draw_key()?;
+        let text: String = key.iter().map(|byte| format!("{byte:02x}")).collect();
+        std::fs::write(file, text + "\n").with_context(|| format!("{}", file.display()))?;
+        return Ok(key);
+    }
+    let text = std::fs::read_to_string(file).with_context(|| format!("{}", file.display()))?;
+    let text = text.trim();
+    let mut key = [0; 32];
+    let wanted = || format!("{}: line 1: expected 64 hexadecimal digits", file.display());
+    if text.len() != 64 || !text.is_ascii() {
+        bail!(wanted());
+    }
+    for (byte, at) in key.iter_mut().zip((0..64).step_by(2)) {
+        *byte = u8::from_str_radix(&text[at..at + 2], 16)
+            .ok()
+            .with_context(wanted)?;
+    }
+    Ok(key)
+}
--- /dev/null
+++ b/crates/cli/src/traces/drive.rs
@@ -0,0 +1,111 @@
+//! `havenplank trace drive`: sends recorded requests to a real sidecar with emulated peers and compares the figures.
+
+use super::files::{open, Opened};
+use crate::{write_json, FAILED, USAGE};
+use anyhow::Context;
+use havenplank_emulator::drive::{self, Driven, Fared};
+use indicatif::ProgressBar;
+use serde_json::{json, Value};
+use std::path::Path;
+
+const NANOS_PER_SECOND: u64 = 1_000_000_000;
+
+/// Drives the recorded requests of one source, in real time.
+pub(super) fn drive(file: &Path, source: Option<&str>, json: Option<&Path>) -> anyhow::Result<u8> {
+    let mut reader = open(file)?;
+    let names = source_names(&reader);
+    let Some(source) = source_index(&names, source) else {
+        eprintln!("havenplank: --source: expected one of {}", names.join(", "));
+        return Ok(USAGE);
+    };
+    let driven = run(&mut reader, source)?;
+    print_figures(&driven);
+    for fault in &driven.troubles {
+        eprintln!("{fault}");
+    }
+    if let Some(file) = json {
+        write_json(file, &as_json(&driven))?;
+    }
+    Ok(if driven.troubles.is_empty() {
+        0
+    } else {
+        FAILED
+    })
+}
+
+fn source_names(reader: &Opened) -> Vec<String> {
+    let sources = reader.head.sources.iter();
+    sources.map(|source| source.terms.name.clone()).collect()
+}
+
+/// Returns the index of the named source, or of the only one.
+fn source_index(names: &[String], wanted: Option<&str>) -> Option<usize> {
+    match wanted {
+        Some(wanted) => names.iter().position(|name| name == wanted),
+        None if names.len() == 1 => Some(0),
+        None => None,
+    }
+}
+
+fn run(reader: &mut Opened, source: usize) -> anyhow::Result<Driven> {
+    let folder = tempfile::tempdir()?;
+    let program = std::env::current_exe().context("this program's own path")?;
+    let bar = ProgressBar::new(0);
+    let show_progress = |at: u64, end: u64| {
+        bar.set_length(end / NANOS_PER_SECOND);
+        bar.set_position(at / NANOS_PER_SECOND);
+    };
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
+    let driving = drive::drive(reader, source, program, folder.path(), show_progress);
+    let driven = runtime.block_on(tokio::task::LocalSet::new().run_until(driving))?;
+    bar.finish_and_clear();
+    Ok(driven)
+}
+
+fn print_figures(driven: &Driven) {
+    println!("             hits  delivered  bounced  errored     left  forwards");
+    let sides = [("recorded", &driven.recorded), ("driven", &driven.driven)];
+    for (side, figures) in sides {
+        let Fared {
+            hits,
+            delivered,
+            bounced,
+            errored,
+            left,
+            forwards,
+            ..
+        } = figures;
+        println!(
+            "{side:<9} {hits:>7} {delivered:>10} {bounced:>8} {errored:>8} {left:>8} {forwards:>9}"
+        );
+    }
+    for (side, figures) in sides {
+        for ((build, stage, vote), count) in &figures.votes {
+            println!("{side:<9} votes: build {build} stage {stage} {vote}: {count}");
+        }
+    }
+    println!(
+        "{} forwards ended as recorded, {} as their build's did then",
+        driven.as_recorded, driven.as_build
+    );
+}
+
+fn as_json(driven: &Driven) -> Value {
+    json!({
+        "recorded": figures_json(&driven.recorded), "driven": figures_json(&driven.driven),
+        "as_recorded": driven.as_recorded, "as_build": driven.as_build,
+    })
+}
+
+fn figures_json(figures: &Fared) -> Value {
+    let votes = figures.votes.iter().map(|((build, stage, vote), count)| {
+        json!({"build": build, "stage": stage, "voice": vote, "votes": count})
+    });
+    json!({
+        "hits": figures.hits, "delivered": figures.delivered, "bounced": figures.bounced,
+        "errored": figures.errored, "left": figures.left, "forwards": figures.forwards,
+        "votes": votes.collect::<Vec<_>>(),
+    })
+}
--- /dev/null
+++ b/crates/cli/src/traces/export.rs
@@ -0,0 +1,38 @@
+//! `havenplank trace export` and `havenplank trace show`: records as lines of JSON.
+
+use super::files::{for_each_record, open, status};
+use crate::FAILED;
+use havenplank_trace::show;
+use std::io::{BufWriter, Write};
+use std::path::Path;
+
+/// Prints every record.
+pub(super) fn export(file: &Path) -> anyhow::Result<u8> {
+    let mut out = BufWriter::new(std::io::stdout().lock());
+    let mut reader = open(file)?;
+    let damage = for_each_record(&mut reader, |record, head| {
+        writeln!(out, "{}", show::line(&record, head))
+    })?;
+    out.flush()?;
+    Ok(status(file, damage))
+}
+
+/// Prints the records of one request, of the sidecar named `source` where one is named.
+pub(super) fn show(file: &Path, request: u64, source: Option<&str>) -> anyhow::Result<u8> {
+    let mut reader = open(file)?;
+    let mut shown = 0;
+    let damage = for_each_record(&mut reader, |record, head| {
+        let name = &head.sources[record.source].terms.name;
+        let is_source = source.is_none_or(|source| source == name);
+        if is_source && record.hit() == Some(request) {
+            println!("{}", show::line(&record, head));
+            shown += 1;
+        }
+        Ok(())
+    })?;
+    if shown == 0 {
+        eprintln!("{}: no records of hit {request}", file.display());
+        return Ok(FAILED);
+    }
+    Ok(status(file, damage))
+}
--- /dev/null
+++ b/crates/cli/src/traces/files.rs
@@ -0,0 +1,113 @@
+//! Opening, writing and reading trace files, and the times of the command line.
+
+use anyhow::{bail, Context};
+use havenplank_trace::file::{TraceError, MAJOR, MINOR};
+use havenplank_trace::{Head, Reader, Record};
+use std::fs::File;
+use std::io::{BufReader, BufWriter, Write};
+use std::path::{Path, PathBuf};
+use std::time::{Duration, UNIX_EPOCH};
+
+/// A trace file open for reading.
+pub(super) type Opened = Reader<BufReader<File>>;
+
+/// Opens a trace, and says on standard error where its index is missing or its version newer.
+pub(super) fn open(file: &Path) -> anyhow::Result<Opened> {
+    let opened = File::open(file).with_context(|| format!("{}", file.display()))?;
+    let reader =
+        Reader::open(BufReader::new(opened)).with_context(|| format!("{}", file.display()))?;
+    if let Some(why) = &reader.rebuilt {
+        eprintln!("{}: {why}; read by its blocks", file.display());
+    }
+    if reader.minor > MINOR {
+        let minor = reader.minor;
+        eprintln!(
+            "{}: version {MAJOR}.{minor} is newer; what is new in it is passed over",
+            file.display()
+        );
+    }
+    Ok(reader)
+}
+
+/// Writes to a temporary file beside `file` and renames it once it is complete.
+pub(super) fn write<T>(
+    file: &Path,
+    work: impl FnOnce(&mut BufWriter<File>) -> Result<T, TraceError>,
+) -> anyhow::Result<T> {
+    let mut beside = file.as_os_str().to_owned();
+    beside.push(".new");
+    let written = || -> anyhow::Result<T> {
+        let mut out = BufWriter::new(File::create(&beside)?);
+        let done = work(&mut out)?;
+        out.into_inner()?.sync_all()?;
+        std::fs::rename(&beside, file)?;
+        Ok(done)
+    };
+    written()
+        .inspect_err(|_| drop(std::fs::remove_file(&beside)))
+        .with_context(|| format!("{}", file.display()))
+}
+
+/// Returns the exit status for a trace that was read up to its end or to some damage, which is printed.
+pub(super) fn status(file: &Path, damage: Option<TraceError>) -> u8 {
+    match damage {
+        Some(error) => {
+            eprintln!("{}: {error}; all before it was read", file.display());
+            crate::FAILED
+        }
+        None => 0,
+    }
+}
+
+/// Parses a span such as "10s" into nanoseconds; `None` where it is none.
+pub(super) fn parse_span(text: &str) -> Option<u64> {
+    u64::try_from(humantime::parse_duration(text).ok()?.as_nanos()).ok()
+}
+
+/// Parses a time of the command line into nanoseconds on the file's clock.
+pub(super) fn parse_time(reader: &Opened, text: &str) -> anyhow::Result<u64> {
+    let (first, _) = reader.span().unwrap_or_default();
+    if let Some(since) = parse_span(text) {
+        return Ok(first.saturating_add(since));
+    }
+    let Ok(at) = humantime::parse_rfc3339_weak(text) else {
+        bail!("{text:?}: expected a span since the beginning such as \"90s\", or a time such as 2026-12-01T08:30:00Z");
+    };
+    let wall = at
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |since| since.as_nanos() as u64);
+    Ok(reader.head.clock(wall))
+}
+
+/// Formats a time of the file, in nanoseconds on its clock, as RFC 3339 in UTC.
+pub(super) fn format_time(reader: &Opened, at: u64) -> String {
+    let wall = UNIX_EPOCH + Duration::from_nanos(reader.head.wall(at));
+    humantime::format_rfc3339_millis(wall).to_string()
+}
+
+/// Opens several traces, in order.
+pub(super) fn open_all(files: &[PathBuf]) -> anyhow::Result<Vec<Opened>> {
+    files.iter().map(|file| open(file)).collect()
+}
+
+/// Calls `with` for every record; returns the damage at which reading ended, if there was any.
+pub(super) fn for_each_record(
+    reader: &mut Opened,
+    mut with: impl FnMut(Record, &Head) -> std::io::Result<()>,
+) -> anyhow::Result<Option<TraceError>> {
+    loop {
+        match reader.record() {
+            Ok(Some(record)) => with(record, &reader.head)?,
+            Ok(None) => return Ok(None),
+            Err(error) => return Ok(Some(error)),
+        }
+    }
+}
+
+/// Prints a text; a reader that closes the pipe early is no error.
+pub(super) fn print(text: &str) -> anyhow::Result<()> {
+    match std::io::stdout().write_all(text.as_bytes()) {
+        Err(error) if error.kind() == std::io::ErrorKind::BrokenPipe => Ok(()),
+        written => Ok(written?),
+    }
+}
--- /dev/null
+++ b/crates/cli/src/traces/info.rs
@@ -0,0 +1,53 @@
+//! `havenplank trace info`: prints what a trace holds.
+
+use super::files::{format_time, open, Opened};
+use havenplank_trace::file::{Entry, MAJOR};
+use havenplank_trace::{Head, Source};
+use std::path::Path;
+
+/// Prints version, sources, time span and counts, by head and index alone.
+pub(super) fn info(file: &Path) -> anyhow::Result<u8> {
+    let reader = open(file)?;
+    print_head(&reader.head, reader.minor);
+    if let Some((first, last)) = reader.span() {
+        let (first, last) = (format_time(&reader, first), format_time(&reader, last));
+        println!("{first} to {last}");
+    }
+    print_counts(&reader);
+    Ok(0)
+}
+
+fn print_head(head: &Head, minor: u16) {
+    let (program, settings) = (&head.program, &head.settings);
+    println!("version {MAJOR}.{minor}, written by {program}, settings {settings}");
+    if head.anonymised {
+        println!("anonymised: names are stand-ins");
+    }
+    head.sources.iter().for_each(print_source);
+}
+
+fn print_source(source: &Source) {
+    let (name, share) = (&source.terms.name, source.share);
+    let (part, seed) = (source.part, source.seed);
+    let note = if source.whole {
+        ""
+    } else {
+        ", not all records"
+    };
+    println!(
+        "{name}: life {:016x} part {part}, seed {seed}, share {share}{note}",
+        source.life
+    );
+}
+
+fn print_counts(reader: &Opened) {
+    let sum = |of: fn(&Entry) -> u32| reader.index.iter().map(|e| of(e) as u64).sum::<u64>();
+    let (hits, records) = (sum(|e| e.hits), sum(|e| e.records));
+    let (packed, unpacked) = (sum(|e| e.packed), sum(|e| e.unpacked));
+    let blocks = reader.index.len();
+    println!("{hits} hits, {records} records in {blocks} blocks");
+    println!("{packed} bytes packed, {unpacked} unpacked");
+    if hits > 0 {
+        println!("{:.1} bytes a hit", packed as f64 / hits as f64);
+    }
+}
--- /dev/null
+++ b/crates/cli/src/traces/replay.rs
@@ -0,0 +1,49 @@
+//! `havenplank trace replay`: replays recorded events through the library and compares its decisions.
+
+use super::files::open_all;
+use crate::{BROKEN, FAILED};
+use havenplank_trace::replay::{self, Difference, Outcome};
+use std::path::PathBuf;
+
+/// Replays traces; the exit status says whether a decision differs.
+pub(super) fn replay(files: &[PathBuf]) -> anyhow::Result<u8> {
+    let (outcomes, damage) = replay::replay(open_all(files)?)?;
+    let mut status = 0;
+    for (name, outcome) in outcomes {
+        print_outcome(&name, &outcome);
+        if outcome.differs.is_some() {
+            status = BROKEN;
+        }
+    }
+    if let Some(error) = damage {
+        eprintln!("{error}; all before it was played");
+        status = status.max(FAILED);
+    }
+    Ok(status)
+}
+
+fn print_outcome(name: &str, outcome: &Outcome) {
+    let Outcome {
+        hits,
+        compared,
+        records,
+        differs,
+        stopped,
+    } = outcome;
+    println!("{name}: {hits} hits, {records} records, {compared} decisions compared");
+    if let Some(at) = stopped {
+        println!("{name}: played up to {at}, from where records are missing");
+    }
+    let Some(difference) = differs else {
+        println!("{name}: identical");
+        return;
+    };
+    let Difference {
+        record,
+        at,
+        recorded,
+        now,
+    } = difference;
+    println!("{name}: differs first at record {record}, time {at}:");
+    println!("  recorded {recorded}\n  now      {now}");
+}
--- /dev/null
+++ b/crates/cli/src/traces/summarise.rs
@@ -0,0 +1,184 @@
+//! `havenplank trace summarise`: figures of a trace as tables and as JSON.
+
+use super::files::{format_time, open, parse_span, print, status, Opened};
+use crate::write_json;
+use anyhow::bail;
+use havenplank_trace::summary::{self, Figures, Summary};
+use serde_json::json;
+use std::collections::BTreeMap;
+use std::fmt::{self, Write};
+use std::path::Path;
+
+/// Prints the figures of a trace, by spans of time as well where `span` gives their length.
+pub(super) fn summarise(
+    file: &Path,
+    span: Option<&str>,
+    json: Option<&Path>,
+) -> anyhow::Result<u8> {
+    let mut reader = open(file)?;
+    let span = span.map(required_span).transpose()?;
+    let (summary, damage) = summary::summarise(&mut reader, span)?;
+    print(&summary_text(&reader, &summary)?)?;
+    if let Some(file) = json {
+        write_json(file, &summary_json(&summary))?;
+    }
+    Ok(status(file, damage))
+}
+
+fn required_span(text: &str) -> anyhow::Result<u64> {
+    match parse_span(text) {
+        None | Some(0) => bail!("--span {text:?}: expected a span such as \"10s\""),
+        Some(span) => Ok(span),
+    }
+}
+
+/// Formats the figures as one text, which is printed at once: its reader may stop early.
+fn summary_text(reader: &Opened, summary: &Summary) -> Result<String, fmt::Error> {
+    let mut out = String::new();
+    write_totals(&mut out, reader, summary)?;
+    write_builds(&mut out, summary)?;
+    write_pods(&mut out, summary)?;
+    write_exposure(&mut out, summary)?;
+    write_votes(&mut out, summary)?;
+    write_spans(&mut out, reader, summary)?;
+    Ok(out)
+}
+
+fn write_totals(out: &mut String, reader: &Opened, summary: &Summary) -> fmt::Result {
+    let first = format_time(reader, summary.first);
+    let last = format_time(reader, summary.last);
+    let (hits, records) = (summary.hits, summary.records);
+    writeln!(out, "{first} to {last}: {hits} hits, {records} records")?;
+    let notes = [
+        (summary.lost_hits, "hits were left out when recorded"),
+        (summary.lost_records, "records were lost when recorded"),
+        (summary.unfinished, "hits are not followed to their end"),
+        (
+            summary.skipped,
+            "records of a newer version were passed over",
+        ),
+    ];
+    for (count, note) in notes.iter().filter(|(count, _)| *count > 0) {
+        writeln!(out, "{count} {note}")?;
+    }
+    Ok(())
+}
+
+fn write_builds(out: &mut String, summary: &Summary) -> fmt::Result {
+    writeln!(out, "\nbuild  path group        hits  delivered    in time  bounced  errored     left   p50 ms   p99 ms  forwards")?;
+    for ((build, class), figures) in &summary.builds {
+        let Figures {
+            hits,
+            delivered,
+            in_time,
+            bounced,
+            errored,
+            left,
+            ..
+        } = figures;
+        let (p50, p99) = (figures.latency_ms(0.5), figures.latency_ms(0.99));
+        let ends = ends(&figures.forwards);
+        writeln!(
+            out,
+            "{build:<6} {class:<14} {hits:>8} {delivered:>10} {in_time:>10} {bounced:>8} {errored:>8} {left:>8} {p50:>8.1} {p99:>8.1}  {ends}"
+        )?;
+    }
+    Ok(())
+}
+
+fn write_pods(out: &mut String, summary: &Summary) -> fmt::Result {
+    writeln!(out, "\npod (build)          forwards by end")?;
+    for ((pod, build), attempts) in &summary.pods {
+        let pod = format!("{pod} ({build})");
+        writeln!(out, "{pod:<20} {}", ends(attempts))?;
+    }
+    Ok(())
+}
+
+/// Lists attempts by how they ended.
+fn ends(attempts: &BTreeMap<&'static str, u64>) -> String {
+    let ends = attempts.iter().map(|(end, count)| format!("{end} {count}"));
+    ends.collect::<Vec<_>>().join(", ")
+}
+
+fn write_exposure(out: &mut String, summary: &Summary) -> fmt::Result {
+    if !summary.exposed.is_empty() {
+        writeln!(
+            out,
+            "\nsidecar (build)      exposed    taken   share  most of the cap in a window"
+        )?;
+    }
+    for ((name, build), exposed) in &summary.exposed {
+        let share = exposed.hits as f64 / exposed.taken.max(1) as f64;
+        let sidecar = format!("{name} ({build})");
+        writeln!(
+            out,
+            "{sidecar:<20} {:>7} {:>8} {share:>7.3}  {:.2}",
+            exposed.hits, exposed.taken, exposed.most
+        )?;
+    }
+    Ok(())
+}
+
+fn write_votes(out: &mut String, summary: &Summary) -> fmt::Result {
+    for ((build, stage, vote), count) in &summary.votes {
+        writeln!(out, "votes: build {build} stage {stage} {vote}: {count}")?;
+    }
+    Ok(())
+}
+
+fn write_spans(out: &mut String, reader: &Opened, summary: &Summary) -> fmt::Result {
+    if !summary.spans.is_empty() {
+        writeln!(
+            out,
+            "\nfrom                      build     hits  delivered    in time  bounced  errored"
+        )?;
+    }
+    for ((at, build), [hits, delivered, in_time, bounced, errored]) in &summary.spans {
+        let at = format_time(reader, *at);
+        writeln!(
+            out,
+            "{at:<25} {build:<5} {hits:>8} {delivered:>10} {in_time:>10} {bounced:>8} {errored:>8}"
+        )?;
+    }
+    Ok(())
+}
+
+/// Returns the figures as JSON, with units in the names of the fields.
+fn summary_json(summary: &Summary) -> serde_json::Value {
+    let builds = summary.builds.iter().map(|((build, group), f)| {
+        json!({
+            "build": build, "path_group": group, "hits": f.hits, "delivered": f.delivered,
+            "in_time": f.in_time, "bounced": f.bounced, "errored": f.errored, "left": f.left,
+            "forwards": f.forwards, "p50_ms": f.latency_ms(0.5), "p99_ms": f.latency_ms(0.99),
+        })
+    });
+    let pods = summary
+        .pods
+        .iter()
+        .map(|((pod, build), ends)| json!({"pod": pod, "build": build, "forwards": ends}));
+    let exposed = summary.exposed.iter().map(|((name, build), e)| {
+        json!({
+            "sidecar": name, "build": build, "exposed": e.hits, "taken": e.taken, "windows": e.windows,
+            "most_of_cap": e.most,
+        })
+    });
+    let votes = summary.votes.iter().map(|((build, stage, voice), count)| {
+        json!({"build": build, "stage": stage, "voice": voice, "votes": count})
+    });
+    let spans = summary.spans.iter().map(
+        |((at, build), [hits, delivered, in_time, bounced, errored])| {
+            json!({
+                "at": at, "build": build, "hits": hits, "delivered": delivered, "in_time": in_time,
+                "bounced": bounced, "errored": errored,
+            })
+        },
+    );
+    json!({
+        "hits": summary.hits, "records": summary.records, "skipped": summary.skipped,
+        "unfinished": summary.unfinished, "lost_hits": summary.lost_hits, "lost_records": summary.lost_records,
+        "builds": builds.collect::<Vec<_>>(), "pods": pods.collect::<Vec<_>>(),
+        "exposed": exposed.collect::<Vec<_>>(), "votes": votes.collect::<Vec<_>>(),
+        "spans": spans.collect::<Vec<_>>(),
+    })
+}
--- a/crates/cli/tests/fellows.rs
+++ b/crates/cli/tests/fellows.rs
@@ -81,7 +81,7 @@
     async fn launch(&self, id: usize) -> Fellow {
         let mut command = Command::new(env!("CARGO_BIN_EXE_havenplank"));
         command.args([
-            "fellow",
+            "member",
             "--name",
             &format!("s-{id}"),
             "--listen",
@@ -285,7 +285,7 @@
             std::fs::write(&file, keys).expect("written");
             let mut command = Command::new(env!("CARGO_BIN_EXE_havenplank"));
             command
-                .args(["fellow", "--name", name, "--listen", "127.0.0.1:0"])
+                .args(["member", "--name", name, "--listen", "127.0.0.1:0"])
                 .arg("--keys")
                 .arg(&file);
             let output = command.output().expect("the program runs");
--- a/crates/cli/tests/program.rs
+++ b/crates/cli/tests/program.rs
@@ -28,7 +28,7 @@
     let (file, ledger) = (day(rule), folder.path().join("ledger"));
     let traces = folder.path().join("traces");
     let [day, kept, trace] = [&file, &ledger, &traces].map(|path| path.to_str().expect("a path"));
-    let output = run(&["day", day, "--ledger", kept, "--trace", trace]);
+    let output = run(&["scenario", day, "--ledger", kept, "--trace", trace]);
     let text = said(&output);
     assert_eq!(output.status.code(), Some(0), "{text}");
     assert!(
@@ -40,7 +40,7 @@
         .find(|line| line.starts_with(&format!("rule {rule}")))
         .unwrap_or_default();
     assert!(!line.contains(" 0 times tested"), "{line}");
-    let again = run(&["rules", ledger.to_str().expect("a path")]);
+    let again = run(&["verify", ledger.to_str().expect("a path")]);
     assert_eq!(again.status.code(), Some(0), "{}", said(&again));
     let traces = recorded(&traces);
     if rule == "exposed" {
@@ -55,7 +55,7 @@
         );
         assert_ne!(text, strict);
         std::fs::write(&file, strict).expect("written");
-        let broken = run(&["rules", ledger.to_str().expect("a path")]);
+        let broken = run(&["verify", ledger.to_str().expect("a path")]);
         assert_eq!(broken.status.code(), Some(2), "{}", said(&broken));
     }
 }
@@ -190,7 +190,7 @@
         ),
         "{text}"
     );
-    let day_read = run(&["day", &bad_day]);
+    let day_read = run(&["scenario", &bad_day]);
     let text = said(&day_read);
     for wanted in [
         "bad.day: line 2: column 6",
@@ -211,7 +211,7 @@
     }
     assert_eq!(run(&["check", "/no/such.star"]).status.code(), Some(64));
     assert_eq!(
-        run(&["rules", folder.path().to_str().expect("a path")])
+        run(&["verify", folder.path().to_str().expect("a path")])
             .status
             .code(),
         Some(1)
@@ -219,6 +219,41 @@
     assert_eq!(run(&["--help"]).status.code(), Some(0));
 }
 
+/// Commands that were renamed, with what they were called before.
+const RENAMED: [(&str, &str); 3] = [
+    ("scenario", "day"),
+    ("verify", "rules"),
+    ("member", "fellow"),
+];
+
+#[test]
+fn renamed_commands_still_run_by_their_old_names_which_the_help_leaves_out() {
+    let folder = tempfile::tempdir().expect("a folder");
+    let path = |name: &str| folder.path().join(name).display().to_string();
+    let bad_scenario = path("bad.day");
+    std::fs::write(&bad_scenario, "length 3s\nsing 4\n").expect("written");
+    let member = ["--name", "", "--listen", "127.0.0.1:0", "--keys", "none"];
+    let help = said(&run(&["--help"]));
+    let listed = |name: &str| {
+        help.lines()
+            .any(|line| line.trim().split(' ').next() == Some(name))
+    };
+    for (name, old_name) in RENAMED {
+        let (arguments, status, message): (Vec<&str>, i32, &str) = match name {
+            "scenario" => (vec![&bad_scenario], 64, "bad.day: line 2: column 6"),
+            "verify" => (vec!["/no/such/folder"], 1, "havenplank: "),
+            _ => (member.to_vec(), 64, "--name: expected 1 to 64 bytes"),
+        };
+        let outputs = [name, old_name].map(|name| run(&[&[name], &arguments[..]].concat()));
+        for output in &outputs {
+            assert_eq!(output.status.code(), Some(status), "{}", said(output));
+            assert!(said(output).contains(message), "{}", said(output));
+        }
+        assert_eq!(said(&outputs[0]), said(&outputs[1]));
+        assert!(listed(name) && !listed(old_name), "{help}");
+    }
+}
+
 /// The platform's sidecar as a process; what it logs is read line by line.
 struct Sidecar {
     process: std::process::Child,
