--- a/crates/cli/src/bench_trace.rs
+++ b/crates/cli/src/bench_trace.rs
@@ -7,7 +7,7 @@
 use havenplank_settings::{load, Given};
 use havenplank_sidecar::engine::{Effect, Engine, EngineSettings, RequestAttributes, EPOCH};
 use havenplank_trace::recorder::{Folder, Limits, Recorder};
-use havenplank_trace::{cut, replay, show, Reader, Source};
+use havenplank_trace::{cut, json_view, replay, Reader, Source};
 use oorandom::Rand64;
 use serde_json::json;
 use std::cmp::Reverse;
@@ -239,7 +239,7 @@
             break;
         }
         at = reader.read_to();
-        writeln!(lines, "{}", show::line(&record, &reader.head))?;
+        writeln!(lines, "{}", json_view::line(&record, &reader.head))?;
     }
     let as_json = lines.finish()?.len() as f64 / compared.clamp(1, COMPARED) as f64;
     println!("as JSON lines under zstd: bytes_a_hit {as_json:.1}, over the first {at} blocks");
--- a/crates/cli/src/traces/anonymise.rs
+++ b/crates/cli/src/traces/anonymise.rs
@@ -2,8 +2,8 @@
 
 use super::files::{open, status, write};
 use anyhow::{bail, Context};
+use havenplank_trace::anonymise;
 use havenplank_trace::file::TraceError;
-use havenplank_trace::veil;
 use std::path::Path;
 
 /// Copies a trace with pseudonyms; `key_file` holds their key, or gets a new one.
@@ -11,12 +11,14 @@
     let mut reader = open(file)?;
     let key = read_or_create_key(key_file)?;
     let mut damage = None;
-    let copied = write(output, |out| match veil::anonymise(&mut reader, out, key) {
-        Err(error @ TraceError::Damage { .. }) => {
-            damage = Some(error);
-            Ok(None)
+    let copied = write(output, |out| {
+        match anonymise::anonymise(&mut reader, out, key) {
+            Err(error @ TraceError::Damage { .. }) => {
+                damage = Some(error);
+                Ok(None)
+            }
+            other => other.map(Some),
         }
-        other => other.map(Some),
     })?;
     if let Some(records) = copied {
         println!("{records} records");
@@ -25,12 +27,12 @@
 }
 
 /// Returns the key in `file`, which is created with a new key where it does not exist.
-fn read_or_create_key(file: Option<&Path>) -> anyhow::Result<veil::Key> {
+fn read_or_create_key(file: Option<&Path>) -> anyhow::Result<anonymise::Key> {
     let Some(file) = file else {
-        return Ok(veil::draw_key()?);
+        return Ok(anonymise::draw_key()?);
     };
     if !file.exists() {
-        let key = veil::draw_key()?;
+        let key = anonymise::draw_key()?;
         let text: String = key.iter().map(|byte| format!("{byte:02x}")).collect();
         std::fs::write(file, text + "\n").with_context(|| format!("{}", file.display()))?;
         return Ok(key);
--- a/crates/cli/src/traces/export.rs
+++ b/crates/cli/src/traces/export.rs
@@ -2,7 +2,7 @@
 
 use super::files::{for_each_record, open, status};
 use crate::FAILED;
-use havenplank_trace::show;
+use havenplank_trace::json_view;
 use std::io::{BufWriter, Write};
 use std::path::Path;
 
@@ -11,7 +11,7 @@
     let mut out = BufWriter::new(std::io::stdout().lock());
     let mut reader = open(file)?;
     let damage = for_each_record(&mut reader, |record, head| {
-        writeln!(out, "{}", show::line(&record, head))
+        writeln!(out, "{}", json_view::line(&record, head))
     })?;
     out.flush()?;
     Ok(status(file, damage))
@@ -25,7 +25,7 @@
         let name = &head.sources[record.source].terms.name;
         let is_source = source.is_none_or(|source| source == name);
         if is_source && record.hit() == Some(request) {
-            println!("{}", show::line(&record, head));
+            println!("{}", json_view::line(&record, head));
             shown += 1;
         }
         Ok(())
--- a/crates/trace/src/cut.rs
+++ b/crates/trace/src/cut.rs
@@ -1,93 +1,150 @@
-//! A part of a trace, by time.
+//! Cuts the part of a trace between two times.
 
 use crate::file::{Reader, TraceError, Writer};
-use crate::record::Head;
-use crate::trips::{longest, Trips};
+use crate::record::{Head, Record};
+use crate::request_timelines::{longest_request, RequestTimelines};
 use havenplank::interface::Nanos;
 use std::io::{Read, Seek, Write};
 
 /// What a cut holds.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Cut {
+    /// Requests that began between the times.
     pub hits: u64,
+    /// Records copied.
     pub records: u64,
-    /// Blocks that were read for it.
+    /// Blocks that were read.
     pub blocks: usize,
-    /// Hits begun within that the file does not follow to their end.
+    /// Requests that the file does not follow to their end.
     pub unfinished: usize,
 }
 
-/// Copies what lies from `from` to before `to` on the file's clock: hits begun then, to their last record even
-/// where that comes later, and all else of that time. Holds a block and the hits in flight.
+/// Copies what lies from `from` to before `to`, in nanoseconds on the file's clock: requests that begin there, to
+/// their last record even where that comes later, and all else of that time. Returns the damage that ended the copy,
+/// if any did. Holds a block and the requests in flight.
 ///
 /// # Errors
-/// Damage met on the way, after all before it was copied; nothing within those times.
+/// No records between these times; errors of the output.
 pub fn cut<R: Read + Seek, W: Write>(
     reader: &mut Reader<R>,
     out: W,
     from: Nanos,
     to: Nanos,
 ) -> Result<(Cut, Option<TraceError>), TraceError> {
-    let mut head: Head = reader.head.clone();
+    let head = cut_head(reader, from, to);
+    let first_block = reader.block_at(from);
+    reader.seek(first_block);
+    let mut cutter = Cutter {
+        from,
+        to,
+        end: to.saturating_add(2 * longest_request(&head.sources)),
+        timelines: RequestTimelines::new(&head.sources),
+        cut: Cut::default(),
+    };
+    let mut output = Output::Unopened(out);
+    let damage = loop {
+        let record = match reader.record() {
+            Ok(Some(record)) => record,
+            Ok(None) => break None,
+            Err(error) => break Some(error),
+        };
+        if cutter.is_past(&record) {
+            break None;
+        }
+        if cutter.takes(&record) {
+            output = output.put(record, &head, reader)?;
+        }
+    };
+    let written = output.finish()?;
+    if !written && damage.is_none() {
+        let why = "nothing was recorded within these times";
+        return Err(TraceError::Unfit(why.into()));
+    }
+    let mut cut = cutter.cut;
+    cut.blocks = reader.read_to() - first_block;
+    cut.unfinished = cutter.timelines.in_flight();
+    Ok((cut, damage))
+}
+
+/// Returns the head of the cut. A source that is cut at its end can still be replayed; one that lacks its beginning
+/// cannot. In a merged file the clock of the cut is not the source's own.
+fn cut_head<R: Read + Seek>(reader: &Reader<R>, from: Nanos, to: Nanos) -> Head {
+    let mut head = reader.head.clone();
     let (first, last) = reader.span().unwrap_or((Nanos::MAX, 0));
+    let until = if head.merged { Nanos::MAX } else { to };
     for source in &mut head.sources {
-        // What is cut short at its end can still be played; what lacks its beginning cannot. In a merged file
-        // the clock of the cut is not the source's own.
         source.whole &= from <= first && (!head.merged || last < to);
-        source.until = source.until.min(if head.merged { Nanos::MAX } else { to });
+        source.until = source.until.min(until);
     }
-    let first = reader.block_at(from);
-    reader.seek(first);
-    let end = to.saturating_add(2 * longest(&head.sources));
-    let mut trips = Trips::new(&head.sources);
-    let (mut writer, mut out) = (None, Some(out));
-    let (mut cut, mut damage) = (Cut::default(), None);
-    loop {
-        let record = match reader.record() {
-            Ok(Some(record)) => record,
-            Ok(None) => break,
-            Err(error) => {
-                damage = Some(error);
-                break;
-            }
-        };
-        if record.at < from {
-            continue;
+    head
+}
+
+/// Chooses the records of a cut.
+struct Cutter {
+    from: Nanos,
+    to: Nanos,
+    /// No request of the cut has records after this time.
+    end: Nanos,
+    timelines: RequestTimelines,
+    cut: Cut,
+}
+
+impl Cutter {
+    /// Whether neither this record nor a later one belongs to the cut.
+    fn is_past(&self, record: &Record) -> bool {
+        if record.at < self.from {
+            return false;
         }
-        let within = record.at < to;
-        if record.at > end || (!within && trips.in_flight() == 0) {
-            break;
+        let is_after = record.at >= self.to;
+        record.at > self.end || (is_after && self.timelines.in_flight() == 0)
+    }
+
+    /// Whether the record belongs to the cut; one that does is counted.
+    fn takes(&mut self, record: &Record) -> bool {
+        if record.at < self.from {
+            return false;
         }
-        let wanted = match record.hit() {
-            Some(_) if record.opens_hit() => within,
-            Some(hit) => trips.holds(record.source, hit),
-            None => within,
+        let is_within = record.at < self.to;
+        let is_taken = match record.hit() {
+            Some(_) if record.opens_hit() => is_within,
+            Some(request) => self.timelines.contains(record.source, request),
+            None => is_within,
         };
-        if !wanted {
-            continue;
+        if is_taken {
+            self.timelines.record(record);
+            self.cut.hits += record.begins_hit() as u64;
+            self.cut.records += 1;
         }
-        trips.record(&record);
-        cut.hits += record.begins_hit() as u64;
-        cut.records += 1;
-        let writer = match &mut writer {
-            Some(writer) => writer,
-            None => {
-                let Some(out) = out.take() else { break };
-                writer.insert(Writer::new(out, &head, reader.standing.clone())?)
-            }
+        is_taken
+    }
+}
+
+/// The output, to which nothing is written before the first record.
+enum Output<W: Write> {
+    Unopened(W),
+    Open(Box<Writer<W>>),
+}
+
+impl<W: Write> Output<W> {
+    fn put<R: Read + Seek>(
+        self,
+        record: Record,
+        head: &Head,
+        reader: &Reader<R>,
+    ) -> Result<Output<W>, TraceError> {
+        let mut writer = match self {
+            Output::Unopened(out) => Box::new(Writer::new(out, head, reader.standing.clone())?),
+            Output::Open(writer) => writer,
         };
         writer.put(record)?;
+        Ok(Output::Open(writer))
     }
-    cut.blocks = reader.read_to() - first;
-    cut.unfinished = trips.in_flight();
-    match writer {
-        Some(writer) => writer.finish().map(drop)?,
-        None if damage.is_none() => {
-            return Err(TraceError::Unfit(
-                "nothing was recorded within these times".into(),
-            ))
+
+    /// Closes the file; returns whether anything was written.
+    fn finish(self) -> Result<bool, TraceError> {
+        match self {
+            Output::Unopened(_) => Ok(false),
+            Output::Open(writer) => writer.finish().map(|_| true),
         }
-        None => {}
     }
-    Ok((cut, damage))
 }
--- a/crates/trace/src/replay.rs
+++ b/crates/trace/src/replay.rs
@@ -1,4 +1,4 @@
-//! Plays what an engine was told through one again and compares what it does, record by record.
+//! Replays recorded events through an engine and compares every decision, record by record.
 
 use crate::file::{Reader, TraceError};
 use crate::record::{Record, Source, What};
@@ -8,49 +8,59 @@
 use std::collections::HashMap;
 use std::io::{Read, Seek};
 
-/// Different log texts of an anonymised trace that are remembered.
-const TEXTS: usize = 1 << 16;
+/// Different log texts of an anonymised trace that are remembered; past that the comparison begins anew.
+const MAX_TEXTS: usize = 1 << 16;
 
-/// A sidecar wakes every few seconds, so no clock of one jumps so far; the module would count every slice of it.
-const JUMP: Nanos = 86_400_000_000_000;
+/// Longest time between two records, one day: a sidecar's timers fire every few seconds, and the engine would count
+/// each of its windows in a longer one.
+const MAX_CLOCK_STEP: Nanos = 86_400_000_000_000;
 
-/// What came out of a replay.
+/// The result of a replay.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Outcome {
+    /// Requests that arrived.
     pub hits: u64,
-    /// Things that the engine did or said and that were compared.
+    /// Decisions that were compared.
     pub compared: u64,
+    /// Records that were replayed.
     pub records: u64,
+    /// The first decision that differs, if one does.
     pub differs: Option<Difference>,
-    /// Time on the source's clock at which records are missing; it was not played past that.
+    /// Time on the source's clock, in nanoseconds, from which records are missing; the replay ends there.
     pub stopped: Option<Nanos>,
 }
 
-/// The first thing done otherwise.
+/// The first decision that differs from the recorded one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Difference {
     /// Counted from 0 over the records of this source.
     pub record: u64,
+    /// Time on the source's clock, in nanoseconds.
     pub at: Nanos,
+    /// What was recorded.
     pub recorded: String,
+    /// What the engine did now.
     pub now: String,
 }
 
-/// One source's engine, played again.
+/// Replays one source.
 pub struct Replay {
     engine: Engine,
-    groups: usize,
+    route_classes: usize,
     source: usize,
     until: Nanos,
-    /// Log texts of an anonymised trace are stand-ins: the same for the same text.
-    veiled: Option<HashMap<String, String>>,
+    /// Pseudonyms by log text, of an anonymised trace.
+    pseudonyms: Option<HashMap<String, String>>,
     last: Nanos,
+    /// The result so far.
     pub outcome: Outcome,
 }
 
 impl Replay {
+    /// Starts an engine with the source's settings; `number` is the source's index in its file.
+    ///
     /// # Errors
-    /// A source that cannot be played: sampled, cut, or not from its beginning.
+    /// A source that cannot be replayed: sampled, cut, or without its beginning.
     pub fn new(source: &Source, number: usize, anonymised: bool) -> Result<Replay, TraceError> {
         let name = &source.terms.name;
         if source.part != 0 || !source.whole {
@@ -63,30 +73,31 @@
             return Err(TraceError::Unfit(why));
         }
         let EngineSettings {
-            route_classes: groups,
+            route_classes,
             exposure,
-            position: place,
+            position,
             zones,
             ..
         } = &source.terms;
-        let whole = !groups.is_empty() && !exposure.caps.is_empty() && exposure.window > 0;
-        if !whole || place.instances == 0 || place.zone >= zones.len() {
+        let is_complete =
+            !route_classes.is_empty() && !exposure.caps.is_empty() && exposure.window > 0;
+        if !is_complete || position.instances == 0 || position.zone >= zones.len() {
             return Err(TraceError::Unfit(format!(
                 "{name}: the greeting's terms are no sidecar's settings"
             )));
         }
         Ok(Replay {
-            groups: groups.len(),
+            route_classes: route_classes.len(),
             engine: Engine::new(source.began, source.seed, &source.terms),
             source: number,
             until: source.until,
-            veiled: anonymised.then(Default::default),
+            pseudonyms: anonymised.then(Default::default),
             last: source.began,
             outcome: Outcome::default(),
         })
     }
 
-    /// Whether there is no use in going on.
+    /// Whether the replay has ended, by a difference or by missing records.
     pub fn is_over(&self) -> bool {
         self.outcome.differs.is_some() || self.outcome.stopped.is_some()
     }
@@ -111,35 +122,27 @@
         }
     }
 
-    /// Whether a call names nothing that these settings lack: a file may hold what no sidecar was told.
-    fn fits(&self, told: &Event) -> bool {
-        match told {
-            Event::RequestArrived {
-                attributes: asked, ..
-            } => asked.route_class < self.groups,
-            Event::TallyReported(tally) => tally.group < self.groups,
+    /// Whether an event names only what these settings have: a file may hold anything.
+    fn fits(&self, event: &Event) -> bool {
+        match event {
+            Event::RequestArrived { attributes, .. } => attributes.route_class < self.route_classes,
+            Event::TallyReported(tally) => tally.group < self.route_classes,
             Event::FaultReported {
-                pod,
-                route_class: group,
-                ..
-            } => *group < self.groups && self.engine.pod_name(*pod).is_some(),
+                pod, route_class, ..
+            } => *route_class < self.route_classes && self.engine.pod_name(*pod).is_some(),
             _ => true,
         }
     }
 
-    /// Plays one record; those of other sources are passed over.
+    /// Replays one record; those of other sources are skipped.
     pub fn record(&mut self, record: Record) {
         if record.source != self.source || self.is_over() {
             return;
         }
         let at = record.own;
-        if at < self.last || at - self.last > JUMP {
-            self.compare(
-                at,
-                record,
-                "a clock that goes back or stands still for a day",
-                false,
-            );
+        if at < self.last || at - self.last > MAX_CLOCK_STEP {
+            let problem = "a clock that goes back or stands still for a day";
+            self.compare(at, record, problem, false);
             return;
         }
         self.last = at;
@@ -148,57 +151,66 @@
             return;
         }
         match record.what {
-            What::Event(told) if !self.fits(&told) => {
-                self.compare(at, told, "no such path group or pod", false);
+            What::Event(event) => self.event(at, event),
+            What::Effect(effect) => self.effect(at, effect),
+            What::Lost { .. } => self.outcome.stopped = Some(at),
+        }
+        self.outcome.records += 1;
+    }
+
+    /// Passes an event to the engine and compares what the engine returns.
+    fn event(&mut self, at: Nanos, event: Event) {
+        if !self.fits(&event) {
+            self.compare(at, event, "no such path group or pod", false);
+            return;
+        }
+        if matches!(event, Event::RequestArrived { .. }) {
+            self.outcome.hits += 1;
+        }
+        match event {
+            Event::EndpointsListed {
+                complete,
+                pods,
+                pod_ids,
+            } => {
+                let now = self.engine.update_endpoints(at, complete, pods);
+                let is_same = pod_ids == now;
+                self.compare(at, pod_ids, now, is_same);
             }
-            What::Event(told) => {
-                self.outcome.hits += matches!(told, Event::RequestArrived { .. }) as u64;
-                let said = match &told {
-                    Event::SendPermission { allowed: may, .. } => Some(*may),
-                    Event::AttemptEnded {
-                        delivered: passed, ..
-                    } => Some(*passed),
-                    _ => None,
-                };
-                let given = match &told {
-                    Event::EndpointsListed {
-                        pod_ids: given,
-                        complete: whole,
-                        pods,
-                    } => Some((given.clone(), *whole, pods.clone())),
-                    _ => None,
-                };
-                if let Some((given, whole, pods)) = given {
-                    let now = self.engine.update_endpoints(at, whole, pods);
-                    let same = given == now;
-                    self.compare(at, given, now, same);
-                } else {
-                    let shown = said.map(|_| told.clone());
-                    let now = self.engine.replay(at, told);
-                    if let Some(shown) = shown {
-                        self.compare(at, shown, now, said == now);
-                    }
-                }
+            Event::SendPermission {
+                allowed: recorded, ..
             }
-            What::Effect(effect) => {
-                let now = self.engine.next_effect();
-                let same = now.as_ref().is_some_and(|now| self.same(&effect, now));
-                self.compare(at, effect, now, same);
+            | Event::AttemptEnded {
+                delivered: recorded,
+                ..
+            } => {
+                let now = self.engine.replay(at, event.clone());
+                self.compare(at, event, now, Some(recorded) == now);
+            }
+            _ => {
+                self.engine.replay(at, event);
             }
-            What::Lost { .. } => self.outcome.stopped = Some(at),
         }
-        self.outcome.records += 1;
     }
 
-    fn same(&mut self, recorded: &Effect, now: &Effect) -> bool {
-        if let (Some(veiled), Effect::Log(recorded), Effect::Log(now)) =
-            (&mut self.veiled, recorded, now)
+    /// Compares an effect with the one that the engine asks for next.
+    fn effect(&mut self, at: Nanos, effect: Effect) {
+        let now = self.engine.next_effect();
+        let is_same = now
+            .as_ref()
+            .is_some_and(|now| self.is_same_effect(&effect, now));
+        self.compare(at, effect, now, is_same);
+    }
+
+    /// Whether two effects are the same; pseudonyms of log texts are where they stand for the same text.
+    fn is_same_effect(&mut self, recorded: &Effect, now: &Effect) -> bool {
+        if let (Some(pseudonyms), Effect::Log(recorded), Effect::Log(now)) =
+            (&mut self.pseudonyms, recorded, now)
         {
-            // Votes are few; in a trace of weeks the comparison begins anew rather than grow.
-            if veiled.len() >= TEXTS {
-                veiled.clear();
+            if pseudonyms.len() >= MAX_TEXTS {
+                pseudonyms.clear();
             }
-            return veiled
+            return pseudonyms
                 .entry(now.clone())
                 .or_insert_with(|| recorded.clone())
                 == recorded;
@@ -206,12 +218,12 @@
         recorded == now
     }
 
-    /// The source's file of the present part is done, and another goes on; its number of the source there.
+    /// Goes on with the next part, in whose file the source has this index and until this time all records.
     pub fn goes_on(&mut self, source: usize, until: Nanos) {
         (self.source, self.until) = (source, until);
     }
 
-    /// The end. Of a trace that was `closed`, what the engine would have done besides is a difference, too.
+    /// Ends the replay. Where the trace was closed, an effect that the engine still has is a difference, too.
     pub fn finish(mut self, closed: bool) -> Outcome {
         let at = self.last;
         if closed && self.until == Nanos::MAX && !self.is_over() {
@@ -223,66 +235,91 @@
     }
 }
 
-/// What came out of playing files: by source, its name and outcome; then where a file is damaged.
+/// The result of replaying files: name and outcome of each source, and where a file is damaged.
 pub type Played = (Vec<(String, Outcome)>, Option<TraceError>);
 
-/// Plays all sources of all files, the parts of a life in order. Holds a block, and an engine for each source.
+/// One process of a sidecar, whose parts may be in several files.
+struct Incarnation {
+    id: u64,
+    name: String,
+    /// The part that was replayed last.
+    part: u64,
+    /// Whether the file of that part was closed by its writer.
+    is_closed: bool,
+    replay: Replay,
+}
+
+/// Replays all sources of all files, the parts of an incarnation in order. Holds a block, and an engine for each
+/// source.
 ///
 /// # Errors
-/// A source that cannot be played, or parts out of order.
+/// A source that cannot be replayed, or parts out of order.
 pub fn replay<R: Read + Seek>(readers: Vec<Reader<R>>) -> Result<Played, TraceError> {
-    struct Life {
-        life: u64,
-        name: String,
-        part: u64,
-        closed: bool,
-        replay: Replay,
-    }
-    let mut lives: Vec<Life> = Vec::new();
-    let mut damaged = None;
+    let mut incarnations: Vec<Incarnation> = Vec::new();
+    let mut damage = None;
     for mut reader in readers {
-        let mut here = Vec::new();
-        for (number, source) in reader.head.sources.iter().enumerate() {
-            let name = &source.terms.name;
-            let known = lives
-                .iter()
-                .position(|life| life.life == source.life && life.name == *name);
-            if let Some(at) = known.filter(|at| lives[*at].part + 1 == source.part) {
-                lives[at].part += 1;
-                lives[at].replay.goes_on(number, source.until);
-                here.push(at);
-            } else {
-                let replay = Replay::new(source, number, reader.head.anonymised)?;
-                here.push(lives.len());
-                let (life, name) = (source.life, name.clone());
-                lives.push(Life {
-                    life,
-                    name,
-                    part: source.part,
-                    closed: false,
-                    replay,
-                });
-            }
+        let of_sources = find_or_start(&mut incarnations, &reader)?;
+        damage = replay_file(&mut incarnations, &of_sources, &mut reader);
+        let is_closed = reader.rebuilt.is_none() && damage.is_none();
+        for index in of_sources {
+            incarnations[index].is_closed = is_closed;
         }
-        let closed = reader.rebuilt.is_none();
-        loop {
-            match reader.record() {
-                Ok(Some(record)) => lives[here[record.source]].replay.record(record),
-                Ok(None) => break,
-                Err(error) => {
-                    damaged = damaged.or(Some(error));
-                    break;
-                }
-            }
-        }
-        here.iter()
-            .for_each(|at| lives[*at].closed = closed && damaged.is_none());
-        if damaged.is_some() {
+        if damage.is_some() {
             break;
         }
     }
-    let outcomes = lives
-        .into_iter()
-        .map(|life| (life.name, life.replay.finish(life.closed)));
-    Ok((outcomes.collect(), damaged))
+    let outcomes = incarnations.into_iter().map(|incarnation| {
+        let outcome = incarnation.replay.finish(incarnation.is_closed);
+        (incarnation.name, outcome)
+    });
+    Ok((outcomes.collect(), damage))
+}
+
+/// Returns for each source of a file the index of its incarnation, which begins here or goes on from the part before.
+fn find_or_start<R: Read + Seek>(
+    incarnations: &mut Vec<Incarnation>,
+    reader: &Reader<R>,
+) -> Result<Vec<usize>, TraceError> {
+    let mut indices = Vec::new();
+    for (number, source) in reader.head.sources.iter().enumerate() {
+        let name = &source.terms.name;
+        let known = incarnations
+            .iter()
+            .position(|known| known.id == source.life && known.name == *name)
+            .filter(|index| incarnations[*index].part + 1 == source.part);
+        if let Some(index) = known {
+            incarnations[index].part += 1;
+            incarnations[index].replay.goes_on(number, source.until);
+            indices.push(index);
+            continue;
+        }
+        let replay = Replay::new(source, number, reader.head.anonymised)?;
+        indices.push(incarnations.len());
+        incarnations.push(Incarnation {
+            id: source.life,
+            name: name.clone(),
+            part: source.part,
+            is_closed: false,
+            replay,
+        });
+    }
+    Ok(indices)
+}
+
+/// Replays the records of one file; returns the damage at which it ends, if there is any.
+fn replay_file<R: Read + Seek>(
+    incarnations: &mut [Incarnation],
+    of_sources: &[usize],
+    reader: &mut Reader<R>,
+) -> Option<TraceError> {
+    loop {
+        match reader.record() {
+            Ok(Some(record)) => {
+                let index = of_sources[record.source];
+                incarnations[index].replay.record(record);
+            }
+            Ok(None) => return None,
+            Err(error) => return Some(error),
+        }
+    }
 }
--- a/crates/trace/src/summary.rs
+++ b/crates/trace/src/summary.rs
@@ -2,7 +2,7 @@
 
 use crate::file::{Reader, TraceError};
 use crate::record::{Card, Record, What};
-use crate::trips::{Answer, Trip, Trips};
+use crate::request_timelines::{Answer, RequestTimeline, RequestTimelines};
 use havenplank::interface::*;
 use havenplank_sidecar::engine::Effect;
 use havenplank_sidecar::events::Event;
@@ -56,12 +56,12 @@
 }
 
 impl Figures {
-    fn answered(&mut self, trip: &Trip, target: Nanos) {
+    fn answered(&mut self, timeline: &RequestTimeline, target: Nanos) {
         self.hits += 1;
-        let Some((answer, at)) = trip.answer else {
+        let Some((answer, at)) = timeline.answer else {
             return;
         };
-        let took = at.saturating_sub(trip.began);
+        let took = at.saturating_sub(timeline.began);
         match answer {
             Answer::Delivered => {
                 self.delivered += 1;
@@ -70,9 +70,9 @@
                     .iter_mut()
                     .for_each(|latency| latency.saturating_record(took / 1_000));
             }
-            Answer::Bounced => self.bounced += 1,
-            Answer::Errored => self.errored += 1,
-            Answer::Left => self.left += 1,
+            Answer::Rejected => self.bounced += 1,
+            Answer::Failed => self.errored += 1,
+            Answer::ClientLeft => self.left += 1,
         }
     }
 
@@ -173,7 +173,7 @@
         let why = format!("more than {SPANS} spans; expected a longer one");
         return Err(TraceError::Unfit(why));
     }
-    let mut trips = Trips::new(&reader.head.sources);
+    let mut timelines = RequestTimelines::new(&reader.head.sources);
     let mut windows: Vec<Window> = reader
         .head
         .sources
@@ -188,23 +188,23 @@
         };
         summary.records += 1;
         summary.count(&record);
-        windows[record.source].record(&record, reader, &trips, &mut summary);
-        if let Some(trip) = trips.record(&record) {
-            let (name, rules) = match reader.head.sources[trip.source]
+        windows[record.source].record(&record, reader, &timelines, &mut summary);
+        if let Some(timeline) = timelines.record(&record) {
+            let (name, rules) = match reader.head.sources[timeline.source]
                 .terms
                 .route_classes
-                .get(trip.group)
+                .get(timeline.route_class)
             {
                 Some((name, rules)) => (name.as_str(), rules.latency_objective),
                 None => ("unknown", 0),
             };
-            summary.trip(&trip, name, rules, span);
+            summary.timeline(&timeline, name, rules, span);
         }
     };
     for (window, source) in windows.iter_mut().zip(&reader.head.sources) {
         window.close(&source.terms.name, &source.terms.exposure, &mut summary);
     }
-    summary.unfinished = trips.torn + trips.in_flight() as u64;
+    summary.unfinished = timelines.torn + timelines.in_flight() as u64;
     summary.skipped = reader.skipped();
     Ok((summary, damage))
 }
@@ -243,17 +243,23 @@
         }
     }
 
-    fn trip(&mut self, trip: &Trip, group: &str, target: Nanos, span: Option<Nanos>) {
-        let by = trip
+    fn timeline(
+        &mut self,
+        timeline: &RequestTimeline,
+        group: &str,
+        target: Nanos,
+        span: Option<Nanos>,
+    ) {
+        let by = timeline
             .delivered_by
-            .and_then(|nth| trip.forwards.get(nth))
-            .or(trip.forwards.last());
+            .and_then(|nth| timeline.attempts.get(nth))
+            .or(timeline.attempts.last());
         let build = by
             .and_then(|forward| forward.pod.as_ref())
             .map_or(0, |pod| pod.build);
         let others = || (0, "others".to_string());
-        row(&mut self.builds, (build, group.to_string()), others()).answered(trip, target);
-        for forward in &trip.forwards {
+        row(&mut self.builds, (build, group.to_string()), others()).answered(timeline, target);
+        for forward in &timeline.attempts {
             let (Some(pod), Some((end, _))) = (&forward.pod, forward.end) else {
                 continue;
             };
@@ -265,20 +271,20 @@
             );
             *ends.entry(ended(end)).or_default() += 1;
         }
-        let (Some(span), Some((answer, at))) = (span, trip.answer) else {
+        let (Some(span), Some((answer, at))) = (span, timeline.answer) else {
             return;
         };
         let span = span.max(1);
         let began = self
             .first
-            .saturating_add(trip.began.saturating_sub(self.first) / span * span);
+            .saturating_add(timeline.began.saturating_sub(self.first) / span * span);
         let figures = row(&mut self.spans, (began, build), (0, 0));
         figures[0] += 1;
         figures[1] += (answer == Answer::Delivered) as u64;
         figures[2] +=
-            (answer == Answer::Delivered && at.saturating_sub(trip.began) <= target) as u64;
-        figures[3] += (answer == Answer::Bounced) as u64;
-        figures[4] += (answer == Answer::Errored) as u64;
+            (answer == Answer::Delivered && at.saturating_sub(timeline.began) <= target) as u64;
+        figures[3] += (answer == Answer::Rejected) as u64;
+        figures[4] += (answer == Answer::Failed) as u64;
     }
 }
 
@@ -287,7 +293,7 @@
         &mut self,
         record: &Record,
         reader: &Reader<R>,
-        trips: &Trips,
+        timelines: &RequestTimelines,
         summary: &mut Summary,
     ) {
         let source = &reader.head.sources[record.source];
@@ -316,12 +322,16 @@
             What::Effect(Effect::SendAttempt { request: hit, .. }) => {
                 let is_trial =
                     |pod: &Option<Arc<Card>>| pod.as_ref().is_some_and(|pod| pod.build == build);
-                let trip = trips.get(record.source, *hit);
+                let timeline = timelines.get(record.source, *hit);
                 // A hit counts once, however many of its forwards go there.
-                let first =
-                    |trip: &&Trip| !trip.forwards.iter().any(|forward| is_trial(&forward.pod));
-                if let Some(trip) = trip.filter(first).filter(|_| is_trial(&record.pod)) {
-                    *self.exposed.entry(of(trip.group)).or_default() += 1.0;
+                let first = |timeline: &&RequestTimeline| {
+                    !timeline
+                        .attempts
+                        .iter()
+                        .any(|forward| is_trial(&forward.pod))
+                };
+                if let Some(timeline) = timeline.filter(first).filter(|_| is_trial(&record.pod)) {
+                    *self.exposed.entry(of(timeline.route_class)).or_default() += 1.0;
                 }
             }
             _ => {}
--- a/crates/trace/tests/tools.rs
+++ b/crates/trace/tests/tools.rs
@@ -7,7 +7,7 @@
 use havenplank_sidecar::engine::{Effect, EPOCH};
 use havenplank_sidecar::events::Event;
 use havenplank_trace::file::{Reader, Writer};
-use havenplank_trace::{cut, merge, replay, summary, veil, Record, TraceError, What};
+use havenplank_trace::{anonymise, cut, merge, replay, summary, Record, TraceError, What};
 use oorandom::Rand64;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::io::Cursor;
@@ -248,7 +248,7 @@
     life.skew = 5;
     let file = file(&life);
     let mut bytes = Vec::new();
-    veil::anonymise(&mut open(&file), &mut bytes, [9; 32]).unwrap();
+    anonymise::anonymise(&mut open(&file), &mut bytes, [9; 32]).unwrap();
     let mut names: HashSet<String> =
         HashSet::from(["example.org".to_string(), "vote back build".to_string()]);
     let mut keys: HashSet<u64> = HashSet::new();
@@ -322,7 +322,7 @@
     assert!(first.iter().all(|name| name.len() == first[0].len()));
     let again = |key| {
         let mut bytes = Vec::new();
-        veil::anonymise(&mut open(&file), &mut bytes, key).unwrap();
+        anonymise::anonymise(&mut open(&file), &mut bytes, key).unwrap();
         stand_ins(&bytes)
     };
     assert!(again([9; 32]) == first && again([8; 32]) != first);
