--- /dev/null
+++ b/crates/trace/src/file/block_frame.rs
@@ -0,0 +1,71 @@
+//! The frame in front of each block and of the index.
+
+use super::Entry;
+
+/// Bytes of a frame.
+pub(super) const FRAME_BYTES: usize = 48;
+/// Tag of a block of records.
+pub(super) const BLOCK_TAG: &[u8; 4] = b"HPbk";
+/// Tag of the index.
+pub(super) const INDEX_TAG: &[u8; 4] = b"HPix";
+
+/// Returns the bytes of a frame; `checksum` is that of the bytes that follow it.
+pub(super) fn encode_frame(tag: &[u8; 4], entry: &Entry, checksum: u32) -> [u8; FRAME_BYTES] {
+    let mut frame = [0; FRAME_BYTES];
+    let mut at = 0;
+    let mut add = |bytes: &[u8]| {
+        frame[at..at + bytes.len()].copy_from_slice(bytes);
+        at += bytes.len();
+    };
+    add(tag);
+    for number in [
+        entry.packed,
+        entry.unpacked,
+        entry.records,
+        entry.hits,
+        entry.shared,
+    ] {
+        add(&number.to_le_bytes());
+    }
+    add(&entry.first.to_le_bytes());
+    add(&entry.last.to_le_bytes());
+    add(&checksum.to_le_bytes());
+    let own_checksum = crc32fast::hash(&frame[..FRAME_BYTES - 4]);
+    frame[FRAME_BYTES - 4..].copy_from_slice(&own_checksum.to_le_bytes());
+    frame
+}
+
+/// Reads an integer at an offset; 0 where the bytes end before.
+pub(super) fn u32_at(bytes: &[u8], at: usize) -> u32 {
+    bytes[at..]
+        .first_chunk()
+        .map_or(0, |chunk| u32::from_le_bytes(*chunk))
+}
+
+/// Reads an integer at an offset; 0 where the bytes end before.
+pub(super) fn u64_at(bytes: &[u8], at: usize) -> u64 {
+    bytes[at..]
+        .first_chunk()
+        .map_or(0, |chunk| u64::from_le_bytes(*chunk))
+}
+
+/// Returns the frame's tag, its entry and the checksum of what follows; `None` where it is no frame.
+pub(super) fn decode_frame(
+    bytes: &[u8; FRAME_BYTES],
+    offset: u64,
+) -> Option<([u8; 4], Entry, u32)> {
+    if crc32fast::hash(&bytes[..FRAME_BYTES - 4]) != u32_at(bytes, FRAME_BYTES - 4) {
+        return None;
+    }
+    let entry = Entry {
+        offset,
+        packed: u32_at(bytes, 4),
+        unpacked: u32_at(bytes, 8),
+        records: u32_at(bytes, 12),
+        hits: u32_at(bytes, 16),
+        shared: u32_at(bytes, 20),
+        first: u64_at(bytes, 24),
+        last: u64_at(bytes, 32),
+    };
+    Some((*bytes.first_chunk::<4>()?, entry, u32_at(bytes, 40)))
+}
--- /dev/null
+++ b/crates/trace/src/file/writer.rs
@@ -0,0 +1,60 @@
+//! Writes records to a trace file.
+
+use super::block_writer::BlockWriter;
+use super::{update_stages, TraceError, FULL_BYTES, FULL_RECORDS};
+use crate::columns::BlockEncoder;
+use crate::record::{Head, Record, Standing};
+use std::io::Write;
+
+/// Writes records to a file, block by block. Holds one block.
+pub struct Writer<W: Write> {
+    blocks: BlockWriter<W>,
+    block: BlockEncoder,
+    standing: Vec<Standing>,
+}
+
+impl<W: Write> Writer<W> {
+    /// Writes the head; `standing` holds the stages in force before the first record.
+    ///
+    /// # Errors
+    /// As [`BlockWriter::new`].
+    pub fn new(out: W, head: &Head, standing: Vec<Standing>) -> Result<Writer<W>, TraceError> {
+        Ok(Writer {
+            blocks: BlockWriter::new(out, head)?,
+            block: BlockEncoder::new(standing.clone()),
+            standing,
+        })
+    }
+
+    /// Appends a record, and closes the block once it is full.
+    ///
+    /// # Errors
+    /// Errors of the output.
+    pub fn put(&mut self, record: Record) -> Result<(), TraceError> {
+        update_stages(&mut self.standing, &record);
+        self.block.put(record);
+        if self.block.bytes >= FULL_BYTES || self.block.records >= FULL_RECORDS {
+            self.flush()?;
+        }
+        Ok(())
+    }
+
+    /// Closes the block.
+    ///
+    /// # Errors
+    /// Errors of the output.
+    pub fn flush(&mut self) -> Result<(), TraceError> {
+        self.blocks.block(&self.block)?;
+        self.block = BlockEncoder::new(self.standing.clone());
+        Ok(())
+    }
+
+    /// Closes the last block and writes the index.
+    ///
+    /// # Errors
+    /// Errors of the output.
+    pub fn finish(mut self) -> Result<W, TraceError> {
+        self.flush()?;
+        self.blocks.finish()
+    }
+}
--- a/crates/trace/src/lib.rs
+++ b/crates/trace/src/lib.rs
@@ -18,5 +18,6 @@
 #[doc(hidden)]
 pub use json_view as show;
 
+pub use columns::ColumnError;
 pub use file::{Reader, TraceError, Writer};
 pub use record::{Head, Record, Source, What};
--- a/crates/trace/src/recorder.rs
+++ b/crates/trace/src/recorder.rs
@@ -1,7 +1,7 @@
 //! The recorder: looks on at an engine, packs in a thread of its own, and never holds up a hit.
 
 use crate::columns::BlockEncoder;
-use crate::file::{stand, Sink, TraceError, FULL_BYTES, FULL_RECORDS};
+use crate::file::{update_stages, BlockWriter, TraceError, FULL_BYTES, FULL_RECORDS};
 use crate::record::{Card, Head, Record, Source, Standing, What};
 use havenplank::interface::{Nanos, PodId, RequestId};
 use havenplank_line_protocol::endpoint_list::ListedEndpoint;
@@ -269,7 +269,7 @@
         }
         let pod = self.card(record.pod_index());
         let record = Record { pod, ..record };
-        stand(&mut self.standing, &record);
+        update_stages(&mut self.standing, &record);
         self.filling.put(record);
         let old = now.saturating_sub(self.filling.first) >= BLOCK_TIME;
         if old || self.filling.bytes >= FULL_BYTES || self.filling.records >= FULL_RECORDS {
@@ -365,7 +365,7 @@
     shelf: Box<dyn Shelf>,
     counts: Arc<Shared>,
     /// The open file and the time of its first record.
-    open: Option<(Sink<Box<dyn Write + Send>>, Nanos)>,
+    open: Option<(BlockWriter<Box<dyn Write + Send>>, Nanos)>,
 }
 
 impl Writes {
@@ -400,7 +400,8 @@
                 let file = self.shelf.open(self.source.part)?;
                 let head = Head::new(vec![self.source.clone()]);
                 self.source.part += 1;
-                self.open.insert((Sink::new(file, &head)?, block.first))
+                self.open
+                    .insert((BlockWriter::new(file, &head)?, block.first))
             }
         };
         sink.block(block)?;
--- a/crates/trace/tests/files.rs
+++ b/crates/trace/tests/files.rs
@@ -75,7 +75,7 @@
     loop {
         match reader.record() {
             Ok(Some(record)) => records.push(record),
-            Ok(None) => return (records, reader.rebuilt.clone()),
+            Ok(None) => return (records, reader.rebuilt.map(|error| error.to_string())),
             Err(error) => return (records, Some(error.to_string())),
         }
     }
