--- a/crates/cli/src/settings.rs
+++ b/crates/cli/src/settings.rs
@@ -29,7 +29,7 @@
     };
     let routes = match site.configuration {
         Some(_) => "routes from a distributor".to_string(),
-        None => format!("{} path groups", site.groups.len()),
+        None => format!("{} path groups", site.route_classes.len()),
     };
     println!("{}: {routes}, no mistakes", file.display());
     Ok(DONE)
--- a/crates/sidecar/src/attempt.rs
+++ b/crates/sidecar/src/attempt.rs
@@ -156,7 +156,9 @@
         headers::strip_hop_by_hop(&mut parts.headers);
         let read = match self.request.route.rules.stream {
             true => Ok(Beginning::of_stream()),
-            false => Beginning::read(&mut body, self.shell.site.door.answer_bytes).await,
+            false => {
+                Beginning::read(&mut body, self.shell.site.listener.buffered_response_bytes).await
+            }
         };
         let Ok(beginning) = read else {
             return AttemptEnd::Reset.into();
@@ -178,9 +180,9 @@
     }
 
     fn end_of(&self, parts: &Parts) -> AttemptEnd {
-        let settings = &self.shell.site.links;
-        let is_proof = parts.headers.contains_key(&settings.unseen_header);
-        if parts.status == settings.unseen_status && is_proof {
+        let settings = &self.shell.site.upstream;
+        let is_proof = parts.headers.contains_key(&settings.unprocessed_header);
+        if parts.status == settings.unprocessed_status && is_proof {
             AttemptEnd::Rejected
         } else if parts.status.is_server_error() {
             AttemptEnd::Failed
@@ -214,7 +216,7 @@
 
 /// Reads the load that a pod reports with a response, where the settings say that it does.
 pub fn load_report(shell: &Shell, headers: &HeaderMap) -> Option<LoadReport> {
-    if !shell.site.links.load {
+    if !shell.site.upstream.load_reports {
         return None;
     }
     let text = headers.get(headers::LOAD_REPORT)?;
--- a/crates/sidecar/src/connection.rs
+++ b/crates/sidecar/src/connection.rs
@@ -103,16 +103,16 @@
     Fut: Future<Output = Result<Response<Body>, Infallible>>,
 {
     let _ = stream.set_nodelay(true);
-    let limits = &shell.site.door;
+    let limits = &shell.site.listener;
     let stream = ClientStream::new(stream);
-    let activity = Activity::new(stream.clone(), Duration::from_nanos(limits.head_time));
+    let activity = Activity::new(stream.clone(), Duration::from_nanos(limits.head_timeout));
     let service = service_fn(|request| {
         activity.request_read();
         let (served, stream) = (serve(shell.clone(), request), &stream);
         async move { Ok::<_, Infallible>(served.await?.map(|body| stream.track_body(body))) }
     });
     let connection = http1::Builder::new()
-        .max_buf_size(limits.head_bytes)
+        .max_buf_size(limits.max_head_bytes)
         // A client that sends no more may still read: its request gets its answer.
         .half_close(true)
         .serve_connection(TokioIo::new(stream.clone()), service);
--- a/crates/sidecar/src/discovery.rs
+++ b/crates/sidecar/src/discovery.rs
@@ -11,11 +11,11 @@
 
 /// Subscribes to service discovery, sending it the lines that come; never ends.
 pub async fn run(shell: Rc<Shell>, seed: u64, lines: mpsc::Receiver<String>) {
-    let settings = &shell.site.nodes;
+    let settings = &shell.site.discovery;
     let service = Service {
         protocol: PROTOCOL,
         address: settings.address,
-        max_line_bytes: settings.line_bytes,
+        max_line_bytes: settings.max_line_bytes,
     };
     let mut subscription = Subscription(shell.clone());
     let name = &shell.site.name;
--- a/crates/sidecar/src/distributor/error.rs
+++ b/crates/sidecar/src/distributor/error.rs
@@ -3,7 +3,7 @@
 use super::writer::REPLACE_PATIENCE;
 use crate::listener::ListenError;
 use crate::membership::MembershipError;
-use havenplank_configuration::spread::PublishError;
+use havenplank_configuration::replication::PublishError;
 use havenplank_configuration::store::StoreError;
 use havenplank_configuration::version::Version;
 use havenplank_settings::Problems;
--- a/crates/sidecar/src/distributor/mod.rs
+++ b/crates/sidecar/src/distributor/mod.rs
@@ -13,10 +13,12 @@
 use crate::membership::Membership;
 use crate::replication::Replication;
 use havenplank_configuration::compile::compile;
-use havenplank_configuration::spread::{Kept as InstalledVersion, Peer, Role, Rules, Spreader};
+use havenplank_configuration::replication::{
+    CachedConfiguration as InstalledVersion, Peer, ReplicationSettings, Replicator, Role,
+};
 use havenplank_configuration::store::{Opened, Store};
 use havenplank_configuration::version::Version;
-use havenplank_settings::{Fellowship as MembershipSettings, Given, DISTRIBUTOR_ZONE};
+use havenplank_settings::{Given, MembershipSettings, DISTRIBUTOR_ZONE};
 use std::future::Future;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -114,7 +116,7 @@
         deltas: opened.deltas.clone(),
     };
     let spreader = spreader(membership, role, installed);
-    let period = Duration::from_nanos(settings.membership.period);
+    let period = Duration::from_nanos(settings.membership.probe_interval);
     Replication::start(membership, spreader, NewestVersion::default(), period)
 }
 
@@ -130,18 +132,18 @@
 }
 
 /// Builds a distributor's spreader in this role.
-fn spreader(membership: &Membership, role: Role, installed: InstalledVersion) -> Spreader {
+fn spreader(membership: &Membership, role: Role, installed: InstalledVersion) -> Replicator {
     let me = Peer {
         life: membership.me().clone(),
         zone: DISTRIBUTOR_ZONE.to_string(),
     };
     let seed = me.life.incarnation;
-    Spreader::new(
+    Replicator::new(
         membership.now(),
         seed,
         me,
         role,
         installed,
-        Rules::default(),
+        ReplicationSettings::default(),
     )
 }
--- a/crates/sidecar/src/distributor/writer.rs
+++ b/crates/sidecar/src/distributor/writer.rs
@@ -4,9 +4,10 @@
 use crate::membership::Membership;
 use crate::replication::{Host, Replication};
 use havenplank_configuration::compile::compile;
-use havenplank_configuration::delta::Delta;
+use havenplank_configuration::replication::{
+    CachedConfiguration as InstalledVersion, PublishError, Role, RoundStatus,
+};
 use havenplank_configuration::snapshot::Snapshot;
-use havenplank_configuration::spread::{Kept as InstalledVersion, PublishError, Role, RoundGlance};
 use havenplank_configuration::store::Store;
 use havenplank_configuration::version::Version;
 use std::cell::RefCell;
@@ -46,7 +47,7 @@
     store: Store,
     epoch: u64,
     replication: Rc<Replication<NewestVersion>>,
-    last_round: Option<RoundGlance>,
+    last_round: Option<RoundStatus>,
     /// The newest version of peers that is ahead of the store, once that was logged.
     ahead: Option<Version>,
 }
@@ -125,12 +126,12 @@
             epoch: self.epoch,
             number: before.version().number.saturating_add(1),
         };
-        let delta = Delta::between(&before, compiled, version);
+        let delta = before.delta_to(compiled, version);
         let changes = delta.changes.len();
         let snapshot = self.store.append(&delta)?.clone();
         tracing::info!(%version, digest = %snapshot.digest(), changes, "stored");
         self.replication
-            .call(|spreader, now| spreader.published(now, Arc::new(delta), snapshot))?;
+            .call(|spreader, now| spreader.publish(now, Arc::new(delta), snapshot))?;
         tracing::info!(%version, "published");
         Ok(())
     }
@@ -205,7 +206,7 @@
     }
 }
 
-fn log_round(round: &RoundGlance) {
+fn log_round(round: &RoundStatus) {
     let behind: Vec<&str> = round.behind.iter().map(|peer| peer.name.as_str()).collect();
     let (have, of, more) = (round.have, round.of, round.more);
     tracing::info!(version = %round.version, have, of, ?behind, more_behind = more, "in force");
--- a/crates/sidecar/src/engine/settings.rs
+++ b/crates/sidecar/src/engine/settings.rs
@@ -50,15 +50,16 @@
 
 impl From<&Site> for EngineSettings {
     fn from(site: &Site) -> EngineSettings {
-        let route_class = |group: &havenplank_settings::Group| (group.name.clone(), group.rules);
+        let route_class =
+            |group: &havenplank_settings::RouteClassSettings| (group.name.clone(), group.rules);
         EngineSettings {
             name: site.name.clone(),
-            position: site.place.clone(),
+            position: site.position.clone(),
             zones: site.zones.clone(),
             machines: site.machines.clone(),
             tenants: site.tenants.clone(),
-            route_classes: site.groups.iter().map(route_class).collect(),
-            attempts: site.forwards.clone(),
+            route_classes: site.route_classes.iter().map(route_class).collect(),
+            attempts: site.attempts.clone(),
             pods: site.pods.clone(),
             exposure: site.exposure.clone(),
             votes: site.votes.clone(),
--- a/crates/sidecar/src/persister.rs
+++ b/crates/sidecar/src/persister.rs
@@ -1,6 +1,5 @@
 //! Writes the configuration in force to disk, on a thread of its own: no request waits for a sync.
 
-use havenplank_configuration::delta::Delta;
 use havenplank_configuration::snapshot::Snapshot;
 use havenplank_configuration::store::{Store, StoreError};
 use havenplank_configuration::version::Version;
@@ -102,6 +101,6 @@
     if snapshot.version() <= store.snapshot().version() {
         return Ok(());
     }
-    let delta = Delta::between(store.snapshot(), snapshot, snapshot.version());
+    let delta = store.snapshot().delta_to(snapshot, snapshot.version());
     store.append(&delta).map(drop)
 }
--- a/crates/sidecar/src/prepared_request.rs
+++ b/crates/sidecar/src/prepared_request.rs
@@ -4,7 +4,7 @@
 use crate::takeover_policy::Knowledge;
 use crate::takeover_service::{request_id, TakeoverService};
 use bytes::Bytes;
-use havenplank_settings::Guard as Backup;
+use havenplank_settings::BackupMode;
 use havenplank_takeover::record::RequestId;
 use hyper::header::{HeaderMap, HeaderValue};
 use hyper::{Method, Uri};
@@ -117,8 +117,8 @@
             tenant,
             has_client_key: false,
             announcement: match route.backup {
-                Backup::Behind => Announcement::InBackground,
-                Backup::BeforeForward | Backup::Off => Announcement::First,
+                BackupMode::Behind => Announcement::InBackground,
+                BackupMode::BeforeAttempt | BackupMode::Off => Announcement::First,
             },
             backed_up: Cell::new(true),
             announced: Cell::new(true),
@@ -143,8 +143,8 @@
 impl Announcement {
     fn of(route: &Route) -> Announcement {
         match route.backup {
-            Backup::BeforeForward => Announcement::First,
-            Backup::Behind | Backup::Off => Announcement::InBackground,
+            BackupMode::BeforeAttempt => Announcement::First,
+            BackupMode::Behind | BackupMode::Off => Announcement::InBackground,
         }
     }
 }
--- a/crates/sidecar/src/routes.rs
+++ b/crates/sidecar/src/routes.rs
@@ -6,10 +6,9 @@
 
 use crate::route_slots::Slot;
 use havenplank::interface::{RouteClass, RouteClassId};
-use havenplank_configuration::record::BackupMode;
 use havenplank_configuration::snapshot::Snapshot;
 use havenplank_configuration::version::Version;
-use havenplank_settings::{Group, Guard as Backup};
+use havenplank_settings::{BackupMode, RouteClassSettings};
 use patricia_tree::StringPatriciaMap;
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -22,7 +21,7 @@
     /// Its rules in the decisions.
     pub rules: RouteClass,
     /// Whether and when backups know of its requests.
-    pub backup: Backup,
+    pub backup: BackupMode,
     slot: Slot,
 }
 
@@ -111,7 +110,11 @@
 
 impl RouteTable {
     /// Builds a table of the routes and tenants of the settings, with the slot of each route in the decisions.
-    pub fn from_settings(groups: &[Group], slots: Vec<Slot>, tenants: &[String]) -> RouteTable {
+    pub fn from_settings(
+        groups: &[RouteClassSettings],
+        slots: Vec<Slot>,
+        tenants: &[String],
+    ) -> RouteTable {
         let mut listed = HashMap::new();
         for (index, name) in tenants.iter().enumerate() {
             listed.entry(name.clone()).or_insert(index);
@@ -125,7 +128,11 @@
     }
 
     /// Builds a table of the routes of a snapshot, as [`routes_of`] returns them, and of its tenants.
-    pub fn from_snapshot(snapshot: Snapshot, groups: &[Group], slots: Vec<Slot>) -> RouteTable {
+    pub fn from_snapshot(
+        snapshot: Snapshot,
+        groups: &[RouteClassSettings],
+        slots: Vec<Slot>,
+    ) -> RouteTable {
         RouteTable::build(
             groups,
             slots,
@@ -135,7 +142,7 @@
     }
 
     fn build(
-        groups: &[Group],
+        groups: &[RouteClassSettings],
         slots: Vec<Slot>,
         precedence: Precedence,
         tenants: Tenants,
@@ -153,13 +160,16 @@
                 candidates.add(&group.methods, precedence.rank(pattern, order));
             }
             by_name.entry(group.name.clone()).or_insert(order);
-            let Group {
-                name, rules, guard, ..
+            let RouteClassSettings {
+                name,
+                rules,
+                backup,
+                ..
             } = group;
             routes.push(Rc::new(Route {
                 name: name.clone(),
                 rules: *rules,
-                backup: *guard,
+                backup: *backup,
                 slot,
             }));
         }
@@ -220,19 +230,15 @@
 }
 
 /// Returns the routes of a snapshot, by name.
-pub fn routes_of(snapshot: &Snapshot) -> Vec<Group> {
-    let mut routes: Vec<Group> = snapshot
+pub fn routes_of(snapshot: &Snapshot) -> Vec<RouteClassSettings> {
+    let mut routes: Vec<RouteClassSettings> = snapshot
         .routes()
-        .map(|route| Group {
+        .map(|route| RouteClassSettings {
             name: route.name.clone(),
             methods: route.methods.clone(),
             paths: route.paths.clone(),
             rules: route.rules.into(),
-            guard: match route.rules.backup {
-                BackupMode::Off => Backup::Off,
-                BackupMode::BeforeAttempt => Backup::BeforeForward,
-                BackupMode::Behind => Backup::Behind,
-            },
+            backup: route.rules.backup,
         })
         .collect();
     routes.sort_by(|one, other| one.name.cmp(&other.name));
--- a/crates/sidecar/src/upstream.rs
+++ b/crates/sidecar/src/upstream.rs
@@ -1,7 +1,7 @@
 //! Connections to pods: kept while idle, capped for each pod, opened as needed within the time for it.
 
 use bytes::Bytes;
-use havenplank_settings::Links as Settings;
+use havenplank_settings::UpstreamSettings as Settings;
 use http_body_util::Full;
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper_util::rt::TokioIo;
@@ -85,9 +85,9 @@
     /// Builds an empty set of connections with these limits.
     pub fn new(settings: &Settings) -> UpstreamConnections {
         UpstreamConnections {
-            connect_time: Duration::from_nanos(settings.connect_time),
-            per_pod: settings.per_pod,
-            idle_timeout: Duration::from_nanos(settings.idle),
+            connect_time: Duration::from_nanos(settings.connect_timeout),
+            per_pod: settings.max_connections_per_pod,
+            idle_timeout: Duration::from_nanos(settings.idle_timeout),
             pools: RefCell::default(),
         }
     }
