--- a/crates/trace/src/record.rs
+++ b/crates/trace/src/record.rs
@@ -1,4 +1,4 @@
-//! What a trace holds, as data: tools turn records into other records, so here they are values and not calls.
+//! What a trace holds: records, and the head that describes their sources.
 
 use havenplank::interface::{Build, Nanos, PodId, RequestId, Stage};
 use havenplank_sidecar::engine::{Effect, EngineSettings};
@@ -6,28 +6,34 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// One thing that a sidecar's engine was told or did.
+/// One event that a sidecar's engine received, or one effect that it asked for.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Record {
-    /// On the file's clock: the engine's own in a file of one source, in merged ones nanoseconds since 1970.
+    /// Time in nanoseconds on the file's clock: the engine's own in a file of one source, since 1970 in merged files.
     pub at: Nanos,
-    /// On the engine's own clock.
+    /// Time in nanoseconds on the engine's own clock.
     pub own: Nanos,
-    /// Which of the head's sources.
+    /// Index of the source in the head.
     pub source: usize,
+    /// The payload.
     pub what: What,
-    /// The pod that it is about, where it names one.
+    /// The pod that it names, as the pod was then.
     pub pod: Option<Arc<Card>>,
 }
 
+/// The payload of a record.
 #[derive(Clone, Debug, PartialEq)]
 pub enum What {
+    /// What the engine received.
     Event(Event),
+    /// What the engine asked for.
     Effect(Effect),
-    /// So many hits, and so many of other records, are missing since the last such line. Hits that were begun
-    /// before it and whose end does not follow have lost records where `records` is not 0.
+    /// Records missing since the last payload of this kind. Where `records` is not 0, requests that began before and
+    /// whose end does not follow have lost records.
     Lost {
+        /// Requests that were left out with all their records.
         hits: u64,
+        /// Other records.
         records: u64,
     },
 }
@@ -35,38 +41,47 @@
 /// A pod as it was when a record named it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Card {
+    /// Its id in the engine of the source.
     pub pod: PodId,
+    /// The build that it ran.
     pub build: Build,
+    /// Its name in service discovery.
     pub name: String,
+    /// The zone that it ran in.
     pub zone: String,
 }
 
-/// The stage in force at some source, and when that was told.
+/// The stage in force at a source, and since when.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Standing {
+    /// Index of the source in the head.
     pub source: usize,
+    /// When the source received it, in nanoseconds on the file's clock.
     pub at: Nanos,
+    /// The stage.
     pub stage: Stage,
 }
 
-/// One life of one sidecar.
+/// One incarnation of one sidecar: from its start to its end.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Source {
+    /// The settings of its engine.
     pub terms: EngineSettings,
-    /// Where its chance started.
+    /// Seed of the engine's random numbers.
     pub seed: u64,
-    /// A number that no other life has: parts with the same one belong together.
+    /// The incarnation's number, which no other has: parts with the same one belong together.
     pub life: u64,
-    /// 0 for the file with the life's beginning, then counted on.
+    /// Number of the file among those of the incarnation, from 0.
     pub part: u64,
-    /// The engine's clock when it was made, and the time since 1970 then, both in nanoseconds.
+    /// Time on the engine's clock when the engine was made, in nanoseconds.
     pub began: Nanos,
+    /// Nanoseconds since 1970 when the engine was made.
     pub wall: Nanos,
-    /// The share of hits that are in.
+    /// Share of the requests that were recorded, 0 to 1.
     pub share: f64,
-    /// Whether everything between its first and last record is in, apart from what `Lost` records tell.
+    /// Whether nothing is missing between the first and the last record but what [`What::Lost`] counts.
     pub whole: bool,
-    /// On the engine's clock: from here on records are missing, as the trace was cut.
+    /// Time on the engine's clock, in nanoseconds, from which records are missing, as the trace was cut.
     #[serde(default = "never")]
     pub until: Nanos,
 }
@@ -75,28 +90,30 @@
     Nanos::MAX
 }
 
-/// The greeting of a file.
+/// The head of a file.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Head {
-    /// What wrote it.
+    /// Name and version of the program that wrote it.
     pub program: String,
-    /// Hash of all sources' terms, as 16 hexadecimal digits.
+    /// Hash of all sources' settings, as 16 hexadecimal digits.
     pub settings: String,
-    /// Names are stand-ins, and log texts too.
+    /// Whether names and log texts are pseudonyms.
     pub anonymised: bool,
-    /// Times are nanoseconds since 1970, not the engines' own.
+    /// Whether times are nanoseconds since 1970 in place of the engine's own.
     #[serde(default)]
     pub merged: bool,
+    /// The sources, which records name by their index.
     pub sources: Vec<Source>,
 }
 
 impl Head {
+    /// Returns the head of a file that this program writes.
     pub fn new(sources: Vec<Source>) -> Head {
         let mut hash = blake3::Hasher::new();
         for source in &sources {
-            let terms = serde_json::to_vec(&source.terms).unwrap_or_default();
-            hash.update(&(terms.len() as u64).to_le_bytes())
-                .update(&terms);
+            let settings = serde_json::to_vec(&source.terms).unwrap_or_default();
+            hash.update(&(settings.len() as u64).to_le_bytes())
+                .update(&settings);
         }
         let settings = hash.finalize().to_hex()[..16].to_string();
         let program = concat!("havenplank ", env!("CARGO_PKG_VERSION")).to_string();
@@ -108,10 +125,8 @@
             sources,
         }
     }
-}
 
-impl Head {
-    /// A time since 1970 on the file's clock.
+    /// Converts nanoseconds since 1970 to the file's clock.
     pub fn clock(&self, wall: Nanos) -> Nanos {
         match self.sources.first().filter(|_| !self.merged) {
             Some(source) => source
@@ -121,7 +136,7 @@
         }
     }
 
-    /// A time of the file as one since 1970.
+    /// Converts nanoseconds on the file's clock to nanoseconds since 1970.
     pub fn wall(&self, at: Nanos) -> Nanos {
         match self.sources.first().filter(|_| !self.merged) {
             Some(source) => source.wall.saturating_add(at.saturating_sub(source.began)),
@@ -131,39 +146,37 @@
 }
 
 impl Record {
-    /// The hit it belongs to; `None` for what is about none.
+    /// Returns the request that the record belongs to, if it belongs to one.
     pub fn hit(&self) -> Option<RequestId> {
         match &self.what {
             What::Event(
-                Event::RequestArrived { request: hit, .. }
-                | Event::SendPermission { request: hit, .. },
-            )
-            | What::Event(
-                Event::AttemptEnded { request: hit, .. }
-                | Event::ClientLeft { request: hit }
-                | Event::RequestResumed { request: hit, .. },
-            )
-            | What::Effect(
-                Effect::SendAttempt { request: hit, .. }
-                | Effect::CancelAttempt { request: hit, .. },
+                Event::RequestArrived { request, .. }
+                | Event::RequestResumed { request, .. }
+                | Event::SendPermission { request, .. }
+                | Event::AttemptEnded { request, .. }
+                | Event::ClientLeft { request },
             )
             | What::Effect(
-                Effect::Reject { request: hit, .. } | Effect::Fail { request: hit, .. },
-            ) => Some(*hit),
+                Effect::SendAttempt { request, .. }
+                | Effect::CancelAttempt { request, .. }
+                | Effect::Reject { request, .. }
+                | Effect::Fail { request, .. },
+            ) => Some(*request),
             _ => None,
         }
     }
 
+    /// Whether a request arrives with this record.
     pub fn begins_hit(&self) -> bool {
         matches!(self.what, What::Event(Event::RequestArrived { .. }))
     }
 
-    /// A hit begins with it or right after it.
+    /// Whether this record is the first of a request: its arrival, or its resumption in front of it.
     pub fn opens_hit(&self) -> bool {
         self.begins_hit() || matches!(self.what, What::Event(Event::RequestResumed { .. }))
     }
 
-    /// The pod's index, where it names one.
+    /// Returns the id of the pod that the record names, if it names one.
     pub fn pod_index(&self) -> Option<PodId> {
         match &self.what {
             What::Effect(Effect::SendAttempt { pod, .. } | Effect::HealthCheck { pod, .. }) => {
@@ -174,16 +187,16 @@
         }
     }
 
-    /// The stage that it tells of.
+    /// Returns the stage that the record brings, if it brings one.
     pub fn stage(&self) -> Option<Stage> {
         match &self.what {
             What::Event(Event::StageChanged(stage)) => Some(*stage),
-            What::Event(Event::VoteAnswered { reply: news, .. }) => news.stage,
+            What::Event(Event::VoteAnswered { reply, .. }) => reply.stage,
             _ => None,
         }
     }
 
-    /// Whether other sidecars were told the same at about the same time.
+    /// Whether other sidecars receive the same event at about the same time.
     pub fn is_shared(&self) -> bool {
         matches!(
             self.what,
--- /dev/null
+++ b/crates/trace/src/summary/exposure.rs
@@ -0,0 +1,122 @@
+//! How much of a sidecar's requests an unreleased build got, window by window.
+
+use super::{row_or_others, Summary};
+use crate::file::Reader;
+use crate::record::{Card, Record, What};
+use crate::request_timelines::RequestTimelines;
+use havenplank::interface::{Build, ExposureSettings, Nanos, Phase, RouteClassId, Stage};
+use havenplank_sidecar::engine::Effect;
+use havenplank_sidecar::events::Event;
+use std::collections::HashMap;
+use std::io::{Read, Seek};
+use std::sync::Arc;
+
+/// The share of one sidecar's requests that an unreleased build got, in consecutive windows of the exposure settings.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct Exposed {
+    /// Requests with an attempt to the build.
+    pub hits: u64,
+    /// All requests that arrived while it was unreleased.
+    pub taken: u64,
+    /// The largest part of its allowance that a window used, 1 for all of it.
+    pub most: f64,
+    /// Windows in which requests arrived.
+    pub windows: u64,
+}
+
+/// The open window of one source.
+#[derive(Default)]
+pub(super) struct ExposureWindow {
+    began: Nanos,
+    /// Requests that arrived, by route class, or all under class 0 where the cap counts them together.
+    arrived: HashMap<RouteClassId, f64>,
+    /// Requests with an attempt to the build on trial, by route class as above.
+    exposed: HashMap<RouteClassId, f64>,
+    least_cap: f64,
+    /// The build on trial, 0 where there is none.
+    build: Build,
+}
+
+impl ExposureWindow {
+    /// Counts a record, and closes the window first where it has ended.
+    pub(super) fn record<R: Read + Seek>(
+        &mut self,
+        record: &Record,
+        reader: &Reader<R>,
+        timelines: &RequestTimelines,
+        summary: &mut Summary,
+    ) {
+        let source = &reader.head.sources[record.source];
+        let settings = &source.terms.exposure;
+        let trial = trial_stage(reader, record.source);
+        let build = trial.map_or(0, |stage| stage.build);
+        let has_ended = record.at.saturating_sub(self.began) >= settings.window.max(1);
+        if build != self.build || has_ended {
+            self.close(&source.terms.name, settings, summary);
+            self.began = record.at;
+            self.build = build;
+            self.least_cap = trial.map_or(1.0, |stage| stage.cap);
+        }
+        let Some(stage) = trial else { return };
+        // A cap that is lowered within a window holds from then on, so the lower one counts.
+        self.least_cap = self.least_cap.min(stage.cap);
+        self.count(record, timelines, settings.per_class);
+    }
+
+    fn count(&mut self, record: &Record, timelines: &RequestTimelines, per_class: bool) {
+        let row = |class: RouteClassId| if per_class { class } else { 0 };
+        match &record.what {
+            What::Event(Event::RequestArrived { attributes, .. }) => {
+                *self.arrived.entry(row(attributes.route_class)).or_default() += 1.0;
+            }
+            What::Effect(Effect::SendAttempt { request, .. }) => {
+                let Some(timeline) = timelines.get(record.source, *request) else {
+                    return;
+                };
+                // A request counts once, however many of its attempts go to the build.
+                let mut attempts = timeline.attempts.iter();
+                let is_counted = attempts.any(|attempt| self.is_on_trial(&attempt.pod));
+                if self.is_on_trial(&record.pod) && !is_counted {
+                    *self.exposed.entry(row(timeline.route_class)).or_default() += 1.0;
+                }
+            }
+            _ => {}
+        }
+    }
+
+    fn is_on_trial(&self, pod: &Option<Arc<Card>>) -> bool {
+        pod.as_ref().is_some_and(|pod| pod.build == self.build)
+    }
+
+    /// Adds the window to the summary, and begins an empty one.
+    pub(super) fn close(
+        &mut self,
+        sidecar: &str,
+        settings: &ExposureSettings,
+        summary: &mut Summary,
+    ) {
+        let window = std::mem::take(self);
+        let arrived: f64 = window.arrived.values().sum();
+        let exposed: f64 = window.exposed.values().sum();
+        if window.build == 0 || arrived + exposed <= 0.0 {
+            return;
+        }
+        let key = (sidecar.to_string(), window.build);
+        let row = row_or_others(&mut summary.exposed, key, ("others".to_string(), 0));
+        row.hits += exposed as u64;
+        row.taken += arrived as u64;
+        row.windows += 1;
+        for (class, exposed) in &window.exposed {
+            let arrived = window.arrived.get(class).copied().unwrap_or(0.0);
+            let allowance = settings.free_attempts + window.least_cap * arrived;
+            row.most = row.most.max(exposed / allowance.max(1e-9));
+        }
+    }
+}
+
+/// Returns the stage in force at a source, unless its build is released.
+fn trial_stage<R: Read + Seek>(reader: &Reader<R>, source: usize) -> Option<Stage> {
+    let mut in_force = reader.standing.iter();
+    let found = in_force.find(|standing| standing.source == source)?;
+    Some(found.stage).filter(|stage| stage.phase != Phase::Released)
+}
