--- a/crates/trace/src/anonymise.rs
+++ b/crates/trace/src/anonymise.rs
@@ -1,7 +1,7 @@
 //! Anonymises a trace: every name is replaced by a pseudonym, the same for the same name, that tells nothing of the name.
 
 use crate::file::{Reader, TraceError, Writer};
-use crate::record::{Card, Head, Record, Standing, What};
+use crate::record::{Head, PodSnapshot, Record, StageInForce, What};
 use havenplank_line_protocol::endpoint_list::ListedEndpoint;
 use havenplank_sidecar::engine::Effect;
 use havenplank_sidecar::events::Event;
@@ -33,7 +33,7 @@
 struct Anonymiser {
     key: Key,
     /// Pods that were anonymised before.
-    pods: HashMap<Arc<Card>, Arc<Card>>,
+    pods: HashMap<Arc<PodSnapshot>, Arc<PodSnapshot>>,
 }
 
 impl Anonymiser {
@@ -88,7 +88,7 @@
         endpoint.machine = self.name("machine", &endpoint.machine);
     }
 
-    fn pod(&mut self, card: &Arc<Card>) -> Arc<Card> {
+    fn pod(&mut self, card: &Arc<PodSnapshot>) -> Arc<PodSnapshot> {
         if let Some(known) = self.pods.get(card) {
             return known.clone();
         }
@@ -96,7 +96,7 @@
             self.pods.clear();
         }
         let (name, zone) = (self.name("pod", &card.name), self.name("zone", &card.zone));
-        let anonymised = Arc::new(Card {
+        let anonymised = Arc::new(PodSnapshot {
             name,
             zone,
             ..(**card).clone()
@@ -162,7 +162,7 @@
         pods: HashMap::new(),
     };
     let head = anonymiser.head(&reader.head);
-    let mut writer = Writer::new(out, &head, Vec::<Standing>::new())?;
+    let mut writer = Writer::new(out, &head, Vec::<StageInForce>::new())?;
     let mut count = 0;
     let damage = loop {
         match reader.record() {
--- a/crates/trace/src/columns/decoder.rs
+++ b/crates/trace/src/columns/decoder.rs
@@ -6,7 +6,7 @@
 use super::last_values::LastValues;
 use super::visit::visit_record;
 use super::{BlockBody, COLUMN_COUNT, KIND_COLUMN, OWN_TIME_COLUMN, SOURCE_COLUMN, TIME_COLUMN};
-use crate::record::{Card, Record, Standing};
+use crate::record::{PodSnapshot, Record, StageInForce};
 use havenplank::interface::{Nanos, PodId};
 use integer_encoding::VarInt;
 use std::sync::Arc;
@@ -19,11 +19,11 @@
     bytes: Vec<u8>,
     /// For each column, the range of `bytes` that is not read yet.
     columns: Vec<(usize, usize)>,
-    pods: Vec<Arc<Card>>,
+    pods: Vec<Arc<PodSnapshot>>,
     keys: Vec<u64>,
     texts: Vec<String>,
     /// The stages in force before the first record, one for each source that has any.
-    pub standing: Vec<Standing>,
+    pub standing: Vec<StageInForce>,
     last_values: LastValues,
     at: Nanos,
     has_unknown_value: bool,
@@ -186,7 +186,7 @@
         &mut self,
         column: u16,
         pod: &mut PodId,
-        card: &mut Option<Arc<Card>>,
+        card: &mut Option<Arc<PodSnapshot>>,
     ) -> Result<(), ColumnError> {
         let mut entry = 0;
         self.index(column, &mut entry)?;
--- a/crates/trace/src/columns/encoder.rs
+++ b/crates/trace/src/columns/encoder.rs
@@ -6,7 +6,7 @@
 use super::last_values::LastValues;
 use super::visit::visit_record;
 use super::{BlockBody, COLUMN_COUNT, KIND_COLUMN, OWN_TIME_COLUMN, SOURCE_COLUMN, TIME_COLUMN};
-use crate::record::{Card, Record, Standing};
+use crate::record::{PodSnapshot, Record, StageInForce};
 use havenplank::interface::{Nanos, PodId};
 use integer_encoding::VarInt;
 use std::collections::HashMap;
@@ -16,13 +16,13 @@
 pub struct BlockEncoder {
     columns: Vec<Vec<u8>>,
     last_values: LastValues,
-    pods: Vec<Card>,
-    pod_entries: HashMap<(usize, PodId), (Arc<Card>, u64)>,
+    pods: Vec<PodSnapshot>,
+    pod_entries: HashMap<(usize, PodId), (Arc<PodSnapshot>, u64)>,
     keys: Vec<u64>,
     key_entries: HashMap<u64, u64>,
     texts: Vec<String>,
     text_entries: HashMap<String, u64>,
-    standing: Vec<Standing>,
+    standing: Vec<StageInForce>,
     source: usize,
     /// Unpacked bytes of the block so far, about.
     pub bytes: usize,
@@ -40,7 +40,7 @@
 
 impl BlockEncoder {
     /// Begins a block; `standing` holds the stages in force before its first record.
-    pub fn new(standing: Vec<Standing>) -> BlockEncoder {
+    pub fn new(standing: Vec<StageInForce>) -> BlockEncoder {
         BlockEncoder {
             columns: vec![Vec::new(); COLUMN_COUNT],
             last_values: LastValues::default(),
@@ -154,9 +154,9 @@
         &mut self,
         column: u16,
         pod: &mut PodId,
-        card: &mut Option<Arc<Card>>,
+        card: &mut Option<Arc<PodSnapshot>>,
     ) -> Result<(), ColumnError> {
-        let nobody = || Card {
+        let nobody = || PodSnapshot {
             pod: *pod,
             build: 0,
             name: String::new(),
--- a/crates/trace/src/columns/field_visitor.rs
+++ b/crates/trace/src/columns/field_visitor.rs
@@ -1,7 +1,7 @@
 //! The visitor that encodes or decodes the fields of a record, one column each.
 
 use super::error::ColumnError;
-use crate::record::Card;
+use crate::record::PodSnapshot;
 use havenplank::interface::{PodId, RequestId};
 use std::sync::Arc;
 
@@ -24,7 +24,7 @@
         &mut self,
         column: u16,
         pod: &mut PodId,
-        card: &mut Option<Arc<Card>>,
+        card: &mut Option<Arc<PodSnapshot>>,
     ) -> Result<(), ColumnError>;
     /// Returns the value last seen in a column's slot, which the next one is encoded against.
     fn last_value(&mut self, place: (u16, u64)) -> &mut u64;
--- a/crates/trace/src/columns/mod.rs
+++ b/crates/trace/src/columns/mod.rs
@@ -13,7 +13,7 @@
 pub use encoder::BlockEncoder;
 pub use error::ColumnError;
 
-use crate::record::{Card, Standing};
+use crate::record::{PodSnapshot, StageInForce};
 use serde::{Deserialize, Serialize};
 
 /// Columns of a kind of record; the first of kind `n` is `n * COLUMNS_PER_KIND`.
@@ -33,10 +33,10 @@
 /// What a block holds: its dictionaries, the stages in force before its first record, and its columns.
 #[derive(Serialize, Deserialize)]
 struct BlockBody<'a> {
-    pods: Vec<Card>,
+    pods: Vec<PodSnapshot>,
     keys: Vec<u64>,
     texts: Vec<String>,
-    standing: Vec<Standing>,
+    standing: Vec<StageInForce>,
     #[serde(borrow)]
     columns: Vec<(u16, &'a [u8])>,
 }
--- a/crates/trace/src/columns/visit.rs
+++ b/crates/trace/src/columns/visit.rs
@@ -4,7 +4,7 @@
 use super::field_visitor::FieldVisitor;
 use super::kind::{blank_endpoint, BLANK_STAGE};
 use super::COLUMNS_PER_KIND;
-use crate::record::{Card, Record, What};
+use crate::record::{PodSnapshot, Record, What};
 use havenplank::interface::{
     AttemptEnd, LoadReport, Nanos, Phase, PodId, PodState, PriorAttempt, RequestId, Stage, Tally,
     Vote, VoteReceipt, VoteReply,
@@ -84,7 +84,7 @@
     visitor: &mut V,
     context: Context,
     event: &mut Event,
-    card: &mut Option<Arc<Card>>,
+    card: &mut Option<Arc<PodSnapshot>>,
 ) -> Result<(), ColumnError> {
     let first = context.first;
     match event {
@@ -142,7 +142,7 @@
     visitor: &mut V,
     context: Context,
     effect: &mut Effect,
-    card: &mut Option<Arc<Card>>,
+    card: &mut Option<Arc<PodSnapshot>>,
 ) -> Result<(), ColumnError> {
     let Context { first, source, .. } = context;
     match effect {
@@ -270,7 +270,7 @@
     visitor: &mut impl FieldVisitor,
     context: Context,
     effect: &mut Effect,
-    card: &mut Option<Arc<Card>>,
+    card: &mut Option<Arc<PodSnapshot>>,
 ) -> Result<(), ColumnError> {
     let Effect::SendAttempt {
         request,
--- a/crates/trace/src/file/mod.rs
+++ b/crates/trace/src/file/mod.rs
@@ -11,7 +11,7 @@
 pub use reader::Reader;
 pub use writer::Writer;
 
-use crate::record::{Record, Standing};
+use crate::record::{Record, StageInForce};
 use havenplank::interface::Nanos;
 use serde::{Deserialize, Serialize};
 
@@ -51,9 +51,9 @@
 }
 
 /// Updates the stage in force at each source by a record.
-pub fn update_stages(standing: &mut Vec<Standing>, record: &Record) {
+pub fn update_stages(standing: &mut Vec<StageInForce>, record: &Record) {
     let Some(stage) = record.stage() else { return };
-    let now = Standing {
+    let now = StageInForce {
         source: record.source,
         at: record.at,
         stage,
--- a/crates/trace/src/file/reader.rs
+++ b/crates/trace/src/file/reader.rs
@@ -4,7 +4,7 @@
 use super::error::{DamageKind, IndexError};
 use super::{update_stages, Entry, TraceError, MAGIC, MAJOR, MAX_BLOCK_BYTES, TRAILER_MAGIC};
 use crate::columns::BlockDecoder;
-use crate::record::{Head, Record, Standing};
+use crate::record::{Head, Record, StageInForce};
 use havenplank::interface::Nanos;
 use std::io::{self, Read, Seek, SeekFrom};
 
@@ -35,7 +35,7 @@
     current: Option<(u64, BlockDecoder)>,
     skipped: u64,
     /// The stages in force at the record that was read last.
-    pub standing: Vec<Standing>,
+    pub standing: Vec<StageInForce>,
 }
 
 /// Where the blocks of a file without an index end before the file does.
--- a/crates/trace/src/file/writer.rs
+++ b/crates/trace/src/file/writer.rs
@@ -3,14 +3,14 @@
 use super::block_writer::BlockWriter;
 use super::{update_stages, TraceError, FULL_BYTES, FULL_RECORDS};
 use crate::columns::BlockEncoder;
-use crate::record::{Head, Record, Standing};
+use crate::record::{Head, Record, StageInForce};
 use std::io::Write;
 
 /// Writes records to a file, block by block. Holds one block.
 pub struct Writer<W: Write> {
     blocks: BlockWriter<W>,
     block: BlockEncoder,
-    standing: Vec<Standing>,
+    standing: Vec<StageInForce>,
 }
 
 impl<W: Write> Writer<W> {
@@ -18,7 +18,7 @@
     ///
     /// # Errors
     /// As [`BlockWriter::new`].
-    pub fn new(out: W, head: &Head, standing: Vec<Standing>) -> Result<Writer<W>, TraceError> {
+    pub fn new(out: W, head: &Head, standing: Vec<StageInForce>) -> Result<Writer<W>, TraceError> {
         Ok(Writer {
             blocks: BlockWriter::new(out, head)?,
             block: BlockEncoder::new(standing.clone()),
--- a/crates/trace/src/from_wire.rs
+++ b/crates/trace/src/from_wire.rs
@@ -1,8 +1,11 @@
-//! A day of the bench as a trace: what the adapter was told and what it answered, as seen on its pipes.
+//! Makes a trace of a bench run from what the adapter read and wrote on its pipes.
 
 use crate::file::{TraceError, Writer};
-use crate::record::{Card, Head, Record, Source, What};
-use havenplank::interface::*;
+use crate::record::{Head, PodSnapshot, Record, Source, What};
+use havenplank::interface::{
+    AttemptEnd, AttemptOutcome, Build, HealthCheckResult, IncomingRequest, Nanos, PodId, RequestId,
+    RouteClassId, Stage, Tally, Vote, VoteReply,
+};
 use havenplank_adapter::actions::{self, ActionListener};
 use havenplank_adapter::decode::{InstanceListener, ListedPod};
 use havenplank_adapter::error::WireError;
@@ -17,35 +20,51 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// A hit in flight: what its forwards' ends and its lateness are told by.
-struct Held {
+/// A request in flight.
+struct InFlightRequest {
     id: RequestId,
     deadline: Nanos,
     open: bool,
     out: Vec<bool>,
 }
 
-/// An instance that writes down what it hears.
-struct Scribe {
+/// An instance that collects what it receives as events.
+struct RecordingInstance {
     now: Nanos,
     names: Names,
     /// Taken by whoever numbers the sources.
     fresh: Option<Box<Source>>,
     number: usize,
-    /// Grows with the pods ever listed.
+    /// Pods by name; grows with the pods ever listed.
     pods: HashMap<String, PodId>,
-    cards: Vec<Arc<Card>>,
-    /// Emptied of a hit once it is answered and its forwards have ended.
-    hits: HashMap<String, Held>,
+    cards: Vec<Arc<PodSnapshot>>,
+    /// Requests in flight by name; a request leaves once it is answered and its attempts have ended.
+    hits: HashMap<String, InFlightRequest>,
     next_hit: RequestId,
-    /// Votes and probes are counted together, as an engine counts them.
+    /// Votes and health checks are counted together, as an engine counts them.
     calls: u64,
     votes: VecDeque<u64>,
     probes: HashMap<PodId, VecDeque<u64>>,
     told: Vec<Event>,
 }
 
-impl Scribe {
+impl RecordingInstance {
+    /// Returns a record of now, with the pod that it names.
+    fn record(&self, what: What) -> Record {
+        let record = Record {
+            at: self.now,
+            own: self.now,
+            source: self.number,
+            what,
+            pod: None,
+        };
+        let pod = record.pod_index().and_then(|pod| self.cards.get(pod));
+        Record {
+            pod: pod.cloned(),
+            ..record
+        }
+    }
+
     fn call(&mut self) -> u64 {
         self.calls += 1;
         self.calls
@@ -62,7 +81,7 @@
     }
 
     fn id(&self, name: &str) -> RequestId {
-        // A hit that nobody knows is told as such by the replay.
+        // The replay reports a request that nobody knows.
         self.hits.get(name).map_or(RequestId::MAX, |held| held.id)
     }
 
@@ -74,8 +93,8 @@
     }
 }
 
-impl InstanceListener for Scribe {
-    fn attach(now: Nanos, sidecar: u64, seed: u64, setup: Setup) -> Scribe {
+impl InstanceListener for RecordingInstance {
+    fn attach(now: Nanos, sidecar: u64, seed: u64, setup: Setup) -> RecordingInstance {
         let Setup { names, router } = setup;
         let class_names = names.route_classes.iter().cloned();
         let terms = EngineSettings {
@@ -104,7 +123,7 @@
             whole: true,
             until,
         };
-        Scribe {
+        RecordingInstance {
             now,
             names,
             fresh: Some(Box::new(source)),
@@ -147,7 +166,7 @@
         {
             let next = self.cards.len();
             let id = *self.pods.entry(pod.clone()).or_insert(next);
-            let card = Arc::new(Card {
+            let card = Arc::new(PodSnapshot {
                 pod: id,
                 build: entry.build,
                 name: pod.clone(),
@@ -199,7 +218,7 @@
             is_retry: repeat,
             ..
         } = hit;
-        let held = Held {
+        let held = InFlightRequest {
             id,
             deadline: self.now.saturating_add(left),
             open: true,
@@ -294,26 +313,26 @@
     }
 }
 
-/// What the instances did, put down as it is read. Those that were stopped are passed over.
-struct Deeds<'a> {
-    wire: &'a mut Session<Scribe>,
+/// Collects what the instances did as effects; actions of stopped instances are skipped.
+struct ActionRecorder<'a> {
+    wire: &'a mut Session<RecordingInstance>,
     done: Vec<(u64, Effect)>,
 }
 
-impl Deeds<'_> {
-    fn by(&mut self, sidecar: u64, effect: impl FnOnce(&mut Scribe) -> Effect) {
-        if let Some(Some(scribe)) = self.wire.instances.get_mut(&sidecar) {
-            let effect = effect(scribe);
+impl ActionRecorder<'_> {
+    fn by(&mut self, sidecar: u64, effect: impl FnOnce(&mut RecordingInstance) -> Effect) {
+        if let Some(Some(instance)) = self.wire.instances.get_mut(&sidecar) {
+            let effect = effect(instance);
             self.done.push((sidecar, effect));
         }
     }
 }
 
-impl ActionListener for Deeds<'_> {
+impl ActionListener for ActionRecorder<'_> {
     fn attempt(&mut self, sidecar: u64, hit: &str, pod: &str, time_out: Nanos) {
-        self.by(sidecar, |scribe| {
-            let pod = scribe.pods.get(pod).copied().unwrap_or(PodId::MAX);
-            let Some(held) = scribe.hits.get_mut(hit) else {
+        self.by(sidecar, |instance| {
+            let pod = instance.pods.get(pod).copied().unwrap_or(PodId::MAX);
+            let Some(held) = instance.hits.get_mut(hit) else {
                 return Effect::SendAttempt {
                     request: RequestId::MAX,
                     attempt: 0,
@@ -332,42 +351,42 @@
     }
 
     fn cancel(&mut self, sidecar: u64, hit: &str, nth: u32) {
-        self.by(sidecar, |scribe| Effect::CancelAttempt {
-            request: scribe.id(hit),
+        self.by(sidecar, |instance| Effect::CancelAttempt {
+            request: instance.id(hit),
             attempt: nth,
         });
     }
 
     fn reject(&mut self, sidecar: u64, hit: &str, retry_after: Nanos) {
-        self.by(sidecar, |scribe| {
+        self.by(sidecar, |instance| {
             let bounced = Effect::Reject {
-                request: scribe.id(hit),
+                request: instance.id(hit),
                 retry_after,
             };
-            scribe.close(hit);
+            instance.close(hit);
             bounced
         });
     }
 
     fn fail(&mut self, sidecar: u64, hit: &str) {
-        self.by(sidecar, |scribe| {
-            let late = scribe
+        self.by(sidecar, |instance| {
+            let late = instance
                 .hits
                 .get(hit)
-                .is_some_and(|held| scribe.now >= held.deadline);
+                .is_some_and(|held| instance.now >= held.deadline);
             let errored = Effect::Fail {
-                request: scribe.id(hit),
+                request: instance.id(hit),
                 timed_out: late,
             };
-            scribe.close(hit);
+            instance.close(hit);
             errored
         });
     }
 
     fn vote(&mut self, sidecar: u64, build: Build, stage: usize, voice: Vote) {
-        self.by(sidecar, |scribe| {
-            let vote = scribe.call();
-            scribe.votes.push_back(vote);
+        self.by(sidecar, |instance| {
+            let vote = instance.call();
+            instance.votes.push_back(vote);
             Effect::CastVote {
                 id: vote,
                 build,
@@ -378,12 +397,12 @@
     }
 
     fn health_check(&mut self, sidecar: u64, pod: &str) {
-        self.by(sidecar, |scribe| {
+        self.by(sidecar, |instance| {
             let (probe, pod) = (
-                scribe.call(),
-                scribe.pods.get(pod).copied().unwrap_or(PodId::MAX),
+                instance.call(),
+                instance.pods.get(pod).copied().unwrap_or(PodId::MAX),
             );
-            scribe.probes.entry(pod).or_default().push_back(probe);
+            instance.probes.entry(pod).or_default().push_back(probe);
             Effect::HealthCheck { check: probe, pod }
         });
     }
@@ -405,7 +424,7 @@
     TraceError::Unfit(error.to_string())
 }
 
-/// Reads lines of one pipe, with their numbers.
+/// Reads the lines of one pipe and counts them.
 struct Lines<I> {
     input: I,
     text: Vec<u8>,
@@ -435,99 +454,118 @@
     }
 }
 
-/// Every life that begins in a day, in order: a first reading of what the adapter was told.
+/// Returns every incarnation that begins in a run, in order, by a first pass over the adapter's input.
 ///
 /// # Errors
-/// A line that is none of the wire's.
+/// A line that does not follow the adapter's protocol.
 pub fn sources(input: impl BufRead) -> Result<Vec<Source>, TraceError> {
-    let (mut lines, mut wire, mut sources) =
-        (Lines::new(input), Session::<Scribe>::default(), Vec::new());
+    let (mut lines, mut wire, mut sources) = (
+        Lines::new(input),
+        Session::<RecordingInstance>::default(),
+        Vec::new(),
+    );
     while let Some(line) = lines.next()? {
         let sidecar = line.of().whole("sidecar").ok();
         wire.line(line).map_err(unfit)?;
-        let scribe = sidecar
+        let instance = sidecar
             .and_then(|sidecar| wire.instances.get_mut(&sidecar))
             .and_then(Option::as_mut);
-        if let Some(scribe) = scribe {
-            sources.extend(scribe.fresh.take().map(|source| *source));
-            scribe.told.clear();
+        if let Some(instance) = instance {
+            sources.extend(instance.fresh.take().map(|source| *source));
+            instance.told.clear();
         }
     }
     Ok(sources)
 }
 
-/// Writes the day as a trace, one source for each life. What the adapter did in a batch comes after all that
-/// it was told there. Returns the records written.
+/// Writes the run as a trace, one source for each incarnation. Effects of a batch come after all its events. Returns
+/// the number of records.
 ///
 /// # Errors
-/// A line that is none of the wire's, or outputs that do not belong to the inputs.
+/// A line that does not follow the adapter's protocol, or outputs that do not belong to the inputs.
 pub fn write(
-    heard: impl BufRead,
-    said: impl BufRead,
+    input: impl BufRead,
+    output: impl BufRead,
     sources: Vec<Source>,
-    out: impl Write,
+    trace: impl Write,
 ) -> Result<u64, TraceError> {
-    let (mut heard, mut said) = (Lines::new(heard), Lines::new(said));
-    let mut writer = Writer::new(out, &Head::new(sources), Vec::new())?;
-    let mut wire = Session::<Scribe>::default();
-    let (mut lives, mut count) = (0, 0);
-    let mut put = |scribe: &Scribe, what: What| {
-        let record = Record {
-            at: scribe.now,
-            own: scribe.now,
-            source: scribe.number,
-            what,
-            pod: None,
-        };
-        let pod = record
-            .pod_index()
-            .and_then(|pod| scribe.cards.get(pod))
-            .cloned();
-        count += 1;
-        writer.put(Record { pod, ..record })
+    let mut input = Lines::new(input);
+    let mut conversion = Conversion {
+        output: Lines::new(output),
+        session: Session::default(),
+        writer: Writer::new(trace, &Head::new(sources), Vec::new())?,
+        incarnations: 0,
+        records: 0,
     };
-    while let Some(line) = heard.next()? {
+    while let Some(line) = input.next()? {
         let sidecar = line.of().whole("sidecar").ok();
-        let turn = wire.line(line).map_err(unfit)?;
-        let scribe = sidecar
-            .and_then(|sidecar| wire.instances.get_mut(&sidecar))
-            .and_then(Option::as_mut);
-        if let Some(scribe) = scribe {
-            if scribe.fresh.take().is_some() {
-                scribe.number = lives;
-                lives += 1;
-            }
-            for told in std::mem::take(&mut scribe.told) {
-                put(scribe, What::Event(told))?;
-            }
+        let batch = conversion.session.line(line).map_err(unfit)?;
+        if let Some(sidecar) = sidecar {
+            conversion.write_events(sidecar)?;
         }
-        let Some(turn) = turn else { continue };
+        if let Some(batch) = batch {
+            conversion.write_answer(batch)?;
+        }
+    }
+    conversion.writer.finish()?;
+    Ok(conversion.records)
+}
+
+/// A bench run on its way into a trace.
+struct Conversion<O, W: Write> {
+    output: Lines<O>,
+    session: Session<RecordingInstance>,
+    writer: Writer<W>,
+    /// Incarnations that have begun, each a source of the trace.
+    incarnations: usize,
+    /// Records written.
+    records: u64,
+}
+
+impl<O: BufRead, W: Write> Conversion<O, W> {
+    /// Writes the events that an instance collected.
+    fn write_events(&mut self, sidecar: u64) -> Result<(), TraceError> {
+        let Some(Some(instance)) = self.session.instances.get_mut(&sidecar) else {
+            return Ok(());
+        };
+        if instance.fresh.take().is_some() {
+            instance.number = self.incarnations;
+            self.incarnations += 1;
+        }
+        for event in std::mem::take(&mut instance.told) {
+            self.writer.put(instance.record(What::Event(event)))?;
+            self.records += 1;
+        }
+        Ok(())
+    }
+
+    /// Reads the output up to the end of its answer to a batch, and writes the effects.
+    fn write_answer(&mut self, batch: u64) -> Result<(), TraceError> {
         loop {
-            let Some(line) = said.next()? else {
-                let why = format!("the output ends before its answer to batch {turn}");
+            let Some(line) = self.output.next()? else {
+                let why = format!("the output ends before its answer to batch {batch}");
                 return Err(TraceError::Unfit(why));
             };
-            let mut deeds = Deeds {
-                wire: &mut wire,
+            let mut recorder = ActionRecorder {
+                wire: &mut self.session,
                 done: Vec::new(),
             };
-            let ends = actions::read(&line, &mut deeds).map_err(unfit)?;
-            for (sidecar, effect) in deeds.done {
-                if let Some(Some(scribe)) = wire.instances.get(&sidecar) {
-                    put(scribe, What::Effect(effect))?;
+            let answered = actions::read(&line, &mut recorder).map_err(unfit)?;
+            for (sidecar, effect) in recorder.done {
+                if let Some(Some(instance)) = self.session.instances.get(&sidecar) {
+                    self.writer.put(instance.record(What::Effect(effect)))?;
+                    self.records += 1;
                 }
             }
-            match ends {
-                Some(answered) if answered == turn => break,
+            match answered {
+                Some(answered) if answered == batch => return Ok(()),
                 Some(answered) => {
                     let why =
-                        format!("the output answers batch {answered} where the input has {turn}");
+                        format!("the output answers batch {answered} where the input has {batch}");
                     return Err(TraceError::Unfit(why));
                 }
                 None => {}
             }
         }
     }
-    writer.finish()?;
-    Ok(count)
 }
--- a/crates/trace/src/json_view.rs
+++ b/crates/trace/src/json_view.rs
@@ -1,7 +1,7 @@
 //! The JSON view: a record as one JSON object, with names in place of indices. Its words are a stable format, described
 //! in `docs/trace-format.md`, and do not follow the names in the code.
 
-use crate::record::{Head, Record, Standing, What};
+use crate::record::{Head, Record, StageInForce, What};
 use crate::summary::{ended, vote_name};
 use havenplank::interface::{
     LoadReport, Phase, PodId, PodState, PriorAttempt, RequestId, Stage, Tally, VoteReceipt,
@@ -13,7 +13,7 @@
 use serde_json::{json, Map, Value};
 
 /// Returns the stage in force at the start of a block, in the words of [`line`].
-pub fn standing(standing: &Standing) -> Value {
+pub fn standing(standing: &StageInForce) -> Value {
     json!({"source": standing.source, "at": standing.at, "in_force": stage(&standing.stage)})
 }
 
--- a/crates/trace/src/lib.rs
+++ b/crates/trace/src/lib.rs
@@ -1,5 +1,15 @@
-//! Hits and decisions of a sidecar in a compact file: recorded, read, cut, merged, anonymised, summarised and
-//! played again. `docs/trace-format.md` describes the bytes.
+//! Traces: the requests and decisions of a sidecar in a compact file, recorded, read, cut, merged, anonymised, summarised
+//! and replayed. `docs/trace-format.md` describes the bytes.
+
+#![warn(missing_docs)]
+#![warn(
+    clippy::too_many_lines,
+    clippy::too_many_arguments,
+    clippy::cognitive_complexity,
+    clippy::missing_errors_doc,
+    clippy::wildcard_imports,
+    clippy::type_complexity
+)]
 
 pub mod anonymise;
 mod columns;
--- a/crates/trace/src/record.rs
+++ b/crates/trace/src/record.rs
@@ -18,7 +18,7 @@
     /// The payload.
     pub what: What,
     /// The pod that it names, as the pod was then.
-    pub pod: Option<Arc<Card>>,
+    pub pod: Option<Arc<PodSnapshot>>,
 }
 
 /// The payload of a record.
@@ -40,7 +40,7 @@
 
 /// A pod as it was when a record named it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Card {
+pub struct PodSnapshot {
     /// Its id in the engine of the source.
     pub pod: PodId,
     /// The build that it ran.
@@ -53,7 +53,7 @@
 
 /// The stage in force at a source, and since when.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Standing {
+pub struct StageInForce {
     /// Index of the source in the head.
     pub source: usize,
     /// When the source received it, in nanoseconds on the file's clock.
--- a/crates/trace/src/recorder.rs
+++ b/crates/trace/src/recorder.rs
@@ -1,8 +1,8 @@
-//! The recorder: looks on at an engine, packs in a thread of its own, and never holds up a hit.
+//! The recorder: observes an engine, compresses and writes in a thread of its own, and never delays a request.
 
 use crate::columns::BlockEncoder;
 use crate::file::{update_stages, BlockWriter, TraceError, FULL_BYTES, FULL_RECORDS};
-use crate::record::{Card, Head, Record, Source, Standing, What};
+use crate::record::{Head, PodSnapshot, Record, Source, StageInForce, What};
 use havenplank::interface::{Nanos, PodId, RequestId};
 use havenplank_line_protocol::endpoint_list::ListedEndpoint;
 use havenplank_sidecar::engine::Effect;
@@ -16,8 +16,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A block is closed after so long, as a kill loses no more than the open one.
-const BLOCK_TIME: Nanos = 1_000_000_000;
+/// Nanoseconds after which a block is closed: a kill loses no more than the open one.
+const MAX_BLOCK_AGE: Nanos = 1_000_000_000;
 /// Spells in which hits were left out and that hits in flight may still belong to; no new spell ends while
 /// so many are held.
 const SPELLS: usize = 64;
@@ -25,28 +25,31 @@
 /// How much is recorded, and how much of it may wait for the disk.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Share of hits that are recorded, each with all its records.
+    /// Share of the requests that are recorded, 0 to 1, each with all its records.
     pub share: f64,
-    /// Bytes of records that wait. From half of it on new hits are left out, so that the rest has room for
-    /// those in flight.
+    /// Bytes of records that may wait for the disk. From half of it on new requests are left out, so that those in
+    /// flight have the rest.
     pub queue: usize,
-    /// Longest that a hit lives.
+    /// Longest that a request may last, in nanoseconds.
     pub longest: Nanos,
-    /// A file is closed at this size or age.
+    /// Size at which a file is closed, in bytes.
     pub file_bytes: u64,
+    /// Age at which a file is closed, in nanoseconds.
     pub file_age: Nanos,
 }
 
-/// Where files go. Only the writing thread uses it, so it may wait.
+/// Where trace files are stored. Only the writing thread uses it, so it may block.
 pub trait Shelf: Send {
+    /// Creates the file of a part.
+    ///
     /// # Errors
-    /// Why there is no file to be had now; what was to go there is lost and counted.
+    /// Why no file can be created; the block that was to go there is lost and counted.
     fn open(&mut self, part: u64) -> io::Result<Box<dyn Write + Send>>;
-    /// A file was closed: the moment to drop old ones.
+    /// Is called when a file was closed, to delete old ones.
     fn closed(&mut self) {}
 }
 
-/// A folder whose files of one sidecar take a stated total at most; the oldest go first, closed ones only.
+/// A folder that limits the total size of one sidecar's files by deleting the oldest closed ones.
 pub struct Folder {
     folder: PathBuf,
     name: String,
@@ -56,7 +59,8 @@
 }
 
 impl Folder {
-    /// `began`: nanoseconds since 1970, by which files of several lives sort.
+    /// Creates the folder if needed; `began` is in nanoseconds since 1970 and orders the files of several incarnations,
+    /// `total` is the limit in bytes.
     ///
     /// # Errors
     /// A folder that cannot be made.
@@ -130,7 +134,7 @@
     }
 }
 
-/// What waits between recorder and writer, and what the writer lost.
+/// Counters that recorder and writing thread share.
 #[derive(Default)]
 struct Shared {
     waiting: AtomicU64,
@@ -138,25 +142,25 @@
     lost_records: AtomicU64,
 }
 
-/// Told to the caller when the thread has written everything that it was given.
+/// Waits for the writing thread.
 pub struct Writing {
     done: Receiver<()>,
 }
 
 impl Writing {
-    /// Waits until all is written, for so long at most; false where the disk was slower.
+    /// Waits until everything is written, for a bounded time; false where the disk was slower.
     pub fn wait(&self, most: Duration) -> bool {
-        // The thread says nothing: its end closes the channel.
+        // Nothing is ever sent: the end of the thread closes the channel.
         self.done.recv_timeout(most) == Err(RecvTimeoutError::Disconnected)
     }
 }
 
-/// The witness. Dropping it closes the trace.
+/// Records what an engine receives and asks for. Dropping it closes the trace.
 pub struct Recorder {
-    filling: BlockEncoder,
-    standing: Vec<Standing>,
-    cards: Vec<Option<Arc<Card>>>,
-    /// Hashes below this are in; none for all.
+    block: BlockEncoder,
+    standing: Vec<StageInForce>,
+    cards: Vec<Option<Arc<PodSnapshot>>>,
+    /// Requests whose hash is below this are recorded; `None` for all.
     below: Option<u64>,
     queue: u64,
     longest: Nanos,
@@ -167,7 +171,7 @@
     to_writer: Sender<BlockEncoder>,
 }
 
-/// Spreads hit numbers evenly, so that a share of them is no pattern of them (the finisher of SplitMix64).
+/// Hashes a request id, so that a sample of the requests follows no pattern (the finaliser of SplitMix64).
 fn spread(hit: RequestId) -> u64 {
     let mixed = (hit ^ hit >> 30).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let mixed = (mixed ^ mixed >> 27).wrapping_mul(0x94d0_49bb_1331_11eb);
@@ -175,7 +179,7 @@
 }
 
 impl Recorder {
-    /// Starts the writing thread. `source.whole`, `share` and `part` are set from the limits.
+    /// Starts the writing thread; sets `whole`, `share` and `part` of the source by the limits.
     pub fn start(mut source: Source, limits: Limits, shelf: Box<dyn Shelf>) -> (Recorder, Writing) {
         let share = limits.share.clamp(0.0, 1.0);
         (source.share, source.whole, source.part) = (share, share >= 1.0, 0);
@@ -184,7 +188,7 @@
         let (ends, done) = mpsc::channel();
         let (counts, sizes) = (shared.clone(), (limits.file_bytes, limits.file_age));
         std::thread::spawn(move || {
-            Writes {
+            WritingThread {
                 source,
                 sizes,
                 shelf,
@@ -195,7 +199,7 @@
             drop(ends);
         });
         let recorder = Recorder {
-            filling: BlockEncoder::new(Vec::new()),
+            block: BlockEncoder::new(Vec::new()),
             standing: Vec::new(),
             cards: Vec::new(),
             below: (share < 1.0).then_some((share * u64::MAX as f64) as u64),
@@ -213,7 +217,7 @@
         self.shared.waiting.load(Ordering::Relaxed)
     }
 
-    /// Whether a hit's records are kept: the same answer for all of them.
+    /// Whether a request is recorded: the same for all its records.
     fn keeps(&self, hit: RequestId) -> bool {
         let left_out = |spell: &(RequestId, Option<RequestId>, Nanos)| {
             hit >= spell.0 && spell.1.is_none_or(|end| hit < end)
@@ -230,7 +234,7 @@
         {
             self.spells.pop_front();
         }
-        let waiting = self.waiting() + self.filling.bytes as u64;
+        let waiting = self.waiting() + self.block.bytes as u64;
         let leaves = |spells: &VecDeque<(RequestId, Option<RequestId>, Nanos)>| {
             matches!(spells.back(), Some((_, None, _)))
         };
@@ -252,7 +256,7 @@
         }
     }
 
-    fn card(&self, pod: Option<PodId>) -> Option<Arc<Card>> {
+    fn card(&self, pod: Option<PodId>) -> Option<Arc<PodSnapshot>> {
         self.cards.get(pod?)?.clone()
     }
 
@@ -270,15 +274,15 @@
         let pod = self.card(record.pod_index());
         let record = Record { pod, ..record };
         update_stages(&mut self.standing, &record);
-        self.filling.put(record);
-        let old = now.saturating_sub(self.filling.first) >= BLOCK_TIME;
-        if old || self.filling.bytes >= FULL_BYTES || self.filling.records >= FULL_RECORDS {
+        self.block.put(record);
+        let old = now.saturating_sub(self.block.first) >= MAX_BLOCK_AGE;
+        if old || self.block.bytes >= FULL_BYTES || self.block.records >= FULL_RECORDS {
             self.close(now);
         }
     }
 
     fn close(&mut self, now: Nanos) {
-        let full = std::mem::replace(&mut self.filling, BlockEncoder::new(self.standing.clone()));
+        let full = std::mem::replace(&mut self.block, BlockEncoder::new(self.standing.clone()));
         let bytes = full.bytes as u64;
         if self.waiting() + bytes > self.queue {
             self.lost.0 += full.requests as u64;
@@ -294,7 +298,7 @@
         let (hits, records) = std::mem::take(&mut self.lost);
         if hits + records > 0 {
             let what = What::Lost { hits, records };
-            self.filling.put(Record {
+            self.block.put(Record {
                 at: now,
                 own: now,
                 source: 0,
@@ -313,12 +317,12 @@
             if self.cards.len() <= id {
                 self.cards.resize(id + 1, None);
             }
-            let same = |card: &Arc<Card>| {
+            let same = |card: &Arc<PodSnapshot>| {
                 (card.build, &card.name, &card.zone) == (pod.build, &pod.name, &pod.zone)
             };
             if !self.cards[id].as_ref().is_some_and(same) {
                 let (name, zone) = (pod.name.clone(), pod.zone.clone());
-                self.cards[id] = Some(Arc::new(Card {
+                self.cards[id] = Some(Arc::new(PodSnapshot {
                     pod: id,
                     build: pod.build,
                     name,
@@ -350,16 +354,16 @@
 
 impl Drop for Recorder {
     fn drop(&mut self) {
-        let now = self.filling.at;
+        let now = self.block.at;
         self.close(now);
-        if self.filling.records > 0 {
+        if self.block.records > 0 {
             self.close(now);
         }
     }
 }
 
 /// The writing thread.
-struct Writes {
+struct WritingThread {
     source: Source,
     sizes: (u64, Nanos),
     shelf: Box<dyn Shelf>,
@@ -368,7 +372,7 @@
     open: Option<(BlockWriter<Box<dyn Write + Send>>, Nanos)>,
 }
 
-impl Writes {
+impl WritingThread {
     fn run(mut self, blocks: Receiver<BlockEncoder>) {
         for block in blocks {
             if let Err(error) = self.write(&block) {
--- a/crates/trace/src/request_timelines.rs
+++ b/crates/trace/src/request_timelines.rs
@@ -1,6 +1,6 @@
 //! Request timelines: the records of each request joined from its arrival to its end.
 
-use crate::record::{Card, Record, Source, What};
+use crate::record::{PodSnapshot, Record, Source, What};
 use havenplank::interface::{AttemptEnd, Nanos, RequestId, RouteClassId};
 use havenplank_sidecar::engine::Effect;
 use havenplank_sidecar::events::Event;
@@ -27,7 +27,7 @@
 #[derive(Clone, Debug)]
 pub struct Attempt {
     /// The pod that it was sent to.
-    pub pod: Option<Arc<Card>>,
+    pub pod: Option<Arc<PodSnapshot>>,
     /// When it was sent, in nanoseconds.
     pub sent: Nanos,
     /// How it ended, and when in nanoseconds; `None` while it is in flight.
--- a/crates/trace/src/summary/exposure.rs
+++ b/crates/trace/src/summary/exposure.rs
@@ -2,7 +2,7 @@
 
 use super::{row_or_others, Summary};
 use crate::file::Reader;
-use crate::record::{Card, Record, What};
+use crate::record::{PodSnapshot, Record, What};
 use crate::request_timelines::RequestTimelines;
 use havenplank::interface::{Build, ExposureSettings, Nanos, Phase, RouteClassId, Stage};
 use havenplank_sidecar::engine::Effect;
@@ -84,7 +84,7 @@
         }
     }
 
-    fn is_on_trial(&self, pod: &Option<Arc<Card>>) -> bool {
+    fn is_on_trial(&self, pod: &Option<Arc<PodSnapshot>>) -> bool {
         pod.as_ref().is_some_and(|pod| pod.build == self.build)
     }
 
