--- a/crates/trace/src/json_view.rs
+++ b/crates/trace/src/json_view.rs
@@ -12,7 +12,7 @@
 use havenplank_sidecar::events::Event;
 use serde_json::{json, Map, Value};
 
-/// Returns the stage in force at the start of a block, in the words of [`line`].
+/// Returns the stage in force at the start of a block, in the words of [`line()`].
 pub fn standing(standing: &StageInForce) -> Value {
     json!({"source": standing.source, "at": standing.at, "in_force": stage(&standing.stage)})
 }
