--- a/crates/emulator/src/desk.rs
+++ b/crates/emulator/src/desk.rs
@@ -3,6 +3,7 @@
 use crate::book::Book;
 use crate::fleet::Fleet;
 use crate::notation::{part, Offer, FIRST};
+use crate::vote_inbox::VoteInbox;
 use futures_util::{SinkExt, StreamExt};
 use havenplank::interface::{Build, Nanos, Phase, ReleaseControl, Stage, Vote, VoteReceipt};
 use havenplank_invariants::ledger::{phase_name, Seen};
@@ -373,19 +374,6 @@
     }
 
     async fn follower(&self, stream: TcpStream) {
-        #[derive(Default)]
-        struct Asks {
-            name: Option<String>,
-            votes: Vec<(u64, Build, usize, Vote)>,
-        }
-        impl control_plane::Service for Asks {
-            fn greeted(&mut self, name: String) {
-                self.name = Some(name);
-            }
-            fn cast_vote(&mut self, vote: u64, build: Build, stage: usize, voice: Vote) {
-                self.votes.push((vote, build, stage, voice));
-            }
-        }
         let _ = stream.set_nodelay(true);
         let mut framed = Framed::new(
             stream,
@@ -398,7 +386,7 @@
         {
             return;
         }
-        let (mut asks, mut seq) = (Asks::default(), 0);
+        let (mut asks, mut seq) = (VoteInbox::default(), 0);
         // What was told last, and when it is told again.
         let mut told: Option<(Build, usize, Phase, Nanos)> = None;
         loop {
@@ -409,7 +397,7 @@
                 },
                 () = sleep(Duration::from_millis(50)) => {}
             }
-            let Some(name) = asks.name.clone() else {
+            let Some(name) = asks.sidecar.clone() else {
                 continue;
             };
             let mut out = String::new();
@@ -432,9 +420,9 @@
                     told = Some((state.build, state.stage, state.phase, now));
                 }
             }
-            for (vote, build, stage, voice) in std::mem::take(&mut asks.votes) {
+            for pending in asks.take() {
                 sleep(ANSWERS).await;
-                let heard = self.vote(&name, build, stage, voice);
+                let heard = self.vote(&name, pending.build, pending.stage, pending.vote);
                 if self.mute.get() {
                     continue;
                 }
@@ -451,7 +439,7 @@
                         .or(told);
                 }
                 seq += 1;
-                control_plane::write_vote_reply(&mut out, seq, vote, heard, stage.as_ref());
+                control_plane::write_vote_reply(&mut out, seq, pending.call, heard, stage.as_ref());
             }
             if !out.is_empty() && framed.send(out).await.is_err() {
                 return;
--- /dev/null
+++ b/crates/emulator/src/drive/error.rs
@@ -0,0 +1,20 @@
+//! Errors of a drive.
+
+use havenplank_trace::TraceError;
+
+/// Why a trace could not be driven.
+#[derive(Debug, thiserror::Error)]
+pub enum DriveError {
+    /// The trace could not be read.
+    #[error("{0}")]
+    Trace(#[from] TraceError),
+    /// A socket, a file or the sidecar process failed.
+    #[error("{0}")]
+    Io(#[from] std::io::Error),
+    /// The trace holds no requests, or too many.
+    #[error("{0}")]
+    Unfit(String),
+    /// The sidecar did not start to listen in time; holds what it logged.
+    #[error("the sidecar did not listen within 20 s: {0}")]
+    Silent(String),
+}
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -18,3 +18,4 @@
 pub mod pod;
 pub mod relay;
 pub mod scripted;
+mod vote_inbox;
