--- a/crates/emulator/src/clients.rs
+++ b/crates/emulator/src/clients.rs
@@ -22,7 +22,8 @@
 use tokio::task::{spawn_local, JoinSet};
 use tokio::time::{sleep, sleep_until, timeout};
 
-const TRIES: u32 = 4;
+/// Attempts of one request, the first counted.
+const MAX_ATTEMPTS: u32 = 4;
 /// A kept connection idle for longer is not used again: the other side may be closing it.
 const IDLE: Duration = Duration::from_secs(1);
 /// How long past its time a client still listens, to tell a late answer from none.
@@ -87,6 +88,92 @@
     }
 }
 
+/// A request as drawn for a client; its retries repeat it.
+struct ClientRequest {
+    id: u64,
+    /// Index of its route class.
+    class: usize,
+    key: u64,
+    work: Nanos,
+    /// Whether the client retries at all.
+    retries: bool,
+    heeds_retry_after: bool,
+    timeout: Nanos,
+}
+
+/// How long a client waits for an answer, and what it counts after that.
+struct Patience {
+    limit: Duration,
+    at_limit: Answer,
+}
+
+/// What a client sees of one attempt.
+struct AttemptOutcome {
+    answer: Answer,
+    retry_after: Nanos,
+    wrong: bool,
+}
+
+impl AttemptOutcome {
+    /// No sidecar took a connection.
+    const UNREACHABLE: AttemptOutcome = AttemptOutcome {
+        answer: Answer::Bounced,
+        retry_after: 0,
+        wrong: false,
+    };
+}
+
+/// What came back on the connection.
+struct Reply {
+    answer: Answer,
+    retry_after: Nanos,
+    /// The pod that gave a wrong answer.
+    wrong_pod: Option<String>,
+}
+
+impl Reply {
+    fn without_body(answer: Answer) -> Reply {
+        Reply {
+            answer,
+            retry_after: 0,
+            wrong_pod: None,
+        }
+    }
+
+    fn leaves_connection_usable(&self) -> bool {
+        matches!(
+            self.answer,
+            Answer::Delivered | Answer::Bounced | Answer::Errored
+        )
+    }
+}
+
+/// Sends a message and reads the whole answer.
+async fn exchange(sender: &mut Sender, message: Request<Full<Bytes>>) -> Reply {
+    let response = match sender.try_send_request(message).await {
+        Ok(response) => response,
+        Err(error) if error.message().is_some() => return Reply::without_body(Answer::NotTaken),
+        Err(_) => return Reply::without_body(Answer::Broken),
+    };
+    let (parts, body) = response.into_parts();
+    if body.collect().await.is_err() {
+        return Reply::without_body(Answer::Broken);
+    }
+    let text = |name: &str| parts.headers.get(name)?.to_str().ok();
+    let retry_after = text(RETRY_AFTER.as_str()).and_then(|secs| secs.parse::<u64>().ok());
+    let answer = match parts.status {
+        StatusCode::SERVICE_UNAVAILABLE if retry_after.is_some() => Answer::Bounced,
+        StatusCode::BAD_GATEWAY | StatusCode::GATEWAY_TIMEOUT => Answer::Errored,
+        StatusCode::OK => Answer::Delivered,
+        _ => Answer::NotTaken,
+    };
+    Reply {
+        answer,
+        retry_after: retry_after.unwrap_or(0) * 1_000_000_000,
+        wrong_pod: text(WRONG).and(text("x-pod")).map(str::to_string),
+    }
+}
+
 /// How the hits of one path group fared, a client's own tries counted under the first.
 #[derive(Clone)]
 pub struct Fared {
@@ -174,72 +261,33 @@
             }
             sleep_until(began + at).await;
             let clients = self.clone();
-            out.spawn_local(async move { clients.hit().await });
+            out.spawn_local(async move { clients.send().await });
             while out.try_join_next().is_some() {}
         }
         while out.join_next().await.is_some() {}
     }
 
-    async fn hit(self: Rc<Self>) {
-        let mut left = self.draw() * self.day.loads.iter().map(|load| load.share).sum::<f64>();
-        let load = self.day.loads.iter().find(|load| {
-            left -= load.share;
-            left < 0.0
-        });
-        let load = load.unwrap_or(&self.day.loads[0]);
-        let Some(group) = self
-            .site
-            .route_classes
-            .iter()
-            .position(|group| group.name == load.group)
-        else {
+    /// Sends one request, with retries, and counts its outcome.
+    async fn send(self: Rc<Self>) {
+        let Some(request) = self.draw_request() else {
             return;
         };
-        let rules = self.site.route_classes[group].rules;
-        let (hit, began) = (self.number(), Instant::now());
-        let key = (self.draw() * load.keys as f64) as u64 + 1;
-        let work = load.work as f64 * (0.5 - 0.5 * (1.0 - self.draw()).ln());
-        let (stubborn, heeds) = (
-            self.draw() < self.day.retries,
-            self.draw() < self.day.honour,
-        );
-        let waits = (rules.client_timeout as f64 * (0.5 + 0.5 * self.draw())) as Nanos;
-        self.fared.borrow_mut()[group].asked += 1;
+        let began = Instant::now();
+        self.fared.borrow_mut()[request.class].asked += 1;
         let mut last = Answer::Errored;
-        for _ in 0..TRIES {
-            let (answer, retry_after, wrong) =
-                self.ask(hit, group, key, work as Nanos, waits).await;
-            last = answer;
-            if answer == Answer::Delivered {
-                let took = began.elapsed();
-                let fared = &mut self.fared.borrow_mut()[group];
-                fared.wrong += wrong as u64;
-                let in_time = took.as_nanos() as Nanos <= rules.latency_objective;
-                *if in_time {
-                    &mut fared.in_time
-                } else {
-                    &mut fared.late
-                } += 1;
-                let _ = fared.took_us.record(took.as_micros() as u64);
+        for _ in 0..MAX_ATTEMPTS {
+            let outcome = self.attempt(&request).await;
+            last = outcome.answer;
+            if outcome.answer == Answer::Delivered {
+                self.count_delivered(&request, began.elapsed(), outcome.wrong);
                 return;
             }
-            // Only a bounce says that a retry is harmless; a repeatable hit needs no leave.
-            let harmless = match rules.idempotency {
-                Idempotency::Idempotent => true,
-                _ => answer == Answer::Bounced,
-            };
-            if !stubborn || !harmless || answer == Answer::Left {
+            if !self.may_retry(&request, outcome.answer) {
                 break;
             }
-            let pause = 0.05 + 0.2 * self.draw();
-            let pause = if heeds {
-                pause.max(retry_after as f64 / 1e9)
-            } else {
-                pause
-            };
-            sleep(Duration::from_secs_f64(pause)).await;
+            sleep(self.draw_pause(&request, outcome.retry_after)).await;
         }
-        let fared = &mut self.fared.borrow_mut()[group];
+        let fared = &mut self.fared.borrow_mut()[request.class];
         match last {
             Answer::Left => fared.left += 1,
             Answer::Bounced => fared.bounced += 1,
@@ -247,133 +295,161 @@
         }
     }
 
-    /// One try; its answer, the advice to come back, and whether the answer is wrong.
-    async fn ask(
-        self: &Rc<Self>,
-        hit: u64,
-        group: usize,
-        key: u64,
-        work: Nanos,
-        waits: Nanos,
-    ) -> (Answer, Nanos, bool) {
-        let unreachable = (Answer::Bounced, 0, false);
-        let up: Vec<&Rc<Target>> = self
-            .targets
-            .iter()
-            .filter(|target| target.address.get().is_some())
-            .collect();
-        if up.is_empty() {
-            return unreachable;
+    /// Draws a request of one of the scenario's loads; none if the settings lack its route class.
+    fn draw_request(&self) -> Option<ClientRequest> {
+        let mut left = self.draw() * self.day.loads.iter().map(|load| load.share).sum::<f64>();
+        let load = self.day.loads.iter().find(|load| {
+            left -= load.share;
+            left < 0.0
+        });
+        let load = load.unwrap_or(&self.day.loads[0]);
+        let classes = &self.site.route_classes;
+        let class = classes.iter().position(|class| class.name == load.group)?;
+        let client_timeout = classes[class].rules.client_timeout as f64;
+        Some(ClientRequest {
+            id: self.number(),
+            class,
+            key: (self.draw() * load.keys as f64) as u64 + 1,
+            work: (load.work as f64 * (0.5 - 0.5 * (1.0 - self.draw()).ln())) as Nanos,
+            retries: self.draw() < self.day.retries,
+            heeds_retry_after: self.draw() < self.day.honour,
+            timeout: (client_timeout * (0.5 + 0.5 * self.draw())) as Nanos,
+        })
+    }
+
+    fn count_delivered(&self, request: &ClientRequest, took: Duration, wrong: bool) {
+        let objective = self.site.route_classes[request.class]
+            .rules
+            .latency_objective;
+        let fared = &mut self.fared.borrow_mut()[request.class];
+        fared.wrong += wrong as u64;
+        if took.as_nanos() as Nanos <= objective {
+            fared.in_time += 1;
+        } else {
+            fared.late += 1;
         }
-        let target = up[(self.draw() * up.len() as f64) as usize].clone();
-        let Some(mut sender) = target.connection().await else {
-            return unreachable;
+        let _ = fared.took_us.record(took.as_micros() as u64);
+    }
+
+    /// Only a rejection says that a retry is harmless; an idempotent request may always be retried.
+    fn may_retry(&self, request: &ClientRequest, answer: Answer) -> bool {
+        let harmless = match self.site.route_classes[request.class].rules.idempotency {
+            Idempotency::Idempotent => true,
+            _ => answer == Answer::Bounced,
         };
-        let ask = self.number();
-        self.tries.set(self.tries.get() + 1);
-        let request = self.request(ask, hit, group, key, work, waits);
-        let (sidecar, left) = (target.name.clone(), waits);
-        self.book.write(Seen::Asked {
-            ask,
-            hit,
-            sidecar,
-            group,
-            key,
-            left,
-        });
-        let leaves = self.draw() < self.day.impatient;
-        let patience = if leaves {
-            waits as f64 * 0.2 * self.draw()
+        request.retries && harmless && answer != Answer::Left
+    }
+
+    fn draw_pause(&self, request: &ClientRequest, retry_after: Nanos) -> Duration {
+        let pause = 0.05 + 0.2 * self.draw();
+        let pause = if request.heeds_retry_after {
+            pause.max(retry_after as f64 / 1e9)
         } else {
-            waits as f64 + LISTENS.as_nanos() as f64
+            pause
         };
-        let exchange = async {
-            let response = match sender.try_send_request(request).await {
-                Ok(response) => response,
-                Err(error) if error.message().is_some() => return (Answer::NotTaken, 0, None),
-                Err(_) => return (Answer::Broken, 0, None),
-            };
-            let (parts, body) = response.into_parts();
-            if body.collect().await.is_err() {
-                return (Answer::Broken, 0, None);
-            }
-            let text = |name: &str| {
-                parts
-                    .headers
-                    .get(name)
-                    .and_then(|value| value.to_str().ok())
-            };
-            let retry_after = text(RETRY_AFTER.as_str()).and_then(|secs| secs.parse::<u64>().ok());
-            let answer = match parts.status {
-                StatusCode::SERVICE_UNAVAILABLE if retry_after.is_some() => Answer::Bounced,
-                StatusCode::BAD_GATEWAY | StatusCode::GATEWAY_TIMEOUT => Answer::Errored,
-                StatusCode::OK => Answer::Delivered,
-                _ => Answer::NotTaken,
-            };
-            let wrong = text(WRONG).and(text("x-pod")).map(str::to_string);
-            (answer, retry_after.unwrap_or(0) * 1_000_000_000, wrong)
+        Duration::from_secs_f64(pause)
+    }
+
+    /// Sends a request once, to one of the sidecars that are up.
+    async fn attempt(self: &Rc<Self>, request: &ClientRequest) -> AttemptOutcome {
+        let Some(target) = self.draw_target() else {
+            return AttemptOutcome::UNREACHABLE;
         };
-        let ended = timeout(Duration::from_nanos(patience as u64), exchange).await;
-        let (answer, retry_after, wrong) = match ended {
-            Ok(ended) => ended,
-            Err(_) if leaves => (Answer::Left, 0, None),
-            Err(_) => (Answer::Missing, 0, None),
+        let Some(mut sender) = target.connection().await else {
+            return AttemptOutcome::UNREACHABLE;
         };
+        let attempt = self.number();
+        self.tries.set(self.tries.get() + 1);
+        let message = self.message(attempt, request);
+        self.book.write(Seen::Asked {
+            ask: attempt,
+            hit: request.id,
+            sidecar: target.name.clone(),
+            group: request.class,
+            key: request.key,
+            left: request.timeout,
+        });
+        let patience = self.draw_patience(request.timeout);
+        let ended = timeout(patience.limit, exchange(&mut sender, message)).await;
+        let reply = ended.unwrap_or(Reply::without_body(patience.at_limit));
         self.book.write(Seen::Answered {
-            ask,
-            answer,
-            retry_after,
+            ask: attempt,
+            answer: reply.answer,
+            retry_after: reply.retry_after,
         });
-        if matches!(
-            answer,
-            Answer::Delivered | Answer::Bounced | Answer::Errored
-        ) {
+        if reply.leaves_connection_usable() {
             target.idle.borrow_mut().push((sender, Instant::now()));
         }
-        if let Some(pod) = wrong.clone().filter(|_| self.draw() < self.day.flagged) {
-            let (clients, target) = (self.clone(), target.clone());
-            spawn_local(async move { clients.flag(&target, &pod, group).await });
+        let wrong = reply.wrong_pod.is_some();
+        if let Some(pod) = reply.wrong_pod.filter(|_| self.draw() < self.day.flagged) {
+            let (clients, class) = (self.clone(), request.class);
+            spawn_local(async move { clients.flag(&target, &pod, class).await });
+        }
+        AttemptOutcome {
+            answer: reply.answer,
+            retry_after: reply.retry_after,
+            wrong,
+        }
+    }
+
+    /// Draws a sidecar that is up, if any is.
+    fn draw_target(&self) -> Option<Rc<Target>> {
+        let up: Vec<&Rc<Target>> = self
+            .targets
+            .iter()
+            .filter(|target| target.address.get().is_some())
+            .collect();
+        if up.is_empty() {
+            return None;
+        }
+        Some(up[(self.draw() * up.len() as f64) as usize].clone())
+    }
+
+    fn draw_patience(&self, client_timeout: Nanos) -> Patience {
+        let leaves = self.draw() < self.day.impatient;
+        let limit = if leaves {
+            client_timeout as f64 * 0.2 * self.draw()
+        } else {
+            client_timeout as f64 + LISTENS.as_nanos() as f64
+        };
+        Patience {
+            limit: Duration::from_nanos(limit as u64),
+            at_limit: if leaves {
+                Answer::Left
+            } else {
+                Answer::Missing
+            },
         }
-        (answer, retry_after, wrong.is_some())
     }
 
-    fn request(
-        &self,
-        ask: u64,
-        hit: u64,
-        group: usize,
-        key: u64,
-        work: Nanos,
-        waits: Nanos,
-    ) -> Request<Full<Bytes>> {
-        let (rules, headers) = (&self.site.route_classes[group], &self.site.headers);
-        let method = rules.methods.first().map_or("GET", String::as_str);
-        let path = rules
-            .paths
-            .first()
-            .map_or("/", String::as_str)
-            .trim_end_matches('*');
+    /// The HTTP message of an attempt.
+    fn message(&self, attempt: u64, request: &ClientRequest) -> Request<Full<Bytes>> {
+        let class = &self.site.route_classes[request.class];
+        let headers = &self.site.headers;
+        let method = class.methods.first().map_or("GET", String::as_str);
+        let path = class.paths.first().map_or("/", String::as_str);
         let body = if method == "GET" {
             Bytes::new()
         } else {
             Bytes::from_static(b"repository\n")
         };
-        let mark =
-            (rules.rules.idempotency == Idempotency::Keyed).then(|| format!("\"hit-{hit}\""));
-        let mut request = Request::builder()
+        let mut message = Request::builder()
             .method(method)
-            .uri(path)
+            .uri(path.trim_end_matches('*'))
             .header("host", "search.example.org")
-            .header(ASK, ask)
-            .header(GROUP, group)
-            .header(WORK, work / 1_000)
-            .header(&headers.idempotency_key, key)
-            .header(&headers.timeout, format!("{}m", waits / 1_000_000));
-        if let Some(mark) = mark {
-            request = request.header("idempotency-key", mark);
+            .header(ASK, attempt)
+            .header(GROUP, request.class)
+            .header(WORK, request.work / 1_000)
+            .header(&headers.idempotency_key, request.key)
+            .header(
+                &headers.timeout,
+                format!("{}m", request.timeout / 1_000_000),
+            );
+        if class.rules.idempotency == Idempotency::Keyed {
+            message = message.header("idempotency-key", format!("\"hit-{}\"", request.id));
         }
         // The parts are all our own or from checked settings.
-        request
+        message
             .body(Full::new(body))
             .expect("a request that is well formed")
     }
--- a/crates/emulator/src/notation.rs
+++ b/crates/emulator/src/notation.rs
@@ -309,81 +309,98 @@
     })
 }
 
+/// Reads one statement into the scenario.
 fn statement(day: &mut Day, input: &mut &str) -> Res<()> {
     let word = take_while(1.., |c: char| c.is_ascii_alphabetic() || c == '_');
     let word: &str = word.context(want("a statement")).parse_next(input)?;
     space1.context(want("a value")).parse_next(input)?;
-    let mut names = repeat(0.., preceded(space1, name));
     match word {
-        "settings" => {
-            let path = take_while(1..=256, |c: char| c.is_ascii_graphic());
-            day.settings = { path }.map(str::to_string).parse_next(input)?;
-        }
+        "settings" => day.settings = settings_path(input)?,
         "length" => day.length = span(input)?,
         "rate" => day.rate = number(input)?,
         "sidecars" => day.sidecars = count(input)?.max(1),
-        "pods" => {
-            day.pods = count(input)?.max(1);
-            let more = (
-                opt(with("cores", count)),
-                opt(with("speed", number)),
-                opt(with("queue", count)),
-                opt(with("cold", share)),
-                opt(with("warm", span)),
-            );
-            let (cores, speed, queue, cold, warm) = { more }.parse_next(input)?;
-            day.cores = cores.unwrap_or(day.cores).max(1);
-            day.speed = speed.unwrap_or(day.speed).max(0.01);
-            day.queue = queue.unwrap_or(day.queue);
-            day.initial_capacity = cold.unwrap_or(day.initial_capacity);
-            day.warm_up = warm.unwrap_or(day.warm_up);
-        }
-        "zones" => {
-            let first = name(input)?;
-            let more: Vec<String> = names.parse_next(input)?;
-            day.zones = std::iter::once(first).chain(more).collect();
-        }
+        "pods" => pods(day, input)?,
+        "zones" => day.zones = one_or_more(name, input)?,
         "work" => day.loads.push(load(input)?),
-        "stages" => {
-            let first = share(input)?;
-            let more: Vec<f64> = repeat(0.., preceded(space1, share)).parse_next(input)?;
-            day.stages = std::iter::once(first).chain(more).collect();
-        }
+        "stages" => day.stages = one_or_more(share, input)?,
         "offer" => day.offers.push(offer(input)?),
-        "control" => {
-            let kinds = alt(("any", "count", "clock")).context(want("any, count or clock"));
-            day.control = { kinds }.map(str::to_string).parse_next(input)?;
-            let needs = (opt(with("on", share)), opt(with("back", share)));
-            let (on, back) = { needs }.parse_next(input)?;
-            (day.advance_quorum, day.rollback_quorum) = (
-                on.unwrap_or(day.advance_quorum),
-                back.unwrap_or(day.rollback_quorum),
-            );
-        }
+        "control" => control(day, input)?,
         "notice" => {
             let both = separated_pair(span, (space1, "period", space1), span);
             (day.notice, day.period) = { both }.parse_next(input)?;
         }
-        "clients" => {
-            let told = (
-                share,
-                with("honour", share),
-                with("impatient", share),
-                with("flagged", share),
-            );
-            (day.retries, day.honour, day.impatient, day.flagged) = { told }.parse_next(input)?;
-        }
+        "clients" => clients(day, input)?,
         "at" => day.events.push(event(input)?),
-        _ => {
-            let known = "settings, length, rate, sidecars, pods, zones, work, stages, offer, control, notice, clients, at";
-            let mut error = ContextError::new();
-            error.push(want(known));
-            return Err(ErrMode::Cut(error));
-        }
+        _ => return Err(unknown_statement()),
     }
     Ok(())
 }
 
+fn settings_path(input: &mut &str) -> Res<String> {
+    take_while(1..=256, |c: char| c.is_ascii_graphic())
+        .map(str::to_string)
+        .parse_next(input)
+}
+
+/// One value or more, with spaces between them.
+fn one_or_more<'a, T>(
+    mut value: impl FnMut(&mut &'a str) -> Res<T>,
+    input: &mut &'a str,
+) -> Res<Vec<T>> {
+    let first = value(input)?;
+    let more: Vec<T> = repeat(0.., preceded(space1, value)).parse_next(input)?;
+    Ok(std::iter::once(first).chain(more).collect())
+}
+
+/// The pods' number and, where given, what each can do.
+fn pods(day: &mut Day, input: &mut &str) -> Res<()> {
+    day.pods = count(input)?.max(1);
+    let more = (
+        opt(with("cores", count)),
+        opt(with("speed", number)),
+        opt(with("queue", count)),
+        opt(with("cold", share)),
+        opt(with("warm", span)),
+    );
+    let (cores, speed, queue, cold, warm) = { more }.parse_next(input)?;
+    day.cores = cores.unwrap_or(day.cores).max(1);
+    day.speed = speed.unwrap_or(day.speed).max(0.01);
+    day.queue = queue.unwrap_or(day.queue);
+    day.initial_capacity = cold.unwrap_or(day.initial_capacity);
+    day.warm_up = warm.unwrap_or(day.warm_up);
+    Ok(())
+}
+
+/// Who moves the stages, and the quorums.
+fn control(day: &mut Day, input: &mut &str) -> Res<()> {
+    let kinds = alt(("any", "count", "clock")).context(want("any, count or clock"));
+    day.control = { kinds }.map(str::to_string).parse_next(input)?;
+    let quorums = (opt(with("on", share)), opt(with("back", share)));
+    let (advance, rollback) = { quorums }.parse_next(input)?;
+    day.advance_quorum = advance.unwrap_or(day.advance_quorum);
+    day.rollback_quorum = rollback.unwrap_or(day.rollback_quorum);
+    Ok(())
+}
+
+/// The shares of clients that retry, heed advice, leave early and report wrong answers.
+fn clients(day: &mut Day, input: &mut &str) -> Res<()> {
+    let shares = (
+        share,
+        with("honour", share),
+        with("impatient", share),
+        with("flagged", share),
+    );
+    (day.retries, day.honour, day.impatient, day.flagged) = { shares }.parse_next(input)?;
+    Ok(())
+}
+
+fn unknown_statement() -> ErrMode<ContextError> {
+    let known = "settings, length, rate, sidecars, pods, zones, work, stages, offer, control, notice, clients, at";
+    let mut error = ContextError::new();
+    error.push(want(known));
+    ErrMode::Cut(error)
+}
+
 /// Reads a day file.
 ///
 /// # Errors
--- /dev/null
+++ b/crates/emulator/src/sidecars.rs
@@ -0,0 +1,342 @@
+//! The sidecar processes of a scenario: started, stopped or killed, restarted, their logs read.
+
+use crate::book::Book;
+use crate::clients::Target;
+use crate::notation::{part, Day};
+use havenplank_invariants::ledger::Seen;
+use oorandom::Rand64;
+use rustix::process::{kill_process, Pid, Signal};
+use std::cell::{Cell, RefCell};
+use std::collections::BTreeMap;
+use std::io::Write;
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::process::Stdio;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::io::{AsyncBufRead, AsyncBufReadExt, BufReader};
+use tokio::process::{Child, Command};
+use tokio::sync::oneshot;
+use tokio::task::{spawn_local, JoinSet};
+use tokio::time::{sleep, timeout};
+
+/// How long a sidecar may take until it listens.
+const START: Duration = Duration::from_secs(20);
+/// How long a sidecar that was told to stop may take.
+const STOP_TIMEOUT: Duration = Duration::from_secs(10);
+
+/// How sidecars are started.
+#[derive(Clone, Debug)]
+pub struct Launch {
+    /// The program that runs a sidecar.
+    pub program: PathBuf,
+    /// The settings script of all sidecars.
+    pub settings: PathBuf,
+    /// Where each keeps its last list and its log.
+    pub folder: PathBuf,
+    /// Where the sidecars record, if they are to.
+    pub trace: Option<PathBuf>,
+}
+
+/// Why a scenario could not be played.
+#[derive(Debug, thiserror::Error)]
+pub enum DayError {
+    /// A socket, a file or a process failed.
+    #[error("stand-ins: {0}")]
+    Io(#[from] std::io::Error),
+    /// A sidecar did not say in time where it listens.
+    #[error("{0} did not say where it listens within {START:?}; its log is beside its list")]
+    Silent(String),
+}
+
+/// The values that a settings script is given for a day, apart from names and addresses.
+pub fn given(day: &Day) -> Vec<(String, String)> {
+    let advance = part(day.advance_quorum, day.sidecars);
+    let rollback = part(day.rollback_quorum, day.sidecars);
+    let advance = if day.control == "count" { advance } else { 0 };
+    let rollback = if day.control == "any" { 1 } else { rollback };
+    [
+        ("instances", day.sidecars.to_string()),
+        ("control", day.control.clone()),
+        ("on_needs", advance.to_string()),
+        ("back_needs", rollback.to_string()),
+        ("zone", day.zones[0].clone()),
+    ]
+    .map(|(name, value)| (name.to_string(), value))
+    .to_vec()
+}
+
+/// How a process or a pod ends.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Shutdown {
+    Graceful,
+    Kill,
+}
+
+/// Where the services that sidecars connect to listen.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct ServiceAddresses {
+    pub(crate) endpoint_list: SocketAddr,
+    pub(crate) control_plane: SocketAddr,
+}
+
+/// Where a sidecar listens.
+#[derive(Clone, Copy, Debug)]
+struct SidecarAddresses {
+    listen: SocketAddr,
+    admin: SocketAddr,
+}
+
+/// What the logs of all sidecars told.
+#[derive(Debug, Default)]
+pub(crate) struct Observed {
+    /// Votes cast, by vote.
+    pub(crate) votes: BTreeMap<String, u64>,
+    /// Faults of the sidecar processes, a line each.
+    pub(crate) troubles: Vec<String>,
+}
+
+/// All sidecar processes of a scenario.
+pub(crate) struct Sidecars {
+    book: Book,
+    launch: Launch,
+    day: Day,
+    services: ServiceAddresses,
+    targets: Vec<Rc<Target>>,
+    children: RefCell<Vec<Option<Child>>>,
+    random: RefCell<Rand64>,
+    observed: Rc<RefCell<Observed>>,
+    /// Set at the end, when no sidecar is started again.
+    over: Cell<bool>,
+}
+
+impl Sidecars {
+    pub(crate) fn new(
+        book: Book,
+        launch: Launch,
+        day: Day,
+        services: ServiceAddresses,
+        targets: Vec<Rc<Target>>,
+        seed: u64,
+    ) -> Rc<Sidecars> {
+        Rc::new(Sidecars {
+            book,
+            launch,
+            services,
+            children: RefCell::new((0..day.sidecars).map(|_| None).collect()),
+            day,
+            targets,
+            random: RefCell::new(Rand64::new(seed as u128)),
+            observed: Rc::default(),
+            over: Cell::new(false),
+        })
+    }
+
+    pub(crate) fn count(&self) -> usize {
+        self.targets.len()
+    }
+
+    /// Starts a sidecar and waits until it listens.
+    pub(crate) async fn start(&self, instance: usize) -> Result<(), DayError> {
+        let target = self.targets[instance].clone();
+        let name = target.name.clone();
+        let log = std::fs::OpenOptions::new()
+            .create(true)
+            .append(true)
+            .open(self.launch.folder.join(format!("{name}.log")))?;
+        let mut child = self.command(instance).spawn()?;
+        let (ready, listens) = oneshot::channel();
+        if let Some(stderr) = child.stderr.take() {
+            let reader = LogReader {
+                sidecar: name.clone(),
+                copy: log,
+                ready: Some(ready),
+                observed: self.observed.clone(),
+            };
+            spawn_local(reader.run(BufReader::new(stderr)));
+        }
+        let addresses = timeout(START, listens).await.ok().and_then(Result::ok);
+        let addresses = addresses.ok_or(DayError::Silent(name.clone()))?;
+        self.book.write(Seen::SidecarUp { sidecar: name });
+        self.children.borrow_mut()[instance] = Some(child);
+        target.comes_up(addresses.listen, addresses.admin);
+        Ok(())
+    }
+
+    fn command(&self, instance: usize) -> Command {
+        let seed = self.random.borrow_mut().rand_u64() >> 1;
+        let mut command = Command::new(&self.launch.program);
+        command
+            .args(["--log-format", "json", "serve"])
+            .arg(&self.launch.settings)
+            .args(["--seed", &seed.to_string()]);
+        for (name, value) in self.values(instance) {
+            command.args(["--given", &format!("{name}={value}")]);
+        }
+        command
+            .stdin(Stdio::null())
+            .stdout(Stdio::null())
+            .stderr(Stdio::piped())
+            .kill_on_drop(true);
+        command
+    }
+
+    /// The values that the settings script is given for this sidecar.
+    fn values(&self, instance: usize) -> Vec<(String, String)> {
+        let name = &self.targets[instance].name;
+        let cached_list = self.launch.folder.join(format!("{name}.list"));
+        let zones = &self.day.zones;
+        let own = [
+            ("name", name.clone()),
+            ("rank", instance.to_string()),
+            ("listen", "127.0.0.1:0".to_string()),
+            ("admin", "127.0.0.1:0".to_string()),
+            ("nodes", self.services.endpoint_list.to_string()),
+            ("desk", self.services.control_plane.to_string()),
+            ("keep", cached_list.display().to_string()),
+            ("zone", zones[instance % zones.len()].clone()),
+        ];
+        let mut values = given(&self.day);
+        if let Some(folder) = &self.launch.trace {
+            values.push(("trace".to_string(), folder.display().to_string()));
+        }
+        values.extend(own.map(|(name, value)| (name.to_string(), value)));
+        values
+    }
+
+    /// Restarts these sidecars side by side; each stays down for `down`.
+    pub(crate) async fn restart_all(
+        self: &Rc<Self>,
+        instances: &[usize],
+        down: Duration,
+        shutdown: Shutdown,
+    ) {
+        let mut restarts = JoinSet::new();
+        for instance in instances.iter().copied() {
+            let sidecars = self.clone();
+            restarts.spawn_local(async move { sidecars.restart(instance, down, shutdown).await });
+        }
+        while restarts.join_next().await.is_some() {}
+    }
+
+    async fn restart(&self, instance: usize, down: Duration, shutdown: Shutdown) {
+        let Some(mut child) = self.children.borrow_mut()[instance].take() else {
+            return;
+        };
+        match shutdown {
+            Shutdown::Graceful => self.stop(instance, &mut child).await,
+            Shutdown::Kill => self.kill(instance, &mut child).await,
+        }
+        sleep(down).await;
+        if self.over.get() {
+            return;
+        }
+        if let Err(error) = self.start(instance).await {
+            self.report(error.to_string());
+        }
+    }
+
+    async fn stop(&self, instance: usize, child: &mut Child) {
+        let target = &self.targets[instance];
+        let sidecar = target.name.clone();
+        self.book.write(Seen::SidecarStops { sidecar });
+        target.goes_down();
+        if let Some(pid) = child.id().and_then(|pid| Pid::from_raw(pid as i32)) {
+            let _ = kill_process(pid, Signal::TERM);
+        }
+        let ended = timeout(STOP_TIMEOUT, child.wait()).await;
+        if !matches!(ended, Ok(Ok(status)) if status.success()) {
+            self.report(format!("{}: did not stop as told: {ended:?}", target.name));
+        }
+    }
+
+    async fn kill(&self, instance: usize, child: &mut Child) {
+        let target = &self.targets[instance];
+        let sidecar = target.name.clone();
+        self.book.write(Seen::SidecarKilled { sidecar });
+        target.goes_down();
+        let _ = child.kill().await;
+    }
+
+    /// From now on no sidecar is started again.
+    pub(crate) fn close(&self) {
+        self.over.set(true);
+    }
+
+    /// Kills all sidecars and reports those that had ended by themselves.
+    pub(crate) async fn kill_all(&self) {
+        let children: Vec<Option<Child>> = self.children.borrow_mut().drain(..).collect();
+        for (target, child) in self.targets.iter().zip(children) {
+            let Some(mut child) = child else { continue };
+            if let Ok(Some(status)) = child.try_wait() {
+                self.report(format!("{} ended by itself: {status}", target.name));
+            }
+            let _ = child.kill().await;
+        }
+    }
+
+    /// Takes what the logs told.
+    pub(crate) fn take_observed(&self) -> Observed {
+        self.observed.take()
+    }
+
+    fn report(&self, trouble: String) {
+        self.observed.borrow_mut().troubles.push(trouble);
+    }
+
+    /// Draws different sidecars at random, all of them when there are not so many.
+    pub(crate) fn draw(&self, count: usize) -> Vec<usize> {
+        let mut all: Vec<usize> = (0..self.targets.len()).collect();
+        let mut drawn = Vec::new();
+        while drawn.len() < count && !all.is_empty() {
+            let at = self.random.borrow_mut().rand_range(0..all.len() as u64) as usize;
+            drawn.push(all.swap_remove(at));
+        }
+        drawn
+    }
+}
+
+/// Copies a sidecar's log to a file, and reads off it where the sidecar listens and how it votes.
+struct LogReader {
+    sidecar: String,
+    copy: std::fs::File,
+    ready: Option<oneshot::Sender<SidecarAddresses>>,
+    observed: Rc<RefCell<Observed>>,
+}
+
+impl LogReader {
+    async fn run(mut self, log: impl AsyncBufRead + Unpin) {
+        let mut lines = log.lines();
+        while let Ok(Some(line)) = lines.next_line().await {
+            let _ = writeln!(self.copy, "{line}");
+            self.read(&line);
+        }
+    }
+
+    fn read(&mut self, line: &str) {
+        let Ok(logged) = serde_json::from_str::<serde_json::Value>(line) else {
+            let trouble = format!("{}: {line}", self.sidecar);
+            self.observed.borrow_mut().troubles.push(trouble);
+            return;
+        };
+        let field = |name: &str| logged["fields"][name].as_str().unwrap_or_default();
+        match field("message") {
+            "listening" => self.listens(field("listen"), field("admin")),
+            "vote" => {
+                let vote = field("voice").to_string();
+                *self.observed.borrow_mut().votes.entry(vote).or_default() += 1;
+            }
+            _ => {}
+        }
+    }
+
+    fn listens(&mut self, listen: &str, admin: &str) {
+        let (Ok(listen), Ok(admin)) = (listen.parse(), admin.parse()) else {
+            self.ready = None;
+            return;
+        };
+        if let Some(ready) = self.ready.take() {
+            let _ = ready.send(SidecarAddresses { listen, admin });
+        }
+    }
+}
