--- a/crates/emulator/src/pod.rs
+++ b/crates/emulator/src/pod.rs
@@ -1,4 +1,4 @@
-//! A pod as a model behind a real socket: cores, a queue, a cold start, and faults that a script turns on.
+//! An emulated pod behind a real socket: cores, a queue, a slow start, and faults that a scenario injects.
 
 use crate::book::Book;
 use bytes::Bytes;
@@ -17,50 +17,71 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::net::TcpListener;
+use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{watch, Semaphore};
 use tokio::task::{spawn_local, JoinSet};
 use tokio::time::sleep;
 
+/// Header of a client's attempt: its number in the ledger.
 pub const ASK: &str = "x-ask";
+/// Header of the work that a request needs, in microseconds of a core.
 pub const WORK: &str = "x-work-us";
+/// Header of a request's route class, by index.
 pub const GROUP: &str = "x-group";
+/// Header of a rejection by a pod that did not run the request.
 pub const UNSEEN: &str = "x-never-ran";
-/// Tells the client's stand-in, and nobody else, that an answer is wrong.
+/// Tells the emulated client, and nobody else, that an answer is wrong.
 pub const WRONG: &str = "x-wrong";
-const MARK: &str = "idempotency-key";
+/// Header of the idempotency key.
+const IDEMPOTENCY_KEY: &str = "idempotency-key";
+/// Header of a load report.
+const LOAD_REPORT: &str = "endpoint-load-metrics";
 /// How often a pod looks whether it is to refuse connections.
-const LOOKS: Duration = Duration::from_millis(20);
+const REFUSE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// What kind of machine a pod runs on.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Machine {
+    /// Requests that run at one time.
     pub cores: usize,
+    /// Nanoseconds of work that a warm core does in a nanosecond.
     pub speed: f64,
-    /// Hits that wait for a core, at most; one more is turned away unseen.
+    /// Requests that wait for a core, at most; one more is rejected without having run.
     pub queue: usize,
+    /// Share of its capacity that a pod has at its start.
     pub initial_capacity: f64,
+    /// How long the slow start takes, in nanoseconds.
     pub warm_up: Nanos,
+    /// Work that a warming pod bears within the window, as a multiple of its capacity.
     pub overload_multiple: f64,
+    /// The window in which that work is counted, in nanoseconds.
     pub overload_window: Nanos,
 }
 
 /// What may be wrong with a pod or a build; all shares from 0 to 1.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Faults {
+    /// No request gets an answer.
     pub hang: bool,
+    /// Share of requests that end in a server error.
     pub error: f64,
-    /// Errors of one path group only.
+    /// Errors of one route class only.
     pub error_group: Option<usize>,
+    /// Share of answers that are wrong.
     pub wrong: f64,
+    /// Factor on the time that work takes.
     pub slow: f64,
     /// Slow only while more than half of its cores are busy.
     pub slow_busy: f64,
+    /// Share of requests whose connection closes before they run.
     pub reset_before: f64,
+    /// Share of requests whose connection closes after they ran.
     pub reset_after: f64,
+    /// Share of requests that run and get no answer.
     pub lose_answer: f64,
+    /// How long a new connection waits before it is served, in nanoseconds.
     pub slow_connect: Nanos,
-    /// Nothing listens; connections that are open go on.
+    /// Nothing listens; open connections stay.
     pub refuse: bool,
 }
 
@@ -83,7 +104,7 @@
 }
 
 impl Faults {
-    /// Both at once.
+    /// Both faults at once.
     pub fn with(&self, other: &Faults) -> Faults {
         let either = |a: f64, b: f64| 1.0 - (1.0 - a) * (1.0 - b);
         Faults {
@@ -102,75 +123,157 @@
     }
 }
 
-/// Marks of hits that took effect, shared by the pods that drop each other's repeats.
+/// An idempotency key within its route class.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+struct ScopedKey {
+    key: String,
+    route_class: usize,
+}
+
+/// Additions to [`Marks`] between two removals of expired keys.
+const EXPIRE_EVERY: u32 = 1_000;
+
+/// Idempotency keys of requests that ran, shared by the pods that drop each other's repeats.
 #[derive(Default)]
 pub struct Marks {
-    /// Until when a repeat is dropped; emptied of what has passed once a thousand were added.
-    seen: RefCell<HashMap<(String, usize), Nanos>>,
+    /// Until when a repeat is dropped; bounded by the requests of a window and [`EXPIRE_EVERY`].
+    seen: RefCell<HashMap<ScopedKey, Nanos>>,
     added: Cell<u32>,
 }
 
 impl Marks {
-    /// Whether this mark is new, and remembers it.
-    fn first(&self, now: Nanos, mark: (String, usize), window: Nanos) -> bool {
+    /// Whether this key is new; remembers it for the window.
+    fn insert(&self, now: Nanos, key: ScopedKey, window: Nanos) -> bool {
         let mut seen = self.seen.borrow_mut();
         self.added.set(self.added.get() + 1);
-        if self.added.get().is_multiple_of(1_000) {
+        if self.added.get().is_multiple_of(EXPIRE_EVERY) {
             seen.retain(|_, until| *until >= now);
         }
-        if seen.get(&mark).is_some_and(|until| *until >= now) {
+        if seen.get(&key).is_some_and(|until| *until >= now) {
             return false;
         }
-        seen.insert(mark, now + window);
+        seen.insert(key, now + window);
         true
     }
 }
 
-/// What a pod must know of a path group.
+/// What a pod must know of a route class.
 #[derive(Clone, Debug)]
 pub struct Served {
+    /// Which pods drop each other's repeats.
     pub scope: DedupScope,
+    /// Whether requests carry an idempotency key.
     pub tagged: bool,
+    /// How long a repeat is dropped, in nanoseconds.
     pub dedup_window: Nanos,
 }
 
-/// Who a pod is.
+/// Which pod it is.
 #[derive(Clone, Debug)]
 pub struct Who {
+    /// Its name, unique in a scenario.
     pub name: String,
+    /// Its incarnation.
     pub life: u64,
+    /// The build that it runs.
     pub build: Build,
+    /// The zone that it runs in.
     pub zone: String,
+    /// Its cell: pods of one drop each other's repeats at the narrowest scope.
     pub cell: i64,
 }
 
+/// Work that reached a pod at a moment.
+#[derive(Clone, Copy, Debug)]
+struct Arrival {
+    at: Nanos,
+    work: Nanos,
+}
+
+/// Work that reached a pod within the overload window.
+#[derive(Debug, Default)]
+struct RecentWork {
+    /// Bounded by the requests of one window.
+    arrivals: VecDeque<Arrival>,
+    sum: f64,
+}
+
+impl RecentWork {
+    /// Adds work, forgets what is older than the window, and returns the sum.
+    fn add(&mut self, now: Nanos, work: Nanos, window: Nanos) -> f64 {
+        self.arrivals.push_back(Arrival { at: now, work });
+        self.sum += work as f64;
+        let old = |arrival: &mut Arrival| arrival.at + window < now;
+        while let Some(arrival) = self.arrivals.pop_front_if(old) {
+            self.sum -= arrival.work as f64;
+        }
+        self.sum
+    }
+}
+
+/// An emulated pod.
 pub struct Pod {
+    /// Which pod it is.
     pub who: Who,
+    /// The machine that it runs on.
     pub machine: Machine,
+    /// Where it listens.
     pub address: SocketAddr,
+    /// When it started.
     pub up_at: Nanos,
+    /// Faults that the scenario injects for a while.
     pub faults: RefCell<Faults>,
+    /// Faults of its build.
     pub build_faults: RefCell<Faults>,
-    /// Slowness of what all pods share.
+    /// Factor by which what all pods share slows them.
     pub shared: Rc<Cell<f64>>,
+    /// Whether it takes no new requests.
     pub draining: Cell<bool>,
     book: Book,
-    groups: Rc<Vec<Served>>,
+    route_classes: Rc<Vec<Served>>,
+    /// By scope of deduplication.
     marks: [Rc<Marks>; 3],
     cores: Semaphore,
     queued: Cell<usize>,
+    /// Requests that run now.
     pub busy: Cell<usize>,
+    /// Attempts that arrived since the fleet last counted them.
     pub forwards: Cell<u64>,
-    recent: RefCell<(VecDeque<(Nanos, Nanos)>, f64)>,
-    chance: RefCell<Rand64>,
+    recent: RefCell<RecentWork>,
+    random: RefCell<Rand64>,
     down: watch::Sender<bool>,
 }
 
-enum Done {
+/// How an attempt ends.
+enum Outcome {
     Answer(Response<Full<Bytes>>),
     /// The connection closes with no answer.
     Reset,
-    Never,
+    /// No answer comes, and the connection stays open.
+    Hang,
+}
+
+/// An attempt as its headers describe it.
+struct Attempt {
+    id: u64,
+    work: Nanos,
+    route_class: usize,
+    sidecar: String,
+    idempotency_key: String,
+}
+
+impl Attempt {
+    fn read(headers: &HeaderMap) -> Attempt {
+        let text = |name: &str| headers.get(name)?.to_str().ok();
+        let number = |name: &str| text(name)?.parse::<u64>().ok();
+        Attempt {
+            id: number(ASK).unwrap_or(0),
+            work: number(WORK).unwrap_or(1_000) * 1_000,
+            route_class: number(GROUP).unwrap_or(0) as usize,
+            sidecar: via(headers),
+            idempotency_key: text(IDEMPOTENCY_KEY).unwrap_or_default().to_string(),
+        }
+    }
 }
 
 impl Pod {
@@ -178,11 +281,11 @@
     ///
     /// # Errors
     /// No address to be had.
-    #[allow(clippy::too_many_arguments)]
+    #[allow(clippy::too_many_arguments)] // the fleet alone calls it, with a value for each
     pub async fn start(
         who: Who,
         machine: Machine,
-        groups: Rc<Vec<Served>>,
+        route_classes: Rc<Vec<Served>>,
         marks: [Rc<Marks>; 3],
         shared: Rc<Cell<f64>>,
         build_faults: Faults,
@@ -220,14 +323,14 @@
             shared,
             draining: Cell::new(false),
             book,
-            groups,
+            route_classes,
             marks,
             cores: Semaphore::new(machine.cores),
             queued: Cell::new(0),
             busy: Cell::new(0),
             forwards: Cell::new(0),
             recent: RefCell::default(),
-            chance: RefCell::new(Rand64::new(seed as u128)),
+            random: RefCell::new(Rand64::new(seed as u128)),
             down: watch::Sender::new(false),
         });
         spawn_local(accept(pod.clone(), listener));
@@ -239,35 +342,35 @@
         self.down.send_replace(true);
     }
 
+    /// Whether it was killed or broke down.
     pub fn is_down(&self) -> bool {
         *self.down.borrow()
     }
 
+    /// Time since its start.
     pub fn age(&self) -> Nanos {
         self.book.now().saturating_sub(self.up_at)
     }
 
+    /// The share of its capacity that a pod has by now.
     fn warmth(&self) -> f64 {
         let warm = (self.age() as f64 / self.machine.warm_up.max(1) as f64).min(1.0);
         self.machine.initial_capacity + (1.0 - self.machine.initial_capacity) * warm
     }
 
+    /// Draws whether a fault of this share happens.
     fn happens(&self, share: f64) -> bool {
-        share > 0.0 && self.chance.borrow_mut().rand_float() < share
+        share > 0.0 && self.random.borrow_mut().rand_float() < share
     }
 
-    /// Counts work that reached it; a cold pod that gets too much falls over and stays down.
+    /// Counts work that reached it; a warming pod that gets too much breaks down and stays down.
     fn bear(&self, work: Nanos) {
-        let (now, window) = (self.book.now(), self.machine.overload_window);
-        let (recent, sum) = &mut *self.recent.borrow_mut();
-        recent.push_back((now, work));
-        *sum += work as f64;
-        while let Some((_, old)) = recent.pop_front_if(|(at, _)| *at + window < now) {
-            *sum -= old as f64;
-        }
+        let window = self.machine.overload_window;
+        let now = self.book.now();
+        let recent = self.recent.borrow_mut().add(now, work, window);
         let capacity = self.machine.cores as f64 * self.machine.speed * self.warmth();
         let budget = self.machine.overload_multiple * capacity * window as f64;
-        if self.age() < self.machine.warm_up && *sum > budget && !self.is_down() {
+        if self.age() < self.machine.warm_up && recent > budget && !self.is_down() {
             self.book.write(Seen::PodFell {
                 pod: self.who.name.clone(),
                 life: self.who.life,
@@ -276,124 +379,143 @@
         }
     }
 
-    async fn hit(self: &Rc<Self>, request: Request<Incoming>) -> Done {
+    /// Takes an attempt: rejects it, or runs it to its end.
+    async fn receive(self: &Rc<Self>, request: Request<Incoming>) -> Outcome {
         let faults = self.faults.borrow().with(&self.build_faults.borrow());
         let (parts, body) = request.into_parts();
         if body.collect().await.is_err() {
-            return Done::Reset;
+            return Outcome::Reset;
         }
-        let number = |name: &str| parts.headers.get(name)?.to_str().ok()?.parse::<u64>().ok();
-        let (ask, work) = (
-            number(ASK).unwrap_or(0),
-            number(WORK).unwrap_or(1_000) * 1_000,
-        );
-        let group = number(GROUP).unwrap_or(0) as usize;
-        let (pod, life) = (self.who.name.clone(), self.who.life);
-        let sidecar = via(&parts.headers);
+        let attempt = Attempt::read(&parts.headers);
         self.forwards.set(self.forwards.get() + 1);
         self.book.write(Seen::Arrived {
-            ask,
-            sidecar,
-            pod: pod.clone(),
-            life,
-            work,
+            ask: attempt.id,
+            sidecar: attempt.sidecar.clone(),
+            pod: self.who.name.clone(),
+            life: self.who.life,
+            work: attempt.work,
         });
-        self.bear(work);
+        self.bear(attempt.work);
         if self.is_down() {
-            return Done::Reset;
+            return Outcome::Reset;
         }
-        let waits = self.cores.available_permits() == 0;
-        if self.draining.get() || (waits && self.queued.get() >= self.machine.queue) {
-            self.book.write(Seen::Unseen { ask, pod, life });
-            let mut answer = Response::new(Full::new(Bytes::new()));
-            *answer.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
-            answer
-                .headers_mut()
-                .insert(UNSEEN, HeaderValue::from_static("1"));
-            return Done::Answer(answer);
+        let all_busy = self.cores.available_permits() == 0;
+        if self.draining.get() || (all_busy && self.queued.get() >= self.machine.queue) {
+            return self.reject(&attempt);
         }
         if faults.hang {
-            return Done::Never;
+            return Outcome::Hang;
         }
         if self.happens(faults.reset_before) {
-            return Done::Reset;
+            return Outcome::Reset;
         }
         // Once begun, work goes on whether or not anyone still waits for it.
-        let (pod, headers) = (self.clone(), parts.headers);
-        let ran = spawn_local(async move { pod.run(ask, work, group, &headers, &faults).await });
-        ran.await.unwrap_or(Done::Reset)
+        let pod = self.clone();
+        let ran = spawn_local(async move { pod.run(attempt, &faults).await });
+        ran.await.unwrap_or(Outcome::Reset)
     }
 
-    async fn run(
-        &self,
-        ask: u64,
-        work: Nanos,
-        group: usize,
-        headers: &HeaderMap,
-        faults: &Faults,
-    ) -> Done {
-        self.queued.set(self.queued.get() + 1);
-        let core = self.cores.acquire().await;
-        self.queued.set(self.queued.get() - 1);
-        self.busy.set(self.busy.get() + 1);
-        let crowded = self.busy.get() * 2 > self.machine.cores;
-        let busy = if crowded { faults.slow_busy } else { 1.0 };
-        let pace = self.machine.speed * self.warmth() / (faults.slow * busy * self.shared.get());
-        sleep(Duration::from_nanos((work as f64 / pace.max(0.01)) as u64)).await;
-        self.busy.set(self.busy.get() - 1);
-        drop(core);
+    fn reject(&self, attempt: &Attempt) -> Outcome {
+        self.book.write(Seen::Unseen {
+            ask: attempt.id,
+            pod: self.who.name.clone(),
+            life: self.who.life,
+        });
+        let mut answer = Response::new(Full::new(Bytes::new()));
+        *answer.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
+        let headers = answer.headers_mut();
+        headers.insert(UNSEEN, HeaderValue::from_static("1"));
+        Outcome::Answer(answer)
+    }
+
+    /// Runs an attempt and ends it as the faults say.
+    async fn run(&self, attempt: Attempt, faults: &Faults) -> Outcome {
+        self.work(attempt.work, faults).await;
         if self.is_down() {
-            return Done::Reset;
+            return Outcome::Reset;
         }
-        let (pod, life) = (self.who.name.clone(), self.who.life);
-        let served = self.groups.get(group);
-        let mark = headers
-            .get(MARK)
-            .and_then(|mark| mark.to_str().ok())
-            .unwrap_or_default()
-            .to_string();
-        let fresh = served.filter(|served| served.tagged).is_none_or(|served| {
-            let marks = &self.marks[served.scope as usize];
-            marks.first(self.book.now(), (mark, group), served.dedup_window)
-        });
-        let mine = faults.error_group.is_none_or(|failing| failing == group);
-        let fails = mine && self.happens(faults.error);
+        let fresh = self.is_fresh(&attempt);
+        let class = attempt.route_class;
+        let affected = faults.error_group.is_none_or(|failing| failing == class);
+        let fails = affected && self.happens(faults.error);
         if fresh && !fails {
             self.book.write(Seen::Ran {
-                ask,
-                pod: pod.clone(),
-                life,
+                ask: attempt.id,
+                pod: self.who.name.clone(),
+                life: self.who.life,
             });
         }
         if self.happens(faults.reset_after) {
-            return Done::Reset;
+            return Outcome::Reset;
         }
         if self.happens(faults.lose_answer) {
-            return Done::Never;
+            return Outcome::Hang;
         }
-        let mut answer = Response::new(Full::new(Bytes::from_static(b"found\n")));
         if fails {
+            let mut answer = found();
             *answer.status_mut() = StatusCode::INTERNAL_SERVER_ERROR;
-            return Done::Answer(answer);
+            return Outcome::Answer(answer);
         }
+        let answer = self.answer(faults);
+        self.book.write(Seen::Gave {
+            ask: attempt.id,
+            pod: self.who.name.clone(),
+            life: self.who.life,
+        });
+        Outcome::Answer(answer)
+    }
+
+    /// Waits for a core and occupies it while the work takes.
+    async fn work(&self, work: Nanos, faults: &Faults) {
+        self.queued.set(self.queued.get() + 1);
+        let core = self.cores.acquire().await;
+        self.queued.set(self.queued.get() - 1);
+        self.busy.set(self.busy.get() + 1);
+        let crowded = self.busy.get() * 2 > self.machine.cores;
+        let busy = if crowded { faults.slow_busy } else { 1.0 };
+        let pace = self.machine.speed * self.warmth() / (faults.slow * busy * self.shared.get());
+        sleep(Duration::from_nanos((work as f64 / pace.max(0.01)) as u64)).await;
+        self.busy.set(self.busy.get() - 1);
+        drop(core);
+    }
+
+    /// Whether the attempt is no repeat that the pods of its scope drop.
+    fn is_fresh(&self, attempt: &Attempt) -> bool {
+        let class = self.route_classes.get(attempt.route_class);
+        let Some(class) = class.filter(|class| class.tagged) else {
+            return true;
+        };
+        let key = ScopedKey {
+            key: attempt.idempotency_key.clone(),
+            route_class: attempt.route_class,
+        };
+        let marks = &self.marks[class.scope as usize];
+        marks.insert(self.book.now(), key, class.dedup_window)
+    }
+
+    /// A good answer with a load report, or a wrong one that only the emulated client can tell.
+    fn answer(&self, faults: &Faults) -> Response<Full<Bytes>> {
+        let mut answer = found();
         let load = format!(
             "TEXT cpu_utilization={:.3}, named_metrics.in_flight={}",
             self.busy.get() as f64 / self.machine.cores as f64,
             self.busy.get() + self.queued.get()
         );
+        let headers = answer.headers_mut();
         if let Ok(load) = HeaderValue::from_str(&load) {
-            answer.headers_mut().insert("endpoint-load-metrics", load);
+            headers.insert(LOAD_REPORT, load);
         }
         if self.happens(faults.wrong) {
-            answer
-                .headers_mut()
-                .insert(WRONG, HeaderValue::from_static("1"));
+            headers.insert(WRONG, HeaderValue::from_static("1"));
         }
-        self.book.write(Seen::Gave { ask, pod, life });
-        Done::Answer(answer)
+        answer
     }
 }
 
+fn found() -> Response<Full<Bytes>> {
+    Response::new(Full::new(Bytes::from_static(b"found\n")))
+}
+
 /// The sidecar that forwarded, as the last `Via` names it.
 fn via(headers: &HeaderMap) -> String {
     let last = headers
@@ -409,11 +531,12 @@
 /// A connection that is closed from within an answer shows the client no answer at all.
 #[derive(Debug, thiserror::Error)]
 #[error("reset on purpose")]
-struct OnPurpose;
+struct DeliberateReset;
 
+/// Accepts connections until the pod is down; then all of them break.
 async fn accept(pod: Rc<Pod>, listener: TcpListener) {
     let mut down = pod.down.subscribe();
-    let mut open = JoinSet::new();
+    let mut connections = JoinSet::new();
     let mut listener = Some(listener);
     while !pod.is_down() {
         if pod.faults.borrow().refuse {
@@ -422,36 +545,39 @@
             listener = TcpListener::bind(pod.address).await.ok();
         }
         let Some(listener) = &listener else {
-            sleep(LOOKS).await;
+            sleep(REFUSE_CHECK_INTERVAL).await;
             continue;
         };
         tokio::select! {
-            () = sleep(LOOKS) => {}
+            () = sleep(REFUSE_CHECK_INTERVAL) => {}
             _ = down.wait_for(|down| *down) => break,
             accepted = listener.accept() => {
                 let Ok((stream, _)) = accepted else { continue };
-                let pod = pod.clone();
-                open.spawn_local(async move {
-                    let wait = pod.faults.borrow().slow_connect;
-                    if wait > 0 {
-                        sleep(Duration::from_nanos(wait)).await;
-                    }
-                    let _ = stream.set_nodelay(true);
-                    let service = service_fn(|request| {
-                        let pod = pod.clone();
-                        async move {
-                            match pod.hit(request).await {
-                                Done::Answer(answer) => Ok(answer),
-                                Done::Reset => Err(OnPurpose),
-                                Done::Never => std::future::pending().await,
-                            }
-                        }
-                    });
-                    let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
-                });
+                connections.spawn_local(serve_connection(pod.clone(), stream));
             }
-            Some(_) = open.join_next() => {}
+            Some(_) = connections.join_next() => {}
         }
     }
     // Dropping the set breaks every connection.
 }
+
+async fn serve_connection(pod: Rc<Pod>, stream: TcpStream) {
+    let wait = pod.faults.borrow().slow_connect;
+    if wait > 0 {
+        sleep(Duration::from_nanos(wait)).await;
+    }
+    let _ = stream.set_nodelay(true);
+    let service = service_fn(|request| {
+        let pod = pod.clone();
+        async move {
+            match pod.receive(request).await {
+                Outcome::Answer(answer) => Ok(answer),
+                Outcome::Reset => Err(DeliberateReset),
+                Outcome::Hang => std::future::pending().await,
+            }
+        }
+    });
+    let _ = http1::Builder::new()
+        .serve_connection(TokioIo::new(stream), service)
+        .await;
+}
