--- a/crates/emulator/src/net.rs
+++ b/crates/emulator/src/net.rs
@@ -1,34 +1,41 @@
-//! A simulated network of datagrams between deciding parts: loss, delay, repeats, cuts, pauses, drift, restarts.
+//! A simulated datagram network between state machines: loss, delay, duplicates, partitions, pauses, clock drift,
+//! restarts.
 //!
-//! Nothing here sleeps or opens a socket: time is a number, chance comes from a seed, and the same seed plays the
-//! same run. The parts are the very ones that the shells drive over sockets.
+//! Nothing here sleeps or opens a socket: time is a number, randomness comes from a seed, and the same seed gives
+//! the same run. The state machines are the very ones that run over sockets elsewhere.
 
 use oorandom::Rand64;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
+/// Nanoseconds since the start of the run, or on a part's own clock.
 pub type Nanos = u64;
-/// Which part, in the order of joining.
+/// A part's index, in the order of joining.
 pub type Id = usize;
 
-/// Datagrams that wait at a paused part, at most; a socket's buffer drops what comes after.
-const BUFFER: usize = 512;
+/// Datagrams that wait at a paused part, at most; more are dropped, as by a socket's buffer.
+const MAX_BUFFERED: usize = 512;
 
-/// A deciding part with its codec. Times are on its own clock.
+/// A state machine with its codec. Times are on its own clock.
 pub trait Part {
+    /// Receives a datagram.
     fn heard(&mut self, now: Nanos, bytes: &[u8]);
+    /// Runs the timers that are due.
     fn wake(&mut self, now: Nanos);
+    /// When the next timer is due.
     fn next_wake(&self) -> Option<Nanos>;
+    /// Takes the next datagram to send, with its destination.
     fn datagram(&mut self) -> Option<(SocketAddr, Vec<u8>)>;
 }
 
-/// What the network does to datagrams.
+/// Faults of the network.
 #[derive(Clone, Debug)]
 pub struct Weather {
-    /// Share of datagrams lost, and share that comes twice.
+    /// Share of datagrams lost, from 0 to 1.
     pub loss: f64,
+    /// Share of datagrams that arrive twice, from 0 to 1.
     pub repeat: f64,
-    /// How long one is under way, at least and at most.
+    /// Least and greatest delay of a datagram.
     pub delay: (Nanos, Nanos),
 }
 
@@ -42,14 +49,17 @@
     }
 }
 
-/// A part's own clock: where it stood at the start, and by how many millionths it runs fast.
+/// A part's own clock.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Clock {
+    /// What it showed at the start of the run.
     pub began: Nanos,
+    /// By how many parts per million it runs fast.
     pub drift_ppm: i64,
 }
 
 impl Clock {
+    /// What the clock shows at a time of the run.
     fn own(&self, time: Nanos) -> Nanos {
         self.began + (time as i128 * (1_000_000 + self.drift_ppm as i128) / 1_000_000) as Nanos
     }
@@ -65,32 +75,39 @@
 /// What became of a datagram, and when.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fate {
-    /// By a cut, or as nobody has that address.
+    /// Stopped by a partition, or no part has that address.
     Cut,
+    /// Lost by the network.
     Lost,
-    /// On its way; how many of it.
+    /// Sent; holds the number of copies.
     Goes(usize),
+    /// Received by a part that runs.
     VoteReceipt,
-    /// Its place is paused.
+    /// Buffered, as its receiver is paused.
     Waits,
-    /// Its place is dead, or paused with a full buffer.
+    /// Dropped, as its receiver is dead or paused with a full buffer.
     Dropped,
 }
 
-/// A line of what is written down where [`Net::written`] asks for it.
+/// An entry of [`Net::written`].
 #[derive(Clone, Debug)]
 pub struct Passed {
+    /// When it happened.
     pub at: Nanos,
-    /// Who sends; none where it arrives, as a datagram on its way does not tell.
+    /// The sender; none on arrival, as a datagram in transit does not name it.
     pub from: Option<Id>,
+    /// The receiver, if a part has that address.
     pub to: Option<Id>,
+    /// What became of the datagram.
     pub fate: Fate,
+    /// The datagram.
     pub bytes: Vec<u8>,
 }
 
-/// How long a datagram from the first part to the second is under way, at least and at most.
+/// Least and greatest delay of a datagram from the first part to the second.
 pub type Delay = Box<dyn Fn(Id, Id) -> (Nanos, Nanos)>;
 
+/// A part with its address and clock, dead or alive.
 struct Place<P> {
     part: Option<P>,
     at: SocketAddr,
@@ -101,43 +118,70 @@
     wakes_at: Option<Nanos>,
 }
 
+/// When a datagram arrives; those of one moment in the order of sending.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Arrival {
+    at: Nanos,
+    sequence: u64,
+}
+
+/// The way from one part to another.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Link {
+    from: Id,
+    to: Id,
+}
+
+/// A datagram in transit.
+struct Datagram {
+    to: Id,
+    bytes: Vec<u8>,
+}
+
+/// The simulated network with its parts.
 pub struct Net<P> {
     now: Nanos,
     places: Vec<Place<P>>,
     by_address: BTreeMap<SocketAddr, Id>,
-    /// Datagrams under way, by when they arrive.
-    flying: BTreeMap<(Nanos, u64), (Id, Vec<u8>)>,
-    flown: u64,
-    /// When each part that is not paused wakes next; those in `touched` are entered anew before the next step.
+    /// Datagrams in transit, by arrival. Bounded by what the parts send within the greatest delay.
+    in_transit: BTreeMap<Arrival, Datagram>,
+    /// Copies sent so far.
+    sequence: u64,
+    /// When each part that is not paused wakes next; those in `touched` are updated before the next step.
     wakes: BTreeSet<(Nanos, Id)>,
     touched: Vec<Id>,
+    /// Faults that apply to all datagrams.
     pub weather: Weather,
-    /// Takes the place of the weather's delay where it is given: zones and regions lie apart.
+    /// Takes precedence over the delay in `weather`, as zones and regions lie apart.
     pub delay: Option<Delay>,
-    /// One-way cuts: from the first nothing reaches the second.
-    cut: BTreeSet<(Id, Id)>,
-    chance: Rand64,
+    /// One-way partitions.
+    cut: BTreeSet<Link>,
+    random: Rand64,
+    /// Datagrams that parts sent.
     pub carried: u64,
+    /// Bytes that parts sent.
     pub carried_bytes: u64,
+    /// Datagrams that did not reach their receiver.
     pub lost: u64,
-    /// What became of each datagram, where somebody wants to know; whoever does empties it.
+    /// What became of each datagram, if set; whoever sets it empties it.
     pub written: Option<Vec<Passed>>,
 }
 
 impl<P: Part> Net<P> {
+    /// A network without parts.
     pub fn new(seed: u64, weather: Weather) -> Net<P> {
         Net {
             now: 0,
             places: Vec::new(),
             by_address: BTreeMap::new(),
-            flying: BTreeMap::new(),
-            flown: 0,
+            in_transit: BTreeMap::new(),
+            sequence: 0,
             wakes: BTreeSet::new(),
             touched: Vec::new(),
             weather,
             delay: None,
             cut: BTreeSet::new(),
-            chance: Rand64::new(seed as u128),
+            random: Rand64::new(seed as u128),
             carried: 0,
             carried_bytes: 0,
             lost: 0,
@@ -162,14 +206,17 @@
         SocketAddr::from(([10, (id >> 16) as u8, (id >> 8) as u8, id as u8], 7_000))
     }
 
+    /// The time of the run.
     pub fn now(&self) -> Nanos {
         self.now
     }
 
+    /// What a part's clock shows.
     pub fn own_time(&self, id: Id) -> Nanos {
         self.places[id].clock.own(self.now)
     }
 
+    /// Adds a part; `make` gets its own time and its address.
     pub fn join(&mut self, clock: Clock, make: impl FnOnce(Nanos, SocketAddr) -> P) -> Id {
         let (id, at) = (self.places.len(), Self::address(self.places.len()));
         let part = Some(make(clock.own(self.now), at));
@@ -187,26 +234,30 @@
         id
     }
 
+    /// A part, unless it is dead.
     pub fn part(&self, id: Id) -> Option<&P> {
         self.places[id].part.as_ref()
     }
 
+    /// A part, unless it is dead; its timers are read anew before the next step.
     pub fn part_mut(&mut self, id: Id) -> Option<&mut P> {
         self.touched.push(id);
         self.places[id].part.as_mut()
     }
 
+    /// All parts, dead ones too.
     pub fn ids(&self) -> impl Iterator<Item = Id> + use<P> {
         0..self.places.len()
     }
 
-    /// The part is gone at once, with what lay in its buffer.
+    /// Kills a part, with what was buffered for it.
     pub fn kill(&mut self, id: Id) {
         self.places[id].part = None;
         self.places[id].buffer.clear();
         self.touched.push(id);
     }
 
+    /// Starts a part anew at its address.
     pub fn restart(&mut self, id: Id, make: impl FnOnce(Nanos, SocketAddr) -> P) {
         let own = self.own_time(id);
         let place = &mut self.places[id];
@@ -215,12 +266,13 @@
         self.touched.push(id);
     }
 
-    /// Nothing runs in it until it is woken; what comes meanwhile waits, up to a buffer's worth.
+    /// Pauses a part; datagrams that arrive meanwhile are buffered up to [`MAX_BUFFERED`].
     pub fn pause(&mut self, id: Id) {
         self.places[id].paused = true;
         self.touched.push(id);
     }
 
+    /// Runs a paused part again, with what was buffered.
     pub fn unpause(&mut self, id: Id) {
         self.places[id].paused = false;
         let own = self.own_time(id);
@@ -236,12 +288,12 @@
         self.post(id);
     }
 
-    /// Cuts one way.
+    /// Partitions one way: nothing from the first reaches the second.
     pub fn cut(&mut self, from: Id, to: Id) {
-        self.cut.insert((from, to));
+        self.cut.insert(Link { from, to });
     }
 
-    /// Cuts both ways between every two of different groups; parts in no group reach all.
+    /// Partitions both ways between the groups; parts in no group reach all.
     pub fn split(&mut self, groups: &[&[Id]]) {
         for (n, group) in groups.iter().enumerate() {
             for other in groups.iter().skip(n + 1) {
@@ -249,17 +301,19 @@
                     .iter()
                     .flat_map(|a| other.iter().map(move |b| (*a, *b)))
                 {
-                    self.cut.extend([(a, b), (b, a)]);
+                    self.cut.insert(Link { from: a, to: b });
+                    self.cut.insert(Link { from: b, to: a });
                 }
             }
         }
     }
 
+    /// Ends all partitions.
     pub fn heal(&mut self) {
         self.cut.clear();
     }
 
-    /// Plays on to a moment. `look` is called after each step with the part that moved.
+    /// Runs to a time. `look` is called after each step with the part that moved.
     pub fn run(&mut self, until: Nanos, mut look: impl FnMut(&mut Net<P>, Id)) {
         while let Some((time, next)) = self.next().filter(|(time, _)| *time <= until) {
             self.now = self.now.max(time);
@@ -279,16 +333,16 @@
         self.now = self.now.max(until);
     }
 
-    /// What comes next: a part's wake, or a datagram where that is due no later.
+    /// What comes next: a part's wake, or a datagram (no part) where that is due no later.
     fn next(&mut self) -> Option<(Nanos, Option<Id>)> {
         while let Some(id) = self.touched.pop() {
             self.enter_wake(id);
         }
         let wake = self.wakes.first().map(|(time, id)| (*time, Some(*id)));
-        let flying = self.flying.keys().next().map(|(time, _)| (*time, None));
-        match (wake, flying) {
-            (Some(wake), Some(flying)) => Some(if flying.0 <= wake.0 { flying } else { wake }),
-            (wake, flying) => wake.or(flying),
+        let arrival = self.in_transit.keys().next().map(|next| (next.at, None));
+        match (wake, arrival) {
+            (Some(wake), Some(arrival)) if arrival.0 <= wake.0 => Some(arrival),
+            (wake, arrival) => wake.or(arrival),
         }
     }
 
@@ -307,8 +361,9 @@
         }
     }
 
+    /// Delivers the next datagram and returns its receiver.
     fn arrive(&mut self) -> Id {
-        let Some((_, (to, bytes))) = self.flying.pop_first() else {
+        let Some((_, Datagram { to, bytes })) = self.in_transit.pop_first() else {
             return 0;
         };
         let own = self.own_time(to);
@@ -322,7 +377,7 @@
                 part: Some(_),
                 buffer,
                 ..
-            } if buffer.len() < BUFFER => Fate::Waits,
+            } if buffer.len() < MAX_BUFFERED => Fate::Waits,
             _ => Fate::Dropped,
         };
         self.write(None, Some(to), fate, &bytes);
@@ -335,38 +390,41 @@
         to
     }
 
-    /// Takes what a part has to send and puts it on its way.
+    /// Takes what a part has to send and sends it.
     pub fn post(&mut self, from: Id) {
         self.touched.push(from);
         while let Some((at, bytes)) = self.places[from].part.as_mut().and_then(Part::datagram) {
             self.carried += 1;
             self.carried_bytes += bytes.len() as u64;
             let named = self.by_address.get(&at).copied();
-            let to = named.filter(|to| !self.cut.contains(&(from, *to)));
-            let Some(to) = to.filter(|_| self.chance.rand_float() >= self.weather.loss) else {
+            let to = named.filter(|to| !self.cut.contains(&Link { from, to: *to }));
+            let Some(to) = to.filter(|_| self.random.rand_float() >= self.weather.loss) else {
                 self.lost += 1;
-                self.write(
-                    Some(from),
-                    named,
-                    if to.is_some() { Fate::Lost } else { Fate::Cut },
-                    &bytes,
-                );
+                let fate = if to.is_some() { Fate::Lost } else { Fate::Cut };
+                self.write(Some(from), named, fate, &bytes);
                 continue;
             };
-            let copies = 1 + (self.chance.rand_float() < self.weather.repeat) as usize;
+            let copies = 1 + (self.random.rand_float() < self.weather.repeat) as usize;
             self.write(Some(from), Some(to), Fate::Goes(copies), &bytes);
             for _ in 0..copies {
-                let (least, most) = self
-                    .delay
-                    .as_ref()
-                    .map_or(self.weather.delay, |delay| delay(from, to));
-                let delay = self.chance.rand_range(least..most.max(least) + 1);
-                self.flown += 1;
-                self.flying
-                    .insert((self.now + delay, self.flown), (to, bytes.clone()));
+                self.send_copy(from, to, bytes.clone());
             }
         }
     }
+
+    fn send_copy(&mut self, from: Id, to: Id, bytes: Vec<u8>) {
+        let (least, greatest) = match &self.delay {
+            Some(delay) => delay(from, to),
+            None => self.weather.delay,
+        };
+        let delay = self.random.rand_range(least..greatest.max(least) + 1);
+        self.sequence += 1;
+        let arrival = Arrival {
+            at: self.now + delay,
+            sequence: self.sequence,
+        };
+        self.in_transit.insert(arrival, Datagram { to, bytes });
+    }
 }
 
 #[cfg(test)]
