--- a/crates/emulator/src/clients.rs
+++ b/crates/emulator/src/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: they ask at their own pace, wait as long as they said, try again where that is harmless, leave.
+//! Emulated clients: open-loop load with timeouts, retries where they are harmless, and clients that leave early.
 
 use crate::book::Book;
 use crate::notation::Day;
@@ -24,23 +24,29 @@
 
 /// Attempts of one request, the first counted.
 const MAX_ATTEMPTS: u32 = 4;
-/// A kept connection idle for longer is not used again: the other side may be closing it.
-const IDLE: Duration = Duration::from_secs(1);
-/// How long past its time a client still listens, to tell a late answer from none.
-const LISTENS: Duration = Duration::from_millis(500);
-const CONNECT: Duration = Duration::from_millis(250);
+/// A connection idle for longer is not used again: the other side may be closing it.
+const MAX_IDLE: Duration = Duration::from_secs(1);
+/// How long past its timeout a client still listens, to tell a late answer from none.
+const LATE_ANSWER_GRACE: Duration = Duration::from_millis(500);
+/// How long connecting, or reporting a fault, may take.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
 type Sender = SendRequest<Full<Bytes>>;
 
-/// A sidecar as clients know it. Its connections are dropped when it comes up anew.
+/// A sidecar as clients know it. Its connections are dropped when it restarts.
 pub struct Target {
+    /// The sidecar's name.
     pub name: String,
+    /// Where it takes requests, while it is up.
     pub address: Cell<Option<SocketAddr>>,
+    /// Where it takes fault reports, while it is up.
     pub admin: Cell<Option<SocketAddr>>,
+    /// Bounded by the requests in flight at one time.
     idle: RefCell<Vec<(Sender, Instant)>>,
 }
 
 impl Target {
+    /// A sidecar that is not up yet.
     pub fn new(name: &str) -> Rc<Target> {
         let name = name.to_string();
         Rc::new(Target {
@@ -51,28 +57,31 @@
         })
     }
 
+    /// Sets the addresses of a sidecar that has started.
     pub fn comes_up(&self, address: SocketAddr, admin: SocketAddr) {
         self.idle.borrow_mut().clear();
         self.address.set(Some(address));
         self.admin.set(Some(admin));
     }
 
+    /// Forgets the addresses and connections of a sidecar that ends.
     pub fn goes_down(&self) {
         self.address.set(None);
         self.admin.set(None);
         self.idle.borrow_mut().clear();
     }
 
+    /// An idle connection that is still open, or a new one.
     async fn connection(&self) -> Option<Sender> {
         loop {
             let Some((mut sender, since)) = self.idle.borrow_mut().pop() else {
                 break;
             };
-            if since.elapsed() < IDLE && sender.ready().await.is_ok() {
+            if since.elapsed() < MAX_IDLE && sender.ready().await.is_ok() {
                 return Some(sender);
             }
         }
-        let stream = timeout(CONNECT, TcpStream::connect(self.address.get()?))
+        let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(self.address.get()?))
             .await
             .ok()?
             .ok()?;
@@ -174,38 +183,49 @@
     }
 }
 
-/// How the hits of one path group fared, a client's own tries counted under the first.
+/// Outcomes of one route class's requests; a client's retries count as the same request.
 #[derive(Clone)]
 pub struct Fared {
+    /// The route class.
     pub group: String,
-    /// What one of its hits is worth, answered within the target latency.
+    /// Value of a request that is answered within the latency objective.
     pub priority_weight: f64,
+    /// Requests sent.
     pub asked: u64,
+    /// Requests answered within the latency objective.
     pub in_time: u64,
+    /// Requests answered later.
     pub late: u64,
+    /// Requests rejected with advice to retry.
     pub bounced: u64,
+    /// Requests that ended in an error.
     pub errored: u64,
+    /// Requests whose client left early.
     pub left: u64,
+    /// Requests with a wrong answer.
     pub wrong: u64,
-    /// Microseconds from the first try to the answer delivered.
+    /// Microseconds from the first attempt to the answer.
     pub took_us: Histogram<u64>,
 }
 
+/// All emulated clients of a scenario.
 pub struct Clients {
     book: Book,
     site: Rc<Site>,
     day: Day,
     targets: Vec<Rc<Target>>,
-    /// Told by the script: how much more than usual is asked.
+    /// Factor on the usual request rate.
     pub surge: Cell<f64>,
+    /// Outcomes by route class.
     pub fared: RefCell<Vec<Fared>>,
-    /// Final answers by what they were, over all tries.
+    /// Attempts sent, retries counted.
     pub tries: Cell<u64>,
     next: Cell<u64>,
-    chance: RefCell<Rand64>,
+    random: RefCell<Rand64>,
 }
 
 impl Clients {
+    /// Clients of these sidecars, with the scenario's load.
     pub fn new(
         book: Book,
         site: Rc<Site>,
@@ -236,19 +256,19 @@
             fared,
             tries: Cell::new(0),
             next: Cell::new(1),
-            chance: RefCell::new(Rand64::new(seed as u128)),
+            random: RefCell::new(Rand64::new(seed as u128)),
         })
     }
 
     fn draw(&self) -> f64 {
-        self.chance.borrow_mut().rand_float()
+        self.random.borrow_mut().rand_float()
     }
 
     fn number(&self) -> u64 {
         self.next.replace(self.next.get() + 1)
     }
 
-    /// Asks until the day's length is over, however slow the answers; then waits for those still out.
+    /// Sends requests for the scenario's length, however slow the answers, then waits for those in flight.
     pub async fn run(self: &Rc<Self>) {
         let began = tokio::time::Instant::now();
         let mut at = Duration::ZERO;
@@ -410,7 +430,7 @@
         let limit = if leaves {
             client_timeout as f64 * 0.2 * self.draw()
         } else {
-            client_timeout as f64 + LISTENS.as_nanos() as f64
+            client_timeout as f64 + LATE_ANSWER_GRACE.as_nanos() as f64
         };
         Patience {
             limit: Duration::from_nanos(limit as u64),
@@ -454,14 +474,14 @@
             .expect("a request that is well formed")
     }
 
-    /// Tells the sidecar of a wrong answer, as clients do when they find out.
+    /// Reports a wrong answer to the sidecar, as clients do when they find out.
     async fn flag(&self, target: &Target, pod: &str, group: usize) {
         let found = 0.3 + 0.7 * self.draw();
         sleep(Duration::from_secs_f64(found)).await;
         let Some(admin) = target.admin.get() else {
             return;
         };
-        let Ok(Ok(stream)) = timeout(CONNECT, TcpStream::connect(admin)).await else {
+        let Ok(Ok(stream)) = timeout(CONNECT_TIMEOUT, TcpStream::connect(admin)).await else {
             return;
         };
         let Ok((mut sender, connection)) = http1::handshake(TokioIo::new(stream)).await else {
@@ -479,6 +499,6 @@
         request
             .headers_mut()
             .insert("host", HeaderValue::from_static("admin"));
-        let _ = timeout(CONNECT, sender.send_request(request)).await;
+        let _ = timeout(CONNECT_TIMEOUT, sender.send_request(request)).await;
     }
 }
