--- a/crates/emulator/src/net.rs
+++ b/crates/emulator/src/net.rs
@@ -266,7 +266,7 @@
         self.touched.push(id);
     }
 
-    /// Pauses a part; datagrams that arrive meanwhile are buffered up to [`MAX_BUFFERED`].
+    /// Pauses a part; datagrams that arrive meanwhile are buffered up to a bound.
     pub fn pause(&mut self, id: Id) {
         self.places[id].paused = true;
         self.touched.push(id);
--- a/crates/emulator/src/sidecars.rs
+++ b/crates/emulator/src/sidecars.rs
@@ -323,7 +323,7 @@
         match field("message") {
             "listening" => self.listens(field("listen"), field("admin")),
             "vote" => {
-                let vote = field("voice").to_string();
+                let vote = field("vote").to_string();
                 *self.observed.borrow_mut().votes.entry(vote).or_default() += 1;
             }
             _ => {}
