--- a/crates/membership/src/swim/mod.rs
+++ b/crates/membership/src/swim/mod.rs
@@ -6,8 +6,7 @@
 //! tables travel after a join alone (`table_sync`). A stranger has to answer a number drawn for it (`join`). Who
 //! notices that it is slow itself waits longer before it blames others (`local_health`).
 //!
-//! Of the three promises (docs/membership.md) everything here belongs to the last: it holds while enough members can
-//! talk.
+//! All of it is best effort: it holds while enough members can reach each other (docs/membership.md).
 
 mod dissemination;
 mod incarnation;
@@ -52,7 +51,7 @@
 pub enum Effect {
     /// Send this message to this address.
     Send {
-        /// Its receiver; a name of no letters where only the address is known.
+        /// Its receiver; an empty name where only the address is known.
         to: MemberId,
         /// Where the receiver is reached.
         address: SocketAddr,
@@ -61,7 +60,7 @@
     },
     /// The membership changed.
     Event(MemberEvent),
-    /// Nothing is known of this name any more.
+    /// Drop what is kept for this name.
     Forget(String),
 }
 
@@ -113,7 +112,7 @@
     health: LocalHealth,
     random: Rand64,
     effects: VecDeque<Effect>,
-    /// Newcomers that were turned away as the table was full.
+    /// Joins rejected because the table was full.
     pub rejected_joins: u64,
 }
 
--- a/crates/sidecar/src/persister.rs
+++ b/crates/sidecar/src/persister.rs
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Writes a version in time; of several that wait, the newest alone.
+    /// Queues a version; it replaces one that still waits.
     pub fn persist(&self, snapshot: Snapshot) {
         self.mailbox
             .change(|contents| contents.newest = Some(snapshot));
--- a/crates/sidecar/src/proxy.rs
+++ b/crates/sidecar/src/proxy.rs
@@ -17,7 +17,7 @@
 /// When a client may retry that a full sidecar rejects, in ns.
 const RETRY_AFTER_FULL: Nanos = 1_000_000_000;
 
-/// Tells the engine when the client is gone before its answer.
+/// Tells the engine that the client is gone; of a request that is answered by then this changes nothing.
 struct ClientGuard {
     shell: Rc<Shell>,
     request: RequestId,
@@ -29,7 +29,7 @@
     }
 }
 
-/// Answers one request of a client. The decisions know nothing of what is refused before it is taken.
+/// Answers one request of a client. Requests rejected here never reach the engine, so no decision counts them.
 ///
 /// # Errors
 /// Never.
--- a/crates/takeover/src/takeover/election.rs
+++ b/crates/takeover/src/takeover/election.rs
@@ -9,8 +9,9 @@
 use havenplank_membership::member::MemberId;
 use std::collections::BTreeMap;
 
-/// The random delay before a candidacy is at most, and that between two at least, the lease divided by this.
-const JITTERS_PER_LEASE: Nanos = 4;
+/// Divides the lease: the quotient is the longest random delay before a candidacy and the shortest pause between two;
+/// the longest pause is a lease.
+const JITTER_DIVISOR: Nanos = 4;
 
 impl Takeover {
     /// When this backup may next stand as a candidate for a request.
@@ -27,7 +28,7 @@
         }
     }
 
-    /// Stands as a candidate for each request whose owner's lease has expired.
+    /// Prepares a candidacy for each request whose owner's lease has expired.
     pub(super) fn hold_elections(&mut self, now: Nanos) {
         let due: Vec<RequestId> = self
             .replicas
@@ -36,13 +37,14 @@
             .map(|(request, _)| *request)
             .collect();
         due.into_iter()
-            .for_each(|request| self.request_votes(now, request));
+            .for_each(|request| self.prepare_candidacy(now, request));
     }
 
-    /// Stands as a candidate, once the random delay before it is over.
-    fn request_votes(&mut self, now: Nanos, request: RequestId) {
+    /// Draws the random delay before a candidacy or, once that is over, asks for votes. Drops a replica that was never
+    /// confirmed.
+    fn prepare_candidacy(&mut self, now: Nanos, request: RequestId) {
         let lease = self.rules.lease;
-        let pause = self.random.rand_range(lease / JITTERS_PER_LEASE..lease + 1);
+        let pause = self.random.rand_range(lease / JITTER_DIVISOR..lease + 1);
         let Some(replica) = self.replicas.get_mut(&request) else {
             return;
         };
@@ -52,7 +54,7 @@
         }
         // All leases expire at once, and two simultaneous candidates both lose.
         if replica.candidacy.is_none() {
-            let jitter = self.random.rand_range(0..lease / JITTERS_PER_LEASE + 1);
+            let jitter = self.random.rand_range(0..lease / JITTER_DIVISOR + 1);
             replica.candidacy = Some(Candidacy {
                 term: replica.term,
                 votes: BTreeMap::new(),
@@ -61,11 +63,11 @@
             return;
         }
         replica.try_at = now + pause;
-        self.stand(now, request);
+        self.request_votes(now, request);
     }
 
     /// Votes for ourselves in the next term, and asks the other backups for their votes.
-    fn stand(&mut self, now: Nanos, request: RequestId) {
+    fn request_votes(&mut self, now: Nanos, request: RequestId) {
         let Some(replica) = self.replicas.get_mut(&request) else {
             return;
         };
@@ -114,7 +116,7 @@
         }
     }
 
-    /// Gives up a request that is owned here, if its lease has expired and the candidate's term is later.
+    /// Gives up a request that is owned here, unless this sidecar may still act on it or the candidate's term is not later.
     fn yield_to_candidate(
         &mut self,
         now: Nanos,
@@ -134,7 +136,6 @@
         if self.may_send(now, request) {
             return false;
         }
-        // This sidecar owned it once and can no longer act.
         self.retire(now, request);
         self.effects.push_back(Effect::Lost(request));
         true
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -16,7 +16,8 @@
 /// How much larger the budget is for a retry after an attempt that never ran: that cost the pods little.
 const NEVER_RAN_FACTOR: f64 = 2.0;
 
-/// The requests taken and the retries sent, over one window.
+/// The requests taken and the retries granted, over one window. A granted one counts even where no pod is left to
+/// send it to.
 pub(crate) struct RetryBudget {
     requests: SlidingWindow,
     retries: SlidingWindow,
--- a/src/router.rs
+++ b/src/router.rs
@@ -2,7 +2,7 @@
 //!
 //! A host calls [`Router::start`] once and the other methods as things arrive; effects leave through
 //! [`Host`]. Each attempt, vote and timer leaves a callback that is handed its result: there the state of a
-//! request in flight lives. Nothing is decided here; each decision has its own module.
+//! request in flight lives. Only the order is decided here; each decision has its own module.
 
 use crate::admission::ConcurrencyLimit;
 use crate::endpoint_list::EndpointListWatch;
@@ -89,15 +89,26 @@
         self.exposure.counts.add_request(now, request.class);
         self.retry_budget.record_request(now);
         self.requests = self.requests.saturating_add(1);
-        self.resume_request(host, request, &[]);
+        self.admit_or_reject(host, request, &[]);
     }
 
-    /// Goes on with a request that another instance took and sent so. It was counted there, once.
+    /// Continues a request taken over from another instance; `prior` are its attempts there. It was counted
+    /// where it arrived and is not counted again.
     pub fn resume_request(
         &mut self,
         host: &mut dyn Host,
         request: IncomingRequest,
         prior: &[PriorAttempt],
+    ) {
+        self.admit_or_reject(host, request, prior);
+    }
+
+    /// Sends the first attempt where the concurrency limit admits the request, else gives it up at once.
+    fn admit_or_reject(
+        &mut self,
+        host: &mut dyn Host,
+        request: IncomingRequest,
+        prior: &[PriorAttempt],
     ) {
         let now = host.now();
         self.subsetting.record_in_flight(self.limit.in_flight);
@@ -229,7 +240,7 @@
                 cell: attempt.endpoint.cell,
             });
         }
-        // The other attempt may still deliver, and sees to the request if it does not.
+        // The other attempt may still be served; if it is not, its end decides about the request.
         if request.borrow().attempts_in_flight > 0 {
             return;
         }
--- a/src/selection.rs
+++ b/src/selection.rs
@@ -140,7 +140,7 @@
         groups: &[WeightedGroup],
     ) -> Vec<PodId> {
         let total: f64 = groups.iter().map(|group| group.weight).sum();
-        // One for all draws of this attempt: a chance for each would add up to a certainty.
+        // Drawn once per attempt: drawn per pod, some warming pod would nearly always pass (`slow_start`).
         let windows = self.slow_start.settings.overload_window as f64 / RetryBudget::WINDOW as f64;
         let requests = self.retry_budget.requests(now) as f64;
         let luck = MAX_LUCK * self.random.rand_float() * windows * requests / total.max(1e-9);
@@ -152,10 +152,10 @@
             let Some(drawn) = drawn.filter(|_| chosen.len() < 2) else {
                 break;
             };
-            let carries = self.pods.get(drawn.id).map_or(0.0, |pod| {
+            let acceptance = self.pods.get(drawn.id).map_or(0.0, |pod| {
                 ACCEPTANCE / (self.burden(now, pod) * drawn.mean_size)
             });
-            let taken = self.random.rand_float() < carries && !chosen.contains(&drawn.id);
+            let taken = self.random.rand_float() < acceptance && !chosen.contains(&drawn.id);
             if taken && self.may_take(now, request, drawn.id, false, luck) {
                 chosen.push(drawn.id);
             }
@@ -195,7 +195,8 @@
             return false;
         };
         let rules = self.route_classes[request.class];
-        let drops_repeats = rules.idempotency != Idempotency::Keyed
+        // Only a keyed request can fail this: a repeat has to go where the first run is still remembered.
+        let repeat_is_safe = rules.idempotency != Idempotency::Keyed
             || request.possible_run.is_none_or(|run| {
                 pod.endpoint
                     .shares_dedup(rules.dedup_scope, run.zone, run.cell)
@@ -203,7 +204,7 @@
             });
         let healthy = self.outlier.panic_mode || self.outlier.is_healthy(now, pod);
         let good = healthy && !request.tried.contains(&id);
-        drops_repeats
+        repeat_is_safe
             && (good || last_resort)
             && self.slow_start.has_room(now, &mut self.pods, id, luck)
     }
