--- a/crates/adapter/src/decode.rs
+++ b/crates/adapter/src/decode.rs
@@ -170,7 +170,7 @@
     let outcome = AttemptOutcome {
         end: attempt_end(fields)?,
         took: fields.whole(field::LATENCY)?,
-        over: fields.flag("over")?,
+        request_finished: fields.flag("over")?,
         load: load_report::from_row(&listener.names().load_columns, fields)?,
     };
     listener.attempt_ended(name, attempt, outcome);
@@ -216,7 +216,7 @@
 fn tally(fields: &Fields, listener: &impl InstanceListener) -> Result<Tally, WireError> {
     Ok(Tally {
         build: build(fields.whole(field::BUILD)?),
-        group: route_class(fields, listener)?,
+        class: route_class(fields, listener)?,
         count: fields.whole_or("count", 0)?,
         failed: fields.whole_or("lost", 0)?,
         mean_latency: fields.whole_or(field::LATENCY, 0)?,
@@ -247,7 +247,7 @@
         build: build(fields.whole_or(field::BUILD, 0)?),
         started: fields.whole_or("startedAtNs", 0)?,
         zone: 0,
-        machine: 0,
+        machine_type: 0,
         cell: fields.whole_or("block", 0)? as i64,
         size: fields.number_or("size", 1.0)?,
     };
--- a/crates/adapter/src/instance.rs
+++ b/crates/adapter/src/instance.rs
@@ -254,7 +254,7 @@
             endpoint.pod = host.pod_index(&listed.pod);
             endpoint.name_hash = stable_hash(listed.pod.as_bytes());
             endpoint.zone = index_of(&mut host.names.zones, &listed.zone);
-            endpoint.machine = index_of(&mut host.names.machines, &listed.machine);
+            endpoint.machine_type = index_of(&mut host.names.machines, &listed.machine);
             endpoints.push(endpoint);
         }
         self.router.update_endpoints(host, whole, &endpoints);
@@ -287,7 +287,7 @@
         let Some(open) = host.requests.get_mut(&request) else {
             return;
         };
-        open.awaits_answer &= !outcome.over;
+        open.awaits_answer &= !outcome.request_finished;
         if let Some(on_done) = open.attempts.get_mut(attempt).and_then(Option::take) {
             on_done(&mut self.router, host, outcome);
         }
--- a/crates/adapter/src/load_report.rs
+++ b/crates/adapter/src/load_report.rs
@@ -39,9 +39,9 @@
     match column {
         "busy_reqs" => load.in_flight = Some(value),
         "pending" => load.queued = Some(value),
-        "cpu_share" => load.busy = Some(value),
+        "cpu_share" => load.cpu_utilization = Some(value),
         "svc_ms" => load.latency_ms = Some(value),
-        "served_ps" => load.delivered_per_s = Some(value),
+        "served_ps" => load.served_per_s = Some(value),
         "failed_ps" => load.failed_per_s = Some(value),
         _ => {}
     }
--- a/crates/adapter/src/setup.rs
+++ b/crates/adapter/src/setup.rs
@@ -173,13 +173,13 @@
 }
 
 fn endpoint_list(settings: &Fields, rules: &Fields) -> Result<EndpointListSettings, WireError> {
-    let poll_only = match settings.text("discovery")? {
+    let must_subscribe = match settings.text("discovery")? {
         "automatic" => false,
         "subscribe" => true,
         _ => return Err(settings.error("discovery", "not automatic or subscribe")),
     };
     Ok(EndpointListSettings {
-        poll_only,
-        poll_interval: rules.whole_or("mustAskInNs", 0)?,
+        must_subscribe,
+        max_subscribe_interval: rules.whole_or("mustAskInNs", 0)?,
     })
 }
--- a/crates/capacity/src/tables/driver.rs
+++ b/crates/capacity/src/tables/driver.rs
@@ -3,7 +3,7 @@
 use super::timed::Timed;
 use crate::error::CapacityError;
 use havenplank::interface::{AttemptEnd, Nanos, RequestId, Stage};
-use havenplank::Visits;
+use havenplank::PodVisits;
 use havenplank_line_protocol::endpoint_list::ListedEndpoint;
 use havenplank_settings::Site;
 use havenplank_sidecar::engine::{Effect, Engine, EngineSettings, RequestAttributes, EPOCH};
@@ -88,12 +88,12 @@
     }
 
     /// Does `work` and returns the pods that the engine looked at meanwhile.
-    pub fn visits_of(&mut self, work: impl FnOnce(&mut Driver)) -> Visits {
+    pub fn visits_of(&mut self, work: impl FnOnce(&mut Driver)) -> PodVisits {
         let before = self.engine.visits();
         work(self);
         let after = self.engine.visits();
-        Visits {
-            passed: after.passed - before.passed,
+        PodVisits {
+            scanned: after.scanned - before.scanned,
             fetched: after.fetched - before.fetched,
             sorted: after.sorted - before.sorted,
         }
--- a/crates/capacity/src/tables/lists.rs
+++ b/crates/capacity/src/tables/lists.rs
@@ -8,7 +8,7 @@
 use crate::report::Section;
 use crate::samples;
 use havenplank::interface::PodState;
-use havenplank::Visits;
+use havenplank::PodVisits;
 use havenplank_line_protocol::endpoint_list::ListedEndpoint;
 use std::time::{Duration, Instant};
 
@@ -52,7 +52,7 @@
         table.put(
             "one_change_visited_pods",
             *count,
-            visits.passed as f64 / calls,
+            visits.scanned as f64 / calls,
         );
         table.put(
             "one_change_sorted_pods",
@@ -73,14 +73,14 @@
     driver: &mut Driver,
     changes: usize,
     count: usize,
-) -> Result<(Timed, Visits), CapacityError> {
-    let (mut timed, mut visits) = (Timed::new()?, Visits::default());
+) -> Result<(Timed, PodVisits), CapacityError> {
+    let (mut timed, mut visits) = (Timed::new()?, PodVisits::default());
     for change in (0..changes).flat_map(|number| replacement(number, count)) {
         driver.pass(driver.now + 100 * MS);
         let mut spent = Duration::ZERO;
         let looked = driver.visits_of(|driver| spent = driver.change(change));
         timed.record(spent);
-        visits.passed += looked.passed;
+        visits.scanned += looked.scanned;
         visits.sorted += looked.sorted;
     }
     Ok((timed, visits))
@@ -106,7 +106,7 @@
         table.put(
             "tick_visited_pods",
             *count,
-            visits.passed as f64 / ticks as f64,
+            visits.scanned as f64 / ticks as f64,
         );
         table.put(
             "tick_fetched_pods",
--- a/crates/capacity/tests/tables.rs
+++ b/crates/capacity/tests/tables.rs
@@ -31,7 +31,7 @@
         let visits = driver.visits_of(|driver| (0..AT_ONCE).for_each(|_| driver.request()));
         assert_eq!(driver.counts().attempts - before, AT_ONCE);
         assert_eq!(
-            visits.sorted + visits.passed,
+            visits.sorted + visits.scanned,
             0,
             "a pass over the table within a request"
         );
@@ -51,7 +51,7 @@
     let visits = driver.visits_of(|driver| {
         driver.pass(EPOCH + S + 200 * MS);
     });
-    assert!(visits.passed <= 2 * MANY as u64, "{visits:?}");
+    assert!(visits.scanned <= 2 * MANY as u64, "{visits:?}");
     assert!(
         visits.fetched <= 200,
         "a tick fetches the pods that the sidecar keeps to: {visits:?}"
@@ -81,7 +81,7 @@
         });
         assert!(visits.sorted <= 1, "{visits:?}");
         assert!(
-            visits.passed <= survey + side + 1,
+            visits.scanned <= survey + side + 1,
             "{visits:?}, survey {survey}, side {side}"
         );
     }
--- a/crates/cli/src/bench_trace.rs
+++ b/crates/cli/src/bench_trace.rs
@@ -113,7 +113,7 @@
                 let busy = chance.rand_range(0..1000) as f64 / 1000.0;
                 let load = LoadReport {
                     in_flight: Some((busy * 8.0).round()),
-                    busy: Some(busy),
+                    cpu_utilization: Some(busy),
                     ..LoadReport::default()
                 };
                 engine.attempt_ended(
--- a/crates/emulator/src/drive/control_plane.rs
+++ b/crates/emulator/src/drive/control_plane.rs
@@ -85,7 +85,7 @@
     }
 
     fn write_tally(&mut self, out: &mut String, tally: &Tally) {
-        let Some(class) = self.replay.class_name(tally.group) else {
+        let Some(class) = self.replay.class_name(tally.class) else {
             return;
         };
         let tally = ClassTally {
--- a/crates/emulator/src/drive/pods.rs
+++ b/crates/emulator/src/drive/pods.rs
@@ -106,8 +106,8 @@
 /// A load report in the text form of `endpoint-load-metrics`.
 fn load_report(load: LoadReport) -> Option<HeaderValue> {
     let fields = [
-        ("cpu_utilization", load.busy),
-        ("rps_fractional", load.delivered_per_s),
+        ("cpu_utilization", load.cpu_utilization),
+        ("rps_fractional", load.served_per_s),
         ("eps", load.failed_per_s),
         ("named_metrics.in_flight", load.in_flight),
         ("named_metrics.queued", load.queued),
--- a/crates/settings/src/records/endpoints.rs
+++ b/crates/settings/src/records/endpoints.rs
@@ -29,13 +29,13 @@
 }
 
 fn read_list(reader: &mut Reader) -> EndpointListSettings {
-    let poll_only = reader.flag_or("must_ask", false);
-    let poll_interval = match poll_only {
+    let must_subscribe = reader.flag_or("must_ask", false);
+    let max_subscribe_interval = match must_subscribe {
         true => reader.span("ask_within"),
         false => reader.span_or("ask_within", 0),
     };
     EndpointListSettings {
-        poll_only,
-        poll_interval,
+        must_subscribe,
+        max_subscribe_interval,
     }
 }
--- a/crates/sidecar/src/engine/lookups.rs
+++ b/crates/sidecar/src/engine/lookups.rs
@@ -3,7 +3,7 @@
 use super::request::InFlightRequest;
 use super::Engine;
 use havenplank::interface::{PodId, PodState, RouteClassId, Stage};
-use havenplank::Visits;
+use havenplank::PodVisits;
 use havenplank_line_protocol::endpoint_list::ListedEndpoint;
 use std::net::SocketAddr;
 
@@ -69,7 +69,7 @@
     }
 
     /// Returns how many pods the decisions looked at since the start.
-    pub fn visits(&self) -> Visits {
+    pub fn visits(&self) -> PodVisits {
         self.router.visits()
     }
 
--- a/crates/sidecar/src/engine/release.rs
+++ b/crates/sidecar/src/engine/release.rs
@@ -30,12 +30,12 @@
     /// Takes in what the control plane counted of a build. Returns false where the route class is not one of the
     /// settings.
     pub fn update_tally(&mut self, now: Nanos, tally: &ClassTally) -> bool {
-        let Some(group) = self.route_class(&tally.class) else {
+        let Some(class) = self.route_class(&tally.class) else {
             return false;
         };
         let tally = Tally {
             build: tally.build,
-            group,
+            class,
             count: tally.count,
             failed: tally.failed,
             mean_latency: tally.mean_latency,
--- a/crates/sidecar/src/engine/requests.rs
+++ b/crates/sidecar/src/engine/requests.rs
@@ -97,7 +97,7 @@
         if !end.never_ran() {
             request.may_have_run(attempt.chosen_at);
         }
-        let over = !request.awaits_answer;
+        let request_finished = !request.awaits_answer;
         self.observe(|| Event::AttemptEnded {
             request: id,
             attempt: number,
@@ -110,7 +110,7 @@
         let outcome = AttemptOutcome {
             end,
             took,
-            over,
+            request_finished,
             load,
         };
         (attempt.on_done)(&mut self.router, &mut self.host, outcome);
--- a/crates/sidecar/src/headers.rs
+++ b/crates/sidecar/src/headers.rs
@@ -98,8 +98,8 @@
     let mut load = LoadReport::default();
     for (name, value) in pairs.into_iter().filter(|(_, value)| value.is_finite()) {
         match name {
-            "cpu_utilization" => load.busy = Some(value),
-            "rps_fractional" => load.delivered_per_s = Some(value),
+            "cpu_utilization" => load.cpu_utilization = Some(value),
+            "rps_fractional" => load.served_per_s = Some(value),
             "eps" => load.failed_per_s = Some(value),
             "named_metrics.in_flight" => load.in_flight = Some(value),
             "named_metrics.queued" => load.queued = Some(value),
--- a/crates/sidecar/src/pod_registry.rs
+++ b/crates/sidecar/src/pod_registry.rs
@@ -125,7 +125,7 @@
     fn register(&mut self, now: Nanos, listed: ListedEndpoint) -> Option<Endpoint> {
         let pod = self.index(&listed.name)?;
         let zone = index_of_name(&mut self.zones, &listed.zone);
-        let machine = index_of_name(&mut self.machines, &listed.machine);
+        let machine_type = index_of_name(&mut self.machines, &listed.machine);
         let before = self.pods[pod].as_ref();
         let started = start_time(now, before, &listed);
         let endpoint = Endpoint {
@@ -135,7 +135,7 @@
             build: listed.build,
             started,
             zone,
-            machine,
+            machine_type,
             cell: listed.cell,
             size: listed.size,
         };
--- a/crates/sidecar/tests/headers.rs
+++ b/crates/sidecar/tests/headers.rs
@@ -52,7 +52,11 @@
         parse_load_report("TEXT cpu_utilization=0.3, named_metrics.in_flight=4,eps=1e1,odd=2")
             .expect("a report");
     assert_eq!(
-        (report.busy, report.in_flight, report.failed_per_s),
+        (
+            report.cpu_utilization,
+            report.in_flight,
+            report.failed_per_s
+        ),
         (Some(0.3), Some(4.0), Some(10.0))
     );
     for text in ["JSON {}", "TEXT a=b", ""] {
--- a/crates/trace/src/columns/kind.rs
+++ b/crates/trace/src/columns/kind.rs
@@ -149,7 +149,7 @@
 fn blank_tally() -> Tally {
     Tally {
         build: 0,
-        group: 0,
+        class: 0,
         count: 0,
         failed: 0,
         mean_latency: 0,
--- a/crates/trace/src/columns/visit.rs
+++ b/crates/trace/src/columns/visit.rs
@@ -357,9 +357,9 @@
         let fields = [
             &mut load.in_flight,
             &mut load.queued,
-            &mut load.busy,
+            &mut load.cpu_utilization,
             &mut load.latency_ms,
-            &mut load.delivered_per_s,
+            &mut load.served_per_s,
             &mut load.failed_per_s,
         ];
         let bits = fields.iter().enumerate();
@@ -411,7 +411,7 @@
     tally: &mut Tally,
 ) -> Result<(), ColumnError> {
     visitor.number_u32(column, &mut tally.build)?;
-    visitor.index(column + 1, &mut tally.group)?;
+    visitor.index(column + 1, &mut tally.class)?;
     visitor.number(column + 2, &mut tally.count)?;
     visitor.number(column + 3, &mut tally.failed)?;
     visitor.number(column + 4, &mut tally.mean_latency)?;
--- a/crates/trace/src/json_view.rs
+++ b/crates/trace/src/json_view.rs
@@ -202,7 +202,7 @@
 
 fn tally(tally: &Tally, names: &Names) -> Value {
     json!({
-        "build": tally.build, "path_group": names.route_class(tally.group), "count": tally.count,
+        "build": tally.build, "path_group": names.route_class(tally.class), "count": tally.count,
         "failed": tally.failed, "mean_latency_ns": tally.mean_latency, "age_ns": tally.age,
     })
 }
@@ -249,9 +249,9 @@
     let fields = [
         ("in_flight", load.in_flight),
         ("queued", load.queued),
-        ("busy", load.busy),
+        ("busy", load.cpu_utilization),
         ("latency_ms", load.latency_ms),
-        ("delivered_per_s", load.delivered_per_s),
+        ("delivered_per_s", load.served_per_s),
         ("failed_per_s", load.failed_per_s),
     ];
     fields
--- a/crates/trace/src/replay.rs
+++ b/crates/trace/src/replay.rs
@@ -126,7 +126,7 @@
     fn fits(&self, event: &Event) -> bool {
         match event {
             Event::RequestArrived { attributes, .. } => attributes.route_class < self.route_classes,
-            Event::TallyReported(tally) => tally.group < self.route_classes,
+            Event::TallyReported(tally) => tally.class < self.route_classes,
             Event::FaultReported {
                 pod, route_class, ..
             } => *route_class < self.route_classes && self.engine.pod_name(*pod).is_some(),
--- a/crates/trace/tests/common/mod.rs
+++ b/crates/trace/tests/common/mod.rs
@@ -212,7 +212,7 @@
             let (_, hit, nth, end, sent) = out.remove(at);
             let load = LoadReport {
                 in_flight: Some((hit % 4) as f64),
-                busy: Some(0.333),
+                cpu_utilization: Some(0.333),
                 ..LoadReport::default()
             };
             engine.attempt_ended(now, hit, nth, end, now - sent + 30_000, Some(load));
--- a/src/endpoint_list.rs
+++ b/src/endpoint_list.rs
@@ -29,7 +29,7 @@
 
     /// Whether the list comes only to those who ask for a watch.
     pub(crate) fn must_be_requested(&self) -> bool {
-        self.settings.poll_only
+        self.settings.must_subscribe
     }
 
     pub(crate) fn record_list(&mut self) {
@@ -40,7 +40,7 @@
     pub(crate) fn record_failure(&mut self, random: &mut Rand64) -> Nanos {
         self.backoff = (self.backoff * 2)
             .clamp(MIN_BACKOFF, MAX_BACKOFF)
-            .min(self.settings.poll_interval);
+            .min(self.settings.max_subscribe_interval);
         (self.backoff as f64 * (MIN_BACKOFF_PART + (1.0 - MIN_BACKOFF_PART) * random.rand_float()))
             as Nanos
     }
--- a/src/hedging.rs
+++ b/src/hedging.rs
@@ -22,7 +22,7 @@
         request: &InFlightRequest,
         endpoint: Option<Endpoint>,
     ) -> Option<Nanos> {
-        let machine = endpoint.map_or(0, |endpoint| endpoint.machine);
+        let machine = endpoint.map_or(0, |endpoint| endpoint.machine_type);
         let usual = self.route_classes.ninth_decile(request.class, machine);
         let delay = (DELAY_FACTOR * usual.unwrap_or(0.0)) as Nanos;
         let in_time = now.saturating_add(delay) < request.objective_at;
--- a/src/interface/endpoint.rs
+++ b/src/interface/endpoint.rs
@@ -37,7 +37,7 @@
     /// Where it runs.
     pub zone: ZoneId,
     /// The index of its machine type.
-    pub machine: usize,
+    pub machine_type: usize,
     /// The cell within which keyed repeats are dropped.
     pub cell: i64,
     /// Its listed capacity, against 1 for a usual pod.
@@ -52,11 +52,11 @@
     /// Requests that wait there.
     pub queued: Option<f64>,
     /// Busy part of its CPU, from 0 to 1.
-    pub busy: Option<f64>,
+    pub cpu_utilization: Option<f64>,
     /// Its mean latency in milliseconds.
     pub latency_ms: Option<f64>,
     /// Answers a second.
-    pub delivered_per_s: Option<f64>,
+    pub served_per_s: Option<f64>,
     /// Errors a second.
     pub failed_per_s: Option<f64>,
 }
--- a/src/interface/release.rs
+++ b/src/interface/release.rs
@@ -74,7 +74,7 @@
     /// The build.
     pub build: Build,
     /// The route class.
-    pub group: RouteClassId,
+    pub class: RouteClassId,
     /// Attempts counted.
     pub count: u64,
     /// Those of them that failed.
--- a/src/interface/request.rs
+++ b/src/interface/request.rs
@@ -79,7 +79,7 @@
     /// From sending to the end.
     pub took: Nanos,
     /// The request has its final answer.
-    pub over: bool,
+    pub request_finished: bool,
     /// What the pod said of its load.
     pub load: Option<LoadReport>,
 }
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -203,8 +203,8 @@
 pub struct EndpointListSettings {
     /// The list comes only when asked for.
     #[cfg_attr(feature = "serde", serde(rename = "must_ask"))]
-    pub poll_only: bool,
+    pub must_subscribe: bool,
     /// The longest time between two polls.
     #[cfg_attr(feature = "serde", serde(rename = "ask_within"))]
-    pub poll_interval: Nanos,
+    pub max_subscribe_interval: Nanos,
 }
--- a/src/latency.rs
+++ b/src/latency.rs
@@ -66,7 +66,7 @@
         let answered = outcome.end == AttemptEnd::Served;
         let informative =
             (answered || outcome.end == AttemptEnd::TimedOut) && attempt.evenly_loaded;
-        let machine = attempt.endpoint.machine;
+        let machine = attempt.endpoint.machine_type;
         let latency = self.route_classes.latency_mut(class);
         if latency.ninth_decile.len() <= machine {
             let initial = INITIAL_NINTH_DECILE * latency.mean;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -37,6 +37,6 @@
 mod voting;
 mod window;
 
-pub use pod_table::Visits;
+pub use pod_table::PodVisits;
 pub use route_class::RouteClassChange;
 pub use router::Router;
--- a/src/pod_table.rs
+++ b/src/pod_table.rs
@@ -136,9 +136,9 @@
 
 /// How many pods the pod table was made to look at, so that a test can bound a cost without a clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Visits {
+pub struct PodVisits {
     /// By passes over the table or over a group of it.
-    pub passed: u64,
+    pub scanned: u64,
     /// One at a time, by index.
     pub fetched: u64,
     /// Put in order by their name hashes.
@@ -155,15 +155,15 @@
     pub(crate) count: usize,
     /// Pods that the list dropped, as long as they are in the table.
     gone: Vec<PodId>,
-    visits: Cell<Visits>,
+    visits: Cell<PodVisits>,
 }
 
 impl PodTable {
-    pub(crate) fn visits(&self) -> Visits {
+    pub(crate) fn visits(&self) -> PodVisits {
         self.visits.get()
     }
 
-    pub(crate) fn visit(&self, count: impl FnOnce(&mut Visits)) {
+    pub(crate) fn visit(&self, count: impl FnOnce(&mut PodVisits)) {
         let mut visits = self.visits.get();
         count(&mut visits);
         self.visits.set(visits);
@@ -203,7 +203,7 @@
             .map(|pod| pod.endpoint.pod)
             .collect();
         self.drop_gone();
-        self.visits.get_mut().passed += 2 * self.slots.len() as u64;
+        self.visits.get_mut().scanned += 2 * self.slots.len() as u64;
         self.groups.clear();
         for pod in self.slots.iter().flatten().filter(|pod| pod.is_running()) {
             let group = group_of(&mut self.groups, &pod.endpoint);
@@ -251,7 +251,7 @@
         let is_changed =
             |group: &&mut PodGroup| changed.binary_search(&(group.zone, group.build)).is_ok();
         for group in self.groups.iter_mut().filter(is_changed) {
-            self.visits.get_mut().passed += group.pods.len() as u64;
+            self.visits.get_mut().scanned += group.pods.len() as u64;
             group.sum_up(&self.slots);
         }
     }
@@ -281,7 +281,7 @@
     /// Empties the slots of pods that are gone and have nothing out.
     fn drop_gone(&mut self) {
         let slots = &mut self.slots;
-        self.visits.get_mut().passed += self.gone.len() as u64;
+        self.visits.get_mut().scanned += self.gone.len() as u64;
         self.gone.sort_unstable();
         self.gone.dedup();
         self.gone.retain(|id| {
@@ -361,7 +361,7 @@
 
     /// All pods, counted as one pass.
     pub(crate) fn all_mut(&mut self) -> impl Iterator<Item = &mut Pod> {
-        self.visits.get_mut().passed += self.slots.len() as u64;
+        self.visits.get_mut().scanned += self.slots.len() as u64;
         self.slots.iter_mut().flatten()
     }
 
@@ -374,7 +374,7 @@
 
     /// The running pods.
     pub(crate) fn running(&self) -> impl Iterator<Item = &Pod> {
-        self.visit(|visits| visits.passed += self.slots.len() as u64);
+        self.visit(|visits| visits.scanned += self.slots.len() as u64);
         self.slots.iter().flatten().filter(|pod| pod.is_running())
     }
 
--- a/src/router.rs
+++ b/src/router.rs
@@ -13,7 +13,7 @@
 };
 use crate::latency;
 use crate::outlier::{self, OutlierDetector};
-use crate::pod_table::{PodTable, Visits};
+use crate::pod_table::{PodTable, PodVisits};
 use crate::request::{Attempt, EndedAttempt, InFlightRequest, PossibleRun};
 use crate::retry::RetryBudget;
 use crate::route_class::{max_priority_weight, RouteClassChange, RouteClasses};
@@ -228,7 +228,7 @@
     ) {
         request.borrow_mut().attempts_in_flight -= 1;
         self.learn_from(host, &request.borrow(), attempt, outcome);
-        if outcome.over || !host.is_open(request.borrow().id) {
+        if outcome.request_finished || !host.is_open(request.borrow().id) {
             return;
         }
         let now = host.now();
@@ -445,7 +445,7 @@
     }
 
     /// The pods that were looked at since the start.
-    pub fn visits(&self) -> Visits {
+    pub fn visits(&self) -> PodVisits {
         self.pods.visits()
     }
 }
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -58,7 +58,7 @@
             if !pod.warm {
                 continue;
             }
-            let machine = pod.endpoint.machine;
+            let machine = pod.endpoint.machine_type;
             if self.machines.len() <= machine {
                 self.machines.resize_with(machine + 1, || MachineAnswers {
                     answers: SlidingWindow::new(window, WINDOW_SLICES),
@@ -72,7 +72,7 @@
     /// Counts an answer of a warm pod.
     pub(crate) fn record_end(&mut self, now: Nanos, pod: &Pod, end: AttemptEnd) {
         if end == AttemptEnd::Served && pod.warm {
-            if let Some(machine) = self.machines.get_mut(pod.endpoint.machine) {
+            if let Some(machine) = self.machines.get_mut(pod.endpoint.machine_type) {
                 machine.answers.add(now);
             }
         }
@@ -108,7 +108,7 @@
             .collect();
         let weakest = || others.iter().copied().reduce(f64::min).unwrap_or(0.0);
         let answers = self
-            .answers_by_size(now, endpoint.machine)
+            .answers_by_size(now, endpoint.machine_type)
             .unwrap_or_else(|| UNKNOWN_MACHINE_PART * weakest());
         let multiple = self.settings.overload_multiple;
         let most = OVERLOAD_PART * multiple * warmth * answers * endpoint.size;
--- a/tests/common/notation.rs
+++ b/tests/common/notation.rs
@@ -145,8 +145,8 @@
             exposure: self.exposure(),
             votes: self.votes(),
             endpoint_list: EndpointListSettings {
-                poll_only: self.flag("ask"),
-                poll_interval: span("10s"),
+                must_subscribe: self.flag("ask"),
+                max_subscribe_interval: span("10s"),
             },
         };
         Router::new(now, SEED, settings)
@@ -230,7 +230,7 @@
         build,
         started,
         zone: 0,
-        machine: 0,
+        machine_type: 0,
         cell: 0,
         size: 1.0,
     }
--- a/tests/common/scripted_host.rs
+++ b/tests/common/scripted_host.rs
@@ -102,7 +102,7 @@
         let outcome = AttemptOutcome {
             end: attempt.end,
             took: self.now - attempt.sent_at,
-            over: !self.is_open(request),
+            request_finished: !self.is_open(request),
             load: None,
         };
         (attempt.on_done)(router, self, outcome);
