--- a/crates/adapter/src/setup.rs
+++ b/crates/adapter/src/setup.rs
@@ -173,13 +173,13 @@
 }
 
 fn endpoint_list(settings: &Fields, rules: &Fields) -> Result<EndpointListSettings, WireError> {
-    let must_subscribe = match settings.text("discovery")? {
+    let must_watch = match settings.text("discovery")? {
         "automatic" => false,
         "subscribe" => true,
         _ => return Err(settings.error("discovery", "not automatic or subscribe")),
     };
     Ok(EndpointListSettings {
-        must_subscribe,
-        max_subscribe_interval: rules.whole_or("mustAskInNs", 0)?,
+        must_watch,
+        max_watch_retry_delay: rules.whole_or("mustAskInNs", 0)?,
     })
 }
--- a/crates/emulator/src/drive/settings.rs
+++ b/crates/emulator/src/drive/settings.rs
@@ -157,7 +157,7 @@
     let _ = writeln!(
         out,
         "nodes(address = \"{discovery}\", must_ask = {}, ask_within = \"{}ns\")\ndesk(address = \"{control_plane}\")",
-        flag(list.must_subscribe),
-        list.max_subscribe_interval,
+        flag(list.must_watch),
+        list.max_watch_retry_delay,
     );
 }
--- a/crates/settings/src/records/endpoints.rs
+++ b/crates/settings/src/records/endpoints.rs
@@ -29,13 +29,13 @@
 }
 
 fn read_list(reader: &mut Reader) -> EndpointListSettings {
-    let must_subscribe = reader.flag_or("must_ask", false);
-    let max_subscribe_interval = match must_subscribe {
+    let must_watch = reader.flag_or("must_ask", false);
+    let max_watch_retry_delay = match must_watch {
         true => reader.span("ask_within"),
         false => reader.span_or("ask_within", 0),
     };
     EndpointListSettings {
-        must_subscribe,
-        max_subscribe_interval,
+        must_watch,
+        max_watch_retry_delay,
     }
 }
--- a/crates/settings/tests/stored.rs
+++ b/crates/settings/tests/stored.rs
@@ -75,7 +75,7 @@
         (site.votes.rollback_quorum, site.votes.calls_per_second),
         (1, 40.0)
     );
-    assert!(!site.list.must_subscribe && site.cached_list == Some(PathBuf::from("last-list.txt")));
+    assert!(!site.list.must_watch && site.cached_list == Some(PathBuf::from("last-list.txt")));
     assert!(site.trace.is_none() && site.takeover.is_none() && site.configuration.is_none());
 }
 
@@ -152,7 +152,7 @@
         (3, 2)
     );
     assert_eq!(
-        (site.list.must_subscribe, site.list.max_subscribe_interval),
+        (site.list.must_watch, site.list.max_watch_retry_delay),
         (true, 4_000 * MS)
     );
     assert_eq!(
--- a/src/admission.rs
+++ b/src/admission.rs
@@ -1,60 +1,63 @@
-//! Admission: a limit on the attempts in flight that follows latency.
+//! Admission: a limit on the attempts in flight that adapts to latency.
 //!
-//! Inputs: which answers take too large a part of their latency objective. What a queue would make late is
-//! rejected on arrival, those of the lowest priority first. Covers overload, lost pods and slow fleets alike.
-//! Harm: where many requests are heavy by nature, the limit is lower than the pods could bear.
+//! Inputs: which answers take too large a fraction of their latency objective. Requests that a queue would make
+//! late are rejected on arrival, those of the lowest priority first. This covers overload, lost pods and slow
+//! fleets alike. Risk: where many requests are expensive by nature, the limit is lower than the pods could
+//! handle.
 
 use crate::interface::{AttemptEnd, Nanos, RouteClassId};
 use crate::request::EndedAttempt;
 use crate::router::Router;
 
+/// The limit at the start, in attempts in flight.
 const INITIAL_LIMIT: f64 = 60.0;
 const MIN_LIMIT: f64 = 4.0;
-/// The part of the limit that requests of no priority may use.
-const LOWEST_PRIORITY_PART: f64 = 0.75;
-/// The part of its latency objective after which an answer is late.
-const LATE_AFTER: f64 = 0.45;
-/// The weight of the latest answer in the late part.
+/// The fraction of the limit that requests of priority 0 may use.
+const LOWEST_PRIORITY_FRACTION: f64 = 0.75;
+/// The fraction of its latency objective after which an answer counts as late.
+const LATE_OBJECTIVE_FRACTION: f64 = 0.45;
+/// The weight of the latest answer in the fraction of late answers.
 const LATE_LEARNING_RATE: f64 = 0.03;
-/// The part of late answers above which the limit is reduced, and by which factor.
-const MAX_LATE_PART: f64 = 0.25;
+/// The fraction of late answers above which the limit is reduced.
+const MAX_LATE_FRACTION: f64 = 0.25;
+/// The factor of each reduction of the limit.
 const REDUCTION: f64 = 0.9;
-/// The limit is reduced once in this part of a latency objective, at most.
+/// The most reductions of the limit within one latency objective.
 const REDUCTIONS_PER_OBJECTIVE: Nanos = 4;
-/// What an answer in time adds while more than half of the limit is in use.
+/// What an answer in time adds to the limit while more than half of it is in use.
 const INCREASE: f64 = 0.2;
 
-/// The concurrency limit.
+/// The adaptive concurrency limit.
 pub(crate) struct ConcurrencyLimit {
-    /// Attempts in flight from this instance.
+    /// The attempts in flight from this instance.
     pub(crate) in_flight: u32,
-    /// The part of late answers, of late.
-    pub(crate) late_part: f64,
+    /// The running fraction of late answers.
+    pub(crate) late_fraction: f64,
     limit: f64,
     reduced_at: Nanos,
 }
 
 impl ConcurrencyLimit {
-    /// The part of late answers above which lateness tells of load, not of a build.
-    pub(crate) const CROWDED: f64 = 0.33;
+    /// The fraction of late answers above which lateness is due to load and says nothing about a build.
+    pub(crate) const MAX_INFORMATIVE_LATE_FRACTION: f64 = 0.33;
 
     pub(crate) fn new() -> ConcurrencyLimit {
         ConcurrencyLimit {
             in_flight: 0,
-            late_part: 0.0,
+            late_fraction: 0.0,
             limit: INITIAL_LIMIT,
             reduced_at: 0,
         }
     }
 
-    /// Whether a request is admitted; `priority` is from 0 to 1, the highest weight in force.
+    /// Whether a request is admitted. `priority` is from 0 to 1, which stands for the highest weight in force.
     fn admits(&self, priority: f64) -> bool {
-        let part = LOWEST_PRIORITY_PART + (1.0 - LOWEST_PRIORITY_PART) * priority;
-        (self.in_flight as f64) < self.limit * part
+        let fraction = LOWEST_PRIORITY_FRACTION + (1.0 - LOWEST_PRIORITY_FRACTION) * priority;
+        (self.in_flight as f64) < self.limit * fraction
     }
 
-    /// Takes in an attempt that ended. One of a silent pod tells nothing of the load.
-    pub(crate) fn record_end(&mut self, now: Nanos, ended: &EndedAttempt) {
+    /// Records an attempt that ended. An attempt at a silent pod says nothing about the load.
+    pub(crate) fn record_attempt_end(&mut self, now: Nanos, ended: &EndedAttempt) {
         let objective = ended.latency_objective;
         let answered = ended.outcome.end == AttemptEnd::Served;
         let took = if ended.pod_silent {
@@ -62,10 +65,10 @@
         } else {
             ended.outcome.took
         };
-        let late = took as f64 > LATE_AFTER * objective as f64;
-        self.late_part += (late as u8 as f64 - self.late_part) * LATE_LEARNING_RATE;
+        let late = took as f64 > LATE_OBJECTIVE_FRACTION * objective as f64;
+        self.late_fraction += (late as u8 as f64 - self.late_fraction) * LATE_LEARNING_RATE;
         let reducible = now.saturating_sub(self.reduced_at) > objective / REDUCTIONS_PER_OBJECTIVE;
-        if late && self.late_part > MAX_LATE_PART && reducible {
+        if late && self.late_fraction > MAX_LATE_FRACTION && reducible {
             self.limit = (self.limit.min(self.in_flight as f64) * REDUCTION).max(MIN_LIMIT);
             self.reduced_at = now;
         } else if answered && !late && self.in_flight as f64 > self.limit / 2.0 {
--- a/src/binomial.rs
+++ b/src/binomial.rs
@@ -11,13 +11,13 @@
     instances: usize,
     needed: usize,
     joint_rate: f64,
-    ceiling: f64,
+    max_rate: f64,
 ) -> f64 {
     let mut allowed = 0.0;
-    let mut above = ceiling;
+    let mut above = max_rate;
     for _ in 0..BISECTION_STEPS {
         let middle: f64 = 0.5 * (allowed + above);
-        if 1.0 - fewer_than(instances, needed, middle) <= joint_rate {
+        if 1.0 - probability_of_fewer(instances, needed, middle) <= joint_rate {
             allowed = middle;
         } else {
             above = middle;
@@ -27,7 +27,7 @@
 }
 
 /// The probability that fewer than `needed` of `instances` err, each with the probability `rate`.
-fn fewer_than(instances: usize, needed: usize, rate: f64) -> f64 {
+fn probability_of_fewer(instances: usize, needed: usize, rate: f64) -> f64 {
     let mut log_term = instances as f64 * (1.0 - rate).ln();
     let mut sum = 0.0;
     for n in 0..needed.min(instances + 1) {
--- a/src/binomial/tests.rs
+++ b/src/binomial/tests.rs
@@ -3,7 +3,7 @@
 use super::largest_error_rate;
 
 #[test]
-fn known_tails() {
+fn finds_the_error_rates_of_known_binomial_tails() {
     let near = |found: f64, wanted: f64| {
         assert!((found / wanted - 1.0).abs() < 0.01, "{found}, not {wanted}")
     };
--- a/src/endpoint_list.rs
+++ b/src/endpoint_list.rs
@@ -1,8 +1,8 @@
-//! The endpoint list: how it is followed, and when it is asked for again.
+//! The watch on the endpoint list: whether one is needed, and when a failed one is requested again.
 //!
-//! Inputs: failures of the watch. A watch that failed may or may not be in force, so it is asked for again,
-//! later each time and at scattered moments. Harm: with long waits a stale list stays in force; with short
-//! ones many instances crowd service discovery.
+//! Inputs: failures of the watch. A failed watch may still be active or not, so it is requested again, after a
+//! delay that grows and is partly random. Risks: with long delays a stale list stays in use; with short ones
+//! many instances overload service discovery.
 
 use crate::interface::{EndpointListSettings, Nanos};
 use crate::time::SECOND;
@@ -10,10 +10,10 @@
 
 const MIN_BACKOFF: Nanos = SECOND;
 const MAX_BACKOFF: Nanos = 8 * SECOND;
-/// The least part of a backoff that is waited; the rest is scattered.
-const MIN_BACKOFF_PART: f64 = 0.5;
+/// The smallest fraction of a backoff to wait. The fraction is drawn at random between this one and 1.
+const MIN_BACKOFF_FRACTION: f64 = 0.5;
 
-/// How the endpoint list is followed.
+/// The state of the watch on the endpoint list.
 pub(crate) struct EndpointListWatch {
     settings: EndpointListSettings,
     backoff: Nanos,
@@ -27,21 +27,22 @@
         }
     }
 
-    /// Whether the list comes only to those who ask for a watch.
+    /// Whether this instance gets the list only after it has requested a watch.
     pub(crate) fn must_be_requested(&self) -> bool {
-        self.settings.must_subscribe
+        self.settings.must_watch
     }
 
     pub(crate) fn record_list(&mut self) {
         self.backoff = 0;
     }
 
-    /// After which time the watch is asked for again.
+    /// Records a failed watch and returns the delay before the watch is requested again.
     pub(crate) fn record_failure(&mut self, random: &mut Rand64) -> Nanos {
         self.backoff = (self.backoff * 2)
             .clamp(MIN_BACKOFF, MAX_BACKOFF)
-            .min(self.settings.max_subscribe_interval);
-        (self.backoff as f64 * (MIN_BACKOFF_PART + (1.0 - MIN_BACKOFF_PART) * random.rand_float()))
+            .min(self.settings.max_watch_retry_delay);
+        (self.backoff as f64
+            * (MIN_BACKOFF_FRACTION + (1.0 - MIN_BACKOFF_FRACTION) * random.rand_float()))
             as Nanos
     }
 }
--- a/src/exposure.rs
+++ b/src/exposure.rs
@@ -1,9 +1,9 @@
-//! The exposure cap: how much of the attempts a build on trial may take.
+//! The exposure cap: the share of the attempts that a build on trial may take.
 //!
-//! Inputs: attempts sent to the build and requests taken over the cap's window, the announced stage, the
-//! idempotency of the route class. The cap is a hard rule; the part of it that is used follows the sequential
-//! test's doubt. Harm: a build that gets too little is never judged; without other pods a cap rejects
-//! requests.
+//! Inputs: the attempts sent to the build and the requests received over the cap's window, the announced stage
+//! and the idempotency of the route class. The cap is never exceeded. How much of it is used depends on the
+//! sequential test: the fraction is reduced while the test is in doubt about the build. Risks: a build that gets
+//! too few attempts never gets a verdict; where there are no other pods, the cap rejects requests.
 
 mod counts;
 
@@ -17,52 +17,56 @@
 pub(crate) use counts::ExposureCounts;
 use std::collections::HashSet;
 
-/// The slices of every sliding window: what a window counts is off by two slices at most.
+/// The number of slices of every sliding window. A count of a window is wrong by the content of two slices at most.
 pub(crate) const WINDOW_SLICES: usize = 40;
-/// The least part of a cap that is used: with less, the test of what could settle a doubt would starve.
-const MIN_PART: f64 = 0.4;
-/// Keys that are remembered as answered by the newest build; beyond, every key counts as such.
+/// The smallest fraction of a cap that is used. With less, the sequential test would get too few attempts to settle
+/// a doubt.
+const MIN_FRACTION: f64 = 0.4;
+/// The most keys that are remembered as answered by the newest build. Once there are as many, every key counts as
+/// answered by it.
 const MAX_STICKY_KEYS: usize = 1 << 16;
-const PART_UPDATE_INTERVAL: Nanos = SECOND;
-/// What the used part is multiplied by at each update, in doubt and else.
+const FRACTION_UPDATE_INTERVAL: Nanos = SECOND;
+/// The factor of the used fraction at each update while the sequential test is in doubt.
 const DOUBT_FACTOR: f64 = 0.5;
+/// The factor of the used fraction at each other update.
 const GROWTH_FACTOR: f64 = 2.0;
 
-/// The stage that the control plane announced last.
+/// The stage that the control plane announced last, with the time when it began.
 #[derive(Clone, Copy)]
 pub(crate) struct AnnouncedStage {
     pub(crate) stage: Stage,
     pub(crate) began: Nanos,
 }
 
-/// The use of the cap.
+/// The state of the exposure cap.
 pub(crate) struct Exposure {
     pub(crate) settings: ExposureSettings,
     pub(crate) counts: ExposureCounts,
-    /// The part of the cap in use.
-    part: f64,
-    part_updated_at: Nanos,
+    /// The fraction of the cap in use.
+    used_fraction: f64,
+    fraction_updated_at: Nanos,
     started_at: Nanos,
-    /// Keys that the newest build has answered, where that binds them to it.
+    /// The keys that the newest build has answered. Filled only where the settings make keys sticky.
     sticky_keys: HashSet<u64>,
 }
 
 impl Exposure {
-    /// The part of the cap that is used from a stage's start.
-    pub(crate) const INITIAL_PART: f64 = 0.8;
+    /// The fraction of the cap in use at the start of a stage.
+    pub(crate) const INITIAL_FRACTION: f64 = 0.8;
 
     pub(crate) fn new(settings: ExposureSettings, now: Nanos, classes: usize) -> Exposure {
         Exposure {
             counts: ExposureCounts::new(&settings, classes, WINDOW_SLICES),
             settings,
-            part: Exposure::INITIAL_PART,
-            part_updated_at: now,
+            used_fraction: Exposure::INITIAL_FRACTION,
+            fraction_updated_at: now,
             started_at: now,
             sticky_keys: HashSet::new(),
         }
     }
 
-    /// Attempts in a window that no cap counts; none at first, as an earlier life may have used them.
+    /// Returns the attempts in a window that are allowed in addition to the cap. None are allowed in the first window
+    /// after the start, as this instance may have used them before a restart.
     fn free_attempts(&self, now: Nanos) -> f64 {
         if now - self.started_at <= self.settings.window {
             0.0
@@ -71,75 +75,77 @@
         }
     }
 
-    /// What a cap and the free attempts together are of the requests taken in a window.
+    /// Returns the cap plus the free attempts, as a share of the requests received in a window.
     pub(crate) fn share(&mut self, now: Nanos, cap: f64) -> f64 {
         let requests = self.counts.all_requests(now);
         cap + self.free_attempts(now) / requests.max(1) as f64
     }
 
-    /// Whether `part` of a cap leaves room for one more attempt.
+    /// Whether one more attempt fits into `fraction` of a cap.
     fn has_room(
         &mut self,
         now: Nanos,
         build: Build,
         class: RouteClassId,
         cap: f64,
-        part: f64,
+        fraction: f64,
     ) -> bool {
         let free = self.free_attempts(now);
         let requests = self.counts.requests(now, class) as f64;
-        let most = part * (free + cap * requests);
-        self.counts.attempts(now, build, class) as f64 + 1.0 <= most
+        let limit = fraction * (free + cap * requests);
+        self.counts.attempts(now, build, class) as f64 + 1.0 <= limit
     }
 
-    /// The part of the cap in use for as long as other builds can take the rest; without them the whole of
-    /// it.
-    fn usable_part(&self, others: bool, sends: bool) -> f64 {
+    /// Returns the fraction of the cap that may be used now. Without other builds, the complete cap. While other
+    /// builds can take the remaining attempts, the fraction in use, or 0 where this instance does not send to the
+    /// build on trial.
+    fn usable_fraction(&self, others: bool, sends_to_trial: bool) -> f64 {
         if others {
-            self.part * sends as u8 as f64
+            self.used_fraction * sends_to_trial as u8 as f64
         } else {
             1.0
         }
     }
 
-    pub(crate) fn is_part_update_due(&self, now: Nanos) -> bool {
-        now >= self.part_updated_at + PART_UPDATE_INTERVAL
+    pub(crate) fn is_fraction_update_due(&self, now: Nanos) -> bool {
+        now >= self.fraction_updated_at + FRACTION_UPDATE_INTERVAL
     }
 
-    /// Halves the part in use on doubt and doubles it else.
-    pub(crate) fn update_part(&mut self, now: Nanos, in_doubt: bool) {
+    /// Halves the fraction in use while in doubt; doubles it otherwise.
+    pub(crate) fn update_used_fraction(&mut self, now: Nanos, in_doubt: bool) {
         let factor = if in_doubt {
             DOUBT_FACTOR
         } else {
             GROWTH_FACTOR
         };
-        self.part = (self.part * factor).clamp(MIN_PART, 1.0);
-        self.part_updated_at = now;
+        self.used_fraction = (self.used_fraction * factor).clamp(MIN_FRACTION, 1.0);
+        self.fraction_updated_at = now;
     }
 
     pub(crate) fn restart_stage(&mut self) {
-        self.part = Exposure::INITIAL_PART;
+        self.used_fraction = Exposure::INITIAL_FRACTION;
     }
 
     pub(crate) fn forget_sticky_keys(&mut self) {
         self.sticky_keys.clear();
     }
 
-    fn is_key_bound(&self, key: u64) -> bool {
+    fn is_key_sticky(&self, key: u64) -> bool {
         self.sticky_keys.len() >= MAX_STICKY_KEYS || self.sticky_keys.contains(&key)
     }
 }
 
-/// A pod group that the rules leave open, and the cap its build is under.
-struct OpenGroup {
+/// A pod group that the rules do not exclude, with the cap of its build.
+struct EligibleGroup {
     index: usize,
     build: Build,
     cap: Option<f64>,
 }
 
 impl Router {
-    /// The cap a build is under, or none where it is not on trial. One not announced is in its first stage;
-    /// where keys stick it gets nothing, as keys that it answered could not be held to it.
+    /// Returns the cap of a build, or `None` where the build is not capped. A build newer than the announced one
+    /// counts as in its first stage. Where keys are sticky its cap is 0, as the keys that it answers could not be
+    /// kept at it.
     pub(crate) fn cap(&self, build: Build) -> Option<f64> {
         let first = if self.exposure.settings.sticky_keys {
             0.0
@@ -157,8 +163,9 @@
         }
     }
 
-    /// Binds a key to the newest build once that may have answered it: an answer may have been made and lost.
-    pub(crate) fn bind_answered_key(&mut self, key: u64, attempt: &Attempt, end: AttemptEnd) {
+    /// Makes a key sticky once the newest build may have answered it. An attempt without a received answer counts as
+    /// well, as its answer may have been lost.
+    pub(crate) fn record_sticky_key(&mut self, key: u64, attempt: &Attempt, end: AttemptEnd) {
         let build = attempt.endpoint.build;
         let newest = self
             .announced
@@ -169,7 +176,7 @@
         }
     }
 
-    /// Whether a request avoids the build on trial after such an attempt.
+    /// Whether a request avoids the build on trial after an attempt that ended so.
     pub(crate) fn avoids_trial_after(&self, attempt: &Attempt, end: AttemptEnd) -> bool {
         end.is_failure() && self.cap(attempt.endpoint.build).is_some()
     }
@@ -182,59 +189,62 @@
         })
     }
 
-    /// Whether the rules close a build to the requests of a class and key, whatever room its cap leaves.
-    fn is_closed(&self, class: RouteClassId, key: u64, build: Build) -> bool {
+    /// Whether the rules exclude a build for the requests of a class and key, however many attempts its cap allows.
+    fn is_excluded(&self, class: RouteClassId, key: u64, build: Build) -> bool {
         let settings = &self.exposure.settings;
         let announced = self.announced.map(|announced| announced.stage);
         let newest = announced.map_or(0, |stage| stage.build);
         let newest_stage = announced.map_or(0, |stage| stage.stage);
-        let bound = settings.sticky_keys && build < newest && self.exposure.is_key_bound(key);
+        let sticky = settings.sticky_keys && build < newest && self.exposure.is_key_sticky(key);
         let stage = if build == newest { newest_stage } else { 0 };
-        let guarded = stage < settings.idempotent_only_stages
+        let idempotent_only = stage < settings.idempotent_only_stages
             && self.route_classes[class].idempotency != Idempotency::Idempotent;
-        bound || self.cap(build).is_some_and(|cap| cap <= 0.0 || guarded)
+        sticky
+            || self
+                .cap(build)
+                .is_some_and(|cap| cap <= 0.0 || idempotent_only)
     }
 
-    /// The pod groups, by index, that the rules leave open to the next attempt of a request.
-    pub(crate) fn open_groups(
+    /// Returns the indices of the pod groups that may get the next attempt of a request.
+    pub(crate) fn eligible_groups(
         &mut self,
         now: Nanos,
         class: RouteClassId,
         key: u64,
         avoids_trial: bool,
     ) -> Vec<usize> {
-        let mut open = Vec::new();
+        let mut eligible = Vec::new();
         for (index, group) in self.pods.groups.iter().enumerate() {
             let build = group.build;
-            if !self.is_closed(class, key, build) {
+            if !self.is_excluded(class, key, build) {
                 let cap = self.cap(build);
-                open.push(OpenGroup { index, build, cap });
+                eligible.push(EligibleGroup { index, build, cap });
             }
         }
-        let others = open.iter().any(|group| group.cap.is_none());
-        let trial = open
+        let others = eligible.iter().any(|group| group.cap.is_none());
+        let trial = eligible
             .iter()
             .filter_map(|group| Some((group.build, group.cap?)))
             .max_by_key(|(build, _)| *build);
-        let sends =
+        let sends_to_trial =
             !self.sequential_test.periods.withheld && self.sequential_test.oversampling > 0.0;
-        let part = self.exposure.usable_part(others, sends);
+        let fraction = self.exposure.usable_fraction(others, sends_to_trial);
         let trial =
-            trial.filter(|(build, cap)| self.exposure.has_room(now, *build, class, *cap, part));
+            trial.filter(|(build, cap)| self.exposure.has_room(now, *build, class, *cap, fraction));
         let trial = trial
             .filter(|_| !(avoids_trial && others))
             .map(|(build, _)| build);
-        open.retain(|group| group.cap.is_none() || trial == Some(group.build));
-        open.into_iter().map(|group| group.index).collect()
+        eligible.retain(|group| group.cap.is_none() || trial == Some(group.build));
+        eligible.into_iter().map(|group| group.index).collect()
     }
 
-    /// Whether an attempt that was chosen a while ago may still go out: while it waits for a connection, its
-    /// pod may drain or come back as another, or the stage may change. One that waited long is counted again,
-    /// lest attempts that were chosen apart leave together and pass the cap at once. A keyed request that may
-    /// have run is not repeated past its window.
+    /// Whether an attempt may still be sent to a pod that was chosen some time ago. While the attempt waits for a
+    /// connection, its pod may drain or restart, or the stage may change. An attempt that waited long is counted
+    /// again: otherwise attempts chosen at different times could be sent together and exceed the cap at once. A keyed
+    /// request that may have run is not repeated after its deduplication window.
     ///
-    /// `request` is its class and key, `endpoint` the pod as it was chosen, `times` when it was chosen and
-    /// when the request may have run first.
+    /// `request` is the route class and the key, `endpoint` the pod as it was when it was chosen. `times` are when
+    /// the pod was chosen, and when the request may have run first.
     pub fn may_still_send(
         &mut self,
         now: Nanos,
@@ -248,26 +258,26 @@
         let rules = self.route_classes[class];
         let past_window = rules.idempotency == Idempotency::Keyed
             && ran_at.is_some_and(|ran_at| now >= ran_at + rules.dedup_window);
-        let same = |pod: &Pod| {
+        let is_same_pod = |pod: &Pod| {
             pod.is_running()
                 && pod.endpoint.started == endpoint.started
                 && pod.endpoint.build == build
         };
         if past_window
-            || !self.pods.get(endpoint.pod).is_some_and(same)
-            || self.is_closed(class, key, build)
+            || !self.pods.get(endpoint.pod).is_some_and(is_same_pod)
+            || self.is_excluded(class, key, build)
         {
             return false;
         }
         let slice = self.exposure.settings.window / WINDOW_SLICES as Nanos;
-        let waited = now.saturating_sub(chosen_at) > slice;
-        let Some(cap) = self.cap(build).filter(|_| waited) else {
+        let waited_long = now.saturating_sub(chosen_at) > slice;
+        let Some(cap) = self.cap(build).filter(|_| waited_long) else {
             return true;
         };
-        let room = self.exposure.has_room(now, build, class, cap, 1.0);
-        if room {
+        let has_room = self.exposure.has_room(now, build, class, cap, 1.0);
+        if has_room {
             self.exposure.counts.add_attempt(now, build, class);
         }
-        room
+        has_room
     }
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,8 +1,9 @@
-//! The interface of the router: what a host tells it and what it asks of a host.
+//! The interface between the router and its host: the events that go in and the effects that come out.
 //!
-//! A host builds a [`Router`](crate::Router) from [`RouterSettings`], calls its methods as things arrive and
-//! carries out what comes back through [`Host`]. Whatever takes a [`Callback`] is kept by the host and handed
-//! its result once, so the state of a request in flight lives in its callbacks.
+//! A host builds a [`Router`](crate::Router) from [`RouterSettings`], calls its methods as events arrive and
+//! carries out the effects that the router requests through [`Host`]. An effect with a result comes with a
+//! [`Callback`]; the host keeps the callback and calls it once, with the result. So the state of a request in
+//! flight is held by its callbacks.
 
 mod endpoint;
 mod host;
@@ -19,15 +20,15 @@
     Idempotency, PodSettings, ReleaseControl, RouteClass, RouterSettings, VoteSettings,
 };
 
-/// Whole nanoseconds, as a point on the host's clock or a span.
+/// Whole nanoseconds: a time on the host's clock, or a duration.
 pub type Nanos = u64;
-/// A request in flight, by a number that the host gives it.
+/// The id of a request in flight, assigned by the host.
 pub type RequestId = u64;
-/// The index of a pod; a pod keeps its index while this instance runs.
+/// The index of a pod. A pod keeps its index as long as this instance runs.
 pub type PodId = usize;
 /// The index of a route class.
 pub type RouteClassId = usize;
 /// The index of a zone.
 pub type ZoneId = usize;
-/// The number of a build; a later build has the greater number.
+/// The number of a build. A later build has a greater number.
 pub type Build = u32;
--- a/src/interface/endpoint.rs
+++ b/src/interface/endpoint.rs
@@ -1,8 +1,9 @@
-//! Pods as the endpoint list and their own reports tell them.
+//! Pods as the endpoint list describes them, and the load that they report.
 
 use super::{AttemptEnd, Build, Nanos, PodId, ZoneId};
 
-/// FNV-1a, so that a key or a name is the same small value in every process; never 0, which stands for none.
+/// Returns the 64-bit FNV-1a hash of a key or a name, so that every process computes the same value. Never
+/// returns 0, which means that there is no key.
 pub fn stable_hash(text: &[u8]) -> u64 {
     let mixed = text.iter().fold(0xcbf2_9ce4_8422_2325u64, |h, b| {
         (h ^ *b as u64).wrapping_mul(0x0100_0000_01b3)
@@ -10,64 +11,64 @@
     mixed.max(1)
 }
 
-/// Whether a pod may be sent to.
+/// Whether a pod takes requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PodState {
-    /// It takes requests.
+    /// The pod takes requests.
     Running,
-    /// It finishes what it has and takes nothing new.
+    /// The pod finishes its requests in flight and takes no new ones.
     Draining,
-    /// It left the list.
+    /// The pod was removed from the list.
     Gone,
 }
 
-/// A pod as the endpoint list tells it.
+/// A pod as the endpoint list describes it.
 #[derive(Clone, Copy, Debug)]
 pub struct Endpoint {
-    /// Its index.
+    /// The pod's index.
     pub pod: PodId,
-    /// Its name's [`stable_hash`]: the order of pods by it is the same at every instance.
+    /// The [`stable_hash`] of the pod's name. Every instance sorts the pods by it, so all get the same order.
     pub name_hash: u64,
-    /// Whether it may be sent to.
+    /// Whether the pod takes requests.
     pub state: PodState,
-    /// The build it runs.
+    /// The build that the pod runs.
     pub build: Build,
-    /// When it started; 0 for long ago.
+    /// When the pod started; 0 where it started long ago.
     pub started: Nanos,
-    /// Where it runs.
+    /// The zone where the pod runs.
     pub zone: ZoneId,
-    /// The index of its machine type.
+    /// The index of the pod's machine type.
     pub machine_type: usize,
-    /// The cell within which keyed repeats are dropped.
+    /// The cell of the pod: the pods of one cell drop repeats of each other's keyed requests.
     pub cell: i64,
-    /// Its listed capacity, against 1 for a usual pod.
+    /// The listed capacity, relative to a standard pod, which has 1.
     pub size: f64,
 }
 
-/// What a pod said of its load; a site reports some of these or none.
+/// The load that a pod reported. Each field is optional, as pods differ in what they report.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Requests it works on.
+    /// Requests that the pod is working on.
     pub in_flight: Option<f64>,
-    /// Requests that wait there.
+    /// Requests that wait in the pod's queue.
     pub queued: Option<f64>,
-    /// Busy part of its CPU, from 0 to 1.
+    /// CPU utilization, from 0 to 1.
     pub cpu_utilization: Option<f64>,
-    /// Its mean latency in milliseconds.
+    /// The mean latency in milliseconds.
     pub latency_ms: Option<f64>,
-    /// Answers a second.
+    /// Answers per second.
     pub served_per_s: Option<f64>,
-    /// Errors a second.
+    /// Errors per second.
     pub failed_per_s: Option<f64>,
 }
 
-/// What came of a health check.
+/// The result of a health check.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HealthCheckResult {
-    /// How it ended.
+    /// How the health check ended.
     pub end: AttemptEnd,
-    /// From sending to the end.
+    /// The time from sending the health check to its end.
     pub took: Nanos,
-    /// What the pod said of its load.
+    /// The load that the pod reported.
     pub load: Option<LoadReport>,
 }
--- a/src/interface/host.rs
+++ b/src/interface/host.rs
@@ -1,18 +1,18 @@
-//! The effects that the router asks for.
+//! The effects that the router requests from its host.
 
 use super::{AttemptOutcome, Build, HealthCheckResult, Nanos, PodId, RequestId, Vote, VoteReply};
 use crate::router::Router;
 
-/// What to do with the result of a step.
+/// Continues the work of the router with the result of an effect.
 pub type Callback<R> = Box<dyn FnOnce(&mut Router, &mut dyn Host, R)>;
 
-/// The effects a host carries out. Each acts at the host's present clock time, in the order called.
+/// The effects that a host carries out. Each takes place at the host's current time, in the order of the calls.
 pub trait Host {
-    /// The present time.
+    /// Returns the current time.
     fn now(&self) -> Nanos;
-    /// Whether the request still wants its final answer; false once it was answered or its client left.
+    /// Whether the request still awaits its final answer: it is neither answered nor abandoned by its client.
     fn is_open(&self, request: RequestId) -> bool;
-    /// Sends an attempt of a request to a pod and waits for its answer until the timeout.
+    /// Sends an attempt of a request to a pod and waits for the answer for `timeout` at most.
     fn send_attempt(
         &mut self,
         request: RequestId,
@@ -20,21 +20,23 @@
         timeout: Nanos,
         on_done: Callback<AttemptOutcome>,
     );
-    /// Stops waiting for the given attempt of a request, counted from 0; its outcome still comes.
+    /// Cancels an attempt of a request. Attempts are counted from 0. The callback of the attempt is still called,
+    /// with its outcome.
     fn cancel_attempt(&mut self, request: RequestId, attempt: u32);
-    /// Final answer: a retry is harmless. `retry_after` 0 gives the client no advice.
+    /// Gives the final answer that the request was rejected and a retry by the client is harmless. A `retry_after`
+    /// of 0 gives the client no advice on when to retry.
     fn reject(&mut self, request: RequestId, retry_after: Nanos);
-    /// Final answer that promises nothing.
+    /// Gives the final answer that the request failed, without a promise that a retry is harmless.
     fn fail(&mut self, request: RequestId);
     /// Sends a vote on a build's stage to the control plane.
     fn cast_vote(&mut self, build: Build, stage: usize, vote: Vote, on_done: Callback<VoteReply>);
     /// Sends a health check to a pod.
     fn health_check(&mut self, pod: PodId, on_done: Callback<HealthCheckResult>);
-    /// Asks for the endpoint list once.
+    /// Requests the endpoint list once.
     fn poll_endpoints(&mut self);
-    /// Starts or ends the watch on the endpoint list.
+    /// Starts or ends the watch on the endpoint list: a subscription to the list and its changes.
     fn watch_endpoints(&mut self, on: bool);
-    /// Calls back after a span.
+    /// Calls `on_done` after a delay.
     fn set_timer(&mut self, after: Nanos, on_done: Callback<()>);
     /// Writes a line to the log.
     fn log(&mut self, line: &str);
--- a/src/interface/release.rs
+++ b/src/interface/release.rs
@@ -1,32 +1,32 @@
-//! Releases: the stage of the build on trial, and votes on it.
+//! Releases: the stage of the build on trial, and the votes on it.
 
 use super::{Build, Nanos, RouteClassId};
 
 /// A vote on a build's stage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Vote {
-    /// No opinion; withdraws an earlier vote.
+    /// Has no opinion, and withdraws an earlier vote.
     None,
-    /// On to the next stage.
+    /// Move on to the next stage.
     Advance,
-    /// Stay in this stage.
+    /// Stay in the current stage.
     Hold,
-    /// Back to the earlier build.
+    /// Return to the earlier build.
     RollBack,
 }
 
-/// Where a release stands.
+/// The phase of a release.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum Phase {
-    /// The build is on trial, under a cap.
+    /// The build is on trial: a cap limits its share of the attempts.
     Trial,
-    /// The build is being taken back.
+    /// The build is being rolled back.
     #[cfg_attr(feature = "serde", serde(rename = "GoingBack"))]
     RollingBack,
-    /// The build passed.
+    /// The build passed all stages and is no longer capped.
     Released,
-    /// The build was taken back.
+    /// The build was rolled back.
     Withdrawn,
 }
 
@@ -36,51 +36,51 @@
 pub struct Stage {
     /// The build.
     pub build: Build,
-    /// The stage's number, from 0.
+    /// The number of the stage, from 0.
     pub stage: usize,
-    /// Where the release stands.
+    /// The phase of the release.
     pub phase: Phase,
-    /// The build's greatest share of the attempts, from 0 to 1.
+    /// The greatest share of the attempts that the build may take, from 0 to 1.
     pub cap: f64,
-    /// Time since this state began.
+    /// The time since the release entered this state.
     pub age: Nanos,
 }
 
-/// How the control plane took a vote.
+/// How the control plane received a vote.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VoteReceipt {
-    /// It is in force.
+    /// The vote is in force.
     Counted,
-    /// Not the present build or stage.
+    /// The vote was for a build or stage that is no longer current.
     Stale,
-    /// It may count all the same.
+    /// It is unknown whether the vote is in force.
     Unknown,
-    /// It does not count.
+    /// The control plane refused the vote, so it is not in force.
     Rejected,
 }
 
-/// The answer to a vote; the stage comes with it where the control plane told it.
+/// The control plane's reply to a vote.
 #[derive(Clone, Debug, PartialEq)]
 pub struct VoteReply {
-    /// How the vote was taken.
+    /// How the vote was received.
     pub receipt: VoteReceipt,
-    /// The present stage.
+    /// The current stage, where the reply states it.
     pub stage: Option<Stage>,
 }
 
-/// A sampled count of all instances' attempts to one build, from the control plane.
+/// A sampled count of the attempts of all instances to one build, from the control plane.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tally {
     /// The build.
     pub build: Build,
     /// The route class.
     pub class: RouteClassId,
-    /// Attempts counted.
+    /// The attempts counted.
     pub count: u64,
-    /// Those of them that failed.
+    /// The counted attempts that failed.
     pub failed: u64,
-    /// The mean latency of those that were served.
+    /// The mean latency of the counted attempts that were served.
     pub mean_latency: Nanos,
-    /// Time since they were counted.
+    /// The time since the count was made.
     pub age: Nanos,
 }
--- a/src/interface/request.rs
+++ b/src/interface/request.rs
@@ -1,60 +1,60 @@
-//! Requests, and how their attempts end.
+//! Incoming requests and the outcomes of their attempts.
 
 use super::{LoadReport, Nanos, PodId, RequestId, RouteClassId};
 
 /// A request as it arrives.
 #[derive(Clone, Debug)]
 pub struct IncomingRequest {
-    /// The host's number for it.
+    /// The id that the host assigned.
     pub id: RequestId,
-    /// Its route class.
+    /// The route class.
     pub class: RouteClassId,
-    /// Whom it is counted for, where that is known.
+    /// The index of the tenant that the request counts for, where it is known.
     pub tenant: Option<usize>,
-    /// A hash of the request's key, 0 where it has none.
+    /// A hash of the request's idempotency key; 0 where it has none.
     pub key: u64,
-    /// How long its client still waits.
+    /// How much longer the client waits for the answer.
     pub remaining: Nanos,
-    /// What its client says it costs a pod.
+    /// The client's estimate of how long a pod works on the request.
     pub cost_hint: Option<Nanos>,
-    /// Its client sent it before.
+    /// The client sent this request before.
     pub is_retry: bool,
 }
 
 /// An attempt that another instance sent for a request before this one resumed it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PriorAttempt {
-    /// `None` for a pod that is not listed here.
+    /// The pod of the attempt; `None` where this instance does not have it in its list.
     pub pod: Option<PodId>,
-    /// How long ago it was sent.
+    /// How long ago the attempt was sent.
     pub ago: Nanos,
-    /// Nothing proves that it did not run.
+    /// The attempt may have run: nothing proves that it did not.
     pub may_have_run: bool,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// With an answer for the client.
+    /// The pod sent an answer for the client.
     Served,
-    /// With an error of the pod.
+    /// The pod answered with an error.
     Failed,
-    /// The pod turned it away unseen.
+    /// The pod rejected the attempt before it did any work.
     Rejected,
-    /// No answer came within the timeout.
+    /// No answer arrived within the timeout.
     TimedOut,
-    /// No connection could be made.
+    /// No connection to the pod could be made.
     ConnectFailed,
-    /// The connection broke.
+    /// The connection was lost.
     Reset,
-    /// The router or the client no longer wanted it.
+    /// The router or the client cancelled the attempt.
     Cancelled,
-    /// It never left.
+    /// The host did not send the attempt.
     NotSent,
 }
 
 impl AttemptEnd {
-    /// Whether this proves that the attempt never ran.
+    /// Whether this end proves that the attempt never ran.
     pub fn never_ran(self) -> bool {
         matches!(
             self,
@@ -62,7 +62,7 @@
         )
     }
 
-    /// Whether the attempt may have run and brought no answer that counts.
+    /// Whether the attempt may have run without an answer that can be given to the client.
     pub(crate) fn is_failure(self) -> bool {
         matches!(
             self,
@@ -71,15 +71,15 @@
     }
 }
 
-/// What came of an attempt.
+/// The outcome of an attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptOutcome {
-    /// How it ended.
+    /// How the attempt ended.
     pub end: AttemptEnd,
-    /// From sending to the end.
+    /// The time from sending the attempt to its end.
     pub took: Nanos,
-    /// The request has its final answer.
+    /// The request has its final answer, or its client left.
     pub request_finished: bool,
-    /// What the pod said of its load.
+    /// The load that the pod reported.
     pub load: Option<LoadReport>,
 }
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -1,37 +1,37 @@
-//! What a router is built from: records that are checked by whoever reads them.
+//! The settings of a router. The code that reads them checks their values; the router does not.
 
 use super::{Nanos, ZoneId};
 
-/// Everything a router is built from, besides the time and the seed.
+/// The settings of a router. Besides them it needs the current time and a seed.
 #[derive(Clone, Debug)]
 pub struct RouterSettings {
-    /// This instance's place in the fleet.
+    /// The position of this instance in the fleet.
     pub position: FleetPosition,
-    /// The route classes by index.
+    /// The route classes, by index.
     pub route_classes: Vec<RouteClass>,
-    /// What the attempts of a request may do.
+    /// The limits on the attempts of a request.
     pub attempts: AttemptSettings,
-    /// What pods bear.
+    /// What pods can handle.
     pub pods: PodSettings,
-    /// How a build on trial is kept within its cap.
+    /// How the exposure of a build on trial is limited.
     pub exposure: ExposureSettings,
-    /// How releases are voted on.
+    /// How this instance votes on releases.
     pub votes: VoteSettings,
-    /// How the endpoint list comes.
+    /// How the endpoint list is obtained.
     pub endpoint_list: EndpointListSettings,
 }
 
-/// What a repeat of a request does.
+/// What happens when a request is sent a second time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum Idempotency {
-    /// A repeat does no harm anywhere.
+    /// A repeat does no harm at any pod.
     #[cfg_attr(feature = "serde", serde(rename = "Repeatable"))]
     Idempotent,
-    /// A repeat with the same idempotency key is dropped, within a scope and a time.
+    /// A pod drops a repeat with the same idempotency key, within a scope and a time window.
     #[cfg_attr(feature = "serde", serde(rename = "Tagged"))]
     Keyed,
-    /// A repeat does the work again.
+    /// A repeat has its effect again.
     #[cfg_attr(feature = "serde", serde(rename = "Mutating"))]
     NonIdempotent,
 }
@@ -42,87 +42,87 @@
 pub enum DedupScope {
     /// All pods.
     All,
-    /// Those of the zone where it ran.
+    /// The pods of the zone where the request ran.
     Zone,
-    /// Those of the cell where it ran.
+    /// The pods of the cell where the request ran.
     Cell,
 }
 
-/// What requests of one kind need and bear.
+/// The rules for the requests of one route class.
 #[derive(Clone, Copy, Debug, PartialEq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct RouteClass {
-    /// What a repeat does.
+    /// What happens when a request is sent a second time.
     #[cfg_attr(feature = "serde", serde(rename = "kind"))]
     pub idempotency: Idempotency,
     /// Which pods drop a repeat of a keyed request.
     #[cfg_attr(feature = "serde", serde(rename = "scope"))]
     pub dedup_scope: DedupScope,
-    /// How long, from the first attempt that may have run, repeats of a keyed request are dropped.
+    /// For how long repeats of a keyed request are dropped, from the first attempt that may have run.
     #[cfg_attr(feature = "serde", serde(rename = "repeat_window"))]
     pub dedup_window: Nanos,
-    /// The latency within which an answer earns the whole priority weight.
+    /// The latency up to which an answer earns the full priority weight.
     #[cfg_attr(feature = "serde", serde(rename = "target_latency"))]
     pub latency_objective: Nanos,
-    /// How long clients wait.
+    /// How long clients wait for an answer.
     pub client_timeout: Nanos,
-    /// What an answer is worth against those of other classes.
+    /// The value of an answer, relative to the answers of other classes.
     #[cfg_attr(feature = "serde", serde(rename = "benefit"))]
     pub priority_weight: f64,
-    /// Share of the priority weight that an answer past the latency objective still earns.
+    /// The share of the priority weight that an answer after the latency objective still earns.
     #[cfg_attr(feature = "serde", serde(rename = "late_benefit"))]
     pub late_weight: f64,
-    /// Answers are streams.
+    /// Answers are streamed.
     pub stream: bool,
 }
 
-/// An instance's place in the fleet.
+/// The position of an instance in the fleet.
 #[derive(Clone, Debug)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct FleetPosition {
-    /// Its number, from 0.
+    /// The number of this instance, from 0.
     pub rank: usize,
-    /// How many instances there are.
+    /// The number of instances.
     pub instances: usize,
-    /// The zone it runs in.
+    /// The zone where this instance runs.
     pub zone: ZoneId,
 }
 
-/// What the attempts of a request may do.
+/// The limits on the attempts of a request.
 #[derive(Clone, Debug)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct AttemptSettings {
-    /// Attempts of one request, at most.
+    /// The most attempts that one request may have.
     #[cfg_attr(feature = "serde", serde(rename = "max_forwards"))]
     pub max_attempts: u32,
     /// Two attempts of one request may be in flight at once.
     #[cfg_attr(feature = "serde", serde(rename = "copies"))]
     pub hedging: bool,
-    /// An attempt may be cancelled.
+    /// The router may cancel attempts.
     pub may_cancel: bool,
-    /// Longest retry-after advice that a client honours; 0 where none is passed on.
+    /// The longest retry-after advice that clients follow; 0 where no advice reaches them.
     #[cfg_attr(feature = "serde", serde(rename = "max_come_back"))]
     pub max_retry_after: Nanos,
-    /// Points lost when every attempt crosses zones once.
+    /// The cost of cross-zone traffic: the points lost when every attempt crosses zones once.
     #[cfg_attr(feature = "serde", serde(rename = "cross_zone_price"))]
     pub cross_zone_cost: f64,
 }
 
-/// What pods bear.
+/// What pods can handle.
 #[derive(Clone, Debug)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct PodSettings {
-    /// How long after it began to drain a pod may still be sent to.
+    /// How long after the start of its drain a pod may still be sent requests.
     pub drain_grace: Nanos,
-    /// Share of its capacity that a pod has at its start, at least.
+    /// The share of its full capacity that a pod has at least when it starts.
     #[cfg_attr(feature = "serde", serde(rename = "cold_share"))]
     pub initial_capacity: f64,
-    /// How long a pod needs from its start to its whole capacity.
+    /// The time from a pod's start until it has its full capacity.
     pub warm_up: Nanos,
-    /// The multiple of its capacity that makes a pod fail.
+    /// The load at which a pod fails, as a multiple of its capacity.
     #[cfg_attr(feature = "serde", serde(rename = "fall_multiple"))]
     pub overload_multiple: f64,
-    /// Over which time that is counted.
+    /// The time window over which the load for `overload_multiple` is counted.
     #[cfg_attr(feature = "serde", serde(rename = "fall_window"))]
     pub overload_window: Nanos,
     /// Pods answer health checks.
@@ -130,28 +130,28 @@
     pub health_checks: bool,
 }
 
-/// How a build on trial is kept within its cap.
+/// How the exposure of a build on trial is limited.
 #[derive(Clone, Debug)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct ExposureSettings {
-    /// Over which time attempts and requests are counted.
+    /// The time window over which attempts and requests are counted.
     pub window: Nanos,
-    /// Attempts in a window that no cap counts.
+    /// The attempts in a window that are allowed in addition to the cap.
     #[cfg_attr(feature = "serde", serde(rename = "free"))]
     pub free_attempts: f64,
-    /// The cap holds for each route class, not for all together.
+    /// The cap applies to each route class separately, not to all classes together.
     #[cfg_attr(feature = "serde", serde(rename = "per_group"))]
     pub per_class: bool,
-    /// Stages below this one take idempotent requests only.
+    /// In stages with a number below this one, a build takes idempotent requests only.
     #[cfg_attr(feature = "serde", serde(rename = "guarded_stages"))]
     pub idempotent_only_stages: usize,
-    /// A key that the newest build answered may not go to an earlier one.
+    /// A request with a key that the newest build answered before may not go to an earlier build.
     #[cfg_attr(feature = "serde", serde(rename = "one_way"))]
     pub sticky_keys: bool,
-    /// The earlier build's pods stay until the release, so that they could carry all requests.
+    /// The pods of the earlier build run until the release is complete, so that they can carry all requests.
     #[cfg_attr(feature = "serde", serde(rename = "beside"))]
     pub blue_green: bool,
-    /// The cap of each stage, from 0.
+    /// The cap of each stage, from stage 0 on, each from 0 to 1.
     pub caps: Vec<f64>,
 }
 
@@ -162,49 +162,49 @@
     /// One vote moves a stage.
     #[cfg_attr(feature = "serde", serde(rename = "Any"))]
     AnyVote,
-    /// A stated number of votes must be in force for a move.
+    /// A stage moves once a stated number of votes are in force.
     #[cfg_attr(feature = "serde", serde(rename = "Count"))]
     Quorum,
-    /// Stages move by the clock unless held.
+    /// Stages move after a fixed time unless a vote holds them.
     #[cfg_attr(feature = "serde", serde(rename = "Clock"))]
     Timed,
 }
 
-/// How releases are voted on.
+/// How this instance votes on releases.
 #[derive(Clone, Debug)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct VoteSettings {
-    /// What moves a release.
+    /// What moves a release from stage to stage.
     pub control: ReleaseControl,
     /// How long a vote is in force.
     #[cfg_attr(feature = "serde", serde(rename = "life"))]
     pub ttl: Nanos,
-    /// How long an answer to a vote may take.
+    /// How long the reply to a vote may take.
     #[cfg_attr(feature = "serde", serde(rename = "call_time_out"))]
     pub call_timeout: Nanos,
-    /// Votes to advance that a move needs where they are counted; 0 where that is not told.
+    /// The votes to advance that a move needs under [`ReleaseControl::Quorum`]; 0 where the number is unknown.
     #[cfg_attr(feature = "serde", serde(default))]
     #[cfg_attr(feature = "serde", serde(rename = "on_needs"))]
     pub advance_quorum: usize,
-    /// Votes to roll back that a move needs.
+    /// The votes to roll back that a rollback needs.
     #[cfg_attr(feature = "serde", serde(rename = "back_needs"))]
     pub rollback_quorum: usize,
-    /// Calls a second that the control plane takes from all instances together.
+    /// The calls per second that the control plane accepts from all instances together.
     #[cfg_attr(feature = "serde", serde(rename = "calls_per_s"))]
     pub calls_per_second: f64,
-    /// How long a stage lasts under a clock.
+    /// The duration of a stage under [`ReleaseControl::Timed`].
     #[cfg_attr(feature = "serde", serde(rename = "step"))]
     pub stage_duration: Nanos,
 }
 
-/// How the endpoint list comes.
+/// How the endpoint list is obtained.
 #[derive(Clone, Debug)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct EndpointListSettings {
-    /// The list comes only when asked for.
+    /// The list is sent only to instances that have requested a watch on it.
     #[cfg_attr(feature = "serde", serde(rename = "must_ask"))]
-    pub must_subscribe: bool,
-    /// The longest time between two polls.
+    pub must_watch: bool,
+    /// The longest delay before a failed watch is requested again.
     #[cfg_attr(feature = "serde", serde(rename = "ask_within"))]
-    pub max_subscribe_interval: Nanos,
+    pub max_watch_retry_delay: Nanos,
 }
--- a/src/latency.rs
+++ b/src/latency.rs
@@ -10,17 +10,17 @@
 use crate::router::Router;
 
 /// Requests after which an instance trusts what it learnt of the time before a trial.
-const TRUSTED_AFTER: u32 = 30;
+const MIN_BASELINE_REQUESTS: u32 = 30;
 /// The latency objective is this many times the mean that is assumed at first.
-const OBJECTIVE_TO_MEAN: f64 = 6.0;
+const OBJECTIVE_TO_INITIAL_MEAN: f64 = 6.0;
 /// The ninth decile that is assumed at first, and the greatest, as multiples of the mean.
-const INITIAL_NINTH_DECILE: f64 = 2.5;
-const MAX_NINTH_DECILE: f64 = 5.0;
+const INITIAL_P90_TO_MEAN: f64 = 2.5;
+const MAX_P90_TO_MEAN: f64 = 5.0;
 /// What the ninth decile moves up for a slow answer and down for another, as parts of a step.
-const STEP_UP: f64 = 0.9;
-const STEP_DOWN: f64 = -0.1;
+const P90_STEP_UP: f64 = 0.9;
+const P90_STEP_DOWN: f64 = -0.1;
 /// A step of the ninth decile against the mean, by requests taken.
-const STEP_RATE: LearningRate = LearningRate {
+const P90_STEP_RATE: LearningRate = LearningRate {
     numerator: 20.0,
     min: 0.02,
     max: 0.5,
@@ -34,11 +34,11 @@
 
 /// The mean latency assumed of a class of which nothing is learnt yet, in nanoseconds.
 pub(crate) fn initial_mean(class: &RouteClass) -> f64 {
-    class.latency_objective as f64 / OBJECTIVE_TO_MEAN
+    class.latency_objective as f64 / OBJECTIVE_TO_INITIAL_MEAN
 }
 
 /// How an attempt's latency compares to what was learnt.
-pub(crate) struct Pace {
+pub(crate) struct RelativeLatency {
     /// It is among the slowest tenth of its route class and machine type.
     pub(crate) slow: bool,
     /// Against the mean of its route class.
@@ -60,30 +60,30 @@
         class: RouteClassId,
         attempt: &Attempt,
         outcome: &AttemptOutcome,
-    ) -> Pace {
+    ) -> RelativeLatency {
         let requests = self.requests as f64;
-        let learns = !self.on_trial() || self.requests < TRUSTED_AFTER;
+        let updates_baseline = !self.on_trial() || self.requests < MIN_BASELINE_REQUESTS;
         let answered = outcome.end == AttemptEnd::Served;
         let informative =
             (answered || outcome.end == AttemptEnd::TimedOut) && attempt.evenly_loaded;
-        let machine = attempt.endpoint.machine_type;
+        let machine_type = attempt.endpoint.machine_type;
         let latency = self.route_classes.latency_mut(class);
-        if latency.ninth_decile.len() <= machine {
-            let initial = INITIAL_NINTH_DECILE * latency.mean;
-            latency.ninth_decile.resize(machine + 1, initial);
+        if latency.p90.len() <= machine_type {
+            let initial = INITIAL_P90_TO_MEAN * latency.mean;
+            latency.p90.resize(machine_type + 1, initial);
         }
         let took = outcome.took as f64;
-        let ninth_decile = &mut latency.ninth_decile[machine];
-        let slow = informative && took > *ninth_decile;
+        let p90 = &mut latency.p90[machine_type];
+        let slow = informative && took > *p90;
         if answered {
             latency.mean += (took - latency.mean) * MEAN_RATE.after(requests);
         }
-        if informative && learns {
-            let step = latency.mean * STEP_RATE.after(requests);
-            let moved = *ninth_decile + step * if slow { STEP_UP } else { STEP_DOWN };
-            *ninth_decile = moved.min(MAX_NINTH_DECILE * latency.mean);
+        if informative && updates_baseline {
+            let step = latency.mean * P90_STEP_RATE.after(requests);
+            let moved = *p90 + step * if slow { P90_STEP_UP } else { P90_STEP_DOWN };
+            *p90 = moved.min(MAX_P90_TO_MEAN * latency.mean);
         }
         let ratio = took / latency.mean.max(1.0);
-        Pace { slow, ratio }
+        RelativeLatency { slow, ratio }
     }
 }
--- a/src/outlier.rs
+++ b/src/outlier.rs
@@ -13,12 +13,12 @@
 /// How often health, subsets and votes are looked at, so that no request has to look through all pods.
 pub(crate) const UPDATE_INTERVAL: Nanos = 200 * MILLISECOND;
 /// Failures with no answer between that eject a pod; a failed connection counts for all of them.
-const EJECT_AFTER: u32 = 2;
+const FAILURES_TO_EJECT: u32 = 2;
 /// The longest first ejection; it doubles with each further failure, up to the given number of times.
 const EJECTION_TIME: Nanos = 500 * MILLISECOND;
 const MAX_DOUBLINGS: u32 = 4;
 /// The least part of its time that an ejection lasts; the rest is scattered.
-const MIN_EJECTION_PART: f64 = 0.5;
+const MIN_EJECTION_FRACTION: f64 = 0.5;
 /// How long a pod may be silent where there is no latency objective.
 const DEFAULT_SILENCE_LIMIT: Nanos = SECOND;
 /// Ejections are ignored when fewer than one in this many pods is healthy.
@@ -38,12 +38,15 @@
             silence_limit: DEFAULT_SILENCE_LIMIT,
             panic_mode: false,
         };
-        detector.follow_objectives(classes.iter());
+        detector.update_silence_limit(classes.iter());
         detector
     }
 
     /// Takes the silence limit from the classes in force.
-    pub(crate) fn follow_objectives<'a>(&mut self, classes: impl Iterator<Item = &'a RouteClass>) {
+    pub(crate) fn update_silence_limit<'a>(
+        &mut self,
+        classes: impl Iterator<Item = &'a RouteClass>,
+    ) {
         let shortest = classes.map(|class| class.latency_objective).min();
         self.silence_limit = shortest.unwrap_or(self.silence_limit);
     }
@@ -66,7 +69,7 @@
 
     /// Whether a pod failed often enough to be ejected and has not answered since.
     pub(crate) fn has_failed(pod: &Pod) -> bool {
-        pod.consecutive_failures >= EJECT_AFTER
+        pod.consecutive_failures >= FAILURES_TO_EJECT
     }
 
     /// Whether a pod may get a request; one that recovers gets one at a time.
@@ -84,22 +87,22 @@
     /// Takes in how an attempt ended. A time-out tells of the pod only if nothing came from it since, and if
     /// it was not cut short by a client with little time left. `ejection_part` is from
     /// [`draw_ejection_part`].
-    pub(crate) fn record_end(
+    pub(crate) fn record_attempt_end(
         &self,
         now: Nanos,
         pod: &mut Pod,
         attempt: &Attempt,
         end: AttemptEnd,
-        ejection_part: f64,
+        ejection_fraction: f64,
     ) {
         let hung = end == AttemptEnd::TimedOut
             && pod.silent_since <= attempt.sent_at
             && now - attempt.sent_at >= self.silence_limit / 2;
-        let heard_nothing = matches!(
+        let no_response = matches!(
             end,
             AttemptEnd::TimedOut | AttemptEnd::Cancelled | AttemptEnd::NotSent
         );
-        if !heard_nothing {
+        if !no_response {
             pod.silent_since = now;
         }
         match end {
@@ -107,26 +110,28 @@
                 pod.consecutive_failures = 0;
                 pod.ejected_until = 0;
             }
-            AttemptEnd::ConnectFailed => record_failure(now, pod, EJECT_AFTER, ejection_part),
+            AttemptEnd::ConnectFailed => {
+                record_failure(now, pod, FAILURES_TO_EJECT, ejection_fraction)
+            }
             AttemptEnd::Failed | AttemptEnd::Reset | AttemptEnd::Rejected => {
-                record_failure(now, pod, 1, ejection_part);
+                record_failure(now, pod, 1, ejection_fraction);
             }
-            AttemptEnd::TimedOut if hung => record_failure(now, pod, 1, ejection_part),
+            AttemptEnd::TimedOut if hung => record_failure(now, pod, 1, ejection_fraction),
             AttemptEnd::TimedOut | AttemptEnd::Cancelled | AttemptEnd::NotSent => {}
         }
     }
 }
 
 /// The part of its time that an ejection lasts, drawn so that pods come back at scattered moments.
-pub(crate) fn draw_ejection_part(random: &mut Rand64) -> f64 {
-    MIN_EJECTION_PART + (1.0 - MIN_EJECTION_PART) * random.rand_float()
+pub(crate) fn draw_ejection_fraction(random: &mut Rand64) -> f64 {
+    MIN_EJECTION_FRACTION + (1.0 - MIN_EJECTION_FRACTION) * random.rand_float()
 }
 
-fn record_failure(now: Nanos, pod: &mut Pod, failures: u32, ejection_part: f64) {
+fn record_failure(now: Nanos, pod: &mut Pod, failures: u32, ejection_fraction: f64) {
     pod.consecutive_failures += failures;
     if OutlierDetector::has_failed(pod) {
-        let doublings = (pod.consecutive_failures - EJECT_AFTER).min(MAX_DOUBLINGS);
+        let doublings = (pod.consecutive_failures - FAILURES_TO_EJECT).min(MAX_DOUBLINGS);
         let ejection_time = EJECTION_TIME << doublings;
-        pod.ejected_until = now + (ejection_time as f64 * ejection_part) as Nanos;
+        pod.ejected_until = now + (ejection_time as f64 * ejection_fraction) as Nanos;
     }
 }
--- a/src/pod_table.rs
+++ b/src/pod_table.rs
@@ -1,28 +1,29 @@
-//! The pods as the endpoint list tells them, and the groups they form. State only.
+//! The pods of the endpoint list with their state, in groups by zone and build.
 
 use crate::interface::{Build, DedupScope, Endpoint, Nanos, PodId, PodState, ZoneId};
 use crate::window::SlidingWindow;
 use std::cell::Cell;
 
-/// A pod of the endpoint list and what its answers told.
+/// A pod of the endpoint list, with what this instance has learnt from its answers.
 pub(crate) struct Pod {
     pub(crate) endpoint: Endpoint,
-    /// Attempts of this instance that have not ended.
+    /// The attempts of this instance that have not ended.
     pub(crate) in_flight: u32,
-    /// Attempts sent within the overload window.
+    /// The attempts sent within the overload window.
     pub(crate) sent: SlidingWindow,
-    /// Warm at the last update, so that its answers tell what its machine type carries.
+    /// The pod was warm at the last update, so its answers show the capacity of its machine type.
     pub(crate) warm: bool,
-    /// Failures since the last answer.
+    /// The failures since the last answer.
     pub(crate) consecutive_failures: u32,
     pub(crate) ejected_until: Nanos,
-    /// Since when attempts are in flight with no answer at all.
+    /// Since when the pod has had attempts in flight without any response.
     pub(crate) silent_since: Nanos,
-    /// Its latencies against the mean of their route classes, 1 for as fast as the mean.
+    /// The latency of the pod, relative to the mean of the route classes; 1 is as fast as the mean.
     pub(crate) slowness: f64,
     pub(crate) slowness_updated_at: Nanos,
+    /// When a late answer of the pod was last counted by the sequential test.
     pub(crate) last_late_at: Nanos,
-    /// What it added to the sums of the sequential test in this stage.
+    /// What the pod added to the sums of the sequential test in this stage.
     pub(crate) evidence: f64,
 }
 
@@ -64,23 +65,23 @@
     pub(crate) zone: ZoneId,
     pub(crate) build: Build,
     pub(crate) pods: Vec<PodId>,
-    /// The same in the order of their name hashes.
+    /// The same pods, sorted by name hash.
     pub(crate) ring: Vec<PodId>,
-    /// Those of them that this instance sends to.
+    /// The pods of the group that this instance sends to.
     pub(crate) subset: Vec<PodId>,
-    /// The listed sizes of all of them.
+    /// The sum of the listed sizes of the group's pods.
     pub(crate) size: f64,
-    /// When the newest of them started.
+    /// When the pod of the group that started last did so.
     pub(crate) latest_start: Nanos,
 }
 
-/// A pod group by its index, with the weight it is drawn by.
+/// The index of a pod group, with the weight of the group in a random draw.
 pub(crate) struct WeightedGroup {
     pub(crate) index: usize,
     pub(crate) weight: f64,
 }
 
-/// A pod that was drawn, with the mean size of its group.
+/// A pod that was drawn at random, with the mean size of its group.
 pub(crate) struct DrawnPod {
     pub(crate) id: PodId,
     pub(crate) mean_size: f64,
@@ -99,9 +100,9 @@
         }
     }
 
-    /// What its pods say together, added up in the order of their indices, so that rounding does not depend
-    /// on which change came when.
-    fn sum_up(&mut self, slots: &[Option<Pod>]) {
+    /// Recomputes the totals of the group. Adds the pods in the order of their indices, so that rounding does not
+    /// depend on the order of earlier changes.
+    fn recompute_totals(&mut self, slots: &[Option<Pod>]) {
         self.size = 0.0;
         self.latest_start = 0;
         for pod in self.pods.iter().filter_map(|id| slots.get(*id)?.as_ref()) {
@@ -111,19 +112,19 @@
     }
 }
 
-/// The group of a pod's zone and build, a new one where there is none.
+/// Returns the group of a pod's zone and build. Adds the group where there is none.
 fn group_of<'a>(groups: &'a mut Vec<PodGroup>, endpoint: &Endpoint) -> &'a mut PodGroup {
-    let known = groups
+    let existing = groups
         .iter()
         .position(|group| (group.zone, group.build) == (endpoint.zone, endpoint.build));
-    let at = known.unwrap_or_else(|| {
+    let index = existing.unwrap_or_else(|| {
         groups.push(PodGroup::new(endpoint.zone, endpoint.build));
         groups.len() - 1
     });
-    &mut groups[at]
+    &mut groups[index]
 }
 
-/// Where a pod stands in the order of name hashes; those of one hash go by their indices.
+/// Returns the sort key of a pod in its ring: the name hash, and the index for pods with equal hashes.
 fn ring_position(slots: &[Option<Pod>], id: PodId) -> (Option<u64>, PodId) {
     (
         slots
@@ -134,26 +135,26 @@
     )
 }
 
-/// How many pods the pod table was made to look at, so that a test can bound a cost without a clock.
+/// How many pods of the pod table were visited. With these counts a test can bound a cost without a clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PodVisits {
-    /// By passes over the table or over a group of it.
+    /// The pods visited by passes over the table or over a group.
     pub scanned: u64,
-    /// One at a time, by index.
+    /// The pods looked up by index, one at a time.
     pub fetched: u64,
-    /// Put in order by their name hashes.
+    /// The pods sorted by their name hashes.
     pub sorted: u64,
 }
 
-/// The pods by index. One leaves the table when the list drops it and no attempt is in flight to it.
+/// The pods by index. A pod leaves the table once the list has dropped it and no attempt to it is in flight.
 #[derive(Default)]
 pub(crate) struct PodTable {
     pub(crate) slots: Vec<Option<Pod>>,
-    /// Kept with each list, so that no request has to look through all pods.
+    /// The running pods in groups. Updated with each list, so that no request has to visit all pods.
     pub(crate) groups: Vec<PodGroup>,
-    /// How many pods are running.
+    /// The number of running pods.
     pub(crate) count: usize,
-    /// Pods that the list dropped, as long as they are in the table.
+    /// The pods that the list dropped and that are still in the table.
     gone: Vec<PodId>,
     visits: Cell<PodVisits>,
 }
@@ -169,15 +170,16 @@
         self.visits.set(visits);
     }
 
-    /// Takes a list in; a pod that started anew or runs another build is a new one under an old index.
-    /// Changes cost what the groups of the changed pods hold, and leave the table as the whole list would.
+    /// Applies an endpoint list: the complete one, or the endpoints that changed. A pod that restarted or runs
+    /// another build becomes a new pod under its old index. Changes cost as much as the groups of the changed pods
+    /// are large, and leave the table as the complete list would.
     pub(crate) fn apply(
         &mut self,
-        whole: bool,
+        is_complete: bool,
         endpoints: &[Endpoint],
         window: impl Fn() -> SlidingWindow,
     ) {
-        if whole {
+        if is_complete {
             self.replace(endpoints, &window);
         } else {
             self.update(endpoints, &window);
@@ -185,7 +187,7 @@
         self.count = self.groups.iter().map(|group| group.pods.len()).sum();
     }
 
-    /// Takes a whole list in and makes all groups anew.
+    /// Applies a complete list and rebuilds all groups.
     fn replace(&mut self, endpoints: &[Endpoint], window: &impl Fn() -> SlidingWindow) {
         self.slots
             .iter_mut()
@@ -193,7 +195,7 @@
             .for_each(|pod| pod.endpoint.state = PodState::Gone);
         endpoints
             .iter()
-            .for_each(|endpoint| self.put(endpoint, window));
+            .for_each(|endpoint| self.upsert(endpoint, window));
         let gone = |pod: &&Pod| pod.endpoint.state == PodState::Gone;
         self.gone = self
             .slots
@@ -220,19 +222,19 @@
         }
     }
 
-    /// Takes changed endpoints in and changes their groups only.
+    /// Applies changed endpoints and updates only their groups.
     fn update(&mut self, endpoints: &[Endpoint], window: &impl Fn() -> SlidingWindow) {
         let mut changed = Vec::new();
         for endpoint in endpoints {
-            if let Some(before) = self
+            if let Some(previous) = self
                 .get(endpoint.pod)
                 .filter(|pod| pod.is_running())
                 .map(|pod| pod.endpoint)
             {
-                self.remove_from_group(&before);
-                changed.push((before.zone, before.build));
+                self.remove_from_group(&previous);
+                changed.push((previous.zone, previous.build));
             }
-            self.put(endpoint, window);
+            self.upsert(endpoint, window);
             match endpoint.state {
                 PodState::Running => {
                     self.add_to_group(endpoint);
@@ -246,17 +248,18 @@
         changed.dedup();
         self.drop_gone();
         self.groups.retain(|group| !group.pods.is_empty());
-        // The order in which making all groups anew would meet them.
+        // The same order as after a rebuild of all groups.
         self.groups.sort_by_key(|group| group.pods.first().copied());
         let is_changed =
             |group: &&mut PodGroup| changed.binary_search(&(group.zone, group.build)).is_ok();
         for group in self.groups.iter_mut().filter(is_changed) {
             self.visits.get_mut().scanned += group.pods.len() as u64;
-            group.sum_up(&self.slots);
+            group.recompute_totals(&self.slots);
         }
     }
 
-    fn put(&mut self, endpoint: &Endpoint, window: &impl Fn() -> SlidingWindow) {
+    /// Inserts or updates a pod.
+    fn upsert(&mut self, endpoint: &Endpoint, window: &impl Fn() -> SlidingWindow) {
         if self.slots.len() <= endpoint.pod {
             self.slots.resize_with(endpoint.pod + 1, || None);
         }
@@ -278,7 +281,7 @@
         }
     }
 
-    /// Empties the slots of pods that are gone and have nothing out.
+    /// Empties the slots of pods that are gone and have no attempts in flight.
     fn drop_gone(&mut self) {
         let slots = &mut self.slots;
         self.visits.get_mut().scanned += self.gone.len() as u64;
@@ -294,43 +297,44 @@
         });
     }
 
-    /// To be called while the slot holds the endpoint.
+    /// Must be called while the slot of the pod holds this endpoint.
     fn add_to_group(&mut self, endpoint: &Endpoint) {
         let group = group_of(&mut self.groups, endpoint);
-        if let Err(place) = group.pods.binary_search(&endpoint.pod) {
-            group.pods.insert(place, endpoint.pod);
+        if let Err(index) = group.pods.binary_search(&endpoint.pod) {
+            group.pods.insert(index, endpoint.pod);
             let before = |id: &PodId| {
                 ring_position(&self.slots, *id) < (Some(endpoint.name_hash), endpoint.pod)
             };
-            let place = group.ring.partition_point(before);
-            group.ring.insert(place, endpoint.pod);
+            let index = group.ring.partition_point(before);
+            group.ring.insert(index, endpoint.pod);
             self.visits.get_mut().sorted += 1;
         }
     }
 
-    /// To be called while the slot holds the endpoint.
+    /// Must be called while the slot of the pod holds this endpoint.
     fn remove_from_group(&mut self, endpoint: &Endpoint) {
         let group = group_of(&mut self.groups, endpoint);
-        if let Ok(place) = group.pods.binary_search(&endpoint.pod) {
-            group.pods.remove(place);
+        if let Ok(index) = group.pods.binary_search(&endpoint.pod) {
+            group.pods.remove(index);
             let before = |id: &PodId| {
                 ring_position(&self.slots, *id) < (Some(endpoint.name_hash), endpoint.pod)
             };
-            let place = group.ring.partition_point(before);
-            if group.ring.get(place) == Some(&endpoint.pod) {
-                group.ring.remove(place);
+            let index = group.ring.partition_point(before);
+            if group.ring.get(index) == Some(&endpoint.pod) {
+                group.ring.remove(index);
             }
         }
     }
 
-    /// The part of its group's pods that is in this instance's subset; 1 for a pod outside of it.
-    pub(crate) fn subset_part(&self, endpoint: &Endpoint) -> f64 {
+    /// Returns the fraction of the pods of the endpoint's group that are in this instance's subset, or 1 for a pod
+    /// that is not in the subset.
+    pub(crate) fn subset_fraction(&self, endpoint: &Endpoint) -> f64 {
         let group = self
             .groups
             .iter()
             .find(|group| (group.zone, group.build) == (endpoint.zone, endpoint.build));
-        let own = group.filter(|group| group.subset.contains(&endpoint.pod));
-        own.map_or(1.0, |group| {
+        let group_with_pod = group.filter(|group| group.subset.contains(&endpoint.pod));
+        group_with_pod.map_or(1.0, |group| {
             group.subset.len() as f64 / group.pods.len() as f64
         })
     }
@@ -354,42 +358,42 @@
         pod.sent.add(now);
     }
 
-    /// The groups of a build.
+    /// Returns the groups of a build.
     pub(crate) fn groups_of(&self, build: Build) -> impl Iterator<Item = &PodGroup> {
         self.groups.iter().filter(move |group| group.build == build)
     }
 
-    /// All pods, counted as one pass.
+    /// Returns all pods, and counts the pass.
     pub(crate) fn all_mut(&mut self) -> impl Iterator<Item = &mut Pod> {
         self.visits.get_mut().scanned += self.slots.len() as u64;
         self.slots.iter_mut().flatten()
     }
 
-    /// Forgets what each pod added to the sums of the sequential test.
+    /// Resets what each pod added to the sums of the sequential test.
     pub(crate) fn forget_evidence(&mut self) {
         for pod in self.slots.iter_mut().flatten() {
             pod.evidence = 0.0;
         }
     }
 
-    /// The running pods.
+    /// Returns the running pods, and counts the pass.
     pub(crate) fn running(&self) -> impl Iterator<Item = &Pod> {
         self.visit(|visits| visits.scanned += self.slots.len() as u64);
         self.slots.iter().flatten().filter(|pod| pod.is_running())
     }
 
-    /// The pod of a subset that two points lead to: `group_point` lies within all groups' weights together,
-    /// `pod_point` from 0 to 1 within the group's subset.
+    /// Returns the pod that two random points select. `group_point`, from 0 to the sum of the groups' weights,
+    /// selects the group, and `pod_point`, from 0 to 1, the pod within the subset of the group.
     pub(crate) fn draw(
         &self,
         groups: &[WeightedGroup],
         group_point: f64,
         pod_point: f64,
     ) -> Option<DrawnPod> {
-        let mut left = group_point;
+        let mut remaining = group_point;
         let drawn = groups.iter().find(|group| {
-            left -= group.weight;
-            left < 0.0
+            remaining -= group.weight;
+            remaining < 0.0
         })?;
         let group = &self.groups[drawn.index];
         let id = group
@@ -401,12 +405,12 @@
         })
     }
 
-    /// When the newest running pod of a build started.
+    /// Returns when the running pod of a build that started last did so.
     pub(crate) fn latest_start(&self, build: Build) -> Option<Nanos> {
         self.groups_of(build).map(|group| group.latest_start).max()
     }
 
-    /// How many pods are in this instance's subsets, those of one build left out where it is given.
+    /// Returns the number of pods in this instance's subsets, without those of `build` where it is given.
     pub(crate) fn subset_size_without(&self, build: Option<Build>) -> usize {
         self.groups
             .iter()
@@ -415,18 +419,18 @@
             .sum()
     }
 
-    /// The part of the listed size of all running pods that is a build's; 0 with none.
+    /// Returns a build's fraction of the listed size of all running pods, or 0 without running pods.
     pub(crate) fn size_share(&self, build: Build) -> f64 {
         let all: f64 = self.groups.iter().map(|group| group.size).sum();
         self.groups_of(build).map(|group| group.size).sum::<f64>() / all.max(1e-9)
     }
 
-    /// How many running pods a build has.
+    /// Returns the number of running pods of a build.
     pub(crate) fn count_of_build(&self, build: Build) -> usize {
         self.groups_of(build).map(|group| group.pods.len()).sum()
     }
 
-    /// The running pods of a build.
+    /// Returns the running pods of a build.
     pub(crate) fn pods_of(&self, build: Build) -> impl Iterator<Item = &Pod> {
         self.groups_of(build)
             .flat_map(|group| &group.pods)
--- a/src/request.rs
+++ b/src/request.rs
@@ -1,4 +1,4 @@
-//! Requests in flight and their attempts. State only.
+//! The state of requests in flight and of their attempts.
 
 use crate::interface::{
     AttemptOutcome, Endpoint, IncomingRequest, Nanos, PodId, PriorAttempt, RequestId, RouteClassId,
@@ -6,7 +6,7 @@
 };
 use crate::pod_table::PodTable;
 
-/// When and where a request may have run first.
+/// The time and place of a request's first attempt that may have run.
 #[derive(Clone, Copy)]
 pub(crate) struct PossibleRun {
     pub(crate) at: Nanos,
@@ -14,27 +14,27 @@
     pub(crate) cell: i64,
 }
 
-/// A request in flight, handed from step to step.
+/// A request in flight.
 pub(crate) struct InFlightRequest {
     pub(crate) id: RequestId,
     pub(crate) class: RouteClassId,
     pub(crate) key: u64,
     /// The client's deadline.
     pub(crate) deadline: Nanos,
-    /// When the latency objective is missed.
-    pub(crate) objective_at: Nanos,
-    /// The pods of its attempts so far.
+    /// The time after which an answer misses the latency objective.
+    pub(crate) objective_deadline: Nanos,
+    /// The pods of the attempts so far.
     pub(crate) tried: Vec<PodId>,
-    /// Its attempts that have not ended.
+    /// The attempts that have not ended.
     pub(crate) attempts_in_flight: u32,
     pub(crate) possible_run: Option<PossibleRun>,
-    /// A build on trial failed it: no further attempt there while there is another build.
+    /// An attempt at a build on trial failed: further attempts avoid that build while there is another.
     pub(crate) avoids_trial: bool,
 }
 
 impl InFlightRequest {
-    /// `prior`: the attempts of another instance. A pod that is not in the table may lie anywhere, and so
-    /// shares no zone or cell with any.
+    /// Creates the state of a request that arrived, or was taken over from another instance with the attempts
+    /// `prior`. The zone and cell of a pod that is not in the table are unknown, so they match those of no pod.
     pub(crate) fn new(
         now: Nanos,
         request: &IncomingRequest,
@@ -63,9 +63,9 @@
             id: request.id,
             class: request.class,
             key: request.key,
-            // A remaining time that was read from a trace may be anything.
+            // A remaining time that was read from a trace may be any number: the sum must not overflow.
             deadline: now.saturating_add(request.remaining),
-            objective_at: now.saturating_add(latency_objective),
+            objective_deadline: now.saturating_add(latency_objective),
             tried: tried.collect(),
             attempts_in_flight: 0,
             possible_run,
@@ -74,27 +74,28 @@
     }
 }
 
-/// One attempt, for the callback that gets its outcome.
+/// An attempt in flight, kept by the callback that receives its outcome.
 pub(crate) struct Attempt {
     pub(crate) pod: PodId,
-    /// The pod's endpoint when the attempt was sent.
+    /// The pod's endpoint at the time of sending.
     pub(crate) endpoint: Endpoint,
     pub(crate) sent_at: Nanos,
-    /// The pod was warm by then.
+    /// The pod was warm at the time of sending.
     pub(crate) warm: bool,
-    /// No more of this instance was in flight there than elsewhere: slowness is not of its own making.
+    /// This instance had no more attempts in flight at the pod than at its other pods on average, so it did not
+    /// itself make the pod slow.
     pub(crate) evenly_loaded: bool,
-    /// The request's first one.
+    /// The first attempt of the request.
     pub(crate) first: bool,
 }
 
-/// An attempt that ended, with what the decisions made of it.
+/// An attempt that ended, with what the router derived from its outcome.
 pub(crate) struct EndedAttempt<'a> {
     pub(crate) attempt: &'a Attempt,
     pub(crate) outcome: &'a AttemptOutcome,
     pub(crate) latency_objective: Nanos,
-    /// It was slower than nine in ten answers of its class and machine type.
+    /// The attempt took longer than the 90th percentile of its route class and machine type.
     pub(crate) slow: bool,
-    /// Its pod had been silent for long.
+    /// The pod had answered no attempt for longer than the silence limit.
     pub(crate) pod_silent: bool,
 }
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -1,8 +1,9 @@
-//! Retries: whether another attempt is safe, worth it and within budget, and what the client is told else.
+//! Retries: whether another attempt is safe, worthwhile and within budget, and which answer the client gets
+//! otherwise.
 //!
-//! Inputs: the idempotency of the route class, what may have run and when, attempts so far, time left, and
-//! the budget. Retries are bounded by requests taken, lest a sick fleet be asked more. Harm: a budget that is
-//! used up turns single failures into errors.
+//! Inputs: the idempotency of the route class, what may have run and when, the attempts so far, the time left
+//! and the budget. Retries are limited in proportion to requests, so that a failing fleet does not get several
+//! times the load. Risk: once the budget is used up, single failures become errors.
 
 use crate::exposure::WINDOW_SLICES;
 use crate::interface::{AttemptEnd, DedupScope, Idempotency, Nanos};
@@ -11,13 +12,13 @@
 use crate::time::SECOND;
 use crate::window::SlidingWindow;
 
-/// Retries for each request taken, at most.
-const BUDGET_PART: f64 = 0.2;
-/// How much larger the budget is for a retry after an attempt that never ran: that cost the pods little.
+/// The most retries per request received.
+const BUDGET_FRACTION: f64 = 0.2;
+/// The factor of the budget for a retry after an attempt that never ran: such an attempt cost the pods little.
 const NEVER_RAN_FACTOR: f64 = 2.0;
 
-/// The requests taken and the retries granted, over one window. A granted one counts even where no pod is left to
-/// send it to.
+/// The requests received and the retries granted over one window. A granted retry counts even where no pod is left
+/// for it.
 pub(crate) struct RetryBudget {
     requests: SlidingWindow,
     retries: SlidingWindow,
@@ -41,27 +42,27 @@
         self.retries.add(now);
     }
 
-    /// Requests taken within the window.
+    /// Returns the requests received within the window.
     pub(crate) fn requests(&mut self, now: Nanos) -> u32 {
         self.requests.upper_bound(now)
     }
 
-    /// Whether there is room for a retry after an attempt that ran or not.
+    /// Whether the budget allows a retry. `ran` is whether the attempt before it may have run.
     fn allows_retry(&mut self, now: Nanos, ran: bool) -> bool {
         let factor = if ran { 1.0 } else { NEVER_RAN_FACTOR };
-        let most = BUDGET_PART * factor * self.requests(now) as f64 + 1.0;
-        (self.retries.upper_bound(now) as f64) < most
+        let limit = BUDGET_FRACTION * factor * self.requests(now) as f64 + 1.0;
+        (self.retries.upper_bound(now) as f64) < limit
     }
 
-    /// Whether there is room for a hedged attempt.
+    /// Whether the budget allows a hedged attempt.
     pub(crate) fn allows_hedge(&mut self, now: Nanos) -> bool {
-        let most = BUDGET_PART * self.requests(now) as f64;
-        (self.retries.upper_bound(now) as f64) < most
+        let limit = BUDGET_FRACTION * self.requests(now) as f64;
+        (self.retries.upper_bound(now) as f64) < limit
     }
 }
 
 impl Router {
-    /// Whether a request may run no more or has had all its attempts.
+    /// Whether a request may not run again or has had all its attempts.
     pub(crate) fn is_exhausted(&self, request: &InFlightRequest) -> bool {
         self.may_not_repeat(request)
             || request.tried.len() >= self.attempt_settings.max_attempts as usize
@@ -72,7 +73,7 @@
         idempotency == Idempotency::NonIdempotent && request.possible_run.is_some()
     }
 
-    /// Whether a request whose last attempt ended in `end` is tried again.
+    /// Whether a request is retried after an attempt that ended in `end`.
     pub(crate) fn may_retry(
         &mut self,
         now: Nanos,
@@ -80,25 +81,24 @@
         end: AttemptEnd,
     ) -> bool {
         let late_weight = self.route_classes[request.class].late_weight;
-        let worthless = now >= request.objective_at && late_weight <= 0.0;
-        !worthless
+        let answer_has_no_value = now >= request.objective_deadline && late_weight <= 0.0;
+        !answer_has_no_value
             && !self.may_not_repeat(request)
             && self.retry_budget.allows_retry(now, !end.never_ran())
     }
 
-    /// How long an attempt may take. A time-out before the objective would do the work twice just when pods
-    /// are slow; hung pods are told by their silence.
+    /// Returns the timeout of an attempt. A timeout before the latency objective would repeat work exactly when pods
+    /// are slow; hung pods are detected by their silence instead.
     pub(crate) fn attempt_timeout(&self, now: Nanos, request: &InFlightRequest) -> Nanos {
         let rules = self.route_classes[request.class];
-        let left = request.deadline - now;
+        let remaining = request.deadline - now;
         match rules.idempotency {
-            Idempotency::NonIdempotent => left,
-            Idempotency::Idempotent | Idempotency::Keyed => left.min(rules.latency_objective),
+            Idempotency::NonIdempotent => remaining,
+            Idempotency::Idempotent | Idempotency::Keyed => remaining.min(rules.latency_objective),
         }
     }
 
-    /// Whether a client that tries again later can do no harm, so that the request is rejected rather than
-    /// failed.
+    /// Whether a later retry by the client is harmless. If so, the request is rejected, otherwise it is failed.
     pub(crate) fn is_client_retry_harmless(&self, now: Nanos, request: &InFlightRequest) -> bool {
         let rules = self.route_classes[request.class];
         let Some(run) = request.possible_run else {
--- a/src/route_class.rs
+++ b/src/route_class.rs
@@ -1,35 +1,36 @@
-//! The route classes by index, with what was learnt of each. State only.
+//! The route classes by index, with the learnt latencies of each.
 
 use crate::interface::{RouteClass, RouteClassId};
 use std::ops::Index;
 
-/// A route class that is new under an index, or whose rules have changed.
+/// A route class that is added, or whose rules change.
 pub struct RouteClassChange {
-    /// The index that the class is known by from now on.
+    /// The index of the class from now on.
     pub class: RouteClassId,
-    /// Its rules.
+    /// The rules of the class.
     pub rules: RouteClass,
-    /// The class of the same name before it, whose learnt latencies and exposure counts it takes over.
+    /// The class that had the same name before. The new one inherits its learnt latencies and exposure counts.
     pub predecessor: Option<RouteClassId>,
-    /// The exposure window to count in: its predecessor's, else one that no other class uses.
+    /// The index of the sliding window that counts the exposure of this class: that of its predecessor, or
+    /// one that no other class uses where there is no predecessor.
     pub bucket: usize,
 }
 
-/// The latencies of a route class, in nanoseconds.
+/// The learnt latencies of a route class, in nanoseconds.
 #[derive(Clone)]
-pub(crate) struct LearntLatency {
+pub(crate) struct LatencyEstimate {
     pub(crate) mean: f64,
-    /// The latency that nine in ten answers keep, by machine type.
-    pub(crate) ninth_decile: Vec<f64>,
+    /// The 90th percentile of the latency, by machine type.
+    pub(crate) p90: Vec<f64>,
 }
 
 /// The route classes by index.
 pub(crate) struct RouteClasses {
     rules: Vec<RouteClass>,
-    latencies: Vec<LearntLatency>,
-    /// The mean latency assumed of a class of which nothing is learnt yet.
+    latencies: Vec<LatencyEstimate>,
+    /// Returns the mean latency assumed for a class before anything is learnt.
     initial_mean: fn(&RouteClass) -> f64,
-    /// The greatest priority weight of the classes in force.
+    /// The greatest priority weight among the classes in force.
     pub(crate) max_priority_weight: f64,
 }
 
@@ -41,12 +42,12 @@
 
 impl RouteClasses {
     pub(crate) fn new(rules: Vec<RouteClass>, initial_mean: fn(&RouteClass) -> f64) -> Self {
-        let unknown = |class: &RouteClass| LearntLatency {
+        let initial = |class: &RouteClass| LatencyEstimate {
             mean: initial_mean(class),
-            ninth_decile: Vec::new(),
+            p90: Vec::new(),
         };
         RouteClasses {
-            latencies: rules.iter().map(unknown).collect(),
+            latencies: rules.iter().map(initial).collect(),
             max_priority_weight: max_priority_weight(rules.iter()),
             rules,
             initial_mean,
@@ -56,31 +57,31 @@
     pub(crate) fn apply(&mut self, change: &RouteClassChange) {
         let class = change.class;
         let latency = match change.predecessor {
-            Some(known) => self.latencies[known].clone(),
-            None => LearntLatency {
+            Some(predecessor) => self.latencies[predecessor].clone(),
+            None => LatencyEstimate {
                 mean: (self.initial_mean)(&change.rules),
-                ninth_decile: Vec::new(),
+                p90: Vec::new(),
             },
         };
         if self.rules.len() <= class {
-            let filler = LearntLatency {
+            let placeholder = LatencyEstimate {
                 mean: latency.mean,
-                ninth_decile: Vec::new(),
+                p90: Vec::new(),
             };
             self.rules.resize(class + 1, change.rules);
-            self.latencies.resize(class + 1, filler);
+            self.latencies.resize(class + 1, placeholder);
         }
         self.rules[class] = change.rules;
         self.latencies[class] = latency;
     }
 
-    pub(crate) fn latency_mut(&mut self, class: RouteClassId) -> &mut LearntLatency {
+    pub(crate) fn latency_mut(&mut self, class: RouteClassId) -> &mut LatencyEstimate {
         &mut self.latencies[class]
     }
 
-    /// The latency that nine in ten answers keep on a machine type, where any came.
-    pub(crate) fn ninth_decile(&self, class: RouteClassId, machine: usize) -> Option<f64> {
-        self.latencies[class].ninth_decile.get(machine).copied()
+    /// The 90th percentile of the latency on a machine type; `None` before an attempt there has ended.
+    pub(crate) fn p90(&self, class: RouteClassId, machine: usize) -> Option<f64> {
+        self.latencies[class].p90.get(machine).copied()
     }
 }
 
--- a/src/router.rs
+++ b/src/router.rs
@@ -1,8 +1,9 @@
-//! The router: the order of the steps in a request's life, and what each callback continues with.
+//! The router: the order of the steps that handle a request, and the step with which each callback continues.
 //!
-//! A host calls [`Router::start`] once and the other methods as things arrive; effects leave through
-//! [`Host`]. Each attempt, vote and timer leaves a callback that is handed its result: there the state of a
-//! request in flight lives. Only the order is decided here; each decision has its own module.
+//! A host calls [`Router::start`] once and the other methods as events arrive. The router requests effects
+//! through [`Host`]. Each attempt, vote and timer has a callback that receives its result; the callbacks hold
+//! the state of the requests in flight. This module sets only the order of the steps; each decision has a
+//! module of its own.
 
 use crate::admission::ConcurrencyLimit;
 use crate::endpoint_list::EndpointListWatch;
@@ -28,7 +29,7 @@
 
 type SharedRequest = Rc<RefCell<InFlightRequest>>;
 
-/// The state of all decisions of one instance.
+/// Makes all decisions of one instance and holds their state.
 pub struct Router {
     pub(crate) random: Rand64,
     pub(crate) position: FleetPosition,
@@ -36,7 +37,7 @@
     pub(crate) route_classes: RouteClasses,
     pub(crate) pods: PodTable,
     pub(crate) announced: Option<AnnouncedStage>,
-    /// Requests taken since the start.
+    /// The requests received since the start.
     pub(crate) requests: u32,
     pub(crate) endpoint_list: EndpointListWatch,
     pub(crate) limit: ConcurrencyLimit,
@@ -50,7 +51,7 @@
 }
 
 impl Router {
-    /// A router that knows no pods yet. The same seed and calls give the same decisions.
+    /// Creates a router without pods. The same seed and the same calls give the same decisions.
     pub fn new(now: Nanos, seed: u64, settings: RouterSettings) -> Router {
         let classes = settings.route_classes;
         let instances = settings.position.instances.max(1);
@@ -75,7 +76,8 @@
         }
     }
 
-    /// Begins to follow the endpoint list and to look at the pods' health at intervals. To be called once.
+    /// Starts the watch on the endpoint list, where one is needed, and schedules the first periodic update. Must be
+    /// called once.
     pub fn start(&mut self, host: &mut dyn Host) {
         if self.endpoint_list.must_be_requested() {
             host.watch_endpoints(true);
@@ -83,7 +85,7 @@
         schedule_update(host);
     }
 
-    /// Takes a request; it is answered through the host, now or later.
+    /// Handles a request that arrived. The router answers it through the host, now or later.
     pub fn handle_request(&mut self, host: &mut dyn Host, request: IncomingRequest) {
         let now = host.now();
         self.exposure.counts.add_request(now, request.class);
@@ -92,8 +94,8 @@
         self.admit_or_reject(host, request, &[]);
     }
 
-    /// Continues a request taken over from another instance; `prior` are its attempts there. It was counted
-    /// where it arrived and is not counted again.
+    /// Continues a request taken over from another instance, which sent the attempts `prior`. The request was
+    /// counted where it arrived and is not counted again.
     pub fn resume_request(
         &mut self,
         host: &mut dyn Host,
@@ -103,7 +105,7 @@
         self.admit_or_reject(host, request, prior);
     }
 
-    /// Sends the first attempt where the concurrency limit admits the request, else gives it up at once.
+    /// Sends the first attempt if the concurrency limit admits the request. Otherwise answers the request at once.
     fn admit_or_reject(
         &mut self,
         host: &mut dyn Host,
@@ -119,29 +121,29 @@
             return self.next_attempt(host, in_flight);
         }
         self.record_rejection(now);
-        self.give_up(host, &in_flight);
+        self.reject_or_fail(host, &in_flight);
     }
 
-    /// Sends the next attempt, or gives up where there is none to send.
+    /// Sends the next attempt, or gives the final answer where no further attempt is possible.
     fn next_attempt(&mut self, host: &mut dyn Host, request: SharedRequest) {
         let now = host.now();
-        let spent = now >= request.borrow().deadline || self.is_exhausted(&request.borrow());
-        let chosen = if spent {
+        let exhausted = now >= request.borrow().deadline || self.is_exhausted(&request.borrow());
+        let chosen = if exhausted {
             None
         } else {
             self.choose_pod(now, &request.borrow())
         };
-        // A pod that is not in the table could not be sent to, and the request would be left without an
-        // answer.
+        // An attempt to a pod that is not in the table would not be sent, and the request would never be
+        // answered.
         let Some(pod) = chosen.filter(|pod| self.pods.get(*pod).is_some()) else {
-            return self.give_up(host, &request);
+            return self.reject_or_fail(host, &request);
         };
         let timeout = self.attempt_timeout(now, &request.borrow());
         self.send_attempt(host, &request, pod, timeout);
-        self.plan_hedge(host, &request, pod);
+        self.schedule_hedge(host, &request, pod);
     }
 
-    /// Sends an attempt and counts it.
+    /// Counts an attempt and sends it.
     fn send_attempt(
         &mut self,
         host: &mut dyn Host,
@@ -176,8 +178,8 @@
         host.send_attempt(request_id, id, timeout, Box::new(on_end));
     }
 
-    /// Sets the timer for a hedged attempt, where there may be one.
-    fn plan_hedge(&mut self, host: &mut dyn Host, request: &SharedRequest, pod: PodId) {
+    /// Sets the timer for a hedged attempt, where one is allowed.
+    fn schedule_hedge(&mut self, host: &mut dyn Host, request: &SharedRequest, pod: PodId) {
         let sent_at = host.now();
         let endpoint = self.pods.get(pod).map(|pod| pod.endpoint);
         let Some(delay) = self.hedge_delay(sent_at, &request.borrow(), endpoint) else {
@@ -195,7 +197,7 @@
         host.set_timer(delay, Box::new(on_timer));
     }
 
-    /// Sends a hedged attempt; `first_run`: when and where the attempt in flight may run.
+    /// Sends a hedged attempt, if it is still useful. `first_run` is when and where the attempt in flight may run.
     fn send_hedge(
         &mut self,
         host: &mut dyn Host,
@@ -208,17 +210,17 @@
         let Some(timeout) = timeout.filter(|_| is_open) else {
             return;
         };
-        let before = std::mem::replace(&mut request.borrow_mut().possible_run, first_run);
+        let previous_run = std::mem::replace(&mut request.borrow_mut().possible_run, first_run);
         let chosen = self.choose_pod(now, &request.borrow());
         let Some(pod) = chosen else {
-            request.borrow_mut().possible_run = before;
+            request.borrow_mut().possible_run = previous_run;
             return;
         };
         self.retry_budget.record_retry(now);
         self.send_attempt(host, request, pod, timeout);
     }
 
-    /// Learns from an attempt that ended, then tries again or gives up unless the request is over.
+    /// Records an attempt that ended. Unless the request has its final answer, retries it or answers it.
     fn attempt_ended(
         &mut self,
         host: &mut dyn Host,
@@ -227,7 +229,7 @@
         outcome: &AttemptOutcome,
     ) {
         request.borrow_mut().attempts_in_flight -= 1;
-        self.learn_from(host, &request.borrow(), attempt, outcome);
+        self.record_outcome(host, &request.borrow(), attempt, outcome);
         if outcome.request_finished || !host.is_open(request.borrow().id) {
             return;
         }
@@ -240,12 +242,12 @@
                 cell: attempt.endpoint.cell,
             });
         }
-        // The other attempt may still be served; if it is not, its end decides about the request.
+        // Another attempt is in flight and may still be served. If it fails, its end decides on the retry.
         if request.borrow().attempts_in_flight > 0 {
             return;
         }
         if !self.may_retry(now, &request.borrow(), end) {
-            return self.give_up(host, &request);
+            return self.reject_or_fail(host, &request);
         }
         self.retry_budget.record_retry(now);
         let avoids_trial = self.avoids_trial_after(attempt, end);
@@ -253,8 +255,8 @@
         self.next_attempt(host, request);
     }
 
-    /// Hands an ended attempt to every decision that learns from it.
-    fn learn_from(
+    /// Passes an ended attempt to every decision that learns from it.
+    fn record_outcome(
         &mut self,
         host: &mut dyn Host,
         request: &InFlightRequest,
@@ -262,34 +264,34 @@
         outcome: &AttemptOutcome,
     ) {
         let (now, end) = (host.now(), outcome.end);
-        let pace = self.learn_latency(request.class, attempt, outcome);
-        let ejection_part = outlier::draw_ejection_part(&mut self.random);
+        let relative_latency = self.learn_latency(request.class, attempt, outcome);
+        let ejection_fraction = outlier::draw_ejection_fraction(&mut self.random);
         let pod = self.pods.get(attempt.pod);
         let pod_silent = pod.is_none_or(|pod| self.outlier.is_silent(now, pod));
         if let Some(pod) = self.pods.get_mut(attempt.pod) {
             pod.in_flight = pod.in_flight.saturating_sub(1);
-            selection::learn_slowness(now, pod, end, pace.ratio);
-            self.slow_start.record_end(now, pod, end);
+            selection::learn_slowness(now, pod, end, relative_latency.ratio);
+            self.slow_start.record_attempt_end(now, pod, end);
             self.outlier
-                .record_end(now, pod, attempt, end, ejection_part);
+                .record_attempt_end(now, pod, attempt, end, ejection_fraction);
         }
         let ended = EndedAttempt {
             attempt,
             outcome,
             latency_objective: self.route_classes[request.class].latency_objective,
-            slow: pace.slow,
+            slow: relative_latency.slow,
             pod_silent,
         };
-        self.limit.record_end(now, &ended);
-        if evidence::is_heard(&ended) {
+        self.limit.record_attempt_end(now, &ended);
+        if evidence::is_evidence(&ended) {
             self.record_evidence(now, &ended);
             self.evaluate_vote(host);
         }
-        self.bind_answered_key(request.key, attempt, end);
+        self.record_sticky_key(request.key, attempt, end);
     }
 
-    /// Gives the final answer at once, whatever time is left.
-    fn give_up(&mut self, host: &mut dyn Host, request: &SharedRequest) {
+    /// Gives the final answer to a request without a served attempt, even before the deadline.
+    fn reject_or_fail(&mut self, host: &mut dyn Host, request: &SharedRequest) {
         let request = request.borrow();
         if self.is_client_retry_harmless(host.now(), &request) {
             host.reject(request.id, self.attempt_settings.max_retry_after);
@@ -298,19 +300,19 @@
         }
     }
 
-    /// Looks at everything that changes with time alone.
+    /// Updates all state that changes with time alone, and schedules the next update.
     fn update(&mut self, host: &mut dyn Host) {
         let now = host.now();
         self.update_pods(now);
         self.update_periods(now);
         self.update_sampling(now);
         self.evaluate_vote(host);
-        if self.exposure.is_part_update_due(now) {
+        if self.exposure.is_fraction_update_due(now) {
             if !self.on_trial() {
-                self.sequential_test.periods.learn_usual();
+                self.sequential_test.periods.learn_baseline();
             }
             let in_doubt = self.sequential_test.in_doubt();
-            self.exposure.update_part(now, in_doubt);
+            self.exposure.update_used_fraction(now, in_doubt);
         }
         schedule_update(host);
     }
@@ -327,12 +329,17 @@
         self.outlier.update_panic_mode(now, &self.pods);
     }
 
-    /// Takes in the whole endpoint list or changes to it.
-    pub fn update_endpoints(&mut self, host: &mut dyn Host, whole: bool, endpoints: &[Endpoint]) {
+    /// Applies an endpoint list: the complete one, or the endpoints that changed.
+    pub fn update_endpoints(
+        &mut self,
+        host: &mut dyn Host,
+        is_complete: bool,
+        endpoints: &[Endpoint],
+    ) {
         self.endpoint_list.record_list();
         let overload_window = self.slow_start.settings.overload_window;
         let window = || SlidingWindow::new(overload_window, WINDOW_SLICES);
-        self.pods.apply(whole, endpoints, window);
+        self.pods.apply(is_complete, endpoints, window);
         self.update_pods(host.now());
         let on_trial = self.sequential_test.build;
         let pods = &self.pods;
@@ -341,38 +348,41 @@
             .retain_builds(|build| build >= on_trial || pods.count_of_build(build) > 0);
     }
 
-    /// Takes in that the watch on the endpoint list failed.
+    /// Handles a failed watch on the endpoint list: requests a new watch after a delay.
     pub fn endpoint_watch_failed(&mut self, host: &mut dyn Host) {
         let wait = self.endpoint_list.record_failure(&mut self.random);
         host.set_timer(wait, Box::new(|_, host, ()| host.watch_endpoints(true)));
     }
 
-    /// Takes in changed route classes, between two calls: requests in flight keep the index, and so the
-    /// rules, that they began with. `in_force` are the classes that requests may still be taken for.
+    /// Applies changes of the route classes. Must not be called during another call. Requests in flight keep
+    /// the index of their class, and so the rules, with which they arrived. `in_force` are the classes that new
+    /// requests may have.
     pub fn set_route_classes(&mut self, changes: &[RouteClassChange], in_force: &[RouteClassId]) {
         for change in changes {
-            let fresh = change.predecessor.is_none();
+            let is_new = change.predecessor.is_none();
             self.route_classes.apply(change);
             self.exposure
                 .counts
-                .set_bucket(change.class, change.bucket, fresh);
+                .set_bucket(change.class, change.bucket, is_new);
         }
-        let rules = || in_force.iter().map(|class| &self.route_classes[*class]);
-        self.outlier.follow_objectives(rules());
-        self.route_classes.max_priority_weight = max_priority_weight(rules());
+        let rules_in_force = || in_force.iter().map(|class| &self.route_classes[*class]);
+        self.outlier.update_silence_limit(rules_in_force());
+        self.route_classes.max_priority_weight = max_priority_weight(rules_in_force());
     }
 
-    /// Takes in the stage that the control plane announced.
+    /// Applies a stage that the control plane announced.
     pub fn update_stage(&mut self, host: &mut dyn Host, stage: Stage) {
-        let known = self.announced.map(|announced| announced.stage);
-        if known.is_none_or(|known| (known.build, known.stage) != (stage.build, stage.stage)) {
+        let previous = self.announced.map(|announced| announced.stage);
+        if previous
+            .is_none_or(|previous| (previous.build, previous.stage) != (stage.build, stage.stage))
+        {
             self.sequential_test.restart(stage.build);
             self.voting.restart_stage();
             self.exposure.restart_stage();
             self.pods.forget_evidence();
         }
-        let going = matches!(stage.phase, Phase::RollingBack | Phase::Withdrawn);
-        if going || known.is_some_and(|known| known.build != stage.build) {
+        let rolling_back = matches!(stage.phase, Phase::RollingBack | Phase::Withdrawn);
+        if rolling_back || previous.is_some_and(|previous| previous.build != stage.build) {
             self.exposure.forget_sticky_keys();
         }
         let began = host.now().saturating_sub(stage.age);
@@ -380,10 +390,10 @@
         self.evaluate_vote(host);
     }
 
-    /// Takes in the control plane's sampled count of all instances' attempts, which no decision uses.
+    /// Receives the control plane's sampled count of the attempts of all instances. No decision uses it.
     pub fn update_tally(&mut self, _host: &mut dyn Host, _tally: Tally) {}
 
-    /// Takes in a fault that a client found in a pod's answer, to a request that was sent `ago`.
+    /// Records a fault that a client found in a pod's answer. The request was sent the time `ago` before now.
     pub fn report_fault(
         &mut self,
         host: &mut dyn Host,
@@ -396,7 +406,7 @@
         }
     }
 
-    /// Casts a vote where one is due.
+    /// Casts a vote if one is due.
     fn evaluate_vote(&mut self, host: &mut dyn Host) {
         let Some(AnnouncedStage { stage, began }) = self.announced else {
             return;
@@ -407,14 +417,14 @@
         let ballot = self
             .voting
             .wanted(now, &self.sequential_test, stage, running_for);
-        let Some(vote) = self.voting.take_due(now, ballot) else {
+        let Some(vote) = self.voting.take_due_vote(now, ballot) else {
             return;
         };
         let (build, number) = (stage.build, stage.stage);
         let sums = self.sums();
         host.log(&format!(
             "vote {} build {build} stage {number} sums {sums:.2?}",
-            recorded_word(vote)
+            vote_word(vote)
         ));
         let on_reply = move |router: &mut Router, host: &mut dyn Host, reply: VoteReply| {
             router.vote_answered(host, now, ballot, reply);
@@ -438,21 +448,21 @@
         }
     }
 
-    /// The sums of the sequential test on failures, on slow answers and of the alternating periods.
+    /// Returns the sums of the sequential test: of failures, of slow answers and of the alternating periods.
     pub fn sums(&self) -> (f64, f64, f64) {
         let test = &self.sequential_test;
         (test.failure_sum, test.slow_sum, test.periods.sum)
     }
 
-    /// The pods that were looked at since the start.
+    /// Returns how many pods were visited since the start.
     pub fn visits(&self) -> PodVisits {
         self.pods.visits()
     }
 }
 
-/// The word for a vote in the log. Traces record the line and a replay compares it, so the words stay as the
-/// first recorded traces have them.
-fn recorded_word(vote: Vote) -> &'static str {
+/// Returns the word for a vote in the log. Traces record the log line and a replay compares it, so the words must
+/// stay as the earliest traces have them.
+fn vote_word(vote: Vote) -> &'static str {
     match vote {
         Vote::None => "None",
         Vote::Advance => "On",
--- a/src/selection.rs
+++ b/src/selection.rs
@@ -1,9 +1,9 @@
 //! Endpoint selection: which pod gets the next attempt of a request.
 //!
-//! Inputs: the pod groups left open by the exposure cap, attempts in flight, learnt slowness, warm-up and
-//! zones. Two pods are drawn at random near and two in other zones, and the least loaded of them is taken
-//! after tilts for zone and build. Harm: a pod that looks idle because it fails quickly draws requests until
-//! it is ejected.
+//! Inputs: the pod groups that the exposure cap leaves eligible, attempts in flight, learnt slowness, warm-up
+//! and zones. Two pods of this instance's zone and two of other zones are drawn at random. Their loads are
+//! multiplied by factors for zone and build, and the pod with the least load is chosen. Risk: a pod that looks
+//! idle because it fails quickly attracts requests until it is ejected.
 
 mod subset;
 
@@ -15,27 +15,31 @@
 use crate::time::SECOND;
 pub(crate) use subset::Subsetting;
 
-/// Its multiples spread evenly over any run of numbers, whichever of them share a zone.
+/// The inverse of the golden ratio. For any range of consecutive integers, the fractional parts of its multiples are
+/// spread evenly from 0 to 1. So instances get evenly spread values by their ranks, whichever of them share a zone.
 pub(crate) const GOLDEN_RATIO: f64 = 0.618_033_988_749_895;
-/// How much less loaded an earlier build's pod must be to be chosen over the newest's.
-const NEWEST_BUILD_TILT: f64 = 0.6;
-/// The tilt against other zones for each point that crossing costs.
-const CROSS_ZONE_TILT: f64 = 12.0;
-/// The part of their weight that the earlier build's pods keep at least: the sequential test needs both.
-const MIN_EARLIER_PART: f64 = 0.4;
-/// The chance that a drawn pod is taken which carries as much as the mean of its group.
+/// The load factor of the newest build's pods. A pod of an earlier build is preferred to a newest one only if its load
+/// is below this fraction of the newest pod's load.
+const NEWEST_BUILD_LOAD_FACTOR: f64 = 0.6;
+/// What each point of cross-zone cost adds to the load factor of pods in other zones.
+const CROSS_ZONE_LOAD_FACTOR: f64 = 12.0;
+/// The smallest fraction of their weight that the earlier build's pods keep: the sequential test needs answers of both
+/// builds.
+const MIN_EARLIER_FRACTION: f64 = 0.4;
+/// The probability that a drawn pod is accepted if its capacity equals the mean of its group.
 const ACCEPTANCE: f64 = 0.5;
-/// The end of the range that slow start's luck is drawn from, so that its mean is 1.
-const MAX_LUCK: f64 = 2.0;
-/// Draws for two pods, at most.
+/// The upper end of the uniform distribution from 0 whose draw scales the demand for slow start. Its mean is 1.
+const MAX_DEMAND_FACTOR: f64 = 2.0;
+/// The most draws that are made to find two pods.
 const MAX_DRAWS: u32 = 16;
-/// The weight of the latest answer in a pod's slowness, and the greatest slowness that one answer can show.
+/// The weight of the latest answer in a pod's slowness.
 const SLOWNESS_LEARNING_RATE: f64 = 0.1;
+/// The greatest slowness that a single answer can count as.
 const MAX_SLOWNESS: f64 = 10.0;
-/// The time, in nanoseconds, after which a learnt slowness has faded to 1/e.
-const SLOWNESS_FADES_IN: f64 = 5.0 * SECOND as f64;
+/// The time, in nanoseconds, in which a learnt slowness decays towards 1 until 1/e of the difference is left.
+const SLOWNESS_DECAY_TIME: f64 = 5.0 * SECOND as f64;
 
-/// Learns how slow a pod is from an attempt that took `ratio` times its route class's mean.
+/// Updates the slowness of a pod from an attempt that took `ratio` times the mean of its route class.
 pub(crate) fn learn_slowness(now: Nanos, pod: &mut Pod, end: AttemptEnd, ratio: f64) {
     if matches!(end, AttemptEnd::Served | AttemptEnd::TimedOut) {
         pod.slowness += (ratio.min(MAX_SLOWNESS) - pod.slowness) * SLOWNESS_LEARNING_RATE;
@@ -43,36 +47,38 @@
     }
 }
 
-/// A pod that may be chosen, with its load after the tilts.
+/// A pod that may be chosen, with its load after the load factors.
 struct Candidate {
     pod: PodId,
     load: f64,
 }
 
 impl Router {
-    /// The pod for the next attempt, or none where the rules leave none open.
+    /// Returns the pod for the next attempt, or `None` where no pod may get it.
     pub(crate) fn choose_pod(&mut self, now: Nanos, request: &InFlightRequest) -> Option<PodId> {
-        let open = self.open_groups(now, request.class, request.key, request.avoids_trial);
+        let eligible = self.eligible_groups(now, request.class, request.key, request.avoids_trial);
         let groups = &self.pods.groups;
-        let newest = open.iter().map(|index| groups[*index].build).max()?;
-        let weighted = self.weigh_groups(&open, newest);
+        let newest = eligible.iter().map(|index| groups[*index].build).max()?;
+        let weighted = self.weigh_groups(&eligible, newest);
         let zone = self.position.zone;
-        let (near, other): (Vec<_>, Vec<_>) = weighted
+        let (local, remote): (Vec<_>, Vec<_>) = weighted
             .into_iter()
             .partition(|group| self.pods.groups[group.index].zone == zone);
-        let other_tilt = 1.0 + CROSS_ZONE_TILT * self.attempt_settings.cross_zone_cost;
+        let remote_load_factor =
+            1.0 + CROSS_ZONE_LOAD_FACTOR * self.attempt_settings.cross_zone_cost;
         let mut best = None;
-        self.draw_candidates(now, request, &near, 1.0, newest, &mut best);
-        self.draw_candidates(now, request, &other, other_tilt, newest, &mut best);
+        self.draw_candidates(now, request, &local, 1.0, newest, &mut best);
+        self.draw_candidates(now, request, &remote, remote_load_factor, newest, &mut best);
         match best {
             Some(Candidate { pod, .. }) => Some(pod),
-            None => self.choose_any(now, request, &open),
+            None => self.choose_any(now, request, &eligible),
         }
     }
 
-    /// Groups by their size. Beside the earlier build's pods the newest ones stand for as many of them and
-    /// take over their part; a build on trial is drawn by what sampling adds.
-    fn weigh_groups(&self, open: &[usize], newest: Build) -> Vec<WeightedGroup> {
+    /// Weighs the groups by their size. Where the pods of the earlier build keep running beside the newest ones, each
+    /// newest pod replaces an earlier one, so the weight of the earlier build is reduced accordingly. The build on trial
+    /// is weighed by the oversampling of this instance.
+    fn weigh_groups(&self, eligible: &[usize], newest: Build) -> Vec<WeightedGroup> {
         let groups = &self.pods.groups;
         let size = |of_newest: bool| -> f64 {
             let of_build = groups
@@ -81,7 +87,7 @@
             of_build.map(|group| group.size).sum()
         };
         let earlier_factor = if self.exposure.settings.blue_green {
-            (1.0 - size(true) / size(false).max(1e-9)).max(MIN_EARLIER_PART)
+            (1.0 - size(true) / size(false).max(1e-9)).max(MIN_EARLIER_FRACTION)
         } else {
             1.0
         };
@@ -102,17 +108,17 @@
                 weight: group.size * factor,
             }
         };
-        open.iter().map(weigh).collect()
+        eligible.iter().map(weigh).collect()
     }
 
-    /// Draws two pods and keeps the least loaded. Idle ones tie and the first drawn goes: with few requests
-    /// nearly all are idle, and the fastest would get them all.
+    /// Draws two pods and keeps the least loaded in `best`. Idle pods tie, and the one drawn first is kept: with few
+    /// requests nearly all pods are idle, and a preference for the fastest would send it all requests.
     fn draw_candidates(
         &mut self,
         now: Nanos,
         request: &InFlightRequest,
         groups: &[WeightedGroup],
-        tilt: f64,
+        load_factor: f64,
         newest: Build,
         best: &mut Option<Candidate>,
     ) {
@@ -120,19 +126,19 @@
             let Some(pod) = self.pods.get(id) else {
                 continue;
             };
-            let tilt = if pod.endpoint.build == newest {
-                tilt * NEWEST_BUILD_TILT
+            let load_factor = if pod.endpoint.build == newest {
+                load_factor * NEWEST_BUILD_LOAD_FACTOR
             } else {
-                tilt
+                load_factor
             };
-            let load = pod.in_flight as f64 * self.burden(now, pod) * tilt;
+            let load = pod.in_flight as f64 * self.load_per_attempt(now, pod) * load_factor;
             if best.as_ref().is_none_or(|best| load < best.load) {
                 *best = Some(Candidate { pod: id, load });
             }
         }
     }
 
-    /// Two pods, drawn by what each is known to carry: two even draws often meet two weak machines.
+    /// Draws two pods with probabilities by their known capacity: two uniform draws often find two weak machines.
     fn draw_two(
         &mut self,
         now: Nanos,
@@ -140,10 +146,13 @@
         groups: &[WeightedGroup],
     ) -> Vec<PodId> {
         let total: f64 = groups.iter().map(|group| group.weight).sum();
-        // Drawn once per attempt: drawn per pod, some warming pod would nearly always pass (`slow_start`).
-        let windows = self.slow_start.settings.overload_window as f64 / RetryBudget::WINDOW as f64;
+        // Drawn once per attempt. With a draw per pod, one of several pods that warm up would nearly always pass the check
+        // in `slow_start`.
+        let window_ratio =
+            self.slow_start.settings.overload_window as f64 / RetryBudget::WINDOW as f64;
         let requests = self.retry_budget.requests(now) as f64;
-        let luck = MAX_LUCK * self.random.rand_float() * windows * requests / total.max(1e-9);
+        let demand_draw = MAX_DEMAND_FACTOR * self.random.rand_float() * window_ratio * requests
+            / total.max(1e-9);
         let mut chosen = Vec::new();
         for _ in 0..MAX_DRAWS {
             let group_point = self.random.rand_float() * total;
@@ -153,49 +162,52 @@
                 break;
             };
             let acceptance = self.pods.get(drawn.id).map_or(0.0, |pod| {
-                ACCEPTANCE / (self.burden(now, pod) * drawn.mean_size)
+                ACCEPTANCE / (self.load_per_attempt(now, pod) * drawn.mean_size)
             });
-            let taken = self.random.rand_float() < acceptance && !chosen.contains(&drawn.id);
-            if taken && self.may_take(now, request, drawn.id, false, luck) {
+            let accepted = self.random.rand_float() < acceptance && !chosen.contains(&drawn.id);
+            if accepted && self.is_selectable(now, request, drawn.id, false, demand_draw) {
                 chosen.push(drawn.id);
             }
         }
         chosen
     }
 
-    /// Any pod that may take the request, from a random one on; as the last resort one that looks unhealthy
-    /// or failed it before.
+    /// Returns any pod that may get the request, searching from a random one on. As a last resort returns one that looks
+    /// unhealthy or that the request has already tried.
     fn choose_any(
         &mut self,
         now: Nanos,
         request: &InFlightRequest,
-        open: &[usize],
+        eligible: &[usize],
     ) -> Option<PodId> {
         let groups = &self.pods.groups;
-        let pods = open.iter().flat_map(|index| groups[*index].pods.clone());
+        let pods = eligible
+            .iter()
+            .flat_map(|index| groups[*index].pods.clone());
         let mut pods: Vec<PodId> = pods.collect();
         let start = self.random.rand_range(0..pods.len().max(1) as u64) as usize;
         pods.rotate_left(start);
-        let mut first = |last_resort| {
+        let mut find_pod = |last_resort| {
             let mut ids = pods.iter().copied();
-            ids.find(|id| self.may_take(now, request, *id, last_resort, f64::MAX))
+            ids.find(|id| self.is_selectable(now, request, *id, last_resort, f64::MAX))
         };
-        first(false).or_else(|| first(true))
+        find_pod(false).or_else(|| find_pod(true))
     }
 
-    fn may_take(
+    /// Whether a pod may get the next attempt of a request. `demand_draw` is for [`SlowStart::has_room`].
+    fn is_selectable(
         &mut self,
         now: Nanos,
         request: &InFlightRequest,
         id: PodId,
         last_resort: bool,
-        luck: f64,
+        demand_draw: f64,
     ) -> bool {
         let Some(pod) = self.pods.get(id) else {
             return false;
         };
         let rules = self.route_classes[request.class];
-        // Only a keyed request can fail this: a repeat has to go where the first run is still remembered.
+        // Restricts keyed requests only: a repeat must go to a pod that still drops repeats of the first run.
         let repeat_is_safe = rules.idempotency != Idempotency::Keyed
             || request.possible_run.is_none_or(|run| {
                 pod.endpoint
@@ -203,15 +215,17 @@
                     && now < run.at + rules.dedup_window
             });
         let healthy = self.outlier.panic_mode || self.outlier.is_healthy(now, pod);
-        let good = healthy && !request.tried.contains(&id);
+        let is_preferred = healthy && !request.tried.contains(&id);
         repeat_is_safe
-            && (good || last_resort)
-            && self.slow_start.has_room(now, &mut self.pods, id, luck)
+            && (is_preferred || last_resort)
+            && self
+                .slow_start
+                .has_room(now, &mut self.pods, id, demand_draw)
     }
 
-    /// How slow a pod is for its size, and so how much each attempt in flight there weighs.
-    fn burden(&self, now: Nanos, pod: &Pod) -> f64 {
-        let idle = now.saturating_sub(pod.slowness_updated_at) as f64 / SLOWNESS_FADES_IN;
+    /// Returns the load that each attempt in flight puts on a pod: the slowness of the pod over its size and warmth.
+    fn load_per_attempt(&self, now: Nanos, pod: &Pod) -> f64 {
+        let idle = now.saturating_sub(pod.slowness_updated_at) as f64 / SLOWNESS_DECAY_TIME;
         let slowness = 1.0 + (pod.slowness - 1.0) * (-idle).exp();
         let warmth = self.slow_start.warmth(now, &pod.endpoint);
         slowness / (pod.endpoint.size.max(1e-9) * warmth)
--- a/src/selection/subset.rs
+++ b/src/selection/subset.rs
@@ -1,10 +1,10 @@
 //! Deterministic subsets: which pods of each group this instance sends to.
 //!
-//! Hundreds of instances that each open connections to every pod cost the pods more than their requests do.
-//! So each keeps to a stretch of every group; all instances order a group alike, and an instance's rank tells
-//! where its stretch begins. A stretch goes on past unhealthy pods, and a cold pod counts for its part.
-//! Inputs: rank, number of instances, pods, attempts in flight. Harm: where ranks collide, some pods get more
-//! than others.
+//! If hundreds of instances each open connections to every pod, the connections cost the pods more than the
+//! requests do. So each instance sends to a contiguous range of every group. All instances sort a group alike,
+//! and an instance's rank sets where its range begins. The range is extended past unhealthy pods, and a pod that
+//! warms up counts by its warmth. Inputs: rank, number of instances, pods, attempts in flight. Risk: where
+//! several instances have the same rank, some pods get more requests than others.
 
 use super::GOLDEN_RATIO;
 use crate::interface::{FleetPosition, Nanos};
@@ -12,19 +12,21 @@
 use crate::pod_table::{PodGroup, PodTable};
 use crate::slow_start::SlowStart;
 
-/// Instances that send to each pod, at least: what so many alike send it strays by their root, a fifth.
+/// The smallest number of instances that send to each pod. The load from 25 similar instances has a relative standard
+/// deviation of 1 / sqrt(25), a fifth.
 const MIN_INSTANCES_PER_POD: f64 = 25.0;
-/// Healthy pods of a group in a subset, at least: of fewer the sequential test hears too little.
+/// The smallest number of healthy pods of a group in a subset. Fewer give the sequential test too little evidence.
 const MIN_SUBSET_SIZE: f64 = 4.0;
-/// Attempts in flight from one instance to each pod of its subset, at most: its bursts must not fill one.
+/// The most attempts in flight from one instance per pod of its subset, on average: a burst from the instance must not
+/// fill a pod.
 const MAX_IN_FLIGHT_PER_POD: f64 = 0.125;
 /// The weight of the latest request in the mean number of attempts in flight.
 const IN_FLIGHT_LEARNING_RATE: f64 = 0.02;
 
-/// What the size of the subsets follows.
+/// The state that the size of the subsets depends on.
 #[derive(Default)]
 pub(crate) struct Subsetting {
-    /// Attempts in flight from here that a request found of late, in the mean.
+    /// The running mean of this instance's attempts in flight, sampled when a request arrives.
     mean_in_flight: f64,
 }
 
@@ -33,7 +35,7 @@
         self.mean_in_flight += (in_flight as f64 - self.mean_in_flight) * IN_FLIGHT_LEARNING_RATE;
     }
 
-    /// Chooses the subset of each group anew.
+    /// Recomputes the subset of each group.
     pub(crate) fn update(
         &self,
         now: Nanos,
@@ -42,15 +44,15 @@
         outlier: &OutlierDetector,
         slow_start: &SlowStart,
     ) {
-        let all = pods.count as f64;
-        let shared = MIN_INSTANCES_PER_POD * all / position.instances.max(1) as f64;
-        let wanted = shared.max(self.mean_in_flight / MAX_IN_FLIGHT_PER_POD);
+        let pod_count = pods.count as f64;
+        let to_cover_pods = MIN_INSTANCES_PER_POD * pod_count / position.instances.max(1) as f64;
+        let subset_pods = to_cover_pods.max(self.mean_in_flight / MAX_IN_FLIGHT_PER_POD);
         let start = (position.rank as f64 * GOLDEN_RATIO).fract();
         let mut groups = std::mem::take(&mut pods.groups);
         for group in &mut groups {
-            let enough = (wanted * group.pods.len() as f64 / all).max(MIN_SUBSET_SIZE);
-            fill(group, enough, start, |id| {
-                // One whose ejection has merely run out has yet to show that it is healthy.
+            let needed = (subset_pods * group.pods.len() as f64 / pod_count).max(MIN_SUBSET_SIZE);
+            fill(group, needed, start, |id| {
+                // A pod whose ejection has expired counts as healthy only once it has answered.
                 let healthy = pods.get(id).filter(|pod| {
                     !OutlierDetector::has_failed(pod) && outlier.is_healthy(now, pod)
                 });
@@ -61,21 +63,22 @@
     }
 }
 
-/// Fills a group's subset until its pods carry `enough`; `start` is from 0 to 1 of the ring.
-fn fill(group: &mut PodGroup, enough: f64, start: f64, carries: impl Fn(usize) -> f64) {
+/// Fills the subset of a group until its pods have the capacity `needed`. `start`, from 0 to 1, is the position in the
+/// ring where the subset starts.
+fn fill(group: &mut PodGroup, needed: f64, start: f64, capacity_of: impl Fn(usize) -> f64) {
     let count = group.pods.len();
-    let (order, first) = if enough < count as f64 {
+    let (order, first) = if needed < count as f64 {
         (&group.ring, (start * count as f64) as usize)
     } else {
         (&group.pods, 0)
     };
     group.subset.clear();
-    let mut carried = 0.0;
+    let mut capacity = 0.0;
     for id in (0..count).map(|step| order[(first + step) % count]) {
-        if carried >= enough {
+        if capacity >= needed {
             break;
         }
         group.subset.push(id);
-        carried += carries(id);
+        capacity += capacity_of(id);
     }
 }
--- a/src/sequential_test.rs
+++ b/src/sequential_test.rs
@@ -23,19 +23,19 @@
 const BETA: f64 = 0.1;
 /// How many times likelier a failure is on a bad build, for failures that a connection or a queue can cause,
 /// too.
-const SHARED_FAILURE_ODDS: f64 = 2.0;
+const TRANSPORT_FAILURE_ODDS_RATIO: f64 = 2.0;
 /// The same for errors and wrong answers: sound builds make next to none, so the answer may come quicker.
-const OWN_FAILURE_ODDS: f64 = 4.0;
+const APPLICATION_ERROR_ODDS_RATIO: f64 = 4.0;
 /// The same for slow answers: sound builds differ in speed.
-const SLOW_ODDS: f64 = 5.0;
+const SLOW_ODDS_RATIO: f64 = 5.0;
 /// The share of attempts beyond which slow answers are not judged: the build's pods may be the busier ones.
-const SLOW_MAX_SHARE: f64 = 0.35;
+const MAX_SLOW_SHARE: f64 = 0.35;
 /// The share beyond which an earlier build's own failures are taken from memory.
-const MEMORY_SHARE: f64 = 0.25;
+const MAX_APPLICATION_ERROR_SHARE: f64 = 0.25;
 /// Own failures an attempt that a sound build makes, at least.
-const MIN_OWN_FAILURE_RATE: f64 = 0.002;
+const MIN_APPLICATION_ERROR_RATE: f64 = 0.002;
 /// The weight of the latest attempt in the learnt rate of own failures.
-const OWN_FAILURE_LEARNING_RATE: f64 = 0.02;
+const APPLICATION_ERROR_LEARNING_RATE: f64 = 0.02;
 
 /// The bounds of the sums.
 #[derive(Clone, Copy)]
@@ -137,7 +137,7 @@
     pub(crate) periods: AlternatingPeriods,
     share: TrialShare,
     /// Own failures an attempt to an earlier build, as last learnt.
-    own_failure_rate: f64,
+    application_error_rate: f64,
 }
 
 impl SequentialTest {
@@ -151,7 +151,7 @@
             slow_sum: 0.0,
             periods: AlternatingPeriods::default(),
             share: TrialShare::new(),
-            own_failure_rate: MIN_OWN_FAILURE_RATE,
+            application_error_rate: MIN_APPLICATION_ERROR_RATE,
         }
     }
 
@@ -198,32 +198,42 @@
     /// Once the build on trial has most of the load, its share nears 1 and the test goes blind. So for own
     /// failures the earlier build keeps most of the share from memory, failing as it last did. Harm: callers
     /// that begin to err after the earlier build's last answer speak against a sound build.
-    fn record_end(&mut self, now: Nanos, build: Build, own_failure: bool) {
+    fn record_attempt_end(&mut self, now: Nanos, build: Build, application_error: bool) {
         if build < self.build {
-            let observed = own_failure as u8 as f64;
-            let learnt = (observed - self.own_failure_rate) * OWN_FAILURE_LEARNING_RATE;
-            self.own_failure_rate = (self.own_failure_rate + learnt).max(MIN_OWN_FAILURE_RATE);
+            let observed = application_error as u8 as f64;
+            let learnt = (observed - self.application_error_rate) * APPLICATION_ERROR_LEARNING_RATE;
+            self.application_error_rate =
+                (self.application_error_rate + learnt).max(MIN_APPLICATION_ERROR_RATE);
         }
         self.share.count(now, build == self.build);
         if build == self.build {
             self.outcomes = self.outcomes.saturating_add(1);
             let share = self.share.value(now);
-            let missing = (1.0 / MEMORY_SHARE - 1.0 / share.max(1e-9)).max(0.0);
+            let missing = (1.0 / MAX_APPLICATION_ERROR_SHARE - 1.0 / share.max(1e-9)).max(0.0);
             let earlier = build.wrapping_sub(1);
-            let step = self.log_likelihood_ratio(MEMORY_SHARE, earlier, OWN_FAILURE_ODDS);
-            self.failure_sum += self.own_failure_rate * missing * step;
+            let step = self.log_likelihood_ratio(
+                MAX_APPLICATION_ERROR_SHARE,
+                earlier,
+                APPLICATION_ERROR_ODDS_RATIO,
+            );
+            self.failure_sum += self.application_error_rate * missing * step;
         }
     }
 
     /// Takes in a failure and returns what it added.
-    pub(crate) fn record_failure(&mut self, now: Nanos, build: Build, own_failure: bool) -> f64 {
-        let (max_share, odds) = if own_failure {
-            (MEMORY_SHARE, OWN_FAILURE_ODDS)
+    pub(crate) fn record_failure(
+        &mut self,
+        now: Nanos,
+        build: Build,
+        application_error: bool,
+    ) -> f64 {
+        let (max_share, odds_ratio) = if application_error {
+            (MAX_APPLICATION_ERROR_SHARE, APPLICATION_ERROR_ODDS_RATIO)
         } else {
-            (1.0, SHARED_FAILURE_ODDS)
+            (1.0, TRANSPORT_FAILURE_ODDS_RATIO)
         };
         let share = self.share.value(now).min(max_share);
-        let step = self.log_likelihood_ratio(share, build, odds);
+        let step = self.log_likelihood_ratio(share, build, odds_ratio);
         self.failure_sum = (self.failure_sum + step).max(self.floor());
         step
     }
@@ -233,8 +243,8 @@
     /// looks slow, so the sum rests once the build has a third of the load.
     fn record_slow_answer(&mut self, now: Nanos, build: Build) -> f64 {
         let share = self.share.value(now);
-        let step = if share <= SLOW_MAX_SHARE {
-            self.log_likelihood_ratio(share, build, SLOW_ODDS)
+        let step = if share <= MAX_SLOW_SHARE {
+            self.log_likelihood_ratio(share, build, SLOW_ODDS_RATIO)
         } else {
             0.0
         };
@@ -248,11 +258,11 @@
     }
 
     /// What one event on `build` adds to a sum when `share` of such events is expected on the build on trial.
-    fn log_likelihood_ratio(&self, share: f64, build: Build, odds: f64) -> f64 {
-        let if_bad = odds * share / (1.0 + (odds - 1.0) * share);
+    fn log_likelihood_ratio(&self, share: f64, build: Build, odds_ratio: f64) -> f64 {
+        let share_if_bad = odds_ratio * share / (1.0 + (odds_ratio - 1.0) * share);
         match build.cmp(&self.build) {
-            Ordering::Less if share < 1.0 => ((1.0 - if_bad) / (1.0 - share)).ln(),
-            Ordering::Equal if share > 0.0 => (if_bad / share).ln(),
+            Ordering::Less if share < 1.0 => ((1.0 - share_if_bad) / (1.0 - share)).ln(),
+            Ordering::Equal if share > 0.0 => (share_if_bad / share).ln(),
             _ => 0.0,
         }
     }
--- a/src/sequential_test/evidence.rs
+++ b/src/sequential_test/evidence.rs
@@ -16,11 +16,11 @@
 /// A pod younger than this fails for being cold, whatever its build.
 const MIN_POD_AGE: Nanos = 3 * SECOND;
 /// The part of the upper bound after which one pod alone says no more.
-const ONE_POD_LIMIT: f64 = 0.4;
+const MAX_POD_EVIDENCE_FRACTION: f64 = 0.4;
 
 /// Whether an attempt is heard at all. What fails again elsewhere is the request's own doing, so only first
 /// ones are.
-pub(crate) fn is_heard(ended: &EndedAttempt) -> bool {
+pub(crate) fn is_evidence(ended: &EndedAttempt) -> bool {
     let end = ended.outcome.end;
     (end.is_failure() || end == AttemptEnd::Served) && ended.attempt.first
 }
@@ -33,7 +33,7 @@
         let build = ended.attempt.endpoint.build;
         let end = ended.outcome.end;
         self.sequential_test
-            .record_end(now, build, end == AttemptEnd::Failed);
+            .record_attempt_end(now, build, end == AttemptEnd::Failed);
         if self.pods.get_mut(ended.attempt.pod).is_none() {
             return;
         }
@@ -64,16 +64,17 @@
         let build = ended.attempt.endpoint.build;
         let end = ended.outcome.end;
         let objective = ended.latency_objective;
-        let too_long = end == AttemptEnd::TimedOut && ended.outcome.took >= objective;
-        let late = (ended.slow || too_long)
-            && self.limit.late_part <= ConcurrencyLimit::CROWDED
+        let timed_out_past_objective =
+            end == AttemptEnd::TimedOut && ended.outcome.took >= objective;
+        let late = (ended.slow || timed_out_past_objective)
+            && self.limit.late_fraction <= ConcurrencyLimit::MAX_INFORMATIVE_LATE_FRACTION
             && ended.attempt.warm;
         let first_late = late && self.was_not_late_since(now, ended.attempt.pod, objective);
         let only_pod = self.pods.count_of_build(build) < 2;
         let Some(pod) = self.pods.get_mut(ended.attempt.pod) else {
             return;
         };
-        let heard = pod.evidence < self.sequential_test.bounds.reject * ONE_POD_LIMIT;
+        let heard = pod.evidence < self.sequential_test.bounds.reject * MAX_POD_EVIDENCE_FRACTION;
         if first_late {
             pod.last_late_at = now;
         }
@@ -81,11 +82,13 @@
             let added = self.sequential_test.record_slow_answer(now, build);
             pod.evidence += added.max(0.0);
         }
-        let failed =
-            (too_long && first_late) || matches!(end, AttemptEnd::Failed | AttemptEnd::Reset);
+        let failed = (timed_out_past_objective && first_late)
+            || matches!(end, AttemptEnd::Failed | AttemptEnd::Reset);
         if failed && (heard || only_pod) {
-            let own_failure = end == AttemptEnd::Failed;
-            let added = self.sequential_test.record_failure(now, build, own_failure);
+            let application_error = end == AttemptEnd::Failed;
+            let added = self
+                .sequential_test
+                .record_failure(now, build, application_error);
             pod.evidence += added.max(0.0);
         }
     }
--- a/src/sequential_test/periods.rs
+++ b/src/sequential_test/periods.rs
@@ -5,20 +5,20 @@
 //! all instances know from the stage's start, as one alone moves nothing. Inputs: slow answers of earlier
 //! pods. Harm: a sound build is blamed while another slowdown keeps the same rhythm.
 
-use super::{SequentialTest, SLOW_ODDS};
+use super::{SequentialTest, SLOW_ODDS_RATIO};
 use crate::interface::Nanos;
 use crate::learning_rate::LearningRate;
 use crate::router::Router;
 use crate::time::SECOND;
 
 /// How many times as often as usual the earlier pods must be slow for the periods to begin.
-const SLOWER: f64 = 1.35;
+const SLOWDOWN_FACTOR: f64 = 1.35;
 /// The part of slow answers that is usual, at least.
-const MIN_USUAL_SLOW_PART: f64 = 0.1;
+const MIN_BASELINE_SLOW_FRACTION: f64 = 0.1;
 /// The weight of the latest second in the usual part.
-const USUAL_LEARNING_RATE: f64 = 0.2;
+const BASELINE_LEARNING_RATE: f64 = 0.2;
 /// The weight of the latest answer in the slow part: a few seconds' answers count, but no fewer than eight.
-const SLOW_PART_RATE: LearningRate = LearningRate {
+const SLOW_FRACTION_RATE: LearningRate = LearningRate {
     numerator: 3.0,
     min: 0.002,
     max: 0.12,
@@ -27,7 +27,7 @@
 /// From a period's start, answers that tell of the one before.
 const SETTLING_TIME: Nanos = 2 * SECOND;
 /// The part of the upper bound that one round may add: no round decides alone.
-const ROUND_LIMIT: f64 = 0.6;
+const MAX_ROUND_FRACTION: f64 = 0.6;
 
 /// A period of the stage's clock; the share is withheld in odd ones.
 #[derive(Clone, Copy, Default, PartialEq, Eq)]
@@ -67,9 +67,9 @@
     period: Period,
     round: Round,
     /// The part of slow answers among the earlier pods' of late.
-    slow_part: f64,
+    slow_fraction: f64,
     /// The same outside trials.
-    usual_slow_part: f64,
+    baseline_slow_fraction: f64,
 }
 
 impl AlternatingPeriods {
@@ -82,12 +82,14 @@
     }
 
     /// Learns how often answers are slow outside trials.
-    pub(crate) fn learn_usual(&mut self) {
-        self.usual_slow_part += (self.slow_part - self.usual_slow_part) * USUAL_LEARNING_RATE;
+    pub(crate) fn learn_baseline(&mut self) {
+        self.baseline_slow_fraction +=
+            (self.slow_fraction - self.baseline_slow_fraction) * BASELINE_LEARNING_RATE;
     }
 
-    fn slower_than_usual(&self) -> bool {
-        self.slow_part > SLOWER * self.usual_slow_part.max(MIN_USUAL_SLOW_PART)
+    fn slower_than_baseline(&self) -> bool {
+        self.slow_fraction
+            > SLOWDOWN_FACTOR * self.baseline_slow_fraction.max(MIN_BASELINE_SLOW_FRACTION)
     }
 }
 
@@ -113,7 +115,7 @@
         }
         self.periods.period = period;
         if period.withholds() {
-            let wanted = self.periods.active || self.periods.slower_than_usual();
+            let wanted = self.periods.active || self.periods.slower_than_baseline();
             self.periods.active = wanted && self.share.long.on_trial.upper_bound(now) > 0;
         } else {
             self.close_round(shared_verdict);
@@ -126,9 +128,10 @@
         let round = std::mem::take(&mut self.periods.round);
         let (with_share, withheld) = (round.with_share, round.withheld);
         let share = with_share.all / (with_share.all + withheld.all).max(1.0);
-        let limit = self.bounds.reject * ROUND_LIMIT;
-        let slow_with = self.log_likelihood_ratio(share, self.build, SLOW_ODDS);
-        let slow_without = self.log_likelihood_ratio(share, self.build.wrapping_sub(1), SLOW_ODDS);
+        let limit = self.bounds.reject * MAX_ROUND_FRACTION;
+        let slow_with = self.log_likelihood_ratio(share, self.build, SLOW_ODDS_RATIO);
+        let slow_without =
+            self.log_likelihood_ratio(share, self.build.wrapping_sub(1), SLOW_ODDS_RATIO);
         let added = with_share.slow * slow_with + withheld.slow * slow_without;
         let counts = self.periods.withheld || shared_verdict;
         let added = added.clamp(-limit, limit) * counts as u8 as f64;
@@ -137,10 +140,10 @@
 
     /// Counts an answer of an earlier build's pod in its period.
     pub(super) fn record_earlier_answer(&mut self, answer: &PeriodAnswer) {
-        let learning_rate = SLOW_PART_RATE.after(answer.requests as f64);
+        let learning_rate = SLOW_FRACTION_RATE.after(answer.requests as f64);
         let periods = &mut self.periods;
         let slow = answer.slow as u8 as f64;
-        periods.slow_part += (slow - periods.slow_part) * learning_rate;
+        periods.slow_fraction += (slow - periods.slow_fraction) * learning_rate;
         let period = periods.period;
         if answer.sent_at < period.trial_began + period.index * PERIOD + SETTLING_TIME {
             return;
--- a/src/slow_start.rs
+++ b/src/slow_start.rs
@@ -10,12 +10,12 @@
 use crate::window::SlidingWindow;
 
 /// The part of the overload multiple that all instances together may use on a pod that warms up.
-const OVERLOAD_PART: f64 = 0.6;
+const OVERLOAD_FRACTION: f64 = 0.6;
 /// What a machine type without warm pods is taken to carry, as a part of the weakest other.
-const UNKNOWN_MACHINE_PART: f64 = 0.5;
+const UNKNOWN_TYPE_FRACTION: f64 = 0.5;
 
 /// The warm pods of one machine type.
-struct MachineAnswers {
+struct MachineTypeStats {
     answers: SlidingWindow,
     size: f64,
 }
@@ -23,7 +23,7 @@
 /// What pods that warm up may get.
 pub(crate) struct SlowStart {
     pub(crate) settings: PodSettings,
-    machines: Vec<MachineAnswers>,
+    machines: Vec<MachineTypeStats>,
 }
 
 impl SlowStart {
@@ -60,7 +60,7 @@
             }
             let machine = pod.endpoint.machine_type;
             if self.machines.len() <= machine {
-                self.machines.resize_with(machine + 1, || MachineAnswers {
+                self.machines.resize_with(machine + 1, || MachineTypeStats {
                     answers: SlidingWindow::new(window, WINDOW_SLICES),
                     size: 0.0,
                 });
@@ -70,7 +70,7 @@
     }
 
     /// Counts an answer of a warm pod.
-    pub(crate) fn record_end(&mut self, now: Nanos, pod: &Pod, end: AttemptEnd) {
+    pub(crate) fn record_attempt_end(&mut self, now: Nanos, pod: &Pod, end: AttemptEnd) {
         if end == AttemptEnd::Served && pod.warm {
             if let Some(machine) = self.machines.get_mut(pod.endpoint.machine_type) {
                 machine.answers.add(now);
@@ -79,7 +79,7 @@
     }
 
     /// What the warm pods of a machine type answered of late for each unit of size, where there are any.
-    fn answers_by_size(&mut self, now: Nanos, machine: usize) -> Option<f64> {
+    fn answers_per_size(&mut self, now: Nanos, machine: usize) -> Option<f64> {
         let known = self.machines.get_mut(machine);
         let machine = known.filter(|machine| machine.size > 0.0)?;
         Some(machine.answers.upper_bound(now) as f64 / machine.size)
@@ -94,7 +94,7 @@
         now: Nanos,
         pods: &mut PodTable,
         id: PodId,
-        luck: f64,
+        demand_draw: f64,
     ) -> bool {
         let Some(endpoint) = pods.get(id).map(|pod| pod.endpoint) else {
             return false;
@@ -104,17 +104,17 @@
             return true;
         }
         let others: Vec<f64> = (0..self.machines.len())
-            .filter_map(|machine| self.answers_by_size(now, machine))
+            .filter_map(|machine| self.answers_per_size(now, machine))
             .collect();
         let weakest = || others.iter().copied().reduce(f64::min).unwrap_or(0.0);
         let answers = self
-            .answers_by_size(now, endpoint.machine_type)
-            .unwrap_or_else(|| UNKNOWN_MACHINE_PART * weakest());
+            .answers_per_size(now, endpoint.machine_type)
+            .unwrap_or_else(|| UNKNOWN_TYPE_FRACTION * weakest());
         let multiple = self.settings.overload_multiple;
-        let most = OVERLOAD_PART * multiple * warmth * answers * endpoint.size;
+        let most = OVERLOAD_FRACTION * multiple * warmth * answers * endpoint.size;
         let sent = pods.get_mut(id).map_or(0, |pod| pod.sent.upper_bound(now)) as f64;
-        let fits = sent + 1.0 <= most / pods.subset_part(&endpoint);
-        let drawn = others.is_empty() || luck * warmth * endpoint.size < most;
+        let fits = sent + 1.0 <= most / pods.subset_fraction(&endpoint);
+        let drawn = others.is_empty() || demand_draw * warmth * endpoint.size < most;
         fits || (sent < 1.0 && drawn)
     }
 }
--- a/src/voting.rs
+++ b/src/voting.rs
@@ -13,19 +13,19 @@
 use oorandom::Rand64;
 
 /// From the newest pod's start to a vote to advance, at least.
-pub(crate) const ADVANCE_AFTER: Nanos = 3 * SECOND;
+pub(crate) const MIN_RUNNING_TIME_TO_ADVANCE: Nanos = 3 * SECOND;
 /// The same where this instance has hardly any evidence.
-const ADVANCE_AFTER_WITHOUT_EVIDENCE: Nanos = 6 * SECOND;
+const MIN_RUNNING_TIME_WITHOUT_EVIDENCE: Nanos = 6 * SECOND;
 /// For how long doubt keeps back a vote to advance.
-const DOUBT_HOLDS_FOR: Nanos = 12 * SECOND;
+const MAX_DOUBT_DELAY: Nanos = 12 * SECOND;
 /// Attempts that ended on the build and are evidence enough to advance.
-pub(crate) const ENOUGH_OUTCOMES: u32 = 10;
+pub(crate) const MIN_OUTCOMES_TO_ADVANCE: u32 = 10;
 /// After a vote that did not count, at least, and the spread of the moments after that.
-const RETRY_AFTER: Nanos = 100 * MILLISECOND;
-const RETRY_SPREAD_MS: u64 = 300;
+const RETRY_DELAY: Nanos = 100 * MILLISECOND;
+const RETRY_JITTER_MS: u64 = 300;
 /// From which part of a vote's life it is renewed, and over which part the moments are spread.
 const RENEWAL_START: f64 = 0.75;
-const RENEWAL_SPREAD: f64 = 0.2;
+const RENEWAL_JITTER: f64 = 0.2;
 /// The seconds' worth of calls that the control plane takes at once.
 const CALL_BURST_S: f64 = 2.0;
 
@@ -92,11 +92,11 @@
         if on_trial && self.settings.control == ReleaseControl::Timed {
             return self.timed_vote(now, test.in_doubt());
         }
-        let passed = test.accepts() || test.outcomes >= ENOUGH_OUTCOMES;
-        let enough = passed && running_for >= ADVANCE_AFTER;
+        let passed = test.accepts() || test.outcomes >= MIN_OUTCOMES_TO_ADVANCE;
+        let enough = passed && running_for >= MIN_RUNNING_TIME_TO_ADVANCE;
         let waited = self.settings.control == ReleaseControl::Quorum
-            && running_for >= ADVANCE_AFTER_WITHOUT_EVIDENCE;
-        let doubt = (test.in_doubt() || test.periods.active) && running_for < DOUBT_HOLDS_FOR;
+            && running_for >= MIN_RUNNING_TIME_WITHOUT_EVIDENCE;
+        let doubt = (test.in_doubt() || test.periods.active) && running_for < MAX_DOUBT_DELAY;
         if on_trial && !doubt && (waited || enough) {
             Vote::Advance
         } else {
@@ -127,19 +127,19 @@
     }
 
     /// The vote to cast now, if any; the call is then taken as in flight.
-    pub(crate) fn take_due(&mut self, now: Nanos, wanted: Ballot) -> Option<Vote> {
+    pub(crate) fn take_due_vote(&mut self, now: Nanos, wanted: Ballot) -> Option<Vote> {
         let vote = if wanted.vote == Vote::Advance && !self.can_advance() {
             Vote::None
         } else {
             wanted.vote
         };
-        let holds = self
+        let hold_in_force = self
             .in_force
             .is_some_and(|ballot| ballot.vote == Vote::Hold);
-        let nothing_to_say = vote == Vote::None && !holds;
+        let no_vote_to_cast = vote == Vote::None && !hold_in_force;
         let unchanged = self.in_force.is_none_or(|ballot| ballot == wanted);
         let early = now < self.next_call_at && unchanged;
-        if self.call_in_flight || nothing_to_say || early {
+        if self.call_in_flight || no_vote_to_cast || early {
             return None;
         }
         self.call_in_flight = true;
@@ -159,11 +159,11 @@
         self.call_in_flight = false;
         let counted = receipt == VoteReceipt::Counted;
         self.in_force = counted.then_some(ballot);
-        let retry_after = RETRY_AFTER + random.rand_range(0..RETRY_SPREAD_MS) * MILLISECOND;
+        let retry_after = RETRY_DELAY + random.rand_range(0..RETRY_JITTER_MS) * MILLISECOND;
         let ttl = self.settings.ttl;
         let life = ttl.saturating_sub(self.settings.call_timeout).max(ttl / 4) as f64;
         let renewal =
-            cast_at + (life * (RENEWAL_START + RENEWAL_SPREAD * random.rand_float())) as Nanos;
+            cast_at + (life * (RENEWAL_START + RENEWAL_JITTER * random.rand_float())) as Nanos;
         self.next_call_at = if counted { renewal } else { now + retry_after };
     }
 }
--- a/tests/common/notation.rs
+++ b/tests/common/notation.rs
@@ -145,8 +145,8 @@
             exposure: self.exposure(),
             votes: self.votes(),
             endpoint_list: EndpointListSettings {
-                must_subscribe: self.flag("ask"),
-                max_subscribe_interval: span("10s"),
+                must_watch: self.flag("ask"),
+                max_watch_retry_delay: span("10s"),
             },
         };
         Router::new(now, SEED, settings)
