--- a/src/binomial.rs
+++ b/src/binomial.rs
@@ -1,12 +1,12 @@
-//! The tail of the binomial distribution. Arithmetic only.
+//! The tail of the binomial distribution.
 
 #[cfg(test)]
 mod tests;
 
 const BISECTION_STEPS: u32 = 40;
 
-/// The largest error rate of each of `instances` independent tests, up to `ceiling`, with which at least
-/// `needed` of them err together with a probability of at most `joint_rate`.
+/// Returns the largest error rate, up to `max_rate`, that each of `instances` independent tests may have if the
+/// probability that `needed` or more of them err is to be at most `joint_rate`.
 pub(crate) fn largest_error_rate(
     instances: usize,
     needed: usize,
@@ -26,7 +26,7 @@
     allowed
 }
 
-/// The probability that fewer than `needed` of `instances` err, each with the probability `rate`.
+/// Returns the probability that fewer than `needed` of `instances` tests err, each with the probability `rate`.
 fn probability_of_fewer(instances: usize, needed: usize, rate: f64) -> f64 {
     let mut log_term = instances as f64 * (1.0 - rate).ln();
     let mut sum = 0.0;
--- a/src/latency.rs
+++ b/src/latency.rs
@@ -1,7 +1,8 @@
-//! Which answers are slow, against what was learnt outside trials.
+//! Which answers are slow, compared with the latencies learnt outside trials.
 //!
-//! Inputs: latencies by route class and machine type, as a new build starts on few pods. Hedging and the
-//! sequential test go by the result. Harm: what is learnt from few requests lags behind a change of the load.
+//! Inputs: latencies by route class and by machine type, as a new build starts on a few pods, whose machine types
+//! may differ from those of the other pods. Hedging and the sequential test use the result. Risk: with few requests
+//! the learnt latencies lag behind a change of the load.
 
 use crate::interface::{AttemptEnd, AttemptOutcome, RouteClass, RouteClassId};
 use crate::learning_rate::LearningRate;
@@ -9,52 +10,55 @@
 use crate::request::Attempt;
 use crate::router::Router;
 
-/// Requests after which an instance trusts what it learnt of the time before a trial.
+/// After this many requests the learnt 90th percentiles are a reliable baseline, so a trial no longer changes them.
 const MIN_BASELINE_REQUESTS: u32 = 30;
-/// The latency objective is this many times the mean that is assumed at first.
+/// The ratio of the latency objective to the mean that is assumed at first.
 const OBJECTIVE_TO_INITIAL_MEAN: f64 = 6.0;
-/// The ninth decile that is assumed at first, and the greatest, as multiples of the mean.
+/// The 90th percentile that is assumed at first, as a multiple of the mean.
 const INITIAL_P90_TO_MEAN: f64 = 2.5;
+/// The greatest 90th percentile, as a multiple of the mean.
 const MAX_P90_TO_MEAN: f64 = 5.0;
-/// What the ninth decile moves up for a slow answer and down for another, as parts of a step.
+/// The change of the 90th percentile for a slow answer, as a fraction of a step. With 0.9 up and 0.1 down the estimate
+/// is stable where one answer in ten is slow.
 const P90_STEP_UP: f64 = 0.9;
+/// The change for any other answer.
 const P90_STEP_DOWN: f64 = -0.1;
-/// A step of the ninth decile against the mean, by requests taken.
+/// The size of a step of the 90th percentile, relative to the mean, by the number of requests received.
 const P90_STEP_RATE: LearningRate = LearningRate {
     numerator: 20.0,
     min: 0.02,
     max: 0.5,
 };
-/// The weight of the latest answer in the mean, by requests taken.
+/// The weight of the latest answer in the mean, by the number of requests received.
 const MEAN_RATE: LearningRate = LearningRate {
     numerator: 2.0,
     min: 0.01,
     max: 0.2,
 };
 
-/// The mean latency assumed of a class of which nothing is learnt yet, in nanoseconds.
+/// Returns the mean latency assumed of a class before anything is learnt, in nanoseconds.
 pub(crate) fn initial_mean(class: &RouteClass) -> f64 {
     class.latency_objective as f64 / OBJECTIVE_TO_INITIAL_MEAN
 }
 
-/// How an attempt's latency compares to what was learnt.
+/// The latency of an attempt, compared with the learnt latencies.
 pub(crate) struct RelativeLatency {
-    /// It is among the slowest tenth of its route class and machine type.
+    /// The attempt took longer than the 90th percentile of its route class and machine type.
     pub(crate) slow: bool,
-    /// Against the mean of its route class.
+    /// The latency, relative to the mean of the route class.
     pub(crate) ratio: f64,
 }
 
 impl Router {
-    /// Whether no more attempts of this instance are in flight at a pod than the mean of its subsets.
+    /// Whether this instance has no more attempts in flight at a pod than at the pods of its subsets on average.
     pub(crate) fn is_evenly_loaded(&self, pod: &Pod) -> bool {
         let withheld = self.sequential_test.periods.withheld;
-        let without = withheld.then_some(self.sequential_test.build);
-        let pods = self.pods.subset_size_without(without);
-        pod.in_flight * pods as u32 <= self.limit.in_flight
+        let excluded_build = withheld.then_some(self.sequential_test.build);
+        let pod_count = self.pods.subset_size_without(excluded_build);
+        pod.in_flight * pod_count as u32 <= self.limit.in_flight
     }
 
-    /// Compares an attempt's latency to what was learnt, then learns from it.
+    /// Compares the latency of an attempt with the learnt latencies, then updates them.
     pub(crate) fn learn_latency(
         &mut self,
         class: RouteClassId,
--- a/src/learning_rate.rs
+++ b/src/learning_rate.rs
@@ -1,8 +1,8 @@
-//! Learning rates that fall as more is known.
+//! Learning rates that decrease with the number of observations.
 
 /// The weight of the latest observation in a running estimate.
 pub(crate) struct LearningRate {
-    /// The rate is this number over the observations.
+    /// The rate is this number divided by the number of observations.
     pub(crate) numerator: f64,
     pub(crate) min: f64,
     pub(crate) max: f64,
--- a/src/outlier.rs
+++ b/src/outlier.rs
@@ -1,8 +1,8 @@
-//! Outlier ejection: when a pod is kept from requests, for how long, and how it recovers.
+//! Outlier ejection: when a pod gets no requests, for how long, and how it recovers.
 //!
-//! Inputs: how attempts to a pod end, and how long it is silent. Health is judged by symptom, whatever its
-//! cause. A pod that comes back gets one request at a time until it answers. Harm: where the fault is not the
-//! pods', ejecting them would crowd the rest, so ejections are ignored when most pods look unhealthy.
+//! Inputs: how attempts to a pod end, and how long the pod has been silent. Health is derived from the symptoms,
+//! whatever their cause. After an ejection a pod gets one request at a time until it answers. Risk: where the pods
+//! are not at fault, ejections would overload the other pods, so they are ignored when most pods look unhealthy.
 
 use crate::interface::{AttemptEnd, Nanos, RouteClass};
 use crate::pod_table::{Pod, PodTable};
@@ -10,23 +10,25 @@
 use crate::time::{MILLISECOND, SECOND};
 use oorandom::Rand64;
 
-/// How often health, subsets and votes are looked at, so that no request has to look through all pods.
+/// The interval of the updates of health, subsets and votes. With them no request has to visit all pods.
 pub(crate) const UPDATE_INTERVAL: Nanos = 200 * MILLISECOND;
-/// Failures with no answer between that eject a pod; a failed connection counts for all of them.
+/// The consecutive failures that eject a pod. A failed connection counts as this many failures.
 const FAILURES_TO_EJECT: u32 = 2;
-/// The longest first ejection; it doubles with each further failure, up to the given number of times.
+/// The longest duration of a first ejection. It doubles with each further failure.
 const EJECTION_TIME: Nanos = 500 * MILLISECOND;
+/// The most doublings of the ejection time.
 const MAX_DOUBLINGS: u32 = 4;
-/// The least part of its time that an ejection lasts; the rest is scattered.
+/// The smallest fraction of the ejection time that an ejection lasts. The fraction is drawn at random between this one
+/// and 1.
 const MIN_EJECTION_FRACTION: f64 = 0.5;
-/// How long a pod may be silent where there is no latency objective.
+/// The silence limit where there is no route class, and so no latency objective.
 const DEFAULT_SILENCE_LIMIT: Nanos = SECOND;
-/// Ejections are ignored when fewer than one in this many pods is healthy.
+/// Ejections are ignored when fewer than one in this many pods are healthy.
 const PANIC_DIVISOR: usize = 3;
 
-/// How pods' health is judged.
+/// Derives the health of pods.
 pub(crate) struct OutlierDetector {
-    /// How long a pod may be silent before it looks hung: the shortest latency objective.
+    /// How long a pod may be silent before it counts as hung: the shortest latency objective.
     silence_limit: Nanos,
     /// Most pods looked unhealthy at the last update.
     pub(crate) panic_mode: bool,
@@ -42,7 +44,7 @@
         detector
     }
 
-    /// Takes the silence limit from the classes in force.
+    /// Sets the silence limit from the latency objectives of the classes in force.
     pub(crate) fn update_silence_limit<'a>(
         &mut self,
         classes: impl Iterator<Item = &'a RouteClass>,
@@ -51,8 +53,8 @@
         self.silence_limit = shortest.unwrap_or(self.silence_limit);
     }
 
-    /// Whether a pod has let its attempts wait for too long; with several in flight half the time is too
-    /// long.
+    /// Whether a pod has left its attempts without any response for longer than the silence limit, or half of it where
+    /// several attempts are in flight.
     pub(crate) fn is_silent(&self, now: Nanos, pod: &Pod) -> bool {
         let silent_for = if pod.in_flight == 0 {
             0
@@ -72,7 +74,7 @@
         pod.consecutive_failures >= FAILURES_TO_EJECT
     }
 
-    /// Whether a pod may get a request; one that recovers gets one at a time.
+    /// Whether a pod may get a request. A pod that recovers gets one request at a time.
     pub(crate) fn is_healthy(&self, now: Nanos, pod: &Pod) -> bool {
         let recovering = OutlierDetector::has_failed(pod) && pod.in_flight > 0;
         now >= pod.ejected_until && !recovering && !self.is_silent(now, pod)
@@ -84,9 +86,9 @@
         self.panic_mode = PANIC_DIVISOR * healthy < pods.count;
     }
 
-    /// Takes in how an attempt ended. A time-out tells of the pod only if nothing came from it since, and if
-    /// it was not cut short by a client with little time left. `ejection_part` is from
-    /// [`draw_ejection_part`].
+    /// Records how an attempt ended. A timeout counts as a failure of the pod only if the pod sent nothing since the
+    /// attempt was sent, and if the timeout was not short because the client had little time left. `ejection_fraction`
+    /// comes from [`draw_ejection_fraction`].
     pub(crate) fn record_attempt_end(
         &self,
         now: Nanos,
@@ -122,7 +124,7 @@
     }
 }
 
-/// The part of its time that an ejection lasts, drawn so that pods come back at scattered moments.
+/// Draws the fraction of the ejection time that an ejection lasts, so that pods do not all return at the same time.
 pub(crate) fn draw_ejection_fraction(random: &mut Rand64) -> f64 {
     MIN_EJECTION_FRACTION + (1.0 - MIN_EJECTION_FRACTION) * random.rand_float()
 }
--- a/src/selection.rs
+++ b/src/selection.rs
@@ -75,9 +75,9 @@
         }
     }
 
-    /// Weighs the groups by their size. Where the pods of the earlier build keep running beside the newest ones, each
-    /// newest pod replaces an earlier one, so the weight of the earlier build is reduced accordingly. The build on trial
-    /// is weighed by the oversampling of this instance.
+    /// Weighs the groups by their size. Where the pods of the earlier build keep running beside the newest ones,
+    /// each newest pod replaces an earlier one, so the weight of the earlier build is reduced accordingly. The build
+    /// on trial is weighed by the oversampling of this instance.
     fn weigh_groups(&self, eligible: &[usize], newest: Build) -> Vec<WeightedGroup> {
         let groups = &self.pods.groups;
         let size = |of_newest: bool| -> f64 {
@@ -146,8 +146,8 @@
         groups: &[WeightedGroup],
     ) -> Vec<PodId> {
         let total: f64 = groups.iter().map(|group| group.weight).sum();
-        // Drawn once per attempt. With a draw per pod, one of several pods that warm up would nearly always pass the check
-        // in `slow_start`.
+        // Drawn once per attempt. With a draw per pod, one of several pods that warm up would nearly always pass the
+        // check in `slow_start`.
         let window_ratio =
             self.slow_start.settings.overload_window as f64 / RetryBudget::WINDOW as f64;
         let requests = self.retry_budget.requests(now) as f64;
@@ -172,8 +172,8 @@
         chosen
     }
 
-    /// Returns any pod that may get the request, searching from a random one on. As a last resort returns one that looks
-    /// unhealthy or that the request has already tried.
+    /// Returns any pod that may get the request, searching from a random one on. As a last resort returns one that
+    /// looks unhealthy or that the request has already tried.
     fn choose_any(
         &mut self,
         now: Nanos,
--- a/src/sequential_test.rs
+++ b/src/sequential_test.rs
@@ -1,9 +1,9 @@
-//! Wald's sequential test on whether the build on trial does worse than the one before.
+//! Wald's sequential probability ratio test: whether the build on trial does worse than the earlier build.
 //!
-//! Inputs: how this instance's own attempts end, by build. Each outcome adds a log-likelihood ratio to a sum;
-//! the expected share of failures is the build's share of attempts. A sum above the upper bound speaks
-//! against the build, one below the lower bound for it. Harm: a false rejection sends a sound build back, a
-//! missed one leaves a bad build in place; the bounds weigh the two.
+//! Inputs: how this instance's own attempts end, by build. Each event adds a log-likelihood ratio to a sum. A good
+//! build is expected to have the same share of the failures as of the attempts. A sum above the upper bound rejects
+//! the build, one below the lower bound accepts it. Risks: a false rejection rolls back a good build, a false
+//! acceptance leaves a bad build in place; the bounds balance the two.
 
 pub(crate) mod evidence;
 mod periods;
@@ -17,42 +17,45 @@
 use periods::AlternatingPeriods;
 use std::cmp::Ordering;
 
-/// The rate of false rejections that a release's verdict may have.
+/// Alpha: the highest rate of false rejections, for the verdict of all instances on a release.
 const ALPHA: f64 = 0.01;
-/// The rate of bad builds that may pass.
+/// Beta: the highest rate of bad builds that are accepted.
 const BETA: f64 = 0.1;
-/// How many times likelier a failure is on a bad build, for failures that a connection or a queue can cause,
-/// too.
+/// How many times as likely a lost connection or a timeout is on a bad build as on a good one. Connections and queues
+/// cause such failures, too.
 const TRANSPORT_FAILURE_ODDS_RATIO: f64 = 2.0;
-/// The same for errors and wrong answers: sound builds make next to none, so the answer may come quicker.
+/// The same for errors and wrong answers. Good builds produce hardly any, so fewer of them may decide.
 const APPLICATION_ERROR_ODDS_RATIO: f64 = 4.0;
-/// The same for slow answers: sound builds differ in speed.
+/// The same for slow answers. Good builds differ in speed, too.
 const SLOW_ODDS_RATIO: f64 = 5.0;
-/// The share of attempts beyond which slow answers are not judged: the build's pods may be the busier ones.
+/// The share of attempts above which slow answers of a build do not count: its pods may be slow because they are
+/// busier.
 const MAX_SLOW_SHARE: f64 = 0.35;
-/// The share beyond which an earlier build's own failures are taken from memory.
+/// The highest share of attempts with which application errors of the build on trial are tested. Above it, errors of
+/// the earlier build are added at its learnt rate, as if it had the rest of the attempts.
 const MAX_APPLICATION_ERROR_SHARE: f64 = 0.25;
-/// Own failures an attempt that a sound build makes, at least.
+/// The lowest rate of application errors per attempt that is assumed of a good build.
 const MIN_APPLICATION_ERROR_RATE: f64 = 0.002;
-/// The weight of the latest attempt in the learnt rate of own failures.
+/// The weight of the latest attempt in the learnt rate of application errors.
 const APPLICATION_ERROR_LEARNING_RATE: f64 = 0.02;
 
-/// The bounds of the sums.
+/// The bounds that the sums are compared with.
 #[derive(Clone, Copy)]
 pub(crate) struct Bounds {
-    /// Below it the build passes.
+    /// Below this bound the build is accepted.
     pub(crate) accept: f64,
-    /// Above it the build is rejected.
+    /// Above this bound the build is rejected.
     pub(crate) reject: f64,
 }
 
 impl Bounds {
-    /// Wald's bounds for one of `instances` where `needed` of them must agree. Alpha is that of the verdict,
-    /// so each gets the part with which as many false rejections as move a release are no likelier; where any
-    /// one decides, less by the logarithm of their number only; where many must agree, up to beta.
+    /// Returns Wald's bounds for one of `instances` where `needed` of them must agree on a rejection. Alpha applies to
+    /// the common verdict. So each instance gets the error rate with which `needed` false rejections together are no
+    /// likelier than alpha. It is at least alpha / (1 + ln(instances)), which limits the reduction where any one
+    /// instance decides, and at most beta, where many must agree.
     pub(crate) fn new(instances: usize, needed: usize) -> Bounds {
-        let part = largest_error_rate(instances, needed, ALPHA, BETA);
-        let alpha = part.clamp(ALPHA / (1.0 + (instances as f64).ln()), BETA);
+        let error_rate = largest_error_rate(instances, needed, ALPHA, BETA);
+        let alpha = error_rate.clamp(ALPHA / (1.0 + (instances as f64).ln()), BETA);
         Bounds {
             accept: (BETA / (1.0 - alpha)).ln(),
             reject: ((1.0 - BETA) / alpha).ln(),
@@ -60,15 +63,15 @@
     }
 }
 
-/// The build's share of the attempts that ended. Failures come that late, too, and what a draining pod turned
-/// away could not have failed; counted at sending, a quickly growing share would look like the build's bad
-/// luck.
+/// The share of the build on trial in the attempts that ended. Attempts are counted at their end because failures are
+/// known only then, and because attempts that a draining pod rejected could not have failed. With a count at sending, a
+/// quickly growing share would look like too many failures of the build.
 struct TrialShare {
     long: BuildCounts,
     short: BuildCounts,
 }
 
-/// Attempts that ended, over one span.
+/// The attempts that ended within one time span.
 struct BuildCounts {
     on_trial: SlidingWindow,
     all: SlidingWindow,
@@ -86,7 +89,7 @@
 impl TrialShare {
     const LONG_SPAN: Nanos = 5 * SECOND;
     const SHORT_SPAN: Nanos = 1500 * MILLISECOND;
-    /// Attempts added to the short span's count, so that few of them tell little.
+    /// Attempts added to the count of the short span, so that a few attempts give only a low share.
     const SHORT_PRIOR: f64 = 5.0;
 
     fn new() -> TrialShare {
@@ -96,9 +99,9 @@
         }
     }
 
-    /// The higher of a long and a short look: at a stage's start the share leaps, and the long look alone
-    /// would blame the build for having more attempts than it counts.
-    fn value(&mut self, now: Nanos) -> f64 {
+    /// Returns the higher one of the shares over the long and the short span. At the start of a stage the share
+    /// jumps. The long span alone would show too low a share then, and so too many failures for it.
+    fn estimate(&mut self, now: Nanos) -> f64 {
         let long_trial = self.long.on_trial.upper_bound(now) as f64;
         let long_all = self.long.all.upper_bound(now) as f64;
         let short_trial = self.short.on_trial.upper_bound(now) as f64;
@@ -125,18 +128,20 @@
 /// The test on one build and stage.
 pub(crate) struct SequentialTest {
     pub(crate) bounds: Bounds,
-    /// The newest build that the control plane announced.
+    /// The build on trial: the newest one that the control plane announced.
     pub(crate) build: Build,
-    /// By how much this instance draws the build on trial more often than its size says; 0 where it is
-    /// sampled out.
+    /// The factor by which this instance draws pods of the build on trial more often than their size says; 0 where
+    /// the instance is not in the sample that sends to the build.
     pub(crate) oversampling: f64,
-    /// Attempts to the build that ended in this stage.
+    /// The attempts to the build that ended in this stage.
     pub(crate) outcomes: u32,
+    /// The sum over failures.
     pub(crate) failure_sum: f64,
+    /// The sum over slow answers.
     pub(crate) slow_sum: f64,
     pub(crate) periods: AlternatingPeriods,
     share: TrialShare,
-    /// Own failures an attempt to an earlier build, as last learnt.
+    /// The learnt rate of application errors per attempt to earlier builds.
     application_error_rate: f64,
 }
 
@@ -155,9 +160,9 @@
         }
     }
 
-    /// The sum that speaks most against the build. Slowness counts by the bound of alpha itself where that is
-    /// higher: many instances see the same slow pods.
-    fn worst_sum(&self) -> f64 {
+    /// Returns the highest of the sums. The sum of slow answers is scaled down so that it must reach the bound of a
+    /// single instance with alpha itself, where that is higher: many instances see the same slow pods.
+    fn max_sum(&self) -> f64 {
         let single = Bounds::new(1, 1).reject;
         self.failure_sum
             .max(self.periods.sum)
@@ -165,20 +170,21 @@
     }
 
     pub(crate) fn rejects(&self) -> bool {
-        self.worst_sum() > self.bounds.reject
+        self.max_sum() > self.bounds.reject
     }
 
     pub(crate) fn accepts(&self) -> bool {
         self.failure_sum < self.bounds.accept
     }
 
-    /// Whether a sum is more than half way to a rejection.
+    /// Whether a sum is above half of the upper bound.
     pub(crate) fn in_doubt(&self) -> bool {
-        self.worst_sum().max(self.slow_sum) > self.bounds.reject / 2.0
+        self.max_sum().max(self.slow_sum) > self.bounds.reject / 2.0
     }
 
-    /// Begins a stage. What speaks against a build is carried over, as a low rate of wrong answers never
-    /// fills the sum within one stage. What speaks for it is not: more traffic may bring out more.
+    /// Begins a stage. Positive sums, which are evidence against the build, are kept, except that of slow answers: a
+    /// low rate of wrong answers does not reach the bound within one stage. Negative sums are reset: more traffic
+    /// may reveal more failures.
     pub(crate) fn restart(&mut self, build: Build) {
         if build != self.build {
             self.share.forget_trial();
@@ -192,35 +198,36 @@
         self.periods.sum = self.periods.sum.max(0.0);
     }
 
-    /// Counts an attempt that ended; `own_failure` is an error or a wrong answer, which a pod makes by
-    /// itself.
+    /// Counts an attempt that ended. `application_error` is an error or a wrong answer, caused by the pod itself.
     ///
-    /// Once the build on trial has most of the load, its share nears 1 and the test goes blind. So for own
-    /// failures the earlier build keeps most of the share from memory, failing as it last did. Harm: callers
-    /// that begin to err after the earlier build's last answer speak against a sound build.
+    /// Once the build on trial has most of the load, its share is close to 1 and its failures add almost nothing. So
+    /// for application errors the earlier build keeps most of the share: missing attempts to it are added, with
+    /// errors at its learnt rate. Risk: if clients begin to send requests that fail after the earlier build's last
+    /// answer, the errors count against a good build.
     fn record_attempt_end(&mut self, now: Nanos, build: Build, application_error: bool) {
         if build < self.build {
-            let observed = application_error as u8 as f64;
-            let learnt = (observed - self.application_error_rate) * APPLICATION_ERROR_LEARNING_RATE;
+            let error = application_error as u8 as f64;
+            let change = (error - self.application_error_rate) * APPLICATION_ERROR_LEARNING_RATE;
             self.application_error_rate =
-                (self.application_error_rate + learnt).max(MIN_APPLICATION_ERROR_RATE);
+                (self.application_error_rate + change).max(MIN_APPLICATION_ERROR_RATE);
         }
         self.share.count(now, build == self.build);
         if build == self.build {
             self.outcomes = self.outcomes.saturating_add(1);
-            let share = self.share.value(now);
-            let missing = (1.0 / MAX_APPLICATION_ERROR_SHARE - 1.0 / share.max(1e-9)).max(0.0);
+            let share = self.share.estimate(now);
+            let missing_attempts =
+                (1.0 / MAX_APPLICATION_ERROR_SHARE - 1.0 / share.max(1e-9)).max(0.0);
             let earlier = build.wrapping_sub(1);
-            let step = self.log_likelihood_ratio(
+            let added = self.log_likelihood_ratio(
                 MAX_APPLICATION_ERROR_SHARE,
                 earlier,
                 APPLICATION_ERROR_ODDS_RATIO,
             );
-            self.failure_sum += self.application_error_rate * missing * step;
+            self.failure_sum += self.application_error_rate * missing_attempts * added;
         }
     }
 
-    /// Takes in a failure and returns what it added.
+    /// Records a failure and returns what it added to the sum.
     pub(crate) fn record_failure(
         &mut self,
         now: Nanos,
@@ -232,32 +239,33 @@
         } else {
             (1.0, TRANSPORT_FAILURE_ODDS_RATIO)
         };
-        let share = self.share.value(now).min(max_share);
-        let step = self.log_likelihood_ratio(share, build, odds_ratio);
-        self.failure_sum = (self.failure_sum + step).max(self.floor());
-        step
+        let share = self.share.estimate(now).min(max_share);
+        let added = self.log_likelihood_ratio(share, build, odds_ratio);
+        self.failure_sum = (self.failure_sum + added).max(self.floor());
+        added
     }
 
-    /// Takes in an answer among the slowest tenth and returns what it added: a slow build fails nothing, so
-    /// the sum of failures never hears of it. Harm: a sound build that is kept busier than the earlier one
-    /// looks slow, so the sum rests once the build has a third of the load.
+    /// Records an answer among the slowest tenth and returns what it added to the sum of slow answers. A slow build may
+    /// cause no failures at all, so the sum of failures cannot detect it. Risk: a good build whose pods are busier than
+    /// those of the earlier one looks slow, so nothing is added once the build has about a third of the load.
     fn record_slow_answer(&mut self, now: Nanos, build: Build) -> f64 {
-        let share = self.share.value(now);
-        let step = if share <= MAX_SLOW_SHARE {
+        let share = self.share.estimate(now);
+        let added = if share <= MAX_SLOW_SHARE {
             self.log_likelihood_ratio(share, build, SLOW_ODDS_RATIO)
         } else {
             0.0
         };
-        self.slow_sum = (self.slow_sum + step).max(self.floor());
-        step
+        self.slow_sum = (self.slow_sum + added).max(self.floor());
+        added
     }
 
-    /// A sum far below the lower bound would take as long to come back.
+    /// Returns the lowest value of a sum. A sum further below the lower bound would need too many events to rise again.
     fn floor(&self) -> f64 {
         2.0 * self.bounds.accept
     }
 
-    /// What one event on `build` adds to a sum when `share` of such events is expected on the build on trial.
+    /// Returns what one event on `build` adds to a sum if a good build on trial is expected to have the share
+    /// `share` of such events.
     fn log_likelihood_ratio(&self, share: f64, build: Build, odds_ratio: f64) -> f64 {
         let share_if_bad = odds_ratio * share / (1.0 + (odds_ratio - 1.0) * share);
         match build.cmp(&self.build) {
--- a/src/sequential_test/evidence.rs
+++ b/src/sequential_test/evidence.rs
@@ -1,9 +1,10 @@
-//! What an ended attempt says of its build.
+//! Which evidence an ended attempt gives on its build.
 //!
-//! Inputs: an attempt's outcome, its pod and the load. Not heard are a young pod, which fails for being cold;
-//! a hung pod while others of its build answer; lateness while much is late, as it tells of load; and one pod
-//! alone beyond a part of the bound, as machines fail by themselves, too. Harm: the verdict on a bad build
-//! with few pods comes late.
+//! Inputs: the outcome of an attempt, its pod and the load. Four kinds of outcomes are not used: those of a pod
+//! that just started, which fails because it is cold; timeouts of a hung pod while other pods of its build
+//! answer; late answers while many answers are late, as that is due to load; and those of a pod that has already
+//! added a fraction of the bound, as machines fail by themselves, too. Risk: the verdict on a bad build with few
+//! pods comes late.
 
 use super::periods::PeriodAnswer;
 use crate::admission::ConcurrencyLimit;
@@ -13,19 +14,20 @@
 use crate::router::Router;
 use crate::time::SECOND;
 
-/// A pod younger than this fails for being cold, whatever its build.
+/// A pod younger than this may fail because it is cold, whatever its build.
 const MIN_POD_AGE: Nanos = 3 * SECOND;
-/// The part of the upper bound after which one pod alone says no more.
+/// The most that a single pod may add to the sums, as a fraction of the upper bound.
 const MAX_POD_EVIDENCE_FRACTION: f64 = 0.4;
 
-/// Whether an attempt is heard at all. What fails again elsewhere is the request's own doing, so only first
-/// ones are.
+/// Whether an attempt counts as evidence at all. Only first attempts do: a request that fails again at another pod is
+/// itself the cause.
 pub(crate) fn is_evidence(ended: &EndedAttempt) -> bool {
     let end = ended.outcome.end;
     (end.is_failure() || end == AttemptEnd::Served) && ended.attempt.first
 }
 
 impl Router {
+    /// Records the evidence that an ended attempt gives on its build.
     pub(crate) fn record_evidence(&mut self, now: Nanos, ended: &EndedAttempt) {
         if self.is_uninformative(now, ended) {
             return;
@@ -38,9 +40,9 @@
             return;
         }
         self.add_to_sums(now, ended);
-        let earlier = build < self.sequential_test.build || !self.on_trial();
-        let heard = matches!(end, AttemptEnd::TimedOut | AttemptEnd::Served);
-        if earlier && ended.attempt.evenly_loaded && heard {
+        let is_earlier = build < self.sequential_test.build || !self.on_trial();
+        let has_latency = matches!(end, AttemptEnd::TimedOut | AttemptEnd::Served);
+        if is_earlier && ended.attempt.evenly_loaded && has_latency {
             let answer = PeriodAnswer {
                 sent_at: ended.attempt.sent_at,
                 slow: ended.slow,
@@ -50,16 +52,18 @@
         }
     }
 
+    /// Whether the pod of an attempt was too young, or hung while other pods of its build answer.
     fn is_uninformative(&self, now: Nanos, ended: &EndedAttempt) -> bool {
         let endpoint = &ended.attempt.endpoint;
-        let answers =
+        let responds =
             |pod: &Pod| pod.consecutive_failures == 0 && !self.outlier.is_silent(now, pod);
         let young = endpoint.started + MIN_POD_AGE > ended.attempt.sent_at;
         let hung = ended.outcome.end == AttemptEnd::TimedOut && ended.pod_silent;
-        young || (hung && self.pods.pods_of(endpoint.build).any(answers))
+        young || (hung && self.pods.pods_of(endpoint.build).any(responds))
     }
 
-    /// A queue is one event, so lateness counts once a pod and latency objective.
+    /// Adds an ended attempt to the sums. Answers that are late because of one queue are one event, so lateness counts
+    /// once per pod and latency objective.
     fn add_to_sums(&mut self, now: Nanos, ended: &EndedAttempt) {
         let build = ended.attempt.endpoint.build;
         let end = ended.outcome.end;
@@ -74,17 +78,18 @@
         let Some(pod) = self.pods.get_mut(ended.attempt.pod) else {
             return;
         };
-        let heard = pod.evidence < self.sequential_test.bounds.reject * MAX_POD_EVIDENCE_FRACTION;
+        let below_pod_limit =
+            pod.evidence < self.sequential_test.bounds.reject * MAX_POD_EVIDENCE_FRACTION;
         if first_late {
             pod.last_late_at = now;
         }
-        if first_late && ended.slow && heard {
+        if first_late && ended.slow && below_pod_limit {
             let added = self.sequential_test.record_slow_answer(now, build);
             pod.evidence += added.max(0.0);
         }
         let failed = (timed_out_past_objective && first_late)
             || matches!(end, AttemptEnd::Failed | AttemptEnd::Reset);
-        if failed && (heard || only_pod) {
+        if failed && (below_pod_limit || only_pod) {
             let application_error = end == AttemptEnd::Failed;
             let added = self
                 .sequential_test
@@ -99,7 +104,8 @@
             .is_some_and(|pod| now >= pod.last_late_at + objective)
     }
 
-    /// Takes in a fault that a client found in an answer. Whether the vote is to be looked at again.
+    /// Records a fault that a client found in an answer. Returns whether it changed the sums, so that the vote must be
+    /// evaluated again.
     pub(crate) fn record_reported_fault(&mut self, now: Nanos, pod: PodId, ago: Nanos) -> bool {
         let sent_at = now.saturating_sub(ago);
         let Some(pod) = self.pods.get(pod) else {
--- a/src/sequential_test/periods.rs
+++ b/src/sequential_test/periods.rs
@@ -1,9 +1,10 @@
-//! The trial share by alternating periods: whether a build slows the pods of all builds.
+//! Alternating periods with and without the trial: whether a build slows the pods of all builds.
 //!
-//! A build that slows every pod alike leaves the test nothing to compare, so time does: while the earlier
-//! pods are slower than before the trial, the build's share is withheld in every other period of a clock that
-//! all instances know from the stage's start, as one alone moves nothing. Inputs: slow answers of earlier
-//! pods. Harm: a sound build is blamed while another slowdown keeps the same rhythm.
+//! If a build slows all pods alike, the test finds no difference between builds. So it compares periods of time:
+//! while the pods of the earlier build are slower than before the trial, the build on trial gets no requests in
+//! every other period. All instances derive the periods from the start of the stage, so they act together; the
+//! change at a single instance would have no visible effect. Inputs: slow answers of the earlier build's pods.
+//! Risk: another slowdown with the same rhythm makes a good build look bad.
 
 use super::{SequentialTest, SLOW_ODDS_RATIO};
 use crate::interface::Nanos;
@@ -11,25 +12,28 @@
 use crate::router::Router;
 use crate::time::SECOND;
 
-/// How many times as often as usual the earlier pods must be slow for the periods to begin.
+/// The periods begin to alternate once answers of the earlier build's pods are slow this many times as often as in the
+/// baseline.
 const SLOWDOWN_FACTOR: f64 = 1.35;
-/// The part of slow answers that is usual, at least.
+/// The lowest baseline for the fraction of slow answers.
 const MIN_BASELINE_SLOW_FRACTION: f64 = 0.1;
-/// The weight of the latest second in the usual part.
+/// The weight of the latest update, once a second, in the baseline.
 const BASELINE_LEARNING_RATE: f64 = 0.2;
-/// The weight of the latest answer in the slow part: a few seconds' answers count, but no fewer than eight.
+/// The weight of the latest answer in the fraction of slow answers: the fraction covers the answers of a few seconds,
+/// but at least eight answers.
 const SLOW_FRACTION_RATE: LearningRate = LearningRate {
     numerator: 3.0,
     min: 0.002,
     max: 0.12,
 };
+/// The duration of a period.
 const PERIOD: Nanos = 4 * SECOND;
-/// From a period's start, answers that tell of the one before.
+/// From the start of a period, the time during which answers still show the effect of the period before.
 const SETTLING_TIME: Nanos = 2 * SECOND;
-/// The part of the upper bound that one round may add: no round decides alone.
+/// The most that one round may add to the sum, as a fraction of the upper bound: no round decides alone.
 const MAX_ROUND_FRACTION: f64 = 0.6;
 
-/// A period of the stage's clock; the share is withheld in odd ones.
+/// A period, counted from the start of the stage. The build on trial gets no requests in odd periods.
 #[derive(Clone, Copy, Default, PartialEq, Eq)]
 struct Period {
     trial_began: Nanos,
@@ -42,14 +46,14 @@
     }
 }
 
-/// Answers of the earlier build's pods.
+/// Counts of answers of the earlier build's pods.
 #[derive(Clone, Copy, Default)]
 struct AnswerCounts {
     all: f64,
     slow: f64,
 }
 
-/// A round of two periods.
+/// The counts of a round: a period with the share of the build on trial, and one with the share withheld.
 #[derive(Clone, Copy, Default)]
 struct Round {
     with_share: AnswerCounts,
@@ -59,21 +63,22 @@
 /// The state of the alternating periods.
 #[derive(Default)]
 pub(crate) struct AlternatingPeriods {
-    /// Periods alternate at present.
+    /// The periods alternate at the moment.
     pub(crate) active: bool,
-    /// The share is withheld in this period.
+    /// This instance sends nothing to the build on trial in this period.
     pub(crate) withheld: bool,
+    /// The sum of the test that compares the periods.
     pub(crate) sum: f64,
     period: Period,
     round: Round,
-    /// The part of slow answers among the earlier pods' of late.
+    /// The running fraction of slow answers among those of the earlier build's pods.
     slow_fraction: f64,
-    /// The same outside trials.
+    /// The same fraction outside trials.
     baseline_slow_fraction: f64,
 }
 
 impl AlternatingPeriods {
-    /// Forgets what was seen of another build.
+    /// Resets what was recorded of another build.
     pub(crate) fn restart(&mut self) {
         self.sum = 0.0;
         self.withheld = false;
@@ -81,7 +86,7 @@
         self.round = Round::default();
     }
 
-    /// Learns how often answers are slow outside trials.
+    /// Updates the baseline; called while no build is on trial.
     pub(crate) fn learn_baseline(&mut self) {
         self.baseline_slow_fraction +=
             (self.slow_fraction - self.baseline_slow_fraction) * BASELINE_LEARNING_RATE;
@@ -93,17 +98,18 @@
     }
 }
 
-/// An answer of an earlier build's pod, or a rejection in place of one.
+/// An answer of an earlier build's pod, or a rejection by the concurrency limit in its place.
 pub(super) struct PeriodAnswer {
     pub(super) sent_at: Nanos,
     pub(super) slow: bool,
-    /// Requests taken within the retry budget's window.
+    /// The requests received within the window of the retry budget.
     pub(super) requests: u32,
 }
 
 impl SequentialTest {
-    /// Follows the clock. `trial_began`: none where periods do not alternate. Where several instances must
-    /// agree (`shared_verdict`), one weighs rounds in which only others withheld the share, too.
+    /// Updates the period from the current time. `trial_began` is `None` where periods do not alternate. If several
+    /// instances must agree (`shared_verdict`), an instance also counts rounds in which only other instances withheld
+    /// the share.
     fn advance_periods(&mut self, now: Nanos, trial_began: Option<Nanos>, shared_verdict: bool) {
         self.periods.active &= trial_began.is_some();
         let period = trial_began.map_or(Period::default(), |trial_began| Period {
@@ -115,8 +121,8 @@
         }
         self.periods.period = period;
         if period.withholds() {
-            let wanted = self.periods.active || self.periods.slower_than_baseline();
-            self.periods.active = wanted && self.share.long.on_trial.upper_bound(now) > 0;
+            let should_alternate = self.periods.active || self.periods.slower_than_baseline();
+            self.periods.active = should_alternate && self.share.long.on_trial.upper_bound(now) > 0;
         } else {
             self.close_round(shared_verdict);
         }
@@ -124,21 +130,22 @@
         self.periods.withheld = self.periods.active && period.withholds();
     }
 
+    /// Adds the finished round to the sum.
     fn close_round(&mut self, shared_verdict: bool) {
         let round = std::mem::take(&mut self.periods.round);
         let (with_share, withheld) = (round.with_share, round.withheld);
         let share = with_share.all / (with_share.all + withheld.all).max(1.0);
-        let limit = self.bounds.reject * MAX_ROUND_FRACTION;
-        let slow_with = self.log_likelihood_ratio(share, self.build, SLOW_ODDS_RATIO);
-        let slow_without =
+        let max_added = self.bounds.reject * MAX_ROUND_FRACTION;
+        let added_with_share = self.log_likelihood_ratio(share, self.build, SLOW_ODDS_RATIO);
+        let added_withheld =
             self.log_likelihood_ratio(share, self.build.wrapping_sub(1), SLOW_ODDS_RATIO);
-        let added = with_share.slow * slow_with + withheld.slow * slow_without;
+        let added = with_share.slow * added_with_share + withheld.slow * added_withheld;
         let counts = self.periods.withheld || shared_verdict;
-        let added = added.clamp(-limit, limit) * counts as u8 as f64;
+        let added = added.clamp(-max_added, max_added) * counts as u8 as f64;
         self.periods.sum = (self.periods.sum + added).max(self.bounds.accept);
     }
 
-    /// Counts an answer of an earlier build's pod in its period.
+    /// Counts an answer of an earlier build's pod in the current period.
     pub(super) fn record_earlier_answer(&mut self, answer: &PeriodAnswer) {
         let learning_rate = SLOW_FRACTION_RATE.after(answer.requests as f64);
         let periods = &mut self.periods;
@@ -159,7 +166,7 @@
 }
 
 impl Router {
-    /// Follows the clock of the announced stage while its build is on trial beside the earlier one.
+    /// Updates the period of the announced stage while its build is on trial beside the earlier one.
     pub(crate) fn update_periods(&mut self, now: Nanos) {
         let alternates = self.on_trial() && self.exposure.settings.blue_green;
         let trial = self.announced.filter(|_| alternates);
@@ -169,8 +176,8 @@
             .advance_periods(now, trial_began, shared_verdict);
     }
 
-    /// Counts a request that the concurrency limit rejected as a slow answer, which it would have been: the
-    /// limit must not hide a build that slows every pod.
+    /// Counts a request that the concurrency limit rejected as a slow answer, as it would have been one. Otherwise the
+    /// limit would hide a build that slows every pod.
     pub(crate) fn record_rejection(&mut self, now: Nanos) {
         let answer = PeriodAnswer {
             sent_at: now,
--- a/src/window.rs
+++ b/src/window.rs
@@ -1,10 +1,11 @@
-//! Counts over a sliding window of time.
+//! Counts of events in a sliding time window.
 
 use crate::interface::Nanos;
 
-/// Counts over a sliding window, kept in slices that are emptied as the window moves on.
+/// A count of the events in a sliding time window. The window is divided into slices, which are reset as it moves on.
 #[derive(Clone)]
 pub(crate) struct SlidingWindow {
+    /// The duration of a slice.
     slice: Nanos,
     /// The number of the latest slice, counted from the clock's zero.
     latest: Nanos,
@@ -20,7 +21,7 @@
         }
     }
 
-    /// An empty window of the same span.
+    /// Returns an empty window of the same span.
     pub(crate) fn emptied(&self) -> SlidingWindow {
         SlidingWindow {
             slice: self.slice,
@@ -32,8 +33,8 @@
     fn advance(&mut self, now: Nanos) {
         let slice = now / self.slice;
         let slices = self.counts.len() as Nanos;
-        for step in 0..(slice - self.latest.min(slice)).min(slices) {
-            self.counts[((slice - step) % slices) as usize] = 0;
+        for offset in 0..(slice - self.latest.min(slice)).min(slices) {
+            self.counts[((slice - offset) % slices) as usize] = 0;
         }
         self.latest = self.latest.max(slice);
     }
@@ -44,13 +45,13 @@
         self.counts[slice] += 1;
     }
 
-    /// Never less than what the last span held.
+    /// Returns the count, and never less than the events in the window.
     pub(crate) fn upper_bound(&mut self, now: Nanos) -> u32 {
         self.advance(now);
         self.counts.iter().sum()
     }
 
-    /// Never more than what the last span held.
+    /// Returns the count, and never more than the events in the window.
     pub(crate) fn lower_bound(&mut self, now: Nanos) -> u32 {
         let all = self.upper_bound(now);
         let latest = self.latest as usize;
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of the router share: a scripted host and the notation of the cases.
+//! Shared code of the router's tests: a scripted host, and the notation of the scenarios.
 
 pub mod notation;
 pub mod scripted_host;
--- a/tests/common/notation.rs
+++ b/tests/common/notation.rs
@@ -1,4 +1,5 @@
-//! The notation of the cases: a command is a word, a name and `key=value` pairs; several stand on a line.
+//! The notation of the scenarios in `tests/cases`. A command is a word, a name and `key=value` pairs. A line is_met one
+//! or more commands, separated by semicolons.
 
 use super::scripted_host::{ScriptedHost, ScriptedPod};
 use havenplank::interface::{
@@ -10,11 +11,11 @@
 use havenplank::Router;
 use std::collections::HashMap;
 
-/// The clock begins at an arbitrary value, so that no pod looks freshly started by chance.
+/// The time at which a scenario starts. It is far from 0, so that a pod with the start time 0 started long ago.
 pub const START: Nanos = 1_000_000_000_000;
 const SEED: u64 = 7;
 
-/// The word that the cases use for a vote.
+/// Returns the word for a vote in the scenarios.
 pub fn vote_word(vote: Vote) -> &'static str {
     match vote {
         Vote::None => "none",
@@ -24,40 +25,41 @@
     }
 }
 
-/// A span such as `20ms` or `2s`.
-pub fn span(text: &str) -> Nanos {
+/// Parses a duration such as `20ms` or `2s`.
+pub fn duration(text: &str) -> Nanos {
     let (number, unit) = match text.strip_suffix("ms") {
         Some(number) => (number, 1e6),
         None => (text.strip_suffix('s').unwrap_or(text), 1e9),
     };
     let number: Result<f64, _> = number.parse();
-    (number.unwrap_or_else(|_| panic!("not a span: {text}")) * unit) as Nanos
+    (number.unwrap_or_else(|_| panic!("found {text:?}, expected a duration such as 20ms or 2s"))
+        * unit) as Nanos
 }
 
-/// How a pod answers: a word, and after which time.
+/// How a pod answers: the kind of the answer, and its latency.
 #[derive(Clone)]
 pub struct Answer {
-    word: String,
+    kind: String,
     pub latency: Nanos,
 }
 
 impl Answer {
-    pub fn read(text: &str) -> Answer {
-        let (word, latency) = text.split_once(':').unwrap_or((text, "0s"));
+    pub fn parse(text: &str) -> Answer {
+        let (kind, latency) = text.split_once(':').unwrap_or((text, "0s"));
         Answer {
-            word: word.to_string(),
-            latency: span(latency),
+            kind: kind.to_string(),
+            latency: duration(latency),
         }
     }
 
-    /// How an attempt of a request ends.
+    /// Returns how an attempt of a request ends at the pod.
     pub fn end(&self, request: RequestId) -> AttemptEnd {
-        match self.word.as_str() {
+        match self.kind.as_str() {
             "ok" => AttemptEnd::Served,
             "error" => AttemptEnd::Failed,
             "dead" => AttemptEnd::ConnectFailed,
             "full" => AttemptEnd::Rejected,
-            // Callers' own mistakes: every fourth request errs, wherever it goes.
+            // Faulty requests: every fourth one fails at any pod.
             "fourth" if request.is_multiple_of(4) => AttemptEnd::Failed,
             "fourth" => AttemptEnd::Served,
             _ => AttemptEnd::TimedOut,
@@ -69,7 +71,7 @@
 pub struct Pairs<'a>(HashMap<&'a str, &'a str>);
 
 impl<'a> Pairs<'a> {
-    pub fn read(command: &'a str) -> Pairs<'a> {
+    pub fn parse(command: &'a str) -> Pairs<'a> {
         let words = command.split_whitespace();
         Pairs(words.filter_map(|word| word.split_once('=')).collect())
     }
@@ -82,14 +84,14 @@
         self.0.get(key).unwrap_or(&default).to_string()
     }
 
-    fn span(&self, key: &str, default: &str) -> Nanos {
-        span(&self.text(key, default))
+    fn duration(&self, key: &str, default: &str) -> Nanos {
+        duration(&self.text(key, default))
     }
 
     fn number(&self, key: &str, default: f64) -> f64 {
         self.0.get(key).map_or(default, |text| {
             let number = text.parse();
-            number.unwrap_or_else(|_| panic!("not a number: {text}"))
+            number.unwrap_or_else(|_| panic!("found {text:?}, expected a number"))
         })
     }
 
@@ -110,9 +112,9 @@
         RouteClass {
             idempotency,
             dedup_scope,
-            dedup_window: self.span("window", "5s"),
-            latency_objective: self.span("target", "1s"),
-            client_timeout: self.span("timeout", "2s"),
+            dedup_window: self.duration("window", "5s"),
+            latency_objective: self.duration("target", "1s"),
+            client_timeout: self.duration("timeout", "2s"),
             priority_weight: self.number("benefit", 1.0),
             late_weight: self.number("late", 0.0),
             stream: false,
@@ -131,22 +133,22 @@
                 max_attempts: 4,
                 hedging: self.flag("copies"),
                 may_cancel: true,
-                max_retry_after: span("500ms"),
+                max_retry_after: duration("500ms"),
                 cross_zone_cost: self.number("cross", 0.0),
             },
             pods: PodSettings {
-                drain_grace: span("500ms"),
+                drain_grace: duration("500ms"),
                 initial_capacity: self.number("cold", 0.3),
-                warm_up: span("5s"),
+                warm_up: duration("5s"),
                 overload_multiple: 2.0,
-                overload_window: span("1s"),
+                overload_window: duration("1s"),
                 health_checks: false,
             },
             exposure: self.exposure(),
             votes: self.votes(),
             endpoint_list: EndpointListSettings {
                 must_watch: self.flag("ask"),
-                max_watch_retry_delay: span("10s"),
+                max_watch_retry_delay: duration("10s"),
             },
         };
         Router::new(now, SEED, settings)
@@ -155,7 +157,7 @@
     fn exposure(&self) -> ExposureSettings {
         let caps = self.text("caps", "0.1,0.5,1");
         ExposureSettings {
-            window: span("2s"),
+            window: duration("2s"),
             free_attempts: self.number("free", 2.0),
             per_class: self.flag("per_group"),
             idempotent_only_stages: self.number("guarded", 0.0) as usize,
@@ -175,10 +177,10 @@
             control,
             advance_quorum: self.number("on_needs", 0.0) as usize,
             rollback_quorum: self.number("back_needs", 1.0) as usize,
-            ttl: self.span("life", "4s"),
-            call_timeout: self.span("call", "1200ms"),
+            ttl: self.duration("life", "4s"),
+            call_timeout: self.duration("call", "1200ms"),
             calls_per_second: self.number("calls_per_s", 25.0),
-            stage_duration: self.span("step", "4s"),
+            stage_duration: self.duration("step", "4s"),
         }
     }
 
@@ -194,7 +196,7 @@
             stage: self.number("stage", 0.0) as usize,
             phase,
             cap: self.number("cap", 0.1),
-            age: self.span("age", "0s"),
+            age: self.duration("age", "0s"),
         }
     }
 
@@ -202,7 +204,7 @@
         IncomingRequest {
             class: self.number("group", 0.0) as usize,
             key: self.number("key", 0.0) as u64,
-            remaining: self.span("left", "2s"),
+            remaining: self.duration("left", "2s"),
             ..request(id)
         }
     }
@@ -215,7 +217,7 @@
         class: 0,
         tenant: None,
         key: 0,
-        remaining: span("2s"),
+        remaining: duration("2s"),
         cost_hint: None,
         is_retry: false,
     }
@@ -236,17 +238,17 @@
     }
 }
 
-/// Plays a case, command by command.
-pub fn run(case: &str) {
+/// Runs a scenario, command by command.
+pub fn run_scenario(text: &str) {
     let mut scenario = Scenario::new();
-    let lines = case.lines().filter(|line| !line.starts_with('#'));
+    let lines = text.lines().filter(|line| !line.starts_with('#'));
     let commands = lines.flat_map(|line| line.split(';'));
     for command in commands.filter(|command| !command.trim().is_empty()) {
         scenario.execute(command);
     }
 }
 
-/// A case that is being played.
+/// A scenario that is running.
 struct Scenario {
     host: ScriptedHost,
     router: Option<Router>,
@@ -255,7 +257,7 @@
     rules: String,
     /// The listed pods, in the order of their last change.
     endpoints: Vec<Endpoint>,
-    /// The pods' names by index.
+    /// The names of the pods, by index.
     names: Vec<String>,
     requests: u64,
 }
@@ -275,7 +277,7 @@
 
     fn execute(&mut self, command: &str) {
         let words: Vec<&str> = command.split_whitespace().collect();
-        let pairs = Pairs::read(command);
+        let pairs = Pairs::parse(command);
         match words[0] {
             "group" => return self.route_classes.push(pairs.route_class()),
             "rules" => return self.rules = command.to_string(),
@@ -288,7 +290,7 @@
             "pod" => self.change_pod(words[1], &pairs),
             "acts" => {
                 let pod = self.pod(words[1]);
-                self.host.pods[pod].answer = Answer::read(words[2]);
+                self.host.pods[pod].answer = Answer::parse(words[2]);
             }
             "news" => router.update_stage(&mut self.host, pairs.stage()),
             "hits" => self.schedule_requests(words[1].parse().unwrap(), &pairs),
@@ -296,18 +298,18 @@
             "list-failed" => router.endpoint_watch_failed(&mut self.host),
             "forget" => self.host.counts.clear(),
             "run" => {
-                let until = self.host.now + span(words[1]);
-                self.host.play(router, until);
+                let until = self.host.now + duration(words[1]);
+                self.host.run_until(router, until);
             }
             "expect" => self.expect(command, words[1], words[2], words[3]),
-            other => panic!("no such command: {other}"),
+            other => panic!("unknown command {other:?}"),
         }
     }
 
     fn restart(&mut self) {
-        let rules = Pairs::read(&self.rules);
+        let rules = Pairs::parse(&self.rules);
         self.host.loses_replies = rules.flag("unheard");
-        self.host.forget_due();
+        self.host.clear_scheduled();
         let router = rules.router(self.host.now, self.route_classes.clone());
         let router = self.router.insert(router);
         router.start(&mut self.host);
@@ -320,16 +322,16 @@
 
     fn change_pod(&mut self, name: &str, pairs: &Pairs) {
         let build = pairs.number("build", 1.0) as Build;
-        let answer = Answer::read(&pairs.text("acts", "ok:20ms"));
-        let scripted = ScriptedPod { answer, build };
+        let answer = Answer::parse(&pairs.text("acts", "ok:20ms"));
+        let pod_script = ScriptedPod { answer, build };
         let pod = match self.names.iter().position(|known| known == name) {
             Some(pod) => {
-                self.host.pods[pod] = scripted;
+                self.host.pods[pod] = pod_script;
                 pod
             }
             None => {
                 self.names.push(name.to_string());
-                self.host.pods.push(scripted);
+                self.host.pods.push(pod_script);
                 self.names.len() - 1
             }
         };
@@ -351,7 +353,7 @@
     }
 
     fn schedule_requests(&mut self, count: u64, pairs: &Pairs) {
-        let interval = pairs.span("every", "10ms");
+        let interval = pairs.duration("every", "10ms");
         for n in 0..count {
             self.requests += 1;
             let at = self.host.now + n * interval;
@@ -363,27 +365,27 @@
         let pod = self.pod(name);
         let router = self.router.as_mut().unwrap();
         for _ in 0..times {
-            router.report_fault(&mut self.host, pod, 0, span("1s"));
+            router.report_fault(&mut self.host, pod, 0, duration("1s"));
         }
     }
 
     fn expect(&self, command: &str, name: &str, comparison: &str, bound: &str) {
-        let (sum, slow_sum, slot_sum) = self.router.as_ref().unwrap().sums();
+        let (sum, slow_sum, periods_sum) = self.router.as_ref().unwrap().sums();
         let value = match name {
             "sum" => sum,
             "slow_sum" => slow_sum,
-            "slot_sum" => slot_sum,
+            "slot_sum" => periods_sum,
             "open" => self.host.open_requests() as f64,
             name => self.host.count_of(name),
         };
         let bound: f64 = bound.parse().unwrap();
-        let holds = match comparison {
+        let is_met = match comparison {
             "=" => (value - bound).abs() < 1e-3,
             "<=" => value <= bound,
             ">=" => value >= bound,
-            other => panic!("no such comparison: {other}"),
+            other => panic!("unknown comparison {other:?}, expected =, <= or >="),
         };
         let counts = &self.host.counts;
-        assert!(holds, "{command}: it is {value}; counted {counts:?}");
+        assert!(is_met, "{command}: found {value}; counts {counts:?}");
     }
 }
--- a/tests/common/scripted_host.rs
+++ b/tests/common/scripted_host.rs
@@ -1,4 +1,4 @@
-//! A host whose pods answer as their scripts say; nothing here models a machine, a queue or a network.
+//! A host whose pods give scripted answers. It models no machines, queues or networks.
 
 use super::notation::{vote_word, Answer};
 use havenplank::interface::{
@@ -9,11 +9,11 @@
 use std::collections::{BTreeMap, HashMap};
 
 const SECOND: f64 = 1e9;
-/// From a vote to its reply.
+/// The time from a vote to its reply.
 const VOTE_LATENCY: Nanos = 50_000_000;
 
-/// What is due at a later time.
-enum Due {
+/// An event that is scheduled for a later time.
+enum ScheduledEvent {
     Request(IncomingRequest),
     AttemptEnd(RequestId, usize),
     Timer(Callback<()>),
@@ -27,22 +27,23 @@
     on_done: Callback<AttemptOutcome>,
 }
 
-/// A pod's script and build.
+/// A pod with its scripted answer and its build.
 #[derive(Clone)]
 pub struct ScriptedPod {
     pub answer: Answer,
     pub build: Build,
 }
 
-/// Plays pods, clients and the control plane, and counts what the router does.
+/// Simulates pods, clients and the control plane, and counts the effects that the router requests.
 #[derive(Default)]
 pub struct ScriptedHost {
     pub now: Nanos,
     pub pods: Vec<ScriptedPod>,
-    /// Replies to votes are lost.
+    /// The replies to votes are lost.
     pub loses_replies: bool,
+    /// How often each effect was requested, by its name in the scenarios.
     pub counts: BTreeMap<String, f64>,
-    due: BTreeMap<(Nanos, u64), Due>,
+    scheduled: BTreeMap<(Nanos, u64), ScheduledEvent>,
     sequence: u64,
     deadlines: HashMap<RequestId, Nanos>,
     attempts: HashMap<(RequestId, usize), InFlight>,
@@ -62,33 +63,39 @@
         self.counts.get(name).copied().unwrap_or(0.0)
     }
 
-    /// Requests without a final answer.
+    /// Returns the number of requests without a final answer.
     pub fn open_requests(&self) -> usize {
         self.deadlines.len()
     }
 
-    /// Forgets whatever is due, as a restart does.
-    pub fn forget_due(&mut self) {
-        self.due.clear();
+    /// Discards all scheduled events, as a restart does.
+    pub fn clear_scheduled(&mut self) {
+        self.scheduled.clear();
     }
 
     pub fn schedule_request(&mut self, at: Nanos, request: IncomingRequest) {
-        self.schedule(at, Due::Request(request));
+        self.schedule(at, ScheduledEvent::Request(request));
     }
 
-    /// Plays what is due until a time.
-    pub fn play(&mut self, router: &mut Router, until: Nanos) {
-        while let Some(next) = self.due.first_entry().filter(|next| next.key().0 <= until) {
+    /// Handles all events that are scheduled up to a time, and sets the clock to it.
+    pub fn run_until(&mut self, router: &mut Router, until: Nanos) {
+        while let Some(next) = self
+            .scheduled
+            .first_entry()
+            .filter(|next| next.key().0 <= until)
+        {
             self.now = next.key().0;
             match next.remove() {
-                Due::Request(request) => {
+                ScheduledEvent::Request(request) => {
                     self.deadlines
                         .insert(request.id, self.now + request.remaining);
                     router.handle_request(self, request);
                 }
-                Due::AttemptEnd(request, number) => self.end_attempt(router, request, number),
-                Due::Timer(on_done) => on_done(router, self, ()),
-                Due::VoteReply(on_done, reply) => on_done(router, self, reply),
+                ScheduledEvent::AttemptEnd(request, number) => {
+                    self.end_attempt(router, request, number)
+                }
+                ScheduledEvent::Timer(on_done) => on_done(router, self, ()),
+                ScheduledEvent::VoteReply(on_done, reply) => on_done(router, self, reply),
             }
         }
         self.now = until;
@@ -108,29 +115,29 @@
         (attempt.on_done)(router, self, outcome);
     }
 
-    fn schedule(&mut self, at: Nanos, due: Due) {
+    fn schedule(&mut self, at: Nanos, event: ScheduledEvent) {
         self.sequence += 1;
-        self.due.insert((at, self.sequence), due);
+        self.scheduled.insert((at, self.sequence), event);
     }
 
     fn count(&mut self, name: &str) {
         *self.counts.entry(name.to_string()).or_default() += 1.0;
     }
 
-    fn finish(&mut self, request: RequestId, how: &str) {
+    fn finish(&mut self, request: RequestId, outcome_name: &str) {
         if let Some(deadline) = self.deadlines.remove(&request) {
-            let overdue = self.now > deadline;
-            self.count(if overdue { "overdue" } else { how });
+            let is_late = self.now > deadline;
+            self.count(if is_late { "overdue" } else { outcome_name });
             let now_s = self.now as f64 / SECOND;
             self.counts.insert("answered_at".into(), now_s);
         }
     }
 
     fn count_attempt(&mut self, pod: PodId) {
-        let of_pod = format!("forwards:pod{pod}");
+        let pod_count_name = format!("forwards:pod{pod}");
         self.count("forwards");
-        self.count(&of_pod);
-        if self.counts[&of_pod] == 1.0 {
+        self.count(&pod_count_name);
+        if self.counts[&pod_count_name] == 1.0 {
             self.count("met");
         }
         self.count(&format!("forwards:build{}", self.pods[pod].build));
@@ -155,7 +162,7 @@
     ) {
         assert!(
             self.is_open(request),
-            "an attempt for a request that is over"
+            "the router sent an attempt for a request that has its final answer"
         );
         let answer = self.pods[pod].answer.clone();
         let end = answer.end(request);
@@ -179,7 +186,10 @@
             on_done,
         };
         self.attempts.insert((request, number), attempt);
-        self.schedule(ends_at.min(until), Due::AttemptEnd(request, number));
+        self.schedule(
+            ends_at.min(until),
+            ScheduledEvent::AttemptEnd(request, number),
+        );
     }
 
     fn cancel_attempt(&mut self, _: RequestId, _: u32) {
@@ -210,7 +220,10 @@
             receipt,
             stage: None,
         };
-        self.schedule(self.now + VOTE_LATENCY, Due::VoteReply(on_done, reply));
+        self.schedule(
+            self.now + VOTE_LATENCY,
+            ScheduledEvent::VoteReply(on_done, reply),
+        );
     }
 
     fn health_check(&mut self, _: PodId, _: Callback<HealthCheckResult>) {
@@ -226,7 +239,7 @@
     }
 
     fn set_timer(&mut self, after: Nanos, on_done: Callback<()>) {
-        self.schedule(self.now + after.max(1), Due::Timer(on_done));
+        self.schedule(self.now + after.max(1), ScheduledEvent::Timer(on_done));
     }
 
     fn log(&mut self, _: &str) {}
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -1,8 +1,8 @@
-//! Plays the scenarios of `tests/cases` against the router, and fleets of many routers side by side.
+//! Runs the scenarios of `tests/cases` against the router, and simulates fleets of many routers.
 
 mod common;
 
-use common::notation::{endpoint, request, run, span, Answer, Pairs, START};
+use common::notation::{duration, endpoint, request, run_scenario, Answer, Pairs, START};
 use common::scripted_host::{ScriptedHost, ScriptedPod};
 use havenplank::interface::{Build, Endpoint, Phase, PodId, Stage};
 use havenplank::Router;
@@ -12,7 +12,7 @@
     ($($name:literal),* $(,)?) => {
         $(#[test_case(include_str!(concat!("cases/", $name, ".txt")); $name)])*
         fn scenario(text: &str) {
-            run(text)
+            run_scenario(text)
         }
     };
 }
@@ -26,22 +26,23 @@
     "second-copy", "kept-part", "seat-by-evidence",
 }
 
-/// Pods of the fleets below that answer at once.
-fn quick_pods(builds: &[Build]) -> Vec<ScriptedPod> {
+/// Returns pods of the given builds that answer within 20 ms.
+fn pods_of_builds(builds: &[Build]) -> Vec<ScriptedPod> {
     let pod = |build: &Build| ScriptedPod {
-        answer: Answer::read("ok:20ms"),
+        answer: Answer::parse("ok:20ms"),
         build: *build,
     };
     builds.iter().map(pod).collect()
 }
 
-fn numbered(pod: PodId, build: Build, started: u64) -> Endpoint {
+/// Returns the endpoint of a pod by its number.
+fn endpoint_of_pod(pod: PodId, build: Build, started: u64) -> Endpoint {
     endpoint(pod, &format!("pod-{pod}"), build, started)
 }
 
-/// One of many instances by the given rules, with its pods listed.
+/// Starts one of many instances with the given rules and pods.
 fn start_instance(rules: &str, host: &mut ScriptedHost, endpoints: &[Endpoint]) -> Router {
-    let pairs = Pairs::read(rules);
+    let pairs = Pairs::parse(rules);
     let mut router = pairs.router(host.now, vec![pairs.route_class()]);
     router.start(host);
     router.update_endpoints(host, true, endpoints);
@@ -50,32 +51,35 @@
 
 fn schedule_requests(host: &mut ScriptedHost, count: u64, interval: &str) {
     for n in 0..count {
-        host.schedule_request(host.now + n * span(interval), request(n));
+        host.schedule_request(host.now + n * duration(interval), request(n));
     }
 }
 
-/// Two hundred instances that share nothing, over eighty pods: each keeps to a few, all pods get about as
-/// much, and one that starts cold is not pushed over by all of them together.
+/// Two hundred independent instances and eighty pods: each instance sends to a few pods, all pods get about the same
+/// load, and the instances together do not overload a pod that starts cold.
 #[test]
-fn many_instances_keep_to_a_few_pods_each_and_load_all_evenly() {
+fn many_instances_send_to_a_few_pods_each_and_load_all_pods_evenly() {
     let (instances, pods) = (200, 80);
     let mut total = vec![0.0; pods];
     let mut cold = 0.0;
-    let warm: Vec<Endpoint> = (0..pods).map(|pod| numbered(pod, 1, 0)).collect();
+    let warm: Vec<Endpoint> = (0..pods).map(|pod| endpoint_of_pod(pod, 1, 0)).collect();
     let sent = |host: &ScriptedHost, pod| host.count_of(&format!("forwards:pod{pod}"));
     for rank in 0..instances {
         let mut host = ScriptedHost::new(START);
-        host.pods = quick_pods(&vec![1; pods + 1]);
+        host.pods = pods_of_builds(&vec![1; pods + 1]);
         let rules = format!("instances={instances} rank={rank}");
         let mut router = start_instance(&rules, &mut host, &warm);
         schedule_requests(&mut host, 80, "100ms");
-        host.play(&mut router, START + span("7s"));
-        let met = (0..pods).filter(|pod| sent(&host, *pod) > 0.0).count();
-        assert!((4..=14).contains(&met), "instance {rank} met {met} pods");
+        host.run_until(&mut router, START + duration("7s"));
+        let used_pods = (0..pods).filter(|pod| sent(&host, *pod) > 0.0).count();
+        assert!(
+            (4..=14).contains(&used_pods),
+            "instance {rank} sent to {used_pods} pods"
+        );
         (0..pods).for_each(|pod| total[pod] += sent(&host, pod));
-        let newcomer = numbered(pods, 1, host.now);
-        router.update_endpoints(&mut host, false, &[newcomer]);
-        host.play(&mut router, START + span("8s"));
+        let new_pod = endpoint_of_pod(pods, 1, host.now);
+        router.update_endpoints(&mut host, false, &[new_pod]);
+        host.run_until(&mut router, START + duration("8s"));
         cold += sent(&host, pods);
     }
     let mean = total.iter().sum::<f64>() / pods as f64;
@@ -83,24 +87,25 @@
     let least = total.iter().copied().fold(f64::MAX, f64::min);
     assert!(
         least > 0.6 * mean && most < 1.4 * mean,
-        "{least} to {most} of {mean}"
+        "the loads of the pods are from {least} to {most}, the mean is {mean}"
     );
-    // Warm pods answer 25 a second: 2.0 times a cold one's share of it, 0.3 to 0.5, is what it bears.
+    // Warm pods answer 25 requests per second. A cold pod has 0.3 to 0.5 of their capacity and fails at 2.0 times that.
     assert!(
         cold > 0.0 && cold <= 2.0 * 0.3 * 25.0,
-        "{cold} to the cold pod in its first second"
+        "{cold} attempts to the cold pod in its first second"
     );
 }
 
-/// Two hundred instances with a build on trial on eight of eighty pods: a part of them takes its attempts, as
-/// many in all as its size says, and each of those hears far more of it than a share of its own would tell.
+/// Two hundred instances with a build on trial on eight of eighty pods: a sample of the instances sends to the
+/// build, as many attempts in total as its size says. Each instance of the sample sends it a far larger share of its
+/// attempts, and so gets more evidence.
 #[test]
-fn of_many_instances_a_part_takes_the_forwards_of_a_trial() {
+fn a_sample_of_many_instances_sends_to_the_build_on_trial() {
     let (instances, pods) = (200, 80);
     let build_of = |pod: PodId| if pod < 8 { 2 } else { 1 };
     let builds: Vec<Build> = (0..pods).map(build_of).collect();
     let endpoints: Vec<Endpoint> = (0..pods)
-        .map(|pod| numbered(pod, build_of(pod), 0))
+        .map(|pod| endpoint_of_pod(pod, build_of(pod), 0))
         .collect();
     let stage = Stage {
         build: 2,
@@ -113,12 +118,12 @@
     let mut most = 0.0f64;
     for rank in 0..instances {
         let mut host = ScriptedHost::new(START);
-        host.pods = quick_pods(&builds);
+        host.pods = pods_of_builds(&builds);
         let rules = format!("instances={instances} rank={rank} control=count back_needs=16");
         let mut router = start_instance(&rules, &mut host, &endpoints);
         router.update_stage(&mut host, stage);
         schedule_requests(&mut host, 100, "200ms");
-        host.play(&mut router, START + span("21s"));
+        host.run_until(&mut router, START + duration("21s"));
         let earlier = host.count_of("forwards:build1");
         let trial = host.count_of("forwards:build2");
         sampled_in += (trial > 0.0) as usize;
@@ -128,15 +133,15 @@
     }
     assert!(
         (33..=140).contains(&sampled_in),
-        "{sampled_in} of {instances} met the build"
+        "{sampled_in} of {instances} instances sent to the build"
     );
     assert!(
         (0.07..=0.115).contains(&(on_trial / total)),
-        "{} of all attempts",
+        "{} of all attempts went to the build",
         on_trial / total
     );
     assert!(
         most > 0.16 && most < 0.4,
-        "{most} at the one that met it most"
+        "the greatest share of the build at one instance is {most}"
     );
 }
