--- a/src/admission.rs
+++ b/src/admission.rs
@@ -83,6 +83,6 @@
     pub(crate) fn admits(&self, class: RouteClassId) -> bool {
         let weight = self.route_classes[class].priority_weight;
         let priority = weight / self.route_classes.max_priority_weight;
-        self.limit.admits(priority)
+        self.concurrency_limit.admits(priority)
     }
 }
--- a/src/binomial.rs
+++ b/src/binomial.rs
@@ -14,13 +14,13 @@
     max_rate: f64,
 ) -> f64 {
     let mut allowed = 0.0;
-    let mut above = max_rate;
+    let mut too_high = max_rate;
     for _ in 0..BISECTION_STEPS {
-        let middle: f64 = 0.5 * (allowed + above);
+        let middle: f64 = 0.5 * (allowed + too_high);
         if 1.0 - probability_of_fewer(instances, needed, middle) <= joint_rate {
             allowed = middle;
         } else {
-            above = middle;
+            too_high = middle;
         }
     }
     allowed
@@ -32,8 +32,8 @@
     let mut sum = 0.0;
     for n in 0..needed.min(instances + 1) {
         sum += log_term.exp();
-        let ways = (instances - n) as f64 / (n + 1) as f64;
-        log_term += (ways * rate / (1.0 - rate)).ln();
+        let coefficient_ratio = (instances - n) as f64 / (n + 1) as f64;
+        log_term += (coefficient_ratio * rate / (1.0 - rate)).ln();
     }
     sum
 }
--- a/src/exposure.rs
+++ b/src/exposure.rs
@@ -99,8 +99,8 @@
     /// Returns the fraction of the cap that may be used now. Without other builds, the complete cap. While other
     /// builds can take the remaining attempts, the fraction in use, or 0 where this instance does not send to the
     /// build on trial.
-    fn usable_fraction(&self, others: bool, sends_to_trial: bool) -> f64 {
-        if others {
+    fn usable_fraction(&self, other_builds: bool, sends_to_trial: bool) -> f64 {
+        if other_builds {
             self.used_fraction * sends_to_trial as u8 as f64
         } else {
             1.0
@@ -144,10 +144,10 @@
 
 impl Router {
     /// Returns the cap of a build, or `None` where the build is not capped. A build newer than the announced one
-    /// counts as in its first stage. Where keys are sticky its cap is 0, as the keys that it answers could not be
-    /// kept at it.
+    /// counts as in its first stage; before any announcement, one newer than the oldest listed build. Where keys are
+    /// sticky the cap of such a build is 0, as requests with the keys that it answers could not be kept at it.
     pub(crate) fn cap(&self, build: Build) -> Option<f64> {
-        let first = if self.exposure.settings.sticky_keys {
+        let first_cap = if self.exposure.settings.sticky_keys {
             0.0
         } else {
             let caps = &self.exposure.settings.caps;
@@ -156,9 +156,9 @@
         let announced = self.announced.map(|announced| announced.stage);
         let oldest = || self.pods.groups.iter().map(|group| group.build).min();
         match announced.map(|stage| stage.build).or_else(oldest) {
-            Some(known) if build > known => Some(first),
-            known => announced
-                .filter(|stage| known == Some(build) && stage.phase != Phase::Released)
+            Some(current) if build > current => Some(first_cap),
+            current => announced
+                .filter(|stage| current == Some(build) && stage.phase != Phase::Released)
                 .map(|stage| stage.cap),
         }
     }
@@ -221,18 +221,18 @@
                 eligible.push(EligibleGroup { index, build, cap });
             }
         }
-        let others = eligible.iter().any(|group| group.cap.is_none());
+        let other_builds = eligible.iter().any(|group| group.cap.is_none());
         let trial = eligible
             .iter()
             .filter_map(|group| Some((group.build, group.cap?)))
             .max_by_key(|(build, _)| *build);
         let sends_to_trial =
             !self.sequential_test.periods.withheld && self.sequential_test.oversampling > 0.0;
-        let fraction = self.exposure.usable_fraction(others, sends_to_trial);
+        let fraction = self.exposure.usable_fraction(other_builds, sends_to_trial);
         let trial =
             trial.filter(|(build, cap)| self.exposure.has_room(now, *build, class, *cap, fraction));
         let trial = trial
-            .filter(|_| !(avoids_trial && others))
+            .filter(|_| !(avoids_trial && other_builds))
             .map(|(build, _)| build);
         eligible.retain(|group| group.cap.is_none() || trial == Some(group.build));
         eligible.into_iter().map(|group| group.index).collect()
--- a/src/hedging.rs
+++ b/src/hedging.rs
@@ -39,8 +39,8 @@
     /// Returns the timeout of a hedged attempt, or `None` where it is no longer to be sent.
     pub(crate) fn hedge_timeout(&mut self, now: Nanos, request: &InFlightRequest) -> Option<Nanos> {
         let only_first_in_flight = request.attempts_in_flight == 1 && request.tried.len() == 1;
-        let few_late =
-            self.limit.late_fraction <= MAX_LATE_FRACTION && self.retry_budget.allows_hedge(now);
+        let few_late = self.concurrency_limit.late_fraction <= MAX_LATE_FRACTION
+            && self.retry_budget.allows_hedge(now);
         let until = request.objective_deadline.min(request.deadline);
         let remaining = until.saturating_sub(now);
         let may_send =
--- a/src/latency.rs
+++ b/src/latency.rs
@@ -55,7 +55,7 @@
         let withheld = self.sequential_test.periods.withheld;
         let excluded_build = withheld.then_some(self.sequential_test.build);
         let pod_count = self.pods.subset_size_without(excluded_build);
-        pod.in_flight * pod_count as u32 <= self.limit.in_flight
+        pod.in_flight * pod_count as u32 <= self.concurrency_limit.in_flight
     }
 
     /// Compares the latency of an attempt with the learnt latencies, then updates them.
--- a/src/outlier.rs
+++ b/src/outlier.rs
@@ -10,7 +10,7 @@
 use crate::time::{MILLISECOND, SECOND};
 use oorandom::Rand64;
 
-/// The interval of the updates of health, subsets and votes. With them no request has to visit all pods.
+/// The interval of the periodic updates of health, subsets and votes, which visit all pods so that no request has to.
 pub(crate) const UPDATE_INTERVAL: Nanos = 200 * MILLISECOND;
 /// The consecutive failures that eject a pod. A failed connection counts as this many failures.
 const FAILURES_TO_EJECT: u32 = 2;
--- a/src/pod_table.rs
+++ b/src/pod_table.rs
@@ -164,6 +164,7 @@
         self.visits.get()
     }
 
+    /// Updates the counts of visited pods.
     pub(crate) fn visit(&self, count: impl FnOnce(&mut PodVisits)) {
         let mut visits = self.visits.get();
         count(&mut visits);
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -25,6 +25,7 @@
 }
 
 impl RetryBudget {
+    /// The window over which requests and retries are counted.
     pub(crate) const WINDOW: Nanos = 10 * SECOND;
 
     pub(crate) fn new() -> RetryBudget {
--- a/src/router.rs
+++ b/src/router.rs
@@ -40,7 +40,7 @@
     /// The requests received since the start.
     pub(crate) requests: u32,
     pub(crate) endpoint_list: EndpointListWatch,
-    pub(crate) limit: ConcurrencyLimit,
+    pub(crate) concurrency_limit: ConcurrencyLimit,
     pub(crate) subsetting: Subsetting,
     pub(crate) slow_start: SlowStart,
     pub(crate) outlier: OutlierDetector,
@@ -62,7 +62,7 @@
             announced: None,
             requests: 0,
             endpoint_list: EndpointListWatch::new(settings.endpoint_list),
-            limit: ConcurrencyLimit::new(),
+            concurrency_limit: ConcurrencyLimit::new(),
             subsetting: Subsetting::default(),
             slow_start: SlowStart::new(settings.pods),
             outlier: OutlierDetector::new(&classes),
@@ -113,7 +113,8 @@
         prior: &[PriorAttempt],
     ) {
         let now = host.now();
-        self.subsetting.record_in_flight(self.limit.in_flight);
+        self.subsetting
+            .record_in_flight(self.concurrency_limit.in_flight);
         let objective = self.route_classes[request.class].latency_objective;
         let in_flight = InFlightRequest::new(now, &request, objective, prior, &self.pods);
         let in_flight = Rc::new(RefCell::new(in_flight));
@@ -164,7 +165,7 @@
             first: request.borrow().tried.is_empty(),
         };
         self.pods.count_attempt(now, id);
-        self.limit.in_flight += 1;
+        self.concurrency_limit.in_flight += 1;
         let (request_id, class) = (request.borrow().id, request.borrow().class);
         self.exposure
             .counts
@@ -282,7 +283,7 @@
             slow: relative_latency.slow,
             pod_silent,
         };
-        self.limit.record_attempt_end(now, &ended);
+        self.concurrency_limit.record_attempt_end(now, &ended);
         if evidence::is_evidence(&ended) {
             self.record_evidence(now, &ended);
             self.evaluate_vote(host);
--- a/src/selection.rs
+++ b/src/selection.rs
@@ -16,7 +16,7 @@
 pub(crate) use subset::Subsetting;
 
 /// The inverse of the golden ratio. For any range of consecutive integers, the fractional parts of its multiples are
-/// spread evenly from 0 to 1. So instances get evenly spread values by their ranks, whichever of them share a zone.
+/// spread evenly from 0 to 1. So the ranks of instances give evenly spread values, whichever instances share a zone.
 pub(crate) const GOLDEN_RATIO: f64 = 0.618_033_988_749_895;
 /// The load factor of the newest build's pods. A pod of an earlier build is preferred to a newest one only if its load
 /// is below this fraction of the newest pod's load.
@@ -77,7 +77,7 @@
 
     /// Weighs the groups by their size. Where the pods of the earlier build keep running beside the newest ones,
     /// each newest pod replaces an earlier one, so the weight of the earlier build is reduced accordingly. The build
-    /// on trial is weighed by the oversampling of this instance.
+    /// on trial is weighted by the oversampling of this instance.
     fn weigh_groups(&self, eligible: &[usize], newest: Build) -> Vec<WeightedGroup> {
         let groups = &self.pods.groups;
         let size = |of_newest: bool| -> f64 {
--- a/src/selection/subset.rs
+++ b/src/selection/subset.rs
@@ -45,12 +45,12 @@
         slow_start: &SlowStart,
     ) {
         let pod_count = pods.count as f64;
-        let to_cover_pods = MIN_INSTANCES_PER_POD * pod_count / position.instances.max(1) as f64;
-        let subset_pods = to_cover_pods.max(self.mean_in_flight / MAX_IN_FLIGHT_PER_POD);
+        let min_subset_size = MIN_INSTANCES_PER_POD * pod_count / position.instances.max(1) as f64;
+        let subset_size = min_subset_size.max(self.mean_in_flight / MAX_IN_FLIGHT_PER_POD);
         let start = (position.rank as f64 * GOLDEN_RATIO).fract();
         let mut groups = std::mem::take(&mut pods.groups);
         for group in &mut groups {
-            let needed = (subset_pods * group.pods.len() as f64 / pod_count).max(MIN_SUBSET_SIZE);
+            let needed = (subset_size * group.pods.len() as f64 / pod_count).max(MIN_SUBSET_SIZE);
             fill(group, needed, start, |id| {
                 // A pod whose ejection has expired counts as healthy only once it has answered.
                 let healthy = pods.get(id).filter(|pod| {
--- a/src/sequential_test.rs
+++ b/src/sequential_test.rs
@@ -51,8 +51,8 @@
 impl Bounds {
     /// Returns Wald's bounds for one of `instances` where `needed` of them must agree on a rejection. Alpha applies to
     /// the common verdict. So each instance gets the error rate with which `needed` false rejections together are no
-    /// likelier than alpha. It is at least alpha / (1 + ln(instances)), which limits the reduction where any one
-    /// instance decides, and at most beta, where many must agree.
+    /// more likely than alpha. This rate is at least alpha / (1 + ln(instances)), which limits its reduction where any
+    /// one instance decides, and at most beta, where many must agree.
     pub(crate) fn new(instances: usize, needed: usize) -> Bounds {
         let error_rate = largest_error_rate(instances, needed, ALPHA, BETA);
         let alpha = error_rate.clamp(ALPHA / (1.0 + (instances as f64).ln()), BETA);
--- a/src/sequential_test/evidence.rs
+++ b/src/sequential_test/evidence.rs
@@ -71,9 +71,10 @@
         let timed_out_past_objective =
             end == AttemptEnd::TimedOut && ended.outcome.took >= objective;
         let late = (ended.slow || timed_out_past_objective)
-            && self.limit.late_fraction <= ConcurrencyLimit::MAX_INFORMATIVE_LATE_FRACTION
+            && self.concurrency_limit.late_fraction
+                <= ConcurrencyLimit::MAX_INFORMATIVE_LATE_FRACTION
             && ended.attempt.warm;
-        let first_late = late && self.was_not_late_since(now, ended.attempt.pod, objective);
+        let first_late = late && self.had_no_late_answer_within(now, ended.attempt.pod, objective);
         let only_pod = self.pods.count_of_build(build) < 2;
         let Some(pod) = self.pods.get_mut(ended.attempt.pod) else {
             return;
@@ -98,7 +99,7 @@
         }
     }
 
-    fn was_not_late_since(&self, now: Nanos, pod: PodId, objective: Nanos) -> bool {
+    fn had_no_late_answer_within(&self, now: Nanos, pod: PodId, objective: Nanos) -> bool {
         self.pods
             .get(pod)
             .is_some_and(|pod| now >= pod.last_late_at + objective)
--- a/src/sequential_test/sampling.rs
+++ b/src/sequential_test/sampling.rs
@@ -34,8 +34,8 @@
         self.sequential_test.bounds = Bounds::new(deciding_instances, needed);
     }
 
-    /// Returns the fraction of the instances that send to the build on trial. `share` is the fraction of its pods in
-    /// the size of the fleet.
+    /// Returns the fraction of the instances that send to the build on trial. `share` is the fraction of
+    /// the fleet's size that the pods of the build have.
     fn sampled_fraction(&mut self, now: Nanos, share: f64) -> f64 {
         let instances = self.position.instances;
         let needed = self.voting.settings.rollback_quorum;
--- a/src/window.rs
+++ b/src/window.rs
@@ -45,13 +45,13 @@
         self.counts[slice] += 1;
     }
 
-    /// Returns the count, and never less than the events in the window.
+    /// Returns a count that is never lower than the number of events in the window.
     pub(crate) fn upper_bound(&mut self, now: Nanos) -> u32 {
         self.advance(now);
         self.counts.iter().sum()
     }
 
-    /// Returns the count, and never more than the events in the window.
+    /// Returns a count that is never higher than the number of events in the window.
     pub(crate) fn lower_bound(&mut self, now: Nanos) -> u32 {
         let all = self.upper_bound(now);
         let latest = self.latest as usize;
