--- a/src/retry.rs
+++ b/src/retry.rs
@@ -88,8 +88,8 @@
             && self.retry_budget.allows_retry(now, !end.never_ran())
     }
 
-    /// Returns the timeout of an attempt. A timeout before the latency objective would repeat work exactly when pods
-    /// are slow; hung pods are detected by their silence instead.
+    /// Returns the timeout of an attempt. A timeout before the latency objective would do the work twice exactly
+    /// when pods are slow; hung pods are detected by their silence instead.
     pub(crate) fn attempt_timeout(&self, now: Nanos, request: &InFlightRequest) -> Nanos {
         let rules = self.route_classes[request.class];
         let remaining = request.deadline - now;
