--- a/crates/configuration-simulation/src/process.rs
+++ b/crates/configuration-simulation/src/process.rs
@@ -122,7 +122,7 @@
         // The digest is that of the result, which only an application shows: its refusal states it.
         delta.digest = match self.in_force.apply(&delta) {
             Ok(snapshot) => snapshot.digest(),
-            Err(havenplank_configuration::error::ApplyError::DigestDiffers { found, .. }) => found,
+            Err(havenplank_configuration::error::ApplyError::DigestMismatch { found, .. }) => found,
             Err(_) => return None,
         };
         let snapshot = self.in_force.apply(&delta).ok()?;
--- a/crates/configuration-simulation/tests/replication.rs
+++ b/crates/configuration-simulation/tests/replication.rs
@@ -9,7 +9,7 @@
 //! digest of a result; a rejected version counted as in force; a silent source kept. A delta to an older version is
 //! guarded twice, here and by `Snapshot::apply`: with the first guard alone taken out nothing fails.
 
-use havenplank_configuration::chunk::{chunk, Manifest};
+use havenplank_configuration::chunk::{next_chunk, Manifest};
 use havenplank_configuration::delta::Delta;
 use havenplank_configuration::digest::Digest;
 use havenplank_configuration::interval::Interval;
@@ -704,7 +704,7 @@
             digest: Digest::default(),
             changes: change(number, 50, 1),
         };
-        if let Err(havenplank_configuration::error::ApplyError::DigestDiffers { found, .. }) =
+        if let Err(havenplank_configuration::error::ApplyError::DigestMismatch { found, .. }) =
             from.apply(&delta)
         {
             delta.digest = found;
@@ -802,7 +802,7 @@
     };
     assert!(std::iter::from_fn(|| alone.replicator.next_effect()).any(|effect| asks(&effect)));
     let mut effects = alone.hears(Message::Manifest(Manifest::of(&older)));
-    if let Some(chunk) = chunk(&older, &(0..1_024).collect::<Vec<u16>>()) {
+    if let Some(chunk) = next_chunk(&older, &(0..1_024).collect::<Vec<u16>>()) {
         effects.extend(alone.hears(Message::Chunk(chunk)));
     }
     assert!(installs(&effects).is_empty());
--- a/crates/configuration/examples/figures.rs
+++ b/crates/configuration/examples/figures.rs
@@ -1,6 +1,6 @@
 //! Prints what a configuration of the size to plan with costs: 400 services, 4,500 routes, 150,000 tenants.
 
-use havenplank_configuration::chunk::{chunk, Chunk};
+use havenplank_configuration::chunk::{next_chunk, Chunk};
 use havenplank_configuration::compile::compile;
 use havenplank_configuration::delta::{Change, Delta};
 use havenplank_configuration::record::{Record, Tenant, TenantLimits};
@@ -84,7 +84,7 @@
     println!("encoded_bytes {}", whole.encode().len());
     let wanted: Vec<u16> = (0..1024).collect();
     let (mut sent, mut pieces) = (0, Vec::<Chunk>::new());
-    while let Some(piece) = chunk(&compiled, &wanted[sent..]) {
+    while let Some(piece) = next_chunk(&compiled, &wanted[sent..]) {
         sent += piece.buckets.len();
         pieces.push(piece);
     }
--- a/crates/configuration/src/chunk.rs
+++ b/crates/configuration/src/chunk.rs
@@ -10,13 +10,13 @@
 use std::sync::Arc;
 
 /// The longest body of a chunk of several buckets, compressed.
-pub const CHUNK_BYTES: usize = 32 << 10;
-/// The longest body of a chunk at all: one bucket alone may be larger than [`CHUNK_BYTES`].
+pub const TARGET_CHUNK_BYTES: usize = 32 << 10;
+/// The longest body of a chunk at all: one bucket alone may be larger than [`TARGET_CHUNK_BYTES`].
 pub const MAX_CHUNK_BYTES: usize = 1 << 20;
 /// The longest body of a chunk once decompressed.
 pub const MAX_CHUNK_RAW_BYTES: usize = 8 << 20;
 /// What is gathered before it is compressed: tenants shrink to less than a quarter.
-const GATHER_BYTES: usize = 6 * CHUNK_BYTES;
+const GATHER_BYTES: usize = 6 * TARGET_CHUNK_BYTES;
 
 /// What a snapshot consists of, so that a receiver knows which buckets it lacks.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -52,7 +52,7 @@
 }
 
 /// The next piece: as many of the wanted buckets, from the first on, as fit. `None` when nothing that exists is wanted.
-pub fn chunk(snapshot: &Snapshot, wanted: &[u16]) -> Option<Chunk> {
+pub fn next_chunk(snapshot: &Snapshot, wanted: &[u16]) -> Option<Chunk> {
     let mut raw = Vec::new();
     let mut gathered: Vec<(u16, usize)> = Vec::new();
     for &number in wanted {
@@ -69,7 +69,7 @@
     }
     while let Some(&(_, end)) = gathered.last() {
         let body = compress(&raw[..end])?;
-        if body.len() <= CHUNK_BYTES || gathered.len() == 1 {
+        if body.len() <= TARGET_CHUNK_BYTES || gathered.len() == 1 {
             let buckets = gathered.iter().map(|(number, _)| *number).collect();
             return Some(Chunk {
                 version: snapshot.version(),
@@ -77,7 +77,7 @@
                 body,
             });
         }
-        let fitting = gathered.len() * CHUNK_BYTES / body.len();
+        let fitting = gathered.len() * TARGET_CHUNK_BYTES / body.len();
         gathered.truncate(fitting.clamp(1, gathered.len() - 1));
     }
     None
@@ -114,7 +114,7 @@
             .iter()
             .for_each(|bucket| found.add_all(bucket));
         if found != manifest.digest {
-            return Err(ChunkError::ManifestDiffers {
+            return Err(ChunkError::ManifestDigestMismatch {
                 expected: manifest.digest,
                 found,
             });
@@ -149,7 +149,7 @@
     ///
     /// # Errors
     /// A chunk of another version, or with a bucket that is not what the manifest states. Nothing of it is kept.
-    pub fn take(&mut self, chunk: Chunk) -> Result<(), ChunkError> {
+    pub fn add_chunk(&mut self, chunk: Chunk) -> Result<(), ChunkError> {
         if chunk.version != self.manifest.version {
             return Err(ChunkError::WrongVersion {
                 expected: self.manifest.version,
@@ -165,7 +165,7 @@
             rest = after;
             let (expected, found) = (self.manifest.buckets[usize::from(number)], bucket.digest());
             if found != expected {
-                return Err(ChunkError::DigestDiffers {
+                return Err(ChunkError::DigestMismatch {
                     bucket: number,
                     expected,
                     found,
@@ -209,7 +209,7 @@
     for &bucket in numbers {
         match seen.get_mut(usize::from(bucket)) {
             Some(seen) if !*seen => *seen = true,
-            _ => return Err(ChunkError::BadBucket { bucket }),
+            _ => return Err(ChunkError::InvalidBucketNumber { bucket }),
         }
     }
     Ok(())
@@ -219,10 +219,10 @@
     if body.len() > MAX_CHUNK_BYTES {
         return Err(ChunkError::TooLong {
             found: body.len(),
-            most: MAX_CHUNK_BYTES,
+            max: MAX_CHUNK_BYTES,
         });
     }
     decompress(body, MAX_CHUNK_RAW_BYTES).ok_or(ChunkError::Decompress {
-        most: MAX_CHUNK_RAW_BYTES,
+        max: MAX_CHUNK_RAW_BYTES,
     })
 }
--- a/crates/configuration/src/compile.rs
+++ b/crates/configuration/src/compile.rs
@@ -295,11 +295,11 @@
         ];
         for (kind, count) in counts
             .into_iter()
-            .filter(|(kind, count)| *count > kind.limit())
+            .filter(|(kind, count)| *count > kind.max_records())
         {
             let expected = format!(
                 "{} at most; share the rest out to another fleet",
-                kind.limit()
+                kind.max_records()
             );
             self.problems.push(whole.problem(
                 kind.to_string(),
--- a/crates/configuration/src/delta.rs
+++ b/crates/configuration/src/delta.rs
@@ -80,7 +80,7 @@
         if bytes.len() > MAX_DELTA_BYTES {
             return Err(DecodeError::TooLong {
                 found: bytes.len(),
-                most: MAX_DELTA_BYTES,
+                max: MAX_DELTA_BYTES,
             });
         }
         let (header, mut rest) = postcard::take_from_bytes::<Header>(bytes)?;
--- a/crates/configuration/src/error.rs
+++ b/crates/configuration/src/error.rs
@@ -9,13 +9,13 @@
 pub enum ApplyError {
     /// The delta builds on another version.
     #[error(
-        "the delta begins at version {wants}, but version {have} is held; ask for the deltas since then"
+        "the delta begins at version {base}, but version {have} is held; ask for the deltas since then"
     )]
     WrongBase {
         /// The version held.
         have: Version,
         /// The version on which the delta builds.
-        wants: Version,
+        base: Version,
     },
     /// The delta leads to no newer version.
     #[error("the delta leads from version {from} back to {to}; it is dropped")]
@@ -29,7 +29,7 @@
     #[error(
         "the result has digest {found}, the delta states {expected}; ask for the whole snapshot"
     )]
-    DigestDiffers {
+    DigestMismatch {
         /// What the delta states.
         expected: Digest,
         /// What the records have.
@@ -45,14 +45,14 @@
         record: RecordKey,
     },
     /// More records of a kind than a configuration may have.
-    #[error("{found} records of kind {kind}, {most} at most")]
+    #[error("{found} records of kind {kind}, {max} at most")]
     TooMany {
         /// The kind.
         kind: RecordKind,
         /// How many there are.
         found: usize,
         /// How many there may be.
-        most: usize,
+        max: usize,
     },
 }
 
@@ -60,12 +60,12 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
     /// More bytes than may be read.
-    #[error("{found} bytes, {most} at most")]
+    #[error("{found} bytes, {max} at most")]
     TooLong {
         /// How many there are.
         found: usize,
         /// How many there may be.
-        most: usize,
+        max: usize,
     },
     /// An encoding that this release does not know.
     #[error("format {found}, only {known} is known; the sender is of another release")]
@@ -116,7 +116,7 @@
     },
     /// The manifest contradicts itself.
     #[error("the buckets of the manifest have digest {found} together, it states {expected}")]
-    ManifestDiffers {
+    ManifestDigestMismatch {
         /// What it states.
         expected: Digest,
         /// What its buckets have together.
@@ -132,23 +132,23 @@
     },
     /// A chunk names a bucket that does not exist, or one twice.
     #[error("bucket {bucket} is out of range or out of order")]
-    BadBucket {
+    InvalidBucketNumber {
         /// Its number.
         bucket: u16,
     },
     /// A chunk of more bytes than may be read.
-    #[error("a chunk of {found} bytes, {most} at most")]
+    #[error("a chunk of {found} bytes, {max} at most")]
     TooLong {
         /// How many there are.
         found: usize,
         /// How many there may be.
-        most: usize,
+        max: usize,
     },
     /// A chunk that is not compressed, or too long once decompressed.
-    #[error("a chunk that cannot be decompressed within {most} bytes")]
+    #[error("a chunk that cannot be decompressed within {max} bytes")]
     Decompress {
         /// Bytes that it may have then.
-        most: usize,
+        max: usize,
     },
     /// Buckets that cannot be read.
     #[error(transparent)]
@@ -157,7 +157,7 @@
     #[error(
         "bucket {bucket} has digest {found}, the manifest states {expected}; ask for it again"
     )]
-    DigestDiffers {
+    DigestMismatch {
         /// Its number.
         bucket: u16,
         /// What the manifest states.
--- a/crates/configuration/src/record.rs
+++ b/crates/configuration/src/record.rs
@@ -22,7 +22,7 @@
 /// The highest limit of a tenant's requests in flight.
 pub const MAX_IN_FLIGHT: u32 = 1_000_000;
 /// The longest latency target, deadline or idempotency window: a day.
-pub const MAX_SPAN: Nanos = 86_400_000_000_000;
+pub const MAX_DURATION_NS: Nanos = 86_400_000_000_000;
 /// The largest priority weight of a served request.
 pub const MAX_PRIORITY_WEIGHT: f64 = 1e9;
 
@@ -387,9 +387,9 @@
         ("deadline", rules.deadline, 1),
     ];
     for (field, span, least) in spans {
-        let expected = || format!("{least} to {MAX_SPAN} ns");
+        let expected = || format!("{least} to {MAX_DURATION_NS} ns");
         ensure(
-            (least..=MAX_SPAN).contains(&span),
+            (least..=MAX_DURATION_NS).contains(&span),
             key,
             field,
             || format!("{span} ns"),
--- a/crates/configuration/src/replication/transfer.rs
+++ b/crates/configuration/src/replication/transfer.rs
@@ -3,7 +3,7 @@
 use super::budget::Budget;
 use super::peers::Reach;
 use super::{Event, Nanos, Replicator};
-use crate::chunk::{chunk, Assembly, Chunk, Manifest};
+use crate::chunk::{next_chunk, Assembly, Chunk, Manifest};
 use crate::message::{Claim, Message};
 use crate::version::Version;
 use havenplank_membership::member::MemberId;
@@ -186,7 +186,7 @@
             .verified
             .snapshot(claim)
             .filter(|_| allowed)
-            .and_then(|verified| chunk(verified, buckets));
+            .and_then(|verified| next_chunk(verified, buckets));
         let verified = self.verified.claim();
         match found {
             Some(chunk) => self.send_served(now, from, Message::Chunk(chunk)),
@@ -209,7 +209,7 @@
             self.counts.repeats += 1;
             return;
         };
-        if transfer.assembly.take(chunk).is_err() {
+        if transfer.assembly.add_chunk(chunk).is_err() {
             self.counts.bad_chunks += 1;
             self.change_source(now);
             return;
--- a/crates/configuration/src/snapshot.rs
+++ b/crates/configuration/src/snapshot.rs
@@ -23,7 +23,7 @@
     pub const ALL: [RecordKind; 3] = [RecordKind::Service, RecordKind::Route, RecordKind::Tenant];
 
     /// How many of this kind a configuration may have.
-    pub fn limit(self) -> usize {
+    pub fn max_records(self) -> usize {
         match self {
             RecordKind::Service => MAX_SERVICES,
             RecordKind::Route => MAX_ROUTES,
@@ -94,9 +94,9 @@
             buckets: Arc::new(buckets),
         };
         for kind in RecordKind::ALL {
-            let (found, most) = (snapshot.count(kind), kind.limit());
-            if found > most {
-                return Err(ApplyError::TooMany { kind, found, most });
+            let (found, max) = (snapshot.count(kind), kind.max_records());
+            if found > max {
+                return Err(ApplyError::TooMany { kind, found, max });
             }
         }
         Ok(snapshot)
@@ -194,7 +194,7 @@
         if delta.from != self.version {
             return Err(ApplyError::WrongBase {
                 have: self.version,
-                wants: delta.from,
+                base: delta.from,
             });
         }
         if delta.to <= delta.from {
@@ -209,7 +209,7 @@
         }
         let next = Snapshot::from_buckets(delta.to, buckets)?;
         if next.digest != delta.digest {
-            return Err(ApplyError::DigestDiffers {
+            return Err(ApplyError::DigestMismatch {
                 expected: delta.digest,
                 found: next.digest,
             });
--- a/crates/configuration/src/store.rs
+++ b/crates/configuration/src/store.rs
@@ -77,7 +77,7 @@
     },
     /// The disk has failed before.
     #[error("an earlier error of the disk was final; mend the disk, then start again")]
-    Failed,
+    DiskFailedEarlier,
     /// A snapshot that is not newer.
     #[error("version {offered} is not newer than {have}")]
     NotNewer {
@@ -134,14 +134,14 @@
     /// # Errors
     /// Another process has it, the disk fails, or a file is missing or damaged.
     pub fn open(folder: &Path) -> Result<Opened, StoreError> {
-        Store::open_on(folder, Box::new(SystemDisk))
+        Store::open_with_disk(folder, Box::new(SystemDisk))
     }
 
     /// Opens a folder by way of another [`Disk`].
     ///
     /// # Errors
     /// As [`Store::open`].
-    pub fn open_on(folder: &Path, mut disk: Box<dyn Disk>) -> Result<Opened, StoreError> {
+    pub fn open_with_disk(folder: &Path, mut disk: Box<dyn Disk>) -> Result<Opened, StoreError> {
         make_folder(folder, &mut *disk)?;
         let lock = lock(folder)?;
         create_files(folder, &mut *disk)?;
@@ -260,7 +260,7 @@
 
     fn ensure_usable(&self) -> Result<(), StoreError> {
         if self.failed {
-            return Err(StoreError::Failed);
+            return Err(StoreError::DiskFailedEarlier);
         }
         Ok(())
     }
--- a/crates/configuration/tests/data.rs
+++ b/crates/configuration/tests/data.rs
@@ -4,7 +4,7 @@
 
 use common::tenant;
 use havenplank::interface::{DedupScope, Idempotency};
-use havenplank_configuration::chunk::{chunk, Assembly, Chunk, Manifest, CHUNK_BYTES};
+use havenplank_configuration::chunk::{next_chunk, Assembly, Chunk, Manifest, TARGET_CHUNK_BYTES};
 use havenplank_configuration::delta::{Change, Delta};
 use havenplank_configuration::digest::Digest;
 use havenplank_configuration::error::{ApplyError, ChunkError, DecodeError};
@@ -85,8 +85,8 @@
 /// Fetches a snapshot from another over chunks, in order.
 fn fetch(base: &Snapshot, whole: &Snapshot) -> Result<Snapshot, ChunkError> {
     let mut assembly = Assembly::new(base, Manifest::of(whole))?;
-    while let Some(piece) = chunk(whole, &assembly.missing()) {
-        assembly.take(piece)?;
+    while let Some(piece) = next_chunk(whole, &assembly.missing()) {
+        assembly.add_chunk(piece)?;
     }
     assembly.finish()
 }
@@ -154,19 +154,19 @@
         let pieces: Vec<Chunk> = (0..8u16)
             .filter_map(|part| {
                 let wanted: Vec<u16> = (part * 128..(part + 1) * 128).collect();
-                chunk(&whole, &wanted)
+                next_chunk(&whole, &wanted)
             })
             .collect();
         for index in order {
             let piece = index.get(&pieces).clone();
-            assembly.take(piece.clone()).expect("it fits");
-            assembly.take(piece).expect("a repeat changes nothing");
+            assembly.add_chunk(piece.clone()).expect("it fits");
+            assembly.add_chunk(piece).expect("a repeat changes nothing");
         }
         let cut_off = assembly.missing().len();
         prop_assert_eq!(assembly.clone().finish().is_ok(), cut_off == 0);
-        while let Some(piece) = chunk(&whole, &assembly.missing()) {
-            prop_assert!(piece.buckets.len() == 1 || piece.body.len() <= CHUNK_BYTES);
-            assembly.take(piece).expect("it fits");
+        while let Some(piece) = next_chunk(&whole, &assembly.missing()) {
+            prop_assert!(piece.buckets.len() == 1 || piece.body.len() <= TARGET_CHUNK_BYTES);
+            assembly.add_chunk(piece).expect("it fits");
         }
         held = assembly.finish().expect("it is whole");
         prop_assert_eq!(&held, &whole);
@@ -196,7 +196,7 @@
         let mut assembly = Assembly::new(&Snapshot::empty(), Manifest::of(&whole)).expect("it fits");
         let forged = Chunk { version: whole.version(), buckets: vec![0, 1, 2], body: bytes };
         let before = assembly.missing();
-        if assembly.take(forged).is_err() {
+        if assembly.add_chunk(forged).is_err() {
             prop_assert_eq!(assembly.missing(), before);
         }
     }
@@ -205,11 +205,11 @@
     fn a_changed_chunk_is_refused_or_equal(at in any::<prop::sample::Index>(), bit in 0u8..8) {
         let whole = snapshot(7, tenants(200));
         let wanted: Vec<u16> = (0..1024).collect();
-        let mut piece = chunk(&whole, &wanted).expect("a piece");
+        let mut piece = next_chunk(&whole, &wanted).expect("a piece");
         let at = at.index(piece.body.len());
         piece.body[at] ^= 1 << bit;
         let mut assembly = Assembly::new(&Snapshot::empty(), Manifest::of(&whole)).expect("it fits");
-        if assembly.take(piece).is_ok() {
+        if assembly.add_chunk(piece).is_ok() {
             prop_assert_eq!(fetch(&assembly.finish().expect("all of it"), &whole), Ok(whole));
         }
     }
@@ -224,14 +224,14 @@
         newer,
         Err(ApplyError::WrongBase {
             have: version(2),
-            wants: version(1)
+            base: version(1)
         })
     );
     let mut wrong = delta.clone();
     wrong.changes.clear();
     assert!(matches!(
         old.apply(&wrong),
-        Err(ApplyError::DigestDiffers { .. })
+        Err(ApplyError::DigestMismatch { .. })
     ));
     let mut back = delta.clone();
     back.to = version(1);
@@ -281,7 +281,7 @@
         Err(ApplyError::TooMany {
             kind: RecordKind::Service,
             found: 2001,
-            most: 2000
+            max: 2000
         })
     ));
 }
@@ -332,30 +332,30 @@
     let (whole, other) = (snapshot(7, tenants(50)), snapshot(8, tenants(51)));
     let wanted: Vec<u16> = (0..1024).collect();
     let mut assembly = Assembly::new(&Snapshot::empty(), Manifest::of(&whole)).expect("it fits");
-    let mut foreign = chunk(&other, &wanted).expect("a piece");
+    let mut foreign = next_chunk(&other, &wanted).expect("a piece");
     assert!(matches!(
-        assembly.take(foreign.clone()),
+        assembly.add_chunk(foreign.clone()),
         Err(ChunkError::WrongVersion { .. })
     ));
     foreign.version = whole.version();
     assert!(matches!(
-        assembly.take(foreign),
-        Err(ChunkError::DigestDiffers { .. })
+        assembly.add_chunk(foreign),
+        Err(ChunkError::DigestMismatch { .. })
     ));
-    let mut doubled = chunk(&whole, &[3]).expect("a piece");
+    let mut doubled = next_chunk(&whole, &[3]).expect("a piece");
     doubled.buckets = vec![3, 3];
     assert_eq!(
-        assembly.take(doubled),
-        Err(ChunkError::BadBucket { bucket: 3 })
+        assembly.add_chunk(doubled),
+        Err(ChunkError::InvalidBucketNumber { bucket: 3 })
     );
-    let mut outside = chunk(&whole, &[3, 5000]).expect("a piece of what exists");
+    let mut outside = next_chunk(&whole, &[3, 5000]).expect("a piece of what exists");
     assert_eq!(outside.buckets, [3]);
     outside.buckets = vec![1024];
     assert_eq!(
-        assembly.take(outside),
-        Err(ChunkError::BadBucket { bucket: 1024 })
+        assembly.add_chunk(outside),
+        Err(ChunkError::InvalidBucketNumber { bucket: 1024 })
     );
-    assert_eq!(chunk(&whole, &[]), None);
+    assert_eq!(next_chunk(&whole, &[]), None);
     let mut manifest = Manifest::of(&whole);
     manifest.buckets[0] = manifest.digest;
     assert!(matches!(
@@ -363,7 +363,10 @@
         Err(ChunkError::OlderVersion { .. })
     ));
     let differs = Assembly::new(&Snapshot::empty(), manifest.clone());
-    assert!(matches!(differs, Err(ChunkError::ManifestDiffers { .. })));
+    assert!(matches!(
+        differs,
+        Err(ChunkError::ManifestDigestMismatch { .. })
+    ));
     manifest.buckets.pop();
     let short = Assembly::new(&Snapshot::empty(), manifest);
     assert!(matches!(
@@ -383,7 +386,7 @@
         body,
     };
     assert!(matches!(
-        assembly.take(forged),
+        assembly.add_chunk(forged),
         Err(ChunkError::Decompress { .. })
     ));
 }
--- a/crates/configuration/tests/store.rs
+++ b/crates/configuration/tests/store.rs
@@ -106,7 +106,7 @@
 
 /// Opens, appends, compacts and replaces; returns the last version that was acknowledged and whether a step failed.
 fn work_until_failure(folder: &Path, disk: FaultyDisk) -> (u64, bool) {
-    let Ok(Opened { mut store, .. }) = Store::open_on(folder, Box::new(disk)) else {
+    let Ok(Opened { mut store, .. }) = Store::open_with_disk(folder, Box::new(disk)) else {
         return (0, true);
     };
     let mut acknowledged = 0;
@@ -122,9 +122,15 @@
                 &wanted(acknowledged),
                 "memory is not ahead of the disk"
             );
-            assert!(matches!(store.compact(), Err(StoreError::Failed)), "final");
             assert!(
-                matches!(store.append(&step(number)), Err(StoreError::Failed)),
+                matches!(store.compact(), Err(StoreError::DiskFailedEarlier)),
+                "final"
+            );
+            assert!(
+                matches!(
+                    store.append(&step(number)),
+                    Err(StoreError::DiskFailedEarlier)
+                ),
                 "final"
             );
             return (acknowledged, true);
--- a/crates/configuration/tests/stored.rs
+++ b/crates/configuration/tests/stored.rs
@@ -2,7 +2,7 @@
 //! same.
 
 use havenplank::interface::{DedupScope, Idempotency};
-use havenplank_configuration::chunk::{chunk, Chunk, Manifest};
+use havenplank_configuration::chunk::{next_chunk, Chunk, Manifest};
 use havenplank_configuration::compile::compile;
 use havenplank_configuration::delta::{Change, Delta};
 use havenplank_configuration::digest::Digest;
@@ -337,7 +337,7 @@
     let second = first.apply(&delta).expect("it applies");
     assert_eq!(second.digest().to_string(), DIGEST_2);
     let wanted: Vec<u16> = (0..u16::MAX).collect();
-    let all = chunk(&second, &wanted).expect("a chunk");
+    let all = next_chunk(&second, &wanted).expect("a chunk");
     assert!(second
         .records()
         .any(|record| matches!(record, Record::Route(_))));
--- a/crates/sidecar/src/persister.rs
+++ b/crates/sidecar/src/persister.rs
@@ -88,7 +88,10 @@
     while let Some(newest) = offered.take() {
         if let Err(error) = persist(&mut store, &newest) {
             tracing::error!(%error, "the configuration could not be kept; a restart begins with an older one");
-            if matches!(error, StoreError::Disk { .. } | StoreError::Failed) {
+            if matches!(
+                error,
+                StoreError::Disk { .. } | StoreError::DiskFailedEarlier
+            ) {
                 return;
             }
         }
