--- a/crates/configuration/examples/figures.rs
+++ b/crates/configuration/examples/figures.rs
@@ -1,4 +1,5 @@
-//! Prints what a configuration of the size to plan with costs: 400 services, 4,500 routes, 150,000 tenants.
+//! Measures the encoded size, memory use and speed of a configuration of the planned size: 400 services, 4,500 routes,
+//! 150,000 tenants.
 
 use havenplank_configuration::chunk::{next_chunk, Chunk};
 use havenplank_configuration::compile::compile;
@@ -46,13 +47,13 @@
 
 fn lookups_per_s(snapshot: &Snapshot, tenants: usize) -> f64 {
     let names: Vec<String> = (0..tenants).map(|number| tenant(number, 1).name).collect();
-    let begun = Instant::now();
-    let found = (0..LOOKUPS).filter(|turn| {
-        let name = &names[(turn * 7919) % tenants];
+    let started = Instant::now();
+    let found = (0..LOOKUPS).filter(|index| {
+        let name = &names[(index * 7919) % tenants];
         black_box(snapshot.tenant(black_box(name))).is_some()
     });
     assert_eq!(found.count(), LOOKUPS);
-    LOOKUPS as f64 / begun.elapsed().as_secs_f64()
+    LOOKUPS as f64 / started.elapsed().as_secs_f64()
 }
 
 fn main() -> Result<(), Box<dyn std::error::Error>> {
@@ -69,7 +70,7 @@
         folder.path().join("tenants.jsonl"),
         (0..TENANTS).map(line).collect::<String>(),
     )?;
-    let begun = Instant::now();
+    let started = Instant::now();
     let compiled = compile(
         &script,
         &Given::new(),
@@ -78,21 +79,21 @@
             number: 1,
         },
     )?;
-    println!("compile_ms {}", begun.elapsed().as_millis());
+    println!("compile_ms {}", started.elapsed().as_millis());
 
-    let whole = Snapshot::empty().delta_to(&compiled, compiled.version());
-    println!("encoded_bytes {}", whole.encode().len());
+    let full_delta = Snapshot::empty().delta_to(&compiled, compiled.version());
+    println!("encoded_bytes {}", full_delta.encode().len());
     let wanted: Vec<u16> = (0..1024).collect();
-    let (mut sent, mut pieces) = (0, Vec::<Chunk>::new());
-    while let Some(piece) = next_chunk(&compiled, &wanted[sent..]) {
-        sent += piece.buckets.len();
-        pieces.push(piece);
+    let (mut sent, mut chunks) = (0, Vec::<Chunk>::new());
+    while let Some(chunk) = next_chunk(&compiled, &wanted[sent..]) {
+        sent += chunk.buckets.len();
+        chunks.push(chunk);
     }
     println!(
         "compressed_bytes {}",
-        pieces.iter().map(|piece| piece.body.len()).sum::<usize>()
+        chunks.iter().map(|chunk| chunk.body.len()).sum::<usize>()
     );
-    println!("chunks {}", pieces.len());
+    println!("chunks {}", chunks.len());
 
     let records: Vec<Record> = compiled.records().cloned().collect();
     let before = resident_bytes();
@@ -102,42 +103,42 @@
         resident_bytes().saturating_sub(before)
     );
 
-    let mut held = copy;
+    let mut current = copy;
     let mut bytes = 0;
-    let mut took = std::time::Duration::ZERO;
-    for turn in 0..APPLIES {
-        let change = Change::Put(tenant(turn as usize * 149, 5_000).into());
+    let mut elapsed = std::time::Duration::ZERO;
+    for index in 0..APPLIES {
+        let change = Change::Put(tenant(index as usize * 149, 5_000).into());
         let target = match &change {
             Change::Put(record) => {
-                let mut digest = held.digest();
-                if let Some(old) = held.get(&record.key()) {
+                let mut digest = current.digest();
+                if let Some(old) = current.get(&record.key()) {
                     digest.remove(old);
                 }
                 digest.add(record);
                 digest
             }
-            Change::Remove(_) => held.digest(),
+            Change::Remove(_) => current.digest(),
         };
-        let to = held.version().next();
+        let to = current.version().next();
         let delta = Delta {
-            from: held.version(),
+            from: current.version(),
             to,
             digest: target,
             changes: vec![change],
         };
         bytes = delta.encode().len();
-        let begun = Instant::now();
-        held = held.apply(&delta)?;
-        took += begun.elapsed();
+        let started = Instant::now();
+        current = current.apply(&delta)?;
+        elapsed += started.elapsed();
     }
     println!("one_tenant_delta_bytes {bytes}");
     println!(
         "apply_one_change_us {:.1}",
-        took.as_secs_f64() * 1e6 / APPLIES as f64
+        elapsed.as_secs_f64() * 1e6 / APPLIES as f64
     );
     println!(
         "lookups_per_s_of_150000 {:.0}",
-        lookups_per_s(&held, TENANTS)
+        lookups_per_s(&current, TENANTS)
     );
     let small = Snapshot::from_records(
         Version::NONE,
--- a/crates/configuration/src/bucket.rs
+++ b/crates/configuration/src/bucket.rs
@@ -4,22 +4,22 @@
 use crate::record::{Record, RecordKey, RecordKind};
 use std::ops::Range;
 
-/// Shards of a snapshot; a power of two.
+/// Number of buckets, the shards of a snapshot; a power of two.
 pub const BUCKETS: usize = 1 << BUCKET_BITS;
 const BUCKET_BITS: u32 = 10;
-const KINDS: usize = 3;
+const RECORD_KINDS: usize = 3;
 
-/// Where a record stands: its bucket, and its order among the records of its kind there.
+/// The hash of a record's key: the number of its bucket, and a hash that orders the records of one kind in the bucket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct Place {
+pub(crate) struct KeyHash {
     pub bucket: usize,
     pub hash: u32,
 }
 
-impl Place {
-    /// FNV-1a, then the finalizer of splitmix64, as the high bits of FNV alone are spread badly. The same in every
-    /// process, since peers compare buckets.
-    pub fn of(kind: RecordKind, name: &str) -> Place {
+impl KeyHash {
+    /// Hashes with FNV-1a, then with the finalizer of splitmix64, because the high bits of FNV alone are badly
+    /// distributed. Every process must get the same result, since peers compare buckets.
+    pub fn of(kind: RecordKind, name: &str) -> KeyHash {
         const FNV_OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
         const FNV_PRIME: u64 = 0x0100_0000_01b3;
         let start = (FNV_OFFSET ^ kind as u64).wrapping_mul(FNV_PRIME);
@@ -29,18 +29,19 @@
         hash = (hash ^ (hash >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
         hash = (hash ^ (hash >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
         hash ^= hash >> 31;
-        Place {
+        KeyHash {
             bucket: (hash >> (u64::BITS - BUCKET_BITS)) as usize,
             hash: hash as u32,
         }
     }
 }
 
-/// Records of one bucket by kind, then hash, then name; the hashes stand apart, so that a search stays in few cache lines.
+/// The records of one bucket, sorted by kind, then hash, then name. The hashes are in a separate vector, so that a
+/// search touches few cache lines.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Bucket {
     digest: Digest,
-    counts: [usize; KINDS],
+    counts: [usize; RECORD_KINDS],
     hashes: Vec<u32>,
     records: Vec<Record>,
 }
@@ -65,36 +66,36 @@
     pub fn get(&self, kind: RecordKind, name: &str, hash: u32) -> Option<&Record> {
         self.position(kind, name, hash)
             .ok()
-            .map(|at| &self.records[at])
+            .map(|index| &self.records[index])
     }
 
-    /// Puts a record in, in place of one with the same key. Returns whether there was none.
+    /// Inserts a record or replaces the one with the same key. Returns whether the key is new.
     pub fn put(&mut self, record: Record, hash: u32) -> bool {
         self.digest.add(&record);
         match self.position(record.kind(), record.name(), hash) {
-            Ok(at) => {
-                self.digest.remove(&self.records[at]);
-                self.records[at] = record;
+            Ok(index) => {
+                self.digest.remove(&self.records[index]);
+                self.records[index] = record;
                 false
             }
-            Err(at) => {
+            Err(index) => {
                 self.counts[record.kind() as usize] += 1;
-                self.hashes.insert(at, hash);
-                self.records.insert(at, record);
+                self.hashes.insert(index, hash);
+                self.records.insert(index, record);
                 true
             }
         }
     }
 
-    /// Whether a record belongs behind all that are there.
-    pub fn follows(&self, record: &Record, hash: u32) -> bool {
+    /// Returns whether a record sorts after all records of the bucket.
+    pub fn sorts_last(&self, record: &Record, hash: u32) -> bool {
         let last = self.records.last().zip(self.hashes.last());
         last.is_none_or(|(last, last_hash)| {
             (last.kind(), *last_hash, last.name()) < (record.kind(), hash, record.name())
         })
     }
 
-    /// Puts a record behind all that are there, which it [follows](Bucket::follows).
+    /// Appends a record that [sorts last](Bucket::sorts_last).
     pub fn push(&mut self, record: Record, hash: u32) {
         self.digest.add(&record);
         self.counts[record.kind() as usize] += 1;
@@ -102,30 +103,31 @@
         self.records.push(record);
     }
 
-    /// Takes a record out. Returns whether it was there.
+    /// Removes a record. Returns whether there was one with this key.
     pub fn remove(&mut self, key: &RecordKey, hash: u32) -> bool {
-        let Ok(at) = self.position(key.kind, &key.name, hash) else {
+        let Ok(index) = self.position(key.kind, &key.name, hash) else {
             return false;
         };
-        self.digest.remove(&self.records[at]);
+        self.digest.remove(&self.records[index]);
         self.counts[key.kind as usize] -= 1;
-        self.hashes.remove(at);
-        self.records.remove(at);
+        self.hashes.remove(index);
+        self.records.remove(index);
         true
     }
 
-    /// Gives back room that growth has left over.
+    /// Releases unused capacity.
     pub fn shrink(&mut self) {
         self.hashes.shrink_to_fit();
         self.records.shrink_to_fit();
     }
 
+    /// Returns the indices of the records of a kind.
     fn range(&self, kind: RecordKind) -> Range<usize> {
         let start = self.counts[..kind as usize].iter().sum();
         start..start + self.count(kind)
     }
 
-    /// Where the record is, or else where it belongs.
+    /// Returns the index of the record as `Ok`, or the index at which to insert it as `Err`.
     fn position(&self, kind: RecordKind, name: &str, hash: u32) -> Result<usize, usize> {
         let Range { start, end } = self.range(kind);
         let first = start + self.hashes[start..end].partition_point(|known| *known < hash);
@@ -135,6 +137,8 @@
             .count();
         let found =
             self.records[first..first + equal].binary_search_by(|record| record.name().cmp(name));
-        found.map(|at| first + at).map_err(|at| first + at)
+        found
+            .map(|index| first + index)
+            .map_err(|index| first + index)
     }
 }
--- a/crates/configuration/src/chunk.rs
+++ b/crates/configuration/src/chunk.rs
@@ -1,4 +1,4 @@
-//! A snapshot in pieces, for peers that are too far behind for deltas.
+//! Transfer of a snapshot in chunks, for peers that are too far behind for deltas.
 
 use crate::bucket::{Bucket, BUCKETS};
 use crate::digest::Digest;
@@ -9,23 +9,24 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// The longest body of a chunk of several buckets, compressed.
+/// Longest compressed body of a chunk with several buckets, in bytes.
 pub const TARGET_CHUNK_BYTES: usize = 32 << 10;
-/// The longest body of a chunk at all: one bucket alone may be larger than [`TARGET_CHUNK_BYTES`].
+/// Longest compressed body of any chunk, in bytes: a single bucket may be larger than [`TARGET_CHUNK_BYTES`].
 pub const MAX_CHUNK_BYTES: usize = 1 << 20;
-/// The longest body of a chunk once decompressed.
+/// Longest body of a chunk once decompressed, in bytes.
 pub const MAX_CHUNK_RAW_BYTES: usize = 8 << 20;
-/// What is gathered before it is compressed: tenants shrink to less than a quarter.
-const GATHER_BYTES: usize = 6 * TARGET_CHUNK_BYTES;
+/// Uncompressed bytes gathered for one chunk; more than [`TARGET_CHUNK_BYTES`], because tenants compress to less than a
+/// quarter of their size.
+const MAX_GATHERED_BYTES: usize = 6 * TARGET_CHUNK_BYTES;
 
-/// What a snapshot consists of, so that a receiver knows which buckets it lacks.
+/// The digests of all buckets of a snapshot, from which a receiver finds out which buckets it lacks.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Manifest {
     /// The version of the snapshot.
     pub version: Version,
     /// The digest of all its records.
     pub digest: Digest,
-    /// The digest of each bucket, in order.
+    /// The digest of each bucket, by bucket number.
     pub buckets: Vec<Digest>,
 }
 
@@ -40,18 +41,19 @@
     }
 }
 
-/// Some whole buckets of a snapshot.
+/// Some buckets of a snapshot, each complete.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Chunk {
     /// The version of the snapshot.
     pub version: Version,
-    /// Numbers of the buckets.
+    /// The numbers of the buckets, in the order in which the body holds them.
     pub buckets: Vec<u16>,
-    /// The records of each bucket after their count, compressed with zstd.
+    /// For each bucket the number of its records, then the records; compressed with zstd.
     pub body: Vec<u8>,
 }
 
-/// The next piece: as many of the wanted buckets, from the first on, as fit. `None` when nothing that exists is wanted.
+/// Builds a chunk of as many wanted buckets as fit, in the order wanted. `None` if none of the wanted buckets exists, or if
+/// there is not enough memory to compress them.
 pub fn next_chunk(snapshot: &Snapshot, wanted: &[u16]) -> Option<Chunk> {
     let mut raw = Vec::new();
     let mut gathered: Vec<(u16, usize)> = Vec::new();
@@ -61,7 +63,7 @@
         };
         let start = raw.len();
         append_bucket(bucket, &mut raw);
-        if raw.len() > GATHER_BYTES && !gathered.is_empty() {
+        if raw.len() > MAX_GATHERED_BYTES && !gathered.is_empty() {
             raw.truncate(start);
             break;
         }
@@ -77,8 +79,8 @@
                 body,
             });
         }
-        let fitting = gathered.len() * TARGET_CHUNK_BYTES / body.len();
-        gathered.truncate(fitting.clamp(1, gathered.len() - 1));
+        let fitting_buckets = gathered.len() * TARGET_CHUNK_BYTES / body.len();
+        gathered.truncate(fitting_buckets.clamp(1, gathered.len() - 1));
     }
     None
 }
@@ -91,10 +93,10 @@
 }
 
 impl Assembly {
-    /// Begins with the buckets of `base` that are the same.
+    /// Starts an assembly, with those buckets of `base` that have the digest in the manifest.
     ///
     /// # Errors
-    /// A manifest that is older than `base` or does not fit itself.
+    /// The manifest is older than `base`, lists another number of buckets than there are, or contradicts itself.
     pub fn new(base: &Snapshot, manifest: Manifest) -> Result<Assembly, ChunkError> {
         if manifest.version < base.version() {
             return Err(ChunkError::OlderVersion {
@@ -136,7 +138,7 @@
         self.manifest.version
     }
 
-    /// The buckets that are not there yet, in order.
+    /// Returns the numbers of the buckets that are still missing, in ascending order.
     pub fn missing(&self) -> Vec<u16> {
         let numbered = self.buckets.iter().zip(0..);
         numbered
@@ -145,10 +147,11 @@
             .collect()
     }
 
-    /// Takes a chunk in; one that was taken before changes nothing.
+    /// Adds the buckets of a chunk; buckets that were added before stay unchanged.
     ///
     /// # Errors
-    /// A chunk of another version, or with a bucket that is not what the manifest states. Nothing of it is kept.
+    /// The chunk has another version than the manifest, cannot be decoded, or has a bucket with another digest than the
+    /// manifest states. None of its buckets is added.
     pub fn add_chunk(&mut self, chunk: Chunk) -> Result<(), ChunkError> {
         if chunk.version != self.manifest.version {
             return Err(ChunkError::WrongVersion {
@@ -156,13 +159,13 @@
                 found: chunk.version,
             });
         }
-        check_numbers(&chunk.buckets)?;
+        check_bucket_numbers(&chunk.buckets)?;
         let raw = decompress_chunk(&chunk.body)?;
         let mut rest = raw.as_slice();
-        let mut taken = Vec::with_capacity(chunk.buckets.len());
+        let mut decoded = Vec::with_capacity(chunk.buckets.len());
         for &number in &chunk.buckets {
-            let (bucket, after) = read_bucket(usize::from(number), rest)?;
-            rest = after;
+            let (bucket, remaining) = read_bucket(usize::from(number), rest)?;
+            rest = remaining;
             let (expected, found) = (self.manifest.buckets[usize::from(number)], bucket.digest());
             if found != expected {
                 return Err(ChunkError::DigestMismatch {
@@ -171,18 +174,18 @@
                     found,
                 });
             }
-            taken.push((usize::from(number), Arc::new(bucket)));
+            decoded.push((usize::from(number), Arc::new(bucket)));
         }
         if !rest.is_empty() {
             return Err(DecodeError::Trailing { found: rest.len() }.into());
         }
-        for (at, bucket) in taken {
-            self.buckets[at].get_or_insert(bucket);
+        for (number, bucket) in decoded {
+            self.buckets[number].get_or_insert(bucket);
         }
         Ok(())
     }
 
-    /// The whole snapshot.
+    /// Returns the complete snapshot.
     ///
     /// # Errors
     /// Buckets are missing, or there are too many records.
@@ -195,7 +198,8 @@
         if missing > 0 {
             return Err(ChunkError::Incomplete { missing });
         }
-        // Each bucket has the digest of the manifest, and those have its digest together.
+        // No check of the digest is needed: each bucket matches the manifest, and `new` has checked that the digests of
+        // the buckets add up to the digest of the manifest.
         Ok(Snapshot::from_buckets(
             self.manifest.version,
             self.buckets.into_iter().flatten().collect(),
@@ -203,8 +207,8 @@
     }
 }
 
-/// Bucket numbers exist and stand there once each.
-fn check_numbers(numbers: &[u16]) -> Result<(), ChunkError> {
+/// Checks that each bucket exists and is named once.
+fn check_bucket_numbers(numbers: &[u16]) -> Result<(), ChunkError> {
     let mut seen = [false; BUCKETS];
     for &bucket in numbers {
         match seen.get_mut(usize::from(bucket)) {
--- a/crates/configuration/src/compile.rs
+++ b/crates/configuration/src/compile.rs
@@ -1,4 +1,4 @@
-//! Compiles an operator's script into a configuration, or into every mistake that it has.
+//! Compiles an operator's script into a configuration, or reports every mistake in it.
 
 use crate::patterns;
 use crate::record::{
@@ -14,7 +14,7 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
-/// Mistakes that are told of one script; a last one says how many more there are.
+/// Maximum number of mistakes reported for one script; one further entry says how many more there are.
 pub const MAX_PROBLEMS: usize = 1_000;
 
 const IDEMPOTENCY: [(&str, Idempotency); 3] = [
@@ -32,7 +32,7 @@
     ("before-attempt", BackupMode::BeforeAttempt),
     ("behind", BackupMode::Behind),
 ];
-/// Fields of a path group of the settings, by the names they have in a route.
+/// Fields that `path_group` in the settings and `route` name differently: the name in the settings, then in a route.
 const RENAMED_FIELDS: [(&str, &str); 4] = [
     ("target_latency", "latency_target"),
     ("client_timeout", "deadline"),
@@ -40,10 +40,11 @@
     ("guard", "backup"),
 ];
 
-/// Runs the script and checks what it calls for. The snapshot has the version given.
+/// Runs the script, checks the records that it declares and returns a snapshot of them with the given version.
 ///
 /// # Errors
-/// Every mistake found, by file and line. A script that does not run to its end yields that one alone.
+/// Every mistake found, sorted by file and line; for a script that does not run to its end, only the mistake that
+/// stopped it.
 pub fn compile(script: &Path, given: &Given, version: Version) -> Result<Snapshot, Problems> {
     let rows = configuration_rows(script, given)?;
     let folder = script.parent().unwrap_or(Path::new("")).to_path_buf();
@@ -51,13 +52,13 @@
         folder,
         ..Compiler::default()
     };
-    rows.iter().for_each(|row| compiler.read(row));
+    rows.iter().for_each(|row| compiler.read_row(row));
     compiler.check_services();
     compiler.check_patterns();
     compiler.finish(script, version)
 }
 
-/// Where a record stands in the operator's files.
+/// The file and line in which the operator declares a record.
 #[derive(Clone, Debug)]
 struct Location {
     file: Rc<str>,
@@ -97,31 +98,31 @@
     service_locations: HashMap<String, Location>,
     routes: Vec<Route>,
     route_locations: Vec<Location>,
-    route_names: HashMap<String, Location>,
+    route_locations_by_name: HashMap<String, Location>,
     tenants: Vec<Tenant>,
     tenant_locations: HashMap<String, Location>,
 }
 
 impl Compiler {
-    fn read(&mut self, row: &Row) {
+    fn read_row(&mut self, row: &Row) {
         match row.kind {
             "service" => self.read_service(row),
             "route" => self.read_route(row),
             "tenant" => self.read_tenant(row),
             "tenants" => self.read_tenants(row),
-            settings => self.refuse_static(row, settings),
+            settings => self.reject_setting(row, settings),
         }
     }
 
-    fn refuse_static(&mut self, row: &Row, kind: &str) {
+    fn reject_setting(&mut self, row: &Row, kind: &str) {
         let expected = match kind {
             "path_group" => {
-                "route(name = ..., service = ..., ...), the form of a class that may change"
+                "route(name = ..., service = ..., ...), which declares a route class that may change"
                     .to_string()
             }
-            _ => format!("{kind}(...) in the settings of each sidecar, which a restart reads"),
+            _ => format!("{kind}(...) in the settings of each sidecar, which are read when it starts"),
         };
-        let found = "what cannot change in a running process";
+        let found = "a setting that cannot change while a process runs";
         self.problems
             .push(Location::of(row).problem(kind.to_string(), found, expected));
     }
@@ -135,7 +136,7 @@
         reader.finish();
         let location = Location::of(row);
         let record = Record::Service(service.clone());
-        if accept(
+        if register(
             &record,
             &location,
             &mut self.service_locations,
@@ -147,14 +148,14 @@
 
     fn read_route(&mut self, row: &Row) {
         let mut reader = Reader::new(row, &mut self.problems);
-        let route = route(&mut reader);
+        let route = read_route_fields(&mut reader);
         reader.finish();
         let location = Location::of(row);
         let record = Record::from(route.clone());
-        if accept(
+        if register(
             &record,
             &location,
-            &mut self.route_names,
+            &mut self.route_locations_by_name,
             &mut self.problems,
         ) {
             self.routes.push(route);
@@ -166,30 +167,30 @@
         let mut reader = Reader::new(row, &mut self.problems);
         let tenant = Tenant {
             name: reader.text("name"),
-            limits: limits(&mut reader),
+            limits: read_limits(&mut reader),
         };
         reader.finish();
         self.add_tenant(tenant, &Location::of(row));
     }
 
-    /// Many tenants with the same limits, or those of a file.
+    /// Reads many tenants with the same limits, or the tenants of a file.
     fn read_tenants(&mut self, row: &Row) {
         let mut reader = Reader::new(row, &mut self.problems);
         let names = reader.texts_or_none("names");
         let file = reader.maybe_text("file");
-        let limits = limits(&mut reader);
+        let limits = read_limits(&mut reader);
         if reader.has("names") == reader.has("file") {
-            reader.complain("names", "names and file both, or neither", "one of the two");
+            reader.complain("names", "both names and file, or neither", "one of the two");
         }
         if file
             .as_ref()
-            .is_some_and(|file| !tenant_file::is_beside(file))
+            .is_some_and(|file| !tenant_file::is_within_script_folder(file))
         {
             let found = format!("found {:?}", file.as_deref().unwrap_or_default());
             reader.complain(
                 "file",
                 found,
-                "a file beside the script, with no .. and no leading /",
+                "a file in the folder of the script, with no .. and no leading /",
             );
             return reader.finish();
         }
@@ -214,19 +215,19 @@
                 return self.problems.push(problem);
             }
         };
-        let shown: Rc<str> = path.display().to_string().into();
+        let shown_path: Rc<str> = path.display().to_string().into();
         for parsed in tenant_file::parse(&text, limits) {
             match parsed {
                 Ok((line, tenant)) => self.add_tenant(
                     tenant,
                     &Location {
-                        file: shown.clone(),
+                        file: shown_path.clone(),
                         line,
                     },
                 ),
                 Err(error) => {
                     let location = Location {
-                        file: shown.clone(),
+                        file: shown_path.clone(),
                         line: error.line,
                     };
                     self.problems.push(location.problem(
@@ -241,7 +242,7 @@
 
     fn add_tenant(&mut self, tenant: Tenant, location: &Location) {
         let record = Record::Tenant(tenant.clone());
-        if accept(
+        if register(
             &record,
             location,
             &mut self.tenant_locations,
@@ -256,7 +257,7 @@
             if !route.service.is_empty() && !self.service_locations.contains_key(&route.service) {
                 let found = format!("found {:?}, which is no service", route.service);
                 let expected = format!(
-                    "the name of one, or service(name = {:?}) as well",
+                    "the name of a declared service, or service(name = {:?}) as well",
                     route.service
                 );
                 self.problems
@@ -276,7 +277,7 @@
                 "found {:?} again, as in route {:?} at {file}:{line}",
                 conflict.pattern, earlier.name
             );
-            let expected = "another path or other methods, as both would take the same requests";
+            let expected = "another path or other methods, as both would match the same requests";
             let location = &self.route_locations[conflict.later];
             self.problems
                 .push(location.problem("route.paths".to_string(), found, expected));
@@ -284,7 +285,7 @@
     }
 
     fn finish(mut self, script: &Path, version: Version) -> Result<Snapshot, Problems> {
-        let whole = Location {
+        let script_location = Location {
             file: script.display().to_string().into(),
             line: 0,
         };
@@ -298,24 +299,24 @@
             .filter(|(kind, count)| *count > kind.max_records())
         {
             let expected = format!(
-                "{} at most; share the rest out to another fleet",
+                "at most {}; move the others to another fleet",
                 kind.max_records()
             );
-            self.problems.push(whole.problem(
+            self.problems.push(script_location.problem(
                 kind.to_string(),
-                format!("{count} of them"),
+                format!("{count} records"),
                 expected,
             ));
         }
         if !self.problems.is_empty() {
-            return Err(Problems(in_order(self.problems)));
+            return Err(Problems(sort_and_truncate(self.problems)));
         }
         let services = self.services.into_iter().map(Record::from);
         let routes = self.routes.into_iter().map(Record::from);
         let tenants = self.tenants.into_iter().map(Record::from);
         Snapshot::from_records(version, services.chain(routes).chain(tenants)).map_err(|error| {
-            let expected = "records that fit together";
-            Problems(vec![whole.problem(
+            let expected = "records that form a valid configuration";
+            Problems(vec![script_location.problem(
                 "configuration".to_string(),
                 error.to_string(),
                 expected,
@@ -324,11 +325,12 @@
     }
 }
 
-/// Whether a record is within its bounds and the first of its name.
-fn accept(
+/// Reports fields out of their bounds, and a name that an earlier record of the kind has. Returns whether the name is
+/// new and not empty.
+fn register(
     record: &Record,
     location: &Location,
-    known: &mut HashMap<String, Location>,
+    registered: &mut HashMap<String, Location>,
     problems: &mut Vec<Problem>,
 ) -> bool {
     let (kind, name) = (record.kind(), record.name());
@@ -339,7 +341,7 @@
         ..
     }) = record.check()
     {
-        // What the reader has refused is reported once.
+        // Skips a field that the reader has reported already.
         let field = format!("{kind}.{field}");
         let reported = |problem: &Problem| problem.line == location.line && problem.field == field;
         if !problems.iter().rev().take(MAX_PROBLEMS).any(reported) {
@@ -349,37 +351,41 @@
     if name.is_empty() {
         return false;
     }
-    if let Some(Location { file, line }) = known.get(name) {
+    if let Some(Location { file, line }) = registered.get(name) {
         let found = format!("found {name:?} again, as at {file}:{line}");
-        problems.push(location.problem(format!("{kind}.name"), found, "a name of its own"));
+        problems.push(location.problem(format!("{kind}.name"), found, "a unique name"));
         return false;
     }
-    known.insert(name.to_string(), location.clone());
+    registered.insert(name.to_string(), location.clone());
     true
 }
 
-fn limits(reader: &mut Reader) -> TenantLimits {
+fn read_limits(reader: &mut Reader) -> TenantLimits {
     let requests_per_s = reader.maybe_whole("requests_per_s", 0..=MAX_REQUESTS_PER_S.into());
     let in_flight = reader.maybe_whole("in_flight", 0..=MAX_IN_FLIGHT.into());
-    let narrow = |limit: Option<u64>| limit.and_then(|limit| u32::try_from(limit).ok());
+    let to_u32 = |limit: Option<u64>| limit.and_then(|limit| u32::try_from(limit).ok());
     TenantLimits {
-        requests_per_s: narrow(requests_per_s),
-        in_flight: narrow(in_flight),
+        requests_per_s: to_u32(requests_per_s),
+        in_flight: to_u32(in_flight),
     }
 }
 
-fn route(reader: &mut Reader) -> Route {
-    for (old, new) in RENAMED_FIELDS {
-        if reader.moved(old) {
-            reader.complain(old, "a name of the settings", format!("{new} = ..."));
+fn read_route_fields(reader: &mut Reader) -> Route {
+    for (settings_name, route_name) in RENAMED_FIELDS {
+        if reader.moved(settings_name) {
+            reader.complain(
+                settings_name,
+                "the name of this field in the settings",
+                format!("{route_name} = ..."),
+            );
         }
     }
     let name = reader.text("name");
     let service = reader.text("service");
-    let methods = methods(reader);
+    let methods = read_methods(reader);
     let paths = reader.texts("paths");
     for path in &paths {
-        if let Some(expected) = patterns::complaint(path) {
+        if let Some(expected) = patterns::expected_pattern(path) {
             reader.complain("paths", format!("found {path:?}"), expected);
         }
     }
@@ -388,11 +394,11 @@
         service,
         methods,
         paths,
-        rules: rules(reader),
+        rules: read_rules(reader),
     }
 }
 
-fn methods(reader: &mut Reader) -> Vec<String> {
+fn read_methods(reader: &mut Reader) -> Vec<String> {
     let mut methods: Vec<String> = Vec::new();
     for method in reader.texts_or_none("methods") {
         let method = method.to_ascii_uppercase();
@@ -419,7 +425,7 @@
     methods
 }
 
-fn rules(reader: &mut Reader) -> RequestRules {
+fn read_rules(reader: &mut Reader) -> RequestRules {
     let idempotency = reader
         .choice("kind", &IDEMPOTENCY)
         .unwrap_or(Idempotency::NonIdempotent);
@@ -432,19 +438,19 @@
     if latency_objective > deadline && deadline > 0 {
         reader.complain(
             "latency_target",
-            "longer than deadline",
-            "a span within the deadline",
+            "longer than the deadline",
+            "a duration within the deadline",
         );
     }
-    let dedup_scope = maybe_choice(reader, "scope", &DEDUP_SCOPES).unwrap_or(DedupScope::All);
-    let backup = maybe_choice(reader, "backup", &BACKUP_MODES).unwrap_or(BackupMode::Off);
+    let dedup_scope = optional_choice(reader, "scope", &DEDUP_SCOPES).unwrap_or(DedupScope::All);
+    let backup = optional_choice(reader, "backup", &BACKUP_MODES).unwrap_or(BackupMode::Off);
     RequestRules {
         idempotency,
         dedup_scope,
         dedup_window,
         latency_objective,
         deadline,
-        // Adding 0.0 turns -0.0 into it, whose digest would be another.
+        // Adding 0.0 turns -0.0 into 0.0, because the two have different digests.
         priority_weight: reader.number_or("benefit", 0.0..=MAX_PRIORITY_WEIGHT, 1.0) + 0.0,
         late_weight: reader.number_or("late_benefit", 0.0..=1.0, 0.0) + 0.0,
         stream: reader.flag_or("stream", false),
@@ -452,20 +458,20 @@
     }
 }
 
-fn maybe_choice<T: Copy>(
+fn optional_choice<T: Copy>(
     reader: &mut Reader,
     field: &'static str,
     choices: &[(&str, T)],
 ) -> Option<T> {
-    // Marks the field as known where it is absent.
+    // Marks the field as known even if it is absent.
     reader
         .moved(field)
         .then(|| reader.choice(field, choices))
         .flatten()
 }
 
-/// By file and line, bounded.
-fn in_order(mut problems: Vec<Problem>) -> Vec<Problem> {
+/// Sorts mistakes by file and line, and replaces those past [`MAX_PROBLEMS`] by an entry with their number.
+fn sort_and_truncate(mut problems: Vec<Problem>) -> Vec<Problem> {
     problems.sort_by(|a, b| (&a.file, a.line).cmp(&(&b.file, b.line)));
     if problems.len() > MAX_PROBLEMS {
         let more = problems.len() - MAX_PROBLEMS;
--- a/crates/configuration/src/delta.rs
+++ b/crates/configuration/src/delta.rs
@@ -1,4 +1,4 @@
-//! What changed between two versions, and its encoding.
+//! The changes between two versions, and their encoding.
 
 use crate::digest::Digest;
 use crate::encoding::append;
@@ -7,18 +7,19 @@
 use crate::version::Version;
 use serde::{Deserialize, Serialize};
 
-/// The longest encoded delta: three times all tenants of the size to plan with.
+/// Longest encoded delta: three times one with the 150,000 tenants of a planned fleet.
 pub const MAX_DELTA_BYTES: usize = 16 << 20;
-/// The least that one change takes: which, of which kind, the length of its name, and that.
+/// Fewest bytes that one change takes: the variant, the kind of record, the length of the name, and the name.
 const MIN_CHANGE_BYTES: usize = 4;
+/// The number of the encoding that this release writes and reads.
 const FORMAT: u8 = 1;
 
-/// One record that is new, changed or gone.
+/// One record that was added, changed or removed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Change {
-    /// New, or in place of the one with the same key.
+    /// Adds the record, or replaces the one with the same key.
     Put(Record),
-    /// Gone.
+    /// Removes the record of this key.
     Remove(RecordKey),
 }
 
@@ -32,16 +33,16 @@
     }
 }
 
-/// The way from one version to another.
+/// The changes that lead from one version to another.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Delta {
-    /// The version that it builds on.
+    /// The version that the delta builds on.
     pub from: Version,
-    /// The version that it leads to.
+    /// The version that the delta leads to.
     pub to: Version,
-    /// The digest of the result.
+    /// The digest of all records of the resulting version.
     pub digest: Digest,
-    /// What changes, by key, each key once.
+    /// The changes, sorted by key; each key occurs once.
     pub changes: Vec<Change>,
 }
 
@@ -55,7 +56,7 @@
 }
 
 impl Delta {
-    /// The bytes that [`Delta::decode`] reads.
+    /// Returns the bytes that [`Delta::decode`] reads.
     pub fn encode(&self) -> Vec<u8> {
         let header = Header {
             format: FORMAT,
@@ -72,10 +73,10 @@
         bytes
     }
 
-    /// Reads an encoded delta. Memory grows with what was read, never with what a length states.
+    /// Decodes a delta. Memory grows with the bytes that were read, never with a length that the bytes state.
     ///
     /// # Errors
-    /// Bytes that [`Delta::encode`] does not write, or a record out of bounds.
+    /// The bytes are not the encoding of a delta, or a record has a field out of its bounds.
     pub fn decode(bytes: &[u8]) -> Result<Delta, DecodeError> {
         if bytes.len() > MAX_DELTA_BYTES {
             return Err(DecodeError::TooLong {
@@ -90,14 +91,14 @@
                 known: FORMAT,
             });
         }
-        let stated = header.changes as usize;
+        let stated_changes = header.changes as usize;
         let mut changes: Vec<Change> =
-            Vec::with_capacity(stated.min(rest.len() / MIN_CHANGE_BYTES));
+            Vec::with_capacity(stated_changes.min(rest.len() / MIN_CHANGE_BYTES));
         let mut last_key = None;
-        for _ in 0..stated {
-            let (change, after) = postcard::take_from_bytes::<Change>(rest)?;
-            rest = after;
-            check(&change)?;
+        for _ in 0..stated_changes {
+            let (change, remaining) = postcard::take_from_bytes::<Change>(rest)?;
+            rest = remaining;
+            check_change(&change)?;
             let key = change.key();
             if last_key.is_some_and(|last| last >= key) {
                 return Err(DecodeError::OutOfOrder { record: key });
@@ -117,7 +118,7 @@
     }
 }
 
-fn check(change: &Change) -> Result<(), DecodeError> {
+fn check_change(change: &Change) -> Result<(), DecodeError> {
     match change {
         Change::Put(record) => record.check()?,
         Change::Remove(key) => key.check()?,
--- a/crates/configuration/src/digest.rs
+++ b/crates/configuration/src/digest.rs
@@ -1,4 +1,4 @@
-//! Tells sets of records apart without comparing them.
+//! Digests of sets of records, to find out whether two sets are equal without comparing their records.
 
 use crate::record::Record;
 use serde::{Deserialize, Serialize};
@@ -7,45 +7,45 @@
 const LANES: usize = 4;
 const LANE_BYTES: usize = 8;
 
-/// The sum of the hashes of all records of a set, whatever their order.
+/// The sum of the hashes of all records of a set; the order of the records does not matter.
 ///
 /// Each record's canonical bytes (postcard) are hashed with blake3; the 256 bits are added as four lanes of 64 bits,
-/// each wrapping. A sum can be kept up to date with each change and belongs to the set alone. Two different sets that
-/// come about by accident have equal sums with a chance of 2^-256. Someone who chooses many records could find a
-/// collision with much less work than for blake3 itself, so the digest proves no origin: that a configuration comes
-/// from its writer rests on the key under which peers talk.
+/// each wrapping. The sum can be updated with each change and depends only on the records in the set. Two different
+/// sets have equal sums by accident with a probability of 2^-256. An attacker who chooses many records could find a
+/// collision with much less work than for blake3 itself, so the digest does not prove who wrote a configuration: that
+/// is ensured by the key that secures the messages between peers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Digest([u64; LANES]);
 
 impl Digest {
-    /// Counts a record in.
+    /// Adds a record.
     pub fn add(&mut self, record: &Record) {
         self.add_all(&Digest::of(record));
     }
 
-    /// Takes out a record that was counted in.
+    /// Removes a record that was added before.
     pub fn remove(&mut self, record: &Record) {
         self.remove_all(&Digest::of(record));
     }
 
-    /// Counts in all records of another set.
+    /// Adds all records of another set.
     pub fn add_all(&mut self, other: &Digest) {
-        for (lane, more) in self.0.iter_mut().zip(other.0) {
-            *lane = lane.wrapping_add(more);
+        for (lane, added) in self.0.iter_mut().zip(other.0) {
+            *lane = lane.wrapping_add(added);
         }
     }
 
-    /// Takes out all records of a set that was counted in.
+    /// Removes all records of a set that was added before.
     pub fn remove_all(&mut self, other: &Digest) {
-        for (lane, less) in self.0.iter_mut().zip(other.0) {
-            *lane = lane.wrapping_sub(less);
+        for (lane, removed) in self.0.iter_mut().zip(other.0) {
+            *lane = lane.wrapping_sub(removed);
         }
     }
 
-    /// The digest of one record alone.
+    /// Returns the digest of a set with only this record.
     fn of(record: &Record) -> Digest {
         let mut hasher = blake3::Hasher::new();
-        // A hasher takes every byte and a record has no part that postcard refuses.
+        // This cannot fail: the hasher accepts every byte and postcard can encode every field of a record.
         let written = postcard::to_io(record, &mut hasher);
         debug_assert!(written.is_ok(), "a record always has canonical bytes");
         let hash = hasher.finalize();
--- a/crates/configuration/src/disk.rs
+++ b/crates/configuration/src/disk.rs
@@ -1,34 +1,34 @@
-//! What a store does to the disk, behind a trait so that tests can let any single step fail.
+//! The disk operations of a store, behind a trait so that tests can make any single operation fail.
 
 use std::fs::{self, File};
 use std::io::{self, Write};
 use std::path::Path;
 
-/// The steps that change what is on disk.
+/// The operations that change what is on disk.
 pub trait Disk: Send {
-    /// Writes all bytes at the end of a file.
+    /// Writes all bytes at the current position of a file.
     ///
     /// # Errors
-    /// As the disk gives them.
+    /// The operation fails.
     fn write(&mut self, file: &mut File, bytes: &[u8]) -> io::Result<()>;
-    /// Returns once a file or folder is on disk.
+    /// Flushes a file or folder to the disk; returns when its data is durable.
     ///
     /// # Errors
-    /// As the disk gives them.
+    /// The operation fails.
     fn sync(&mut self, file: &File) -> io::Result<()>;
-    /// Puts a file in place of another.
+    /// Renames a file; a file at the target path is replaced.
     ///
     /// # Errors
-    /// As the disk gives them.
+    /// The operation fails.
     fn rename(&mut self, from: &Path, to: &Path) -> io::Result<()>;
-    /// Cuts a file off.
+    /// Shortens a file to a length in bytes.
     ///
     /// # Errors
-    /// As the disk gives them.
+    /// The operation fails.
     fn truncate(&mut self, file: &File, bytes: u64) -> io::Result<()>;
 }
 
-/// The disk of the machine.
+/// The file system of the machine.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SystemDisk;
 
--- a/crates/configuration/src/encoding.rs
+++ b/crates/configuration/src/encoding.rs
@@ -1,6 +1,6 @@
-//! Bytes of records and buckets, as files and chunks hold them.
+//! The encoding of records and buckets in files and chunks.
 
-use crate::bucket::{Bucket, Place};
+use crate::bucket::{Bucket, KeyHash};
 use crate::error::DecodeError;
 use crate::record::Record;
 use serde::Serialize;
@@ -8,7 +8,8 @@
 
 const COMPRESSION_LEVEL: i32 = 3;
 
-/// Appends the canonical bytes of a value; a vector takes every byte and no type here has a part that postcard refuses.
+/// Appends the canonical bytes of a value. This cannot fail: a vector accepts every byte, and postcard can encode every
+/// type of this package.
 pub(crate) fn append<T: Serialize>(value: &T, bytes: &mut Vec<u8>) {
     let written = postcard::to_io(value, bytes);
     debug_assert!(
@@ -17,7 +18,7 @@
     );
 }
 
-/// Appends the records of a bucket after their count.
+/// Appends the number of records in a bucket, then the records.
 pub(crate) fn append_bucket(bucket: &Bucket, raw: &mut Vec<u8>) {
     append(&bucket.records().len(), raw);
     bucket
@@ -26,35 +27,40 @@
         .for_each(|record| append(record, raw));
 }
 
-/// Reads one bucket and returns what follows it. Its records are checked, belong there and stand in their order.
+/// Reads one bucket and returns it with the bytes after it. Rejects a record that is invalid, belongs to another bucket
+/// or is out of order.
 pub(crate) fn read_bucket(number: usize, raw: &[u8]) -> Result<(Bucket, &[u8]), DecodeError> {
     let (count, mut rest) = postcard::take_from_bytes::<usize>(raw)?;
     let mut bucket = Bucket::default();
     for _ in 0..count {
-        let (record, after) = postcard::take_from_bytes::<Record>(rest)?;
-        rest = after;
+        let (record, remaining) = postcard::take_from_bytes::<Record>(rest)?;
+        rest = remaining;
         record.check()?;
-        let place = Place::of(record.kind(), record.name());
-        if place.bucket != number || !bucket.follows(&record, place.hash) {
+        let key_hash = KeyHash::of(record.kind(), record.name());
+        if key_hash.bucket != number || !bucket.sorts_last(&record, key_hash.hash) {
             return Err(DecodeError::OutOfOrder {
                 record: record.key(),
             });
         }
-        bucket.push(record, place.hash);
+        bucket.push(record, key_hash.hash);
     }
     bucket.shrink();
     Ok((bucket, rest))
 }
 
-/// Compressed with zstd. `None` where the library refuses, which it does only for want of memory.
+/// Compresses with zstd. `None` if the library fails, which happens only when memory runs out.
 pub(crate) fn compress(raw: &[u8]) -> Option<Vec<u8>> {
     zstd::bulk::compress(raw, COMPRESSION_LEVEL).ok()
 }
 
-/// What was compressed; `None` where it is no such thing or longer than `most`. Memory grows with what was read.
-pub(crate) fn decompress(body: &[u8], most: usize) -> Option<Vec<u8>> {
+/// Decompresses with zstd. `None` if the bytes are not zstd data or decompress to more than `max_bytes`. Memory grows
+/// only with the bytes that were decompressed.
+pub(crate) fn decompress(body: &[u8], max_bytes: usize) -> Option<Vec<u8>> {
     let decoder = zstd::stream::read::Decoder::with_buffer(body).ok()?;
     let mut raw = Vec::new();
-    decoder.take(most as u64 + 1).read_to_end(&mut raw).ok()?;
-    (raw.len() <= most).then_some(raw)
+    decoder
+        .take(max_bytes as u64 + 1)
+        .read_to_end(&mut raw)
+        .ok()?;
+    (raw.len() <= max_bytes).then_some(raw)
 }
--- a/crates/configuration/src/error.rs
+++ b/crates/configuration/src/error.rs
@@ -1,15 +1,15 @@
-//! What can be wrong with a configuration on its way, typed.
+//! Errors of a configuration that is received, decoded or applied.
 
 use crate::digest::Digest;
 use crate::record::{InvalidRecord, RecordKey, RecordKind};
 use crate::version::Version;
 
-/// Why a delta or a set of records makes no snapshot.
+/// Why a delta cannot be applied, or why records do not form a snapshot.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ApplyError {
     /// The delta builds on another version.
     #[error(
-        "the delta begins at version {base}, but version {have} is held; ask for the deltas since then"
+        "the delta builds on version {base}, but version {have} is held; request the deltas since version {have}"
     )]
     WrongBase {
         /// The version held.
@@ -17,161 +17,163 @@
         /// The version on which the delta builds.
         base: Version,
     },
-    /// The delta leads to no newer version.
-    #[error("the delta leads from version {from} back to {to}; it is dropped")]
+    /// The delta does not lead to a newer version.
+    #[error(
+        "the delta leads from version {from} to {to}, which is not newer; the delta is dropped"
+    )]
     NotNewer {
-        /// Where it begins.
+        /// The version on which the delta builds.
         from: Version,
-        /// Where it leads.
+        /// The version to which the delta leads.
         to: Version,
     },
-    /// The result has other records than the delta states.
+    /// The delta states another digest than the resulting records have.
     #[error(
-        "the result has digest {found}, the delta states {expected}; ask for the whole snapshot"
+        "the result has digest {found}, but the delta states {expected}; request the complete snapshot"
     )]
     DigestMismatch {
-        /// What the delta states.
+        /// The digest that the delta states.
         expected: Digest,
-        /// What the records have.
+        /// The digest of the records.
         found: Digest,
     },
-    /// A record with a field out of its bounds.
+    /// A record has a field out of its bounds.
     #[error(transparent)]
     Invalid(#[from] InvalidRecord),
-    /// Two records with one key.
-    #[error("{record} stands there twice")]
+    /// Two records with the same key.
+    #[error("{record} occurs twice")]
     Duplicate {
-        /// Their key.
+        /// The key of both records.
         record: RecordKey,
     },
     /// More records of a kind than a configuration may have.
-    #[error("{found} records of kind {kind}, {max} at most")]
+    #[error("{found} records of kind {kind}; expected at most {max}")]
     TooMany {
-        /// The kind.
+        /// The kind of the records.
         kind: RecordKind,
-        /// How many there are.
+        /// The number found.
         found: usize,
-        /// How many there may be.
+        /// The maximum allowed.
         max: usize,
     },
 }
 
-/// Why bytes are no delta or manifest.
+/// Why bytes cannot be decoded as a delta or as buckets.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    /// More bytes than may be read.
-    #[error("{found} bytes, {max} at most")]
+    /// The encoding is longer than allowed.
+    #[error("the encoding has {found} bytes; expected at most {max}")]
     TooLong {
-        /// How many there are.
+        /// The number found.
         found: usize,
-        /// How many there may be.
+        /// The maximum allowed.
         max: usize,
     },
-    /// An encoding that this release does not know.
+    /// The bytes are in a format that this release does not know.
     #[error("format {found}, only {known} is known; the sender is of another release")]
     UnknownFormat {
         /// The number of the format.
         found: u8,
-        /// The number of the only known one.
+        /// The number of the only known format.
         known: u8,
     },
-    /// Bytes that are no such encoding.
-    #[error("cut short or no such encoding: {0}")]
+    /// The bytes are truncated or not in the expected encoding.
+    #[error("the bytes are truncated or not in the expected encoding: {0}")]
     Malformed(#[from] postcard::Error),
-    /// Bytes after the end.
-    #[error("{found} bytes too many at the end")]
+    /// More bytes follow the end of the encoding.
+    #[error("{found} bytes follow the end of the encoding; expected none")]
     Trailing {
-        /// How many.
+        /// The number of those bytes.
         found: usize,
     },
-    /// A record that does not stand in its place.
-    #[error("{record} is out of order or stands there twice")]
+    /// A record is out of order, occurs twice or belongs to another bucket.
+    #[error("{record} is out of order, occurs twice or belongs to another bucket")]
     OutOfOrder {
-        /// Its key.
+        /// The key of the record.
         record: RecordKey,
     },
-    /// A record with a field out of its bounds.
+    /// A record has a field out of its bounds.
     #[error(transparent)]
     Invalid(#[from] InvalidRecord),
 }
 
-/// Why a snapshot cannot be put together from chunks.
+/// Why a snapshot cannot be assembled from chunks.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ChunkError {
-    /// The manifest is of a version before the one that is held.
+    /// The manifest is of an older version than the one that is held.
     #[error("version {offered} is offered, but version {have} is held, which is newer")]
     OlderVersion {
         /// The version held.
         have: Version,
-        /// That of the manifest.
+        /// The version of the manifest.
         offered: Version,
     },
-    /// The manifest does not name each bucket once.
-    #[error("a manifest of {found} buckets, expected {expected}")]
+    /// The manifest lists too few or too many buckets.
+    #[error("the manifest lists {found} buckets; expected {expected}")]
     BucketCount {
-        /// How many it names.
+        /// The number of buckets in the manifest.
         found: usize,
-        /// How many there are.
+        /// The number of buckets of every snapshot.
         expected: usize,
     },
-    /// The manifest contradicts itself.
-    #[error("the buckets of the manifest have digest {found} together, it states {expected}")]
+    /// The digests of the buckets do not add up to the digest of the manifest.
+    #[error("the digests of the buckets add up to {found}, but the manifest states {expected}")]
     ManifestDigestMismatch {
-        /// What it states.
+        /// The digest that the manifest states.
         expected: Digest,
-        /// What its buckets have together.
+        /// The sum of the digests of its buckets.
         found: Digest,
     },
-    /// A chunk of another version than the manifest.
-    #[error("a chunk of version {found}, expected {expected}; it is dropped")]
+    /// The chunk has another version than the manifest.
+    #[error("the chunk has version {found}, expected {expected}; the chunk is dropped")]
     WrongVersion {
-        /// That of the manifest.
+        /// The version of the manifest.
         expected: Version,
-        /// That of the chunk.
+        /// The version of the chunk.
         found: Version,
     },
-    /// A chunk names a bucket that does not exist, or one twice.
+    /// A chunk names a bucket that does not exist, or the same bucket twice.
     #[error("bucket {bucket} is out of range or out of order")]
     InvalidBucketNumber {
-        /// Its number.
+        /// The number of the bucket.
         bucket: u16,
     },
-    /// A chunk of more bytes than may be read.
-    #[error("a chunk of {found} bytes, {max} at most")]
+    /// The compressed body of a chunk is longer than allowed.
+    #[error("the chunk has {found} bytes; expected at most {max}")]
     TooLong {
-        /// How many there are.
+        /// The number found.
         found: usize,
-        /// How many there may be.
+        /// The maximum allowed.
         max: usize,
     },
-    /// A chunk that is not compressed, or too long once decompressed.
-    #[error("a chunk that cannot be decompressed within {max} bytes")]
+    /// The body of a chunk is not compressed, or too long once decompressed.
+    #[error("the chunk is not compressed data, or has more than {max} bytes once decompressed")]
     Decompress {
-        /// Bytes that it may have then.
+        /// The maximum number of decompressed bytes.
         max: usize,
     },
-    /// Buckets that cannot be read.
+    /// The buckets of a chunk cannot be decoded.
     #[error(transparent)]
     Decode(#[from] DecodeError),
-    /// A bucket with other records than the manifest states.
+    /// The manifest states another digest than the records of a bucket have.
     #[error(
         "bucket {bucket} has digest {found}, the manifest states {expected}; ask for it again"
     )]
     DigestMismatch {
-        /// Its number.
+        /// The number of the bucket.
         bucket: u16,
-        /// What the manifest states.
+        /// The digest that the manifest states.
         expected: Digest,
-        /// What the records have.
+        /// The digest of the records.
         found: Digest,
     },
-    /// Buckets are missing yet.
-    #[error("{missing} buckets are missing yet")]
+    /// Some buckets have not been received.
+    #[error("{missing} buckets are still missing")]
     Incomplete {
-        /// How many.
+        /// The number of missing buckets.
         missing: usize,
     },
-    /// The buckets make no snapshot.
+    /// The buckets do not form a snapshot.
     #[error(transparent)]
     Apply(#[from] ApplyError),
 }
--- a/crates/configuration/src/history.rs
+++ b/crates/configuration/src/history.rs
@@ -1,15 +1,16 @@
-//! The latest deltas, for peers that are a little behind.
+//! The latest deltas, for peers that are only a few versions behind.
 
 use crate::delta::Delta;
 use crate::version::Version;
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// A chain of deltas, each beginning where the one before it ends; the oldest are dropped past the bounds.
+/// A chain of deltas, each of which builds on the version that the one before it leads to. The oldest are dropped when
+/// the chain exceeds its limits.
 #[derive(Clone, Debug)]
 pub struct History {
-    most: usize,
-    most_bytes: usize,
+    max_deltas: usize,
+    max_bytes: usize,
     bytes: usize,
     deltas: VecDeque<Entry>,
 }
@@ -21,17 +22,17 @@
 }
 
 impl History {
-    /// A history of at most `most` deltas and `most_bytes` encoded bytes.
-    pub fn new(most: usize, most_bytes: usize) -> History {
+    /// Returns an empty history that keeps at most `max_deltas` deltas and `max_bytes` encoded bytes.
+    pub fn new(max_deltas: usize, max_bytes: usize) -> History {
         History {
-            most,
-            most_bytes,
+            max_deltas,
+            max_bytes,
             bytes: 0,
             deltas: VecDeque::new(),
         }
     }
 
-    /// Adds the next delta. One that does not begin where the last ends begins a new chain.
+    /// Adds the next delta. A delta that does not build on the version of the last one begins a new chain.
     pub fn push(&mut self, delta: Arc<Delta>) {
         if self
             .deltas
@@ -44,7 +45,7 @@
         let bytes = delta.encode().len();
         self.bytes += bytes;
         self.deltas.push_back(Entry { delta, bytes });
-        while self.deltas.len() > self.most || self.bytes > self.most_bytes {
+        while self.deltas.len() > self.max_deltas || self.bytes > self.max_bytes {
             let Some(oldest) = self.deltas.pop_front() else {
                 return;
             };
@@ -52,8 +53,8 @@
         }
     }
 
-    /// All deltas that lead on from a version; none of them for the newest one itself. `None` where no whole chain
-    /// from there is left: the whole snapshot is needed.
+    /// Returns all deltas after a version; an empty list for the newest version. `None` if the history no longer has
+    /// every delta since then, so that the complete snapshot is needed.
     pub fn since(&self, have: Version) -> Option<Vec<Arc<Delta>>> {
         if self.deltas.back()?.delta.to == have {
             return Some(Vec::new());
--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -1,7 +1,8 @@
-//! Configuration that reaches every sidecar while it runs.
+//! The configuration that can change while sidecars run: services, routes and tenants.
 //!
-//! A distributor, the single writer of an epoch, compiles the operator's script into an immutable snapshot; each
-//! change of it is a numbered delta. Sidecars hold the newest version they have heard of, whole or not at all.
+//! A distributor compiles the operator's script into an immutable snapshot. It is the only writer of its epoch. Each
+//! later change is a numbered delta. Every sidecar holds the newest version that it has received, and it applies a
+//! version completely or not at all.
 
 #![warn(missing_docs)]
 #![warn(
--- a/crates/configuration/src/log_file.rs
+++ b/crates/configuration/src/log_file.rs
@@ -1,10 +1,10 @@
-//! The file of deltas since a snapshot: a magic word, then a frame for each.
+//! The file of the deltas since a snapshot: a magic number, then one frame for each delta.
 //!
 //! A frame is the length of its body (4 bytes), a checksum of that length and the frame's offset (4 bytes), the blake3
-//! hash of the body, the body, and an end mark that is not 0. A frame is synced before the next is begun, so only the
-//! last one can be torn: it reaches past the end of the file, or the file was extended and the bytes read as 0. All
-//! else that does not fit is damage. The length has a checksum of its own, as a damaged one could make the rest of a
-//! log look torn.
+//! hash of the body, the body, and an end mark that is not 0. A frame is synced before the next one is written, so only
+//! the last frame can be torn: either the file ends before the frame does, or the file was extended and the missing
+//! bytes read as 0. Any other malformed frame counts as damage. The length has its own checksum, because a damaged
+//! length could make the rest of the log look like a torn frame.
 
 use crate::delta::{Delta, MAX_DELTA_BYTES};
 
@@ -14,22 +14,23 @@
 const HASH_BYTES: usize = blake3::OUT_LEN;
 const HEADER_BYTES: usize = 2 * LENGTH_BYTES + HASH_BYTES;
 
-/// Why a log cannot be read on from an offset.
+/// A malformed frame, which prevents reading the log from its offset on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Damage {
     pub offset: usize,
     pub found: String,
 }
 
-/// What a log holds.
+/// The content of a log.
 #[derive(Debug)]
 pub(crate) struct Contents {
+    /// The offset of each frame, with its delta.
     pub deltas: Vec<(usize, Delta)>,
-    /// Where the last whole frame ends; the rest of the file is a torn one.
-    pub whole_bytes: usize,
+    /// The end of the last intact frame; the rest of the file is a torn one.
+    pub intact_bytes: usize,
 }
 
-/// The frame of a delta that begins at an offset; `None` where the delta is too long.
+/// Returns the frame of a delta at an offset of the log; `None` if the delta is too long.
 pub(crate) fn frame(offset: u64, delta: &Delta) -> Option<Vec<u8>> {
     let body = delta.encode();
     if body.len() > MAX_DELTA_BYTES {
@@ -45,34 +46,35 @@
     Some(bytes)
 }
 
-/// Reads a whole log.
+/// Reads all frames of a log.
 pub(crate) fn read(bytes: &[u8]) -> Result<Contents, Damage> {
     if !bytes.starts_with(MAGIC) {
         return Err(Damage {
             offset: 0,
-            found: "not a log of this release".to_string(),
+            found: "the file does not begin with the magic number of a log of this release"
+                .to_string(),
         });
     }
     let mut contents = Contents {
         deltas: Vec::new(),
-        whole_bytes: MAGIC.len(),
+        intact_bytes: MAGIC.len(),
     };
     while let Some((delta, length)) =
-        read_frame(contents.whole_bytes, &bytes[contents.whole_bytes..])?
+        read_frame(contents.intact_bytes, &bytes[contents.intact_bytes..])?
     {
-        contents.deltas.push((contents.whole_bytes, delta));
-        contents.whole_bytes += length;
+        contents.deltas.push((contents.intact_bytes, delta));
+        contents.intact_bytes += length;
     }
     Ok(contents)
 }
 
-/// The frame that begins `rest` and its length; `None` at the end, or where it is torn.
+/// Reads the frame at the start of `rest`. Returns its delta and length; `None` at the end or for a torn frame.
 fn read_frame(offset: usize, rest: &[u8]) -> Result<Option<(Delta, usize)>, Damage> {
     let damage = |found: &str| Damage {
         offset,
         found: found.to_string(),
     };
-    // Nothing, or room that was never written.
+    // The end of the log, or bytes by which the file was extended without being written.
     if rest.iter().all(|byte| *byte == 0) {
         return Ok(None);
     }
@@ -83,7 +85,7 @@
         return Ok(None);
     };
     if *checksum != length_checksum(offset as u64, *length) {
-        return Err(damage("the length of a delta has another checksum"));
+        return Err(damage("the checksum of a delta's length does not match"));
     }
     let body_bytes = u32::from_le_bytes(*length) as usize;
     let Some((hash, after)) = after.split_first_chunk::<HASH_BYTES>() else {
@@ -99,10 +101,10 @@
         return Ok(None);
     }
     if *end != END_MARK {
-        return Err(damage("a delta without its end mark"));
+        return Err(damage("a delta has no end mark"));
     }
     if blake3::hash(body) != *hash {
-        return Err(damage("a delta has another checksum"));
+        return Err(damage("the checksum of a delta does not match"));
     }
     let delta = Delta::decode(body).map_err(|error| damage(&error.to_string()))?;
     Ok(Some((delta, HEADER_BYTES + body_bytes + 1)))
--- a/crates/configuration/src/patterns.rs
+++ b/crates/configuration/src/patterns.rs
@@ -1,52 +1,54 @@
-//! Path patterns of routes: which are well formed, and which two would take the same requests.
+//! Checks of the path patterns of routes: whether each is well formed, and whether two match the same requests.
 
 use crate::record::Route;
 use std::collections::HashMap;
 
-/// Why a text is no pattern, with the way out; `None` for a good one.
-pub(crate) fn complaint(pattern: &str) -> Option<&'static str> {
+/// Describes what an invalid pattern should be instead; `None` for a valid pattern.
+pub(crate) fn expected_pattern(pattern: &str) -> Option<&'static str> {
     let body = pattern.strip_suffix('*').unwrap_or(pattern);
     if !pattern.starts_with('/') {
         return Some("a path that starts with /");
     }
     if body.contains('*') {
-        return Some("* at the end only, where it stands for any rest of the path");
+        return Some("* at the end only, where it matches any rest of the path");
     }
     if body.contains(['{', '}']) || body.contains("/:") {
         return Some(
-            "a whole path, or the start of one before a * at the end; there are no named parts",
+            "a complete path, or a prefix followed by * at the end; there are no named parameters",
         );
     }
     if body.contains(['?', '#']) || body.contains(|c: char| c.is_whitespace() || c.is_control()) {
-        return Some("a path alone, without query, fragment, blanks or control characters");
+        return Some("a path alone, without query, fragment, white space or control characters");
     }
     None
 }
 
-/// A pattern of a route that an earlier route, or the same one, has too, for a method of both.
+/// A pattern that two routes have for the same method, or that one route has twice.
 pub(crate) struct Conflict<'a> {
     pub pattern: &'a str,
+    /// The index of the route that has the pattern first.
     pub earlier: usize,
+    /// The index of the route that repeats the pattern; the same as `earlier` where one route has it twice.
     pub later: usize,
 }
 
-/// All conflicts. Two different patterns have none: the more specific one wins.
+/// Returns all conflicts. Two different patterns never conflict, because the more specific one wins.
 pub(crate) fn conflicts(routes: &[Route]) -> Vec<Conflict<'_>> {
-    let mut owners: HashMap<&str, Vec<usize>> = HashMap::new();
+    let mut routes_by_pattern: HashMap<&str, Vec<usize>> = HashMap::new();
     let mut found = Vec::new();
     for (later, route) in routes.iter().enumerate() {
         for pattern in &route.paths {
-            let owners = owners.entry(pattern).or_default();
+            let earlier_routes = routes_by_pattern.entry(pattern).or_default();
             let shared =
                 |earlier: &&usize| **earlier == later || share_method(&routes[**earlier], route);
-            if let Some(&earlier) = owners.iter().find(shared) {
+            if let Some(&earlier) = earlier_routes.iter().find(shared) {
                 found.push(Conflict {
                     pattern,
                     earlier,
                     later,
                 });
             }
-            owners.push(later);
+            earlier_routes.push(later);
         }
     }
     found
--- a/crates/configuration/src/record.rs
+++ b/crates/configuration/src/record.rs
@@ -1,102 +1,104 @@
-//! What changes while sidecars run: services, the routes that lead to them, and tenants with their limits.
+//! The records of a configuration: services, the routes that lead to them, and tenants with their limits.
 
 use havenplank::interface::{DedupScope, Idempotency, Nanos, RouteClass};
 pub use havenplank_settings::BackupMode;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// The longest name of a service, route, tenant or zone.
+/// Longest name of a service, route, tenant or zone.
 pub const MAX_NAME_BYTES: usize = 64;
-/// Zones that one service may name.
+/// Maximum number of zones that one service may name.
 pub const MAX_ZONES: usize = 64;
-/// Methods that one route may name.
+/// Maximum number of methods that one route may name.
 pub const MAX_METHODS: usize = 16;
-/// The longest name of a method.
+/// Longest name of a method.
 pub const MAX_METHOD_BYTES: usize = 32;
-/// Path patterns that one route may name.
+/// Maximum number of path patterns that one route may have.
 pub const MAX_PATHS: usize = 64;
-/// The longest path pattern.
+/// Longest path pattern.
 pub const MAX_PATH_BYTES: usize = 256;
-/// The highest limit of a tenant's requests per second.
+/// Highest limit of a tenant's requests per second.
 pub const MAX_REQUESTS_PER_S: u32 = 10_000_000;
-/// The highest limit of a tenant's requests in flight.
+/// Highest limit of a tenant's requests in flight.
 pub const MAX_IN_FLIGHT: u32 = 1_000_000;
-/// The longest latency target, deadline or idempotency window: a day.
+/// Longest latency target, deadline or idempotency window: a day.
 pub const MAX_DURATION_NS: Nanos = 86_400_000_000_000;
-/// The largest priority weight of a served request.
+/// Largest priority weight of a served request.
 pub const MAX_PRIORITY_WEIGHT: f64 = 1e9;
 
 /// A group of pods that answers requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Service {
-    /// Its name, which no other service has.
+    /// The name, unique among services.
     pub name: String,
-    /// Where its pods may be; empty for any zone.
+    /// The zones in which its pods may be; empty for any zone.
     pub zones: Vec<String>,
 }
 
 /// A class of requests and the service that answers them.
 ///
-/// Where patterns of several routes match a path, the most specific wins: a whole path before a prefix, a longer
-/// prefix before a shorter one. The order of routes never matters.
+/// If the patterns of several routes match a path, the most specific one wins: a complete path before a prefix, and a
+/// longer prefix before a shorter one. The order of the routes does not matter.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Route {
-    /// Its name, which no other route has.
+    /// The name, unique among routes.
     pub name: String,
-    /// The name of a [`Service`].
+    /// The name of the [`Service`] that answers the requests.
     pub service: String,
-    /// Upper case; empty for any.
+    /// HTTP methods in upper case; empty for any method.
     pub methods: Vec<String>,
-    /// Whole paths, or the start of one where the last character is `*`.
+    /// Path patterns: a complete path, or a prefix followed by `*`.
     pub paths: Vec<String>,
-    /// How its requests are treated.
+    /// The rules for requests of this route.
     pub rules: RequestRules,
 }
 
-/// How the requests of a route are treated: [`RouteClass`] and the backup mode, comparable and serialisable.
+/// The rules for the requests of a route: the fields of [`RouteClass`] and the backup mode, in a type that can be
+/// compared and serialised.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RequestRules {
     /// Whether a request may run twice.
     pub idempotency: Idempotency,
-    /// The pods that drop a repeat of a keyed request.
+    /// The group of pods within which a repeat of a keyed request is dropped.
     pub dedup_scope: DedupScope,
-    /// How long, from the first attempt that may have run, repeats of a keyed request are dropped, in nanoseconds.
+    /// How long repeats of a keyed request are dropped, in nanoseconds from the first attempt that may have run.
     pub dedup_window: Nanos,
-    /// The time within which an answer earns its whole priority weight, in nanoseconds.
+    /// The latency up to which an answer earns the full priority weight, in nanoseconds.
     pub latency_objective: Nanos,
-    /// How long a client waits at most, in nanoseconds.
+    /// The longest time that a client waits for an answer, in nanoseconds.
     pub deadline: Nanos,
-    /// How much serving a request counts against others.
+    /// The weight of serving a request, relative to other requests.
     #[serde(rename = "benefit")]
     pub priority_weight: f64,
-    /// Share of the priority weight that an answer past the latency target still earns.
+    /// The fraction of the priority weight that an answer later than the latency target still earns.
     #[serde(rename = "late_benefit")]
     pub late_weight: f64,
-    /// Whether responses are passed on as they come.
+    /// Whether responses are streamed to the client as they arrive.
     pub stream: bool,
-    /// Whether and when backups learn of requests in flight.
+    /// Whether and when backups are informed of requests in flight.
     pub backup: BackupMode,
 }
 
-/// A tenant of the fleet.
+/// A customer of the fleet, whose requests are limited together.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tenant {
-    /// Its name, which no other tenant has.
+    /// The name, unique among tenants.
     pub name: String,
-    /// What it may use.
+    /// The limits on its requests.
     pub limits: TenantLimits,
 }
 
-/// What a tenant may use; `None` for no limit.
+/// The limits on the requests of a tenant; `None` for no limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TenantLimits {
-    /// Requests that are admitted a second.
+    /// Requests admitted per second.
     pub requests_per_s: Option<u32>,
-    /// Requests in flight at once.
+    /// Requests in flight at the same time.
     pub in_flight: Option<u32>,
 }
 
-/// One entry of a configuration. A route is boxed, as tenants are many and an enum is as large as its largest variant.
+/// One entry of a configuration. Routes are boxed to keep the enum small, since most records are tenants and an enum is
+/// as large as its largest variant.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Record {
     /// A group of pods.
@@ -110,25 +112,25 @@
 /// The kinds of [`Record`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum RecordKind {
-    /// Of [`Service`].
+    /// The kind of [`Service`] records.
     Service,
-    /// Of [`Route`].
+    /// The kind of [`Route`] records.
     Route,
-    /// Of [`Tenant`].
+    /// The kind of [`Tenant`] records.
     Tenant,
 }
 
-/// What tells one record from all others.
+/// The kind and name of a record, which identify it in a configuration.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RecordKey {
     /// The kind of the record.
     pub kind: RecordKind,
-    /// Its name, which no other of its kind has.
+    /// The name of the record, unique among records of its kind.
     pub name: String,
 }
 
 impl Record {
-    /// Returns its kind.
+    /// Returns the kind of the record.
     pub fn kind(&self) -> RecordKind {
         match self {
             Record::Service(_) => RecordKind::Service,
@@ -137,7 +139,7 @@
         }
     }
 
-    /// Returns its name.
+    /// Returns the name of the record.
     pub fn name(&self) -> &str {
         match self {
             Record::Service(service) => &service.name,
@@ -146,7 +148,7 @@
         }
     }
 
-    /// Returns its key.
+    /// Returns the key of the record.
     pub fn key(&self) -> RecordKey {
         RecordKey {
             kind: self.kind(),
@@ -154,10 +156,10 @@
         }
     }
 
-    /// Checks the bounds of each field.
+    /// Checks that each field is within its bounds.
     ///
     /// # Errors
-    /// The first field that breaks its bound.
+    /// The first field that is out of its bounds.
     pub fn check(&self) -> Result<(), InvalidRecord> {
         check_name(self.kind(), self.name())?;
         match self {
@@ -169,10 +171,10 @@
 }
 
 impl RecordKey {
-    /// Checks the bounds of the name.
+    /// Checks that the name is within its bounds.
     ///
     /// # Errors
-    /// The name is empty or too long.
+    /// The name is empty, too long or has control characters.
     pub fn check(&self) -> Result<(), InvalidRecord> {
         check_name(self.kind, &self.name)
     }
@@ -228,7 +230,7 @@
 }
 
 impl RequestRules {
-    /// Returns the rules of a route class of the settings script, with the way its requests in flight are backed up.
+    /// Returns the rules of a route class of the settings script, with a backup mode.
     pub fn from_route_class(class: &RouteClass, backup: BackupMode) -> RequestRules {
         RequestRules {
             idempotency: class.idempotency,
@@ -248,16 +250,17 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{record}: {field}: found {found}; expected {expected}")]
 pub struct InvalidRecord {
-    /// The record.
+    /// The key of the record, with a name cut to its longest length.
     pub record: RecordKey,
-    /// The field, as the script names it.
+    /// The name of the field in the script.
     pub field: &'static str,
-    /// Its value, or what is wrong about it.
+    /// The value of the field, or a description of it.
     pub found: String,
-    /// What it may be.
+    /// The values that the field may have.
     pub expected: String,
 }
 
+/// Returns an error for a field of a record unless `valid`.
 fn ensure(
     valid: bool,
     key: (RecordKind, &str),
@@ -309,15 +312,15 @@
         ),
         ("in_flight", tenant.limits.in_flight, MAX_IN_FLIGHT),
     ];
-    for (field, limit, most) in limits {
+    for (field, limit, max) in limits {
         let limit = limit.unwrap_or(0);
         let key = (RecordKind::Tenant, tenant.name.as_str());
         ensure(
-            limit <= most,
+            limit <= max,
             key,
             field,
             || limit.to_string(),
-            || format!("{most} at most"),
+            || format!("at most {max}"),
         )?;
     }
     Ok(())
@@ -327,22 +330,22 @@
     key: (RecordKind, &str),
     field: &'static str,
     list: &[String],
-    most: usize,
-    most_bytes: usize,
+    max: usize,
+    max_bytes: usize,
 ) -> Result<(), InvalidRecord> {
-    let expected = || format!("{most} at most, each of 1 to {most_bytes} bytes");
+    let expected = || format!("at most {max} entries, each of 1 to {max_bytes} bytes");
     ensure(
-        list.len() <= most,
+        list.len() <= max,
         key,
         field,
-        || format!("{} of them", list.len()),
+        || format!("{} entries", list.len()),
         expected,
     )?;
-    let wrong = list
+    let invalid_entry = list
         .iter()
-        .find(|text| !(1..=most_bytes).contains(&text.len()));
-    let found = || format!("one of {} bytes", wrong.map_or(0, String::len));
-    ensure(wrong.is_none(), key, field, found, expected)
+        .find(|text| !(1..=max_bytes).contains(&text.len()));
+    let found = || format!("an entry of {} bytes", invalid_entry.map_or(0, String::len));
+    ensure(invalid_entry.is_none(), key, field, found, expected)
 }
 
 fn check_service(service: &Service) -> Result<(), InvalidRecord> {
@@ -375,39 +378,42 @@
         key,
         "paths",
         || "none".to_string(),
-        || "one at least".to_string(),
+        || "at least one".to_string(),
     )?;
     check_rules(key, &route.rules)
 }
 
 fn check_rules(key: (RecordKind, &str), rules: &RequestRules) -> Result<(), InvalidRecord> {
-    let spans = [
+    let durations = [
         ("idempotency_window", rules.dedup_window, 0),
         ("latency_target", rules.latency_objective, 1),
         ("deadline", rules.deadline, 1),
     ];
-    for (field, span, least) in spans {
-        let expected = || format!("{least} to {MAX_DURATION_NS} ns");
+    for (field, duration, min) in durations {
+        let expected = || format!("{min} to {MAX_DURATION_NS} ns");
         ensure(
-            (least..=MAX_DURATION_NS).contains(&span),
+            (min..=MAX_DURATION_NS).contains(&duration),
             key,
             field,
-            || format!("{span} ns"),
+            || format!("{duration} ns"),
             expected,
         )?;
     }
-    // NaN is in no range.
-    let shares = [
+    // NaN is in no range, so it is rejected as well.
+    let weights = [
         ("benefit", rules.priority_weight, MAX_PRIORITY_WEIGHT),
         ("late_benefit", rules.late_weight, 1.0),
     ];
-    for (field, share, most) in shares {
-        let expected = || format!("a number from 0 to {most}");
-        // -0.0 equals 0.0 and has another digest: a delta between the two would hold no change and never apply.
-        let valid = (0.0..=most).contains(&share) && share.is_sign_positive();
-        ensure(valid, key, field, || share.to_string(), expected)?;
+    for (field, weight, max) in weights {
+        let expected = || format!("a number from 0 to {max}");
+        // -0.0 equals 0.0 but has another digest, so a delta between the two would hold no change and never apply.
+        let valid = (0.0..=max).contains(&weight) && weight.is_sign_positive();
+        ensure(valid, key, field, || weight.to_string(), expected)?;
     }
-    let fits = rules.backup != BackupMode::Behind || rules.idempotency == Idempotency::Idempotent;
-    let expected = || "BeforeAttempt, as a repeat could do harm".to_string();
-    ensure(fits, key, "backup", || "Behind".to_string(), expected)
+    let allowed =
+        rules.backup != BackupMode::Behind || rules.idempotency == Idempotency::Idempotent;
+    let expected = || {
+        "BeforeAttempt for a request that is not idempotent, as a repeat could do harm".to_string()
+    };
+    ensure(allowed, key, "backup", || "Behind".to_string(), expected)
 }
--- a/crates/configuration/src/snapshot.rs
+++ b/crates/configuration/src/snapshot.rs
@@ -1,6 +1,6 @@
-//! One whole configuration, immutable and cheap to clone, that shares what it has in common with earlier ones.
+//! One complete configuration. A snapshot is immutable, cheap to clone, and shares unchanged buckets with earlier ones.
 
-use crate::bucket::{Bucket, Place};
+use crate::bucket::{Bucket, KeyHash};
 use crate::delta::{Change, Delta};
 use crate::digest::Digest;
 use crate::error::ApplyError;
@@ -11,18 +11,18 @@
 
 pub use crate::bucket::BUCKETS;
 
-/// Services in one configuration: five times the size to plan with.
+/// Maximum number of services in one configuration: five times the planned 400.
 pub const MAX_SERVICES: usize = 2_000;
-/// Routes in one configuration: over four times the size to plan with.
+/// Maximum number of routes in one configuration: over four times the planned 4,500.
 pub const MAX_ROUTES: usize = 20_000;
-/// Tenants in one configuration: over three times the size to plan with.
+/// Maximum number of tenants in one configuration: over three times the planned 150,000.
 pub const MAX_TENANTS: usize = 500_000;
 
 impl RecordKind {
     /// All kinds, in the order in which buckets hold them.
     pub const ALL: [RecordKind; 3] = [RecordKind::Service, RecordKind::Route, RecordKind::Tenant];
 
-    /// How many of this kind a configuration may have.
+    /// Returns how many records of this kind a configuration may have.
     pub fn max_records(self) -> usize {
         match self {
             RecordKind::Service => MAX_SERVICES,
@@ -32,7 +32,8 @@
     }
 }
 
-/// A configuration of one version: [`BUCKETS`] shards by hash of the key, shared until one changes.
+/// The configuration of one version, divided into [`BUCKETS`] buckets by the hash of each record's key. A bucket is
+/// shared between snapshots until it changes.
 #[derive(Clone)]
 pub struct Snapshot {
     version: Version,
@@ -41,7 +42,7 @@
 }
 
 impl Snapshot {
-    /// Before the first configuration.
+    /// Returns the snapshot before the first configuration, which has no records.
     pub fn empty() -> Snapshot {
         let bucket = Arc::new(Bucket::default());
         let buckets = Arc::new(vec![bucket; BUCKETS]);
@@ -52,10 +53,10 @@
         }
     }
 
-    /// A snapshot of these records.
+    /// Returns a snapshot of these records.
     ///
     /// # Errors
-    /// A record out of bounds, two with one key, or too many of a kind.
+    /// A record has a field out of its bounds, two records have the same key, or there are too many records of a kind.
     pub fn from_records(
         version: Version,
         records: impl IntoIterator<Item = Record>,
@@ -63,23 +64,23 @@
         let mut buckets = vec![Bucket::default(); BUCKETS];
         for record in records {
             record.check()?;
-            let place = Place::of(record.kind(), record.name());
-            let bucket = &mut buckets[place.bucket];
+            let key_hash = KeyHash::of(record.kind(), record.name());
+            let bucket = &mut buckets[key_hash.bucket];
             if bucket
-                .get(record.kind(), record.name(), place.hash)
+                .get(record.kind(), record.name(), key_hash.hash)
                 .is_some()
             {
                 return Err(ApplyError::Duplicate {
                     record: record.key(),
                 });
             }
-            bucket.put(record, place.hash);
+            bucket.put(record, key_hash.hash);
         }
         buckets.iter_mut().for_each(Bucket::shrink);
         Snapshot::from_buckets(version, buckets.into_iter().map(Arc::new).collect())
     }
 
-    /// A snapshot of whole buckets, which the caller has made of checked records.
+    /// Returns a snapshot of buckets whose records the caller has checked.
     pub(crate) fn from_buckets(
         version: Version,
         buckets: Vec<Arc<Bucket>>,
@@ -107,7 +108,7 @@
         self.version
     }
 
-    /// The same records as another version.
+    /// Returns a snapshot of the same records under another version.
     pub fn with_version(&self, version: Version) -> Snapshot {
         Snapshot {
             version,
@@ -149,7 +150,7 @@
         }
     }
 
-    /// All services, in no useful order.
+    /// Returns all services, in unspecified order.
     pub fn services(&self) -> impl Iterator<Item = &Service> {
         self.of_kind(RecordKind::Service)
             .filter_map(|record| match record {
@@ -158,7 +159,7 @@
             })
     }
 
-    /// All routes, in no useful order.
+    /// Returns all routes, in unspecified order.
     pub fn routes(&self) -> impl Iterator<Item = &Route> {
         self.of_kind(RecordKind::Route)
             .filter_map(|record| match record {
@@ -167,7 +168,7 @@
             })
     }
 
-    /// All tenants, in no useful order.
+    /// Returns all tenants, in unspecified order.
     pub fn tenants(&self) -> impl Iterator<Item = &Tenant> {
         self.of_kind(RecordKind::Tenant)
             .filter_map(|record| match record {
@@ -176,7 +177,7 @@
             })
     }
 
-    /// All records, in no useful order.
+    /// Returns all records, in unspecified order.
     pub fn records(&self) -> impl Iterator<Item = &Record> {
         self.buckets.iter().flat_map(|bucket| bucket.records())
     }
@@ -186,10 +187,11 @@
         self.buckets.iter().map(|bucket| bucket.count(kind)).sum()
     }
 
-    /// The configuration that follows; this one stays as it is.
+    /// Returns the configuration to which a delta leads; this one stays unchanged.
     ///
     /// # Errors
-    /// The delta begins elsewhere, holds a record out of bounds, or does not lead to the digest that it states.
+    /// The delta builds on another version or leads to no newer one, a record has a field out of its bounds, there are
+    /// too many records of a kind, or the result has another digest than the delta states.
     pub fn apply(&self, delta: &Delta) -> Result<Snapshot, ApplyError> {
         if delta.from != self.version {
             return Err(ApplyError::WrongBase {
@@ -224,16 +226,16 @@
             if before.digest() == after.digest() {
                 continue;
             }
-            let put = after
+            let added_or_changed = after
                 .records()
                 .iter()
                 .filter(|record| self.find_record(record) != Some(*record));
-            changes.extend(put.map(|record| Change::Put(record.clone())));
-            let gone = before
+            changes.extend(added_or_changed.map(|record| Change::Put(record.clone())));
+            let removed = before
                 .records()
                 .iter()
                 .filter(|record| new_records.find_record(record).is_none());
-            changes.extend(gone.map(|record| Change::Remove(record.key())));
+            changes.extend(removed.map(|record| Change::Remove(record.key())));
         }
         changes.sort_by_cached_key(Change::key);
         Delta {
@@ -244,7 +246,7 @@
         }
     }
 
-    /// The digest of each bucket; two snapshots agree in a bucket where its digests are equal.
+    /// Returns the digest of each bucket. Two snapshots have the same records in a bucket if its digests are equal.
     pub fn bucket_digests(&self) -> Vec<Digest> {
         self.buckets.iter().map(|bucket| bucket.digest()).collect()
     }
@@ -253,14 +255,14 @@
         &self.buckets
     }
 
-    /// The record held under the key of another one.
+    /// Returns the record of this snapshot that has the same key as `other`.
     pub(crate) fn find_record(&self, other: &Record) -> Option<&Record> {
         self.find(other.kind(), other.name())
     }
 
     fn find(&self, kind: RecordKind, name: &str) -> Option<&Record> {
-        let place = Place::of(kind, name);
-        self.buckets[place.bucket].get(kind, name, place.hash)
+        let key_hash = KeyHash::of(kind, name);
+        self.buckets[key_hash.bucket].get(kind, name, key_hash.hash)
     }
 
     fn of_kind(&self, kind: RecordKind) -> impl Iterator<Item = &Record> {
@@ -274,38 +276,38 @@
     match change {
         Change::Put(record) => {
             record.check()?;
-            let place = Place::of(record.kind(), record.name());
-            Arc::make_mut(&mut buckets[place.bucket]).put(record.clone(), place.hash);
+            let key_hash = KeyHash::of(record.kind(), record.name());
+            Arc::make_mut(&mut buckets[key_hash.bucket]).put(record.clone(), key_hash.hash);
         }
         Change::Remove(key) => {
-            let place = Place::of(key.kind, &key.name);
-            Arc::make_mut(&mut buckets[place.bucket]).remove(key, place.hash);
+            let key_hash = KeyHash::of(key.kind, &key.name);
+            Arc::make_mut(&mut buckets[key_hash.bucket]).remove(key, key_hash.hash);
         }
     }
     Ok(())
 }
 
-/// By version, digest and counts: a whole snapshot is no line of a log.
+/// Shows version, digest and counts only, because all records would be too long for a log line.
 impl fmt::Debug for Snapshot {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let mut shown = f.debug_struct("Snapshot");
-        shown
+        let mut output = f.debug_struct("Snapshot");
+        output
             .field("version", &self.version)
             .field("digest", &self.digest.to_string());
-        shown.field("services", &self.count(RecordKind::Service));
-        shown.field("routes", &self.count(RecordKind::Route));
-        shown
+        output.field("services", &self.count(RecordKind::Service));
+        output.field("routes", &self.count(RecordKind::Route));
+        output
             .field("tenants", &self.count(RecordKind::Tenant))
             .finish()
     }
 }
 
-/// Snapshots are equal when version and all records are.
+/// Two snapshots are equal if their versions and all their records are.
 impl PartialEq for Snapshot {
     fn eq(&self, other: &Snapshot) -> bool {
         let pairs = || self.buckets.iter().zip(other.buckets.iter());
-        let same =
+        let equal =
             |(a, b): (&Arc<Bucket>, &Arc<Bucket>)| Arc::ptr_eq(a, b) || a.records() == b.records();
-        self.version == other.version && self.digest == other.digest && pairs().all(same)
+        self.version == other.version && self.digest == other.digest && pairs().all(equal)
     }
 }
--- a/crates/configuration/src/snapshot_file.rs
+++ b/crates/configuration/src/snapshot_file.rs
@@ -1,4 +1,5 @@
-//! The file of a whole snapshot: a magic word, the length and blake3 hash of the body, then the body, compressed.
+//! The file of a complete snapshot: a magic number, the length and the blake3 hash of the body, then the compressed
+//! body.
 
 use crate::bucket::BUCKETS;
 use crate::digest::Digest;
@@ -12,11 +13,12 @@
 const LENGTH_BYTES: usize = size_of::<u64>();
 const HASH_BYTES: usize = blake3::OUT_LEN;
 const HEADER_BYTES: usize = MAGIC.len() + LENGTH_BYTES + HASH_BYTES;
-/// The longest file: far more than the most records that a snapshot may have take.
+/// Longest file; far more than a snapshot with the maximum number of records takes.
 pub(crate) const MAX_FILE_BYTES: u64 = 128 << 20;
+/// Longest body once decompressed.
 const MAX_RAW_BYTES: usize = 256 << 20;
 
-/// The bytes of the file; `None` for want of memory.
+/// Returns the bytes of the file; `None` if there is not enough memory to compress them.
 pub(crate) fn encode(snapshot: &Snapshot) -> Option<Vec<u8>> {
     let mut raw = Vec::new();
     append(&(snapshot.version(), snapshot.digest()), &mut raw);
@@ -33,35 +35,35 @@
     Some(bytes)
 }
 
-/// Why bytes are no file of a snapshot.
+/// Why bytes cannot be decoded as a snapshot file.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum SnapshotFileError {
-    #[error("shorter than its header")]
+    #[error("the file is shorter than its header")]
     NoHeader,
-    #[error("not a snapshot of this release")]
+    #[error("the file does not begin with the magic number of a snapshot of this release")]
     NoMagic,
-    #[error("{found} bytes of body, its header states others")]
+    #[error("the body has {found} bytes, but the header states another length")]
     BodyLength { found: usize },
-    #[error("its checksum differs")]
+    #[error("the checksum of the body does not match")]
     Checksum,
-    #[error("its body cannot be decompressed")]
+    #[error("the body cannot be decompressed")]
     Decompress,
     #[error(transparent)]
     Header(#[from] postcard::Error),
     #[error(transparent)]
     Bucket(#[from] DecodeError),
-    #[error("{found} bytes too many in its body")]
+    #[error("the body has {found} bytes remaining its last bucket; expected none")]
     Trailing { found: usize },
     #[error(transparent)]
     Records(#[from] ApplyError),
-    #[error("its records have digest {found}, it states {stated}")]
+    #[error("the records have digest {found}, but the file states {stated}")]
     Digest { found: Digest, stated: Digest },
 }
 
-/// The snapshot of a file.
+/// Decodes the bytes of a file.
 ///
 /// # Errors
-/// What is wrong with the file.
+/// The first fault found in the file.
 pub(crate) fn decode(bytes: &[u8]) -> Result<Snapshot, SnapshotFileError> {
     let no_header = SnapshotFileError::NoHeader;
     let Some((magic, rest)) = bytes.split_first_chunk() else {
@@ -82,15 +84,16 @@
     if blake3::hash(body) != *hash {
         return Err(SnapshotFileError::Checksum);
     }
-    read(&decompress(body, MAX_RAW_BYTES).ok_or(SnapshotFileError::Decompress)?)
+    read_body(&decompress(body, MAX_RAW_BYTES).ok_or(SnapshotFileError::Decompress)?)
 }
 
-fn read(raw: &[u8]) -> Result<Snapshot, SnapshotFileError> {
+/// Reads the decompressed body.
+fn read_body(raw: &[u8]) -> Result<Snapshot, SnapshotFileError> {
     let ((version, stated), mut rest) = postcard::take_from_bytes::<(Version, Digest)>(raw)?;
     let mut buckets = Vec::with_capacity(BUCKETS);
     for number in 0..BUCKETS {
-        let (bucket, after) = read_bucket(number, rest)?;
-        rest = after;
+        let (bucket, remaining) = read_bucket(number, rest)?;
+        rest = remaining;
         buckets.push(Arc::new(bucket));
     }
     if !rest.is_empty() {
--- a/crates/configuration/src/version.rs
+++ b/crates/configuration/src/version.rs
@@ -1,28 +1,28 @@
-//! Which configuration is newer than which: the epoch of its writer, then a number.
+//! Versions of a configuration, ordered by the epoch of the writer, then by a number.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// The place of one configuration in the order of all. A higher epoch is newer whatever the numbers say: it belongs to a
-/// writer that has replaced the one before.
+/// The version of one configuration. A version of a higher epoch is newer whatever the numbers are, because its writer
+/// has replaced the previous one.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Version {
-    /// Raised by an operator when another distributor becomes the writer.
+    /// Increased by an operator when another distributor becomes the writer.
     pub epoch: u64,
-    /// Raised by the writer with each change; goes on across epochs.
+    /// Increased by the writer with each change; not reset by a new epoch.
     pub number: u64,
 }
 
 impl Version {
-    /// Before the first configuration.
+    /// The version before the first configuration.
     pub const NONE: Version = Version {
         epoch: 0,
         number: 0,
     };
 
-    /// The version that the same writer makes next.
+    /// Returns the next version of the same writer.
     pub fn next(self) -> Version {
         Version {
             number: self.number.saturating_add(1),
--- a/crates/configuration/tests/common/mod.rs
+++ b/crates/configuration/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Records that several tests of this package make.
+//! Builders of records that several test files use.
 
 use havenplank_configuration::record::{Record, Tenant, TenantLimits};
 
--- a/crates/configuration/tests/data.rs
+++ b/crates/configuration/tests/data.rs
@@ -1,4 +1,4 @@
-//! Laws of snapshots, deltas, digests and chunks, for any records.
+//! Properties of snapshots, deltas, digests, chunks and histories, checked with generated records.
 
 mod common;
 
@@ -73,7 +73,7 @@
     ]
 }
 
-/// Records with a key of their own each.
+/// Generates records with distinct keys.
 fn any_records() -> impl Strategy<Value = Vec<Record>> {
     prop::collection::vec(any_record(), 0..120).prop_map(|records| {
         let by_key: BTreeMap<RecordKey, Record> =
@@ -82,11 +82,11 @@
     })
 }
 
-/// Fetches a snapshot from another over chunks, in order.
-fn fetch(base: &Snapshot, whole: &Snapshot) -> Result<Snapshot, ChunkError> {
-    let mut assembly = Assembly::new(base, Manifest::of(whole))?;
-    while let Some(piece) = next_chunk(whole, &assembly.missing()) {
-        assembly.add_chunk(piece)?;
+/// Assembles a snapshot from its chunks, in order, starting from a base.
+fn fetch(base: &Snapshot, complete: &Snapshot) -> Result<Snapshot, ChunkError> {
+    let mut assembly = Assembly::new(base, Manifest::of(complete))?;
+    while let Some(chunk) = next_chunk(complete, &assembly.missing()) {
+        assembly.add_chunk(chunk)?;
     }
     assembly.finish()
 }
@@ -98,16 +98,16 @@
     fn a_delta_leads_from_one_snapshot_to_another(before in any_records(), after in any_records()) {
         let (old, new) = (snapshot(1, before), snapshot(9, after));
         let delta = old.delta_to(&new, version(2));
-        let sent = Delta::decode(&delta.encode());
-        prop_assert_eq!(sent.as_ref(), Ok(&delta));
-        let applied = old.apply(&delta).expect("it fits");
+        let decoded = Delta::decode(&delta.encode());
+        prop_assert_eq!(decoded.as_ref(), Ok(&delta));
+        let applied = old.apply(&delta).expect("the delta applies");
         prop_assert_eq!(applied.digest(), new.digest());
         prop_assert_eq!(applied.bucket_digests(), new.bucket_digests());
         prop_assert_eq!(applied, new.with_version(version(2)));
     }
 
     #[test]
-    fn the_digest_belongs_to_the_set(records in any_records(), seed in any::<u64>()) {
+    fn the_digest_depends_on_the_set_and_not_on_the_order(records in any_records(), seed in any::<u64>()) {
         let mut shuffled = records.clone();
         shuffled.sort_by_cached_key(|record| {
             blake3::hash(format!("{seed}{:?}", record.key()).as_bytes()).to_string()
@@ -121,10 +121,10 @@
     }
 
     #[test]
-    fn a_snapshot_agrees_with_a_plain_map(
+    fn a_snapshot_holds_the_same_records_as_a_plain_map(
         changes in prop::collection::vec((any_record(), any::<bool>()), 0..16),
     ) {
-        let mut held = Snapshot::empty();
+        let mut current = Snapshot::empty();
         let mut map: HashMap<RecordKey, Record> = HashMap::new();
         for (record, put) in changes {
             match put {
@@ -132,48 +132,48 @@
                 false => drop(map.remove(&record.key())),
             }
             let target = snapshot(0, map.values().cloned());
-            held = held.apply(&held.delta_to(&target, held.version().next())).expect("it fits");
-            prop_assert_eq!(held.get(&record.key()), map.get(&record.key()));
+            current = current.apply(&current.delta_to(&target, current.version().next())).expect("the delta applies");
+            prop_assert_eq!(current.get(&record.key()), map.get(&record.key()));
         }
         for kind in RecordKind::ALL {
-            prop_assert_eq!(held.count(kind), map.keys().filter(|key| key.kind == kind).count());
+            prop_assert_eq!(current.count(kind), map.keys().filter(|key| key.kind == kind).count());
         }
-        let all = held.services().count() + held.routes().count() + held.tenants().count();
+        let all = current.services().count() + current.routes().count() + current.tenants().count();
         prop_assert_eq!(all, map.len());
-        prop_assert!(map.iter().all(|(key, record)| held.get(key) == Some(record)));
+        prop_assert!(map.iter().all(|(key, record)| current.get(key) == Some(record)));
     }
 
     #[test]
-    fn chunks_in_any_order_with_repeats_and_a_restart_give_the_snapshot(
+    fn assembles_the_snapshot_from_chunks_in_any_order_with_repeats(
         order in prop::collection::vec(any::<prop::sample::Index>(), 1..12),
         base in 0usize..900,
     ) {
-        let whole = snapshot(7, tenants(900).chain([route("r", "/r", 1.0), service("search", &[])]));
-        let mut held = snapshot(3, tenants(base));
-        let mut assembly = Assembly::new(&held, Manifest::of(&whole)).expect("it fits");
-        let pieces: Vec<Chunk> = (0..8u16)
-            .filter_map(|part| {
-                let wanted: Vec<u16> = (part * 128..(part + 1) * 128).collect();
-                next_chunk(&whole, &wanted)
+        let complete = snapshot(7, tenants(900).chain([route("r", "/r", 1.0), service("search", &[])]));
+        let mut current = snapshot(3, tenants(base));
+        let mut assembly = Assembly::new(&current, Manifest::of(&complete)).expect("the manifest is valid");
+        let chunks: Vec<Chunk> = (0..8u16)
+            .filter_map(|eighth| {
+                let wanted: Vec<u16> = (eighth * 128..(eighth + 1) * 128).collect();
+                next_chunk(&complete, &wanted)
             })
             .collect();
         for index in order {
-            let piece = index.get(&pieces).clone();
-            assembly.add_chunk(piece.clone()).expect("it fits");
-            assembly.add_chunk(piece).expect("a repeat changes nothing");
+            let chunk = index.get(&chunks).clone();
+            assembly.add_chunk(chunk.clone()).expect("the chunk matches the manifest");
+            assembly.add_chunk(chunk).expect("a repeated chunk is accepted");
         }
-        let cut_off = assembly.missing().len();
-        prop_assert_eq!(assembly.clone().finish().is_ok(), cut_off == 0);
-        while let Some(piece) = next_chunk(&whole, &assembly.missing()) {
-            prop_assert!(piece.buckets.len() == 1 || piece.body.len() <= TARGET_CHUNK_BYTES);
-            assembly.add_chunk(piece).expect("it fits");
+        let missing = assembly.missing().len();
+        prop_assert_eq!(assembly.clone().finish().is_ok(), missing == 0);
+        while let Some(chunk) = next_chunk(&complete, &assembly.missing()) {
+            prop_assert!(chunk.buckets.len() == 1 || chunk.body.len() <= TARGET_CHUNK_BYTES);
+            assembly.add_chunk(chunk).expect("the chunk matches the manifest");
         }
-        held = assembly.finish().expect("it is whole");
-        prop_assert_eq!(&held, &whole);
+        current = assembly.finish().expect("all buckets were added");
+        prop_assert_eq!(&current, &complete);
     }
 
     #[test]
-    fn a_delta_that_was_cut_or_changed_is_an_error_or_equal(
+    fn a_truncated_or_altered_delta_never_passes_for_the_original(
         records in any_records(), at in any::<prop::sample::Index>(), bit in 0u8..8,
     ) {
         let delta = Snapshot::empty().delta_to(&snapshot(1, records), version(1));
@@ -181,7 +181,7 @@
         let at = at.index(bytes.len());
         prop_assert!(Delta::decode(&bytes[..at]).is_err());
         bytes[at] ^= 1 << bit;
-        // What still reads as a delta states another version or digest, or its result has not the digest stated.
+        // Bytes that still decode state another version or digest, or the result does not have the stated digest.
         if let Ok(read) = Delta::decode(&bytes) {
             prop_assert!(read != delta);
             let applied = Snapshot::empty().apply(&read);
@@ -190,11 +190,11 @@
     }
 
     #[test]
-    fn any_bytes_are_read_without_panic(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
+    fn decodes_arbitrary_bytes_without_a_panic(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
         let _ = Delta::decode(&bytes);
-        let whole = snapshot(7, tenants(10));
-        let mut assembly = Assembly::new(&Snapshot::empty(), Manifest::of(&whole)).expect("it fits");
-        let forged = Chunk { version: whole.version(), buckets: vec![0, 1, 2], body: bytes };
+        let complete = snapshot(7, tenants(10));
+        let mut assembly = Assembly::new(&Snapshot::empty(), Manifest::of(&complete)).expect("the manifest is valid");
+        let forged = Chunk { version: complete.version(), buckets: vec![0, 1, 2], body: bytes };
         let before = assembly.missing();
         if assembly.add_chunk(forged).is_err() {
             prop_assert_eq!(assembly.missing(), before);
@@ -202,21 +202,21 @@
     }
 
     #[test]
-    fn a_changed_chunk_is_refused_or_equal(at in any::<prop::sample::Index>(), bit in 0u8..8) {
-        let whole = snapshot(7, tenants(200));
+    fn an_altered_chunk_is_rejected_or_decodes_to_the_same_records(at in any::<prop::sample::Index>(), bit in 0u8..8) {
+        let complete = snapshot(7, tenants(200));
         let wanted: Vec<u16> = (0..1024).collect();
-        let mut piece = next_chunk(&whole, &wanted).expect("a piece");
-        let at = at.index(piece.body.len());
-        piece.body[at] ^= 1 << bit;
-        let mut assembly = Assembly::new(&Snapshot::empty(), Manifest::of(&whole)).expect("it fits");
-        if assembly.add_chunk(piece).is_ok() {
-            prop_assert_eq!(fetch(&assembly.finish().expect("all of it"), &whole), Ok(whole));
+        let mut chunk = next_chunk(&complete, &wanted).expect("a chunk");
+        let at = at.index(chunk.body.len());
+        chunk.body[at] ^= 1 << bit;
+        let mut assembly = Assembly::new(&Snapshot::empty(), Manifest::of(&complete)).expect("the manifest is valid");
+        if assembly.add_chunk(chunk).is_ok() {
+            prop_assert_eq!(fetch(&assembly.finish().expect("all buckets were added"), &complete), Ok(complete));
         }
     }
 }
 
 #[test]
-fn a_delta_of_another_base_or_another_result_changes_nothing() {
+fn rejects_a_delta_with_another_base_or_another_result() {
     let (old, new) = (snapshot(1, tenants(5)), snapshot(2, tenants(6)));
     let delta = old.delta_to(&new, version(2));
     let newer = new.apply(&delta);
@@ -227,15 +227,18 @@
             base: version(1)
         })
     );
-    let mut wrong = delta.clone();
-    wrong.changes.clear();
+    let mut invalid = delta.clone();
+    invalid.changes.clear();
     assert!(matches!(
-        old.apply(&wrong),
+        old.apply(&invalid),
         Err(ApplyError::DigestMismatch { .. })
     ));
-    let mut back = delta.clone();
-    back.to = version(1);
-    assert!(matches!(old.apply(&back), Err(ApplyError::NotNewer { .. })));
+    let mut not_newer = delta.clone();
+    not_newer.to = version(1);
+    assert!(matches!(
+        old.apply(&not_newer),
+        Err(ApplyError::NotNewer { .. })
+    ));
     let mut unnamed = delta;
     unnamed.changes = vec![Change::Put(tenant("", 1))];
     assert!(matches!(old.apply(&unnamed), Err(ApplyError::Invalid(_))));
@@ -243,14 +246,14 @@
 }
 
 #[test]
-fn records_past_their_bounds_are_refused() {
+fn rejects_records_out_of_their_bounds() {
     let long = "n".repeat(65);
     let zones = vec!["z"; 65];
     let mut unserved = route("r", "/r", 1.0);
     if let Record::Route(route) = &mut unserved {
         route.service.clear();
     }
-    let wrong = [
+    let invalid = [
         ("name", tenant(&long, 1)),
         ("zones", service("s", &zones)),
         ("zones", service("s", &[""])),
@@ -260,16 +263,16 @@
         ("benefit", route("r", "/r", -0.0)),
         ("service", unserved),
     ];
-    for (field, record) in wrong {
+    for (field, record) in invalid {
         assert_eq!(record.check().expect_err("out of bounds").field, field);
-        let bare = Delta {
+        let delta = Delta {
             from: Version::NONE,
             to: version(1),
             digest: Digest::default(),
             changes: vec![Change::Put(record)],
         };
         assert!(matches!(
-            Delta::decode(&bare.encode()),
+            Delta::decode(&delta.encode()),
             Err(DecodeError::Invalid(_))
         ));
     }
@@ -287,14 +290,14 @@
 }
 
 #[test]
-fn a_delta_that_states_many_changes_and_holds_none_is_refused() {
-    let bare = Delta {
+fn rejects_a_delta_that_states_many_changes_and_holds_none() {
+    let delta = Delta {
         from: version(1),
         to: version(2),
         digest: Digest::default(),
         changes: Vec::new(),
     };
-    let mut bytes = bare.encode();
+    let mut bytes = delta.encode();
     assert_eq!(bytes.pop(), Some(0), "the number of changes is last");
     bytes.extend([0xff, 0xff, 0xff, 0xff, 0x0f]);
     assert!(matches!(
@@ -304,12 +307,12 @@
 }
 
 #[test]
-fn one_change_copies_one_bucket_and_a_transfer_reuses_the_rest() {
+fn one_change_alters_one_bucket_and_a_transfer_reuses_the_others() {
     let old = snapshot(1, tenants(5000));
     let with_one_more = old.records().cloned().chain([tenant("one more", 1)]);
     let new = snapshot(2, with_one_more);
     let changed = Assembly::new(&old, Manifest::of(&new))
-        .expect("it fits")
+        .expect("the manifest is valid")
         .missing();
     assert_eq!(changed.len(), 1);
     assert_eq!(fetch(&old, &new), Ok(new.clone()));
@@ -328,35 +331,36 @@
 }
 
 #[test]
-fn chunks_that_do_not_fit_the_manifest_are_refused() {
-    let (whole, other) = (snapshot(7, tenants(50)), snapshot(8, tenants(51)));
+fn rejects_chunks_and_manifests_that_do_not_match() {
+    let (complete, other) = (snapshot(7, tenants(50)), snapshot(8, tenants(51)));
     let wanted: Vec<u16> = (0..1024).collect();
-    let mut assembly = Assembly::new(&Snapshot::empty(), Manifest::of(&whole)).expect("it fits");
-    let mut foreign = next_chunk(&other, &wanted).expect("a piece");
+    let mut assembly =
+        Assembly::new(&Snapshot::empty(), Manifest::of(&complete)).expect("the manifest is valid");
+    let mut foreign = next_chunk(&other, &wanted).expect("a chunk");
     assert!(matches!(
         assembly.add_chunk(foreign.clone()),
         Err(ChunkError::WrongVersion { .. })
     ));
-    foreign.version = whole.version();
+    foreign.version = complete.version();
     assert!(matches!(
         assembly.add_chunk(foreign),
         Err(ChunkError::DigestMismatch { .. })
     ));
-    let mut doubled = next_chunk(&whole, &[3]).expect("a piece");
+    let mut doubled = next_chunk(&complete, &[3]).expect("a chunk");
     doubled.buckets = vec![3, 3];
     assert_eq!(
         assembly.add_chunk(doubled),
         Err(ChunkError::InvalidBucketNumber { bucket: 3 })
     );
-    let mut outside = next_chunk(&whole, &[3, 5000]).expect("a piece of what exists");
+    let mut outside = next_chunk(&complete, &[3, 5000]).expect("a chunk of the bucket that exists");
     assert_eq!(outside.buckets, [3]);
     outside.buckets = vec![1024];
     assert_eq!(
         assembly.add_chunk(outside),
         Err(ChunkError::InvalidBucketNumber { bucket: 1024 })
     );
-    assert_eq!(next_chunk(&whole, &[]), None);
-    let mut manifest = Manifest::of(&whole);
+    assert_eq!(next_chunk(&complete, &[]), None);
+    let mut manifest = Manifest::of(&complete);
     manifest.buckets[0] = manifest.digest;
     assert!(matches!(
         Assembly::new(&other, manifest.clone()),
@@ -376,12 +380,13 @@
 }
 
 #[test]
-fn a_body_that_grows_without_end_is_refused() {
-    let whole = snapshot(7, tenants(50));
-    let mut assembly = Assembly::new(&Snapshot::empty(), Manifest::of(&whole)).expect("it fits");
+fn rejects_a_chunk_that_decompresses_to_too_many_bytes() {
+    let complete = snapshot(7, tenants(50));
+    let mut assembly =
+        Assembly::new(&Snapshot::empty(), Manifest::of(&complete)).expect("the manifest is valid");
     let body = zstd::bulk::compress(&vec![0; 64 << 20], 3).expect("compressed");
     let forged = Chunk {
-        version: whole.version(),
+        version: complete.version(),
         buckets: vec![0],
         body,
     };
@@ -391,7 +396,7 @@
     ));
 }
 
-fn link(from: u64, to: u64) -> Arc<Delta> {
+fn empty_delta(from: u64, to: u64) -> Arc<Delta> {
     Arc::new(Delta {
         from: version(from),
         to: version(to),
@@ -401,23 +406,31 @@
 }
 
 #[test]
-fn a_history_gives_whole_chains_only() {
+fn a_history_returns_complete_chains_only() {
     let mut history = History::new(3, 1 << 20);
     assert_eq!(history.since(version(1)), None);
-    (1..=5).for_each(|number| history.push(link(number, number + 1)));
-    assert_eq!(history.since(version(2)), None, "dropped past the bound");
+    (1..=5).for_each(|number| history.push(empty_delta(number, number + 1)));
+    assert_eq!(
+        history.since(version(2)),
+        None,
+        "the oldest delta was dropped"
+    );
     assert_eq!(
         history.since(version(3)),
-        Some(vec![link(3, 4), link(4, 5), link(5, 6)])
+        Some(vec![
+            empty_delta(3, 4),
+            empty_delta(4, 5),
+            empty_delta(5, 6)
+        ])
     );
     assert_eq!(history.since(version(6)), Some(Vec::new()));
     assert_eq!(history.since(version(7)), None);
-    history.push(link(8, 9));
+    history.push(empty_delta(8, 9));
     assert_eq!(history.since(version(5)), None, "a gap begins a new chain");
-    assert_eq!(history.since(version(8)), Some(vec![link(8, 9)]));
-    let bytes = link(1, 2).encode().len();
+    assert_eq!(history.since(version(8)), Some(vec![empty_delta(8, 9)]));
+    let bytes = empty_delta(1, 2).encode().len();
     let mut small = History::new(100, 2 * bytes);
-    (1..=5).for_each(|number| small.push(link(number, number + 1)));
+    (1..=5).for_each(|number| small.push(empty_delta(number, number + 1)));
     assert_eq!(small.since(version(3)), None);
     assert_eq!(small.since(version(4)).map(|chain| chain.len()), Some(2));
 }
--- a/crates/configuration/tests/store.rs
+++ b/crates/configuration/tests/store.rs
@@ -1,4 +1,4 @@
-//! A store whose disk fails, tears writes, is cut off or changed at every byte.
+//! Stores on a disk that fails or tears writes, and stores whose files are truncated or altered at every byte.
 
 mod common;
 
@@ -13,15 +13,15 @@
 use std::path::Path;
 
 const VERSIONS: u64 = 4;
-/// The steps of opening a new store, appending, replacing and compacting are fewer.
-const MOST_STEPS: usize = 100;
+/// More disk operations than opening a new store, appending, replacing and compacting take together.
+const MAX_OPERATIONS: usize = 100;
 
 fn version(number: u64) -> Version {
     Version { epoch: 1, number }
 }
 
-/// The configuration of each version: one tenant more each time.
-fn wanted(number: u64) -> Snapshot {
+/// The configuration of a version, which has as many tenants as its number.
+fn expected_snapshot(number: u64) -> Snapshot {
     let names = (1..=number).map(|each| format!("tenant-{each}"));
     let records = names.map(|name| tenant(&name, 5));
     let version = if number == 0 {
@@ -32,49 +32,50 @@
     Snapshot::from_records(version, records).expect("records within bounds")
 }
 
-fn step(number: u64) -> Delta {
-    wanted(number - 1).delta_to(&wanted(number), version(number))
+fn delta_to(number: u64) -> Delta {
+    expected_snapshot(number - 1).delta_to(&expected_snapshot(number), version(number))
 }
 
-/// A closed store that holds all versions, of which the snapshot has the first ones.
-fn fill(folder: &Path, in_snapshot: u64) {
+/// Fills a store with all versions and closes it; the first ones are in its snapshot, the others in its log.
+fn fill_store(folder: &Path, in_snapshot: u64) {
     let mut store = Store::open(folder).expect("a new store").store;
     for number in 1..=VERSIONS {
-        store.append(&step(number)).expect("appended");
+        store.append(&delta_to(number)).expect("appended");
         if number == in_snapshot {
             store.compact().expect("compacted");
         }
     }
 }
 
-/// How a step of the disk fails.
+/// How a disk operation fails.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
+    /// The operation has no effect.
     Error,
-    /// A write leaves half its bytes behind.
+    /// A write puts half of its bytes on disk, then fails.
     Torn,
-    /// A write leaves all its bytes behind and fails all the same.
+    /// A write puts all of its bytes on disk, then fails.
     Late,
 }
 
-/// Fails one step, and counts the steps before it.
+/// A disk of which one operation fails, after a number of operations that succeed.
 struct FaultyDisk {
-    steps_left: usize,
+    operations_left: usize,
     fault: Fault,
 }
 
 impl FaultyDisk {
     fn fails(&mut self) -> bool {
-        let fails = self.steps_left == 0;
-        self.steps_left = self.steps_left.wrapping_sub(1);
+        let fails = self.operations_left == 0;
+        self.operations_left = self.operations_left.wrapping_sub(1);
         fails
     }
 
-    fn pass(&mut self, step: impl FnOnce(&mut SystemDisk) -> io::Result<()>) -> io::Result<()> {
+    fn run(&mut self, operation: impl FnOnce(&mut SystemDisk) -> io::Result<()>) -> io::Result<()> {
         if self.fails() {
             return Err(io::Error::other("injected"));
         }
-        step(&mut SystemDisk)
+        operation(&mut SystemDisk)
     }
 }
 
@@ -92,19 +93,20 @@
     }
 
     fn sync(&mut self, file: &File) -> io::Result<()> {
-        self.pass(|disk| disk.sync(file))
+        self.run(|disk| disk.sync(file))
     }
 
     fn rename(&mut self, from: &Path, to: &Path) -> io::Result<()> {
-        self.pass(|disk| disk.rename(from, to))
+        self.run(|disk| disk.rename(from, to))
     }
 
     fn truncate(&mut self, file: &File, bytes: u64) -> io::Result<()> {
-        self.pass(|disk| disk.truncate(file, bytes))
+        self.run(|disk| disk.truncate(file, bytes))
     }
 }
 
-/// Opens, appends, compacts and replaces; returns the last version that was acknowledged and whether a step failed.
+/// Opens a store, appends, compacts and replaces, until an operation fails. Returns the number of the last acknowledged
+/// version and whether an operation failed.
 fn work_until_failure(folder: &Path, disk: FaultyDisk) -> (u64, bool) {
     let Ok(Opened { mut store, .. }) = Store::open_with_disk(folder, Box::new(disk)) else {
         return (0, true);
@@ -112,15 +114,15 @@
     let mut acknowledged = 0;
     for number in 1..=VERSIONS {
         let result = match number {
-            VERSIONS => store.replace(&wanted(number)).map(drop),
-            _ => store.append(&step(number)).map(drop),
+            VERSIONS => store.replace(&expected_snapshot(number)).map(drop),
+            _ => store.append(&delta_to(number)).map(drop),
         };
         if let Err(error) = result {
             assert!(matches!(error, StoreError::Disk { .. }), "{error}");
             assert_eq!(
                 store.snapshot(),
-                &wanted(acknowledged),
-                "memory is not ahead of the disk"
+                &expected_snapshot(acknowledged),
+                "the store does not return a version that is not on disk"
             );
             assert!(
                 matches!(store.compact(), Err(StoreError::DiskFailedEarlier)),
@@ -128,7 +130,7 @@
             );
             assert!(
                 matches!(
-                    store.append(&step(number)),
+                    store.append(&delta_to(number)),
                     Err(StoreError::DiskFailedEarlier)
                 ),
                 "final"
@@ -144,60 +146,62 @@
 }
 
 #[test]
-fn whichever_step_of_the_disk_fails_nothing_acknowledged_is_lost() {
+fn keeps_acknowledged_versions_whichever_disk_operation_fails() {
     for fault in [Fault::Error, Fault::Torn, Fault::Late] {
-        let mut steps = 0;
+        let mut operations = 0;
         loop {
             let folder = tempfile::tempdir().expect("a folder");
             let path = folder.path().join("store");
             let (acknowledged, failed) = work_until_failure(
                 &path,
                 FaultyDisk {
-                    steps_left: steps,
+                    operations_left: operations,
                     fault,
                 },
             );
-            let opened = Store::open(&path).expect("what is there is whole or torn");
+            let opened = Store::open(&path).expect("the files are intact or torn");
             let number = opened.store.snapshot().version().number;
             assert!(
                 (acknowledged..=acknowledged + 1).contains(&number),
-                "{fault:?} at step {steps}"
+                "{fault:?} at operation {operations}"
             );
-            assert_eq!(opened.store.snapshot(), &wanted(number));
+            assert_eq!(opened.store.snapshot(), &expected_snapshot(number));
             let mut store = opened.store;
             for next in number + 1..=VERSIONS {
-                store.append(&step(next)).expect("it goes on");
+                store
+                    .append(&delta_to(next))
+                    .expect("the reopened store accepts deltas");
             }
             if !failed {
                 break;
             }
-            steps += 1;
-            assert!(steps < MOST_STEPS);
+            operations += 1;
+            assert!(operations < MAX_OPERATIONS);
         }
-        assert!(steps > 20, "only {steps} steps of the disk");
+        assert!(operations > 20, "only {operations} disk operations");
     }
 }
 
 #[test]
-fn what_was_appended_is_there_after_a_restart_with_its_deltas() {
+fn reopening_returns_the_appended_versions_with_their_deltas() {
     let folder = tempfile::tempdir().expect("a folder");
-    fill(folder.path(), 1);
+    fill_store(folder.path(), 1);
     let opened = Store::open(folder.path()).expect("opened");
-    assert_eq!(opened.store.snapshot(), &wanted(VERSIONS));
+    assert_eq!(opened.store.snapshot(), &expected_snapshot(VERSIONS));
     assert_eq!(opened.torn_tail, None);
     let numbers: Vec<u64> = opened.deltas.iter().map(|delta| delta.to.number).collect();
     assert_eq!(numbers, [2, 3, 4]);
 }
 
 #[test]
-fn a_log_cut_at_every_byte_gives_the_last_whole_version() {
+fn a_log_truncated_at_any_byte_yields_the_last_complete_version() {
     let folder = tempfile::tempdir().expect("a folder");
-    fill(folder.path(), 1);
+    fill_store(folder.path(), 1);
     let log = folder.path().join("log");
-    let whole = fs::read(&log).expect("a log");
+    let intact = fs::read(&log).expect("a log");
     let mut last_number = 1;
-    for length in 0..=whole.len() {
-        fs::write(&log, &whole[..length]).expect("cut");
+    for length in 0..=intact.len() {
+        fs::write(&log, &intact[..length]).expect("truncated");
         if length < 8 {
             assert!(matches!(
                 Store::open(folder.path()),
@@ -205,9 +209,9 @@
             ));
             continue;
         }
-        let opened = Store::open(folder.path()).expect("a cut log is torn at most");
+        let opened = Store::open(folder.path()).expect("a truncated log is torn, not damaged");
         let number = opened.store.snapshot().version().number;
-        assert_eq!(opened.store.snapshot(), &wanted(number));
+        assert_eq!(opened.store.snapshot(), &expected_snapshot(number));
         assert!(number == last_number || number == last_number + 1);
         let kept = fs::metadata(&log).expect("a log").len();
         let torn = (kept < length as u64).then_some(TornTail {
@@ -221,40 +225,40 @@
 }
 
 #[test]
-fn room_that_was_never_written_is_a_torn_tail() {
+fn zeros_that_were_never_written_count_as_a_torn_tail() {
     let folder = tempfile::tempdir().expect("a folder");
-    fill(folder.path(), 1);
+    fill_store(folder.path(), 1);
     let log = folder.path().join("log");
-    let whole = fs::read(&log).expect("a log");
-    let mut unwritten = whole.clone();
+    let intact = fs::read(&log).expect("a log");
+    let mut unwritten = intact.clone();
     unwritten.extend([0; 300]);
     fs::write(&log, &unwritten).expect("extended");
-    let opened = Store::open(folder.path()).expect("torn");
+    let opened = Store::open(folder.path()).expect("a torn log opens");
     assert_eq!(
         opened.torn_tail,
         Some(TornTail {
-            offset: whole.len() as u64,
+            offset: intact.len() as u64,
             bytes: 300
         })
     );
     drop(opened);
-    let mut half = whole.clone();
-    let half_of_last = whole.len() - 30;
+    let mut half = intact.clone();
+    let half_of_last = intact.len() - 30;
     half[half_of_last..].fill(0);
     fs::write(&log, &half).expect("half written");
-    let opened = Store::open(folder.path()).expect("torn");
-    assert_eq!(opened.store.snapshot(), &wanted(VERSIONS - 1));
+    let opened = Store::open(folder.path()).expect("a torn log opens");
+    assert_eq!(opened.store.snapshot(), &expected_snapshot(VERSIONS - 1));
 }
 
 #[test]
-fn a_changed_byte_anywhere_is_refused_with_the_way_out() {
+fn rejects_an_altered_byte_anywhere_and_says_how_to_recover() {
     let folder = tempfile::tempdir().expect("a folder");
-    fill(folder.path(), 2);
+    fill_store(folder.path(), 2);
     for name in ["log", "snapshot"] {
         let path = folder.path().join(name);
-        let whole = fs::read(&path).expect("a file");
-        for (at, mask) in (0..whole.len()).flat_map(|at| [(at, 1), (at, 0x80), (at, 0xff)]) {
-            let mut changed = whole.clone();
+        let intact = fs::read(&path).expect("a file");
+        for (at, mask) in (0..intact.len()).flat_map(|at| [(at, 1), (at, 0x80), (at, 0xff)]) {
+            let mut changed = intact.clone();
             changed[at] ^= mask;
             fs::write(&path, &changed).expect("changed");
             let error = Store::open(folder.path()).map(drop).expect_err("damage");
@@ -266,25 +270,25 @@
             assert_eq!(
                 fs::read(&path).expect("a file"),
                 changed,
-                "nothing was cut off"
+                "the file was not changed"
             );
         }
-        fs::write(&path, &whole).expect("mended");
+        fs::write(&path, &intact).expect("restored");
     }
     assert_eq!(
-        Store::open(folder.path()).expect("whole").store.snapshot(),
-        &wanted(VERSIONS)
+        Store::open(folder.path()).expect("opened").store.snapshot(),
+        &expected_snapshot(VERSIONS)
     );
 }
 
 #[test]
-fn a_snapshot_cut_at_every_byte_is_refused() {
+fn rejects_a_snapshot_truncated_at_any_byte() {
     let folder = tempfile::tempdir().expect("a folder");
-    fill(folder.path(), 2);
+    fill_store(folder.path(), 2);
     let path = folder.path().join("snapshot");
-    let whole = fs::read(&path).expect("a file");
-    for length in 0..whole.len() {
-        fs::write(&path, &whole[..length]).expect("cut");
+    let intact = fs::read(&path).expect("a file");
+    for length in 0..intact.len() {
+        fs::write(&path, &intact[..length]).expect("truncated");
         assert!(matches!(
             Store::open(folder.path()),
             Err(StoreError::Damaged { .. })
@@ -293,10 +297,10 @@
 }
 
 #[test]
-fn a_missing_file_is_refused() {
+fn rejects_a_store_with_a_missing_file() {
     for name in ["log", "snapshot"] {
         let folder = tempfile::tempdir().expect("a folder");
-        fill(folder.path(), 2);
+        fill_store(folder.path(), 2);
         fs::remove_file(folder.path().join(name)).expect("removed");
         let missing = folder.path().join(name);
         match Store::open(folder.path()) {
@@ -307,23 +311,23 @@
 }
 
 #[test]
-fn a_crash_between_snapshot_and_log_leaves_deltas_that_are_skipped() {
+fn skips_deltas_left_by_a_crash_between_writing_snapshot_and_log() {
     let folder = tempfile::tempdir().expect("a folder");
-    fill(folder.path(), 1);
+    fill_store(folder.path(), 1);
     let old_log = fs::read(folder.path().join("log")).expect("a log");
     Store::open(folder.path())
         .expect("opened")
         .store
         .compact()
         .expect("compacted");
-    fs::write(folder.path().join("log"), old_log).expect("as before");
+    fs::write(folder.path().join("log"), old_log).expect("the old log is restored");
     let opened = Store::open(folder.path()).expect("opened");
-    assert_eq!(opened.store.snapshot(), &wanted(VERSIONS));
+    assert_eq!(opened.store.snapshot(), &expected_snapshot(VERSIONS));
     assert!(opened.deltas.is_empty());
 }
 
 #[test]
-fn one_process_at_a_time() {
+fn rejects_a_folder_that_is_already_open() {
     let folder = tempfile::tempdir().expect("a folder");
     let first = Store::open(folder.path()).expect("opened");
     assert!(matches!(
@@ -335,17 +339,20 @@
 }
 
 #[test]
-fn what_does_not_fit_is_refused_and_is_not_final() {
+fn stays_usable_after_rejecting_a_delta_or_snapshot() {
     let folder = tempfile::tempdir().expect("a folder");
     let mut store = Store::open(folder.path()).expect("opened").store;
-    assert!(matches!(store.append(&step(2)), Err(StoreError::Apply(_))));
-    store.append(&step(1)).expect("appended");
     assert!(matches!(
-        store.replace(&wanted(1)),
+        store.append(&delta_to(2)),
+        Err(StoreError::Apply(_))
+    ));
+    store.append(&delta_to(1)).expect("appended");
+    assert!(matches!(
+        store.replace(&expected_snapshot(1)),
         Err(StoreError::NotNewer { .. })
     ));
-    store.replace(&wanted(3)).expect("replaced");
-    store.append(&step(4)).expect("appended");
+    store.replace(&expected_snapshot(3)).expect("replaced");
+    store.append(&delta_to(4)).expect("appended");
 }
 
 #[test]
--- a/crates/configuration/tests/stored.rs
+++ b/crates/configuration/tests/stored.rs
@@ -1,5 +1,5 @@
-//! Stores and messages of the release build of 0.2.0, made before any name in the code changed, are read and written the
-//! same.
+//! Reads and writes stores and messages recorded with the release build of 0.2.0, before identifiers in the code were
+//! renamed. Guards against a change of the stored or transmitted bytes.
 
 use havenplank::interface::{DedupScope, Idempotency};
 use havenplank_configuration::chunk::{next_chunk, Chunk, Manifest};
@@ -20,7 +20,7 @@
 use std::path::Path;
 
 const MS: u64 = 1_000_000;
-/// A message of each kind in hexadecimal digits, a line each after its name.
+/// One recorded message of each kind; each line has a name and the message in hexadecimal digits.
 const MESSAGES: &str = include_str!("fixtures/messages.txt");
 
 fn fixture(name: &str) -> std::path::PathBuf {
@@ -29,8 +29,8 @@
         .join(name)
 }
 
-/// Opens a copy of a stored folder, as opening makes a lock beside its files.
-fn open(name: &str) -> Opened {
+/// Opens a copy of a recorded store, because opening creates a lock file in the folder.
+fn open_copy(name: &str) -> Opened {
     let folder = tempfile::tempdir().expect("a folder");
     for file in ["snapshot", "log"] {
         std::fs::copy(fixture(name).join(file), folder.path().join(file)).expect("copied");
@@ -41,17 +41,17 @@
 }
 
 fn versions(deltas: &[std::sync::Arc<Delta>]) -> Vec<(String, String, String)> {
-    let shown = |delta: &std::sync::Arc<Delta>| {
+    let version_strings = |delta: &std::sync::Arc<Delta>| {
         (
             delta.from.to_string(),
             delta.to.to_string(),
             delta.digest.to_string(),
         )
     };
-    deltas.iter().map(shown).collect()
+    deltas.iter().map(version_strings).collect()
 }
 
-fn step(from: &str, to: &str, digest: &str) -> (String, String, String) {
+fn delta_versions(from: &str, to: &str, digest: &str) -> (String, String, String) {
     (from.to_string(), to.to_string(), digest.to_string())
 }
 
@@ -61,18 +61,22 @@
 const DIGEST_4: &str = "b1ce0855ba8f77884192ad8c1455e36edfc12df2c55697c51ada7249028f3da1";
 
 #[test]
-fn the_store_of_a_distributor_gives_its_versions_and_records() {
-    let Opened { store, deltas, .. } = open("distributor");
+fn reads_the_versions_and_records_of_a_distributor_store() {
+    let Opened { store, deltas, .. } = open_copy("distributor");
     let snapshot = store.snapshot();
     assert_eq!(
         versions(&deltas),
         [
-            step("0.0", "1.1", DIGEST_1),
-            step("1.1", "1.2", DIGEST_2),
-            step("1.2", "1.3", DIGEST_3)
+            delta_versions("0.0", "1.1", DIGEST_1),
+            delta_versions("1.1", "1.2", DIGEST_2),
+            delta_versions("1.2", "1.3", DIGEST_3)
         ]
     );
-    assert_eq!(deltas[2].changes.len(), 2, "a tenant more and one less");
+    assert_eq!(
+        deltas[2].changes.len(),
+        2,
+        "one tenant added and one removed"
+    );
     assert!(matches!(&deltas[2].changes[0], Change::Remove(key) if key.name == "builds"));
     assert_eq!(RecordKind::ALL.map(|kind| snapshot.count(kind)), [2, 3, 2]);
     let search = snapshot.service("search").expect("a service");
@@ -116,9 +120,9 @@
 }
 
 #[test]
-fn a_writer_that_replaced_another_goes_on_from_its_stored_snapshot_in_the_next_epoch() {
-    let Opened { store, deltas, .. } = open("replaced-writer");
-    assert_eq!(versions(&deltas), [step("1.3", "2.4", DIGEST_4)]);
+fn reads_the_store_of_a_writer_that_replaced_another_in_the_next_epoch() {
+    let Opened { store, deltas, .. } = open_copy("replaced-writer");
+    assert_eq!(versions(&deltas), [delta_versions("1.3", "2.4", DIGEST_4)]);
     assert_eq!(
         store.snapshot().version(),
         Version {
@@ -132,8 +136,8 @@
 }
 
 #[test]
-fn a_stored_log_is_written_with_the_same_bytes() {
-    let Opened { deltas, .. } = open("distributor");
+fn writes_a_stored_log_with_the_same_bytes() {
+    let Opened { deltas, .. } = open_copy("distributor");
     let folder = tempfile::tempdir().expect("a folder");
     let mut store = Store::open(folder.path()).expect("a new store").store;
     deltas.iter().for_each(|delta| {
@@ -154,13 +158,13 @@
         epoch: 2,
         number: 4,
     };
-    let snapshot = compile(&script, &Given::new(), version).expect("it is right");
+    let snapshot = compile(&script, &Given::new(), version).expect("the script is valid");
     assert_eq!(snapshot.digest().to_string(), DIGEST_4);
 }
 
 fn claim(number: u64) -> Claim {
     let version = Version { epoch: 2, number };
-    let opened = open("distributor");
+    let opened = open_copy("distributor");
     let digest = opened.store.snapshot().digest();
     Claim { version, digest }
 }
@@ -179,7 +183,7 @@
     }
 }
 
-/// A tally with each way of not having a version.
+/// A tally with every reason for which a peer does not have a version.
 fn tally() -> Tally {
     Tally {
         have: 3,
@@ -211,9 +215,9 @@
     }
 }
 
-/// A message of each kind, each of its fields with a value of its own.
+/// A message of each kind, in the order of the recorded ones; the fields of a message have distinct values.
 fn messages() -> Vec<(&'static str, Message)> {
-    let delta = open("distributor").deltas[1].encode();
+    let delta = open_copy("distributor").deltas[1].encode();
     let body = Chunk {
         version: Version {
             epoch: 2,
@@ -297,7 +301,7 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn bytes_of(text: &str) -> Vec<u8> {
+fn parse_hexadecimal(text: &str) -> Vec<u8> {
     let pair = |at: usize| u8::from_str_radix(&text[at..at + 2], 16).expect("two digits");
     (0..text.len()).step_by(2).map(pair).collect()
 }
@@ -310,23 +314,27 @@
         .collect();
     let messages = messages();
     assert_eq!(recorded.len(), messages.len());
-    for ((name, digits), (wanted, message)) in recorded.iter().zip(messages) {
-        assert_eq!(*name, wanted);
+    for ((name, digits), (expected, message)) in recorded.iter().zip(messages) {
+        assert_eq!(*name, expected);
         let encoded = message.encode().expect("within bounds");
         assert!(encoded.len() < MAX_MESSAGE_BYTES);
         assert_eq!(hexadecimal(&encoded), *digits, "{name}");
-        assert_eq!(Message::decode(&bytes_of(digits)), Ok(message), "{name}");
+        assert_eq!(
+            Message::decode(&parse_hexadecimal(digits)),
+            Ok(message),
+            "{name}"
+        );
     }
 }
 
 #[test]
 fn a_recorded_delta_inside_an_announcement_leads_to_the_same_records() {
-    let Opened { deltas, .. } = open("distributor");
+    let Opened { deltas, .. } = open_copy("distributor");
     let first = Snapshot::empty().apply(&deltas[0]).expect("it applies");
     let line = MESSAGES
         .lines()
         .find_map(|line| line.strip_prefix("announce "));
-    let message = Message::decode(&bytes_of(line.expect("an announcement")));
+    let message = Message::decode(&parse_hexadecimal(line.expect("an announcement")));
     let Ok(Message::Announce {
         delta: Some(delta), ..
     }) = message
@@ -336,8 +344,8 @@
     let delta = Delta::decode(&delta).expect("a delta");
     let second = first.apply(&delta).expect("it applies");
     assert_eq!(second.digest().to_string(), DIGEST_2);
-    let wanted: Vec<u16> = (0..u16::MAX).collect();
-    let all = next_chunk(&second, &wanted).expect("a chunk");
+    let all_buckets: Vec<u16> = (0..u16::MAX).collect();
+    let all = next_chunk(&second, &all_buckets).expect("a chunk");
     assert!(second
         .records()
         .any(|record| matches!(record, Record::Route(_))));
