--- a/crates/configuration/src/compile.rs
+++ b/crates/configuration/src/compile.rs
@@ -90,6 +90,7 @@
     }
 }
 
+/// The records that a script declares, and the mistakes found in it.
 #[derive(Default)]
 struct Compiler {
     folder: PathBuf,
@@ -285,6 +286,7 @@
     }
 
     fn finish(mut self, script: &Path, version: Version) -> Result<Snapshot, Problems> {
+        // Line 0 is the script as a whole.
         let script_location = Location {
             file: script.display().to_string().into(),
             line: 0,
--- a/crates/configuration/src/encoding.rs
+++ b/crates/configuration/src/encoding.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 use std::io::Read;
 
-const COMPRESSION_LEVEL: i32 = 3;
+const ZSTD_LEVEL: i32 = 3;
 
 /// Appends the canonical bytes of a value. This cannot fail: a vector accepts every byte, and postcard can encode every
 /// type of this package.
@@ -50,7 +50,7 @@
 
 /// Compresses with zstd. `None` if the library fails, which happens only when memory runs out.
 pub(crate) fn compress(raw: &[u8]) -> Option<Vec<u8>> {
-    zstd::bulk::compress(raw, COMPRESSION_LEVEL).ok()
+    zstd::bulk::compress(raw, ZSTD_LEVEL).ok()
 }
 
 /// Decompresses with zstd. `None` if the bytes are not zstd data or decompress to more than `max_bytes`. Memory grows
--- a/crates/configuration/src/error.rs
+++ b/crates/configuration/src/error.rs
@@ -139,7 +139,7 @@
         bucket: u16,
     },
     /// The compressed body of a chunk is longer than allowed.
-    #[error("the chunk has {found} bytes; expected at most {max}")]
+    #[error("the chunk has a body of {found} bytes; expected at most {max}")]
     TooLong {
         /// The number found.
         found: usize,
--- a/crates/configuration/src/snapshot_file.rs
+++ b/crates/configuration/src/snapshot_file.rs
@@ -52,7 +52,7 @@
     Header(#[from] postcard::Error),
     #[error(transparent)]
     Bucket(#[from] DecodeError),
-    #[error("the body has {found} bytes remaining its last bucket; expected none")]
+    #[error("the body has {found} bytes after its last bucket; expected none")]
     Trailing { found: usize },
     #[error(transparent)]
     Records(#[from] ApplyError),
--- a/crates/configuration/src/store.rs
+++ b/crates/configuration/src/store.rs
@@ -28,7 +28,8 @@
 const UNFINISHED_EXTENSION: &str = "new";
 /// A log longer than this is folded into the snapshot; holds some ten thousand changes.
 const COMPACT_LOG_BYTES: u64 = 2 << 20;
-/// Longest log that is read. No store writes a longer one, as at most one delta exceeds [`COMPACT_LOG_BYTES`].
+/// Longest log that is read. No store writes a longer one, because the log is folded into the snapshot after the first
+/// delta past [`COMPACT_LOG_BYTES`].
 const MAX_LOG_BYTES: u64 = 64 << 20;
 
 /// Why a store cannot be opened or written.
@@ -313,6 +314,7 @@
     }
 }
 
+/// Makes the creation and renaming of files in a folder durable.
 fn sync_folder(folder: &Path, disk: &mut dyn Disk) -> Result<(), StoreError> {
     let opened = File::open(folder).map_err(disk_error("open", folder))?;
     disk.sync(&opened).map_err(disk_error("sync", folder))
--- a/crates/configuration/tests/stored.rs
+++ b/crates/configuration/tests/stored.rs
@@ -55,6 +55,7 @@
     (from.to_string(), to.to_string(), digest.to_string())
 }
 
+/// The digests of the stored versions 1.1, 1.2, 1.3 and 2.4.
 const DIGEST_1: &str = "425afa9da90cae53ddfbce405f98819575c141e2dd908584e1787b4dac03b3ff";
 const DIGEST_2: &str = "5e7036de820851be1a4fe76ce3b1e87c84c877278ad677570ce17d30d95e2e09";
 const DIGEST_3: &str = "d249a6f68df8521ca363cb017e23334c008e61bd3b995736cba5583f3b3245c0";
