--- a/crates/configuration/src/record.rs
+++ b/crates/configuration/src/record.rs
@@ -412,8 +412,6 @@
     }
     let allowed =
         rules.backup != BackupMode::Behind || rules.idempotency == Idempotency::Idempotent;
-    let expected = || {
-        "BeforeAttempt for a request that is not idempotent, as a repeat could do harm".to_string()
-    };
+    let expected = || "BeforeAttempt unless idempotent, as a repeat could do harm".to_string();
     ensure(allowed, key, "backup", || "Behind".to_string(), expected)
 }
