--- a/crates/platform/src/id_claim.rs
+++ b/crates/platform/src/id_claim.rs
@@ -29,7 +29,7 @@
             may_take_over(earlier_request(shell, &earlier), idempotency)?;
             earlier.client.abort();
             if let Some(request) = earlier.request {
-                shell.client_gone(request);
+                shell.cancel_request(request);
             }
         }
         let ids = &shell.clients.in_flight_ids;
--- a/crates/platform/src/request_handler.rs
+++ b/crates/platform/src/request_handler.rs
@@ -8,7 +8,7 @@
 use crate::wire_headers::HEALTH_PATH;
 use havenplank::interface::{Nanos, RequestId};
 use havenplank_sidecar::engine::RequestAttributes;
-use havenplank_sidecar::responses::{and_close, failed, plain};
+use havenplank_sidecar::responses::{failed, text_response, with_connection_close};
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response, StatusCode};
 use std::rc::Rc;
@@ -39,7 +39,7 @@
 
 impl Drop for InFlight {
     fn drop(&mut self) {
-        self.shell.client_gone(self.request);
+        self.shell.cancel_request(self.request);
     }
 }
 
@@ -66,16 +66,16 @@
 
 fn health(is_stopping: bool) -> Response<Body> {
     if is_stopping {
-        return and_close(plain(StatusCode::SERVICE_UNAVAILABLE, "stopping\n"));
+        return with_connection_close(text_response(StatusCode::SERVICE_UNAVAILABLE, "stopping\n"));
     }
-    plain(StatusCode::OK, "ready\n")
+    text_response(StatusCode::OK, "ready\n")
 }
 
 fn refuse(shell: &Shell, error: RequestError) -> Response<Body> {
     let (status, text) = error.response();
     tracing::debug!(%status, reason = text.trim_end(), "invalid request");
     increment(&shell.clients.invalid_requests);
-    and_close(plain(status, text))
+    with_connection_close(text_response(status, text))
 }
 
 /// Hands a request to the engine and waits for its response.
@@ -100,12 +100,12 @@
         // An engine that stops with a request in flight is a fault; the response promises nothing.
         response = response => response.unwrap_or_else(|_| failed(false)),
         // HTTP looks for its close only while no other bytes lie in front of that. Nobody reads this response.
-        () = client.stream.closed() => and_close(failed(false)),
+        () = client.stream.closed() => with_connection_close(failed(false)),
     };
     let is_stopping = in_flight.shell.stopping.get();
     Handled {
         response: if is_stopping {
-            and_close(response)
+            with_connection_close(response)
         } else {
             response
         },
--- a/crates/sidecar/src/admin.rs
+++ b/crates/sidecar/src/admin.rs
@@ -1,7 +1,7 @@
 //! The operators' listener: a look at the state, and wrong answers reported.
 
 use crate::body::Body;
-use crate::responses::plain;
+use crate::responses::text_response;
 use crate::shell::Shell;
 use crate::state_report::state_report;
 use havenplank::interface::Nanos;
@@ -24,7 +24,7 @@
 /// Why a report of a wrong answer is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
-struct ReportRefused(&'static str);
+struct ReportError(&'static str);
 
 /// Answers `GET /state`, and `POST /flagged` with `{"pod": ..., "path_group": ..., "ago_ms": ...}`.
 ///
@@ -38,13 +38,13 @@
     Ok(match (method, path.as_str()) {
         (Method::GET, "/state") => state(&shell),
         (Method::POST, "/flagged") => match report_fault(&shell, request).await {
-            Ok(()) => plain(StatusCode::NO_CONTENT, ""),
-            Err(ReportRefused(why)) => {
+            Ok(()) => text_response(StatusCode::NO_CONTENT, ""),
+            Err(ReportError(why)) => {
                 tracing::info!(why, "flagged refused");
-                plain(StatusCode::BAD_REQUEST, why)
+                text_response(StatusCode::BAD_REQUEST, why)
             }
         },
-        _ => plain(
+        _ => text_response(
             StatusCode::NOT_FOUND,
             "expected GET /state or POST /flagged\n",
         ),
@@ -60,28 +60,28 @@
     response
 }
 
-async fn report_fault(shell: &Rc<Shell>, request: Request<Incoming>) -> Result<(), ReportRefused> {
+async fn report_fault(shell: &Rc<Shell>, request: Request<Incoming>) -> Result<(), ReportError> {
     let body = Limited::new(request.into_body(), MAX_BODY_BYTES).collect();
     let body = timeout(BODY_TIME, body)
         .await
-        .map_err(|_| ReportRefused("the body took too long\n"))?
-        .map_err(|_| ReportRefused("expected 4096 bytes at most\n"))?;
+        .map_err(|_| ReportError("the body took too long\n"))?
+        .map_err(|_| ReportError("expected 4096 bytes at most\n"))?;
     let report: Value = serde_json::from_slice(&body.to_bytes())
-        .map_err(|_| ReportRefused("expected a JSON object\n"))?;
+        .map_err(|_| ReportError("expected a JSON object\n"))?;
     let pod = report["pod"]
         .as_str()
-        .ok_or(ReportRefused("pod: expected a text\n"))?;
+        .ok_or(ReportError("pod: expected a text\n"))?;
     let route_class = report["path_group"]
         .as_str()
-        .ok_or(ReportRefused("path_group: expected a text\n"))?;
+        .ok_or(ReportError("path_group: expected a text\n"))?;
     let ago_ms = report["ago_ms"]
         .as_u64()
-        .ok_or(ReportRefused("ago_ms: expected a whole number\n"))?;
+        .ok_or(ReportError("ago_ms: expected a whole number\n"))?;
     let ago = ago_ms
         .checked_mul(NANOS_PER_MILLI)
-        .ok_or(ReportRefused("ago_ms: too long ago\n"))?;
+        .ok_or(ReportError("ago_ms: too long ago\n"))?;
     match shell.report_fault(pod, route_class, ago) {
         true => Ok(()),
-        false => Err(ReportRefused("pod or path_group: not known\n")),
+        false => Err(ReportError("pod or path_group: not known\n")),
     }
 }
--- a/crates/sidecar/src/daemon.rs
+++ b/crates/sidecar/src/daemon.rs
@@ -291,7 +291,7 @@
         let _ = self.stopping.send(true);
         tracing::info!(hits_in_flight = shell.status().requests, "stopping");
         // None can wait for an answer longer than this.
-        let longest = Duration::from_nanos(shell.engine().longest_time_out());
+        let longest = Duration::from_nanos(shell.engine().longest_client_timeout());
         let closed = timeout(longest + STOP_MARGIN, self.clients).await;
         let left = shell.in_flight();
         if let Some(membership) = &shell.membership {
--- a/crates/sidecar/src/dispatcher/mod.rs
+++ b/crates/sidecar/src/dispatcher/mod.rs
@@ -148,7 +148,7 @@
     }
 
     /// Does the same where the protocol says that a client that closed wants nothing more: its attempts end, too.
-    pub fn client_gone(self: &Rc<Self>, request: RequestId) {
+    pub fn cancel_request(self: &Rc<Self>, request: RequestId) {
         let pending = self.pending.borrow_mut().remove(&request);
         let Some(pending) = pending else { return };
         tracing::debug!(request, "client gone");
--- a/crates/sidecar/src/engine/mod.rs
+++ b/crates/sidecar/src/engine/mod.rs
@@ -143,7 +143,7 @@
     }
 
     /// Returns the longest time that a client of any route in force, or of a request that is held, may wait.
-    pub fn longest_time_out(&self) -> Nanos {
+    pub fn longest_client_timeout(&self) -> Nanos {
         self.slots.longest_time_out()
     }
 
--- a/crates/sidecar/src/exactly_once.rs
+++ b/crates/sidecar/src/exactly_once.rs
@@ -7,7 +7,7 @@
 use crate::engine::RequestAttributes;
 use crate::outcome::{outcome_of, response_of};
 use crate::prepared_request::{PreparedRequest, Protection};
-use crate::responses::{failed, plain, rejected_for};
+use crate::responses::{failed, rejected_with_retry_after, text_response};
 use crate::shell::Shell;
 use crate::takeover_policy::must_not_repeat;
 use crate::takeover_service::{
@@ -70,7 +70,7 @@
         exactly_once: must_not_repeat(&request.route.rules, protection.has_client_key),
         remaining: attributes.remaining,
     };
-    if protection.announces_first() {
+    if protection.announces_before_attempt() {
         match request_lease(service, lease, began).await {
             LeaseReply::Granted => {}
             LeaseReply::Unprotected => protection.backed_up.set(false),
@@ -116,9 +116,9 @@
 
 fn response_to_refusal(shell: &Shell, reply: LeaseReply) -> Response<Body> {
     match reply {
-        LeaseReply::Uncertain => rejected_for(shell.site.attempts.max_retry_after),
+        LeaseReply::Uncertain => rejected_with_retry_after(shell.site.attempts.max_retry_after),
         LeaseReply::Finished(outcome) => response_of(outcome),
-        LeaseReply::KeyReused => plain(StatusCode::UNPROCESSABLE_ENTITY, KEY_REUSED),
+        LeaseReply::KeyReused => text_response(StatusCode::UNPROCESSABLE_ENTITY, KEY_REUSED),
         LeaseReply::Unknown | LeaseReply::Granted | LeaseReply::Unprotected => failed(true),
     }
 }
@@ -184,7 +184,7 @@
         return Ok(None);
     };
     let pod = shell.engine().pod_name(pod).unwrap_or_default().to_string();
-    let wait = protection.announces_first();
+    let wait = protection.announces_before_attempt();
     protection.announced.set(true);
     match service.announce_attempt(protection.id, &pod, wait).await {
         None if wait => Err(NotOurs),
@@ -194,8 +194,9 @@
 
 /// Returns whether an attempt of this request may be written at this moment.
 pub fn may_send(shell: &Shell, request: &PreparedRequest) -> bool {
-    let leased =
-        |protection: &&Protection| protection.announces_first() && protection.backed_up.get();
+    let leased = |protection: &&Protection| {
+        protection.announces_before_attempt() && protection.backed_up.get()
+    };
     let Some(protection) = request.protection.as_ref().filter(leased) else {
         return true;
     };
--- a/crates/sidecar/src/outcome.rs
+++ b/crates/sidecar/src/outcome.rs
@@ -2,8 +2,8 @@
 
 use crate::backup_record::{header_list, header_map, HeaderList, MAX_RECORD_BYTES};
 use crate::body::Body;
-use crate::prepared_request::{OwnAnswer, PreparedRequest, Protection};
-use crate::responses::{failed, plain, rejected_for};
+use crate::prepared_request::{LocalReply, PreparedRequest, Protection};
+use crate::responses::{failed, rejected_with_retry_after, text_response};
 use crate::takeover_policy::may_promise_that_it_never_ran;
 use bytes::Bytes;
 use havenplank::interface::Idempotency;
@@ -31,10 +31,10 @@
     let retryable = idempotency != Idempotency::NonIdempotent;
     let known = request.protection.as_ref().map(Protection::knowledge);
     let may_reject = known.is_none_or(|known| may_promise_that_it_never_ran(idempotency, known));
-    match response.extensions().get::<OwnAnswer>() {
-        Some(OwnAnswer::Rejected) if may_reject => (response, Outcome::Rejected),
-        Some(OwnAnswer::Rejected) => (failed(false), Outcome::Failed { retryable }),
-        Some(OwnAnswer::Failed) => (response, Outcome::Failed { retryable }),
+    match response.extensions().get::<LocalReply>() {
+        Some(LocalReply::Rejected) if may_reject => (response, Outcome::Rejected),
+        Some(LocalReply::Rejected) => (failed(false), Outcome::Failed { retryable }),
+        Some(LocalReply::Failed) => (response, Outcome::Failed { retryable }),
         None => served(response).await,
     }
 }
@@ -66,14 +66,14 @@
 /// Returns the answer to a client that came back.
 pub fn response_of(outcome: Outcome) -> Response<Body> {
     match outcome {
-        Outcome::Rejected => rejected_for(0),
+        Outcome::Rejected => rejected_with_retry_after(0),
         Outcome::Failed { .. } => failed(false),
-        Outcome::Served(kept) if kept.is_empty() => plain(
+        Outcome::Served(kept) if kept.is_empty() => text_response(
             StatusCode::BAD_GATEWAY,
             "errored: it ran, but its answer was too long to be kept\n",
         ),
         Outcome::Served(kept) => decode(&kept).unwrap_or_else(|| {
-            plain(
+            text_response(
                 StatusCode::BAD_GATEWAY,
                 "errored: it ran, but its kept answer cannot be read here\n",
             )
--- a/crates/sidecar/src/prepared_request.rs
+++ b/crates/sidecar/src/prepared_request.rs
@@ -36,7 +36,7 @@
 
 /// The final answers that a sidecar makes itself; an extension of the response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OwnAnswer {
+pub enum LocalReply {
     /// The request never ran.
     Rejected,
     /// The request may have run.
@@ -45,9 +45,9 @@
 
 /// When backups must know of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Announcement {
+pub enum AnnouncementMode {
     /// Before it is sent.
-    First,
+    BeforeAttempt,
     /// Some time; it is sent at once.
     InBackground,
 }
@@ -63,7 +63,7 @@
     /// Whether the client can name it, and so finds it again.
     pub has_client_key: bool,
     /// When its backups must know of an attempt.
-    pub announcement: Announcement,
+    pub announcement: AnnouncementMode,
     /// Cleared where nobody backs it up after all.
     pub backed_up: Cell<bool>,
     /// Set once some attempt of it was announced.
@@ -98,7 +98,7 @@
             digest,
             tenant,
             has_client_key: key.is_some(),
-            announcement: Announcement::of(route),
+            announcement: AnnouncementMode::of(route),
             backed_up: Cell::new(true),
             announced: Cell::new(false),
         }
@@ -117,8 +117,8 @@
             tenant,
             has_client_key: false,
             announcement: match route.backup {
-                BackupMode::Behind => Announcement::InBackground,
-                BackupMode::BeforeAttempt | BackupMode::Off => Announcement::First,
+                BackupMode::Behind => AnnouncementMode::InBackground,
+                BackupMode::BeforeAttempt | BackupMode::Off => AnnouncementMode::BeforeAttempt,
             },
             backed_up: Cell::new(true),
             announced: Cell::new(true),
@@ -135,16 +135,16 @@
     }
 
     /// Returns whether attempts wait until backups know of them.
-    pub fn announces_first(&self) -> bool {
-        self.announcement == Announcement::First
+    pub fn announces_before_attempt(&self) -> bool {
+        self.announcement == AnnouncementMode::BeforeAttempt
     }
 }
 
-impl Announcement {
-    fn of(route: &Route) -> Announcement {
+impl AnnouncementMode {
+    fn of(route: &Route) -> AnnouncementMode {
         match route.backup {
-            BackupMode::BeforeAttempt => Announcement::First,
-            BackupMode::Behind | BackupMode::Off => Announcement::InBackground,
+            BackupMode::BeforeAttempt => AnnouncementMode::BeforeAttempt,
+            BackupMode::Behind | BackupMode::Off => AnnouncementMode::InBackground,
         }
     }
 }
--- a/crates/sidecar/src/proxy.rs
+++ b/crates/sidecar/src/proxy.rs
@@ -4,7 +4,7 @@
 use crate::engine::RequestAttributes;
 use crate::exactly_once;
 use crate::request_reader;
-use crate::responses::{and_close, failed, plain, rejected_for};
+use crate::responses::{failed, rejected_with_retry_after, text_response, with_connection_close};
 use crate::shell::Shell;
 use havenplank::interface::{Nanos, RequestId};
 use hyper::body::Incoming;
@@ -40,10 +40,17 @@
     let arrived = Instant::now();
     let (attributes, request) = match request_reader::read(&shell, request).await {
         Ok(read) => read,
-        Err(refused) => return Ok(and_close(plain(refused.status, refused.reason))),
+        Err(refused) => {
+            return Ok(with_connection_close(text_response(
+                refused.status,
+                refused.reason,
+            )))
+        }
     };
     if shell.is_full() {
-        return Ok(and_close(rejected_for(RETRY_AFTER_FULL)));
+        return Ok(with_connection_close(rejected_with_retry_after(
+            RETRY_AFTER_FULL,
+        )));
     }
     let spent = arrived.elapsed().as_nanos() as Nanos + shell.site.listener.response_margin;
     let attributes = RequestAttributes {
--- a/crates/sidecar/src/request_reader.rs
+++ b/crates/sidecar/src/request_reader.rs
@@ -18,24 +18,24 @@
 use tokio::time::timeout;
 
 /// Why a request was refused before it was taken.
-pub struct Refused {
+pub struct RequestError {
     /// The status of the answer.
     pub status: StatusCode,
     /// Its text.
     pub reason: &'static str,
 }
 
-impl Refused {
-    const fn new(status: StatusCode, reason: &'static str) -> Refused {
-        Refused { status, reason }
+impl RequestError {
+    const fn new(status: StatusCode, reason: &'static str) -> RequestError {
+        RequestError { status, reason }
     }
 
-    const fn bad_request(reason: &'static str) -> Refused {
-        Refused::new(StatusCode::BAD_REQUEST, reason)
+    const fn bad_request(reason: &'static str) -> RequestError {
+        RequestError::new(StatusCode::BAD_REQUEST, reason)
     }
 }
 
-const TOO_LARGE: Refused = Refused::new(
+const TOO_LARGE: RequestError = RequestError::new(
     StatusCode::PAYLOAD_TOO_LARGE,
     "the body is over the limit\n",
 );
@@ -47,7 +47,7 @@
 pub async fn read(
     shell: &Rc<Shell>,
     request: Request<Incoming>,
-) -> Result<(RequestAttributes, PreparedRequest), Refused> {
+) -> Result<(RequestAttributes, PreparedRequest), RequestError> {
     let (parts, body) = request.into_parts();
     let routes = shell.routes();
     let route = find_route(&routes, &parts)?;
@@ -93,16 +93,16 @@
     headers.get(name).map(|value| value.to_str().unwrap_or(""))
 }
 
-fn find_route(routes: &RouteTable, parts: &Parts) -> Result<Rc<Route>, Refused> {
+fn find_route(routes: &RouteTable, parts: &Parts) -> Result<Rc<Route>, RequestError> {
     let route = routes.find(parts.method.as_str(), parts.uri.path());
     route.cloned().ok_or_else(|| {
         if routes.awaits_configuration() {
-            Refused::new(
+            RequestError::new(
                 StatusCode::SERVICE_UNAVAILABLE,
                 "no configuration has been heard yet; a retry is harmless\n",
             )
         } else {
-            Refused::new(
+            RequestError::new(
                 StatusCode::NOT_FOUND,
                 "no path group takes this method and path\n",
             )
@@ -110,12 +110,12 @@
     })
 }
 
-fn check_idempotency_key(headers: &HeaderMap, route: &Route) -> Result<(), Refused> {
+fn check_idempotency_key(headers: &HeaderMap, route: &Route) -> Result<(), RequestError> {
     match headers.get(IDEMPOTENCY_KEY) {
-        Some(key) if !headers::is_idempotency_key(key.as_bytes()) => Err(Refused::bad_request(
-            "Idempotency-Key: expected a text in quotes\n",
-        )),
-        None if route.rules.idempotency == Idempotency::Keyed => Err(Refused::bad_request(
+        Some(key) if !headers::is_idempotency_key(key.as_bytes()) => Err(
+            RequestError::bad_request("Idempotency-Key: expected a text in quotes\n"),
+        ),
+        None if route.rules.idempotency == Idempotency::Keyed => Err(RequestError::bad_request(
             "Idempotency-Key: needed by this path group\n",
         )),
         _ => Ok(()),
@@ -128,11 +128,11 @@
     headers: &HeaderMap,
     route: &Route,
     tenant: Option<usize>,
-) -> Result<RequestAttributes, Refused> {
+) -> Result<RequestAttributes, RequestError> {
     let names = &shell.site.headers;
     let asked_time = text(headers, &names.timeout).map(headers::parse_timeout);
     if asked_time == Some(None) {
-        return Err(Refused::bad_request(
+        return Err(RequestError::bad_request(
             "time-out: expected up to 8 digits and H, M, S, m, u or n\n",
         ));
     }
@@ -151,7 +151,7 @@
     })
 }
 
-async fn read_body(shell: &Shell, body: Incoming) -> Result<Bytes, Refused> {
+async fn read_body(shell: &Shell, body: Incoming) -> Result<Bytes, RequestError> {
     let limits = &shell.site.listener;
     if body.size_hint().lower() > limits.max_body_bytes as u64 {
         return Err(TOO_LARGE);
@@ -163,8 +163,8 @@
     match timeout(Duration::from_nanos(limits.body_timeout), collected).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) if error.downcast_ref::<LengthLimitError>().is_some() => Err(TOO_LARGE),
-        Ok(Err(_)) => Err(Refused::bad_request("the body broke off\n")),
-        Err(_) => Err(Refused::new(
+        Ok(Err(_)) => Err(RequestError::bad_request("the body broke off\n")),
+        Err(_) => Err(RequestError::new(
             StatusCode::REQUEST_TIMEOUT,
             "the body took too long\n",
         )),
--- a/crates/sidecar/src/responses.rs
+++ b/crates/sidecar/src/responses.rs
@@ -7,7 +7,7 @@
 const NANOS_PER_SECOND: Nanos = 1_000_000_000;
 
 /// Builds an answer of this status and text.
-pub fn plain<B: From<&'static str>>(status: StatusCode, text: &'static str) -> Response<B> {
+pub fn text_response<B: From<&'static str>>(status: StatusCode, text: &'static str) -> Response<B> {
     let mut response = Response::new(B::from(text));
     *response.status_mut() = status;
     response
@@ -16,7 +16,7 @@
 /// Builds the answer that a request was rejected: a retry is harmless. `retry_after` is in the protocol's own form,
 /// none for no advice.
 pub fn rejected<B: From<&'static str>>(retry_after: Option<HeaderValue>) -> Response<B> {
-    let mut response = plain(
+    let mut response = text_response(
         StatusCode::SERVICE_UNAVAILABLE,
         "bounced: a retry is harmless\n",
     );
@@ -28,20 +28,20 @@
 
 /// Builds the answer that a request was rejected, with whole seconds, as the header has no finer ones, and never later
 /// than was decided.
-pub fn rejected_for<B: From<&'static str>>(retry_after: Nanos) -> Response<B> {
+pub fn rejected_with_retry_after<B: From<&'static str>>(retry_after: Nanos) -> Response<B> {
     rejected(Some(HeaderValue::from(retry_after / NANOS_PER_SECOND)))
 }
 
 /// Builds the answer that a request failed: it promises nothing.
 pub fn failed<B: From<&'static str>>(timed_out: bool) -> Response<B> {
     match timed_out {
-        true => plain(StatusCode::GATEWAY_TIMEOUT, "errored: out of time\n"),
-        false => plain(StatusCode::BAD_GATEWAY, "errored: it may have run\n"),
+        true => text_response(StatusCode::GATEWAY_TIMEOUT, "errored: out of time\n"),
+        false => text_response(StatusCode::BAD_GATEWAY, "errored: it may have run\n"),
     }
 }
 
 /// Says that the connection closes after this answer, as the rest of it is of no use.
-pub fn and_close<B>(mut response: Response<B>) -> Response<B> {
+pub fn with_connection_close<B>(mut response: Response<B>) -> Response<B> {
     response
         .headers_mut()
         .insert(CONNECTION, HeaderValue::from_static("close"));
--- a/crates/sidecar/src/transport.rs
+++ b/crates/sidecar/src/transport.rs
@@ -4,7 +4,7 @@
 use crate::body::Body;
 use crate::dispatcher::{AttemptId, Transport};
 use crate::health_check;
-use crate::prepared_request::{OwnAnswer, PreparedRequest};
+use crate::prepared_request::{LocalReply, PreparedRequest};
 use crate::responses;
 use crate::shell::{Shell, Sidecar};
 use havenplank::interface::{Build, Nanos, PodId, Vote, VoteReceipt, VoteReply};
@@ -31,11 +31,14 @@
     }
 
     fn rejected(&self, retry_after: Nanos) -> Response<Body> {
-        self.marked(OwnAnswer::Rejected, responses::rejected_for(retry_after))
+        self.marked(
+            LocalReply::Rejected,
+            responses::rejected_with_retry_after(retry_after),
+        )
     }
 
     fn failed(&self, timed_out: bool) -> Response<Body> {
-        self.marked(OwnAnswer::Failed, responses::failed(timed_out))
+        self.marked(LocalReply::Failed, responses::failed(timed_out))
     }
 
     /// Sends a vote and sees to it that it is answered: not sent is rejected, no answer in time is unknown.
@@ -78,7 +81,7 @@
 
 impl Sidecar {
     /// Marks an answer as this sidecar's own, for the backups that keep it.
-    fn marked(&self, answer: OwnAnswer, mut response: Response<Body>) -> Response<Body> {
+    fn marked(&self, answer: LocalReply, mut response: Response<Body>) -> Response<Body> {
         if self.takeover.is_some() {
             response.extensions_mut().insert(answer);
         }
