--- a/crates/sidecar/src/dispatcher/mod.rs
+++ b/crates/sidecar/src/dispatcher/mod.rs
@@ -1,5 +1,5 @@
-//! Hands requests to one engine and carries its effects out through a [`Transport`]: its clock, its timers, and the
-//! requests that wait for their final answer.
+//! Passes requests to one engine and carries its effects out through a [`Transport`]. It provides the engine's clock,
+//! runs the engine's timers, and holds the requests that wait for their final response.
 
 mod pending;
 mod transport;
@@ -24,29 +24,29 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep_until, timeout};
 
-/// How long the timer task sleeps while no timer is set; it is woken when one is.
+/// How long the timer task sleeps while no timer is set. Setting a timer wakes the task.
 const IDLE_SLEEP: Duration = Duration::from_secs(3600);
 
-/// Names an attempt.
+/// Identifies an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptId {
-    /// The request that it is an attempt of.
+    /// The request that the attempt belongs to.
     pub request: RequestId,
-    /// Its number within the request, counted from 0.
+    /// The attempt's number within the request, counted from 0.
     pub number: u32,
 }
 
-/// The engine is borrowed for one call at a time and never across an await. What the transport keeps for
-/// itself is reached as if it were the dispatcher's own.
+/// Runs one engine with one transport. The engine is borrowed for one call at a time and never across an await. The
+/// dispatcher dereferences to its transport, which makes the transport's fields and methods available on it.
 pub struct Dispatcher<T: Transport> {
     transport: T,
     began: Instant,
     engine: RefCell<Engine>,
-    /// Requests that wait for their final answer; the listener's limit bounds it.
+    /// Requests that wait for their final response. The listener's request limit bounds this map.
     pending: RefCell<HashMap<RequestId, PendingResponse<T>>>,
-    /// When the timer task wakes next, on the engine's clock.
+    /// When the timer task will wake next, on the engine's clock.
     armed_for: Cell<Nanos>,
-    /// Wakes the timer task for something earlier.
+    /// Wakes the timer task when a timer is set that is due earlier.
     rearm: Notify,
 }
 
@@ -59,7 +59,7 @@
 }
 
 impl<T: Transport> Dispatcher<T> {
-    /// Puts a transport around an engine. The engine's clock goes on from [`EPOCH`] as of now.
+    /// Creates a dispatcher for an engine and a transport. The engine's clock runs from [`EPOCH`], starting now.
     pub fn new(engine: Engine, transport: T) -> Rc<Dispatcher<T>> {
         Rc::new(Dispatcher {
             transport,
@@ -71,24 +71,25 @@
         })
     }
 
-    /// Makes one call into the engine, then carries out all that it left to do.
+    /// Makes one call into the engine, then carries out the effects that the call queued.
     pub fn call<R>(self: &Rc<Self>, work: impl FnOnce(&mut Engine, Nanos) -> R) -> R {
         let done = work(&mut self.engine.borrow_mut(), self.now());
         self.perform_effects();
         done
     }
 
-    /// Puts routes in force between two requests; see [`Engine::set_routes`].
+    /// Replaces all routes; see [`Engine::set_routes`].
     pub fn set_routes(&self, routes: &[(String, RouteClass)]) -> Vec<Slot> {
         self.engine.borrow_mut().set_routes(self.now(), routes)
     }
 
-    /// Returns the engine for a look that changes nothing; not to be held across a call or an await.
+    /// Borrows the engine for reading. The caller must drop the borrow before its next call into the dispatcher and
+    /// before any await.
     pub fn engine(&self) -> Ref<'_, Engine> {
         self.engine.borrow()
     }
 
-    /// Runs the engine's timers when they are due; never ends.
+    /// Runs the engine's timers when they are due. Never returns.
     pub async fn run_timers(self: Rc<Self>) {
         loop {
             let next = self.engine().next_timer();
@@ -103,7 +104,7 @@
         }
     }
 
-    /// Takes a request, whose final answer goes to `responder`.
+    /// Dispatches a request and sends its final response to `responder`.
     pub fn dispatch(
         self: &Rc<Self>,
         attributes: RequestAttributes,
@@ -113,7 +114,8 @@
         self.dispatch_resumed(None, attributes, Rc::new(request), responder)
     }
 
-    /// Takes a request; with prior attempts, one that another sidecar took and sent these for.
+    /// Dispatches a request. `prior_attempts` are the attempts that another sidecar sent if the request was taken over
+    /// from that sidecar, and `None` for a new request.
     pub fn dispatch_resumed(
         self: &Rc<Self>,
         prior_attempts: Option<Vec<PriorAttempt>>,
@@ -139,7 +141,8 @@
         id
     }
 
-    /// Ends a client's wait, by its answer or without; attempts in flight go on.
+    /// Ends the wait for a final response because the client disconnected. Attempts in flight continue. Has no effect
+    /// on a request that has its final response.
     pub fn client_left(self: &Rc<Self>, request: RequestId) {
         let pending = self.pending.borrow_mut().remove(&request);
         if pending.is_some() {
@@ -147,25 +150,27 @@
         }
     }
 
-    /// Does the same where the protocol says that a client that closed wants nothing more: its attempts end, too.
+    /// Does the same as [`Dispatcher::client_left`] and also cancels the attempts in flight: for protocols in which a
+    /// client that closes its connection no longer wants the request to run.
     pub fn cancel_request(self: &Rc<Self>, request: RequestId) {
         let pending = self.pending.borrow_mut().remove(&request);
         let Some(pending) = pending else { return };
-        tracing::debug!(request, "client gone");
+        tracing::debug!(request, "request cancelled: its client disconnected");
         self.call(|engine, now| engine.client_left(now, request));
         for (number, task) in (0..).zip(&pending.attempts) {
             self.abort_attempt(AttemptId { request, number }, task);
         }
     }
 
-    /// Returns whether an attempt may have been begun for a request. Of one that was answered that is no longer known.
+    /// Returns whether an attempt may have been started for a request. Returns true for a request that has its final
+    /// response, because its attempts are no longer known.
     pub fn was_forwarded(&self, request: RequestId) -> bool {
         let pending = self.pending.borrow();
         let pending = pending.get(&request);
         pending.is_none_or(|pending| !pending.attempts.is_empty())
     }
 
-    /// Returns whether an attempt may still be written; to be asked right before.
+    /// Returns whether an attempt may still be written. The transport calls this right before it writes the attempt.
     pub fn may_send(self: &Rc<Self>, attempt: AttemptId) -> bool {
         let AttemptId { request, number } = attempt;
         let now = self.now();
@@ -174,13 +179,14 @@
             tracing::debug!(
                 request,
                 attempt = number,
-                "attempt not sent: its pod or build closed while it waited"
+                "attempt not sent: its request ended or its pod became ineligible while it waited"
             );
         }
         allowed
     }
 
-    /// Takes in how an attempt ended after `took`; its response goes to the client where the engine says so.
+    /// Reports to the engine how an attempt ended and that it took `took` nanoseconds. Sends its response to the client
+    /// if the engine chooses it as the final response.
     pub fn attempt_ended(
         self: &Rc<Self>,
         attempt: AttemptId,
@@ -209,8 +215,9 @@
         self.perform_effects();
     }
 
-    /// Carries one attempt out by its protocol's exchange and takes in how it ended. `sent` is set once the pod may
-    /// have begun. Where time runs out the exchange is dropped, and its connection with it.
+    /// Runs one attempt, given as the `exchange` of its protocol, and reports how it ended. The exchange sets `sent`
+    /// before the pod may start to process the attempt. After `time` the exchange is dropped, which closes its
+    /// connection.
     pub async fn run_attempt(
         self: &Rc<Self>,
         attempt: AttemptId,
@@ -222,7 +229,7 @@
         let result = match timeout(time, exchange).await {
             Ok(result) => result,
             Err(_) if sent.get() => AttemptEnd::TimedOut.into(),
-            // The client's time ran out first: nothing was sent, and the pod is not to blame.
+            // The time ran out before anything was sent, so the pod is not to blame.
             Err(_) => AttemptEnd::NotSent.into(),
         };
         let AttemptResult {
@@ -234,17 +241,17 @@
         self.attempt_ended(attempt, end, took, load, response);
     }
 
-    /// Returns how many requests wait for their final answer.
+    /// Returns the number of requests that wait for their final response.
     pub fn in_flight(&self) -> usize {
         self.pending.borrow().len()
     }
 
-    /// Returns where a pod listens.
+    /// Returns the address that a pod listens on.
     pub fn pod_address(&self, pod: PodId) -> Option<SocketAddr> {
         self.engine().pod_address(pod)
     }
 
-    /// Returns what an operator may look at.
+    /// Returns the state that operators see.
     pub fn status(&self) -> EngineStatus {
         self.engine().status()
     }
@@ -254,7 +261,7 @@
         self.engine().listed_pods()
     }
 
-    /// Takes in that a client found an answer wrong; see [`Engine::report_fault`].
+    /// Records that a client reported a wrong response; see [`Engine::report_fault`].
     pub fn report_fault(self: &Rc<Self>, pod: &str, route_class: &str, ago: Nanos) -> bool {
         self.call(|engine, now| engine.report_fault(now, pod, route_class, ago))
     }
@@ -335,7 +342,8 @@
         }
     }
 
-    /// Ends an attempt that is in flight: its connection closes with its task.
+    /// Aborts the task of an attempt that is in flight, which closes its connection, and reports the attempt as
+    /// cancelled.
     fn abort_attempt(self: &Rc<Self>, attempt: AttemptId, task: &AttemptTask) {
         if let Some(took) = task.abort() {
             self.attempt_ended(attempt, AttemptEnd::Cancelled, took, None, None);
@@ -345,7 +353,7 @@
     fn respond(&self, request: RequestId, response: T::Response) {
         let pending = self.pending.borrow_mut().remove(&request);
         if let Some(pending) = pending {
-            // Where the client has left meanwhile nobody is there to be answered.
+            // The send fails if the client has disconnected in the meantime, which is not an error.
             let _ = pending.responder.send(response);
         }
     }
--- a/crates/sidecar/src/dispatcher/pending.rs
+++ b/crates/sidecar/src/dispatcher/pending.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for their final answer, and the tasks of their attempts.
+//! Requests that wait for their final response, and the tasks of their attempts.
 
 use super::Transport;
 use havenplank::interface::Nanos;
@@ -7,7 +7,7 @@
 use tokio::sync::oneshot;
 use tokio::task::AbortHandle;
 
-/// The task that carries an attempt out.
+/// The task that runs one attempt.
 #[derive(Clone)]
 pub(super) struct AttemptTask {
     handle: AbortHandle,
@@ -15,7 +15,7 @@
 }
 
 impl AttemptTask {
-    /// Notes a task that begins now.
+    /// Wraps the handle of a task that starts now.
     pub(super) fn new(handle: AbortHandle) -> AttemptTask {
         AttemptTask {
             handle,
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Aborts the task and returns how long it ran, in ns; `None` where it had ended.
+    /// Aborts the task and returns how long it ran, in nanoseconds; `None` if the task had ended before.
     pub(super) fn abort(&self) -> Option<Nanos> {
         if self.handle.is_finished() {
             return None;
@@ -33,10 +33,11 @@
     }
 }
 
-/// A request whose client waits for its final answer.
+/// A request whose client waits for its final response.
 pub(super) struct PendingResponse<T: Transport> {
     pub(super) request: Rc<T::Request>,
     pub(super) responder: oneshot::Sender<T::Response>,
-    /// By their numbers; the engine hands attempts out in that order.
+    /// The tasks of the request's attempts, indexed by attempt number; the engine numbers attempts in the order in
+    /// which it asks for them.
     pub(super) attempts: Vec<AttemptTask>,
 }
--- a/crates/sidecar/src/dispatcher/transport.rs
+++ b/crates/sidecar/src/dispatcher/transport.rs
@@ -1,18 +1,18 @@
-//! What a dispatcher asks of the protocol around it.
+//! The interface between a dispatcher and the protocol that carries its effects out.
 
 use super::{AttemptId, Dispatcher};
 use havenplank::interface::{AttemptEnd, Build, LoadReport, Nanos, PodId, Vote};
 use std::future::Future;
 use std::rc::Rc;
 
-/// A protocol around the engine: how its effects leave. It decides nothing.
+/// Carries out the engine's effects in one protocol. Makes no decisions.
 pub trait Transport: Sized + 'static {
-    /// A request as it will be sent, as often as it must be.
+    /// A request in a form that can be sent any number of times.
     type Request: 'static;
-    /// A final answer on its way to the client.
+    /// A final response to a client.
     type Response: 'static;
 
-    /// Carries one attempt out and calls [`Dispatcher::attempt_ended`] once with how it ended.
+    /// Runs one attempt and calls [`Dispatcher::attempt_ended`] once, when the attempt has ended.
     fn send_attempt(
         dispatcher: Rc<Dispatcher<Self>>,
         request: Rc<Self::Request>,
@@ -21,14 +21,14 @@
         timeout: Nanos,
     ) -> impl Future<Output = ()> + 'static;
 
-    /// Builds the answer that a request was rejected; `retry_after` 0 gives the client no advice.
+    /// Builds the response that a request was rejected. `retry_after` is in nanoseconds; 0 gives the client no advice.
     fn rejected(&self, retry_after: Nanos) -> Self::Response;
 
-    /// Builds the answer that a request failed.
+    /// Builds the response that a request failed.
     fn failed(&self, timed_out: bool) -> Self::Response;
 
-    /// Sends a vote and sees to it that [`Engine::vote_answered`](crate::engine::Engine::vote_answered) hears of its
-    /// end.
+    /// Sends a vote and ensures that [`Engine::vote_answered`](crate::engine::Engine::vote_answered) is called with its
+    /// result.
     fn cast_vote(
         dispatcher: &Rc<Dispatcher<Self>>,
         id: u64,
@@ -37,24 +37,24 @@
         vote: Vote,
     );
 
-    /// Checks a pod's health and sees to it that
-    /// [`Engine::health_check_ended`](crate::engine::Engine::health_check_ended) hears of its end.
+    /// Checks a pod's health and ensures that
+    /// [`Engine::health_check_ended`](crate::engine::Engine::health_check_ended) is called with the result.
     fn health_check(dispatcher: &Rc<Dispatcher<Self>>, check: u64, pod: PodId);
 
-    /// Asks service discovery for the complete endpoint list.
+    /// Requests the complete endpoint list from service discovery once.
     fn poll_endpoints(dispatcher: &Rc<Dispatcher<Self>>);
 
-    /// Begins or ends watching the endpoint list.
+    /// Starts (true) or stops (false) watching the endpoint list.
     fn watch_endpoints(dispatcher: &Rc<Dispatcher<Self>>, on: bool);
 }
 
-/// How an attempt ended, with the response where there is one.
+/// How an attempt ended, with its response if it has one.
 pub struct AttemptResult<R> {
     /// How it ended.
     pub end: AttemptEnd,
-    /// The load that its pod reported.
+    /// The load that the pod reported.
     pub load: Option<LoadReport>,
-    /// What goes to the client if the engine says so.
+    /// The response that goes to the client if the engine chooses this attempt.
     pub response: Option<R>,
 }
 
--- a/crates/sidecar/src/engine/effect.rs
+++ b/crates/sidecar/src/engine/effect.rs
@@ -1,64 +1,65 @@
-//! What an engine asks its transport to carry out.
+//! The effects that an engine asks its caller to carry out.
 
 use havenplank::interface::{Build, Nanos, PodId, RequestId, Vote};
 
-/// Something to carry out, in the order left.
+/// One effect. The caller carries effects out in the order in which [`Engine::next_effect`](super::Engine::next_effect)
+/// returns them.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
-    /// Send an attempt of a request; its end goes to [`Engine::attempt_ended`](super::Engine::attempt_ended), once.
+    /// Send an attempt of a request; report its end once, to [`Engine::attempt_ended`](super::Engine::attempt_ended).
     SendAttempt {
-        /// The request that it is an attempt of.
+        /// The request that the attempt belongs to.
         request: RequestId,
         /// The attempt's number within its request, counted from 0.
         attempt: u32,
-        /// Where it goes.
+        /// The pod to send the attempt to.
         pod: PodId,
-        /// How long it may take.
+        /// How long the attempt may take.
         timeout: Nanos,
     },
-    /// End an attempt that is in flight.
+    /// Cancel an attempt that is in flight.
     CancelAttempt {
-        /// The request that it is an attempt of.
+        /// The request that the attempt belongs to.
         request: RequestId,
         /// The attempt's number within its request.
         attempt: u32,
     },
-    /// Answer finally that the request was rejected: it never ran, and a retry is harmless.
+    /// Send the final response that the request was rejected: it never ran, and a retry is harmless.
     Reject {
-        /// The request that is answered.
+        /// The rejected request.
         request: RequestId,
-        /// When the client may retry, 0 for no advice.
+        /// How long the client should wait before it retries; 0 for no advice.
         retry_after: Nanos,
     },
-    /// Answer finally that the request failed: it may have run, nothing is promised.
+    /// Send the final response that the request failed: it may or may not have run.
     Fail {
-        /// The request that is answered.
+        /// The failed request.
         request: RequestId,
-        /// Whether its deadline has passed.
+        /// Whether the request's deadline has passed.
         timed_out: bool,
     },
-    /// Cast a vote on a build; the reply goes to [`Engine::vote_answered`](super::Engine::vote_answered).
+    /// Cast a vote on a build; report the reply to [`Engine::vote_answered`](super::Engine::vote_answered).
     CastVote {
-        /// Names the vote in its reply.
+        /// Identifies the vote in its reply.
         id: u64,
-        /// The build that is voted on.
+        /// The build that the vote is about.
         build: Build,
-        /// The stage of its release.
+        /// The stage of the build's release.
         stage: usize,
-        /// What is voted.
+        /// The vote itself.
         vote: Vote,
     },
-    /// Check a pod's health; the result goes to [`Engine::health_check_ended`](super::Engine::health_check_ended).
+    /// Check a pod's health; report the result to [`Engine::health_check_ended`](super::Engine::health_check_ended).
     HealthCheck {
-        /// Names the check in its result.
+        /// Identifies the check in its result.
         check: u64,
-        /// The pod that is checked.
+        /// The pod to check.
         pod: PodId,
     },
-    /// Ask service discovery for the complete endpoint list.
+    /// Request the complete endpoint list from service discovery once.
     PollEndpoints,
-    /// Begin or end watching the endpoint list.
+    /// Start (true) or stop (false) watching the endpoint list.
     WatchEndpoints(bool),
-    /// Write a line on a decision to the log.
+    /// Write a line about a decision to the log.
     Log(String),
 }
--- a/crates/sidecar/src/engine/endpoints.rs
+++ b/crates/sidecar/src/engine/endpoints.rs
@@ -1,4 +1,4 @@
-//! What the engine takes in of pods: from service discovery, health checks and clients.
+//! Events about pods: from service discovery, health checks, and clients that report a wrong response.
 
 use super::events::Event;
 use super::Engine;
@@ -6,8 +6,9 @@
 use havenplank_line_protocol::endpoint_list::ListedEndpoint;
 
 impl Engine {
-    /// Takes an endpoint list in, in place of all before where it is `complete`. Returns the index of each of its pods,
-    /// valid as long as the pod is listed or has attempts in flight; `None` where no index was left.
+    /// Applies an endpoint list: a `complete` one replaces the list before it, any other changes it. Returns the index
+    /// of each pod in the list, which is valid as long as the pod is listed or has attempts in flight. The index is
+    /// `None` for a pod beyond the limit of the pod registry.
     pub fn update_endpoints(
         &mut self,
         now: Nanos,
@@ -36,14 +37,14 @@
         pod_ids
     }
 
-    /// Takes in that service discovery could not be reached.
+    /// Records that service discovery could not be reached.
     pub fn endpoint_watch_failed(&mut self, now: Nanos) {
         self.advance(now);
         self.observe(|| Event::EndpointWatchFailed);
         self.router.endpoint_watch_failed(&mut self.host);
     }
 
-    /// Takes in a health check's result; one that came before is passed over.
+    /// Records the result of a health check. Ignores a second result for the same check.
     pub fn health_check_ended(&mut self, now: Nanos, check: u64, result: HealthCheckResult) {
         self.advance(now);
         if let Some(on_done) = self.host.health_checks.remove(&check) {
@@ -55,8 +56,8 @@
         }
     }
 
-    /// Takes in that a client found an answer wrong that came `ago`. Returns false where the pod or route class is not
-    /// known.
+    /// Records that a client reported a wrong response, which the pod sent `ago` nanoseconds before. Returns false if
+    /// the pod or the route class is unknown.
     pub fn report_fault(&mut self, now: Nanos, pod: &str, route_class: &str, ago: Nanos) -> bool {
         let pod = self.pod_id(pod);
         let Some((pod, route_class)) = pod.zip(self.route_class(route_class)) else {
--- a/crates/sidecar/src/engine/events.rs
+++ b/crates/sidecar/src/engine/events.rs
@@ -1,4 +1,4 @@
-//! Events of an engine, as data: for those that observe it, and to replay it.
+//! The events of an engine as data, to observe a run and to replay it.
 
 use super::{Effect, RequestAttributes};
 use havenplank::interface::{
@@ -7,32 +7,32 @@
 };
 use havenplank_line_protocol::endpoint_list::ListedEndpoint;
 
-/// One call on an engine, with what it returned where it returns something.
+/// One call on an engine, with the result where the call returns one.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The decisions were started.
+    /// The engine was started.
     Started,
     /// A request arrived.
     RequestArrived {
-        /// The id that it was given.
+        /// The id that the engine gave it.
         request: RequestId,
-        /// What the decisions see of it.
+        /// The properties of the request that the engine decides by.
         attributes: RequestAttributes,
     },
-    /// The request that arrives next was taken by another sidecar, which sent attempts for it.
+    /// The next request to arrive is taken over from another sidecar, which may have sent attempts for it.
     RequestResumed {
-        /// The id that it will be given.
+        /// The id that the engine will give it.
         request: RequestId,
-        /// What was sent for it.
+        /// The attempts that the other sidecar sent for it.
         prior_attempts: Vec<PriorAttempt>,
     },
-    /// Asked right before an attempt was written.
+    /// The caller asked, right before it wrote an attempt, whether the attempt may still be sent.
     SendPermission {
         /// The request.
         request: RequestId,
         /// The attempt's number within it.
         attempt: u32,
-        /// Whether it was allowed.
+        /// Whether the engine allowed it.
         allowed: bool,
     },
     /// An attempt ended.
@@ -43,32 +43,32 @@
         attempt: u32,
         /// How it ended.
         end: AttemptEnd,
-        /// How long it took, at the socket.
+        /// How long the attempt took, measured at the socket, in nanoseconds.
         took: Nanos,
-        /// The load that its pod reported with it.
+        /// The load that the pod reported with its response.
         load: Option<LoadReport>,
-        /// Whether its response went to the client.
+        /// Whether the attempt's response became the request's final response.
         delivered: bool,
     },
-    /// A client went away.
+    /// A client no longer waits: it disconnected, or another sidecar owns its request now.
     ClientLeft {
-        /// The request that it no longer waits for.
+        /// The request whose client no longer waits.
         request: RequestId,
     },
-    /// An endpoint list came.
+    /// Service discovery sent an endpoint list.
     EndpointsListed {
-        /// Whether it is all of the list, or changes only.
+        /// Whether the list is complete; if not, it holds changes only.
         complete: bool,
-        /// The pods listed.
+        /// The pods in the list.
         pods: Vec<ListedEndpoint>,
-        /// The index of each pod, `None` where none was left for it.
+        /// The index of each pod; `None` for a pod beyond the limit of the pod registry.
         pod_ids: Vec<Option<PodId>>,
     },
     /// Service discovery could not be reached.
     EndpointWatchFailed,
-    /// A release came to another stage.
+    /// A release entered another stage.
     StageChanged(Stage),
-    /// A vote was answered.
+    /// The control plane replied to a vote.
     VoteAnswered {
         /// The vote's id.
         vote: u64,
@@ -79,28 +79,29 @@
     HealthCheckEnded {
         /// The check's id.
         check: u64,
-        /// How it went.
+        /// The check's result.
         result: HealthCheckResult,
     },
-    /// The control plane sent its counts.
+    /// The control plane sent the totals that it counted across sidecars.
     TallyReported(Tally),
-    /// A client found an answer wrong.
+    /// A client reported a wrong response.
     FaultReported {
-        /// The pod that gave it.
+        /// The pod that sent the response.
         pod: PodId,
-        /// The route class that it was of.
+        /// The route class of the response's request.
         route_class: RouteClassId,
-        /// How long ago it came.
+        /// How long ago the response arrived, in nanoseconds.
         ago: Nanos,
     },
-    /// A timer was due; the timer's id.
+    /// A timer was due; holds the timer's id.
     TimerFired(u64),
 }
 
-/// Observes an engine. It is called in the middle of decisions, so it must not wait for anything.
+/// Observes an engine. The engine calls the observer in the middle of a decision, so the observer must not block.
 pub trait Observer {
-    /// Sees an event before it has any effect.
+    /// Receives an event before it has any effect.
     fn on_event(&mut self, now: Nanos, event: Event);
-    /// Sees an effect as it is taken, which is in the order left, but maybe after the next event.
+    /// Receives an effect when the caller takes it from the queue. Effects come in the order in which they were queued,
+    /// but an effect may come after a later event.
     fn on_effect(&mut self, now: Nanos, effect: &Effect);
 }
--- a/crates/sidecar/src/engine/host.rs
+++ b/crates/sidecar/src/engine/host.rs
@@ -1,4 +1,5 @@
-//! What the decisions are run on: the requests in flight, the pods by name, timers, and the queue of effects.
+//! The engine's implementation of [`Host`], the interface that the router makes its decisions on: requests in flight,
+//! registered pods, timers and the queue of effects.
 
 use super::effect::Effect;
 use super::request::{AttemptInFlight, InFlightRequest};
@@ -10,22 +11,22 @@
 };
 use std::collections::{HashMap, VecDeque};
 
-/// The engine's side of [`Host`]: it carries nothing out, and leaves effects in a queue.
+/// The engine's implementation of [`Host`]. It performs no I/O: it queues each effect for the engine's caller.
 pub(super) struct EngineHost {
     pub(super) now: Nanos,
     pub(super) pods: PodRegistry,
-    /// The endpoints in force, by pod.
+    /// The current endpoints, indexed by pod.
     pub(super) endpoints: Vec<Option<Endpoint>>,
-    /// Emptied of a request once it is answered and its last attempt has ended: bounded by the requests in flight,
-    /// which the shell bounds.
+    /// Holds each request until it is answered and its last attempt has ended. The caller bounds the requests in
+    /// flight, and so the size of this map.
     pub(super) requests: HashMap<RequestId, InFlightRequest>,
     pub(super) next_request: RequestId,
     pub(super) timers: Timers,
-    /// The decisions ask for one at a time.
+    /// Callbacks of votes that wait for a reply; the router casts one vote at a time.
     pub(super) votes: HashMap<u64, Callback<VoteReply>>,
-    /// The decisions ask for one at a time of each pod.
+    /// Callbacks of health checks that wait for a result; the router starts one at a time for each pod.
     pub(super) health_checks: HashMap<u64, Callback<HealthCheckResult>>,
-    last_call: u64,
+    last_callback_id: u64,
     pub(super) effects: VecDeque<Effect>,
 }
 
@@ -40,28 +41,28 @@
             timers: Timers::default(),
             votes: HashMap::new(),
             health_checks: HashMap::new(),
-            last_call: 0,
+            last_callback_id: 0,
             effects: VecDeque::new(),
         }
     }
 
-    /// Ends the wait for a request's answer.
+    /// Marks a request as no longer waiting for its final response.
     pub(super) fn close(&mut self, id: RequestId) {
         if let Some(request) = self.requests.get_mut(&id) {
             request.awaits_answer = false;
         }
-        self.remove_if_over(id);
+        self.remove_if_finished(id);
     }
 
-    /// Forgets a request of which nothing is left to wait for.
-    pub(super) fn remove_if_over(&mut self, id: RequestId) {
+    /// Removes a request that is answered and has no attempts in flight.
+    pub(super) fn remove_if_finished(&mut self, id: RequestId) {
         let request = self.requests.get(&id);
-        if request.is_some_and(InFlightRequest::is_over) {
+        if request.is_some_and(InFlightRequest::is_finished) {
             self.requests.remove(&id);
         }
     }
 
-    /// Puts endpoints in force, in place of all before where the list is complete.
+    /// Updates the current endpoints; a complete list replaces all of them.
     pub(super) fn set_endpoints(&mut self, complete: bool, endpoints: &[Endpoint]) {
         if complete {
             self.endpoints.fill(None);
@@ -74,9 +75,9 @@
         }
     }
 
-    fn next_call(&mut self) -> u64 {
-        self.last_call += 1;
-        self.last_call
+    fn next_callback_id(&mut self) -> u64 {
+        self.last_callback_id += 1;
+        self.last_callback_id
     }
 }
 
@@ -103,7 +104,7 @@
         };
         let attempt = request.add_attempt(AttemptInFlight {
             pod,
-            chosen: self.endpoints.get(pod).copied().flatten(),
+            chosen_endpoint: self.endpoints.get(pod).copied().flatten(),
             chosen_at: self.now,
             on_done,
         });
@@ -148,7 +149,7 @@
     }
 
     fn cast_vote(&mut self, build: Build, stage: usize, vote: Vote, on_done: Callback<VoteReply>) {
-        let id = self.next_call();
+        let id = self.next_callback_id();
         self.votes.insert(id, on_done);
         self.effects.push_back(Effect::CastVote {
             id,
@@ -159,7 +160,7 @@
     }
 
     fn health_check(&mut self, pod: PodId, on_done: Callback<HealthCheckResult>) {
-        let check = self.next_call();
+        let check = self.next_callback_id();
         self.health_checks.insert(check, on_done);
         self.effects.push_back(Effect::HealthCheck { check, pod });
     }
--- a/crates/sidecar/src/engine/lookups.rs
+++ b/crates/sidecar/src/engine/lookups.rs
@@ -1,4 +1,4 @@
-//! Looks at an engine that change nothing.
+//! Read-only queries of an engine.
 
 use super::request::InFlightRequest;
 use super::Engine;
@@ -7,37 +7,37 @@
 use havenplank_line_protocol::endpoint_list::ListedEndpoint;
 use std::net::SocketAddr;
 
-/// What an operator may look at.
+/// The state of an engine that operators see.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineStatus {
     /// Requests in flight; see [`Engine::requests_held`].
     pub requests: usize,
-    /// Pods that are listed as running.
+    /// Pods that the endpoint list shows as running.
     pub running_pods: usize,
-    /// The last stage received.
+    /// The last release stage received.
     pub stage: Option<Stage>,
-    /// The sequential test's sums on the build on trial.
+    /// The sums of the sequential test of the build on trial.
     pub test_sums: TestSums,
 }
 
 /// Log-likelihood sums of the sequential test.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TestSums {
-    /// On failed requests.
+    /// The sum over failed requests.
     pub failures: f64,
-    /// On slow answers.
+    /// The sum over slow responses.
     pub slow: f64,
-    /// On failures by the share of requests sampled in.
-    pub by_share: f64,
+    /// The sum over the alternating periods, which compares times with and without the build's share of requests.
+    pub alternating_periods: f64,
 }
 
 impl Engine {
-    /// Returns the index of a pod that is listed.
+    /// Returns the index of a listed pod by its name.
     pub fn pod_id(&self, pod: &str) -> Option<PodId> {
         self.host.pods.find(pod)
     }
 
-    /// Returns where a pod listens.
+    /// Returns the address that a pod listens on.
     pub fn pod_address(&self, pod: PodId) -> Option<SocketAddr> {
         self.host.pods.address(pod)
     }
@@ -56,28 +56,28 @@
         self.slots.find(name)
     }
 
-    /// Returns how many requests are held: those that wait for an answer, and those whose attempts are still in flight
-    /// though their client left.
+    /// Returns the number of requests held: those that wait for their final response, and those that no longer wait but
+    /// still have attempts in flight.
     pub fn requests_held(&self) -> usize {
         self.host.requests.len()
     }
 
-    /// Returns how many attempts have not ended.
+    /// Returns the number of attempts in flight.
     pub fn attempts_in_flight(&self) -> usize {
         let requests = self.host.requests.values();
         requests.map(InFlightRequest::attempts_in_flight).sum()
     }
 
-    /// Returns how many pods the decisions looked at since the start.
+    /// Returns how many pods the router has examined since the start.
     pub fn visits(&self) -> Visits {
         self.router.visits()
     }
 
-    /// Returns what an operator may look at.
+    /// Returns the state that operators see.
     pub fn status(&self) -> EngineStatus {
         let endpoints = self.host.endpoints.iter().flatten();
         let running = endpoints.filter(|endpoint| endpoint.state == PodState::Running);
-        let (failures, slow, by_share) = self.router.sums();
+        let (failures, slow, alternating_periods) = self.router.sums();
         EngineStatus {
             requests: self.host.requests.len(),
             running_pods: running.count(),
@@ -85,7 +85,7 @@
             test_sums: TestSums {
                 failures,
                 slow,
-                by_share,
+                alternating_periods,
             },
         }
     }
--- a/crates/sidecar/src/engine/mod.rs
+++ b/crates/sidecar/src/engine/mod.rs
@@ -1,7 +1,7 @@
-//! The engine of one sidecar: the decisions, with time handed in and effects left in a queue.
+//! The engine of one sidecar: it makes all decisions. Its caller passes in the time, and the engine queues its effects.
 //!
-//! It opens no socket and reads no clock, so that a recorded run can be played through it again
-//! ([`Engine::replay`]) and gives the same decisions.
+//! The engine opens no socket and reads no clock, so that replaying a recorded run ([`Engine::replay`]) gives the same
+//! decisions.
 
 mod effect;
 mod endpoints;
@@ -27,24 +27,24 @@
 use havenplank::Router;
 use host::EngineHost;
 
-/// Where the clock of an engine begins, in ns: ages of pods and stages are taken off it, and on a clock that begins
-/// lower what would lie before 0 counts as long ago.
+/// The time at which an engine's clock starts, in nanoseconds. The engine computes start times of pods and stages by
+/// subtracting their ages from the clock; on a clock that starts lower, a start time below 0 would count as long ago.
 pub const EPOCH: Nanos = 1 << 50;
 
-/// One sidecar's decisions. Each method runs to its end and leaves effects for [`Engine::next_effect`]; `now`
-/// never goes back.
+/// Makes the decisions of one sidecar. Each method runs to its end without waiting and queues its effects for
+/// [`Engine::next_effect`]. The `now` arguments never decrease from call to call.
 pub struct Engine {
     router: Router,
     host: EngineHost,
     slots: Slots,
     stage: Option<Stage>,
     observer: Option<Box<dyn Observer>>,
-    /// What other sidecars have sent for the request that arrives next.
+    /// The attempts that other sidecars have sent for the next request to arrive.
     prior_attempts: Option<Vec<PriorAttempt>>,
 }
 
 impl Engine {
-    /// Builds an engine whose clock stands at `now`; the same seed and calls give the same decisions.
+    /// Creates an engine whose clock shows `now`. The same seed and the same calls give the same decisions.
     pub fn new(now: Nanos, seed: u64, settings: &EngineSettings) -> Engine {
         let pods = PodRegistry::new(
             settings.zones.clone(),
@@ -75,20 +75,20 @@
         }
     }
 
-    /// Lets an observer see all events and effects from here on.
+    /// Adds an observer, which receives all later events and effects.
     pub fn with_observer(mut self, observer: Box<dyn Observer>) -> Engine {
         self.observer = Some(observer);
         self
     }
 
-    /// Starts the decisions; what they ask of service discovery comes then.
+    /// Starts the engine, which queues the first requests to service discovery.
     pub fn start(&mut self, now: Nanos) {
         self.advance(now);
         self.observe(|| Event::Started);
         self.router.start(&mut self.host);
     }
 
-    /// Takes the next effect to carry out.
+    /// Removes the next effect to carry out from the queue and returns it.
     pub fn next_effect(&mut self) -> Option<Effect> {
         let effect = self.host.effects.pop_front()?;
         if let Some(observer) = &mut self.observer {
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Runs one timer, named, as other calls may come between two that are due at once.
+    /// Runs one timer, given by its id: in a replay, other calls may come between two timers that are due at once.
     fn run_timer(&mut self, timer: u64) {
         if let Some(on_due) = self.host.timers.take(timer) {
             self.observe(|| Event::TimerFired(timer));
@@ -119,11 +119,11 @@
         self.host.timers.drop_taken();
     }
 
-    /// Puts these routes in force in place of all before, between two requests: each ends by the rules it began with.
+    /// Replaces all routes. Requests in flight end by the rules that they began with.
     ///
-    /// Returns the slot of each route, in their order; its index goes to another route only once every copy of it is
-    /// dropped. A changed route goes on with what was learnt of the one of its name, as its pods answer no other than
-    /// before.
+    /// Returns the slot of each route, in the same order. The index of a slot is given to another route only after
+    /// every copy of the slot is dropped. A changed route keeps the statistics learnt under its name, because its pods
+    /// respond no differently than before the change.
     pub fn set_routes(&mut self, now: Nanos, routes: &[(String, RouteClass)]) -> Vec<Slot> {
         self.advance(now);
         let (slots, changes) = self.slots.replace(routes);
@@ -132,17 +132,18 @@
         slots
     }
 
-    /// Returns the slots in force, in the order of their indices.
+    /// Returns the slots of the current routes, in the order of their indices.
     pub fn slots(&self) -> Vec<Slot> {
         self.slots.in_force()
     }
 
-    /// Returns how many slots there are.
+    /// Returns the number of slots.
     pub fn slot_counts(&self) -> SlotCounts {
         self.slots.counts()
     }
 
-    /// Returns the longest time that a client of any route in force, or of a request that is held, may wait.
+    /// Returns the longest client timeout, in nanoseconds, of the current routes and of the routes of requests in
+    /// flight.
     pub fn longest_client_timeout(&self) -> Nanos {
         self.slots.longest_time_out()
     }
@@ -151,7 +152,8 @@
         self.host.now = self.host.now.max(now);
     }
 
-    /// Shows an event, before it has any effect. It is only made where somebody observes.
+    /// Passes an event to the observer before the event has any effect. The event is built only if there is an
+    /// observer.
     fn observe(&mut self, event: impl FnOnce() -> Event) {
         if let Some(observer) = &mut self.observer {
             observer.on_event(self.host.now, event());
--- a/crates/sidecar/src/engine/release.rs
+++ b/crates/sidecar/src/engine/release.rs
@@ -1,4 +1,4 @@
-//! What the engine takes in of releases, from the control plane.
+//! Events about releases, from the control plane.
 
 use super::events::Event;
 use super::Engine;
@@ -6,7 +6,7 @@
 use havenplank_line_protocol::control_plane::ClassTally;
 
 impl Engine {
-    /// Takes in the stage that a release has come to.
+    /// Applies the stage that a release has entered.
     pub fn update_stage(&mut self, now: Nanos, stage: Stage) {
         self.advance(now);
         self.observe(|| Event::StageChanged(stage));
@@ -14,7 +14,7 @@
         self.router.update_stage(&mut self.host, stage);
     }
 
-    /// Takes in the reply to a vote; one that was answered before, or never cast, is passed over.
+    /// Applies the reply to a vote. Ignores a reply to a vote that was answered before or never cast.
     pub fn vote_answered(&mut self, now: Nanos, vote: u64, reply: VoteReply) {
         self.advance(now);
         if let Some(on_done) = self.host.votes.remove(&vote) {
@@ -27,8 +27,8 @@
         }
     }
 
-    /// Takes in what the control plane counted of a build. Returns false where the route class is not one of the
-    /// settings.
+    /// Applies the totals that the control plane counted for a build in one route class. Returns false if the route
+    /// class is unknown.
     pub fn update_tally(&mut self, now: Nanos, tally: &ClassTally) -> bool {
         let Some(group) = self.route_class(&tally.class) else {
             return false;
--- a/crates/sidecar/src/engine/replay.rs
+++ b/crates/sidecar/src/engine/replay.rs
@@ -1,12 +1,12 @@
-//! Recorded events, played again.
+//! Replays recorded events.
 
 use super::events::Event;
 use super::Engine;
 use havenplank::interface::Nanos;
 
 impl Engine {
-    /// Makes the call that an event recorded. Returns whether an attempt may be sent, or whether a response goes to
-    /// the client, where the event is of that kind.
+    /// Makes the call that an event recorded, and returns the result of a call that returns a bool: whether an attempt
+    /// may be sent, or whether its response goes to the client.
     pub fn replay(&mut self, now: Nanos, event: Event) -> Option<bool> {
         match event {
             Event::SendPermission {
@@ -37,7 +37,7 @@
         None
     }
 
-    /// Replays what came from service discovery, the control plane or a health check.
+    /// Replays an event from service discovery, the control plane, a health check or a report of a wrong response.
     fn replay_shared(&mut self, now: Nanos, event: Event) {
         match event {
             Event::EndpointsListed { complete, pods, .. } => {
--- a/crates/sidecar/src/engine/request.rs
+++ b/crates/sidecar/src/engine/request.rs
@@ -1,4 +1,4 @@
-//! A request as the decisions see it, and what the engine knows of it until its last attempt has ended.
+//! The properties of a request that decisions depend on, and its state until its last attempt has ended.
 
 use crate::route_slots::Slot;
 use havenplank::interface::{
@@ -6,20 +6,20 @@
     RouteClassId,
 };
 
-/// A request as its listener read it: all that the decisions see of it.
+/// The properties of a request, as read from its client, that decisions depend on.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RequestAttributes {
-    /// The route class that takes it.
+    /// The route class that the request belongs to.
     pub route_class: RouteClassId,
-    /// The tenant that sends it, where it is known.
+    /// The index of the tenant that sent it; `None` for an unknown tenant.
     pub tenant: Option<usize>,
-    /// Hash of the key that pods keep state by; 0 for none.
+    /// Hash of the key by which pods keep state; 0 for no key.
     pub key: u64,
-    /// Time left until its client gives up.
+    /// Time until its client stops waiting, in nanoseconds.
     pub remaining: Nanos,
-    /// How long it takes a pod, by its client's word.
+    /// The processing time on a pod that the client states, in nanoseconds.
     pub cost_hint: Option<Nanos>,
-    /// Whether its client has sent it before.
+    /// Whether its client has sent the request before.
     pub is_retry: bool,
 }
 
@@ -37,30 +37,30 @@
     }
 }
 
-/// An attempt that was handed out and has not ended.
+/// An attempt that the engine has asked for and that has not ended.
 pub(super) struct AttemptInFlight {
     pub(super) pod: PodId,
-    /// The pod as it was listed when it was chosen, to tell whether it still is that one.
-    pub(super) chosen: Option<Endpoint>,
+    /// The pod's endpoint when it was chosen, to detect that the pod has changed since.
+    pub(super) chosen_endpoint: Option<Endpoint>,
     pub(super) chosen_at: Nanos,
     pub(super) on_done: Callback<AttemptOutcome>,
 }
 
-/// A request that is not answered yet, or has attempts in flight.
+/// A request that waits for its final response or has attempts in flight.
 pub(super) struct InFlightRequest {
     pub(super) route_class: RouteClassId,
-    /// Keeps the index of the route class from another route until the request has ended.
+    /// Prevents the index of the route class from being given to another route before the request has ended.
     _slot: Option<Slot>,
     pub(super) key: u64,
     pub(super) deadline: Nanos,
     pub(super) awaits_answer: bool,
-    /// When the first attempt was chosen that has ended and may have run.
-    first_run: Option<Nanos>,
+    /// When the pod was chosen for the earliest attempt that has ended and may have run.
+    first_possible_run: Option<Nanos>,
     attempts: Vec<Option<AttemptInFlight>>,
 }
 
 impl InFlightRequest {
-    /// Begins a request at `now`, with what other sidecars have sent for it.
+    /// Creates a request that arrives at `now`, with the attempts that other sidecars have sent for it.
     pub(super) fn new(
         now: Nanos,
         attributes: &RequestAttributes,
@@ -74,7 +74,7 @@
             key: attributes.key,
             deadline: now.saturating_add(attributes.remaining),
             awaits_answer: true,
-            first_run: may_have_run
+            first_possible_run: may_have_run
                 .map(|prior| now.saturating_sub(prior.ago))
                 .min(),
             attempts: Vec::new(),
@@ -88,41 +88,43 @@
         number
     }
 
-    /// Whether an attempt of this number was ever handed out.
+    /// Returns whether the engine ever asked for an attempt with this number.
     pub(super) fn has_attempt(&self, number: u32) -> bool {
         (number as usize) < self.attempts.len()
     }
 
-    /// The attempt of this number, unless it has ended.
+    /// Returns the attempt with this number, unless it has ended.
     pub(super) fn attempt(&self, number: u32) -> Option<&AttemptInFlight> {
         self.attempts.get(number as usize)?.as_ref()
     }
 
-    /// Takes an attempt out that has ended.
+    /// Removes and returns an attempt that has ended.
     pub(super) fn take_attempt(&mut self, number: u32) -> Option<AttemptInFlight> {
         self.attempts.get_mut(number as usize)?.take()
     }
 
-    /// When the first attempt before this one was chosen that may have run; one in flight may run as well.
-    pub(super) fn first_run_before(&self, number: u32) -> Option<Nanos> {
+    /// Returns when the earliest attempt before this one that may have run was chosen; an attempt in flight counts too.
+    pub(super) fn first_possible_run_before(&self, number: u32) -> Option<Nanos> {
         let in_flight = self.attempts[..number as usize].iter().flatten();
         let chosen_at = in_flight.map(|attempt| attempt.chosen_at);
-        chosen_at.chain(self.first_run).min()
+        chosen_at.chain(self.first_possible_run).min()
     }
 
-    /// Notes that an attempt chosen at this time has ended and may have run.
-    pub(super) fn may_have_run(&mut self, chosen_at: Nanos) {
-        let first = self.first_run.map_or(chosen_at, |ran| ran.min(chosen_at));
-        self.first_run = Some(first);
+    /// Records that an attempt chosen at this time has ended and may have run.
+    pub(super) fn record_possible_run(&mut self, chosen_at: Nanos) {
+        let first = self
+            .first_possible_run
+            .map_or(chosen_at, |ran| ran.min(chosen_at));
+        self.first_possible_run = Some(first);
     }
 
-    /// How many attempts have not ended.
+    /// Returns the number of attempts in flight.
     pub(super) fn attempts_in_flight(&self) -> usize {
         self.attempts.iter().flatten().count()
     }
 
-    /// Whether nothing of it is left to wait for.
-    pub(super) fn is_over(&self) -> bool {
+    /// Returns whether the request is answered and all its attempts have ended.
+    pub(super) fn is_finished(&self) -> bool {
         !self.awaits_answer && self.attempts.iter().all(Option::is_none)
     }
 }
--- a/crates/sidecar/src/engine/requests.rs
+++ b/crates/sidecar/src/engine/requests.rs
@@ -1,4 +1,4 @@
-//! A request's way through the engine: it arrives, its attempts are sent and end, its client leaves.
+//! Events of a request: it arrives, its attempts are sent and end, its client disconnects.
 
 use super::events::Event;
 use super::request::InFlightRequest;
@@ -8,7 +8,7 @@
 };
 
 impl Engine {
-    /// Takes a request: from here on it gets one final answer.
+    /// Accepts a request, which then gets exactly one final response unless its client disconnects first.
     pub fn handle_request(&mut self, now: Nanos, attributes: RequestAttributes) -> RequestId {
         self.advance(now);
         let id = self.host.next_request;
@@ -33,8 +33,8 @@
         id
     }
 
-    /// Says that the next request was taken by another sidecar, which sent these attempts; to be called right before
-    /// [`Engine::handle_request`].
+    /// Declares that the next request was accepted by another sidecar, which sent these attempts for it. Must be called
+    /// right before [`Engine::handle_request`].
     pub fn resume_next_request(&mut self, now: Nanos, prior_attempts: Vec<PriorAttempt>) {
         self.advance(now);
         let request = self.host.next_request;
@@ -45,8 +45,8 @@
         self.prior_attempts = Some(prior_attempts);
     }
 
-    /// Returns whether an attempt may still be written now: its request wants an answer, and the rules leave its pod
-    /// open.
+    /// Returns whether an attempt may still be written now: its request must wait for its final response, and the rules
+    /// must still allow its pod.
     pub fn may_send(&mut self, now: Nanos, request: RequestId, attempt: u32) -> bool {
         self.advance(now);
         let allowed = self.is_sendable(request, attempt);
@@ -67,15 +67,15 @@
             return false;
         };
         let key = (request.route_class, request.key);
-        let times = (attempt.chosen_at, request.first_run_before(number));
-        attempt.chosen.is_some_and(|chosen| {
+        let times = (attempt.chosen_at, request.first_possible_run_before(number));
+        attempt.chosen_endpoint.is_some_and(|endpoint| {
             self.router
-                .may_still_send(self.host.now, key, &chosen, times)
+                .may_still_send(self.host.now, key, &endpoint, times)
         })
     }
 
-    /// Takes in how an attempt ended, after `took`. Returns whether its response goes to the client as the request's
-    /// final answer. An attempt that has ended before is passed over.
+    /// Records how an attempt ended, and that it took `took` nanoseconds. Returns whether its response goes to the
+    /// client as the request's final response. Ignores an attempt that has already ended.
     pub fn attempt_ended(
         &mut self,
         now: Nanos,
@@ -95,7 +95,7 @@
         let delivered = request.awaits_answer && end == AttemptEnd::Served;
         request.awaits_answer &= !delivered;
         if !end.never_ran() {
-            request.may_have_run(attempt.chosen_at);
+            request.record_possible_run(attempt.chosen_at);
         }
         let over = !request.awaits_answer;
         self.observe(|| Event::AttemptEnded {
@@ -114,11 +114,11 @@
             load,
         };
         (attempt.on_done)(&mut self.router, &mut self.host, outcome);
-        self.host.remove_if_over(id);
+        self.host.remove_if_finished(id);
         delivered
     }
 
-    /// Ends the wait for an answer, as the client went away; attempts in flight still tell how they end.
+    /// Ends the wait for a final response. Attempts in flight continue, and their ends are still reported.
     pub fn client_left(&mut self, now: Nanos, request: RequestId) {
         self.advance(now);
         self.observe(|| Event::ClientLeft { request });
--- a/crates/sidecar/src/engine/settings.rs
+++ b/crates/sidecar/src/engine/settings.rs
@@ -1,4 +1,4 @@
-//! What an engine is built from; stored in the head of each trace.
+//! The settings of an engine, which are also stored in the head of each trace.
 
 use havenplank::interface::{
     AttemptSettings, EndpointListSettings, ExposureSettings, FleetPosition, PodSettings,
@@ -7,23 +7,23 @@
 use havenplank_settings::Site;
 use serde::{Deserialize, Serialize};
 
-/// The settings of one engine, and the names that its traces are read by. The serialised names are those of
-/// stored traces.
+/// The settings of one engine, with the names that readers of its traces need. The serialised names are part of the
+/// format of stored traces.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct EngineSettings {
     /// The sidecar's name.
     pub name: String,
-    /// Its place in the fleet.
+    /// The sidecar's position in the fleet.
     #[serde(rename = "place")]
     pub position: FleetPosition,
-    /// Zones by their index in the decisions.
+    /// The names of zones, in the order of their indices in decisions.
     pub zones: Vec<String>,
-    /// Kinds of machine by their index in the decisions.
+    /// The names of machine types, in the order of their indices in decisions.
     pub machines: Vec<String>,
-    /// Tenants by their index in the decisions.
+    /// The names of tenants, in the order of their indices in decisions.
     #[serde(rename = "customers")]
     pub tenants: Vec<String>,
-    /// Route classes by their index in the decisions, each with its name.
+    /// Route classes with their names, in the order of their indices in decisions.
     #[serde(rename = "groups")]
     pub route_classes: Vec<(String, RouteClass)>,
     /// Rules for attempts: retries, hedging and their budget.
@@ -35,11 +35,11 @@
     pub exposure: ExposureSettings,
     /// Rules for votes on a build on trial.
     pub votes: VoteSettings,
-    /// Rules for following the endpoint list.
+    /// Rules for watching and polling the endpoint list.
     #[serde(rename = "list")]
     pub endpoint_list: EndpointListSettings,
-    /// Whether a pod's index goes to another pod once it is gone. Off for a recorded host that kept each name its
-    /// index for good.
+    /// Whether the index of a pod that is gone is given to another pod. False for recordings of a host that never
+    /// reused an index.
     #[serde(rename = "reuse", default = "reuses_pod_ids")]
     pub reuse_pod_ids: bool,
 }
@@ -51,7 +51,7 @@
 impl From<&Site> for EngineSettings {
     fn from(site: &Site) -> EngineSettings {
         let route_class =
-            |group: &havenplank_settings::RouteClassSettings| (group.name.clone(), group.rules);
+            |class: &havenplank_settings::RouteClassSettings| (class.name.clone(), class.rules);
         EngineSettings {
             name: site.name.clone(),
             position: site.position.clone(),
--- a/crates/sidecar/src/engine/timers.rs
+++ b/crates/sidecar/src/engine/timers.rs
@@ -1,13 +1,13 @@
-//! Timers by the time they are due.
+//! Timers, ordered by their due times.
 
 use havenplank::interface::{Callback, Nanos};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
 
-/// Names a timer.
+/// Identifies a timer.
 pub(super) type TimerId = u64;
 
-/// The timers that the decisions have set; each of theirs belongs to a request, a pod or a periodic task.
+/// The timers that the router has set. Each belongs to a request, a pod or a periodic task, which bounds their number.
 #[derive(Default)]
 pub(super) struct Timers {
     due: BinaryHeap<Reverse<(Nanos, TimerId)>>,
@@ -16,19 +16,20 @@
 }
 
 impl Timers {
-    /// Calls back at this time.
+    /// Sets a timer that calls back at this time.
     pub(super) fn set(&mut self, at: Nanos, on_due: Callback<()>) {
         self.last_id += 1;
         self.due.push(Reverse((at, self.last_id)));
         self.callbacks.insert(self.last_id, on_due);
     }
 
-    /// When the next timer is due.
+    /// Returns when the next timer is due.
     pub(super) fn next_due(&self) -> Option<Nanos> {
         self.due.peek().map(|Reverse((at, _))| *at)
     }
 
-    /// Takes the next timer that is due at this time; of two due at once, the one that was set first.
+    /// Removes the next timer that is due at this time and returns its id; of two timers due at the same time, the one
+    /// that was set first.
     pub(super) fn pop_due(&mut self, now: Nanos) -> Option<TimerId> {
         if self.next_due()? > now {
             return None;
@@ -36,12 +37,12 @@
         self.due.pop().map(|Reverse((_, id))| id)
     }
 
-    /// Takes a timer's callback; none where it was taken before.
+    /// Removes and returns a timer's callback; `None` if it was taken before.
     pub(super) fn take(&mut self, id: TimerId) -> Option<Callback<()>> {
         self.callbacks.remove(&id)
     }
 
-    /// Drops timers at the front whose callbacks were taken by name.
+    /// Drops timers at the front of the queue whose callbacks were already taken by id.
     pub(super) fn drop_taken(&mut self) {
         while let Some(Reverse((_, id))) = self.due.peek() {
             if self.callbacks.contains_key(id) {
--- a/crates/sidecar/src/lib.rs
+++ b/crates/sidecar/src/lib.rs
@@ -1,11 +1,13 @@
-//! The sidecar as a library: an engine that owns one decision module, and the proxy around it.
+//! The sidecar as a library: an HTTP proxy and the engine that makes its routing decisions.
 //!
-//! [`engine::Engine`] is free of sockets and clocks: it takes in what happens and when, and leaves effects to
-//! carry out, so that a recorded run can be played through it. [`dispatcher::Dispatcher`] hands requests to it and
-//! carries its effects out through a [`dispatcher::Transport`]. [`serve`] runs one with HTTP/1.1 listeners, connections
-//! to pods, and the feeds of service discovery and control plane. Two of either share nothing.
+//! [`engine::Engine`] uses no sockets and no clocks. Its caller passes in each event with its time, and the engine
+//! queues effects for the caller to carry out, so a recorded run can be replayed. [`dispatcher::Dispatcher`] passes
+//! requests to the engine and carries its effects out through a [`dispatcher::Transport`]. [`serve`] runs one
+//! dispatcher with HTTP/1.1 listeners, connections to pods, and subscriptions to service discovery and the control
+//! plane. Several engines or sidecars in one process share no state.
 //!
-//! A request's way: [`listener`], `connection`, `request_reader`, `proxy`, [`dispatcher`], [`engine`], `attempt`.
+//! A request passes through these modules in order: [`listener`], `connection`, `request_reader`, `proxy`,
+//! [`dispatcher`], [`engine`], `attempt`.
 
 #![warn(missing_docs)]
 #![warn(
--- a/crates/sidecar/src/state_report.rs
+++ b/crates/sidecar/src/state_report.rs
@@ -40,7 +40,7 @@
         "hits_in_flight": status.requests,
         "pods_running": status.running_pods,
         "stage": stage,
-        "sums": {"failures": sums.failures, "slow": sums.slow, "by_share": sums.by_share},
+        "sums": {"failures": sums.failures, "slow": sums.slow, "by_share": sums.alternating_periods},
     })
 }
 
