--- a/crates/sidecar/src/admin.rs
+++ b/crates/sidecar/src/admin.rs
@@ -1,4 +1,4 @@
-//! The operators' listener: a look at the state, and wrong answers reported.
+//! The HTTP interface for operators: reports the sidecar's state, and accepts reports of wrong responses.
 
 use crate::body::Body;
 use crate::responses::text_response;
@@ -15,33 +15,34 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// The longest body of a report.
+/// The largest body of a report, in bytes.
 const MAX_BODY_BYTES: usize = 4096;
-/// How long a report's body may take.
-const BODY_TIME: Duration = Duration::from_secs(2);
+/// How long a report's body may take to arrive.
+const BODY_TIMEOUT: Duration = Duration::from_secs(2);
 const NANOS_PER_MILLI: Nanos = 1_000_000;
 
-/// Why a report of a wrong answer is refused.
+/// Why a report of a wrong response is rejected; holds the text of the HTTP response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
 struct ReportError(&'static str);
 
-/// Answers `GET /state`, and `POST /flagged` with `{"pod": ..., "path_group": ..., "ago_ms": ...}`.
+/// Serves `GET /state`, and `POST /flagged` with the body `{"pod": ..., "path_group": ..., "ago_ms": ...}`, which
+/// reports a wrong response that the client received from that pod `ago_ms` milliseconds ago.
 ///
 /// # Errors
-/// Never.
+/// Returns no error.
 pub async fn serve(
     shell: Rc<Shell>,
     request: Request<Incoming>,
 ) -> Result<Response<Body>, Infallible> {
     let (method, path) = (request.method().clone(), request.uri().path().to_string());
     Ok(match (method, path.as_str()) {
-        (Method::GET, "/state") => state(&shell),
+        (Method::GET, "/state") => state_response(&shell),
         (Method::POST, "/flagged") => match report_fault(&shell, request).await {
             Ok(()) => text_response(StatusCode::NO_CONTENT, ""),
-            Err(ReportError(why)) => {
-                tracing::info!(why, "flagged refused");
-                text_response(StatusCode::BAD_REQUEST, why)
+            Err(ReportError(reason)) => {
+                tracing::info!(reason, "rejected a report of a wrong response");
+                text_response(StatusCode::BAD_REQUEST, reason)
             }
         },
         _ => text_response(
@@ -51,7 +52,7 @@
     })
 }
 
-fn state(shell: &Shell) -> Response<Body> {
+fn state_response(shell: &Shell) -> Response<Body> {
     let text = format!("{}\n", state_report(shell));
     let mut response = Response::new(Body::Complete(Full::new(text.into())));
     response
@@ -62,7 +63,7 @@
 
 async fn report_fault(shell: &Rc<Shell>, request: Request<Incoming>) -> Result<(), ReportError> {
     let body = Limited::new(request.into_body(), MAX_BODY_BYTES).collect();
-    let body = timeout(BODY_TIME, body)
+    let body = timeout(BODY_TIMEOUT, body)
         .await
         .map_err(|_| ReportError("the body took too long\n"))?
         .map_err(|_| ReportError("expected 4096 bytes at most\n"))?;
--- a/crates/sidecar/src/attempt.rs
+++ b/crates/sidecar/src/attempt.rs
@@ -1,4 +1,5 @@
-//! Carries one attempt out: a connection, a last check, the exchange with the pod, and what its answer means.
+//! Runs one attempt: takes a connection, checks once more that the attempt may be sent, exchanges request and response
+//! with the pod, and classifies the response.
 
 use crate::body::Body;
 use crate::dispatcher::{AttemptId, AttemptResult};
@@ -19,10 +20,10 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Which pod served, for whoever reports an answer as wrong.
+/// The response header that names the pod that served the request, for clients that report a wrong response.
 const POD_HEADER: &str = "x-pod";
 
-/// Carries one attempt out and reports its end to the engine.
+/// Runs one attempt for at most `time` and reports its end to the engine.
 pub async fn send(
     shell: Rc<Shell>,
     request: Rc<PreparedRequest>,
@@ -48,11 +49,11 @@
     id: AttemptId,
     pod: PodId,
     deadline: Instant,
-    /// Set once the pod may have begun.
+    /// Set before the pod may start to process the attempt.
     sent: &'a Cell<bool>,
 }
 
-/// A pod's answer, of which the head is read.
+/// A response of a pod whose head has been read.
 struct Exchange {
     connection: UpstreamConnection,
     response: Response<Incoming>,
@@ -67,7 +68,8 @@
         }
     }
 
-    /// Sends the request; once more on a new connection where an idle one proves closed before any byte was written.
+    /// Sends the request. Sends it once more, on a new connection, if the pod closed an idle connection before any byte
+    /// of the request was written.
     async fn exchange(&self) -> Result<Exchange, AttemptEnd> {
         let address = self
             .shell
@@ -94,7 +96,8 @@
                 }
                 Err(error) => error,
             };
-            // The message comes back only where no byte of it was written: the connection closed while idle.
+            // The error returns the request only if no byte of it was written, that is if the connection closed while
+            // idle.
             if error.take_message().is_none() {
                 return Err(AttemptEnd::Reset);
             }
@@ -107,8 +110,9 @@
         }
     }
 
-    /// Announces the attempt once, and returns whether it may be written now. It was chosen when it had no connection
-    /// yet: the pod may drain by now, or its build be closed.
+    /// Announces the attempt to the backups once, and returns whether the attempt may be written now. Its pod was
+    /// chosen before it had a connection; since then the pod may have begun to drain, or its build may have been
+    /// withdrawn.
     async fn may_send(&self, announced: &mut Option<AnnouncedAttempt>) -> bool {
         if let (Some(protection), None) = (&self.request.protection, &announced) {
             match exactly_once::announce_attempt(self.shell, protection, self.pod).await {
@@ -131,16 +135,16 @@
         *request.method_mut() = self.request.method.clone();
         *request.uri_mut() = self.request.uri.clone();
         *request.headers_mut() = self.request.headers.clone();
-        let left = self.deadline.saturating_duration_since(Instant::now());
-        let left = headers::format_timeout(left.as_nanos() as Nanos);
-        if let Ok(left) = HeaderValue::from_str(&left) {
+        let remaining = self.deadline.saturating_duration_since(Instant::now());
+        let remaining = headers::format_timeout(remaining.as_nanos() as Nanos);
+        if let Ok(remaining) = HeaderValue::from_str(&remaining) {
             let name = self.shell.timeout_header.clone();
-            request.headers_mut().insert(name, left);
+            request.headers_mut().insert(name, remaining);
         }
         request
     }
 
-    /// Reads a response as far as it must be before it goes to the client.
+    /// Reads the part of a response that must have arrived before the response goes to the client.
     async fn read_response(&self, exchange: Exchange) -> AttemptResult<Response<Body>> {
         let Exchange {
             connection,
@@ -148,22 +152,22 @@
             announced,
         } = exchange;
         let (mut parts, mut body) = response.into_parts();
-        let end = self.end_of(&parts);
+        let end = self.attempt_end(&parts);
         let load = load_report(self.shell, &parts.headers);
         if end.never_ran() {
             announced.iter().for_each(AnnouncedAttempt::never_ran);
         }
         headers::strip_hop_by_hop(&mut parts.headers);
         let read = match self.request.route.rules.stream {
-            true => Ok(Beginning::of_stream()),
+            true => Ok(BodyPrefix::empty()),
             false => {
-                Beginning::read(&mut body, self.shell.site.listener.buffered_response_bytes).await
+                BodyPrefix::read(&mut body, self.shell.site.listener.buffered_response_bytes).await
             }
         };
-        let Ok(beginning) = read else {
+        let Ok(prefix) = read else {
             return AttemptEnd::Reset.into();
         };
-        let response = client_body(end, connection, beginning, body).map(|body| {
+        let response = client_body(end, connection, prefix, body).map(|body| {
             if let Some(name) = self.shell.pod_name(self.pod) {
                 parts.headers.insert(POD_HEADER, name);
             }
@@ -179,7 +183,7 @@
         }
     }
 
-    fn end_of(&self, parts: &Parts) -> AttemptEnd {
+    fn attempt_end(&self, parts: &Parts) -> AttemptEnd {
         let settings = &self.shell.site.upstream;
         let is_proof = parts.headers.contains_key(&settings.unprocessed_header);
         if parts.status == settings.unprocessed_status && is_proof {
@@ -192,20 +196,20 @@
     }
 }
 
-/// Returns the body that goes to the client; none where nobody reads on in an answer that goes nowhere: its connection
-/// then closes.
+/// Returns the body that goes to the client. Returns `None` for an incomplete body of an attempt that was not served:
+/// nothing reads the rest of it, so its connection is closed.
 fn client_body(
     end: AttemptEnd,
     connection: UpstreamConnection,
-    beginning: Beginning,
+    prefix: BodyPrefix,
     rest: Incoming,
 ) -> Option<Body> {
-    if beginning.is_complete {
+    if prefix.is_complete {
         connection.release();
-        Some(Body::Complete(Full::new(beginning.bytes)))
+        Some(Body::Complete(Full::new(prefix.bytes)))
     } else if end == AttemptEnd::Served {
         Some(Body::Streaming {
-            first: Some(beginning.bytes).filter(|first| !first.is_empty()),
+            buffered: Some(prefix.bytes).filter(|bytes| !bytes.is_empty()),
             rest,
             connection: Some(connection),
         })
@@ -214,7 +218,7 @@
     }
 }
 
-/// Reads the load that a pod reports with a response, where the settings say that it does.
+/// Parses the load that a pod reports with a response, if the settings enable load reports.
 pub fn load_report(shell: &Shell, headers: &HeaderMap) -> Option<LoadReport> {
     if !shell.site.upstream.load_reports {
         return None;
@@ -223,45 +227,45 @@
     headers::parse_load_report(text.to_str().ok()?)
 }
 
-/// The beginning of an answer's body.
-struct Beginning {
+/// The first bytes of a response body.
+struct BodyPrefix {
     bytes: Bytes,
     is_complete: bool,
 }
 
-impl Beginning {
-    /// Reads nothing of a body that is passed on as it comes.
-    fn of_stream() -> Beginning {
-        Beginning {
+impl BodyPrefix {
+    /// Returns an empty prefix, for a body that is streamed to the client from its start.
+    fn empty() -> BodyPrefix {
+        BodyPrefix {
             bytes: Bytes::new(),
             is_complete: false,
         }
     }
 
-    fn complete(bytes: Bytes) -> Beginning {
-        Beginning {
+    fn complete(bytes: Bytes) -> BodyPrefix {
+        BodyPrefix {
             bytes,
             is_complete: true,
         }
     }
 
-    /// Reads a body up to `limit` bytes, or the end of the frame in which it passes them.
-    async fn read(body: &mut Incoming, limit: usize) -> Result<Beginning, hyper::Error> {
+    /// Reads a body to its end, or up to the end of the frame that takes it past `limit` bytes.
+    async fn read(body: &mut Incoming, limit: usize) -> Result<BodyPrefix, hyper::Error> {
         let mut first = Bytes::new();
-        // Most answers are one frame, which is passed on as it is.
+        // Most bodies are one frame, which is passed on without a copy.
         while first.is_empty() {
             match body.frame().await {
-                None => return Ok(Beginning::complete(first)),
+                None => return Ok(BodyPrefix::complete(first)),
                 Some(frame) => first = frame?.into_data().unwrap_or_default(),
             }
         }
         if body.is_end_stream() {
-            return Ok(Beginning::complete(first));
+            return Ok(BodyPrefix::complete(first));
         }
         let mut read = BytesMut::from(&first[..]);
         while read.len() <= limit {
             match body.frame().await {
-                None => return Ok(Beginning::complete(read.freeze())),
+                None => return Ok(BodyPrefix::complete(read.freeze())),
                 Some(frame) => {
                     if let Ok(data) = frame?.into_data() {
                         read.extend_from_slice(&data);
@@ -269,7 +273,7 @@
                 }
             }
         }
-        Ok(Beginning {
+        Ok(BodyPrefix {
             bytes: read.freeze(),
             is_complete: false,
         })
--- a/crates/sidecar/src/body.rs
+++ b/crates/sidecar/src/body.rs
@@ -1,4 +1,4 @@
-//! The body of an answer to a client.
+//! The body of a response to a client.
 
 use crate::upstream::UpstreamConnection;
 use bytes::Bytes;
@@ -7,17 +7,17 @@
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
-/// An answer's body: complete where it was short, else passed on as it comes.
+/// The body of a response: buffered completely if it is short, streamed from the pod otherwise.
 pub enum Body {
-    /// All of it.
+    /// The complete body.
     Complete(Full<Bytes>),
-    /// What was read of it, and what is to come.
+    /// A body that is streamed as it arrives.
     Streaming {
-        /// Read ahead of the rest.
-        first: Option<Bytes>,
-        /// To be passed on as it comes.
+        /// The bytes that were already read.
+        buffered: Option<Bytes>,
+        /// The part that is still to be read.
         rest: Incoming,
-        /// Released once all of it is read.
+        /// The connection to the pod, released once the body is read to its end.
         connection: Option<UpstreamConnection>,
     },
 }
@@ -41,12 +41,12 @@
                 .poll_frame(cx)
                 .map_err(|never| match never {}),
             Body::Streaming {
-                first,
+                buffered,
                 rest,
                 connection,
             } => {
-                if let Some(first) = first.take() {
-                    return Poll::Ready(Some(Ok(Frame::data(first))));
+                if let Some(buffered) = buffered.take() {
+                    return Poll::Ready(Some(Ok(Frame::data(buffered))));
                 }
                 let polled = Pin::new(rest).poll_frame(cx);
                 match &polled {
@@ -54,7 +54,7 @@
                         .take()
                         .into_iter()
                         .for_each(UpstreamConnection::release),
-                    // Its connection is no good any more.
+                    // A connection that failed cannot be used again.
                     Poll::Ready(Some(Err(_))) => drop(connection.take()),
                     _ => {}
                 }
@@ -66,18 +66,18 @@
     fn is_end_stream(&self) -> bool {
         match self {
             Body::Complete(complete) => complete.is_end_stream(),
-            Body::Streaming { first, rest, .. } => first.is_none() && rest.is_end_stream(),
+            Body::Streaming { buffered, rest, .. } => buffered.is_none() && rest.is_end_stream(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
             Body::Complete(complete) => complete.size_hint(),
-            Body::Streaming { first, rest, .. } => {
-                let more = first.as_ref().map_or(0, Bytes::len) as u64;
+            Body::Streaming { buffered, rest, .. } => {
+                let buffered = buffered.as_ref().map_or(0, Bytes::len) as u64;
                 rest.size_hint()
                     .exact()
-                    .map_or_else(SizeHint::new, |rest| SizeHint::with_exact(rest + more))
+                    .map_or_else(SizeHint::new, |rest| SizeHint::with_exact(rest + buffered))
             }
         }
     }
--- a/crates/sidecar/src/client_stream.rs
+++ b/crates/sidecar/src/client_stream.rs
@@ -1,5 +1,5 @@
-//! A client's stream that knows when a request began, when its answer was written and when the client closed, and that
-//! can be drained once HTTP is done with it.
+//! A client's TCP stream that records when a request began to arrive, when its response was written and when the client
+//! closed the connection, and that can be drained after the HTTP connection has ended.
 
 use bytes::{Buf, BytesMut};
 use hyper::body::{Body, Frame, SizeHint};
@@ -16,68 +16,73 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// What is read and thrown away of a connection that closes, at most, and for how long.
-const DRAIN_BYTES: usize = 1 << 20;
-const DRAIN_TIME: Duration = Duration::from_millis(500);
-/// What is read ahead of a client while its request is served, to see it close behind that. One that sends more is none
-/// of the protocol, which has one request at a time; its close is not looked for.
-const AHEAD_BYTES: usize = 16 << 10;
+/// Limit on the bytes that are read and discarded while a connection closes.
+const MAX_DRAIN_BYTES: usize = 1 << 20;
+/// Limit on the time for which bytes are read and discarded while a connection closes.
+const MAX_DRAIN_TIME: Duration = Duration::from_millis(500);
+/// Limit on the bytes that are read ahead while a request is served, to detect that the client closed the connection
+/// after sending them. A client that sends more does not follow the protocol, which has one request at a time; for such
+/// a client a close is not detected.
+const MAX_READ_AHEAD_BYTES: usize = 16 << 10;
 
 struct Stream {
     socket: TcpStream,
-    /// When the first byte came that no request was read from yet.
+    /// When the first byte of the next request arrived; `None` before that.
     first_unread: Cell<Option<Instant>>,
-    /// Read ahead of HTTP, which gets it first; whom to wake then.
+    /// Bytes that were read before the HTTP connection asked for them; its next reads return them first.
     read_ahead: RefCell<BytesMut>,
-    reader: Cell<Option<Waker>>,
-    /// HTTP has taken the whole of an answer, and wrote all that it had.
-    response_taken: Cell<bool>,
+    /// Wakes the HTTP connection when bytes were read ahead.
+    reader_waker: Cell<Option<Waker>>,
+    /// Set once the HTTP connection has consumed a complete response body; cleared when all of it is written.
+    response_consumed: Cell<bool>,
+    /// When the last complete response was written.
     response_written: Cell<Option<Instant>>,
-    /// Since when the client takes no more of what is to be written.
+    /// Since when the socket accepts no more bytes; `None` while it does.
     write_blocked: Cell<Option<Instant>>,
 }
 
-/// A client's stream; its clones are the same stream.
+/// A client's stream. Clones share the same stream.
 #[derive(Clone)]
 pub struct ClientStream(Rc<Stream>);
 
 impl ClientStream {
     /// Wraps a socket.
     pub fn new(socket: TcpStream) -> ClientStream {
-        let (first_unread, reader, response_written, write_blocked) = Default::default();
-        let (read_ahead, response_taken) = (RefCell::default(), Cell::new(false));
+        let (first_unread, reader_waker, response_written, write_blocked) = Default::default();
+        let (read_ahead, response_consumed) = (RefCell::default(), Cell::new(false));
         ClientStream(Rc::new(Stream {
             socket,
             first_unread,
             read_ahead,
-            reader,
-            response_taken,
+            reader_waker,
+            response_consumed,
             response_written,
             write_blocked,
         }))
     }
 
-    /// Returns when the first byte came that no request was read from yet.
+    /// Returns when the first byte of the next request arrived; `None` if no byte of it has arrived.
     pub fn request_began(&self) -> Option<Instant> {
         self.0.first_unread.get()
     }
 
-    /// Takes when the request that was just read began; what comes from here on is the next one.
+    /// Returns when the first byte of the request that was just read arrived, and resets that time for the next
+    /// request.
     pub fn take_request_began(&self) -> Option<Instant> {
         self.0.first_unread.take()
     }
 
-    /// Takes when the last byte of an answer was written, if one was since this was asked.
+    /// Returns when the last byte of a response was written, if one was written since the last call.
     pub fn take_response_written(&self) -> Option<Instant> {
         self.0.response_written.take()
     }
 
-    /// Returns since when the client reads nothing of an answer that is there to be written.
+    /// Returns since when writing a response is blocked because the client does not read.
     pub fn write_blocked_since(&self) -> Option<Instant> {
         self.0.write_blocked.get()
     }
 
-    /// Wraps an answer's body, which notes when HTTP has taken all of it.
+    /// Wraps a response body to record when the HTTP connection has consumed all of it.
     pub fn track_body<B>(&self, body: B) -> TrackedBody<B> {
         TrackedBody {
             body,
@@ -90,13 +95,13 @@
         socket2::SockRef::from(&self.0.socket).peek(&mut byte)
     }
 
-    /// Returns whether bytes of the client lie here that HTTP has not read. Asks the socket itself, as the runtime learns of
-    /// bytes only when it polls.
+    /// Returns whether bytes from the client have arrived that the HTTP connection has not read. Peeks at the socket
+    /// itself, because the runtime learns of new bytes only when it polls.
     pub fn has_unread(&self) -> bool {
         !self.0.read_ahead.borrow().is_empty() || self.peek().is_ok_and(|bytes| bytes > 0)
     }
 
-    /// Returns whether the client has closed, as far as no unread bytes lie in front of that.
+    /// Returns whether the client has closed the connection. Cannot detect that while unread bytes are in the socket.
     pub fn is_closed(&self) -> bool {
         match self.peek() {
             Ok(bytes) => bytes == 0,
@@ -104,26 +109,27 @@
         }
     }
 
-    /// Ends once the client has closed, also behind bytes that HTTP does not read while a request is served.
+    /// Completes when the client has closed the connection. Reads ahead, so that it also detects a close after bytes
+    /// that the HTTP connection does not read while a request is served.
     pub async fn closed(&self) {
         let mut read = [0; 512];
         loop {
             if self.0.socket.readable().await.is_err() {
                 return;
             }
-            if self.0.read_ahead.borrow().len() >= AHEAD_BYTES {
+            if self.0.read_ahead.borrow().len() >= MAX_READ_AHEAD_BYTES {
                 return pending().await;
             }
             match self.0.socket.try_read(&mut read) {
                 Ok(0) => return,
                 Ok(more) => {
-                    self.note_read();
+                    self.record_read();
                     self.0
                         .read_ahead
                         .borrow_mut()
                         .extend_from_slice(&read[..more]);
-                    if let Some(reader) = self.0.reader.take() {
-                        reader.wake();
+                    if let Some(reader_waker) = self.0.reader_waker.take() {
+                        reader_waker.wake();
                     }
                 }
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
@@ -132,31 +138,31 @@
         }
     }
 
-    fn write_waits(&self) -> Poll<io::Result<usize>> {
+    fn write_pending(&self) -> Poll<io::Result<usize>> {
         self.0
             .write_blocked
             .set(self.0.write_blocked.get().or_else(|| Some(Instant::now())));
         Poll::Pending
     }
 
-    fn write_done(&self, done: io::Result<usize>) -> Poll<io::Result<usize>> {
+    fn write_finished(&self, done: io::Result<usize>) -> Poll<io::Result<usize>> {
         self.0.write_blocked.set(None);
         Poll::Ready(done)
     }
 
-    fn note_read(&self) {
+    fn record_read(&self) {
         if self.0.first_unread.get().is_none() {
             self.0.first_unread.set(Some(Instant::now()));
         }
     }
 
-    /// Shuts the write half, then reads on for a while: a close with unread bytes becomes a reset, which may overtake
-    /// the last answer.
+    /// Shuts the write half down, then reads and discards for a limited time. Closing a socket with unread bytes sends
+    /// a reset, which may reach the client before the last response.
     pub async fn drain(&self) {
         let _ = socket2::SockRef::from(&self.0.socket).shutdown(Shutdown::Write);
         let rest = async {
             let (mut sink, mut read) = ([0u8; 4096], 0);
-            while read < DRAIN_BYTES && self.0.socket.readable().await.is_ok() {
+            while read < MAX_DRAIN_BYTES && self.0.socket.readable().await.is_ok() {
                 match self.0.socket.try_read(&mut sink) {
                     Ok(0) => break,
                     Ok(more) => read += more,
@@ -165,7 +171,7 @@
                 }
             }
         };
-        let _ = timeout(DRAIN_TIME, rest).await;
+        let _ = timeout(MAX_DRAIN_TIME, rest).await;
     }
 }
 
@@ -177,19 +183,19 @@
     ) -> Poll<io::Result<()>> {
         let mut read_ahead = self.0.read_ahead.borrow_mut();
         if !read_ahead.is_empty() {
-            let part = read_ahead.len().min(buf.remaining());
-            buf.put_slice(&read_ahead[..part]);
-            read_ahead.advance(part);
+            let length = read_ahead.len().min(buf.remaining());
+            buf.put_slice(&read_ahead[..length]);
+            read_ahead.advance(length);
             return Poll::Ready(Ok(()));
         }
-        self.0.reader.set(Some(cx.waker().clone()));
+        self.0.reader_waker.set(Some(cx.waker().clone()));
         loop {
             ready!(self.0.socket.poll_read_ready(cx))?;
             match self.0.socket.try_read(buf.initialize_unfilled()) {
                 Ok(read) => {
                     buf.advance(read);
                     if read > 0 {
-                        self.note_read();
+                        self.record_read();
                     }
                     return Poll::Ready(Ok(()));
                 }
@@ -208,11 +214,11 @@
     ) -> Poll<io::Result<usize>> {
         loop {
             if self.0.socket.poll_write_ready(cx)?.is_pending() {
-                return self.write_waits();
+                return self.write_pending();
             }
             match self.0.socket.try_write(buf) {
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
-                done => return self.write_done(done),
+                done => return self.write_finished(done),
             }
         }
     }
@@ -224,11 +230,11 @@
     ) -> Poll<io::Result<usize>> {
         loop {
             if self.0.socket.poll_write_ready(cx)?.is_pending() {
-                return self.write_waits();
+                return self.write_pending();
             }
             match self.0.socket.try_write_vectored(bufs) {
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
-                done => return self.write_done(done),
+                done => return self.write_finished(done),
             }
         }
     }
@@ -237,9 +243,9 @@
         true
     }
 
-    /// Called only where nothing is left to be written of what HTTP has taken.
+    /// The HTTP connection calls this only when all bytes that it has consumed are written.
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        if self.0.response_taken.take() {
+        if self.0.response_consumed.take() {
             self.0.response_written.set(Some(Instant::now()));
         }
         Poll::Ready(Ok(()))
@@ -250,7 +256,8 @@
     }
 }
 
-/// An answer on its way. HTTP drops it once all of it is taken, before it writes the last of it.
+/// The body of a response that is being sent. The HTTP connection drops it once it has consumed all of it, before it
+/// writes the last bytes.
 pub struct TrackedBody<B> {
     body: B,
     stream: ClientStream,
@@ -258,7 +265,7 @@
 
 impl<B> Drop for TrackedBody<B> {
     fn drop(&mut self) {
-        self.stream.0.response_taken.set(true);
+        self.stream.0.response_consumed.set(true);
     }
 }
 
--- a/crates/sidecar/src/connection.rs
+++ b/crates/sidecar/src/connection.rs
@@ -1,5 +1,5 @@
-//! One connection of a client or an operator: requests one after the other, slow clients cut off, and a shutdown that
-//! leaves no taken request unanswered.
+//! One connection of a client or an operator. Serves its requests one after the other, closes the connection of a
+//! client that is too slow, and on shutdown answers every request that was sent.
 
 use crate::body::Body;
 use crate::client_stream::ClientStream;
@@ -19,80 +19,81 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// How long a connection that should close is left to HTTP while bytes lie unread on it.
-const UNREAD_POLL: Duration = Duration::from_millis(2);
-/// How often a connection that should close is asked whether its request is answered.
-const ANSWERED_POLL: Duration = Duration::from_millis(50);
+/// How often a connection that is to close is checked for unread bytes.
+const UNREAD_POLL_PERIOD: Duration = Duration::from_millis(2);
+/// How often a connection that is to close is checked for whether its request is answered.
+const ANSWERED_POLL_PERIOD: Duration = Duration::from_millis(50);
 
-/// When a connection waits for its client.
+/// Tracks whether a connection waits for its client, and since when.
 struct Activity {
     stream: ClientStream,
-    /// Since when it waits for a request's head; none from a request's reading until its answer is written.
+    /// Since when the connection waits for a request's head; `None` from when a head was read until its response is
+    /// written.
     idle_since: Cell<Option<Instant>>,
-    /// How long a client may take for a head, and for taking more of its answer.
-    head_time: Duration,
+    /// How long a client may take to send a head, and how long it may read nothing of a response.
+    head_timeout: Duration,
 }
 
 impl Activity {
-    fn new(stream: ClientStream, head_time: Duration) -> Activity {
+    fn new(stream: ClientStream, head_timeout: Duration) -> Activity {
         Activity {
             stream,
             idle_since: Cell::new(Some(Instant::now())),
-            head_time,
+            head_timeout,
         }
     }
 
-    /// Notes that a request was read; the answer before it is settled by this one.
-    fn request_read(&self) {
+    /// Records that a request's head was read, which also discards the time of the response before it.
+    fn record_request_read(&self) {
         let _ = self.stream.take_response_written();
         let _ = self.stream.take_request_began();
         self.idle_since.set(None);
     }
 
-    /// Returns since when it waits for its client. One that reads nothing of its answer is waited for as one that sends
-    /// nothing of its head.
-    fn waits_since(&self) -> Option<Instant> {
+    /// Returns since when the connection waits for its client, either to send a head or to read more of a response.
+    fn waiting_since(&self) -> Option<Instant> {
         let written = self.stream.take_response_written();
         self.idle_since.set(written.or(self.idle_since.get()));
         self.idle_since.get().or(self.stream.write_blocked_since())
     }
 
-    /// Ends once the client was too slow. One timer for all heads of a connection: one for each is a part of a
-    /// request's cost that shows.
-    async fn too_slow(&self) {
+    /// Completes when the client has been too slow. One timer serves all heads of a connection, because a timer for
+    /// each head adds noticeably to the cost of a request.
+    async fn client_too_slow(&self) {
         loop {
-            let waited = self.waits_since();
-            let waited = waited.map_or(Duration::ZERO, |since| since.elapsed());
-            if waited >= self.head_time {
+            let waiting = self.waiting_since();
+            let waiting = waiting.map_or(Duration::ZERO, |since| since.elapsed());
+            if waiting >= self.head_timeout {
                 return;
             }
-            sleep(self.head_time - waited).await;
+            sleep(self.head_timeout - waiting).await;
         }
     }
 
-    /// Ends once no request lies unread in the socket: it is taken, but asked to end, HTTP closes where it has read
-    /// nothing.
-    async fn nothing_unread(&self) {
+    /// Completes when the socket holds no unread request. An HTTP connection that is told to shut down before it has
+    /// read anything closes without reading a request that has already arrived.
+    async fn no_unread_request(&self) {
         let unread = || {
-            self.waits_since().is_some()
+            self.waiting_since().is_some()
                 && self.stream.request_began().is_none()
                 && self.stream.has_unread()
         };
         while unread() {
-            sleep(UNREAD_POLL).await;
+            sleep(UNREAD_POLL_PERIOD).await;
         }
     }
 
-    /// Ends once a head that was half sent had its time; what is served has all of its own.
-    async fn half_sent_head_expired(&self) {
-        while self.waits_since().is_none() {
-            sleep(ANSWERED_POLL).await;
+    /// Completes when a partly sent head has had its time to arrive. A request that is being served is not timed here.
+    async fn partial_head_expired(&self) {
+        while self.waiting_since().is_none() {
+            sleep(ANSWERED_POLL_PERIOD).await;
         }
-        sleep(self.head_time).await;
+        sleep(self.head_timeout).await;
     }
 }
 
-/// Serves a connection until its client closes it, is too slow, or `stopped` says that it should end.
+/// Serves a connection until its client closes it or is too slow, or until `stopped` becomes true and the connection
+/// has shut down.
 pub async fn serve_connection<F, Fut>(
     shell: &Rc<Shell>,
     stream: TcpStream,
@@ -107,19 +108,19 @@
     let stream = ClientStream::new(stream);
     let activity = Activity::new(stream.clone(), Duration::from_nanos(limits.head_timeout));
     let service = service_fn(|request| {
-        activity.request_read();
+        activity.record_request_read();
         let (served, stream) = (serve(shell.clone(), request), &stream);
         async move { Ok::<_, Infallible>(served.await?.map(|body| stream.track_body(body))) }
     });
     let connection = http1::Builder::new()
         .max_buf_size(limits.max_head_bytes)
-        // A client that sends no more may still read: its request gets its answer.
+        // A client that has closed its write half may still read, so its request gets its response.
         .half_close(true)
         .serve_connection(TokioIo::new(stream.clone()), service);
     tokio::pin!(connection);
     let ended = tokio::select! {
         ended = &mut connection => Some(ended),
-        () = activity.too_slow() => None,
+        () = activity.client_too_slow() => None,
         _ = stopped.wait_for(|stopped| *stopped) => {
             shut_down(connection.as_mut(), &activity, |connection| connection.graceful_shutdown()).await
         }
@@ -129,22 +130,22 @@
     }
 }
 
-/// Ends a connection: what was sent is taken and answered, then it closes. `None` where it had nothing more to say, or
-/// its client did not finish a head in time.
+/// Shuts a connection down after its sent requests are read and answered. Returns `None` if the connection ended by
+/// itself, or if its client did not finish sending a head in time.
 async fn shut_down<C: Future>(
     mut connection: Pin<&mut C>,
     activity: &Activity,
-    ask_to_end: impl FnOnce(Pin<&mut C>),
+    start_shutdown: impl FnOnce(Pin<&mut C>),
 ) -> Option<C::Output> {
     tokio::select! {
         biased;
         _ = &mut connection => return None,
-        () = activity.nothing_unread() => {}
+        () = activity.no_unread_request() => {}
     }
-    ask_to_end(connection.as_mut());
-    // A head half sent is not taken any more; what is served is.
+    start_shutdown(connection.as_mut());
+    // A head that is still incomplete after its time is dropped; a request that is being served is answered.
     tokio::select! {
         ended = &mut connection => Some(ended),
-        () = activity.half_sent_head_expired() => None,
+        () = activity.partial_head_expired() => None,
     }
 }
--- a/crates/sidecar/src/control_plane.rs
+++ b/crates/sidecar/src/control_plane.rs
@@ -1,4 +1,4 @@
-//! What the control plane says on its line protocol, handed to the engine.
+//! Subscribes to the control plane and passes its notifications to the engine.
 
 use crate::shell::Shell;
 use havenplank::interface::{Nanos, Stage, VoteReply};
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use tokio::sync::mpsc;
 
-/// Subscribes to the control plane, sending it the lines that come; never ends.
+/// Subscribes to the control plane and sends it the lines from `lines`. Never returns.
 pub async fn run(shell: Rc<Shell>, seed: u64, lines: mpsc::Receiver<String>) {
     let settings = &shell.site.control_plane;
     let service = Service {
@@ -27,7 +27,7 @@
 
 impl Handler<Notification> for Subscription {
     fn connected(&mut self) {
-        tracing::info!("release desk connected");
+        tracing::info!("control plane connected");
         self.0.control_plane_up.set(true);
     }
 
@@ -35,9 +35,9 @@
         notification(self);
     }
 
-    /// The last stage stays in force; votes that wait have their time to be answered.
+    /// The last stage stays in force. Votes in flight may still be answered until their timeouts.
     fn disconnected(&mut self, reason: &ProtocolError) {
-        tracing::warn!(why = %reason, "release desk lost");
+        tracing::warn!(reason = %reason, "control plane disconnected");
         self.0.control_plane_up.set(false);
     }
 
@@ -68,7 +68,7 @@
         if !is_known {
             tracing::info!(
                 route_class = tally.class,
-                "tally of an unknown path group passed over"
+                "ignored a tally of an unknown route class"
             );
         }
     }
@@ -78,7 +78,7 @@
             tracing::info!(
                 pod,
                 route_class,
-                "flagged answer of an unknown pod or path group passed over"
+                "ignored a report of a wrong response: unknown pod or route class"
             );
         }
     }
--- a/crates/sidecar/src/daemon.rs
+++ b/crates/sidecar/src/daemon.rs
@@ -1,4 +1,5 @@
-//! Runs one sidecar on one thread: builds it from its settings, starts its tasks, and stops it without losing a request.
+//! Runs one sidecar on one thread: builds it from its settings, starts its tasks, and shuts it down without losing a
+//! request.
 
 use crate::configuration::{self, CachedConfiguration};
 use crate::dispatcher::Dispatcher;
@@ -26,28 +27,31 @@
 use tokio::task::{spawn_local, JoinSet};
 use tokio::time::{sleep, timeout};
 
-/// Lines that wait to be sent on a feed; one more counts as not sent.
-const QUEUED_LINES: usize = 64;
-/// Connections of operators at once.
-const OPERATOR_CONNECTIONS: usize = 64;
-/// How long a stop waits, past the longest client time-out, for connections to close.
-const STOP_MARGIN: Duration = Duration::from_secs(1);
-/// The shortest time between two looks for idle connections to pods.
-const SHORTEST_SWEEP_PERIOD: Duration = Duration::from_millis(100);
-/// The header in which pods are told how long an attempt may take, where that of the settings is none.
+/// Limit on the lines that wait to be sent on a subscription. A line beyond it counts as not sent.
+const MAX_QUEUED_LINES: usize = 64;
+/// Limit on the open connections of operators.
+const MAX_OPERATOR_CONNECTIONS: usize = 64;
+/// How long a shutdown waits for connections to close after the longest client timeout has passed.
+const SHUTDOWN_MARGIN: Duration = Duration::from_secs(1);
+/// The shortest period at which idle connections to pods are closed.
+const MIN_SWEEP_PERIOD: Duration = Duration::from_millis(100);
+/// The header that tells pods how long an attempt may take, if the settings name no valid header.
 const DEFAULT_TIMEOUT_HEADER: HeaderName = HeaderName::from_static("grpc-timeout");
-/// Tells the random draws of two feeds apart.
+/// Combined with the seed, so that the two subscriptions draw different random numbers.
 const DISCOVERY_SEED: u64 = 1;
+/// See [`DISCOVERY_SEED`].
 const CONTROL_PLANE_SEED: u64 = 2;
 
 /// Why a sidecar cannot start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// An address is taken or not this machine's.
+    /// An address is in use or does not belong to this machine.
     #[error(transparent)]
     Listen(#[from] ListenError),
-    /// The sidecar's name does not fit in a header.
-    #[error("{0:?}: not a name that a Via header can carry")]
+    /// The sidecar's name is not a valid header value.
+    #[error(
+        "sidecar name {0:?} cannot be sent in a Via header; expected visible ASCII characters"
+    )]
     Name(String),
     /// The membership cannot start.
     #[error(transparent)]
@@ -57,25 +61,26 @@
     Configuration(#[from] StoreError),
 }
 
-/// Where a running sidecar listens.
+/// The addresses that a running sidecar listens on.
 #[derive(Clone, Copy, Debug)]
 pub struct Addresses {
-    /// Its clients.
+    /// The address for clients.
     pub listen: SocketAddr,
-    /// Its operators.
+    /// The address for operators.
     pub admin: SocketAddr,
 }
 
-/// Runs a sidecar on the present thread until `stop` is done; then takes no more requests, gives each that it
-/// holds its one final answer, and returns.
+/// Runs a sidecar on the current thread until `stop` completes. It then accepts no more requests, gives each request in
+/// flight its final response, and returns.
 ///
-/// `ready` is called once it listens; `observer` sees all events and effects of its engine. Needs a tokio runtime with
-/// time and I/O, and a place for local tasks: a `LocalRuntime`, which is the cheaper, or a `LocalSet`. Shares
-/// nothing with others in the process.
+/// `ready` is called once the sidecar listens. `observer` receives all events and effects of its engine. Needs a tokio
+/// runtime with time and I/O that can run local tasks: a `LocalRuntime`, which is cheaper, or a `LocalSet`. Shares no
+/// state with other sidecars in the process.
 ///
 /// # Errors
-/// An address that cannot be listened on, a name that no header carries, unreadable keys or an unreadable cached
-/// configuration. Feeds that are out of reach are no error: they are tried on.
+/// Fails if it cannot listen on an address, if its name is not a valid header value, or if its keys or its cached
+/// configuration cannot be read. An unreachable service discovery or control plane is not an error: the sidecar keeps
+/// trying to connect.
 pub async fn serve(
     site: Site,
     seed: u64,
@@ -93,11 +98,11 @@
         .transpose()?;
     let (clients, listen_address) = listen(site.listener.listen).await?;
     let (operators, admin) = listen(site.listener.admin).await?;
-    let Parts {
+    let SidecarParts {
         shell,
         lines,
         taken_over,
-    } = Parts::build(site, engine).await?;
+    } = SidecarParts::build(site, engine).await?;
     if let Some(cached) = cached {
         configuration::start(&shell, cached, seed);
     }
@@ -117,26 +122,26 @@
     Ok(())
 }
 
-/// The lines that the engine wants sent.
+/// The lines that the engine asks to send to the two services.
 struct RequestLines {
     discovery: mpsc::Receiver<String>,
     control_plane: mpsc::Receiver<String>,
 }
 
-/// A sidecar before its tasks run.
-struct Parts {
+/// A sidecar whose tasks are not started yet.
+struct SidecarParts {
     shell: Rc<Shell>,
     lines: RequestLines,
-    /// Requests of other sidecars to be finished here.
+    /// Requests taken over from other sidecars, to be finished by this one; `None` without takeover.
     taken_over: Option<mpsc::UnboundedReceiver<Record>>,
 }
 
-impl Parts {
-    async fn build(site: Site, engine: Engine) -> Result<Parts, StartError> {
+impl SidecarParts {
+    async fn build(site: Site, engine: Engine) -> Result<SidecarParts, StartError> {
         let via = HeaderValue::from_str(&format!("1.1 {}", site.name));
         let via = via.map_err(|_| StartError::Name(site.name.clone()))?;
-        let (discovery_requests, discovery) = mpsc::channel(QUEUED_LINES);
-        let (control_plane_requests, control_plane) = mpsc::channel(QUEUED_LINES);
+        let (discovery_requests, discovery) = mpsc::channel(MAX_QUEUED_LINES);
+        let (control_plane_requests, control_plane) = mpsc::channel(MAX_QUEUED_LINES);
         let timeout_header = HeaderName::try_from(&site.headers.timeout);
         let membership = bind_membership(&site).await?;
         let (takeover, taken_over) = start_takeover(&site, membership.as_ref()).unzip();
@@ -156,7 +161,7 @@
             timeout_header: timeout_header.unwrap_or(DEFAULT_TIMEOUT_HEADER),
             site,
         };
-        Ok(Parts {
+        Ok(SidecarParts {
             shell: Dispatcher::new(engine, sidecar),
             lines: RequestLines {
                 discovery,
@@ -179,6 +184,7 @@
     let membership = Membership::bind(settings, &site.name, &zone).await?;
     let address = membership.address();
     let address = address.map_or(String::new(), |address| address.to_string());
+    // Tools read the address of the membership from the log line with this message.
     tracing::info!(listen = address, "fellowship");
     Ok(Some(membership))
 }
@@ -188,11 +194,15 @@
 fn start_takeover(site: &Site, membership: Option<&Rc<Membership>>) -> Option<Takeover> {
     let (settings, membership) = site.takeover.as_ref().zip(membership)?;
     let takeover = TakeoverService::start(settings, membership);
-    tracing::info!(guardians = settings.backups, "work in hand is guarded");
+    tracing::info!(
+        backups = settings.backups,
+        "requests in flight are backed up"
+    );
     Some(takeover)
 }
 
-/// Meets the other sidecars, once all who talk have said which kinds of message they read.
+/// Starts to exchange messages with other sidecars. Must be called after every user of the membership has registered
+/// its message handlers.
 fn run_membership(shell: &Shell) {
     let settings = shell.site.membership.as_ref();
     if let Some((settings, membership)) = settings.zip(shell.membership.as_ref()) {
@@ -200,7 +210,7 @@
     }
 }
 
-/// Starts what runs beside requests; it ends when what is returned is dropped.
+/// Starts the background tasks. They end when the returned set is dropped.
 fn start_tasks(
     shell: &Rc<Shell>,
     seed: u64,
@@ -214,7 +224,7 @@
     if let Some(taken_over) = taken_over {
         tasks.spawn_local(take_over(shell.clone(), taken_over));
     }
-    let seed_of = |feed: u64| seed ^ feed;
+    let seed_of = |subscription: u64| seed ^ subscription;
     tasks.spawn_local(discovery::run(
         shell.clone(),
         seed_of(DISCOVERY_SEED),
@@ -234,10 +244,10 @@
     }
 }
 
-/// Closes connections to pods that were idle too long or whose pods are gone.
+/// Closes connections to pods that have been idle too long or whose pods are no longer listed.
 async fn sweep_upstream(shell: Rc<Shell>) {
     let half_idle = Duration::from_nanos(shell.site.upstream.idle_timeout / 2);
-    let period = half_idle.max(SHORTEST_SWEEP_PERIOD);
+    let period = half_idle.max(MIN_SWEEP_PERIOD);
     loop {
         sleep(period).await;
         let pods = shell.listed_pods().into_iter();
@@ -246,14 +256,16 @@
     }
 }
 
-/// What accepts connections.
+/// The tasks that accept connections.
 struct Listeners {
     clients: tokio::task::JoinHandle<()>,
-    /// Set once no more clients are accepted.
+    /// Set to true when no more clients are to be accepted.
     stopping: watch::Sender<bool>,
-    /// Operators may look on until the end: they are never asked to end, and end when this is dropped.
+    /// Operators are served until the end: their connections are never told to shut down, and close when this is
+    /// dropped.
     operators: JoinSet<()>,
-    _operators_open: watch::Sender<bool>,
+    /// Held so that the connections of operators do not take a dropped sender for a stop.
+    _operators_stop: watch::Sender<bool>,
 }
 
 impl Listeners {
@@ -268,31 +280,32 @@
             clients_audience,
             stopped,
         );
-        let (operators_open, never) = watch::channel(false);
+        let (operators_stop, never_stopped) = watch::channel(false);
         let mut operator_tasks = JoinSet::new();
         operator_tasks.spawn_local(accept(
             shell.clone(),
             operators,
-            OPERATOR_CONNECTIONS,
+            MAX_OPERATOR_CONNECTIONS,
             operators_audience,
-            never,
+            never_stopped,
         ));
         Listeners {
             clients: spawn_local(clients),
             stopping,
             operators: operator_tasks,
-            _operators_open: operators_open,
+            _operators_stop: operators_stop,
         }
     }
 
-    /// Accepts no more clients, and waits until each connection has ended with the answer that its client waits for.
+    /// Stops accepting clients, and waits until every connection has sent the responses that its client waits for and
+    /// has closed.
     async fn stop(self, shell: &Shell) {
         shell.stopping.set(true);
         let _ = self.stopping.send(true);
         tracing::info!(hits_in_flight = shell.status().requests, "stopping");
-        // None can wait for an answer longer than this.
+        // No client can wait for a response longer than this.
         let longest = Duration::from_nanos(shell.engine().longest_client_timeout());
-        let closed = timeout(longest + STOP_MARGIN, self.clients).await;
+        let closed = timeout(longest + SHUTDOWN_MARGIN, self.clients).await;
         let left = shell.in_flight();
         if let Some(membership) = &shell.membership {
             membership.leave();
--- a/crates/sidecar/src/discovery.rs
+++ b/crates/sidecar/src/discovery.rs
@@ -1,4 +1,4 @@
-//! What service discovery says on its line protocol, handed to the engine.
+//! Subscribes to service discovery and passes its notifications to the engine.
 
 use crate::shell::Shell;
 use havenplank_line_protocol::client::{subscribe, Handler, Service};
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use tokio::sync::mpsc;
 
-/// Subscribes to service discovery, sending it the lines that come; never ends.
+/// Subscribes to service discovery and sends it the lines from `lines`. Never returns.
 pub async fn run(shell: Rc<Shell>, seed: u64, lines: mpsc::Receiver<String>) {
     let settings = &shell.site.discovery;
     let service = Service {
@@ -32,16 +32,16 @@
 
 impl Handler<Notification> for Subscription {
     fn connected(&mut self) {
-        tracing::info!("node list connected");
+        tracing::info!("service discovery connected");
     }
 
     fn received(&mut self, notification: Notification) {
         notification(self);
     }
 
-    /// The last list stays in force.
+    /// The last endpoint list stays in force.
     fn disconnected(&mut self, reason: &ProtocolError) {
-        tracing::warn!(why = %reason, "node list lost");
+        tracing::warn!(reason = %reason, "service discovery disconnected");
         self.watch_failed();
     }
 
@@ -52,14 +52,14 @@
 
 impl Subscriber for Subscription {
     fn update_endpoints(&mut self, complete: bool, pods: Vec<ListedEndpoint>) {
-        tracing::debug!(complete, pods = pods.len(), "node list");
+        tracing::debug!(complete, pods = pods.len(), "endpoint list received");
         self.0
             .call(|engine, now| engine.update_endpoints(now, complete, pods));
         self.0.endpoints_changed.notify_one();
     }
 
-    fn poll_failed(&mut self, why: &str) {
-        tracing::warn!(why, "node list failed");
+    fn poll_failed(&mut self, reason: &str) {
+        tracing::warn!(reason, "service discovery could not send the endpoint list");
         self.watch_failed();
     }
 }
--- a/crates/sidecar/src/headers.rs
+++ b/crates/sidecar/src/headers.rs
@@ -1,4 +1,5 @@
-//! What headers say: remaining time, idempotency key, load; and which of them stay behind.
+//! Parses and formats headers (timeout, idempotency key, cost hint, load report), and removes headers that must not be
+//! forwarded.
 
 use bytes::BytesMut;
 use havenplank::interface::{LoadReport, Nanos};
@@ -10,19 +11,20 @@
 use winnow::prelude::*;
 use winnow::token::{one_of, take_while};
 
-/// The header in which a client names its request, so that it runs once (IETF draft `Idempotency-Key`).
+/// The header with which a client identifies its request, so that repeats of the request run once (IETF draft
+/// `Idempotency-Key`).
 pub const IDEMPOTENCY_KEY: &str = "idempotency-key";
 /// The header in which a pod reports its load (ORCA).
 pub const LOAD_REPORT: &str = "endpoint-load-metrics";
 
-/// The longest idempotency key, in bytes.
+/// The longest idempotency key without its quotes, in bytes.
 const MAX_IDEMPOTENCY_KEY_BYTES: usize = 256;
-/// One more than the largest count that the eight digits of `grpc-timeout` hold.
+/// One more than the largest count that the eight digits of a `grpc-timeout` value can express.
 const TIMEOUT_COUNT_LIMIT: Nanos = 100_000_000;
-/// The longest time that the units of [`format_timeout`] express.
+/// The longest time that [`format_timeout`] can express.
 const LONGEST_TIMEOUT: &str = "99999999S";
 
-/// Parses a time in the form of `grpc-timeout`: up to eight digits, then H, M, S, m, u or n.
+/// Parses a time in the format of `grpc-timeout`: up to eight digits, then H, M, S, m, u or n for hours to nanoseconds.
 pub fn parse_timeout(text: &str) -> Option<Nanos> {
     let unit =
         one_of::<_, _, ContextError>(['H', 'M', 'S', 'm', 'u', 'n']).map(|unit: char| match unit {
@@ -38,7 +40,8 @@
     count.checked_mul(unit)
 }
 
-/// Formats a time in the same form, rounded down to a whole count of the finest unit that eight digits hold.
+/// Formats a time in the format of `grpc-timeout`, rounded down to a multiple of the finest unit in which eight digits
+/// are enough.
 pub fn format_timeout(time: Nanos) -> String {
     let units = [
         (1, 'n'),
@@ -46,15 +49,15 @@
         (1_000_000, 'm'),
         (1_000_000_000, 'S'),
     ];
-    let fits = units
+    let unit_that_fits = units
         .iter()
         .find(|(unit, _)| time / unit < TIMEOUT_COUNT_LIMIT);
-    fits.map_or(LONGEST_TIMEOUT.to_string(), |(unit, letter)| {
+    unit_that_fits.map_or(LONGEST_TIMEOUT.to_string(), |(unit, letter)| {
         format!("{}{letter}", time / unit)
     })
 }
 
-/// Returns whether a key has the form of the `Idempotency-Key` draft: a structured string in quotes, not empty.
+/// Returns whether a key is valid under the `Idempotency-Key` draft: a structured string in quotes that is not empty.
 pub fn is_idempotency_key(text: &[u8]) -> bool {
     let Some(inner) = text
         .strip_prefix(b"\"")
@@ -75,7 +78,7 @@
     !escaped && !inner.is_empty() && inner.len() <= MAX_IDEMPOTENCY_KEY_BYTES
 }
 
-/// Parses a cost hint: whole microseconds.
+/// Parses a cost hint, which is a whole number of microseconds.
 pub fn parse_cost_hint(text: &str) -> Option<Nanos> {
     dec_uint::<_, u64, ContextError>
         .parse(text)
@@ -83,20 +86,21 @@
         .checked_mul(1_000)
 }
 
-/// Parses a load report in the text form of `endpoint-load-metrics`; what it does not name stays unknown.
+/// Parses a load report in the text format of `endpoint-load-metrics`. Metrics that the report does not name are
+/// `None`.
 pub fn parse_load_report(text: &str) -> Option<LoadReport> {
     let name = take_while(1.., |c: char| {
         c.is_ascii_alphanumeric() || "_.-".contains(c)
     });
-    let pair = (
+    let metric = (
         preceded(multispace0::<_, ContextError>, name),
         preceded('=', float::<_, f64, _>),
     );
-    let pairs = separated(1.., pair, (multispace0, ','));
-    let mut report = preceded(("TEXT", opt(':'), multispace0), pairs);
-    let pairs: Vec<(&str, f64)> = report.parse(text.trim_end()).ok()?;
+    let metrics = separated(1.., metric, (multispace0, ','));
+    let mut report = preceded(("TEXT", opt(':'), multispace0), metrics);
+    let metrics: Vec<(&str, f64)> = report.parse(text.trim_end()).ok()?;
     let mut load = LoadReport::default();
-    for (name, value) in pairs.into_iter().filter(|(_, value)| value.is_finite()) {
+    for (name, value) in metrics.into_iter().filter(|(_, value)| value.is_finite()) {
         match name {
             "cpu_utilization" => load.busy = Some(value),
             "rps_fractional" => load.delivered_per_s = Some(value),
@@ -110,7 +114,7 @@
     Some(load)
 }
 
-/// Headers that speak of one connection only.
+/// Headers that apply to a single connection and must not be forwarded.
 const HOP_BY_HOP: [&str; 9] = [
     "connection",
     "keep-alive",
@@ -123,7 +127,7 @@
     "upgrade",
 ];
 
-/// Removes what speaks of one connection only (RFC 9110, 7.6.1), with all that `Connection` names.
+/// Removes the headers that apply to a single connection (RFC 9110, 7.6.1), including those that `Connection` names.
 pub fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
@@ -140,23 +144,23 @@
     }
 }
 
-/// Copies headers and path into one piece of memory of their own. As they come they are parts of their
-/// connection's read buffer, and a request that waits would keep all 8 KiB of it.
+/// Copies headers and path into one new allocation. Before that they are slices of the connection's read buffer, so a
+/// waiting request would keep all 8 KiB of that buffer in memory.
 pub fn detached_copy(headers: &HeaderMap, path: &str) -> (HeaderMap, Uri) {
-    let all = path.len() + headers.values().map(HeaderValue::len).sum::<usize>();
-    let mut memory = BytesMut::with_capacity(all);
+    let length = path.len() + headers.values().map(HeaderValue::len).sum::<usize>();
+    let mut memory = BytesMut::with_capacity(length);
     memory.extend_from_slice(path.as_bytes());
     headers
         .values()
         .for_each(|value| memory.extend_from_slice(value.as_bytes()));
     let memory = memory.freeze();
-    let (mut copy, mut at) = (HeaderMap::with_capacity(headers.len() + 1), path.len());
+    let (mut copy, mut offset) = (HeaderMap::with_capacity(headers.len() + 1), path.len());
     for (name, value) in headers {
-        let end = at + value.len();
-        if let Ok(value) = HeaderValue::from_maybe_shared(memory.slice(at..end)) {
+        let end = offset + value.len();
+        if let Ok(value) = HeaderValue::from_maybe_shared(memory.slice(offset..end)) {
             copy.append(name.clone(), value);
         }
-        at = end;
+        offset = end;
     }
     let uri = Uri::from_maybe_shared(memory.slice(..path.len()));
     (copy, uri.unwrap_or_else(|_| Uri::from_static("/")))
--- a/crates/sidecar/src/health_check.rs
+++ b/crates/sidecar/src/health_check.rs
@@ -1,4 +1,4 @@
-//! Checks a pod's health: any answer below 500 of its health-check path is good.
+//! Checks the health of a pod: a response with a status below 500 from its health-check path means that it is healthy.
 
 use crate::attempt::load_report;
 use crate::shell::Shell;
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 use tokio::time::timeout;
 
-/// Checks a pod's health, within the time for a connect.
+/// Checks the health of a pod. The whole check is limited by the connect timeout.
 pub async fn check(shell: &Rc<Shell>, pod: PodId) -> HealthCheckResult {
     let began = Instant::now();
     let time = Duration::from_nanos(shell.site.upstream.connect_timeout);
--- a/crates/sidecar/src/listener.rs
+++ b/crates/sidecar/src/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts connections: as many at once as there are slots, until told to stop.
+//! Accepts connections up to a limit until it is told to stop.
 
 use crate::connection::serve_connection;
 use crate::shell::Shell;
@@ -13,23 +13,23 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-/// How long to wait after a connection could not be accepted: what is open must close first.
+/// How long to wait after a connection could not be accepted, so that open connections can close and free resources.
 const ACCEPT_RETRY: Duration = Duration::from_millis(50);
 
-/// An address cannot be listened on.
+/// The sidecar cannot listen on an address.
 #[derive(Debug, thiserror::Error)]
-#[error("listen on {address}: {source}; expected a free address of this machine")]
+#[error("cannot listen on {address}: {source}; expected a free address of this machine")]
 pub struct ListenError {
-    /// The address that was asked for.
+    /// The address.
     pub address: SocketAddr,
-    /// Why not.
+    /// The error of the operating system.
     pub source: std::io::Error,
 }
 
-/// Listens on an address, and returns which it is where the system chose the port.
+/// Listens on an address. Returns the listener with its actual address, which differs where the system chose the port.
 ///
 /// # Errors
-/// An address that is taken or not this machine's.
+/// Fails if the address is in use or does not belong to this machine.
 pub async fn listen(address: SocketAddr) -> Result<(TcpListener, SocketAddr), ListenError> {
     let bound = async {
         let listener = TcpListener::bind(address).await?;
@@ -41,9 +41,9 @@
         .map_err(|source| ListenError { address, source })
 }
 
-/// Takes what the system has accepted at a listener that closes. Asked of the system itself: dropped with its listener,
-/// such a connection is reset, with a request on it maybe. What comes between the last look and the drop is reset
-/// still.
+/// Returns the connections in the accept queue of a listener that is being closed. Closing a listener resets the
+/// connections in its queue, which may already carry a request, so they are accepted from the system first. A
+/// connection that arrives between the last accept and the close is still reset.
 pub fn take_queued_connections(listener: TcpListener) -> impl Iterator<Item = TcpStream> {
     let listener = listener.into_std().ok();
     std::iter::from_fn(move || loop {
@@ -63,7 +63,7 @@
     })
 }
 
-/// Whom a listener serves.
+/// Who connects to a listener.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Audience {
     /// Clients of the proxy.
@@ -72,7 +72,8 @@
     Operators,
 }
 
-/// Accepts connections until told to stop, at most `slots` at once, and returns once all have closed.
+/// Accepts connections until `stopped` becomes true, with at most `slots` open at once, and returns when all have
+/// closed.
 pub async fn accept(
     shell: Rc<Shell>,
     listener: TcpListener,
@@ -97,9 +98,9 @@
             _ = stop.wait_for(|stopped| *stopped) => break,
             (slot, accepted) = next => match accepted {
                 Ok((stream, _)) => acceptor.serve(stream, slot.ok()),
-                // No descriptors left, most likely.
+                // The most likely cause is that the process has no file descriptors left.
                 Err(error) => {
-                    tracing::warn!(%error, "accept failed");
+                    tracing::warn!(%error, "could not accept a connection; retrying");
                     sleep(ACCEPT_RETRY).await;
                 }
             },
@@ -107,7 +108,7 @@
         }
     }
     for stream in take_queued_connections(listener) {
-        // Closed unread where every slot is taken: the client asks elsewhere.
+        // If all slots are in use, the connection is closed unread, and its client can retry elsewhere.
         if let Ok(slot) = slots.clone().try_acquire_owned() {
             acceptor.serve(stream, Some(slot));
         }
--- a/crates/sidecar/src/outcome.rs
+++ b/crates/sidecar/src/outcome.rs
@@ -1,4 +1,4 @@
-//! What backups keep of an answer, and the answer that a client gets from there.
+//! Converts a response to the outcome that backups keep, and such an outcome back to a response.
 
 use crate::backup_record::{header_list, header_map, HeaderList, MAX_RECORD_BYTES};
 use crate::body::Body;
@@ -13,7 +13,7 @@
 use hyper::{Response, StatusCode};
 use serde::{Deserialize, Serialize};
 
-/// An answer as backups keep it. The field order is what travels between sidecars (postcard).
+/// A response as backups keep it. Sidecars send it to each other in postcard format, where the field order matters.
 #[derive(Serialize, Deserialize)]
 struct ResponseRecord {
     status: u16,
@@ -21,36 +21,37 @@
     body: Vec<u8>,
 }
 
-/// Returns what backups keep of an answer, and the answer that goes to the client: a rejection becomes a failure where
-/// it would promise too much.
+/// Returns the response that goes to the client, and the outcome that backups keep. A rejection becomes a failure if
+/// the sidecar cannot promise that the request never ran.
 pub async fn outcome_of(
     response: Response<Body>,
     request: &PreparedRequest,
 ) -> (Response<Body>, Outcome) {
     let idempotency = request.route.rules.idempotency;
     let retryable = idempotency != Idempotency::NonIdempotent;
-    let known = request.protection.as_ref().map(Protection::knowledge);
-    let may_reject = known.is_none_or(|known| may_promise_that_it_never_ran(idempotency, known));
+    let knowledge = request.protection.as_ref().map(Protection::knowledge);
+    let may_reject =
+        knowledge.is_none_or(|knowledge| may_promise_that_it_never_ran(idempotency, knowledge));
     match response.extensions().get::<LocalReply>() {
         Some(LocalReply::Rejected) if may_reject => (response, Outcome::Rejected),
         Some(LocalReply::Rejected) => (failed(false), Outcome::Failed { retryable }),
         Some(LocalReply::Failed) => (response, Outcome::Failed { retryable }),
-        None => served(response).await,
+        None => served_outcome(response).await,
     }
 }
 
-async fn served(response: Response<Body>) -> (Response<Body>, Outcome) {
+async fn served_outcome(response: Response<Body>) -> (Response<Body>, Outcome) {
     let (parts, body) = response.into_parts();
     let Body::Complete(body) = body else {
-        // Passed on as it comes: too long to be kept.
+        // A streamed response is too long for the backups to keep.
         let response = Response::from_parts(parts, body);
         return (response, Outcome::Served(Vec::new()));
     };
     let collected = body.collect().await;
     let body = collected.map(|body| body.to_bytes()).unwrap_or_default();
-    let kept = encode(&parts, &body).unwrap_or_default();
+    let encoded = encode(&parts, &body).unwrap_or_default();
     let response = Response::from_parts(parts, Body::Complete(Full::new(body)));
-    (response, Outcome::Served(kept))
+    (response, Outcome::Served(encoded))
 }
 
 fn encode(parts: &Parts, body: &Bytes) -> Option<Vec<u8>> {
@@ -63,16 +64,16 @@
     Some(bytes).filter(|bytes| bytes.len() <= MAX_RECORD_BYTES)
 }
 
-/// Returns the answer to a client that came back.
+/// Returns the response for a client that repeats a request whose outcome is known.
 pub fn response_of(outcome: Outcome) -> Response<Body> {
     match outcome {
         Outcome::Rejected => rejected_with_retry_after(0),
         Outcome::Failed { .. } => failed(false),
-        Outcome::Served(kept) if kept.is_empty() => text_response(
+        Outcome::Served(encoded) if encoded.is_empty() => text_response(
             StatusCode::BAD_GATEWAY,
             "errored: it ran, but its answer was too long to be kept\n",
         ),
-        Outcome::Served(kept) => decode(&kept).unwrap_or_else(|| {
+        Outcome::Served(encoded) => decode(&encoded).unwrap_or_else(|| {
             text_response(
                 StatusCode::BAD_GATEWAY,
                 "errored: it ran, but its kept answer cannot be read here\n",
@@ -81,8 +82,8 @@
     }
 }
 
-fn decode(kept: &[u8]) -> Option<Response<Body>> {
-    let record: ResponseRecord = postcard::from_bytes(kept).ok()?;
+fn decode(encoded: &[u8]) -> Option<Response<Body>> {
+    let record: ResponseRecord = postcard::from_bytes(encoded).ok()?;
     let mut response = Response::new(Body::Complete(Full::new(record.body.into())));
     *response.status_mut() = StatusCode::from_u16(record.status).unwrap_or(StatusCode::BAD_GATEWAY);
     *response.headers_mut() = header_map(&record.headers);
--- a/crates/sidecar/src/prepared_request.rs
+++ b/crates/sidecar/src/prepared_request.rs
@@ -1,4 +1,4 @@
-//! A request as it will be sent to pods, and what protects it from running twice.
+//! A request in the form in which it is sent to pods, and the data that protects it from running twice.
 
 use crate::routes::Route;
 use crate::takeover_policy::Knowledge;
@@ -11,78 +11,81 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// A request as it will be sent, as often as it must be.
+/// A request that is read completely and can be sent any number of times.
 pub struct PreparedRequest {
-    /// Its method.
+    /// The HTTP method.
     pub method: Method,
-    /// Its path and query.
+    /// The path and the query.
     pub uri: Uri,
-    /// Its headers, without those of its client's connection.
+    /// The headers, without those that apply only to the client's connection.
     pub headers: HeaderMap,
-    /// All of its body.
+    /// The complete body.
     pub body: Bytes,
-    /// The route that took it: it ends by this version of it, whatever is in force by then.
+    /// The route that matched the request. The request is handled by this version of the route, even if the route
+    /// changes in the meantime.
     pub route: Rc<Route>,
-    /// What its backups know it by, where sidecars back each other up.
+    /// The protection against running twice; `None` if backups are off for the route or
+    /// takeover is not configured.
     pub protection: Option<Protection>,
 }
 
 impl PreparedRequest {
-    /// Returns its path with its query.
+    /// Returns the path with the query.
     pub fn path(&self) -> &str {
         self.uri.path_and_query().map_or("/", |path| path.as_str())
     }
 }
 
-/// The final answers that a sidecar makes itself; an extension of the response.
+/// Marks a final response that the sidecar generated itself. It is stored as an extension of the response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LocalReply {
-    /// The request never ran.
+    /// The response says that the request never ran.
     Rejected,
-    /// The request may have run.
+    /// The response says that the request may have run.
     Failed,
 }
 
-/// When backups must know of an attempt.
+/// When an attempt of a request is announced to its backups.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnnouncementMode {
-    /// Before it is sent.
+    /// The attempt is sent only after the backups know of it.
     BeforeAttempt,
-    /// Some time; it is sent at once.
+    /// The attempt is sent at once and announced at the same time.
     InBackground,
 }
 
-/// What keeps a request from running twice though its sidecar is lost.
+/// The data that prevents a request from running twice if its sidecar is lost.
 pub struct Protection {
-    /// Names the request among sidecars.
+    /// Identifies the request among sidecars.
     pub id: RequestId,
-    /// Hash of what was asked, to tell another request under the same key.
+    /// Hash of the content of the request, to detect a different request under the same key.
     pub digest: u64,
-    /// The tenant that asks, where it is one of the configuration.
+    /// The tenant that sent the request, if the configuration has that tenant.
     pub tenant: Option<String>,
-    /// Whether the client can name it, and so finds it again.
+    /// Whether the client sent a key, by which a repeat of the request can be recognised.
     pub has_client_key: bool,
-    /// When its backups must know of an attempt.
+    /// When attempts are announced to backups.
     pub announcement: AnnouncementMode,
-    /// Cleared where nobody backs it up after all.
+    /// Whether backups hold the request. Set to false if no backup could be made.
     pub backed_up: Cell<bool>,
-    /// Set once some attempt of it was announced.
+    /// Set once an attempt of the request was announced.
     pub announced: Cell<bool>,
 }
 
-/// What a request is told apart by.
+/// The content of a request, by which different requests under the same key are told apart.
 #[derive(Clone, Copy)]
 pub struct RequestContent<'a> {
-    /// Its method.
+    /// The HTTP method.
     pub method: &'a Method,
-    /// Its path and query.
+    /// The path and the query.
     pub path: &'a str,
-    /// All of its body.
+    /// The complete body.
     pub body: &'a Bytes,
 }
 
 impl Protection {
-    /// Protects a request under its client's key, or under an id of its own within its route.
+    /// Creates the protection of a new request. Its id is derived from the route and the client's key, or is generated
+    /// if the client sent no key.
     pub fn new(
         service: &TakeoverService,
         route: &Route,
@@ -104,7 +107,8 @@
         }
     }
 
-    /// Protects a request that was taken over: the sidecar that had it may have announced it.
+    /// Creates the protection of a request that was taken over. Its earlier owner may have announced attempts, so
+    /// `announced` is set.
     pub fn taken_over(
         id: RequestId,
         digest: u64,
@@ -125,7 +129,7 @@
         }
     }
 
-    /// Returns what is known of the request now.
+    /// Returns the current knowledge about the request.
     pub fn knowledge(&self) -> Knowledge {
         Knowledge {
             has_client_key: self.has_client_key,
@@ -134,7 +138,7 @@
         }
     }
 
-    /// Returns whether attempts wait until backups know of them.
+    /// Returns whether an attempt is sent only after backups know of it.
     pub fn announces_before_attempt(&self) -> bool {
         self.announcement == AnnouncementMode::BeforeAttempt
     }
--- a/crates/sidecar/src/proxy.rs
+++ b/crates/sidecar/src/proxy.rs
@@ -1,4 +1,4 @@
-//! A request's way: read from its client, dispatched, answered once.
+//! Serves one request of a client: reads it, dispatches it and returns its final response.
 
 use crate::body::Body;
 use crate::engine::RequestAttributes;
@@ -14,10 +14,10 @@
 use std::time::Instant;
 use tokio::sync::oneshot;
 
-/// When a client may retry that a full sidecar rejects, in ns.
-const RETRY_AFTER_FULL: Nanos = 1_000_000_000;
+/// The retry delay that a sidecar at its request limit tells clients, in nanoseconds.
+const RETRY_AFTER_AT_LIMIT: Nanos = 1_000_000_000;
 
-/// Tells the engine that the client is gone; of a request that is answered by then this changes nothing.
+/// Tells the engine on drop that the client disconnected. Has no effect once the request has its final response.
 struct ClientGuard {
     shell: Rc<Shell>,
     request: RequestId,
@@ -29,10 +29,10 @@
     }
 }
 
-/// Answers one request of a client. Requests rejected here never reach the engine, so no decision counts them.
+/// Serves one request of a client. Requests that are rejected here never reach the engine, so no decision counts them.
 ///
 /// # Errors
-/// Never.
+/// Returns no error.
 pub async fn serve(
     shell: Rc<Shell>,
     request: Request<Incoming>,
@@ -40,16 +40,16 @@
     let arrived = Instant::now();
     let (attributes, request) = match request_reader::read(&shell, request).await {
         Ok(read) => read,
-        Err(refused) => {
+        Err(error) => {
             return Ok(with_connection_close(text_response(
-                refused.status,
-                refused.reason,
+                error.status,
+                error.reason,
             )))
         }
     };
     if shell.is_full() {
         return Ok(with_connection_close(rejected_with_retry_after(
-            RETRY_AFTER_FULL,
+            RETRY_AFTER_AT_LIMIT,
         )));
     }
     let spent = arrived.elapsed().as_nanos() as Nanos + shell.site.listener.response_margin;
@@ -61,11 +61,11 @@
     if let Some(service) = takeover.filter(|_| request.protection.is_some()) {
         return Ok(exactly_once::serve(shell, service, attributes, request).await);
     }
-    let (responder, answered) = oneshot::channel();
+    let (responder, receiver) = oneshot::channel();
     let request = shell.dispatch(attributes, request, responder);
     let client = ClientGuard { shell, request };
-    let response = answered.await;
-    // An engine that stops with a request in flight is a fault; the client gets an answer that promises nothing.
+    let response = receiver.await;
+    // The sender is dropped only by a bug in the engine. The client then gets a response that promises nothing.
     let response = response.unwrap_or_else(|_| failed(false));
     drop(client);
     Ok(response)
--- a/crates/sidecar/src/request_reader.rs
+++ b/crates/sidecar/src/request_reader.rs
@@ -1,4 +1,4 @@
-//! Reads a client's request in full, so that it can be sent again, and refuses what is none.
+//! Reads a client's request completely, so that it can be sent several times, and rejects invalid requests.
 
 use crate::engine::RequestAttributes;
 use crate::headers::{self, IDEMPOTENCY_KEY};
@@ -17,11 +17,11 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Why a request was refused before it was taken.
+/// Why a request was rejected before it was dispatched.
 pub struct RequestError {
-    /// The status of the answer.
+    /// The status of the HTTP response.
     pub status: StatusCode,
-    /// Its text.
+    /// The body of the HTTP response.
     pub reason: &'static str,
 }
 
@@ -40,10 +40,10 @@
     "the body is over the limit\n",
 );
 
-/// Reads a request in full.
+/// Reads a request completely.
 ///
 /// # Errors
-/// No route takes it, a header is malformed, or its body is too long, too slow or broke off.
+/// Fails if no route matches, if a header is malformed, or if the body is too long, too slow or incomplete.
 pub async fn read(
     shell: &Rc<Shell>,
     request: Request<Incoming>,
@@ -52,14 +52,14 @@
     let routes = shell.routes();
     let route = find_route(&routes, &parts)?;
     check_idempotency_key(&parts.headers, &route)?;
-    let tenant_name = text(&parts.headers, &shell.site.headers.tenant);
+    let tenant_name = header_text(&parts.headers, &shell.site.headers.tenant);
     let tenant = tenant_name.and_then(|name| Some((name, routes.tenant(name)?)));
     let index = tenant.and_then(|(_, tenant)| tenant.index);
     let attributes = attributes(shell, &parts.headers, &route, index)?;
     let takeover = shell.takeover.as_ref();
     let takeover = takeover.filter(|_| route.backup != BackupMode::Off);
     let tenant = takeover.and(tenant).map(|(name, _)| name.to_string());
-    // A request that waits for its body holds its own route, not the table.
+    // While it waits for its body, a request holds only its own route, not the complete route table.
     drop(routes);
     let body = read_body(shell, body).await?;
     let mut headers = parts.headers;
@@ -89,7 +89,7 @@
     Ok((attributes, prepared))
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name).map(|value| value.to_str().unwrap_or(""))
 }
 
@@ -122,7 +122,7 @@
     }
 }
 
-/// Reads what the decisions see of a request.
+/// Reads the properties of a request that decisions depend on.
 fn attributes(
     shell: &Shell,
     headers: &HeaderMap,
@@ -130,8 +130,8 @@
     tenant: Option<usize>,
 ) -> Result<RequestAttributes, RequestError> {
     let names = &shell.site.headers;
-    let asked_time = text(headers, &names.timeout).map(headers::parse_timeout);
-    if asked_time == Some(None) {
+    let requested_timeout = header_text(headers, &names.timeout).map(headers::parse_timeout);
+    if requested_timeout == Some(None) {
         return Err(RequestError::bad_request(
             "time-out: expected up to 8 digits and H, M, S, m, u or n\n",
         ));
@@ -141,12 +141,12 @@
         route_class: route.route_class(),
         tenant,
         key: key.map_or(0, |key| stable_hash(key.as_bytes())),
-        // A client may wait less than its route class allows, never longer.
-        remaining: asked_time
+        // A client may ask for a shorter timeout than its route class has, never for a longer one.
+        remaining: requested_timeout
             .flatten()
             .unwrap_or(Nanos::MAX)
             .min(route.rules.client_timeout),
-        cost_hint: text(headers, &names.cost_hint).and_then(headers::parse_cost_hint),
+        cost_hint: header_text(headers, &names.cost_hint).and_then(headers::parse_cost_hint),
         is_retry: false,
     })
 }
--- a/crates/sidecar/src/responses.rs
+++ b/crates/sidecar/src/responses.rs
@@ -1,4 +1,4 @@
-//! Final answers that a sidecar makes itself, for whichever kind of body its transport sends.
+//! Final responses that a sidecar generates itself. They are generic over the body type of its transport.
 
 use havenplank::interface::Nanos;
 use hyper::header::{HeaderValue, CONNECTION, RETRY_AFTER};
@@ -6,15 +6,15 @@
 
 const NANOS_PER_SECOND: Nanos = 1_000_000_000;
 
-/// Builds an answer of this status and text.
+/// Builds a response with this status and this text as its body.
 pub fn text_response<B: From<&'static str>>(status: StatusCode, text: &'static str) -> Response<B> {
     let mut response = Response::new(B::from(text));
     *response.status_mut() = status;
     response
 }
 
-/// Builds the answer that a request was rejected: a retry is harmless. `retry_after` is in the protocol's own form,
-/// none for no advice.
+/// Builds the response that a request was rejected, so that a retry is harmless. `retry_after` is the complete header
+/// value; `None` gives the client no advice.
 pub fn rejected<B: From<&'static str>>(retry_after: Option<HeaderValue>) -> Response<B> {
     let mut response = text_response(
         StatusCode::SERVICE_UNAVAILABLE,
@@ -26,13 +26,13 @@
     response
 }
 
-/// Builds the answer that a request was rejected, with whole seconds, as the header has no finer ones, and never later
-/// than was decided.
+/// Builds the response that a request was rejected, with a retry delay given in nanoseconds. The header holds whole
+/// seconds; the delay is rounded down, so that the client is not told to wait longer than was decided.
 pub fn rejected_with_retry_after<B: From<&'static str>>(retry_after: Nanos) -> Response<B> {
     rejected(Some(HeaderValue::from(retry_after / NANOS_PER_SECOND)))
 }
 
-/// Builds the answer that a request failed: it promises nothing.
+/// Builds the response that a request failed: it may or may not have run.
 pub fn failed<B: From<&'static str>>(timed_out: bool) -> Response<B> {
     match timed_out {
         true => text_response(StatusCode::GATEWAY_TIMEOUT, "errored: out of time\n"),
@@ -40,7 +40,7 @@
     }
 }
 
-/// Says that the connection closes after this answer, as the rest of it is of no use.
+/// Marks the connection to be closed after this response, because the rest of its input cannot be used.
 pub fn with_connection_close<B>(mut response: Response<B>) -> Response<B> {
     response
         .headers_mut()
--- a/crates/sidecar/src/shell.rs
+++ b/crates/sidecar/src/shell.rs
@@ -1,4 +1,4 @@
-//! What all tasks of one sidecar share.
+//! The state that all tasks of one sidecar share.
 
 use crate::dispatcher::Dispatcher;
 use crate::membership::Membership;
@@ -13,48 +13,49 @@
 use std::rc::Rc;
 use tokio::sync::{mpsc, Notify};
 
-/// What brings routes while the process runs.
+/// A source of routes that can change while the process runs.
 pub trait ConfigurationSource {
-    /// Returns what an operator sees of it.
+    /// Returns the state of the source that operators see.
     fn state(&self) -> Value;
 }
 
-/// What the tasks of one sidecar share beside its engine.
+/// The state that the tasks of one sidecar share, other than its engine.
 pub struct Sidecar {
-    /// The settings.
+    /// The settings of the sidecar.
     pub site: Site,
-    /// The routes in force; swapped as a whole.
+    /// The current routes. A change replaces the complete table.
     pub routes: RefCell<Rc<RouteTable>>,
-    /// What brings them while the process runs; unset where they are those of the settings.
+    /// The source of changing routes; unset if the routes are fixed in the settings.
     pub configuration: OnceCell<Box<dyn ConfigurationSource>>,
     /// Connections to pods.
     pub upstream: UpstreamConnections,
-    /// The `Via` header of what it sends.
+    /// The value of the `Via` header on requests to pods.
     pub via: HeaderValue,
-    /// The header in which pods are told how long an attempt may take.
+    /// The header that tells pods how long an attempt may take.
     pub timeout_header: HeaderName,
-    /// `None` where no sidecar knows of another.
+    /// The membership of sidecars; `None` if it is not configured.
     pub membership: Option<Rc<Membership>>,
-    /// `None` where no sidecar takes another's work over.
+    /// The takeover of requests between sidecars; `None` if it is not configured.
     pub takeover: Option<Rc<TakeoverService>>,
-    /// Wakes whoever writes the cached endpoint list.
+    /// Wakes the task that writes the cached endpoint list.
     pub endpoints_changed: Notify,
-    /// Lines to service discovery.
+    /// Sends lines to service discovery.
     pub discovery_requests: mpsc::Sender<String>,
-    /// Lines to the control plane.
+    /// Sends lines to the control plane.
     pub control_plane_requests: mpsc::Sender<String>,
     /// Whether the control plane is connected.
     pub control_plane_up: Cell<bool>,
-    /// Set once no more requests are taken.
+    /// Set once the sidecar accepts no more requests.
     pub stopping: Cell<bool>,
 }
 
-/// One sidecar: its engine, and what its tasks share.
+/// One sidecar: the dispatcher of its engine, with the state that its tasks share as the transport.
 pub type Shell = Dispatcher<Sidecar>;
 
 impl Shell {
-    /// Returns whether the sidecar holds as many requests as it may, or stops. Clients that ask and leave at once count
-    /// until their attempts have ended, else they could pile up attempts past the bound.
+    /// Returns whether the sidecar is at its request limit or is shutting down. A request whose client disconnected
+    /// counts until its attempts have ended; otherwise clients that disconnect at once could pile up attempts beyond
+    /// the limit.
     pub fn is_full(&self) -> bool {
         let protected = self
             .takeover
@@ -64,12 +65,12 @@
         self.stopping.get() || held >= self.site.listener.max_requests
     }
 
-    /// Returns the routes in force now; whoever holds them goes on by them.
+    /// Returns the current routes. A caller that keeps the table continues to use this version.
     pub fn routes(&self) -> Rc<RouteTable> {
         self.routes.borrow().clone()
     }
 
-    /// Returns a pod's name as a header carries it.
+    /// Returns the name of a pod as a header value; `None` if the pod is unknown or its name is not a valid value.
     pub fn pod_name(&self, pod: PodId) -> Option<HeaderValue> {
         HeaderValue::from_str(self.engine().pod_name(pod)?).ok()
     }
--- a/crates/sidecar/src/state_report.rs
+++ b/crates/sidecar/src/state_report.rs
@@ -1,4 +1,4 @@
-//! What `GET /state` shows, as JSON. Its names are those of `docs/running.md` and `docs/takeover.md`.
+//! The JSON that `GET /state` returns. Its keys are documented in `docs/running.md` and `docs/takeover.md`.
 
 use crate::membership::MembershipStatus;
 use crate::shell::Shell;
@@ -7,9 +7,9 @@
 
 const NANOS_PER_MILLI: u64 = 1_000_000;
 
-/// Builds what an operator sees of a sidecar.
+/// Builds the state of a sidecar that operators see.
 pub fn state_report(shell: &Shell) -> Value {
-    let mut state = engine(shell);
+    let mut state = engine_report(shell);
     if let Some(configuration) = shell.configuration.get() {
         state["configuration"] = configuration.state();
     }
@@ -24,7 +24,7 @@
     state
 }
 
-fn engine(shell: &Shell) -> Value {
+fn engine_report(shell: &Shell) -> Value {
     let status = shell.status();
     let stage = status.stage.map(|stage| {
         json!({
--- a/crates/sidecar/src/upstream.rs
+++ b/crates/sidecar/src/upstream.rs
@@ -1,4 +1,4 @@
-//! Connections to pods: kept while idle, capped for each pod, opened as needed within the time for it.
+//! Connections to pods: opened on demand within the connect timeout, limited for each pod, and reused when idle.
 
 use bytes::Bytes;
 use havenplank_settings::UpstreamSettings as Settings;
@@ -17,16 +17,16 @@
 
 type Sender = SendRequest<Full<Bytes>>;
 
-/// No connection was had in time: the pod is down, out of reach or at its cap.
+/// No connection could be taken in time: the pod is down, unreachable or at its connection limit.
 #[derive(Debug)]
 pub struct NoConnection;
 
-/// Whether an idle connection will do.
+/// Whether an idle connection may be reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reuse {
-    /// An idle one first.
+    /// Use an idle connection if there is one.
     Idle,
-    /// A new one, as an idle one just proved closed.
+    /// Open a new connection, for example because an idle one turned out to be closed.
     Never,
 }
 
@@ -37,15 +37,15 @@
 
 /// The connections to one pod.
 struct Pool {
-    /// One for each connection in use; those waiting for one are requests in flight, which the listener bounds, and
-    /// none waits longer than a connect may take.
+    /// One permit for each connection in use. The waiters are attempts of requests in flight, whose number the listener
+    /// limits, and none waits longer than the connect timeout.
     permits: Arc<Semaphore>,
-    /// No more than were in use at once.
+    /// Idle connections, at most as many as were ever in use at once.
     idle: RefCell<Vec<IdleConnection>>,
 }
 
 impl Pool {
-    /// Takes the connection that was used last.
+    /// Removes and returns the most recently used idle connection.
     fn pop_idle(&self) -> Option<IdleConnection> {
         self.idle.borrow_mut().pop()
     }
@@ -53,23 +53,23 @@
 
 /// The connections to all pods.
 pub struct UpstreamConnections {
-    connect_time: Duration,
-    per_pod: usize,
+    connect_timeout: Duration,
+    max_per_pod: usize,
     idle_timeout: Duration,
-    /// Emptied of a pod's address when the list drops it.
+    /// The pools by address of the pod. A pool is removed when its pod is no longer listed.
     pools: RefCell<HashMap<SocketAddr, Rc<Pool>>>,
 }
 
-/// A connection in use. Dropped, it is closed; released, it is kept for the next attempt.
+/// A connection in use. Dropping it closes the connection; releasing it keeps the connection for another attempt.
 pub struct UpstreamConnection {
-    /// Sends requests on it.
+    /// Sends requests on the connection.
     pub sender: Sender,
     pool: Rc<Pool>,
     _permit: OwnedSemaphorePermit,
 }
 
 impl UpstreamConnection {
-    /// Keeps the connection for the next attempt, unless it is closed.
+    /// Keeps the connection for another attempt, unless it is closed.
     pub fn release(self) {
         if !self.sender.is_closed() {
             let idle = IdleConnection {
@@ -82,11 +82,11 @@
 }
 
 impl UpstreamConnections {
-    /// Builds an empty set of connections with these limits.
+    /// Creates an empty set of connections with the limits of the settings.
     pub fn new(settings: &Settings) -> UpstreamConnections {
         UpstreamConnections {
-            connect_time: Duration::from_nanos(settings.connect_timeout),
-            per_pod: settings.max_connections_per_pod,
+            connect_timeout: Duration::from_nanos(settings.connect_timeout),
+            max_per_pod: settings.max_connections_per_pod,
             idle_timeout: Duration::from_nanos(settings.idle_timeout),
             pools: RefCell::default(),
         }
@@ -94,7 +94,7 @@
 
     fn pool(&self, address: SocketAddr) -> Rc<Pool> {
         let new = || {
-            let permits = Arc::new(Semaphore::new(self.per_pod));
+            let permits = Arc::new(Semaphore::new(self.max_per_pod));
             Rc::new(Pool {
                 permits,
                 idle: RefCell::default(),
@@ -104,10 +104,10 @@
         pools.entry(address).or_insert_with(new).clone()
     }
 
-    /// Takes a connection to a pod, waiting no longer than a connect may take.
+    /// Returns a connection to a pod. Waits no longer than the connect timeout.
     ///
     /// # Errors
-    /// The pod did not accept one in time, or has as many as it may.
+    /// Fails if the pod did not accept a connection in time or stayed at its connection limit.
     pub async fn acquire(
         &self,
         address: SocketAddr,
@@ -123,7 +123,7 @@
         let sender = match idle {
             Some(sender) => sender,
             None => {
-                let left = self.connect_time.saturating_sub(began.elapsed());
+                let left = self.connect_timeout.saturating_sub(began.elapsed());
                 let connected = timeout(left, connect(address)).await;
                 connected
                     .map_err(|_| NoConnection)?
@@ -141,25 +141,25 @@
         if let Ok(permit) = pool.permits.clone().try_acquire_owned() {
             return Ok(permit);
         }
-        let waited = timeout(self.connect_time, pool.permits.clone().acquire_owned()).await;
+        let waited = timeout(self.connect_timeout, pool.permits.clone().acquire_owned()).await;
         waited.map_err(|_| NoConnection)?.map_err(|_| NoConnection)
     }
 
-    /// Takes an idle connection that is still good; closes those that are not.
+    /// Returns an idle connection that can still be used, and closes those that cannot.
     async fn ready_idle(&self, pool: &Pool) -> Option<Sender> {
         while let Some(IdleConnection { mut sender, since }) = pool.pop_idle() {
-            // One that is not ready at once has its last answer's end still to read: that takes a moment.
-            let is_fresh = since.elapsed() < self.idle_timeout && !sender.is_closed();
-            if is_fresh && sender.ready().await.is_ok() {
+            // A connection that is not ready at once still has to read the end of its last response, which is short.
+            let is_usable = since.elapsed() < self.idle_timeout && !sender.is_closed();
+            if is_usable && sender.ready().await.is_ok() {
                 return Some(sender);
             }
         }
         None
     }
 
-    /// Closes idle connections to pods no longer listed, and those that were idle too long.
+    /// Closes idle connections to pods that are no longer listed, and connections that have been idle too long.
     pub fn sweep(&self, listed: &HashSet<SocketAddr>) {
-        let in_use = |pool: &Pool| pool.permits.available_permits() < self.per_pod;
+        let in_use = |pool: &Pool| pool.permits.available_permits() < self.max_per_pod;
         self.pools.borrow_mut().retain(|address, pool| {
             let is_listed = listed.contains(address);
             pool.idle.borrow_mut().retain(|idle| {
@@ -177,7 +177,7 @@
         .handshake(TokioIo::new(stream))
         .await?;
     tokio::task::spawn_local(async move {
-        // How it ended shows in the attempt that was on it.
+        // An error of the connection also fails the attempt on it, which reports it.
         let _ = connection.await;
     });
     Ok(sender)
