--- a/crates/sidecar/tests/common/mod.rs
+++ b/crates/sidecar/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A sidecar on loopback sockets, its scripted services, and a pod whose every byte the test decides.
+//! A sidecar on loopback sockets with scripted services, and pods whose sockets the test reads and writes directly.
 
 use havenplank::interface::PodState;
 use havenplank_line_protocol::codec::greeting;
@@ -32,13 +32,13 @@
 desk(address = given("desk", ""))
 "#;
 
-/// How long a test waits for what must come.
-pub const PATIENCE: Duration = Duration::from_secs(5);
+/// How long a test waits for an expected event before it fails.
+pub const MAX_WAIT: Duration = Duration::from_secs(5);
 
 pub const OK: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
 pub const NEVER_RAN: &[u8] = b"HTTP/1.1 503 No\r\nx-never-ran: 1\r\ncontent-length: 0\r\n\r\n";
 
-/// A service of the line protocols: greets, sends what stands now to whoever comes, then what is pushed.
+/// A service of a line protocol. Greets each client, sends it `on_connect`, then sends every text that is pushed.
 #[derive(Clone)]
 pub struct ScriptedService {
     address: SocketAddr,
@@ -72,14 +72,19 @@
         service
     }
 
-    /// Sends this to whoever is connected.
+    /// Sends a text to all connected clients.
     pub fn push(&self, text: String) {
         let _ = self.pushed.send(text);
     }
 }
 
-/// A pod in the endpoint list.
-pub fn listed(name: &str, address: SocketAddr, state: PodState, build: u32) -> ListedEndpoint {
+/// Builds the entry of a pod in the endpoint list.
+pub fn listed_endpoint(
+    name: &str,
+    address: SocketAddr,
+    state: PodState,
+    build: u32,
+) -> ListedEndpoint {
     ListedEndpoint {
         name: name.to_string(),
         address,
@@ -94,14 +99,14 @@
     }
 }
 
-/// The notification with all of the endpoint list.
+/// Builds a notification with a complete endpoint list.
 pub fn complete_list(number: u64, pods: &[ListedEndpoint]) -> String {
     let mut text = String::new();
     endpoint_list::write_list(&mut text, number, true, pods);
     text
 }
 
-/// A pod whose every byte the test decides.
+/// A pod whose connections the test accepts, reads and writes directly.
 pub struct ScriptedPod(TcpListener);
 
 impl ScriptedPod {
@@ -113,42 +118,43 @@
         self.0.local_addr().expect("an address")
     }
 
-    /// Accepts a connection that must come.
+    /// Accepts a connection, and fails the test if none is made in time.
     pub async fn accept(&self) -> TcpStream {
-        let accepted = timeout(PATIENCE, self.0.accept()).await;
-        accepted.expect("a connection in time").expect("one").0
+        let accepted = timeout(MAX_WAIT, self.0.accept()).await;
+        accepted.expect("a connection in time").expect("accepted").0
     }
 
-    /// Accepts a connection if one comes in this time.
+    /// Accepts a connection if one is made within this time.
     pub async fn accept_within(&self, time: Duration) -> Option<TcpStream> {
         let accepted = timeout(time, self.0.accept()).await.ok()?;
         Some(accepted.ok()?.0)
     }
 
-    /// Whether nothing connects for a while that is long beside what an attempt takes on loopback.
-    pub async fn is_left_alone(&self) -> bool {
+    /// Returns whether no connection is made within 150 ms, which is long compared to an attempt on loopback.
+    pub async fn gets_no_connection(&self) -> bool {
         timeout(Duration::from_millis(150), self.0.accept())
             .await
             .is_err()
     }
 }
 
-/// Reads one message in lower case: its head, and the body that its content-length states.
+/// Reads one HTTP message, its head and a body of the stated content-length, and returns it in lower case. Returns
+/// `None` if the connection ends first.
 pub async fn read_message(stream: &mut TcpStream) -> Option<String> {
     let mut text = Vec::new();
     loop {
         let read = String::from_utf8_lossy(&text).to_lowercase();
         if let Some((head, body)) = read.split_once("\r\n\r\n") {
-            let stated = head
+            let content_length = head
                 .split("content-length: ")
                 .nth(1)
                 .and_then(|rest| rest.lines().next()?.parse().ok());
-            if body.len() >= stated.unwrap_or(0) {
+            if body.len() >= content_length.unwrap_or(0) {
                 return Some(read);
             }
         }
         let mut byte = [0];
-        match timeout(PATIENCE, stream.read(&mut byte))
+        match timeout(MAX_WAIT, stream.read(&mut byte))
             .await
             .expect("a byte in time")
         {
@@ -158,7 +164,7 @@
     }
 }
 
-/// Reads a response's status, 0 for none, and its text.
+/// Reads a response and returns its status and its text; the status is 0 if the connection ends first.
 pub async fn read_response(stream: &mut TcpStream) -> (u16, String) {
     let text = read_message(stream).await.unwrap_or_default();
     let status = text
@@ -173,7 +179,7 @@
     format!("GET {path} HTTP/1.1\r\nhost: h\r\n{headers}\r\n").into_bytes()
 }
 
-/// A running sidecar and its services.
+/// A running sidecar with its scripted services.
 pub struct TestSidecar {
     pub address: SocketAddr,
     pub admin: SocketAddr,
@@ -188,14 +194,14 @@
         TcpStream::connect(self.address).await.expect("a sidecar")
     }
 
-    /// Sends bytes on a connection of their own and reads the first response's status and text.
+    /// Sends bytes on a new connection and returns the status and text of the first response.
     pub async fn request(&self, bytes: &[u8]) -> (u16, String) {
         let mut stream = self.connect().await;
         stream.write_all(bytes).await.expect("written");
         read_response(&mut stream).await
     }
 
-    /// Does the same in a task of its own.
+    /// Does the same in a new task.
     pub fn spawn_request(self: &Rc<Self>, bytes: Vec<u8>) -> JoinHandle<(u16, String)> {
         let sidecar = self.clone();
         spawn_local(async move { sidecar.request(&bytes).await })
@@ -212,19 +218,19 @@
         read_message(&mut stream).await.expect("a state")
     }
 
-    /// Waits until the operators' view says so.
+    /// Waits until the sidecar's `GET /state` response contains this text.
     pub async fn wait_for_state(&self, text: &str) {
         let seen = async {
             while !self.state().await.contains(text) {
                 sleep(Duration::from_millis(5)).await;
             }
         };
-        timeout(PATIENCE, seen)
+        timeout(MAX_WAIT, seen)
             .await
             .unwrap_or_else(|_| panic!("never saw {text}"));
     }
 
-    /// Sends an endpoint list and waits until it is in force.
+    /// Sends a complete endpoint list and waits until the sidecar has applied it.
     pub async fn set_endpoints(&self, number: u64, pods: &[ListedEndpoint]) {
         *self.discovery.on_connect.borrow_mut() = complete_list(1, pods);
         self.discovery.push(complete_list(number, pods));
@@ -236,31 +242,38 @@
             .await;
     }
 
-    /// Starts one pod and waits until it is listed and running.
+    /// Starts one pod and waits until the sidecar has it listed as running.
     pub async fn start_pod(&self) -> ScriptedPod {
         let pod = ScriptedPod::start().await;
         self.wait_for_state("\"pods_running\":0").await;
-        let list = complete_list(1, &[listed("p", pod.address(), PodState::Running, 1)]);
-        // Whoever connected before hears it now, whoever comes later by the greeting.
+        let list = complete_list(
+            1,
+            &[listed_endpoint("p", pod.address(), PodState::Running, 1)],
+        );
+        // Clients that are connected get the list now, later clients get it when they connect.
         *self.discovery.on_connect.borrow_mut() = list.clone();
         self.discovery.push(list);
         self.wait_for_state("\"pods_running\":1").await;
         pod
     }
 
-    /// Asks it to stop.
+    /// Asks the sidecar to stop.
     pub fn stop(&self) {
-        let stop = self.stop.borrow_mut().take().expect("once");
-        stop.send(()).expect("it runs");
+        let stop = self.stop.borrow_mut().take().expect("stop is called once");
+        stop.send(()).expect("the sidecar runs");
     }
 
-    /// Waits until it has stopped.
+    /// Waits until the sidecar has stopped.
     pub async fn wait_for_end(&self) {
-        let ended = self.ended.borrow_mut().take().expect("once");
-        timeout(PATIENCE, ended)
+        let ended = self
+            .ended
+            .borrow_mut()
+            .take()
+            .expect("the end is awaited once");
+        timeout(MAX_WAIT, ended)
             .await
-            .expect("it ends")
-            .expect("in order");
+            .expect("the sidecar stops in time")
+            .expect("the sidecar stops without a panic");
     }
 }
 
@@ -275,7 +288,7 @@
     load(&file, &given).unwrap_or_else(|problems| panic!("{problems}"))
 }
 
-/// Runs a test against a sidecar with so many connections to each pod.
+/// Runs a test against a sidecar that opens at most this many connections to each pod.
 pub fn with_sidecar<F: Future<Output = ()>>(
     connections: usize,
     test: impl FnOnce(Rc<TestSidecar>) -> F,
@@ -305,10 +318,10 @@
         let ready = |addresses| ready.send(addresses).unwrap_or(());
         havenplank_sidecar::serve(site, 7, None, ready, stopped)
             .await
-            .expect("it serves");
+            .expect("the sidecar starts and stops without an error");
         let _ = end.send(());
     });
-    let addresses = listens.await.expect("it listens");
+    let addresses = listens.await.expect("the sidecar listens");
     Rc::new(TestSidecar {
         address: addresses.listen,
         admin: addresses.admin,
--- a/crates/sidecar/tests/engine.rs
+++ b/crates/sidecar/tests/engine.rs
@@ -1,4 +1,4 @@
-//! The engine by itself: virtual time, no sockets, and the same decisions for the same events.
+//! The engine without sockets and in virtual time: its effects for given events.
 
 use havenplank::interface::{
     AttemptEnd, Nanos, Phase, PodState, PriorAttempt, Stage, Vote, VoteReceipt, VoteReply,
@@ -18,13 +18,13 @@
     )
 }
 
-fn listed(n: u16, build: u32, life: u64, age: Nanos) -> ListedEndpoint {
+fn listed_endpoint(n: u16, build: u32, pod_incarnation: u64, age: Nanos) -> ListedEndpoint {
     ListedEndpoint {
         name: format!("pod-{n}"),
         address: ([127, 0, 0, 1], 4000 + n).into(),
         state: PodState::Running,
         build,
-        incarnation: life,
+        incarnation: pod_incarnation,
         age,
         zone: "room-1".to_string(),
         machine: "three-core".to_string(),
@@ -49,14 +49,15 @@
     std::iter::from_fn(|| engine.next_effect()).collect()
 }
 
-/// A run of 20 s: old pods answer well, those of build 2 fail; every effect, in order.
+/// Runs the engine for 20 s of virtual time and returns its effects in order. Pods of build 1 serve every attempt, pods
+/// of build 2 fail every attempt.
 fn run(seed: u64, vote_answered: bool) -> Vec<(Nanos, Effect)> {
     let settings = settings();
     let mut engine = Engine::new(EPOCH, seed, &settings);
     engine.start(EPOCH);
     let old = (0..6)
-        .map(|n| listed(n, 1, 1, 0))
-        .chain((6..9).map(|n| listed(n, 2, 1, 10 * S)));
+        .map(|n| listed_endpoint(n, 1, 1, 0))
+        .chain((6..9).map(|n| listed_endpoint(n, 2, 1, 10 * S)));
     engine.update_endpoints(EPOCH, true, old.collect());
     engine.update_stage(
         EPOCH,
@@ -69,7 +70,7 @@
         },
     );
     let mut in_flight: Vec<(Nanos, u64, u32, AttemptEnd)> = Vec::new();
-    let mut done = Vec::new();
+    let mut recorded = Vec::new();
     for tick in 0..20_000 {
         let now = EPOCH + tick * MS;
         if engine.next_timer().is_some_and(|at| at <= now) {
@@ -92,7 +93,7 @@
                 } => {
                     assert!(
                         engine.may_send(now, *request, *attempt),
-                        "nothing has changed since it was chosen"
+                        "an attempt must be allowed when nothing has changed since its pod was chosen"
                     );
                     let end = if *pod >= 6 {
                         AttemptEnd::Failed
@@ -115,7 +116,7 @@
                             stage: None,
                         },
                     );
-                    // A reply that comes again is passed over.
+                    // A second reply to the same vote must be ignored.
                     engine.vote_answered(
                         now,
                         *vote,
@@ -127,10 +128,10 @@
                 }
                 _ => {}
             }
-            done.push((now, effect));
+            recorded.push((now, effect));
         }
     }
-    done
+    recorded
 }
 
 #[test]
@@ -138,11 +139,11 @@
     let (first, again, other) = (run(1, true), run(1, true), run(2, true));
     assert!(first.len() > 4_000, "{}", first.len());
     assert_eq!(first, again);
-    assert_ne!(first, other, "another seed draws other pods");
+    assert_ne!(first, other, "another seed must choose other pods");
 }
 
 #[test]
-fn a_vote_without_an_answer_is_cast_again() {
+fn a_vote_without_a_reply_is_cast_again() {
     let rollback_votes = |run: Vec<(Nanos, Effect)>| {
         run.iter()
             .filter(|(_, effect)| {
@@ -159,9 +160,12 @@
     let (answered, unanswered) = (rollback_votes(run(1, true)), rollback_votes(run(1, false)));
     assert!(
         (1..=6).contains(&answered),
-        "renewed within its life of 6 s: {answered}"
+        "an answered vote is renewed before it expires after 6 s: {answered}"
+    );
+    assert!(
+        unanswered > 3 * answered,
+        "an unanswered vote must be cast again soon: {unanswered}"
     );
-    assert!(unanswered > 3 * answered, "tried again soon: {unanswered}");
 }
 
 #[test]
@@ -175,9 +179,9 @@
             request,
             retry_after: S
         }),
-        "no pods: at once"
+        "without pods a request must be rejected at once"
     );
-    engine.update_endpoints(EPOCH, true, vec![listed(0, 1, 1, 0)]);
+    engine.update_endpoints(EPOCH, true, vec![listed_endpoint(0, 1, 1, 0)]);
     let request = engine.handle_request(EPOCH, attributes(2));
     assert!(matches!(
         effects(&mut engine)[..],
@@ -193,7 +197,7 @@
     );
     assert!(
         !engine.attempt_ended(EPOCH + S, request, 0, AttemptEnd::Served, S, None),
-        "its attempt ended before"
+        "the attempt had ended before"
     );
     assert!(!engine.may_send(EPOCH + S, request, 0) && effects(&mut engine).is_empty());
     let request = engine.handle_request(EPOCH + S, attributes(2));
@@ -201,42 +205,42 @@
     engine.client_left(EPOCH + S, request);
     assert!(
         !engine.attempt_ended(EPOCH + S, request, 0, AttemptEnd::Served, MS, None),
-        "nobody is there to be answered"
+        "no response may be delivered to a client that has disconnected"
     );
     assert!(effects(&mut engine).is_empty() && engine.status().requests == 0);
 }
 
 #[test]
-fn a_restarted_pod_is_another_and_indices_are_used_again() {
+fn a_restarted_pod_gets_no_earlier_attempt_and_pod_indices_are_reused() {
     let settings = settings();
     let mut engine = Engine::new(EPOCH, 1, &settings);
-    engine.update_endpoints(EPOCH, true, vec![listed(0, 1, 1, 0)]);
+    engine.update_endpoints(EPOCH, true, vec![listed_endpoint(0, 1, 1, 0)]);
     let request = engine.handle_request(EPOCH, attributes(0));
     assert!(engine.may_send(EPOCH, request, 0));
-    engine.update_endpoints(EPOCH + MS, false, vec![listed(0, 1, 2, 0)]);
+    engine.update_endpoints(EPOCH + MS, false, vec![listed_endpoint(0, 1, 2, 0)]);
     assert!(
         !engine.may_send(EPOCH + MS, request, 0),
-        "another incarnation, even where both began long ago"
+        "another incarnation must not get the attempt, even if both started long ago"
     );
     engine.attempt_ended(EPOCH + MS, request, 0, AttemptEnd::NotSent, MS, None);
-    // A thousand lists of new names: indices are used again once nothing is in flight there.
-    let mut most = 0;
+    // 1,000 lists, each with one new pod name: an index must be reused once its pod has no attempt in flight.
+    let mut highest_index = 0;
     for n in 0..1_000 {
         let now = EPOCH + S + n as Nanos * MS;
-        engine.update_endpoints(now, true, vec![listed(n as u16 + 10, 1, 1, 0)]);
+        engine.update_endpoints(now, true, vec![listed_endpoint(n as u16 + 10, 1, 1, 0)]);
         let request = engine.handle_request(now, attributes(0));
         for effect in effects(&mut engine) {
             if let Effect::SendAttempt { attempt, pod, .. } = effect {
-                most = most.max(pod);
+                highest_index = highest_index.max(pod);
                 engine.attempt_ended(now, request, attempt, AttemptEnd::Served, MS, None);
             }
         }
     }
-    assert!(most < 5, "index {most}");
+    assert!(highest_index < 5, "index {highest_index}");
 }
 
 #[test]
-fn a_resumed_request_is_retried_only_where_its_prior_attempts_allow_it() {
+fn a_resumed_request_is_retried_only_if_its_prior_attempts_allow_it() {
     let settings = settings();
     let [keyed, non_idempotent] = [1, 2];
     let prior = |pod, ago, may_have_run| PriorAttempt {
@@ -244,13 +248,13 @@
         ago,
         may_have_run,
     };
-    let begin = |prior_attempts: Vec<PriorAttempt>, route_class| {
+    let resume = |prior_attempts: Vec<PriorAttempt>, route_class| {
         let mut engine = Engine::new(EPOCH, 1, &settings);
         engine.start(EPOCH);
         let pod_ids = engine.update_endpoints(
             EPOCH,
             true,
-            (0..3).map(|n| listed(n, 1, 1, 60 * S)).collect(),
+            (0..3).map(|n| listed_endpoint(n, 1, 1, 60 * S)).collect(),
         );
         assert_eq!(pod_ids, [Some(0), Some(1), Some(2)]);
         effects(&mut engine);
@@ -269,27 +273,28 @@
             .filter(|pod| *pod != n)
             .map(|pod| prior(Some(pod), S, false))
             .collect();
-        let effects_left = begin(others, non_idempotent);
+        let effects_left = resume(others, non_idempotent);
         assert!(
             matches!(effects_left[..], [Effect::SendAttempt { pod, attempt: 0, .. }] if pod == n),
             "{effects_left:?}"
         );
     }
-    let may = vec![prior(Some(0), S, false), prior(None, S, true)];
+    let with_possible_run = vec![prior(Some(0), S, false), prior(None, S, true)];
     assert!(matches!(
-        begin(may.clone(), non_idempotent)[..],
+        resume(with_possible_run.clone(), non_idempotent)[..],
         [Effect::Fail { .. }]
     ));
     assert!(matches!(
-        begin(may.clone(), keyed)[..],
+        resume(with_possible_run.clone(), keyed)[..],
         [Effect::SendAttempt { .. }]
     ));
-    // Past the six seconds in which pods drop its repeats the first attempt counts, whatever came later.
+    // Pods drop repeats for 6 seconds. Once the first attempt is older than that, no retry is allowed, even if a later
+    // attempt is more recent.
     let long_ago = vec![prior(Some(0), 7 * S, true), prior(Some(1), S, true)];
-    assert!(matches!(begin(long_ago, keyed)[..], [Effect::Fail { .. }]));
+    assert!(matches!(resume(long_ago, keyed)[..], [Effect::Fail { .. }]));
     let used_up = (0..4).map(|_| prior(None, S, false)).collect();
     assert!(matches!(
-        begin(used_up, non_idempotent)[..],
+        resume(used_up, non_idempotent)[..],
         [Effect::Reject { .. }]
     ));
 }
@@ -304,14 +309,14 @@
     engine.update_endpoints(
         EPOCH,
         true,
-        (0..3).map(|n| listed(n, 1, 1, 60 * S)).collect(),
+        (0..3).map(|n| listed_endpoint(n, 1, 1, 60 * S)).collect(),
     );
-    // Requests before it, without which there is no budget for a retry.
+    // Earlier requests fill the retry budget.
     for _ in 0..30 {
         let request = engine.handle_request(EPOCH, attributes(0));
         engine.attempt_ended(EPOCH, request, 0, AttemptEnd::Served, MS, None);
     }
-    let mut repeated = |first: AttemptEnd| {
+    let mut retry_allowed = |first_end: AttemptEnd| {
         let request = engine.handle_request(
             EPOCH,
             RequestAttributes {
@@ -320,8 +325,11 @@
             },
         );
         effects(&mut engine);
-        assert!(engine.may_send(EPOCH, request, 0), "no window yet");
-        engine.attempt_ended(EPOCH + window / 2, request, 0, first, MS, None);
+        assert!(
+            engine.may_send(EPOCH, request, 0),
+            "the first attempt has no dedup window"
+        );
+        engine.attempt_ended(EPOCH + window / 2, request, 0, first_end, MS, None);
         assert!(matches!(
             effects(&mut engine)[..],
             [Effect::SendAttempt { attempt: 1, .. }]
@@ -330,26 +338,27 @@
         (within, engine.may_send(EPOCH + window, request, 1))
     };
     assert_eq!(
-        repeated(AttemptEnd::Reset),
+        retry_allowed(AttemptEnd::Reset),
         (true, false),
-        "what may have run"
+        "an attempt that may have run limits its retry to the dedup window"
     );
     assert_eq!(
-        repeated(AttemptEnd::Rejected),
+        retry_allowed(AttemptEnd::Rejected),
         (true, true),
-        "what never ran has no window"
+        "a rejected attempt never ran, so its retry has no dedup window"
     );
 }
 
-/// Builds that requests of one key go to after an attempt of it at the newest, all of which end so.
-fn builds_after(each: AttemptEnd) -> Vec<u32> {
+/// Returns the builds that requests with one key go to after the first attempt at the newest build. Every attempt at
+/// the newest build ends with `newest_end`.
+fn builds_after(newest_end: AttemptEnd) -> Vec<u32> {
     let mut settings = settings();
     settings.exposure.sticky_keys = true;
     let mut engine = Engine::new(EPOCH, 3, &settings);
     engine.start(EPOCH);
     let pods = (0..4)
-        .map(|n| listed(n, 1, 1, 60 * S))
-        .chain((4..8).map(|n| listed(n, 2, 1, 60 * S)));
+        .map(|n| listed_endpoint(n, 1, 1, 60 * S))
+        .chain((4..8).map(|n| listed_endpoint(n, 2, 1, 60 * S)));
     engine.update_endpoints(EPOCH, true, pods.collect());
     engine.update_stage(
         EPOCH,
@@ -361,7 +370,7 @@
             age: S,
         },
     );
-    let (mut ended, mut builds) = (false, Vec::new());
+    let (mut newest_tried, mut builds) = (false, Vec::new());
     for n in 0..120 {
         let now = EPOCH + n * 100 * MS;
         let request = engine.handle_request(
@@ -372,7 +381,7 @@
                 ..attributes(0)
             },
         );
-        let mut after = Vec::new();
+        let mut to_end = Vec::new();
         for effect in effects(&mut engine) {
             if let Effect::SendAttempt {
                 request: of,
@@ -385,15 +394,19 @@
                     continue;
                 }
                 let newest = pod >= 4;
-                if ended {
+                if newest_tried {
                     builds.push(1 + newest as u32);
                 }
-                let end = if newest { each } else { AttemptEnd::Served };
-                ended |= newest;
-                after.push((attempt, end));
+                let end = if newest {
+                    newest_end
+                } else {
+                    AttemptEnd::Served
+                };
+                newest_tried |= newest;
+                to_end.push((attempt, end));
             }
         }
-        for (attempt, end) in after {
+        for (attempt, end) in to_end {
             engine.attempt_ended(now + MS, request, attempt, end, MS, None);
         }
         engine.client_left(now + MS, request);
@@ -404,7 +417,7 @@
 }
 
 #[test]
-fn a_key_that_the_newest_build_may_have_served_goes_to_no_earlier_build() {
+fn a_key_that_the_newest_build_may_have_served_never_goes_to_an_earlier_build() {
     for end in [
         AttemptEnd::Served,
         AttemptEnd::Reset,
@@ -420,7 +433,7 @@
     ] {
         assert!(
             builds_after(end).contains(&1),
-            "{end:?}: no answer was made"
+            "{end:?}: the newest build made no response, so an earlier build is allowed"
         );
     }
 }
--- a/crates/sidecar/tests/proxy.rs
+++ b/crates/sidecar/tests/proxy.rs
@@ -1,10 +1,11 @@
-//! A sidecar on loopback sockets amid scripted peers that do what peers should not.
+//! A sidecar on loopback sockets, with clients, pods and services that misbehave: closed connections, malformed
+//! messages, late responses and shutdown under load.
 
 mod common;
 
 use common::{
-    complete_list, get, listed, read_message, read_response, with_sidecar, ScriptedPod, NEVER_RAN,
-    OK,
+    complete_list, get, listed_endpoint, read_message, read_response, with_sidecar, ScriptedPod,
+    NEVER_RAN, OK,
 };
 use havenplank::interface::{Phase, PodState, Stage};
 use havenplank_line_protocol::control_plane;
@@ -23,67 +24,67 @@
     with_sidecar(8, |sidecar| async move {
         let pod = sidecar.start_pod().await;
         for (path, status) in [("/write", 502), ("/read", 200)] {
-            let asked = sidecar.spawn_request(get(path, ""));
+            let pending_response = sidecar.spawn_request(get(path, ""));
             let mut first = pod.accept().await;
             read_message(&mut first).await.expect("an attempt");
             first.write_all(OK).await.expect("answered");
-            assert_eq!(asked.await.expect("done").0, 200);
-            let asked = sidecar.spawn_request(get(path, ""));
+            assert_eq!(pending_response.await.expect("done").0, 200);
+            let pending_response = sidecar.spawn_request(get(path, ""));
             read_message(&mut first)
                 .await
                 .expect("an attempt on the idle connection");
             drop(first);
             if status == 502 {
                 assert!(
-                    pod.is_left_alone().await,
-                    "a non-idempotent request that may have run is not retried"
+                    pod.gets_no_connection().await,
+                    "a non-idempotent request that may have run was retried"
                 );
             } else {
                 let mut second = pod.accept().await;
                 read_message(&mut second).await.expect("a retry");
                 second.write_all(OK).await.expect("answered");
             }
-            assert_eq!(asked.await.expect("done").0, status, "{path}");
+            assert_eq!(pending_response.await.expect("done").0, status, "{path}");
         }
     });
 }
 
 #[test]
-fn a_non_idempotent_request_is_sent_again_where_its_connection_closed_while_idle() {
+fn sends_a_non_idempotent_request_again_when_its_connection_closed_while_idle() {
     with_sidecar(8, |sidecar| async move {
         let pod = sidecar.start_pod().await;
         for _ in 0..3 {
-            let asked = sidecar.spawn_request(get("/write", ""));
+            let pending_response = sidecar.spawn_request(get("/write", ""));
             let mut stream = pod.accept().await;
             read_message(&mut stream).await.expect("an attempt");
             stream.write_all(OK).await.expect("answered");
-            assert_eq!(asked.await.expect("done").0, 200);
+            assert_eq!(pending_response.await.expect("done").0, 200);
             drop(stream);
         }
     });
 }
 
 #[test]
-fn rejects_what_a_pod_proves_never_ran_and_fails_what_may_have_run() {
+fn rejects_a_request_that_never_ran_and_fails_one_that_may_have_run() {
     with_sidecar(8, |sidecar| async move {
         let pod = sidecar.start_pod().await;
         for (reply, status) in [
             (NEVER_RAN, 503),
             (b"HTTP/1.1 500 E\r\ncontent-length: 0\r\n\r\n", 502),
         ] {
-            let asked = sidecar.spawn_request(get("/write", ""));
-            // Every attempt of it is answered alike: those that never ran may be several.
+            let pending_response = sidecar.spawn_request(get("/write", ""));
+            // Every attempt gets the same reply; a request that never ran may have several attempts.
             let served = async {
                 let mut stream = pod.accept().await;
                 while read_message(&mut stream).await.is_some() {
                     stream.write_all(reply).await.expect("answered");
                 }
             };
-            let (got, text) = tokio::select! {
-                asked = asked => asked.expect("done"),
-                () = served => panic!("the sidecar closed a good connection"),
+            let (actual, text) = tokio::select! {
+                pending_response = pending_response => pending_response.expect("done"),
+                () = served => panic!("the sidecar closed a connection that was still usable"),
             };
-            assert_eq!(got, status, "{text}");
+            assert_eq!(actual, status, "{text}");
             assert_eq!(text.contains("retry-after: "), status == 503, "{text}");
         }
     });
@@ -110,13 +111,13 @@
         assert_eq!(
             read_response(&mut client).await.0,
             404,
-            "the next response is the next request's"
+            "the late response was taken for that of the next request"
         );
     });
 }
 
 #[test]
-fn a_deadline_is_never_extended_and_one_too_short_is_answered_at_once() {
+fn a_client_timeout_never_extends_the_deadline_and_a_too_short_one_is_answered_at_once() {
     with_sidecar(8, |sidecar| async move {
         let pod = sidecar.start_pod().await;
         let began = Instant::now();
@@ -128,7 +129,10 @@
             "{:?}",
             began.elapsed()
         );
-        assert!(pod.is_left_alone().await, "no time for an attempt");
+        assert!(
+            pod.gets_no_connection().await,
+            "a request without time for an attempt reached the pod"
+        );
         let began = Instant::now();
         let (status, _) = sidecar
             .request(&get("/write", "grpc-timeout: 1H\r\n"))
@@ -150,26 +154,33 @@
 }
 
 #[test]
-fn clients_that_close_half_close_or_pipeline_get_what_they_wait_for() {
+fn clients_that_close_half_close_or_pipeline_get_their_responses() {
     with_sidecar(8, |sidecar| async move {
         let pod = sidecar.start_pod().await;
-        let mut gone = sidecar.connect().await;
-        gone.write_all(&get("/write", "")).await.expect("written");
+        let mut disconnecting = sidecar.connect().await;
+        disconnecting
+            .write_all(&get("/write", ""))
+            .await
+            .expect("written");
         let mut stream = pod.accept().await;
         read_message(&mut stream).await.expect("an attempt");
-        drop(gone);
+        drop(disconnecting);
         stream.write_all(OK).await.expect("answered");
         sidecar.wait_for_state("\"hits_in_flight\":0").await;
 
-        let mut half = sidecar.connect().await;
-        half.write_all(&get("/write", "")).await.expect("written");
-        half.shutdown().await.expect("half closed");
+        let mut half_closing = sidecar.connect().await;
+        half_closing
+            .write_all(&get("/write", ""))
+            .await
+            .expect("written");
+        half_closing.shutdown().await.expect("half closed");
         read_message(&mut stream).await.expect("an attempt");
         stream.write_all(OK).await.expect("answered");
-        assert_eq!(read_response(&mut half).await.0, 200);
+        assert_eq!(read_response(&mut half_closing).await.0, 200);
 
-        let mut both = sidecar.connect().await;
-        both.write_all(&[get("/write", "n: 1\r\n"), get("/write", "n: 2\r\n")].concat())
+        let mut pipelining = sidecar.connect().await;
+        pipelining
+            .write_all(&[get("/write", "n: 1\r\n"), get("/write", "n: 2\r\n")].concat())
             .await
             .expect("written");
         for n in 1..=2 {
@@ -179,13 +190,13 @@
                 .write_all(format!("HTTP/1.1 20{n} Y\r\ncontent-length: 0\r\n\r\n").as_bytes())
                 .await
                 .expect("ok");
-            assert_eq!(read_response(&mut both).await.0, 200 + n);
+            assert_eq!(read_response(&mut pipelining).await.0, 200 + n);
         }
     });
 }
 
 #[test]
-fn malformed_requests_are_refused_and_nothing_is_forwarded() {
+fn rejects_malformed_requests_without_forwarding_them() {
     with_sidecar(8, |sidecar| async move {
         let pod = sidecar.start_pod().await;
         let post = |rest: &str| {
@@ -205,16 +216,27 @@
             (post("content-length: 10\r\n\r\nshort"), 408),
             (b"BREW\r\n\r\n".to_vec(), 400),
         ] {
-            let (got, text) = sidecar.request(&bytes).await;
-            assert_eq!(got, status, "{} {text}", String::from_utf8_lossy(&bytes));
+            let (actual, text) = sidecar.request(&bytes).await;
+            assert_eq!(actual, status, "{} {text}", String::from_utf8_lossy(&bytes));
         }
-        let mut drip = sidecar.connect().await;
-        drip.write_all(b"GET /read HTTP/1.1\r\nho")
+        let mut slow_client = sidecar.connect().await;
+        slow_client
+            .write_all(b"GET /read HTTP/1.1\r\nho")
             .await
             .expect("written");
-        let ended = timeout(Duration::from_secs(3), drip.read_to_end(&mut Vec::new())).await;
-        assert!(ended.is_ok(), "a head that never ends is cut off");
-        assert!(pod.is_left_alone().await, "nothing of it was forwarded");
+        let ended = timeout(
+            Duration::from_secs(3),
+            slow_client.read_to_end(&mut Vec::new()),
+        )
+        .await;
+        assert!(
+            ended.is_ok(),
+            "the connection stayed open though its head never ended"
+        );
+        assert!(
+            pod.gets_no_connection().await,
+            "a malformed request was forwarded"
+        );
     });
 }
 
@@ -222,7 +244,7 @@
 fn an_attempt_is_framed_once_and_carries_no_hop_by_hop_header() {
     with_sidecar(8, |sidecar| async move {
         let pod = sidecar.start_pod().await;
-        let asked = spawn_local({
+        let pending_response = spawn_local({
             let sidecar = sidecar.clone();
             async move {
                 let odd = "POST /read HTTP/1.1\r\nhost: h\r\nconnection: x-hop\r\nx-hop: 1\r\nte: trailers\r\n\
@@ -233,14 +255,14 @@
         });
         let mut stream = pod.accept().await;
         let attempt = read_message(&mut stream).await.expect("an attempt");
-        for gone in [
+        for removed in [
             "x-hop",
             "\r\nte:",
             "keep-alive",
             "transfer-encoding",
             "content-length: 4",
         ] {
-            assert!(!attempt.contains(gone), "{gone} in {attempt}");
+            assert!(!attempt.contains(removed), "{removed} in {attempt}");
         }
         for stays in [
             "x-stays: 1",
@@ -253,7 +275,7 @@
         let reply =
             b"HTTP/1.1 200 OK\r\nconnection: x-own\r\nx-own: 1\r\nx-pod: liar\r\ncontent-length: 0\r\n\r\n";
         stream.write_all(reply).await.expect("answered");
-        let (status, text) = asked.await.expect("done");
+        let (status, text) = pending_response.await.expect("done");
         assert!(
             status == 200 && !text.contains("x-own") && text.contains("x-pod: p\r\n"),
             "{text}"
@@ -262,15 +284,15 @@
 }
 
 #[test]
-fn an_attempt_that_waited_is_not_sent_once_its_pod_drains_or_its_build_is_withdrawn() {
+fn a_waiting_attempt_is_not_sent_after_its_pod_drains_or_its_build_is_withdrawn() {
     for stage_is_withdrawn in [false, true] {
         with_sidecar(1, |sidecar| async move {
             let (old, new) = (ScriptedPod::start().await, ScriptedPod::start().await);
             let build = if stage_is_withdrawn { 2 } else { 1 };
             let pods = |state| {
-                let mut pods = vec![listed("new", new.address(), state, build)];
+                let mut pods = vec![listed_endpoint("new", new.address(), state, build)];
                 if stage_is_withdrawn {
-                    pods.push(listed("old", old.address(), PodState::Draining, 1));
+                    pods.push(listed_endpoint("old", old.address(), PodState::Draining, 1));
                 }
                 pods
             };
@@ -292,20 +314,21 @@
                 sidecar.control_plane.push(trial(1.0, Phase::Trial));
                 sidecar.wait_for_state("\"cap\":1.0").await;
             }
-            let ask = |path: &'static str| {
+            let send_request = |path: &'static str| {
                 let sidecar = sidecar.clone();
                 spawn_local(async move { sidecar.request(&get(path, "")).await })
             };
-            // No free attempts in the first window: requests taken make room for the two that matter.
+            // The build on trial has no free attempts in the first window. These requests count towards its share,
+            // which allows the two attempts that the test is about.
             if stage_is_withdrawn {
                 for _ in 0..8 {
                     sidecar.request(&get("/read", "grpc-timeout: 1m\r\n")).await;
                 }
             }
-            let first = ask("/read");
+            let first = send_request("/read");
             let mut stream = new.accept().await;
             read_message(&mut stream).await.expect("the first attempt");
-            let second = ask("/write");
+            let second = send_request("/write");
             sidecar.wait_for_state("\"hits_in_flight\":2").await;
             match stage_is_withdrawn {
                 true => {
@@ -317,11 +340,14 @@
             stream.write_all(OK).await.expect("answered");
             assert_eq!(first.await.expect("done").0, 200);
             let (status, text) = second.await.expect("done");
-            assert_eq!(status, 503, "never sent, so a retry is harmless: {text}");
+            assert_eq!(
+                status, 503,
+                "an attempt that was never sent must be rejected: {text}"
+            );
             let more = timeout(Duration::from_millis(100), read_message(&mut stream)).await;
             assert!(
                 !matches!(more, Ok(Some(_))),
-                "nothing new to a pod that may not have it"
+                "an attempt reached a pod that must get none"
             );
         });
     }
@@ -332,25 +358,28 @@
     with_sidecar(8, |sidecar| async move {
         let (old, new) = (ScriptedPod::start().await, ScriptedPod::start().await);
         let many: Vec<ListedEndpoint> = (0..999)
-            .map(|n| listed(&format!("d-{n}"), old.address(), PodState::Draining, 1))
-            .chain([listed("p", old.address(), PodState::Running, 1)])
+            .map(|n| listed_endpoint(&format!("d-{n}"), old.address(), PodState::Draining, 1))
+            .chain([listed_endpoint("p", old.address(), PodState::Running, 1)])
             .collect();
         sidecar.wait_for_state("\"pods_running\":0").await;
         sidecar.set_endpoints(1, &many).await;
-        let ask = || {
+        let send_request = || {
             let sidecar = sidecar.clone();
             spawn_local(async move { sidecar.request(&get("/read", "")).await.0 })
         };
-        let first = ask();
+        let first = send_request();
         let mut stream = old.accept().await;
         read_message(&mut stream)
             .await
             .expect("an attempt to the old address");
-        // The same name with another address, and nobody else: the old attempt goes on to its end.
+        // The list now holds only the same name with another address. The attempt to the old address continues.
         sidecar
-            .set_endpoints(2, &[listed("p", new.address(), PodState::Running, 2)])
+            .set_endpoints(
+                2,
+                &[listed_endpoint("p", new.address(), PodState::Running, 2)],
+            )
             .await;
-        let second = ask();
+        let second = send_request();
         let mut moved = new.accept().await;
         read_message(&mut moved)
             .await
@@ -361,12 +390,12 @@
             (first.await.expect("done"), second.await.expect("done")),
             (200, 200)
         );
-        // A line that is none ends the feed; the list stays in force, and the feed comes back.
+        // A malformed line ends the subscription. The list stays in force, and the sidecar reconnects.
         *sidecar.discovery.on_connect.borrow_mut() = complete_list(1, &[]);
         sidecar
             .discovery
             .push("changes 3 1\npod p nowhere running\n".to_string());
-        let third = ask();
+        let third = send_request();
         read_message(&mut moved)
             .await
             .expect("the last list stays in force");
@@ -376,20 +405,20 @@
         assert_eq!(
             sidecar.request(&get("/read", "")).await.0,
             503,
-            "no pods: rejected at once"
+            "without pods a request must be rejected at once"
         );
     });
 }
 
 #[test]
-fn a_shutdown_answers_every_request_that_was_taken() {
+fn a_shutdown_answers_every_accepted_request() {
     with_sidecar(256, |sidecar| async move {
         let pod = sidecar.start_pod().await;
-        // Connected one after the other, as a queue of connections may be shorter than 200.
-        let mut asked = Vec::new();
+        // Clients connect one after the other, because the accept queue may hold fewer than 200 connections.
+        let mut pending_responses = Vec::new();
         for _ in 0..200 {
             let mut stream = sidecar.connect().await;
-            asked.push(spawn_local(async move {
+            pending_responses.push(spawn_local(async move {
                 stream.write_all(&get("/write", "")).await.expect("written");
                 read_response(&mut stream).await.0
             }));
@@ -408,14 +437,16 @@
         };
         timeout(Duration::from_secs(5), refused)
             .await
-            .expect("no new requests once it stops");
+            .expect("the sidecar must stop accepting connections");
         let attempts = held.len();
         for stream in &mut held {
             stream.write_all(OK).await.expect("answered");
         }
         let mut counts = std::collections::BTreeMap::new();
-        for asked in asked {
-            *counts.entry(asked.await.expect("done")).or_insert(0) += 1;
+        for pending_response in pending_responses {
+            *counts
+                .entry(pending_response.await.expect("done"))
+                .or_insert(0) += 1;
         }
         assert_eq!(counts.get(&200), Some(&attempts), "{counts:?}");
         assert_eq!(counts.get(&503), Some(&(200 - attempts)), "{counts:?}");
@@ -424,7 +455,7 @@
 }
 
 #[test]
-fn no_bytes_from_peers_make_it_panic_or_lose_a_request() {
+fn random_bytes_from_peers_neither_panic_the_sidecar_nor_lose_a_request() {
     with_sidecar(8, |sidecar| async move {
         let pod = sidecar.start_pod().await;
         let held = sidecar.spawn_request(get("/write", ""));
@@ -442,7 +473,9 @@
                     b"GET /read HTTP/1.1\r\n",
                     b"POST /flagged HTTP/1.1\r\nhost: h\r\n\r\n",
                 ] {
-                    let mut peer = TcpStream::connect(at).await.expect("it still listens");
+                    let mut peer = TcpStream::connect(at)
+                        .await
+                        .expect("the sidecar still listens");
                     let _ = peer.write_all(&[start, &garbage].concat()).await;
                 }
             }
@@ -454,7 +487,7 @@
         assert_eq!(
             held.await.expect("done").0,
             200,
-            "the request that was taken has its response"
+            "the accepted request must get its response"
         );
         sidecar.wait_for_state("\"pods_running\":1").await;
     });
@@ -468,18 +501,18 @@
         client.write_all(&get("/read", "")).await.unwrap();
         let mut from = pod.accept().await;
         read_message(&mut from).await.unwrap();
-        // Over the 4 KiB that are held back, so that it is passed on as it comes; a head may take 300 ms.
-        let part = "y".repeat(5_000);
+        // The body exceeds the 4 KiB that the sidecar buffers, so it is streamed. The head timeout is 300 ms.
+        let chunk_text = "y".repeat(5_000);
         let head = "HTTP/1.1 200 OK\r\ncontent-length: 10000\r\n\r\n";
-        from.write_all(format!("{head}{part}").as_bytes())
+        from.write_all(format!("{head}{chunk_text}").as_bytes())
             .await
             .unwrap();
         let mut first = [0; 4_000];
         client.read_exact(&mut first).await.unwrap();
         sleep(Duration::from_millis(450)).await;
-        from.write_all(part.as_bytes()).await.unwrap();
+        from.write_all(chunk_text.as_bytes()).await.unwrap();
         let mut text = first.to_vec();
-        while !String::from_utf8_lossy(&text).ends_with(&(part.clone() + &part)) {
+        while !String::from_utf8_lossy(&text).ends_with(&(chunk_text.clone() + &chunk_text)) {
             let read = timeout(Duration::from_secs(5), client.read_buf(&mut text))
                 .await
                 .expect("in time");
@@ -489,9 +522,9 @@
 }
 
 #[test]
-fn a_shutdown_answers_what_lies_in_the_accept_queue() {
+fn a_shutdown_answers_requests_in_the_accept_queue() {
     with_sidecar(64, |sidecar| async move {
-        // The runtime does not turn between these and the stop.
+        // Nothing here awaits before the stop, so the sidecar cannot accept these connections before it.
         let queued: Vec<std::net::TcpStream> = (0..40)
             .map(|_| {
                 let mut stream = std::net::TcpStream::connect(sidecar.address).unwrap();
