--- a/crates/sidecar/src/client_stream.rs
+++ b/crates/sidecar/src/client_stream.rs
@@ -25,7 +25,8 @@
 /// a client a close is not detected.
 const MAX_READ_AHEAD_BYTES: usize = 16 << 10;
 
-struct Stream {
+/// The state that all clones of a [`ClientStream`] share.
+struct StreamState {
     socket: TcpStream,
     /// When the first byte of the next request arrived; `None` before that.
     first_unread: Cell<Option<Instant>>,
@@ -43,14 +44,14 @@
 
 /// A client's stream. Clones share the same stream.
 #[derive(Clone)]
-pub struct ClientStream(Rc<Stream>);
+pub struct ClientStream(Rc<StreamState>);
 
 impl ClientStream {
     /// Wraps a socket.
     pub fn new(socket: TcpStream) -> ClientStream {
         let (first_unread, reader_waker, response_written, write_blocked) = Default::default();
         let (read_ahead, response_consumed) = (RefCell::default(), Cell::new(false));
-        ClientStream(Rc::new(Stream {
+        ClientStream(Rc::new(StreamState {
             socket,
             first_unread,
             read_ahead,
--- a/crates/sidecar/src/daemon.rs
+++ b/crates/sidecar/src/daemon.rs
@@ -123,7 +123,7 @@
 }
 
 /// The lines that the engine asks to send to the two services.
-struct RequestLines {
+struct OutgoingLines {
     discovery: mpsc::Receiver<String>,
     control_plane: mpsc::Receiver<String>,
 }
@@ -131,7 +131,7 @@
 /// A sidecar whose tasks are not started yet.
 struct SidecarParts {
     shell: Rc<Shell>,
-    lines: RequestLines,
+    lines: OutgoingLines,
     /// Requests taken over from other sidecars, to be finished by this one; `None` without takeover.
     taken_over: Option<mpsc::UnboundedReceiver<Record>>,
 }
@@ -163,7 +163,7 @@
         };
         Ok(SidecarParts {
             shell: Dispatcher::new(engine, sidecar),
-            lines: RequestLines {
+            lines: OutgoingLines {
                 discovery,
                 control_plane,
             },
@@ -214,7 +214,7 @@
 fn start_tasks(
     shell: &Rc<Shell>,
     seed: u64,
-    lines: RequestLines,
+    lines: OutgoingLines,
     taken_over: Option<mpsc::UnboundedReceiver<Record>>,
 ) -> JoinSet<()> {
     let mut tasks = JoinSet::new();
--- a/crates/sidecar/src/prepared_request.rs
+++ b/crates/sidecar/src/prepared_request.rs
@@ -24,8 +24,7 @@
     /// The route that matched the request. The request is handled by this version of the route, even if the route
     /// changes in the meantime.
     pub route: Rc<Route>,
-    /// The protection against running twice; `None` if backups are off for the route or
-    /// takeover is not configured.
+    /// The protection against running twice; `None` if backups are off for the route or takeover is not configured.
     pub protection: Option<Protection>,
 }
 
@@ -50,7 +49,7 @@
 pub enum AnnouncementMode {
     /// The attempt is sent only after the backups know of it.
     BeforeAttempt,
-    /// The attempt is sent at once and announced at the same time.
+    /// The attempt is sent at once, without waiting until the backups know of it.
     InBackground,
 }
 
--- a/crates/sidecar/src/upstream.rs
+++ b/crates/sidecar/src/upstream.rs
@@ -56,7 +56,8 @@
     connect_timeout: Duration,
     max_per_pod: usize,
     idle_timeout: Duration,
-    /// The pools by address of the pod. A pool is removed when its pod is no longer listed.
+    /// The pools by address of the pod. A pool is removed when its pod is no longer listed and no connection
+    /// of it is in use.
     pools: RefCell<HashMap<SocketAddr, Rc<Pool>>>,
 }
 
@@ -123,8 +124,8 @@
         let sender = match idle {
             Some(sender) => sender,
             None => {
-                let left = self.connect_timeout.saturating_sub(began.elapsed());
-                let connected = timeout(left, connect(address)).await;
+                let remaining = self.connect_timeout.saturating_sub(began.elapsed());
+                let connected = timeout(remaining, connect(address)).await;
                 connected
                     .map_err(|_| NoConnection)?
                     .map_err(|_| NoConnection)?
