--- a/crates/sidecar/src/admin.rs
+++ b/crates/sidecar/src/admin.rs
@@ -1,7 +1,7 @@
-//! The operators' listener: a look at the state, and wrong answers reported.
+//! The HTTP interface for operators: reports the sidecar's state, and accepts reports of wrong responses.
 
 use crate::body::Body;
-use crate::responses::plain;
+use crate::responses::text_response;
 use crate::shell::Shell;
 use crate::state_report::state_report;
 use havenplank::interface::Nanos;
@@ -15,43 +15,44 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// The longest body of a report.
+/// The largest body of a report, in bytes.
 const MAX_BODY_BYTES: usize = 4096;
-/// How long a report's body may take.
-const BODY_TIME: Duration = Duration::from_secs(2);
+/// How long a report's body may take to arrive.
+const BODY_TIMEOUT: Duration = Duration::from_secs(2);
 const NANOS_PER_MILLI: Nanos = 1_000_000;
 
-/// Why a report of a wrong answer is refused.
+/// Why a report of a wrong response is rejected; holds the text of the HTTP response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0}")]
-struct ReportRefused(&'static str);
+struct ReportError(&'static str);
 
-/// Answers `GET /state`, and `POST /flagged` with `{"pod": ..., "path_group": ..., "ago_ms": ...}`.
+/// Serves `GET /state`, and `POST /flagged` with the body `{"pod": ..., "path_group": ..., "ago_ms": ...}`, which
+/// reports a wrong response that the client received from that pod `ago_ms` milliseconds ago.
 ///
 /// # Errors
-/// Never.
+/// Returns no error.
 pub async fn serve(
     shell: Rc<Shell>,
     request: Request<Incoming>,
 ) -> Result<Response<Body>, Infallible> {
     let (method, path) = (request.method().clone(), request.uri().path().to_string());
     Ok(match (method, path.as_str()) {
-        (Method::GET, "/state") => state(&shell),
+        (Method::GET, "/state") => state_response(&shell),
         (Method::POST, "/flagged") => match report_fault(&shell, request).await {
-            Ok(()) => plain(StatusCode::NO_CONTENT, ""),
-            Err(ReportRefused(why)) => {
-                tracing::info!(why, "flagged refused");
-                plain(StatusCode::BAD_REQUEST, why)
+            Ok(()) => text_response(StatusCode::NO_CONTENT, ""),
+            Err(ReportError(reason)) => {
+                tracing::info!(reason, "rejected a report of a wrong response");
+                text_response(StatusCode::BAD_REQUEST, reason)
             }
         },
-        _ => plain(
+        _ => text_response(
             StatusCode::NOT_FOUND,
             "expected GET /state or POST /flagged\n",
         ),
     })
 }
 
-fn state(shell: &Shell) -> Response<Body> {
+fn state_response(shell: &Shell) -> Response<Body> {
     let text = format!("{}\n", state_report(shell));
     let mut response = Response::new(Body::Complete(Full::new(text.into())));
     response
@@ -60,28 +61,28 @@
     response
 }
 
-async fn report_fault(shell: &Rc<Shell>, request: Request<Incoming>) -> Result<(), ReportRefused> {
+async fn report_fault(shell: &Rc<Shell>, request: Request<Incoming>) -> Result<(), ReportError> {
     let body = Limited::new(request.into_body(), MAX_BODY_BYTES).collect();
-    let body = timeout(BODY_TIME, body)
+    let body = timeout(BODY_TIMEOUT, body)
         .await
-        .map_err(|_| ReportRefused("the body took too long\n"))?
-        .map_err(|_| ReportRefused("expected 4096 bytes at most\n"))?;
+        .map_err(|_| ReportError("the body took too long\n"))?
+        .map_err(|_| ReportError("expected 4096 bytes at most\n"))?;
     let report: Value = serde_json::from_slice(&body.to_bytes())
-        .map_err(|_| ReportRefused("expected a JSON object\n"))?;
+        .map_err(|_| ReportError("expected a JSON object\n"))?;
     let pod = report["pod"]
         .as_str()
-        .ok_or(ReportRefused("pod: expected a text\n"))?;
+        .ok_or(ReportError("pod: expected a text\n"))?;
     let route_class = report["path_group"]
         .as_str()
-        .ok_or(ReportRefused("path_group: expected a text\n"))?;
+        .ok_or(ReportError("path_group: expected a text\n"))?;
     let ago_ms = report["ago_ms"]
         .as_u64()
-        .ok_or(ReportRefused("ago_ms: expected a whole number\n"))?;
+        .ok_or(ReportError("ago_ms: expected a whole number\n"))?;
     let ago = ago_ms
         .checked_mul(NANOS_PER_MILLI)
-        .ok_or(ReportRefused("ago_ms: too long ago\n"))?;
+        .ok_or(ReportError("ago_ms: too long ago\n"))?;
     match shell.report_fault(pod, route_class, ago) {
         true => Ok(()),
-        false => Err(ReportRefused("pod or path_group: not known\n")),
+        false => Err(ReportError("pod or path_group: not known\n")),
     }
 }
--- a/crates/sidecar/src/proxy.rs
+++ b/crates/sidecar/src/proxy.rs
@@ -1,10 +1,10 @@
-//! A request's way: read from its client, dispatched, answered once.
+//! Serves one request of a client: reads it, dispatches it and returns its final response.
 
 use crate::body::Body;
 use crate::engine::RequestAttributes;
 use crate::exactly_once;
 use crate::request_reader;
-use crate::responses::{and_close, failed, plain, rejected_for};
+use crate::responses::{failed, rejected_with_retry_after, text_response, with_connection_close};
 use crate::shell::Shell;
 use havenplank::interface::{Nanos, RequestId};
 use hyper::body::Incoming;
@@ -14,10 +14,10 @@
 use std::time::Instant;
 use tokio::sync::oneshot;
 
-/// When a client may retry that a full sidecar rejects, in ns.
-const RETRY_AFTER_FULL: Nanos = 1_000_000_000;
+/// The retry delay that a sidecar at its request limit tells clients, in nanoseconds.
+const RETRY_AFTER_AT_LIMIT: Nanos = 1_000_000_000;
 
-/// Tells the engine that the client is gone; of a request that is answered by then this changes nothing.
+/// Tells the engine on drop that the client disconnected. Has no effect once the request has its final response.
 struct ClientGuard {
     shell: Rc<Shell>,
     request: RequestId,
@@ -29,10 +29,10 @@
     }
 }
 
-/// Answers one request of a client. Requests rejected here never reach the engine, so no decision counts them.
+/// Serves one request of a client. Requests that are rejected here never reach the engine, so no decision counts them.
 ///
 /// # Errors
-/// Never.
+/// Returns no error.
 pub async fn serve(
     shell: Rc<Shell>,
     request: Request<Incoming>,
@@ -40,10 +40,17 @@
     let arrived = Instant::now();
     let (attributes, request) = match request_reader::read(&shell, request).await {
         Ok(read) => read,
-        Err(refused) => return Ok(and_close(plain(refused.status, refused.reason))),
+        Err(error) => {
+            return Ok(with_connection_close(text_response(
+                error.status,
+                error.reason,
+            )))
+        }
     };
     if shell.is_full() {
-        return Ok(and_close(rejected_for(RETRY_AFTER_FULL)));
+        return Ok(with_connection_close(rejected_with_retry_after(
+            RETRY_AFTER_AT_LIMIT,
+        )));
     }
     let spent = arrived.elapsed().as_nanos() as Nanos + shell.site.listener.response_margin;
     let attributes = RequestAttributes {
@@ -54,11 +61,11 @@
     if let Some(service) = takeover.filter(|_| request.protection.is_some()) {
         return Ok(exactly_once::serve(shell, service, attributes, request).await);
     }
-    let (responder, answered) = oneshot::channel();
+    let (responder, receiver) = oneshot::channel();
     let request = shell.dispatch(attributes, request, responder);
     let client = ClientGuard { shell, request };
-    let response = answered.await;
-    // An engine that stops with a request in flight is a fault; the client gets an answer that promises nothing.
+    let response = receiver.await;
+    // The sender is dropped only by a bug in the engine. The client then gets a response that promises nothing.
     let response = response.unwrap_or_else(|_| failed(false));
     drop(client);
     Ok(response)
--- a/crates/sidecar/src/request_reader.rs
+++ b/crates/sidecar/src/request_reader.rs
@@ -1,4 +1,4 @@
-//! Reads a client's request in full, so that it can be sent again, and refuses what is none.
+//! Reads a client's request completely, so that it can be sent several times, and rejects invalid requests.
 
 use crate::engine::RequestAttributes;
 use crate::headers::{self, IDEMPOTENCY_KEY};
@@ -17,49 +17,49 @@
 use std::time::Duration;
 use tokio::time::timeout;
 
-/// Why a request was refused before it was taken.
-pub struct Refused {
-    /// The status of the answer.
+/// Why a request was rejected before it was dispatched.
+pub struct RequestError {
+    /// The status of the HTTP response.
     pub status: StatusCode,
-    /// Its text.
+    /// The body of the HTTP response.
     pub reason: &'static str,
 }
 
-impl Refused {
-    const fn new(status: StatusCode, reason: &'static str) -> Refused {
-        Refused { status, reason }
+impl RequestError {
+    const fn new(status: StatusCode, reason: &'static str) -> RequestError {
+        RequestError { status, reason }
     }
 
-    const fn bad_request(reason: &'static str) -> Refused {
-        Refused::new(StatusCode::BAD_REQUEST, reason)
+    const fn bad_request(reason: &'static str) -> RequestError {
+        RequestError::new(StatusCode::BAD_REQUEST, reason)
     }
 }
 
-const TOO_LARGE: Refused = Refused::new(
+const TOO_LARGE: RequestError = RequestError::new(
     StatusCode::PAYLOAD_TOO_LARGE,
     "the body is over the limit\n",
 );
 
-/// Reads a request in full.
+/// Reads a request completely.
 ///
 /// # Errors
-/// No route takes it, a header is malformed, or its body is too long, too slow or broke off.
+/// Fails if no route matches, if a header is malformed, or if the body is too long, too slow or incomplete.
 pub async fn read(
     shell: &Rc<Shell>,
     request: Request<Incoming>,
-) -> Result<(RequestAttributes, PreparedRequest), Refused> {
+) -> Result<(RequestAttributes, PreparedRequest), RequestError> {
     let (parts, body) = request.into_parts();
     let routes = shell.routes();
     let route = find_route(&routes, &parts)?;
     check_idempotency_key(&parts.headers, &route)?;
-    let tenant_name = text(&parts.headers, &shell.site.headers.tenant);
+    let tenant_name = header_text(&parts.headers, &shell.site.headers.tenant);
     let tenant = tenant_name.and_then(|name| Some((name, routes.tenant(name)?)));
     let index = tenant.and_then(|(_, tenant)| tenant.index);
     let attributes = attributes(shell, &parts.headers, &route, index)?;
     let takeover = shell.takeover.as_ref();
     let takeover = takeover.filter(|_| route.backup != BackupMode::Off);
     let tenant = takeover.and(tenant).map(|(name, _)| name.to_string());
-    // A request that waits for its body holds its own route, not the table.
+    // While it waits for its body, a request holds only its own route, not the complete route table.
     drop(routes);
     let body = read_body(shell, body).await?;
     let mut headers = parts.headers;
@@ -89,20 +89,20 @@
     Ok((attributes, prepared))
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name).map(|value| value.to_str().unwrap_or(""))
 }
 
-fn find_route(routes: &RouteTable, parts: &Parts) -> Result<Rc<Route>, Refused> {
+fn find_route(routes: &RouteTable, parts: &Parts) -> Result<Rc<Route>, RequestError> {
     let route = routes.find(parts.method.as_str(), parts.uri.path());
     route.cloned().ok_or_else(|| {
         if routes.awaits_configuration() {
-            Refused::new(
+            RequestError::new(
                 StatusCode::SERVICE_UNAVAILABLE,
                 "no configuration has been heard yet; a retry is harmless\n",
             )
         } else {
-            Refused::new(
+            RequestError::new(
                 StatusCode::NOT_FOUND,
                 "no path group takes this method and path\n",
             )
@@ -110,29 +110,29 @@
     })
 }
 
-fn check_idempotency_key(headers: &HeaderMap, route: &Route) -> Result<(), Refused> {
+fn check_idempotency_key(headers: &HeaderMap, route: &Route) -> Result<(), RequestError> {
     match headers.get(IDEMPOTENCY_KEY) {
-        Some(key) if !headers::is_idempotency_key(key.as_bytes()) => Err(Refused::bad_request(
-            "Idempotency-Key: expected a text in quotes\n",
-        )),
-        None if route.rules.idempotency == Idempotency::Keyed => Err(Refused::bad_request(
+        Some(key) if !headers::is_idempotency_key(key.as_bytes()) => Err(
+            RequestError::bad_request("Idempotency-Key: expected a text in quotes\n"),
+        ),
+        None if route.rules.idempotency == Idempotency::Keyed => Err(RequestError::bad_request(
             "Idempotency-Key: needed by this path group\n",
         )),
         _ => Ok(()),
     }
 }
 
-/// Reads what the decisions see of a request.
+/// Reads the properties of a request that decisions depend on.
 fn attributes(
     shell: &Shell,
     headers: &HeaderMap,
     route: &Route,
     tenant: Option<usize>,
-) -> Result<RequestAttributes, Refused> {
+) -> Result<RequestAttributes, RequestError> {
     let names = &shell.site.headers;
-    let asked_time = text(headers, &names.timeout).map(headers::parse_timeout);
-    if asked_time == Some(None) {
-        return Err(Refused::bad_request(
+    let requested_timeout = header_text(headers, &names.timeout).map(headers::parse_timeout);
+    if requested_timeout == Some(None) {
+        return Err(RequestError::bad_request(
             "time-out: expected up to 8 digits and H, M, S, m, u or n\n",
         ));
     }
@@ -141,17 +141,17 @@
         route_class: route.route_class(),
         tenant,
         key: key.map_or(0, |key| stable_hash(key.as_bytes())),
-        // A client may wait less than its route class allows, never longer.
-        remaining: asked_time
+        // A client may ask for a shorter timeout than its route class has, never for a longer one.
+        remaining: requested_timeout
             .flatten()
             .unwrap_or(Nanos::MAX)
             .min(route.rules.client_timeout),
-        cost_hint: text(headers, &names.cost_hint).and_then(headers::parse_cost_hint),
+        cost_hint: header_text(headers, &names.cost_hint).and_then(headers::parse_cost_hint),
         is_retry: false,
     })
 }
 
-async fn read_body(shell: &Shell, body: Incoming) -> Result<Bytes, Refused> {
+async fn read_body(shell: &Shell, body: Incoming) -> Result<Bytes, RequestError> {
     let limits = &shell.site.listener;
     if body.size_hint().lower() > limits.max_body_bytes as u64 {
         return Err(TOO_LARGE);
@@ -163,8 +163,8 @@
     match timeout(Duration::from_nanos(limits.body_timeout), collected).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) if error.downcast_ref::<LengthLimitError>().is_some() => Err(TOO_LARGE),
-        Ok(Err(_)) => Err(Refused::bad_request("the body broke off\n")),
-        Err(_) => Err(Refused::new(
+        Ok(Err(_)) => Err(RequestError::bad_request("the body broke off\n")),
+        Err(_) => Err(RequestError::new(
             StatusCode::REQUEST_TIMEOUT,
             "the body took too long\n",
         )),
--- a/crates/sidecar/src/state_report.rs
+++ b/crates/sidecar/src/state_report.rs
@@ -1,4 +1,4 @@
-//! What `GET /state` shows, as JSON. Its names are those of `docs/running.md` and `docs/takeover.md`.
+//! The JSON that `GET /state` returns. Its keys are documented in `docs/running.md` and `docs/takeover.md`.
 
 use crate::membership::MembershipStatus;
 use crate::shell::Shell;
@@ -7,9 +7,9 @@
 
 const NANOS_PER_MILLI: u64 = 1_000_000;
 
-/// Builds what an operator sees of a sidecar.
+/// Builds the state of a sidecar that operators see.
 pub fn state_report(shell: &Shell) -> Value {
-    let mut state = engine(shell);
+    let mut state = engine_report(shell);
     if let Some(configuration) = shell.configuration.get() {
         state["configuration"] = configuration.state();
     }
@@ -24,7 +24,7 @@
     state
 }
 
-fn engine(shell: &Shell) -> Value {
+fn engine_report(shell: &Shell) -> Value {
     let status = shell.status();
     let stage = status.stage.map(|stage| {
         json!({
@@ -40,7 +40,7 @@
         "hits_in_flight": status.requests,
         "pods_running": status.running_pods,
         "stage": stage,
-        "sums": {"failures": sums.failures, "slow": sums.slow, "by_share": sums.by_share},
+        "sums": {"failures": sums.failures, "slow": sums.slow, "by_share": sums.alternating_periods},
     })
 }
 
