--- a/crates/platform/src/attempt.rs
+++ b/crates/platform/src/attempt.rs
@@ -1,11 +1,11 @@
-//! Sends one attempt to a pod and tells the engine how it ended.
+//! Sends one attempt to a pod and reports its result to the engine.
 
 use crate::attempt_outcome::{
-    end_of, end_without_connection, on_write_failure, reuse_of, WriteFailure,
+    attempt_end, end_without_connection, on_write_failure, reuse_outcome, WriteFailureAction,
 };
 use crate::counters::{increment, CountGuard};
-use crate::idle_timeout::Reuse;
-use crate::pod_pool::{PodConnection, Wanted};
+use crate::idle_timeout::ReuseOutcome;
+use crate::pod_pool::{ConnectionSource, PodConnection};
 use crate::pod_response::{self, PodResponse, ResponseError};
 use crate::prepared_request::PreparedRequest;
 use crate::shell::{Body, Shell};
@@ -23,18 +23,18 @@
 
 type AttemptResponse = Response<Body>;
 
-/// One attempt on its way.
+/// One attempt in progress.
 struct Attempt {
     shell: Rc<Shell>,
     request: Rc<PreparedRequest>,
     id: AttemptId,
     pod: PodId,
     timeout: Duration,
-    /// Set once the last byte is written: before that the pod cannot have begun.
+    /// Set once the last byte is written: before that the pod cannot have started on the request.
     written: Cell<bool>,
 }
 
-/// Carries one attempt out and tells the engine how it ended. Where its time runs out its connection is closed.
+/// Runs one attempt and reports its result to the engine. On a time-out its connection is closed.
 pub(crate) async fn send(
     shell: Rc<Shell>,
     request: Rc<PreparedRequest>,
@@ -73,25 +73,25 @@
             Ok(response) => self.finish(response, address, connection),
             Err(error) => {
                 self.log_unusable(&connection, error);
-                pods.pool.record_reuse(&connection, reuse_of(error));
+                pods.pool.record_reuse(&connection, reuse_outcome(error));
                 AttemptEnd::Reset.into()
             }
         }
     }
 
-    /// Writes the request whole on an idle or new connection, and once more on a new one where the idle one broke.
+    /// Writes the complete request to an idle or new connection; if the idle one is broken, again to a new one.
     async fn write(&self, address: SocketAddr) -> Result<PodConnection, AttemptEnd> {
         let began = Instant::now();
         let pool = &self.shell.pods.pool;
-        let mut wanted = Wanted::IdleOrNew;
+        let mut source = ConnectionSource::IdleOrNew;
         loop {
             let mut connection = pool
-                .take(address, wanted)
+                .acquire(address, source)
                 .await
                 .map_err(end_without_connection)?;
-            // It was chosen before it had a connection: the pod may drain by now, or its build be closed.
+            // The pod was chosen before this wait for a connection: it may be draining by now, or its build closed.
             if !self.shell.may_send(self.id) {
-                pool.give_back(address, connection);
+                pool.release(address, connection);
                 return Err(AttemptEnd::NotSent);
             }
             let remaining = self.timeout.saturating_sub(began.elapsed());
@@ -100,10 +100,10 @@
                 return Ok(connection);
             }
             match on_write_failure(connection.idle_before) {
-                WriteFailure::GiveUp => return Err(AttemptEnd::ConnectFailed),
-                WriteFailure::UseNewConnection => {
-                    pool.record_reuse(&connection, Reuse::Broken);
-                    wanted = Wanted::New;
+                WriteFailureAction::Fail => return Err(AttemptEnd::ConnectFailed),
+                WriteFailureAction::RetryOnNewConnection => {
+                    pool.record_reuse(&connection, ReuseOutcome::Broken);
+                    source = ConnectionSource::New;
                 }
             }
         }
@@ -116,13 +116,13 @@
         connection: PodConnection,
     ) -> AttemptResult<AttemptResponse> {
         let pods = &self.shell.pods;
-        pods.pool.record_reuse(&connection, Reuse::Answered);
+        pods.pool.record_reuse(&connection, ReuseOutcome::Answered);
         if response.is_reusable {
-            pods.pool.give_back(address, connection);
+            pods.pool.release(address, connection);
         }
         let report = response.headers.get(LOAD_REPORT);
         let load = report.and_then(|report| pods.decode_load(report.as_bytes()));
-        let end = end_of(response.status, &response.headers);
+        let end = attempt_end(response.status, &response.headers);
         let delivered = (end == AttemptEnd::Served).then(|| client_response(response));
         AttemptResult {
             end,
@@ -144,7 +144,7 @@
     }
 }
 
-/// Returns the response for the client: the pod's body and headers, but for those of one connection.
+/// Returns the response for the client: the pod's body, and its headers without the hop-by-hop ones.
 fn client_response(response: PodResponse) -> AttemptResponse {
     let mut headers = response.headers;
     strip_hop_by_hop(&mut headers);
--- a/crates/platform/src/attempt_outcome.rs
+++ b/crates/platform/src/attempt_outcome.rs
@@ -1,11 +1,11 @@
-//! Decides what a pod's response, or the lack of one, means for an attempt and for its connection.
+//! Decides what the response of a pod, or the lack of one, means for an attempt and for its connection.
 //!
-//! The table is the protocol's, "what comes back". Tests: `tests/unit/attempt_outcome.rs`; over sockets `tests/traps.rs`,
-//! `each_response_of_a_pod_has_its_outcome`, and
-//! `tests/crossings.rs`, `a_kept_connection_reset_under_a_request_counts_as_may_have_run`.
+//! It follows the table "what comes back" of the protocol. Tests: `tests/unit/attempt_outcome.rs`; over sockets
+//! `tests/protocol.rs`, `each_response_of_a_pod_has_its_outcome`, and `tests/races.rs`,
+//! `a_request_on_a_kept_connection_that_is_closed_counts_as_may_have_run`.
 
-use crate::idle_timeout::Reuse;
-use crate::pod_pool::NoConnection;
+use crate::idle_timeout::ReuseOutcome;
+use crate::pod_pool::AcquireError;
 use crate::pod_response::ResponseError;
 use crate::wire_headers::UNPROCESSED;
 use havenplank::interface::AttemptEnd;
@@ -13,9 +13,9 @@
 use hyper::StatusCode;
 use std::time::Duration;
 
-/// Returns how an attempt ended by its response: served by a 200 alone; 503 and 504 with the header that says so never
-/// ran; anything else may have run.
-pub(crate) fn end_of(status: StatusCode, headers: &HeaderMap) -> AttemptEnd {
+/// Returns how an attempt ended that got a response: only 200 is served; 503 and 504 with the unprocessed header never
+/// ran; any other response may have run.
+pub(crate) fn attempt_end(status: StatusCode, headers: &HeaderMap) -> AttemptEnd {
     if status == StatusCode::OK {
         return AttemptEnd::Served;
     }
@@ -30,45 +30,45 @@
     AttemptEnd::Failed
 }
 
-/// Returns how an attempt or health check ended that got no connection.
-pub(crate) fn end_without_connection(reason: NoConnection) -> AttemptEnd {
+/// Returns how an attempt or health check without a connection ended.
+pub(crate) fn end_without_connection(reason: AcquireError) -> AttemptEnd {
     match reason {
-        NoConnection::Pod => AttemptEnd::ConnectFailed,
-        NoConnection::Permits => AttemptEnd::NotSent,
+        AcquireError::PodUnreachable => AttemptEnd::ConnectFailed,
+        AcquireError::NoPermit => AttemptEnd::NotSent,
     }
 }
 
-/// Returns how a health check ended by its response.
-pub(crate) fn health_check_end_of(status: StatusCode) -> AttemptEnd {
+/// Returns how a health check ended that got a response.
+pub(crate) fn health_check_end(status: StatusCode) -> AttemptEnd {
     match status {
         StatusCode::OK => AttemptEnd::Served,
         _ => AttemptEnd::Failed,
     }
 }
 
-/// Returns what an unusable response says about keeping connections idle: one that ended before any byte of a response
-/// may have been forgotten while it was idle.
-pub(crate) fn reuse_of(error: ResponseError) -> Reuse {
+/// Returns the outcome of reusing a connection whose response was unusable. A connection that ended before any byte of
+/// the response may have been dropped on the path while it was idle.
+pub(crate) fn reuse_outcome(error: ResponseError) -> ReuseOutcome {
     match error {
-        ResponseError::ClosedUnanswered | ResponseError::ResetUnanswered => Reuse::Broken,
-        _ => Reuse::Answered,
+        ResponseError::ClosedUnanswered | ResponseError::ResetUnanswered => ReuseOutcome::Broken,
+        _ => ReuseOutcome::Answered,
     }
 }
 
-/// What to do where a request could not be written whole: it has never run.
+/// What to do after a request could not be written completely, so that it cannot have run.
 #[derive(Debug, PartialEq)]
-pub(crate) enum WriteFailure {
-    /// The pod closed a kept connection meanwhile: write it on a new one.
-    UseNewConnection,
-    /// The pod is out of reach.
-    GiveUp,
+pub(crate) enum WriteFailureAction {
+    /// The pod closed the idle connection: write the request to a new one.
+    RetryOnNewConnection,
+    /// The pod is unreachable: end the attempt.
+    Fail,
 }
 
-/// Decides by how long the connection had been idle; none where the request was its first.
-pub(crate) fn on_write_failure(idle_before: Option<Duration>) -> WriteFailure {
+/// Decides by how long the connection had been idle; `None` if the request was its first.
+pub(crate) fn on_write_failure(idle_before: Option<Duration>) -> WriteFailureAction {
     match idle_before {
-        Some(_) => WriteFailure::UseNewConnection,
-        None => WriteFailure::GiveUp,
+        Some(_) => WriteFailureAction::RetryOnNewConnection,
+        None => WriteFailureAction::Fail,
     }
 }
 
--- a/crates/platform/src/client_connection.rs
+++ b/crates/platform/src/client_connection.rs
@@ -1,17 +1,18 @@
-//! A client's connection: its stream, what it is at, and the task that serves it.
+//! A client connection: its stream, its state and the task that serves it.
 
-use crate::connection_slots::{Activity, ConnectionSlot};
+use crate::connection_slots::{Activity, ConnectionState};
 use havenplank_sidecar::client_stream::ClientStream;
 use std::cell::{Cell, RefCell};
 use std::time::Instant;
 use tokio::net::TcpStream;
 use tokio::task::AbortHandle;
 
-/// A client's connection.
+/// A client connection.
 pub(crate) struct ClientConnection {
     pub(crate) stream: ClientStream,
-    /// As it was last set; whether a request is being read the stream tells.
-    slot: Cell<ConnectionSlot>,
+    /// The state as last set. `Activity::Reading` is never stored here: [`ClientConnection::state`] derives it from the
+    /// stream.
+    state: Cell<ConnectionState>,
     task: RefCell<Option<AbortHandle>>,
 }
 
@@ -19,58 +20,59 @@
     pub(crate) fn new(stream: TcpStream) -> ClientConnection {
         ClientConnection {
             stream: ClientStream::new(stream),
-            slot: Cell::new(ConnectionSlot::new(Instant::now())),
+            state: Cell::new(ConnectionState::new(Instant::now())),
             task: RefCell::default(),
         }
     }
 
-    /// Returns the connection as it stands now.
-    pub(crate) fn slot(&self) -> ConnectionSlot {
+    /// Returns the present state, updated by what the stream has read and written meanwhile.
+    pub(crate) fn state(&self) -> ConnectionState {
         if let Some(written_at) = self.stream.take_response_written() {
-            self.slot.set(ConnectionSlot {
+            self.state.set(ConnectionState {
                 idle_since: written_at,
                 activity: Activity::Idle,
-                ..self.slot.get()
+                ..self.state.get()
             });
         }
-        let mut slot = self.slot.get();
-        if let (Activity::Idle, Some(began)) = (slot.activity, self.stream.request_began()) {
-            slot.activity = Activity::Reading { began };
+        let mut state = self.state.get();
+        if let (Activity::Idle, Some(began)) = (state.activity, self.stream.request_began()) {
+            state.activity = Activity::Reading { began };
         }
-        slot
+        state
     }
 
     fn set_activity(&self, activity: Activity) {
-        self.slot.set(ConnectionSlot {
+        self.state.set(ConnectionState {
             activity,
-            ..self.slot.get()
+            ..self.state.get()
         });
     }
 
-    /// HTTP has read a request's head. The response before it is settled first.
+    /// Records that the HTTP server has read the head of a request. Reading the state first records the end of the
+    /// previous response.
     pub(crate) fn begin_response(&self) {
-        self.slot();
+        self.state();
         self.set_activity(Activity::Responding { write_by: None });
     }
 
-    /// A response is handed over to HTTP; `deadline` is that of its request, where it had one.
+    /// Records that a response was passed to the HTTP server; `deadline` is that of its request, if any.
     pub(crate) fn hand_over_response(&self, deadline: Option<Instant>) {
-        let write_by = ConnectionSlot::write_by(Instant::now(), deadline);
+        let write_by = ConnectionState::write_by(Instant::now(), deadline);
         self.set_activity(Activity::Responding {
             write_by: Some(write_by),
         });
     }
 
-    /// A request was read whole.
+    /// Records that a complete request was read.
     pub(crate) fn mark_requested(&self) {
-        self.slot.set(ConnectionSlot {
+        self.state.set(ConnectionState {
             has_requested: true,
-            ..self.slot.get()
+            ..self.state.get()
         });
     }
 
-    /// Returns whether a request has come of which nothing was read: it lies in the socket, and the runtime has not
-    /// polled it yet.
+    /// Returns whether a request has arrived of which nothing was read yet: its bytes are in the socket, which the
+    /// runtime has not polled since.
     pub(crate) fn has_unread_request(&self) -> bool {
         self.stream.request_began().is_none() && self.stream.has_unread()
     }
@@ -80,7 +82,7 @@
         *self.task.borrow_mut() = Some(task);
     }
 
-    /// Ends the task that serves the connection, which closes it.
+    /// Aborts the task that serves the connection, which closes the connection.
     pub(crate) fn abort(&self) {
         let task = self.task.borrow_mut().take();
         if let Some(task) = task {
--- a/crates/platform/src/client_session.rs
+++ b/crates/platform/src/client_session.rs
@@ -1,9 +1,9 @@
-//! Serves one client's connection over HTTP until either side ends it or it is due to close.
+//! Serves HTTP on one client connection until either side closes it or its deadline passes.
 
 use crate::client_connection::ClientConnection;
 use crate::connection_slots::Activity;
 use crate::limits::{MAX_HEADERS, MAX_HEAD_BYTES, UNREAD_GRACE};
-use crate::request_handler::{handle, Handled};
+use crate::request_handler::{handle, HandledRequest};
 use crate::shell::{Body, Shell};
 use havenplank_sidecar::client_stream::TrackedBody;
 use hyper::body::Incoming;
@@ -20,42 +20,43 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, Sleep};
 
-/// When the process was told to stop; none until then.
+/// When the process was told to stop; `None` until then.
 pub(crate) type StopTime = Option<Instant>;
 
 /// What ended a connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum EndedBy {
-    /// HTTP: the client closed, or the response said so.
+    /// The HTTP server: the client closed, or the response carried `connection: close`.
     Http,
-    /// We: it was due to close.
+    /// The sidecar: the connection's deadline passed.
     Deadline,
 }
 
-/// Serves a connection to its end.
+/// Serves a connection until it ends, then drains it where a reset could destroy a response.
 pub(crate) async fn run(
     shell: &Rc<Shell>,
     client: &Rc<ClientConnection>,
     stop: watch::Receiver<StopTime>,
 ) {
     let ended_by = serve_http(shell, client, stop).await;
-    // HTTP is dropped by now, and a request that was on it has ended. Bytes beyond a response, or a request that
-    // crosses our close, are read and dropped first. A client that was silent from the start, and one that does not
-    // read its response, need not be drained: a reset destroys nothing that they would still read.
-    let slot = client.slot();
-    let is_responding = matches!(slot.activity, Activity::Responding { .. });
-    if ended_by == EndedBy::Http || slot.has_requested && !is_responding {
+    // The HTTP server is dropped by now, and the request that it was serving has ended. Closing with unread bytes
+    // would send a reset, so bytes after the last request, or a request that crosses the sidecar's close, are read
+    // and dropped first. A client that never sent a request, and one that does not read its response, are not
+    // drained: a reset destroys nothing that they would still read.
+    let state = client.state();
+    let is_responding = matches!(state.activity, Activity::Responding { .. });
+    if ended_by == EndedBy::Http || state.has_requested && !is_responding {
         client.stream.drain().await;
     }
 }
 
-/// Handles one request, noting on the connection when it is handed over and by when it must be written.
+/// Handles one request and sets the time by which its response must be written.
 async fn respond(
     shell: Rc<Shell>,
     client: Rc<ClientConnection>,
     request: Request<Incoming>,
 ) -> Result<Response<TrackedBody<Body>>, Infallible> {
-    let Handled { response, deadline } = handle(shell, client.clone(), request).await;
+    let HandledRequest { response, deadline } = handle(shell, client.clone(), request).await;
     client.hand_over_response(deadline);
     Ok(response.map(|body| client.stream.track_body(body)))
 }
@@ -80,12 +81,12 @@
     let mut not_before = Instant::now();
     let mut stop_changes = stop.clone();
     loop {
-        // The connection first, so that what is due is seen as it has left it.
+        // Polls the connection first, so that the deadline reflects the activity that this poll leaves behind.
         let ended = poll_fn(|cx| {
             if connection.as_mut().poll(cx).is_ready() {
                 return Poll::Ready(EndedBy::Http);
             }
-            let closes_at = client.slot().closes_at(*stop.borrow());
+            let closes_at = client.state().closes_at(*stop.borrow());
             poll_deadline(timer.as_mut(), cx, closes_at, not_before)
         });
         let is_stopping = stop.borrow().is_some();
@@ -96,16 +97,16 @@
                 Err(_) => return EndedBy::Deadline,
             },
         }
-        let is_quiet = client.slot().activity == Activity::Idle;
-        if !(is_quiet && client.stream.has_unread()) {
+        let is_idle = client.state().activity == Activity::Idle;
+        if !(is_idle && client.stream.has_unread()) {
             return EndedBy::Deadline;
         }
-        // A request came just now: HTTP reads it at its next turn.
+        // A request has just arrived; the HTTP server reads it when it is polled next.
         not_before = Instant::now() + UNREAD_GRACE;
     }
 }
 
-/// Waits for the time at which the connection closes, but not before `not_before`; for ever where there is none.
+/// Waits until the later of `closes_at` and `not_before`; forever if `closes_at` is `None`.
 fn poll_deadline(
     mut timer: Pin<&mut Sleep>,
     cx: &mut Context<'_>,
--- a/crates/platform/src/client_table.rs
+++ b/crates/platform/src/client_table.rs
@@ -1,8 +1,8 @@
-//! The clients' connections that are open, bounded by the descriptor budget.
+//! The open client connections, bounded by the descriptor budget.
 
 use crate::client_connection::ClientConnection;
 use crate::connection_slots::{
-    eviction_candidate, idle_candidate, Activity, ConnectionId, ConnectionSlot, DescriptorBudget,
+    eviction_candidate, idle_candidate, Activity, ConnectionId, ConnectionState, DescriptorBudget,
 };
 use crate::counters::increment;
 use crate::in_flight_ids::InFlightIds;
@@ -11,25 +11,25 @@
 use std::rc::Rc;
 use std::time::Instant;
 
-/// Connections on which no request was read yet.
+/// Numbers of connections on which no complete request has been read yet.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct SilentCounts {
-    /// All of them.
+    /// All such connections.
     pub(crate) all: usize,
-    /// Those on which a request has begun.
+    /// Those that have received the first bytes of a request.
     pub(crate) reading: usize,
 }
 
-/// The clients' connections, and the ids of their requests.
+/// The open client connections and the ids of their requests in flight.
 pub(crate) struct ClientTable {
     budget: DescriptorBudget,
-    /// Bounded by the budget; one leaves with its connection.
+    /// Bounded by the budget; an entry is removed when its connection closes.
     connections: RefCell<HashMap<ConnectionId, Rc<ClientConnection>>>,
     next_id: Cell<ConnectionId>,
     pub(crate) in_flight_ids: InFlightIds,
-    /// Requests answered unread as invalid, since the start.
+    /// Requests rejected as invalid since the process started.
     pub(crate) invalid_requests: Cell<u64>,
-    /// Connections closed for others, since the start.
+    /// Connections closed to make room for others since the process started.
     pub(crate) evicted: Cell<u64>,
 }
 
@@ -45,12 +45,12 @@
         }
     }
 
-    pub(crate) fn open(&self) -> usize {
+    pub(crate) fn open_count(&self) -> usize {
         self.connections.borrow().len()
     }
 
     pub(crate) fn is_full(&self) -> bool {
-        self.open() >= self.budget.clients
+        self.open_count() >= self.budget.clients
     }
 
     /// Adds a connection and returns its id.
@@ -64,17 +64,17 @@
         self.connections.borrow_mut().remove(&id);
     }
 
-    fn slots(&self) -> Vec<(ConnectionId, ConnectionSlot)> {
+    fn states(&self) -> Vec<(ConnectionId, ConnectionState)> {
         let connections = self.connections.borrow();
-        let slots = connections.iter().map(|(id, client)| (*id, client.slot()));
-        slots.collect()
+        let states = connections.iter().map(|(id, client)| (*id, client.state()));
+        states.collect()
     }
 
-    pub(crate) fn silent(&self) -> SilentCounts {
+    pub(crate) fn silent_counts(&self) -> SilentCounts {
         let connections = self.connections.borrow();
         let mut counts = SilentCounts::default();
         for client in connections.values() {
-            if client.slot().has_requested {
+            if client.state().has_requested {
                 continue;
             }
             counts.all += 1;
@@ -83,35 +83,35 @@
         counts
     }
 
-    /// Returns how many connections have a request on them that is read and whose response is not written yet.
-    pub(crate) fn responding(&self) -> usize {
+    /// Returns the number of connections whose request has been read and whose response is not fully written yet.
+    pub(crate) fn responding_count(&self) -> usize {
         let connections = self.connections.borrow();
         let responding = |client: &&Rc<ClientConnection>| {
-            matches!(client.slot().activity, Activity::Responding { .. })
+            matches!(client.state().activity, Activity::Responding { .. })
         };
         connections.values().filter(responding).count()
     }
 
-    /// Closes the connection idle the longest where those that sent a request exceed their budget.
+    /// Closes the longest idle connection if those that have sent a request reach their budget.
     pub(crate) fn close_surplus_idle(&self) {
-        self.close_chosen(|slots| idle_candidate(slots, self.budget));
+        self.close_chosen(|states| idle_candidate(states, self.budget));
     }
 
-    /// Closes the connection that goes first; returns whether one could.
-    pub(crate) fn make_room(&self) -> bool {
-        self.close_chosen(|slots| eviction_candidate(slots, Instant::now()))
+    /// Closes the connection that is first in the order of eviction. Returns false if none may be closed.
+    pub(crate) fn evict_one(&self) -> bool {
+        self.close_chosen(|states| eviction_candidate(states, Instant::now()))
     }
 
-    /// Closes the connection that is chosen to go, passing over those on which a request has just come.
+    /// Closes the connection that `choose` returns, skipping those on which a request has just arrived.
     fn close_chosen(
         &self,
-        choose: impl Fn(&[(ConnectionId, ConnectionSlot)]) -> Option<ConnectionId>,
+        choose: impl Fn(&[(ConnectionId, ConnectionState)]) -> Option<ConnectionId>,
     ) -> bool {
-        let mut slots = self.slots();
-        while let Some(chosen) = choose(&slots) {
+        let mut states = self.states();
+        while let Some(chosen) = choose(&states) {
             let client = self.connections.borrow().get(&chosen).cloned();
             let Some(client) = client.filter(|client| !client.has_unread_request()) else {
-                slots.retain(|(id, _)| *id != chosen);
+                states.retain(|(id, _)| *id != chosen);
                 continue;
             };
             self.remove(chosen);
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -1,4 +1,4 @@
-//! The configuration file of the platform, decoded into what the parts take.
+//! Decodes the configuration file of the platform into the settings of the engine and of the sockets.
 
 use crate::control_plane::messages::decode_stage;
 use crate::discovery::list_update::{self, ListUpdate};
@@ -14,51 +14,52 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Descriptors of the process. With more, shares of them would not fit the counters of what may be open.
-const DESCRIPTORS: RangeInclusive<usize> = 64..=1 << 20;
-/// Memory of the process, in megabytes.
-const MEMORY_MB: RangeInclusive<u64> = 16..=1 << 16;
+/// Valid numbers of file descriptors of the process. The upper limit keeps the budgets derived from the number within
+/// the range of the counters of open connections.
+const DESCRIPTOR_RANGE: RangeInclusive<usize> = 64..=1 << 20;
+/// Valid sizes of the memory of the process, in megabytes.
+const MEMORY_MB_RANGE: RangeInclusive<u64> = 16..=1 << 16;
 const BYTES_PER_MB: usize = 1_000_000;
 const SEED_RADIX: u32 = 16;
 
 /// The settings of one sidecar, read at its start and again at SIGHUP.
 pub struct Config {
-    /// Where clients connect.
+    /// Address to listen on for clients.
     pub listen: SocketAddr,
-    /// Where discovery is reached.
+    /// Address of discovery.
     pub discovery: SocketAddr,
-    /// Where the control plane is reached.
+    /// Address of the control plane.
     pub control_plane: SocketAddr,
-    /// The state of the newest build, where it is known.
+    /// The stage of the newest build; `None` if the file does not state it.
     pub stage: Option<Stage>,
-    /// The endpoints as this sidecar last had them, with the list's version then.
-    pub known: ListUpdate,
-    /// Seed of the router's random choices and of the jitter between reconnections.
+    /// The endpoint list to start from, as this sidecar last received it.
+    pub initial_list: ListUpdate,
+    /// Seed of the engine's random choices and of the jitter between reconnections.
     pub seed: u64,
-    /// Descriptors that the process may open.
+    /// File descriptors that the process may open.
     pub descriptors: usize,
-    /// Bytes of memory, over which the platform ends the process.
+    /// Memory limit in bytes; the platform kills the process if it exceeds the limit.
     pub memory_bytes: usize,
-    /// What the engine is built from.
+    /// Settings of the engine.
     pub engine: EngineSettings,
-    /// Fields of a load report; none where pods report nothing.
+    /// Fields of a load report; empty if pods report no load.
     pub load_fields: Vec<String>,
-    /// Connections to pods.
+    /// Settings of connections to pods.
     pub pod_connections: PodConnectionSettings,
-    /// How long before a request's deadline its response must leave.
+    /// How long before a request's deadline its response must be sent, in nanoseconds.
     pub response_margin: Nanos,
 }
 
-/// Connections to pods.
+/// Settings of connections to pods.
 #[derive(Clone, Copy, Debug)]
 pub struct PodConnectionSettings {
-    /// Bound on getting a connection.
+    /// Limit on acquiring a connection, which includes waiting for a permit and connecting.
     pub connect_timeout: Duration,
-    /// After which idle time the pod's machine closes a connection, at the latest.
+    /// Idle time after which the pod's machine closes a connection at the latest.
     pub idle_limit: Duration,
 }
 
-/// Why a configuration file was refused.
+/// Why a configuration file was rejected.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
     /// The file cannot be read.
@@ -70,12 +71,12 @@
         #[source]
         source: io::Error,
     },
-    /// Something in it is missing or wrong.
+    /// A field in the file is missing or invalid.
     #[error("{}: {source}", file.display())]
     Invalid {
         /// The file.
         file: PathBuf,
-        /// The field, and what was expected there.
+        /// The path to the field, and what was expected.
         #[source]
         source: FieldError,
     },
@@ -85,7 +86,7 @@
     /// Reads a configuration file.
     ///
     /// # Errors
-    /// A file that cannot be read, or the first field in it that is missing or wrong.
+    /// Fails if the file cannot be read, and at the first field that is missing or invalid.
     pub fn load(file: &Path) -> Result<Config, ConfigError> {
         let text = std::fs::read(file).map_err(|source| ConfigError::Read {
             file: file.to_path_buf(),
@@ -100,7 +101,7 @@
     /// Decodes the text of a configuration file.
     ///
     /// # Errors
-    /// The first field that is missing or wrong.
+    /// Fails at the first field that is missing or invalid.
     pub fn parse(text: &[u8]) -> Result<Config, FieldError> {
         let object = parse_object("configuration", text)?;
         let root = object.of();
@@ -111,7 +112,7 @@
         let seed = seed(&root)?;
         let deployer = root.object("deployer")?;
         let stage = stage(&deployer)?;
-        let known = list_update::decode(&root.object("known")?, UnixTime::now())?;
+        let initial_list = list_update::decode(&root.object("known")?, UnixTime::now())?;
         let name = root.text("name")?.to_string();
         let load_fields = setup.names.load_columns.clone();
         Ok(Config {
@@ -119,7 +120,7 @@
             discovery: address(&root, "discovery")?,
             control_plane: address(&deployer, "address")?,
             stage,
-            known,
+            initial_list,
             seed,
             descriptors,
             memory_bytes,
@@ -139,7 +140,7 @@
 fn descriptors(root: &Fields) -> Result<usize, FieldError> {
     let limits = root.object("limits")?;
     let descriptors = limits.whole("sockets")? as usize;
-    if !DESCRIPTORS.contains(&descriptors) {
+    if !DESCRIPTOR_RANGE.contains(&descriptors) {
         return Err(fields::invalid(
             &limits,
             "sockets",
@@ -152,7 +153,7 @@
 fn memory_bytes(root: &Fields) -> Result<usize, FieldError> {
     let limits = root.object("limits")?;
     let megabytes = limits.whole("memory_mb")?;
-    if !MEMORY_MB.contains(&megabytes) {
+    if !MEMORY_MB_RANGE.contains(&megabytes) {
         return Err(fields::invalid(
             &limits,
             "memory_mb",
--- a/crates/platform/src/connection_slots.rs
+++ b/crates/platform/src/connection_slots.rs
@@ -1,45 +1,47 @@
-//! Decides which clients' connections are kept and which give their place up, and how descriptors are shared out.
+//! Decides which client connections are kept and which are closed, and how the file descriptors are divided between
+//! clients and pods.
 //!
-//! Free of I/O; time is handed in. A listener that is full must still take those who send requests, whoever holds the
-//! places. The test is `tests/connection_slots.rs`.
+//! Free of I/O; the caller passes in times. A full listener must still accept clients that send requests, whichever
+//! connections are open already. Tests: `tests/connection_slots.rs`.
 
 use std::time::{Duration, Instant};
 
-/// Descriptors for what is neither a client's connection nor a pod's: log, runtime, listener, discovery and control
-/// plane with their successors, and connections that close just now.
+/// Descriptors for everything except client and pod connections: log, runtime, listener, two connections each to
+/// discovery and the control plane during a move, and connections that are being closed.
 const OTHER_DESCRIPTORS: usize = 28;
-/// Percentage of the rest that clients' connections may take.
+/// Percentage of the remaining descriptors that client connections may use.
 const CLIENT_PERCENT: usize = 45;
-/// The protocol wants a bad client dealt with within 3 s of connecting.
+/// Limit from connecting to the end of the first request. The protocol requires that a misbehaving client is answered
+/// or closed within 3 s of connecting.
 const FIRST_REQUEST_LIMIT: Duration = Duration::from_millis(2500);
-/// For so long after connecting a connection counts as about to send its first request.
+/// How long after connecting a client is expected to be about to send its first request.
 const NEWCOMER_GRACE: Duration = Duration::from_millis(200);
-/// Bound on reading a request, from its first byte to its last, and on writing a response that has no deadline.
+/// Limit on reading a request, from its first byte to its last, and on writing a response that has no deadline.
 const READ_LIMIT: Duration = Duration::from_secs(2);
-/// For so long past its deadline a response may still be written: by then a client gets it for nothing, and later it
-/// counts as never answered.
+/// How long past its deadline a response may still be written. A response within this time has no value to the client;
+/// after it the request counts as never answered.
 const WRITE_GRACE: Duration = Duration::from_millis(500);
-/// For so long after a stop new connections are taken. They come for 0.2 to 0.4 s after SIGTERM, and a request that
-/// comes later than 0.7 s after it may meet SIGKILL.
+/// How long after SIGTERM new connections are accepted. Clients open new ones for 0.2 to 0.4 s after SIGTERM, and a
+/// request that arrives later than 0.7 s after SIGTERM may be cut off by SIGKILL.
 pub const STOP_ACCEPT_TIME: Duration = Duration::from_millis(600);
-/// The protocol lets a connection without a request close after 2 s.
+/// Idle time after which a connection is closed. The protocol permits closing a connection without a request after 2 s.
 const IDLE_LIMIT: Duration = Duration::from_secs(2);
 
-/// How many connections there may be.
+/// Limits on the numbers of open connections.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct DescriptorBudget {
-    /// Clients' connections.
+    /// Client connections.
     pub clients: usize,
-    /// Clients' connections that sent a request, from which on the one idle the longest closes. All clients together
-    /// hold no more than a third of our descriptors for requests, and where those that ask once and stay hold them
-    /// all the others cannot come: so four fifths of that third.
+    /// Client connections that have sent a request; from this number on, the longest idle one is closed. All clients
+    /// together open at most a third of the sidecar's descriptors for requests. If clients that send one request and
+    /// stay connected held all of these, no other client could connect, so this is four fifths of that third.
     pub active_clients: usize,
     /// Connections to pods.
     pub pods: usize,
 }
 
 impl DescriptorBudget {
-    /// Shares out the descriptors of the process.
+    /// Divides the descriptors of the process.
     pub fn new(descriptors: usize) -> DescriptorBudget {
         let connections = descriptors.saturating_sub(OTHER_DESCRIPTORS);
         let clients = connections * CLIENT_PERCENT / 100;
@@ -51,43 +53,43 @@
     }
 }
 
-/// Identifies a client's connection; never given twice.
+/// Identifies a client connection; never reused.
 pub type ConnectionId = u64;
 
-/// What a client's connection is at.
+/// What a client connection is doing.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Activity {
-    /// No request is on it.
+    /// No request is in progress.
     Idle,
-    /// A request that began then is being read.
+    /// A request is being read.
     Reading {
-        /// When its first byte came.
+        /// When the first byte of the request was received.
         began: Instant,
     },
-    /// A request was read and its response is not written yet.
+    /// A request was read and its response is not fully written yet.
     Responding {
-        /// By when the response must be written; none until it was handed over.
+        /// Time by which the response must be written; `None` until the HTTP server was given the response.
         write_by: Option<Instant>,
     },
 }
 
-/// A client's connection as it stands.
+/// The state of a client connection.
 #[derive(Clone, Copy, Debug)]
-pub struct ConnectionSlot {
-    /// When it was accepted.
+pub struct ConnectionState {
+    /// When the connection was accepted.
     pub connected: Instant,
-    /// Since when it carries no request.
+    /// When its last response was written; when the connection was accepted, if there was none.
     pub idle_since: Instant,
-    /// What it is at.
+    /// What the connection is doing.
     pub activity: Activity,
-    /// Whether some request of it was read whole.
+    /// Whether a complete request has been read from the connection.
     pub has_requested: bool,
 }
 
-impl ConnectionSlot {
-    /// A connection that was just accepted.
-    pub fn new(now: Instant) -> ConnectionSlot {
-        ConnectionSlot {
+impl ConnectionState {
+    /// Returns the state of a connection that was just accepted.
+    pub fn new(now: Instant) -> ConnectionState {
+        ConnectionState {
             connected: now,
             idle_since: now,
             activity: Activity::Idle,
@@ -95,7 +97,7 @@
         }
     }
 
-    /// Returns by when a request that began then must be read whole.
+    /// Returns the time by which a request whose first byte came at `began` must be read.
     pub fn read_by(&self, began: Instant) -> Instant {
         let limit = began + READ_LIMIT;
         if self.has_requested {
@@ -104,12 +106,12 @@
         limit.min(self.connected + FIRST_REQUEST_LIMIT)
     }
 
-    /// Returns when it closes if nothing more is received, `stopped_at` being when the process was told to stop; none
-    /// while a request waits for its response.
+    /// Returns when to close the connection if nothing more is received; `None` while a request waits for its response.
+    /// `stopped_at` is when the process was told to stop.
     pub fn closes_at(&self, stopped_at: Option<Instant>) -> Option<Instant> {
         match self.activity {
             Activity::Responding { write_by } => write_by,
-            // A request half read is still taken.
+            // A partly read request is still accepted after a stop.
             Activity::Reading { began } => Some(self.read_by(began)),
             Activity::Idle => Some(self.idle_closes_at(stopped_at)),
         }
@@ -126,13 +128,13 @@
         if self.has_requested {
             return closes_at.min(stopped_at);
         }
-        // It came just now, and is about to send a request.
+        // A client that has just connected is about to send a request.
         let newcomer = (stopped_at + STOP_ACCEPT_TIME).max(self.connected + NEWCOMER_GRACE);
         closes_at.min(newcomer)
     }
 
-    /// Returns by when a response must be written; `deadline` is that of its request, where it had one. A client that
-    /// does not read it by then holds its place no longer.
+    /// Returns the time by which a response must be written; `deadline` is that of its request, if any. A client that
+    /// does not read its response by then is disconnected.
     pub fn write_by(now: Instant, deadline: Option<Instant>) -> Instant {
         match deadline {
             Some(deadline) => deadline.max(now) + WRITE_GRACE,
@@ -159,42 +161,44 @@
     }
 }
 
-/// Which connections go first, in this order.
+/// Ranks of connections that may be evicted; the lowest is evicted first.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 enum EvictionRank {
-    /// It was silent from the start.
+    /// The client has sent no complete request since connecting.
     Silent,
-    /// Its response was written.
+    /// The last response was written, and no further request has begun.
     Idle,
-    /// It came just now and is about to send a request.
+    /// The client has just connected and is about to send a request.
     Newcomer,
-    /// It is in the middle of its next request.
+    /// A further request is being read.
     Reading,
 }
 
-/// Returns the connection idle the longest, where those that sent a request exceed their budget.
+/// Returns the longest idle connection if those that have sent a request reach their budget.
 pub fn idle_candidate(
-    slots: &[(ConnectionId, ConnectionSlot)],
+    connections: &[(ConnectionId, ConnectionState)],
     budget: DescriptorBudget,
 ) -> Option<ConnectionId> {
-    let active = slots.iter().filter(|(_, slot)| slot.has_requested);
+    let active = connections.iter().filter(|(_, state)| state.has_requested);
     if active.clone().count() < budget.active_clients {
         return None;
     }
-    let idle = active.filter(|(_, slot)| slot.is_idle());
-    idle.min_by_key(|(_, slot)| slot.idle_since)
+    let idle = active.filter(|(_, state)| state.is_idle());
+    idle.min_by_key(|(_, state)| state.idle_since)
         .map(|(id, _)| *id)
 }
 
-/// Returns the connection that makes room at a full listener, if one can: of those that were silent from the start the
-/// oldest, else the one idle the longest since its response. One that came just now is about to send a request, and
-/// one in the middle of its next request has begun to: they come last, and one that waits for a response never.
+/// Returns the connection to evict from a full listener, if any: the oldest of those that never sent a request, or
+/// otherwise the one idle the longest since its last response. A new connection, which is about to send a request, and
+/// one whose next request is being read come last. A connection that waits for a response is never evicted.
 pub fn eviction_candidate(
-    slots: &[(ConnectionId, ConnectionSlot)],
+    connections: &[(ConnectionId, ConnectionState)],
     now: Instant,
 ) -> Option<ConnectionId> {
-    let evictable = slots.iter().filter(|(_, slot)| !slot.is_responding());
+    let evictable = connections
+        .iter()
+        .filter(|(_, state)| !state.is_responding());
     evictable
-        .min_by_key(|(_, slot)| (slot.eviction_rank(now), slot.idle_since))
+        .min_by_key(|(_, state)| (state.eviction_rank(now), state.idle_since))
         .map(|(id, _)| *id)
 }
--- a/crates/platform/src/control_plane/messages.rs
+++ b/crates/platform/src/control_plane/messages.rs
@@ -1,4 +1,4 @@
-//! The JSON-RPC messages of the control plane: names and words of the wire are mapped here and nowhere else.
+//! The JSON-RPC messages of the control plane: the only place that knows their methods, fields and values.
 
 use crate::fields::{self, parse_object, FieldError};
 use crate::units::NANOS_PER_MILLI;
@@ -6,15 +6,15 @@
 use havenplank_adapter::line::{Fields, Line};
 use serde_json::json;
 
-/// The id of the call that asks for notifications; votes count on from here.
+/// The JSON-RPC id of the call that subscribes to notifications. The ids of votes follow it.
 const FOLLOW_ID: u64 = 0;
 
-/// Identifies a call on its connection.
+/// A call on a control plane connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) enum Call {
-    /// Asks for notifications.
+    /// Subscribes to notifications.
     Follow,
-    /// Casts the engine's vote of that id.
+    /// Casts the vote with this id of the engine.
     Vote(u64),
 }
 
@@ -27,7 +27,7 @@
     }
 }
 
-/// Returns the line that asks for notifications.
+/// Returns the line that subscribes to notifications.
 pub(super) fn follow_line() -> String {
     let call = json!({"jsonrpc": "2.0", "id": Call::Follow.id(), "method": "follow"});
     format!("{call}\n")
@@ -47,10 +47,10 @@
     format!("{call}\n")
 }
 
-/// Decodes the state of the newest build.
+/// Decodes the stage of the newest build.
 ///
 /// # Errors
-/// The first field that is missing or wrong.
+/// Fails at the first field that is missing or wrong.
 pub(crate) fn decode_stage(fields: &Fields) -> Result<Stage, FieldError> {
     let phase = decode_phase(fields)?;
     let cap = fields.number("ceiling")?;
@@ -87,22 +87,22 @@
     }
 }
 
-/// A wrong answer that a client found.
+/// A report that a client received a wrong response.
 #[derive(Debug, PartialEq)]
 pub(super) struct Fault {
     pub(super) pod: String,
     pub(super) route_class: String,
-    /// How long ago its attempt was sent.
+    /// How long ago the attempt that got the response was sent.
     pub(super) ago: Nanos,
 }
 
-/// A line of the control plane.
+/// A message from the control plane.
 pub(super) enum Message {
-    /// The state of the newest build.
+    /// The stage of the newest build.
     Stage(Stage),
-    /// A wrong answer.
+    /// A wrong response of a pod.
     Fault(Fault),
-    /// A ping, or a notification that is not known here.
+    /// A ping, or a notification that the sidecar does not use.
     Other,
     /// The reply to a call.
     Reply(Reply),
@@ -111,7 +111,7 @@
 /// Decodes one line.
 ///
 /// # Errors
-/// A text that is no object, and the first field that is missing or wrong.
+/// Fails on a line that is not a JSON object, and at the first field that is missing or wrong.
 pub(super) fn decode(line: &str) -> Result<Message, FieldError> {
     let line = parse_object("control plane", line.as_bytes())?;
     let fields = line.of();
@@ -131,34 +131,36 @@
     })
 }
 
-/// Why a reply cannot be used.
+/// Why a reply is unusable.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ReplyError {
     #[error(transparent)]
     Fields(#[from] FieldError),
-    #[error("the control plane refused to send notifications")]
+    #[error("the control plane rejected the subscription to notifications")]
     FollowRefused,
-    #[error("an error that the control plane does not have: {0:?}")]
+    #[error("unknown error message {0:?}, expected throttled, internal, invalid or conflict")]
     UnknownError(String),
 }
 
-/// A reply, read once it is known which call it answers.
+/// A reply to a call. How it is decoded depends on the call that it answers.
 pub(super) struct Reply {
     line: Line,
 }
 
 impl Reply {
-    /// Checks that the reply answers the oldest call without one.
+    /// Checks that the reply answers the oldest unanswered call, and returns that call.
     pub(super) fn check_answers(&self, oldest: Option<Call>) -> Result<Call, ReplyError> {
         let fields = self.line.of();
         let id = fields.whole("id").map_err(FieldError::from)?;
         match oldest {
             Some(call) if call.id() == id => Ok(call),
-            _ => Err(fields::invalid(&fields, "id", "a reply to no call").into()),
+            _ => Err(
+                fields::invalid(&fields, "id", "expected the id of the oldest pending call").into(),
+            ),
         }
     }
 
-    /// Reads the reply to the call that asks for notifications.
+    /// Decodes the reply to the subscription.
     pub(super) fn read_follow(&self) -> Result<(), ReplyError> {
         if self.line.of().maybe_has("error") {
             return Err(ReplyError::FollowRefused);
@@ -166,7 +168,7 @@
         Ok(())
     }
 
-    /// Reads the reply to a vote.
+    /// Decodes the reply to a vote.
     pub(super) fn read_vote(&self) -> Result<VoteReply, ReplyError> {
         let fields = self.line.of();
         if !fields.maybe_has("error") {
--- a/crates/platform/src/control_plane/mod.rs
+++ b/crates/platform/src/control_plane/mod.rs
@@ -1,6 +1,6 @@
-//! The control plane over JSON-RPC: votes and their replies, the state of the newest build, faults of pods.
+//! The control plane protocol over JSON-RPC: votes and their replies, the stage of the newest build, faults of pods.
 //!
-//! `messages` is the wire, `session` one connection. This module casts votes and keeps a session up.
+//! `messages` encodes and decodes, `session` is one connection. This module casts votes and keeps a session running.
 
 pub(crate) mod messages;
 mod session;
@@ -9,7 +9,7 @@
 use crate::limits::VOTE_REPLY_LINGER;
 use crate::reconnect;
 use crate::shell::Shell;
-use crate::vote_queue::Ballot;
+use crate::vote_queue::QueuedVote;
 use havenplank::interface::{Build, Vote, VoteReceipt};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -19,23 +19,23 @@
 use tokio::time::sleep;
 use vote_reply::report_reply;
 
-/// Keeps a session up; ends only when the sender of `address` is dropped.
+/// Keeps a session running until the sender of `address` is dropped.
 pub(crate) async fn follow(shell: Rc<Shell>, address: watch::Receiver<SocketAddr>, seed: u64) {
     let session = |address, liveness| session::run(shell.clone(), address, liveness);
     reconnect::maintain("control plane", address, seed, VOTE_REPLY_LINGER, session).await;
 }
 
-/// Sends a vote and sees to it that the engine hears of its end: one that is not written is rejected, one without a
-/// reply within the call's time-out unknown.
+/// Queues a vote, and makes sure that the engine is told its result: rejected if it is not written, unknown if no
+/// reply comes within the time-out of the call.
 pub(crate) fn cast_vote(shell: &Rc<Shell>, id: u64, build: Build, stage: usize, vote: Vote) {
-    let ballot = Ballot {
+    let queued_vote = QueuedVote {
         vote: id,
         line: messages::vote_line(id, build, stage, vote),
     };
-    let queued = shell.votes.try_send(ballot);
+    let queued = shell.votes.try_send(queued_vote);
     let timeout = Duration::from_nanos(shell.vote_settings.call_timeout);
     let shell = shell.clone();
-    // In a task of its own, as the engine may be in the middle of what asked for it.
+    // In its own task, because the engine may still be inside the call that requested this vote.
     spawn_local(async move {
         if queued {
             sleep(timeout).await;
--- a/crates/platform/src/control_plane/session.rs
+++ b/crates/platform/src/control_plane/session.rs
@@ -1,14 +1,14 @@
-//! One connection to the control plane: calls written, their replies in order, and notifications between them.
+//! One connection to the control plane: calls, their replies in the same order, and notifications in between.
 
 use super::messages::{self, Call, Fault, Message, Reply, ReplyError};
 use super::vote_reply::report_reply;
 use crate::fields::FieldError;
 use crate::limits::{
-    CONTROL_PLANE_SILENCE, CONTROL_PLANE_WRITE_TIMEOUT, MAX_CONTROL_PLANE_LINE_BYTES,
+    CONTROL_PLANE_SILENCE_LIMIT, CONTROL_PLANE_WRITE_TIMEOUT, MAX_CONTROL_PLANE_LINE_BYTES,
 };
 use crate::reconnect::Liveness;
 use crate::shell::Shell;
-use crate::vote_queue::{session_queue, Ballot};
+use crate::vote_queue::{session_queue, QueuedVote};
 use futures_util::StreamExt;
 use havenplank::interface::{Stage, VoteReceipt};
 use std::collections::VecDeque;
@@ -29,13 +29,13 @@
     Connect(#[source] io::Error),
     #[error("cannot connect within {} ms", CONTROL_PLANE_WRITE_TIMEOUT.as_millis())]
     ConnectTimedOut,
-    #[error("cannot ask for notifications: {0}")]
+    #[error("cannot write the subscription to notifications: {0}")]
     Follow(#[source] io::Error),
-    #[error("cannot ask for notifications within {} ms", CONTROL_PLANE_WRITE_TIMEOUT.as_millis())]
+    #[error("cannot write the subscription to notifications within {} ms", CONTROL_PLANE_WRITE_TIMEOUT.as_millis())]
     FollowTimedOut,
-    #[error("no line for {} ms", CONTROL_PLANE_SILENCE.as_millis())]
+    #[error("nothing received for {} ms", CONTROL_PLANE_SILENCE_LIMIT.as_millis())]
     Silent,
-    #[error("a line cannot be read: {0}")]
+    #[error("cannot read a line: {0}")]
     Line(#[from] LinesCodecError),
     #[error(transparent)]
     Fields(#[from] FieldError),
@@ -47,15 +47,16 @@
     Closed,
 }
 
-/// Calls written on a connection and not answered, in order.
+/// One session with the control plane.
 struct Session {
     shell: Rc<Shell>,
-    /// Bounded by the votes that the router has out and the call that asks for notifications.
+    /// Calls written and not answered yet, oldest first. Bounded by the votes that the engine has in flight and the
+    /// subscription.
     pending: VecDeque<Call>,
 }
 
 impl Drop for Session {
-    /// Calls written whole and never answered may count.
+    /// Reports the unanswered votes as unknown: the control plane may have counted them.
     fn drop(&mut self) {
         for call in std::mem::take(&mut self.pending) {
             if let Call::Vote(vote) = call {
@@ -67,26 +68,28 @@
 
 /// Runs one session and returns why it ended.
 pub(super) async fn run(shell: Rc<Shell>, address: SocketAddr, liveness: Liveness) -> SessionError {
-    let (queue, mut ballots) = session_queue();
+    let (queue, mut queued_votes) = session_queue();
     let mut session = Session {
         shell: shell.clone(),
         pending: VecDeque::new(),
     };
     let on_first_line = || {
-        // Only now: a service that takes connections and says nothing gets no votes.
+        // Not before the first line: a service that accepts connections and sends nothing must get no votes.
         shell.votes.attach(queue.clone());
         liveness.confirm();
     };
-    let ended = session.exchange(address, on_first_line, &mut ballots).await;
+    let ended = session
+        .exchange(address, on_first_line, &mut queued_votes)
+        .await;
     shell.votes.detach(&queue);
-    reject_unwritten(&shell, &mut ballots);
+    reject_unwritten(&shell, &mut queued_votes);
     ended.err().unwrap_or(SessionError::Closed)
 }
 
-fn reject_unwritten(shell: &Rc<Shell>, ballots: &mut mpsc::Receiver<Ballot>) {
-    ballots.close();
-    while let Ok(ballot) = ballots.try_recv() {
-        report_reply(shell, ballot.vote, VoteReceipt::Rejected, None);
+fn reject_unwritten(shell: &Rc<Shell>, queued_votes: &mut mpsc::Receiver<QueuedVote>) {
+    queued_votes.close();
+    while let Ok(queued_vote) = queued_votes.try_recv() {
+        report_reply(shell, queued_vote.vote, VoteReceipt::Rejected, None);
     }
 }
 
@@ -101,35 +104,35 @@
 }
 
 impl Session {
-    /// Runs until the control plane closes, falls silent or cannot be read.
+    /// Runs until the control plane closes the connection, falls silent or sends a malformed line.
     async fn exchange(
         &mut self,
         address: SocketAddr,
         on_first_line: impl Fn(),
-        ballots: &mut mpsc::Receiver<Ballot>,
+        queued_votes: &mut mpsc::Receiver<QueuedVote>,
     ) -> Result<(), SessionError> {
         let mut stream = connect(address).await?;
         let (reader, mut writer) = stream.split();
         let codec = LinesCodec::new_with_max_length(MAX_CONTROL_PLANE_LINE_BYTES);
         let mut lines: FramedRead<ReadHalf, LinesCodec> = FramedRead::new(reader, codec);
         self.write_follow(&mut writer).await?;
-        let mut spoke = false;
+        let mut received_line = false;
         let mut last_line = Instant::now();
         loop {
             tokio::select! {
-                // From the last line on, whatever votes go out meanwhile: a silent service gets one each second.
-                () = sleep_until(last_line + CONTROL_PLANE_SILENCE) => return Err(SessionError::Silent),
+                // Counts from the last line received, not from votes written: a silent service is sent one each second.
+                () = sleep_until(last_line + CONTROL_PLANE_SILENCE_LIMIT) => return Err(SessionError::Silent),
                 line = lines.next() => {
                     let Some(line) = line else { return Ok(()) };
                     let line = line?;
                     last_line = Instant::now();
                     self.handle_line(&line)?;
-                    if !spoke {
-                        spoke = true;
+                    if !received_line {
+                        received_line = true;
                         on_first_line();
                     }
                 }
-                Some(ballot) = ballots.recv() => self.write_vote(&mut writer, ballot).await?,
+                Some(queued_vote) = queued_votes.recv() => self.write_vote(&mut writer, queued_vote).await?,
             }
         }
     }
@@ -148,13 +151,13 @@
     async fn write_vote(
         &mut self,
         writer: &mut WriteHalf<'_>,
-        ballot: Ballot,
+        queued_vote: QueuedVote,
     ) -> Result<(), SessionError> {
-        let vote = ballot.vote;
-        let writing = writer.write_all(ballot.line.as_bytes());
+        let vote = queued_vote.vote;
+        let writing = writer.write_all(queued_vote.line.as_bytes());
         let written = timeout(CONTROL_PLANE_WRITE_TIMEOUT, writing).await;
         if !matches!(written, Ok(Ok(()))) {
-            // Not whole: the control plane cannot have read it.
+            // The line is incomplete, so the control plane cannot have read the vote.
             report_reply(&self.shell, vote, VoteReceipt::Rejected, None);
             return Err(SessionError::VoteNotWritten { vote });
         }
@@ -162,7 +165,7 @@
         Ok(())
     }
 
-    /// Takes in one line. What cannot be read ends the session.
+    /// Handles one line. A malformed line ends the session.
     fn handle_line(&mut self, line: &str) -> Result<(), SessionError> {
         match messages::decode(line)? {
             Message::Stage(stage) => self.update_stage(stage),
@@ -208,10 +211,10 @@
                 self.pending.pop_front();
             }
             Call::Vote(vote) => {
-                let answer = reply.read_vote()?;
+                let vote_reply = reply.read_vote()?;
                 self.pending.pop_front();
-                tracing::info!(vote, receipt = ?answer.receipt, "vote answered");
-                report_reply(&self.shell, vote, answer.receipt, answer.stage);
+                tracing::info!(vote, receipt = ?vote_reply.receipt, "vote answered");
+                report_reply(&self.shell, vote, vote_reply.receipt, vote_reply.stage);
             }
         }
         Ok(())
--- a/crates/platform/src/control_plane/vote_reply.rs
+++ b/crates/platform/src/control_plane/vote_reply.rs
@@ -1,10 +1,10 @@
-//! Tells the engine how a vote ended.
+//! Reports the results of votes to the engine.
 
 use crate::shell::Shell;
 use havenplank::interface::{Stage, VoteReceipt, VoteReply};
 use std::rc::Rc;
 
-/// Reports what became of a vote; the engine ignores a vote whose end it knows.
+/// Reports the result of a vote. The engine ignores further results of the same vote.
 pub(super) fn report_reply(
     shell: &Rc<Shell>,
     vote: u64,
--- a/crates/platform/src/counters.rs
+++ b/crates/platform/src/counters.rs
@@ -2,7 +2,7 @@
 
 use std::cell::Cell;
 
-/// Counts one for as long as it lives, however that ends.
+/// Adds one to a count while this exists; dropping it subtracts one, also when a future is cancelled.
 pub(crate) struct CountGuard<'a>(&'a Cell<usize>);
 
 impl<'a> CountGuard<'a> {
@@ -18,7 +18,7 @@
     }
 }
 
-/// Adds one to a count of events since the start.
+/// Adds one to a count of events since the process started.
 pub(crate) fn increment(count: &Cell<u64>) {
     count.set(count.get() + 1);
 }
--- a/crates/platform/src/discovery/list_update.rs
+++ b/crates/platform/src/discovery/list_update.rs
@@ -1,4 +1,4 @@
-//! Decodes the endpoint list of discovery: the fields of the wire are mapped here and nowhere else.
+//! Decodes the endpoint list of discovery: the only place that knows the names of its fields.
 
 use crate::fields::{self, FieldError};
 use crate::units::NANOS_PER_MILLI;
@@ -8,25 +8,25 @@
 use havenplank_line_protocol::codec::MAX_ENDPOINTS;
 use havenplank_line_protocol::endpoint_list::ListedEndpoint;
 
-/// The complete list, or the entries that changed.
+/// An update of the endpoint list: the complete list, or the entries that changed.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListUpdate {
-    /// The list's version.
+    /// The version that the update leads to.
     pub version: u64,
-    /// Whether `endpoints` names all there are.
+    /// Whether `endpoints` is the complete list.
     pub complete: bool,
-    /// The entries.
+    /// The complete list or the changed entries.
     pub endpoints: Vec<ListedEndpoint>,
 }
 
-/// Decodes one object of the list; ages count up to `now`.
+/// Decodes one update; ages are measured at `now`.
 ///
 /// # Errors
-/// The first field that is missing or wrong, and a list of too many endpoints.
+/// Fails at the first field that is missing or wrong, and on a list of more than [`MAX_ENDPOINTS`].
 pub fn decode(fields: &Fields, now: UnixTime) -> Result<ListUpdate, FieldError> {
     let hosts = fields.objects("hosts")?;
     if hosts.len() > MAX_ENDPOINTS {
-        return Err(fields::invalid(fields, "hosts", "expected fewer endpoints"));
+        return Err(fields::invalid(fields, "hosts", "expected at most 65536"));
     }
     let endpoints = hosts
         .iter()
@@ -73,7 +73,7 @@
     }
 }
 
-/// Returns how long ago a process started; 0 stands for long ago on both sides.
+/// Returns how long ago a pod's process started. 0 means long ago, both on the wire and in the result.
 fn age(started_ms: u64, now: UnixTime) -> Nanos {
     if started_ms == 0 {
         return 0;
--- a/crates/platform/src/discovery/mod.rs
+++ b/crates/platform/src/discovery/mod.rs
@@ -1,6 +1,7 @@
-//! Follows the endpoint list of discovery and hands its updates to the engine.
+//! Follows the endpoint list of discovery and passes its updates to the engine.
 //!
-//! [`watch_selection`] decides which watch is in force, [`list_update`] decodes, `watch` is one watch's connection.
+//! [`watch_selection`] decides which watch is active, [`list_update`] decodes updates, `watch` is the connection of one
+//! watch.
 
 pub mod list_update;
 mod watch;
@@ -15,9 +16,9 @@
 use tokio::sync::watch::Receiver;
 use tokio::time::sleep_until;
 use watch::{Received, Watch, WatchError};
-use watch_selection::{ListVersion, OnCandidateMessage, OpenCandidate, Verdict, WatchSelection};
+use watch_selection::{CandidateAction, ListVersion, OpenCandidate, UpdateAction, WatchSelection};
 
-/// The connections that belong to a [`WatchSelection`].
+/// A [`WatchSelection`] and the connections that it decides about.
 struct DiscoveryClient {
     shell: Rc<Shell>,
     selection: WatchSelection,
@@ -26,7 +27,7 @@
     backoff: Backoff,
 }
 
-/// Follows the list from a version on; ends only when the sender of `address` is dropped.
+/// Follows the list from version `since` on, until the sender of `address` is dropped.
 pub(crate) async fn follow(
     shell: Rc<Shell>,
     mut address: Receiver<SocketAddr>,
@@ -78,10 +79,10 @@
     fn on_active(&mut self, received: Result<Received, WatchError>) {
         match received {
             Ok(received) => {
-                let verdict = self
+                let action = self
                     .selection
                     .on_active_message(Instant::now(), received.message());
-                self.apply(verdict, received);
+                self.apply(action, received);
             }
             Err(reason) => {
                 self.log_end(&reason);
@@ -107,12 +108,12 @@
     fn on_candidate_message(&mut self, received: Received) {
         let now = Instant::now();
         match self.selection.on_candidate_message(now, received.message()) {
-            Some(OnCandidateMessage::Promote(verdict)) => {
+            Some(CandidateAction::Promote(action)) => {
                 self.active = self.candidate.take();
                 self.backoff.reset();
-                self.apply(verdict, received);
+                self.apply(action, received);
             }
-            Some(OnCandidateMessage::Replace(target)) => self.open_candidate(target),
+            Some(CandidateAction::Replace(target)) => self.open_candidate(target),
             None => {}
         }
     }
@@ -121,7 +122,7 @@
         self.candidate = Some(Watch::open(target));
     }
 
-    fn apply(&self, verdict: Verdict, received: Received) {
+    fn apply(&self, action: UpdateAction, received: Received) {
         let Received::Update(update) = received else {
             return;
         };
@@ -131,7 +132,7 @@
             endpoints = update.endpoints.len(),
             "endpoint list"
         );
-        if verdict == Verdict::Apply {
+        if action == UpdateAction::Apply {
             self.shell.call(|engine, now| {
                 engine.update_endpoints(now, update.complete, update.endpoints)
             });
--- a/crates/platform/src/discovery/watch.rs
+++ b/crates/platform/src/discovery/watch.rs
@@ -1,10 +1,10 @@
-//! One watch on the endpoint list: an HTTP response that stays open and carries JSON objects.
+//! One watch on the endpoint list: a streaming HTTP response that carries JSON objects.
 
 use super::list_update::{self, ListUpdate};
 use super::watch_selection::{OpenCandidate, WatchMessage};
 use crate::fields::{parse_object, FieldError};
 use crate::json_stream::{JsonStream, MalformedStream, StreamItem};
-use crate::limits::{MAX_LIST_OBJECT_BYTES, WATCH_QUEUE, WATCH_READ_BUFFER_BYTES};
+use crate::limits::{MAX_LIST_UPDATE_BYTES, WATCH_QUEUE_CAPACITY, WATCH_READ_BUFFER_BYTES};
 use crate::reconnect::AbortOnDrop;
 use crate::wall_clock::UnixTime;
 use bytes::Bytes;
@@ -27,7 +27,7 @@
     Connect(#[source] io::Error),
     #[error("HTTP failed: {0}")]
     Http(#[from] hyper::Error),
-    #[error("no such request: {0}")]
+    #[error("cannot build the request: {0}")]
     Request(#[from] hyper::http::Error),
     #[error("status {0}, expected 200")]
     Status(StatusCode),
@@ -37,20 +37,20 @@
     Fields(#[from] FieldError),
     #[error("closed by the service")]
     Closed,
-    #[error("no line in time")]
+    #[error("no complete message within the silence limit")]
     Silent,
-    #[error("its task ended")]
+    #[error("the task of the watch ended unexpectedly")]
     TaskEnded,
 }
 
-/// A complete message of a watch, decoded.
+/// A decoded message of a watch.
 pub(super) enum Received {
     KeepAlive,
     Update(ListUpdate),
 }
 
 impl Received {
-    /// Returns what the selection of watches needs of it.
+    /// Returns the part of the message that [`super::watch_selection::WatchSelection`] decides by.
     pub(super) fn message(&self) -> WatchMessage {
         match self {
             Received::KeepAlive => WatchMessage::KeepAlive,
@@ -62,10 +62,9 @@
     }
 }
 
-type Queue = mpsc::Sender<Result<Received, WatchError>>;
+type MessageQueue = mpsc::Sender<Result<Received, WatchError>>;
 
-/// A watch in a task of its own, which ends when this is dropped. It hands on what it receives and touches nothing
-/// else.
+/// A watch that runs in its own task, which is aborted when this is dropped. The task only forwards what it receives.
 pub(super) struct Watch {
     _task: AbortOnDrop,
     received: mpsc::Receiver<Result<Received, WatchError>>,
@@ -73,11 +72,11 @@
 
 impl Watch {
     pub(super) fn open(target: OpenCandidate) -> Watch {
-        let (queue, received) = mpsc::channel(WATCH_QUEUE);
+        let (queue, received) = mpsc::channel(WATCH_QUEUE_CAPACITY);
         let task = spawn_local(async move {
             let ended = run(target, &queue).await;
             let reason = ended.err().unwrap_or(WatchError::Closed);
-            // Where nobody listens any more nobody asks why.
+            // A failed send means that the watch was dropped; the reason is no longer needed.
             let _ = queue.send(Err(reason)).await;
         });
         Watch {
@@ -86,7 +85,7 @@
         }
     }
 
-    /// Waits for the next message of a watch; for ever where there is none.
+    /// Waits for the next message of a watch; forever if `watch` is `None`.
     pub(super) async fn next(watch: &mut Option<Watch>) -> Result<Received, WatchError> {
         let Some(watch) = watch else {
             return std::future::pending().await;
@@ -96,7 +95,7 @@
     }
 }
 
-async fn run(target: OpenCandidate, queue: &Queue) -> Result<(), WatchError> {
+async fn run(target: OpenCandidate, queue: &MessageQueue) -> Result<(), WatchError> {
     let (mut sender, _connection) = connect(target.address).await?;
     let path = format!("/v1/servers?follow=1&since={}", target.since);
     let request = Request::get(path)
@@ -124,10 +123,10 @@
     Ok((sender, AbortOnDrop(driver.abort_handle())))
 }
 
-/// Hands on the objects of a response until it ends or nobody takes them any more.
-async fn receive(response: Response<Incoming>, queue: &Queue) -> Result<(), WatchError> {
+/// Forwards the messages of a response until it ends or the receiver is dropped.
+async fn receive(response: Response<Incoming>, queue: &MessageQueue) -> Result<(), WatchError> {
     let mut body = response.into_body();
-    let mut stream = JsonStream::new(MAX_LIST_OBJECT_BYTES);
+    let mut stream = JsonStream::new(MAX_LIST_UPDATE_BYTES);
     while let Some(frame) = body.frame().await {
         let Ok(data) = frame?.into_data() else {
             continue;
--- a/crates/platform/src/discovery/watch_selection.rs
+++ b/crates/platform/src/discovery/watch_selection.rs
@@ -1,50 +1,52 @@
-//! Decides which watch on the endpoint list is in force, when another is opened beside it and which updates apply.
+//! Decides which watch on the endpoint list is active, when another is opened next to it and which updates apply.
 //!
-//! Free of I/O; time and backoff delays are handed in. One watch at most is active: its messages are taken. One at
-//! most is the candidate that is to follow it. The active one stays in force until the candidate speaks, so that a
-//! move to another address or a doubt leaves no gap. The test is `tests/watch_selection.rs`.
+//! Free of I/O; the caller passes in times and backoff delays. At most one watch is active, and its updates are
+//! applied. At most one watch is the candidate that is to replace it. The active watch stays active until the candidate
+//! delivers a message, so that updates continue during a move to another address and while a watch is overdue. Tests:
+//! `tests/watch_selection.rs`.
 //!
-//! Discovery sends an empty line every 2 s where nothing changes, and what a silent watch misses counts as told 6 s
-//! after it fell silent, maybe right after its last message. The limits below make a lost watch good within that.
+//! Discovery sends an empty line every 2 s while nothing changes. It considers the sidecar informed of an update 6 s
+//! after a watch fell silent, and a watch may fall silent right after its last message. The limits below replace a
+//! silent watch within those 6 s.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// The active watch is overdue: a candidate is opened beside it.
-const OVERDUE: Duration = Duration::from_millis(2500);
-/// Two messages are missing: the active watch is given up.
+/// Time without a message after which the active watch is overdue and a candidate is opened: one empty line is missing.
+const OVERDUE_AFTER: Duration = Duration::from_millis(2500);
+/// Time without a message after which the active watch is dropped: two empty lines are missing.
 const SILENCE_LIMIT: Duration = Duration::from_millis(4500);
-/// The agent is on this machine and answers immediately. A candidate that has not spoken by then, its connect
-/// included, is opened anew: three of them fit between [`OVERDUE`] and the 6 s.
-const CANDIDATE_LIMIT: Duration = Duration::from_millis(1000);
+/// Time for a candidate to connect and deliver a message before it is replaced by a new one. The discovery agent is on
+/// this machine and answers immediately; three candidates fit between [`OVERDUE_AFTER`] and the 6 s.
+const CANDIDATE_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// A version of the endpoint list, as discovery counts them.
+/// A version of the endpoint list, as numbered by discovery.
 pub type ListVersion = u64;
 
-/// A complete message of a watch.
+/// A complete message of a watch, without the entries of its update.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum WatchMessage {
     /// An empty line: nothing changed.
     KeepAlive,
-    /// A version of the list.
+    /// An update of the list.
     Update {
-        /// Its version.
+        /// The version that the update leads to.
         version: ListVersion,
-        /// Whether it names all endpoints, or only those that changed.
+        /// Whether the update carries the complete list rather than only the changed entries.
         complete: bool,
     },
 }
 
-/// Whether a message's update goes to the router.
+/// What to do with the update in a message.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Verdict {
-    /// It goes there.
+pub enum UpdateAction {
+    /// Pass the update to the engine.
     Apply,
-    /// There is none, or it would set back what is known.
+    /// Drop the message: it has no update, or an update older than the present list.
     Ignore,
 }
 
-/// A watch to be opened as the candidate, in place of the one there may be.
+/// A watch to open as the candidate, replacing the present candidate if there is one.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct OpenCandidate {
     /// Where discovery is reached.
@@ -53,21 +55,21 @@
     pub since: ListVersion,
 }
 
-/// What to do as a deadline passes.
+/// What to do when a deadline passes.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct OnDeadline {
-    /// Whether the active watch is given up for its silence.
+pub struct DeadlineActions {
+    /// Whether to drop the active watch because it was silent too long.
     pub drop_active: bool,
     /// The candidate to open, if any.
     pub open: Option<OpenCandidate>,
 }
 
-/// What to do with a candidate that spoke.
+/// What to do with a candidate that delivered a message.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum OnCandidateMessage {
-    /// It is the active watch from now on, with this verdict on its message.
-    Promote(Verdict),
-    /// Its list is older than the last message of the active watch: another candidate takes its place.
+pub enum CandidateAction {
+    /// Make the candidate the active watch, and treat its message as given.
+    Promote(UpdateAction),
+    /// Replace the candidate by a new one: its list is older than the last message of the active watch.
     Replace(OpenCandidate),
 }
 
@@ -78,22 +80,22 @@
     opened: Instant,
 }
 
-/// The list's version and what is known of the watches on it.
+/// The version of the list, the active watch and the candidate.
 pub struct WatchSelection {
-    /// Where discovery is reached now.
+    /// The present address of discovery.
     address: SocketAddr,
     version: ListVersion,
     /// The address of the active watch.
     active: Option<SocketAddr>,
     candidate: Option<Candidate>,
-    /// When the active watch spoke last. Half a message is none.
+    /// When the active watch last delivered a complete message.
     last_message: Instant,
-    /// No candidate is opened before then, after one that ended.
+    /// The earliest time to open a candidate after a watch ended.
     retry_at: Instant,
 }
 
 impl WatchSelection {
-    /// Starts without a watch, from a version of the list that is known.
+    /// Starts without a watch; `version` is that of the list the sidecar has.
     pub fn new(now: Instant, address: SocketAddr, version: ListVersion) -> WatchSelection {
         WatchSelection {
             address,
@@ -105,12 +107,12 @@
         }
     }
 
-    /// Returns the version that is in force.
+    /// Returns the version of the present list.
     pub fn version(&self) -> ListVersion {
         self.version
     }
 
-    /// Returns when to call [`WatchSelection::on_deadline`] if nothing happens before.
+    /// Returns when to call [`WatchSelection::on_deadline`] if no other event comes first.
     pub fn next_deadline(&self) -> Instant {
         let opens = self.candidate_due();
         match self.active {
@@ -125,22 +127,22 @@
 
     fn candidate_due(&self) -> Instant {
         if let Some(candidate) = &self.candidate {
-            return candidate.opened + CANDIDATE_LIMIT;
+            return candidate.opened + CANDIDATE_TIMEOUT;
         }
         if self.active == Some(self.address) {
-            return self.retry_at.max(self.last_message + OVERDUE);
+            return self.retry_at.max(self.last_message + OVERDUE_AFTER);
         }
         self.retry_at
     }
 
-    /// Gives up an active watch that was silent for too long, and opens a candidate where one is due.
-    pub fn on_deadline(&mut self, now: Instant) -> OnDeadline {
+    /// Drops an active watch that was silent too long, and opens a candidate if one is due.
+    pub fn on_deadline(&mut self, now: Instant) -> DeadlineActions {
         let drop_active = self.active.is_some() && now >= self.silence_deadline();
         if drop_active {
             self.active = None;
         }
         let is_due = now >= self.next_deadline();
-        OnDeadline {
+        DeadlineActions {
             drop_active,
             open: is_due.then(|| self.open_candidate(now)),
         }
@@ -158,51 +160,51 @@
         }
     }
 
-    /// Discovery moved: a candidate is opened there at once.
+    /// Opens a candidate immediately at the new address of discovery.
     pub fn on_address_change(&mut self, now: Instant, address: SocketAddr) -> OpenCandidate {
         self.address = address;
         self.open_candidate(now)
     }
 
-    /// Judges a message of the active watch.
-    pub fn on_active_message(&mut self, now: Instant, message: WatchMessage) -> Verdict {
+    /// Records a message of the active watch and decides whether its update applies.
+    pub fn on_active_message(&mut self, now: Instant, message: WatchMessage) -> UpdateAction {
         self.last_message = now;
         let WatchMessage::Update { version, complete } = message else {
-            return Verdict::Ignore;
+            return UpdateAction::Ignore;
         };
-        // Changes up to a version that is known already would set back what was received since.
+        // Applying changes older than the present list would undo newer ones.
         if !complete && version < self.version {
-            return Verdict::Ignore;
+            return UpdateAction::Ignore;
         }
         self.version = version;
-        Verdict::Apply
+        UpdateAction::Apply
     }
 
-    /// The active watch ended; no candidate is opened before `delay` is over.
+    /// Records that the active watch ended; no candidate is opened before `delay` has passed.
     pub fn on_active_end(&mut self, now: Instant, delay: Duration) {
         self.active = None;
         self.retry_at = now + delay;
     }
 
-    /// Promotes a candidate that spoke, unless its message is outdated. A complete list may go back to an earlier
-    /// version, but not by a message that was on its way when a later one came.
+    /// Promotes a candidate that delivered a message, unless the message is outdated. A complete list may return to an
+    /// earlier version, but not in a message that was sent before the last one of the active watch.
     pub fn on_candidate_message(
         &mut self,
         now: Instant,
         message: WatchMessage,
-    ) -> Option<OnCandidateMessage> {
+    ) -> Option<CandidateAction> {
         let candidate = self.candidate.take()?;
         if let WatchMessage::Update { version, complete } = message {
             if complete && version < self.version && candidate.since != self.version {
-                return Some(OnCandidateMessage::Replace(self.open_candidate(now)));
+                return Some(CandidateAction::Replace(self.open_candidate(now)));
             }
         }
         self.active = Some(candidate.address);
-        let verdict = self.on_active_message(now, message);
-        Some(OnCandidateMessage::Promote(verdict))
+        let action = self.on_active_message(now, message);
+        Some(CandidateAction::Promote(action))
     }
 
-    /// The candidate ended before it spoke; the next is not opened before `delay` is over.
+    /// Records that the candidate ended without a message; the next one is not opened before `delay` has passed.
     pub fn on_candidate_end(&mut self, now: Instant, delay: Duration) {
         self.candidate = None;
         self.retry_at = now + delay;
--- a/crates/platform/src/health_check.rs
+++ b/crates/platform/src/health_check.rs
@@ -1,8 +1,8 @@
-//! Asks a pod how it is, on a connection like any other.
+//! Runs health checks of pods, on connections of the same pool as attempts.
 
-use crate::attempt_outcome::{end_without_connection, health_check_end_of};
+use crate::attempt_outcome::{end_without_connection, health_check_end};
 use crate::pod_client::PodClient;
-use crate::pod_pool::Wanted;
+use crate::pod_pool::ConnectionSource;
 use crate::pod_response;
 use crate::shell::Shell;
 use crate::wire_headers::{HEALTH_PATH, LOAD_PATH};
@@ -12,19 +12,19 @@
 use std::time::Instant;
 use tokio::time::timeout;
 
-/// How a health check ended, with the load report where there is one.
-struct Checked {
+/// How a health check ended, with the load report if the response carried one.
+struct CheckOutcome {
     end: AttemptEnd,
     load: Option<LoadReport>,
 }
 
-impl From<AttemptEnd> for Checked {
-    fn from(end: AttemptEnd) -> Checked {
-        Checked { end, load: None }
+impl From<AttemptEnd> for CheckOutcome {
+    fn from(end: AttemptEnd) -> CheckOutcome {
+        CheckOutcome { end, load: None }
     }
 }
 
-/// Checks a pod within the connect time and tells the engine how that ended.
+/// Checks a pod within the connect time-out and reports the result to the engine.
 pub(crate) async fn run(shell: Rc<Shell>, check: u64, pod: PodId) {
     let began = Instant::now();
     let checking = async {
@@ -33,8 +33,8 @@
             None => AttemptEnd::NotSent.into(),
         }
     };
-    let checked = timeout(shell.pods.connect_timeout, checking).await;
-    let Checked { end, load } = checked.unwrap_or_else(|_| AttemptEnd::TimedOut.into());
+    let outcome = timeout(shell.pods.connect_timeout, checking).await;
+    let CheckOutcome { end, load } = outcome.unwrap_or_else(|_| AttemptEnd::TimedOut.into());
     let result = HealthCheckResult {
         end,
         took: began.elapsed().as_nanos() as Nanos,
@@ -43,8 +43,12 @@
     shell.call(|engine, now| engine.health_check_ended(now, check, result));
 }
 
-async fn exchange(pods: &PodClient, address: SocketAddr) -> Checked {
-    let mut connection = match pods.pool.take(address, Wanted::IdleOrNew).await {
+async fn exchange(pods: &PodClient, address: SocketAddr) -> CheckOutcome {
+    let mut connection = match pods
+        .pool
+        .acquire(address, ConnectionSource::IdleOrNew)
+        .await
+    {
         Ok(connection) => connection,
         Err(reason) => return end_without_connection(reason).into(),
     };
@@ -61,10 +65,10 @@
         return AttemptEnd::Reset.into();
     };
     if response.is_reusable {
-        pods.pool.give_back(address, connection);
+        pods.pool.release(address, connection);
     }
-    Checked {
-        end: health_check_end_of(response.status),
+    CheckOutcome {
+        end: health_check_end(response.status),
         load: pods.decode_load(&response.body),
     }
 }
--- a/crates/platform/src/id_claim.rs
+++ b/crates/platform/src/id_claim.rs
@@ -1,4 +1,4 @@
-//! A request's claim on its correlation id, held while it is in flight.
+//! The claim of a request on its correlation id, held while the request is in flight.
 
 use crate::client_connection::ClientConnection;
 use crate::in_flight_ids::{may_take_over, EarlierRequest, IdConflict, IdHolder};
@@ -7,7 +7,7 @@
 use hyper::header::HeaderValue;
 use std::rc::Rc;
 
-/// The id of a request in flight, free again when this is dropped.
+/// A claim on a correlation id; dropping it releases the id.
 pub(crate) struct IdClaim {
     shell: Rc<Shell>,
     client: Rc<ClientConnection>,
@@ -15,10 +15,10 @@
 }
 
 impl IdClaim {
-    /// Claims an id. An earlier request with the same id, whose client is gone, ends in favour of this one.
+    /// Claims an id. An earlier request with the same id whose client has closed is ended and replaced.
     ///
     /// # Errors
-    /// The earlier request goes on; see [`may_take_over`].
+    /// Fails where the earlier request keeps the id; see [`may_take_over`].
     pub(crate) fn new(
         shell: &Rc<Shell>,
         client: &Rc<ClientConnection>,
@@ -41,7 +41,7 @@
         })
     }
 
-    /// The request that holds the id was dispatched.
+    /// Records which dispatched request holds the id.
     pub(crate) fn set_request(&self, request: RequestId) {
         let ids = &self.shell.clients.in_flight_ids;
         ids.set_request(&self.id, request);
--- a/crates/platform/src/in_flight_ids.rs
+++ b/crates/platform/src/in_flight_ids.rs
@@ -1,8 +1,9 @@
-//! The correlation ids of requests in flight, and what becomes of a request whose id is in flight already.
+//! The correlation ids of requests in flight, and the decision about a request whose id is already in flight.
 //!
-//! A client whose connection ended under a request that it takes for unread sends that request once more, and its close
-//! may be noticed here after that. Tests: `tests/unit/in_flight_ids.rs`; over sockets `tests/crossings.rs`,
-//! `a_request_sent_again_after_its_connection_ended_is_not_taken_for_another_clients`.
+//! A client whose connection ended during a request resends that request if it believes that the request was not read.
+//! The sidecar may read the second request before it notices that the first connection was closed. Tests:
+//! `tests/unit/in_flight_ids.rs`; over sockets `tests/races.rs`,
+//! `a_request_resent_after_its_connection_ended_is_not_rejected_as_a_duplicate_id`.
 
 use crate::client_connection::ClientConnection;
 use havenplank::interface::{Idempotency, RequestId};
@@ -11,35 +12,35 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// Why an id cannot be had.
+/// Why a request cannot have its correlation id.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum IdConflict {
-    /// The request that has it is in flight and its client waits.
-    ClientWaits,
-    /// The client of the request that has it has closed, and that request may have run: sent to a pod once more it
-    /// could run twice.
+    /// The request that holds the id is in flight and its client still waits.
+    ClientWaiting,
+    /// The client of the request that holds the id has closed, and that request may have run: sending it to a pod again
+    /// could run it twice.
     MayHaveRun,
 }
 
-/// What a request with an id in flight knows of the earlier one.
+/// What is known about the earlier request with the same id.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct EarlierRequest {
     /// Whether its client has closed.
     pub(crate) is_client_gone: bool,
-    /// Whether an attempt may have been sent.
+    /// Whether an attempt of the request may have been sent.
     pub(crate) may_have_run: bool,
 }
 
-/// Decides whether a request takes the id over from an earlier one, which then ends.
+/// Decides whether a request takes over the id of an earlier one, which is then ended.
 ///
 /// # Errors
-/// The earlier client still waits; or the request is not idempotent and the earlier one may have run.
+/// Fails if the earlier client still waits, or if the request is not idempotent and the earlier one may have run.
 pub(crate) fn may_take_over(
     earlier: EarlierRequest,
     idempotency: Idempotency,
 ) -> Result<(), IdConflict> {
     if !earlier.is_client_gone {
-        return Err(IdConflict::ClientWaits);
+        return Err(IdConflict::ClientWaiting);
     }
     if idempotency != Idempotency::Idempotent && earlier.may_have_run {
         return Err(IdConflict::MayHaveRun);
@@ -47,14 +48,14 @@
     Ok(())
 }
 
-/// Who sent the id of a request in flight, and the request once it is dispatched.
+/// The client whose request holds an id, and the request once it is dispatched.
 #[derive(Clone)]
 pub(crate) struct IdHolder {
     pub(crate) client: Rc<ClientConnection>,
     pub(crate) request: Option<RequestId>,
 }
 
-/// Ids of requests in flight: one a client at most, so that the clients' bound holds.
+/// The ids of requests in flight. There is at most one for each client connection, so the number of ids is bounded.
 #[derive(Default)]
 pub(crate) struct InFlightIds {
     holders: RefCell<HashMap<HeaderValue, IdHolder>>,
@@ -65,7 +66,7 @@
         self.holders.borrow().get(id).cloned()
     }
 
-    /// Gives the id to a client, whoever had it.
+    /// Assigns the id to a client, replacing any other holder.
     pub(crate) fn insert(&self, id: HeaderValue, client: Rc<ClientConnection>) {
         let holder = IdHolder {
             client,
@@ -74,14 +75,14 @@
         self.holders.borrow_mut().insert(id, holder);
     }
 
-    /// Sets the request that has the id.
+    /// Sets the dispatched request that holds the id.
     pub(crate) fn set_request(&self, id: &HeaderValue, request: RequestId) {
         if let Some(holder) = self.holders.borrow_mut().get_mut(id) {
             holder.request = Some(request);
         }
     }
 
-    /// Frees the id, unless another client has it by now.
+    /// Releases the id, unless another client holds it by now.
     pub(crate) fn release(&self, id: &HeaderValue, client: &Rc<ClientConnection>) {
         let mut holders = self.holders.borrow_mut();
         let is_own = |holder: &IdHolder| Rc::ptr_eq(&holder.client, client);
--- a/crates/platform/src/json_stream.rs
+++ b/crates/platform/src/json_stream.rs
@@ -1,22 +1,22 @@
-//! Cuts a stream of JSON objects apart, whatever white space stands in and between them, from pieces cut anywhere.
+//! Splits a stream of JSON objects, with any white space in and between them, that arrives in arbitrary pieces.
 //!
-//! Free of I/O. Each byte is looked at once, so a peer that sends byte by byte costs no more than another.
+//! Free of I/O. Each byte is scanned once, so a peer that sends single bytes costs no more than any other.
 
 use bytes::{Buf, BytesMut};
 
-/// What stands next in the stream.
+/// An item of the stream.
 #[derive(Debug, PartialEq)]
 pub enum StreamItem {
-    /// The end of a line outside of any object: a sign of life.
+    /// The end of a line outside of any object, which discovery sends as a keep-alive.
     LineEnd,
-    /// The bytes of one object, from its first brace to its last.
+    /// The bytes of one object, including its outer braces.
     Object(BytesMut),
 }
 
-/// Why a stream cannot be read on.
+/// Why a stream is malformed.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum MalformedStream {
-    /// Neither white space nor the start of an object.
+    /// A byte between objects that is neither white space nor the start of an object.
     #[error(
         "byte {byte:#04x} between two objects: expected white space or the start of an object"
     )]
@@ -24,30 +24,30 @@
         /// The byte found.
         byte: u8,
     },
-    /// An object exceeds the bound.
-    #[error("an object of over {max_bytes} bytes")]
+    /// An object is longer than the limit.
+    #[error("object longer than {max_bytes} bytes")]
     ObjectTooLong {
-        /// The bound, in bytes.
+        /// The limit, in bytes.
         max_bytes: usize,
     },
 }
 
-/// Bytes received and not cut off yet: no more than the bound on an object and one piece of the stream.
+/// Splits a stream into items. Holds at most one incomplete object and one received piece of the stream.
 pub struct JsonStream {
     buffer: BytesMut,
     max_object_bytes: usize,
-    /// Leading bytes of `buffer` that were looked at.
+    /// Number of leading bytes of `buffer` that were scanned.
     scanned: usize,
-    /// Open braces and brackets at that point.
+    /// Number of open braces and brackets at that point.
     depth: usize,
-    /// Whether that point lies within a string.
+    /// Whether that point is within a string.
     in_string: bool,
-    /// Whether a backslash stands right before that point.
+    /// Whether that point follows a backslash, so that the next byte is escaped.
     escaped: bool,
 }
 
 impl JsonStream {
-    /// Refuses objects of more than `max_object_bytes`.
+    /// Creates an empty stream that rejects objects of more than `max_object_bytes`.
     pub fn new(max_object_bytes: usize) -> JsonStream {
         JsonStream {
             buffer: BytesMut::new(),
@@ -64,10 +64,11 @@
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Returns the next item; none until more of the stream was pushed.
+    /// Returns the next item; `None` if more of the stream must be pushed first.
     ///
     /// # Errors
-    /// What is no stream of objects, and an object that is too long. Nothing more can be read then.
+    /// Fails on bytes that are not part of a stream of objects, and on an object that is too long. Nothing more can be
+    /// read after an error.
     pub fn next_item(&mut self) -> Result<Option<StreamItem>, MalformedStream> {
         while self.depth == 0 {
             match self.buffer.first() {
@@ -87,7 +88,7 @@
         self.scan_object()
     }
 
-    /// Scans on to the end of the object that `buffer` begins with.
+    /// Scans towards the end of the object at the start of `buffer`.
     fn scan_object(&mut self) -> Result<Option<StreamItem>, MalformedStream> {
         while let Some(byte) = self.buffer.get(self.scanned).copied() {
             self.scanned += 1;
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,11 +1,14 @@
-//! The operators' platform: one more way in and out of the sidecar, on the one engine of `havenplank-sidecar`.
+//! Runs the sidecar on the operators' platform: its protocols and configuration around the engine of
+//! `havenplank-sidecar`.
 //!
-//! From the client's socket to the pod's: `listener` accepts, `client_session` speaks HTTP, `request_reader` checks,
-//! `request_handler` hands the request to the engine; `transport` carries out what the engine asks for, by `attempt`
-//! on a connection of `pod_pool`. [`discovery`] and `control_plane` follow the platform's services. No decision about
-//! requests, builds or votes is taken here; those about connections and watches stand by themselves, free of I/O:
-//! [`connection_slots`], [`idle_timeout`], [`discovery::watch_selection`], `attempt_outcome`, `in_flight_ids` and
-//! `response_memory`.
+//! The path of a request, from the client's socket to the pod's: `listener` accepts the connection, `client_session`
+//! serves HTTP on it, `request_reader` validates the request and `request_handler` passes it to the engine. `transport`
+//! performs the effects that the engine requests; `attempt` sends one attempt on a connection of `pod_pool`.
+//! [`discovery`] and `control_plane` follow the platform's services.
+//!
+//! The engine makes all decisions about requests, builds and votes. Decisions about connections and watches are made
+//! in modules without I/O: [`connection_slots`], [`idle_timeout`], [`discovery::watch_selection`], `attempt_outcome`,
+//! `in_flight_ids` and `response_memory`.
 
 #![warn(missing_docs)]
 #![warn(
--- a/crates/platform/src/limits.rs
+++ b/crates/platform/src/limits.rs
@@ -1,55 +1,55 @@
-//! Time limits, pauses and size bounds of the sockets. Those that belong to a decision stand with it: in
+//! Time limits, intervals and size limits of the socket code. Limits that belong to a decision are next to it, in
 //! [`crate::connection_slots`], [`crate::idle_timeout`] and [`crate::discovery::watch_selection`].
 
 use std::time::Duration;
 
-/// Span of the backoff before the first reconnection to discovery or control plane.
-pub(crate) const FIRST_RECONNECT_DELAY: Duration = Duration::from_millis(40);
-/// Bound on the span between reconnections.
-pub(crate) const LONGEST_RECONNECT_DELAY: Duration = Duration::from_millis(800);
+/// Initial span of the backoff between connections to discovery or the control plane; a delay is 50 to 100% of it.
+pub(crate) const INITIAL_RECONNECT_SPAN: Duration = Duration::from_millis(40);
+/// Largest span of that backoff.
+pub(crate) const MAX_RECONNECT_SPAN: Duration = Duration::from_millis(800);
 
-/// Bound on one object of the endpoint list.
-pub(crate) const MAX_LIST_OBJECT_BYTES: usize = 1 << 20;
+/// Limit on one update of the endpoint list.
+pub(crate) const MAX_LIST_UPDATE_BYTES: usize = 1 << 20;
 /// Read buffer of a watch.
 pub(crate) const WATCH_READ_BUFFER_BYTES: usize = 64 << 10;
-/// Messages of a watch that wait to be taken; further ones wait in its socket.
-pub(crate) const WATCH_QUEUE: usize = 16;
+/// Messages of a watch that wait to be processed; further ones wait in its socket.
+pub(crate) const WATCH_QUEUE_CAPACITY: usize = 16;
 
-/// Bound on connecting to the control plane and on writing a call to it.
+/// Limit on connecting to the control plane and on writing a call to it.
 pub(crate) const CONTROL_PLANE_WRITE_TIMEOUT: Duration = Duration::from_secs(1);
-/// The control plane pings each second: two pings are missing.
-pub(crate) const CONTROL_PLANE_SILENCE: Duration = Duration::from_millis(2300);
-/// How long the session at a former address may still bring the replies to its votes.
+/// Time without a line after which the control plane counts as lost. It pings each second, so two pings are missing.
+pub(crate) const CONTROL_PLANE_SILENCE_LIMIT: Duration = Duration::from_millis(2300);
+/// How long the session at a previous address is kept open to receive the replies to its votes.
 pub(crate) const VOTE_REPLY_LINGER: Duration = Duration::from_millis(1500);
-/// Lines of the control plane are shorter than this, as are ours.
+/// Limit on one line from the control plane. The lines of both sides are shorter.
 pub(crate) const MAX_CONTROL_PLANE_LINE_BYTES: usize = 8 << 10;
-/// Votes that wait to be written. The router has one out at a time; one more than these is rejected.
-pub(crate) const VOTE_QUEUE: usize = 4;
+/// Votes that wait to be written; further ones are rejected. The engine has one vote in flight at a time.
+pub(crate) const VOTE_QUEUE_CAPACITY: usize = 4;
 
-/// Bound on the head of a request or response and on each chunk's head.
+/// Limit on the head of a request or response, and on the size line of a chunk.
 pub(crate) const MAX_HEAD_BYTES: usize = 16 << 10;
-/// Bound on the headers of a request or response.
+/// Limit on the number of headers of a request or response.
 pub(crate) const MAX_HEADERS: usize = 64;
-/// The protocol's bound on any body. Pods do not keep it: complete responses of 128 to 400 KB were seen.
+/// The limit of the protocol on any body. Pods exceed it: complete responses of 128 to 400 KB were seen.
 pub(crate) const MAX_BODY_BYTES: usize = 64 << 10;
-/// Bound on a correlation id.
+/// Limit on the length of a correlation id.
 pub(crate) const MAX_CORRELATION_ID_BYTES: usize = 128;
-/// Informational responses that may precede a response.
+/// Limit on informational (1xx) responses before a response.
 pub(crate) const MAX_INFORMATIONAL_RESPONSES: usize = 16;
 
-/// Pause after a failed accept.
+/// Pause after a failed accept, so that the loop does not spin while the failure lasts.
 pub(crate) const ACCEPT_ERROR_PAUSE: Duration = Duration::from_millis(20);
-/// How long a client's connection that is due to close is left to HTTP while bytes lie unread on it.
+/// How long a client connection past its deadline is kept open for the HTTP server to read bytes that have arrived.
 pub(crate) const UNREAD_GRACE: Duration = Duration::from_millis(2);
 
 /// Interval between sweeps of idle connections to pods.
 pub(crate) const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
-/// Interval of the `state` log line.
+/// Interval between `state` log lines.
 pub(crate) const STATE_INTERVAL: Duration = Duration::from_secs(1);
-/// Interval at which the lateness of the event loop is measured.
+/// Timer interval by which the lateness of the event loop is measured.
 pub(crate) const LATENESS_PROBE_INTERVAL: Duration = Duration::from_millis(20);
-/// What a connection may need past the longest client time-out at a stop: to read its request, and to write and drain
-/// its response.
+/// Time that a connection may need at a stop in addition to the longest client time-out: to read its request, and to
+/// write and drain its response.
 pub(crate) const STOP_MARGIN: Duration = Duration::from_secs(3);
-/// Interval at which a stop looks for connections that are left.
+/// Interval at which a stop checks for open client connections.
 pub(crate) const STOP_POLL_INTERVAL: Duration = Duration::from_millis(10);
--- a/crates/platform/src/listener.rs
+++ b/crates/platform/src/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts clients' connections and makes room for them.
+//! Accepts client connections, evicting others when the table is full.
 
 use crate::client_connection::ClientConnection;
 use crate::client_session::{self, StopTime};
@@ -12,7 +12,7 @@
 use tokio::task::{spawn_local, yield_now};
 use tokio::time::sleep;
 
-/// Accepts connections until it is told to close, and then what the system had accepted by that time.
+/// Accepts connections until `close` fires, then those that were in the kernel's accept queue by that time.
 pub(crate) async fn accept(
     shell: Rc<Shell>,
     listener: TcpListener,
@@ -25,7 +25,7 @@
                 Ok((stream, _)) => admit(&shell, stream, &stop).await,
                 Err(error) => {
                     tracing::warn!(%error, "accept failed");
-                    shell.clients.make_room();
+                    shell.clients.evict_one();
                     sleep(ACCEPT_ERROR_PAUSE).await;
                 }
             },
@@ -41,17 +41,18 @@
     let clients = &shell.clients;
     clients.close_surplus_idle();
     if clients.is_full() {
-        if !clients.make_room() {
-            // Every place has a request on it; closed unread, the client asks elsewhere.
+        if !clients.evict_one() {
+            // Every connection has a request in progress. The new one is closed with nothing read from it, so that its
+            // client can safely send the request elsewhere.
             return;
         }
-        // The descriptor goes when its task has been dropped.
+        // The evicted connection's descriptor is closed once the runtime has dropped its task.
         yield_now().await;
     }
     serve(shell, stream, stop.clone());
 }
 
-/// Takes the client out of the table however its task ends.
+/// Removes the client from the table when its task ends, in whatever way.
 struct Registration {
     shell: Rc<Shell>,
     id: ConnectionId,
@@ -70,9 +71,9 @@
         shell: shell.clone(),
         id: shell.clients.insert(client.clone()),
     };
-    let own = client.clone();
+    let session_client = client.clone();
     let task = spawn_local(async move {
-        client_session::run(&registration.shell, &own, stop).await;
+        client_session::run(&registration.shell, &session_client, stop).await;
     });
     client.set_task(task.abort_handle());
 }
--- a/crates/platform/src/pod_client.rs
+++ b/crates/platform/src/pod_client.rs
@@ -1,4 +1,4 @@
-//! What attempts and health checks share: connections to pods, memory for responses, counters.
+//! Resources shared by attempts and health checks: connections to pods, memory for responses, counters.
 
 use crate::config::PodConnectionSettings;
 use crate::pod_pool::PodPool;
@@ -8,27 +8,28 @@
 use std::cell::Cell;
 use std::time::Duration;
 
-/// What the sockets show, beside what the engine believes.
+/// Counts of attempts taken at the sockets; the `state` log line shows them next to those of the engine.
 #[derive(Default)]
 pub(crate) struct AttemptCounters {
-    /// Attempts written whole that have not ended.
+    /// Attempts that are completely written and have not ended.
     pub(crate) in_flight: Cell<usize>,
-    /// Attempts written whole since the start.
+    /// Attempts completely written since the process started.
     pub(crate) sent: Cell<u64>,
 }
 
-/// Connections to pods and what is needed on them.
+/// Connections to pods and the resources for exchanges on them.
 pub(crate) struct PodClient {
     pub(crate) pool: PodPool,
     pub(crate) memory: ResponseMemory,
     pub(crate) counters: AttemptCounters,
     pub(crate) connect_timeout: Duration,
-    /// Fields of a load report; none where pods report nothing.
+    /// Fields of a load report; empty if pods report no load.
     load_fields: Vec<String>,
 }
 
 impl PodClient {
-    /// `max_connections` at once, in a process that may use `process_bytes` of memory.
+    /// Creates a client with at most `max_connections` open at a time, in a process that may use `process_bytes` of
+    /// memory.
     pub(crate) fn new(
         settings: PodConnectionSettings,
         load_fields: Vec<String>,
@@ -49,7 +50,7 @@
         !self.load_fields.is_empty()
     }
 
-    /// Decodes a load report; none where pods report nothing or it cannot be read.
+    /// Decodes a load report; `None` if pods report no load or the report is malformed.
     pub(crate) fn decode_load(&self, text: &[u8]) -> Option<LoadReport> {
         if !self.has_load_reports() {
             return None;
--- a/crates/platform/src/pod_pool.rs
+++ b/crates/platform/src/pod_pool.rs
@@ -1,8 +1,9 @@
-//! The pool of connections to pods: bounded together, kept idle by address, the last used taken first.
+//! The pool of connections to pods: one limit for all pods, idle connections kept by address, the most recently used
+//! reused first.
 
 use crate::config::PodConnectionSettings;
 use crate::counters::{increment, CountGuard};
-use crate::idle_timeout::{has_rested, IdleTimeout, Reuse};
+use crate::idle_timeout::{may_reuse_after, IdleTimeout, ReuseOutcome};
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
 use std::io::{ErrorKind, Result as IoResult};
@@ -15,35 +16,35 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 use tokio::time::timeout;
 
-/// Why no connection was had within the connect time.
+/// Why no connection was available within the connect time-out.
 #[derive(Debug, PartialEq)]
-pub(crate) enum NoConnection {
-    /// The pod is down, out of reach or at its own limit.
-    Pod,
-    /// Every permit is taken.
-    Permits,
+pub(crate) enum AcquireError {
+    /// The pod is down, unreachable or at its own connection limit.
+    PodUnreachable,
+    /// Every connection permit of the pool is in use.
+    NoPermit,
 }
 
-/// Which connection is wanted.
+/// Which connection to acquire.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum Wanted {
-    /// An idle one, or a new one where none is.
+pub(crate) enum ConnectionSource {
+    /// An idle connection, or a new one if none is usable.
     IdleOrNew,
-    /// A new one.
+    /// A new connection.
     New,
 }
 
 /// A connection to a pod, closed when it is dropped.
 pub(crate) struct PodConnection {
     pub(crate) stream: TcpStream,
-    /// How long it was idle before its present request; none where that is its first.
+    /// How long the connection was idle before its present request; `None` if that is its first.
     pub(crate) idle_before: Option<Duration>,
     _permit: OwnedSemaphorePermit,
 }
 
 impl PodConnection {
-    /// Returns whether it is open and nothing lies unread on it: what came behind a response is no response to the
-    /// next request. Asks the socket itself, as the runtime learns of bytes only when it polls.
+    /// Returns whether the connection is open and has no unread bytes: bytes after a response would be read as the
+    /// response to the next request. Peeks at the socket, because the runtime learns of bytes only when it polls.
     fn is_clean(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
         let peeked = socket2::SockRef::from(&self.stream).peek(&mut byte);
@@ -60,23 +61,25 @@
     since: Instant,
 }
 
-/// Connections of the pool at one time.
+/// Numbers of connections in the pool.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct ConnectionCounts {
-    /// All, idle ones included.
+    /// All open connections, including idle ones.
     pub(crate) open: usize,
     pub(crate) idle: usize,
 }
 
-/// Connections to pods, bounded by permits.
+/// A pool of connections to pods, limited by permits.
 pub(crate) struct PodPool {
     settings: PodConnectionSettings,
-    /// One for each connection, idle ones included.
+    /// Each open connection holds one, including idle ones.
     permits: Arc<Semaphore>,
     max_connections: usize,
-    /// Attempts that wait for a permit; bounded by the requests in flight, which the listener bounds.
+    /// Attempts and health checks that wait for a permit. Attempts are bounded by the requests in flight, which the
+    /// listener bounds.
     waiting: Cell<usize>,
-    /// By address, the last used at the end. Emptied of what was idle too long or is no longer listed.
+    /// By address, the most recently used last. [`PodPool::sweep`] removes connections that were idle too long or whose
+    /// pod is no longer listed.
     idle: RefCell<HashMap<SocketAddr, Vec<IdleConnection>>>,
     idle_timeout: RefCell<IdleTimeout>,
     opened: Cell<u64>,
@@ -96,16 +99,16 @@
         }
     }
 
-    /// Returns how long a connection is kept idle just now.
+    /// Returns how long a connection is kept idle at present.
     pub(crate) fn idle_timeout(&self) -> Duration {
         self.idle_timeout.borrow().current()
     }
 
-    /// Learns how a request on a kept connection went; no effect for a connection's first request.
-    pub(crate) fn record_reuse(&self, connection: &PodConnection, reuse: Reuse) {
+    /// Records how a request on a reused connection ended; no effect for the first request of a connection.
+    pub(crate) fn record_reuse(&self, connection: &PodConnection, outcome: ReuseOutcome) {
         if let Some(idle) = connection.idle_before {
             let mut idle_timeout = self.idle_timeout.borrow_mut();
-            idle_timeout.record(Instant::now(), idle, reuse);
+            idle_timeout.record(Instant::now(), idle, outcome);
         }
     }
 
@@ -116,30 +119,30 @@
         }
     }
 
-    /// Returns how many connections were opened since the start.
-    pub(crate) fn opened(&self) -> u64 {
+    /// Returns the number of connections opened since the process started.
+    pub(crate) fn opened_count(&self) -> u64 {
         self.opened.get()
     }
 
-    /// Takes a connection out of the pool or opens one, within the connect time.
-    pub(crate) async fn take(
+    /// Takes an idle connection out of the pool or opens one, within the connect time-out.
+    pub(crate) async fn acquire(
         &self,
         address: SocketAddr,
-        wanted: Wanted,
-    ) -> Result<PodConnection, NoConnection> {
+        source: ConnectionSource,
+    ) -> Result<PodConnection, AcquireError> {
         let idle = self.take_idle(address);
-        if let (Some(connection), Wanted::IdleOrNew) = (idle, wanted) {
+        if let (Some(connection), ConnectionSource::IdleOrNew) = (idle, source) {
             return Ok(connection);
         }
         let began = Instant::now();
-        let permit = self.permit().await?;
+        let permit = self.acquire_permit().await?;
         let remaining = self
             .settings
             .connect_timeout
             .saturating_sub(began.elapsed());
         let connecting = timeout(remaining, TcpStream::connect(address)).await;
         let Ok(Ok(stream)) = connecting else {
-            return Err(NoConnection::Pod);
+            return Err(AcquireError::PodUnreachable);
         };
         let _ = stream.set_nodelay(true);
         increment(&self.opened);
@@ -150,28 +153,29 @@
         })
     }
 
-    /// Takes the last used connection that has rested, closing those behind it that are of no use.
+    /// Takes the most recently used connection that may be reused. Closes those on the way that are too old, closed or
+    /// have unread bytes.
     fn take_idle(&self, address: SocketAddr) -> Option<PodConnection> {
         let idle_timeout = self.idle_timeout();
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(&address)?;
-        let rested = |idle: &IdleConnection| has_rested(idle.since.elapsed());
-        while let Some(last) = connections.iter().rposition(rested) {
+        let reusable = |idle: &IdleConnection| may_reuse_after(idle.since.elapsed());
+        while let Some(last) = connections.iter().rposition(reusable) {
             let IdleConnection {
                 mut connection,
                 since,
             } = connections.remove(last);
-            let age = since.elapsed();
-            if age < idle_timeout && connection.is_clean() {
-                connection.idle_before = Some(age);
+            let idle_time = since.elapsed();
+            if idle_time < idle_timeout && connection.is_clean() {
+                connection.idle_before = Some(idle_time);
                 return Some(connection);
             }
         }
         None
     }
 
-    /// Gets a permit, at the cost of the connection idle the longest where none is left.
-    async fn permit(&self) -> Result<OwnedSemaphorePermit, NoConnection> {
+    /// Acquires a permit, closing the longest idle connection if none is left.
+    async fn acquire_permit(&self) -> Result<OwnedSemaphorePermit, AcquireError> {
         let try_permit = || self.permits.clone().try_acquire_owned();
         if let Ok(permit) = try_permit() {
             return Ok(permit);
@@ -185,17 +189,17 @@
         let acquiring = self.permits.clone().acquire_owned();
         match timeout(self.settings.connect_timeout, acquiring).await {
             Ok(Ok(permit)) => Ok(permit),
-            _ => Err(NoConnection::Permits),
+            _ => Err(AcquireError::NoPermit),
         }
     }
 
-    /// Closes the connection that was idle the longest, whichever pod it goes to; returns whether there was one.
+    /// Closes the longest idle connection of all pods. Returns false if there is none.
     fn close_longest_idle(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
-        let firsts = idle
+        let longest_idle = idle
             .iter()
             .filter_map(|(address, connections)| Some((*address, connections.first()?.since)));
-        let Some((address, _)) = firsts.min_by_key(|(_, since)| *since) else {
+        let Some((address, _)) = longest_idle.min_by_key(|(_, since)| *since) else {
             return false;
         };
         let connections = idle.get_mut(&address);
@@ -204,9 +208,9 @@
             .is_some()
     }
 
-    /// Keeps a connection for its next request. While others wait for a permit it is closed: its permit would stay
-    /// taken, and who waits may want another pod.
-    pub(crate) fn give_back(&self, address: SocketAddr, connection: PodConnection) {
+    /// Returns a connection to the pool for its next request. While attempts wait for a permit it is closed instead: it
+    /// would keep its permit, and those attempts may go to other pods.
+    pub(crate) fn release(&self, address: SocketAddr, connection: PodConnection) {
         if self.waiting.get() > 0 {
             return;
         }
@@ -217,7 +221,8 @@
         });
     }
 
-    /// Closes idle connections to pods no longer listed, and those that were idle too long or were closed.
+    /// Closes idle connections to pods that are no longer listed, and those that were idle too long, were closed by the
+    /// pod or have unread bytes.
     pub(crate) fn sweep(&self, listed: &HashSet<SocketAddr>) {
         let idle_timeout = self.idle_timeout();
         self.idle.borrow_mut().retain(|address, connections| {
--- a/crates/platform/src/pod_response/error.rs
+++ b/crates/platform/src/pod_response/error.rs
@@ -1,40 +1,40 @@
-//! Why a response cannot be used.
+//! Errors in reading a response.
 
 use crate::limits::MAX_HEAD_BYTES;
 
-/// Why a response cannot be read, or is not complete: its request may have run.
+/// Why a response is unusable. The pod received the complete request, so it may have run.
 #[derive(Clone, Copy, Debug, PartialEq, thiserror::Error)]
 pub(crate) enum ResponseError {
-    #[error("closed without a response")]
+    #[error("connection closed before any byte of the response")]
     ClosedUnanswered,
-    #[error("reset without a response")]
+    #[error("connection reset before any byte of the response")]
     ResetUnanswered,
-    #[error("closed within the response")]
-    ClosedWithin,
-    #[error("reset within the response")]
-    ResetWithin,
-    #[error("informational responses without end")]
+    #[error("connection closed within the response")]
+    ClosedMidResponse,
+    #[error("connection reset within the response")]
+    ResetMidResponse,
+    #[error("status 101 or too many informational responses")]
     TooManyInformational,
-    #[error("a head of over {MAX_HEAD_BYTES} bytes")]
+    #[error("head longer than {MAX_HEAD_BYTES} bytes")]
     HeadTooLong,
-    #[error("a head that is not HTTP")]
+    #[error("malformed head")]
     InvalidHead,
-    #[error("a status that is not HTTP")]
+    #[error("invalid status code")]
     InvalidStatus,
-    #[error("a header that is not HTTP")]
+    #[error("invalid header name or value")]
     InvalidHeader,
-    #[error("its length is no number")]
+    #[error("Content-Length is not a number")]
     InvalidLength,
-    #[error("it states no length")]
+    #[error("neither Content-Length nor Transfer-Encoding")]
     NoLength,
-    #[error("it states its length in several ways")]
+    #[error("several lengths, or an unsupported Transfer-Encoding")]
     AmbiguousLength,
-    #[error("its length exceeds what memory allows")]
+    #[error("Content-Length above the memory limit for one response")]
     TooLong,
-    #[error("chunks exceed what memory allows")]
+    #[error("chunks longer than the memory limit for one response")]
     ChunksTooLong,
-    #[error("a chunk without a size")]
+    #[error("invalid chunk size")]
     InvalidChunkSize,
-    #[error("a chunk without its end")]
+    #[error("chunk data not followed by CRLF")]
     InvalidChunkEnd,
 }
--- a/crates/platform/src/pod_response/framing.rs
+++ b/crates/platform/src/pod_response/framing.rs
@@ -1,4 +1,4 @@
-//! How long a response's body is, and whether its connection goes on.
+//! How the end of a response's body is marked, and whether its connection stays open.
 
 use super::error::ResponseError;
 use hyper::header::{HeaderMap, HeaderValue, CONNECTION, CONTENT_LENGTH, TRANSFER_ENCODING};
@@ -6,15 +6,15 @@
 /// How the end of a body is marked.
 #[derive(Debug, PartialEq)]
 pub(super) enum Framing {
-    /// By its length, in bytes.
+    /// By its length in bytes.
     Length(usize),
-    /// By a last chunk.
+    /// By a last chunk, which is empty.
     Chunked,
 }
 
-/// Returns how the end of the body is marked. Two lengths or two framings are refused, and so is an end by close, which
-/// a break looks just like.
-pub(super) fn of(headers: &HeaderMap) -> Result<Framing, ResponseError> {
+/// Returns how the end of the body is marked. Rejects two lengths or two framings, and a body that ends with the
+/// connection: it cannot be told from one that was cut off.
+pub(super) fn from_headers(headers: &HeaderMap) -> Result<Framing, ResponseError> {
     let lengths: Vec<&HeaderValue> = headers.get_all(CONTENT_LENGTH).iter().collect();
     let encodings: Vec<&HeaderValue> = headers.get_all(TRANSFER_ENCODING).iter().collect();
     match (&lengths[..], &encodings[..]) {
@@ -36,11 +36,11 @@
     is_number.then(|| text.parse().ok()).flatten()
 }
 
-/// Returns whether the pod closes the connection behind this response.
-pub(super) fn closes(headers: &HeaderMap) -> bool {
-    let is_close = |word: &[u8]| word.trim_ascii().eq_ignore_ascii_case(b"close");
+/// Returns whether the pod closes the connection after this response.
+pub(super) fn closes_connection(headers: &HeaderMap) -> bool {
+    let is_close = |option: &[u8]| option.trim_ascii().eq_ignore_ascii_case(b"close");
     headers.get_all(CONNECTION).iter().any(|value| {
-        let mut words = value.as_bytes().split(|byte| *byte == b',');
-        words.any(is_close)
+        let mut options = value.as_bytes().split(|byte| *byte == b',');
+        options.any(is_close)
     })
 }
--- a/crates/platform/src/pod_response/head.rs
+++ b/crates/platform/src/pod_response/head.rs
@@ -12,7 +12,7 @@
     pub(super) headers: HeaderMap,
 }
 
-/// Takes one head off the front of the buffer; none where it is not complete yet.
+/// Removes one head from the front of the buffer; `None` if the head is not complete yet.
 pub(super) fn parse(buffer: &mut BytesMut) -> Result<Option<Head>, ResponseError> {
     let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut lines);
--- a/crates/platform/src/pod_response/mod.rs
+++ b/crates/platform/src/pod_response/mod.rs
@@ -1,14 +1,14 @@
-//! Reads a pod's response whole, bounded, from a connection.
+//! Reads a complete pod response, bounded in size, from a connection.
 //!
-//! This lies beneath `hyper`, on its parser `httparse`: whether a request's last byte was written, and whether bytes
-//! lie unread on a kept connection, `hyper`'s client does not show (`tests/beneath.rs`).
+//! It uses `httparse`, the parser of `hyper`, rather than `hyper`'s client: the client does not show whether the last
+//! byte of a request was written, nor whether a kept connection has unread bytes (`tests/hyper_client.rs`).
 
 mod error;
 mod framing;
 mod head;
 
 use crate::limits::{MAX_BODY_BYTES, MAX_HEAD_BYTES, MAX_INFORMATIONAL_RESPONSES};
-use crate::response_memory::{with_share, ResponseMemory};
+use crate::response_memory::{with_reservation, ResponseMemory};
 use bytes::{Buf, Bytes, BytesMut};
 pub(crate) use error::ResponseError;
 use framing::Framing;
@@ -18,9 +18,9 @@
 use tokio::io::AsyncReadExt;
 use tokio::net::TcpStream;
 
-/// Buffer that a response starts with.
+/// Initial capacity of the buffer that a response is read into.
 const INITIAL_BUFFER_BYTES: usize = 2048;
-/// The line's end behind a chunk's data.
+/// The line end after the data of a chunk.
 const CHUNK_END: &[u8] = b"\r\n";
 
 /// A complete response.
@@ -28,11 +28,11 @@
     pub(crate) status: StatusCode,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
-    /// Whether nothing lies behind it and the pod keeps the connection.
+    /// Whether no bytes follow the response and the pod keeps the connection open.
     pub(crate) is_reusable: bool,
 }
 
-/// Reads one response; informational ones before it are skipped.
+/// Reads one response, skipping informational ones before it.
 pub(crate) async fn read(
     stream: &mut TcpStream,
     memory: &ResponseMemory,
@@ -43,11 +43,11 @@
         buffer: BytesMut::with_capacity(INITIAL_BUFFER_BYTES),
     };
     let Head { status, headers } = reader.read_head().await?;
-    let body = match framing::of(&headers)? {
+    let body = match framing::from_headers(&headers)? {
         Framing::Length(length) => reader.read_sized(length).await?,
         Framing::Chunked => reader.read_chunks().await?,
     };
-    let is_reusable = reader.buffer.is_empty() && !framing::closes(&headers);
+    let is_reusable = reader.buffer.is_empty() && !framing::closes_connection(&headers);
     Ok(PodResponse {
         status,
         headers,
@@ -59,19 +59,19 @@
 struct Reader<'a> {
     stream: &'a mut TcpStream,
     memory: &'a ResponseMemory,
-    /// Bytes received and not read yet: a head, a chunk or a body that is being read.
+    /// Bytes received and not consumed yet: parts of a head, a chunk or a body.
     buffer: BytesMut,
 }
 
 impl Reader<'_> {
-    /// Waits for more bytes.
+    /// Receives more bytes into the buffer.
     async fn fill(&mut self) -> Result<(), ResponseError> {
         let received = self.stream.read_buf(&mut self.buffer).await;
         match (received, self.buffer.is_empty()) {
             (Ok(0), true) => Err(ResponseError::ClosedUnanswered),
-            (Ok(0), false) => Err(ResponseError::ClosedWithin),
+            (Ok(0), false) => Err(ResponseError::ClosedMidResponse),
             (Err(_), true) => Err(ResponseError::ResetUnanswered),
-            (Err(_), false) => Err(ResponseError::ResetWithin),
+            (Err(_), false) => Err(ResponseError::ResetMidResponse),
             (Ok(_), _) => Ok(()),
         }
     }
@@ -105,28 +105,28 @@
         if length > self.memory.max_response_bytes() {
             return Err(ResponseError::TooLong);
         }
-        let share = self.memory.reserve(length).await;
+        let reservation = self.memory.reserve(length).await;
         self.buffer
             .reserve(length.saturating_sub(self.buffer.len()));
         self.fill_to(length).await?;
         let body = self.buffer.split_to(length).freeze();
-        Ok(with_share(body, share))
+        Ok(with_reservation(body, reservation))
     }
 
-    /// Reads chunks to the last one, which has no data. Trailers, which no pod sends, make the response malformed.
+    /// Reads chunks up to the last one, which is empty. Trailers make the response malformed; no pod sends them.
     async fn read_chunks(&mut self) -> Result<Bytes, ResponseError> {
         let mut body = BytesMut::new();
-        let mut share = None;
+        let mut reservation = None;
         loop {
             let chunk = self.read_chunk_head().await?;
             if chunk.size > (self.memory.max_response_bytes() - body.len()) as u64 {
                 return Err(ResponseError::ChunksTooLong);
             }
             let size = chunk.size as usize;
-            // How much will come is unknown: a share for all that may, and for a chunk that is still being read.
-            if share.is_none() && body.len() + size > MAX_BODY_BYTES {
-                let most = 2 * self.memory.max_response_bytes();
-                share = self.memory.reserve(most).await;
+            // The total is unknown: reserves for the largest possible body and for as large a chunk in the buffer.
+            if reservation.is_none() && body.len() + size > MAX_BODY_BYTES {
+                let max_bytes = 2 * self.memory.max_response_bytes();
+                reservation = self.memory.reserve(max_bytes).await;
             }
             let data_end = chunk.head_length + size;
             let chunk_end = data_end + CHUNK_END.len();
@@ -137,7 +137,7 @@
             body.extend_from_slice(&self.buffer[chunk.head_length..data_end]);
             self.buffer.advance(chunk_end);
             if size == 0 {
-                return Ok(with_share(body.freeze(), share));
+                return Ok(with_reservation(body.freeze(), reservation));
             }
         }
     }
@@ -158,8 +158,8 @@
 }
 
 struct ChunkHead {
-    /// Bytes up to the data, the line's end included.
+    /// Bytes before the data, including the line end.
     head_length: usize,
-    /// Bytes of data.
+    /// Bytes of data in the chunk.
     size: u64,
 }
--- a/crates/platform/src/prepared_request.rs
+++ b/crates/platform/src/prepared_request.rs
@@ -1,4 +1,4 @@
-//! A request as it is written to pods, as often as it must be.
+//! A request serialised once and written to pods as often as there are attempts.
 
 use crate::wire_headers::REMAINING_TIME;
 use bytes::Bytes;
@@ -7,12 +7,12 @@
 use std::io::Write as _;
 use std::time::Duration;
 
-/// Room for a head of the usual length.
-const USUAL_HEAD_BYTES: usize = 256;
-/// Room for the header that states the remaining time, and the empty line.
-const REMAINING_TIME_BYTES: usize = 40;
+/// Initial capacity for a head.
+const TYPICAL_HEAD_BYTES: usize = 256;
+/// Capacity for the header with the remaining time and the empty line.
+const REMAINING_TIME_HEADER_BYTES: usize = 40;
 
-/// A request without what differs from one attempt to the next.
+/// A serialised request without the header that differs between attempts.
 pub(crate) struct PreparedRequest {
     /// Request line and headers, without the remaining time and the empty line.
     head: Vec<u8>,
@@ -20,14 +20,14 @@
 }
 
 impl PreparedRequest {
-    /// Prepares a request; `headers` are those that pass on unchanged.
+    /// Serialises a request; `headers` are forwarded unchanged.
     pub(crate) fn new(
         method: &Method,
         path: &str,
         headers: &HeaderMap,
         body: Bytes,
     ) -> PreparedRequest {
-        let mut head = Vec::with_capacity(USUAL_HEAD_BYTES);
+        let mut head = Vec::with_capacity(TYPICAL_HEAD_BYTES);
         head.extend_from_slice(format!("{method} {path} HTTP/1.1\r\n").as_bytes());
         for (name, value) in headers {
             head.extend_from_slice(name.as_str().as_bytes());
@@ -42,9 +42,9 @@
         PreparedRequest { head, body }
     }
 
-    /// Returns the bytes of one attempt, which states how long it will be waited for.
+    /// Returns the bytes of one attempt, with the time that the sidecar will wait for its response.
     pub(crate) fn with_remaining_time(&self, remaining: Duration) -> Vec<u8> {
-        let capacity = self.head.len() + self.body.len() + REMAINING_TIME_BYTES;
+        let capacity = self.head.len() + self.body.len() + REMAINING_TIME_HEADER_BYTES;
         let mut bytes = Vec::with_capacity(capacity);
         bytes.extend_from_slice(&self.head);
         let remaining_ms = remaining.as_millis();
--- a/crates/platform/src/reconnect.rs
+++ b/crates/platform/src/reconnect.rs
@@ -1,6 +1,6 @@
-//! A connection that is made again whenever it ends, and moved to another address without a gap.
+//! Keeps a connection to a service: reconnects whenever it ends, and moves it to a new address without a gap.
 
-use crate::limits::{FIRST_RECONNECT_DELAY, LONGEST_RECONNECT_DELAY};
+use crate::limits::{INITIAL_RECONNECT_SPAN, MAX_RECONNECT_SPAN};
 use havenplank_line_protocol::backoff::Backoff;
 use std::cell::{Cell, RefCell};
 use std::fmt::Display;
@@ -21,44 +21,46 @@
     }
 }
 
-/// Returns the backoff between connections to discovery or control plane.
+/// Returns the backoff between connection attempts to discovery or the control plane.
 pub(crate) fn backoff(seed: u64) -> Backoff {
-    Backoff::new(seed, FIRST_RECONNECT_DELAY, LONGEST_RECONNECT_DELAY)
+    Backoff::new(seed, INITIAL_RECONNECT_SPAN, MAX_RECONNECT_SPAN)
 }
 
-/// Handed to one session, which reports by it that the service speaks.
+/// Handle by which a session confirms that its service responds.
 #[derive(Clone)]
 pub(crate) struct Liveness {
-    /// The session at the former address.
-    former: Rc<RefCell<Option<AbortOnDrop>>>,
-    spoke: Rc<Cell<bool>>,
+    /// The session at the previous address, if it still runs.
+    previous: Rc<RefCell<Option<AbortOnDrop>>>,
+    /// Whether this session confirmed.
+    confirmed: Rc<Cell<bool>>,
+    /// How long the previous session runs on after that.
     linger: Duration,
 }
 
 impl Liveness {
-    fn new(former: Option<AbortOnDrop>, linger: Duration) -> Liveness {
+    fn new(previous: Option<AbortOnDrop>, linger: Duration) -> Liveness {
         Liveness {
-            former: Rc::new(RefCell::new(former)),
-            spoke: Rc::default(),
+            previous: Rc::new(RefCell::new(previous)),
+            confirmed: Rc::default(),
             linger,
         }
     }
 
-    /// Reports that the service said something: the session at the former address is no longer needed.
+    /// Records that the service sent something, and ends the session at the previous address after `linger`.
     pub(crate) fn confirm(&self) {
-        self.spoke.set(true);
-        let Some(former) = self.take_former() else {
+        self.confirmed.set(true);
+        let Some(previous) = self.take_previous() else {
             return;
         };
         let linger = self.linger;
         spawn_local(async move {
             sleep(linger).await;
-            drop(former);
+            drop(previous);
         });
     }
 
-    fn take_former(&self) -> Option<AbortOnDrop> {
-        self.former.borrow_mut().take()
+    fn take_previous(&self) -> Option<AbortOnDrop> {
+        self.previous.borrow_mut().take()
     }
 }
 
@@ -69,9 +71,11 @@
     Stopped,
 }
 
-/// Keeps one session up for as long as it is polled, or until the sender of `address` is dropped. A session returns why
-/// it ended. Delays between attempts grow with jitter drawn from `seed`, and start short again once the service
-/// spoke. When the address changes, the former session goes on until the new one speaks and `linger` after that.
+/// Keeps one session running until this future is dropped or the sender of `address` is.
+///
+/// `session` resolves to the reason why the session ended. Delays between attempts grow, with jitter drawn from `seed`,
+/// and are reset once a session has confirmed. When the address changes, the previous session runs on until the new one
+/// confirms, and for `linger` after that.
 pub(crate) async fn maintain<E: Display + 'static, F: Future<Output = E> + 'static>(
     service: &'static str,
     mut address: watch::Receiver<SocketAddr>,
@@ -80,23 +84,23 @@
     session: impl Fn(SocketAddr, Liveness) -> F,
 ) {
     let mut backoff = backoff(seed);
-    let mut former = None;
+    let mut previous = None;
     loop {
         let current = *address.borrow_and_update();
-        // One for each session: what the former one receives must not count as the new one's word.
-        let liveness = Liveness::new(former.take(), linger);
+        // Each session has its own handle: what the previous one receives must not confirm the new one.
+        let liveness = Liveness::new(previous.take(), linger);
         let mut task = spawn_local(session(current, liveness.clone()));
         let guard = AbortOnDrop(task.abort_handle());
-        let interruption = interrupted(&mut task, &mut address).await;
-        former = liveness.take_former();
-        let spoke = liveness.spoke.get();
+        let interruption = next_interruption(&mut task, &mut address).await;
+        previous = liveness.take_previous();
+        let confirmed = liveness.confirmed.get();
         match interruption {
             Interruption::Stopped => return,
             Interruption::AddressChanged => {
                 let to = *address.borrow();
                 tracing::info!(service, from = %current, %to, "address changed");
-                if spoke {
-                    former = Some(guard);
+                if confirmed {
+                    previous = Some(guard);
                 }
                 backoff.reset();
                 continue;
@@ -104,7 +108,7 @@
             Interruption::Ended(Ok(reason)) => log_end(service, current, &reason),
             Interruption::Ended(Err(reason)) => log_end(service, current, &reason),
         }
-        if spoke {
+        if confirmed {
             backoff.reset();
         }
         tokio::select! {
@@ -114,7 +118,7 @@
     }
 }
 
-async fn interrupted<E>(
+async fn next_interruption<E>(
     task: &mut JoinHandle<E>,
     address: &mut watch::Receiver<SocketAddr>,
 ) -> Interruption<E> {
--- a/crates/platform/src/request_error.rs
+++ b/crates/platform/src/request_error.rs
@@ -1,8 +1,8 @@
-//! Why what a client sent is no request; each is answered with a status and a text, and the connection closes.
+//! Errors of client requests. Each is answered with a status and a text, after which the connection closes.
 
 use hyper::StatusCode;
 
-/// Why what a client sent is no request.
+/// Why a client request was rejected.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum RequestError {
     TransferEncoding,
@@ -11,15 +11,15 @@
     WrongMethod,
     BodyTooLarge,
     UnexpectedBody,
-    SeveralIds,
+    MultipleIds,
     InvalidId,
-    SeveralIdempotencyKeys,
+    MultipleIdempotencyKeys,
     MissingIdempotencyKey,
-    SeveralRemainingTimes,
+    MultipleRemainingTimes,
     InvalidRemainingTime,
     IdInFlight,
     IdMayHaveRun,
-    BodyBroken,
+    BodyIncomplete,
     BodyTooSlow,
 }
 
@@ -44,16 +44,16 @@
                 (StatusCode::PAYLOAD_TOO_LARGE, "the body is over 64 KiB\n")
             }
             RequestError::UnexpectedBody => (BAD, "expected no body\n"),
-            RequestError::SeveralIds => (BAD, "X-Correlation-Id: expected one\n"),
+            RequestError::MultipleIds => (BAD, "X-Correlation-Id: expected one\n"),
             RequestError::InvalidId => (
                 BAD,
                 "X-Correlation-Id: expected 1 to 128 visible characters\n",
             ),
-            RequestError::SeveralIdempotencyKeys => (BAD, "Idempotency-Key: expected one\n"),
+            RequestError::MultipleIdempotencyKeys => (BAD, "Idempotency-Key: expected one\n"),
             RequestError::MissingIdempotencyKey => {
                 (BAD, "Idempotency-Key: needed by this path group\n")
             }
-            RequestError::SeveralRemainingTimes => (BAD, "X-Time-Left-Ms: expected one\n"),
+            RequestError::MultipleRemainingTimes => (BAD, "X-Time-Left-Ms: expected one\n"),
             RequestError::InvalidRemainingTime => {
                 (BAD, "X-Time-Left-Ms: expected whole milliseconds\n")
             }
@@ -65,7 +65,7 @@
                 StatusCode::BAD_GATEWAY,
                 "X-Correlation-Id: sent before, and may have run\n",
             ),
-            RequestError::BodyBroken => (BAD, "the body broke off\n"),
+            RequestError::BodyIncomplete => (BAD, "the body broke off\n"),
             RequestError::BodyTooSlow => (StatusCode::REQUEST_TIMEOUT, "the body took too long\n"),
         }
     }
--- a/crates/platform/src/request_handler.rs
+++ b/crates/platform/src/request_handler.rs
@@ -1,4 +1,5 @@
-//! Answers one request of a client: a health check, an invalid one, or one that the engine decides about.
+//! Answers one request of a client: a health check directly, an invalid request with an error, any other through the
+//! engine.
 
 use crate::client_connection::ClientConnection;
 use crate::counters::increment;
@@ -15,95 +16,97 @@
 use std::time::{Duration, Instant};
 use tokio::sync::oneshot;
 
-/// A response on its way to the client.
-pub(crate) struct Handled {
+/// A response for the client, with the deadline of its request.
+pub(crate) struct HandledRequest {
     pub(crate) response: Response<Body>,
-    /// The request's deadline, where it was one for the engine.
+    /// `None` for health checks and invalid requests, which the engine does not see.
     pub(crate) deadline: Option<Instant>,
 }
 
-impl From<Response<Body>> for Handled {
-    fn from(response: Response<Body>) -> Handled {
-        Handled {
+impl From<Response<Body>> for HandledRequest {
+    fn from(response: Response<Body>) -> HandledRequest {
+        HandledRequest {
             response,
             deadline: None,
         }
     }
 }
 
-/// A request in flight; dropped before its response, its client is gone.
-struct InFlight {
+/// Guard of a request in flight. Dropping it tells the engine that the client is gone; no effect once the request has
+/// ended.
+struct InFlightGuard {
     shell: Rc<Shell>,
     request: RequestId,
 }
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.shell.client_gone(self.request);
     }
 }
 
-/// Answers what a client sent.
+/// Answers one request.
 pub(crate) async fn handle(
     shell: Rc<Shell>,
     client: Rc<ClientConnection>,
     request: Request<Incoming>,
-) -> Handled {
+) -> HandledRequest {
     let began = client.stream.take_request_began();
     let began = began.unwrap_or_else(Instant::now);
     if request.method() == Method::GET && request.uri().path() == HEALTH_PATH {
         client.mark_requested();
-        return health(shell.stopping.get()).into();
+        return health_response(shell.stopping.get()).into();
     }
     match request_reader::read(&shell, &client, request, began).await {
         Ok(request) => {
             client.mark_requested();
             dispatch(shell, &client, request, began).await
         }
-        Err(error) => refuse(&shell, error).into(),
+        Err(error) => reject(&shell, error).into(),
     }
 }
 
-fn health(is_stopping: bool) -> Response<Body> {
+fn health_response(is_stopping: bool) -> Response<Body> {
     if is_stopping {
         return and_close(plain(StatusCode::SERVICE_UNAVAILABLE, "stopping\n"));
     }
     plain(StatusCode::OK, "ready\n")
 }
 
-fn refuse(shell: &Shell, error: RequestError) -> Response<Body> {
+fn reject(shell: &Shell, error: RequestError) -> Response<Body> {
     let (status, text) = error.response();
     tracing::debug!(%status, reason = text.trim_end(), "invalid request");
     increment(&shell.clients.invalid_requests);
     and_close(plain(status, text))
 }
 
-/// Hands a request to the engine and waits for its response.
+/// Dispatches a request to the engine and waits for its response.
 async fn dispatch(
     shell: Rc<Shell>,
     client: &ClientConnection,
     read: ReadRequest,
     began: Instant,
-) -> Handled {
+) -> HandledRequest {
     let ReadRequest {
         attributes,
         prepared,
         id,
     } = read;
     let deadline = began + Duration::from_nanos(attributes.remaining);
-    let attributes = with_time_spent(attributes, began, shell.response_margin);
+    let attributes = deduct_time_spent(attributes, began, shell.response_margin);
     let (sender, response) = oneshot::channel();
     let request = shell.dispatch(attributes, prepared, sender);
-    let in_flight = InFlight { shell, request };
+    let in_flight = InFlightGuard { shell, request };
     id.set_request(request);
     let response = tokio::select! {
-        // An engine that stops with a request in flight is a fault; the response promises nothing.
+        // The engine dropping a request in flight is a fault; this response does not promise that it never ran.
         response = response => response.unwrap_or_else(|_| failed(false)),
-        // HTTP looks for its close only while no other bytes lie in front of that. Nobody reads this response.
+        // Watched here because the HTTP server sees the client's close only if no unread bytes precede it. Nobody
+        // reads this response.
         () = client.stream.closed() => and_close(failed(false)),
     };
     let is_stopping = in_flight.shell.stopping.get();
-    Handled {
+    HandledRequest {
         response: if is_stopping {
             and_close(response)
         } else {
@@ -113,8 +116,8 @@
     }
 }
 
-/// Takes off the remaining time what was spent reading, and what the response will need on its way.
-fn with_time_spent(
+/// Deducts from the remaining time what reading the request took and what sending the response will take.
+fn deduct_time_spent(
     attributes: RequestAttributes,
     began: Instant,
     response_margin: Nanos,
--- a/crates/platform/src/request_reader.rs
+++ b/crates/platform/src/request_reader.rs
@@ -1,4 +1,4 @@
-//! Reads a client's request whole, so that it can be sent again, and refuses what is no request.
+//! Reads and validates complete client requests; a request is buffered whole so that it can be retried.
 
 use crate::client_connection::ClientConnection;
 use crate::id_claim::IdClaim;
@@ -26,23 +26,23 @@
 use std::time::Instant;
 use tokio::time::timeout_at;
 
-/// Nine digits of milliseconds are some days.
+/// Limit on the digits of the remaining time; nine digits of milliseconds are 11 days.
 const MAX_REMAINING_TIME_DIGITS: usize = 9;
 
-/// A request, read whole.
+/// A complete, valid request.
 pub(crate) struct ReadRequest {
-    /// What the engine knows of it; the remaining time counts from its first byte.
+    /// The attributes for the engine. The remaining time counts from the first byte of the request.
     pub(crate) attributes: RequestAttributes,
-    /// What is sent to pods.
+    /// The request as sent to pods.
     pub(crate) prepared: PreparedRequest,
-    /// Its correlation id.
+    /// The claim on its correlation id.
     pub(crate) id: IdClaim,
 }
 
-/// Reads a request that began then.
+/// Reads a request whose first byte was received at `began`.
 ///
 /// # Errors
-/// What is no request, and one whose id is in flight.
+/// Fails on an invalid request, and on one whose correlation id is in flight.
 pub(crate) async fn read(
     shell: &Rc<Shell>,
     client: &Rc<ClientConnection>,
@@ -60,14 +60,14 @@
     let attributes = RequestAttributes {
         route_class: class,
         tenant: tenant(shell, &parts.headers),
-        key: key(&parts.headers).map_or(0, stable_hash),
+        key: key_from_cookie(&parts.headers).map_or(0, stable_hash),
         remaining: remaining.min(rules.client_timeout),
         cost_hint: cost_hint(&parts.headers),
         is_retry: parts.headers.get(RETRY).is_some_and(|value| value == "1"),
     };
     let claim = IdClaim::new(shell, client, id, rules.idempotency);
     let id = claim.map_err(|conflict| match conflict {
-        IdConflict::ClientWaits => RequestError::IdInFlight,
+        IdConflict::ClientWaiting => RequestError::IdInFlight,
         IdConflict::MayHaveRun => RequestError::IdMayHaveRun,
     })?;
     let body = read_body(body, client, began).await?;
@@ -78,7 +78,7 @@
     })
 }
 
-/// Checks where a request goes and returns its route class.
+/// Checks the request target and returns its route class.
 fn check_target(shell: &Shell, parts: &Parts) -> Result<RouteClassId, RequestError> {
     if parts.headers.contains_key(TRANSFER_ENCODING) {
         return Err(RequestError::TransferEncoding);
@@ -89,11 +89,11 @@
     route_class(shell, parts.uri.path()).ok_or(RequestError::UnknownRouteClass)
 }
 
-/// Finds the route class that the first part of a path names.
+/// Finds the route class that the first segment of a path names.
 fn route_class(shell: &Shell, path: &str) -> Option<RouteClassId> {
     let name = path.strip_prefix('/')?.split('/').next()?;
     let mut classes = shell.route_classes.iter();
-    classes.position(|(known, _)| known == name)
+    classes.position(|(class_name, _)| class_name == name)
 }
 
 fn check_method(parts: &Parts, rules: &RouteClass) -> Result<Method, RequestError> {
@@ -107,7 +107,7 @@
     Ok(method)
 }
 
-/// Checks a body by what its head says of it.
+/// Checks the body as far as the head describes it.
 fn check_body(body: &Incoming, rules: &RouteClass) -> Result<(), RequestError> {
     if body.size_hint().lower() > MAX_BODY_BYTES as u64 {
         return Err(RequestError::BodyTooLarge);
@@ -119,7 +119,7 @@
 }
 
 fn correlation_id(headers: &HeaderMap) -> Result<&HeaderValue, RequestError> {
-    let id = single(headers, &CORRELATION_ID, RequestError::SeveralIds)?;
+    let id = single_value(headers, &CORRELATION_ID, RequestError::MultipleIds)?;
     let is_valid = |id: &&HeaderValue| {
         let length = id.len();
         (1..=MAX_CORRELATION_ID_BYTES).contains(&length)
@@ -129,8 +129,8 @@
 }
 
 fn check_idempotency_key(headers: &HeaderMap, rules: &RouteClass) -> Result<(), RequestError> {
-    let several = RequestError::SeveralIdempotencyKeys;
-    let key = single(headers, &IDEMPOTENCY_KEY, several)?;
+    let multiple = RequestError::MultipleIdempotencyKeys;
+    let key = single_value(headers, &IDEMPOTENCY_KEY, multiple)?;
     let is_missing = key.is_none_or(HeaderValue::is_empty);
     if rules.idempotency == Idempotency::Keyed && is_missing {
         return Err(RequestError::MissingIdempotencyKey);
@@ -139,17 +139,17 @@
 }
 
 fn remaining_time(headers: &HeaderMap) -> Result<Nanos, RequestError> {
-    let value = single(
+    let value = single_value(
         headers,
         &REMAINING_TIME,
-        RequestError::SeveralRemainingTimes,
+        RequestError::MultipleRemainingTimes,
     )?;
     value
         .and_then(parse_millis)
         .ok_or(RequestError::InvalidRemainingTime)
 }
 
-/// Parses whole milliseconds, up to some days.
+/// Parses whole milliseconds of at most [`MAX_REMAINING_TIME_DIGITS`] digits.
 fn parse_millis(value: &HeaderValue) -> Option<Nanos> {
     let text = value.to_str().ok()?;
     let is_number = text.bytes().all(|byte| byte.is_ascii_digit());
@@ -159,26 +159,26 @@
     text.parse::<Nanos>().ok()?.checked_mul(NANOS_PER_MILLI)
 }
 
-/// Returns the one value of a header; an error where there are several.
-fn single<'a>(
+/// Returns the value of a header, or the given error if the header occurs more than once.
+fn single_value<'a>(
     headers: &'a HeaderMap,
     name: &HeaderName,
-    several: RequestError,
+    multiple: RequestError,
 ) -> Result<Option<&'a HeaderValue>, RequestError> {
     let mut values = headers.get_all(name).iter();
     match (values.next(), values.next()) {
         (value, None) => Ok(value),
-        _ => Err(several),
+        _ => Err(multiple),
     }
 }
 
 fn tenant(shell: &Shell, headers: &HeaderMap) -> Option<usize> {
     let name = headers.get(TENANT)?;
-    shell.tenants.iter().position(|known| name == known)
+    shell.tenants.iter().position(|tenant| name == tenant)
 }
 
-/// Returns the key in the cookie, where the deployment has keys; a cookie that cannot be read is none.
-fn key(headers: &HeaderMap) -> Option<&[u8]> {
+/// Returns the key from the cookie headers. A deployment without keys has none, and a malformed cookie counts as none.
+fn key_from_cookie(headers: &HeaderMap) -> Option<&[u8]> {
     let lines = headers.get_all(COOKIE).iter();
     let mut cookies = lines.flat_map(|line| line.as_bytes().split(|byte| *byte == b';'));
     let key = cookies.find_map(|cookie| cookie.trim_ascii().strip_prefix(KEY_COOKIE))?;
@@ -197,18 +197,18 @@
     if body.is_end_stream() {
         return Ok(Bytes::new());
     }
-    let deadline = client.slot().read_by(began);
+    let deadline = client.state().read_by(began);
     let reading = Limited::new(body, MAX_BODY_BYTES).collect();
     match timeout_at(deadline.into(), reading).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => Err(RequestError::BodyTooLarge),
-        Ok(Err(_)) => Err(RequestError::BodyBroken),
+        Ok(Err(_)) => Err(RequestError::BodyIncomplete),
         Err(_) => Err(RequestError::BodyTooSlow),
     }
 }
 
-/// Prepares a request for pods: method, path, body and headers pass on, but for headers of one connection and the
-/// remaining time, which each attempt states anew.
+/// Prepares a request for pods: method, path, body and headers are forwarded, except for hop-by-hop headers and the
+/// remaining time, which each attempt sets itself.
 fn prepare(method: &Method, parts: &Parts, body: Bytes) -> PreparedRequest {
     let path = parts.uri.path_and_query();
     let path = path.map_or("/", |path| path.as_str());
--- a/crates/platform/src/response_memory.rs
+++ b/crates/platform/src/response_memory.rs
@@ -1,22 +1,23 @@
-//! Decides how much memory responses of pods may hold, and lends it out.
+//! Limits the memory that responses of pods hold, by reservations.
 //!
-//! Responses up to the protocol's bound on a body need no share. Larger ones, which pods send all the same, hold theirs
-//! until the client has read them; with none left the next one waits in its socket, up to its attempt's time.
+//! Responses up to the protocol's limit on a body need no reservation. Larger ones, which pods send nevertheless, keep
+//! their reservation until the client has read them. If no memory is left, the next large response waits in its socket
+//! until some is released or its attempt times out.
 
 use crate::limits::MAX_BODY_BYTES;
 use bytes::Bytes;
 use std::sync::Arc;
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// Divisor of the process's memory: the part that all large responses may hold together.
+/// All large responses together may hold the memory of the process divided by this.
 const ALL_RESPONSES_DIVISOR: usize = 4;
-/// Divisor of the process's memory: the part that one response may hold.
+/// One response may hold the memory of the process divided by this.
 const ONE_RESPONSE_DIVISOR: usize = 16;
-/// Bound on one response whatever the memory: twice as much must fit the semaphore's count of 32 bits.
+/// Limit on one response, whatever the memory: twice this number must fit the 32-bit permit count of a semaphore.
 const MAX_RESPONSE_BYTES: usize = 1 << 30;
 
-/// A share of the memory, returned when it is dropped; none for a response within the protocol's bound.
-pub(crate) type MemoryShare = Option<OwnedSemaphorePermit>;
+/// A reservation of memory, released when it is dropped; `None` for a response within the protocol's limit.
+pub(crate) type MemoryReservation = Option<OwnedSemaphorePermit>;
 
 /// The memory for large responses.
 pub(crate) struct ResponseMemory {
@@ -25,49 +26,49 @@
 }
 
 impl ResponseMemory {
-    /// Shares out the bytes that the process may use.
+    /// Derives the limits from the bytes that the process may use.
     pub(crate) fn new(process_bytes: usize) -> ResponseMemory {
-        let all = (process_bytes / ALL_RESPONSES_DIVISOR).min(u32::MAX as usize);
-        let one = process_bytes / ONE_RESPONSE_DIVISOR;
+        let all_responses = (process_bytes / ALL_RESPONSES_DIVISOR).min(u32::MAX as usize);
+        let one_response = process_bytes / ONE_RESPONSE_DIVISOR;
         ResponseMemory {
-            bytes: Arc::new(Semaphore::new(all)),
-            max_response_bytes: one.clamp(MAX_BODY_BYTES, MAX_RESPONSE_BYTES),
+            bytes: Arc::new(Semaphore::new(all_responses)),
+            max_response_bytes: one_response.clamp(MAX_BODY_BYTES, MAX_RESPONSE_BYTES),
         }
     }
 
-    /// Returns the bound on one response's body, in bytes.
+    /// Returns the limit on the body of one response, in bytes.
     pub(crate) fn max_response_bytes(&self) -> usize {
         self.max_response_bytes
     }
 
-    /// Waits for the share of a body of that length.
-    pub(crate) async fn reserve(&self, length: usize) -> MemoryShare {
+    /// Waits until memory for a body of this length is available and reserves it.
+    pub(crate) async fn reserve(&self, length: usize) -> MemoryReservation {
         if length <= MAX_BODY_BYTES {
             return None;
         }
-        let share = self.bytes.clone().acquire_many_owned(length as u32);
-        share.await.ok()
+        let reservation = self.bytes.clone().acquire_many_owned(length as u32);
+        reservation.await.ok()
     }
 }
 
-/// Bytes that keep their share of the memory until the last reader is done.
-struct SharedBody {
+/// Bytes that keep their reservation until the last reference to them is dropped.
+struct ReservedBody {
     bytes: Bytes,
-    _share: OwnedSemaphorePermit,
+    _reservation: OwnedSemaphorePermit,
 }
 
-impl AsRef<[u8]> for SharedBody {
+impl AsRef<[u8]> for ReservedBody {
     fn as_ref(&self) -> &[u8] {
         &self.bytes
     }
 }
 
-/// Ties a share of the memory to the bytes that it was reserved for.
-pub(crate) fn with_share(bytes: Bytes, share: MemoryShare) -> Bytes {
-    match share {
-        Some(share) => Bytes::from_owner(SharedBody {
+/// Ties a reservation to the lifetime of the bytes that it was made for.
+pub(crate) fn with_reservation(bytes: Bytes, reservation: MemoryReservation) -> Bytes {
+    match reservation {
+        Some(reservation) => Bytes::from_owner(ReservedBody {
             bytes,
-            _share: share,
+            _reservation: reservation,
         }),
         None => bytes,
     }
--- a/crates/platform/src/service.rs
+++ b/crates/platform/src/service.rs
@@ -1,4 +1,4 @@
-//! Runs one sidecar: start, reload, stop.
+//! Starts, reloads and stops one sidecar.
 
 use crate::client_session::StopTime;
 use crate::client_table::ClientTable;
@@ -23,17 +23,17 @@
 
 /// A command to a running sidecar.
 pub enum Command {
-    /// A new configuration: the addresses of discovery and control plane in it hold from now on.
+    /// Apply a new configuration. Only its addresses of discovery and the control plane are used.
     Reload(Box<Config>),
-    /// Take no more requests, answer those taken, and return.
+    /// Stop accepting requests, answer those accepted, and return.
     Stop,
 }
 
-/// Runs one sidecar on the present thread until it is told to stop. Needs a `LocalRuntime` of tokio with time and I/O.
-/// `ready` is called with the address once it listens.
+/// Runs one sidecar on the current thread until it is told to stop. Requires a tokio `LocalRuntime` with time and I/O.
+/// `ready` is called with the listening address once the sidecar listens.
 ///
 /// # Errors
-/// An address that cannot be listened on. Services that are out of reach are no error: they are tried on.
+/// Fails if the address cannot be listened on. Services that are unreachable are not an error: connecting is retried.
 pub async fn serve(
     config: Config,
     commands: mpsc::Receiver<Command>,
@@ -46,12 +46,12 @@
     let mut tasks = JoinSet::new();
     tasks.spawn_local(shell.clone().run_timers());
     services.follow(&shell, &config, &mut tasks);
-    tasks.spawn_local(sweep_pods(shell.clone()));
+    tasks.spawn_local(sweep_pod_connections(shell.clone()));
     tasks.spawn_local(state_log::run(shell.clone()));
-    let accepting = Accepting::start(&shell, listener);
+    let acceptor = Acceptor::start(&shell, listener);
     ready(address);
-    obey(commands, &services).await;
-    accepting.stop(&shell).await;
+    run_commands(commands, &services).await;
+    acceptor.stop(&shell).await;
     Ok(())
 }
 
@@ -77,17 +77,17 @@
     Shell::new(engine, platform)
 }
 
-/// Hands the engine what the configuration knows of list and stage, and starts it.
+/// Passes the endpoint list and the stage in the configuration to the engine, and starts it.
 fn start_engine(shell: &Rc<Shell>, config: &Config) {
-    let known = config.known.endpoints.clone();
-    shell.call(|engine, now| engine.update_endpoints(now, true, known));
+    let endpoints = config.initial_list.endpoints.clone();
+    shell.call(|engine, now| engine.update_endpoints(now, true, endpoints));
     if let Some(stage) = config.stage {
         shell.call(|engine, now| engine.update_stage(now, stage));
     }
     shell.call(|engine, now| engine.start(now));
 }
 
-/// The addresses of discovery and control plane, which a reload may change.
+/// The addresses of discovery and the control plane, which a reload may change.
 struct ServiceAddresses {
     discovery: watch::Sender<SocketAddr>,
     control_plane: watch::Sender<SocketAddr>,
@@ -105,7 +105,7 @@
         tasks.spawn_local(discovery::follow(
             shell.clone(),
             self.discovery.subscribe(),
-            config.known.version,
+            config.initial_list.version,
             config.seed ^ 1,
         ));
         tasks.spawn_local(control_plane::follow(
@@ -131,8 +131,8 @@
     sender.send_if_modified(|current| std::mem::replace(current, address) != address);
 }
 
-/// Carries commands out until one says to stop or no more can come.
-async fn obey(mut commands: mpsc::Receiver<Command>, services: &ServiceAddresses) {
+/// Performs commands until `Command::Stop` or until all senders are dropped.
+async fn run_commands(mut commands: mpsc::Receiver<Command>, services: &ServiceAddresses) {
     while let Some(command) = commands.recv().await {
         match command {
             Command::Reload(config) => services.reload(&config),
@@ -141,26 +141,26 @@
     }
 }
 
-/// The task that accepts connections, and how it is stopped.
-struct Accepting {
+/// The task that accepts connections, and the channels that stop it.
+struct Acceptor {
     task: JoinHandle<()>,
     stop: watch::Sender<StopTime>,
     close: oneshot::Sender<()>,
 }
 
-impl Accepting {
-    fn start(shell: &Rc<Shell>, listener: TcpListener) -> Accepting {
+impl Acceptor {
+    fn start(shell: &Rc<Shell>, listener: TcpListener) -> Acceptor {
         let (stop, stop_time) = watch::channel(None);
         let (close, closed) = oneshot::channel();
         let task = listener::accept(shell.clone(), listener, stop_time, closed);
-        Accepting {
+        Acceptor {
             task: spawn_local(task),
             stop,
             close,
         }
     }
 
-    /// Takes new connections for a while, then returns once all have closed.
+    /// Accepts new connections for [`STOP_ACCEPT_TIME`], then returns once all have closed.
     async fn stop(self, shell: &Rc<Shell>) {
         let stopped_at = Instant::now();
         shell.stopping.set(true);
@@ -168,26 +168,26 @@
         tracing::info!(requests = shell.in_flight(), "stopping");
         sleep_until((stopped_at + STOP_ACCEPT_TIME).into()).await;
         let _ = self.close.send(());
-        // Until it has taken what had come by then.
+        // The task ends once it has served the connections left in the kernel's accept queue.
         let _ = self.task.await;
-        wait_closed(shell).await;
+        wait_until_clients_closed(shell).await;
         tracing::info!(requests = shell.in_flight(), "stopped");
     }
 }
 
-/// Waits until all clients' connections have closed. Each ends by its own times; this bounds them all.
-async fn wait_closed(shell: &Shell) {
+/// Waits until all client connections have closed. Each has its own time limits; this is an upper limit for all.
+async fn wait_until_clients_closed(shell: &Shell) {
     let timeouts = shell.route_classes.iter();
     let longest = timeouts.map(|(_, rules)| rules.client_timeout).max();
     let longest = Duration::from_nanos(longest.unwrap_or(0));
     let until = Instant::now() + longest + STOP_MARGIN;
-    while shell.clients.open() > 0 && Instant::now() < until {
+    while shell.clients.open_count() > 0 && Instant::now() < until {
         sleep(STOP_POLL_INTERVAL).await;
     }
 }
 
-/// Closes idle connections to pods that are of no more use, once a second.
-async fn sweep_pods(shell: Rc<Shell>) {
+/// Closes unusable idle connections to pods at every [`SWEEP_INTERVAL`].
+async fn sweep_pod_connections(shell: Rc<Shell>) {
     loop {
         sleep(SWEEP_INTERVAL).await;
         let listed = shell.listed_pods();
--- a/crates/platform/src/shell.rs
+++ b/crates/platform/src/shell.rs
@@ -1,7 +1,7 @@
-//! What all tasks of one sidecar share: the engine's dispatcher, and the state of the sockets around it.
+//! The state that all tasks of one sidecar share: the engine's dispatcher and the state of the sockets.
 //!
-//! This module lies beneath those that drive the sockets; the effects that the engine asks for are in
-//! `transport`.
+//! The engine is free of I/O (a "functional core"); this is the "imperative shell" around it. The modules that drive
+//! the sockets depend on this one; `transport` performs the effects that the engine requests.
 
 use crate::client_table::ClientTable;
 use crate::pod_client::PodClient;
@@ -15,14 +15,14 @@
 /// The body of a response to a client.
 pub(crate) type Body = Full<Bytes>;
 
-/// The platform around the engine.
+/// The state of the platform's sockets and the settings that they need.
 pub(crate) struct Platform {
-    /// Route classes by name, at the index that the engine knows them by.
+    /// Route classes with their names, in the order of the engine's indices.
     pub(crate) route_classes: Vec<(String, RouteClass)>,
-    /// Tenants' names, at the index that the engine knows them by.
+    /// Names of tenants, in the order of the engine's indices.
     pub(crate) tenants: Vec<String>,
     pub(crate) vote_settings: VoteSettings,
-    /// How long before a request's deadline its response must leave.
+    /// How long before a request's deadline its response must be sent, in nanoseconds.
     pub(crate) response_margin: Nanos,
     pub(crate) clients: ClientTable,
     pub(crate) pods: PodClient,
@@ -31,5 +31,5 @@
     pub(crate) stopping: Cell<bool>,
 }
 
-/// One engine and the platform around it.
+/// One engine with the platform's state.
 pub(crate) type Shell = Dispatcher<Platform>;
--- a/crates/platform/src/state_log.rs
+++ b/crates/platform/src/state_log.rs
@@ -1,4 +1,5 @@
-//! The `state` log line: once a second, what the engine believes beside what the sockets show.
+//! The `state` log line: once a second, the engine's counts next to those taken at the sockets, so that a difference
+//! shows.
 
 use crate::limits::{LATENESS_PROBE_INTERVAL, STATE_INTERVAL};
 use crate::shell::Shell;
@@ -6,46 +7,46 @@
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
-/// Logs the state for as long as it is polled, and measures meanwhile how late the event loop is.
+/// Logs the state until this future is dropped, and measures how late the event loop runs its timers.
 pub(crate) async fn run(shell: Rc<Shell>) {
     let mut logged_at = Instant::now();
-    let mut longest_gap = Duration::ZERO;
+    let mut max_lateness = Duration::ZERO;
     loop {
         let began = Instant::now();
         sleep(LATENESS_PROBE_INTERVAL).await;
-        let gap = began.elapsed().saturating_sub(LATENESS_PROBE_INTERVAL);
-        longest_gap = longest_gap.max(gap);
+        let lateness = began.elapsed().saturating_sub(LATENESS_PROBE_INTERVAL);
+        max_lateness = max_lateness.max(lateness);
         if logged_at.elapsed() < STATE_INTERVAL {
             continue;
         }
-        log_state(&shell, longest_gap);
+        log_state(&shell, max_lateness);
         logged_at = Instant::now();
-        longest_gap = Duration::ZERO;
+        max_lateness = Duration::ZERO;
     }
 }
 
-fn log_state(shell: &Shell, longest_gap: Duration) {
+fn log_state(shell: &Shell, max_lateness: Duration) {
     let (clients, pods) = (&shell.clients, &shell.pods);
     let connections = pods.pool.counts();
-    let silent = clients.silent();
+    let silent = clients.silent_counts();
     tracing::info!(
         requests = shell.engine().requests_held(),
-        requests_on_sockets = clients.responding(),
+        requests_on_sockets = clients.responding_count(),
         attempts = shell.engine().attempts_in_flight(),
         attempts_on_sockets = pods.counters.in_flight.get(),
         attempts_sent = pods.counters.sent.get(),
-        clients = clients.open(),
+        clients = clients.open_count(),
         clients_silent = silent.all,
         clients_reading = silent.reading,
         pod_connections = connections.open,
         pod_connections_idle = connections.idle,
         idle_timeout_ms = pods.pool.idle_timeout().as_millis() as u64,
-        pod_connections_opened = pods.pool.opened(),
+        pod_connections_opened = pods.pool.opened_count(),
         invalid_requests = clients.invalid_requests.get(),
         evicted = clients.evicted.get(),
         descriptors = open_descriptors(),
         resident_kb = resident_kb().unwrap_or(0),
-        longest_gap_us = longest_gap.as_micros() as u64,
+        longest_gap_us = max_lateness.as_micros() as u64,
         "state"
     );
 }
@@ -54,7 +55,7 @@
     std::fs::read_dir("/proc/self/fd").map_or(0, Iterator::count)
 }
 
-/// Returns the process's resident memory in KiB, as the kernel gives it.
+/// Returns the resident memory of the process in KiB; `None` if the kernel's report cannot be read.
 fn resident_kb() -> Option<u64> {
     let status = std::fs::read_to_string("/proc/self/status").ok()?;
     let mut lines = status.lines();
--- a/crates/platform/src/transport.rs
+++ b/crates/platform/src/transport.rs
@@ -1,4 +1,4 @@
-//! Carries out on the platform's sockets what the engine asks for.
+//! Performs the effects that the engine requests on the platform's sockets.
 
 use crate::attempt;
 use crate::control_plane;
@@ -30,8 +30,8 @@
     }
 
     fn rejected(&self, retry_after: Nanos) -> Response<Body> {
-        let advice = (retry_after > 0).then(|| format_retry_after(retry_after));
-        responses::rejected(advice.flatten())
+        let header = (retry_after > 0).then(|| format_retry_after(retry_after));
+        responses::rejected(header.flatten())
     }
 
     fn failed(&self, timed_out: bool) -> Response<Body> {
@@ -46,14 +46,14 @@
         spawn_local(health_check::run(shell.clone(), check, pod));
     }
 
-    /// No effect: the watch always stands, and brings the complete list where changes are not enough.
+    /// No effect: a watch is always open, and discovery sends the complete list on it where changes are not enough.
     fn poll_endpoints(_: &Rc<Shell>) {}
 
-    /// No effect: the watch always stands.
+    /// No effect: a watch is always open.
     fn watch_endpoints(_: &Rc<Shell>, _: bool) {}
 }
 
-/// Formats a Retry-After in decimal seconds, rounded down to milliseconds.
+/// Formats a Retry-After header in decimal seconds, rounded down to milliseconds.
 fn format_retry_after(retry_after: Nanos) -> Option<HeaderValue> {
     let seconds = retry_after / NANOS_PER_SECOND;
     let millis = retry_after / NANOS_PER_MILLI % 1_000;
--- a/crates/platform/src/units.rs
+++ b/crates/platform/src/units.rs
@@ -1,4 +1,4 @@
-//! Units of time on the wire, in the engine's nanoseconds.
+//! Units of time used on the wire, in nanoseconds, the unit of the engine.
 
 use havenplank::interface::Nanos;
 
--- a/crates/platform/src/vote_queue.rs
+++ b/crates/platform/src/vote_queue.rs
@@ -1,43 +1,43 @@
-//! Where votes wait to be written: the queue of the newest control plane session that stands.
+//! The queue of votes to be written, that of the newest established control plane session.
 
-use crate::limits::VOTE_QUEUE;
+use crate::limits::VOTE_QUEUE_CAPACITY;
 use std::cell::RefCell;
 use tokio::sync::mpsc;
 
-/// A vote as it goes on the wire.
+/// A vote waiting to be written.
 #[derive(Debug)]
-pub(crate) struct Ballot {
+pub(crate) struct QueuedVote {
     /// The engine's id of the vote.
     pub(crate) vote: u64,
-    /// The call, with its line's end.
+    /// The call as it is written, including the newline.
     pub(crate) line: String,
 }
 
-/// Creates the queue of one session, bounded by [`VOTE_QUEUE`].
-pub(crate) fn session_queue() -> (mpsc::Sender<Ballot>, mpsc::Receiver<Ballot>) {
-    mpsc::channel(VOTE_QUEUE)
+/// Creates the queue of one session, bounded by [`VOTE_QUEUE_CAPACITY`].
+pub(crate) fn session_queue() -> (mpsc::Sender<QueuedVote>, mpsc::Receiver<QueuedVote>) {
+    mpsc::channel(VOTE_QUEUE_CAPACITY)
 }
 
-/// The queue that takes votes now, if any.
+/// The queue that accepts votes at present, if any.
 #[derive(Default)]
 pub(crate) struct VoteQueue {
-    current: RefCell<Option<mpsc::Sender<Ballot>>>,
+    current: RefCell<Option<mpsc::Sender<QueuedVote>>>,
 }
 
 impl VoteQueue {
-    /// Queues a vote; returns false where no session stands or its queue is full.
-    pub(crate) fn try_send(&self, ballot: Ballot) -> bool {
+    /// Queues a vote. Returns false if no session is attached or its queue is full.
+    pub(crate) fn try_send(&self, queued_vote: QueuedVote) -> bool {
         let current = self.current.borrow().clone();
-        current.is_some_and(|queue| queue.try_send(ballot).is_ok())
+        current.is_some_and(|queue| queue.try_send(queued_vote).is_ok())
     }
 
-    /// Votes go to this session from now on.
-    pub(crate) fn attach(&self, queue: mpsc::Sender<Ballot>) {
+    /// Directs votes to the queue of this session from now on.
+    pub(crate) fn attach(&self, queue: mpsc::Sender<QueuedVote>) {
         *self.current.borrow_mut() = Some(queue);
     }
 
-    /// A session ended; no effect where votes go to another by now.
-    pub(crate) fn detach(&self, queue: &mpsc::Sender<Ballot>) {
+    /// Removes the queue of a session that ended; no effect if another session has replaced it.
+    pub(crate) fn detach(&self, queue: &mpsc::Sender<QueuedVote>) {
         let mut current = self.current.borrow_mut();
         if current
             .as_ref()
--- a/crates/platform/src/wall_clock.rs
+++ b/crates/platform/src/wall_clock.rs
@@ -1,4 +1,4 @@
-//! The wall clock, which all machines of the platform share.
+//! The wall clock, which is common to all machines of the platform.
 
 use havenplank::interface::Nanos;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -8,7 +8,7 @@
 pub struct UnixTime(Nanos);
 
 impl UnixTime {
-    /// Reads the system's clock; 0 where it stands before the epoch.
+    /// Reads the system clock; 0 if it is set to a time before the epoch.
     pub fn now() -> UnixTime {
         let since = SystemTime::now().duration_since(UNIX_EPOCH);
         UnixTime(since.map_or(0, |since| since.as_nanos() as Nanos))
--- a/crates/platform/tests/connection_slots.rs
+++ b/crates/platform/tests/connection_slots.rs
@@ -1,7 +1,7 @@
 //! Tests of `src/connection_slots.rs`.
 
 use havenplank_platform::connection_slots::{
-    eviction_candidate, idle_candidate, Activity, ConnectionSlot, DescriptorBudget,
+    eviction_candidate, idle_candidate, Activity, ConnectionState, DescriptorBudget,
 };
 use std::time::{Duration, Instant};
 
@@ -15,26 +15,26 @@
     let reading = |at: u32| Activity::Reading {
         began: start + at * MS,
     };
-    let slot = |at: u32, has_requested, activity| ConnectionSlot {
+    let state = |at: u32, has_requested, activity| ConnectionState {
         connected: start + at * MS,
         idle_since: start + at * MS,
         activity,
         has_requested,
     };
-    let mut slots = vec![
-        (1, slot(990, false, Activity::Idle)),
-        (2, slot(600, true, Activity::Idle)),
-        (3, slot(0, true, responding)),
-        (4, slot(700, false, reading(700))),
-        (5, slot(500, false, Activity::Idle)),
-        (6, slot(100, true, reading(100))),
-        (7, slot(400, true, Activity::Idle)),
+    let mut connections = vec![
+        (1, state(990, false, Activity::Idle)),
+        (2, state(600, true, Activity::Idle)),
+        (3, state(0, true, responding)),
+        (4, state(700, false, reading(700))),
+        (5, state(500, false, Activity::Idle)),
+        (6, state(100, true, reading(100))),
+        (7, state(400, true, Activity::Idle)),
     ];
     for expected in [5, 4, 7, 2, 1, 6] {
-        assert_eq!(eviction_candidate(&slots, now), Some(expected));
-        slots.retain(|(id, _)| *id != expected);
+        assert_eq!(eviction_candidate(&connections, now), Some(expected));
+        connections.retain(|(id, _)| *id != expected);
     }
-    assert_eq!(eviction_candidate(&slots, now), None);
+    assert_eq!(eviction_candidate(&connections, now), None);
 }
 
 #[test]
@@ -49,42 +49,42 @@
             pods: 196
         }
     );
-    let active = |n: u32| ConnectionSlot {
+    let active = |n: u32| ConnectionState {
         idle_since: start + n * MS,
         has_requested: true,
-        ..ConnectionSlot::new(start)
+        ..ConnectionState::new(start)
     };
-    let mut slots: Vec<(u64, ConnectionSlot)> =
+    let mut connections: Vec<(u64, ConnectionState)> =
         (0..101).map(|n| (u64::from(n), active(n))).collect();
-    slots.push((200, ConnectionSlot::new(start)));
-    assert_eq!(idle_candidate(&slots, budget), None);
-    slots.push((300, active(300)));
-    slots[0].1.activity = Activity::Responding { write_by: None };
-    assert_eq!(idle_candidate(&slots, budget), Some(1));
+    connections.push((200, ConnectionState::new(start)));
+    assert_eq!(idle_candidate(&connections, budget), None);
+    connections.push((300, active(300)));
+    connections[0].1.activity = Activity::Responding { write_by: None };
+    assert_eq!(idle_candidate(&connections, budget), Some(1));
 }
 
 #[test]
 fn closes_a_connection_by_what_it_is_at() {
     let start = Instant::now();
-    let mut slot = ConnectionSlot::new(start);
-    assert_eq!(slot.closes_at(None), Some(start + 2000 * MS));
+    let mut state = ConnectionState::new(start);
+    assert_eq!(state.closes_at(None), Some(start + 2000 * MS));
     // Its first request, however late it begins, is dealt with well within 3 s.
-    slot.activity = Activity::Reading {
+    state.activity = Activity::Reading {
         began: start + 1900 * MS,
     };
-    assert_eq!(slot.closes_at(None), Some(start + 2500 * MS));
-    slot.has_requested = true;
-    assert_eq!(slot.closes_at(None), Some(start + 3900 * MS));
-    slot.activity = Activity::Responding { write_by: None };
-    assert_eq!(slot.closes_at(None), None);
+    assert_eq!(state.closes_at(None), Some(start + 2500 * MS));
+    state.has_requested = true;
+    assert_eq!(state.closes_at(None), Some(start + 3900 * MS));
+    state.activity = Activity::Responding { write_by: None };
+    assert_eq!(state.closes_at(None), None);
 }
 
 #[test]
 fn closes_a_newcomer_later_than_others_at_a_stop() {
     let start = Instant::now();
     let stopped = start + 100 * MS;
-    let mut slot = ConnectionSlot::new(start);
-    assert_eq!(slot.closes_at(Some(stopped)), Some(start + 700 * MS));
-    slot.has_requested = true;
-    assert_eq!(slot.closes_at(Some(stopped)), Some(stopped));
+    let mut state = ConnectionState::new(start);
+    assert_eq!(state.closes_at(Some(stopped)), Some(start + 700 * MS));
+    state.has_requested = true;
+    assert_eq!(state.closes_at(Some(stopped)), Some(stopped));
 }
--- a/crates/platform/tests/idle_timeout.rs
+++ b/crates/platform/tests/idle_timeout.rs
@@ -1,16 +1,16 @@
 //! Tests of `src/idle_timeout.rs`.
 
-use havenplank_platform::idle_timeout::{IdleTimeout, Reuse};
+use havenplank_platform::idle_timeout::{IdleTimeout, ReuseOutcome};
 use std::time::{Duration, Instant};
 
 const MS: Duration = Duration::from_millis(1);
 
 /// Every `nth` request breaks.
-fn breaks_every(nth: u32, request: u32) -> Reuse {
+fn breaks_every(nth: u32, request: u32) -> ReuseOutcome {
     if request.is_multiple_of(nth) {
-        return Reuse::Broken;
+        return ReuseOutcome::Broken;
     }
-    Reuse::Answered
+    ReuseOutcome::Answered
 }
 
 #[test]
@@ -31,6 +31,6 @@
     }
     assert_eq!(timeout.current(), 128 * MS);
     // Minutes later what was learnt has faded.
-    timeout.record(began + Duration::from_secs(400), MS, Reuse::Answered);
+    timeout.record(began + Duration::from_secs(400), MS, ReuseOutcome::Answered);
     assert_eq!(timeout.current(), longest);
 }
--- a/crates/platform/tests/unit/attempt_outcome.rs
+++ b/crates/platform/tests/unit/attempt_outcome.rs
@@ -21,25 +21,32 @@
         (204, &marked, AttemptEnd::Failed),
     ] {
         let status = StatusCode::from_u16(status).unwrap();
-        assert_eq!(end_of(status, headers), expected, "{status} {headers:?}");
+        assert_eq!(
+            attempt_end(status, headers),
+            expected,
+            "{status} {headers:?}"
+        );
     }
 }
 
 #[test]
 fn only_a_connection_that_ended_unanswered_speaks_against_keeping_it_idle() {
     for (error, expected) in [
-        (ResponseError::ClosedUnanswered, Reuse::Broken),
-        (ResponseError::ResetUnanswered, Reuse::Broken),
-        (ResponseError::ClosedWithin, Reuse::Answered),
-        (ResponseError::InvalidHead, Reuse::Answered),
+        (ResponseError::ClosedUnanswered, ReuseOutcome::Broken),
+        (ResponseError::ResetUnanswered, ReuseOutcome::Broken),
+        (ResponseError::ClosedMidResponse, ReuseOutcome::Answered),
+        (ResponseError::InvalidHead, ReuseOutcome::Answered),
     ] {
-        assert_eq!(reuse_of(error), expected, "{error}");
+        assert_eq!(reuse_outcome(error), expected, "{error}");
     }
 }
 
 #[test]
 fn a_request_is_written_again_only_where_its_connection_was_a_kept_one() {
     let kept = Some(Duration::from_millis(30));
-    assert_eq!(on_write_failure(kept), WriteFailure::UseNewConnection);
-    assert_eq!(on_write_failure(None), WriteFailure::GiveUp);
+    assert_eq!(
+        on_write_failure(kept),
+        WriteFailureAction::RetryOnNewConnection
+    );
+    assert_eq!(on_write_failure(None), WriteFailureAction::Fail);
 }
--- a/crates/platform/tests/unit/in_flight_ids.rs
+++ b/crates/platform/tests/unit/in_flight_ids.rs
@@ -12,7 +12,7 @@
                 may_have_run,
             };
             let conflict = may_take_over(waiting, idempotency);
-            assert_eq!(conflict, Err(IdConflict::ClientWaits), "{idempotency:?}");
+            assert_eq!(conflict, Err(IdConflict::ClientWaiting), "{idempotency:?}");
         }
         let unsent = EarlierRequest {
             is_client_gone: true,
--- a/crates/platform/tests/unit/pod_pool.rs
+++ b/crates/platform/tests/unit/pod_pool.rs
@@ -23,17 +23,20 @@
             idle_limit: Duration::from_secs(30),
         };
         let pool = PodPool::new(settings, 1);
-        let first = pool.take(first_address, Wanted::IdleOrNew).await;
+        let first = pool
+            .acquire(first_address, ConnectionSource::IdleOrNew)
+            .await;
         let first = first.ok().unwrap();
         let began = Instant::now();
-        let (second, ()) = tokio::join!(pool.take(second_address, Wanted::IdleOrNew), async {
-            pool.give_back(first_address, first)
-        });
+        let (second, ()) = tokio::join!(
+            pool.acquire(second_address, ConnectionSource::IdleOrNew),
+            async { pool.release(first_address, first) }
+        );
         assert!(second.is_ok() && began.elapsed() < settings.connect_timeout);
         assert_eq!(pool.counts(), ConnectionCounts { open: 1, idle: 0 });
         assert_eq!(pool.waiting.get(), 0);
         // With nobody waiting it is kept.
-        pool.give_back(second_address, second.ok().unwrap());
+        pool.release(second_address, second.ok().unwrap());
         assert_eq!(pool.counts(), ConnectionCounts { open: 1, idle: 1 });
     });
 }
--- a/crates/platform/tests/watch_selection.rs
+++ b/crates/platform/tests/watch_selection.rs
@@ -1,7 +1,7 @@
 //! Tests of `src/discovery/watch_selection.rs`.
 
 use havenplank_platform::discovery::watch_selection::{
-    OnCandidateMessage, OpenCandidate, Verdict, WatchMessage, WatchSelection,
+    CandidateAction, OpenCandidate, UpdateAction, WatchMessage, WatchSelection,
 };
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -36,7 +36,10 @@
     };
     assert_eq!((due.drop_active, due.open), (false, Some(first)));
     let promoted = selection.on_candidate_message(start, changes(4));
-    assert_eq!(promoted, Some(OnCandidateMessage::Promote(Verdict::Apply)));
+    assert_eq!(
+        promoted,
+        Some(CandidateAction::Promote(UpdateAction::Apply))
+    );
     selection
 }
 
@@ -67,11 +70,14 @@
     let start = Instant::now();
     let mut selection = with_active(start);
     selection.on_deadline(start + 2500 * MS);
-    let verdict = selection.on_active_message(start + 2600 * MS, changes(6));
-    assert_eq!((verdict, selection.version()), (Verdict::Apply, 6));
+    let action = selection.on_active_message(start + 2600 * MS, changes(6));
+    assert_eq!((action, selection.version()), (UpdateAction::Apply, 6));
     // The candidate speaks of what lies before that: it is active from then on and sets nothing back.
     let outcome = selection.on_candidate_message(start + 2700 * MS, changes(5));
-    assert_eq!(outcome, Some(OnCandidateMessage::Promote(Verdict::Ignore)));
+    assert_eq!(
+        outcome,
+        Some(CandidateAction::Promote(UpdateAction::Ignore))
+    );
     assert_eq!(selection.version(), 6);
 }
 
@@ -87,9 +93,9 @@
         address: address(2),
         since: 9,
     };
-    assert_eq!(outcome, Some(OnCandidateMessage::Replace(again)));
+    assert_eq!(outcome, Some(CandidateAction::Replace(again)));
     let outcome = selection.on_candidate_message(start, complete(3));
-    assert_eq!(outcome, Some(OnCandidateMessage::Promote(Verdict::Apply)));
+    assert_eq!(outcome, Some(CandidateAction::Promote(UpdateAction::Apply)));
     assert_eq!(selection.version(), 3);
 }
 
