--- a/crates/platform/tests/connection_slots.rs
+++ b/crates/platform/tests/connection_slots.rs
@@ -8,7 +8,7 @@
 const MS: Duration = Duration::from_millis(1);
 
 #[test]
-fn evicts_silent_ones_first_newcomers_late_and_those_that_wait_for_a_response_never() {
+fn evicts_silent_connections_first_new_ones_late_and_those_waiting_for_a_response_never() {
     let start = Instant::now();
     let now = start + 1000 * MS;
     let responding = Activity::Responding { write_by: None };
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn closes_the_one_idle_the_longest_before_those_that_stay_hold_the_clients_third() {
+fn closes_the_longest_idle_connection_when_those_with_requests_reach_their_budget() {
     let start = Instant::now();
     let budget = DescriptorBudget::new(384);
     assert_eq!(
@@ -64,11 +64,11 @@
 }
 
 #[test]
-fn closes_a_connection_by_what_it_is_at() {
+fn closes_a_connection_by_the_time_limit_of_its_activity() {
     let start = Instant::now();
     let mut state = ConnectionState::new(start);
     assert_eq!(state.closes_at(None), Some(start + 2000 * MS));
-    // Its first request, however late it begins, is dealt with well within 3 s.
+    // The first request must be complete well within 3 s of connecting, however late it begins.
     state.activity = Activity::Reading {
         began: start + 1900 * MS,
     };
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn closes_a_newcomer_later_than_others_at_a_stop() {
+fn closes_a_new_connection_later_than_others_at_a_stop() {
     let start = Instant::now();
     let stopped = start + 100 * MS;
     let mut state = ConnectionState::new(start);
--- a/crates/platform/tests/hyper_client.rs
+++ b/crates/platform/tests/hyper_client.rs
@@ -1,4 +1,4 @@
-//! Why the pods' side does not sit on `hyper`'s client: it takes what lay unread for the next answer.
+//! Why connections to pods do not use `hyper`'s client: it takes unread bytes for the response to the next request.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty};
@@ -11,7 +11,7 @@
 const OK: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\n";
 
 #[test]
-fn hyper_gives_the_second_copy_of_an_answer_to_the_next_request() {
+fn hyper_takes_a_duplicate_response_for_the_response_to_the_next_request() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -20,7 +20,7 @@
         let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         let stream = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
         let mut pod = listener.accept().unwrap().0;
-        let (look, mut heard) = (stream.try_clone().unwrap(), [0; 512]);
+        let (peek_socket, mut received) = (stream.try_clone().unwrap(), [0; 512]);
         stream.set_nonblocking(true).unwrap();
         let stream = tokio::net::TcpStream::from_std(stream).unwrap();
         let (mut sender, connection) = http1::handshake::<_, Empty<Bytes>>(TokioIo::new(stream))
@@ -38,17 +38,17 @@
             .await
             .unwrap();
         assert_eq!(&first.to_bytes()[..], b"1a");
-        assert!(pod.read(&mut heard).unwrap() > 0);
+        assert!(pod.read(&mut received).unwrap() > 0);
         sender.ready().await.unwrap();
-        // The copy has arrived before the next request is sent, and the socket says so if it is asked.
+        // The duplicate arrives before the next request is sent; a peek at the socket would show it.
         pod.write_all(&[OK, b"1a"].concat()).unwrap();
-        let look = socket2::SockRef::from(&look);
-        while look.peek(&mut [MaybeUninit::uninit()]).is_err() {
+        let peek_socket = socket2::SockRef::from(&peek_socket);
+        while peek_socket.peek(&mut [MaybeUninit::uninit()]).is_err() {
             std::thread::yield_now();
         }
         let second = sender.send_request(get()).await;
         let second = second
-            .expect("no error: this is the trap")
+            .expect("hyper reports no error")
             .into_body()
             .collect()
             .await
--- a/crates/platform/tests/json_stream.rs
+++ b/crates/platform/tests/json_stream.rs
@@ -11,11 +11,11 @@
 const STREAM: &str = "\n {\"a\": [{\"b\\\"}\": \"]{\\\\\"}, 1]}{}\r\n\t{\n \"c\":\n {}\n}\n";
 
 #[test]
-fn objects_come_out_the_same_wherever_they_are_cut() {
-    let mut whole = JsonStream::new(100);
-    whole.push(STREAM.as_bytes());
-    let whole = items(&mut whole).unwrap();
-    let objects: Vec<serde_json::Value> = whole
+fn objects_are_the_same_wherever_the_stream_is_split() {
+    let mut uncut = JsonStream::new(100);
+    uncut.push(STREAM.as_bytes());
+    let uncut = items(&mut uncut).unwrap();
+    let objects: Vec<serde_json::Value> = uncut
         .iter()
         .filter_map(|item| match item {
             StreamItem::LineEnd => None,
@@ -30,20 +30,20 @@
             json!({"c": {}})
         ]
     );
-    assert_eq!(whole.len(), 6);
-    for cut in 0..STREAM.len() {
-        let mut parts = JsonStream::new(100);
-        parts.push(&STREAM.as_bytes()[..cut]);
-        let mut got = items(&mut parts).unwrap();
-        parts.push(&STREAM.as_bytes()[cut..]);
-        got.extend(items(&mut parts).unwrap());
-        assert_eq!(got, whole, "cut at {cut}");
+    assert_eq!(uncut.len(), 6);
+    for split in 0..STREAM.len() {
+        let mut pieces = JsonStream::new(100);
+        pieces.push(&STREAM.as_bytes()[..split]);
+        let mut items_of_pieces = items(&mut pieces).unwrap();
+        pieces.push(&STREAM.as_bytes()[split..]);
+        items_of_pieces.extend(items(&mut pieces).unwrap());
+        assert_eq!(items_of_pieces, uncut, "split at {split}");
     }
 }
 
 #[test]
-fn a_malformed_stream_is_refused_by_what_is_wrong() {
-    for (said, why) in [
+fn a_malformed_stream_is_rejected_with_its_cause() {
+    for (text, error) in [
         ("x", MalformedStream::StrayByte { byte: b'x' }),
         ("{} ]", MalformedStream::StrayByte { byte: b']' }),
         (
@@ -52,30 +52,30 @@
         ),
     ] {
         let mut stream = JsonStream::new(10);
-        stream.push(said.as_bytes());
-        assert_eq!(items(&mut stream), Err(why), "{said}");
+        stream.push(text.as_bytes());
+        assert_eq!(items(&mut stream), Err(error), "{text}");
     }
 }
 
 proptest! {
-    /// A byte flipped anywhere: items or a named fault, the same wherever it is cut.
+    /// A stream with one byte changed gives the same items or the same error wherever it is split.
     #[test]
-    fn a_flipped_stream_reads_the_same_wherever_it_is_cut(
-        at in 0..STREAM.len(), flip in 1u8.., cut in 0..STREAM.len()
+    fn a_corrupted_stream_gives_the_same_result_wherever_it_is_split(
+        at in 0..STREAM.len(), flip in 1u8.., split in 0..STREAM.len()
     ) {
         let mut bytes = STREAM.as_bytes().to_vec();
         bytes[at] ^= flip;
-        let mut whole = JsonStream::new(100);
-        whole.push(&bytes);
-        let whole = items(&mut whole);
-        let mut parts = JsonStream::new(100);
-        parts.push(&bytes[..cut]);
-        let first = items(&mut parts);
-        parts.push(&bytes[cut..]);
-        let got = first.and_then(|mut first| {
-            first.extend(items(&mut parts)?);
+        let mut uncut = JsonStream::new(100);
+        uncut.push(&bytes);
+        let uncut = items(&mut uncut);
+        let mut pieces = JsonStream::new(100);
+        pieces.push(&bytes[..split]);
+        let first = items(&mut pieces);
+        pieces.push(&bytes[split..]);
+        let items_of_pieces = first.and_then(|mut first| {
+            first.extend(items(&mut pieces)?);
             Ok(first)
         });
-        prop_assert_eq!(got, whole);
+        prop_assert_eq!(items_of_pieces, uncut);
     }
 }
--- a/crates/platform/tests/list_races.rs
+++ b/crates/platform/tests/list_races.rs
@@ -1,8 +1,8 @@
-//! Crossings of the list with requests, reloads and silence, each held open by scripted peers on loopback.
+//! Races of endpoint list updates with requests, reloads and silence, each reproduced by scripted peers on loopback.
 
 mod common;
 
-use common::{config, get, test, turns, Rig, OK_CLOSE};
+use common::{get, let_sidecar_run, parse_config, run_test, Rig, OK_CLOSE};
 use havenplank_emulator::scripted::{chunk, configuration, entry, list, Peer, Talk, WATCH};
 use havenplank_platform::Command;
 use serde_json::json;
@@ -13,20 +13,20 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-/// A watch that is in force, its first message received.
-async fn watching(rig: &Rig, seq: u64) -> Talk {
+/// Accepts the watch and makes it active by an update without entries to version `seq`.
+async fn open_watch(rig: &Rig, seq: u64) -> Talk {
     let mut watch = rig.discovery.accept().await.unwrap();
     watch.message().await.unwrap();
     watch
         .say(WATCH.to_string() + &chunk(&list(seq, false, &[])))
         .await
         .unwrap();
-    turns(rig).await;
+    let_sidecar_run(rig).await;
     watch
 }
 
-/// Whether a request goes to that pod now, which answers it.
-async fn reaches(rig: &Rig, pod: &Peer, id: &str) {
+/// Asserts that a request now goes to this pod, which answers it.
+async fn assert_request_reaches(rig: &Rig, pod: &Peer, id: &str) {
     let mut client = rig.client().await;
     client.say(get(id)).await.unwrap();
     let mut pod = pod
@@ -34,16 +34,16 @@
         .await
         .unwrap_or_else(|error| panic!("{id}: {error}"));
     pod.message().await.unwrap();
-    // Not kept, so that the next one shows where it goes.
+    // Closes the connection, so that the next request must connect again.
     pod.say(OK_CLOSE).await.unwrap();
     assert_eq!(client.answer().await.unwrap().0, 200, "{id}");
 }
 
 #[test]
-fn an_indented_list_is_one_message_wherever_it_is_cut() {
-    test(async {
+fn an_indented_update_is_one_message_in_whatever_pieces_it_arrives() {
+    run_test(async {
         let rig = Rig::new(|_| {}).await;
-        let mut watch = watching(&rig, 4).await;
+        let mut watch = open_watch(&rig, 4).await;
         let other = Peer::new().await.unwrap();
         let moved = entry("p", other.at().unwrap(), 7, "active");
         let update = json!({"seq": 5, "whole": false, "hosts": [moved]});
@@ -52,39 +52,39 @@
         for byte in update.chars() {
             watch.say(chunk(&byte.to_string())).await.unwrap();
         }
-        // Taken in by the time that a message after it is.
+        // Once a message after the update is processed, so is the update.
         watch.say(chunk("\n")).await.unwrap();
-        turns(&rig).await;
-        reaches(&rig, &other, "i1").await;
-        // Two on one line, and the watch still stands.
+        let_sidecar_run(&rig).await;
+        assert_request_reaches(&rig, &other, "i1").await;
+        // Two updates on one line are both applied and the watch stays open.
         let back = entry("p", rig.pod.at().unwrap(), 7, "active");
         let updates = list(6, false, &[]).trim().to_string() + &list(7, false, &[back]);
         watch.say(chunk(&updates)).await.unwrap();
-        turns(&rig).await;
-        reaches(&rig, &rig.pod, "i2").await;
+        let_sidecar_run(&rig).await;
+        assert_request_reaches(&rig, &rig.pod, "i2").await;
         assert!(rig.discovery.is_alone().await, "no new watch was needed");
     });
 }
 
-/// The silent watch's 6 s, in the worst way: silent right after its last word, but for half a word that dribbles,
-/// and the next watch silent, too.
+/// The worst case of a silent watch: it falls silent right after its last message except for an incomplete one that
+/// arrives byte by byte, and the next watch is silent, too.
 #[test]
-fn a_silent_watch_is_replaced_within_its_six_seconds() {
-    test(async {
+fn a_silent_watch_is_replaced_within_six_seconds() {
+    run_test(async {
         let rig = Rig::new(|_| {}).await;
-        let mut old = watching(&rig, 4).await;
+        let mut old = open_watch(&rig, 4).await;
         let silent = Instant::now();
         let next = async {
             let mut next = rig.discovery.accept().await.unwrap();
             next.message().await.unwrap();
-            // Answers nothing. The one after it does.
+            // This watch gets no response; the one after it does.
             let mut last = rig.discovery.accept().await.unwrap();
             assert!(last.message().await.unwrap().0.contains("since=4 "));
             drop(next);
             last
         };
         let dribble = async {
-            // Stray white space and the start of an object are no word, however often they come.
+            // White space and the start of an object are not a message, however often they arrive.
             old.say(chunk("{")).await.unwrap();
             loop {
                 sleep(200 * MS).await;
@@ -99,59 +99,61 @@
         last.say(WATCH.to_string() + &chunk(&list(5, false, &[moved])))
             .await
             .unwrap();
-        turns(&rig).await;
+        let_sidecar_run(&rig).await;
         assert!(
             silent.elapsed() < Duration::from_secs(6),
             "{:?}",
             silent.elapsed()
         );
-        reaches(&rig, &other, "i1").await;
+        assert_request_reaches(&rig, &other, "i1").await;
     });
 }
 
-/// A watch that is only late is not given up while the one that was opened in doubt says nothing.
+/// A watch that is only late is kept while the candidate opened next to it delivers nothing.
 #[test]
-fn a_late_watch_stays_active_beside_its_candidate() {
-    test(async {
+fn an_overdue_watch_stays_active_until_its_candidate_delivers_a_message() {
+    run_test(async {
         let rig = Rig::new(|_| {}).await;
-        let mut old = watching(&rig, 4).await;
+        let mut old = open_watch(&rig, 4).await;
         let mut next = rig.discovery.accept().await.unwrap();
         next.message().await.unwrap();
         let other = Peer::new().await.unwrap();
         let moved = entry("p", other.at().unwrap(), 7, "active");
         old.say(chunk(&list(6, false, &[moved]))).await.unwrap();
-        turns(&rig).await;
-        reaches(&rig, &other, "i1").await;
-        // The second speaks of what lies before that: it sets nothing back, and is in force from then on.
+        let_sidecar_run(&rig).await;
+        assert_request_reaches(&rig, &other, "i1").await;
+        // The candidate delivers older changes: they are ignored, and it becomes the active watch.
         let back = entry("p", rig.pod.at().unwrap(), 7, "active");
         next.say(WATCH.to_string() + &chunk(&list(5, false, std::slice::from_ref(&back))))
             .await
             .unwrap();
         assert!(old.ends().await);
-        reaches(&rig, &other, "i2").await;
+        assert_request_reaches(&rig, &other, "i2").await;
         next.say(chunk(&list(7, false, &[back]))).await.unwrap();
-        turns(&rig).await;
-        reaches(&rig, &rig.pod, "i3").await;
+        let_sidecar_run(&rig).await;
+        assert_request_reaches(&rig, &rig.pod, "i3").await;
     });
 }
 
-/// SIGHUP against two list sessions: only the one in force is heard, and a whole list may go back.
+/// Reload while a watch is active: once the new watch delivers a message, the previous one is ignored, and a complete
+/// list may return to an earlier version.
 #[test]
-fn after_a_reload_the_former_watch_is_ignored_and_a_complete_list_may_go_back() {
-    test(async {
+fn after_a_reload_the_previous_watch_is_ignored_and_a_complete_list_may_return_to_an_earlier_version(
+) {
+    run_test(async {
         let rig = Rig::new(|_| {}).await;
-        let mut old = watching(&rig, 8).await;
+        let mut old = open_watch(&rig, 8).await;
         let (discovery, control_plane) = (Peer::new().await.unwrap(), Peer::new().await.unwrap());
         let here = entry("p", rig.pod.at().unwrap(), 7, "active");
-        let whole = configuration(
+        let config = configuration(
             discovery.at().unwrap(),
             control_plane.at().unwrap(),
             std::slice::from_ref(&here),
         );
-        // Twice: the second takes the place of the first, which has not spoken.
+        // Twice: the candidate of the second reload replaces that of the first, which has not delivered a message.
         for _ in 0..2 {
             rig.commands
-                .send(Command::Reload(Box::new(config(&whole))))
+                .send(Command::Reload(Box::new(parse_config(&config))))
                 .await
                 .ok()
                 .unwrap();
@@ -160,22 +162,22 @@
         assert!(new.message().await.unwrap().0.contains("since=8 "));
         let [one, two] = [Peer::new().await, Peer::new().await].map(Result::unwrap);
         let at = |peer: &Peer| entry("p", peer.at().unwrap(), 7, "active");
-        // The new one's word is in force, and the old one speaks after it.
+        // The new watch becomes active, and the old one delivers a message after that.
         new.say(WATCH.to_string() + &chunk(&list(3, true, &[at(&one)])))
             .await
             .unwrap();
-        turns(&rig).await;
+        let_sidecar_run(&rig).await;
         let late = old.say(chunk(&list(9, false, &[at(&two)]))).await;
-        turns(&rig).await;
-        reaches(&rig, &one, "i1").await;
+        let_sidecar_run(&rig).await;
+        assert_request_reaches(&rig, &one, "i1").await;
         assert!(late.is_err() || old.ends().await);
-        // Its next changes count from where it went back to.
+        // Its next changes apply to the earlier version that it returned to.
         new.say(chunk(&list(4, false, &[at(&two)]))).await.unwrap();
-        turns(&rig).await;
-        reaches(&rig, &two, "i2").await;
-        // SIGHUP, then SIGTERM at once.
+        let_sidecar_run(&rig).await;
+        assert_request_reaches(&rig, &two, "i2").await;
+        // A reload, then a stop immediately after it.
         rig.commands
-            .try_send(Command::Reload(Box::new(config(&whole))))
+            .try_send(Command::Reload(Box::new(parse_config(&config))))
             .ok()
             .unwrap();
         rig.commands.try_send(Command::Stop).ok().unwrap();
@@ -183,22 +185,22 @@
     });
 }
 
-/// A list session at the old address that speaks on while the new one is out of reach: the new one is tried on.
+/// While the new address is unreachable the watch at the previous address continues, and connecting is retried.
 #[test]
-fn a_reload_to_an_address_out_of_reach_is_retried_while_the_former_watch_is_active() {
-    test(async {
+fn a_reload_to_an_unreachable_address_is_retried_while_the_previous_watch_is_active() {
+    run_test(async {
         let rig = Rig::new(|_| {}).await;
-        let mut old = watching(&rig, 4).await;
-        // Held, so that no other test is given it, and not listened on: connects are refused.
+        let mut old = open_watch(&rig, 4).await;
+        // The port is bound so that no other test gets it, but not listened on: connections are refused.
         let closed = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         closed
             .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
             .unwrap();
         let at = closed.local_addr().unwrap().as_socket().unwrap();
         let control_plane = Peer::new().await.unwrap();
-        let whole = configuration(at, control_plane.at().unwrap(), &[]);
+        let config = configuration(at, control_plane.at().unwrap(), &[]);
         rig.commands
-            .send(Command::Reload(Box::new(config(&whole))))
+            .send(Command::Reload(Box::new(parse_config(&config))))
             .await
             .ok()
             .unwrap();
@@ -206,14 +208,14 @@
         let other = Peer::new().await.unwrap();
         let moved = entry("p", other.at().unwrap(), 7, "active");
         old.say(chunk(&list(5, false, &[moved]))).await.unwrap();
-        turns(&rig).await;
-        reaches(&rig, &other, "i1").await;
+        let_sidecar_run(&rig).await;
+        assert_request_reaches(&rig, &other, "i1").await;
         closed.listen(1).unwrap();
         closed.set_nonblocking(true).unwrap();
         let opened = tokio::net::TcpListener::from_std(closed.into()).unwrap();
         tokio::time::timeout(Duration::from_secs(2), opened.accept())
             .await
-            .expect("tried again")
+            .expect("the new address is tried again")
             .unwrap();
     });
 }
--- a/crates/platform/tests/protocol.rs
+++ b/crates/platform/tests/protocol.rs
@@ -1,8 +1,11 @@
-//! What the platform's protocol asks for, one test each, over loopback between scripted peers.
+//! Requirements of the platform's protocol, one test each, between scripted peers on loopback.
 
 mod common;
 
-use common::{config, followed, get, request, rested, test, Rig, NEVER, OK, OK_CLOSE};
+use common::{
+    accept_follow, get, parse_config, request, run_test, wait_until_reusable, Rig, OK, OK_CLOSE,
+    UNPROCESSED,
+};
 use havenplank_emulator::scripted::{chunk, configuration, entry, header, list, Peer, Talk, WATCH};
 use havenplank_platform::{Command, Config};
 use serde_json::{json, Value};
@@ -11,8 +14,8 @@
 use tokio::time::sleep;
 
 #[test]
-fn a_request_passes_on_unchanged_and_its_time_runs_from_its_first_byte() {
-    test(async {
+fn a_request_is_forwarded_unchanged_and_its_time_counts_from_its_first_byte() {
+    run_test(async {
         let rig = Rig::new(|_| {}).await;
         let (mut client, request) = (
             rig.client().await,
@@ -26,12 +29,12 @@
         assert!(head.starts_with("post /mark/a?b=1 http/1.1\n"), "{head}");
         let sent = ["x-correlation-id", "idempotency-key"].map(|name| header(&head, name));
         assert_eq!((sent, body.as_str()), ([Some("i1"), Some("k")], "{body}"));
-        // The pod is waited for until the target latency, but no longer than the client waits.
+        // The sidecar waits for the pod until the target latency, but no longer than the client waits.
         let left: u64 = header(&head, "x-time-left-ms").unwrap().parse().unwrap();
         assert!(left <= 400, "{left}");
         pod.say(OK).await.unwrap();
         assert_eq!(client.answer().await.unwrap().0, 200);
-        // With 300 ms left, 150 of them spent unread, less than 150 remain.
+        // With 300 ms left, of which 150 pass before the request is complete, less than 150 remain.
         let short = request.replace("i1", "i2").replace("800", "300");
         client.say(&short[..9]).await.unwrap();
         sleep(Duration::from_millis(150)).await;
@@ -44,7 +47,7 @@
 
 #[test]
 fn a_client_that_closes_ends_its_attempt() {
-    test(async {
+    run_test(async {
         let rig = Rig::new(|_| {}).await;
         let (client, mut pod) = rig.request(&get("i1")).await;
         drop(client);
@@ -54,21 +57,21 @@
 
 #[test]
 fn an_invalid_request_gets_an_error_and_a_close_and_reaches_no_pod() {
-    test(async {
-        // One request stays in flight all the while.
-        let rig = Rig::new(|whole| {
-            for group in whole["settings"]["classes"].as_array_mut().unwrap() {
+    run_test(async {
+        // One request stays in flight throughout the test.
+        let rig = Rig::new(|config| {
+            for group in config["settings"]["classes"].as_array_mut().unwrap() {
                 (group["onTimeNs"], group["giveUpNs"]) =
                     (json!(60_000_000_000u64), json!(90_000_000_000u64));
             }
         })
         .await;
         let (mut busy, mut pod) = rig.request(&get("busy").replace("800", "60000")).await;
-        let post = |more: &str| {
+        let post = |extra_headers: &str| {
             request(
                 "POST /mark",
                 "i",
-                &format!("idempotency-key: k\r\n{more}"),
+                &format!("idempotency-key: k\r\n{extra_headers}"),
                 "",
             )
         };
@@ -94,7 +97,7 @@
         ];
         for bytes in bad {
             let mut client = rig.client().await;
-            // It may be refused before its last byte is written.
+            // The sidecar may reject it before its last byte is written.
             let _ = client.say(&bytes).await;
             let (status, ..) = client
                 .answer()
@@ -103,23 +106,23 @@
             assert!((400..500).contains(&status), "{status} to {bytes:.90}");
             assert!(client.ends().await, "{bytes:.90}");
         }
-        // Half a request, and nothing more.
+        // An incomplete request that is not continued.
         let mut half = rig.client().await;
         half.say("POST /mark HTTP/1.1\r\ncontent-le").await.unwrap();
         assert!(half.ends().await);
         assert!(rig.pod.is_alone().await);
         pod.say(OK).await.unwrap();
         assert_eq!(busy.answer().await.unwrap().0, 200);
-        // Its id is free again.
-        rested().await;
+        // Its correlation id can be used again.
+        wait_until_reusable().await;
         busy.say(get("busy")).await.unwrap();
         pod.message().await.unwrap();
     });
 }
 
 #[test]
-fn silent_connections_make_room_for_those_who_ask_and_never_for_them() {
-    test(async {
+fn silent_connections_are_evicted_before_any_with_a_request() {
+    run_test(async {
         let rig = Rig::new(|_| {}).await;
         let (mut busy, mut pod) = rig.request(&get("busy")).await;
         let mut silent = Vec::new();
@@ -138,9 +141,9 @@
 }
 
 #[test]
-fn clients_that_ask_once_and_stay_do_not_hold_all_places() {
-    test(async {
-        let rig = Rig::new(|whole| whole["limits"]["sockets"] = json!(128)).await;
+fn clients_that_stay_idle_after_one_request_do_not_hold_all_connections() {
+    run_test(async {
+        let rig = Rig::new(|config| config["limits"]["sockets"] = json!(128)).await;
         let mut stayed = Vec::new();
         for _ in 0..40 {
             let mut client = rig.client().await;
@@ -148,13 +151,15 @@
             assert_eq!(client.answer().await.unwrap().0, 200);
             stayed.push(client);
         }
-        // Four fifths of a third of 128 are 34, and the listener has places for 45: long before it is idle for 2 s.
+        // Four fifths of a third of 128 are 34, and the listener accepts 45: the first closes long before it has been
+        // idle for 2 s.
         let first = tokio::time::timeout(Duration::from_secs(1), stayed[0].ends()).await;
-        assert!(first.expect("closed at once"));
+        assert!(first.expect("closed immediately"));
     });
 }
 
-/// What a pod sends, and what the client of a non-idempotent request gets: 503 promises that it never ran.
+/// Each response of a pod, with the status that the client of a non-idempotent request gets. 503 promises that the
+/// request never ran.
 #[test]
 fn each_response_of_a_pod_has_its_outcome() {
     let cases = [
@@ -168,10 +173,10 @@
                 .to_string(),
             200,
         ),
-        (NEVER.to_string(), 503),
-        (NEVER.replace("503", "504"), 503),
-        (NEVER.replace("x-unprocessed: 1\r\n", ""), 502),
-        (NEVER.replace("503", "500"), 502),
+        (UNPROCESSED.to_string(), 503),
+        (UNPROCESSED.replace("503", "504"), 503),
+        (UNPROCESSED.replace("x-unprocessed: 1\r\n", ""), 502),
+        (UNPROCESSED.replace("503", "500"), 502),
         ("\u{1}noise\r\n\r\n".to_string(), 502),
         (format!("HTTP/1.1 200 OK\r\nx: {}", "y".repeat(20_000)), 502),
         (OK.replace(": 2", ": 3"), 502),
@@ -191,20 +196,22 @@
         ),
         (String::new(), 502),
     ];
-    test(async {
-        for (said, wanted) in cases {
-            let rig = Rig::new(|whole| whole["settings"]["limits"]["maxAttempts"] = json!(1)).await;
+    run_test(async {
+        for (response, expected_status) in cases {
+            let rig =
+                Rig::new(|config| config["settings"]["limits"]["maxAttempts"] = json!(1)).await;
             let (mut client, mut pod) = rig.request(&request("POST /write", "i", "", "x")).await;
-            pod.say(&said).await.unwrap();
-            // What is not whole by its close would be waited for.
+            pod.say(&response).await.unwrap();
+            // The sidecar would wait for the rest of an incomplete response; closing ends it.
             drop(pod);
             let (status, _, body) = client.answer().await.unwrap();
-            assert_eq!(status, wanted, "{said:.60}");
-            assert_eq!(status == 200, body == "ok", "{said:.60}");
-            assert!(rig.pod.is_alone().await, "asked again after {said:.60}");
+            assert_eq!(status, expected_status, "{response:.60}");
+            assert_eq!(status == 200, body == "ok", "{response:.60}");
+            assert!(rig.pod.is_alone().await, "sent again after {response:.60}");
         }
-        // Nothing listens: it never ran.
-        let rig = Rig::new(|whole| whole["known"]["hosts"][0]["dial"] = json!("127.0.0.1:1")).await;
+        // Nothing listens at the address of the pod: the request never ran.
+        let rig =
+            Rig::new(|config| config["known"]["hosts"][0]["dial"] = json!("127.0.0.1:1")).await;
         let mut client = rig.client().await;
         client
             .say(request("POST /write", "i", "", "x"))
@@ -216,10 +223,10 @@
 }
 
 #[test]
-fn an_unreadable_load_report_does_no_harm_to_its_answer() {
-    test(async {
+fn a_malformed_load_report_does_not_affect_its_response() {
+    run_test(async {
         let report = json!({"how": "piggyback", "columns": ["busy_reqs"]});
-        let rig = Rig::new(|whole| whole["settings"]["loadReport"] = report).await;
+        let rig = Rig::new(|config| config["settings"]["loadReport"] = report).await;
         let (mut client, mut pod) = rig.request(&get("i0")).await;
         for (n, report) in [
             "{\"busy_reqs\": 3}",
@@ -235,8 +242,8 @@
                 .await
                 .unwrap();
             assert_eq!(client.answer().await.unwrap().0, 200, "{report}");
-            // On the same connection: it was not taken for spoilt.
-            rested().await;
+            // The next request uses the same connection.
+            wait_until_reusable().await;
             client.say(get(&format!("i{}", n + 1))).await.unwrap();
             pod.message().await.unwrap();
         }
@@ -244,8 +251,8 @@
 }
 
 #[test]
-fn an_answer_over_the_protocols_bound_is_delivered_whole() {
-    test(async {
+fn a_response_over_the_protocol_limit_is_delivered_completely() {
+    run_test(async {
         let rig = Rig::new(|_| {}).await;
         let (mut client, mut pod) = rig.request(&get("i1")).await;
         let body = "y".repeat(400_000);
@@ -260,8 +267,8 @@
 }
 
 #[test]
-fn an_endless_answer_is_dropped_and_its_connection_closed() {
-    test(async {
+fn a_response_over_the_memory_limit_is_an_error_and_its_connection_is_closed() {
+    run_test(async {
         let rig = Rig::new(|_| {}).await;
         let (mut client, mut pod) = rig.request(&request("POST /write", "i", "", "x")).await;
         pod.say("HTTP/1.1 200 OK\r\ncontent-length: 3000000000\r\n\r\n")
@@ -273,8 +280,8 @@
 }
 
 #[test]
-fn what_lies_behind_an_answer_is_never_the_next_ones() {
-    test(async {
+fn bytes_after_a_response_are_never_taken_for_the_next_one() {
+    run_test(async {
         for late in [false, true] {
             let rig = Rig::new(|_| {}).await;
             let (mut client, mut pod) = rig.request(&get("i1")).await;
@@ -290,14 +297,14 @@
             if late {
                 pod.say(&extra).await.unwrap();
             }
-            rested().await;
+            wait_until_reusable().await;
             client.say(get("i2")).await.unwrap();
             let mut other = rig.pod.accept().await.unwrap();
             other.message().await.unwrap();
             other.say(OK).await.unwrap();
             assert_eq!(client.answer().await.unwrap().2, "ok");
-            // A clean one is kept.
-            rested().await;
+            // A connection without extra bytes is kept.
+            wait_until_reusable().await;
             client.say(get("i3")).await.unwrap();
             other.message().await.unwrap();
             other.say(OK).await.unwrap();
@@ -307,10 +314,11 @@
 }
 
 #[test]
-fn an_idle_connection_is_closed_before_the_pod_does() {
-    test(async {
+fn an_idle_connection_is_closed_before_the_pod_closes_it() {
+    run_test(async {
         let rig =
-            Rig::new(|whole| whole["settings"]["limits"]["connIdleNs"] = json!(400_000_000)).await;
+            Rig::new(|config| config["settings"]["limits"]["connIdleNs"] = json!(400_000_000))
+                .await;
         let (mut client, mut pod) = rig.request(&get("i1")).await;
         pod.say(OK).await.unwrap();
         assert_eq!(client.answer().await.unwrap().0, 200);
@@ -323,8 +331,8 @@
 }
 
 #[test]
-fn the_list_is_followed_through_noise_and_pods_that_return_as_others() {
-    test(async {
+fn the_endpoint_list_is_followed_after_a_malformed_update_and_when_pods_move() {
+    run_test(async {
         let rig = Rig::new(|_| {}).await;
         let mut watch = rig.discovery.accept().await.unwrap();
         assert!(watch
@@ -344,7 +352,7 @@
             .await
             .unwrap();
         assert!(watch.ends().await);
-        // Known to the last line that could be read, and the pod is where that said.
+        // The next watch starts at the version of the last valid update, which is applied: the pod has moved.
         let mut watch = rig.discovery.accept().await.unwrap();
         assert!(watch.message().await.unwrap().0.contains("since=5 "));
         let mut client = rig.client().await;
@@ -354,7 +362,7 @@
         pod.say(OK).await.unwrap();
         assert_eq!(client.answer().await.unwrap().0, 200);
         assert!(rig.pod.is_alone().await);
-        // A line may come in pieces; whole lists drop what they do not name.
+        // An update may arrive in pieces; a complete list removes pods that it does not contain.
         let back = entry("q", rig.pod.at().unwrap(), 7, "active");
         let complete = list(9, true, &[back]);
         watch
@@ -366,7 +374,7 @@
             )
             .await
             .unwrap();
-        // Nothing is kept open to where no pod is listed.
+        // Idle connections to an address without a listed pod are closed.
         assert!(pod.ends().await);
         client.say(get("i2")).await.unwrap();
         let mut pod = rig.pod.accept().await.unwrap();
@@ -374,28 +382,28 @@
     });
 }
 
-/// Wrong answers of the one pod, which runs build 7, reported until a vote against it comes.
-async fn vote(talk: &mut Talk) -> Value {
-    let news = json!({"image": 7, "ring": 0, "progress": "canary", "ceiling": 0.5, "lag_ms": 0});
-    let wrong = json!({"host": "p", "type": "read", "lag_ms": 5});
+/// Reports faults of the pod, which runs build 7, and returns the vote against the build that follows.
+async fn provoke_vote(session: &mut Talk) -> Value {
+    let stage = json!({"image": 7, "ring": 0, "progress": "canary", "ceiling": 0.5, "lag_ms": 0});
+    let fault = json!({"host": "p", "type": "read", "lag_ms": 5});
     let mut lines =
-        json!({"jsonrpc": "2.0", "method": "progress", "params": news}).to_string() + "\n";
+        json!({"jsonrpc": "2.0", "method": "progress", "params": stage}).to_string() + "\n";
     for _ in 0..40 {
         lines +=
-            &(json!({"jsonrpc": "2.0", "method": "complaint", "params": wrong}).to_string() + "\n");
+            &(json!({"jsonrpc": "2.0", "method": "complaint", "params": fault}).to_string() + "\n");
     }
-    talk.say(lines).await.unwrap();
-    serde_json::from_str(&talk.line().await.unwrap()).unwrap()
+    session.say(lines).await.unwrap();
+    serde_json::from_str(&session.line().await.unwrap()).unwrap()
 }
 
 #[test]
-fn votes_go_out_and_their_answers_come_back_through_noise() {
-    test(async {
+fn votes_are_cast_again_after_a_malformed_rejecting_or_missing_reply() {
+    run_test(async {
         let older = Peer::new().await.unwrap();
         let more = entry("o", older.at().unwrap(), 6, "active");
         let rig =
-            Rig::new(|whole| whole["known"]["hosts"].as_array_mut().unwrap().push(more)).await;
-        // Share of both builds, without which the test has nothing to compare.
+            Rig::new(|config| config["known"]["hosts"].as_array_mut().unwrap().push(more)).await;
+        // Both builds get requests; without them the sequential test has nothing to compare.
         for (n, pod) in [(0, &rig.pod), (1, &rig.pod), (2, &rig.pod)] {
             let mut client = rig.client().await;
             client.say(get(&format!("i{n}"))).await.unwrap();
@@ -405,43 +413,43 @@
             pod.say(OK).await.unwrap();
             assert_eq!(client.answer().await.unwrap().0, 200);
         }
-        let mut talk = followed(&rig.control_plane).await;
-        let call = vote(&mut talk).await;
+        let mut session = accept_follow(&rig.control_plane).await;
+        let call = provoke_vote(&mut session).await;
         assert_eq!(
             (&call["method"], &call["params"]["image"]),
             (&json!("castBallot"), &json!(7))
         );
         assert_eq!(call["params"]["opinion"], "back");
-        // Not to be read: it may count. The vote is cast again where the control plane answers.
-        talk.say("{\"jsonrpc\":\"2.0\",\"id\":\n").await.unwrap();
-        assert!(talk.ends().await);
-        let mut talk = followed(&rig.control_plane).await;
-        let again: Value = serde_json::from_str(&talk.line().await.unwrap()).unwrap();
+        // The reply is malformed, so the vote may have counted. It is cast again in the next session.
+        session.say("{\"jsonrpc\":\"2.0\",\"id\":\n").await.unwrap();
+        assert!(session.ends().await);
+        let mut session = accept_follow(&rig.control_plane).await;
+        let again: Value = serde_json::from_str(&session.line().await.unwrap()).unwrap();
         assert_eq!(again["params"], call["params"]);
         let full = json!({"jsonrpc": "2.0", "id": again["id"], "error": {"code": 1, "message": "throttled"}});
-        talk.say(format!("{full}\n")).await.unwrap();
-        let third: Value = serde_json::from_str(&talk.line().await.unwrap()).unwrap();
+        session.say(format!("{full}\n")).await.unwrap();
+        let third: Value = serde_json::from_str(&session.line().await.unwrap()).unwrap();
         assert_eq!(third["params"], call["params"]);
         assert_ne!(third["id"], again["id"]);
-        // No answer and no other word: votes that go out each second do not make it look alive.
-        talk.line().await.unwrap();
-        assert!(talk.ends().await);
+        // No reply and no other line: votes that the sidecar writes each second do not count as a sign of life.
+        session.line().await.unwrap();
+        assert!(session.ends().await);
     });
 }
 
 #[test]
-fn a_silent_control_plane_is_connected_anew() {
-    test(async {
+fn a_silent_control_plane_is_reconnected() {
+    run_test(async {
         let rig = Rig::new(|_| {}).await;
-        let mut talk = followed(&rig.control_plane).await;
-        assert!(talk.ends().await);
-        followed(&rig.control_plane).await;
+        let mut session = accept_follow(&rig.control_plane).await;
+        assert!(session.ends().await);
+        accept_follow(&rig.control_plane).await;
     });
 }
 
 #[test]
 fn a_reload_opens_the_new_connections_before_the_old_ones_close() {
-    test(async {
+    run_test(async {
         let rig = Rig::new(|_| {}).await;
         let mut old = rig.discovery.accept().await.unwrap();
         old.message().await.unwrap();
@@ -450,7 +458,7 @@
             .await
             .unwrap();
         let (discovery, control_plane) = (Peer::new().await.unwrap(), Peer::new().await.unwrap());
-        let whole = configuration(
+        let config = configuration(
             discovery.at().unwrap(),
             control_plane.at().unwrap(),
             &[here],
@@ -459,14 +467,14 @@
         pod.say(OK).await.unwrap();
         assert_eq!(client.answer().await.unwrap().0, 200);
         rig.commands
-            .send(Command::Reload(Box::new(config(&whole))))
+            .send(Command::Reload(Box::new(parse_config(&config))))
             .await
             .ok()
             .unwrap();
         let mut new = discovery.accept().await.unwrap();
         assert!(new.message().await.unwrap().0.contains("since=4 "));
-        followed(&control_plane).await;
-        // The old one is still heard, line after line, until the new one speaks.
+        accept_follow(&control_plane).await;
+        // Updates on the old watch still apply until the new one delivers a message.
         let [other, third] = [Peer::new().await, Peer::new().await].map(Result::unwrap);
         for to in [&other, &third] {
             let moved = entry("p", to.at().unwrap(), 7, "active");
@@ -484,8 +492,8 @@
 }
 
 #[test]
-fn a_stop_answers_what_was_taken_and_what_still_comes() {
-    test(async {
+fn a_stop_answers_requests_in_flight_and_those_that_still_arrive() {
+    run_test(async {
         let rig = Rig::new(|_| {}).await;
         let (mut client, mut pod) = rig.request(&get("i1")).await;
         rig.commands.send(Command::Stop).await.ok().unwrap();
@@ -495,7 +503,7 @@
         pod.say(OK).await.unwrap();
         let (status, head, _) = client.answer().await.unwrap();
         assert_eq!((status, header(&head, "connection")), (200, Some("close")));
-        rested().await;
+        wait_until_reusable().await;
         let mut late = rig.client().await;
         late.say(get("i2")).await.unwrap();
         pod.message().await.unwrap();
@@ -505,19 +513,19 @@
     });
 }
 
-/// What another tenant's settings turn on: requests of one key stay with the newest build once it answered.
+/// With the setting for sticky keys, requests with the same key stay on the newest build once it has answered one.
 #[test]
-fn a_key_of_the_clients_cookie_holds_its_requests_to_the_newest_build() {
-    test(async {
+fn requests_with_a_key_stay_on_the_newest_build_once_it_has_answered() {
+    run_test(async {
         let newer = Peer::new().await.unwrap();
         let more = entry("q", newer.at().unwrap(), 8, "active");
-        let rig = Rig::new(|whole| {
-            whole["known"]["hosts"].as_array_mut().unwrap().push(more);
-            whole["settings"]["familyInfo"]["oneWay"] = json!(true);
-            whole["settings"]["familyInfo"]["mostShares"] = json!([1.0]);
-            whole["settings"]["orgs"] = json!([{"name": "t", "share": 1.0, "quotaRps": 100.0}]);
-            let news = json!({"image": 8, "ring": 0, "progress": "canary", "ceiling": 1.0, "lag_ms": 9000});
-            whole["deployer"]["news"] = news;
+        let rig = Rig::new(|config| {
+            config["known"]["hosts"].as_array_mut().unwrap().push(more);
+            config["settings"]["familyInfo"]["oneWay"] = json!(true);
+            config["settings"]["familyInfo"]["mostShares"] = json!([1.0]);
+            config["settings"]["orgs"] = json!([{"name": "t", "share": 1.0, "quotaRps": 100.0}]);
+            let stage = json!({"image": 8, "ring": 0, "progress": "canary", "ceiling": 1.0, "lag_ms": 9000});
+            config["deployer"]["news"] = stage;
         })
         .await;
         let (mut answered, mut later) = (false, 0);
@@ -547,9 +555,9 @@
 }
 
 #[test]
-fn a_bad_configuration_is_named_by_its_field() {
+fn an_invalid_configuration_is_rejected_with_the_name_of_its_field() {
     let at: SocketAddr = "127.0.0.1:9".parse().unwrap();
-    let whole = configuration(at, at, &[]);
+    let config = configuration(at, at, &[]);
     for (path, value, field) in [
         ("/listen", json!("here"), "listen"),
         ("/limits/sockets", json!(3), "limits.sockets"),
@@ -563,13 +571,13 @@
         ),
         ("/known/hosts", json!(5), "hosts"),
     ] {
-        let mut whole = whole.clone();
-        *whole.pointer_mut(path).unwrap() = value;
-        let why = Config::parse(whole.to_string().as_bytes())
+        let mut config = config.clone();
+        *config.pointer_mut(path).unwrap() = value;
+        let error = Config::parse(config.to_string().as_bytes())
             .err()
             .expect("refused")
             .to_string();
-        assert!(why.contains(field), "{why}");
+        assert!(error.contains(field), "{error}");
     }
     assert!(Config::parse(b"{").is_err() && Config::parse(b"[]").is_err());
 }
--- a/crates/platform/tests/races.rs
+++ b/crates/platform/tests/races.rs
@@ -1,9 +1,11 @@
-//! Crossings of requests, answers and signals, each held open by scripted peers on loopback. The table of all of
-//! them stands in `docs/crossings.md`, those of the list in `lists.rs`.
+//! Races of requests, responses and signals, each reproduced by scripted peers on loopback. `docs/crossings.md` lists
+//! all of them; those of the endpoint list are tested in `list_races.rs`.
 
 mod common;
 
-use common::{get, request, rested, test, turns, Rig, HEALTH, OK, OK_CLOSE};
+use common::{
+    get, let_sidecar_run, request, run_test, wait_until_reusable, Rig, HEALTH, OK, OK_CLOSE,
+};
 use havenplank_emulator::scripted::{header, Talk};
 use havenplank_platform::Command;
 use serde_json::{json, Value};
@@ -15,55 +17,55 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-/// Clients that wait so long, for what would be over before a crossing is.
-fn patient(whole: &mut Value) {
-    for group in whole["settings"]["classes"].as_array_mut().unwrap() {
+/// Sets client time-outs that do not run out during a test.
+fn set_long_timeouts(config: &mut Value) {
+    for group in config["settings"]["classes"].as_array_mut().unwrap() {
         (group["onTimeNs"], group["giveUpNs"]) = (json!(8_000_000_000u64), json!(9_000_000_000u64));
     }
 }
 
-/// A connection that the runtime under test has not heard of when this returns.
-fn unheard(rig: &Rig) -> TcpStream {
-    TcpStream::connect(rig.at).expect("a listener")
+/// Connects without letting the runtime poll: the sidecar has not seen the connection when this returns.
+fn connect_without_polling(rig: &Rig) -> TcpStream {
+    TcpStream::connect(rig.address).expect("a listener")
 }
 
-fn whole_answer(mut stream: TcpStream) -> std::io::Result<String> {
+fn read_to_end(mut stream: TcpStream) -> std::io::Result<String> {
     stream.set_read_timeout(Some(Duration::from_secs(5)))?;
     let mut text = String::new();
     stream.read_to_string(&mut text)?;
     Ok(text)
 }
 
-async fn off_thread<T: Send + 'static>(work: impl FnOnce() -> T + Send + 'static) -> T {
+async fn on_blocking_thread<T: Send + 'static>(work: impl FnOnce() -> T + Send + 'static) -> T {
     tokio::task::spawn_blocking(work).await.expect("no panic")
 }
 
-/// SIGTERM against accept: what the system has accepted when the listener closes is answered, not reset.
+/// SIGTERM while connections arrive: those in the accept queue when the listener closes are answered, not reset.
 #[test]
-fn a_stop_answers_what_lies_in_the_accept_queue_when_the_listener_closes() {
-    test(async {
-        let rig = Rig::new(|whole| whole["limits"]["sockets"] = json!(2048)).await;
+fn a_stop_answers_connections_still_in_the_accept_queue_when_the_listener_closes() {
+    run_test(async {
+        let rig = Rig::new(|config| config["limits"]["sockets"] = json!(2048)).await;
         rig.commands.send(Command::Stop).await.ok().unwrap();
         let stopped = Instant::now();
         sleep(550 * MS).await;
-        // The runtime stands still past the 0.6 s after which no more are taken, and turns once for the timer.
+        // Blocks the runtime past the 0.6 s during which connections are accepted, then polls once for the timer.
         std::thread::sleep((700 * MS).saturating_sub(stopped.elapsed()));
         yield_now().await;
-        // Before it turns again: the system accepts these, and nobody has heard of them.
+        // Before the next poll the kernel accepts these connections, which the sidecar has not seen.
         let late: Vec<TcpStream> = (0..100)
             .map(|_| {
-                let mut stream = unheard(&rig);
+                let mut stream = connect_without_polling(&rig);
                 stream.write_all(HEALTH.as_bytes()).unwrap();
                 stream
             })
             .collect();
-        let answers = off_thread(|| {
+        let answers = on_blocking_thread(|| {
             late.into_iter()
-                .map(whole_answer)
+                .map(read_to_end)
                 .collect::<std::io::Result<Vec<_>>>()
         })
         .await;
-        let answers = answers.expect("none is reset");
+        let answers = answers.expect("no connection is reset");
         assert!(answers
             .iter()
             .all(|answer| answer.starts_with("HTTP/1.1 503 ")));
@@ -71,9 +73,9 @@
     });
 }
 
-/// A client that has asked for more than the sockets between hold and reads none of it yet.
+/// Returns a client whose response is larger than the socket buffers and which has read none of it yet.
 async fn slow_reader(rig: &Rig, body: &str) -> TcpStream {
-    let mut slow = unheard(rig);
+    let mut slow = connect_without_polling(rig);
     slow.write_all(get("slow").replace("800", "8000").as_bytes())
         .unwrap();
     let mut pod = rig.pod.accept().await.unwrap();
@@ -84,14 +86,14 @@
     ))
     .await
     .unwrap();
-    // Its first byte is here, so it was handed over; the rest does not fit.
+    // The first byte has arrived, so the sidecar has begun to write the response; the rest does not fit.
     let peeked = slow.try_clone().unwrap();
-    off_thread(move || peeked.peek(&mut [0]).unwrap()).await;
+    on_blocking_thread(move || peeked.peek(&mut [0]).unwrap()).await;
     slow
 }
 
-async fn reads_whole(mut slow: TcpStream, body: String) {
-    let read = off_thread(move || {
+async fn assert_reads_complete_response(mut slow: TcpStream, body: String) {
+    let read = on_blocking_thread(move || {
         let mut read = vec![0; 1 << 16];
         let mut text = Vec::new();
         slow.set_read_timeout(Some(Duration::from_secs(5))).unwrap();
@@ -111,21 +113,21 @@
     );
 }
 
-fn large() -> String {
+fn large_body() -> String {
     "y".repeat(12_000_000) + "end"
 }
 
-fn roomy(whole: &mut Value) {
-    patient(whole);
-    whole["limits"]["memory_mb"] = json!(1024);
+fn set_large_memory(config: &mut Value) {
+    set_long_timeouts(config);
+    config["limits"]["memory_mb"] = json!(1024);
 }
 
-/// A full listener against an answer that is handed over and not yet written.
+/// A full listener while a response is partly written: its connection is not evicted.
 #[test]
-fn an_answer_not_yet_written_is_not_evicted_for_newcomers() {
-    test(async {
-        let rig = Rig::new(roomy).await;
-        let slow = slow_reader(&rig, &large()).await;
+fn a_response_not_yet_written_is_not_evicted_for_new_connections() {
+    run_test(async {
+        let rig = Rig::new(set_large_memory).await;
+        let slow = slow_reader(&rig, &large_body()).await;
         let mut silent = Vec::new();
         for _ in 0..40 {
             silent.push(rig.client().await);
@@ -133,23 +135,23 @@
         let mut client = rig.client().await;
         client.say(HEALTH).await.unwrap();
         assert_eq!(client.answer().await.unwrap().0, 200);
-        reads_whole(slow, large()).await;
+        assert_reads_complete_response(slow, large_body()).await;
     });
 }
 
-/// The idle time-out and SIGTERM against an answer that is handed over and not yet written.
+/// The idle limit and SIGTERM while a response is partly written: the response is completed.
 #[test]
-fn an_answer_not_yet_written_outlives_idle_time_and_a_stop() {
-    test(async {
+fn a_response_not_yet_written_survives_the_idle_limit_and_a_stop() {
+    run_test(async {
         for stop in [false, true] {
-            let rig = Rig::new(roomy).await;
-            let slow = slow_reader(&rig, &large()).await;
+            let rig = Rig::new(set_large_memory).await;
+            let slow = slow_reader(&rig, &large_body()).await;
             if stop {
                 rig.commands.send(Command::Stop).await.ok().unwrap();
             }
             // An idle connection closes after 2 s.
             sleep(2300 * MS).await;
-            reads_whole(slow, large()).await;
+            assert_reads_complete_response(slow, large_body()).await;
             if stop {
                 rig.ended.await.unwrap();
             }
@@ -157,16 +159,16 @@
     });
 }
 
-/// One that never reads its answer holds its place until half a second past its time, no longer.
+/// A client that never reads its response is disconnected half a second after the deadline of its request.
 #[test]
-fn an_answer_that_nobody_reads_gives_its_place_up() {
-    test(async {
-        let rig = Rig::new(|whole| {
-            roomy(whole);
-            whole["settings"]["classes"][0]["giveUpNs"] = json!(1_000_000_000u64);
+fn a_client_that_does_not_read_its_response_is_disconnected_after_its_deadline() {
+    run_test(async {
+        let rig = Rig::new(|config| {
+            set_large_memory(config);
+            config["settings"]["classes"][0]["giveUpNs"] = json!(1_000_000_000u64);
         })
         .await;
-        let slow = slow_reader(&rig, &large()).await;
+        let slow = slow_reader(&rig, &large_body()).await;
         rig.commands.send(Command::Stop).await.ok().unwrap();
         let began = Instant::now();
         rig.ended.await.unwrap();
@@ -175,10 +177,10 @@
     });
 }
 
-/// SIGTERM against a request of which half was read, the first on its connection and a later one.
+/// SIGTERM while a request is partly read, for the first request of a connection and a later one.
 #[test]
-fn a_request_half_read_at_a_stop_is_answered() {
-    test(async {
+fn a_request_partly_read_at_a_stop_is_answered() {
+    run_test(async {
         for kept in [false, true] {
             let rig = Rig::new(|_| {}).await;
             let mut client = rig.client().await;
@@ -188,12 +190,12 @@
             }
             let bytes = get("i1");
             client.say(&bytes[..20]).await.unwrap();
-            // Answered in turn: what came before it was read.
+            // Requests are read in order of arrival, so the partial one has been read when this one is answered.
             let mut other = rig.client().await;
             other.say(HEALTH).await.unwrap();
             assert_eq!(other.answer().await.unwrap().0, 200);
             rig.commands.send(Command::Stop).await.ok().unwrap();
-            assert!(other.ends().await, "the stop was heard");
+            assert!(other.ends().await, "the stop was processed");
             client.say(&bytes[20..]).await.unwrap();
             let mut pod = rig.pod.accept().await.unwrap();
             pod.message().await.unwrap();
@@ -209,17 +211,17 @@
     });
 }
 
-/// SIGTERM against a request that lies in the socket of an idle connection: the runtime hears of both at once.
+/// SIGTERM while a request is in the socket of an idle connection: the runtime sees both in the same poll.
 #[test]
-fn a_request_that_came_before_the_stop_was_heard_is_answered() {
-    test(async {
+fn a_request_that_arrived_before_the_stop_was_processed_is_answered() {
+    run_test(async {
         for _ in 0..20 {
             let rig = Rig::new(|_| {}).await;
             let (mut client, mut pod) = rig.request(&get("i1")).await;
             pod.say(OK).await.unwrap();
             assert_eq!(client.answer().await.unwrap().0, 200);
-            rested().await;
-            // No await that turns the runtime between the two.
+            wait_until_reusable().await;
+            // There is no await between the two that would let the runtime poll.
             client.say(get("i2")).await.unwrap();
             rig.commands.try_send(Command::Stop).ok().unwrap();
             pod.message().await.unwrap();
@@ -229,10 +231,10 @@
     });
 }
 
-/// A full listener against a request that lies in the socket of the connection that would go.
+/// A full listener while a request is in the socket of the connection that would be evicted.
 #[test]
-fn a_request_that_just_came_is_not_evicted() {
-    test(async {
+fn a_connection_whose_request_just_arrived_is_not_evicted() {
+    run_test(async {
         let rig = Rig::new(|_| {}).await;
         let mut kept = Vec::new();
         for n in 0..16 {
@@ -243,8 +245,8 @@
             }
             kept.push(client);
         }
-        // None of the others has been silent for long enough to go first.
-        let mut newcomer = unheard(&rig);
+        // None of the others has been silent long enough to be evicted first.
+        let mut newcomer = connect_without_polling(&rig);
         kept[0].say(get("i1")).await.unwrap();
         let mut pod = rig.pod.accept().await.unwrap();
         pod.message().await.unwrap();
@@ -253,7 +255,7 @@
         newcomer.write_all(HEALTH.as_bytes()).unwrap();
         let mut byte = [0];
         assert_eq!(
-            off_thread(move || newcomer.read(&mut byte).unwrap()).await,
+            on_blocking_thread(move || newcomer.read(&mut byte).unwrap()).await,
             1
         );
     });
@@ -263,11 +265,12 @@
     request(&format!("POST /{class}"), id, "idempotency-key: k\r\n", "x")
 }
 
-/// The same id again, its first client closed but not heard to have: the second is read first.
+/// A client resends a request with the same id after its connection ended; the sidecar reads the second request before
+/// it notices the close.
 #[test]
-fn a_request_sent_again_after_its_connection_ended_is_not_taken_for_another_clients() {
-    test(async {
-        // Idempotent: the first is ended, the second served.
+fn a_request_resent_after_its_connection_ended_is_not_rejected_as_a_duplicate_id() {
+    run_test(async {
+        // Idempotent: the first request is ended, the second served.
         let rig = Rig::new(|_| {}).await;
         let (first, mut pod) = rig.request(&get("same")).await;
         let mut second = rig.client().await;
@@ -280,7 +283,7 @@
         pod.message().await.unwrap();
         pod.say(OK_CLOSE).await.unwrap();
         assert_eq!(second.answer().await.unwrap().0, 200);
-        // Not idempotent and sent on: it may have run, and does not run again.
+        // Not idempotent and forwarded: the request may have run and is not sent again.
         for class in ["mark", "write"] {
             let (first, mut pod) = rig.request(&post(class, class)).await;
             let mut second = rig.client().await;
@@ -290,16 +293,16 @@
             drop(first);
             assert_eq!(second.answer().await.unwrap().0, 502, "{class}");
             assert!(pod.ends().await);
-            assert!(rig.pod.is_alone().await, "{class} sent on again");
+            assert!(rig.pod.is_alone().await, "{class} sent again");
         }
-        // Not idempotent and not yet whole: nothing was sent on, so the second is served.
+        // Not idempotent and incomplete: nothing was forwarded, so the second request is served.
         let mut first = rig.client().await;
-        let whole = post("write", "half");
-        first.say(&whole[..whole.len() - 1]).await.unwrap();
+        let bytes = post("write", "half");
+        first.say(&bytes[..bytes.len() - 1]).await.unwrap();
         let mut second = rig.client().await;
         second.say(HEALTH).await.unwrap();
         assert_eq!(second.answer().await.unwrap().0, 200);
-        second.say(&whole).await.unwrap();
+        second.say(&bytes).await.unwrap();
         drop(first);
         let mut pod = rig.pod.accept().await.unwrap();
         pod.message().await.unwrap();
@@ -308,15 +311,16 @@
     });
 }
 
-/// A client that closes behind bytes that nobody reads while its request is in flight.
+/// A client sends further bytes while its request is in flight and closes: the sidecar notices the close although the
+/// HTTP server does not read those bytes.
 #[test]
-fn a_client_that_closes_behind_leftover_bytes_is_gone() {
-    test(async {
-        for behind in ["\r\n", "GET /read HTTP/1.1\r\n", &"x".repeat(9000)] {
-            let rig = Rig::new(patient).await;
+fn a_client_that_closes_after_unread_bytes_ends_its_attempt() {
+    run_test(async {
+        for extra_bytes in ["\r\n", "GET /read HTTP/1.1\r\n", &"x".repeat(9000)] {
+            let rig = Rig::new(set_long_timeouts).await;
             let (mut client, mut pod) = rig.request(&get("i1").replace("800", "8000")).await;
-            client.say(behind).await.unwrap();
-            // Read by now, so that its close comes by itself.
+            client.say(extra_bytes).await.unwrap();
+            // The bytes have been received by now, so that the close arrives separately.
             let mut other = rig.client().await;
             other.say(HEALTH).await.unwrap();
             assert_eq!(other.answer().await.unwrap().0, 200);
@@ -325,17 +329,17 @@
             assert!(pod.ends().await);
             assert!(
                 began.elapsed() < 300 * MS,
-                "{:?} behind {behind:.9}",
+                "{:?} behind {extra_bytes:.9}",
                 began.elapsed()
             );
         }
     });
 }
 
-/// The next request may stand right behind the one in flight; it is served in its turn.
+/// The next request may arrive while one is in flight; it is served after it.
 #[test]
-fn bytes_behind_a_request_are_the_next_one() {
-    test(async {
+fn bytes_after_a_request_are_served_as_the_next_request() {
+    run_test(async {
         let rig = Rig::new(|_| {}).await;
         let (mut client, mut pod) = rig.request(&get("i1")).await;
         for n in 2..5 {
@@ -344,7 +348,7 @@
             client.say(&next[10..]).await.unwrap();
             pod.say(OK).await.unwrap();
             assert_eq!(client.answer().await.unwrap().0, 200);
-            // The first connection rests still.
+            // The previous connection to the pod may not be reused yet, so a new one is opened.
             pod = rig.pod.accept().await.unwrap();
             let (head, _) = pod.message().await.unwrap();
             assert_eq!(header(&head, "x-correlation-id"), Some(&*format!("i{n}")));
@@ -352,16 +356,16 @@
     });
 }
 
-/// A kept connection that the pod closes just as a request is written: it may have run.
+/// The pod closes a kept connection after a request was written to it: the request may have run.
 #[test]
-fn a_kept_connection_reset_under_a_request_counts_as_may_have_run() {
-    test(async {
-        for (class, asked_again) in [("read", true), ("write", false)] {
+fn a_request_on_a_kept_connection_that_is_closed_counts_as_may_have_run() {
+    run_test(async {
+        for (class, sent_again) in [("read", true), ("write", false)] {
             let rig = Rig::new(|_| {}).await;
             let (mut client, mut pod) = rig.request(&get("i0")).await;
             pod.say(OK).await.unwrap();
             assert_eq!(client.answer().await.unwrap().0, 200);
-            rested().await;
+            wait_until_reusable().await;
             client
                 .say(if class == "read" {
                     get("i1")
@@ -370,38 +374,38 @@
                 })
                 .await
                 .unwrap();
-            // Read to the last byte on the kept connection, then no answer.
+            // The pod reads the complete request on the kept connection, then closes without a response.
             pod.message().await.unwrap();
             drop(pod);
-            if asked_again {
+            if sent_again {
                 let mut pod = rig.pod.accept().await.unwrap();
                 pod.message().await.unwrap();
                 pod.say(OK).await.unwrap();
             }
             let (status, ..) = client.answer().await.unwrap();
-            assert_eq!(status, if asked_again { 200 } else { 502 }, "{class}");
-            assert!(rig.pod.is_alone().await, "{class}: sent on again");
+            assert_eq!(status, if sent_again { 200 } else { 502 }, "{class}");
+            assert!(rig.pod.is_alone().await, "{class}: sent again");
         }
     });
 }
 
-/// A close of an idle connection while a request is on its way: the client gets a close and no reset, by which it
-/// knows that nothing was read.
+/// An idle connection is closed while a request is on its way: the client sees a close and no reset, so it knows that
+/// nothing was read.
 #[test]
 fn an_idle_connection_closes_without_a_reset() {
-    test(async {
+    run_test(async {
         let rig = Rig::new(|_| {}).await;
-        let mut client = unheard(&rig);
+        let mut client = connect_without_polling(&rig);
         client.write_all(HEALTH.as_bytes()).unwrap();
-        let mut heard = client.try_clone().unwrap();
-        off_thread(move || heard.read(&mut [0; 4096]).unwrap()).await;
+        let mut reader = client.try_clone().unwrap();
+        on_blocking_thread(move || reader.read(&mut [0; 4096]).unwrap()).await;
         rig.commands.send(Command::Stop).await.ok().unwrap();
-        let mut heard = client.try_clone().unwrap();
-        let end = off_thread(move || heard.read(&mut [0; 16])).await;
+        let mut reader = client.try_clone().unwrap();
+        let end = on_blocking_thread(move || reader.read(&mut [0; 16])).await;
         assert_eq!(end.unwrap(), 0);
         client.write_all(get("i1").as_bytes()).unwrap();
         client.shutdown(Shutdown::Write).unwrap();
-        let end = off_thread(move || client.read(&mut [0; 16])).await;
+        let end = on_blocking_thread(move || client.read(&mut [0; 16])).await;
         assert!(
             !end.as_ref()
                 .is_err_and(|error| error.kind() == ErrorKind::ConnectionReset),
@@ -411,20 +415,20 @@
     });
 }
 
-/// A pod's second answer, some milliseconds behind the one it repeats, against the next request to that pod.
+/// A pod sends a response a second time, some milliseconds after the first, while the next request to it begins.
 #[test]
-fn a_second_answer_that_comes_late_is_never_the_next_requests() {
-    test(async {
+fn a_late_duplicate_response_is_never_taken_for_the_next_one() {
+    run_test(async {
         for late in [0, 1, 5, 20] {
             let rig = Rig::new(|_| {}).await;
             let (mut client, mut pod) = rig.request(&get("i1")).await;
             pod.say(OK).await.unwrap();
             assert_eq!(client.answer().await.unwrap().2, "ok");
-            // On its way to the pod before the second answer is on its way back.
+            // The request is sent before the duplicate response is.
             client.say(get("i2")).await.unwrap();
             let second = async {
                 sleep(late * MS).await;
-                // Its connection may be closed by now.
+                // The connection may be closed by now.
                 let _ = pod.say(OK.replace("ok", "no")).await;
                 std::future::pending::<()>().await
             };
@@ -443,14 +447,14 @@
     });
 }
 
-/// A pod whose accept queue is full, so that connects to it hang until it is emptied.
-struct Busy {
+/// A pod whose accept queue is full, so that connecting to it hangs until the queue is drained.
+struct PodWithFullQueue {
     listener: std::net::TcpListener,
     fill: Vec<TcpStream>,
 }
 
-impl Busy {
-    fn new() -> Busy {
+impl PodWithFullQueue {
+    fn new() -> PodWithFullQueue {
         use socket2::{Domain, Socket, Type};
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
         socket
@@ -462,11 +466,11 @@
         while let Ok(one) = TcpStream::connect_timeout(&at, 100 * MS) {
             fill.push(one);
         }
-        Busy { listener, fill }
+        PodWithFullQueue { listener, fill }
     }
 
-    /// The whole of the queue, and then what connects.
-    fn emptied(self) -> tokio::net::TcpListener {
+    /// Drains the queue and returns the listener for further connections.
+    fn drain_queue(self) -> tokio::net::TcpListener {
         for _ in &self.fill {
             self.listener.accept().unwrap();
         }
@@ -474,51 +478,51 @@
         tokio::net::TcpListener::from_std(self.listener).unwrap()
     }
 
-    /// A request that waits for its connection there, with time enough for it.
-    async fn waiting(&self) -> (Rig, Talk) {
+    /// Starts a sidecar and sends a request that waits for its connection to this pod, with a long time-out.
+    async fn send_waiting_request(&self) -> (Rig, Talk) {
         let at = self.listener.local_addr().unwrap();
-        let rig = Rig::new(|whole| {
-            patient(whole);
-            whole["known"]["hosts"][0]["dial"] = json!(at.to_string());
-            whole["settings"]["limits"]["dialTimeoutNs"] = json!(4_000_000_000u64);
+        let rig = Rig::new(|config| {
+            set_long_timeouts(config);
+            config["known"]["hosts"][0]["dial"] = json!(at.to_string());
+            config["settings"]["limits"]["dialTimeoutNs"] = json!(4_000_000_000u64);
         })
         .await;
         let mut client = rig.client().await;
         client.say(get("i1").replace("800", "8000")).await.unwrap();
-        turns(&rig).await;
+        let_sidecar_run(&rig).await;
         (rig, client)
     }
 }
 
-/// A client that closes while its request waits for a connection: nothing is sent on.
+/// A client closes while its request waits for a connection to the pod: the request is not sent.
 #[test]
-fn a_client_gone_while_its_request_waits_for_a_connection_is_not_sent_on() {
-    test(async {
-        let pod = Busy::new();
-        let (rig, client) = pod.waiting().await;
+fn a_request_whose_client_closes_while_it_waits_for_a_connection_is_not_sent() {
+    run_test(async {
+        let pod = PodWithFullQueue::new();
+        let (rig, client) = pod.send_waiting_request().await;
         drop(client);
-        turns(&rig).await;
-        let pod = pod.emptied();
-        // A connect that still hung would be tried again by the system after a second.
+        let_sidecar_run(&rig).await;
+        let pod = pod.drain_queue();
+        // The kernel would retry a connect that is still pending after a second.
         let sent = async {
             let (stream, _) = pod.accept().await.unwrap();
             stream.readable().await.unwrap();
             stream.try_read(&mut [0; 16]).unwrap_or(0)
         };
         let sent = tokio::time::timeout(2500 * MS, sent).await;
-        assert!(!sent.is_ok_and(|bytes| bytes > 0), "sent on");
+        assert!(!sent.is_ok_and(|bytes| bytes > 0), "sent");
     });
 }
 
-/// SIGTERM while a request waits for a connection: it is sent on and answered.
+/// SIGTERM while a request waits for a connection to the pod: it is still sent and answered.
 #[test]
 fn a_request_that_waits_for_a_connection_at_a_stop_is_answered() {
-    test(async {
-        let pod = Busy::new();
-        let (rig, mut client) = pod.waiting().await;
+    run_test(async {
+        let pod = PodWithFullQueue::new();
+        let (rig, mut client) = pod.send_waiting_request().await;
         rig.commands.send(Command::Stop).await.ok().unwrap();
         sleep(700 * MS).await;
-        let pod = pod.emptied();
+        let pod = pod.drain_queue();
         let (stream, _) = pod.accept().await.unwrap();
         let mut stream = Talk::from(stream);
         stream.message().await.unwrap();
@@ -529,22 +533,23 @@
     });
 }
 
-/// The same id again in the turn in which the first is answered and its client has closed: it has run.
+/// A request is resent with the same id in the poll in which the first is answered and its client has closed: the first
+/// has run, so the second must not.
 #[test]
-fn a_request_sent_again_as_its_first_is_answered_does_not_run_twice() {
-    test(async {
+fn a_request_resent_while_the_first_is_answered_does_not_run_twice() {
+    run_test(async {
         for class in ["mark", "write"] {
             let rig = Rig::new(|_| {}).await;
             let (first, mut pod) = rig.request(&post(class, "same")).await;
             let mut second = rig.client().await;
             second.say(HEALTH).await.unwrap();
             assert_eq!(second.answer().await.unwrap().0, 200);
-            // The runtime turns after all three: the answer is read first, then the second, then the close.
+            // The runtime polls after all three: it reads the response first, then the second request, then the close.
             pod.say(OK).await.unwrap();
             second.say(post(class, "same")).await.unwrap();
             drop(first);
             assert_eq!(second.answer().await.unwrap().0, 502, "{class}");
-            assert!(rig.pod.is_alone().await, "{class} sent on again");
+            assert!(rig.pod.is_alone().await, "{class} sent again");
         }
     });
 }
--- a/crates/platform/tests/unit/attempt_outcome.rs
+++ b/crates/platform/tests/unit/attempt_outcome.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn only_a_connection_that_ended_unanswered_speaks_against_keeping_it_idle() {
+fn only_a_connection_that_ended_before_any_response_byte_counts_as_broken() {
     for (error, expected) in [
         (ResponseError::ClosedUnanswered, ReuseOutcome::Broken),
         (ResponseError::ResetUnanswered, ReuseOutcome::Broken),
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_request_is_written_again_only_where_its_connection_was_a_kept_one() {
+fn a_request_is_written_again_only_if_its_connection_was_reused() {
     let kept = Some(Duration::from_millis(30));
     assert_eq!(
         on_write_failure(kept),
--- a/crates/platform/tests/unit/in_flight_ids.rs
+++ b/crates/platform/tests/unit/in_flight_ids.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn takes_an_id_over_only_from_a_gone_client_whose_request_cannot_run_twice() {
+fn takes_over_an_id_only_from_a_closed_client_whose_request_cannot_run_twice() {
     use Idempotency::{Idempotent, Keyed, NonIdempotent};
     for idempotency in [Idempotent, Keyed, NonIdempotent] {
         for may_have_run in [false, true] {
--- a/crates/platform/tests/unit/pod_pool.rs
+++ b/crates/platform/tests/unit/pod_pool.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn a_permit_that_comes_free_goes_to_who_waits_for_it() {
+fn a_released_permit_goes_to_a_waiting_attempt() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -35,7 +35,7 @@
         assert!(second.is_ok() && began.elapsed() < settings.connect_timeout);
         assert_eq!(pool.counts(), ConnectionCounts { open: 1, idle: 0 });
         assert_eq!(pool.waiting.get(), 0);
-        // With nobody waiting it is kept.
+        // While no attempt waits, the released connection is kept.
         pool.release(second_address, second.ok().unwrap());
         assert_eq!(pool.counts(), ConnectionCounts { open: 1, idle: 1 });
     });
--- a/crates/platform/tests/watch_selection.rs
+++ b/crates/platform/tests/watch_selection.rs
@@ -26,7 +26,7 @@
     }
 }
 
-/// With one active watch on a list of version 4, its last message received at the start.
+/// Returns a selection with an active watch, whose last message came at `start` and led to version 4.
 fn with_active(start: Instant) -> WatchSelection {
     let mut selection = WatchSelection::new(start, address(1), 3);
     let due = selection.on_deadline(start);
@@ -44,35 +44,35 @@
 }
 
 #[test]
-fn opens_a_candidate_beside_an_overdue_watch_and_gives_that_up_once_silent() {
+fn opens_a_candidate_next_to_an_overdue_watch_and_drops_the_watch_once_silent() {
     let start = Instant::now();
     let mut selection = with_active(start);
     let since_four = OpenCandidate {
         address: address(1),
         since: 4,
     };
-    // A candidate when the watch is overdue, and anew each second while none speaks.
+    // Opens a candidate when the watch is overdue, and a new one each second while none delivers a message.
     for at in [2500, 3500] {
         assert_eq!(selection.next_deadline(), start + at * MS);
         let due = selection.on_deadline(start + at * MS);
         assert_eq!((due.drop_active, due.open), (false, Some(since_four)));
     }
-    // At 4.5 s the watch is given up and the candidate is a second old.
+    // At 4.5 s the watch is dropped and the candidate, a second old, is replaced.
     assert_eq!(selection.next_deadline(), start + 4500 * MS);
     let due = selection.on_deadline(start + 4500 * MS);
     assert_eq!((due.drop_active, due.open), (true, Some(since_four)));
-    // The last one within the 6 s after which what was missed counts as told.
+    // The last candidate opens within the 6 s after which discovery considers the sidecar informed.
     assert_eq!(selection.next_deadline(), start + 5500 * MS);
 }
 
 #[test]
-fn an_overdue_watch_that_speaks_again_stays_active_beside_its_candidate() {
+fn an_overdue_watch_that_delivers_a_message_stays_active_next_to_its_candidate() {
     let start = Instant::now();
     let mut selection = with_active(start);
     selection.on_deadline(start + 2500 * MS);
     let action = selection.on_active_message(start + 2600 * MS, changes(6));
     assert_eq!((action, selection.version()), (UpdateAction::Apply, 6));
-    // The candidate speaks of what lies before that: it is active from then on and sets nothing back.
+    // The candidate delivers older changes: it becomes active and its update is ignored.
     let outcome = selection.on_candidate_message(start + 2700 * MS, changes(5));
     assert_eq!(
         outcome,
@@ -82,12 +82,13 @@
 }
 
 #[test]
-fn a_complete_list_may_go_back_but_not_by_a_message_older_than_the_last() {
+fn a_complete_list_may_return_to_an_earlier_version_but_not_in_an_outdated_message() {
     let start = Instant::now();
     let mut selection = with_active(start);
     selection.on_address_change(start, address(2));
     selection.on_active_message(start, changes(9));
-    // Asked from version 4, told of 3, and 9 was heard meanwhile: asked again from there.
+    // The candidate was opened at version 4 and delivers version 3, but version 9 came meanwhile on the active watch:
+    // another candidate is opened at version 9.
     let outcome = selection.on_candidate_message(start, complete(3));
     let again = OpenCandidate {
         address: address(2),
@@ -110,17 +111,18 @@
     assert_eq!(opened.map(|open| open.address), Some(address(1)));
     selection.on_candidate_end(start + 40 * MS, 60 * MS);
     assert_eq!(selection.next_deadline(), start + 100 * MS);
-    // A move does not wait for that.
+    // A new address is tried without waiting for the backoff.
     let opened = selection.on_address_change(start + 50 * MS, address(2));
     assert_eq!(opened.address, address(2));
 }
 
 #[test]
-fn an_active_watch_at_a_former_address_has_a_candidate_at_the_present_one_without_delay() {
+fn an_active_watch_at_a_previous_address_has_a_candidate_at_the_present_one_after_the_backoff_only()
+{
     let start = Instant::now();
     let mut selection = with_active(start);
     selection.on_address_change(start, address(2));
     selection.on_candidate_end(start + 10 * MS, 20 * MS);
-    // Not as late as for a watch that is overdue.
+    // After the backoff only; there is no wait until the watch is overdue.
     assert_eq!(selection.next_deadline(), start + 30 * MS);
 }
