--- a/crates/platform/src/attempt.rs
+++ b/crates/platform/src/attempt.rs
@@ -89,7 +89,7 @@
                 .acquire(address, source)
                 .await
                 .map_err(end_without_connection)?;
-            // The pod was chosen before this wait for a connection: it may be draining by now, or its build closed.
+            // The pod was chosen before the wait for a connection: by now it may drain, or its build be closed.
             if !self.shell.may_send(self.id) {
                 pool.release(address, connection);
                 return Err(AttemptEnd::NotSent);
--- a/crates/platform/src/discovery/mod.rs
+++ b/crates/platform/src/discovery/mod.rs
@@ -130,7 +130,7 @@
             version = update.version,
             complete = update.complete,
             endpoints = update.endpoints.len(),
-            "endpoint list"
+            "endpoint list update received"
         );
         if action == UpdateAction::Apply {
             self.shell.call(|engine, now| {
--- a/crates/platform/src/request_reader.rs
+++ b/crates/platform/src/request_reader.rs
@@ -26,7 +26,7 @@
 use std::time::Instant;
 use tokio::time::timeout_at;
 
-/// Limit on the digits of the remaining time; nine digits of milliseconds are 11 days.
+/// Limit on the digits of the remaining time; nine digits of milliseconds are about 11 days.
 const MAX_REMAINING_TIME_DIGITS: usize = 9;
 
 /// A complete, valid request.
--- a/crates/platform/tests/list_races.rs
+++ b/crates/platform/tests/list_races.rs
@@ -13,12 +13,12 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-/// Accepts the watch and makes it active by an update without entries to version `seq`.
-async fn open_watch(rig: &Rig, seq: u64) -> Talk {
+/// Accepts the watch and makes it active by an update without entries to version `version`.
+async fn open_watch(rig: &Rig, version: u64) -> Talk {
     let mut watch = rig.discovery.accept().await.unwrap();
     watch.message().await.unwrap();
     watch
-        .say(WATCH.to_string() + &chunk(&list(seq, false, &[])))
+        .say(WATCH.to_string() + &chunk(&list(version, false, &[])))
         .await
         .unwrap();
     let_sidecar_run(rig).await;
@@ -66,8 +66,8 @@
     });
 }
 
-/// The worst case of a silent watch: it falls silent right after its last message except for an incomplete one that
-/// arrives byte by byte, and the next watch is silent, too.
+/// The worst case of the 6 s within which a silent watch must be replaced: the watch falls silent right after its last
+/// message, except for an incomplete one that arrives byte by byte, and the next watch is silent, too.
 #[test]
 fn a_silent_watch_is_replaced_within_six_seconds() {
     run_test(async {
@@ -161,18 +161,20 @@
         let mut new = discovery.accept().await.unwrap();
         assert!(new.message().await.unwrap().0.contains("since=8 "));
         let [one, two] = [Peer::new().await, Peer::new().await].map(Result::unwrap);
-        let at = |peer: &Peer| entry("p", peer.at().unwrap(), 7, "active");
+        let entry_at = |peer: &Peer| entry("p", peer.at().unwrap(), 7, "active");
         // The new watch becomes active, and the old one delivers a message after that.
-        new.say(WATCH.to_string() + &chunk(&list(3, true, &[at(&one)])))
+        new.say(WATCH.to_string() + &chunk(&list(3, true, &[entry_at(&one)])))
             .await
             .unwrap();
         let_sidecar_run(&rig).await;
-        let late = old.say(chunk(&list(9, false, &[at(&two)]))).await;
+        let late = old.say(chunk(&list(9, false, &[entry_at(&two)]))).await;
         let_sidecar_run(&rig).await;
         assert_request_reaches(&rig, &one, "i1").await;
         assert!(late.is_err() || old.ends().await);
         // Its next changes apply to the earlier version that it returned to.
-        new.say(chunk(&list(4, false, &[at(&two)]))).await.unwrap();
+        new.say(chunk(&list(4, false, &[entry_at(&two)])))
+            .await
+            .unwrap();
         let_sidecar_run(&rig).await;
         assert_request_reaches(&rig, &two, "i2").await;
         // A reload, then a stop immediately after it.
@@ -196,9 +198,9 @@
         closed
             .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
             .unwrap();
-        let at = closed.local_addr().unwrap().as_socket().unwrap();
+        let address = closed.local_addr().unwrap().as_socket().unwrap();
         let control_plane = Peer::new().await.unwrap();
-        let config = configuration(at, control_plane.at().unwrap(), &[]);
+        let config = configuration(address, control_plane.at().unwrap(), &[]);
         rig.commands
             .send(Command::Reload(Box::new(parse_config(&config))))
             .await
--- a/crates/platform/tests/protocol.rs
+++ b/crates/platform/tests/protocol.rs
@@ -400,9 +400,9 @@
 fn votes_are_cast_again_after_a_malformed_rejecting_or_missing_reply() {
     run_test(async {
         let older = Peer::new().await.unwrap();
-        let more = entry("o", older.at().unwrap(), 6, "active");
+        let host = entry("o", older.at().unwrap(), 6, "active");
         let rig =
-            Rig::new(|config| config["known"]["hosts"].as_array_mut().unwrap().push(more)).await;
+            Rig::new(|config| config["known"]["hosts"].as_array_mut().unwrap().push(host)).await;
         // Both builds get requests; without them the sequential test has nothing to compare.
         for (n, pod) in [(0, &rig.pod), (1, &rig.pod), (2, &rig.pod)] {
             let mut client = rig.client().await;
@@ -518,9 +518,9 @@
 fn requests_with_a_key_stay_on_the_newest_build_once_it_has_answered() {
     run_test(async {
         let newer = Peer::new().await.unwrap();
-        let more = entry("q", newer.at().unwrap(), 8, "active");
+        let host = entry("q", newer.at().unwrap(), 8, "active");
         let rig = Rig::new(|config| {
-            config["known"]["hosts"].as_array_mut().unwrap().push(more);
+            config["known"]["hosts"].as_array_mut().unwrap().push(host);
             config["settings"]["familyInfo"]["oneWay"] = json!(true);
             config["settings"]["familyInfo"]["mostShares"] = json!([1.0]);
             config["settings"]["orgs"] = json!([{"name": "t", "share": 1.0, "quotaRps": 100.0}]);
@@ -528,12 +528,12 @@
             config["deployer"]["news"] = stage;
         })
         .await;
-        let (mut answered, mut later) = (false, 0);
+        let (mut answered, mut later_requests) = (false, 0);
         for n in 0..60 {
-            let more = "cookie: other=1; sid=k1\r\nx-account: t\r\nx-weight-hint: 5\r\n";
+            let extra_headers = "cookie: other=1; sid=k1\r\nx-account: t\r\nx-weight-hint: 5\r\n";
             let mut client = rig.client().await;
             client
-                .say(request("GET /read", &format!("i{n}"), more, ""))
+                .say(request("GET /read", &format!("i{n}"), extra_headers, ""))
                 .await
                 .unwrap();
             let (mut pod, is_newer) = tokio::select! {
@@ -548,16 +548,16 @@
             pod.say(OK_CLOSE).await.unwrap();
             assert_eq!(client.answer().await.unwrap().0, 200);
             answered |= is_newer;
-            later += answered as u32;
+            later_requests += answered as u32;
         }
-        assert!(later > 20, "{later}");
+        assert!(later_requests > 20, "{later_requests}");
     });
 }
 
 #[test]
 fn an_invalid_configuration_is_rejected_with_the_name_of_its_field() {
-    let at: SocketAddr = "127.0.0.1:9".parse().unwrap();
-    let config = configuration(at, at, &[]);
+    let address: SocketAddr = "127.0.0.1:9".parse().unwrap();
+    let config = configuration(address, address, &[]);
     for (path, value, field) in [
         ("/listen", json!("here"), "listen"),
         ("/limits/sockets", json!(3), "limits.sockets"),
--- a/crates/platform/tests/races.rs
+++ b/crates/platform/tests/races.rs
@@ -329,7 +329,7 @@
             assert!(pod.ends().await);
             assert!(
                 began.elapsed() < 300 * MS,
-                "{:?} behind {extra_bytes:.9}",
+                "{:?} after {extra_bytes:.9}",
                 began.elapsed()
             );
         }
@@ -419,7 +419,7 @@
 #[test]
 fn a_late_duplicate_response_is_never_taken_for_the_next_one() {
     run_test(async {
-        for late in [0, 1, 5, 20] {
+        for delay_ms in [0, 1, 5, 20] {
             let rig = Rig::new(|_| {}).await;
             let (mut client, mut pod) = rig.request(&get("i1")).await;
             pod.say(OK).await.unwrap();
@@ -427,7 +427,7 @@
             // The request is sent before the duplicate response is.
             client.say(get("i2")).await.unwrap();
             let second = async {
-                sleep(late * MS).await;
+                sleep(delay_ms * MS).await;
                 // The connection may be closed by now.
                 let _ = pod.say(OK.replace("ok", "no")).await;
                 std::future::pending::<()>().await
@@ -439,7 +439,7 @@
                 std::future::pending::<()>().await
             };
             tokio::select! {
-                answer = client.answer() => assert_eq!(answer.unwrap().2, "ok", "{late} ms late"),
+                answer = client.answer() => assert_eq!(answer.unwrap().2, "ok", "{delay_ms} ms late"),
                 () = second => {}
                 () = served => {}
             }
@@ -462,8 +462,8 @@
             .unwrap();
         socket.listen(0).unwrap();
         let listener: std::net::TcpListener = socket.into();
-        let (at, mut fill) = (listener.local_addr().unwrap(), Vec::new());
-        while let Ok(one) = TcpStream::connect_timeout(&at, 100 * MS) {
+        let (address, mut fill) = (listener.local_addr().unwrap(), Vec::new());
+        while let Ok(one) = TcpStream::connect_timeout(&address, 100 * MS) {
             fill.push(one);
         }
         PodWithFullQueue { listener, fill }
@@ -480,10 +480,10 @@
 
     /// Starts a sidecar and sends a request that waits for its connection to this pod, with a long time-out.
     async fn send_waiting_request(&self) -> (Rig, Talk) {
-        let at = self.listener.local_addr().unwrap();
+        let address = self.listener.local_addr().unwrap();
         let rig = Rig::new(|config| {
             set_long_timeouts(config);
-            config["known"]["hosts"][0]["dial"] = json!(at.to_string());
+            config["known"]["hosts"][0]["dial"] = json!(address.to_string());
             config["settings"]["limits"]["dialTimeoutNs"] = json!(4_000_000_000u64);
         })
         .await;
