--- a/crates/membership/src/frame.rs
+++ b/crates/membership/src/frame.rs
@@ -88,19 +88,19 @@
     }
     let (content, tag) = split_tag(bytes).ok_or(Rejection::TooShort)?;
     if content[0] != channel.first_byte() {
-        return Err(Rejection::OtherVersion);
+        return Err(Rejection::WrongVersionOrChannel);
     }
     if !keys.iter().any(|key| is_authentic(key, content, tag)) {
         return Err(Rejection::BadTag);
     }
     let envelope: Envelope =
-        postcard::from_bytes(&content[VERSION_BYTES..]).map_err(|_| Rejection::Unreadable)?;
+        postcard::from_bytes(&content[VERSION_BYTES..]).map_err(|_| Rejection::Malformed)?;
     let has_valid_names = !envelope.from.name.is_empty()
         && envelope.from.name.len() <= MAX_NAME_BYTES
         && envelope.to.name.len() <= MAX_NAME_BYTES;
     has_valid_names
         .then_some(envelope)
-        .ok_or(Rejection::Unreadable)
+        .ok_or(Rejection::Malformed)
 }
 
 /// Parts the tag from what it authenticates, which is the version and at least one byte.
--- a/crates/membership/src/keys.rs
+++ b/crates/membership/src/keys.rs
@@ -57,7 +57,7 @@
     ///
     /// # Errors
     /// The first line that is no key; a text without any counts as one at line 1.
-    pub fn read(text: &str) -> Result<Vec<Key>, InvalidKey> {
+    pub fn parse_all(text: &str) -> Result<Vec<Key>, InvalidKey> {
         let mut keys = Vec::new();
         for (index, line) in text.lines().enumerate() {
             let line = line.trim();
@@ -80,7 +80,7 @@
     }
 }
 
-/// Reads the keys of a file, as [`Key::read`] does.
+/// Reads the keys of a file, as [`Key::parse_all`] does.
 ///
 /// # Errors
 /// A file that cannot be read, or a line that is no key.
@@ -89,7 +89,7 @@
         file: file.to_path_buf(),
         source,
     })?;
-    Key::read(&text).map_err(|source| KeyFileError::InvalidKey {
+    Key::parse_all(&text).map_err(|source| KeyFileError::InvalidKey {
         file: file.to_path_buf(),
         source,
     })
--- a/crates/membership/src/node.rs
+++ b/crates/membership/src/node.rs
@@ -9,7 +9,7 @@
 use crate::message::Message;
 use crate::rejection::{Rejection, RejectionCounts};
 use crate::replay::ReplayWindows;
-use crate::swim::{Changes, Effect, Membership, Rules};
+use crate::swim::{ChangedMembers, Effect, Membership, Rules};
 use crate::Nanos;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -95,8 +95,8 @@
     }
 
     /// Returns the members that changed since this was last asked.
-    pub fn take_changes(&mut self) -> Changes {
-        self.membership.take_changes()
+    pub fn take_changed_members(&mut self) -> ChangedMembers {
+        self.membership.take_changed_members()
     }
 
     /// Replaces the keys. An empty list is ignored: without a key nothing could be sent.
@@ -192,7 +192,7 @@
         let is_for_us =
             envelope.to == *me || (envelope.to.name.is_empty() && envelope.kind == MEMBERSHIP_KIND);
         if envelope.from == *me || !is_for_us {
-            return Err(Rejection::NotForUs);
+            return Err(Rejection::WrongReceiver);
         }
         Ok(())
     }
@@ -223,9 +223,9 @@
         envelope: &Envelope,
     ) -> Result<(), Rejection> {
         let message: Message =
-            postcard::from_bytes(&envelope.body).map_err(|_| Rejection::Unreadable)?;
+            postcard::from_bytes(&envelope.body).map_err(|_| Rejection::Malformed)?;
         if envelope.to.name.is_empty() && !matches!(message, Message::Join { .. }) {
-            return Err(Rejection::NotForUs);
+            return Err(Rejection::WrongReceiver);
         }
         self.membership.receive(now, &envelope.from, message)
     }
@@ -238,7 +238,7 @@
             return Err(Rejection::UnknownKind);
         }
         if !self.membership.is_alive(&from) {
-            return Err(Rejection::Stranger);
+            return Err(Rejection::NotAMember);
         }
         if !self.inbox.push_message(from, kind, body) {
             *self.overflowed.entry(kind).or_default() += 1;
--- a/crates/membership/src/quorum/dispute.rs
+++ b/crates/membership/src/quorum/dispute.rs
@@ -13,13 +13,13 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Dispute {
     /// Its name.
-    pub with: String,
+    pub peer: String,
     /// When its first view that differed was received.
     pub since: Nanos,
     /// Whom it misses and we reach, as far as it named them.
-    pub it_misses: Vec<String>,
+    pub missing_at_peer: Vec<String>,
     /// Whom we miss and it reaches, as far as it named whom it misses.
-    pub we_miss: Vec<String>,
+    pub missing_here: Vec<String>,
     /// Whether it has other voters.
     pub voters_differ: bool,
 }
@@ -82,14 +82,14 @@
     }
 }
 
-fn describe(voter: &Voter, we_miss: &BTreeSet<&str>, voters_digest: u64) -> Option<Dispute> {
+fn describe(voter: &Voter, missing_here: &BTreeSet<&str>, voters_digest: u64) -> Option<Dispute> {
     let view = &voter.received.as_ref()?.view;
-    let it_misses: BTreeSet<&str> = view.missing.iter().map(String::as_str).collect();
+    let missing_at_peer: BTreeSet<&str> = view.missing.iter().map(String::as_str).collect();
     Some(Dispute {
-        with: voter.name().to_string(),
+        peer: voter.name().to_string(),
         since: voter.disagreement?.since,
-        it_misses: only_in_first(&it_misses, we_miss),
-        we_miss: only_in_first(we_miss, &it_misses),
+        missing_at_peer: only_in_first(&missing_at_peer, missing_here),
+        missing_here: only_in_first(missing_here, &missing_at_peer),
         voters_differ: view.voters_digest != voters_digest,
     })
 }
--- a/crates/membership/src/quorum/mod.rs
+++ b/crates/membership/src/quorum/mod.rs
@@ -22,7 +22,7 @@
 pub use dispute::Dispute;
 pub use record::VoterRecord;
 pub use rules::Rules;
-pub use state::{Change, QuorumState};
+pub use state::{QuorumState, StateChange};
 pub use view::{EvictionVote, View};
 
 use crate::member::{MemberId, MAX_NAME_BYTES};
@@ -78,14 +78,14 @@
     }
 
     /// Returns the names of the voters that are not reached.
-    pub fn missing(&self, now: Nanos) -> impl Iterator<Item = &str> {
+    pub fn unreached(&self, now: Nanos) -> impl Iterator<Item = &str> {
         self.notable_voters()
             .filter(move |voter| !self.is_reached(now, voter))
             .map(Voter::name)
     }
 
     /// Returns the names of the voters that we reach and that say that they do not reach us.
-    pub fn deaf_to_us(&self, now: Nanos) -> impl Iterator<Item = &str> {
+    pub fn voters_missing_us(&self, now: Nanos) -> impl Iterator<Item = &str> {
         self.notable_voters()
             .filter(move |voter| voter.is_alive && self.misses_us(now, voter))
             .map(Voter::name)
@@ -99,7 +99,7 @@
     }
 
     /// Judges the state anew, and returns a change.
-    pub fn update(&mut self, now: Nanos) -> Option<Change> {
+    pub fn update(&mut self, now: Nanos) -> Option<StateChange> {
         self.evict(now);
         self.expire(now);
         self.drop_settled_disagreements();
@@ -137,7 +137,7 @@
     }
 
     /// Notes that a voter has left.
-    pub fn left(&mut self, now: Nanos, id: &MemberId) {
+    pub fn record_leave(&mut self, now: Nanos, id: &MemberId) {
         let record = self.voters.get(&id.name).map(|voter| voter.record.clone());
         if let Some(record) = record.filter(|record| record.id == *id) {
             let gone = VoterRecord {
--- a/crates/membership/src/quorum/state.rs
+++ b/crates/membership/src/quorum/state.rs
@@ -18,7 +18,7 @@
 
 /// A change of the quorum state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Change {
+pub struct StateChange {
     /// The state before.
     pub was: QuorumState,
     /// The state now.
@@ -63,7 +63,7 @@
         now: Nanos,
         seen: QuorumState,
         recovery_delay: Nanos,
-    ) -> Option<Change> {
+    ) -> Option<StateChange> {
         if seen >= self.state {
             self.better = None;
             return (seen > self.state).then(|| self.enter(now, seen));
@@ -84,9 +84,9 @@
         Some(self.enter(now, better.state))
     }
 
-    fn enter(&mut self, now: Nanos, is: QuorumState) -> Change {
+    fn enter(&mut self, now: Nanos, is: QuorumState) -> StateChange {
         let was = self.state;
         (self.state, self.since) = (is, now);
-        Change { was, is }
+        StateChange { was, is }
     }
 }
--- a/crates/membership/src/rejection.rs
+++ b/crates/membership/src/rejection.rs
@@ -10,13 +10,13 @@
     /// It is shorter than any frame.
     TooShort,
     /// It has another version, or was meant for the other channel.
-    OtherVersion,
+    WrongVersionOrChannel,
     /// Its authentication tag fits none of the keys: forged, cut, or of another group.
     BadTag,
     /// It is authentic and cannot be decoded.
-    Unreadable,
+    Malformed,
     /// It is meant for another member, or for an earlier incarnation of this one.
-    NotForUs,
+    WrongReceiver,
     /// Its sequence number came before, or is too old to tell.
     Repeated,
     /// It is from an incarnation that a later one has followed.
@@ -24,7 +24,7 @@
     /// Nobody here reads this kind of message.
     UnknownKind,
     /// It is from somebody who is not a member.
-    Stranger,
+    NotAMember,
 }
 
 /// The number of frames that changed nothing, by reason.
@@ -38,7 +38,7 @@
     }
 
     /// Returns the number of frames with this reason.
-    pub fn of(&self, reason: Rejection) -> u64 {
+    pub fn count(&self, reason: Rejection) -> u64 {
         self.0.get(&reason).copied().unwrap_or(0)
     }
 
--- a/crates/membership/src/swim/member_table.rs
+++ b/crates/membership/src/swim/member_table.rs
@@ -21,7 +21,7 @@
 
 /// Which members changed since the last look.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Changes {
+pub enum ChangedMembers {
     /// Any of them may have.
     All,
     /// Those of these names.
@@ -45,7 +45,7 @@
     addresses: HashMap<SocketAddr, usize>,
     /// The names of those that are dead or have left.
     dead: BTreeSet<String>,
-    changes: Changes,
+    changes: ChangedMembers,
     /// Changed names that are kept one by one, at most; beyond it all count as changed.
     max_changes: usize,
     rows_visited: Cell<u64>,
@@ -59,7 +59,7 @@
             positions: HashMap::new(),
             addresses: HashMap::new(),
             dead: BTreeSet::new(),
-            changes: Changes::All,
+            changes: ChangedMembers::All,
             max_changes,
             rows_visited: Cell::new(0),
         }
@@ -171,8 +171,8 @@
     }
 
     /// Returns the names that changed since this was last asked.
-    pub fn take_changes(&mut self) -> Changes {
-        std::mem::replace(&mut self.changes, Changes::Names(BTreeSet::new()))
+    pub fn take_changed_members(&mut self) -> ChangedMembers {
+        std::mem::replace(&mut self.changes, ChangedMembers::Names(BTreeSet::new()))
     }
 
     pub fn rows_visited(&self) -> u64 {
@@ -185,11 +185,11 @@
 
     fn note_change(&mut self, name: &str) {
         self.count_visits(1);
-        if let Changes::Names(names) = &mut self.changes {
+        if let ChangedMembers::Names(names) = &mut self.changes {
             if names.len() < self.max_changes {
                 names.insert(name.to_string());
             } else {
-                self.changes = Changes::All;
+                self.changes = ChangedMembers::All;
             }
         }
     }
--- a/crates/membership/src/swim/mod.rs
+++ b/crates/membership/src/swim/mod.rs
@@ -25,7 +25,7 @@
 
 pub use crate::event::MemberEvent;
 pub use crate::message::Message;
-pub use member_table::Changes;
+pub use member_table::ChangedMembers;
 pub use rules::Rules;
 
 use crate::member::{Member, MemberId, MemberState};
@@ -185,8 +185,8 @@
     }
 
     /// Returns the members that changed since this was last asked.
-    pub fn take_changes(&mut self) -> Changes {
-        self.members.take_changes()
+    pub fn take_changed_members(&mut self) -> ChangedMembers {
+        self.members.take_changed_members()
     }
 
     /// Returns the rows of the table visited so far: a measure of work that is the same on every machine.
--- a/crates/membership/src/swim/receive.rs
+++ b/crates/membership/src/swim/receive.rs
@@ -10,7 +10,7 @@
     /// Handles a message of a member or of a stranger.
     ///
     /// # Errors
-    /// [`Rejection::Stranger`] for a message that only members may send, and for an answer that nobody waits for.
+    /// [`Rejection::NotAMember`] for a message that only members may send, and for an answer that nobody waits for.
     pub fn receive(
         &mut self,
         now: Nanos,
@@ -45,12 +45,12 @@
                 updates,
             } if sender.id == *from => {
                 let is_awaited = self.receive_ack(now, nonce, sender, updates);
-                return is_awaited.then_some(()).ok_or(Rejection::Stranger);
+                return is_awaited.then_some(()).ok_or(Rejection::NotAMember);
             }
             Message::Join { .. } | Message::Ping { .. } | Message::Ack { .. } => {
-                return Err(Rejection::Stranger);
+                return Err(Rejection::NotAMember);
             }
-            _ if !is_member => return Err(Rejection::Stranger),
+            _ if !is_member => return Err(Rejection::NotAMember),
             Message::PingRequest {
                 nonce,
                 target: id,
--- a/crates/membership/src/view_exchange.rs
+++ b/crates/membership/src/view_exchange.rs
@@ -6,9 +6,9 @@
 use crate::follow_ups::FollowUps;
 use crate::member::MemberId;
 use crate::node::Node;
-pub use crate::quorum::Change;
+pub use crate::quorum::StateChange;
 use crate::quorum::{Quorum, Rules, View};
-use crate::swim::Changes;
+use crate::swim::ChangedMembers;
 use crate::Nanos;
 
 /// The kind of message in which views are sent.
@@ -46,7 +46,7 @@
     /// Takes in a change of the membership.
     pub fn observe(&mut self, now: Nanos, event: &MemberEvent) {
         match event {
-            MemberEvent::Left(id) => self.quorum.left(now, id),
+            MemberEvent::Left(id) => self.quorum.record_leave(now, id),
             MemberEvent::IncarnationRaised(id) => self.quorum.set_own_id(id),
             _ => {}
         }
@@ -71,7 +71,7 @@
 
     /// Does what is due once a period: learns who is alive, judges the quorum state anew and sends one peer our view, and
     /// one more whose follow-up is due. Returns a change of the state.
-    pub fn tick(&mut self, now: Nanos, node: &mut Node) -> Option<Change> {
+    pub fn tick(&mut self, now: Nanos, node: &mut Node) -> Option<StateChange> {
         self.learn_who_is_alive(now, node);
         let change = self.quorum.update(now);
         self.send_to_next(now, node);
@@ -101,11 +101,11 @@
     }
 
     fn learn_who_is_alive(&mut self, now: Nanos, node: &mut Node) {
-        let changes = node.take_changes();
+        let changes = node.take_changed_members();
         self.periods += 1;
         let members = node.membership();
         match changes {
-            Changes::Names(names) if !self.periods.is_multiple_of(RESYNC_PERIODS) => {
+            ChangedMembers::Names(names) if !self.periods.is_multiple_of(RESYNC_PERIODS) => {
                 let alive_id = |name: &String| {
                     let known = members.get(name).map(|member| &member.id);
                     known.filter(|id| members.is_alive(id))
@@ -113,7 +113,7 @@
                 let changed = names.iter().map(|name| (name.as_str(), alive_id(name)));
                 self.quorum.update_alive(now, changed);
             }
-            Changes::Names(_) | Changes::All => {
+            ChangedMembers::Names(_) | ChangedMembers::All => {
                 let alive = members.alive().map(|member| &member.id);
                 self.quorum.set_alive(now, alive);
             }
--- a/crates/membership/tests/follow_ups.rs
+++ b/crates/membership/tests/follow_ups.rs
@@ -5,7 +5,7 @@
 use havenplank_membership::member::MemberId;
 use havenplank_membership::member::{Member, MemberState};
 use havenplank_membership::node::{Node, NodeEvent};
-use havenplank_membership::quorum::{Change, Quorum, QuorumState, Rules, View};
+use havenplank_membership::quorum::{Quorum, QuorumState, Rules, StateChange, View};
 use havenplank_membership::swim::Rules as Membership;
 use havenplank_membership::view_exchange::{ViewExchange, VIEW_KIND};
 use std::net::SocketAddr;
@@ -172,7 +172,7 @@
     quorum.receive_view(now + settles, &member_id(1), differing_view());
     assert_eq!(
         quorum.update(now + settles),
-        Some(Change {
+        Some(StateChange {
             was: QuorumState::Agreed,
             is: QuorumState::Disputed,
         })
@@ -244,7 +244,7 @@
         .unwrap();
     assert_eq!(
         quorum.update(answered),
-        Some(Change {
+        Some(StateChange {
             was: QuorumState::Agreed,
             is: QuorumState::Disputed,
         })
@@ -256,7 +256,7 @@
     );
     assert_eq!(
         peer.update(asked_again),
-        Some(Change {
+        Some(StateChange {
             was: QuorumState::Agreed,
             is: QuorumState::Disputed,
         })
--- a/crates/membership/tests/frame.rs
+++ b/crates/membership/tests/frame.rs
@@ -72,7 +72,7 @@
 fn a_datagram_is_rejected_on_a_stream() {
     let bytes = sealed(&envelope(vec![1, 2, 3]));
     let opened = open(&[key(7)], &bytes, Channel::Stream);
-    assert_eq!(opened, Err(Rejection::OtherVersion));
+    assert_eq!(opened, Err(Rejection::WrongVersionOrChannel));
 }
 
 #[test]
--- a/crates/membership/tests/keys.rs
+++ b/crates/membership/tests/keys.rs
@@ -8,10 +8,10 @@
 fn keys_are_read_line_by_line() {
     let line = "0f".repeat(32);
     let text = format!("# the new one\n{line}\n\n");
-    assert_eq!(Key::read(&text), Ok(vec![Key::new([15; 32])]));
-    let invalid = Key::read(&format!("{line}\nshort\n"));
+    assert_eq!(Key::parse_all(&text), Ok(vec![Key::new([15; 32])]));
+    let invalid = Key::parse_all(&format!("{line}\nshort\n"));
     assert_eq!(invalid, Err(InvalidKey { line: 2 }));
-    assert_eq!(Key::read("\n"), Err(InvalidKey { line: 1 }));
+    assert_eq!(Key::parse_all("\n"), Err(InvalidKey { line: 1 }));
     assert_eq!(format!("{:?}", Key::new([15; 32])), "Key(..)");
 }
 
--- a/crates/membership/tests/quorum.rs
+++ b/crates/membership/tests/quorum.rs
@@ -6,7 +6,7 @@
 use havenplank_membership::member::{Member, MemberState};
 use havenplank_membership::node::{Node, NodeEvent};
 use havenplank_membership::quorum::{
-    Change, EvictionVote, Quorum, QuorumState, Rules, View, VoterRecord,
+    EvictionVote, Quorum, QuorumState, Rules, StateChange, View, VoterRecord,
 };
 use havenplank_membership::swim::{MemberEvent, Rules as Membership};
 use proptest::prelude::*;
@@ -99,7 +99,9 @@
     fn look(&mut self, now: Nanos) {
         while let Some(happened) = self.node.next_event() {
             match happened {
-                NodeEvent::Membership(MemberEvent::Left(who)) => self.quorum.left(now, &who),
+                NodeEvent::Membership(MemberEvent::Left(who)) => {
+                    self.quorum.record_leave(now, &who)
+                }
                 NodeEvent::Membership(MemberEvent::IncarnationRaised(who)) => {
                     self.quorum.set_own_id(&who)
                 }
@@ -110,7 +112,7 @@
                 }
             }
         }
-        if let Some(Change { was, is }) = self.quorum.update(now) {
+        if let Some(StateChange { was, is }) = self.quorum.update(now) {
             self.changes.push((now, was, is));
         }
     }
@@ -302,7 +304,7 @@
         .part(0)
         .unwrap()
         .quorum
-        .missing(net.own_time(0))
+        .unreached(net.own_time(0))
         .map(str::to_string)
         .collect();
     assert_eq!(missing, [name(3), name(4)]);
@@ -348,7 +350,7 @@
     );
     assert_eq!(
         quorum.update(8 * S + 2),
-        Some(Change {
+        Some(StateChange {
             was: QuorumState::Alone,
             is: QuorumState::Agreed,
         })
@@ -395,12 +397,15 @@
     quorum.update(4 * S);
     assert_eq!(quorum.state(), QuorumState::Agreed);
     quorum.receive_view(5 * S, &member_id(1), view(&["s-00"], Vec::new()));
-    assert_eq!(quorum.deaf_to_us(5 * S).collect::<Vec<_>>(), ["s-01"]);
-    assert_eq!(quorum.missing(5 * S).collect::<Vec<_>>(), ["s-01"]);
+    assert_eq!(
+        quorum.voters_missing_us(5 * S).collect::<Vec<_>>(),
+        ["s-01"]
+    );
+    assert_eq!(quorum.unreached(5 * S).collect::<Vec<_>>(), ["s-01"]);
     quorum.receive_view(5 * S, &member_id(2), view(&["s-00"], Vec::new()));
     assert_eq!(
         quorum.update(5 * S),
-        Some(Change {
+        Some(StateChange {
             was: QuorumState::Agreed,
             is: QuorumState::Alone,
         })
@@ -423,7 +428,7 @@
     missing.push("s-00");
     quorum.receive_view(S, &member_id(1), view(&missing, records));
     assert_eq!(
-        (quorum.voter_count(), quorum.deaf_to_us(S).count()),
+        (quorum.voter_count(), quorum.voters_missing_us(S).count()),
         (2 + 12, 0)
     );
 }
@@ -440,18 +445,18 @@
     quorum.receive_view(16 * S, &member_id(1), view(&["s-03"], Vec::new()));
     assert_eq!(
         quorum.update(16 * S),
-        Some(Change {
+        Some(StateChange {
             was: QuorumState::Agreed,
             is: QuorumState::Disputed,
         })
     );
     let disputes = quorum.disputes(16 * S);
     assert_eq!(
-        (disputes.len(), disputes[0].with.as_str(), disputes[0].since),
+        (disputes.len(), disputes[0].peer.as_str(), disputes[0].since),
         (1, "s-01", 5 * S)
     );
-    assert_eq!(disputes[0].it_misses, ["s-03"]);
-    assert!(disputes[0].voters_differ && disputes[0].we_miss.is_empty());
+    assert_eq!(disputes[0].missing_at_peer, ["s-03"]);
+    assert!(disputes[0].voters_differ && disputes[0].missing_here.is_empty());
 }
 
 #[test]
--- a/crates/membership/tests/simulated.rs
+++ b/crates/membership/tests/simulated.rs
@@ -266,7 +266,7 @@
     net.run(30 * S, |_, _| {});
     let all: Vec<Id> = (0..6).collect();
     assert!(agree(&net, &all));
-    assert!(net.part(0).unwrap().node.rejected.of(Rejection::BadTag) > 5);
+    assert!(net.part(0).unwrap().node.rejected.count(Rejection::BadTag) > 5);
     // Everything that 0 ever heard, again, minutes later, and to another than it was for.
     net.run(300 * S, |_, _| {});
     let old = net.part(0).unwrap().arrived.clone();
@@ -278,8 +278,22 @@
         assert_eq!(part.events.len(), events);
         while part.datagram().is_some() {}
     }
-    assert!(net.part(0).unwrap().node.rejected.of(Rejection::Repeated) > 100);
-    assert!(net.part(1).unwrap().node.rejected.of(Rejection::NotForUs) > 100);
+    assert!(
+        net.part(0)
+            .unwrap()
+            .node
+            .rejected
+            .count(Rejection::Repeated)
+            > 100
+    );
+    assert!(
+        net.part(1)
+            .unwrap()
+            .node
+            .rejected
+            .count(Rejection::WrongReceiver)
+            > 100
+    );
     net.run(330 * S, |_, _| {});
     assert!(agree(&net, &all));
 }
--- a/crates/sidecar/src/membership.rs
+++ b/crates/sidecar/src/membership.rs
@@ -7,7 +7,7 @@
 use havenplank_membership::quorum::{Dispute, QuorumState, Rules as QuorumRules};
 use havenplank_membership::swim::Rules;
 use havenplank_membership::transport::{log_event, new_incarnation, Transport};
-use havenplank_membership::view_exchange::{Change, ViewExchange, VIEW_KIND};
+use havenplank_membership::view_exchange::{StateChange, ViewExchange, VIEW_KIND};
 use havenplank_settings::MembershipSettings as Settings;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -191,11 +191,11 @@
         }
     }
 
-    fn log_change(&self, Change { was, is }: Change) {
+    fn log_change(&self, StateChange { was, is }: StateChange) {
         let (now, views) = (self.now(), self.views.borrow());
         let (belong, missing) = (
             views.quorum().voter_count(),
-            views.quorum().missing(now).count(),
+            views.quorum().unreached(now).count(),
         );
         if is > was {
             tracing::warn!(?was, ?is, belong, missing, "standing");
@@ -268,9 +268,9 @@
             standing: Some(standing),
             stands_for: now.saturating_sub(since),
             belong: quorum.voter_count(),
-            reached: quorum.voter_count() - quorum.missing(now).count(),
-            missing: shown(quorum.missing(now)),
-            deaf_to_us: shown(quorum.deaf_to_us(now)),
+            reached: quorum.voter_count() - quorum.unreached(now).count(),
+            missing: shown(quorum.unreached(now)),
+            deaf_to_us: shown(quorum.voters_missing_us(now)),
             unsteady: shown(quorum.flapping(now)),
             disputes,
             sent: node.sent,
--- a/crates/sidecar/src/state_report.rs
+++ b/crates/sidecar/src/state_report.rs
@@ -70,9 +70,9 @@
 fn quorum_report(status: &MembershipStatus) -> Value {
     let disputes = status.disputes.iter().map(|dispute| {
         json!({
-            "with": dispute.with,
-            "it_misses": dispute.it_misses,
-            "we_miss": dispute.we_miss,
+            "with": dispute.peer,
+            "it_misses": dispute.missing_at_peer,
+            "we_miss": dispute.missing_here,
             "roster": dispute.voters_differ,
         })
     });
