--- a/crates/membership/src/event.rs
+++ b/crates/membership/src/event.rs
@@ -1,21 +1,22 @@
-//! What the membership reports to the rest of the program.
+//! The membership changes that are reported to the rest of the program.
 
 use crate::member::MemberId;
 
 /// A change of the membership.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum MemberEvent {
-    /// A member is there that was not: it answered a number drawn for it.
+    /// A member is alive that was unknown or dead before. It has answered the challenge of this member or of another
+    /// one.
     Joined(MemberId),
-    /// A member answered neither a ping nor a ping request.
+    /// A member answered neither a direct ping nor an indirect one.
     Suspected(MemberId),
     /// A suspected member has refuted the suspicion.
     Refuted(MemberId),
-    /// A member is dead: it did not refute a suspicion in time, or a later incarnation took its place.
+    /// A member is dead: it did not refute a suspicion in time, or a later incarnation has replaced it.
     Lost(MemberId),
-    /// A member said that it leaves.
+    /// A member announced that it is leaving.
     Left(MemberId),
-    /// Our name was known under a later incarnation than ours, from before a start with a clock that was set back. Ours
-    /// is higher now.
+    /// Other members knew our name under a later incarnation than ours, from a start before the clock was set back.
+    /// Ours is now the higher one; the event holds it.
     IncarnationRaised(MemberId),
 }
--- a/crates/membership/src/follow_ups.rs
+++ b/crates/membership/src/follow_ups.rs
@@ -1,44 +1,54 @@
-//! Which peers get a view out of turn, and when. Bounded in number; the oldest is dropped for a new one.
+//! Follow-ups: views that are sent to a peer outside the regular rotation. Their number is bounded; the oldest one is
+//! dropped to make room for a new one.
 
 use crate::member::MemberId;
 use crate::Nanos;
 use std::collections::VecDeque;
 
-/// Follow-ups that wait, at most. Two are planned a period at the busiest (one for each view received, in and out of
-/// turn) and one is sent, so one that is dropped has waited for 32 periods or more.
-const MAX_WAITING: usize = 64;
+/// Limit on pending follow-ups. At most two are scheduled in a period (one for each view received, in rotation or as a
+/// follow-up) and one is sent, so a follow-up that is dropped has been pending for 32 periods or more.
+const MAX_PENDING: usize = 64;
 
 struct FollowUp {
-    to: MemberId,
+    peer: MemberId,
     due: Nanos,
 }
 
-/// The views that are to be sent out of turn.
+/// The pending follow-ups.
 #[derive(Default)]
 pub(crate) struct FollowUps {
-    /// In the order in which they were planned; one for each peer.
-    waiting: VecDeque<FollowUp>,
+    /// In the order in which they were scheduled; at most one for each peer.
+    pending: VecDeque<FollowUp>,
 }
 
 impl FollowUps {
-    /// Plans a view for this peer; the earlier time holds where one is planned already.
-    pub fn plan(&mut self, to: &MemberId, due: Nanos) {
-        if let Some(known) = self.waiting.iter_mut().find(|known| known.to == *to) {
-            known.due = known.due.min(due);
+    /// Schedules a view for this peer. If one is pending already, the earlier of the two times applies.
+    pub fn schedule(&mut self, peer: &MemberId, due: Nanos) {
+        if let Some(follow_up) = self
+            .pending
+            .iter_mut()
+            .find(|follow_up| follow_up.peer == *peer)
+        {
+            follow_up.due = follow_up.due.min(due);
             return;
         }
-        if self.waiting.len() >= MAX_WAITING {
-            self.waiting.pop_front();
+        if self.pending.len() >= MAX_PENDING {
+            self.pending.pop_front();
         }
-        self.waiting.push_back(FollowUp {
-            to: to.clone(),
+        self.pending.push_back(FollowUp {
+            peer: peer.clone(),
             due,
         });
     }
 
-    /// Removes and returns the peer whose view is due and was planned first.
+    /// Removes the due follow-up that was scheduled first, and returns its peer.
     pub fn take_due(&mut self, now: Nanos) -> Option<MemberId> {
-        let position = self.waiting.iter().position(|known| known.due <= now)?;
-        self.waiting.remove(position).map(|known| known.to)
+        let position = self
+            .pending
+            .iter()
+            .position(|follow_up| follow_up.due <= now)?;
+        self.pending
+            .remove(position)
+            .map(|follow_up| follow_up.peer)
     }
 }
--- a/crates/membership/src/frame.rs
+++ b/crates/membership/src/frame.rs
@@ -1,28 +1,33 @@
-//! The frames that carry messages: a version, an envelope in `postcard`, and a `blake3` tag keyed with the group's key.
+//! The frames that carry messages: a version byte, an envelope encoded with `postcard`, and a `blake3` tag keyed with
+//! the shared key.
 //!
-//! A frame that is forged, cut, repeated, too long or meant for another incarnation changes nothing and is counted by
-//! its [`Rejection`].
+//! A frame that is forged, truncated, repeated, too long or meant for another incarnation has no effect, and is counted
+//! by its [`Rejection`].
 
 use crate::keys::Key;
 use crate::member::{MemberId, MAX_NAME_BYTES};
 use crate::rejection::Rejection;
 use serde::{Deserialize, Serialize};
 
-/// The first byte of a datagram. Frames of another version are counted and skipped, so that both can run side by side.
+/// The protocol version, in the first byte of a frame. Frames of another version are counted and skipped, so that two
+/// versions can run side by side.
 pub const VERSION: u8 = 1;
-/// The longest datagram sent and read, in bytes: below what an Ethernet frame carries after IP and UDP.
+/// The longest datagram that is sent or accepted, in bytes: less than what an Ethernet frame has left after the IP and
+/// UDP headers.
 pub const MAX_DATAGRAM_BYTES: usize = 1_200;
 /// The longest frame on a stream, in bytes.
 pub const MAX_STREAM_BYTES: usize = 1 << 20;
-/// In the first byte, marks a frame on a stream.
+/// Marks a frame on a stream, in the first byte.
 const STREAM_FLAG: u8 = 0x80;
 const VERSION_BYTES: usize = 1;
-/// The authentication tag at the end: the first half of a `blake3` hash.
+/// The length of the authentication tag at the end of a frame: the first half of a `blake3` hash.
 const TAG_BYTES: usize = 16;
-/// What `postcard` needs for the integers of an envelope, at most: incarnations, sequence number, kind and lengths.
+/// Upper bound for the integers of an envelope in `postcard` encoding: 7 integers (two incarnations, sequence number,
+/// kind and three lengths) of at most 10 bytes each.
 const MAX_INTEGER_BYTES: usize = 7 * 10;
 
-/// How a frame travels. It is part of what is authenticated, so that neither can be replayed as the other.
+/// How a frame is sent. The channel is part of what the tag authenticates, so that a datagram cannot be replayed on a
+/// stream, nor a stream frame as a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Channel {
     /// As one UDP datagram.
@@ -39,7 +44,7 @@
         }
     }
 
-    /// Returns the longest frame, in bytes.
+    /// Returns the length limit of a frame, in bytes.
     pub fn max_bytes(self) -> usize {
         match self {
             Channel::Datagram => MAX_DATAGRAM_BYTES,
@@ -51,25 +56,25 @@
 /// A message with its sender and receiver. The order of the fields is part of the protocol.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Envelope {
-    /// Who sends it.
+    /// The sender.
     pub from: MemberId,
-    /// Who is to read it; a name of no letters where the sender knows an address only.
+    /// The receiver. Its name is empty if the sender knows only its address.
     pub to: MemberId,
-    /// Grows by one with each frame of an incarnation and channel, from 1, so that a repeat can be recognised.
+    /// The number of the frame among those of its incarnation and channel, from 1, so that repeats can be recognised.
     pub sequence: u64,
-    /// Which package's message it is.
+    /// Which package the message belongs to.
     pub kind: u8,
     /// The encoded message.
     pub body: Vec<u8>,
 }
 
-/// Returns how many bytes of body fit into a datagram between these two.
+/// Returns how many bytes of body fit into a datagram between these two members.
 pub fn max_body_bytes(from: &MemberId, to: &MemberId) -> usize {
     let names = from.name.len() + to.name.len();
     MAX_DATAGRAM_BYTES.saturating_sub(VERSION_BYTES + TAG_BYTES + names + MAX_INTEGER_BYTES)
 }
 
-/// Encodes and authenticates an envelope. Returns `None` if it is too long for this channel.
+/// Encodes and authenticates an envelope. Returns `None` if the frame is too long for this channel.
 pub fn seal(key: &Key, envelope: &Envelope, channel: Channel) -> Option<Vec<u8>> {
     let mut bytes = vec![channel.first_byte()];
     bytes.extend(postcard::to_stdvec(envelope).ok()?);
@@ -78,10 +83,10 @@
     (bytes.len() <= channel.max_bytes()).then_some(bytes)
 }
 
-/// Checks and decodes a frame. Any of the keys may have sealed it.
+/// Checks and decodes a frame, which any of the keys may have sealed.
 ///
 /// # Errors
-/// Why the frame says nothing to this member.
+/// The reason why the frame is rejected.
 pub fn open(keys: &[Key], bytes: &[u8], channel: Channel) -> Result<Envelope, Rejection> {
     if bytes.len() > channel.max_bytes() {
         return Err(Rejection::TooLong);
@@ -103,13 +108,14 @@
         .ok_or(Rejection::Malformed)
 }
 
-/// Parts the tag from what it authenticates, which is the version and at least one byte.
+/// Splits a frame into its authenticated content, which is the version and at least one more byte, and the tag.
 fn split_tag(bytes: &[u8]) -> Option<(&[u8], &[u8])> {
     let content_bytes = bytes.len().checked_sub(TAG_BYTES)?;
     (content_bytes > VERSION_BYTES).then(|| bytes.split_at(content_bytes))
 }
 
-/// Whether the tag is the key's. It takes the same time wherever the two differ.
+/// Whether the tag was made with this key. The comparison takes the same time wherever the two tags differ, so that its
+/// duration tells a forger nothing.
 fn is_authentic(key: &Key, content: &[u8], tag: &[u8]) -> bool {
     let expected = key.tag(content);
     let differing_bits = expected.as_bytes()[..TAG_BYTES]
--- a/crates/membership/src/inbox.rs
+++ b/crates/membership/src/inbox.rs
@@ -1,23 +1,24 @@
-//! What waits in a node for its caller: changes of the membership, and messages of other packages within a bound.
+//! The events that a node holds until its caller reads them: changes of the membership, and a bounded number of
+//! messages of other packages.
 
 use crate::event::MemberEvent;
 use crate::member::MemberId;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Messages of one kind that wait to be read, at most; a further one is dropped, as if it were lost on the way. The
-/// membership's own are handled as they come, so that a burst of another kind never delays them.
+/// Limit on the unread messages of one kind; a further one is dropped, as if the network had lost it. Messages of the
+/// membership protocol are handled as they arrive, so that a burst of another kind never delays them.
 pub const MAX_PENDING_MESSAGES: usize = 256;
 
-/// What happened at a node.
+/// An event at a node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NodeEvent {
     /// The membership changed.
     Membership(MemberEvent),
-    /// A message of another package came, from a member that is alive.
+    /// A message of another package arrived from a member that is alive.
     Message {
-        /// Its sender.
+        /// The sender.
         from: MemberId,
-        /// Which package's message it is.
+        /// Which package the message belongs to.
         kind: u8,
         /// The encoded message.
         body: Vec<u8>,
@@ -28,7 +29,7 @@
 #[derive(Default)]
 pub(crate) struct Inbox {
     events: VecDeque<NodeEvent>,
-    /// By kind, the messages that wait. One entry for each kind that is read here.
+    /// The number of unread messages by kind, with at most one entry for each accepted kind.
     pending: BTreeMap<u8, usize>,
 }
 
@@ -38,7 +39,7 @@
         self.events.push_back(NodeEvent::Membership(event));
     }
 
-    /// Adds a message; false where too many of its kind wait already.
+    /// Adds a message. Returns false if too many of its kind are unread.
     pub fn push_message(&mut self, from: MemberId, kind: u8, body: Vec<u8>) -> bool {
         let pending = self.pending.entry(kind).or_default();
         if *pending >= MAX_PENDING_MESSAGES {
@@ -50,7 +51,7 @@
         true
     }
 
-    /// Returns the event that has waited longest.
+    /// Removes and returns the oldest event.
     pub fn pop(&mut self) -> Option<NodeEvent> {
         let event = self.events.pop_front();
         if let Some(NodeEvent::Message { kind, .. }) = &event {
--- a/crates/membership/src/keys.rs
+++ b/crates/membership/src/keys.rs
@@ -3,7 +3,7 @@
 use std::path::{Path, PathBuf};
 use std::{fmt, io};
 
-/// The length of a key, in bytes. Its text form has two hex digits a byte.
+/// The length of a key, in bytes. As text a key has two hex digits for each byte.
 const KEY_BYTES: usize = 32;
 
 /// A key that all members share.
@@ -11,13 +11,13 @@
 pub struct Key([u8; KEY_BYTES]);
 
 impl fmt::Debug for Key {
-    /// Never shows the key itself, wherever settings are logged.
+    /// Hides the key itself, since settings are logged.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("Key(..)")
     }
 }
 
-/// A line of a key file is no key.
+/// A line of a key file is not a key.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 #[error("line {line}: expected a key of 64 hex digits")]
 pub struct InvalidKey {
@@ -25,7 +25,7 @@
     pub line: usize,
 }
 
-/// A key file gives no keys.
+/// A key file could not be read or holds an invalid line.
 #[derive(Debug, thiserror::Error)]
 pub enum KeyFileError {
     /// The file cannot be read.
@@ -33,15 +33,15 @@
     Unreadable {
         /// The file.
         file: PathBuf,
-        /// What the system says of it.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// The file can be read, and a line of it is no key.
+    /// The file can be read, but one of its lines is not a key, or it holds no key at all.
     #[error("{file}, {source}", file = file.display())]
     InvalidKey {
         /// The file.
         file: PathBuf,
-        /// Which line it is.
+        /// The line in question.
         source: InvalidKey,
     },
 }
@@ -52,11 +52,12 @@
         Key(bytes)
     }
 
-    /// Reads the keys of a file's text, one a line; empty lines and those that begin with `#` are skipped. The first key
-    /// seals frames, all of them open frames: a new key goes to every member behind the old one first, then before it.
+    /// Parses the text of a key file: one key on each line; empty lines and lines that begin with `#` are skipped. The
+    /// first key seals frames, and every key opens them. To replace a key without rejected frames, first add the new
+    /// key after the old one on every member, then move it before the old one.
     ///
     /// # Errors
-    /// The first line that is no key; a text without any counts as one at line 1.
+    /// The first line that is not a key; for a text without any key, line 1.
     pub fn parse_all(text: &str) -> Result<Vec<Key>, InvalidKey> {
         let mut keys = Vec::new();
         for (index, line) in text.lines().enumerate() {
@@ -74,16 +75,16 @@
         Ok(keys)
     }
 
-    /// Hashes a frame's content with this key.
+    /// Returns the keyed hash of the content of a frame.
     pub(crate) fn tag(&self, content: &[u8]) -> blake3::Hash {
         blake3::keyed_hash(&self.0, content)
     }
 }
 
-/// Reads the keys of a file, as [`Key::parse_all`] does.
+/// Reads the keys from a file, as [`Key::parse_all`] does.
 ///
 /// # Errors
-/// A file that cannot be read, or a line that is no key.
+/// A file that cannot be read, or a line that is not a key.
 pub fn read_keys(file: &Path) -> Result<Vec<Key>, KeyFileError> {
     let text = std::fs::read_to_string(file).map_err(|source| KeyFileError::Unreadable {
         file: file.to_path_buf(),
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,13 +1,14 @@
-//! Which other sidecars are there: known to each within seconds and at a cost that does not grow with the fleet.
+//! Membership: tells each sidecar which other sidecars are running, within seconds and at a cost per sidecar that does
+//! not grow with the fleet.
 //!
-//! Decisions are free of I/O; the time and random seeds are arguments. [`swim`] decides which members are alive.
-//! [`quorum`] says what a sidecar may believe of its own place: who votes, and how many of those it reaches;
-//! [`view_exchange`] keeps that up to date.
+//! The protocol code does no I/O; the time and random seeds are arguments. [`swim`] decides which members are alive.
+//! [`quorum`] tells a sidecar whether it reaches a majority: which voters there are, and how many of them it reaches.
+//! [`view_exchange`] keeps the quorum state up to date.
 //!
-//! [`member`] holds what is known of a member. [`message`] has the messages of the membership, and [`frame`] turns
-//! envelopes into authenticated bytes and back. [`node`] is membership and frames together, as the simulated network of
-//! the tests drives it; [`transport`] gives it sockets. Other packages send their own kinds of message through the same
-//! sockets, keys and frames.
+//! [`member`] holds what is known of a member. [`message`] defines the messages of the membership protocol, and
+//! [`frame`] encodes envelopes as authenticated bytes and decodes them. [`node`] combines membership and frames; the
+//! simulated network of the tests runs it directly, and [`transport`] runs it on sockets. Other packages send their own
+//! kinds of message through the same sockets, keys and frames.
 
 #![warn(missing_docs)]
 #![warn(
@@ -35,5 +36,5 @@
 pub mod transport;
 pub mod view_exchange;
 
-/// Whole nanoseconds on this process's own monotonic clock, or a span.
+/// A time in nanoseconds on the monotonic clock of this process, or a duration in nanoseconds.
 pub type Nanos = u64;
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -1,6 +1,7 @@
 //! A member and what is known of it: identity, address, zone and state.
 //!
-//! These types travel as `postcard`, which encodes fields and variants by position: their order is part of the protocol.
+//! These types are sent in `postcard` encoding, which identifies fields and variants by position: their order is part
+//! of the protocol.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
@@ -11,44 +12,44 @@
 /// Identifies one incarnation of a member: its name, and a number that grows with each start under that name.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct MemberId {
-    /// The name of the sidecar, the same after a restart; 1 to [`MAX_NAME_BYTES`] bytes. It is empty in the address of a
-    /// message whose sender knows no name.
+    /// The name of the sidecar, the same after a restart; 1 to [`MAX_NAME_BYTES`] bytes. It is empty only for the
+    /// receiver of a message whose sender does not know the name.
     pub name: String,
-    /// The number of the start: the wall clock's milliseconds, raised where other members know a later one.
+    /// The number of the start: the wall clock in milliseconds, raised if other members know a later one.
     pub incarnation: u64,
 }
 
-/// What is known of whether a member is there.
+/// Whether a member is alive, as far as is known.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MemberState {
-    /// It answers.
+    /// It answers pings.
     Alive,
-    /// It did not answer this member, whose name keeps independent suspicions apart.
+    /// It did not answer the member of this name. The name keeps independent suspicions apart.
     Suspected(String),
-    /// It was suspected and did not refute that in time.
+    /// It was suspected and did not refute the suspicion in time.
     Dead,
-    /// It said that it leaves: final for its incarnation.
+    /// It announced that it is leaving. This is final for its incarnation.
     Left,
 }
 
-/// A member as it is known and as updates describe it.
+/// A member as it is known here, or as an update describes it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Which incarnation of which member this is.
+    /// The name and incarnation.
     pub id: MemberId,
-    /// Where it is reached, as it says itself: a relay between may show another address.
+    /// The address that the member states for itself, since the sender address of its datagrams may be that of a relay.
     pub address: SocketAddr,
-    /// The zone that it runs in; empty where it has none.
+    /// The zone that it runs in; empty if it has none.
     pub zone: String,
-    /// How often it refuted what was said of this incarnation; it alone raises this number. SWIM calls it the
-    /// incarnation number.
+    /// How often the member refuted a suspicion of this incarnation; only the member itself raises this number. SWIM
+    /// calls it the incarnation number.
     pub refutations: u32,
-    /// Whether it is there.
+    /// Whether it is alive.
     pub state: MemberState,
 }
 
 impl Member {
-    /// Whether the member counts as there: alive, or suspected at most.
+    /// Whether the member counts as alive. A suspected member does.
     pub(crate) fn is_alive(&self) -> bool {
         matches!(self.state, MemberState::Alive | MemberState::Suspected(_))
     }
@@ -58,7 +59,7 @@
         matches!(self.state, MemberState::Suspected(_))
     }
 
-    /// Whether this update says more than what is `known` of the same incarnation, by SWIM's order of states.
+    /// Whether this update overrides what is `known` of the same incarnation, by SWIM's order of states.
     pub(crate) fn overrides(&self, known: &Member) -> bool {
         use MemberState::{Alive, Dead, Left, Suspected};
         match (&self.state, &known.state) {
--- a/crates/membership/src/message.rs
+++ b/crates/membership/src/message.rs
@@ -1,63 +1,66 @@
 //! The messages of the membership protocol.
 //!
-//! They travel as `postcard`, which encodes fields and variants by position: their order is part of the protocol.
+//! They are sent in `postcard` encoding, which identifies fields and variants by position: their order is part of the
+//! protocol.
 
 use crate::member::{Member, MemberId};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// What members say to each other about the membership. A `nonce` is drawn at random for each ping, so that nobody can
-/// answer a ping that it has not received.
+/// A message of the membership protocol. The `nonce` of a ping is drawn at random, so that a ping can be answered only
+/// by a sidecar that has received it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// A stranger, or one that is thought dead, asks to be pinged.
+    /// Asks the receiver for a ping, which lets the sender become a member. Sent to addresses at which the sender knows
+    /// no living member.
     Join {
-        /// Who sends this.
+        /// The sender.
         sender: Member,
     },
     /// Asks for an [`Message::Ack`].
     Ping {
-        /// Returned with the answer.
+        /// Returned in the answer.
         nonce: u64,
-        /// Who sends this.
+        /// The sender.
         sender: Member,
-        /// Updates of other members.
+        /// Updates about other members.
         updates: Vec<Member>,
     },
     /// The answer to a ping.
     Ack {
-        /// That of the ping.
+        /// The nonce of the ping.
         nonce: u64,
-        /// Who sends this.
+        /// The sender.
         sender: Member,
-        /// Updates of other members; first the target, where this passes on the answer to a
-        /// [`Message::PingRequest`].
+        /// Updates about other members. In an answer that is forwarded for a [`Message::PingRequest`], the first one is
+        /// the target.
         updates: Vec<Member>,
     },
-    /// Asks the receiver to ping the target for the sender.
+    /// Asks the receiver to ping the target on behalf of the sender.
     PingRequest {
-        /// That of the sender's own ping.
+        /// The nonce of the sender's own ping.
         nonce: u64,
-        /// Who is to be pinged.
+        /// The member to ping.
         target: MemberId,
-        /// Where the target is reached.
+        /// The address of the target.
         address: SocketAddr,
     },
-    /// The target of a ping request has not answered the receiver of that request either, which is there itself.
+    /// Tells the sender of a ping request that the target has not answered so far. It shows that the receiver of the
+    /// request is reachable itself.
     Nack {
-        /// That of the ping request.
+        /// The nonce of the ping request.
         nonce: u64,
     },
     /// Asks for a part of the member table.
     TableRequest {
-        /// The part begins behind this name.
+        /// The part begins after this name.
         after: String,
     },
-    /// A part of the member table, by name.
+    /// A part of the member table, ordered by name.
     Table {
         /// The members of this part.
         members: Vec<Member>,
-        /// Whether there are more behind the last one.
+        /// Whether the table continues after the last of these members.
         more: bool,
     },
 }
--- a/crates/membership/src/node.rs
+++ b/crates/membership/src/node.rs
@@ -1,5 +1,5 @@
-//! The membership together with its frames: datagrams in, datagrams out. No I/O; sockets and the simulated network of
-//! the tests drive the same code.
+//! The membership protocol together with its frames: handles received frames, and queues the frames to send. No I/O;
+//! the sockets and the simulated network of the tests run the same code.
 
 use crate::frame::{self, Channel, Envelope};
 use crate::inbox::Inbox;
@@ -14,17 +14,17 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-/// The kind of the membership's own messages; other packages take theirs from 2 on.
+/// The kind of the membership protocol's own messages; other packages use kinds from 2 on.
 pub const MEMBERSHIP_KIND: u8 = 1;
 
-/// A sealed frame on its way out.
+/// A sealed frame that is to be sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct Outgoing {
     address: SocketAddr,
     bytes: Vec<u8>,
 }
 
-/// What one channel keeps: the number of frames sent, and which of those received came before.
+/// The state of one channel: the last sequence number sent, and the sequence numbers received from each sender.
 #[derive(Default)]
 struct ChannelState {
     last_sequence: u64,
@@ -33,44 +33,45 @@
     outgoing: VecDeque<Outgoing>,
 }
 
-/// One member: the membership protocol, and the messages of other packages between members.
+/// One member: the membership protocol, and the messages that other packages send between members.
 pub struct Node {
     membership: Membership,
-    /// The first one seals, all of them open; there is at least one.
+    /// The first key seals frames, and every key opens them. There is at least one.
     keys: Vec<Key>,
     datagrams: ChannelState,
-    /// For what is too long for a datagram. Streams and datagrams overtake each other, so each has its own numbers.
+    /// For messages that are too long for a datagram. Streams and datagrams can overtake each other, so each channel
+    /// has its own sequence numbers.
     streams: ChannelState,
-    /// The kinds of other packages that are read here.
+    /// The kinds of message that other packages of this process read.
     accepted_kinds: Vec<u8>,
     inbox: Inbox,
-    /// Frames received that changed nothing, by reason.
+    /// Received frames that were rejected, by reason.
     pub rejected: RejectionCounts,
-    /// Frames sent, over both channels.
+    /// Frames sent on both channels.
     pub sent: u64,
     /// Bytes of those frames.
     pub sent_bytes: u64,
-    /// Frames received, over both channels.
+    /// Frames received on both channels.
     pub received: u64,
-    /// By kind, messages of other packages that were dropped as too many waited to be read.
+    /// By kind, the messages of other packages that were dropped because too many were unread.
     pub overflowed: BTreeMap<u8, u64>,
 }
 
 impl Node {
-    /// Makes a node that knows no other member yet. Its first probe is scattered over a period by `seed`, which also
-    /// draws nonces and the order of probes. `seeds` are addresses of members to begin with.
+    /// Makes a node that knows no other member yet. `random_seed` determines the nonces, the order of probes, and when
+    /// within a period the first probe is sent. `seed_addresses` are the addresses through which the node joins.
     ///
-    /// The first key seals frames, all of them open frames; there must be one.
+    /// The first key seals frames, and every key opens them; there must be at least one.
     pub fn new(
         now: Nanos,
-        seed: u64,
+        random_seed: u64,
         me: Member,
-        seeds: Vec<SocketAddr>,
+        seed_addresses: Vec<SocketAddr>,
         rules: Rules,
         keys: Vec<Key>,
     ) -> Node {
         Node {
-            membership: Membership::new(now, seed, me, seeds, rules),
+            membership: Membership::new(now, random_seed, me, seed_addresses, rules),
             keys,
             datagrams: ChannelState::default(),
             streams: ChannelState::default(),
@@ -84,7 +85,8 @@
         }
     }
 
-    /// Passes messages of this kind on from now on; those of other kinds are counted and dropped.
+    /// Passes messages of this kind to the caller from now on. Messages of a kind that is not accepted are counted and
+    /// dropped.
     pub fn accept_kind(&mut self, kind: u8) {
         self.accepted_kinds.push(kind);
     }
@@ -94,7 +96,7 @@
         &self.membership
     }
 
-    /// Returns the members that changed since this was last asked.
+    /// Returns the members that changed since the last call.
     pub fn take_changed_members(&mut self) -> ChangedMembers {
         self.membership.take_changed_members()
     }
@@ -106,19 +108,19 @@
         }
     }
 
-    /// Returns the next datagram to send, and where to.
+    /// Returns the next datagram to send, after its destination.
     pub fn next_datagram(&mut self) -> Option<(SocketAddr, Vec<u8>)> {
         let outgoing = self.datagrams.outgoing.pop_front()?;
         Some((outgoing.address, outgoing.bytes))
     }
 
-    /// Returns the next frame for the stream to an address, and that address.
+    /// Returns the next frame to send over a stream, after its destination.
     pub fn next_stream_message(&mut self) -> Option<(SocketAddr, Vec<u8>)> {
         let outgoing = self.streams.outgoing.pop_front()?;
         Some((outgoing.address, outgoing.bytes))
     }
 
-    /// Returns the next event that has not been read.
+    /// Returns the oldest event that has not been read.
     pub fn next_event(&mut self) -> Option<NodeEvent> {
         self.inbox.pop()
     }
@@ -128,20 +130,20 @@
         self.membership.next_wake()
     }
 
-    /// Does what is due by now.
+    /// Runs the timers that are due.
     pub fn wake(&mut self, now: Nanos) {
         self.membership.wake(now);
         self.carry_out_effects();
     }
 
-    /// Tells some members that this one leaves; they pass it on.
+    /// Tells some members that this one is leaving; they pass the update on.
     pub fn leave(&mut self) {
         self.membership.leave();
         self.carry_out_effects();
     }
 
-    /// Sends a message of another package to a member, as a datagram or over a stream by its length. Returns false
-    /// where that incarnation is not known, or the message is too long for either.
+    /// Sends a message of another package to a member, as a datagram or, if it is too long for one, over a stream.
+    /// Returns false if that incarnation is not known, or if the message is too long for a stream as well.
     pub fn send(&mut self, to: &MemberId, kind: u8, body: Vec<u8>) -> bool {
         let known = self.membership.get(&to.name);
         let Some(address) = known
@@ -153,12 +155,12 @@
         self.seal_and_queue(to.clone(), address, kind, body)
     }
 
-    /// Handles one datagram that came, from wherever.
+    /// Handles one received datagram, whatever its sender.
     pub fn receive_datagram(&mut self, now: Nanos, bytes: &[u8]) {
         self.receive(now, bytes, Channel::Datagram);
     }
 
-    /// Handles one frame that came over a stream.
+    /// Handles one frame received over a stream.
     pub fn receive_stream_message(&mut self, now: Nanos, bytes: &[u8]) {
         self.receive(now, bytes, Channel::Stream);
     }
@@ -186,7 +188,8 @@
         }
     }
 
-    /// Only a join may be sent to an address whose member the sender does not know.
+    /// Rejects frames for another receiver. Only a join may be sent to an address whose member the sender does not
+    /// know.
     fn check_receiver(&self, envelope: &Envelope) -> Result<(), Rejection> {
         let me = &self.membership.me().id;
         let is_for_us =
@@ -197,8 +200,8 @@
         Ok(())
     }
 
-    /// Rejects what an earlier incarnation sends, and repeats of a known one. Repeats of a stranger change nothing, as
-    /// it is let in by an answer to a number that was drawn for it.
+    /// Rejects frames of an earlier incarnation, and repeated frames of a known one. A repeated frame of a non-member
+    /// has no effect, because a non-member is admitted only by an answer to a nonce that was drawn for it.
     fn check_sender(&mut self, envelope: &Envelope, channel: Channel) -> Result<(), Rejection> {
         let from = &envelope.from;
         let Some(known) = self.membership.get(&from.name) else {
@@ -267,7 +270,7 @@
         }
     }
 
-    /// Queues a message on the first channel that it fits; false where it fits neither.
+    /// Queues a message on the first channel that it fits. Returns false if it fits neither.
     fn seal_and_queue(
         &mut self,
         to: MemberId,
--- a/crates/membership/src/port_pair.rs
+++ b/crates/membership/src/port_pair.rs
@@ -1,13 +1,13 @@
-//! Binds UDP and TCP on one port.
+//! Binds UDP and TCP sockets on one port.
 
 use std::io;
 use std::net::SocketAddr;
 use tokio::net::{TcpListener, UdpSocket};
 
-/// Ports that the system chooses for UDP and that TCP may turn out to be taken on, before [`PortPair::bind`] gives up.
+/// Limit on the ports that the system chooses for [`PortPair::bind`]. A port that is free for UDP may be taken for TCP.
 const MAX_PORT_CHOICES: usize = 17;
 
-/// Two sockets on one address and port.
+/// A UDP socket and a TCP listener on the same address and port.
 #[derive(Debug)]
 pub struct PortPair {
     /// For datagrams.
@@ -17,11 +17,11 @@
 }
 
 impl PortPair {
-    /// Binds both sockets. For port 0 the system chooses a port, and another one where the first is taken for TCP: with
-    /// thousands of closed connections in TIME_WAIT that is the case for every second port.
+    /// Binds both sockets. For port 0 the system chooses a port, and another one if the first is taken for TCP: with
+    /// thousands of closed connections in TIME_WAIT that happens for every second port.
     ///
     /// # Errors
-    /// What the system says of the last port tried.
+    /// The error of the operating system for the last port tried.
     pub async fn bind(address: SocketAddr) -> io::Result<PortPair> {
         let choices = match address.port() {
             0 => MAX_PORT_CHOICES,
@@ -33,7 +33,8 @@
     /// Binds both sockets on the first of these addresses that is free for both.
     ///
     /// # Errors
-    /// What the system says of the last address, or [`io::ErrorKind::InvalidInput`] where there is none.
+    /// The error of the operating system for the last address, or [`io::ErrorKind::InvalidInput`] if there are no
+    /// addresses.
     pub async fn bind_first_free(
         addresses: impl IntoIterator<Item = SocketAddr>,
     ) -> io::Result<PortPair> {
@@ -53,10 +54,10 @@
         Ok(PortPair { datagrams, streams })
     }
 
-    /// Returns the address that both are bound to.
+    /// Returns the address that both sockets are bound to.
     ///
     /// # Errors
-    /// What the system says of the socket.
+    /// The error of the operating system for the UDP socket.
     pub fn local_address(&self) -> io::Result<SocketAddr> {
         self.datagrams.local_addr()
     }
--- a/crates/membership/src/quorum/dispute.rs
+++ b/crates/membership/src/quorum/dispute.rs
@@ -1,7 +1,7 @@
-//! Disputes: voters that are reached and see otherwise who votes or who is there.
+//! Disputes: voters that are reached and differ from us on who votes or who is alive.
 //!
-//! A view that differs may only be an update under way. It is a dispute once the same peer's view differed twice, some
-//! time apart, without having agreed between.
+//! A differing view may only mean that an update has not spread yet. It is a dispute once two views of the same peer
+//! differed, [`Rules::dispute_delay`](super::Rules::dispute_delay) or more apart, and none between them agreed.
 
 use super::view::MAX_NAMES;
 use super::voter::{Disagreement, Voter};
@@ -9,35 +9,35 @@
 use crate::Nanos;
 use std::collections::BTreeSet;
 
-/// A voter that sees otherwise, and what.
+/// A voter whose views differ from ours, and in what.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Dispute {
-    /// Its name.
+    /// The name of that voter.
     pub peer: String,
-    /// When its first view that differed was received.
+    /// When its first differing view was received.
     pub since: Nanos,
-    /// Whom it misses and we reach, as far as it named them.
+    /// Voters that are missing at the peer and alive here, as far as its view names them.
     pub missing_at_peer: Vec<String>,
-    /// Whom we miss and it reaches, as far as it named whom it misses.
+    /// Voters that are missing here and alive at the peer, as far as its view names the ones that it misses.
     pub missing_here: Vec<String>,
-    /// Whether it has other voters.
+    /// Whether its set of voters differs from ours.
     pub voters_differ: bool,
 }
 
 impl Quorum {
     /// Returns all disputes.
     pub fn disputes(&self, now: Nanos) -> Vec<Dispute> {
-        let missing = self.notable_voters().filter(|voter| !voter.is_alive);
+        let missing = self.voters_to_check().filter(|voter| !voter.is_alive);
         let missing: BTreeSet<&str> = missing.map(Voter::name).collect();
         let voters_digest = self.voters.voters_digest(&self.me);
-        self.notable_voters()
+        self.voters_to_check()
             .filter(|voter| self.is_in_dispute(now, voter))
             .filter_map(|voter| describe(voter, &missing, voters_digest))
             .collect()
     }
 
     pub(super) fn is_any_in_dispute(&self, now: Nanos) -> bool {
-        self.notable_voters()
+        self.voters_to_check()
             .any(|voter| self.is_in_dispute(now, voter))
     }
 
@@ -48,11 +48,11 @@
             && self.is_reached(now, voter)
     }
 
-    /// Drops the disagreements that our own updates have ended since.
+    /// Drops the disagreements that updates of our own tables have settled.
     pub(super) fn drop_settled_disagreements(&mut self) {
         let settled: Vec<String> = self
             .voters
-            .notable()
+            .to_check()
             .filter(|voter| self.has_settled(voter))
             .map(|voter| voter.name().to_string())
             .collect();
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Whether its last view differed when it was received, and is what we see by now.
+    /// Whether its last view differed when it was received, but agrees with ours by now.
     fn has_settled(&self, voter: &Voter) -> bool {
         let received = voter
             .received
@@ -70,7 +70,8 @@
         voter.disagreement.is_some() && received == Some(self.voters.digests(&self.me))
     }
 
-    /// The disagreement with a voter that has just said another view that differs.
+    /// Returns the disagreement with a voter whose newest view differs: the earlier one continued, unless that is
+    /// settled.
     pub(super) fn continue_disagreement(&self, now: Nanos, voter: &Voter) -> Disagreement {
         let earlier = voter.disagreement.filter(|_| !self.has_settled(voter));
         let since = earlier.map_or(now, |disagreement| disagreement.since);
--- a/crates/membership/src/quorum/mod.rs
+++ b/crates/membership/src/quorum/mod.rs
@@ -1,12 +1,13 @@
-//! The quorum state: what a sidecar may believe of its own place. Who votes, how many of those it reaches, whether they
-//! see the same. No I/O; the time is an argument.
+//! The quorum state: whether a sidecar is part of a majority of the fleet. It follows from which voters there are, how
+//! many of them the sidecar reaches, and whether they agree with it. No I/O; the time is an argument.
 //!
-//! Membership says who is likely there now; it forgets the dead, so that any part of the fleet looks like a whole. The
-//! voters do not: who met the others once is a voter until it leaves, or until more than half of all voters have missed
-//! it for a stated time (`eviction`). So no minority shrinks its world until it is a majority.
+//! Membership tells which members are probably alive now. It forgets dead members, so either side of a network
+//! partition soon looks like a complete fleet to itself. The voter table keeps them: a sidecar that was a member once
+//! is a voter until it leaves, or until more than half of all voters have missed it for [`Rules::eviction_delay`]
+//! (`eviction`). So a minority cannot shrink its voter table until it is a majority of the voters that are left.
 //!
-//! Of the three promises (docs/membership.md) this is none of the first kind: it says what a sidecar knows, and leases
-//! say what it may do.
+//! Of the three kinds of promise in docs/membership.md, the quorum state makes none of the first kind: it says what a
+//! sidecar knows, and leases say what it may do.
 
 mod dispute;
 mod eviction;
@@ -15,7 +16,7 @@
 mod rules;
 mod state;
 mod view;
-mod views;
+mod view_handling;
 mod voter;
 mod voter_table;
 
@@ -31,86 +32,87 @@
 use voter::Voter;
 use voter_table::VoterTable;
 
-/// The voters as one sidecar sees them, and the state that follows.
+/// The voters as one sidecar knows them, and the quorum state that follows.
 pub struct Quorum {
     me: VoterRecord,
     rules: Rules,
-    /// Those that left or were evicted stay for [`Rules::eviction_delay`]; [`Rules::max_voters`] bounds it.
+    /// Voters that left or were evicted stay in the table for [`Rules::eviction_delay`]; [`Rules::max_voters`] bounds
+    /// it.
     voters: VoterTable,
     state: DampedState,
-    /// The name behind which the next part of the table is sent.
-    sent_until: String,
-    /// Voters that were turned away as the table was full.
+    /// The last name in the part of the table that was sent last; the next part begins after it.
+    last_sent_name: String,
+    /// How often a new voter was rejected because the table was full.
     pub rejected_voters: u64,
 }
 
 impl Quorum {
-    /// Makes a quorum of one voter, which is alone.
+    /// Makes a quorum whose only voter is this sidecar.
     pub fn new(now: Nanos, me: MemberId, rules: Rules) -> Quorum {
         Quorum {
             me: VoterRecord::starting(me),
             rules,
             voters: VoterTable::default(),
             state: DampedState::new(now),
-            sent_until: String::new(),
+            last_sent_name: String::new(),
             rejected_voters: 0,
         }
     }
 
-    /// Returns the state in force.
+    /// Returns the current state.
     pub fn state(&self) -> QuorumState {
         self.state.state()
     }
 
-    /// Returns since when that state is in force.
+    /// Returns when the current state was entered.
     pub fn state_since(&self) -> Nanos {
         self.state.since()
     }
 
-    /// Returns the number of voters, this one among them.
+    /// Returns the number of voters, including this sidecar.
     pub fn voter_count(&self) -> usize {
         1 + self.voters.count_voters()
     }
 
-    /// Returns the rows of the table visited so far: a measure of work that is the same on every machine.
+    /// Returns the number of table rows visited so far: a measure of work that is the same on every machine.
     pub fn rows_visited(&self) -> u64 {
         self.voters.rows_visited()
     }
 
     /// Returns the names of the voters that are not reached.
     pub fn unreached(&self, now: Nanos) -> impl Iterator<Item = &str> {
-        self.notable_voters()
+        self.voters_to_check()
             .filter(move |voter| !self.is_reached(now, voter))
             .map(Voter::name)
     }
 
-    /// Returns the names of the voters that we reach and that say that they do not reach us.
+    /// Returns the names of the voters that are alive here and whose views report that they do not reach us.
     pub fn voters_missing_us(&self, now: Nanos) -> impl Iterator<Item = &str> {
-        self.notable_voters()
+        self.voters_to_check()
             .filter(move |voter| voter.is_alive && self.misses_us(now, voter))
             .map(Voter::name)
     }
 
-    /// Returns the names of the voters that came back too often or too lately to count.
+    /// Returns the names of the living voters that have returned too often or too recently to count as reached.
     pub fn flapping(&self, now: Nanos) -> impl Iterator<Item = &str> {
-        self.notable_voters()
+        self.voters_to_check()
             .filter(move |voter| voter.is_alive && !self.is_steady(now, voter))
             .map(Voter::name)
     }
 
-    /// Judges the state anew, and returns a change.
+    /// Updates the state, and returns the change, if any.
     pub fn update(&mut self, now: Nanos) -> Option<StateChange> {
         self.evict(now);
         self.expire(now);
         self.drop_settled_disagreements();
-        let seen = self.assess(now);
-        self.state.observe(now, seen, self.rules.recovery_delay)
+        let observed = self.assess(now);
+        self.state.observe(now, observed, self.rules.recovery_delay)
     }
 
-    /// The state that what is known now amounts to.
+    /// Returns the state that follows from what is known now, without the delay before a better state is entered.
     fn assess(&self, now: Nanos) -> QuorumState {
         let unreached = self
-            .notable_voters()
+            .voters_to_check()
             .filter(|voter| voter.is_alive && !self.is_reached(now, voter))
             .count();
         let reached = 1 + self.voters.count_alive() - unreached;
@@ -125,30 +127,30 @@
         }
     }
 
-    /// The voters of which there is something to see; of all others, everything is as it should be.
-    fn notable_voters(&self) -> impl Iterator<Item = &Voter> {
-        self.voters.notable().filter(|voter| voter.record.is_voter)
+    /// Returns the voters that need a check in each period; all others are alive and agree with us.
+    fn voters_to_check(&self) -> impl Iterator<Item = &Voter> {
+        self.voters.to_check().filter(|voter| voter.record.is_voter)
     }
 
-    /// Takes our own later incarnation: our name was known under a later one.
+    /// Adopts our own later incarnation, after other members knew our name under a later one.
     pub fn set_own_id(&mut self, id: &MemberId) {
         self.me = VoterRecord::starting(id.clone());
-        self.voters.forget_voters_digest();
+        self.voters.drop_cached_digests();
     }
 
-    /// Notes that a voter has left.
+    /// Records that a voter has left.
     pub fn record_leave(&mut self, now: Nanos, id: &MemberId) {
         let record = self.voters.get(&id.name).map(|voter| voter.record.clone());
         if let Some(record) = record.filter(|record| record.id == *id) {
-            let gone = VoterRecord {
+            let departed = VoterRecord {
                 is_voter: false,
                 ..record
             };
-            self.merge(now, gone);
+            self.merge(now, departed);
         }
     }
 
-    /// Merges a record that was received or concluded; an older one changes nothing.
+    /// Merges a record that was received or derived here. A record that is not newer than the known one has no effect.
     fn merge(&mut self, now: Nanos, record: VoterRecord) {
         let name = &record.id.name;
         if *name == self.me.id.name {
@@ -165,14 +167,14 @@
         }
     }
 
-    /// Becomes a voter again, if we were evicted: we are here.
+    /// Becomes a voter again if the record says that we were evicted, since we are running.
     fn rejoin(&mut self, received: &VoterRecord) {
         let is_eviction = received.id.incarnation == self.me.id.incarnation
             && !received.is_voter
             && received.rejoins >= self.me.rejoins;
         if is_eviction {
             self.me.rejoins = received.rejoins.saturating_add(1);
-            self.voters.forget_voters_digest();
+            self.voters.drop_cached_digests();
         }
     }
 
@@ -180,14 +182,14 @@
         let name = record.id.name.clone();
         self.voters.update(&name, |voter| {
             if voter.record.id != record.id {
-                // A start after a leave is no coming and going.
+                // A start after a leave does not count as a flap.
                 if !voter.record.is_voter {
                     voter.flaps = 0;
                 }
                 voter.is_alive = false;
             }
             if voter.record.is_voter != record.is_voter {
-                voter.since = now;
+                voter.status_since = now;
             }
             voter.eviction_votes.clear();
             voter.record = record;
--- a/crates/membership/src/quorum/presence.rs
+++ b/crates/membership/src/quorum/presence.rs
@@ -1,7 +1,7 @@
-//! Which voters are there and count as reached.
+//! Which voters are alive and count as reached.
 //!
-//! A voter counts as reached if it is alive by membership, does not say that it misses us, and is steady: each time that
-//! it comes back it has to stay longer before it counts again.
+//! A voter counts as reached if it is alive according to membership, does not report that it misses us, and is steady:
+//! after each return it has to stay longer before it counts again.
 
 use super::record::VoterRecord;
 use super::voter::Voter;
@@ -10,17 +10,17 @@
 use crate::Nanos;
 use std::collections::BTreeMap;
 
-/// How often a voter may have come and gone and still make its wait longer.
+/// Limit on the flaps that are counted; further ones do not lengthen the wait of a voter.
 const MAX_FLAPS: u32 = 6;
-/// A flap is forgiven after this many times the wait that it causes.
+/// A flap is forgiven after the voter has stayed for this many times the wait that the flap causes.
 const FORGIVENESS_WAITS: Nanos = 8;
 
 impl Quorum {
-    /// Notes who is alive, by membership: all of them.
+    /// Updates all voters from the complete list of the members that are alive according to membership.
     pub fn set_alive<'a>(&mut self, now: Nanos, alive: impl Iterator<Item = &'a MemberId>) {
         let alive: BTreeMap<&str, &MemberId> = alive.map(|id| (id.name.as_str(), id)).collect();
         for id in alive.values() {
-            self.meet(now, id);
+            self.add_if_unknown(now, id);
         }
         for name in self.voters.names() {
             self.set_presence(now, &name, alive.get(name.as_str()).copied());
@@ -28,7 +28,7 @@
         self.forgive_flaps(now);
     }
 
-    /// Notes what membership says of some names: which incarnation of it is alive, if any.
+    /// Updates the voters of these names: for each name, the incarnation that is alive according to membership, if any.
     pub fn update_alive<'a>(
         &mut self,
         now: Nanos,
@@ -36,15 +36,15 @@
     ) {
         for (name, id) in changed {
             if let Some(id) = id {
-                self.meet(now, id);
+                self.add_if_unknown(now, id);
             }
             self.set_presence(now, name, id);
         }
         self.forgive_flaps(now);
     }
 
-    /// One that is alive is a voter, unless its record says otherwise.
-    fn meet(&mut self, now: Nanos, id: &MemberId) {
+    /// Makes a living member a voter, unless its record is known already.
+    fn add_if_unknown(&mut self, now: Nanos, id: &MemberId) {
         let is_known = self
             .voters
             .get(&id.name)
@@ -68,20 +68,20 @@
                 voter.forget_statements();
             }
             voter.is_alive = is_alive;
-            voter.since = now;
+            voter.status_since = now;
         });
     }
 
-    /// Drops the eviction votes against voters that are alive, and forgives a flap of those that have been steady for far
-    /// longer than they had to be.
+    /// Drops the eviction votes against voters that are alive, and forgives one flap of each voter that has stayed for
+    /// much longer than it had to.
     fn forgive_flaps(&mut self, now: Nanos) {
-        for name in self.voters.notable_names() {
+        for name in self.voters.names_to_check() {
             let Some(voter) = self.voters.get(&name).filter(|voter| voter.is_alive) else {
                 continue;
             };
-            let wait = self.steady_after(voter);
-            let steady_for = now.saturating_sub(voter.since);
-            let is_forgiven = voter.flaps > 0 && steady_for > FORGIVENESS_WAITS * wait;
+            let wait = self.required_stay(voter);
+            let stayed_for = now.saturating_sub(voter.status_since);
+            let is_forgiven = voter.flaps > 0 && stayed_for > FORGIVENESS_WAITS * wait;
             if !is_forgiven && voter.eviction_votes.is_empty() {
                 continue;
             }
@@ -89,7 +89,7 @@
                 voter.eviction_votes.clear();
                 if is_forgiven {
                     voter.flaps -= 1;
-                    voter.since = now - wait;
+                    voter.status_since = now - wait;
                 }
             });
         }
@@ -100,11 +100,11 @@
     }
 
     pub(super) fn is_steady(&self, now: Nanos, voter: &Voter) -> bool {
-        now.saturating_sub(voter.since) >= self.steady_after(voter)
+        now.saturating_sub(voter.status_since) >= self.required_stay(voter)
     }
 
-    /// How long a voter must stay after it came back: twice as long with each flap, and one delay less.
-    fn steady_after(&self, voter: &Voter) -> Nanos {
+    /// Returns how long a voter must stay after its return before it counts: the recovery delay times 2^flaps - 1.
+    fn required_stay(&self, voter: &Voter) -> Nanos {
         self.rules.recovery_delay * ((1 << voter.flaps) - 1)
     }
 
@@ -114,8 +114,8 @@
             .is_some_and(|at| !self.is_outdated(now, at))
     }
 
-    /// Whether something was said too long ago to count.
-    pub(super) fn is_outdated(&self, now: Nanos, said_at: Nanos) -> bool {
-        now.saturating_sub(said_at) >= self.rules.statement_lifetime
+    /// Whether a statement that was received at this time is too old to count.
+    pub(super) fn is_outdated(&self, now: Nanos, received_at: Nanos) -> bool {
+        now.saturating_sub(received_at) >= self.rules.statement_lifetime
     }
 }
--- a/crates/membership/src/quorum/rules.rs
+++ b/crates/membership/src/quorum/rules.rs
@@ -1,25 +1,26 @@
-//! The limits and time spans of the quorum state.
+//! The limits and durations of the quorum state.
 
 use crate::Nanos;
 
 const NS_PER_S: Nanos = 1_000_000_000;
 
-/// Limits and time spans of one [`Quorum`](super::Quorum).
+/// Limits and durations of one [`Quorum`](super::Quorum).
 ///
-/// All of them belong to the promise of progress alone: they say what a sidecar believes, never what it may do.
+/// All of them belong to the promise of progress alone, not to safety: they determine what a sidecar believes, never
+/// what it may do.
 #[derive(Clone, Debug)]
 pub struct Rules {
-    /// How long views may differ before that is a dispute: updates take their time. Only a second view that differs,
-    /// received this long after the first or later, shows that they still do.
+    /// How long views must differ before the difference is a dispute, since updates take time to spread. Only a second
+    /// differing view, received at least this long after the first, shows that the views still differ.
     pub dispute_delay: Nanos,
-    /// How long a better state must hold before it is believed, and how long a voter that came back must stay before it
-    /// counts.
+    /// How long a better state must hold before it is entered, and how long a voter must stay after its first return
+    /// before it counts as reached.
     pub recovery_delay: Nanos,
-    /// How long a voter must be missed before it may be evicted.
+    /// How long a voter must be missing before it may be evicted, and how long the record of a former voter is kept.
     pub eviction_delay: Nanos,
-    /// How long what another sidecar said counts.
+    /// How long the content of a received view counts.
     pub statement_lifetime: Nanos,
-    /// Voters known at most; further ones are turned away and counted.
+    /// Limit on the known voters; further ones are rejected and counted.
     pub max_voters: usize,
 }
 
--- a/crates/membership/src/quorum/state.rs
+++ b/crates/membership/src/quorum/state.rs
@@ -1,41 +1,41 @@
-//! The quorum state, which falls at once and rises only after a while.
+//! The quorum state, which becomes worse at once and better only after a delay.
 
 use crate::Nanos;
 use serde::{Deserialize, Serialize};
 
-/// What a sidecar may believe of its own place, from the best to the worst.
+/// How much of the fleet a sidecar reaches, from the best state to the worst.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum QuorumState {
-    /// More than half of the voters are reached, and see the same.
+    /// More than half of the voters are reached, and they have the same voters and the same living voters as we have.
     Agreed,
-    /// More than half are reached, and some see it otherwise.
+    /// More than half of the voters are reached, but some of them differ from us on who votes or who is alive.
     Disputed,
-    /// Half or less are reached.
+    /// Half of the voters or fewer are reached.
     Few,
-    /// Nobody is reached.
+    /// No other voter is reached.
     Alone,
 }
 
 /// A change of the quorum state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StateChange {
-    /// The state before.
+    /// The state before the change.
     pub was: QuorumState,
-    /// The state now.
+    /// The state after the change.
     pub is: QuorumState,
 }
 
-/// The state in force.
+/// The current state, and the better one that may follow it.
 pub(super) struct DampedState {
     state: QuorumState,
     since: Nanos,
-    better: Option<Better>,
+    pending: Option<PendingState>,
 }
 
-/// A better state than the one in force.
+/// A better state than the current one, which has not held for the recovery delay yet.
 #[derive(Clone, Copy)]
-struct Better {
-    /// The worst of what was seen since then, so the state that has held all along.
+struct PendingState {
+    /// The worst of the states observed since then: the state that has held all the time.
     state: QuorumState,
     since: Nanos,
 }
@@ -45,7 +45,7 @@
         DampedState {
             state: QuorumState::Alone,
             since: now,
-            better: None,
+            pending: None,
         }
     }
 
@@ -57,31 +57,32 @@
         self.since
     }
 
-    /// Takes in what is seen now. A worse state is in force at once, a better one after it has held for so long.
+    /// Takes in the state that is observed now. A worse state is entered at once, a better one after it has held for
+    /// `recovery_delay`.
     pub fn observe(
         &mut self,
         now: Nanos,
-        seen: QuorumState,
+        observed: QuorumState,
         recovery_delay: Nanos,
     ) -> Option<StateChange> {
-        if seen >= self.state {
-            self.better = None;
-            return (seen > self.state).then(|| self.enter(now, seen));
+        if observed >= self.state {
+            self.pending = None;
+            return (observed > self.state).then(|| self.enter(now, observed));
         }
-        let began = self.better.unwrap_or(Better {
-            state: seen,
+        let previous = self.pending.unwrap_or(PendingState {
+            state: observed,
             since: now,
         });
-        let better = Better {
-            state: began.state.max(seen),
-            ..began
+        let pending = PendingState {
+            state: previous.state.max(observed),
+            ..previous
         };
-        if now.saturating_sub(better.since) < recovery_delay {
-            self.better = Some(better);
+        if now.saturating_sub(pending.since) < recovery_delay {
+            self.pending = Some(pending);
             return None;
         }
-        self.better = None;
-        Some(self.enter(now, better.state))
+        self.pending = None;
+        Some(self.enter(now, pending.state))
     }
 
     fn enter(&mut self, now: Nanos, is: QuorumState) -> StateChange {
--- a/crates/membership/src/quorum/view.rs
+++ b/crates/membership/src/quorum/view.rs
@@ -1,42 +1,44 @@
-//! What a sidecar tells others of its view, in one datagram.
+//! The view that a sidecar sends to others, in one datagram.
 
 use super::record::VoterRecord;
 use serde::{Deserialize, Serialize};
 
-/// Records in a view, at most. The rest goes by digest, or with a later view.
+/// Limit on the records in a view. The digest covers the other voters, or a later view carries their records.
 pub(super) const MAX_RECORDS: usize = 12;
-/// Names of missing voters, and eviction votes, in a view, at most.
+/// Limit on the names of missing voters in a view, and on its eviction votes.
 pub(super) const MAX_NAMES: usize = 8;
 
-/// A sidecar's view of who votes and who is there. The order of the fields is part of the protocol.
+/// A sidecar's view of which voters there are and which of them are alive. The order of the fields is part of the
+/// protocol.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct View {
     /// A digest of all voters.
     pub voters_digest: u64,
-    /// A digest of the voters that are alive by its membership.
+    /// A digest of the voters that are alive according to the membership of the sender.
     pub alive_digest: u64,
     /// The names of the first voters that are not alive.
     pub missing: Vec<String>,
-    /// How many voters are not alive.
+    /// The number of voters that are not alive.
     pub missing_count: u32,
-    /// Voters that it would evict.
+    /// The voters that the sender votes to evict.
     pub evictions: Vec<EvictionVote>,
-    /// Its own record; while the voters differ, or that is not known, also a part of the table, another one each time.
+    /// The sender's own record. While the voters of the receiver differ or are not known, also a part of the voter
+    /// table, a different one each time.
     pub records: Vec<VoterRecord>,
 }
 
-/// A vote to evict a voter that has long been missed.
+/// A vote to evict a voter that has been missed for a long time.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EvictionVote {
     /// The voter's name.
     pub name: String,
     /// Its incarnation.
     pub incarnation: u64,
-    /// The number of its rejoins, so that a vote does not count against a later one.
+    /// The number of its rejoins, so that the vote does not count against the voter after its next rejoin.
     pub rejoins: u32,
 }
 
-/// What a view says of its sender's tables, in short.
+/// The digests of a view: a short form of its sender's tables.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Digests {
     pub voters: u64,
--- a/crates/membership/src/quorum/views.rs
+++ b/crates/membership/src/quorum/view_handling.rs
@@ -1,4 +1,4 @@
-//! Takes in the views of others, and composes the view that is sent next.
+//! Receives the views of other sidecars, and composes the view to send.
 
 use super::view::{View, MAX_NAMES, MAX_RECORDS};
 use super::voter::{ReceivedView, Voter};
@@ -7,15 +7,16 @@
 use crate::Nanos;
 
 impl Quorum {
-    /// Takes in a peer's view. Of one that is longer than any of ours only as much is read, whoever has the key.
+    /// Applies the view of a peer. Only as much of it is read as a view of ours may hold, even from a sender that has
+    /// the key.
     ///
-    /// Returns when that peer is to be sent our view out of turn, if it is: after [`Rules::dispute_delay`] where the
-    /// views differ, so that both learn whether they still do; at once where they agree and what we sent it last does
-    /// not, so that it learns that they do.
+    /// Returns when our view is to be sent to that peer as a follow-up, if at all: after [`Rules::dispute_delay`] if
+    /// the views differ, so that both sides learn whether they still do then; at once if the views agree but the one
+    /// that we last sent to that peer is outdated, so that the peer learns that they agree.
     ///
     /// [`Rules::dispute_delay`]: super::Rules::dispute_delay
     pub fn receive_view(&mut self, now: Nanos, from: &MemberId, mut view: View) -> Option<Nanos> {
-        self.take_statements(now, from, &mut view);
+        self.apply_statements(now, from, &mut view);
         let voter = self
             .voters
             .get(&from.name)
@@ -24,7 +25,7 @@
         let ours = self.voters.digests(&self.me);
         let differs = view.digests() != ours;
         let disagreement = differs.then(|| self.continue_disagreement(now, voter));
-        let knows_old_view = voter.sent.is_some_and(|sent| sent != ours);
+        let has_outdated_view = voter.sent.is_some_and(|sent| sent != ours);
         self.voters.update(&from.name, |voter| {
             voter.misses_us_at = misses_us.then_some(now);
             voter.disagreement = disagreement;
@@ -33,12 +34,12 @@
         if differs {
             Some(now + self.rules.dispute_delay)
         } else {
-            knows_old_view.then_some(now)
+            has_outdated_view.then_some(now)
         }
     }
 
-    /// Takes the records and eviction votes out of a view, and cuts it to what is kept.
-    fn take_statements(&mut self, now: Nanos, from: &MemberId, view: &mut View) {
+    /// Applies the records and eviction votes of a view, then removes them and truncates the view to what is kept.
+    fn apply_statements(&mut self, now: Nanos, from: &MemberId, view: &mut View) {
         for record in view.records.drain(..).take(MAX_RECORDS) {
             self.merge(now, record);
         }
@@ -49,9 +50,9 @@
         }
     }
 
-    /// Returns the view to send this peer now.
+    /// Returns the view to send to this peer now.
     pub fn view_for(&mut self, now: Nanos, to: &MemberId) -> View {
-        let missing = self.notable_voters().filter(|voter| !voter.is_alive);
+        let missing = self.voters_to_check().filter(|voter| !voter.is_alive);
         let missing: Vec<String> = missing.map(|voter| voter.name().to_string()).collect();
         let evictions = self.own_eviction_votes(now).take(MAX_NAMES).collect();
         let digests = self.voters.digests(&self.me);
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Our own record, and the next part of the table for a peer that is not known to have the same voters.
+    /// Returns our own record and, unless the peer is known to have the same voters, the next part of the table.
     fn next_records(&mut self, to: &MemberId, voters_digest: u64) -> Vec<VoterRecord> {
         let received = self
             .voters
@@ -80,10 +81,13 @@
         if has_same_voters {
             return records;
         }
-        let part = self.voters.after(&self.sent_until).take(MAX_RECORDS - 1);
+        let part = self
+            .voters
+            .after(&self.last_sent_name)
+            .take(MAX_RECORDS - 1);
         records.extend(part.map(|voter: &Voter| voter.record.clone()));
         let is_last_part = records.len() < MAX_RECORDS;
-        self.sent_until = if is_last_part {
+        self.last_sent_name = if is_last_part {
             String::new()
         } else {
             records[MAX_RECORDS - 1].id.name.clone()
--- a/crates/membership/src/quorum/voter_table.rs
+++ b/crates/membership/src/quorum/voter_table.rs
@@ -1,5 +1,5 @@
-//! The table of voters by name, and beside it the few of which there is something to see, so that no look each period
-//! walks all of it. Digests are cached until a row changes.
+//! The table of voters by name, with an index of the few that need a check in each period, so that no check walks all
+//! rows. Digests are cached until a row changes.
 
 use super::record::VoterRecord;
 use super::view::Digests;
@@ -9,38 +9,38 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
 
-/// What a digest keeps of a hash.
+/// The number of bytes of a hash that a digest keeps.
 const DIGEST_BYTES: usize = size_of::<u64>();
 
-/// Voters, and those that were, with what is counted of them.
+/// The voters and former voters, with their counts and indexes.
 #[derive(Default)]
 pub(super) struct VoterTable {
     by_name: BTreeMap<String, Voter>,
-    /// The names of those that are notable.
-    notable: BTreeSet<String>,
-    /// When each one's view was received, and its name.
-    views: BTreeSet<(Nanos, String)>,
-    voters: usize,
-    /// The voters that are alive by membership.
-    alive: usize,
+    /// The names of the voters that need a check in each period.
+    to_check: BTreeSet<String>,
+    /// The time at which the last view of each voter was received, and its name.
+    views_by_time: BTreeSet<(Nanos, String)>,
+    voter_count: usize,
+    /// The number of voters that are alive according to membership.
+    alive_count: usize,
     voters_digest: Cell<Option<u64>>,
     alive_digest: Cell<Option<u64>>,
     rows_visited: Cell<u64>,
 }
 
 impl VoterTable {
-    /// Returns the number of rows, those that were voters among them.
+    /// Returns the number of rows, including those of former voters.
     pub fn len(&self) -> usize {
         self.by_name.len()
     }
 
     pub fn count_voters(&self) -> usize {
-        self.voters
+        self.voter_count
     }
 
-    /// Returns the number of voters that are alive by membership.
+    /// Returns the number of voters that are alive according to membership.
     pub fn count_alive(&self) -> usize {
-        self.alive
+        self.alive_count
     }
 
     pub fn get(&self, name: &str) -> Option<&Voter> {
@@ -48,32 +48,32 @@
         self.by_name.get(name)
     }
 
-    /// Returns all names.
+    /// Returns all names in the table.
     pub fn names(&self) -> Vec<String> {
         self.count_visits(self.by_name.len() as u64);
         self.by_name.keys().cloned().collect()
     }
 
-    pub fn notable_names(&self) -> Vec<String> {
-        self.notable.iter().cloned().collect()
+    pub fn names_to_check(&self) -> Vec<String> {
+        self.to_check.iter().cloned().collect()
     }
 
-    /// Returns the rows that are notable, by name.
-    pub fn notable(&self) -> impl Iterator<Item = &Voter> {
-        self.notable.iter().filter_map(|name| self.get(name))
+    /// Returns the rows that need a check in each period, ordered by name.
+    pub fn to_check(&self) -> impl Iterator<Item = &Voter> {
+        self.to_check.iter().filter_map(|name| self.get(name))
     }
 
-    /// Returns the rows behind a name, by name.
+    /// Returns the rows after a name, ordered by name.
     pub fn after(&self, name: &str) -> impl Iterator<Item = &Voter> {
-        let behind = (Bound::Excluded(name), Bound::Unbounded);
-        let rows = self.by_name.range::<str, _>(behind);
+        let after_name = (Bound::Excluded(name), Bound::Unbounded);
+        let rows = self.by_name.range::<str, _>(after_name);
         rows.map(|(_, voter)| voter)
             .inspect(|_| self.count_visits(1))
     }
 
-    /// Returns whose view was received longest ago, if that is too long ago.
+    /// Returns the name of the voter with the oldest view, if that view is too old.
     pub fn oldest_view_if(&self, is_too_old: impl Fn(Nanos) -> bool) -> Option<String> {
-        let (received_at, name) = self.views.first()?;
+        let (received_at, name) = self.views_by_time.first()?;
         is_too_old(*received_at).then(|| name.clone())
     }
 
@@ -81,18 +81,18 @@
         let name = voter.name().to_string();
         self.remove(&name);
         self.index(&name, &voter);
-        self.forget_voters_digest();
+        self.drop_cached_digests();
         self.by_name.insert(name, voter);
     }
 
     pub fn remove(&mut self, name: &str) {
         if let Some(voter) = self.by_name.remove(name) {
             self.unindex(name, &voter);
-            self.forget_voters_digest();
+            self.drop_cached_digests();
         }
     }
 
-    /// Changes a row; nothing happens where none has that name.
+    /// Changes the row of this name, if there is one.
     pub fn update(&mut self, name: &str, change: impl FnOnce(&mut Voter)) {
         let Some(mut voter) = self.by_name.remove(name) else {
             return;
@@ -101,7 +101,7 @@
         let (record, was_alive) = (voter.record.clone(), voter.is_alive);
         change(&mut voter);
         if voter.record != record {
-            self.forget_voters_digest();
+            self.drop_cached_digests();
         } else if voter.is_alive != was_alive {
             self.alive_digest.set(None);
         }
@@ -113,7 +113,7 @@
         self.rows_visited.get()
     }
 
-    /// Returns both digests, as a view has them.
+    /// Returns the two digests of a view.
     pub fn digests(&self, me: &VoterRecord) -> Digests {
         Digests {
             voters: self.voters_digest(me),
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Returns the digest of all voters and of us.
+    /// Returns the digest of all voters, including us.
     pub fn voters_digest(&self, me: &VoterRecord) -> u64 {
         cached(&self.voters_digest, || {
             let records = self.voters().map(|voter| &voter.record).chain([me]);
@@ -129,8 +129,8 @@
         })
     }
 
-    /// Returns the digest of all voters that are alive, and of us. It goes by membership alone: who comes and goes counts
-    /// differently at each sidecar for a while.
+    /// Returns the digest of all living voters, including us. It depends on membership alone: whether a voter that
+    /// flaps counts as reached differs between sidecars for a while.
     fn alive_digest(&self, me: &VoterRecord) -> u64 {
         cached(&self.alive_digest, || {
             let alive = self.voters().filter(|voter| voter.is_alive);
@@ -139,8 +139,8 @@
         })
     }
 
-    /// To be called when a record has changed, our own among them.
-    pub fn forget_voters_digest(&self) {
+    /// Drops both cached digests. To be called when a record has changed, including our own.
+    pub fn drop_cached_digests(&self) {
         self.alive_digest.set(None);
         self.voters_digest.set(None);
     }
@@ -156,22 +156,22 @@
 
     fn index(&mut self, name: &str, voter: &Voter) {
         self.count_visits(1);
-        self.voters += usize::from(voter.record.is_voter);
-        self.alive += usize::from(voter.record.is_voter && voter.is_alive);
-        if voter.is_notable() {
-            self.notable.insert(name.to_string());
+        self.voter_count += usize::from(voter.record.is_voter);
+        self.alive_count += usize::from(voter.record.is_voter && voter.is_alive);
+        if voter.needs_check() {
+            self.to_check.insert(name.to_string());
         }
         if let Some(received) = &voter.received {
-            self.views.insert((received.at, name.to_string()));
+            self.views_by_time.insert((received.at, name.to_string()));
         }
     }
 
     fn unindex(&mut self, name: &str, voter: &Voter) {
-        self.voters -= usize::from(voter.record.is_voter);
-        self.alive -= usize::from(voter.record.is_voter && voter.is_alive);
-        self.notable.remove(name);
+        self.voter_count -= usize::from(voter.record.is_voter);
+        self.alive_count -= usize::from(voter.record.is_voter && voter.is_alive);
+        self.to_check.remove(name);
         if let Some(received) = &voter.received {
-            self.views.remove(&(received.at, name.to_string()));
+            self.views_by_time.remove(&(received.at, name.to_string()));
         }
     }
 }
@@ -183,7 +183,7 @@
     value
 }
 
-/// What a digest takes of a record.
+/// The fields of a record that a digest covers.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct DigestRow<'a> {
     name: &'a str,
@@ -201,7 +201,7 @@
     }
 }
 
-/// Hashes the rows in their order. The form is part of the protocol.
+/// Hashes the rows, ordered by name. The layout is part of the protocol.
 fn digest<'a>(rows: impl Iterator<Item = DigestRow<'a>>) -> u64 {
     let mut rows: Vec<DigestRow<'a>> = rows.collect();
     rows.sort_unstable();
--- a/crates/membership/src/rejection.rs
+++ b/crates/membership/src/rejection.rs
@@ -1,33 +1,33 @@
-//! Why a frame that came in changed nothing, and how often.
+//! Why received frames were rejected, and how many.
 
 use std::collections::BTreeMap;
 
-/// Why a frame changed nothing.
+/// Why a received frame was rejected. A rejected frame has no effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rejection {
-    /// It is longer than any frame of its channel.
+    /// It is longer than the limit of its channel.
     TooLong,
     /// It is shorter than any frame.
     TooShort,
-    /// It has another version, or was meant for the other channel.
+    /// It has another protocol version, or was sealed for the other channel.
     WrongVersionOrChannel,
-    /// Its authentication tag fits none of the keys: forged, cut, or of another group.
+    /// Its authentication tag matches none of the keys: the frame is forged, truncated, or of another group.
     BadTag,
-    /// It is authentic and cannot be decoded.
+    /// It is authentic but cannot be decoded.
     Malformed,
-    /// It is meant for another member, or for an earlier incarnation of this one.
+    /// It is addressed to another member or to another incarnation of this one, or claims to be from this member.
     WrongReceiver,
-    /// Its sequence number came before, or is too old to tell.
+    /// Its sequence number was received before, or is too old to tell.
     Repeated,
-    /// It is from an incarnation that a later one has followed.
+    /// It is from an incarnation that a later one has replaced.
     OldIncarnation,
-    /// Nobody here reads this kind of message.
+    /// No part of this process reads this kind of message.
     UnknownKind,
-    /// It is from somebody who is not a member.
+    /// Its sender is not a living member or does not match the envelope, or it answers no pending ping.
     NotAMember,
 }
 
-/// The number of frames that changed nothing, by reason.
+/// The number of rejected frames, by reason.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RejectionCounts(BTreeMap<Rejection, u64>);
 
@@ -37,12 +37,12 @@
         *self.0.entry(reason).or_default() += 1;
     }
 
-    /// Returns the number of frames with this reason.
+    /// Returns the number of frames that were rejected for this reason.
     pub fn count(&self, reason: Rejection) -> u64 {
         self.0.get(&reason).copied().unwrap_or(0)
     }
 
-    /// Returns the number of frames with any reason.
+    /// Returns the number of frames that were rejected for any reason.
     pub fn total(&self) -> u64 {
         self.0.values().sum()
     }
--- a/crates/membership/src/replay.rs
+++ b/crates/membership/src/replay.rs
@@ -3,13 +3,15 @@
 use crate::member::MemberId;
 use std::collections::BTreeMap;
 
-/// Sequence numbers behind the newest one that are still accepted, in any order, each once. A sidecar with a thousand
-/// requests a second sends so many messages in some 300 ms.
+/// How far a sequence number may lag behind the newest one and still be accepted. Within this window numbers are
+/// accepted in any order, each once. A sidecar with a thousand requests a second sends this many messages in some 300
+/// ms.
 pub const REPLAY_WINDOW: u64 = 4_096;
 const BITS_PER_WORD: u64 = u64::BITS as u64;
 const WINDOW_WORDS: usize = (REPLAY_WINDOW / BITS_PER_WORD) as usize + 1;
 
-/// The sequence numbers of one sender that have come: a ring of bits, each cleared as the newest number passes it.
+/// The sequence numbers received from one sender: a ring of bits, in which a word is cleared when the newest number
+/// enters it.
 #[derive(Clone, Debug)]
 pub struct ReplayWindow {
     newest: u64,
@@ -26,8 +28,8 @@
 }
 
 impl ReplayWindow {
-    /// Notes a sequence number. Returns false for one that came before or lies more than [`REPLAY_WINDOW`] behind the
-    /// newest; 0 is no sequence number.
+    /// Records a sequence number. Returns false if it was recorded before or is more than [`REPLAY_WINDOW`] behind the
+    /// newest; 0 is never accepted.
     pub fn accept(&mut self, sequence: u64) -> bool {
         if sequence == 0 || sequence.saturating_add(REPLAY_WINDOW) < self.newest {
             return false;
@@ -41,11 +43,12 @@
         is_first
     }
 
-    /// Clears the words that the newest number enters for the first time.
+    /// Clears the words that the newest number enters for the first time: they hold numbers of the previous turn of the
+    /// ring.
     fn clear_passed_words(&mut self, newest_word: u64) {
         let passed = newest_word.saturating_sub(self.newest / BITS_PER_WORD);
-        for behind in 0..passed.min(WINDOW_WORDS as u64) {
-            self.ring[ring_index(newest_word - behind)] = 0;
+        for lag in 0..passed.min(WINDOW_WORDS as u64) {
+            self.ring[ring_index(newest_word - lag)] = 0;
         }
     }
 }
@@ -67,7 +70,8 @@
 }
 
 impl ReplayWindows {
-    /// Notes a sequence number of a sender; false for a repeat. A new incarnation begins with an empty window.
+    /// Records a sequence number of a sender. Returns false for a repeat. A new incarnation begins with an empty
+    /// window.
     pub fn accept(&mut self, from: &MemberId, sequence: u64) -> bool {
         let sender = self.by_name.entry(from.name.clone()).or_default();
         if sender.incarnation != from.incarnation {
@@ -79,7 +83,7 @@
         sender.window.accept(sequence)
     }
 
-    /// Forgets a member.
+    /// Removes the window of a member.
     pub fn remove(&mut self, name: &str) {
         self.by_name.remove(name);
     }
--- a/crates/membership/src/swim/incarnation.rs
+++ b/crates/membership/src/swim/incarnation.rs
@@ -1,4 +1,4 @@
-//! What others say of this member: it refutes a suspicion, and takes a later incarnation where its own is behind.
+//! Updates about this member itself: it refutes a suspicion, and adopts a later incarnation if other members know one.
 
 use super::Membership;
 use crate::event::MemberEvent;
@@ -6,7 +6,7 @@
 use std::cmp::Ordering;
 
 impl Membership {
-    /// Handles an update of this member itself. Our own pings and answers carry the refutation from then on.
+    /// Handles an update about this member. Its next pings and answers carry the refutation.
     pub(super) fn refute(&mut self, update: &Member) {
         let ours = &self.me.id;
         match update.id.incarnation.cmp(&ours.incarnation) {
@@ -19,7 +19,8 @@
         }
     }
 
-    /// Of a stranger's updates only those of ourselves count: they may be refuted all the same.
+    /// Handles the updates of a non-member. Only those about this member count: a refutation does no harm, no matter
+    /// which sidecar sent the update.
     pub(super) fn refute_all(&mut self, updates: &[Member]) {
         for update in updates {
             if update.id.name == self.me.id.name {
@@ -28,7 +29,8 @@
         }
     }
 
-    /// Takes the incarnation that follows one under which our name is known from before, as the clock was set back.
+    /// Adopts the incarnation after the one that other members know. They know it from an earlier start, before the
+    /// clock was set back.
     fn raise_incarnation(&mut self, known: u64) {
         self.me.id.incarnation = known.saturating_add(1);
         self.me.refutations = 0;
--- a/crates/membership/src/swim/indirect_probe.rs
+++ b/crates/membership/src/swim/indirect_probe.rs
@@ -1,4 +1,5 @@
-//! Indirect probes: other members ping a target that does not answer us, as the fault may lie between the two of us.
+//! Indirect probes: other members ping a target that does not answer us, since the fault may lie on the path between us
+//! and it.
 
 use super::timers::Timer;
 use super::{Contact, Membership, PendingAck, MAX_PENDING_ACKS, PENDING_ACK_PERIODS};
@@ -7,8 +8,8 @@
 use crate::Nanos;
 
 impl Membership {
-    /// Asks other members to ping the target of a probe that has not been answered in time. Where this timer comes late,
-    /// the answer may lie unread in the socket.
+    /// Asks other members to ping the target of a probe that has not been answered in time. Does nothing if this timer
+    /// fires late, since the answer may still be unread in the socket.
     pub(super) fn probe_indirectly(&mut self, nonce: u64, is_late: bool) {
         let Some(target) = self.unanswered_target(nonce).filter(|_| !is_late) else {
             return;
@@ -35,19 +36,19 @@
         (probe.nonce == nonce && !probe.is_answered).then(|| probe.target.clone())
     }
 
-    /// A relay is there, though the target has not answered it either.
+    /// Records that a relay is reachable, although the target has not answered the relay either.
     pub(super) fn receive_nack(&mut self, nonce: u64) {
         if let Some(probe) = self.probe.as_mut().filter(|probe| probe.nonce == nonce) {
             probe.silent_relays = probe.silent_relays.saturating_sub(1);
         }
     }
 
-    /// Pings a target for another member.
+    /// Pings a target on behalf of another member.
     pub(super) fn relay_ping(
         &mut self,
         now: Nanos,
         requester: &MemberId,
-        requested_nonce: u64,
+        requester_nonce: u64,
         target: Contact,
     ) {
         if self.pending_acks.len() >= MAX_PENDING_ACKS || target.id.name.len() > MAX_NAME_BYTES {
@@ -56,7 +57,7 @@
         let nonce = self.draw_nonce();
         let pending = PendingAck::Relay {
             requester: requester.clone(),
-            requested_nonce,
+            requester_nonce,
         };
         self.pending_acks.insert(nonce, pending);
         self.ping(&target, nonce);
@@ -70,20 +71,20 @@
     pub(super) fn send_nack(&mut self, nonce: u64) {
         let Some(PendingAck::Relay {
             requester,
-            requested_nonce,
+            requester_nonce,
         }) = self.pending_acks.get(&nonce).cloned()
         else {
             return;
         };
         if let Some(address) = self.address_of(&requester.name) {
             let nack = Message::Nack {
-                nonce: requested_nonce,
+                nonce: requester_nonce,
             };
             self.send(requester, address, nack);
         }
     }
 
-    /// Passes the target's answer on to the requester.
+    /// Forwards the target's answer to the requester.
     pub(super) fn relay_ack(&mut self, requester: MemberId, nonce: u64, target: Member) {
         if let Some(address) = self.address_of(&requester.name) {
             let ack = Message::Ack {
--- a/crates/membership/src/swim/join.rs
+++ b/crates/membership/src/swim/join.rs
@@ -1,7 +1,7 @@
-//! Joining: strangers are invited and challenged.
+//! Joining: sends joins to non-members, and challenges the non-members that send messages.
 //!
-//! Nobody is let in on a message alone: a stranger must answer a number that was drawn for it, so that a repeat of what
-//! it once said lets nobody in.
+//! A message alone makes no sidecar a member: a non-member must answer a ping with a nonce that was drawn for it, so
+//! that a replay of its earlier messages admits no one.
 
 use super::timers::Timer;
 use super::{Contact, Membership, PendingAck, MAX_PENDING_ACKS, PENDING_ACK_PERIODS};
@@ -10,19 +10,20 @@
 use crate::Nanos;
 use std::net::SocketAddr;
 
-/// Periods between two invitations, unless we are alone.
-const INVITATION_PERIODS: u64 = 5;
+/// Periods between two joins, unless no other member is alive.
+const JOIN_PERIODS: u64 = 5;
 
 impl Membership {
-    /// Sends a join to one address that no living member has, of the seeds and of the dead: each period while we are
-    /// alone, else now and then. So a split that heals is noticed from either side.
-    pub(super) fn invite_strangers(&mut self) {
+    /// Sends a join to one of the addresses at which no living member is known, taken from the seed addresses and the
+    /// dead members: in each period while no other member is alive, otherwise every [`JOIN_PERIODS`] periods. So either
+    /// side of a network partition notices that it has healed.
+    pub(super) fn send_join(&mut self) {
         let is_alone = self.members.count_alive() == 0;
-        if !is_alone && !self.periods.is_multiple_of(INVITATION_PERIODS) {
+        if !is_alone && !self.periods.is_multiple_of(JOIN_PERIODS) {
             return;
         }
-        let addresses = self.stranger_addresses();
-        let Some(address) = self.pick_address(&addresses) else {
+        let addresses = self.non_member_addresses();
+        let Some(address) = self.draw_address(&addresses) else {
             return;
         };
         let unknown = MemberId {
@@ -33,25 +34,26 @@
         self.send(unknown, address, Message::Join { sender });
     }
 
-    fn stranger_addresses(&self) -> Vec<SocketAddr> {
+    fn non_member_addresses(&self) -> Vec<SocketAddr> {
         let dead = self
             .members
             .dead()
             .filter(|known| known.member.state == MemberState::Dead)
             .map(|known| known.member.address);
-        let is_met =
+        let is_known =
             |address: &SocketAddr| *address == self.me.address || self.members.is_alive_at(address);
-        let addresses = self.seeds.iter().copied().chain(dead);
-        addresses.filter(|address| !is_met(address)).collect()
+        let addresses = self.seed_addresses.iter().copied().chain(dead);
+        addresses.filter(|address| !is_known(address)).collect()
     }
 
-    fn pick_address(&mut self, addresses: &[SocketAddr]) -> Option<SocketAddr> {
+    fn draw_address(&mut self, addresses: &[SocketAddr]) -> Option<SocketAddr> {
         let index = self.random.rand_range(0..addresses.len().max(1) as u64) as usize;
         addresses.get(index).copied()
     }
 
-    /// Pings a stranger, a new incarnation, or one that is thought dead, with a number that nobody could know before. A
-    /// member that does not know us, or thinks us dead, gets a ping as well: it is its reason to challenge us.
+    /// Pings a non-member, a new incarnation or a member that is considered dead, with a nonce that it cannot know in
+    /// advance. A living member that sends a join is pinged as well: it does not know us or considers us dead, and the
+    /// ping makes it challenge us.
     pub(super) fn challenge(&mut self, now: Nanos, id: &MemberId, address: SocketAddr) {
         let known = self.get(&id.name);
         let is_old = known.is_some_and(|known| id.incarnation < known.id.incarnation);
@@ -67,14 +69,15 @@
             let expiry = now + PENDING_ACK_PERIODS * self.rules.period;
             self.timers.schedule(expiry, Timer::PendingAckExpiry(nonce));
         }
-        let stranger = Contact {
+        let contact = Contact {
             id: id.clone(),
             address,
         };
-        self.ping(&stranger, nonce);
+        self.ping(&contact, nonce);
     }
 
-    /// Lets a stranger in that answered its challenge, and asks it for what happened while we did not know each other.
+    /// Makes a non-member that answered its challenge a member, and fetches its table to learn what changed while the
+    /// two did not know each other.
     pub(super) fn admit(&mut self, now: Nanos, sender: Member, updates: Vec<Member>) {
         let (id, address) = (sender.id.clone(), sender.address);
         self.apply_update(now, sender, &id);
--- a/crates/membership/src/swim/local_health.rs
+++ b/crates/membership/src/swim/local_health.rs
@@ -1,11 +1,12 @@
-//! Lifeguard's local health multiplier: who notices that it is slow itself waits longer before it blames others.
+//! Lifeguard's local health multiplier: a member that notices that it is slow itself waits longer before it suspects
+//! others.
 
 use crate::Nanos;
 
-/// The worst score. Periods and time-outs are so many times longer, and one more.
+/// The highest score. Periods and time-outs are multiplied by the score plus 1.
 const WORST_SCORE: u32 = 8;
 
-/// How slow this member takes itself to be, from 0 for healthy to [`WORST_SCORE`].
+/// How slow this member considers itself, from 0 for healthy to [`WORST_SCORE`].
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct LocalHealth {
     score: u32,
@@ -16,17 +17,17 @@
         self.score
     }
 
-    /// Notes signs of own slowness.
+    /// Raises the score after signs that this member is slow.
     pub fn degrade(&mut self, by: u32) {
         self.score = (self.score + by).min(WORST_SCORE);
     }
 
-    /// Notes a probe that was answered in time.
+    /// Lowers the score after a probe that was answered in time.
     pub fn improve(&mut self) {
         self.score = self.score.saturating_sub(1);
     }
 
-    /// Stretches a time span by the score.
+    /// Multiplies a duration by the score plus 1.
     pub fn stretch(self, span: Nanos) -> Nanos {
         span * (1 + Nanos::from(self.score))
     }
--- a/crates/membership/src/swim/member_table.rs
+++ b/crates/membership/src/swim/member_table.rs
@@ -1,4 +1,4 @@
-//! The table of other members, with indexes beside it, so that no question on the steady path walks all of it.
+//! The table of the other members, with indexes, so that no lookup in normal operation walks all rows.
 
 use crate::member::Member;
 use crate::Nanos;
@@ -8,45 +8,46 @@
 use std::net::SocketAddr;
 use std::ops::Bound;
 
-/// A member, alive or dead, with what only this sidecar knows of it.
+/// A member, alive or dead, and what only this sidecar knows of it.
 pub(super) struct KnownMember {
     pub member: Member,
-    /// Since when it is alive, or is not.
-    pub since: Nanos,
-    /// The names of those who suspect it.
+    /// Since when it has been alive, or not alive.
+    pub status_since: Nanos,
+    /// The names of the members that suspect it.
     pub suspected_by: BTreeSet<String>,
-    /// Since when it is suspected.
+    /// When its current suspicion began; has no meaning while it is not suspected.
     pub suspected_at: Nanos,
 }
 
-/// Which members changed since the last look.
+/// The members that changed since the last
+/// [`Membership::take_changed_members`](super::Membership::take_changed_members).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ChangedMembers {
-    /// Any of them may have.
+    /// Any member may have changed.
     All,
-    /// Those of these names.
+    /// The members of these names changed.
     Names(BTreeSet<String>),
 }
 
 struct Row {
     known: KnownMember,
-    /// What the member takes in a message, in bytes.
+    /// The encoded size of the member in a message, in bytes.
     size: usize,
 }
 
 /// All other members by name.
 pub(super) struct MemberTable {
     by_name: BTreeMap<String, Row>,
-    /// The names of the living, in no order, so that one can be drawn at random.
+    /// The names of the living members, in no particular order, so that one can be drawn at random.
     alive: Vec<String>,
-    /// Where each name stands in `alive`.
+    /// The position of each name in `alive`.
     positions: HashMap<String, usize>,
-    /// The addresses of the living, and how many are at each.
+    /// The addresses of the living members, and how many members have each.
     addresses: HashMap<SocketAddr, usize>,
-    /// The names of those that are dead or have left.
+    /// The names of the members that are dead or have left.
     dead: BTreeSet<String>,
     changes: ChangedMembers,
-    /// Changed names that are kept one by one, at most; beyond it all count as changed.
+    /// Limit on the changed names that are kept; above it all members count as changed.
     max_changes: usize,
     rows_visited: Cell<u64>,
 }
@@ -78,7 +79,7 @@
         self.by_name.get(name).map(|row| &row.known)
     }
 
-    /// Returns a member and what it takes in a message, in bytes.
+    /// Returns a member and its encoded size in bytes.
     pub fn get_with_size(&self, name: &str) -> Option<(&Member, usize)> {
         self.count_visits(1);
         self.by_name
@@ -86,23 +87,23 @@
             .map(|row| (&row.known.member, row.size))
     }
 
-    /// Returns all living members, by name.
+    /// Returns all living members, ordered by name.
     pub fn alive(&self) -> impl Iterator<Item = &Member> {
         let rows = self.by_name.values().inspect(|_| self.count_visits(1));
         rows.map(|row| &row.known.member)
             .filter(|member| member.is_alive())
     }
 
-    /// Returns the living members behind a name, by name, and what each takes in a message, in bytes.
+    /// Returns the living members after a name, ordered by name, each with its encoded size in bytes.
     pub fn alive_after<'a>(&'a self, name: &str) -> impl Iterator<Item = (&'a Member, usize)> {
-        let behind = (Bound::Excluded(name), Bound::Unbounded);
-        let rows = self.by_name.range::<str, _>(behind);
+        let after_name = (Bound::Excluded(name), Bound::Unbounded);
+        let rows = self.by_name.range::<str, _>(after_name);
         rows.inspect(|_| self.count_visits(1))
             .map(|(_, row)| (&row.known.member, row.size))
             .filter(|(member, _)| member.is_alive())
     }
 
-    /// Returns those that are dead or have left, by name.
+    /// Returns the members that are dead or have left, ordered by name.
     pub fn dead(&self) -> impl Iterator<Item = &KnownMember> {
         self.dead.iter().filter_map(|name| self.get(name))
     }
@@ -111,8 +112,9 @@
         self.addresses.contains_key(address)
     }
 
-    /// Draws so many living members at random, each once, leaving one out: the first draws of a shuffle.
-    pub fn draw(&self, random: &mut Rand64, count: usize, without: Option<&str>) -> Vec<&Member> {
+    /// Draws up to `count` different living members at random, leaving out `excluded`: the first steps of a shuffle, in
+    /// which only the moved positions are stored.
+    pub fn draw(&self, random: &mut Rand64, count: usize, excluded: Option<&str>) -> Vec<&Member> {
         let alive = self.alive.len();
         let mut moved: HashMap<usize, usize> = HashMap::new();
         let mut drawn = Vec::new();
@@ -125,14 +127,14 @@
             let displaced = moved.get(&position).copied().unwrap_or(position);
             moved.insert(other, displaced);
             let name = &self.alive[chosen];
-            if Some(name.as_str()) != without {
+            if Some(name.as_str()) != excluded {
                 drawn.extend(self.get(name).map(|known| &known.member));
             }
         }
         drawn
     }
 
-    /// Returns the names of all living members, in no order.
+    /// Returns the names of all living members, in no particular order.
     pub fn alive_names(&self) -> &[String] {
         self.count_visits(self.alive.len() as u64);
         &self.alive
@@ -149,7 +151,7 @@
         self.by_name.insert(name, row);
     }
 
-    /// Changes a member; nothing happens where none has that name.
+    /// Changes the member of this name, if there is one.
     pub fn update(&mut self, name: &str, change: impl FnOnce(&mut KnownMember)) {
         let Some(mut row) = self.by_name.remove(name) else {
             return;
@@ -161,7 +163,7 @@
         self.by_name.insert(name.to_string(), row);
     }
 
-    /// Removes a member; false where none has that name.
+    /// Removes a member. Returns false if no member has that name.
     pub fn remove(&mut self, name: &str) -> bool {
         let Some(row) = self.by_name.remove(name) else {
             return false;
@@ -170,7 +172,7 @@
         true
     }
 
-    /// Returns the names that changed since this was last asked.
+    /// Returns the members that changed since the last call.
     pub fn take_changed_members(&mut self) -> ChangedMembers {
         std::mem::replace(&mut self.changes, ChangedMembers::Names(BTreeSet::new()))
     }
@@ -183,7 +185,7 @@
         self.rows_visited.set(self.rows_visited.get() + rows);
     }
 
-    fn note_change(&mut self, name: &str) {
+    fn record_change(&mut self, name: &str) {
         self.count_visits(1);
         if let ChangedMembers::Names(names) = &mut self.changes {
             if names.len() < self.max_changes {
@@ -195,7 +197,7 @@
     }
 
     fn index(&mut self, name: &str, member: &Member) {
-        self.note_change(name);
+        self.record_change(name);
         if !member.is_alive() {
             self.dead.insert(name.to_string());
             return;
@@ -206,7 +208,7 @@
     }
 
     fn unindex(&mut self, name: &str, member: &Member) {
-        self.note_change(name);
+        self.record_change(name);
         self.dead.remove(name);
         let Some(position) = self.positions.remove(name) else {
             return;
--- a/crates/membership/src/swim/mod.rs
+++ b/crates/membership/src/swim/mod.rs
@@ -1,12 +1,14 @@
-//! SWIM with the extensions of Lifeguard: which members are alive. No I/O; time and a random seed are arguments.
+//! SWIM with the extensions of Lifeguard: decides which members are alive. No I/O; the time and a random seed are
+//! arguments.
 //!
-//! In each protocol period one member is pinged (`probe`), through others where it does not answer
-//! (`indirect_probe`). Who stays silent is suspected and counts as dead unless it refutes that in time
-//! (`suspicion`, `incarnation`). Updates ride on pings and their answers (`dissemination`, `updates`); whole
-//! tables travel after a join alone (`table_sync`). A stranger has to answer a number drawn for it (`join`). Who
-//! notices that it is slow itself waits longer before it blames others (`local_health`).
+//! Each protocol period pings one member (`probe`), and if it does not answer, pings it through other members
+//! (`indirect_probe`). A member that answers neither is suspected, and counts as dead unless it refutes the suspicion
+//! in time (`suspicion`, `incarnation`). Updates are piggybacked on pings and their answers (`dissemination`,
+//! `updates`); a complete table is fetched only after a join (`table_sync`). A non-member has to answer a ping with a
+//! nonce that was drawn for it (`join`). A member that notices that it is slow itself waits longer before it suspects
+//! others (`local_health`).
 //!
-//! All of it is best effort: it holds while enough members can reach each other (docs/membership.md).
+//! All of it is best effort: it works while enough members can reach each other (docs/membership.md).
 
 mod dissemination;
 mod incarnation;
@@ -39,44 +41,45 @@
 use timers::{Timer, Timers};
 use update_queue::UpdateQueue;
 
-/// Answers of strangers and for other members that are waited for at once; beyond it a new one is not asked for.
+/// Limit on the pending answers of challenged non-members and of targets pinged for other members; above it no more
+/// such pings are sent.
 const MAX_PENDING_ACKS: usize = 64;
-/// Periods after which such an answer is not waited for any more.
+/// Periods after which such an answer is no longer expected.
 const PENDING_ACK_PERIODS: Nanos = 4;
-/// Members that a leave is sent to, at least.
+/// The least number of members that are notified of a leave.
 const MIN_LEAVE_MESSAGES: usize = 3;
 
-/// What the caller has to carry out.
+/// An action that the caller has to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Send this message to this address.
+    /// Sends this message to this address.
     Send {
-        /// Its receiver; an empty name where only the address is known.
+        /// The receiver; its name is empty if only the address is known.
         to: MemberId,
-        /// Where the receiver is reached.
+        /// The address of the receiver.
         address: SocketAddr,
         /// The message.
         message: Message,
     },
     /// The membership changed.
     Event(MemberEvent),
-    /// Drop what is kept for this name.
+    /// Drops what is kept for the member of this name.
     Forget(String),
 }
 
-/// An answer that is waited for, other than that of the current probe.
+/// An expected answer, other than that to the current probe.
 #[derive(Clone)]
 enum PendingAck {
-    /// Of a stranger that was challenged.
+    /// The answer of a non-member that was challenged.
     Join(MemberId),
-    /// Of a target that was pinged for another member, whose own ping had this nonce.
+    /// The answer of a target that was pinged for another member, and the nonce of the ping of that member.
     Relay {
         requester: MemberId,
-        requested_nonce: u64,
+        requester_nonce: u64,
     },
 }
 
-/// A member and where it is reached.
+/// A member and its address.
 struct Contact {
     id: MemberId,
     address: SocketAddr,
@@ -95,15 +98,16 @@
 pub struct Membership {
     rules: Rules,
     me: Member,
-    /// Dead members among them; [`Rules::max_members`] bounds it.
+    /// Includes dead members; [`Rules::max_members`] bounds it.
     members: MemberTable,
-    /// Addresses from the settings.
-    seeds: Vec<SocketAddr>,
+    /// The addresses of members through which this one joins, from the settings.
+    seed_addresses: Vec<SocketAddr>,
     probe_order: ProbeOrder,
     probe: Option<Probe>,
-    /// By nonce, at most [`MAX_PENDING_ACKS`]; removed with the answer or [`PENDING_ACK_PERIODS`] later.
+    /// By nonce; at most [`MAX_PENDING_ACKS`] entries. An entry is removed with the answer, or [`PENDING_ACK_PERIODS`]
+    /// later.
     pending_acks: BTreeMap<u64, PendingAck>,
-    /// Members whose whole table is being fetched, part by part.
+    /// Members whose complete table is being fetched, one part after the other.
     fetching_from: BTreeSet<MemberId>,
     updates: UpdateQueue,
     timers: Timers,
@@ -112,23 +116,23 @@
     health: LocalHealth,
     random: Rand64,
     effects: VecDeque<Effect>,
-    /// Joins rejected because the table was full.
+    /// How often a new member was rejected because the table was full.
     pub rejected_joins: u64,
 }
 
 impl Membership {
-    /// Makes a membership of one. `me` begins as alive and without refutations; `seeds` are addresses of members to
-    /// begin with; `seed` draws nonces and the order of probes.
+    /// Makes a membership whose only member is this one. `me` begins as alive and without refutations; `seed_addresses`
+    /// are the addresses through which it joins; `random_seed` determines the nonces and the order of probes.
     pub fn new(
         now: Nanos,
-        seed: u64,
+        random_seed: u64,
         me: Member,
-        seeds: Vec<SocketAddr>,
+        seed_addresses: Vec<SocketAddr>,
         rules: Rules,
     ) -> Membership {
-        let mut random = Rand64::new(u128::from(seed));
+        let mut random = Rand64::new(u128::from(random_seed));
         let mut timers = Timers::default();
-        // Scattered, lest all that start together probe together.
+        // A random delay, so that members that start together do not all probe at the same time.
         let first_period = now + random.rand_range(0..rules.period.max(1));
         timers.schedule(first_period, Timer::ProtocolPeriod);
         Membership {
@@ -139,7 +143,7 @@
             },
             members: MemberTable::new(rules.max_members),
             rules,
-            seeds,
+            seed_addresses,
             probe_order: ProbeOrder::default(),
             probe: None,
             pending_acks: BTreeMap::new(),
@@ -159,12 +163,12 @@
         &self.me
     }
 
-    /// Returns the members that are alive, suspected ones among them, by name; not this one.
+    /// Returns the living members, ordered by name; they include suspected members but not this one.
     pub fn alive(&self) -> impl Iterator<Item = &Member> {
         self.members.alive()
     }
 
-    /// Returns the living member that follows this name; behind the last one, the first.
+    /// Returns the first living member after this name; after the last name, the first member of all.
     pub fn alive_after(&self, name: &str) -> Option<&Member> {
         let mut next = self
             .members
@@ -173,23 +177,23 @@
         next.next().map(|(member, _)| member)
     }
 
-    /// Returns the member of this name, also a dead one that is not forgotten yet.
+    /// Returns the member of this name, even if it is dead and not forgotten yet.
     pub fn get(&self, name: &str) -> Option<&Member> {
         self.members.get(name).map(|known| &known.member)
     }
 
-    /// Whether this incarnation is known and not dead.
+    /// Whether this incarnation is known and alive.
     pub fn is_alive(&self, id: &MemberId) -> bool {
         self.get(&id.name)
             .is_some_and(|member| member.id == *id && member.is_alive())
     }
 
-    /// Returns the members that changed since this was last asked.
+    /// Returns the members that changed since the last call.
     pub fn take_changed_members(&mut self) -> ChangedMembers {
         self.members.take_changed_members()
     }
 
-    /// Returns the rows of the table visited so far: a measure of work that is the same on every machine.
+    /// Returns the number of table rows visited so far: a measure of work that is the same on every machine.
     pub fn rows_visited(&self) -> u64 {
         self.members.rows_visited()
     }
@@ -209,7 +213,8 @@
         self.timers.next_due()
     }
 
-    /// Does what is due by now. Where a timer comes late, nobody is blamed for an answer that may lie unread.
+    /// Runs the timers that are due. If a timer fires late, no member is suspected, since its answer may still be
+    /// unread in the socket.
     pub fn wake(&mut self, now: Nanos) {
         while let Some(fired) = self.timers.pop_due(now) {
             let is_late = now - fired.due > self.rules.ping_timeout;
@@ -228,7 +233,7 @@
         }
     }
 
-    /// Tells some members that this one leaves; they pass it on.
+    /// Tells some members that this one is leaving; they pass the update on.
     pub fn leave(&mut self) {
         self.me.state = MemberState::Left;
         let receivers = self.rules.indirect_probes.max(MIN_LEAVE_MESSAGES);
@@ -241,7 +246,7 @@
         }
     }
 
-    /// Sends a ping with the updates that are due.
+    /// Sends a ping with the updates that are selected for the receiver.
     fn ping(&mut self, to: &Contact, nonce: u64) {
         let updates = self.select_updates(&to.id);
         let ping = Message::Ping {
@@ -268,10 +273,10 @@
         self.random.rand_u64()
     }
 
-    /// Draws so many living members at random, each once, leaving one out.
-    fn draw_contacts(&mut self, count: usize, without: Option<&MemberId>) -> Vec<Contact> {
-        let without = without.map(|id| id.name.as_str());
-        let drawn = self.members.draw(&mut self.random, count, without);
+    /// Draws up to `count` different living members at random, leaving out `excluded`.
+    fn draw_contacts(&mut self, count: usize, excluded: Option<&MemberId>) -> Vec<Contact> {
+        let excluded = excluded.map(|id| id.name.as_str());
+        let drawn = self.members.draw(&mut self.random, count, excluded);
         drawn.into_iter().map(Contact::of).collect()
     }
 
--- a/crates/membership/src/swim/probe.rs
+++ b/crates/membership/src/swim/probe.rs
@@ -1,4 +1,4 @@
-//! Probes: in each protocol period one member is pinged, in an order that is shuffled anew each round.
+//! Probes: each protocol period pings one member, in an order that is shuffled anew for each round.
 
 use super::timers::Timer;
 use super::{Contact, Membership};
@@ -6,27 +6,29 @@
 use crate::Nanos;
 use oorandom::Rand64;
 
-/// The probe of this period.
+/// The probe of the current period.
 pub(super) struct Probe {
     pub nonce: u64,
     pub target: MemberId,
     pub is_answered: bool,
-    /// Members asked for an indirect probe that have said nothing at all, neither yes nor no.
+    /// Members asked for an indirect probe that have answered with neither an ack nor a nack.
     pub silent_relays: usize,
 }
 
-/// The order in which members are probed; shuffled anew when it is through. At most one entry for each known member.
+/// The order in which members are probed, shuffled anew at the end of each round. At most one entry for each known
+/// member.
 #[derive(Default)]
 pub(super) struct ProbeOrder {
-    /// The last one is next.
+    /// The last name is probed next.
     names: Vec<String>,
 }
 
 impl ProbeOrder {
-    /// Enters a new member at a random place of this round, so that it need not wait for the next.
+    /// Inserts a new member at a random position of the current round, so that it does not have to wait for the next
+    /// round.
     pub fn insert(&mut self, random: &mut Rand64, name: &str) {
-        let place = random.rand_range(0..self.names.len() as u64 + 1) as usize;
-        self.names.insert(place, name.to_string());
+        let position = random.rand_range(0..self.names.len() as u64 + 1) as usize;
+        self.names.insert(position, name.to_string());
     }
 
     fn pop(&mut self) -> Option<String> {
@@ -46,7 +48,7 @@
     pub(super) fn run_period(&mut self, now: Nanos, is_late: bool) {
         self.end_probe(now, is_late);
         self.periods += 1;
-        self.invite_strangers();
+        self.send_join();
         self.refresh_table();
         if let Some(target) = self.next_probe_target() {
             self.begin_probe(now, target);
@@ -55,8 +57,8 @@
         self.timers.schedule(next_period, Timer::ProtocolPeriod);
     }
 
-    /// Suspects the target of an unanswered probe. Where this timer comes late, the answer may lie unread in the socket,
-    /// and we are slow ourselves.
+    /// Suspects the target of an unanswered probe. If this timer fires late, the target is not suspected: the answer
+    /// may still be unread in the socket, and this member itself is slow.
     fn end_probe(&mut self, now: Nanos, is_late: bool) {
         match self.probe.take() {
             Some(probe) if probe.is_answered => self.health.improve(),
@@ -83,7 +85,7 @@
     }
 
     fn next_probe_target(&mut self) -> Option<Contact> {
-        // The rest of this round, then at most a whole new one.
+        // First the rest of this round, then at most one complete new round.
         for _ in 0..2 {
             while let Some(name) = self.probe_order.pop() {
                 if let Some(member) = self.get(&name).filter(|member| member.is_alive()) {
@@ -96,8 +98,8 @@
         None
     }
 
-    /// Handles an answer to the probe of this period: the target's own, or one that a relay passes on. Returns false for
-    /// any other.
+    /// Handles an answer to the probe of this period, from the target itself or forwarded by a relay. Returns false for
+    /// any other answer.
     pub(super) fn answer_probe(
         &mut self,
         now: Nanos,
--- a/crates/membership/src/swim/receive.rs
+++ b/crates/membership/src/swim/receive.rs
@@ -1,4 +1,4 @@
-//! Handles the messages of members and of strangers, by kind.
+//! Handles the messages of members and of non-members, by kind.
 
 use super::{Contact, Membership, PendingAck};
 use crate::member::{Member, MemberId};
@@ -7,10 +7,11 @@
 use crate::Nanos;
 
 impl Membership {
-    /// Handles a message of a member or of a stranger.
+    /// Handles a message of a member or of a non-member.
     ///
     /// # Errors
-    /// [`Rejection::NotAMember`] for a message that only members may send, and for an answer that nobody waits for.
+    /// [`Rejection::NotAMember`] for a message that only members may send, for one whose sender does not match the
+    /// envelope, and for an answer to no pending ping.
     pub fn receive(
         &mut self,
         now: Nanos,
@@ -44,8 +45,8 @@
                 sender,
                 updates,
             } if sender.id == *from => {
-                let is_awaited = self.receive_ack(now, nonce, sender, updates);
-                return is_awaited.then_some(()).ok_or(Rejection::NotAMember);
+                let is_expected = self.receive_ack(now, nonce, sender, updates);
+                return is_expected.then_some(()).ok_or(Rejection::NotAMember);
             }
             Message::Join { .. } | Message::Ping { .. } | Message::Ack { .. } => {
                 return Err(Rejection::NotAMember);
@@ -73,7 +74,7 @@
         self.send(to.id, to.address, ack);
     }
 
-    /// Handles an answer; false where nobody waits for it.
+    /// Handles an answer. Returns false if it answers no pending ping.
     fn receive_ack(
         &mut self,
         now: Nanos,
@@ -82,19 +83,19 @@
         updates: Vec<Member>,
     ) -> bool {
         match self.pending_acks.remove(&nonce) {
-            Some(PendingAck::Join(stranger)) if stranger == sender.id => {
+            Some(PendingAck::Join(challenged)) if challenged == sender.id => {
                 self.admit(now, sender, updates);
                 true
             }
             Some(PendingAck::Relay {
                 requester,
-                requested_nonce,
+                requester_nonce,
             }) => {
-                self.relay_ack(requester, requested_nonce, sender);
+                self.relay_ack(requester, requester_nonce, sender);
                 true
             }
-            Some(answered_by_another) => {
-                self.pending_acks.insert(nonce, answered_by_another);
+            Some(mismatched) => {
+                self.pending_acks.insert(nonce, mismatched);
                 false
             }
             None => self.answer_probe(now, nonce, sender, updates),
--- a/crates/membership/src/swim/rules.rs
+++ b/crates/membership/src/swim/rules.rs
@@ -1,23 +1,23 @@
-//! The limits and time spans of the membership protocol.
+//! The limits and durations of the membership protocol.
 
 use crate::Nanos;
 
 const NS_PER_MS: Nanos = 1_000_000;
 
-/// Limits and time spans of one [`Membership`](super::Membership).
+/// Limits and durations of one [`Membership`](super::Membership).
 ///
-/// All time-outs belong to the promise of progress alone: they say how soon a member is noticed or given up, never who
-/// may act.
+/// All time-outs belong to the promise of progress alone, not to safety: they determine how soon a member is noticed or
+/// declared dead, never who may act.
 #[derive(Clone, Debug)]
 pub struct Rules {
-    /// The protocol period: one member is probed in each.
+    /// The protocol period, in which one member is probed.
     pub period: Nanos,
-    /// How long the answer to a direct ping may take; under half of the period.
+    /// Time limit for the answer to a direct ping; less than half of the period.
     pub ping_timeout: Nanos,
-    /// Members that are asked to ping one that does not answer.
+    /// The number of members that are asked to ping a target that does not answer.
     pub indirect_probes: usize,
-    /// Members known at most, dead ones among them. Beyond it the one that has been dead longest is forgotten, and where
-    /// none is dead a newcomer is turned away and counted.
+    /// Limit on the known members, including dead ones. Above it the member that has been dead longest is forgotten; if
+    /// none is dead, the new member is rejected and counted.
     pub max_members: usize,
     /// How long a dead member stays known, so that old updates do not bring it back.
     pub dead_retention: Nanos,
--- a/crates/membership/src/swim/suspicion.rs
+++ b/crates/membership/src/swim/suspicion.rs
@@ -1,4 +1,4 @@
-//! Suspicion: for how long a silent member may refute before it counts as dead.
+//! Suspicion: how long a member that does not answer may refute before it counts as dead.
 
 use super::member_table::KnownMember;
 use super::timers::Timer;
@@ -6,14 +6,15 @@
 use crate::member::{Member, MemberId, MemberState};
 use crate::Nanos;
 
-/// Periods for which a member is suspected at least, for each tenfold of the number of members.
+/// The shortest suspicion, in protocol periods for each tenfold of the number of members.
 const MIN_PERIODS_PER_TENFOLD: f64 = 5.0;
-/// How many times longer a member is suspected where nobody confirms it.
+/// How many times longer a member is suspected if no other member confirms the suspicion.
 const MAX_TIMEOUT_FACTOR: f64 = 6.0;
-/// Members whose independent suspicions shorten the time-out; further ones change nothing.
+/// Limit on the members whose independent suspicions shorten the time-out; further ones have no effect.
 const MAX_CONFIRMATIONS: usize = 3;
 
-/// Whether this update is one more suspicion of the same incarnation and refutation, of the first few.
+/// Whether this update is a further suspicion, by another member, of the same incarnation after the same number of
+/// refutations, and within [`MAX_CONFIRMATIONS`].
 pub(super) fn confirms_suspicion(update: &Member, known: &KnownMember) -> bool {
     let (MemberState::Suspected(by), MemberState::Suspected(_)) =
         (&update.state, &known.member.state)
@@ -39,7 +40,8 @@
         self.apply_update(now, update, &source);
     }
 
-    /// Counts one more member that suspects the same. The update is passed on as it came, so that others can count it.
+    /// Counts one more member that suspects the same member. The update is passed on unchanged, so that other members
+    /// can count it.
     pub(super) fn confirm_suspicion(&mut self, now: Nanos, update: Member) {
         let (id, refutations) = (update.id, update.refutations);
         self.members.update(&id.name, |known| {
@@ -52,8 +54,8 @@
         self.schedule_suspicion_timeout(now, id, refutations);
     }
 
-    /// Schedules the end of a suspicion, sooner with each confirmation. Earlier timers of it stay: the first to fire on
-    /// a suspicion that still stands ends it.
+    /// Schedules the end of a suspicion, sooner with each confirmation. Earlier timers stay scheduled; the first one
+    /// that fires while the suspicion still holds ends it.
     pub(super) fn schedule_suspicion_timeout(
         &mut self,
         now: Nanos,
@@ -70,23 +72,24 @@
             .schedule(due, Timer::SuspicionTimeout { id, refutations });
     }
 
-    /// Lifeguard's time-out: it falls from the longest to the shortest by the logarithm of the confirmations.
+    /// Returns Lifeguard's time-out, which falls from the longest to the shortest with the logarithm of the number of
+    /// confirmations.
     fn suspicion_timeout(&self, confirmations: usize) -> Nanos {
         let members = self.members.count_alive() as f64 + 1.0;
         let tenfolds = members.log10().max(1.0);
         let shortest = MIN_PERIODS_PER_TENFOLD * tenfolds * self.rules.period as f64;
         let longest = MAX_TIMEOUT_FACTOR * shortest;
-        let possible = MAX_CONFIRMATIONS.min((members as usize).saturating_sub(2));
-        let shortened = if possible == 0 {
+        let possible_confirmations = MAX_CONFIRMATIONS.min((members as usize).saturating_sub(2));
+        let shortened_by = if possible_confirmations == 0 {
             1.0
         } else {
-            (confirmations as f64 + 1.0).ln() / (possible as f64 + 1.0).ln()
+            (confirmations as f64 + 1.0).ln() / (possible_confirmations as f64 + 1.0).ln()
         };
-        (longest - (longest - shortest) * shortened).max(shortest) as Nanos
+        (longest - (longest - shortest) * shortened_by).max(shortest) as Nanos
     }
 
-    /// Declares a member dead that has not refuted the suspicion. Where this timer comes late, a refutation may lie
-    /// unread in the socket: one more period.
+    /// Declares a member dead that has not refuted the suspicion. If this timer fires late, a refutation may still be
+    /// unread in the socket, so the member gets one more period.
     pub(super) fn end_suspicion(
         &mut self,
         now: Nanos,
--- a/crates/membership/src/swim/timers.rs
+++ b/crates/membership/src/swim/timers.rs
@@ -1,4 +1,4 @@
-//! What comes due, in the order of time and then of scheduling.
+//! The timers, ordered by the time at which they are due, and then by the order in which they were scheduled.
 
 use crate::member::MemberId;
 use crate::Nanos;
@@ -10,27 +10,28 @@
     ProtocolPeriod,
     /// The direct ping with this nonce has not been answered: probe indirectly.
     PingTimeout(u64),
-    /// A suspected member with this number of refutations has not refuted in time.
+    /// The suspected member has not refuted in time, if its number of refutations is still this one.
     SuspicionTimeout { id: MemberId, refutations: u32 },
     /// The ping with this nonce was sent for another member and has not been answered.
     RelayTimeout(u64),
-    /// The answer to the ping with this nonce is not waited for any more.
+    /// The answer to the ping with this nonce is no longer expected.
     PendingAckExpiry(u64),
-    /// A dead member of this name may be forgotten.
+    /// The dead member of this name may be forgotten.
     DeadExpiry(String),
 }
 
 /// A timer that has fired.
-pub(super) struct Fired {
+pub(super) struct FiredTimer {
     /// When it was due.
     pub due: Nanos,
     pub timer: Timer,
 }
 
-/// All timers. Their number is bounded by the members and the answers that are waited for.
+/// All timers. Their number is bounded by the known members and the pending answers.
 #[derive(Default)]
 pub(super) struct Timers {
     by_time: BTreeMap<(Nanos, u64), Timer>,
+    /// Timers scheduled so far; orders those that are due at the same time.
     scheduled: u64,
 }
 
@@ -46,12 +47,12 @@
     }
 
     /// Removes the next timer if it is due.
-    pub fn pop_due(&mut self, now: Nanos) -> Option<Fired> {
+    pub fn pop_due(&mut self, now: Nanos) -> Option<FiredTimer> {
         let entry = self.by_time.first_entry()?;
         if entry.key().0 > now {
             return None;
         }
         let ((due, _), timer) = entry.remove_entry();
-        Some(Fired { due, timer })
+        Some(FiredTimer { due, timer })
     }
 }
--- a/crates/membership/src/swim/update_queue.rs
+++ b/crates/membership/src/swim/update_queue.rs
@@ -1,57 +1,59 @@
-//! Updates that ride on pings and their answers: the least sent first, each a limited number of times.
+//! Updates to be piggybacked on pings and their answers: the least often sent first, each a limited number of times.
 
 use std::collections::{BTreeSet, HashMap};
 
-/// Updates that did not fit into a message, before the rest is left for the next one.
-const MAX_MISFITS: usize = 8;
+/// Updates that may fail to fit into a message before it counts as full.
+const MAX_TOO_LONG_UPDATES: usize = 8;
 
-/// What became of an update that was offered to a message.
-pub(super) enum Offer {
-    /// It is in the message.
-    Taken,
-    /// It is not for this receiver.
+/// The outcome of offering an update to a message.
+pub(super) enum OfferOutcome {
+    /// It was added to the message.
+    Added,
+    /// It is not meant for this receiver.
     Skipped,
-    /// There was no room for it.
-    Misfit,
-    /// There is nothing to say of this name any more.
+    /// It is too long for the space that is left.
+    TooLong,
+    /// The member of this name is no longer known.
     Obsolete,
 }
 
-/// The names of members whose updates are still sent. At most one entry for each known member.
+/// The names of the members whose updates are still to be sent. At most one entry for each known member.
 #[derive(Default)]
 pub(super) struct UpdateQueue {
-    /// By how often the update was sent, then by name.
+    /// Ordered by how often the update was sent, then by name.
     order: BTreeSet<(u32, String)>,
+    /// How often the update of each name was sent.
     sent: HashMap<String, u32>,
 }
 
 impl UpdateQueue {
-    /// Sends the update of this name as often as a new one.
+    /// Puts the update of this name at the start of the queue, to be sent as often as a new one.
     pub fn restart(&mut self, name: &str) {
         self.remove(name);
         self.insert(0, name.to_string());
     }
 
-    /// Fills a message: offers names in order until it is full. Those taken `max_sends` times leave the queue.
-    pub fn fill(&mut self, max_sends: u32, mut offer: impl FnMut(&str) -> Offer) {
-        let mut misfits = 0;
-        let mut taken = Vec::new();
+    /// Fills a message: offers it the updates in order until it is full. An update that was added `max_sends` times
+    /// leaves the queue.
+    pub fn fill(&mut self, max_sends: u32, mut offer: impl FnMut(&str) -> OfferOutcome) {
+        let mut too_long = 0;
+        let mut added = Vec::new();
         let mut obsolete = Vec::new();
         for (sent, name) in &self.order {
             match offer(name) {
-                Offer::Taken => taken.push((sent + 1, name.clone())),
-                Offer::Obsolete => obsolete.push(name.clone()),
-                Offer::Skipped => {}
-                Offer::Misfit => misfits += 1,
+                OfferOutcome::Added => added.push((sent + 1, name.clone())),
+                OfferOutcome::Obsolete => obsolete.push(name.clone()),
+                OfferOutcome::Skipped => {}
+                OfferOutcome::TooLong => too_long += 1,
             }
-            if misfits >= MAX_MISFITS {
+            if too_long >= MAX_TOO_LONG_UPDATES {
                 break;
             }
         }
         for name in obsolete {
             self.remove(&name);
         }
-        for (sent, name) in taken {
+        for (sent, name) in added {
             self.remove(&name);
             if sent < max_sends {
                 self.insert(sent, name);
--- a/crates/membership/src/swim/updates.rs
+++ b/crates/membership/src/swim/updates.rs
@@ -1,4 +1,4 @@
-//! Applies updates of other members to the member table, and reports what changed.
+//! Applies updates about other members to the member table, and reports what changed.
 
 use super::member_table::KnownMember;
 use super::suspicion::confirms_suspicion;
@@ -11,14 +11,14 @@
 use std::collections::BTreeSet;
 
 impl Membership {
-    /// Applies all of these updates, which came from one member.
+    /// Applies updates that were received from one member.
     pub(super) fn apply_updates(&mut self, now: Nanos, updates: Vec<Member>, source: &MemberId) {
         for update in updates {
             self.apply_update(now, update, source);
         }
     }
 
-    /// Applies one update; what says nothing new changes nothing.
+    /// Applies one update. An update that is not newer than what is known has no effect.
     pub(super) fn apply_update(&mut self, now: Nanos, update: Member, source: &MemberId) {
         let name = &update.id.name;
         if *name == self.me.id.name {
@@ -50,7 +50,7 @@
         }
     }
 
-    /// A later incarnation takes the place of the known one.
+    /// Replaces the known incarnation of a member by a later one.
     fn replace_incarnation(&mut self, now: Nanos, update: Member, replaced: Member) {
         if replaced.is_alive() {
             self.notify(MemberEvent::Lost(replaced.id));
@@ -58,9 +58,9 @@
         self.insert(now, update);
     }
 
-    /// Takes an update of a known incarnation that says more than what was known.
+    /// Applies an update that overrides what is known of the same incarnation.
     fn override_known(&mut self, now: Nanos, before: &Member, update: Member, source: &MemberId) {
-        // A member alone may change its address.
+        // Only the member itself may change its address.
         let address = if *source == update.id {
             update.address
         } else {
@@ -79,7 +79,7 @@
         let name = member.id.name.clone();
         self.members.update(&name, |known| {
             if was_alive != member.is_alive() {
-                known.since = now;
+                known.status_since = now;
             }
             known.suspected_by.clear();
             if let MemberState::Suspected(by) = &member.state {
@@ -105,7 +105,7 @@
         }
     }
 
-    /// Enters a member, or the next incarnation of one.
+    /// Adds a new member, or a new incarnation of a known one.
     fn insert(&mut self, now: Nanos, member: Member) {
         let (id, refutations) = (member.id.clone(), member.refutations);
         let (is_alive, is_suspected) = (member.is_alive(), member.is_suspected());
@@ -115,7 +115,7 @@
         };
         self.members.insert(KnownMember {
             member,
-            since: now,
+            status_since: now,
             suspected_by,
             suspected_at: now,
         });
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Whether one more member fits; the one that has been dead longest makes way.
+    /// Whether one more member fits. If the table is full, the member that has been dead longest is removed.
     fn make_room(&mut self) -> bool {
         if self.members.len() < self.rules.max_members {
             return true;
@@ -139,7 +139,7 @@
         let longest_dead = self
             .members
             .dead()
-            .min_by_key(|known| known.since)
+            .min_by_key(|known| known.status_since)
             .map(|known| known.member.id.name.clone());
         match longest_dead {
             Some(name) => {
@@ -165,11 +165,11 @@
             .schedule(due, Timer::DeadExpiry(name.to_string()));
     }
 
-    /// Forgets a dead member, unless it came back, or died again, meanwhile.
+    /// Forgets a dead member, unless it has come back, or has died again, in the meantime.
     pub(super) fn forget_dead(&mut self, now: Nanos, name: &str) {
         let retention = self.rules.dead_retention;
         let is_expired = |known: &KnownMember| {
-            !known.member.is_alive() && now.saturating_sub(known.since) >= retention
+            !known.member.is_alive() && now.saturating_sub(known.status_since) >= retention
         };
         if self.members.get(name).is_some_and(is_expired) {
             self.remove(name);
--- a/crates/membership/src/transport/mod.rs
+++ b/crates/membership/src/transport/mod.rs
@@ -1,5 +1,5 @@
-//! The sockets of a sidecar: feeds a [`Node`] with datagrams and time, and sends what it leaves. What is too long for a
-//! datagram goes over TCP to the same address and port.
+//! The sockets of a sidecar: passes datagrams and the time to a [`Node`], and sends the frames that it queues. Messages
+//! that are too long for a datagram go over TCP to the same address and port.
 
 mod event_log;
 mod streams;
@@ -21,55 +21,55 @@
 use tokio::sync::{mpsc, Notify};
 use tokio::time::sleep_until;
 
-/// Datagrams read in one turn before other tasks of the thread get theirs.
+/// Limit on the datagrams read in one turn, before the other tasks of the thread run.
 const MAX_DATAGRAMS_PER_TURN: usize = 64;
-/// How long the loop waits where the node has nothing due.
+/// How long the loop waits if the node has no timer scheduled.
 const LONGEST_WAIT: Duration = Duration::from_secs(3_600);
 
-/// Returns a number that grows with each start under a name: the wall clock in milliseconds since 1970.
+/// Returns an incarnation that grows with each start under a name: the wall clock in milliseconds since 1970.
 pub fn new_incarnation() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map_or(1, |since| since.as_millis() as u64)
 }
 
-/// A node and its sockets. It lives on one thread, within a `LocalSet` or `LocalRuntime`.
+/// A node and its sockets. It runs on one thread, within a `LocalSet` or `LocalRuntime`.
 pub struct Transport {
     node: RefCell<Node>,
     socket: UdpSocket,
     listener: TcpListener,
     streams: OutgoingStreams,
-    began: Instant,
-    /// Wakes the loop after a call, as something may be due sooner.
+    started_at: Instant,
+    /// Wakes the loop after a call, because a timer may be due sooner than before.
     rearm: Notify,
-    /// From the streams that others opened to the loop.
-    received: mpsc::Sender<Bytes>,
-    /// The other end, until the loop takes it.
-    receiver: RefCell<Option<mpsc::Receiver<Bytes>>>,
+    /// Passes messages from the streams that others opened to the loop.
+    message_sender: mpsc::Sender<Bytes>,
+    /// The receiving end of that channel, until [`Transport::run`] takes it.
+    message_receiver: RefCell<Option<mpsc::Receiver<Bytes>>>,
     dropped_sends: Cell<u64>,
 }
 
 impl Transport {
-    /// Binds the sockets. `make` makes the node; it gets the time and the address that the sockets are bound to.
+    /// Binds the sockets. `make_node` makes the node from the time and the address that the sockets are bound to.
     ///
     /// # Errors
     /// An address that cannot be bound.
     pub async fn bind(
         address: SocketAddr,
-        make: impl FnOnce(Nanos, SocketAddr) -> Node,
+        make_node: impl FnOnce(Nanos, SocketAddr) -> Node,
     ) -> io::Result<Rc<Transport>> {
         let pair = PortPair::bind(address).await?;
-        let node = make(0, pair.local_address()?);
-        let (received, receiver) = mpsc::channel(MAX_WAITING_MESSAGES);
+        let node = make_node(0, pair.local_address()?);
+        let (message_sender, message_receiver) = mpsc::channel(MAX_WAITING_MESSAGES);
         Ok(Rc::new(Transport {
             node: RefCell::new(node),
             socket: pair.datagrams,
             listener: pair.streams,
             streams: OutgoingStreams::default(),
-            began: Instant::now(),
+            started_at: Instant::now(),
             rearm: Notify::new(),
-            received,
-            receiver: RefCell::new(Some(receiver)),
+            message_sender,
+            message_receiver: RefCell::new(Some(message_receiver)),
             dropped_sends: Cell::new(0),
         }))
     }
@@ -77,38 +77,40 @@
     /// Returns the address that the sockets are bound to.
     ///
     /// # Errors
-    /// What the system says of the socket.
+    /// The error of the operating system for the UDP socket.
     pub fn local_address(&self) -> io::Result<SocketAddr> {
         self.socket.local_addr()
     }
 
-    /// Returns the number of datagrams that a full socket did not take, and of messages that too many waited before for
-    /// one stream.
+    /// Returns the number of datagrams that the socket did not accept because its buffer was full, and of messages that
+    /// were dropped because too many were waiting for the same stream.
     pub fn dropped_sends(&self) -> u64 {
         self.dropped_sends.get()
     }
 
-    /// Returns the nanoseconds since the start, on the monotonic clock.
+    /// Returns the time since the start on the monotonic clock, in nanoseconds.
     pub fn now(&self) -> Nanos {
-        self.began.elapsed().as_nanos() as Nanos
+        self.started_at.elapsed().as_nanos() as Nanos
     }
 
-    /// Makes one call into the node, then sends all that it left.
-    pub fn call<T>(&self, work: impl FnOnce(&mut Node, Nanos) -> T) -> T {
-        let done = work(&mut self.node.borrow_mut(), self.now());
+    /// Calls the node, then sends the frames that it queued.
+    pub fn call<T>(&self, action: impl FnOnce(&mut Node, Nanos) -> T) -> T {
+        let result = action(&mut self.node.borrow_mut(), self.now());
         self.flush();
         self.rearm.notify_one();
-        done
+        result
     }
 
-    /// Runs until it is dropped. `on_event` gets what happens, after the call that brought it.
+    /// Runs until the returned future is dropped. Calls `on_event` for each event, after the call of the node that
+    /// caused it.
     pub async fn run(self: Rc<Self>, mut on_event: impl FnMut(&Rc<Transport>, NodeEvent)) {
-        let Some(mut receiver) = self.receiver.borrow_mut().take() else {
+        let Some(mut message_receiver) = self.message_receiver.borrow_mut().take() else {
             return;
         };
-        // One byte more than the longest, so that a longer one shows as such.
+        // One byte more than the longest datagram, so that a longer one is rejected rather than truncated to that
+        // length.
         let mut buffer = [0; MAX_DATAGRAM_BYTES + 1];
-        let accepting = accept_streams(&self.listener, self.received.clone());
+        let accepting = accept_streams(&self.listener, self.message_sender.clone());
         tokio::pin!(accepting);
         loop {
             tokio::select! {
@@ -116,12 +118,13 @@
                 () = sleep_until(self.next_wake().into()) => {}
                 () = self.rearm.notified() => {}
                 () = &mut accepting => {}
-                Some(message) = receiver.recv() => {
+                Some(message) = message_receiver.recv() => {
                     let now = self.now();
                     self.node.borrow_mut().receive_stream_message(now, &message);
                 }
             }
-            // What lies in the socket first: an answer that came in time must not count as late.
+            // Reads the datagrams in the socket before the timers run: an answer that arrived in time must not count as
+            // late.
             self.read_datagrams(&mut buffer);
             let now = self.now();
             self.node.borrow_mut().wake(now);
@@ -136,7 +139,7 @@
     fn next_wake(&self) -> Instant {
         let due = self.node.borrow().next_wake();
         match due {
-            Some(due) => self.began + Duration::from_nanos(due),
+            Some(due) => self.started_at + Duration::from_nanos(due),
             None => Instant::now() + LONGEST_WAIT,
         }
     }
@@ -145,10 +148,11 @@
         self.node.borrow_mut().next_event()
     }
 
-    /// Reads a turn's worth of datagrams, lest a flood keep the timers from their due.
+    /// Reads a limited number of datagrams, so that a flood does not delay the timers.
     fn read_datagrams(&self, buffer: &mut [u8]) {
         for _ in 0..MAX_DATAGRAMS_PER_TURN {
-            // Where the system tells of an earlier datagram that nobody took, there is nothing to read.
+            // Nothing can be read if the socket is empty, nor if the system reports that an earlier datagram had no
+            // receiver.
             let Ok((length, _)) = self.socket.try_recv_from(buffer) else {
                 return;
             };
@@ -158,7 +162,8 @@
         }
     }
 
-    /// Sends what the node left. What a full socket does not take is dropped, as the network might have lost it.
+    /// Sends the frames that the node queued. A datagram that the socket does not accept is dropped, as the network
+    /// might have lost it.
     fn flush(&self) {
         while let Some((address, datagram)) = self.next_datagram() {
             if self.socket.try_send_to(&datagram, address).is_err() {
--- a/crates/membership/src/transport/streams.rs
+++ b/crates/membership/src/transport/streams.rs
@@ -1,4 +1,5 @@
-//! Streams between members: one to each address for what is too long for a datagram, a frame a message.
+//! Streams between members: one to each address, for messages that are too long for a datagram. Each message is one
+//! frame.
 
 use crate::frame::MAX_STREAM_BYTES;
 use bytes::Bytes;
@@ -15,17 +16,18 @@
 use tokio::time::{sleep, timeout};
 use tokio_util::codec::{Framed, LengthDelimitedCodec};
 
-/// Streams of others that are open at once; a further one waits to be accepted.
+/// Limit on the open streams from other members; a further one waits to be accepted.
 const MAX_INCOMING_STREAMS: usize = 256;
-/// Messages that wait for one stream; a further one is dropped, as a datagram might have been.
+/// Limit on the messages that wait for one stream; a further one is dropped, as a datagram might have been.
 pub(super) const MAX_WAITING_MESSAGES: usize = 64;
-/// How long connecting may take, and sending one message.
+/// Time limit for connecting, and for sending one message.
 const SEND_TIMEOUT: Duration = Duration::from_millis(500);
-/// A stream that carried nothing for so long is closed by whoever opened it.
+/// A stream without messages for this time is closed by the member that opened it.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
-/// The same at whoever accepted it: later, so that no message is sent into a closing stream.
+/// A stream without messages for this time is closed by the member that accepted it. Longer than [`IDLE_TIMEOUT`], so
+/// that no message is sent into a stream that is being closed.
 const ACCEPTED_IDLE_TIMEOUT: Duration = Duration::from_secs(40);
-/// The pause after a failed accept: no descriptors are left, most likely.
+/// The pause after a failed accept, which most likely means that no file descriptors are left.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 fn codec() -> LengthDelimitedCodec {
@@ -34,40 +36,40 @@
         .new_codec()
 }
 
-/// The streams that we opened. An entry is removed with its stream, so there are at most as many as members.
+/// The streams that this member opened. An entry is removed with its stream, so there are at most as many as members.
 #[derive(Clone, Default)]
 pub(super) struct OutgoingStreams {
     by_address: Rc<RefCell<HashMap<SocketAddr, mpsc::Sender<Bytes>>>>,
 }
 
 impl OutgoingStreams {
-    /// Sends a message over the stream to this address, which is opened if need be. Returns false where too many wait
-    /// for it.
+    /// Sends a message over the stream to this address, which is opened if necessary. Returns false if too many
+    /// messages are waiting for it.
     pub fn send(&self, address: SocketAddr, message: Bytes) -> bool {
         let mut streams = self.by_address.borrow_mut();
         let messages = streams.entry(address).or_insert_with(|| {
-            let (messages, waiting) = mpsc::channel(MAX_WAITING_MESSAGES);
-            spawn_local(self.clone().run(address, waiting));
+            let (messages, queue) = mpsc::channel(MAX_WAITING_MESSAGES);
+            spawn_local(self.clone().run(address, queue));
             messages
         });
         messages.try_send(message).is_ok()
     }
 
-    /// Carries messages to one address until nothing more comes or the stream breaks.
-    async fn run(self, address: SocketAddr, mut waiting: mpsc::Receiver<Bytes>) {
-        carry_messages(address, &mut waiting).await;
+    /// Sends the messages for one address until the stream has been idle for too long or fails.
+    async fn run(self, address: SocketAddr, mut queue: mpsc::Receiver<Bytes>) {
+        send_messages(address, &mut queue).await;
         self.by_address.borrow_mut().remove(&address);
     }
 }
 
-async fn carry_messages(address: SocketAddr, waiting: &mut mpsc::Receiver<Bytes>) {
+async fn send_messages(address: SocketAddr, queue: &mut mpsc::Receiver<Bytes>) {
     let Ok(Ok(stream)) = timeout(SEND_TIMEOUT, TcpStream::connect(address)).await else {
         return;
     };
-    // Without it messages come later, and nothing else changes.
+    // Ignores a failure: without TCP_NODELAY messages arrive later, and nothing else changes.
     let _ = stream.set_nodelay(true);
     let mut frames = Framed::new(stream, codec());
-    while let Ok(Some(message)) = timeout(IDLE_TIMEOUT, waiting.recv()).await {
+    while let Ok(Some(message)) = timeout(IDLE_TIMEOUT, queue.recv()).await {
         if !matches!(
             timeout(SEND_TIMEOUT, frames.send(message)).await,
             Ok(Ok(()))
@@ -77,8 +79,8 @@
     }
 }
 
-/// Accepts streams and passes on the messages that they carry, without end.
-pub(super) async fn accept_streams(listener: &TcpListener, received: mpsc::Sender<Bytes>) {
+/// Accepts streams and passes on the messages that they carry. Runs forever.
+pub(super) async fn accept_streams(listener: &TcpListener, message_sender: mpsc::Sender<Bytes>) {
     let permits = Arc::new(Semaphore::new(MAX_INCOMING_STREAMS));
     let mut open = JoinSet::new();
     loop {
@@ -88,9 +90,9 @@
         tokio::select! {
             accepted = listener.accept() => match accepted {
                 Ok((stream, _)) => {
-                    let received = received.clone();
+                    let message_sender = message_sender.clone();
                     open.spawn_local(async move {
-                        read_messages(stream, received).await;
+                        read_messages(stream, message_sender).await;
                         drop(permit);
                     });
                 }
@@ -101,11 +103,11 @@
     }
 }
 
-/// Passes on the messages of one stream until it ends, breaks or stays idle.
-async fn read_messages(stream: TcpStream, received: mpsc::Sender<Bytes>) {
+/// Passes on the messages of one stream until it ends, fails or has been idle for too long.
+async fn read_messages(stream: TcpStream, message_sender: mpsc::Sender<Bytes>) {
     let mut frames = Framed::new(stream, codec());
     while let Ok(Some(Ok(message))) = timeout(ACCEPTED_IDLE_TIMEOUT, frames.next()).await {
-        if received.send(message.freeze()).await.is_err() {
+        if message_sender.send(message.freeze()).await.is_err() {
             return;
         }
     }
--- a/crates/membership/src/view_exchange.rs
+++ b/crates/membership/src/view_exchange.rs
@@ -1,6 +1,6 @@
-//! Keeps a sidecar's quorum state up to date: takes in changes of the membership and peers' views, and sends one peer its
-//! own view each period, and one more out of turn where a follow-up is due. No I/O; the sidecar's transport and the
-//! simulated network drive the same code.
+//! Keeps the quorum state of a sidecar up to date: applies changes of the membership and the views of peers, and in
+//! each period sends the sidecar's own view to the next peer in rotation, and to one more peer if a follow-up is due.
+//! No I/O; the sidecar's transport and the simulated network run the same code.
 
 use crate::event::MemberEvent;
 use crate::follow_ups::FollowUps;
@@ -11,23 +11,23 @@
 use crate::swim::ChangedMembers;
 use crate::Nanos;
 
-/// The kind of message in which views are sent.
+/// The message kind of views.
 pub const VIEW_KIND: u8 = 3;
-/// Periods between two looks at all members; in between, only those that changed are looked at.
+/// Periods between two updates from all members; in between, only the members that changed are updated.
 const RESYNC_PERIODS: u64 = 120;
 
-/// A [`Quorum`] together with the exchange of views.
+/// A [`Quorum`] and the exchange of views that keeps it up to date.
 pub struct ViewExchange {
     quorum: Quorum,
     periods: u64,
-    /// Who received our view last. It goes round by name, beginning behind our own, so that sidecars that started together
-    /// do not all choose the same one.
+    /// The name of the peer that received our view last. The rotation is ordered by name and begins after our own name,
+    /// so that sidecars that started together do not all choose the same peer.
     last_receiver: String,
     follow_ups: FollowUps,
 }
 
 impl ViewExchange {
-    /// Begins with a quorum of one.
+    /// Makes an exchange whose quorum has one voter, this sidecar.
     pub fn new(now: Nanos, me: MemberId, rules: Rules) -> ViewExchange {
         let last_receiver = me.name.clone();
         ViewExchange {
@@ -43,7 +43,7 @@
         &self.quorum
     }
 
-    /// Takes in a change of the membership.
+    /// Applies a change of the membership.
     pub fn observe(&mut self, now: Nanos, event: &MemberEvent) {
         match event {
             MemberEvent::Left(id) => self.quorum.record_leave(now, id),
@@ -52,10 +52,10 @@
         }
     }
 
-    /// Takes in a peer's view.
+    /// Applies the view of a peer.
     ///
     /// # Errors
-    /// A body that is no view; it changes nothing.
+    /// A body that is not a view; it has no effect.
     pub fn receive(
         &mut self,
         now: Nanos,
@@ -64,15 +64,16 @@
     ) -> Result<(), postcard::Error> {
         let view: View = postcard::from_bytes(body)?;
         if let Some(due) = self.quorum.receive_view(now, from, view) {
-            self.follow_ups.plan(from, due);
+            self.follow_ups.schedule(from, due);
         }
         Ok(())
     }
 
-    /// Does what is due once a period: learns who is alive, judges the quorum state anew and sends one peer our view, and
-    /// one more whose follow-up is due. Returns a change of the state.
+    /// Runs the work of one period: updates which voters are alive, determines the quorum state, and sends our view to
+    /// the next peer in rotation, and to one more peer if a follow-up is due. Returns the change of the quorum state,
+    /// if any.
     pub fn tick(&mut self, now: Nanos, node: &mut Node) -> Option<StateChange> {
-        self.learn_who_is_alive(now, node);
+        self.update_alive_voters(now, node);
         let change = self.quorum.update(now);
         self.send_to_next(now, node);
         self.send_follow_up(now, node);
@@ -100,7 +101,7 @@
         }
     }
 
-    fn learn_who_is_alive(&mut self, now: Nanos, node: &mut Node) {
+    fn update_alive_voters(&mut self, now: Nanos, node: &mut Node) {
         let changes = node.take_changed_members();
         self.periods += 1;
         let members = node.membership();
