--- a/crates/membership/tests/common/mod.rs
+++ b/crates/membership/tests/common/mod.rs
@@ -1,8 +1,9 @@
-//! Helpers of several test files.
+//! Helpers that several test files share.
 
 use std::collections::BTreeMap;
 
-/// The lines of a fixture file, `name hex`, as bytes by name; empty lines and those that begin with `#` are passed over.
+/// Returns the byte strings of a fixture file by name. A line has the form `name hex`; empty lines and lines that begin
+/// with `#` are skipped.
 ///
 /// # Panics
 /// On a line of another form.
@@ -17,7 +18,7 @@
         .collect()
 }
 
-/// The same bytes as a line of a fixture file shows them.
+/// Returns the hex digits of these bytes, as in a line of a fixture file.
 pub fn to_hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
@@ -25,6 +26,6 @@
 fn from_hex(hex: &str) -> Vec<u8> {
     (0..hex.len())
         .step_by(2)
-        .map(|at| u8::from_str_radix(&hex[at..at + 2], 16).expect("hex digits"))
+        .map(|start| u8::from_str_radix(&hex[start..start + 2], 16).expect("hex digits"))
         .collect()
 }
--- a/crates/membership/tests/follow_ups.rs
+++ b/crates/membership/tests/follow_ups.rs
@@ -1,4 +1,4 @@
-//! Whether a difference between two views that has passed ends as a dispute, and one that stays still shows.
+//! Whether a dispute ends once the two views agree again, and shows while they differ.
 
 use havenplank_emulator::net::{Clock, Id, Nanos, Net, Part, Weather};
 use havenplank_membership::keys::Key;
@@ -6,13 +6,13 @@
 use havenplank_membership::member::{Member, MemberState};
 use havenplank_membership::node::{Node, NodeEvent};
 use havenplank_membership::quorum::{Quorum, QuorumState, Rules, StateChange, View};
-use havenplank_membership::swim::Rules as Membership;
+use havenplank_membership::swim::Rules as MembershipRules;
 use havenplank_membership::view_exchange::{ViewExchange, VIEW_KIND};
 use std::net::SocketAddr;
 
 const SECOND: Nanos = 1_000_000_000;
 
-/// A sidecar reduced to membership and views, as the program drives them.
+/// A sidecar reduced to its membership and its views, driven as the program drives them.
 struct Sidecar {
     node: Node,
     views: ViewExchange,
@@ -20,29 +20,36 @@
 }
 
 impl Sidecar {
-    fn new(now: Nanos, at: SocketAddr, id: Id) -> Sidecar {
-        let who = member_id(id);
+    fn new(now: Nanos, own_address: SocketAddr, id: Id) -> Sidecar {
+        let own_id = member_id(id);
         let member = Member {
-            id: who.clone(),
-            address: at,
+            id: own_id.clone(),
+            address: own_address,
             zone: "zone".into(),
             refutations: 0,
             state: MemberState::Alive,
         };
         let seeds = vec![Net::<Sidecar>::address(0)];
         let keys = vec![Key::new([7; 32])];
-        let mut node = Node::new(now, id as u64, member, seeds, Membership::default(), keys);
+        let mut node = Node::new(
+            now,
+            id as u64,
+            member,
+            seeds,
+            MembershipRules::default(),
+            keys,
+        );
         node.accept_kind(VIEW_KIND);
         Sidecar {
             node,
-            views: ViewExchange::new(now, who, Rules::default()),
+            views: ViewExchange::new(now, own_id, Rules::default()),
             next_tick: now,
         }
     }
 
     fn take_events(&mut self, now: Nanos) {
-        while let Some(happened) = self.node.next_event() {
-            match happened {
+        while let Some(node_event) = self.node.next_event() {
+            match node_event {
                 NodeEvent::Message { from, body, .. } => {
                     self.views.receive(now, &from, &body).unwrap()
                 }
@@ -61,7 +68,7 @@
     fn wake(&mut self, now: Nanos) {
         self.node.wake(now);
         if now >= self.next_tick {
-            self.next_tick = now + Membership::default().period;
+            self.next_tick = now + MembershipRules::default().period;
             self.views.tick(now, &mut self.node);
         }
         self.take_events(now);
@@ -87,7 +94,7 @@
     }
 }
 
-/// A view whose digests are nobody's.
+/// Returns a view whose digests differ from those of every sidecar.
 fn differing_view() -> View {
     View {
         voters_digest: 0,
@@ -99,7 +106,7 @@
     }
 }
 
-/// The quorum of sidecar 0 among five, and when it came to agree.
+/// Returns the quorum of sidecar 0 among five sidecars, and the time at which it came to agree.
 fn agreed_quorum() -> (Quorum, Nanos) {
     let mut quorum = Quorum::new(0, member_id(0), Rules::default());
     let others: Vec<MemberId> = (1..5).map(member_id).collect();
@@ -111,7 +118,7 @@
 }
 
 #[test]
-fn one_differing_view_is_no_dispute_however_long_its_sender_is_silent() {
+fn one_differing_view_is_no_dispute_however_long_its_sender_stays_silent() {
     let (mut quorum, now) = agreed_quorum();
     quorum.receive_view(now, &member_id(1), differing_view());
     for seconds in 0..290 {
@@ -124,7 +131,7 @@
     assert!(quorum.disputes(now + 290 * SECOND).is_empty());
 }
 
-/// Shares of sidecars that agree, each ten seconds after a common start.
+/// Returns the share of sidecars that agree, every ten seconds after they have all started at the same time.
 fn agreed_after_a_common_start(size: usize, seconds: u64) -> Vec<f64> {
     let mut net = Net::new(1, Weather::default());
     for id in 0..size {
@@ -132,21 +139,22 @@
             began: id as Nanos * 77 * SECOND,
             drift_ppm: (id as i64 % 3 - 1) * 1_000,
         };
-        net.join(clock, |now, at| Sidecar::new(now, at, id));
+        net.join(clock, |now, addr| Sidecar::new(now, addr, id));
     }
     let agrees = |net: &Net<Sidecar>, id: Id| {
         net.part(id).unwrap().views.quorum().state() == QuorumState::Agreed
     };
-    let ends = (1..=seconds / 10).map(|tens| tens * 10 * SECOND);
-    ends.map(|end| {
-        net.run(end, |_, _| {});
-        (0..size).filter(|id| agrees(&net, *id)).count() as f64 / size as f64
-    })
-    .collect()
+    let end_times = (1..=seconds / 10).map(|tens| tens * 10 * SECOND);
+    end_times
+        .map(|end| {
+            net.run(end, |_, _| {});
+            (0..size).filter(|id| agrees(&net, *id)).count() as f64 / size as f64
+        })
+        .collect()
 }
 
 #[test]
-fn a_fleet_agrees_soon_after_a_common_start() {
+fn a_fleet_agrees_within_40_seconds_of_a_common_start() {
     let shares = agreed_after_a_common_start(120, 60);
     assert!(
         shares[3..].iter().all(|share| *share >= 0.95),
@@ -157,21 +165,21 @@
 #[test]
 fn a_lasting_difference_is_a_dispute_once_a_second_view_shows_it() {
     let (mut quorum, now) = agreed_quorum();
-    let settles = Rules::default().dispute_delay;
+    let dispute_delay = Rules::default().dispute_delay;
     assert_eq!(
         quorum.receive_view(now, &member_id(1), differing_view()),
-        Some(now + settles),
-        "asked again later"
+        Some(now + dispute_delay),
+        "our view is due as a follow-up"
     );
-    quorum.receive_view(now + settles - 1, &member_id(1), differing_view());
+    quorum.receive_view(now + dispute_delay - 1, &member_id(1), differing_view());
     assert_eq!(
-        quorum.update(now + settles),
+        quorum.update(now + dispute_delay),
         None,
-        "too early to say that it stays"
+        "too early for a lasting difference"
     );
-    quorum.receive_view(now + settles, &member_id(1), differing_view());
+    quorum.receive_view(now + dispute_delay, &member_id(1), differing_view());
     assert_eq!(
-        quorum.update(now + settles),
+        quorum.update(now + dispute_delay),
         Some(StateChange {
             was: QuorumState::Agreed,
             is: QuorumState::Disputed,
@@ -180,23 +188,23 @@
 }
 
 #[test]
-fn a_difference_that_our_own_updates_settled_begins_anew_with_the_next() {
+fn a_difference_that_our_own_updates_settled_does_not_confirm_the_next_one() {
     let (mut quorum, now) = agreed_quorum();
     let all: Vec<MemberId> = (1..5).map(member_id).collect();
     quorum.set_alive(now, all[..3].iter());
-    let without_the_last = quorum.view_for(now, &member_id(1));
+    let view_without_the_last = quorum.view_for(now, &member_id(1));
     quorum.set_alive(now, all.iter());
-    quorum.receive_view(now, &member_id(1), without_the_last);
+    quorum.receive_view(now, &member_id(1), view_without_the_last);
     quorum.set_alive(now + SECOND, all[..3].iter());
     assert_eq!(quorum.update(now + SECOND), None);
-    // Another difference, long after: not the second view of the first.
+    // A new difference, long afterwards: its view does not confirm the first difference.
     quorum.receive_view(now + 60 * SECOND, &member_id(1), differing_view());
     assert_eq!(quorum.update(now + 60 * SECOND), None);
     assert!(quorum.disputes(now + 60 * SECOND).is_empty());
 }
 
 #[test]
-fn a_peer_that_was_told_an_old_view_is_told_at_once_that_views_agree() {
+fn a_peer_that_was_sent_an_outdated_view_is_sent_the_agreeing_one_at_once() {
     let (mut quorum, now) = agreed_quorum();
     let all: Vec<MemberId> = (1..5).map(member_id).collect();
     quorum.view_for(now, &member_id(1));
@@ -211,73 +219,85 @@
     assert_eq!(
         quorum.receive_view(now, &member_id(1), agreeing),
         None,
-        "it knows now"
+        "the peer has our current view"
     );
 }
 
-/// The peer misses a fourth that we reach. Of regular views there is one only; the rest are follow-ups, each as it is due.
+/// The peer misses a fourth sidecar that we reach. Only the first view is a regular one; all others are follow-ups,
+/// each sent when it is due.
 #[test]
-fn a_third_seen_differently_is_a_dispute_on_both_sides_by_follow_ups_alone() {
-    let settles = Rules::default().dispute_delay;
+fn a_difference_about_a_third_sidecar_is_a_dispute_on_both_sides_through_follow_ups_alone() {
+    let dispute_delay = Rules::default().dispute_delay;
     let (mut quorum, now) = agreed_quorum();
     let mut peer = Quorum::new(now, member_id(1), Rules::default());
     let others: Vec<MemberId> = [0, 2, 3].map(member_id).to_vec();
     peer.set_alive(now, others.iter());
     peer.update(now);
-    peer.update(now + settles);
+    peer.update(now + dispute_delay);
     assert_eq!(peer.state(), QuorumState::Agreed);
 
-    let at = now + settles;
-    let asked = quorum
-        .receive_view(at, &member_id(1), peer.view_for(at, &member_id(0)))
+    let regular = now + dispute_delay;
+    let first_due = quorum
+        .receive_view(
+            regular,
+            &member_id(1),
+            peer.view_for(regular, &member_id(0)),
+        )
         .unwrap();
-    let answered = peer
-        .receive_view(asked, &member_id(0), quorum.view_for(asked, &member_id(1)))
+    let second_due = peer
+        .receive_view(
+            first_due,
+            &member_id(0),
+            quorum.view_for(first_due, &member_id(1)),
+        )
         .unwrap();
-    assert_eq!((asked - at, answered - asked), (settles, settles));
-    let asked_again = quorum
+    assert_eq!(
+        (first_due - regular, second_due - first_due),
+        (dispute_delay, dispute_delay)
+    );
+    let third_due = quorum
         .receive_view(
-            answered,
+            second_due,
             &member_id(1),
-            peer.view_for(answered, &member_id(0)),
+            peer.view_for(second_due, &member_id(0)),
         )
         .unwrap();
     assert_eq!(
-        quorum.update(answered),
+        quorum.update(second_due),
         Some(StateChange {
             was: QuorumState::Agreed,
             is: QuorumState::Disputed,
         })
     );
     peer.receive_view(
-        asked_again,
+        third_due,
         &member_id(0),
-        quorum.view_for(asked_again, &member_id(1)),
+        quorum.view_for(third_due, &member_id(1)),
     );
     assert_eq!(
-        peer.update(asked_again),
+        peer.update(third_due),
         Some(StateChange {
             was: QuorumState::Agreed,
             is: QuorumState::Disputed,
         })
     );
-    assert_eq!(asked_again - at, 3 * settles);
+    assert_eq!(third_due - regular, 3 * dispute_delay);
 }
 
-/// All that a run by seed carries, counted, with the states that it ends in.
+/// Compares the messages and bytes that a seeded run carries, and the states in which it ends, with recorded ones.
 #[test]
-fn views_by_seed_carry_the_recorded_messages_and_bytes() {
-    let weather = Weather {
+fn a_seeded_run_of_views_carries_the_recorded_messages_and_bytes() {
+    let conditions = Weather {
         loss: 0.05,
         ..Weather::default()
     };
-    let mut net = Net::new(3, weather);
+    let mut net = Net::new(3, conditions);
     for id in 0..9 {
         let clock = Clock {
             began: id as Nanos * 77 * SECOND,
             drift_ppm: (id as i64 % 3 - 1) * 1_000,
         };
-        net.join(clock, |now, at| Sidecar::new(now, at, id));
+        net.join(clock, |now, addr| Sidecar::new(now, addr, id));
     }
     net.run(60 * SECOND, |_, _| {});
     net.split(&[&[0, 1, 2, 3], &[4, 5, 6, 7, 8]]);
@@ -287,9 +307,9 @@
     net.run(300 * SECOND, |_, _| {});
     net.unpause(2);
     net.kill(7);
-    // Long enough for an eviction, too.
+    // Long enough for an eviction as well.
     net.run(1_200 * SECOND, |_, _| {});
-    let ends: Vec<String> = net
+    let final_states: Vec<String> = net
         .ids()
         .filter_map(|id| net.part(id))
         .map(|part| {
@@ -303,7 +323,7 @@
             )
         })
         .collect();
-    let text = format!("{} {} {ends:?}", net.carried, net.carried_bytes);
+    let text = format!("{} {} {final_states:?}", net.carried, net.carried_bytes);
     let digest = blake3::hash(text.as_bytes()).to_hex();
     assert_eq!(&digest[..16], "fcf4298eaea2e76e", "{text}");
 }
--- a/crates/membership/tests/frame.rs
+++ b/crates/membership/tests/frame.rs
@@ -44,21 +44,21 @@
 }
 
 #[test]
-fn every_cut_and_every_changed_bit_is_rejected() {
+fn every_truncated_frame_and_every_changed_bit_is_rejected() {
     let bytes = sealed(&envelope(vec![1, 2, 3]));
-    for at in 0..bytes.len() {
-        assert!(open(&[key(7)], &bytes[..at], Channel::Datagram).is_err());
+    for position in 0..bytes.len() {
+        assert!(open(&[key(7)], &bytes[..position], Channel::Datagram).is_err());
         for bit in 0..8 {
             let mut changed = bytes.clone();
-            changed[at] ^= 1 << bit;
+            changed[position] ^= 1 << bit;
             let opened = open(&[key(7)], &changed, Channel::Datagram);
-            assert!(opened.is_err(), "byte {at}, bit {bit}");
+            assert!(opened.is_err(), "byte {position}, bit {bit}");
         }
     }
 }
 
 #[test]
-fn frames_beyond_the_channels_length_are_neither_sealed_nor_opened() {
+fn frames_above_the_length_limit_are_neither_sealed_nor_opened() {
     for channel in [Channel::Datagram, Channel::Stream] {
         let too_long = vec![1; channel.max_bytes() + 1];
         let opened = open(&[key(7)], &too_long, channel);
@@ -76,17 +76,17 @@
 }
 
 #[test]
-fn a_body_of_the_stated_room_fits_and_a_name_beyond_all_bounds_leaves_none() {
+fn a_body_of_max_body_bytes_fits_and_an_oversized_name_leaves_no_space() {
     let (from, to) = (member_id("s-1", 7), member_id("s-2", 9));
     let body = vec![0; max_body_bytes(&from, &to)];
     assert!(seal(&key(7), &envelope(body), Channel::Datagram).is_some());
-    let absurd = member_id(&"n".repeat(MAX_DATAGRAM_BYTES), 1);
-    assert_eq!(max_body_bytes(&from, &absurd), 0);
+    let oversized = member_id(&"n".repeat(MAX_DATAGRAM_BYTES), 1);
+    assert_eq!(max_body_bytes(&from, &oversized), 0);
 }
 
 proptest! {
     #[test]
-    fn noise_is_rejected_without_a_panic(bytes in proptest::collection::vec(any::<u8>(), 0..1_400)) {
+    fn random_bytes_are_rejected_without_a_panic(bytes in proptest::collection::vec(any::<u8>(), 0..1_400)) {
         prop_assert!(open(&[key(7)], &bytes, Channel::Datagram).is_err());
     }
 }
--- a/crates/membership/tests/frames.rs
+++ b/crates/membership/tests/frames.rs
@@ -1,4 +1,5 @@
-//! Whether frames between sidecars are byte by byte those of the version before: another version still runs beside.
+//! Whether frames between sidecars are byte by byte those of the previous version, since sidecars of that version may
+//! run at the same time.
 
 mod common;
 
@@ -13,10 +14,10 @@
 
 const FRAMES: &str = include_str!("fixtures/frames.txt");
 
-fn member_id(name: &str, member_id: u64) -> MemberId {
+fn member_id(name: &str, incarnation_number: u64) -> MemberId {
     MemberId {
         name: name.into(),
-        incarnation: member_id,
+        incarnation: incarnation_number,
     }
 }
 
@@ -30,10 +31,10 @@
     }
 }
 
-/// One piece of news in each state, and an address of the other family.
+/// Returns one update in each state; the last one has an IPv6 address.
 fn all_states() -> Vec<Member> {
     let suspected = MemberState::Suspected("s-9".into());
-    let other_family = Member {
+    let with_ipv6_address = Member {
         address: "[fd00::7]:65535".parse().unwrap(),
         ..member("s-5", MemberState::Left)
     };
@@ -41,15 +42,15 @@
         member("s-2", MemberState::Alive),
         member("s-3", suspected),
         member("s-4", MemberState::Dead),
-        other_family,
+        with_ipv6_address,
     ]
 }
 
 fn view() -> View {
-    let row = |name: &str, entry, belongs| VoterRecord {
+    let row = |name: &str, rejoined, voting| VoterRecord {
         id: member_id(name, 7),
-        rejoins: entry,
-        is_voter: belongs,
+        rejoins: rejoined,
+        is_voter: voting,
     };
     let vote = EvictionVote {
         name: "s-9".into(),
@@ -66,8 +67,11 @@
     }
 }
 
-/// Compares with the recorded bytes, both ways.
-fn assert_same<T: Serialize + DeserializeOwned + PartialEq + Debug>(name: &str, value: &T) {
+/// Checks that a value is encoded as the recorded bytes, and that its encoding decodes to the same value.
+fn assert_encoded_as_recorded<T: Serialize + DeserializeOwned + PartialEq + Debug>(
+    name: &str,
+    value: &T,
+) {
     let bytes = postcard::to_stdvec(value).unwrap();
     assert_recorded(name, &bytes);
     let decoded: T = postcard::from_bytes(&bytes).unwrap();
@@ -84,8 +88,8 @@
 fn membership_messages_are_encoded_as_recorded() {
     let (sender, updates) = (member("s-1", MemberState::Alive), all_states());
     let nonce = 0xfedc_ba98_7654_3210;
-    assert_same(
-        "hello",
+    assert_encoded_as_recorded(
+        "join",
         &Message::Join {
             sender: sender.clone(),
         },
@@ -95,32 +99,32 @@
         sender: sender.clone(),
         updates: updates.clone(),
     };
-    assert_same("ping", &ping);
+    assert_encoded_as_recorded("ping", &ping);
     let ack = Message::Ack {
         nonce,
         sender,
         updates: updates.clone(),
     };
-    assert_same("ack", &ack);
-    let ask = Message::PingRequest {
+    assert_encoded_as_recorded("ack", &ack);
+    let ping_request = Message::PingRequest {
         nonce,
         target: member_id("s-2", 9),
         address: "10.1.2.4:7201".parse().unwrap(),
     };
-    assert_same("ask", &ask);
-    assert_same("nack", &Message::Nack { nonce });
+    assert_encoded_as_recorded("ping_request", &ping_request);
+    assert_encoded_as_recorded("nack", &Message::Nack { nonce });
     let after = "s-17".into();
-    assert_same("want", &Message::TableRequest { after });
+    assert_encoded_as_recorded("table_request", &Message::TableRequest { after });
     let table = Message::Table {
         members: updates,
         more: true,
     };
-    assert_same("table", &table);
+    assert_encoded_as_recorded("table", &table);
 }
 
 #[test]
 fn a_view_is_encoded_as_recorded() {
-    assert_same("view", &view());
+    assert_encoded_as_recorded("view", &view());
 }
 
 #[test]
--- a/crates/membership/tests/keys.rs
+++ b/crates/membership/tests/keys.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 
 #[test]
-fn keys_are_read_line_by_line() {
+fn reads_one_key_from_each_line_and_names_an_invalid_line() {
     let line = "0f".repeat(32);
     let text = format!("# the new one\n{line}\n\n");
     assert_eq!(Key::parse_all(&text), Ok(vec![Key::new([15; 32])]));
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn an_unreadable_file_is_named_with_what_was_expected_and_the_cause() {
+fn the_error_for_an_unreadable_file_names_the_file_what_was_expected_and_the_cause() {
     let error = read_keys(Path::new("no/such/file")).expect_err("no such file");
     assert!(matches!(error, KeyFileError::Unreadable { .. }));
     assert!(error.source().is_some());
--- a/crates/membership/tests/port_pair.rs
+++ b/crates/membership/tests/port_pair.rs
@@ -1,12 +1,12 @@
-//! Whether UDP and TCP come to share a port though the first choice is taken.
+//! Whether UDP and TCP are bound to the same port, even if the first port chosen is taken for TCP.
 
 use havenplank_membership::port_pair::PortPair;
 use std::net::{SocketAddr, TcpListener, UdpSocket};
 
 const ANY_PORT: &str = "127.0.0.1:0";
 
-/// A port that the system gave for UDP, with its TCP half taken.
-fn half_taken_port() -> (SocketAddr, TcpListener) {
+/// Returns a port that the system chose for UDP, and a listener that occupies it for TCP.
+fn port_taken_for_tcp() -> (SocketAddr, TcpListener) {
     loop {
         let datagrams = UdpSocket::bind(ANY_PORT).expect("a UDP port");
         let address = datagrams.local_addr().expect("its address");
@@ -17,8 +17,8 @@
 }
 
 #[tokio::test]
-async fn another_port_is_chosen_when_the_tcp_half_of_the_first_is_taken() {
-    let (taken, _held) = half_taken_port();
+async fn chooses_another_port_when_the_first_is_taken_for_tcp() {
+    let (taken, _listener) = port_taken_for_tcp();
     let any: SocketAddr = ANY_PORT.parse().expect("an address");
     let choices = [taken].into_iter().chain([any; 16]);
     let pair = PortPair::bind_first_free(choices).await.expect("a pair");
@@ -28,8 +28,8 @@
 }
 
 #[tokio::test]
-async fn a_given_port_whose_tcp_half_is_taken_is_an_error_and_no_other_port_is_chosen() {
-    let (taken, _held) = half_taken_port();
+async fn fails_on_a_given_port_that_is_taken_for_tcp_and_chooses_no_other() {
+    let (taken, _listener) = port_taken_for_tcp();
     let error = PortPair::bind(taken).await.expect_err("taken");
     assert_eq!(error.kind(), std::io::ErrorKind::AddrInUse);
     let free = PortPair::bind(ANY_PORT.parse().expect("an address")).await;
--- a/crates/membership/tests/quorum.rs
+++ b/crates/membership/tests/quorum.rs
@@ -1,4 +1,4 @@
-//! The quorum state over the simulated network, on the membership that sockets drive.
+//! The quorum state on the simulated network, with the membership code that also runs on sockets.
 
 use havenplank_emulator::net::{Clock, Id, Nanos, Net, Part, Weather};
 use havenplank_membership::keys::Key;
@@ -8,32 +8,32 @@
 use havenplank_membership::quorum::{
     EvictionVote, Quorum, QuorumState, Rules, StateChange, View, VoterRecord,
 };
-use havenplank_membership::swim::{MemberEvent, Rules as Membership};
+use havenplank_membership::swim::{MemberEvent, Rules as MembershipRules};
 use proptest::prelude::*;
 use std::net::SocketAddr;
 
-const S: Nanos = 1_000_000_000;
-const KIND: u8 = 3;
-const PERIOD: Nanos = S / 2;
+const SECOND: Nanos = 1_000_000_000;
+const VIEW_KIND: u8 = 3;
+const PERIOD: Nanos = SECOND / 2;
 
-/// A member that tells its view to one other in turn, as the sidecar does.
+/// A sidecar that sends its view to one member after the other, as the program does.
 struct Sidecar {
     node: Node,
     quorum: Quorum,
-    next: Nanos,
-    turn: usize,
+    next_period: Nanos,
+    receiver_index: usize,
     changes: Vec<(Nanos, QuorumState, QuorumState)>,
 }
 
 impl Part for Sidecar {
     fn heard(&mut self, now: Nanos, bytes: &[u8]) {
         self.node.receive_datagram(now, bytes);
-        self.look(now);
+        self.take_events(now);
     }
     fn wake(&mut self, now: Nanos) {
         self.node.wake(now);
-        if now >= self.next {
-            self.next = now + PERIOD;
+        if now >= self.next_period {
+            self.next_period = now + PERIOD;
             let living: Vec<MemberId> = self
                 .node
                 .membership()
@@ -42,16 +42,22 @@
                 .collect();
             self.quorum.set_alive(now, living.iter());
             if !living.is_empty() {
-                self.turn = (self.turn + 1) % living.len();
+                self.receiver_index = (self.receiver_index + 1) % living.len();
                 let view =
-                    postcard::to_stdvec(&self.quorum.view_for(now, &living[self.turn])).unwrap();
-                self.node.send(&living[self.turn], KIND, view);
+                    postcard::to_stdvec(&self.quorum.view_for(now, &living[self.receiver_index]))
+                        .unwrap();
+                self.node
+                    .send(&living[self.receiver_index], VIEW_KIND, view);
             }
         }
-        self.look(now);
+        self.take_events(now);
     }
     fn next_wake(&self) -> Option<Nanos> {
-        self.node.next_wake().into_iter().chain([self.next]).min()
+        self.node
+            .next_wake()
+            .into_iter()
+            .chain([self.next_period])
+            .min()
     }
     fn datagram(&mut self) -> Option<(SocketAddr, Vec<u8>)> {
         self.node.next_datagram()
@@ -59,51 +65,55 @@
 }
 
 impl Sidecar {
-    fn new(now: Nanos, at: SocketAddr, name: String, member_id: u64, rules: Rules) -> Sidecar {
-        let who = MemberId {
+    fn new(
+        now: Nanos,
+        own_address: SocketAddr,
+        name: String,
+        incarnation_number: u64,
+        rules: Rules,
+    ) -> Sidecar {
+        let own_id = MemberId {
             name,
-            incarnation: member_id,
+            incarnation: incarnation_number,
         };
         let me = Member {
-            id: who.clone(),
-            address: at,
+            id: own_id.clone(),
+            address: own_address,
             zone: "z".into(),
             refutations: 0,
             state: MemberState::Alive,
         };
-        let seed = at
+        let seed = own_address
             .ip()
             .to_string()
             .bytes()
-            .fold(member_id, |sum, byte| sum * 31 + byte as u64);
+            .fold(incarnation_number, |sum, byte| sum * 31 + byte as u64);
         let seeds = vec![Net::<Sidecar>::address(0)];
         let mut node = Node::new(
             now,
             seed,
             me,
             seeds,
-            Membership::default(),
+            MembershipRules::default(),
             vec![Key::new([7; 32])],
         );
-        node.accept_kind(KIND);
-        let quorum = Quorum::new(now, who, rules);
+        node.accept_kind(VIEW_KIND);
+        let quorum = Quorum::new(now, own_id, rules);
         Sidecar {
             node,
             quorum,
-            next: now,
-            turn: 0,
+            next_period: now,
+            receiver_index: 0,
             changes: Vec::new(),
         }
     }
 
-    fn look(&mut self, now: Nanos) {
-        while let Some(happened) = self.node.next_event() {
-            match happened {
-                NodeEvent::Membership(MemberEvent::Left(who)) => {
-                    self.quorum.record_leave(now, &who)
-                }
-                NodeEvent::Membership(MemberEvent::IncarnationRaised(who)) => {
-                    self.quorum.set_own_id(&who)
+    fn take_events(&mut self, now: Nanos) {
+        while let Some(node_event) = self.node.next_event() {
+            match node_event {
+                NodeEvent::Membership(MemberEvent::Left(id)) => self.quorum.record_leave(now, &id),
+                NodeEvent::Membership(MemberEvent::IncarnationRaised(id)) => {
+                    self.quorum.set_own_id(&id)
                 }
                 NodeEvent::Membership(_) => {}
                 NodeEvent::Message { from, body, .. } => {
@@ -122,7 +132,7 @@
     format!("s-{id:02}")
 }
 
-fn fleet(many: usize, seed: u64, rules: &Rules) -> Net<Sidecar> {
+fn fleet(size: usize, seed: u64, rules: &Rules) -> Net<Sidecar> {
     let mut net = Net::new(
         seed,
         Weather {
@@ -130,13 +140,13 @@
             ..Weather::default()
         },
     );
-    for id in 0..many {
+    for id in 0..size {
         let clock = Clock {
-            began: id as Nanos * 77 * S,
+            began: id as Nanos * 77 * SECOND,
             drift_ppm: (id as i64 % 3 - 1) * 1_000,
         };
-        net.join(clock, |now, at| {
-            Sidecar::new(now, at, name(id), 1, rules.clone())
+        net.join(clock, |now, addr| {
+            Sidecar::new(now, addr, name(id), 1, rules.clone())
         });
     }
     net
@@ -146,159 +156,174 @@
     net.part(id).unwrap().quorum.state()
 }
 
-fn all(net: &Net<Sidecar>, ids: &[Id]) -> Vec<QuorumState> {
+fn states(net: &Net<Sidecar>, ids: &[Id]) -> Vec<QuorumState> {
     ids.iter().map(|id| state(net, *id)).collect()
 }
 
 #[test]
-fn a_minority_knows_that_it_is_one_however_long_a_split_lasts() {
+fn a_minority_stays_in_the_state_few_however_long_a_partition_lasts() {
     for seed in 0..6 {
         let mut net = fleet(
             9,
             seed,
             &Rules {
-                eviction_delay: 40 * S,
+                eviction_delay: 40 * SECOND,
                 ..Rules::default()
             },
         );
-        let (few, many): (Vec<Id>, Vec<Id>) = ((0..4).collect(), (4..9).collect());
-        net.run(60 * S, |_, _| {});
+        let (minority, majority): (Vec<Id>, Vec<Id>) = ((0..4).collect(), (4..9).collect());
+        net.run(60 * SECOND, |_, _| {});
         let ids: Vec<Id> = net.ids().collect();
         assert!(
-            all(&net, &ids).iter().all(|is| *is == QuorumState::Agreed),
+            states(&net, &ids)
+                .iter()
+                .all(|is| *is == QuorumState::Agreed),
             "seed {seed}: {:?}",
-            all(&net, &ids)
+            states(&net, &ids)
         );
-        net.split(&[&few, &many]);
-        net.run(120 * S, |_, _| {});
+        net.split(&[&minority, &majority]);
+        net.run(120 * SECOND, |_, _| {});
         assert!(
-            all(&net, &few).iter().all(|is| *is == QuorumState::Few),
+            states(&net, &minority)
+                .iter()
+                .all(|is| *is == QuorumState::Few),
             "seed {seed}: {:?}",
-            all(&net, &few)
+            states(&net, &minority)
         );
-        // Far longer than it takes the others to evict them: they still count all nine.
-        net.run(700 * S, |_, _| {});
+        // Far longer than the majority needs to evict the minority, which still counts all nine voters.
+        net.run(700 * SECOND, |_, _| {});
         assert!(
-            all(&net, &few).iter().all(|is| *is == QuorumState::Few),
+            states(&net, &minority)
+                .iter()
+                .all(|is| *is == QuorumState::Few),
             "seed {seed}: {:?}",
-            all(&net, &few)
+            states(&net, &minority)
         );
         assert!(
-            few.iter()
+            minority
+                .iter()
                 .all(|id| net.part(*id).unwrap().quorum.voter_count() == 9),
             "seed {seed}"
         );
         assert!(
-            all(&net, &many).iter().all(|is| *is == QuorumState::Agreed),
+            states(&net, &majority)
+                .iter()
+                .all(|is| *is == QuorumState::Agreed),
             "seed {seed}: {:?}",
-            all(&net, &many)
+            states(&net, &majority)
         );
         assert!(
-            many.iter()
+            majority
+                .iter()
                 .all(|id| net.part(*id).unwrap().quorum.voter_count() == 5),
-            "seed {seed}: evicted"
+            "seed {seed}: the minority is evicted"
         );
         net.heal();
-        net.run(900 * S, |_, _| {});
+        net.run(900 * SECOND, |_, _| {});
         assert!(
-            all(&net, &ids).iter().all(|is| *is == QuorumState::Agreed),
+            states(&net, &ids)
+                .iter()
+                .all(|is| *is == QuorumState::Agreed),
             "seed {seed}: {:?}",
-            all(&net, &ids)
+            states(&net, &ids)
         );
         assert!(
             ids.iter()
                 .all(|id| net.part(*id).unwrap().quorum.voter_count() == 9),
-            "seed {seed}: they are back"
+            "seed {seed}: the evicted voters have rejoined"
         );
     }
 }
 
 #[test]
-fn no_half_and_no_third_takes_itself_for_a_majority() {
-    for (seed, parts) in [(1, vec![4, 4]), (2, vec![3, 3, 3]), (3, vec![1, 7])] {
-        let mut net = fleet(parts.iter().sum(), seed, &Rules::default());
-        net.run(60 * S, |_, _| {});
+fn neither_a_half_nor_a_third_counts_itself_as_a_majority() {
+    for (seed, group_sizes) in [(1, vec![4, 4]), (2, vec![3, 3, 3]), (3, vec![1, 7])] {
+        let mut net = fleet(group_sizes.iter().sum(), seed, &Rules::default());
+        net.run(60 * SECOND, |_, _| {});
         let mut next = 0;
-        let groups: Vec<Vec<Id>> = parts
+        let groups: Vec<Vec<Id>> = group_sizes
             .iter()
-            .map(|many| {
-                next += many;
-                (next - many..next).collect()
+            .map(|size| {
+                next += size;
+                (next - size..next).collect()
             })
             .collect();
         net.split(&groups.iter().map(Vec::as_slice).collect::<Vec<_>>());
-        net.run(140 * S, |_, _| {});
+        net.run(140 * SECOND, |_, _| {});
         for group in &groups {
-            let wanted = match (group.len(), 2 * group.len() > next) {
+            let expected = match (group.len(), 2 * group.len() > next) {
                 (1, _) => QuorumState::Alone,
                 (_, true) => QuorumState::Agreed,
                 (_, false) => QuorumState::Few,
             };
             assert!(
-                all(&net, group).iter().all(|is| *is == wanted),
-                "{parts:?}: {:?}",
-                all(&net, group)
+                states(&net, group).iter().all(|is| *is == expected),
+                "{group_sizes:?}: {:?}",
+                states(&net, group)
             );
         }
     }
 }
 
 #[test]
-fn the_state_falls_at_once_and_rises_after_a_delay() {
+fn the_state_becomes_worse_at_once_and_better_after_a_delay() {
     let mut net = fleet(5, 4, &Rules::default());
-    net.run(60 * S, |_, _| {});
-    let from = net.part(0).unwrap().changes.len();
+    net.run(60 * SECOND, |_, _| {});
+    let first_change = net.part(0).unwrap().changes.len();
     net.split(&[&[0, 1], &[2, 3, 4]]);
-    net.run(100 * S, |_, _| {});
+    net.run(100 * SECOND, |_, _| {});
     net.heal();
-    net.run(300 * S, |_, _| {});
-    let changes = &net.part(0).unwrap().changes[from..];
-    let ways: Vec<(QuorumState, QuorumState)> =
+    net.run(300 * SECOND, |_, _| {});
+    let changes = &net.part(0).unwrap().changes[first_change..];
+    let transitions: Vec<(QuorumState, QuorumState)> =
         changes.iter().map(|(_, was, is)| (*was, *is)).collect();
     assert_eq!(
-        ways.first(),
+        transitions.first(),
         Some(&(QuorumState::Agreed, QuorumState::Few)),
-        "{ways:?}"
+        "{transitions:?}"
     );
-    assert_eq!(state(&net, 0), QuorumState::Agreed, "{ways:?}");
-    // Straight to the worse, never from one better to another within less than it must hold.
+    assert_eq!(state(&net, 0), QuorumState::Agreed, "{transitions:?}");
+    // A worse state is entered at once, a better one only after it has held for the recovery delay.
     for pair in changes.windows(2) {
-        let ((at, _, was), (then, _, is)) = (pair[0], pair[1]);
+        let ((earlier, _, before), (later, _, after)) = (pair[0], pair[1]);
         assert!(
-            is > was || then - at >= Rules::default().recovery_delay,
+            after > before || later - earlier >= Rules::default().recovery_delay,
             "{changes:?}"
         );
     }
 }
 
 #[test]
-fn leaving_removes_a_voter_and_loss_does_not() {
+fn a_leave_removes_a_voter_and_a_crash_does_not() {
     let mut net = fleet(7, 5, &Rules::default());
-    net.run(60 * S, |_, _| {});
+    net.run(60 * SECOND, |_, _| {});
     for id in [5, 6] {
         net.part_mut(id).unwrap().node.leave();
         net.post(id);
-        net.run(net.now() + S, |_, _| {});
+        net.run(net.now() + SECOND, |_, _| {});
         net.kill(id);
     }
-    net.run(100 * S, |_, _| {});
-    let belong = |net: &Net<Sidecar>| net.part(0).unwrap().quorum.voter_count();
-    assert_eq!((belong(&net), state(&net, 0)), (5, QuorumState::Agreed));
+    net.run(100 * SECOND, |_, _| {});
+    let voter_count = |net: &Net<Sidecar>| net.part(0).unwrap().quorum.voter_count();
+    assert_eq!(
+        (voter_count(&net), state(&net, 0)),
+        (5, QuorumState::Agreed)
+    );
     [2, 3, 4].into_iter().for_each(|id| net.kill(id));
-    net.run(200 * S, |_, _| {});
+    net.run(200 * SECOND, |_, _| {});
     assert_eq!(
-        (belong(&net), state(&net, 0)),
+        (voter_count(&net), state(&net, 0)),
         (5, QuorumState::Few),
-        "two of five, for good"
+        "two of five voters, and no eviction"
     );
-    net.restart(2, |now, at| {
-        Sidecar::new(now, at, name(2), 2, Rules::default())
+    net.restart(2, |now, addr| {
+        Sidecar::new(now, addr, name(2), 2, Rules::default())
     });
-    net.run(260 * S, |_, _| {});
+    net.run(260 * SECOND, |_, _| {});
     assert_eq!(
-        (belong(&net), state(&net, 0)),
+        (voter_count(&net), state(&net, 0)),
         (5, QuorumState::Agreed),
-        "a restart belongs as it did"
+        "a restarted sidecar is still a voter"
     );
     let missing: Vec<String> = net
         .part(0)
@@ -330,26 +355,26 @@
 }
 
 #[test]
-fn a_better_state_is_believed_only_after_it_has_held() {
+fn a_better_state_is_entered_only_after_it_has_held() {
     let mut quorum = Quorum::new(0, member_id(0), Rules::default());
     let (both, none) = ([member_id(1), member_id(2)], []);
     quorum.set_alive(0, both.iter());
-    assert_eq!((quorum.update(0), quorum.update(2 * S)), (None, None));
-    // A moment without them, and it begins anew.
-    quorum.set_alive(2 * S, none.iter());
-    assert_eq!(quorum.update(2 * S), None, "it never rose");
-    quorum.set_alive(2 * S + 1, both.iter());
-    // They came back: steady after 3 s, and then it must hold for as long.
+    assert_eq!((quorum.update(0), quorum.update(2 * SECOND)), (None, None));
+    // A moment without the other voters restarts the delay.
+    quorum.set_alive(2 * SECOND, none.iter());
+    assert_eq!(quorum.update(2 * SECOND), None, "the state never improved");
+    quorum.set_alive(2 * SECOND + 1, both.iter());
+    // Both have returned: they count as reached after 3 s, then the better state must hold for as long.
     assert_eq!(
         (
-            quorum.update(4 * S),
-            quorum.update(5 * S + 2),
-            quorum.update(7 * S)
+            quorum.update(4 * SECOND),
+            quorum.update(5 * SECOND + 2),
+            quorum.update(7 * SECOND)
         ),
         (None, None, None)
     );
     assert_eq!(
-        quorum.update(8 * S + 2),
+        quorum.update(8 * SECOND + 2),
         Some(StateChange {
             was: QuorumState::Alone,
             is: QuorumState::Agreed,
@@ -358,14 +383,14 @@
 }
 
 #[test]
-fn an_evicted_voter_returns_by_a_rejoin_of_its_own() {
+fn an_evicted_voter_returns_only_by_its_own_rejoin() {
     let mut evicted = Quorum::new(0, member_id(0), Rules::default());
-    let gone = VoterRecord {
+    let eviction = VoterRecord {
         id: member_id(0),
         rejoins: 0,
         is_voter: false,
     };
-    evicted.receive_view(0, &member_id(1), view(&[], vec![gone.clone()]));
+    evicted.receive_view(0, &member_id(1), view(&[], vec![eviction.clone()]));
     let own = evicted.view_for(0, &member_id(1)).records[0].clone();
     assert_eq!(
         own,
@@ -376,35 +401,35 @@
         }
     );
     let mut other = Quorum::new(0, member_id(1), Rules::default());
-    other.receive_view(0, &member_id(2), view(&[], vec![gone.clone()]));
+    other.receive_view(0, &member_id(2), view(&[], vec![eviction.clone()]));
     other.set_alive(0, [member_id(0)].iter());
     assert_eq!(
         other.voter_count(),
         1,
-        "being alive does not make a voter of one that was evicted"
+        "being alive does not make an evicted sidecar a voter again"
     );
     other.receive_view(0, &member_id(0), view(&[], vec![own]));
-    other.receive_view(0, &member_id(2), view(&[], vec![gone]));
+    other.receive_view(0, &member_id(2), view(&[], vec![eviction]));
     assert_eq!(other.voter_count(), 2);
 }
 
 #[test]
-fn a_voter_that_does_not_hear_us_counts_as_missing_and_is_named() {
+fn a_voter_that_misses_us_counts_as_unreached_and_is_named() {
     let mut quorum = Quorum::new(0, member_id(0), Rules::default());
     let others = [member_id(1), member_id(2)];
     quorum.set_alive(0, others.iter());
     quorum.update(0);
-    quorum.update(4 * S);
+    quorum.update(4 * SECOND);
     assert_eq!(quorum.state(), QuorumState::Agreed);
-    quorum.receive_view(5 * S, &member_id(1), view(&["s-00"], Vec::new()));
+    quorum.receive_view(5 * SECOND, &member_id(1), view(&["s-00"], Vec::new()));
     assert_eq!(
-        quorum.voters_missing_us(5 * S).collect::<Vec<_>>(),
+        quorum.voters_missing_us(5 * SECOND).collect::<Vec<_>>(),
         ["s-01"]
     );
-    assert_eq!(quorum.unreached(5 * S).collect::<Vec<_>>(), ["s-01"]);
-    quorum.receive_view(5 * S, &member_id(2), view(&["s-00"], Vec::new()));
+    assert_eq!(quorum.unreached(5 * SECOND).collect::<Vec<_>>(), ["s-01"]);
+    quorum.receive_view(5 * SECOND, &member_id(2), view(&["s-00"], Vec::new()));
     assert_eq!(
-        quorum.update(5 * S),
+        quorum.update(5 * SECOND),
         Some(StateChange {
             was: QuorumState::Agreed,
             is: QuorumState::Alone,
@@ -413,7 +438,7 @@
 }
 
 #[test]
-fn only_the_allowed_length_of_a_view_is_read() {
+fn an_oversized_view_is_read_only_up_to_its_limits() {
     let mut quorum = Quorum::new(0, member_id(0), Rules::default());
     quorum.set_alive(0, [member_id(1)].iter());
     let records = (100..10_100)
@@ -426,34 +451,41 @@
     let names: Vec<String> = (0..10_000).map(|n| format!("{n:060}")).collect();
     let mut missing: Vec<&str> = names.iter().map(String::as_str).collect();
     missing.push("s-00");
-    quorum.receive_view(S, &member_id(1), view(&missing, records));
+    quorum.receive_view(SECOND, &member_id(1), view(&missing, records));
     assert_eq!(
-        (quorum.voter_count(), quorum.voters_missing_us(S).count()),
+        (
+            quorum.voter_count(),
+            quorum.voters_missing_us(SECOND).count()
+        ),
         (2 + 12, 0)
     );
 }
 
 #[test]
-fn views_that_still_differ_later_are_a_dispute_that_names_who_is_missed() {
+fn views_that_still_differ_later_are_a_dispute_that_names_the_missing_voters() {
     let mut quorum = Quorum::new(0, member_id(0), Rules::default());
     let others: Vec<MemberId> = (1..5).map(member_id).collect();
     quorum.set_alive(0, others.iter());
     quorum.update(0);
-    quorum.update(4 * S);
-    quorum.receive_view(5 * S, &member_id(1), view(&["s-03"], Vec::new()));
-    assert_eq!(quorum.update(5 * S), None, "updates take their time");
-    quorum.receive_view(16 * S, &member_id(1), view(&["s-03"], Vec::new()));
+    quorum.update(4 * SECOND);
+    quorum.receive_view(5 * SECOND, &member_id(1), view(&["s-03"], Vec::new()));
+    assert_eq!(
+        quorum.update(5 * SECOND),
+        None,
+        "the difference may only be an update that has not spread yet"
+    );
+    quorum.receive_view(16 * SECOND, &member_id(1), view(&["s-03"], Vec::new()));
     assert_eq!(
-        quorum.update(16 * S),
+        quorum.update(16 * SECOND),
         Some(StateChange {
             was: QuorumState::Agreed,
             is: QuorumState::Disputed,
         })
     );
-    let disputes = quorum.disputes(16 * S);
+    let disputes = quorum.disputes(16 * SECOND);
     assert_eq!(
         (disputes.len(), disputes[0].peer.as_str(), disputes[0].since),
-        (1, "s-01", 5 * S)
+        (1, "s-01", 5 * SECOND)
     );
     assert_eq!(disputes[0].missing_at_peer, ["s-03"]);
     assert!(disputes[0].voters_differ && disputes[0].missing_here.is_empty());
@@ -464,38 +496,38 @@
     let mut quorum = Quorum::new(0, member_id(0), Rules::default());
     let (both, one) = ([member_id(1), member_id(2)], [member_id(1)]);
     quorum.set_alive(0, both.iter());
-    let mut now = 10 * S;
+    let mut now = 10 * SECOND;
     let mut waits = Vec::new();
     for _ in 0..4 {
         quorum.set_alive(now, one.iter());
-        quorum.set_alive(now + S, both.iter());
-        now += S;
-        let back = now;
+        quorum.set_alive(now + SECOND, both.iter());
+        now += SECOND;
+        let returned_at = now;
         while quorum.flapping(now).next().is_some() {
-            now += S;
+            now += SECOND;
         }
-        waits.push((now - back) / S);
+        waits.push((now - returned_at) / SECOND);
     }
     assert_eq!(waits, [3, 9, 21, 45]);
-    // Forgiven after a long steady time.
-    now += 4_000 * S;
-    (0..50).for_each(|n| quorum.set_alive(now + n * 400 * S, both.iter()));
-    now += 50 * 400 * S;
+    // The flaps are forgiven after a long time without one.
+    now += 4_000 * SECOND;
+    (0..50).for_each(|n| quorum.set_alive(now + n * 400 * SECOND, both.iter()));
+    now += 50 * 400 * SECOND;
     quorum.set_alive(now, one.iter());
     quorum.set_alive(now, both.iter());
-    assert!(quorum.flapping(now + 3 * S).next().is_none());
+    assert!(quorum.flapping(now + 3 * SECOND).next().is_none());
 }
 
 #[test]
-fn a_voter_is_evicted_by_more_than_half_of_all_voters_alone() {
-    for (voters, gone) in [(1, false), (2, true)] {
+fn a_voter_is_evicted_only_by_more_than_half_of_all_voters() {
+    for (reached_voters, is_evicted) in [(1, false), (2, true)] {
         let mut quorum = Quorum::new(0, member_id(0), Rules::default());
-        let five: Vec<MemberId> = (1..5).map(member_id).collect();
-        quorum.set_alive(0, five.iter());
-        quorum.set_alive(S, five[..voters].iter());
-        let now = 700 * S;
+        let others: Vec<MemberId> = (1..5).map(member_id).collect();
+        quorum.set_alive(0, others.iter());
+        quorum.set_alive(SECOND, others[..reached_voters].iter());
+        let now = 700 * SECOND;
         for _ in 0..3 {
-            for voter in &five[..voters] {
+            for voter in &others[..reached_voters] {
                 let evictions = vec![eviction_vote(4)];
                 quorum.receive_view(
                     now,
@@ -506,7 +538,7 @@
                     },
                 );
             }
-            // A stranger has no vote.
+            // A sidecar that is not a voter has no vote.
             let evictions = vec![eviction_vote(4)];
             quorum.receive_view(
                 now,
@@ -520,8 +552,8 @@
         }
         assert_eq!(
             quorum.voter_count() == 4,
-            gone,
-            "{voters} voters beside us, of five"
+            is_evicted,
+            "{reached_voters} voters beside us, of five"
         );
     }
 }
@@ -536,14 +568,14 @@
 
 fn records() -> impl Strategy<Value = Vec<VoterRecord>> {
     let record =
-        (1..5usize, 1..3u64, 0..3u32, any::<bool>()).prop_map(|(id, member_id, entry, belongs)| {
+        (1..5usize, 1..3u64, 0..3u32, any::<bool>()).prop_map(|(id, number, rejoined, voting)| {
             VoterRecord {
                 id: MemberId {
                     name: name(id),
-                    incarnation: member_id,
+                    incarnation: number,
                 },
-                rejoins: entry,
-                is_voter: belongs,
+                rejoins: rejoined,
+                is_voter: voting,
             }
         });
     prop::collection::vec(record, 0..10)
@@ -551,14 +583,14 @@
 
 proptest! {
     #[test]
-    fn voter_records_merge_alike_in_any_order_and_however_often(one in records(), two in records()) {
-        let tell = |all: &[&Vec<VoterRecord>]| {
+    fn voter_records_merge_to_the_same_result_in_any_order_and_with_repeats(one in records(), two in records()) {
+        let digest_after = |batches: &[&Vec<VoterRecord>]| {
             let mut quorum = Quorum::new(0, member_id(0), Rules::default());
-            for records in all {
+            for records in batches {
                 quorum.receive_view(0, &member_id(1), view(&[], records.to_vec()));
             }
             quorum.view_for(0, &member_id(1)).voters_digest
         };
-        prop_assert_eq!(tell(&[&one, &two]), tell(&[&two, &one, &two, &one]));
+        prop_assert_eq!(digest_after(&[&one, &two]), digest_after(&[&two, &one, &two, &one]));
     }
 }
--- a/crates/membership/tests/replay.rs
+++ b/crates/membership/tests/replay.rs
@@ -10,9 +10,9 @@
         sequences in proptest::collection::vec(1u64..12_000, 1..900),
     ) {
         let mut window = ReplayWindow::default();
-        let (mut model, mut newest) = (HashSet::new(), 0);
+        let (mut accepted, mut newest) = (HashSet::new(), 0);
         for sequence in sequences {
-            let is_first = sequence + REPLAY_WINDOW >= newest && model.insert(sequence);
+            let is_first = sequence + REPLAY_WINDOW >= newest && accepted.insert(sequence);
             prop_assert_eq!(window.accept(sequence), is_first);
             newest = newest.max(sequence);
         }
--- a/crates/membership/tests/simulated.rs
+++ b/crates/membership/tests/simulated.rs
@@ -1,4 +1,5 @@
-//! The membership over the simulated network: the same code as on sockets, by seed, without a sleep.
+//! The membership on the simulated network: the code that also runs on sockets, reproducible by seed and without
+//! waiting.
 
 use havenplank_emulator::net::{Clock, Id, Nanos, Net, Part, Weather};
 use havenplank_membership::keys::Key;
@@ -9,12 +10,12 @@
 use havenplank_membership::swim::{MemberEvent, Rules};
 use std::net::SocketAddr;
 
-const S: Nanos = 1_000_000_000;
+const SECOND: Nanos = 1_000_000_000;
 
 struct Sidecar {
     node: Node,
     events: Vec<(Nanos, MemberEvent)>,
-    /// Datagrams that came, to be played again.
+    /// Received datagrams, to be replayed.
     arrived: Vec<Vec<u8>>,
 }
 
@@ -37,21 +38,22 @@
 }
 
 impl Sidecar {
-    fn new(now: Nanos, at: SocketAddr, name: &str, incarnation: u64, key: u8) -> Sidecar {
+    fn new(now: Nanos, own_address: SocketAddr, name: &str, incarnation: u64, key: u8) -> Sidecar {
         let id = MemberId {
             name: name.into(),
             incarnation,
         };
         let me = Member {
             id,
-            address: at,
+            address: own_address,
             zone: "z".into(),
             refutations: 0,
             state: MemberState::Alive,
         };
         let seeds = vec![Net::<Sidecar>::address(0)];
         let seed = u64::from(key) << 32
-            | at.ip()
+            | own_address
+                .ip()
                 .to_string()
                 .bytes()
                 .fold(incarnation, |sum, byte| sum * 31 + byte as u64);
@@ -98,20 +100,20 @@
     format!("s-{id:04}")
 }
 
-fn fleet(many: usize, seed: u64, weather: Weather) -> Net<Sidecar> {
-    let mut net = Net::new(seed, weather);
-    for id in 0..many {
-        // Clocks that never agree: other starts, and up to a thousandth fast or slow.
+fn fleet(size: usize, seed: u64, conditions: Weather) -> Net<Sidecar> {
+    let mut net = Net::new(seed, conditions);
+    for id in 0..size {
+        // Clocks that differ: they start at different times, and run up to a thousandth too fast or too slow.
         let clock = Clock {
-            began: id as Nanos * 77 * S,
+            began: id as Nanos * 77 * SECOND,
             drift_ppm: (id as i64 % 3 - 1) * 1_000,
         };
-        net.join(clock, |now, at| Sidecar::new(now, at, &name(id), 1, 7));
+        net.join(clock, |now, addr| Sidecar::new(now, addr, &name(id), 1, 7));
     }
     net
 }
 
-/// Whether each of these knows all of these and nobody else.
+/// Whether each of these sidecars knows exactly the others as living members.
 fn agree(net: &Net<Sidecar>, ids: &[Id]) -> bool {
     let all: Vec<String> = ids.iter().map(|id| name(*id)).collect();
     ids.iter().all(|id| {
@@ -125,8 +127,8 @@
 }
 
 #[test]
-fn members_meet_through_one_address_and_none_is_lost_when_a_tenth_of_datagrams_is() {
-    let mut count_lost = 0;
+fn members_join_through_one_address_and_none_is_declared_dead_at_10_percent_loss() {
+    let mut lost_members = 0;
     for seed in 0..8 {
         let mut net = fleet(
             16,
@@ -137,25 +139,25 @@
                 delay: (100_000, 30_000_000),
             },
         );
-        net.run(20 * S, |_, _| {});
+        net.run(20 * SECOND, |_, _| {});
         let all: Vec<Id> = net.ids().collect();
         assert!(
             agree(&net, &all),
             "seed {seed}: {:?}",
             net.part(3).map(Sidecar::names)
         );
-        net.run(120 * S, |_, _| {});
+        net.run(120 * SECOND, |_, _| {});
         assert!(agree(&net, &all), "seed {seed}");
-        count_lost += net
+        lost_members += net
             .ids()
             .map(|id| net.part(id).unwrap().count_lost())
             .sum::<usize>();
     }
-    assert_eq!(count_lost, 0);
+    assert_eq!(lost_members, 0);
 }
 
 #[test]
-fn a_dead_member_is_lost_everywhere_and_its_next_incarnation_is_another() {
+fn a_dead_member_is_removed_everywhere_and_returns_as_a_new_incarnation() {
     for seed in 0..8 {
         let mut net = fleet(
             24,
@@ -165,14 +167,14 @@
                 ..Weather::default()
             },
         );
-        net.run(20 * S, |_, _| {});
-        let old = net.part(5).unwrap().arrived.clone();
+        net.run(20 * SECOND, |_, _| {});
+        let old_datagrams = net.part(5).unwrap().arrived.clone();
         net.kill(5);
-        net.run(50 * S, |_, _| {});
+        net.run(50 * SECOND, |_, _| {});
         let others: Vec<Id> = net.ids().filter(|id| *id != 5).collect();
         assert!(agree(&net, &others), "seed {seed}");
-        net.restart(5, |now, at| Sidecar::new(now, at, &name(5), 2, 7));
-        net.run(70 * S, |_, _| {});
+        net.restart(5, |now, addr| Sidecar::new(now, addr, &name(5), 2, 7));
+        net.run(70 * SECOND, |_, _| {});
         let all: Vec<Id> = net.ids().collect();
         assert!(agree(&net, &all), "seed {seed}");
         for id in &others {
@@ -188,31 +190,36 @@
                 2
             );
         }
-        // What was sent to its first life, played to the second, changes nothing.
+        // Datagrams that were sent to its first incarnation have no effect when they are replayed to the second.
         let now = net.own_time(5);
         let part = net.part_mut(5).unwrap();
-        let (events, before) = (part.events.len(), part.node.rejected.total());
-        old.iter().for_each(|bytes| part.heard(now, bytes));
+        let (events, rejected_before) = (part.events.len(), part.node.rejected.total());
+        old_datagrams
+            .iter()
+            .for_each(|bytes| part.heard(now, bytes));
         assert_eq!(
-            (part.events.len(), part.node.rejected.total() - before),
-            (events, old.len() as u64)
+            (
+                part.events.len(),
+                part.node.rejected.total() - rejected_before
+            ),
+            (events, old_datagrams.len() as u64)
         );
     }
 }
 
 #[test]
-fn a_paused_member_is_lost_returns_by_itself_and_suspects_nobody() {
+fn a_paused_member_is_declared_dead_returns_by_itself_and_suspects_no_other() {
     let mut net = fleet(12, 3, Weather::default());
-    net.run(20 * S, |_, _| {});
+    net.run(20 * SECOND, |_, _| {});
     net.pause(4);
-    net.run(80 * S, |_, _| {});
+    net.run(80 * SECOND, |_, _| {});
     let others: Vec<Id> = net.ids().filter(|id| *id != 4).collect();
     assert!(agree(&net, &others));
     net.unpause(4);
-    net.run(100 * S, |_, _| {});
+    net.run(100 * SECOND, |_, _| {});
     let all: Vec<Id> = net.ids().collect();
     assert!(agree(&net, &all), "{:?}", net.part(4).map(Sidecar::names));
-    let blamed = |id: &Id| {
+    let suspected_another = |id: &Id| {
         net.part(*id)
             .unwrap()
             .events
@@ -222,27 +229,30 @@
                 _ => false,
             })
     };
-    assert!(!others.iter().any(blamed), "somebody else was suspected");
-    let woken = &net.part(4).unwrap().events;
     assert!(
-        !woken
+        !others.iter().any(suspected_another),
+        "a member that was not paused was suspected"
+    );
+    let resumed_events = &net.part(4).unwrap().events;
+    assert!(
+        !resumed_events
             .iter()
             .any(|(_, event)| matches!(event, MemberEvent::Lost(_))),
-        "{woken:?}"
+        "{resumed_events:?}"
     );
 }
 
 #[test]
-fn two_halves_of_a_split_merge_after_it_heals() {
+fn the_two_sides_of_a_partition_merge_after_it_heals() {
     for seed in 0..4 {
         let mut net = fleet(10, seed, Weather::default());
-        net.run(20 * S, |_, _| {});
-        let (one, two): (Vec<Id>, Vec<Id>) = net.ids().partition(|id| *id < 5);
-        net.split(&[&one, &two]);
-        net.run(100 * S, |_, _| {});
-        assert!(agree(&net, &one) && agree(&net, &two), "seed {seed}");
+        net.run(20 * SECOND, |_, _| {});
+        let (first, second): (Vec<Id>, Vec<Id>) = net.ids().partition(|id| *id < 5);
+        net.split(&[&first, &second]);
+        net.run(100 * SECOND, |_, _| {});
+        assert!(agree(&net, &first) && agree(&net, &second), "seed {seed}");
         net.heal();
-        net.run(130 * S, |_, _| {});
+        net.run(130 * SECOND, |_, _| {});
         let all: Vec<Id> = net.ids().collect();
         assert!(
             agree(&net, &all),
@@ -253,28 +263,30 @@
 }
 
 #[test]
-fn strangers_forged_frames_and_repeats_change_nothing() {
+fn frames_with_another_key_and_repeated_frames_have_no_effect() {
     let mut net = fleet(6, 1, Weather::default());
-    // One with another key, under a name that is free and one that is not.
+    // Two sidecars with another key: one under a free name, one under the name of a member.
     for incarnation in [1, 9] {
         let id = net.ids().count();
-        let taken = if incarnation == 1 { name(id) } else { name(2) };
-        net.join(Clock::default(), |now, at| {
-            Sidecar::new(now, at, &taken, incarnation, 8)
+        let chosen_name = if incarnation == 1 { name(id) } else { name(2) };
+        net.join(Clock::default(), |now, addr| {
+            Sidecar::new(now, addr, &chosen_name, incarnation, 8)
         });
     }
-    net.run(30 * S, |_, _| {});
+    net.run(30 * SECOND, |_, _| {});
     let all: Vec<Id> = (0..6).collect();
     assert!(agree(&net, &all));
     assert!(net.part(0).unwrap().node.rejected.count(Rejection::BadTag) > 5);
-    // Everything that 0 ever heard, again, minutes later, and to another than it was for.
-    net.run(300 * S, |_, _| {});
-    let old = net.part(0).unwrap().arrived.clone();
+    // Replays all that sidecar 0 received, minutes later, to itself and to another sidecar.
+    net.run(300 * SECOND, |_, _| {});
+    let old_datagrams = net.part(0).unwrap().arrived.clone();
     for id in [0, 1] {
         let now = net.own_time(id);
         let part = net.part_mut(id).unwrap();
         let events = part.events.len();
-        old.iter().for_each(|bytes| part.heard(now, bytes));
+        old_datagrams
+            .iter()
+            .for_each(|bytes| part.heard(now, bytes));
         assert_eq!(part.events.len(), events);
         while part.datagram().is_some() {}
     }
@@ -294,14 +306,14 @@
             .count(Rejection::WrongReceiver)
             > 100
     );
-    net.run(330 * S, |_, _| {});
+    net.run(330 * SECOND, |_, _| {});
     assert!(agree(&net, &all));
 }
 
 #[test]
 fn a_key_is_replaced_without_losing_a_member() {
     let mut net = fleet(6, 2, Weather::default());
-    net.run(20 * S, |_, _| {});
+    net.run(20 * SECOND, |_, _| {});
     let (old, new) = (Key::new([7; 32]), Key::new([9; 32]));
     for keys in [
         vec![old.clone(), new.clone()],
@@ -310,10 +322,10 @@
     ] {
         for id in 0..6 {
             net.part_mut(id).unwrap().node.replace_keys(keys.clone());
-            net.run(net.now() + 3 * S, |_, _| {});
+            net.run(net.now() + 3 * SECOND, |_, _| {});
         }
     }
-    net.run(net.now() + 60 * S, |_, _| {});
+    net.run(net.now() + 60 * SECOND, |_, _| {});
     let all: Vec<Id> = net.ids().collect();
     assert!(agree(&net, &all));
     assert_eq!(
@@ -327,7 +339,7 @@
 #[test]
 fn a_burst_of_one_kind_of_message_is_bounded_and_delays_no_other_kind() {
     let mut net = fleet(2, 1, Weather::default());
-    net.run(10 * S, |_, _| {});
+    net.run(10 * SECOND, |_, _| {});
     let now = net.own_time(1);
     let to = MemberId {
         name: name(1),
@@ -348,7 +360,7 @@
         .iter()
         .for_each(|(_, datagram)| receiver.receive_datagram(now, datagram));
     assert_eq!(receiver.overflowed, [(2, 50)].into());
-    // In the order in which they came, the newest lost; then there is room again.
+    // In the order of arrival, without the newest ones; afterwards there is space again.
     let mut arrived = Vec::new();
     while let Some(event) = receiver.next_event() {
         arrived.extend(match event {
@@ -356,10 +368,10 @@
             NodeEvent::Membership(_) => None,
         });
     }
-    let wanted = (0..MAX_PENDING_MESSAGES)
+    let expected = (0..MAX_PENDING_MESSAGES)
         .map(|n| (2, n as u8))
         .chain([(3, burst as u8), (3, burst as u8 + 1)]);
-    assert_eq!(arrived, wanted.collect::<Vec<_>>());
+    assert_eq!(arrived, expected.collect::<Vec<_>>());
     let sender = &mut net.part_mut(0).unwrap().node;
     assert!(sender.send(&to, 2, vec![9]));
     let (_, datagram) = sender.next_datagram().unwrap();
@@ -373,41 +385,42 @@
 }
 
 #[test]
-fn what_each_member_sends_does_not_grow_with_the_fleet() {
-    let each = |many: usize| {
-        let mut net = fleet(many, 1, Weather::default());
-        net.run(40 * S, |_, _| {});
+fn the_traffic_of_each_member_does_not_grow_with_the_fleet() {
+    let sent_by_each = |size: usize| {
+        let mut net = fleet(size, 1, Weather::default());
+        net.run(40 * SECOND, |_, _| {});
         let (sent, bytes) = (net.carried, net.carried_bytes);
-        net.run(60 * S, |_, _| {});
-        let a_second = |all: u64| all as f64 / many as f64 / 20.0;
+        net.run(60 * SECOND, |_, _| {});
+        let per_member_and_second = |total: u64| total as f64 / size as f64 / 20.0;
         (
-            a_second(net.carried - sent),
-            a_second(net.carried_bytes - bytes),
+            per_member_and_second(net.carried - sent),
+            per_member_and_second(net.carried_bytes - bytes),
         )
     };
-    let (few, many) = (each(4), each(96));
+    let (small, large) = (sent_by_each(4), sent_by_each(96));
     assert!(
-        many.0 < 1.2 * few.0 && many.1 < 2.0 * few.1,
-        "{few:?} to {many:?}"
+        large.0 < 1.2 * small.0 && large.1 < 2.0 * small.1,
+        "{small:?} to {large:?}"
     );
 }
 
-/// All that a run by seed carries, counted and hashed by receiver in the order of arrival.
+/// Counts the messages and bytes that seeded runs carry, hashes them by receiver in the order of arrival, and compares
+/// with recorded runs.
 #[test]
-fn runs_by_seed_carry_the_recorded_messages_and_bytes() {
-    let played: Vec<String> = (0..4)
+fn seeded_runs_carry_the_recorded_messages_and_bytes() {
+    let measured: Vec<String> = (0..4)
         .map(|seed| {
-            let weather = Weather {
+            let conditions = Weather {
                 loss: 0.1,
                 repeat: 0.05,
                 delay: (100_000, 30_000_000),
             };
-            let mut net = fleet(12, seed, weather);
-            net.run(20 * S, |_, _| {});
+            let mut net = fleet(12, seed, conditions);
+            net.run(20 * SECOND, |_, _| {});
             net.kill(5);
-            net.run(60 * S, |_, _| {});
-            net.restart(5, |now, at| Sidecar::new(now, at, &name(5), 2, 7));
-            net.run(90 * S, |_, _| {});
+            net.run(60 * SECOND, |_, _| {});
+            net.restart(5, |now, addr| Sidecar::new(now, addr, &name(5), 2, 7));
+            net.run(90 * SECOND, |_, _| {});
             let mut arrived = blake3::Hasher::new();
             for bytes in net.ids().flat_map(|id| &net.part(id).unwrap().arrived) {
                 arrived.update(bytes);
@@ -422,5 +435,5 @@
         "8383 664234 b38f512cafe14c32",
         "8489 678015 753511ff9ebb324c",
     ];
-    assert_eq!(played, recorded);
+    assert_eq!(measured, recorded);
 }
