--- a/crates/membership/src/frame.rs
+++ b/crates/membership/src/frame.rs
@@ -60,7 +60,7 @@
     pub from: MemberId,
     /// The receiver. Its name is empty if the sender knows only its address.
     pub to: MemberId,
-    /// The number of the frame among those of its incarnation and channel, from 1, so that repeats can be recognised.
+    /// Counts the frames of one incarnation on one channel, from 1, so that repeats can be recognised.
     pub sequence: u64,
     /// Which package the message belongs to.
     pub kind: u8,
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -12,7 +12,7 @@
 /// Identifies one incarnation of a member: its name, and a number that grows with each start under that name.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct MemberId {
-    /// The name of the sidecar, the same after a restart; 1 to [`MAX_NAME_BYTES`] bytes. It is empty only for the
+    /// The name of the sidecar, the same after a restart; 1 to [`MAX_NAME_BYTES`] bytes. It is empty only in the
     /// receiver of a message whose sender does not know the name.
     pub name: String,
     /// The number of the start: the wall clock in milliseconds, raised if other members know a later one.
--- a/crates/membership/src/node.rs
+++ b/crates/membership/src/node.rs
@@ -108,13 +108,13 @@
         }
     }
 
-    /// Returns the next datagram to send, after its destination.
+    /// Returns the destination of the next datagram to send, and the datagram.
     pub fn next_datagram(&mut self) -> Option<(SocketAddr, Vec<u8>)> {
         let outgoing = self.datagrams.outgoing.pop_front()?;
         Some((outgoing.address, outgoing.bytes))
     }
 
-    /// Returns the next frame to send over a stream, after its destination.
+    /// Returns the destination of the next frame to send over a stream, and the frame.
     pub fn next_stream_message(&mut self) -> Option<(SocketAddr, Vec<u8>)> {
         let outgoing = self.streams.outgoing.pop_front()?;
         Some((outgoing.address, outgoing.bytes))
--- a/crates/membership/src/quorum/mod.rs
+++ b/crates/membership/src/quorum/mod.rs
@@ -4,7 +4,7 @@
 //! Membership tells which members are probably alive now. It forgets dead members, so either side of a network
 //! partition soon looks like a complete fleet to itself. The voter table keeps them: a sidecar that was a member once
 //! is a voter until it leaves, or until more than half of all voters have missed it for [`Rules::eviction_delay`]
-//! (`eviction`). So a minority cannot shrink its voter table until it is a majority of the voters that are left.
+//! (`eviction`). So a minority cannot shrink its voter table until it makes up a majority of that table.
 //!
 //! Of the three kinds of promise in docs/membership.md, the quorum state makes none of the first kind: it says what a
 //! sidecar knows, and leases say what it may do.
@@ -40,7 +40,8 @@
     /// it.
     voters: VoterTable,
     state: DampedState,
-    /// The last name in the part of the table that was sent last; the next part begins after it.
+    /// The last name in the part of the table that was sent last; the next part begins after it. Empty if the next part
+    /// is the first one.
     last_sent_name: String,
     /// How often a new voter was rejected because the table was full.
     pub rejected_voters: u64,
--- a/crates/membership/src/quorum/presence.rs
+++ b/crates/membership/src/quorum/presence.rs
@@ -43,7 +43,7 @@
         self.forgive_flaps(now);
     }
 
-    /// Makes a living member a voter, unless its record is known already.
+    /// Makes a living member a voter, unless a record of its incarnation or of a later one is known and decides.
     fn add_if_unknown(&mut self, now: Nanos, id: &MemberId) {
         let is_known = self
             .voters
--- a/crates/membership/src/quorum/state.rs
+++ b/crates/membership/src/quorum/state.rs
@@ -6,9 +6,9 @@
 /// How much of the fleet a sidecar reaches, from the best state to the worst.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum QuorumState {
-    /// More than half of the voters are reached, and they have the same voters and the same living voters as we have.
+    /// More than half of the voters are reached, and they agree with us on who votes and who is alive.
     Agreed,
-    /// More than half of the voters are reached, but some of them differ from us on who votes or who is alive.
+    /// More than half of the voters are reached, but some of them disagree with us on who votes or who is alive.
     Disputed,
     /// Half of the voters or fewer are reached.
     Few,
--- a/crates/membership/src/rejection.rs
+++ b/crates/membership/src/rejection.rs
@@ -13,7 +13,7 @@
     WrongVersionOrChannel,
     /// Its authentication tag matches none of the keys: the frame is forged, truncated, or of another group.
     BadTag,
-    /// It is authentic but cannot be decoded.
+    /// It is authentic but cannot be decoded, or holds an invalid name.
     Malformed,
     /// It is addressed to another member or to another incarnation of this one, or claims to be from this member.
     WrongReceiver,
--- a/crates/membership/src/swim/dissemination.rs
+++ b/crates/membership/src/swim/dissemination.rs
@@ -58,7 +58,7 @@
         selected
     }
 
-    /// Returns the update that the receiver has to refute, if it is not alive as far as is known here, and the update
+    /// Returns the update that the receiver has to refute: its own entry, if that says anything but alive, and if it
     /// fits.
     fn update_to_refute(&self, to: &MemberId, budget: &mut Budget) -> Option<Member> {
         let (member, size) = self.members.get_with_size(&to.name)?;
--- a/crates/membership/src/swim/join.rs
+++ b/crates/membership/src/swim/join.rs
@@ -1,4 +1,4 @@
-//! Joining: sends joins to non-members, and challenges the non-members that send messages.
+//! Joining: sends joins to non-members, and challenges the non-members that send a join or a ping.
 //!
 //! A message alone makes no sidecar a member: a non-member must answer a ping with a nonce that was drawn for it, so
 //! that a replay of its earlier messages admits no one.
--- a/crates/membership/src/swim/probe.rs
+++ b/crates/membership/src/swim/probe.rs
@@ -11,7 +11,7 @@
     pub nonce: u64,
     pub target: MemberId,
     pub is_answered: bool,
-    /// Members asked for an indirect probe that have answered with neither an ack nor a nack.
+    /// The number of members asked for an indirect probe that have answered with neither an ack nor a nack.
     pub silent_relays: usize,
 }
 
