--- a/crates/sidecar/src/takeover_service/mod.rs
+++ b/crates/sidecar/src/takeover_service/mod.rs
@@ -175,7 +175,7 @@
             Effect::AttemptReady(id, attempt) => {
                 self.with_waiters(id, |waiters| waiters.attempt_ready(attempt));
             }
-            Effect::Lost(id) => {
+            Effect::OwnershipLost(id) => {
                 tracing::warn!(
                     mark = request_id_text(id),
                     "work lost to another: nothing more is sent for it here"
--- a/crates/takeover/src/message.rs
+++ b/crates/takeover/src/message.rs
@@ -15,7 +15,7 @@
         /// The record.
         record: Record,
         /// When the first sender sent its message, on its own clock; returned unchanged.
-        stamp: Nanos,
+        sent_at: Nanos,
     },
     /// The record is kept.
     Stored {
@@ -26,7 +26,7 @@
         /// The version of the record.
         version: u32,
         /// When the first sender sent its message, on its own clock; returned unchanged.
-        stamp: Nanos,
+        sent_at: Nanos,
         /// The backup's epoch for the receiver.
         epoch: u32,
     },
@@ -37,24 +37,24 @@
         /// The term that this is about.
         term: u32,
         /// Its owner.
-        by: MemberId,
+        owner: MemberId,
         /// Whether the key belongs to a different request.
-        differs: bool,
+        key_reused: bool,
     },
     /// No room for another record.
-    Full {
+    OutOfCapacity {
         /// The request.
         request: RequestId,
     },
     /// To a backup: renew the lease on all requests that it keeps for the sender.
     RenewLease {
         /// When the first sender sent its message, on its own clock; returned unchanged.
-        stamp: Nanos,
+        sent_at: Nanos,
     },
     /// The lease is renewed.
     LeaseRenewed {
         /// When the first sender sent its message, on its own clock; returned unchanged.
-        stamp: Nanos,
+        sent_at: Nanos,
         /// The backup's epoch for the receiver.
         epoch: u32,
     },
@@ -65,7 +65,7 @@
         /// The term that this is about.
         term: u32,
         /// When the first sender sent its message, on its own clock; returned unchanged.
-        stamp: Nanos,
+        sent_at: Nanos,
     },
     /// A vote for the candidate, with the record that the voter keeps.
     VoteGranted {
@@ -74,7 +74,7 @@
         /// The term that this is about.
         term: u32,
         /// When the first sender sent its message, on its own clock; returned unchanged.
-        stamp: Nanos,
+        sent_at: Nanos,
         /// The backup's epoch for the receiver.
         epoch: u32,
     },
@@ -95,7 +95,7 @@
         outcome: Outcome,
     },
     /// The request is not known here.
-    Unknown {
+    UnknownRequest {
         /// The request.
         request: RequestId,
     },
--- a/crates/takeover/src/record.rs
+++ b/crates/takeover/src/record.rs
@@ -47,7 +47,7 @@
 
 impl Outcome {
     /// Whether a new request under the same key may begin, as the client was told that it may retry.
-    pub fn reopens(&self) -> bool {
+    pub fn allows_retry(&self) -> bool {
         matches!(
             self,
             Outcome::Rejected | Outcome::Failed { retryable: true }
@@ -85,18 +85,18 @@
 
 impl Record {
     /// Returns the record as of a later moment. Only time spans travel, as no two clocks agree.
-    pub fn later(&self, by: Nanos) -> Record {
+    pub fn advanced_by(&self, elapsed: Nanos) -> Record {
         let mut record = self.clone();
-        record.remaining = record.remaining.saturating_sub(by);
+        record.remaining = record.remaining.saturating_sub(elapsed);
         record
             .attempts
             .iter_mut()
-            .for_each(|attempt| attempt.age = attempt.age.saturating_add(by));
+            .for_each(|attempt| attempt.age = attempt.age.saturating_add(elapsed));
         record
     }
 
     /// Returns the bytes of the request and of its answer.
-    pub fn weight(&self) -> usize {
+    pub fn byte_len(&self) -> usize {
         let answer = match &self.outcome {
             Some(Outcome::Served(answer)) => answer.len(),
             _ => 0,
@@ -105,8 +105,8 @@
     }
 
     /// Whether a claim of the same request may begin anew, as the client was told that it may retry.
-    pub fn reopens_for(&self, digest: u64) -> bool {
-        self.digest == digest && self.outcome.as_ref().is_some_and(Outcome::reopens)
+    pub fn allows_retry_of(&self, digest: u64) -> bool {
+        self.digest == digest && self.outcome.as_ref().is_some_and(Outcome::allows_retry)
     }
 
     /// Returns the number of backups that is more than half of them.
--- a/crates/takeover/src/takeover.rs
+++ b/crates/takeover/src/takeover.rs
@@ -160,39 +160,41 @@
     /// Handles a message of another sidecar.
     pub fn receive(&mut self, now: Nanos, from: &MemberId, message: Message) {
         match message {
-            Message::Store { record, stamp } if record.owner == *from => {
-                self.on_store(now, from, record, stamp)
+            Message::Store { record, sent_at } if record.owner == *from => {
+                self.on_store(now, from, record, sent_at)
             }
             Message::Stored {
                 request,
                 term,
                 version,
-                stamp,
+                sent_at,
                 epoch,
             } => {
-                self.extend_lease(now, from, stamp, epoch);
+                self.extend_lease(now, from, sent_at, epoch);
                 self.on_stored(now, from, request, term, Ack { version, epoch });
             }
             Message::Owned {
                 request,
                 term,
-                by,
-                differs,
-            } => self.on_owned(now, from, request, term, &by, differs),
-            Message::Full { request } => self.on_full(now, from, request),
-            Message::RenewLease { stamp } => self.on_renew_lease(now, from, stamp),
-            Message::LeaseRenewed { stamp, epoch } => self.extend_lease(now, from, stamp, epoch),
+                owner,
+                key_reused,
+            } => self.on_owned(now, from, request, term, &owner, key_reused),
+            Message::OutOfCapacity { request } => self.on_out_of_capacity(now, from, request),
+            Message::RenewLease { sent_at } => self.on_renew_lease(now, from, sent_at),
+            Message::LeaseRenewed { sent_at, epoch } => {
+                self.extend_lease(now, from, sent_at, epoch)
+            }
             Message::RequestVote {
                 request,
                 term,
-                stamp,
-            } => self.on_request_vote(now, from, request, term, stamp),
+                sent_at,
+            } => self.on_request_vote(now, from, request, term, sent_at),
             Message::VoteGranted {
                 record,
                 term,
-                stamp,
+                sent_at,
                 epoch,
-            } => self.on_vote_granted(now, from, record, term, (stamp, epoch)),
+            } => self.on_vote_granted(now, from, record, term, (sent_at, epoch)),
             Message::AwaitOutcome { request, digest } => {
                 self.on_await_outcome(from, request, digest)
             }
@@ -201,7 +203,7 @@
                 term,
                 outcome,
             } => self.on_finished(now, request, term, outcome),
-            Message::Unknown { request } => self.on_unknown(from, request),
+            Message::UnknownRequest { request } => self.on_unknown_request(from, request),
             Message::Release { request, term } => self.on_release(from, request, term),
             // Only an owner sends its record.
             Message::Store { .. } => {}
@@ -214,7 +216,7 @@
         self.replica_bytes = self
             .replicas
             .values()
-            .map(|replica| replica.record.weight())
+            .map(|replica| replica.record.byte_len())
             .sum();
         self.retry_owned(now);
         self.retry_waiting(now);
--- a/crates/takeover/src/takeover/backup.rs
+++ b/crates/takeover/src/takeover/backup.rs
@@ -41,7 +41,7 @@
         now: Nanos,
         from: &MemberId,
         mut record: Record,
-        stamp: Nanos,
+        sent_at: Nanos,
     ) {
         let (request, term, version) = (record.request, record.term, record.version);
         if let Some(Outcome::Served(answer)) = record.outcome.as_mut().filter(|_| self.is_full()) {
@@ -57,7 +57,7 @@
                 request,
                 term,
                 version,
-                stamp,
+                sent_at,
                 epoch,
             },
         );
@@ -94,7 +94,7 @@
         let Some(replica) = self.replicas.get(&request) else {
             if self.is_full() {
                 self.rejected_records += 1;
-                self.send(from, Message::Full { request });
+                self.send(from, Message::OutOfCapacity { request });
                 return false;
             }
             let term = record.term;
@@ -124,7 +124,7 @@
             replica.try_at = now + self.rules.lease;
         }
         if (record.term, record.version) > (replica.record.term, replica.record.version) {
-            self.replica_bytes += record.weight();
+            self.replica_bytes += record.byte_len();
             (replica.record, replica.as_of, replica.forget) = (record, now, forget);
         }
         if previous != *from {
@@ -192,7 +192,7 @@
             .saturating_add(record.remaining)
             .saturating_add(self.rules.retention);
         let request = record.request;
-        self.replica_bytes += record.weight();
+        self.replica_bytes += record.byte_len();
         let try_at = if record.confirmed {
             now
         } else {
@@ -229,8 +229,9 @@
     /// Whether the outcome known here ends the request that this record still shows as open: a retry that reached a
     /// backup, or a takeover that crossed the outcome. A new claim in a later term may follow an allowed retry.
     fn is_finished_for(&self, record: &Record) -> bool {
-        let is_retry =
-            self.record.reopens_for(record.digest) && !record.confirmed && record.term > self.term;
+        let is_retry = self.record.allows_retry_of(record.digest)
+            && !record.confirmed
+            && record.term > self.term;
         let same_request = self.record.digest == record.digest;
         self.record.outcome.is_some() && record.outcome.is_none() && same_request && !is_retry
     }
@@ -244,8 +245,8 @@
 /// The refusal of another owner's record: the outcome, if it is known and the request is the same, else the owner.
 pub(super) fn refusal(record: &Record, term: u32, owner: &MemberId, digest: u64) -> Message {
     let request = record.request;
-    let differs = record.digest != digest;
-    match record.outcome.clone().filter(|_| !differs) {
+    let key_reused = record.digest != digest;
+    match record.outcome.clone().filter(|_| !key_reused) {
         Some(outcome) => Message::Finished {
             request,
             term,
@@ -254,8 +255,8 @@
         None => Message::Owned {
             request,
             term,
-            by: owner.clone(),
-            differs,
+            owner: owner.clone(),
+            key_reused,
         },
     }
 }
--- a/crates/takeover/src/takeover/claim.rs
+++ b/crates/takeover/src/takeover/claim.rs
@@ -45,7 +45,7 @@
     pub fn claim(&mut self, now: Nanos, incoming: IncomingRequest, required: RequiredAcks) {
         let (request, digest) = (incoming.request, incoming.digest);
         if let Some(owned) = self.owned.get(&request) {
-            if !owned.record.reopens_for(digest) {
+            if !owned.record.allows_retry_of(digest) {
                 let effect = claim_effect(&owned.record, digest);
                 return self.effects.push_back(effect);
             }
@@ -54,7 +54,9 @@
         let term = match self.replicas.get(&request) {
             None => FIRST_TERM,
             // A retry that the client was allowed starts anew, in a later term than any record of the first try.
-            Some(replica) if replica.record.reopens_for(digest) => replica.term.saturating_add(1),
+            Some(replica) if replica.record.allows_retry_of(digest) => {
+                replica.term.saturating_add(1)
+            }
             Some(replica) => {
                 let effect = claim_effect(&replica.record, digest);
                 let backups = replica.record.backups.clone();
@@ -165,8 +167,8 @@
         from: &MemberId,
         request: RequestId,
         term: u32,
-        by: &MemberId,
-        differs: bool,
+        owner: &MemberId,
+        key_reused: bool,
     ) {
         if let Some(waiting) = self.waiting.get_mut(&request) {
             waiting.last_known = now;
@@ -178,7 +180,7 @@
         else {
             return;
         };
-        if *by == self.me && term <= owned.record.term {
+        if *owner == self.me && term <= owned.record.term {
             return;
         }
         let is_claim = owned.claim_until.is_some();
@@ -196,7 +198,7 @@
         let outvoted = owned.refused.len() >= owned.record.majority();
         let yields = owned.required == RequiredAcks::All || outvoted;
         match is_claim {
-            true if differs => self.reject_claim(request),
+            true if key_reused => self.reject_claim(request),
             true if yields => self.give_up(now, request),
             false if outvoted => self.lose(now, request),
             _ => {}
@@ -216,7 +218,7 @@
     }
 
     /// A backup has no room for the record of a claim.
-    pub(super) fn on_full(&mut self, now: Nanos, from: &MemberId, request: RequestId) {
+    pub(super) fn on_out_of_capacity(&mut self, now: Nanos, from: &MemberId, request: RequestId) {
         let Some(owned) = self
             .owned
             .get_mut(&request)
--- a/crates/takeover/src/takeover/effect.rs
+++ b/crates/takeover/src/takeover/effect.rs
@@ -29,7 +29,7 @@
     /// This sidecar owns the request now: finish it, considering its earlier attempts.
     TakenOver(Record),
     /// Another sidecar owns the request now: send nothing more for it. Its answer will follow.
-    Lost(RequestId),
+    OwnershipLost(RequestId),
     /// The final outcome of a request that was waited for here.
     Finished(RequestId, Outcome),
     /// None of its backups knows the request any more.
--- a/crates/takeover/src/takeover/election.rs
+++ b/crates/takeover/src/takeover/election.rs
@@ -74,7 +74,7 @@
         let term = replica.term.saturating_add(1);
         replica.term = term;
         let previous = std::mem::replace(&mut replica.owner, self.me.clone());
-        let record = replica.record.later(now - replica.as_of);
+        let record = replica.record.advanced_by(now - replica.as_of);
         replica.candidacy = Some(Candidacy {
             term,
             votes: BTreeMap::from([(self.me.name.clone(), record.clone())]),
@@ -86,7 +86,7 @@
                 message: Message::RequestVote {
                     request,
                     term,
-                    stamp: now,
+                    sent_at: now,
                 },
             });
         }
@@ -100,7 +100,7 @@
         from: &MemberId,
         request: RequestId,
         term: u32,
-        stamp: Nanos,
+        sent_at: Nanos,
     ) {
         let backs_up =
             |record: &Record| record.backups.contains(from) && record.backups.contains(&self.me);
@@ -112,7 +112,7 @@
             return;
         }
         if self.yield_to_candidate(now, from, request, term) {
-            self.vote_for(now, from, request, term, stamp);
+            self.vote_for(now, from, request, term, sent_at);
         }
     }
 
@@ -137,7 +137,7 @@
             return false;
         }
         self.retire(now, request);
-        self.effects.push_back(Effect::Lost(request));
+        self.effects.push_back(Effect::OwnershipLost(request));
         true
     }
 
@@ -148,7 +148,7 @@
         from: &MemberId,
         request: RequestId,
         term: u32,
-        stamp: Nanos,
+        sent_at: Nanos,
     ) {
         let Some(replica) = self.replicas.get_mut(&request) else {
             return;
@@ -174,7 +174,7 @@
         let previous = std::mem::replace(&mut replica.owner, from.clone());
         replica.term = term;
         replica.candidacy = None;
-        let record = replica.record.later(now - replica.as_of);
+        let record = replica.record.advanced_by(now - replica.as_of);
         self.withdraw_from(&previous);
         let epoch = self.grant_lease(now, from);
         self.send(
@@ -182,7 +182,7 @@
             Message::VoteGranted {
                 record,
                 term,
-                stamp,
+                sent_at,
                 epoch,
             },
         );
@@ -195,7 +195,7 @@
         from: &MemberId,
         record: Record,
         term: u32,
-        (stamp, epoch): (Nanos, u32),
+        (sent_at, epoch): (Nanos, u32),
     ) {
         let request = record.request;
         let Some(replica) = self
@@ -212,7 +212,7 @@
         if let Some(candidacy) = candidacy.filter(|candidacy| candidacy.term == term) {
             candidacy.votes.insert(from.name.clone(), record);
         }
-        self.extend_lease(now, from, stamp, epoch);
+        self.extend_lease(now, from, sent_at, epoch);
         self.count_votes(now, request);
     }
 
--- a/crates/takeover/src/takeover/leases.rs
+++ b/crates/takeover/src/takeover/leases.rs
@@ -66,18 +66,18 @@
                 let lease = self.own_lease(now);
                 self.leases.insert(backup.name, lease);
             } else {
-                self.send(&backup, Message::RenewLease { stamp: now });
+                self.send(&backup, Message::RenewLease { sent_at: now });
             }
         }
     }
 
     /// Extends a lease. It counts from when it was asked for, shortened by the drift of two clocks.
-    pub(super) fn extend_lease(&mut self, now: Nanos, from: &MemberId, stamp: Nanos, epoch: u32) {
-        if stamp > now {
+    pub(super) fn extend_lease(&mut self, now: Nanos, from: &MemberId, sent_at: Nanos, epoch: u32) {
+        if sent_at > now {
             return;
         }
         let drift = self.rules.lease / MILLION * CLOCKS * self.rules.drift_ppm;
-        let until = stamp + self.rules.lease.saturating_sub(drift);
+        let until = sent_at + self.rules.lease.saturating_sub(drift);
         let lease = self.leases.entry(from.name.clone()).or_default();
         if epoch > lease.epoch {
             *lease = Lease { until, epoch };
@@ -117,10 +117,10 @@
     }
 
     /// Renews the lease of an owner for which records are kept.
-    pub(super) fn on_renew_lease(&mut self, now: Nanos, from: &MemberId, stamp: Nanos) {
+    pub(super) fn on_renew_lease(&mut self, now: Nanos, from: &MemberId, sent_at: Nanos) {
         if self.replicas.values().any(|replica| replica.owner == *from) {
             let epoch = self.grant_lease(now, from);
-            self.send(from, Message::LeaseRenewed { stamp, epoch });
+            self.send(from, Message::LeaseRenewed { sent_at, epoch });
         }
     }
 
--- a/crates/takeover/src/takeover/owner.rs
+++ b/crates/takeover/src/takeover/owner.rs
@@ -133,7 +133,7 @@
             return;
         }
         owned.retry_at = now + owned.retry_delay(lease);
-        let record = owned.record.later(now - owned.as_of);
+        let record = owned.record.advanced_by(now - owned.as_of);
         for backup in owned.backups_without_version(record.version) {
             if backup == self.me {
                 // This sidecar is a backup itself: stored at once. Only `on_request_vote` here can vote against it.
@@ -148,7 +148,7 @@
                     to: backup,
                     message: Message::Store {
                         record: record.clone(),
-                        stamp: now,
+                        sent_at: now,
                     },
                 });
             }
@@ -262,7 +262,7 @@
     /// and it may be the only one of that majority to know the request.
     pub(super) fn retire(&mut self, now: Nanos, request: RequestId) -> Option<Record> {
         let owned = self.owned.remove(&request)?;
-        let record = owned.record.later(now - owned.as_of);
+        let record = owned.record.advanced_by(now - owned.as_of);
         self.insert_replica(now, record.clone(), record.term, self.me.clone());
         Some(record)
     }
@@ -272,7 +272,7 @@
         let Some(record) = self.retire(now, request) else {
             return;
         };
-        self.effects.push_back(Effect::Lost(request));
+        self.effects.push_back(Effect::OwnershipLost(request));
         let Record {
             digest,
             backups,
@@ -328,7 +328,7 @@
 
     /// Changes the record and raises its version.
     pub(super) fn change(&mut self, now: Nanos, change: impl FnOnce(&mut Record)) {
-        self.record = self.record.later(now - self.as_of);
+        self.record = self.record.advanced_by(now - self.as_of);
         self.as_of = now;
         change(&mut self.record);
         self.record.version += 1;
--- a/crates/takeover/src/takeover/waiter.rs
+++ b/crates/takeover/src/takeover/waiter.rs
@@ -102,7 +102,7 @@
             return self.send(from, report);
         }
         let Some(replica) = self.replicas.get_mut(&request) else {
-            return self.send(from, Message::Unknown { request });
+            return self.send(from, Message::UnknownRequest { request });
         };
         let report = progress(&replica.record, replica.term, &replica.owner, digest);
         let is_open = matches!(report, Message::Owned { .. });
@@ -140,7 +140,7 @@
         };
         let is_our_candidacy =
             replica.owner == self.me && replica.candidacy.is_some() && term >= replica.record.term;
-        if !outcome.reopens() || term == replica.term || is_our_candidacy {
+        if !outcome.allows_retry() || term == replica.term || is_our_candidacy {
             replica.record.outcome.get_or_insert(outcome.clone());
             replica.candidacy = None;
         }
@@ -153,10 +153,10 @@
             return;
         };
         let is_claim = owned.claim_until.is_some();
-        if outcome.reopens() && term < owned.record.term {
+        if outcome.allows_retry() && term < owned.record.term {
             return;
         }
-        if outcome.reopens() && is_claim {
+        if outcome.allows_retry() && is_claim {
             owned.record.term = term.saturating_add(1);
             owned.acks.clear();
             owned.refused.clear();
@@ -178,7 +178,7 @@
     }
 
     /// A backup does not know the request that is waited for.
-    pub(super) fn on_unknown(&mut self, from: &MemberId, request: RequestId) {
+    pub(super) fn on_unknown_request(&mut self, from: &MemberId, request: RequestId) {
         let Some(waiting) = self.waiting.get_mut(&request) else {
             return;
         };
@@ -206,8 +206,8 @@
         None => Message::Owned {
             request,
             term,
-            by: owner.clone(),
-            differs: false,
+            owner: owner.clone(),
+            key_reused: false,
         },
     }
 }
--- a/crates/takeover/tests/frames.rs
+++ b/crates/takeover/tests/frames.rs
@@ -53,31 +53,31 @@
 
 /// One of every kind of message, and of every kind of outcome.
 fn messages() -> Vec<(&'static str, Message)> {
-    let (request, stamp, epoch) = (REQUEST, 123_456_789_012, 130);
+    let (request, sent_at, epoch) = (REQUEST, 123_456_789_012, 130);
     let served = Outcome::Served(b"answer".to_vec());
-    let store = |record| Message::Store { record, stamp };
+    let store = |record| Message::Store { record, sent_at };
     let stored = Message::Stored {
         request,
         term: 3,
         version: 300,
-        stamp,
+        sent_at,
         epoch,
     };
     let owned = Message::Owned {
         request,
         term: 3,
-        by: life("s-5"),
-        differs: true,
+        owner: life("s-5"),
+        key_reused: true,
     };
     let request_vote = Message::RequestVote {
         request,
         term: 4,
-        stamp,
+        sent_at,
     };
     let vote_granted = Message::VoteGranted {
         record: record(None),
         term: 4,
-        stamp,
+        sent_at,
         epoch,
     };
     vec![
@@ -85,9 +85,9 @@
         ("store_served", store(record(Some(served.clone())))),
         ("stored", stored),
         ("owned", owned),
-        ("full", Message::Full { request }),
-        ("renew_lease", Message::RenewLease { stamp }),
-        ("lease_renewed", Message::LeaseRenewed { stamp, epoch }),
+        ("full", Message::OutOfCapacity { request }),
+        ("renew_lease", Message::RenewLease { sent_at }),
+        ("lease_renewed", Message::LeaseRenewed { sent_at, epoch }),
         ("request_vote", request_vote),
         ("vote_granted", vote_granted),
         (
@@ -104,7 +104,7 @@
             "finished_retryable",
             finished(Outcome::Failed { retryable: true }),
         ),
-        ("unknown", Message::Unknown { request }),
+        ("unknown", Message::UnknownRequest { request }),
         ("release", Message::Release { request, term: 3 }),
     ]
 }
--- a/crates/takeover/tests/simulated.rs
+++ b/crates/takeover/tests/simulated.rs
@@ -165,7 +165,7 @@
                 Effect::Uncertain(request) => {
                     self.note(request, || "rejects, uncertain".to_string())
                 }
-                Effect::Lost(request) => self.note(request, || "lost it".to_string()),
+                Effect::OwnershipLost(request) => self.note(request, || "lost it".to_string()),
                 Effect::Unknown(request) => {
                     self.note(request, || "learns that nobody knows it".to_string())
                 }
@@ -431,10 +431,10 @@
         Message::RenewLease { .. } => (None, "renew".to_string()),
         Message::LeaseRenewed { epoch, .. } => (None, format!("renewed, epoch {epoch}")),
         Message::Owned { request, .. }
-        | Message::Full { request }
+        | Message::OutOfCapacity { request }
         | Message::AwaitOutcome { request, .. } => (Some(*request), format!("{message:?}")),
         Message::Finished { request, .. }
-        | Message::Unknown { request }
+        | Message::UnknownRequest { request }
         | Message::Release { request, .. } => (Some(*request), format!("{message:?}")),
     }
 }
@@ -984,7 +984,7 @@
         outcome,
     };
     let mut reply_to = |record: Record| {
-        backup.receive(0, &lives[0], Message::Store { record, stamp: 0 });
+        backup.receive(0, &lives[0], Message::Store { record, sent_at: 0 });
         match backup.next_effect() {
             Some(Effect::Send { message, .. }) => message,
             other => panic!("{other:?}"),
@@ -998,7 +998,7 @@
     }
     assert!(matches!(
         reply_to(record(4, 1, None)),
-        Message::Full { request: 4 }
+        Message::OutOfCapacity { request: 4 }
     ));
     // Requests that it keeps already go on: the end is known, the answer is not.
     assert!(matches!(
@@ -1017,7 +1017,7 @@
         &lives[0],
         Message::Store {
             record: record(4, 1, None),
-            stamp: 0,
+            sent_at: 0,
         },
     );
     assert!(backup.replica(4).is_some(), "room again once they are gone");
