--- a/crates/takeover/src/lib.rs
+++ b/crates/takeover/src/lib.rs
@@ -1,7 +1,9 @@
-//! In-flight requests survive the loss of their sidecar: backups keep a record of each, and one of them finishes it.
+//! Lets in-flight requests survive the loss of their sidecar: backups keep a record of each request, and one backup
+//! finishes it.
 //!
-//! [`Takeover`] is the state machine, free of I/O: the time and a random seed are arguments. [`Rules`] are its limits.
-//! [`record`] holds the replicated record, [`message`] the messages between sidecars. [`placement`] chooses the backups.
+//! [`Takeover`] is the state machine. It does no I/O: the time and a random seed are arguments. [`Rules`] holds its
+//! limits. [`record`] defines the replicated record and [`message`] the messages between sidecars. [`placement`]
+//! chooses the backups of a request.
 
 #![warn(missing_docs)]
 #![warn(
--- a/crates/takeover/src/placement.rs
+++ b/crates/takeover/src/placement.rs
@@ -1,4 +1,5 @@
-//! Chooses the backups of a request by rendezvous hashing, so that every sidecar with the same peers finds the same ones.
+//! Chooses the backups of a request by rendezvous hashing, so that sidecars with the same list of peers choose the same
+//! backups.
 
 use crate::record::RequestId;
 use havenplank_membership::member::MemberId;
@@ -13,38 +14,41 @@
     pub zone: &'a str,
 }
 
-/// Returns the first `count` peers in this request's order: the first of each zone before the second of any.
+/// Returns the `count` highest-ranked peers for this request. The best peer of each zone comes before the second best
+/// of any zone.
 ///
-/// A peer that joins or leaves changes the choice of those requests alone that it backs up. Fewer than `count` are
-/// returned where there are fewer candidates.
+/// When a peer joins or leaves, only the requests that it backs up get different backups. Returns fewer than `count`
+/// peers if there are fewer candidates.
 pub fn choose_backups(
     request: RequestId,
     candidates: &[Candidate<'_>],
     count: usize,
 ) -> Vec<MemberId> {
-    let mut chosen: Vec<Ranked<'_>> = spread_over_zones(&rank(request, candidates));
+    let mut chosen: Vec<Ranked<'_>> = rank_within_zones(&rank(request, candidates));
     chosen.sort_by_key(|ranked| (ranked.earlier_in_zone, ranked.rank));
     chosen.truncate(count);
     chosen.into_iter().map(|ranked| ranked.id.clone()).collect()
 }
 
-/// A candidate's place in the order of a request.
+/// A candidate with its rank for one request.
 struct Ranked<'a> {
     id: &'a MemberId,
-    /// Its rank among all candidates, from 0.
+    /// The rank among all candidates, from 0.
     rank: usize,
-    /// Candidates of its zone with a better rank.
+    /// The number of candidates in the same zone with a better rank.
     earlier_in_zone: usize,
 }
 
-/// Sorts the candidates by the request's hash weights, the heaviest first.
+/// Sorts the candidates by their weight for the request, highest first.
 fn rank<'a>(request: RequestId, candidates: &[Candidate<'a>]) -> Vec<Candidate<'a>> {
     let mut weighted: Vec<([u8; blake3::OUT_LEN], Candidate<'a>)> = candidates
         .iter()
         .map(|candidate| (weight(request, candidate), *candidate))
         .collect();
-    weighted.sort_by(|(one, first), (other, second)| {
-        other.cmp(one).then_with(|| first.id.cmp(second.id))
+    weighted.sort_by(|(left_weight, left), (right_weight, right)| {
+        right_weight
+            .cmp(left_weight)
+            .then_with(|| left.id.cmp(right.id))
     });
     weighted
         .into_iter()
@@ -52,7 +56,8 @@
         .collect()
 }
 
-/// The weight of a candidate for a request. The name alone counts: a restarted peer keeps its weight.
+/// Returns the weight of a candidate for a request. The hash covers the name but not the incarnation, so a restarted
+/// peer keeps its weight.
 fn weight(request: RequestId, candidate: &Candidate<'_>) -> [u8; blake3::OUT_LEN] {
     let mut hash = blake3::Hasher::new();
     hash.update(&request.to_le_bytes());
@@ -60,7 +65,8 @@
     *hash.finalize().as_bytes()
 }
 
-fn spread_over_zones<'a>(candidates: &[Candidate<'a>]) -> Vec<Ranked<'a>> {
+/// Adds to each candidate its overall rank and the number of better-ranked candidates in its zone.
+fn rank_within_zones<'a>(candidates: &[Candidate<'a>]) -> Vec<Ranked<'a>> {
     let mut in_zone: HashMap<&str, usize> = HashMap::new();
     let ranked = |(rank, candidate): (usize, &Candidate<'a>)| {
         let count = in_zone.entry(candidate.zone).or_default();
--- a/crates/takeover/src/record.rs
+++ b/crates/takeover/src/record.rs
@@ -1,18 +1,19 @@
 //! The replicated record of an in-flight request.
 //!
-//! All types travel as `postcard`, which encodes fields and variants by position: their order is part of the protocol.
+//! All types are encoded with `postcard`, which writes fields and variants by position: their order is part of the
+//! protocol.
 
 use crate::Nanos;
 use havenplank_membership::member::MemberId;
 use serde::{Deserialize, Serialize};
 
-/// Identifies a request: a hash of the client's idempotency key, or of a unique value where it sent none.
+/// Identifies a request: a hash of the client's idempotency key, or of a unique value if the client sent no key.
 pub type RequestId = u128;
 
 /// How an attempt ended, as far as known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum AttemptState {
-    /// About to be written, or written with no known end: it may have run.
+    /// About to be written to the pod, or written without a known result: the pod may have run it.
     InFlight,
     /// The pod provably did not run it.
     NeverRan,
@@ -25,7 +26,7 @@
 pub struct Attempt {
     /// The name of the pod.
     pub pod: String,
-    /// How long ago it was about to be written.
+    /// The time since the attempt was recorded, right before it was written to the pod.
     pub age: Nanos,
     /// How it ended, as far as known.
     pub state: AttemptState,
@@ -34,19 +35,19 @@
 /// The final outcome of a request.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Outcome {
-    /// Served, with the encoded answer; empty if that was too long to be kept.
+    /// Served, with the encoded answer. The answer is empty if it was too long or the backup had no room for it.
     Served(Vec<u8>),
-    /// Rejected: it had no effect, or the pods drop a repeat.
+    /// Rejected: the request had no effect, or the pods discard a repeat of it.
     Rejected,
     /// Failed.
     Failed {
-        /// Whether the client may retry: the pods drop a repeat of what may have run.
+        /// Whether the client may retry, because the pods discard a repeat of a request that may have run.
         retryable: bool,
     },
 }
 
 impl Outcome {
-    /// Whether a new request under the same key may begin, as the client was told that it may retry.
+    /// Returns whether a new request with the same key may begin, because the client was told that it may retry.
     pub fn allows_retry(&self) -> bool {
         matches!(
             self,
@@ -55,23 +56,23 @@
     }
 }
 
-/// What the owner of a request and its backups know of it.
+/// What the owner of a request and its backups know about the request.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Record {
     /// The request.
     pub request: RequestId,
     /// The sidecar that may act on the request.
     pub owner: MemberId,
-    /// Grows with each change of owner.
+    /// Increases with each change of owner.
     pub term: u32,
-    /// Grows with each change that the owner of this term makes.
+    /// Increases with each change that the owner of this term makes to the record.
     pub version: u32,
-    /// Whether the owner knows that a majority of the backups keep the record. Until then it may still serve the
-    /// request without backups, so nobody else may take over.
+    /// Whether the owner knows that a majority of the backups have stored the record. Until then, the owner may still
+    /// serve the request without backups, so no other sidecar may take the request over.
     pub confirmed: bool,
-    /// The backups, the same from beginning to end.
+    /// The backups, which stay the same for as long as the record exists.
     pub backups: Vec<MemberId>,
-    /// A hash of the request, which reveals a different request under the same key.
+    /// A hash of the request, which reveals a different request with the same idempotency key.
     pub digest: u64,
     /// The encoded request.
     pub payload: Vec<u8>,
@@ -84,7 +85,8 @@
 }
 
 impl Record {
-    /// Returns the record as of a later moment. Only time spans travel, as no two clocks agree.
+    /// Returns the record with its time spans moved on by `elapsed`. Records hold time spans rather than points in
+    /// time, because no two clocks agree.
     pub fn advanced_by(&self, elapsed: Nanos) -> Record {
         let mut record = self.clone();
         record.remaining = record.remaining.saturating_sub(elapsed);
@@ -95,7 +97,7 @@
         record
     }
 
-    /// Returns the bytes of the request and of its answer.
+    /// Returns the size of the request and of its answer, in bytes.
     pub fn byte_len(&self) -> usize {
         let answer = match &self.outcome {
             Some(Outcome::Served(answer)) => answer.len(),
@@ -104,12 +106,12 @@
         self.payload.len() + answer
     }
 
-    /// Whether a claim of the same request may begin anew, as the client was told that it may retry.
+    /// Returns whether the same request may be claimed again, because the client was told that it may retry.
     pub fn allows_retry_of(&self, digest: u64) -> bool {
         self.digest == digest && self.outcome.as_ref().is_some_and(Outcome::allows_retry)
     }
 
-    /// Returns the number of backups that is more than half of them.
+    /// Returns the smallest number of backups that is more than half of them.
     pub fn majority(&self) -> usize {
         self.backups.len() / 2 + 1
     }
--- a/crates/takeover/src/rules.rs
+++ b/crates/takeover/src/rules.rs
@@ -5,18 +5,18 @@
 /// Limits and time spans of one [`Takeover`](crate::Takeover).
 #[derive(Clone, Debug)]
 pub struct Rules {
-    /// How long a lease lasts. Its safety rests on clocks that drift less than `drift_ppm`.
+    /// How long a lease lasts. A request has at most one acting owner only while clocks drift by less than `drift_ppm`.
     pub lease: Nanos,
-    /// The greatest drift of a clock, in millionths.
+    /// The greatest drift of a clock, in millionths (parts per million).
     pub drift_ppm: u64,
-    /// In-flight requests with backups, at most; further ones are served without backups and counted.
+    /// The maximum number of in-flight requests with backups. Further requests are served without backups and counted.
     pub max_owned: usize,
-    /// Records kept for other sidecars, at most; further ones are rejected.
+    /// The maximum number of records kept for other sidecars. Further records are rejected.
     pub max_replicas: usize,
-    /// Total bytes of requests and answers in those records, as of the last wake-up. Beyond it new records are
-    /// rejected, and of an answer only the fact that it was served is kept.
+    /// The limit on the total bytes of requests and answers in those records, as summed at the last wake-up. Above the
+    /// limit, new records are rejected, and an outcome is kept without the content of its answer.
     pub max_replica_bytes: usize,
-    /// How long a record stays after its deadline, so that a client that retries finds its answer.
+    /// How long a record is kept after its deadline, so that a client that retries still gets its answer.
     pub retention: Nanos,
 }
 
--- a/crates/takeover/src/takeover.rs
+++ b/crates/takeover/src/takeover.rs
@@ -1,14 +1,15 @@
-//! The state machine that decides who may act on a request: its owner, one of its backups, or nobody here.
+//! The state machine that decides who may act on a request: its owner, a backup that has taken it over, or neither.
 //!
-//! An owner may act while more than half of the request's backups have granted it a lease. A lease counts from when the
-//! owner asked for it and is kept by the backup from when the request for it arrived, each on its own monotonic clock.
-//! A backup whose grant has expired may ask the other backups for their votes; a majority must agree, and each votes
-//! once a term. Any two majorities share a backup, so no request has two acting owners, whatever is lost, repeated,
-//! late or paused, while clocks drift less than stated. Liveness needs a majority: a takeover begins only while more
-//! than half of the backups can talk; a backup that is alone keeps the record and waits.
+//! An owner may act while more than half of the request's backups have granted it a lease. The owner counts a lease
+//! from when it asked for the lease, and the backup counts it from when that message arrived, each on its own monotonic
+//! clock. A backup whose grant has expired may ask the other backups for their votes. A majority must agree, and each
+//! backup votes once per term. Any two majorities share a backup, so a request never has two acting owners, even if
+//! messages are lost, repeated or late or sidecars are paused, as long as clocks drift by less than
+//! [`Rules::drift_ppm`]. Liveness needs a majority: a takeover begins only while more than half of the backups can
+//! reach each other. A backup that reaches no other backup keeps the record and waits.
 //!
 //! A backup that votes against an owner raises its epoch for that owner. A lease counts only for records stored in the
-//! same epoch, so that a renewal never revives a record that was voted away.
+//! same epoch, so renewing a lease never restores the ownership of a request whose backup has voted against the owner.
 
 mod backup;
 mod claim;
@@ -36,51 +37,57 @@
 /// The number of entries in each table of a [`Takeover`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TableSizes {
-    /// Requests in flight here.
+    /// Requests that this sidecar owns or claims.
     pub owned: usize,
     /// Records kept for other sidecars.
     pub replicas: usize,
-    /// Requests whose outcome is awaited here.
+    /// Requests whose outcome this sidecar waits for.
     pub waiting: usize,
 }
 
-/// The in-flight requests of one sidecar, the records it keeps for others, and the clients that wait for an answer.
+/// The in-flight requests of one sidecar, the records it keeps for others, and the requests whose outcome its clients
+/// await.
 #[derive(Clone)]
 pub struct Takeover {
     me: MemberId,
     rules: Rules,
-    /// Requests in flight here; removed when all backups know the outcome, or [`Rules::retention`] after the deadline.
+    /// Requests that this sidecar owns or claims. An entry is removed when all backups have stored the outcome, or
+    /// [`Rules::retention`] after the deadline.
     owned: BTreeMap<RequestId, OwnedRequest>,
-    /// Records of other owners, removed [`Rules::retention`] after the deadline. Requests that were in flight here move
-    /// to this table, so it holds at most [`Rules::max_replicas`] and [`Rules::max_owned`] more.
+    /// Records kept for other owners, removed [`Rules::retention`] after the deadline. Requests that were in flight
+    /// here move to this table, so it holds at most [`Rules::max_replicas`] plus [`Rules::max_owned`] entries.
     replicas: BTreeMap<RequestId, Replica>,
-    /// Requests whose outcome is awaited here; removed with the outcome or at the client's deadline. At most one entry
-    /// a waiting client, whose number the listener bounds.
+    /// Requests whose outcome this sidecar waits for. An entry is removed with the outcome or at the client's deadline.
+    /// There is at most one entry per waiting client, and the listener bounds the number of clients.
     waiting: BTreeMap<RequestId, Waiting>,
-    /// Until when this sidecar takes over nothing from an owner. Removed with the last record kept for it.
-    granted: BTreeMap<MemberId, Nanos>,
-    /// For each owner the value of `withdrawals` when this sidecar last voted against it. An owner without an entry has
-    /// the current value, so that an entry that was removed and added again never shows an earlier epoch.
+    /// By owner: the time until which this sidecar takes over none of its requests. Removed with the last record kept
+    /// for that owner.
+    granted_until: BTreeMap<MemberId, Nanos>,
+    /// By owner: the value of `latest_epoch` when this sidecar last voted against that owner. An owner without an entry
+    /// has the current value, so an entry that was removed and added again never shows an earlier epoch.
     epochs: BTreeMap<MemberId, u32>,
-    withdrawals: u32,
-    /// By backup: until when its lease to this sidecar lasts, and its epoch. Removed with the last request it backs up.
-    leases: BTreeMap<String, Lease>,
+    /// The number of epochs begun so far, counted over all owners.
+    latest_epoch: u32,
+    /// By backup: the lease that it granted to this sidecar, with its epoch. Removed with the last request that it
+    /// backs up.
+    held_leases: BTreeMap<String, Lease>,
     renew_at: Nanos,
     random: Rand64,
     effects: VecDeque<Effect>,
-    /// Bytes of all records kept: summed up at each wake-up, with later additions on top.
+    /// Bytes of all records kept: summed at each wake-up, plus the records stored since then.
     replica_bytes: usize,
-    /// Claims that found too few backups.
+    /// The number of claims that found too few backups.
     pub unprotected: u64,
-    /// Records that were rejected for lack of room.
+    /// The number of records that were rejected for lack of room.
     pub rejected_records: u64,
-    /// Requests taken over from lost owners.
+    /// The number of requests taken over from lost owners.
     pub taken_over: u64,
 }
 
-/// For searches that recognise a state: all that decisions depend on except the random source of the retry jitter.
+/// Hashes all that decisions depend on, so that a search recognises a state it has seen. The random source is left out:
+/// it only sets the random delays of candidacies.
 impl Hash for Takeover {
-    fn hash<H: Hasher>(&self, to: &mut H) {
+    fn hash<H: Hasher>(&self, hasher: &mut H) {
         (
             &self.me,
             &self.owned,
@@ -88,20 +95,20 @@
             &self.waiting,
             &self.effects,
         )
-            .hash(to);
+            .hash(hasher);
         (
-            &self.granted,
+            &self.granted_until,
             &self.epochs,
-            self.withdrawals,
-            &self.leases,
+            self.latest_epoch,
+            &self.held_leases,
             self.renew_at,
         )
-            .hash(to);
+            .hash(hasher);
     }
 }
 
 impl Takeover {
-    /// An empty state machine; `seed` drives the retry jitter only.
+    /// Creates an empty state machine. `seed` only sets the random delays of candidacies.
     pub fn new(now: Nanos, seed: u64, me: MemberId, rules: Rules) -> Takeover {
         Takeover {
             me,
@@ -109,10 +116,10 @@
             owned: BTreeMap::new(),
             replicas: BTreeMap::new(),
             waiting: BTreeMap::new(),
-            granted: BTreeMap::new(),
+            granted_until: BTreeMap::new(),
             epochs: BTreeMap::new(),
-            withdrawals: 0,
-            leases: BTreeMap::new(),
+            latest_epoch: 0,
+            held_leases: BTreeMap::new(),
             renew_at: now,
             random: Rand64::new(seed as u128),
             effects: VecDeque::new(),
@@ -123,23 +130,23 @@
         }
     }
 
-    /// The next effect to carry out, if any.
+    /// Returns the next effect for the caller to carry out, if any.
     pub fn next_effect(&mut self) -> Option<Effect> {
         self.effects.pop_front()
     }
 
-    /// When [`Takeover::wake`] is due next.
+    /// Returns when [`Takeover::wake`] is due next.
     pub fn next_wake(&self) -> Option<Nanos> {
         let owned = self.owned.values().map(|owned| owned.retry_at);
         let renew = (!self.owned.is_empty()).then_some(self.renew_at);
         let replica = self
             .replicas
             .values()
-            .map(|replica| self.election_due(replica).min(replica.forget));
+            .map(|replica| self.election_due(replica).min(replica.drop_at));
         let waiting = self
             .waiting
             .values()
-            .map(|waiting| waiting.retry_at.min(waiting.forget));
+            .map(|waiting| waiting.retry_at.min(waiting.drop_at));
         owned.chain(renew).chain(replica).chain(waiting).min()
     }
 
@@ -152,12 +159,12 @@
         }
     }
 
-    /// The record kept here for the request's owner.
+    /// Returns the record that this sidecar keeps for the owner of the request.
     pub fn replica(&self, request: RequestId) -> Option<&Record> {
         self.replicas.get(&request).map(|replica| &replica.record)
     }
 
-    /// Handles a message of another sidecar.
+    /// Handles a message from another sidecar.
     pub fn receive(&mut self, now: Nanos, from: &MemberId, message: Message) {
         match message {
             Message::Store { record, sent_at } if record.owner == *from => {
@@ -205,12 +212,12 @@
             } => self.on_finished(now, request, term, outcome),
             Message::UnknownRequest { request } => self.on_unknown_request(from, request),
             Message::Release { request, term } => self.on_release(from, request, term),
-            // Only an owner sends its record.
+            // A record is accepted from its owner only.
             Message::Store { .. } => {}
         }
     }
 
-    /// Does what is due by now.
+    /// Runs all timers that are due.
     pub fn wake(&mut self, now: Nanos) {
         self.renew_leases(now);
         self.replica_bytes = self
@@ -221,7 +228,7 @@
         self.retry_owned(now);
         self.retry_waiting(now);
         self.drop_expired(now);
-        self.hold_elections(now);
+        self.run_due_elections(now);
         self.prune_leases(now);
     }
 
--- a/crates/takeover/src/takeover/backup.rs
+++ b/crates/takeover/src/takeover/backup.rs
@@ -11,31 +11,32 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Replica {
     pub(super) record: Record,
-    /// When the record was received: its time spans count from then.
+    /// When the record was received. Its time spans are relative to this time.
     pub(super) as_of: Nanos,
-    /// The latest term that this sidecar voted in, and for whom; the record's own term and owner before any vote.
+    /// The latest term that this sidecar voted in; the term of the record before any vote.
     pub(super) term: u32,
+    /// The owner that this sidecar voted for in that term; the owner of the record before any vote.
     pub(super) owner: MemberId,
-    /// Sidecars to tell of the outcome.
+    /// Sidecars to notify of the outcome.
     pub(super) waiters: Vec<MemberId>,
-    /// This sidecar's own candidacy, if it stands.
+    /// The candidacy of this sidecar, if there is one.
     pub(super) candidacy: Option<Candidacy>,
-    /// When this sidecar may next stand as a candidate.
-    pub(super) try_at: Nanos,
+    /// When this sidecar may next become a candidate.
+    pub(super) next_candidacy_at: Nanos,
     /// When the record is dropped.
-    pub(super) forget: Nanos,
+    pub(super) drop_at: Nanos,
 }
 
-/// A candidacy of this sidecar for a request.
+/// A candidacy of this sidecar for the ownership of a request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Candidacy {
     pub(super) term: u32,
-    /// By name, the records of the backups that voted for it.
+    /// The records of the backups that voted for this sidecar, by backup name.
     pub(super) votes: BTreeMap<String, Record>,
 }
 
 impl Takeover {
-    /// Stores an owner's newest record, unless something that is known here stands against it.
+    /// Stores the newest record of an owner, unless a later term or an outcome known here rules it out.
     pub(super) fn on_store(
         &mut self,
         now: Nanos,
@@ -64,7 +65,8 @@
         self.report_outcome(request, term);
     }
 
-    /// Gives up a request that is owned here to a record of a later term. Refuses any other record and returns false.
+    /// Returns whether the record may be stored. If this sidecar owns the request, it gives the request up to a record
+    /// of a later term and refuses any other record.
     fn yield_to_record(&mut self, now: Nanos, from: &MemberId, record: &Record) -> bool {
         let Some(owned) = self.owned.get(&record.request) else {
             return true;
@@ -79,16 +81,17 @@
             self.send(from, refusal);
             return false;
         }
-        // A later term was agreed on without this sidecar or follows its rejection: its own term is over.
+        // Either the other backups agreed on a later term, or the client retried after a rejection by this sidecar.
+        // Both end the term of this sidecar.
         match owned.record.outcome {
-            Some(_) => drop(self.retire(now, record.request)),
-            None => self.lose(now, record.request),
+            Some(_) => drop(self.move_to_replicas(now, record.request)),
+            None => self.lose_ownership(now, record.request),
         }
         true
     }
 
-    /// Keeps a record. Refuses one of an earlier term or of a finished request, and one without room for it, and
-    /// returns false.
+    /// Stores a record and returns true. Refuses a record of an earlier term, of a finished request or without room for
+    /// it, and returns false.
     fn accept_record(&mut self, now: Nanos, from: &MemberId, record: Record) -> bool {
         let request = record.request;
         let Some(replica) = self.replicas.get(&request) else {
@@ -101,7 +104,7 @@
             self.insert_replica(now, record, term, from.clone());
             return true;
         };
-        if replica.is_finished_for(&record) || !replica.follows(from, record.term) {
+        if replica.is_finished_for(&record) || !replica.accepts_owner(from, record.term) {
             let refusal = refusal(&replica.record, replica.term, &replica.owner, record.digest);
             self.send(from, refusal);
             return false;
@@ -110,29 +113,29 @@
         true
     }
 
-    /// Follows an owner in its term, and replaces the record if the owner's is newer.
+    /// Accepts the owner in its term, and replaces the record if the owner's record is newer.
     fn update_replica(&mut self, now: Nanos, from: &MemberId, record: Record) {
-        let forget = now
+        let drop_at = now
             .saturating_add(record.remaining)
             .saturating_add(self.rules.retention);
         let Some(replica) = self.replicas.get_mut(&record.request) else {
             return;
         };
-        let previous = std::mem::replace(&mut replica.owner, from.clone());
+        let previous_owner = std::mem::replace(&mut replica.owner, from.clone());
         replica.term = record.term;
         if !replica.record.confirmed {
-            replica.try_at = now + self.rules.lease;
+            replica.next_candidacy_at = now + self.rules.lease;
         }
         if (record.term, record.version) > (replica.record.term, replica.record.version) {
             self.replica_bytes += record.byte_len();
-            (replica.record, replica.as_of, replica.forget) = (record, now, forget);
+            (replica.record, replica.as_of, replica.drop_at) = (record, now, drop_at);
         }
-        if previous != *from {
-            self.withdraw_from(&previous);
+        if previous_owner != *from {
+            self.begin_epoch_for(&previous_owner);
         }
     }
 
-    /// Tells those that wait for the outcome of a record, if it has one.
+    /// Reports the outcome of a record, if it has one, to the sidecars and clients that wait for it.
     fn report_outcome(&mut self, request: RequestId, term: u32) {
         let Some(replica) = self.replicas.get_mut(&request) else {
             return;
@@ -153,7 +156,7 @@
         self.finish_waiting(request, outcome);
     }
 
-    /// Drops the record of a claim that was given up before any attempt.
+    /// Drops the record of a claim that was abandoned before any attempt.
     pub(super) fn on_release(&mut self, from: &MemberId, request: RequestId, term: u32) {
         let is_released = |replica: &Replica| {
             replica.owner == *from && replica.term == term && replica.record.attempts.is_empty()
@@ -163,12 +166,12 @@
         }
     }
 
-    /// Drops the records whose retention is over.
+    /// Drops the records whose retention has ended.
     pub(super) fn drop_expired(&mut self, now: Nanos) {
         let expired: Vec<RequestId> = self
             .replicas
             .iter()
-            .filter(|(_, replica)| now >= replica.forget)
+            .filter(|(_, replica)| now >= replica.drop_at)
             .map(|(request, _)| *request)
             .collect();
         expired
@@ -188,12 +191,12 @@
         term: u32,
         owner: MemberId,
     ) {
-        let forget = now
+        let drop_at = now
             .saturating_add(record.remaining)
             .saturating_add(self.rules.retention);
         let request = record.request;
         self.replica_bytes += record.byte_len();
-        let try_at = if record.confirmed {
+        let next_candidacy_at = if record.confirmed {
             now
         } else {
             now + self.rules.lease
@@ -207,27 +210,29 @@
                 owner,
                 waiters: Vec::new(),
                 candidacy: None,
-                try_at,
-                forget,
+                next_candidacy_at,
+                drop_at,
             },
         );
     }
 
-    /// Drops a record. Its owner may rely on it, so this counts as a vote against the owner.
+    /// Drops a record. Its owner may rely on the record, so dropping an unfinished one counts as a vote against the
+    /// owner.
     pub(super) fn drop_replica(&mut self, request: RequestId) {
         if let Some(replica) = self
             .replicas
             .remove(&request)
             .filter(|replica| replica.record.outcome.is_none())
         {
-            self.withdraw_from(&replica.owner);
+            self.begin_epoch_for(&replica.owner);
         }
     }
 }
 
 impl Replica {
-    /// Whether the outcome known here ends the request that this record still shows as open: a retry that reached a
-    /// backup, or a takeover that crossed the outcome. A new claim in a later term may follow an allowed retry.
+    /// Returns whether the outcome known here ends the request that this record still shows as unfinished. That happens
+    /// when a client's retry reaches a backup, or when a takeover and the outcome cross in transit. A new claim in a
+    /// later term is not ended: it may follow an outcome that allows a retry.
     fn is_finished_for(&self, record: &Record) -> bool {
         let is_retry = self.record.allows_retry_of(record.digest)
             && !record.confirmed
@@ -236,13 +241,14 @@
         self.record.outcome.is_some() && record.outcome.is_none() && same_request && !is_retry
     }
 
-    /// Whether an owner in this term is the one to follow.
-    fn follows(&self, owner: &MemberId, term: u32) -> bool {
+    /// Returns whether to accept this sidecar as the owner in this term.
+    fn accepts_owner(&self, owner: &MemberId, term: u32) -> bool {
         term > self.term || (term == self.term && self.owner == *owner)
     }
 }
 
-/// The refusal of another owner's record: the outcome, if it is known and the request is the same, else the owner.
+/// Returns the refusal of another owner's record: the outcome, if it is known and the request is the same; otherwise
+/// the owner.
 pub(super) fn refusal(record: &Record, term: u32, owner: &MemberId, digest: u64) -> Message {
     let request = record.request;
     let key_reused = record.digest != digest;
--- a/crates/takeover/src/takeover/claim.rs
+++ b/crates/takeover/src/takeover/claim.rs
@@ -1,5 +1,5 @@
-//! Claims of requests that arrived here. A claim ends in one of three ways: this sidecar owns the request, it joins
-//! another owner's, or the request is served without backups.
+//! Claims of requests that arrived here. A claim ends in one of three ways: this sidecar owns the request, it joins a
+//! request that another sidecar owns, or the request is served without backups.
 
 use super::owner::{OwnedRequest, FIRST_VERSION};
 use super::{Effect, Takeover};
@@ -8,57 +8,57 @@
 use crate::Nanos;
 use havenplank_membership::member::MemberId;
 
-/// The delay of a claim in the background is the lease divided by this.
-const BACKGROUND_DELAY_PER_LEASE: Nanos = 6;
+/// The delay of a background claim is the lease duration divided by this.
+const BACKGROUND_DELAY_DIVISOR: Nanos = 6;
 
-/// The term of a request that no other claim is known of.
+/// The term of a request without any other known claim.
 const FIRST_TERM: u32 = 0;
 
-/// A request that arrived here, as its backups are to keep it.
+/// A request that arrived here, with what its backups store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct IncomingRequest {
     /// The request.
     pub request: RequestId,
-    /// A hash of the request, which reveals a different request under the same key.
+    /// A hash of the request, which reveals a different request with the same idempotency key.
     pub digest: u64,
     /// The encoded request.
     pub payload: Vec<u8>,
     /// The time left until the client's deadline.
     pub remaining: Nanos,
-    /// Its backups; this sidecar must not be among them.
+    /// The backups. This sidecar must not be among them.
     pub backups: Vec<MemberId>,
 }
 
 /// How many backups must acknowledge a claim before the request may begin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RequiredAcks {
-    /// More than half of them.
+    /// More than half of the backups.
     Majority,
-    /// Each of them must report that it knows no other owner. The client may have sent the request before and a repeat
-    /// could do harm, and most of the first claim's backups may be lost by now, so a majority of the current ones proves
-    /// nothing.
+    /// All backups: each must report that it knows no other owner. The client may have sent the request before, and a
+    /// repeat could do harm. Most backups of the first claim may be lost by now, so a majority of the current backups
+    /// proves nothing.
     All,
 }
 
 impl Takeover {
-    /// Claims a request that arrived here, once as many backups as `required` have acknowledged it.
+    /// Claims a request that arrived here. The claim succeeds once as many backups as `required` have acknowledged it.
     pub fn claim(&mut self, now: Nanos, incoming: IncomingRequest, required: RequiredAcks) {
         let (request, digest) = (incoming.request, incoming.digest);
         if let Some(owned) = self.owned.get(&request) {
             if !owned.record.allows_retry_of(digest) {
-                let effect = claim_effect(&owned.record, digest);
+                let effect = effect_for_known_request(&owned.record, digest);
                 return self.effects.push_back(effect);
             }
-            self.retire(now, request);
+            self.move_to_replicas(now, request);
         }
         let term = match self.replicas.get(&request) {
             None => FIRST_TERM,
-            // A retry that the client was allowed starts anew, in a later term than any record of the first try.
+            // A permitted retry is a new claim, in a later term than any record of the earlier claim.
             Some(replica) if replica.record.allows_retry_of(digest) => {
                 replica.term.saturating_add(1)
             }
             Some(replica) => {
-                let effect = claim_effect(&replica.record, digest);
+                let effect = effect_for_known_request(&replica.record, digest);
                 let backups = replica.record.backups.clone();
                 return match effect {
                     Effect::Joined(_) => {
@@ -71,13 +71,13 @@
         if incoming.backups.is_empty() || self.owned.len() >= self.rules.max_owned {
             return self.claim_failed(request, required);
         }
-        let claim_until = self.claim_until(now, incoming.remaining);
+        let claim_deadline = self.claim_deadline(now, incoming.remaining);
         let owned = OwnedRequest {
-            claim_until: Some(claim_until),
+            claim_deadline: Some(claim_deadline),
             required,
             ..OwnedRequest::new(now, self.new_record(incoming, term))
         };
-        self.own(now, owned);
+        self.add_owned(now, owned);
     }
 
     fn claim_failed(&mut self, request: RequestId, required: RequiredAcks) {
@@ -88,8 +88,8 @@
         });
     }
 
-    /// Claims an idempotent request, which is served whatever becomes of the claim. Its backups are told after a delay:
-    /// most requests are finished by then and cost no message.
+    /// Claims an idempotent request, which is served whether or not the claim succeeds. The record goes to the backups
+    /// after a delay: most requests are finished by then and cost no message.
     pub fn claim_in_background(&mut self, now: Nanos, incoming: IncomingRequest) {
         let request = incoming.request;
         if self.owned.contains_key(&request) || self.replicas.contains_key(&request) {
@@ -99,19 +99,19 @@
             self.unprotected += 1;
             return;
         }
-        let announce_at = now + self.rules.lease / BACKGROUND_DELAY_PER_LEASE;
-        let claim_until = self.claim_until(announce_at, incoming.remaining);
+        let announce_at = now + self.rules.lease / BACKGROUND_DELAY_DIVISOR;
+        let claim_deadline = self.claim_deadline(announce_at, incoming.remaining);
         let owned = OwnedRequest {
-            claim_until: Some(claim_until),
+            claim_deadline: Some(claim_deadline),
             announce_at,
             ..OwnedRequest::new(now, self.new_record(incoming, FIRST_TERM))
         };
-        self.own(now, owned);
+        self.add_owned(now, owned);
     }
 
-    /// The time-out of a claim: a lease, and half of the client's time at most, so that the rest suffices to serve the
-    /// request without backups.
-    fn claim_until(&self, begin: Nanos, remaining: Nanos) -> Nanos {
+    /// Returns when a claim times out: after one lease duration, or after half of the client's remaining time if that
+    /// is shorter, so that the rest suffices to serve the request without backups.
+    fn claim_deadline(&self, begin: Nanos, remaining: Nanos) -> Nanos {
         begin + self.rules.lease.min(remaining / 2)
     }
 
@@ -131,15 +131,16 @@
         }
     }
 
-    /// Enters a request as owned here and sends its record to the backups.
-    pub(super) fn own(&mut self, now: Nanos, owned: OwnedRequest) {
+    /// Adds a request that this sidecar owns or claims, and sends its record to the backups.
+    pub(super) fn add_owned(&mut self, now: Nanos, owned: OwnedRequest) {
         let request = owned.record.request;
         self.owned.insert(request, owned);
         self.replicate(now, request);
     }
 
-    /// Ends a claim without enough backups: joins the other owner if there is one, else goes without backups.
-    pub(super) fn give_up(&mut self, now: Nanos, request: RequestId) {
+    /// Ends a claim without enough backups: joins the request of the other owner if there is one; otherwise the claim
+    /// fails.
+    pub(super) fn abandon_claim(&mut self, now: Nanos, request: RequestId) {
         let Some(owned) = self.owned.remove(&request) else {
             return;
         };
@@ -149,18 +150,20 @@
             backups,
             ..
         } = owned.record.clone();
-        // All of them: one whose acknowledgement was lost may keep the record and would block the client's next try.
+        // The release goes to all backups: one whose acknowledgement was lost may keep the record, which would block
+        // the client's next retry.
         backups
             .iter()
             .for_each(|backup| self.send(backup, Message::Release { request, term }));
-        if owned.refused.is_empty() {
+        if owned.refused_by.is_empty() {
             return self.claim_failed(request, owned.required);
         }
         let remaining = owned.record.remaining.saturating_sub(now - owned.as_of);
         self.join(now, request, digest, remaining, backups);
     }
 
-    /// A backup reports another owner, to a claim, to an owner that has lost its lease, or to a waiting client.
+    /// Handles the report of another owner. The report may concern a claim, an owner that has lost its lease, or a
+    /// waiting client.
     pub(super) fn on_owned(
         &mut self,
         now: Nanos,
@@ -171,7 +174,7 @@
         key_reused: bool,
     ) {
         if let Some(waiting) = self.waiting.get_mut(&request) {
-            waiting.last_known = now;
+            waiting.last_reported = now;
         }
         let Some(owned) = self
             .owned
@@ -183,8 +186,8 @@
         if *owner == self.me && term <= owned.record.term {
             return;
         }
-        let is_claim = owned.claim_until.is_some();
-        // A claim that has moved on to a later term ignores reports of an earlier one.
+        let is_claim = owned.claim_deadline.is_some();
+        // A claim that has moved on to a later term ignores reports about an earlier term.
         let is_outdated = match is_claim {
             true => term < owned.record.term,
             false => term <= owned.record.term,
@@ -193,14 +196,14 @@
             return;
         }
         owned.acks.remove(&from.name);
-        owned.refused.insert(from.name.clone());
-        // A single candidate may have failed to win its election; a majority of reports means that it won.
-        let outvoted = owned.refused.len() >= owned.record.majority();
-        let yields = owned.required == RequiredAcks::All || outvoted;
+        owned.refused_by.insert(from.name.clone());
+        // One report may name a candidate that did not win its election. Reports by a majority mean that it won.
+        let majority_refused = owned.refused_by.len() >= owned.record.majority();
+        let ends_claim = owned.required == RequiredAcks::All || majority_refused;
         match is_claim {
             true if key_reused => self.reject_claim(request),
-            true if yields => self.give_up(now, request),
-            false if outvoted => self.lose(now, request),
+            true if ends_claim => self.abandon_claim(now, request),
+            false if majority_refused => self.lose_ownership(now, request),
             _ => {}
         }
     }
@@ -217,23 +220,23 @@
         self.effects.push_back(Effect::KeyReused(request));
     }
 
-    /// A backup has no room for the record of a claim.
+    /// Handles the report of a backup that has no room for the record of a claim.
     pub(super) fn on_out_of_capacity(&mut self, now: Nanos, from: &MemberId, request: RequestId) {
         let Some(owned) = self
             .owned
             .get_mut(&request)
-            .filter(|owned| owned.claim_until.is_some())
+            .filter(|owned| owned.claim_deadline.is_some())
         else {
             return;
         };
-        // The other backups may suffice; if not, the claim runs into its time-out.
+        // The other backups may suffice; if not, the claim times out.
         owned.acks.remove(&from.name);
-        self.advance(now, request);
+        self.apply_acks(now, request);
     }
 }
 
-/// What a claim is told of a request that is known here already.
-fn claim_effect(record: &Record, digest: u64) -> Effect {
+/// Returns the effect of a claim for a request that is already known here.
+fn effect_for_known_request(record: &Record, digest: u64) -> Effect {
     if record.digest != digest {
         return Effect::KeyReused(record.request);
     }
--- a/crates/takeover/src/takeover/effect.rs
+++ b/crates/takeover/src/takeover/effect.rs
@@ -1,37 +1,39 @@
-//! What the state machine asks its caller to do.
+//! The actions and events that the state machine hands to its caller.
 
 use crate::message::Message;
 use crate::record::{Outcome, Record, RequestId};
 use havenplank_membership::member::MemberId;
 
-/// What the caller has to carry out.
+/// An action for the caller to carry out, or an event for it to handle.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Effect {
     /// Send this message.
     Send {
-        /// Its receiver.
+        /// The receiver.
         to: MemberId,
         /// The message.
         message: Message,
     },
-    /// More than half of the backups have the request: it may begin.
+    /// As many backups as required have stored the record: the request may begin.
     Claimed(RequestId),
-    /// They know of the attempt with this index. Ask [`Takeover::may_send`](crate::Takeover::may_send) right before the write.
+    /// More than half of the backups have stored the attempt with this index. Call
+    /// [`Takeover::may_send`](crate::Takeover::may_send) right before the write.
     AttemptReady(RequestId, usize),
-    /// Another sidecar owns the request; its answer will follow.
+    /// Another sidecar owns the request. Its answer will follow.
     Joined(RequestId),
-    /// Too few backups can be reached or have room: the request is served without them.
+    /// Too few backups can be reached or have room: the request is served without backups.
     Unprotected(RequestId),
-    /// The same, for a request that may be in flight elsewhere and must not run twice: reject it; nothing was sent.
+    /// Too few backups can be reached or have room, and the request may be in flight elsewhere and must not run twice:
+    /// reject it. Nothing was sent.
     Uncertain(RequestId),
-    /// A different request under the same idempotency key is in flight.
+    /// A different request with the same idempotency key is in flight.
     KeyReused(RequestId),
-    /// This sidecar owns the request now: finish it, considering its earlier attempts.
+    /// This sidecar now owns the request: finish it, taking its earlier attempts into account.
     TakenOver(Record),
-    /// Another sidecar owns the request now: send nothing more for it. Its answer will follow.
+    /// Another sidecar now owns the request: send nothing more for it. Its answer will follow.
     OwnershipLost(RequestId),
-    /// The final outcome of a request that was waited for here.
+    /// The final outcome of a request that this sidecar waited for.
     Finished(RequestId, Outcome),
-    /// None of its backups knows the request any more.
+    /// None of the backups knows the request any more.
     Unknown(RequestId),
 }
--- a/crates/takeover/src/takeover/election.rs
+++ b/crates/takeover/src/takeover/election.rs
@@ -1,4 +1,4 @@
-//! Elections of a new owner once a granted lease has expired: candidacy, votes and their count.
+//! Elections of a new owner once a granted lease has expired: candidacies, votes and the counting of votes.
 
 use super::backup::{refusal, Candidacy, Replica};
 use super::owner::OwnedRequest;
@@ -9,27 +9,28 @@
 use havenplank_membership::member::MemberId;
 use std::collections::BTreeMap;
 
-/// Divides the lease: the quotient is the longest random delay before a candidacy and the shortest pause between two;
-/// the longest pause is a lease.
+/// Divides the lease duration. The quotient is both the longest random delay before a candidacy and the shortest pause
+/// between two candidacies. The longest pause is one lease duration.
 const JITTER_DIVISOR: Nanos = 4;
 
 impl Takeover {
-    /// When this backup may next stand as a candidate for a request.
+    /// Returns when this backup may next become a candidate for a request.
     pub(super) fn election_due(&self, replica: &Replica) -> Nanos {
         if replica.record.outcome.is_some() || !replica.record.backups.contains(&self.me) {
             return Nanos::MAX;
         }
-        // An unconfirmed claim may have been given up by an owner that lives and renews its lease for other requests.
-        let promised = self.granted.get(&replica.owner).copied().unwrap_or(0);
+        // A running owner may have abandoned an unconfirmed claim, yet renews its lease for its other requests. The
+        // lease therefore does not delay what happens to such a record.
+        let granted_until = self.granted_until.get(&replica.owner).copied().unwrap_or(0);
         if replica.record.confirmed {
-            replica.try_at.max(promised)
+            replica.next_candidacy_at.max(granted_until)
         } else {
-            replica.try_at
+            replica.next_candidacy_at
         }
     }
 
     /// Prepares a candidacy for each request whose owner's lease has expired.
-    pub(super) fn hold_elections(&mut self, now: Nanos) {
+    pub(super) fn run_due_elections(&mut self, now: Nanos) {
         let due: Vec<RequestId> = self
             .replicas
             .iter()
@@ -40,7 +41,7 @@
             .for_each(|request| self.prepare_candidacy(now, request));
     }
 
-    /// Draws the random delay before a candidacy or, once that is over, asks for votes. Drops a replica that was never
+    /// Draws the random delay before a candidacy or, after that delay, asks for votes. Drops a replica that was never
     /// confirmed.
     fn prepare_candidacy(&mut self, now: Nanos, request: RequestId) {
         let lease = self.rules.lease;
@@ -49,37 +50,37 @@
             return;
         };
         if !replica.record.confirmed {
-            // No attempt of it had to be known here, and another claim may follow.
+            // No attempt of an unconfirmed claim has to be known here, and another claim may follow.
             return self.drop_replica(request);
         }
-        // All leases expire at once, and two simultaneous candidates both lose.
+        // A random delay is needed because all leases expire at once, and two simultaneous candidates both lose.
         if replica.candidacy.is_none() {
             let jitter = self.random.rand_range(0..lease / JITTER_DIVISOR + 1);
             replica.candidacy = Some(Candidacy {
                 term: replica.term,
                 votes: BTreeMap::new(),
             });
-            replica.try_at = now + jitter;
+            replica.next_candidacy_at = now + jitter;
             return;
         }
-        replica.try_at = now + pause;
+        replica.next_candidacy_at = now + pause;
         self.request_votes(now, request);
     }
 
-    /// Votes for ourselves in the next term, and asks the other backups for their votes.
+    /// Votes for this sidecar in the next term, and asks the other backups for their votes.
     fn request_votes(&mut self, now: Nanos, request: RequestId) {
         let Some(replica) = self.replicas.get_mut(&request) else {
             return;
         };
         let term = replica.term.saturating_add(1);
         replica.term = term;
-        let previous = std::mem::replace(&mut replica.owner, self.me.clone());
+        let previous_owner = std::mem::replace(&mut replica.owner, self.me.clone());
         let record = replica.record.advanced_by(now - replica.as_of);
         replica.candidacy = Some(Candidacy {
             term,
             votes: BTreeMap::from([(self.me.name.clone(), record.clone())]),
         });
-        self.withdraw_from(&previous);
+        self.begin_epoch_for(&previous_owner);
         for backup in record.backups.iter().filter(|backup| **backup != self.me) {
             self.effects.push_back(Effect::Send {
                 to: backup.clone(),
@@ -93,7 +94,7 @@
         self.count_votes(now, request);
     }
 
-    /// Another backup asks for a vote.
+    /// Handles the request of another backup for a vote.
     pub(super) fn on_request_vote(
         &mut self,
         now: Nanos,
@@ -106,8 +107,8 @@
             |record: &Record| record.backups.contains(from) && record.backups.contains(&self.me);
         let known = self.owned.get(&request).map(|owned| &owned.record);
         let known = known.or(self.replicas.get(&request).map(|replica| &replica.record));
-        // An unknown request may have been known and forgotten. If such backups voted, a majority could form that does
-        // not know the last attempt.
+        // A request that is unknown here may have been known and dropped. If such backups voted, a majority could form
+        // that does not know the last attempt.
         if !known.is_some_and(backs_up) {
             return;
         }
@@ -116,7 +117,8 @@
         }
     }
 
-    /// Gives up a request that is owned here, unless this sidecar may still act on it or the candidate's term is not later.
+    /// Returns whether this sidecar may vote for the candidate. If this sidecar owns the request, it gives the request
+    /// up, unless it may still act on the request or the candidate's term is not later.
     fn yield_to_candidate(
         &mut self,
         now: Nanos,
@@ -136,12 +138,12 @@
         if self.may_send(now, request) {
             return false;
         }
-        self.retire(now, request);
+        self.move_to_replicas(now, request);
         self.effects.push_back(Effect::OwnershipLost(request));
         true
     }
 
-    /// Votes for a candidate of a later term, unless the owner's lease still stands.
+    /// Votes for a candidate of a later term, unless the owner's lease is still valid.
     fn vote_for(
         &mut self,
         now: Nanos,
@@ -165,17 +167,17 @@
             );
         }
         let is_granted = self
-            .granted
+            .granted_until
             .get(&replica.owner)
-            .is_some_and(|until| now < *until);
+            .is_some_and(|expires_at| now < *expires_at);
         if term <= replica.term || (is_granted && replica.owner != *from) {
             return;
         }
-        let previous = std::mem::replace(&mut replica.owner, from.clone());
+        let previous_owner = std::mem::replace(&mut replica.owner, from.clone());
         replica.term = term;
         replica.candidacy = None;
         let record = replica.record.advanced_by(now - replica.as_of);
-        self.withdraw_from(&previous);
+        self.begin_epoch_for(&previous_owner);
         let epoch = self.grant_lease(now, from);
         self.send(
             from,
@@ -188,7 +190,7 @@
         );
     }
 
-    /// Another backup votes for this candidate.
+    /// Handles a vote for this sidecar.
     pub(super) fn on_vote_granted(
         &mut self,
         now: Nanos,
@@ -216,7 +218,7 @@
         self.count_votes(now, request);
     }
 
-    /// Takes the request over once a majority has voted for this candidate.
+    /// Takes over the request once a majority has voted for this sidecar.
     fn count_votes(&mut self, now: Nanos, request: RequestId) {
         let Some(replica) = self.replicas.get(&request) else {
             return;
@@ -247,7 +249,7 @@
         self.taken_over += 1;
         self.waiting.remove(&request);
         self.effects.push_back(Effect::TakenOver(record.clone()));
-        // Sidecars that wait for the outcome here ask again by themselves.
-        self.own(now, OwnedRequest::new(now, record));
+        // The list of sidecars that wait for the outcome is not kept: they poll again on their own.
+        self.add_owned(now, OwnedRequest::new(now, record));
     }
 }
--- a/crates/takeover/src/takeover/owner.rs
+++ b/crates/takeover/src/takeover/owner.rs
@@ -1,4 +1,5 @@
-//! The owner's side: requests in flight here, the leases that allow acting on them, and their replication.
+//! The owner's side: requests that this sidecar owns or claims, whether it may act on them, and the replication of
+//! their records.
 
 use super::claim::RequiredAcks;
 use super::leases::RENEWALS_PER_LEASE;
@@ -19,9 +20,9 @@
 /// An attempt that the backups have yet to acknowledge.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct PendingAttempt {
-    /// Its place among the attempts of the record.
+    /// The index in the list of attempts of the record.
     pub(super) index: usize,
-    /// The version of the record that first lists it.
+    /// The first version of the record that lists the attempt.
     pub(super) version: u32,
 }
 
@@ -29,50 +30,53 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct OwnedRequest {
     pub(super) record: Record,
-    /// When the record last changed: its time spans count from then.
+    /// When the record last changed. Its time spans are relative to this time.
     pub(super) as_of: Nanos,
-    /// By name, what the backups have acknowledged.
+    /// The latest acknowledgement of each backup, by backup name.
     pub(super) acks: BTreeMap<String, Ack>,
-    /// The claim's time-out; none once the claim has succeeded.
-    pub(super) claim_until: Option<Nanos>,
+    /// When the claim times out; `None` once the claim has succeeded.
+    pub(super) claim_deadline: Option<Nanos>,
     /// How many backups must acknowledge the claim.
     pub(super) required: RequiredAcks,
-    /// Backups that reported another owner.
-    pub(super) refused: BTreeSet<String>,
-    /// Attempts not yet written.
+    /// Names of the backups that reported another owner.
+    pub(super) refused_by: BTreeSet<String>,
+    /// Attempts that wait for acknowledgements and are not written yet.
     pub(super) pending_attempts: Vec<PendingAttempt>,
     /// When the record is first sent to the backups.
     pub(super) announce_at: Nanos,
-    /// When an unacknowledged record is sent again, and how often it was.
+    /// When an unacknowledged record is sent again.
     pub(super) retry_at: Nanos,
+    /// How often the record was sent again since its last change.
     pub(super) retries: u32,
 }
 
-/// The first retry of what a client waits for comes after the lease divided by this; each further one takes twice as long.
-const FIRST_RETRIES_PER_LEASE: Nanos = 24;
-/// How often that doubles, at most.
-const MAX_DOUBLINGS: u32 = 3;
-/// The version of a record that is sent first.
+/// While a client waits, the first retry comes after the lease duration divided by this. Each further retry takes twice
+/// as long.
+const FIRST_RETRY_DIVISOR: Nanos = 24;
+/// The maximum number of times that the retry delay doubles.
+const MAX_RETRY_DOUBLINGS: u32 = 3;
+/// The version of a record when it is first sent.
 pub(super) const FIRST_VERSION: u32 = 1;
-/// How often an outcome is sent again to backups that do not acknowledge it.
+/// The maximum number of times that an outcome is sent again to backups that do not acknowledge it.
 const MAX_OUTCOME_RETRIES: u32 = 8;
 
 impl Takeover {
-    /// Whether an attempt of this request may be written now; to be asked right before the write. The window between the
-    /// two is harmless: a non-idempotent attempt that may have run is never sent again, and of a keyed one the pods
-    /// drop the repeat.
+    /// Returns whether an attempt of this request may be written now. Call it right before the write. The window
+    /// between the check and the write is harmless: a non-idempotent attempt that may have run is never sent again, and
+    /// the pods discard the repeat of an attempt with an idempotency key.
     pub fn may_send(&self, now: Nanos, request: RequestId) -> bool {
         self.owned.get(&request).is_some_and(|owned| {
-            owned.claim_until.is_none()
+            owned.claim_deadline.is_none()
                 && owned.record.outcome.is_none()
-                && self.is_stored(now, owned, FIRST_VERSION)
+                && self.is_stored_by_majority(now, owned, FIRST_VERSION)
         })
     }
 
-    /// Records an attempt that is about to go to a pod and returns its index. [`Effect::AttemptReady`] tells when it may.
+    /// Records an attempt that is about to go to a pod and returns its index. [`Effect::AttemptReady`] reports when the
+    /// attempt may be written.
     pub fn begin_attempt(&mut self, now: Nanos, request: RequestId, pod: &str) -> Option<usize> {
         let owned = self.owned.get_mut(&request)?;
-        owned.change(now, |record| {
+        owned.update_record(now, |record| {
             record.attempts.push(Attempt {
                 pod: pod.to_string(),
                 age: 0,
@@ -99,7 +103,7 @@
         let Some(owned) = self.owned.get_mut(&request) else {
             return;
         };
-        owned.change(now, |record| {
+        owned.update_record(now, |record| {
             if let Some(attempt) = record.attempts.get_mut(index) {
                 attempt.state = state;
             }
@@ -107,17 +111,17 @@
         self.replicate(now, request);
     }
 
-    /// Records the final outcome.
+    /// Records the final outcome and sends it to the backups.
     pub fn finish(&mut self, now: Nanos, request: RequestId, outcome: Outcome) {
         let Some(owned) = self.owned.get_mut(&request) else {
             return;
         };
         if now < owned.announce_at {
-            // No backup knows of it.
+            // The record was not sent to any backup yet.
             self.owned.remove(&request);
             return;
         }
-        owned.change(now, |record| record.outcome = Some(outcome));
+        owned.update_record(now, |record| record.outcome = Some(outcome));
         owned.pending_attempts.clear();
         self.replicate(now, request);
     }
@@ -136,13 +140,14 @@
         let record = owned.record.advanced_by(now - owned.as_of);
         for backup in owned.backups_without_version(record.version) {
             if backup == self.me {
-                // This sidecar is a backup itself: stored at once. Only `on_request_vote` here can vote against it.
+                // This sidecar is a backup of the request itself, so the record counts as stored at once. Only
+                // `on_request_vote` of this sidecar can vote against it.
                 let ack = Ack {
                     version: record.version,
                     epoch: own_lease.epoch,
                 };
                 owned.acks.insert(backup.name.clone(), ack);
-                self.leases.insert(backup.name, own_lease);
+                self.held_leases.insert(backup.name, own_lease);
             } else {
                 self.effects.push_back(Effect::Send {
                     to: backup,
@@ -153,22 +158,23 @@
                 });
             }
         }
-        self.advance(now, request);
+        self.apply_acks(now, request);
     }
 
-    /// Does what the acknowledgements so far allow: the claim succeeds, attempts may go, the request is finished.
-    pub(super) fn advance(&mut self, now: Nanos, request: RequestId) {
+    /// Does what the acknowledgements so far allow: the claim succeeds, attempts may be written, or the finished
+    /// request is moved to the replicas.
+    pub(super) fn apply_acks(&mut self, now: Nanos, request: RequestId) {
         let Some(owned) = self.owned.get(&request) else {
             return;
         };
-        let is_claimed = owned.claim_until.is_some() && self.has_required_acks(now, owned);
+        let is_claimed = owned.claim_deadline.is_some() && self.has_required_acks(now, owned);
         let ready: Vec<usize> = owned
             .pending_attempts
             .iter()
-            .filter(|attempt| self.is_stored(now, owned, attempt.version))
+            .filter(|attempt| self.is_stored_by_majority(now, owned, attempt.version))
             .map(|attempt| attempt.index)
             .collect();
-        let is_finished = owned.record.outcome.is_some() && owned.is_stored_everywhere();
+        let is_finished = owned.record.outcome.is_some() && owned.is_stored_by_all();
         let Some(owned) = self.owned.get_mut(&request) else {
             return;
         };
@@ -176,16 +182,16 @@
             .pending_attempts
             .retain(|attempt| !ready.contains(&attempt.index));
         if is_claimed {
-            owned.claim_until = None;
-            // Replicated with the next change, which is the first attempt.
-            owned.change(now, |record| record.confirmed = true);
+            owned.claim_deadline = None;
+            // The confirmation is replicated with the next change, which is the first attempt.
+            owned.update_record(now, |record| record.confirmed = true);
             self.effects.push_back(Effect::Claimed(request));
         }
         for index in ready {
             self.effects.push_back(Effect::AttemptReady(request, index));
         }
         if is_finished {
-            self.retire(now, request);
+            self.move_to_replicas(now, request);
         }
     }
 
@@ -197,12 +203,12 @@
         self.count_leased_backups(now, owned, FIRST_VERSION) >= required
     }
 
-    /// Whether a majority of the backups hold this version and have granted a lease.
-    fn is_stored(&self, now: Nanos, owned: &OwnedRequest, version: u32) -> bool {
+    /// Returns whether a majority of the backups have stored this version and have granted a valid lease.
+    fn is_stored_by_majority(&self, now: Nanos, owned: &OwnedRequest, version: u32) -> bool {
         self.count_leased_backups(now, owned, version) >= owned.record.majority()
     }
 
-    /// Retries each request that is due.
+    /// Retries each request whose retry is due.
     pub(super) fn retry_owned(&mut self, now: Nanos) {
         let due: Vec<RequestId> = self
             .owned
@@ -213,25 +219,26 @@
         due.into_iter().for_each(|request| self.retry(now, request));
     }
 
-    /// Sends an unacknowledged record again, or ends a claim that took too long.
+    /// Sends an unacknowledged record again, or ends a claim that has timed out. Stops retrying once the retention has
+    /// ended or an outcome was sent often enough.
     fn retry(&mut self, now: Nanos, request: RequestId) {
         let Some(owned) = self.owned.get_mut(&request) else {
             return;
         };
         owned.retries += 1;
-        let over = now.saturating_sub(owned.as_of)
+        let is_expired = now.saturating_sub(owned.as_of)
             > owned.record.remaining.saturating_add(self.rules.retention);
-        if over || (owned.record.outcome.is_some() && owned.retries > MAX_OUTCOME_RETRIES) {
-            self.retire(now, request);
+        if is_expired || (owned.record.outcome.is_some() && owned.retries > MAX_OUTCOME_RETRIES) {
+            self.move_to_replicas(now, request);
             return;
         }
-        match owned.claim_until {
-            Some(until) if now >= until => self.give_up(now, request),
+        match owned.claim_deadline {
+            Some(deadline) if now >= deadline => self.abandon_claim(now, request),
             _ => self.replicate(now, request),
         }
     }
 
-    /// A backup acknowledges a record.
+    /// Handles the acknowledgement of a record by a backup.
     pub(super) fn on_stored(
         &mut self,
         now: Nanos,
@@ -254,22 +261,23 @@
         if (ack.epoch, ack.version) > (known.epoch, known.version) {
             *known = ack;
         }
-        self.advance(now, request);
+        self.apply_acks(now, request);
     }
 
-    /// Moves a request that is no longer owned here to the records kept for others. If it was taken over here, the other
-    /// backups' majorities count on that record; if it arrived here, a later claim may choose this sidecar as a backup,
-    /// and it may be the only one of that majority to know the request.
-    pub(super) fn retire(&mut self, now: Nanos, request: RequestId) -> Option<Record> {
+    /// Moves a request that is no longer owned here to the records kept for others. If this sidecar took the request
+    /// over, it is one of its backups, and the majorities of the other backups rely on its record. If the request
+    /// arrived here, a later claim may choose this sidecar as a backup, and this sidecar may be the only one of that
+    /// majority that knows the request.
+    pub(super) fn move_to_replicas(&mut self, now: Nanos, request: RequestId) -> Option<Record> {
         let owned = self.owned.remove(&request)?;
         let record = owned.record.advanced_by(now - owned.as_of);
         self.insert_replica(now, record.clone(), record.term, self.me.clone());
         Some(record)
     }
 
-    /// Gives a request up to another owner and waits for its outcome.
-    pub(super) fn lose(&mut self, now: Nanos, request: RequestId) {
-        let Some(record) = self.retire(now, request) else {
+    /// Gives up a request to another owner and waits for its outcome.
+    pub(super) fn lose_ownership(&mut self, now: Nanos, request: RequestId) {
+        let Some(record) = self.move_to_replicas(now, request) else {
             return;
         };
         self.effects.push_back(Effect::OwnershipLost(request));
@@ -284,15 +292,15 @@
 }
 
 impl OwnedRequest {
-    /// A request whose record is sent at once and that needs no claim.
+    /// Creates a request whose record is sent at once and that needs no claim.
     pub(super) fn new(now: Nanos, record: Record) -> OwnedRequest {
         OwnedRequest {
             record,
             as_of: now,
             acks: BTreeMap::new(),
-            claim_until: None,
+            claim_deadline: None,
             required: RequiredAcks::Majority,
-            refused: BTreeSet::new(),
+            refused_by: BTreeSet::new(),
             pending_attempts: Vec::new(),
             announce_at: now,
             retry_at: now,
@@ -300,12 +308,12 @@
         }
     }
 
-    /// When to send an unacknowledged record again. What a client waits for is sent again soon, then with exponential
-    /// backoff.
+    /// Returns the delay before an unacknowledged record is sent again. While a client waits, the record is sent again
+    /// soon, and then with exponential backoff.
     fn retry_delay(&self, lease: Nanos) -> Nanos {
-        let is_waited_for = self.claim_until.is_some() || !self.pending_attempts.is_empty();
-        if is_waited_for {
-            (lease / FIRST_RETRIES_PER_LEASE) << self.retries.min(MAX_DOUBLINGS)
+        let client_is_waiting = self.claim_deadline.is_some() || !self.pending_attempts.is_empty();
+        if client_is_waiting {
+            (lease / FIRST_RETRY_DIVISOR) << self.retries.min(MAX_RETRY_DOUBLINGS)
         } else {
             lease / RENEWALS_PER_LEASE
         }
@@ -321,13 +329,13 @@
         backups.filter(lacks_version).cloned().collect()
     }
 
-    /// Whether each backup has acknowledged the present version.
-    fn is_stored_everywhere(&self) -> bool {
+    /// Returns whether each backup has acknowledged the current version.
+    fn is_stored_by_all(&self) -> bool {
         self.backups_without_version(self.record.version).is_empty()
     }
 
-    /// Changes the record and raises its version.
-    pub(super) fn change(&mut self, now: Nanos, change: impl FnOnce(&mut Record)) {
+    /// Changes the record and increases its version.
+    pub(super) fn update_record(&mut self, now: Nanos, change: impl FnOnce(&mut Record)) {
         self.record = self.record.advanced_by(now - self.as_of);
         self.as_of = now;
         change(&mut self.record);
