--- a/crates/takeover/tests/frames.rs
+++ b/crates/takeover/tests/frames.rs
@@ -1,4 +1,5 @@
-//! Whether messages between sidecars are byte by byte those of the version before: another version still runs beside.
+//! Tests that messages between sidecars are byte for byte those of the previous version, because sidecars of both
+//! versions run side by side.
 
 mod common;
 
@@ -10,7 +11,7 @@
 const FRAMES: &str = include_str!("fixtures/frames.txt");
 const REQUEST: u128 = 0x0123_4567_89ab_cdef_0011_2233_4455_6677;
 
-fn life(name: &str) -> MemberId {
+fn member_id(name: &str) -> MemberId {
     MemberId {
         name: name.into(),
         incarnation: 1_764_752_400_000,
@@ -26,11 +27,11 @@
     };
     Record {
         request: REQUEST,
-        owner: life("s-1"),
+        owner: member_id("s-1"),
         term: 3,
         version: 300,
         confirmed: true,
-        backups: vec![life("s-2"), life("s-3"), life("s-4")],
+        backups: vec![member_id("s-2"), member_id("s-3"), member_id("s-4")],
         digest: u64::MAX,
         payload: vec![1, 2, 3],
         remaining: 5_999_999_999,
@@ -51,7 +52,7 @@
     }
 }
 
-/// One of every kind of message, and of every kind of outcome.
+/// One message of every kind, and one with every kind of outcome.
 fn messages() -> Vec<(&'static str, Message)> {
     let (request, sent_at, epoch) = (REQUEST, 123_456_789_012, 130);
     let served = Outcome::Served(b"answer".to_vec());
@@ -66,7 +67,7 @@
     let owned = Message::Owned {
         request,
         term: 3,
-        owner: life("s-5"),
+        owner: member_id("s-5"),
         key_reused: true,
     };
     let request_vote = Message::RequestVote {
--- a/crates/takeover/tests/placement.rs
+++ b/crates/takeover/tests/placement.rs
@@ -1,10 +1,10 @@
-//! Whether backups are spread over zones, and how few requests a lost peer moves.
+//! Tests that backups are spread over zones, and that the loss of a peer changes the backups of few requests.
 
 use havenplank_membership::member::MemberId;
 use havenplank_takeover::placement::{choose_backups, Candidate};
 
 #[test]
-fn backups_alternate_over_zones_and_a_lost_peer_moves_only_its_own_requests() {
+fn backups_are_spread_over_zones_and_a_lost_peer_changes_only_the_requests_it_backs_up() {
     let ids: Vec<MemberId> = (0..30)
         .map(|n| MemberId {
             name: format!("s-{n}"),
@@ -14,43 +14,46 @@
     let candidates: Vec<Candidate<'_>> = ids
         .iter()
         .enumerate()
-        .map(|(n, who)| Candidate {
-            id: who,
+        .map(|(n, member_id)| Candidate {
+            id: member_id,
             zone: ["a", "b", "c"][n % 3],
         })
         .collect();
-    let zone = |who: &MemberId| {
+    let zone = |member_id: &MemberId| {
         candidates
             .iter()
-            .find(|f| f.id == who)
-            .map(|f| f.zone)
+            .find(|candidate| candidate.id == member_id)
+            .map(|candidate| candidate.zone)
             .unwrap()
     };
-    let mut moved = 0;
+    let mut changed = 0;
     for request in 0..300 {
-        let three = choose_backups(request, &candidates, 3);
-        let mut zones: Vec<&str> = three.iter().map(zone).collect();
+        let backups = choose_backups(request, &candidates, 3);
+        let mut zones: Vec<&str> = backups.iter().map(zone).collect();
         zones.sort();
         assert_eq!(zones, ["a", "b", "c"]);
-        let without: Vec<Candidate<'_>> = candidates
+        let without_lost_peer: Vec<Candidate<'_>> = candidates
             .iter()
-            .filter(|f| f.id.name != "s-4")
+            .filter(|candidate| candidate.id.name != "s-4")
             .copied()
             .collect();
-        let remaining = choose_backups(request, &without, 3);
-        if three.contains(&ids[4]) {
-            moved += 1;
+        let new_backups = choose_backups(request, &without_lost_peer, 3);
+        if backups.contains(&ids[4]) {
+            changed += 1;
             assert_eq!(
-                remaining.iter().filter(|who| three.contains(who)).count(),
+                new_backups
+                    .iter()
+                    .filter(|member_id| backups.contains(member_id))
+                    .count(),
                 2
             );
         } else {
-            assert_eq!(remaining, three);
+            assert_eq!(new_backups, backups);
         }
     }
     assert!(
-        (10..=55).contains(&moved),
-        "{moved} of 300 requests were backed up by one of thirty"
+        (10..=55).contains(&changed),
+        "{changed} of 300 requests had the lost peer, 1 of 30, as a backup; expected 10 to 55"
     );
     assert_eq!(choose_backups(1, &candidates[..2], 3).len(), 2);
 }
