--- a/crates/takeover/src/record.rs
+++ b/crates/takeover/src/record.rs
@@ -39,7 +39,7 @@
     Served(Vec<u8>),
     /// Rejected: the request had no effect, or the pods discard a repeat of it.
     Rejected,
-    /// Failed.
+    /// The request failed.
     Failed {
         /// Whether the client may retry, because the pods discard a repeat of a request that may have run.
         retryable: bool,
--- a/crates/takeover/src/takeover/election.rs
+++ b/crates/takeover/src/takeover/election.rs
@@ -19,8 +19,8 @@
         if replica.record.outcome.is_some() || !replica.record.backups.contains(&self.me) {
             return Nanos::MAX;
         }
-        // A running owner may have abandoned an unconfirmed claim, yet renews its lease for its other requests. The
-        // lease therefore does not delay what happens to such a record.
+        // A running owner may have abandoned an unconfirmed claim and still renew its lease for other requests, so the
+        // lease is ignored for an unconfirmed record.
         let granted_until = self.granted_until.get(&replica.owner).copied().unwrap_or(0);
         if replica.record.confirmed {
             replica.next_candidacy_at.max(granted_until)
@@ -50,7 +50,7 @@
             return;
         };
         if !replica.record.confirmed {
-            // No attempt of an unconfirmed claim has to be known here, and another claim may follow.
+            // An unconfirmed record lists no attempt that this backup has to know, and another claim may follow.
             return self.drop_replica(request);
         }
         // A random delay is needed because all leases expire at once, and two simultaneous candidates both lose.
--- a/crates/takeover/src/takeover/waiter.rs
+++ b/crates/takeover/src/takeover/waiter.rs
@@ -82,7 +82,7 @@
             return;
         };
         if now > waiting.last_reported + self.rules.lease {
-            // Without this limit the wait would not end: some backups may be lost and never answer.
+            // Waiting for a reply from every backup might never end: some backups may be lost and never answer.
             self.waiting.remove(&request);
             return self.effects.push_back(Effect::Unknown(request));
         }
