--- a/crates/capacity/src/configuration.rs
+++ b/crates/capacity/src/configuration.rs
@@ -4,7 +4,7 @@
 
 use self::scenarios::Outcome;
 use crate::report::{Point, Section, Series};
-use havenplank_configuration_simulation::process::OVERHEAD;
+use havenplank_configuration_simulation::process::OVERHEAD_BYTES;
 
 /// Changes of one day in the size to plan with, and so the wait between two.
 pub const CHANGES_A_DAY: u64 = 6_800;
@@ -137,7 +137,7 @@
     let network = format!(
         "seed {seed}; 4 regions, 14 zones; 1 ms in a zone, 2 to 4 ms in a region, 40 to 90 ms between \
          regions; 1% loss; each message with {} bytes around it; given membership",
-        OVERHEAD
+        OVERHEAD_BYTES
     );
     Section {
         title: format!("configuration: {}", scenario.title),
--- a/crates/capacity/src/configuration/scenarios.rs
+++ b/crates/capacity/src/configuration/scenarios.rs
@@ -3,7 +3,7 @@
 use super::CHANGES_A_DAY;
 use havenplank_configuration::replication::{Nanos, Role};
 use havenplank_configuration::snapshot::Snapshot;
-use havenplank_configuration_simulation::fleet::{place_region, tenants, Fleet, SECOND};
+use havenplank_configuration_simulation::fleet::{region_index, tenant_snapshot, Fleet, SECOND};
 use havenplank_configuration_simulation::process::{Process, Traffic};
 use havenplank_emulator::net::{Id, Weather};
 use std::time::Duration;
@@ -65,7 +65,7 @@
 }
 
 fn fleet(count: usize, seed: u64) -> (Fleet, Snapshot) {
-    let base = tenants(TENANTS);
+    let base = tenant_snapshot(TENANTS);
     let weather = Weather {
         loss: LOSS,
         ..Weather::default()
@@ -141,7 +141,7 @@
         fleet.restart(id, Role::Sidecar, kept);
         before[id] = Traffic::default();
     }
-    fleet.tell_everyone();
+    fleet.set_peers_everywhere();
     let (seconds, not_reached) = catch_up(&mut fleet, &restarted);
     let mut outcome = costs(&fleet, &before, began);
     (outcome.seconds, outcome.not_reached) = (seconds, not_reached);
@@ -152,15 +152,15 @@
 /// One region hears nothing of an hour's changes and is back then. The membership loses it and has it back at once.
 pub fn region_cut(count: usize, seed: u64) -> Outcome {
     let (mut fleet, _) = fleet(count, seed);
-    let (cut, rest): (Vec<Id>, Vec<Id>) = fleet.net.ids().partition(|id| place_region(*id) == 3);
+    let (cut, rest): (Vec<Id>, Vec<Id>) = fleet.net.ids().partition(|id| region_index(*id) == 3);
     fleet.net.split(&[&cut, &rest]);
     for side in [&cut, &rest] {
         let peers = fleet.peers(side.iter().copied());
-        side.iter().for_each(|id| fleet.tell(*id, &peers));
+        side.iter().for_each(|id| fleet.set_peers(*id, &peers));
     }
     hour_of_changes(&mut fleet);
     fleet.net.heal();
-    fleet.tell_everyone();
+    fleet.set_peers_everywhere();
     let (began, before) = (fleet.net.now(), traffic(&fleet));
     let (seconds, not_reached) = catch_up(&mut fleet, &cut);
     let mut outcome = costs(&fleet, &before, began);
@@ -231,7 +231,7 @@
     match writer.and_then(|writer| writer.round) {
         Some(round) => format!(
             "last round: {} of {} have {}",
-            round.have, round.of, round.version
+            round.up_to_date, round.total, round.version
         ),
         None => "no round has ended".to_string(),
     }
@@ -261,8 +261,11 @@
             .map(|(_, own)| cost(own, span))
             .unwrap_or_default(),
         busiest_bytes_per_s: rate(sidecars().map(|traffic| traffic.sent_bytes).max()),
-        busiest_heard_bytes_per_s: rate(sidecars().map(|traffic| traffic.heard_bytes).max()),
-        longest_message: sidecars().map(|traffic| traffic.longest).max().unwrap_or(0),
+        busiest_heard_bytes_per_s: rate(sidecars().map(|traffic| traffic.received_bytes).max()),
+        longest_message: sidecars()
+            .map(|traffic| traffic.longest_message_bytes)
+            .max()
+            .unwrap_or(0),
         ..Outcome::default()
     }
 }
@@ -270,30 +273,32 @@
 fn cost(traffic: &Traffic, span: f64) -> Cost {
     Cost {
         bytes_per_s: traffic.sent_bytes as f64 / span,
-        messages_per_s: traffic.sent as f64 / span,
-        core_share: traffic.processor.as_secs_f64() / span,
+        messages_per_s: traffic.sent_messages as f64 / span,
+        core_share: traffic.cpu_time.as_secs_f64() / span,
     }
 }
 
 fn spent(now: &Traffic, before: &Traffic) -> Traffic {
     Traffic {
-        sent: now.sent.saturating_sub(before.sent),
+        sent_messages: now.sent_messages.saturating_sub(before.sent_messages),
         sent_bytes: now.sent_bytes.saturating_sub(before.sent_bytes),
-        heard: now.heard.saturating_sub(before.heard),
-        heard_bytes: now.heard_bytes.saturating_sub(before.heard_bytes),
-        longest: now.longest,
-        processor: now.processor.saturating_sub(before.processor),
+        received_messages: now
+            .received_messages
+            .saturating_sub(before.received_messages),
+        received_bytes: now.received_bytes.saturating_sub(before.received_bytes),
+        longest_message_bytes: now.longest_message_bytes,
+        cpu_time: now.cpu_time.saturating_sub(before.cpu_time),
     }
 }
 
 fn added(a: &Traffic, b: &Traffic) -> Traffic {
-    let processor: Duration = a.processor + b.processor;
+    let cpu_time: Duration = a.cpu_time + b.cpu_time;
     Traffic {
-        sent: a.sent + b.sent,
+        sent_messages: a.sent_messages + b.sent_messages,
         sent_bytes: a.sent_bytes + b.sent_bytes,
-        heard: a.heard + b.heard,
-        heard_bytes: a.heard_bytes + b.heard_bytes,
-        longest: a.longest.max(b.longest),
-        processor,
+        received_messages: a.received_messages + b.received_messages,
+        received_bytes: a.received_bytes + b.received_bytes,
+        longest_message_bytes: a.longest_message_bytes.max(b.longest_message_bytes),
+        cpu_time,
     }
 }
--- a/crates/configuration-simulation/src/fleet.rs
+++ b/crates/configuration-simulation/src/fleet.rs
@@ -1,6 +1,6 @@
 //! A simulated fleet of processes in zones and regions, with a given membership.
 
-use crate::process::{name, Process};
+use crate::process::{process_name, Process};
 use havenplank_configuration::delta::Change;
 use havenplank_configuration::digest::Digest;
 use havenplank_configuration::record::{Record, Tenant, TenantLimits};
@@ -39,7 +39,7 @@
 }
 
 /// The region of a process, by number.
-pub fn place_region(id: Id) -> usize {
+pub fn region_index(id: Id) -> usize {
     place(id).0
 }
 
@@ -57,7 +57,7 @@
 }
 
 /// A configuration of so many tenants.
-pub fn tenants(count: usize) -> Snapshot {
+pub fn tenant_snapshot(count: usize) -> Snapshot {
     let records = (0..count).map(|n| tenant(n, 100));
     let snapshot = Snapshot::from_records(
         Version {
@@ -81,10 +81,10 @@
 }
 
 /// A change of some tenants, other with each number.
-pub fn change(number: u64, tenants: usize, width: usize) -> Vec<Change> {
+pub fn tenant_changes(number: u64, tenants: usize, tenants_per_change: usize) -> Vec<Change> {
     let first = number as usize * 7_919;
-    let mut places: Vec<usize> = (0..width)
-        .map(|n| (first + n * 31) % tenants.max(width * 31))
+    let mut places: Vec<usize> = (0..tenants_per_change)
+        .map(|n| (first + n * 31) % tenants.max(tenants_per_change * 31))
         .collect();
     places.sort_unstable();
     places.dedup();
@@ -113,15 +113,15 @@
     /// What processes are started with from now on.
     pub settings: ReplicationSettings,
     seed: u64,
-    lives: BTreeMap<Id, u64>,
+    incarnations: BTreeMap<Id, u64>,
     /// Publications, in order.
-    pub published: Vec<Publication>,
+    pub publications: Vec<Publication>,
     /// The contents that writers gave each version: more than one where two wrote the same.
     pub digests: BTreeMap<Version, Vec<Digest>>,
     changes: u64,
     tenants: usize,
     /// Tenants that one change touches.
-    pub width: usize,
+    pub tenants_per_change: usize,
 }
 
 impl Fleet {
@@ -145,12 +145,12 @@
             net,
             settings,
             seed,
-            lives: BTreeMap::new(),
-            published: Vec::new(),
+            incarnations: BTreeMap::new(),
+            publications: Vec::new(),
             digests: BTreeMap::from([(base.version(), vec![base.digest()])]),
             changes: 0,
             tenants: base.tenants().count(),
-            width: 5,
+            tenants_per_change: 5,
         };
         for id in 0..count {
             let role = if id == FIRST_WRITER {
@@ -160,13 +160,13 @@
             };
             fleet.join(clock(id), role, base.clone());
         }
-        fleet.tell_everyone();
+        fleet.set_peers_everywhere();
         fleet
     }
 
     fn join(&mut self, clock: Clock, role: Role, snapshot: Snapshot) {
-        let id = self.lives.len();
-        self.lives.insert(id, 1);
+        let id = self.incarnations.len();
+        self.incarnations.insert(id, 1);
         let (seed, me, settings) = (self.seed_of(id), self.peer(id), self.settings.clone());
         let kept = CachedConfiguration {
             snapshot,
@@ -179,7 +179,7 @@
 
     /// Starts a process anew, under a later life, with what it kept.
     pub fn restart(&mut self, id: Id, role: Role, kept: Snapshot) {
-        *self.lives.entry(id).or_default() += 1;
+        *self.incarnations.entry(id).or_default() += 1;
         let (seed, me, settings) = (self.seed_of(id), self.peer(id), self.settings.clone());
         let kept = CachedConfiguration {
             snapshot: kept,
@@ -193,15 +193,15 @@
     fn seed_of(&self, id: Id) -> u64 {
         self.seed
             .wrapping_mul(1_000_003)
-            .wrapping_add(id as u64 * 64 + self.lives[&id])
+            .wrapping_add(id as u64 * 64 + self.incarnations[&id])
     }
 
     /// Returns a process as its peers know it, in its present incarnation.
     pub fn peer(&self, id: Id) -> Peer {
         Peer {
-            life: MemberId {
-                name: name(id),
-                incarnation: self.lives[&id],
+            member_id: MemberId {
+                name: process_name(id),
+                incarnation: self.incarnations[&id],
             },
             zone: zone(id),
         }
@@ -213,16 +213,16 @@
     }
 
     /// Tells every process of all that live.
-    pub fn tell_everyone(&mut self) {
+    pub fn set_peers_everywhere(&mut self) {
         let living = self.net.ids().filter(|id| self.net.part(*id).is_some());
         let peers = self.peers(living);
         for id in self.net.ids() {
-            self.tell(id, &peers);
+            self.set_peers(id, &peers);
         }
     }
 
-    /// Tells a process who lives.
-    pub fn tell(&mut self, id: Id, peers: &Peers) {
+    /// Gives one process its list of peers.
+    pub fn set_peers(&mut self, id: Id, peers: &Peers) {
         if let Some(process) = self.net.part_mut(id) {
             process.replicator.set_peers(peers.clone());
         }
@@ -231,7 +231,7 @@
     /// Returns the next change, other than all before.
     pub fn next_change(&mut self) -> Vec<Change> {
         self.changes += 1;
-        change(self.changes, self.tenants, self.width)
+        tenant_changes(self.changes, self.tenants, self.tenants_per_change)
     }
 
     /// One change, published by a writer.
@@ -248,7 +248,7 @@
         let digest = writer.in_force.digest();
         self.digests.entry(version).or_default().push(digest);
         self.net.post(id);
-        self.published.push(Publication {
+        self.publications.push(Publication {
             at: now,
             version,
             writer: id,
@@ -266,7 +266,7 @@
     /// was in force at each of these processes; `None` where it is not yet. For clocks that stand at the network's time.
     pub fn latencies(&self, from: Nanos, ids: &[Id]) -> Vec<Option<Nanos>> {
         let published = self
-            .published
+            .publications
             .iter()
             .filter(|publication| publication.at >= from && publication.writer == FIRST_WRITER);
         published
@@ -275,7 +275,7 @@
     }
 
     fn latency(&self, publication: &Publication, id: Id) -> Option<Nanos> {
-        let log = &self.net.part(id)?.log;
+        let log = &self.net.part(id)?.installations;
         let first = log.partition_point(|installed| installed.version < publication.version);
         let installed = log.get(first)?;
         Some(installed.at.saturating_sub(publication.at))
--- a/crates/configuration-simulation/src/process.rs
+++ b/crates/configuration-simulation/src/process.rs
@@ -18,7 +18,7 @@
 use std::time::{Duration, Instant};
 
 /// What a letter between peers and its datagram have around a message, in bytes.
-pub const OVERHEAD: u64 = 120;
+pub const OVERHEAD_BYTES: u64 = 120;
 
 /// What crosses the simulated network.
 #[derive(Serialize, Deserialize)]
@@ -32,22 +32,22 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Traffic {
     /// Messages sent.
-    pub sent: u64,
+    pub sent_messages: u64,
     /// Bytes sent, with what is around each message.
     pub sent_bytes: u64,
     /// Messages that came.
-    pub heard: u64,
+    pub received_messages: u64,
     /// Bytes that came, with what is around each message.
-    pub heard_bytes: u64,
+    pub received_bytes: u64,
     /// The longest message, with its overhead.
-    pub longest: u64,
+    pub longest_message_bytes: u64,
     /// In the decision and its codec.
-    pub processor: Duration,
+    pub cpu_time: Duration,
 }
 
 /// A version that came into force.
 #[derive(Clone, Copy, Debug)]
-pub struct Installed {
+pub struct Installation {
     /// When, on the process's own clock.
     pub at: Nanos,
     /// Which.
@@ -65,16 +65,16 @@
     /// In force at the host, as it would be kept on disk.
     pub in_force: Snapshot,
     /// When each version came into force.
-    pub log: Vec<Installed>,
+    pub installations: Vec<Installation>,
     /// What the replicator told operators.
     pub events: Vec<Event>,
     /// The host rejects versions while this holds.
-    pub rejects: bool,
+    pub rejects_versions: bool,
     out: VecDeque<(SocketAddr, Vec<u8>)>,
 }
 
 /// The name of the nth process; names sort as numbers do.
-pub fn name(id: Id) -> String {
+pub fn process_name(id: Id) -> String {
     format!("p-{id:05}")
 }
 
@@ -99,15 +99,19 @@
             me,
             traffic: Traffic::default(),
             in_force,
-            log: Vec::new(),
+            installations: Vec::new(),
             events: Vec::new(),
-            rejects: false,
+            rejects_versions: false,
             out: VecDeque::new(),
         }
     }
 
     /// What [`Process::publish`] would publish next.
-    pub fn next(&self, epoch: u64, changes: Vec<Change>) -> Option<(Delta, Snapshot)> {
+    pub fn prepare_publication(
+        &self,
+        epoch: u64,
+        changes: Vec<Change>,
+    ) -> Option<(Delta, Snapshot)> {
         let from = self.in_force.version();
         let to = Version {
             epoch,
@@ -147,7 +151,7 @@
         {
             return Err(PublishError::Superseded { by });
         }
-        let Some((delta, snapshot)) = self.next(epoch, changes) else {
+        let Some((delta, snapshot)) = self.prepare_publication(epoch, changes) else {
             return Err(PublishError::NotWriter);
         };
         let version = snapshot.version();
@@ -155,7 +159,7 @@
         let result = self
             .replicator
             .publish(now, Arc::new(delta), snapshot.clone());
-        self.traffic.processor += began.elapsed();
+        self.traffic.cpu_time += began.elapsed();
         result?;
         self.take_over(now, snapshot);
         self.carry_out(now);
@@ -167,9 +171,9 @@
         assert!(
             after > before,
             "{}: version {after} came into force after {before}",
-            self.me.life.name
+            self.me.member_id.name
         );
-        self.log.push(Installed {
+        self.installations.push(Installation {
             at: now,
             version: after,
         });
@@ -188,7 +192,7 @@
 
     fn install(&mut self, now: Nanos, snapshot: Snapshot) {
         let version = snapshot.version();
-        if self.rejects {
+        if self.rejects_versions {
             self.replicator
                 .report_rejected(now, version, "told to reject");
         } else {
@@ -200,14 +204,14 @@
     fn send(&mut self, to: MemberId, message: &Message) {
         let began = Instant::now();
         let Ok(body) = message.encode() else { return };
-        self.traffic.processor += began.elapsed();
-        let bytes = body.len() as u64 + OVERHEAD;
-        self.traffic.sent += 1;
+        self.traffic.cpu_time += began.elapsed();
+        let bytes = body.len() as u64 + OVERHEAD_BYTES;
+        self.traffic.sent_messages += 1;
         self.traffic.sent_bytes += bytes;
-        self.traffic.longest = self.traffic.longest.max(bytes);
+        self.traffic.longest_message_bytes = self.traffic.longest_message_bytes.max(bytes);
         let Some(id) = id_of(&to.name) else { return };
         let envelope = Envelope {
-            from: self.me.life.clone(),
+            from: self.me.member_id.clone(),
             to,
             body,
         };
@@ -222,11 +226,11 @@
         let Ok(envelope) = postcard::from_bytes::<Envelope>(bytes) else {
             return;
         };
-        if envelope.to != self.me.life {
+        if envelope.to != self.me.member_id {
             return;
         }
-        self.traffic.heard += 1;
-        self.traffic.heard_bytes += envelope.body.len() as u64 + OVERHEAD;
+        self.traffic.received_messages += 1;
+        self.traffic.received_bytes += envelope.body.len() as u64 + OVERHEAD_BYTES;
         let began = Instant::now();
         match Message::decode(&envelope.body) {
             Ok(message) => {
@@ -235,14 +239,14 @@
             }
             Err(_) => self.replicator.count_unreadable(),
         }
-        self.traffic.processor += began.elapsed();
+        self.traffic.cpu_time += began.elapsed();
         self.carry_out(now);
     }
 
     fn wake(&mut self, now: Nanos) {
         let began = Instant::now();
         self.replicator.wake(now);
-        self.traffic.processor += began.elapsed();
+        self.traffic.cpu_time += began.elapsed();
         self.carry_out(now);
     }
 
--- a/crates/configuration-simulation/tests/replication.rs
+++ b/crates/configuration-simulation/tests/replication.rs
@@ -21,9 +21,9 @@
 use havenplank_configuration::snapshot::Snapshot;
 use havenplank_configuration::version::Version;
 use havenplank_configuration_simulation::fleet::{
-    change, place_region, tenants, Fleet, MS, SECOND,
+    region_index, tenant_changes, tenant_snapshot, Fleet, MS, SECOND,
 };
-use havenplank_configuration_simulation::process::{name, Process};
+use havenplank_configuration_simulation::process::{process_name, Process};
 use havenplank_emulator::net::{Clock, Id, Net, Weather};
 use havenplank_membership::member::MemberId;
 use oorandom::Rand64;
@@ -121,7 +121,7 @@
         assert!(
             written,
             "{} has {version} with a content that nobody wrote",
-            name(moved)
+            process_name(moved)
         );
         self.record(net, moved);
         if let Some(round) = process
@@ -151,13 +151,16 @@
             .filter(|version| **version >= round.version)
             .count();
         assert!(
-            round.have as usize <= had,
+            round.up_to_date as usize <= had,
             "{round:?}, but only {had} ever had it"
         );
-        assert!(round.of as usize <= count, "{round:?} of {count} processes");
+        assert!(
+            round.total as usize <= count,
+            "{round:?} of {count} processes"
+        );
         assert_eq!(
-            round.have as usize + round.behind.len() + round.more as usize,
-            round.of as usize
+            round.up_to_date as usize + round.behind.len() + round.unnamed_behind as usize,
+            round.total as usize
         );
         let names: BTreeSet<_> = round.behind.iter().map(|peer| &peer.name).collect();
         assert_eq!(names.len(), round.behind.len(), "{round:?}");
@@ -185,7 +188,7 @@
             repeat: share(&mut rng, 0.15),
             ..Weather::default()
         };
-        let base = tenants(200);
+        let base = tenant_snapshot(200);
         let clock = |id: Id| Clock {
             began: id as Nanos * 77 * SECOND,
             drift_ppm: (id as i64 % 3 - 1) * 1_000,
@@ -253,7 +256,7 @@
             // The membership of each side has lost the other one.
             for side in [left, right] {
                 let peers = self.fleet.peers(side.iter().copied());
-                side.iter().for_each(|id| self.fleet.tell(*id, &peers));
+                side.iter().for_each(|id| self.fleet.set_peers(*id, &peers));
             }
         }
     }
@@ -278,10 +281,10 @@
     fn start(&mut self, id: Id, role: Role, kept: Snapshot) {
         self.fleet.restart(id, role, kept);
         if self.one_in(2) {
-            self.fleet.tell_everyone();
+            self.fleet.set_peers_everywhere();
         } else {
             let peers = self.fleet.peers(self.fleet.net.ids());
-            self.fleet.tell(id, &peers);
+            self.fleet.set_peers(id, &peers);
         }
     }
 
@@ -318,7 +321,7 @@
         };
         let before = process.in_force.clone();
         let stored = process
-            .next(epoch, changes)
+            .prepare_publication(epoch, changes)
             .filter(|_| self.one_in(2))
             .map(|(_, snapshot)| snapshot);
         if let Some(stored) = &stored {
@@ -336,7 +339,7 @@
     fn change_hosts(&mut self) {
         let (id, rejects) = (self.any(), self.one_in(2));
         if let Some(process) = self.fleet.net.part_mut(id) {
-            process.rejects = rejects;
+            process.rejects_versions = rejects;
         }
     }
 
@@ -347,7 +350,7 @@
         for id in 0..self.count() {
             self.fleet.net.unpause(id);
             if let Some(process) = self.fleet.net.part_mut(id) {
-                process.rejects = false;
+                process.rejects_versions = false;
             }
         }
         let (epoch, kept) = (
@@ -359,7 +362,7 @@
             Role::Writer { epoch },
             kept.unwrap_or_else(Snapshot::empty),
         );
-        self.fleet.tell_everyone();
+        self.fleet.set_peers_everywhere();
         self.invariants.run(&mut self.fleet, 2 * CONVERGENCE_LIMIT);
         self.fleet.publish(WRITER, epoch).unwrap();
         self.invariants.run(&mut self.fleet, CONVERGENCE_LIMIT);
@@ -370,13 +373,13 @@
         for id in 0..self.count() {
             let found = (version_at(&self.fleet, id), digest_at(&self.fleet, id));
             let status = self.fleet.net.part(id).unwrap().replicator.status();
-            assert_eq!(found, (version, digest), "{}: {status:?}", name(id));
+            assert_eq!(found, (version, digest), "{}: {status:?}", process_name(id));
         }
         self.invariants.run(&mut self.fleet, TWO_ROUNDS);
         let round = round_at(&self.fleet, WRITER).unwrap();
         let all = self.count() as u32;
         assert_eq!(
-            (round.version, round.have, round.of),
+            (round.version, round.up_to_date, round.total),
             (version, all, all),
             "{round:?}"
         );
@@ -415,7 +418,7 @@
 
 #[test]
 fn every_change_is_in_force_everywhere_within_five_seconds() {
-    let mut fleet = Fleet::new(120, 5, &tenants(500), one_percent_loss());
+    let mut fleet = Fleet::new(120, 5, &tenant_snapshot(500), one_percent_loss());
     fleet.run_for(SECOND);
     for _ in 0..10 {
         fleet.publish(WRITER, 1).unwrap();
@@ -437,8 +440,8 @@
 
 #[test]
 fn who_was_cut_off_or_starts_anew_has_everything_within_five_seconds() {
-    let mut fleet = Fleet::new(84, 6, &tenants(2_000), one_percent_loss());
-    let (cut, rest): (Vec<Id>, Vec<Id>) = fleet.net.ids().partition(|id| place_region(*id) == 2);
+    let mut fleet = Fleet::new(84, 6, &tenant_snapshot(2_000), one_percent_loss());
+    let (cut, rest): (Vec<Id>, Vec<Id>) = fleet.net.ids().partition(|id| region_index(*id) == 2);
     fleet.net.split(&[&cut, &rest]);
     for _ in 0..283 {
         fleet.publish(WRITER, 1).unwrap();
@@ -448,12 +451,12 @@
     fleet.net.heal();
     let before: u64 = cut
         .iter()
-        .map(|id| fleet.net.part(*id).unwrap().traffic.sent)
+        .map(|id| fleet.net.part(*id).unwrap().traffic.sent_messages)
         .sum();
     catch_up(&mut fleet, &cut, CONVERGENCE_LIMIT);
     let after: u64 = cut
         .iter()
-        .map(|id| fleet.net.part(*id).unwrap().traffic.sent)
+        .map(|id| fleet.net.part(*id).unwrap().traffic.sent_messages)
         .sum();
     let each = (after - before) / cut.len() as u64;
     assert!(
@@ -461,25 +464,29 @@
         "each sent {each} messages to catch up on 283 versions"
     );
     // Without any, and with a version whose deltas nobody has any more.
-    for (id, kept) in [(5, Snapshot::empty()), (11, tenants(1_000))] {
+    for (id, kept) in [(5, Snapshot::empty()), (11, tenant_snapshot(1_000))] {
         fleet.restart(id, Role::Sidecar, kept);
     }
-    fleet.tell_everyone();
+    fleet.set_peers_everywhere();
     catch_up(&mut fleet, &[5, 11], CONVERGENCE_LIMIT);
 }
 
 #[test]
 fn a_transfer_goes_on_from_another_source_where_its_own_is_gone() {
-    let mut fleet = Fleet::new(30, 7, &tenants(20_000), one_percent_loss());
+    let mut fleet = Fleet::new(30, 7, &tenant_snapshot(20_000), one_percent_loss());
     fleet.restart(9, Role::Sidecar, Snapshot::empty());
-    fleet.tell_everyone();
+    fleet.set_peers_everywhere();
     let transfer = |fleet: &Fleet| fleet.net.part(9).unwrap().replicator.status().transfer;
     while transfer(&fleet).is_none_or(|transfer| transfer.missing_buckets > 900) {
         assert!(fleet.net.now() < CONVERGENCE_LIMIT, "no transfer began");
         fleet.run_for(MS);
     }
     let source = transfer(&fleet).unwrap().source;
-    let gone = fleet.net.ids().find(|id| name(*id) == source).unwrap();
+    let gone = fleet
+        .net
+        .ids()
+        .find(|id| process_name(*id) == source)
+        .unwrap();
     fleet.net.kill(gone);
     if gone == WRITER {
         panic!("another seed is needed: the writer was the source");
@@ -495,12 +502,12 @@
 
 #[test]
 fn of_two_contents_of_one_version_the_first_stays_and_both_writers_stop() {
-    let mut fleet = Fleet::new(24, 8, &tenants(100), one_percent_loss());
+    let mut fleet = Fleet::new(24, 8, &tenant_snapshot(100), one_percent_loss());
     let (left, right): (Vec<Id>, Vec<Id>) = fleet.net.ids().partition(|id| *id < 12);
     fleet.net.split(&[&left, &right]);
     let kept = fleet.net.part(20).unwrap().in_force.clone();
     fleet.restart(20, Role::Writer { epoch: 1 }, kept);
-    fleet.tell_everyone();
+    fleet.set_peers_everywhere();
     let (one, other) = (
         fleet.publish(WRITER, 1).unwrap(),
         fleet.publish(20, 1).unwrap(),
@@ -512,7 +519,7 @@
     fleet.net.heal();
     fleet.run_for(2 * CONVERGENCE_LIMIT);
     for id in fleet.net.ids() {
-        assert_eq!(digest_at(&fleet, id), digests[id], "{}", name(id));
+        assert_eq!(digest_at(&fleet, id), digests[id], "{}", process_name(id));
     }
     let conflict = |event: &Event| match event {
         Event::Conflict {
@@ -530,7 +537,7 @@
     // Only a higher epoch mends it.
     let kept = fleet.net.part(4).unwrap().in_force.clone();
     fleet.restart(4, Role::Writer { epoch: 2 }, kept);
-    fleet.tell_everyone();
+    fleet.set_peers_everywhere();
     let mended = fleet.publish(4, 2).unwrap();
     fleet.run_for(CONVERGENCE_LIMIT);
     assert!(fleet.net.ids().all(|id| version_at(&fleet, id) == mended));
@@ -542,12 +549,12 @@
 
 #[test]
 fn a_replaced_writer_is_told_and_publishes_no_more() {
-    let mut fleet = Fleet::new(24, 9, &tenants(100), one_percent_loss());
+    let mut fleet = Fleet::new(24, 9, &tenant_snapshot(100), one_percent_loss());
     let rest: Vec<Id> = (1..24).collect();
     fleet.net.split(&[&[WRITER], &rest]);
     let kept = fleet.net.part(13).unwrap().in_force.clone();
     fleet.restart(13, Role::Writer { epoch: 2 }, kept);
-    fleet.tell_everyone();
+    fleet.set_peers_everywhere();
     let newer = fleet.publish(13, 2).unwrap();
     // It does not know yet; what it publishes now has the higher number and loses all the same.
     for _ in 0..5 {
@@ -569,15 +576,15 @@
 
 #[test]
 fn a_rejected_version_leaves_the_old_one_in_force_is_named_and_not_fetched_again() {
-    let mut fleet = Fleet::new(40, 10, &tenants(100), one_percent_loss());
-    fleet.net.part_mut(7).unwrap().rejects = true;
+    let mut fleet = Fleet::new(40, 10, &tenant_snapshot(100), one_percent_loss());
+    fleet.net.part_mut(7).unwrap().rejects_versions = true;
     let old = version_at(&fleet, WRITER);
     let new = fleet.publish(WRITER, 1).unwrap();
     fleet.run_for(20 * SECOND);
     assert_eq!(version_at(&fleet, 7), old);
     let round = round_at(&fleet, WRITER).unwrap();
     assert_eq!(
-        (round.version, round.have, round.of),
+        (round.version, round.up_to_date, round.total),
         (new, 39, 40),
         "{round:?}"
     );
@@ -590,11 +597,11 @@
     // Offered after 0, 5 and 15 s, as the waits double.
     assert_eq!(process.replicator.status().counts.rejected, 3);
     assert_eq!(process.replicator.status().verified, new);
-    process.rejects = false;
+    process.rejects_versions = false;
     fleet.run_for(20 * SECOND);
     assert_eq!(version_at(&fleet, 7), new);
     fleet.run_for(TWO_ROUNDS);
-    assert_eq!(round_at(&fleet, WRITER).unwrap().have, 40);
+    assert_eq!(round_at(&fleet, WRITER).unwrap().up_to_date, 40);
 }
 
 #[test]
@@ -602,7 +609,7 @@
     let mut fleet = Fleet::new(
         200,
         11,
-        &tenants(100),
+        &tenant_snapshot(100),
         Weather {
             repeat: 0.5,
             ..one_percent_loss()
@@ -615,7 +622,12 @@
     invariants.run(&mut fleet, 30 * SECOND);
     let round = round_at(&fleet, WRITER).unwrap();
     assert_eq!(
-        (round.version, round.have, round.of, round.more),
+        (
+            round.version,
+            round.up_to_date,
+            round.total,
+            round.unnamed_behind
+        ),
         (version, 199, 200, 0),
         "{round:?}"
     );
@@ -629,17 +641,20 @@
 #[test]
 fn what_one_process_sends_does_not_grow_with_the_fleet() {
     let sent = |count: usize| {
-        let mut fleet = Fleet::new(count, 12, &tenants(100), one_percent_loss());
+        let mut fleet = Fleet::new(count, 12, &tenant_snapshot(100), one_percent_loss());
         for _ in 0..4 {
             fleet.publish(WRITER, 1).unwrap();
             fleet.run_for(12 * SECOND);
         }
         let traffic = |id| fleet.net.part(id).map(|process| process.traffic).unwrap();
-        let all: u64 = (1..count).map(|id| traffic(id).sent).sum();
-        let longest = (0..count).map(|id| traffic(id).longest).max().unwrap();
+        let all: u64 = (1..count).map(|id| traffic(id).sent_messages).sum();
+        let longest = (0..count)
+            .map(|id| traffic(id).longest_message_bytes)
+            .max()
+            .unwrap();
         (
             all as f64 / (count - 1) as f64,
-            traffic(WRITER).sent,
+            traffic(WRITER).sent_messages,
             longest,
         )
     };
@@ -668,13 +683,13 @@
 impl Alone {
     fn new() -> Alone {
         let peer = |name: &str| Peer {
-            life: MemberId {
+            member_id: MemberId {
                 name: name.into(),
                 incarnation: 1,
             },
             zone: "r/z".into(),
         };
-        let base = tenants(50);
+        let base = tenant_snapshot(50);
         let kept = CachedConfiguration {
             snapshot: base.clone(),
             deltas: Vec::new(),
@@ -691,7 +706,7 @@
         Alone {
             replicator,
             base,
-            peer: peer("b").life,
+            peer: peer("b").member_id,
         }
     }
 
@@ -702,7 +717,7 @@
             from: from.version(),
             to: Version { epoch: 1, number },
             digest: Digest::default(),
-            changes: change(number, 50, 1),
+            changes: tenant_changes(number, 50, 1),
         };
         if let Err(havenplank_configuration::error::ApplyError::DigestMismatch { found, .. }) =
             from.apply(&delta)
@@ -786,7 +801,7 @@
 #[test]
 fn an_older_snapshot_changes_nothing_even_as_the_answer_to_a_pull() {
     let mut alone = Alone::new();
-    let older = tenants(10).with_version(Version {
+    let older = tenant_snapshot(10).with_version(Version {
         epoch: 1,
         number: 0,
     });
@@ -828,7 +843,7 @@
         deltas: Vec::new(),
     };
     let me = Peer {
-        life: MemberId {
+        member_id: MemberId {
             name: "a".into(),
             incarnation: 1,
         },
--- a/crates/configuration/src/interval.rs
+++ b/crates/configuration/src/interval.rs
@@ -14,11 +14,11 @@
 
 /// A part of an interval, and the places of its names in the list that was split.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Part {
+pub struct IntervalPart {
     /// The part.
     pub interval: Interval,
     /// Places of its names in the list that was split.
-    pub names: Range<usize>,
+    pub indices: Range<usize>,
 }
 
 impl Interval {
@@ -36,7 +36,7 @@
     }
 
     /// The places of this interval's names in a sorted list.
-    pub fn places<'a>(&self, count: usize, name: impl Fn(usize) -> &'a str) -> Range<usize> {
+    pub fn index_range<'a>(&self, count: usize, name: impl Fn(usize) -> &'a str) -> Range<usize> {
         let first = partition_point(count, |place| name(place) < self.from.as_str());
         let end = self
             .to
@@ -53,13 +53,13 @@
         parts: usize,
         count: usize,
         name: impl Fn(usize) -> &'a str,
-    ) -> Vec<Part> {
-        let places = self.places(count, &name);
+    ) -> Vec<IntervalPart> {
+        let places = self.index_range(count, &name);
         let size = places.len().div_ceil(parts.max(1)).max(1);
         let mut split = Vec::new();
         let (below, above) = self.without(own);
         for side in [below, above].into_iter().flatten() {
-            let places = side.places(count, &name);
+            let places = side.index_range(count, &name);
             let starts: Vec<usize> = places.clone().step_by(size).collect();
             for (at, &start) in starts.iter().enumerate() {
                 let next = starts.get(at + 1).copied();
@@ -69,10 +69,10 @@
                     name(start).to_string()
                 };
                 let to = next.map_or(side.to.clone(), |next| Some(name(next).to_string()));
-                let names = start..next.unwrap_or(places.end);
-                split.push(Part {
+                let indices = start..next.unwrap_or(places.end);
+                split.push(IntervalPart {
                     interval: Interval { from, to },
-                    names,
+                    indices,
                 });
             }
         }
--- a/crates/configuration/src/message.rs
+++ b/crates/configuration/src/message.rs
@@ -13,9 +13,9 @@
 /// The longest message: what a stream between peers carries, less its envelope.
 pub const MAX_MESSAGE_BYTES: usize = (1 << 20) - 1_024;
 /// The longest message that is sent as one datagram.
-pub const DATAGRAM_BYTES: usize = 1_000;
+pub const MAX_DATAGRAM_BYTES: usize = 1_000;
 /// Names of peers that are behind in one report.
-pub const MAX_BEHIND: usize = 16;
+pub const MAX_NAMED_BEHIND: usize = 16;
 /// Deltas in one message.
 pub const MAX_DELTAS: usize = 1_024;
 /// The longest name of a peer, and the longest end of an interval: one more.
@@ -45,7 +45,7 @@
 
 /// A peer that does not have the polled version in force.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PeerBehind {
+pub struct LaggingPeer {
     /// The peer's name.
     pub name: String,
     /// How it stands to the version.
@@ -56,13 +56,13 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tally {
     /// How many have it.
-    pub have: u32,
+    pub up_to_date: u32,
     /// How many were counted.
-    pub of: u32,
-    /// Names of those that do not have it, [`MAX_BEHIND`] at most.
-    pub behind: Vec<PeerBehind>,
+    pub total: u32,
+    /// Names of those that do not have it, [`MAX_NAMED_BEHIND`] at most.
+    pub behind: Vec<LaggingPeer>,
     /// Those that are behind beyond the named ones.
-    pub more: u32,
+    pub unnamed_behind: u32,
 }
 
 /// The question how many of an interval have a version in force.
@@ -109,7 +109,7 @@
         /// How many bytes the answer may have; 0 asks for the claim alone.
         max_answer_bytes: u32,
         /// Deltas did not apply: the manifest is wanted.
-        whole: bool,
+        manifest_only: bool,
     },
     /// This is what is held here, and nothing more comes.
     Current {
@@ -126,7 +126,7 @@
     /// What a whole snapshot consists of.
     Manifest(Manifest),
     /// Asks for one chunk with some of these buckets.
-    Want {
+    ChunkRequest {
         /// The snapshot.
         claim: Claim,
         /// Numbers of the buckets that are missing.
@@ -137,7 +137,7 @@
     /// The wanted version is not held here, or no more is given away now.
     Unavailable {
         /// The version that was asked for.
-        wanted: Version,
+        requested: Version,
         /// What is held instead.
         claim: Claim,
     },
@@ -211,7 +211,7 @@
         match self {
             Message::Deltas { deltas, .. } => ensure(deltas.len() <= MAX_DELTAS, "deltas"),
             Message::Manifest(manifest) => ensure(manifest.buckets.len() == BUCKETS, "buckets"),
-            Message::Want { buckets, .. } => ensure(buckets.len() <= BUCKETS, "buckets"),
+            Message::ChunkRequest { buckets, .. } => ensure(buckets.len() <= BUCKETS, "buckets"),
             Message::Chunk(chunk) => {
                 ensure(chunk.buckets.len() <= BUCKETS, "buckets")?;
                 ensure(chunk.body.len() <= MAX_CHUNK_BYTES, "body")
@@ -241,7 +241,7 @@
 }
 
 fn check_tally(tally: &Tally, interval: &Interval) -> Result<(), MessageError> {
-    ensure(tally.behind.len() <= MAX_BEHIND, "behind")?;
+    ensure(tally.behind.len() <= MAX_NAMED_BEHIND, "behind")?;
     ensure(
         tally
             .behind
@@ -249,22 +249,22 @@
             .all(|peer| interval.contains(&peer.name)),
         "behind",
     )?;
-    let behind = tally.more.checked_add(tally.behind.len() as u32);
-    let sum = behind.and_then(|behind| behind.checked_add(tally.have));
-    ensure(sum == Some(tally.of), "of")
+    let behind = tally.unnamed_behind.checked_add(tally.behind.len() as u32);
+    let sum = behind.and_then(|behind| behind.checked_add(tally.up_to_date));
+    ensure(sum == Some(tally.total), "of")
 }
 
 impl Tally {
     /// Counts one peer that has the version.
     pub fn add_having(&mut self) {
-        self.have = self.have.saturating_add(1);
-        self.of = self.of.saturating_add(1);
+        self.up_to_date = self.up_to_date.saturating_add(1);
+        self.total = self.total.saturating_add(1);
     }
 
     /// Counts one peer that does not.
     pub fn add_behind(&mut self, name: &str, lag_reason: LagReason) {
-        self.of = self.of.saturating_add(1);
-        self.name_behind(PeerBehind {
+        self.total = self.total.saturating_add(1);
+        self.name_behind(LaggingPeer {
             name: name.to_string(),
             lag_reason,
         });
@@ -272,20 +272,20 @@
 
     /// Counts what another has counted in an interval of its own.
     pub fn add(&mut self, other: Tally) {
-        self.have = self.have.saturating_add(other.have);
-        self.of = self.of.saturating_add(other.of);
-        self.more = self.more.saturating_add(other.more);
+        self.up_to_date = self.up_to_date.saturating_add(other.up_to_date);
+        self.total = self.total.saturating_add(other.total);
+        self.unnamed_behind = self.unnamed_behind.saturating_add(other.unnamed_behind);
         other
             .behind
             .into_iter()
             .for_each(|peer| self.name_behind(peer));
     }
 
-    fn name_behind(&mut self, peer: PeerBehind) {
-        if self.behind.len() < MAX_BEHIND {
+    fn name_behind(&mut self, peer: LaggingPeer) {
+        if self.behind.len() < MAX_NAMED_BEHIND {
             self.behind.push(peer);
         } else {
-            self.more = self.more.saturating_add(1);
+            self.unnamed_behind = self.unnamed_behind.saturating_add(1);
         }
     }
 }
--- a/crates/configuration/src/replication/acknowledgement.rs
+++ b/crates/configuration/src/replication/acknowledgement.rs
@@ -11,7 +11,7 @@
 
 /// A name that the last round found behind, and when a round of the present series first did.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct BehindSince {
+pub struct LaggingPeerStatus {
     /// The peer's name.
     pub name: String,
     /// How it stands to the polled version.
@@ -70,7 +70,7 @@
                 .find(|peer| peer.name == name);
             known.map_or(now, |peer| peer.since)
         };
-        let behind = tally.behind.iter().map(|peer| BehindSince {
+        let behind = tally.behind.iter().map(|peer| LaggingPeerStatus {
             name: peer.name.clone(),
             lag_reason: peer.lag_reason,
             since: since(&peer.name),
@@ -79,12 +79,12 @@
         self.last = Some(RoundStatus {
             version,
             at: now,
-            have: tally.have,
-            of: tally.of,
+            up_to_date: tally.up_to_date,
+            total: tally.total,
             behind,
-            more: tally.more,
+            unnamed_behind: tally.unnamed_behind,
         });
-        if tally.have == tally.of {
+        if tally.up_to_date == tally.total {
             self.wait = settings.max_poll_interval;
         }
         if let Some(next) = &mut self.next {
@@ -139,7 +139,7 @@
         self.polls.push_back(OpenPoll::new(
             poll,
             parent,
-            &self.me.life.name,
+            &self.me.member_id.name,
             own,
             peers,
             branches,
@@ -151,7 +151,7 @@
         if self.refuse_lower_epoch(from, poll.claim) {
             return;
         }
-        self.polled_at = Some(now);
+        self.last_poll_at = Some(now);
         if poll.claim.version > self.verified.version() {
             self.ask(now, from);
         }
--- a/crates/configuration/src/replication/gossip.rs
+++ b/crates/configuration/src/replication/gossip.rs
@@ -5,7 +5,7 @@
 use super::{Event, Nanos, Replicator, Role};
 use crate::delta::Delta;
 use crate::error::ApplyError;
-use crate::message::{Claim, Message, DATAGRAM_BYTES, MAX_DELTAS, MAX_MESSAGE_BYTES};
+use crate::message::{Claim, Message, MAX_DATAGRAM_BYTES, MAX_DELTAS, MAX_MESSAGE_BYTES};
 use havenplank_membership::member::MemberId;
 use std::sync::Arc;
 
@@ -29,7 +29,7 @@
         });
         let encoded = delta
             .map(Delta::encode)
-            .filter(|bytes| bytes.len() + DELTAS_OVERHEAD <= DATAGRAM_BYTES);
+            .filter(|bytes| bytes.len() + DELTAS_OVERHEAD <= MAX_DATAGRAM_BYTES);
         let mut announced_to: Vec<MemberId> = Vec::with_capacity(
             self.settings.same_region_fan_out + self.settings.other_region_fan_out,
         );
@@ -101,7 +101,7 @@
         let message = Message::Pull {
             claim: self.verified.claim(),
             max_answer_bytes,
-            whole: self.wants_whole,
+            manifest_only: self.needs_manifest,
         };
         self.send(peer, message);
     }
@@ -137,10 +137,10 @@
             }
         }
         self.stop_if_superseded(claim, contradiction.is_some());
-        if claim.version > self.newest_heard.version {
-            self.newest_heard = claim;
+        if claim.version > self.newest_known.version {
+            self.newest_known = claim;
         }
-        if self.newest_heard.version > self.installation.version() {
+        if self.newest_known.version > self.installation.version() {
             self.behind_since.get_or_insert(now);
         }
     }
@@ -208,7 +208,7 @@
             DeltaOutcome::Early => self.ask(now, from),
             DeltaOutcome::Unfit(error) => {
                 self.counts.unfit_deltas += 1;
-                self.wants_whole |= !matches!(error, ApplyError::WrongBase { .. });
+                self.needs_manifest |= !matches!(error, ApplyError::WrongBase { .. });
                 self.ask(now, from);
             }
         }
@@ -217,8 +217,8 @@
 
     /// What follows a newer head: the host gets it, and what was fetched for an older one ends.
     pub(super) fn handle_newer_head(&mut self, now: Nanos) {
-        self.wants_whole = false;
-        self.newest_heard = self.newest_heard_or_held();
+        self.needs_manifest = false;
+        self.newest_known = self.newest_known_or_verified();
         let verified = self.verified.version();
         self.transfer
             .take_if(|transfer| transfer.version() <= verified);
@@ -231,7 +231,7 @@
         from: &MemberId,
         claim: Claim,
         max_answer_bytes: u32,
-        whole: bool,
+        manifest_only: bool,
     ) {
         self.observe_claim(now, from, claim);
         let verified = self.verified.claim();
@@ -241,7 +241,7 @@
             && max_answer_bytes > 0
             && self.serving.left(now) > 0
         {
-            self.serve(now, from, claim, max_answer_bytes, whole);
+            self.serve(now, from, claim, max_answer_bytes, manifest_only);
             return;
         }
         self.send(from, Message::Current { claim: verified });
@@ -254,9 +254,9 @@
         to: &MemberId,
         claim: Claim,
         max_answer_bytes: u32,
-        whole: bool,
+        manifest_only: bool,
     ) {
-        let chain = if whole {
+        let chain = if manifest_only {
             None
         } else {
             self.verified.since(claim)
--- a/crates/configuration/src/replication/installation.rs
+++ b/crates/configuration/src/replication/installation.rs
@@ -90,7 +90,7 @@
             return;
         };
         self.installation.replace(now, snapshot);
-        if self.newest_heard.version <= version {
+        if self.newest_known.version <= version {
             self.behind_since = None;
         }
     }
--- a/crates/configuration/src/replication/mod.rs
+++ b/crates/configuration/src/replication/mod.rs
@@ -21,7 +21,7 @@
 //!
 //! Every map and queue is bounded: `effects` by one call, as the host empties it after each; `polls` by `OPEN_POLLS`,
 //! emptied by a finished or expired round; early deltas, recent snapshots and the history in `verified`; peers by the
-//! membership; names that are behind by [`MAX_BEHIND`](crate::message::MAX_BEHIND).
+//! membership; names that are behind by [`MAX_NAMED_BEHIND`](crate::message::MAX_NAMED_BEHIND).
 //!
 //! # Tests of each guard
 //! See `tests/replication.rs` of the package `havenplank-configuration-simulation`; its head lists which guard each test
@@ -38,9 +38,9 @@
 mod transfer;
 mod verified;
 
-pub use self::acknowledgement::BehindSince;
+pub use self::acknowledgement::LaggingPeerStatus;
 pub use self::installation::Rejection;
-pub use self::peers::{region, Peer, Peers};
+pub use self::peers::{region_of_zone, Peer, Peers};
 pub use self::settings::ReplicationSettings;
 pub use self::status::{Counts, RoundStatus, Status, TransferStatus, WriterStatus};
 
@@ -193,7 +193,7 @@
     verified: VerifiedVersions,
     installation: Installation,
     /// The newest version heard of, and since when it has not been in force here.
-    newest_heard: Claim,
+    newest_known: Claim,
     behind_since: Option<Nanos>,
     /// By whom this writer was replaced.
     superseded: Option<Claim>,
@@ -204,15 +204,15 @@
     /// When to ask again, where an answer was of no use or the budget was spent.
     retry_at: Option<Nanos>,
     /// Deltas did not apply, so that the next answer must be a manifest.
-    wants_whole: bool,
+    needs_manifest: bool,
     fetching: Budget,
     serving: Budget,
     transfer: Option<Transfer>,
     /// Rounds in which this process is a head.
     polls: VecDeque<OpenPoll>,
     polling: Polling,
-    heard_at: Option<Nanos>,
-    polled_at: Option<Nanos>,
+    last_message_at: Option<Nanos>,
+    last_poll_at: Option<Nanos>,
     counts: Counts,
     effects: VecDeque<Effect>,
 }
@@ -241,7 +241,7 @@
             role,
             rng,
             peers: Peers::default(),
-            newest_heard: verified.claim(),
+            newest_known: verified.claim(),
             verified,
             installation: Installation::new(now, snapshot),
             behind_since: None,
@@ -250,14 +250,14 @@
             pending_pull: None,
             next_pull,
             retry_at: None,
-            wants_whole: false,
+            needs_manifest: false,
             fetching: settings.fetch_budget(now, is_empty),
             serving: settings.serve_budget(now),
             transfer: None,
             polls: VecDeque::new(),
             polling: Polling::new(now, role, &settings),
-            heard_at: None,
-            polled_at: None,
+            last_message_at: None,
+            last_poll_at: None,
             counts: Counts::default(),
             effects: VecDeque::new(),
             settings,
@@ -300,9 +300,9 @@
         self.verified.advance(snapshot.clone(), Arc::clone(&delta));
         self.installation.replace(now, snapshot);
         self.transfer = None;
-        self.wants_whole = false;
+        self.needs_manifest = false;
         self.behind_since = None;
-        self.newest_heard = self.newest_heard_or_held();
+        self.newest_known = self.newest_known_or_verified();
         self.polling.restart_schedule(now, &self.settings);
         self.announce(Some(&delta));
         Ok(())
@@ -336,23 +336,25 @@
 
     /// Takes in a message. `bytes` is its encoded length.
     pub fn handle_message(&mut self, now: Nanos, from: &MemberId, message: Message, bytes: usize) {
-        self.heard_at = Some(now);
+        self.last_message_at = Some(now);
         match message {
             Message::Announce { claim, delta } => self.handle_announce(now, from, claim, delta),
             Message::Pull {
                 claim,
                 max_answer_bytes,
-                whole,
-            } => self.handle_pull(now, from, claim, max_answer_bytes, whole),
+                manifest_only,
+            } => self.handle_pull(now, from, claim, max_answer_bytes, manifest_only),
             Message::Current { claim } => self.handle_current(now, from, claim),
             Message::Deltas { claim, deltas } => {
                 self.handle_deltas(now, from, claim, &deltas, bytes)
             }
             Message::Manifest(manifest) => self.handle_manifest(now, from, manifest, bytes),
-            Message::Want { claim, buckets } => self.handle_want(now, from, claim, &buckets),
+            Message::ChunkRequest { claim, buckets } => {
+                self.handle_chunk_request(now, from, claim, &buckets)
+            }
             Message::Chunk(chunk) => self.handle_chunk(now, from, chunk, bytes),
-            Message::Unavailable { wanted, claim } => {
-                self.handle_unavailable(now, from, wanted, claim)
+            Message::Unavailable { requested, claim } => {
+                self.handle_unavailable(now, from, requested, claim)
             }
             Message::Poll(poll) => self.handle_poll(now, from, poll),
             Message::Report(report) => self.handle_report(now, from, report),
@@ -376,12 +378,12 @@
         self.effects.push_back(Effect::Event(event));
     }
 
-    fn newest_heard_or_held(&self) -> Claim {
+    fn newest_known_or_verified(&self) -> Claim {
         let verified = self.verified.claim();
-        if verified.version > self.newest_heard.version {
+        if verified.version > self.newest_known.version {
             verified
         } else {
-            self.newest_heard
+            self.newest_known
         }
     }
 }
--- a/crates/configuration/src/replication/peers.rs
+++ b/crates/configuration/src/replication/peers.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Peer {
     /// Its name and incarnation.
-    pub life: MemberId,
+    pub member_id: MemberId,
     /// The part before the first `/` is its region.
     pub zone: String,
 }
@@ -34,9 +34,10 @@
     /// Returns the list of these peers. Of two with one name the later life stays.
     pub fn new(mut peers: Vec<Peer>) -> Peers {
         peers.sort_by(|a, b| {
-            (&a.life.name, b.life.incarnation).cmp(&(&b.life.name, a.life.incarnation))
+            (&a.member_id.name, b.member_id.incarnation)
+                .cmp(&(&b.member_id.name, a.member_id.incarnation))
         });
-        peers.dedup_by(|later, first| later.life.name == first.life.name);
+        peers.dedup_by(|later, first| later.member_id.name == first.member_id.name);
         Peers(Arc::new(peers))
     }
 
@@ -52,12 +53,12 @@
 
     /// Returns the name of the peer at a place in the order of names.
     pub fn name(&self, place: usize) -> &str {
-        &self.0[place].life.name
+        &self.0[place].member_id.name
     }
 
     /// Returns the name and incarnation of the peer at a place in the order of names.
-    pub fn life(&self, place: usize) -> &MemberId {
-        &self.0[place].life
+    pub fn member_id(&self, place: usize) -> &MemberId {
+        &self.0[place].member_id
     }
 
     /// Draws a random peer other than `me`, of the wished reach where a few draws find one, else any.
@@ -68,20 +69,20 @@
         }
         for _ in 0..DRAWS {
             let peer = &self.0[rng.rand_range(0..self.len() as u64) as usize];
-            if peer.life.name == me.life.name {
+            if peer.member_id.name == me.member_id.name {
                 continue;
             }
-            let near = region(&peer.zone) == region(&me.zone);
+            let near = region_of_zone(&peer.zone) == region_of_zone(&me.zone);
             if reach == Reach::Any || near == (reach == Reach::Near) {
-                return Some(peer.life.clone());
+                return Some(peer.member_id.clone());
             }
             fallback = Some(peer);
         }
-        fallback.map(|peer| peer.life.clone())
+        fallback.map(|peer| peer.member_id.clone())
     }
 }
 
 /// Returns the region of a zone.
-pub fn region(zone: &str) -> &str {
+pub fn region_of_zone(zone: &str) -> &str {
     zone.split('/').next().unwrap_or(zone)
 }
--- a/crates/configuration/src/replication/poll.rs
+++ b/crates/configuration/src/replication/poll.rs
@@ -6,7 +6,7 @@
 
 use super::peers::Peers;
 use super::Nanos;
-use crate::interval::Part;
+use crate::interval::IntervalPart;
 use crate::message::{LagReason, Poll, Report, Tally};
 use havenplank_membership::member::MemberId;
 use oorandom::Rand64;
@@ -28,7 +28,7 @@
 
 /// An interval that was handed to another head.
 struct Child {
-    part: Part,
+    part: IntervalPart,
     /// Those asked so far, [`ATTEMPTS`] at most.
     heads: Vec<MemberId>,
     expires: Nanos,
@@ -92,7 +92,7 @@
         {
             if child.heads.len() == ATTEMPTS {
                 child.closed = true;
-                for place in child.part.names.clone() {
+                for place in child.part.indices.clone() {
                     self.tally
                         .add_behind(self.peers.name(place), LagReason::Silent);
                 }
@@ -169,15 +169,17 @@
 
 /// A random peer of the interval, another one than before where there is one.
 fn next_head(child: &Child, peers: &Peers, rng: &mut Rand64) -> MemberId {
-    let names = &child.part.names;
+    let names = &child.part.indices;
     let drawn = names.start + rng.rand_range(0..names.len() as u64) as usize;
-    let tried = child.heads.contains(peers.life(drawn));
+    let tried = child.heads.contains(peers.member_id(drawn));
     let following = if drawn + 1 < names.end {
         drawn + 1
     } else {
         names.start
     };
-    peers.life(if tried { following } else { drawn }).clone()
+    peers
+        .member_id(if tried { following } else { drawn })
+        .clone()
 }
 
 #[cfg(test)]
--- a/crates/configuration/src/replication/settings.rs
+++ b/crates/configuration/src/replication/settings.rs
@@ -24,7 +24,7 @@
     /// Bytes that may be asked for at once.
     pub fetch_burst_bytes: u64,
     /// Bytes that may be asked for at once by a process that starts with no configuration.
-    pub fetch_start_bytes: u64,
+    pub initial_fetch_burst_bytes: u64,
     /// Bytes a second that are given to others.
     pub serve_bytes_per_s: u64,
     /// Bytes that may be given to others at once.
@@ -52,7 +52,7 @@
 impl ReplicationSettings {
     pub(super) fn fetch_budget(&self, now: Nanos, is_empty: bool) -> Budget {
         let at_once = match is_empty {
-            true => self.fetch_start_bytes,
+            true => self.initial_fetch_burst_bytes,
             false => self.fetch_burst_bytes,
         };
         Budget::new(now, self.fetch_bytes_per_s, self.fetch_burst_bytes, at_once)
@@ -74,7 +74,7 @@
             retry_delay: 100 * MS,
             fetch_bytes_per_s: 8_000,
             fetch_burst_bytes: 96 << 10,
-            fetch_start_bytes: 4 << 20,
+            initial_fetch_burst_bytes: 4 << 20,
             serve_bytes_per_s: 8_000,
             serve_burst_bytes: 512 << 10,
             max_source_failures: 8,
--- a/crates/configuration/src/replication/status.rs
+++ b/crates/configuration/src/replication/status.rs
@@ -1,6 +1,6 @@
 //! What a process knows of its configuration, for `GET /state` and logs.
 
-use super::acknowledgement::BehindSince;
+use super::acknowledgement::LaggingPeerStatus;
 use super::installation::Rejection;
 use super::{Nanos, Replicator, Role};
 use crate::digest::Digest;
@@ -42,17 +42,17 @@
     /// The newest version that was verified by its digest and is passed on.
     pub verified: Version,
     /// The newest version that any peer has claimed.
-    pub newest_heard: Version,
+    pub newest_known: Version,
     /// Since when a newer version is known to exist that is not in force here.
     pub behind_since: Option<Nanos>,
     /// The version that the host could not take in last.
     pub rejected: Option<Rejection>,
     /// When any peer was last heard.
-    pub heard_at: Option<Nanos>,
+    pub last_message_at: Option<Nanos>,
     /// When a poll of the writer last came here. The writer polls everybody at least once a
     /// [`max_poll_interval`](super::ReplicationSettings::max_poll_interval): who has heard none for longer is cut off
     /// from it, and what is in force may be as old as that.
-    pub polled_at: Option<Nanos>,
+    pub last_poll_at: Option<Nanos>,
     /// How many peers are thought to live.
     pub peers: usize,
     /// The whole snapshot that is being fetched.
@@ -93,13 +93,13 @@
     /// When it ended, on the writer's monotonic clock, in nanoseconds.
     pub at: Nanos,
     /// How many have the version or a newer one in force.
-    pub have: u32,
+    pub up_to_date: u32,
     /// How many were counted.
-    pub of: u32,
+    pub total: u32,
     /// Those that do not have it, as far as they are named.
-    pub behind: Vec<BehindSince>,
+    pub behind: Vec<LaggingPeerStatus>,
     /// How many more do not have it.
-    pub more: u32,
+    pub unnamed_behind: u32,
 }
 
 impl Replicator {
@@ -116,11 +116,11 @@
             digest: in_force.digest(),
             in_force_since: self.installation.since,
             verified: self.verified.version(),
-            newest_heard: self.newest_heard.version,
+            newest_known: self.newest_known.version,
             behind_since: self.behind_since,
             rejected: self.installation.rejected.clone(),
-            heard_at: self.heard_at,
-            polled_at: self.polled_at,
+            last_message_at: self.last_message_at,
+            last_poll_at: self.last_poll_at,
             peers: self.peers.len(),
             transfer,
             writer: self.writer_status(),
--- a/crates/configuration/src/replication/transfer.rs
+++ b/crates/configuration/src/replication/transfer.rs
@@ -101,7 +101,7 @@
             return;
         };
         transfer.until = Some(now.saturating_add(self.settings.answer_timeout));
-        let message = Message::Want {
+        let message = Message::ChunkRequest {
             claim: transfer.claim,
             buckets: transfer.assembly.missing(),
         };
@@ -174,7 +174,7 @@
         self.want(now);
     }
 
-    pub(super) fn handle_want(
+    pub(super) fn handle_chunk_request(
         &mut self,
         now: Nanos,
         from: &MemberId,
@@ -193,7 +193,7 @@
             None => self.send(
                 from,
                 Message::Unavailable {
-                    wanted: claim.version,
+                    requested: claim.version,
                     claim: verified,
                 },
             ),
@@ -223,11 +223,12 @@
         &mut self,
         now: Nanos,
         from: &MemberId,
-        wanted: Version,
+        requested: Version,
         claim: Claim,
     ) {
         self.observe_claim(now, from, claim);
-        let fits = |transfer: &Transfer| transfer.source == *from && transfer.version() == wanted;
+        let fits =
+            |transfer: &Transfer| transfer.source == *from && transfer.version() == requested;
         if self.transfer.as_ref().is_some_and(fits) {
             self.change_source(now);
         }
--- a/crates/configuration/tests/stored.rs
+++ b/crates/configuration/tests/stored.rs
@@ -8,7 +8,7 @@
 use havenplank_configuration::digest::Digest;
 use havenplank_configuration::interval::Interval;
 use havenplank_configuration::message::{
-    Claim, LagReason, Message, PeerBehind, Poll, Report, Tally, MAX_MESSAGE_BYTES,
+    Claim, LagReason, LaggingPeer, Message, Poll, Report, Tally, MAX_MESSAGE_BYTES,
 };
 use havenplank_configuration::record::{
     BackupMode, Record, RecordKind, RequestRules, TenantLimits,
@@ -177,8 +177,8 @@
     }
 }
 
-fn behind(name: &str, lag_reason: LagReason) -> PeerBehind {
-    PeerBehind {
+fn behind(name: &str, lag_reason: LagReason) -> LaggingPeer {
+    LaggingPeer {
         name: name.to_string(),
         lag_reason,
     }
@@ -187,8 +187,8 @@
 /// A tally with every reason for which a peer does not have a version.
 fn tally() -> Tally {
     Tally {
-        have: 3,
-        of: 9,
+        up_to_date: 3,
+        total: 9,
         behind: vec![
             behind(
                 "s-1",
@@ -201,7 +201,7 @@
             behind("s-3", LagReason::Rejected),
             behind("s-31", LagReason::Silent),
         ],
-        more: 2,
+        unnamed_behind: 2,
     }
 }
 
@@ -262,7 +262,7 @@
             Message::Pull {
                 claim: claim(6),
                 max_answer_bytes: 8_000,
-                whole: true,
+                manifest_only: true,
             },
         ),
         ("current", Message::Current { claim: claim(7) }),
@@ -276,7 +276,7 @@
         ("manifest", Message::Manifest(small_manifest())),
         (
             "want",
-            Message::Want {
+            Message::ChunkRequest {
                 claim: claim(7),
                 buckets: vec![0, 3, 700],
             },
@@ -285,7 +285,7 @@
         (
             "unavailable",
             Message::Unavailable {
-                wanted: Version {
+                requested: Version {
                     epoch: 2,
                     number: 5,
                 },
--- a/crates/configuration/tests/unit/interval.rs
+++ b/crates/configuration/tests/unit/interval.rs
@@ -16,7 +16,7 @@
         prop_assert!(split.len() <= parts + 2);
         for (at, name) in names.iter().enumerate() {
             let within = split.iter().filter(|part| part.interval.contains(name)).count();
-            let placed = split.iter().filter(|part| part.names.contains(&at)).count();
+            let placed = split.iter().filter(|part| part.indices.contains(&at)).count();
             let expected = usize::from(*name != own);
             prop_assert_eq!((within, placed), (expected, expected), "{}", name);
         }
--- a/crates/configuration/tests/unit/message.rs
+++ b/crates/configuration/tests/unit/message.rs
@@ -63,17 +63,20 @@
 
 #[test]
 fn a_report_whose_tally_contradicts_itself_or_its_interval_is_refused() {
-    let of = Tally { of: 3, ..tally() };
+    let of = Tally {
+        total: 3,
+        ..tally()
+    };
     let more = Tally {
-        more: u32::MAX,
+        unnamed_behind: u32::MAX,
         ..tally()
     };
     let behind = Tally {
-        behind: vec![tally().behind[0].clone(); MAX_BEHIND + 1],
+        behind: vec![tally().behind[0].clone(); MAX_NAMED_BEHIND + 1],
         ..tally()
     };
     let outside = Tally {
-        behind: vec![PeerBehind {
+        behind: vec![LaggingPeer {
             name: "d".into(),
             lag_reason: LagReason::Silent,
         }],
@@ -92,7 +95,7 @@
 
 #[test]
 fn a_list_out_of_its_bounds_is_refused() {
-    let want = Message::Want {
+    let want = Message::ChunkRequest {
         claim: claim(),
         buckets: vec![0; BUCKETS + 1],
     };
--- a/crates/configuration/tests/unit/poll.rs
+++ b/crates/configuration/tests/unit/poll.rs
@@ -8,14 +8,14 @@
 use crate::version::Version;
 
 fn peers(count: u64) -> Peers {
-    let life = |n| MemberId {
+    let member_id = |n| MemberId {
         name: format!("s-{n:03}"),
         incarnation: 1,
     };
     Peers::new(
         (0..count)
             .map(|n| Peer {
-                life: life(n),
+                member_id: member_id(n),
                 zone: "r/z".into(),
             })
             .collect(),
@@ -41,8 +41,8 @@
 
 fn answer(poll: &Poll, have: u32) -> Report {
     let tally = Tally {
-        have,
-        of: have,
+        up_to_date: have,
+        total: have,
         ..Tally::default()
     };
     Report {
@@ -84,7 +84,7 @@
         Err(UncountedReason::Closed)
     );
     assert!(open.is_finished());
-    assert_eq!((open.tally().have, open.tally().of), (41, 41));
+    assert_eq!((open.tally().up_to_date, open.tally().total), (41, 41));
 }
 
 #[test]
@@ -97,7 +97,12 @@
     }
     let tally = open.tally();
     assert_eq!(
-        (tally.have, tally.of, tally.behind.len(), tally.more),
+        (
+            tally.up_to_date,
+            tally.total,
+            tally.behind.len(),
+            tally.unnamed_behind
+        ),
         (1, 41, 16, 24)
     );
     assert!(tally
--- a/crates/sidecar/src/configuration.rs
+++ b/crates/sidecar/src/configuration.rs
@@ -95,7 +95,7 @@
     };
     let installed = install_cached(shell, &cached);
     let me = Peer {
-        life: membership.me().clone(),
+        member_id: membership.me().clone(),
         zone: site
             .zones
             .get(site.position.zone)
@@ -107,7 +107,7 @@
         serve_bytes_per_s: settings.serve_bytes_per_s,
         ..ReplicationSettings::default()
     };
-    let seed = seed ^ me.life.incarnation;
+    let seed = seed ^ me.member_id.incarnation;
     let spreader = Replicator::new(membership.now(), seed, me, Role::Sidecar, installed, rules);
     let host = InForce {
         shell: Rc::downgrade(shell),
--- a/crates/sidecar/src/distributor/mod.rs
+++ b/crates/sidecar/src/distributor/mod.rs
@@ -134,10 +134,10 @@
 /// Builds a distributor's spreader in this role.
 fn spreader(membership: &Membership, role: Role, installed: InstalledVersion) -> Replicator {
     let me = Peer {
-        life: membership.me().clone(),
+        member_id: membership.me().clone(),
         zone: DISTRIBUTOR_ZONE.to_string(),
     };
-    let seed = me.life.incarnation;
+    let seed = me.member_id.incarnation;
     Replicator::new(
         membership.now(),
         seed,
--- a/crates/sidecar/src/distributor/writer.rs
+++ b/crates/sidecar/src/distributor/writer.rs
@@ -101,11 +101,11 @@
         let (mut settled, mut last) = (Instant::now(), Version::NONE);
         loop {
             let status = self.replication.status();
-            let is_unsettled = status.newest_heard != last
-                || status.heard_at.is_none()
-                || status.version != status.newest_heard;
+            let is_unsettled = status.newest_known != last
+                || status.last_message_at.is_none()
+                || status.version != status.newest_known;
             if is_unsettled {
-                (settled, last) = (Instant::now(), status.newest_heard);
+                (settled, last) = (Instant::now(), status.newest_known);
             }
             if settled.elapsed() >= REPLACE_SETTLED {
                 return self.replication.host().0.borrow().clone();
@@ -142,7 +142,7 @@
         if let Some(by) = status.writer.and_then(|writer| writer.superseded) {
             return Err(PublishError::Superseded { by }.into());
         }
-        let (ours, theirs) = (self.stored(), status.newest_heard);
+        let (ours, theirs) = (self.stored(), status.newest_known);
         if theirs > ours {
             return Err(DistributorError::NewerElsewhere { ours, theirs });
         }
@@ -187,7 +187,7 @@
     /// Logs a finished poll that tells something new, and peers that are ahead.
     fn report(&mut self) {
         let status = self.replication.status();
-        let (ours, theirs) = (self.stored(), status.newest_heard);
+        let (ours, theirs) = (self.stored(), status.newest_known);
         if theirs > ours && self.ahead.replace(theirs) != Some(theirs) {
             let error = DistributorError::NewerElsewhere { ours, theirs };
             tracing::error!(%error, "not the newest");
@@ -197,7 +197,8 @@
         };
         let last = self.last_round.as_ref();
         let is_known = last.is_some_and(|last| {
-            (last.version, last.have, last.of) == (round.version, round.have, round.of)
+            (last.version, last.up_to_date, last.total)
+                == (round.version, round.up_to_date, round.total)
         });
         if !is_known {
             log_round(&round);
@@ -208,6 +209,6 @@
 
 fn log_round(round: &RoundStatus) {
     let behind: Vec<&str> = round.behind.iter().map(|peer| peer.name.as_str()).collect();
-    let (have, of, more) = (round.have, round.of, round.more);
+    let (have, of, more) = (round.up_to_date, round.total, round.unnamed_behind);
     tracing::info!(version = %round.version, have, of, ?behind, more_behind = more, "in force");
 }
--- a/crates/sidecar/src/replication.rs
+++ b/crates/sidecar/src/replication.rs
@@ -86,7 +86,7 @@
 
     fn living(&self) -> Peers {
         let peer = |member: &Member| Peer {
-            life: member.id.clone(),
+            member_id: member.id.clone(),
             zone: member.zone.clone(),
         };
         Peers::new(
@@ -189,11 +189,11 @@
             "digest": status.digest.to_string(),
             "age_ms": age_ms(status.in_force_since),
             "held": status.verified.to_string(),
-            "newest_heard": status.newest_heard.to_string(),
+            "newest_heard": status.newest_known.to_string(),
             "behind_ms": status.behind_since.map(age_ms),
             "rejected": rejected,
-            "heard_ms_ago": status.heard_at.map(age_ms),
-            "polled_ms_ago": status.polled_at.map(age_ms),
+            "heard_ms_ago": status.last_message_at.map(age_ms),
+            "polled_ms_ago": status.last_poll_at.map(age_ms),
             "peers": status.peers,
             "transfer": transfer,
             "counts": {
@@ -218,8 +218,8 @@
                 })
             });
             json!({
-                "version": round.version.to_string(), "ms_ago": age_ms(round.at), "have": round.have,
-                "of": round.of, "behind": behind.collect::<Vec<_>>(), "more_behind": round.more,
+                "version": round.version.to_string(), "ms_ago": age_ms(round.at), "have": round.up_to_date,
+                "of": round.total, "behind": behind.collect::<Vec<_>>(), "more_behind": round.unnamed_behind,
             })
         });
         let superseded = writer.superseded.map(|by| by.version.to_string());
