--- a/crates/configuration-simulation/src/fleet.rs
+++ b/crates/configuration-simulation/src/fleet.rs
@@ -1,4 +1,4 @@
-//! A simulated fleet of processes in zones and regions, with a given membership.
+//! A simulated fleet of processes in zones and regions; tests set which peers each process knows.
 
 use crate::process::{process_name, Process};
 use havenplank_configuration::delta::Change;
@@ -13,22 +13,22 @@
 use havenplank_membership::member::MemberId;
 use std::collections::BTreeMap;
 
-/// Nanoseconds of a millisecond.
+/// One millisecond in nanoseconds.
 pub const MS: Nanos = 1_000_000;
-/// Nanoseconds of a second.
+/// One second in nanoseconds.
 pub const SECOND: Nanos = 1_000 * MS;
-/// The process that writes epoch 1.
+/// The process that is the writer of epoch 1.
 const FIRST_WRITER: Id = 0;
-/// Zones of each region.
+/// The number of zones in each region.
 const ZONES: [usize; 4] = [4, 4, 3, 3];
 
-/// Where each process is, by number: zone after zone in turn.
+/// Returns the zone of a process as `region/zone`. Consecutive processes are in consecutive zones.
 pub fn zone(id: Id) -> String {
-    let (region, zone) = place(id);
+    let (region, zone) = region_and_zone(id);
     format!("r{region}/z{zone}")
 }
 
-fn place(id: Id) -> (usize, usize) {
+fn region_and_zone(id: Id) -> (usize, usize) {
     let zone = id % ZONES.iter().sum::<usize>();
     let mut end = 0;
     let ends = ZONES.iter().map(|zones| {
@@ -38,14 +38,16 @@
     (ends.take_while(|end| *end <= zone).count(), zone)
 }
 
-/// The region of a process, by number.
+/// Returns the index of the region of a process.
 pub fn region_index(id: Id) -> usize {
-    place(id).0
+    region_and_zone(id).0
 }
 
-/// 1 ms in a zone, 2 to 4 ms in a region, 40 to 90 ms between regions.
+/// Returns the least and greatest network delay between two processes: 0.5 to 1 ms in a zone, 2 to 4 ms in a region, 40
+/// to 90 ms between regions.
 pub fn delay(from: Id, to: Id) -> (Nanos, Nanos) {
-    let ((from_region, from_zone), (to_region, to_zone)) = (place(from), place(to));
+    let ((from_region, from_zone), (to_region, to_zone)) =
+        (region_and_zone(from), region_and_zone(to));
     if from_zone == to_zone {
         (MS / 2, MS)
     } else if from_region == to_region {
@@ -56,7 +58,7 @@
     }
 }
 
-/// A configuration of so many tenants.
+/// Returns version 1 of epoch 1 with `count` tenants.
 pub fn tenant_snapshot(count: usize) -> Snapshot {
     let records = (0..count).map(|n| tenant(n, 100));
     let snapshot = Snapshot::from_records(
@@ -80,52 +82,53 @@
     })
 }
 
-/// A change of some tenants, other with each number.
-pub fn tenant_changes(number: u64, tenants: usize, tenants_per_change: usize) -> Vec<Change> {
+/// Returns changes to the limits of about `tenants_per_change` of all tenants. The tenants and the limit depend on
+/// `number`.
+pub fn tenant_changes(number: u64, tenant_count: usize, tenants_per_change: usize) -> Vec<Change> {
     let first = number as usize * 7_919;
-    let mut places: Vec<usize> = (0..tenants_per_change)
-        .map(|n| (first + n * 31) % tenants.max(tenants_per_change * 31))
+    let mut indices: Vec<usize> = (0..tenants_per_change)
+        .map(|n| (first + n * 31) % tenant_count.max(tenants_per_change * 31))
         .collect();
-    places.sort_unstable();
-    places.dedup();
+    indices.sort_unstable();
+    indices.dedup();
     let value = 1_000 + (number % 1_000_000) as u32;
-    places
+    indices
         .into_iter()
         .map(|n| Change::Put(tenant(n, value)))
         .collect()
 }
 
-/// A version that a writer has published.
+/// The publication of one version.
 #[derive(Clone, Copy, Debug)]
 pub struct Publication {
-    /// When, on the network's clock.
+    /// When it was published, on the network's clock.
     pub at: Nanos,
-    /// Which.
+    /// The published version.
     pub version: Version,
-    /// By whom.
+    /// The process that published it.
     pub writer: Id,
 }
 
-/// Processes on a simulated network, of which the first one is the writer.
+/// Processes on a simulated network. The first process is the writer.
 pub struct Fleet {
-    /// The network, which keeps the time.
+    /// The simulated network, which also keeps the time.
     pub net: Net<Process>,
-    /// What processes are started with from now on.
+    /// The settings of processes that are started from now on.
     pub settings: ReplicationSettings,
     seed: u64,
     incarnations: BTreeMap<Id, u64>,
-    /// Publications, in order.
+    /// All publications, in order.
     pub publications: Vec<Publication>,
-    /// The contents that writers gave each version: more than one where two wrote the same.
+    /// The digests that writers gave each version: more than one if two writers published the same version.
     pub digests: BTreeMap<Version, Vec<Digest>>,
-    changes: u64,
-    tenants: usize,
-    /// Tenants that one change touches.
+    change_count: u64,
+    tenant_count: usize,
+    /// Tenants that [`Fleet::next_change`] changes at once.
     pub tenants_per_change: usize,
 }
 
 impl Fleet {
-    /// Processes that all hold `base` and know each other; the first one is the writer of epoch 1.
+    /// Returns a fleet whose processes all have `base` and know each other; the first one is the writer of epoch 1.
     pub fn new(count: usize, seed: u64, base: &Snapshot, faults: Weather) -> Fleet {
         Fleet::with_clocks(count, seed, base, faults, |_| Clock::default())
     }
@@ -148,8 +151,8 @@
             incarnations: BTreeMap::new(),
             publications: Vec::new(),
             digests: BTreeMap::from([(base.version(), vec![base.digest()])]),
-            changes: 0,
-            tenants: base.tenants().count(),
+            change_count: 0,
+            tenant_count: base.tenants().count(),
             tenants_per_change: 5,
         };
         for id in 0..count {
@@ -168,25 +171,25 @@
         let id = self.incarnations.len();
         self.incarnations.insert(id, 1);
         let (seed, me, settings) = (self.seed_of(id), self.peer(id), self.settings.clone());
-        let kept = CachedConfiguration {
+        let cached = CachedConfiguration {
             snapshot,
             deltas: Vec::new(),
         };
         self.net.join(clock, |now, _| {
-            Process::new(now, seed, me, role, kept, settings)
+            Process::new(now, seed, me, role, cached, settings)
         });
     }
 
-    /// Starts a process anew, under a later life, with what it kept.
-    pub fn restart(&mut self, id: Id, role: Role, kept: Snapshot) {
+    /// Restarts a process under a higher incarnation, with the given snapshot in force.
+    pub fn restart(&mut self, id: Id, role: Role, cached: Snapshot) {
         *self.incarnations.entry(id).or_default() += 1;
         let (seed, me, settings) = (self.seed_of(id), self.peer(id), self.settings.clone());
-        let kept = CachedConfiguration {
-            snapshot: kept,
+        let cached = CachedConfiguration {
+            snapshot: cached,
             deltas: Vec::new(),
         };
         self.net.restart(id, |now, _| {
-            Process::new(now, seed, me, role, kept, settings)
+            Process::new(now, seed, me, role, cached, settings)
         });
     }
 
@@ -196,7 +199,7 @@
             .wrapping_add(id as u64 * 64 + self.incarnations[&id])
     }
 
-    /// Returns a process as its peers know it, in its present incarnation.
+    /// Returns a process as its peers know it, in its current incarnation.
     pub fn peer(&self, id: Id) -> Peer {
         Peer {
             member_id: MemberId {
@@ -207,15 +210,15 @@
         }
     }
 
-    /// The list of these processes.
+    /// Returns the list of peers for these processes.
     pub fn peers(&self, ids: impl IntoIterator<Item = Id>) -> Peers {
         Peers::new(ids.into_iter().map(|id| self.peer(id)).collect())
     }
 
-    /// Tells every process of all that live.
+    /// Gives every process the list of all processes that are alive.
     pub fn set_peers_everywhere(&mut self) {
-        let living = self.net.ids().filter(|id| self.net.part(*id).is_some());
-        let peers = self.peers(living);
+        let alive = self.net.ids().filter(|id| self.net.part(*id).is_some());
+        let peers = self.peers(alive);
         for id in self.net.ids() {
             self.set_peers(id, &peers);
         }
@@ -228,23 +231,27 @@
         }
     }
 
-    /// Returns the next change, other than all before.
+    /// Returns the next change; it differs from all earlier ones.
     pub fn next_change(&mut self) -> Vec<Change> {
-        self.changes += 1;
-        tenant_changes(self.changes, self.tenants, self.tenants_per_change)
+        self.change_count += 1;
+        tenant_changes(
+            self.change_count,
+            self.tenant_count,
+            self.tenants_per_change,
+        )
     }
 
-    /// One change, published by a writer.
+    /// Publishes one change from a writer.
     ///
     /// # Errors
-    /// Why the writer refuses.
+    /// The reason why the writer refuses the change.
     pub fn publish(&mut self, id: Id, epoch: u64) -> Result<Version, PublishError> {
         let changes = self.next_change();
-        let (now, own) = (self.net.now(), self.net.own_time(id));
+        let (now, own_time) = (self.net.now(), self.net.own_time(id));
         let Some(writer) = self.net.part_mut(id) else {
             return Err(PublishError::NotWriter);
         };
-        let version = writer.publish(own, epoch, changes)?;
+        let version = writer.publish(own_time, epoch, changes)?;
         let digest = writer.in_force.digest();
         self.digests.entry(version).or_default().push(digest);
         self.net.post(id);
@@ -256,28 +263,30 @@
         Ok(version)
     }
 
-    /// Lets time pass, in nanoseconds.
-    pub fn run_for(&mut self, span: Nanos) {
-        let until = self.net.now() + span;
+    /// Runs the simulation for a duration in nanoseconds.
+    pub fn run_for(&mut self, duration: Nanos) {
+        let until = self.net.now() + duration;
         self.net.run(until, |_, _| {});
     }
 
-    /// For each publication by the first process since `from` and up to now, how long it took until it or a newer one
-    /// was in force at each of these processes; `None` where it is not yet. For clocks that stand at the network's time.
+    /// Returns, for each publication of the first process since `from`, the time until that version or a newer one was
+    /// in force at each of these processes; `None` if it is not in force yet. Assumes that the clocks of the processes
+    /// show the network's time.
     pub fn latencies(&self, from: Nanos, ids: &[Id]) -> Vec<Option<Nanos>> {
-        let published = self
+        let measured = self
             .publications
             .iter()
             .filter(|publication| publication.at >= from && publication.writer == FIRST_WRITER);
-        published
+        measured
             .flat_map(|publication| ids.iter().map(|id| self.latency(publication, *id)))
             .collect()
     }
 
     fn latency(&self, publication: &Publication, id: Id) -> Option<Nanos> {
-        let log = &self.net.part(id)?.installations;
-        let first = log.partition_point(|installed| installed.version < publication.version);
-        let installed = log.get(first)?;
+        let installations = &self.net.part(id)?.installations;
+        let first =
+            installations.partition_point(|installed| installed.version < publication.version);
+        let installed = installations.get(first)?;
         Some(installed.at.saturating_sub(publication.at))
     }
 }
--- a/crates/configuration-simulation/src/lib.rs
+++ b/crates/configuration-simulation/src/lib.rs
@@ -1,8 +1,9 @@
-//! A simulated fleet that replicates configurations, for the tests of the replication and for the scale tests.
+//! A simulated fleet that replicates the configuration, for the tests of the replication and for scale tests.
 //!
-//! [`process`] puts a codec and a host around the [`Replicator`](havenplank_configuration::replication::Replicator) that
-//! sidecars run; [`fleet`] connects processes of several zones and regions by the simulated network of the emulator.
-//! Time is simulated and every draw comes from a seed, so a run repeats to the byte.
+//! [`process`] adds a codec and a host to the [`Replicator`](havenplank_configuration::replication::Replicator) that
+//! sidecars run. [`fleet`] connects processes of several zones and regions through the simulated network of the
+//! emulator. Time is simulated and all random numbers come from a seed, so that each run with the same seed sends the
+//! same bytes.
 
 #![warn(missing_docs)]
 #![warn(
--- a/crates/configuration-simulation/src/process.rs
+++ b/crates/configuration-simulation/src/process.rs
@@ -1,4 +1,4 @@
-//! One process of a simulated fleet: the replicator, its codec, and a host that takes in what it offers.
+//! One process of a simulated fleet: the replicator, its codec, and a host that installs the offered versions.
 
 use havenplank_configuration::delta::{Change, Delta};
 use havenplank_configuration::digest::Digest;
@@ -17,10 +17,10 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// What a letter between peers and its datagram have around a message, in bytes.
+/// Bytes that the envelope between peers and the datagram add to each message.
 pub const OVERHEAD_BYTES: u64 = 120;
 
-/// What crosses the simulated network.
+/// The content of a datagram on the simulated network.
 #[derive(Serialize, Deserialize)]
 struct Envelope {
     from: MemberId,
@@ -28,52 +28,52 @@
     body: Vec<u8>,
 }
 
-/// What a process sent, heard and spent.
+/// The messages and bytes that a process sent and received, and the CPU time that it used.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Traffic {
     /// Messages sent.
     pub sent_messages: u64,
-    /// Bytes sent, with what is around each message.
+    /// Bytes sent, with the overhead of each message.
     pub sent_bytes: u64,
-    /// Messages that came.
+    /// Messages received.
     pub received_messages: u64,
-    /// Bytes that came, with what is around each message.
+    /// Bytes received, with the overhead of each message.
     pub received_bytes: u64,
-    /// The longest message, with its overhead.
+    /// Length of the longest message sent, with its overhead, in bytes.
     pub longest_message_bytes: u64,
-    /// In the decision and its codec.
+    /// Time spent in the replicator and the codec, by the wall clock around each call.
     pub cpu_time: Duration,
 }
 
-/// A version that came into force.
+/// The installation of one version.
 #[derive(Clone, Copy, Debug)]
 pub struct Installation {
-    /// When, on the process's own clock.
+    /// When the version was put in force, on the process's own clock.
     pub at: Nanos,
-    /// Which.
+    /// The installed version.
     pub version: Version,
 }
 
-/// One process: the replicator of the product, and a host that takes in what it offers.
+/// One simulated process: the replicator that sidecars run, and a simulated host.
 pub struct Process {
     /// The replicator.
     pub replicator: Replicator,
-    /// Itself, as peers know it.
+    /// This process, as its peers know it.
     pub me: Peer,
-    /// What it sent, heard and spent.
+    /// The traffic of this process since it started.
     pub traffic: Traffic,
-    /// In force at the host, as it would be kept on disk.
+    /// The snapshot that the host has in force.
     pub in_force: Snapshot,
-    /// When each version came into force.
+    /// Every installation since the process started, in order.
     pub installations: Vec<Installation>,
-    /// What the replicator told operators.
+    /// The events that the replicator reported to operators.
     pub events: Vec<Event>,
-    /// The host rejects versions while this holds.
+    /// Whether the host rejects the versions that it is offered.
     pub rejects_versions: bool,
-    out: VecDeque<(SocketAddr, Vec<u8>)>,
+    outgoing: VecDeque<(SocketAddr, Vec<u8>)>,
 }
 
-/// The name of the nth process; names sort as numbers do.
+/// Returns the name of a process; names sort in the order of the ids.
 pub fn process_name(id: Id) -> String {
     format!("p-{id:05}")
 }
@@ -83,17 +83,17 @@
 }
 
 impl Process {
-    /// Returns a process that begins at `now` with what it cached.
+    /// Returns a process that starts at `now` with its cached configuration.
     pub fn new(
         now: Nanos,
         seed: u64,
         me: Peer,
         role: Role,
-        kept: CachedConfiguration,
+        cached: CachedConfiguration,
         settings: ReplicationSettings,
     ) -> Process {
-        let in_force = kept.snapshot.clone();
-        let replicator = Replicator::new(now, seed, me.clone(), role, kept, settings);
+        let in_force = cached.snapshot.clone();
+        let replicator = Replicator::new(now, seed, me.clone(), role, cached, settings);
         Process {
             replicator,
             me,
@@ -102,11 +102,11 @@
             installations: Vec::new(),
             events: Vec::new(),
             rejects_versions: false,
-            out: VecDeque::new(),
+            outgoing: VecDeque::new(),
         }
     }
 
-    /// What [`Process::publish`] would publish next.
+    /// Returns the delta and the snapshot that [`Process::publish`] would publish; `None` if the changes do not apply.
     pub fn prepare_publication(
         &self,
         epoch: u64,
@@ -123,7 +123,8 @@
             digest: Digest::default(),
             changes,
         };
-        // The digest is that of the result, which only an application shows: its refusal states it.
+        // The delta needs the digest of its result. Applying it with a wrong digest fails with an error that has the
+        // digest.
         delta.digest = match self.in_force.apply(&delta) {
             Ok(snapshot) => snapshot.digest(),
             Err(havenplank_configuration::error::ApplyError::DigestMismatch { found, .. }) => found,
@@ -133,10 +134,10 @@
         Some((delta, snapshot))
     }
 
-    /// Publishes one change, as a writer does once its disk has it.
+    /// Publishes one change, as a writer does once the change is on its disk.
     ///
     /// # Errors
-    /// Why the replicator refuses.
+    /// The reason why the replicator refuses the change.
     pub fn publish(
         &mut self,
         now: Nanos,
@@ -155,32 +156,32 @@
             return Err(PublishError::NotWriter);
         };
         let version = snapshot.version();
-        let began = Instant::now();
+        let started = Instant::now();
         let result = self
             .replicator
             .publish(now, Arc::new(delta), snapshot.clone());
-        self.traffic.cpu_time += began.elapsed();
+        self.traffic.cpu_time += started.elapsed();
         result?;
-        self.take_over(now, snapshot);
-        self.carry_out(now);
+        self.put_in_force(now, snapshot);
+        self.perform_effects(now);
         Ok(version)
     }
 
-    fn take_over(&mut self, now: Nanos, snapshot: Snapshot) {
-        let (before, after) = (self.in_force.version(), snapshot.version());
+    fn put_in_force(&mut self, now: Nanos, snapshot: Snapshot) {
+        let (previous, installed) = (self.in_force.version(), snapshot.version());
         assert!(
-            after > before,
-            "{}: version {after} came into force after {before}",
+            installed > previous,
+            "{}: version {installed} was put in force after the newer or equal version {previous}",
             self.me.member_id.name
         );
         self.installations.push(Installation {
             at: now,
-            version: after,
+            version: installed,
         });
         self.in_force = snapshot;
     }
 
-    fn carry_out(&mut self, now: Nanos) {
+    fn perform_effects(&mut self, now: Nanos) {
         while let Some(effect) = self.replicator.next_effect() {
             match effect {
                 Effect::Send { to, message } => self.send(to, &message),
@@ -194,17 +195,17 @@
         let version = snapshot.version();
         if self.rejects_versions {
             self.replicator
-                .report_rejected(now, version, "told to reject");
+                .report_rejected(now, version, "the simulated host rejects versions");
         } else {
-            self.take_over(now, snapshot);
+            self.put_in_force(now, snapshot);
             self.replicator.confirm_installed(now, version);
         }
     }
 
     fn send(&mut self, to: MemberId, message: &Message) {
-        let began = Instant::now();
+        let started = Instant::now();
         let Ok(body) = message.encode() else { return };
-        self.traffic.cpu_time += began.elapsed();
+        self.traffic.cpu_time += started.elapsed();
         let bytes = body.len() as u64 + OVERHEAD_BYTES;
         self.traffic.sent_messages += 1;
         self.traffic.sent_bytes += bytes;
@@ -216,7 +217,8 @@
             body,
         };
         if let Ok(datagram) = postcard::to_stdvec(&envelope) {
-            self.out.push_back((Net::<Process>::address(id), datagram));
+            self.outgoing
+                .push_back((Net::<Process>::address(id), datagram));
         }
     }
 }
@@ -231,7 +233,7 @@
         }
         self.traffic.received_messages += 1;
         self.traffic.received_bytes += envelope.body.len() as u64 + OVERHEAD_BYTES;
-        let began = Instant::now();
+        let started = Instant::now();
         match Message::decode(&envelope.body) {
             Ok(message) => {
                 self.replicator
@@ -239,15 +241,15 @@
             }
             Err(_) => self.replicator.count_unreadable(),
         }
-        self.traffic.cpu_time += began.elapsed();
-        self.carry_out(now);
+        self.traffic.cpu_time += started.elapsed();
+        self.perform_effects(now);
     }
 
     fn wake(&mut self, now: Nanos) {
-        let began = Instant::now();
+        let started = Instant::now();
         self.replicator.wake(now);
-        self.traffic.cpu_time += began.elapsed();
-        self.carry_out(now);
+        self.traffic.cpu_time += started.elapsed();
+        self.perform_effects(now);
     }
 
     fn next_wake(&self) -> Option<Nanos> {
@@ -255,6 +257,6 @@
     }
 
     fn datagram(&mut self) -> Option<(SocketAddr, Vec<u8>)> {
-        self.out.pop_front()
+        self.outgoing.pop_front()
     }
 }
--- a/crates/configuration-simulation/tests/replication.rs
+++ b/crates/configuration-simulation/tests/replication.rs
@@ -1,13 +1,16 @@
-//! Configurations replicated through a simulated fleet: what may never happen, and how soon everybody is served.
+//! Tests of the replication in a simulated fleet: its invariants under faults, and the time until every process has a
+//! version in force.
 //!
-//! `HAVENPLANK_SPREAD_SEEDS` plays more seeds than the hundred of CI, `HAVENPLANK_SPREAD_FIRST` begins at another one.
-//! A fault is played again by its seed alone.
+//! CI runs 100 seeds, from 0 on. `HAVENPLANK_SPREAD_SEEDS` sets another number of seeds, `HAVENPLANK_SPREAD_FIRST`
+//! another first seed. The seed alone reproduces a failure.
 //!
-//! Guards taken out by hand, each seen to fail tests here and then restored: an older whole snapshot replaces a newer
-//! one (its three checks together); equal version with another digest; the epoch at the writer; the refusal of a lower
-//! epoch; an interval reported twice; the own name in a child's interval; the periodic pull; the digest of a claim; the
-//! digest of a result; a rejected version counted as in force; a silent source kept. A delta to an older version is
-//! guarded twice, here and by `Snapshot::apply`: with the first guard alone taken out nothing fails.
+//! Each of these guards was removed by hand, was seen to fail tests here, and was restored: an older complete snapshot
+//! does not replace a newer one (its three checks removed together); an equal version with another digest is a
+//! conflict; the writer stops at a higher epoch; a lower epoch is rejected; an interval is counted only once; the part
+//! of a child does not contain the aggregator's own name; the periodic pull; the digest of a claim is checked; the
+//! digest of a result is checked; a rejected version does not count as in force; a silent source is replaced. A delta
+//! to an older version is rejected twice, by the replication and by `Snapshot::apply`: with only the first check
+//! removed, no test fails.
 
 use havenplank_configuration::chunk::{next_chunk, Manifest};
 use havenplank_configuration::delta::Delta;
@@ -31,7 +34,7 @@
 
 const WRITER: Id = 0;
 const CONVERGENCE_LIMIT: Nanos = 5 * SECOND;
-/// The longest that a whole round may take, and the wait before the next one after a failed one, with room.
+/// Upper bound of the duration of a complete round plus the delay after a failed round, with a margin.
 const TWO_ROUNDS: Nanos = 40 * SECOND;
 
 fn one_percent_loss() -> Weather {
@@ -63,9 +66,9 @@
     fleet.net.part(id)?.replicator.status().writer?.round
 }
 
-/// Plays until these have what the writer has, and says how long that took.
-fn catch_up(fleet: &mut Fleet, ids: &[Id], at_most: Nanos) -> Nanos {
-    let began = fleet.net.now();
+/// Runs until these processes have the writer's version in force. Returns how long that took.
+fn run_until_caught_up(fleet: &mut Fleet, ids: &[Id], limit: Nanos) -> Nanos {
+    let started = fleet.net.now();
     let newest = version_at(fleet, WRITER);
     while ids.iter().any(|id| version_at(fleet, *id) != newest) {
         let late: Vec<_> = ids
@@ -73,57 +76,58 @@
             .filter(|id| version_at(fleet, **id) != newest)
             .collect();
         assert!(
-            fleet.net.now() < began + at_most,
-            "still not at {newest}: {late:?}"
+            fleet.net.now() < started + limit,
+            "processes that do not have {newest} in force in time: {late:?}"
         );
         fleet.run_for(20 * MS);
     }
-    fleet.net.now() - began
+    fleet.net.now() - started
 }
 
-/// What is checked after every step of every process.
+/// The invariants that are checked after every step of every process.
 #[derive(Default)]
 struct Invariants {
-    /// The newest version that each process ever had in force.
-    ever: BTreeMap<Id, Version>,
+    /// The newest version that each process has ever had in force.
+    newest_in_force: BTreeMap<Id, Version>,
     rounds: u64,
 }
 
 impl Invariants {
-    /// Plays on. That versions never fall at a process is asserted where it takes one over.
-    fn run(&mut self, fleet: &mut Fleet, span: Nanos) {
-        let until = fleet.net.now() + span;
+    /// Runs for a duration and checks the invariants. [`Process`] itself asserts that its version in force never goes
+    /// back.
+    fn run(&mut self, fleet: &mut Fleet, duration: Nanos) {
+        let until = fleet.net.now() + duration;
         let (count, digests) = (fleet.net.ids().count(), &fleet.digests);
-        // What a process took over between two runs, as when it goes on after a pause, it has had as well.
+        // A process may also have installed versions between two runs, such as when it continues after a pause.
         for id in 0..count {
             self.record(&fleet.net, id);
         }
-        fleet
-            .net
-            .run(until, |net, moved| self.check(net, moved, count, digests));
+        fleet.net.run(until, |net, stepped| {
+            self.check(net, stepped, count, digests)
+        });
     }
 
     fn check(
         &mut self,
         net: &Net<Process>,
-        moved: Id,
+        stepped: Id,
         count: usize,
         digests: &BTreeMap<Version, Vec<Digest>>,
     ) {
-        let Some(process) = net.part(moved) else {
+        let Some(process) = net.part(stepped) else {
             return;
         };
         let (version, digest) = (process.in_force.version(), process.in_force.digest());
-        let written = version == Version::NONE
+        let is_published = version == Version::NONE
             || digests
                 .get(&version)
                 .is_some_and(|all| all.contains(&digest));
         assert!(
-            written,
-            "{} has {version} with a content that nobody wrote",
-            process_name(moved)
+            is_published,
+            "{} has {version} in force with a content that no writer published",
+            process_name(stepped)
         );
-        self.record(net, moved);
+        self.record(net, stepped);
         if let Some(round) = process
             .replicator
             .status()
@@ -139,20 +143,20 @@
         let version = net
             .part(id)
             .map_or(Version::NONE, |process| process.in_force.version());
-        let ever = self.ever.entry(id).or_default();
-        *ever = version.max(*ever);
+        let newest = self.newest_in_force.entry(id).or_default();
+        *newest = version.max(*newest);
     }
 
-    /// A report claims no more than is true: those that have a version had it, and nobody is counted twice.
+    /// Checks that a round reports no more peers with a version than have ever had it, and counts no peer twice.
     fn check_round(&self, round: &RoundStatus, count: usize) {
         let had = self
-            .ever
+            .newest_in_force
             .values()
             .filter(|version| **version >= round.version)
             .count();
         assert!(
             round.up_to_date as usize <= had,
-            "{round:?}, but only {had} ever had it"
+            "{round:?}, but only {had} processes have ever had the version"
         );
         assert!(
             round.total as usize <= count,
@@ -167,25 +171,25 @@
     }
 }
 
-/// A fleet in bad weather, by seed.
-struct Storm {
+/// A fleet with random faults, all of which follow from the seed.
+struct FaultSimulation {
     fleet: Fleet,
     invariants: Invariants,
     rng: Rand64,
     base: Snapshot,
-    /// Processes that write, with their epochs.
+    /// The processes that are writers, with their epochs.
     writers: BTreeMap<Id, u64>,
     top_epoch: u64,
 }
 
-impl Storm {
-    fn new(seed: u64) -> Storm {
+impl FaultSimulation {
+    fn new(seed: u64) -> FaultSimulation {
         let mut rng = Rand64::new(u128::from(seed));
         let count = rng.rand_range(12..41) as usize;
-        let share = |rng: &mut Rand64, most: f64| rng.rand_float() * most;
-        let weather = Weather {
-            loss: share(&mut rng, 0.15),
-            repeat: share(&mut rng, 0.15),
+        let random_up_to = |rng: &mut Rand64, limit: f64| rng.rand_float() * limit;
+        let faults = Weather {
+            loss: random_up_to(&mut rng, 0.15),
+            repeat: random_up_to(&mut rng, 0.15),
             ..Weather::default()
         };
         let base = tenant_snapshot(200);
@@ -193,9 +197,9 @@
             began: id as Nanos * 77 * SECOND,
             drift_ppm: (id as i64 % 3 - 1) * 1_000,
         };
-        let fleet = Fleet::with_clocks(count, seed, &base, weather, clock);
+        let fleet = Fleet::with_clocks(count, seed, &base, faults, clock);
         let writers = BTreeMap::from([(WRITER, 1)]);
-        Storm {
+        FaultSimulation {
             fleet,
             invariants: Invariants::default(),
             rng,
@@ -209,51 +213,51 @@
         self.fleet.net.ids().count()
     }
 
-    fn any(&mut self) -> Id {
+    fn random_process(&mut self) -> Id {
         self.rng.rand_range(0..self.count() as u64) as Id
     }
 
-    fn one_in(&mut self, many: u64) -> bool {
-        self.rng.rand_range(0..many) == 0
+    fn one_in(&mut self, n: u64) -> bool {
+        self.rng.rand_range(0..n) == 0
     }
 
     fn step(&mut self) {
         match self.rng.rand_range(0..14) {
             0..=4 => self.publish(),
-            5 => self.split(),
+            5 => self.partition(),
             6 => (0..6).for_each(|_| {
-                let (from, to) = (self.any(), self.any());
+                let (from, to) = (self.random_process(), self.random_process());
                 self.fleet.net.cut(from, to);
             }),
             7 => self.fleet.net.heal(),
             8 => {
-                let id = self.any();
+                let id = self.random_process();
                 self.fleet.net.pause(id);
             }
             9 => (0..self.count()).for_each(|id| self.fleet.net.unpause(id)),
             10 => self.restart(),
             11 => self.second_writer(),
-            12 => self.kill_writer(),
-            _ => self.change_hosts(),
+            12 => self.crash_writer(),
+            _ => self.change_rejection(),
         }
-        let span = self.rng.rand_range(50 * MS..3 * SECOND);
-        self.invariants.run(&mut self.fleet, span);
+        let duration = self.rng.rand_range(50 * MS..3 * SECOND);
+        self.invariants.run(&mut self.fleet, duration);
     }
 
     fn publish(&mut self) {
         for _ in 0..self.rng.rand_range(1..5) {
             for (id, epoch) in self.writers.clone() {
-                // A replaced or dead writer refuses; that is what is wanted of it.
+                // A replaced or stopped writer refuses, as it must.
                 let _ = self.fleet.publish(id, epoch);
             }
         }
     }
 
-    fn split(&mut self) {
+    fn partition(&mut self) {
         let (left, right): (Vec<Id>, Vec<Id>) = (0..self.count()).partition(|_| self.one_in(2));
         self.fleet.net.split(&[&left, &right]);
         if self.one_in(2) {
-            // The membership of each side has lost the other one.
+            // The memberships of the two sides have lost each other.
             for side in [left, right] {
                 let peers = self.fleet.peers(side.iter().copied());
                 side.iter().for_each(|id| self.fleet.set_peers(*id, &peers));
@@ -261,25 +265,26 @@
         }
     }
 
-    /// One starts again: with what it has, with an old version or with none. The others hear of it at once or later.
+    /// Restarts a process with its version, with an old version or with none. The other processes learn of its new
+    /// incarnation now or later.
     fn restart(&mut self) {
-        let id = self.any();
+        let id = self.random_process();
         let in_force = self
             .fleet
             .net
             .part(id)
             .map(|process| process.in_force.clone());
-        let kept = match self.rng.rand_range(0..3) {
+        let cached = match self.rng.rand_range(0..3) {
             0 => in_force.unwrap_or_else(Snapshot::empty),
             1 => self.base.clone(),
             _ => Snapshot::empty(),
         };
         self.writers.remove(&id);
-        self.start(id, Role::Sidecar, kept);
+        self.start(id, Role::Sidecar, cached);
     }
 
-    fn start(&mut self, id: Id, role: Role, kept: Snapshot) {
-        self.fleet.restart(id, role, kept);
+    fn start(&mut self, id: Id, role: Role, cached: Snapshot) {
+        self.fleet.restart(id, role, cached);
         if self.one_in(2) {
             self.fleet.set_peers_everywhere();
         } else {
@@ -288,16 +293,16 @@
         }
     }
 
-    /// Another process becomes a writer, of a lower, the same or a higher epoch.
+    /// Restarts a process as a writer of a lower, the same or a higher epoch.
     fn second_writer(&mut self) {
-        let id = self.any();
+        let id = self.random_process();
         let epoch = match self.rng.rand_range(0..3) {
             0 => self.top_epoch.saturating_sub(1),
             1 => self.top_epoch,
             _ => self.top_epoch + 1,
         };
         self.top_epoch = self.top_epoch.max(epoch);
-        let kept = self
+        let cached = self
             .fleet
             .net
             .part(id)
@@ -306,12 +311,13 @@
         self.start(
             id,
             Role::Writer { epoch },
-            kept.unwrap_or_else(Snapshot::empty),
+            cached.unwrap_or_else(Snapshot::empty),
         );
     }
 
-    /// A writer dies before its disk has the next version, or after that and before it told anybody.
-    fn kill_writer(&mut self) {
+    /// Stops a writer before it has stored its next version, or after that but before it has announced the version. Then
+    /// restarts it with what it has stored.
+    fn crash_writer(&mut self) {
         let Some((&id, &epoch)) = self.writers.iter().next() else {
             return;
         };
@@ -336,15 +342,16 @@
         self.start(id, Role::Writer { epoch }, stored.unwrap_or(before));
     }
 
-    fn change_hosts(&mut self) {
-        let (id, rejects) = (self.any(), self.one_in(2));
+    fn change_rejection(&mut self) {
+        let (id, rejects) = (self.random_process(), self.one_in(2));
         if let Some(process) = self.fleet.net.part_mut(id) {
             process.rejects_versions = rejects;
         }
     }
 
-    /// The weather clears, and a writer of a higher epoch publishes: everybody ends with that, and it is told so.
-    fn end(&mut self) {
+    /// Ends all faults and publishes from a writer of a higher epoch. Checks that every process ends with that version
+    /// and that the writer's report says so.
+    fn converge(&mut self) {
         self.fleet.net.heal();
         self.fleet.net.weather = one_percent_loss();
         for id in 0..self.count() {
@@ -353,14 +360,14 @@
                 process.rejects_versions = false;
             }
         }
-        let (epoch, kept) = (
+        let (epoch, cached) = (
             self.top_epoch + 1,
             self.fleet.net.part(WRITER).map(|own| own.in_force.clone()),
         );
         self.fleet.restart(
             WRITER,
             Role::Writer { epoch },
-            kept.unwrap_or_else(Snapshot::empty),
+            cached.unwrap_or_else(Snapshot::empty),
         );
         self.fleet.set_peers_everywhere();
         self.invariants.run(&mut self.fleet, 2 * CONVERGENCE_LIMIT);
@@ -386,10 +393,10 @@
     }
 }
 
-/// Names the seed of a run that fails.
-struct Naming(u64);
+/// Prints the seed if a test fails with it.
+struct SeedReporter(u64);
 
-impl Drop for Naming {
+impl Drop for SeedReporter {
     fn drop(&mut self) {
         if std::thread::panicking() {
             eprintln!(
@@ -401,30 +408,30 @@
 }
 
 #[test]
-fn whatever_happens_versions_never_fall_and_everybody_ends_with_the_same() {
+fn versions_never_go_back_and_all_processes_end_with_the_same_one_under_random_faults() {
     let first = number_from_env("HAVENPLANK_SPREAD_FIRST", 0);
     let seeds = number_from_env("HAVENPLANK_SPREAD_SEEDS", 100);
     let mut rounds = 0;
     for seed in first..first + seeds {
-        let naming = Naming(seed);
-        let mut storm = Storm::new(seed);
-        (0..30).for_each(|_| storm.step());
-        storm.end();
-        rounds += storm.invariants.rounds;
-        drop(naming);
-    }
-    assert!(rounds > 0, "no report was ever looked at");
+        let seed_reporter = SeedReporter(seed);
+        let mut simulation = FaultSimulation::new(seed);
+        (0..30).for_each(|_| simulation.step());
+        simulation.converge();
+        rounds += simulation.invariants.rounds;
+        drop(seed_reporter);
+    }
+    assert!(rounds > 0, "no polling round was checked");
 }
 
 #[test]
-fn every_change_is_in_force_everywhere_within_five_seconds() {
+fn puts_every_change_in_force_everywhere_within_five_seconds() {
     let mut fleet = Fleet::new(120, 5, &tenant_snapshot(500), one_percent_loss());
     fleet.run_for(SECOND);
     for _ in 0..10 {
         fleet.publish(WRITER, 1).unwrap();
         fleet.run_for(2 * SECOND);
     }
-    // Ten at once.
+    // Ten changes at once.
     for _ in 0..10 {
         fleet.publish(WRITER, 1).unwrap();
     }
@@ -433,13 +440,13 @@
     let worst = fleet
         .latencies(0, &everyone)
         .into_iter()
-        .map(|latency| latency.expect("not reached"))
+        .map(|latency| latency.expect("the version is in force at every process"))
         .max();
     assert!(worst.unwrap() < CONVERGENCE_LIMIT, "{worst:?}");
 }
 
 #[test]
-fn who_was_cut_off_or_starts_anew_has_everything_within_five_seconds() {
+fn a_process_that_was_cut_off_or_restarts_catches_up_within_five_seconds() {
     let mut fleet = Fleet::new(84, 6, &tenant_snapshot(2_000), one_percent_loss());
     let (cut, rest): (Vec<Id>, Vec<Id>) = fleet.net.ids().partition(|id| region_index(*id) == 2);
     fleet.net.split(&[&cut, &rest]);
@@ -453,7 +460,7 @@
         .iter()
         .map(|id| fleet.net.part(*id).unwrap().traffic.sent_messages)
         .sum();
-    catch_up(&mut fleet, &cut, CONVERGENCE_LIMIT);
+    run_until_caught_up(&mut fleet, &cut, CONVERGENCE_LIMIT);
     let after: u64 = cut
         .iter()
         .map(|id| fleet.net.part(*id).unwrap().traffic.sent_messages)
@@ -461,18 +468,18 @@
     let each = (after - before) / cut.len() as u64;
     assert!(
         each < 150,
-        "each sent {each} messages to catch up on 283 versions"
+        "each process sent {each} messages to catch up on 283 versions"
     );
-    // Without any, and with a version whose deltas nobody has any more.
-    for (id, kept) in [(5, Snapshot::empty()), (11, tenant_snapshot(1_000))] {
-        fleet.restart(id, Role::Sidecar, kept);
+    // One starts without a version, the other with a version for which no process has the deltas any more.
+    for (id, cached) in [(5, Snapshot::empty()), (11, tenant_snapshot(1_000))] {
+        fleet.restart(id, Role::Sidecar, cached);
     }
     fleet.set_peers_everywhere();
-    catch_up(&mut fleet, &[5, 11], CONVERGENCE_LIMIT);
+    run_until_caught_up(&mut fleet, &[5, 11], CONVERGENCE_LIMIT);
 }
 
 #[test]
-fn a_transfer_goes_on_from_another_source_where_its_own_is_gone() {
+fn a_transfer_continues_from_another_source_when_its_source_stops() {
     let mut fleet = Fleet::new(30, 7, &tenant_snapshot(20_000), one_percent_loss());
     fleet.restart(9, Role::Sidecar, Snapshot::empty());
     fleet.set_peers_everywhere();
@@ -482,31 +489,31 @@
         fleet.run_for(MS);
     }
     let source = transfer(&fleet).unwrap().source;
-    let gone = fleet
+    let stopped = fleet
         .net
         .ids()
         .find(|id| process_name(*id) == source)
         .unwrap();
-    fleet.net.kill(gone);
-    if gone == WRITER {
-        panic!("another seed is needed: the writer was the source");
+    fleet.net.kill(stopped);
+    if stopped == WRITER {
+        panic!("the seed must be changed: the writer was the source of the transfer");
     }
-    // One silence, and not as many as end a transfer.
-    catch_up(&mut fleet, &[9], 2 * SECOND);
+    // Enough for one unanswered request, not for as many as end a transfer.
+    run_until_caught_up(&mut fleet, &[9], 2 * SECOND);
     let events = &fleet.net.part(9).unwrap().events;
-    let changed = events
+    let has_changed_source = events
         .iter()
         .any(|event| matches!(event, Event::SourceChanged { .. }));
-    assert!(changed, "{events:?}");
+    assert!(has_changed_source, "{events:?}");
 }
 
 #[test]
-fn of_two_contents_of_one_version_the_first_stays_and_both_writers_stop() {
+fn processes_keep_the_first_content_of_a_version_published_twice_and_both_writers_stop() {
     let mut fleet = Fleet::new(24, 8, &tenant_snapshot(100), one_percent_loss());
     let (left, right): (Vec<Id>, Vec<Id>) = fleet.net.ids().partition(|id| *id < 12);
     fleet.net.split(&[&left, &right]);
-    let kept = fleet.net.part(20).unwrap().in_force.clone();
-    fleet.restart(20, Role::Writer { epoch: 1 }, kept);
+    let cached = fleet.net.part(20).unwrap().in_force.clone();
+    fleet.restart(20, Role::Writer { epoch: 1 }, cached);
     fleet.set_peers_everywhere();
     let (one, other) = (
         fleet.publish(WRITER, 1).unwrap(),
@@ -534,13 +541,13 @@
             Err(PublishError::Superseded { .. })
         ));
     }
-    // Only a higher epoch mends it.
-    let kept = fleet.net.part(4).unwrap().in_force.clone();
-    fleet.restart(4, Role::Writer { epoch: 2 }, kept);
+    // Only a writer of a higher epoch resolves the conflict.
+    let cached = fleet.net.part(4).unwrap().in_force.clone();
+    fleet.restart(4, Role::Writer { epoch: 2 }, cached);
     fleet.set_peers_everywhere();
-    let mended = fleet.publish(4, 2).unwrap();
+    let resolved = fleet.publish(4, 2).unwrap();
     fleet.run_for(CONVERGENCE_LIMIT);
-    assert!(fleet.net.ids().all(|id| version_at(&fleet, id) == mended));
+    assert!(fleet.net.ids().all(|id| version_at(&fleet, id) == resolved));
     assert!(fleet
         .net
         .ids()
@@ -548,15 +555,15 @@
 }
 
 #[test]
-fn a_replaced_writer_is_told_and_publishes_no_more() {
+fn a_replaced_writer_is_notified_and_publishes_nothing_more() {
     let mut fleet = Fleet::new(24, 9, &tenant_snapshot(100), one_percent_loss());
     let rest: Vec<Id> = (1..24).collect();
     fleet.net.split(&[&[WRITER], &rest]);
-    let kept = fleet.net.part(13).unwrap().in_force.clone();
-    fleet.restart(13, Role::Writer { epoch: 2 }, kept);
+    let cached = fleet.net.part(13).unwrap().in_force.clone();
+    fleet.restart(13, Role::Writer { epoch: 2 }, cached);
     fleet.set_peers_everywhere();
     let newer = fleet.publish(13, 2).unwrap();
-    // It does not know yet; what it publishes now has the higher number and loses all the same.
+    // The old writer does not know yet. Its next versions have higher numbers, but are superseded by the higher epoch.
     for _ in 0..5 {
         fleet.publish(WRITER, 1).unwrap();
     }
@@ -575,7 +582,7 @@
 }
 
 #[test]
-fn a_rejected_version_leaves_the_old_one_in_force_is_named_and_not_fetched_again() {
+fn a_process_that_rejects_a_version_keeps_the_old_one_is_reported_and_does_not_fetch_it_again() {
     let mut fleet = Fleet::new(40, 10, &tenant_snapshot(100), one_percent_loss());
     fleet.net.part_mut(7).unwrap().rejects_versions = true;
     let old = version_at(&fleet, WRITER);
@@ -594,7 +601,7 @@
     );
     assert!(round.behind[0].since < round.at, "{round:?}");
     let process = fleet.net.part_mut(7).unwrap();
-    // Offered after 0, 5 and 15 s, as the waits double.
+    // The version was offered after 0, 5 and 15 s, because the delays double.
     assert_eq!(process.replicator.status().counts.rejected, 3);
     assert_eq!(process.replicator.status().verified, new);
     process.rejects_versions = false;
@@ -605,7 +612,7 @@
 }
 
 #[test]
-fn the_silent_are_named_and_nobody_is_counted_twice_where_messages_repeat() {
+fn a_round_names_silent_peers_and_counts_no_peer_twice_when_messages_are_duplicated() {
     let mut fleet = Fleet::new(
         200,
         11,
@@ -639,7 +646,7 @@
 }
 
 #[test]
-fn what_one_process_sends_does_not_grow_with_the_fleet() {
+fn the_messages_of_one_process_do_not_grow_with_the_fleet() {
     let sent = |count: usize| {
         let mut fleet = Fleet::new(count, 12, &tenant_snapshot(100), one_percent_loss());
         for _ in 0..4 {
@@ -661,27 +668,27 @@
     let (small, large) = (sent(50), sent(400));
     assert!(
         large.0 < 1.1 * small.0,
-        "a sidecar: {small:?}, then {large:?}"
+        "messages of a sidecar: {small:?} with 50 processes, {large:?} with 400"
     );
     assert!(
         large.1 < 2 * small.1,
-        "the writer: {small:?}, then {large:?}"
+        "messages of the writer: {small:?} with 50 processes, {large:?} with 400"
     );
     assert!(
         large.2 < 1_500,
-        "the longest message while all is well: {large:?}"
+        "longest message without faults other than loss: {large:?}"
     );
 }
 
-/// A sidecar alone, to which a test speaks itself.
-struct Alone {
+/// A single sidecar; the test itself sends the messages of its only peer.
+struct SingleSidecar {
     replicator: Replicator,
     base: Snapshot,
     peer: MemberId,
 }
 
-impl Alone {
-    fn new() -> Alone {
+impl SingleSidecar {
+    fn new() -> SingleSidecar {
         let peer = |name: &str| Peer {
             member_id: MemberId {
                 name: name.into(),
@@ -690,7 +697,7 @@
             zone: "r/z".into(),
         };
         let base = tenant_snapshot(50);
-        let kept = CachedConfiguration {
+        let cached = CachedConfiguration {
             snapshot: base.clone(),
             deltas: Vec::new(),
         };
@@ -699,18 +706,18 @@
             1,
             peer("a"),
             Role::Sidecar,
-            kept,
+            cached,
             ReplicationSettings::default(),
         );
         replicator.set_peers(Peers::new(vec![peer("a"), peer("b")]));
-        Alone {
+        SingleSidecar {
             replicator,
             base,
             peer: peer("b").member_id,
         }
     }
 
-    /// A good delta from one snapshot to the next.
+    /// Returns a valid delta from a snapshot, and the snapshot that it leads to.
     fn delta(from: &Snapshot) -> (Delta, Snapshot) {
         let number = from.version().number + 1;
         let mut delta = Delta {
@@ -729,13 +736,13 @@
     }
 
     fn announce(&mut self, claim: Claim, delta: &Delta) -> Vec<Effect> {
-        self.hears(Message::Announce {
+        self.receive(Message::Announce {
             claim,
             delta: Some(delta.encode()),
         })
     }
 
-    fn hears(&mut self, message: Message) -> Vec<Effect> {
+    fn receive(&mut self, message: Message) -> Vec<Effect> {
         let bytes = message.encode().unwrap().len();
         self.replicator
             .handle_message(0, &self.peer, message, bytes);
@@ -743,7 +750,7 @@
     }
 }
 
-fn installs(effects: &[Effect]) -> Vec<Version> {
+fn installed_versions(effects: &[Effect]) -> Vec<Version> {
     let version = |effect: &Effect| match effect {
         Effect::Install(snapshot) => Some(snapshot.version()),
         _ => None,
@@ -752,61 +759,67 @@
 }
 
 #[test]
-fn a_delta_that_is_not_what_its_claim_says_changes_nothing() {
-    let mut alone = Alone::new();
-    let (good, next) = Alone::delta(&alone.base);
+fn a_delta_that_does_not_match_its_claim_changes_nothing() {
+    let mut sidecar = SingleSidecar::new();
+    let (valid, next) = SingleSidecar::delta(&sidecar.base);
     let claim = Claim {
-        version: good.to,
-        digest: good.digest,
+        version: valid.to,
+        digest: valid.digest,
     };
     let other = Claim {
         digest: Digest::default(),
         ..claim
     };
-    assert!(installs(&alone.announce(other, &good)).is_empty());
-    assert_eq!(alone.replicator.status().counts.unreadable, 1);
-    // Consistent, but with a digest that its result does not have.
+    assert!(installed_versions(&sidecar.announce(other, &valid)).is_empty());
+    assert_eq!(sidecar.replicator.status().counts.unreadable, 1);
+    // This delta matches its claim, but both have a digest other than that of the result.
     let wrong = Delta {
         digest: Digest::default(),
-        ..good.clone()
+        ..valid.clone()
     };
-    assert!(installs(&alone.announce(other, &wrong)).is_empty());
-    assert_eq!(alone.replicator.status().counts.unfit_deltas, 1);
-    assert_eq!(alone.replicator.status().verified, alone.base.version());
-    assert_eq!(installs(&alone.announce(claim, &good)), [next.version()]);
-    // It is in force only when the host says so.
-    assert_eq!(alone.replicator.status().version, alone.base.version());
-    alone.replicator.confirm_installed(1, next.version());
-    assert_eq!(alone.replicator.status().version, next.version());
+    assert!(installed_versions(&sidecar.announce(other, &wrong)).is_empty());
+    assert_eq!(sidecar.replicator.status().counts.unfit_deltas, 1);
+    assert_eq!(sidecar.replicator.status().verified, sidecar.base.version());
+    assert_eq!(
+        installed_versions(&sidecar.announce(claim, &valid)),
+        [next.version()]
+    );
+    // The version is in force only once the host has confirmed it.
+    assert_eq!(sidecar.replicator.status().version, sidecar.base.version());
+    sidecar.replicator.confirm_installed(1, next.version());
+    assert_eq!(sidecar.replicator.status().version, next.version());
 }
 
 #[test]
-fn deltas_that_overtake_each_other_are_applied_in_order() {
-    let mut alone = Alone::new();
-    let (first, one) = Alone::delta(&alone.base);
-    let (second, two) = Alone::delta(&one);
+fn deltas_that_arrive_out_of_order_are_applied_in_order() {
+    let mut sidecar = SingleSidecar::new();
+    let (first_delta, first_snapshot) = SingleSidecar::delta(&sidecar.base);
+    let (second_delta, second_snapshot) = SingleSidecar::delta(&first_snapshot);
     let claim = |delta: &Delta| Claim {
         version: delta.to,
         digest: delta.digest,
     };
-    assert!(installs(&alone.announce(claim(&second), &second)).is_empty());
+    assert!(installed_versions(&sidecar.announce(claim(&second_delta), &second_delta)).is_empty());
     assert_eq!(
-        installs(&alone.announce(claim(&first), &first)),
-        [two.version()]
+        installed_versions(&sidecar.announce(claim(&first_delta), &first_delta)),
+        [second_snapshot.version()]
+    );
+    assert!(installed_versions(&sidecar.announce(claim(&first_delta), &first_delta)).is_empty());
+    assert_eq!(
+        sidecar.replicator.status().verified,
+        second_snapshot.version()
     );
-    assert!(installs(&alone.announce(claim(&first), &first)).is_empty());
-    assert_eq!(alone.replicator.status().verified, two.version());
 }
 
 #[test]
 fn an_older_snapshot_changes_nothing_even_as_the_answer_to_a_pull() {
-    let mut alone = Alone::new();
+    let mut sidecar = SingleSidecar::new();
     let older = tenant_snapshot(10).with_version(Version {
         epoch: 1,
         number: 0,
     });
-    alone.replicator.wake(SECOND);
-    let asks = |effect: &Effect| {
+    sidecar.replicator.wake(SECOND);
+    let is_pull = |effect: &Effect| {
         matches!(
             effect,
             Effect::Send {
@@ -815,30 +828,33 @@
             }
         )
     };
-    assert!(std::iter::from_fn(|| alone.replicator.next_effect()).any(|effect| asks(&effect)));
-    let mut effects = alone.hears(Message::Manifest(Manifest::of(&older)));
+    assert!(std::iter::from_fn(|| sidecar.replicator.next_effect()).any(|effect| is_pull(&effect)));
+    let mut effects = sidecar.receive(Message::Manifest(Manifest::of(&older)));
     if let Some(chunk) = next_chunk(&older, &(0..1_024).collect::<Vec<u16>>()) {
-        effects.extend(alone.hears(Message::Chunk(chunk)));
+        effects.extend(sidecar.receive(Message::Chunk(chunk)));
     }
-    assert!(installs(&effects).is_empty());
-    let (delta, next) = Alone::delta(&alone.base);
+    assert!(installed_versions(&effects).is_empty());
+    let (delta, next) = SingleSidecar::delta(&sidecar.base);
     let claim = Claim {
         version: delta.to,
         digest: delta.digest,
     };
-    assert_eq!(installs(&alone.announce(claim, &delta)), [next.version()]);
-    assert!(installs(&alone.announce(claim, &delta)).is_empty());
-    assert_eq!(alone.replicator.status().verified, next.version());
+    assert_eq!(
+        installed_versions(&sidecar.announce(claim, &delta)),
+        [next.version()]
+    );
+    assert!(installed_versions(&sidecar.announce(claim, &delta)).is_empty());
+    assert_eq!(sidecar.replicator.status().verified, next.version());
 }
 
 #[test]
 fn announcements_and_polls_of_a_lower_epoch_are_answered_with_the_higher_one() {
-    let mut alone = Alone::new();
-    let held = alone.base.clone().with_version(Version {
+    let mut sidecar = SingleSidecar::new();
+    let held = sidecar.base.clone().with_version(Version {
         epoch: 2,
         number: 9,
     });
-    let kept = CachedConfiguration {
+    let cached = CachedConfiguration {
         snapshot: held.clone(),
         deltas: Vec::new(),
     };
@@ -849,12 +865,12 @@
         },
         zone: "r/z".into(),
     };
-    alone.replicator = Replicator::new(
+    sidecar.replicator = Replicator::new(
         0,
         1,
         me,
         Role::Sidecar,
-        kept,
+        cached,
         ReplicationSettings::default(),
     );
     let claim = Claim {
@@ -874,7 +890,7 @@
         Message::Announce { claim, delta: None },
         Message::Poll(poll),
     ] {
-        let effects = alone.hears(message);
+        let effects = sidecar.receive(message);
         let by = Claim {
             version: held.version(),
             digest: held.digest(),
@@ -887,5 +903,5 @@
         };
         assert_eq!(*answer, Message::Superseded { by });
     }
-    assert_eq!(alone.replicator.status().counts.lower_epochs, 2);
+    assert_eq!(sidecar.replicator.status().counts.lower_epochs, 2);
 }
--- a/crates/configuration/src/interval.rs
+++ b/crates/configuration/src/interval.rs
@@ -1,28 +1,28 @@
-//! Ranges of names, split so that no name is in two of them.
+//! Intervals of peer names, and how one is split into disjoint parts.
 
 use serde::{Deserialize, Serialize};
 use std::ops::Range;
 
-/// The names from one on, up to another that is not among them.
+/// The names from `from` on, up to but not including `to`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Interval {
-    /// The first name that can be in it.
+    /// The lowest name that is in the interval.
     pub from: String,
-    /// The first name behind it; `None` for no upper end.
+    /// The lowest name above the interval; `None` for no upper end.
     pub to: Option<String>,
 }
 
-/// A part of an interval, and the places of its names in the list that was split.
+/// A part of an interval, with its share of the list of names by which the interval was split.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct IntervalPart {
-    /// The part.
+    /// The interval that this part covers.
     pub interval: Interval,
-    /// Places of its names in the list that was split.
+    /// Indices of its names in that list.
     pub indices: Range<usize>,
 }
 
 impl Interval {
-    /// Every name there can be.
+    /// Returns the interval of all possible names.
     pub fn all() -> Interval {
         Interval {
             from: String::new(),
@@ -30,23 +30,24 @@
         }
     }
 
-    /// Returns whether a name is in it.
+    /// Returns whether a name is in the interval.
     pub fn contains(&self, name: &str) -> bool {
         self.from.as_str() <= name && self.to.as_deref().is_none_or(|to| name < to)
     }
 
-    /// The places of this interval's names in a sorted list.
+    /// Returns the indices of this interval's names in a sorted list of `count` names.
     pub fn index_range<'a>(&self, count: usize, name: impl Fn(usize) -> &'a str) -> Range<usize> {
-        let first = partition_point(count, |place| name(place) < self.from.as_str());
+        let first = partition_point(count, |index| name(index) < self.from.as_str());
         let end = self
             .to
             .as_deref()
-            .map_or(count, |to| partition_point(count, |place| name(place) < to));
+            .map_or(count, |to| partition_point(count, |index| name(index) < to));
         first..end.max(first)
     }
 
-    /// Splits all of the interval but `own` into some `parts` disjoint intervals of about as many names of a sorted
-    /// list each, two more at most; an interval without any of the names is left out.
+    /// Splits the interval without the name `own` into disjoint intervals, each with about as many names of a sorted
+    /// list of `count` names. Returns about `parts` of them, at most two more; intervals without any name of the list
+    /// are left out.
     pub fn split_around<'a>(
         &self,
         own: &str,
@@ -54,33 +55,33 @@
         count: usize,
         name: impl Fn(usize) -> &'a str,
     ) -> Vec<IntervalPart> {
-        let places = self.index_range(count, &name);
-        let size = places.len().div_ceil(parts.max(1)).max(1);
-        let mut split = Vec::new();
-        let (below, above) = self.without(own);
+        let indices = self.index_range(count, &name);
+        let names_per_part = indices.len().div_ceil(parts.max(1)).max(1);
+        let mut split_parts = Vec::new();
+        let (below, above) = self.split_at(own);
         for side in [below, above].into_iter().flatten() {
-            let places = side.index_range(count, &name);
-            let starts: Vec<usize> = places.clone().step_by(size).collect();
-            for (at, &start) in starts.iter().enumerate() {
-                let next = starts.get(at + 1).copied();
-                let from = if at == 0 {
+            let side_indices = side.index_range(count, &name);
+            let starts: Vec<usize> = side_indices.clone().step_by(names_per_part).collect();
+            for (position, &start) in starts.iter().enumerate() {
+                let next = starts.get(position + 1).copied();
+                let from = if position == 0 {
                     side.from.clone()
                 } else {
                     name(start).to_string()
                 };
                 let to = next.map_or(side.to.clone(), |next| Some(name(next).to_string()));
-                let indices = start..next.unwrap_or(places.end);
-                split.push(IntervalPart {
+                let indices = start..next.unwrap_or(side_indices.end);
+                split_parts.push(IntervalPart {
                     interval: Interval { from, to },
                     indices,
                 });
             }
         }
-        split
+        split_parts
     }
 
-    /// What lies below and above one name.
-    fn without(&self, own: &str) -> (Option<Interval>, Option<Interval>) {
+    /// Returns the intervals below and above the name `own`; the whole interval and `None` if `own` is not in it.
+    fn split_at(&self, own: &str) -> (Option<Interval>, Option<Interval>) {
         if !self.contains(own) {
             return (Some(self.clone()), None);
         }
@@ -88,7 +89,7 @@
             from: self.from.clone(),
             to: Some(own.to_string()),
         };
-        // No string lies between a name and the same one with the lowest character behind it.
+        // No string sorts between a name and the same name with the lowest character, `\0`, appended.
         let above = Interval {
             from: format!("{own}\0"),
             to: self.to.clone(),
@@ -97,12 +98,12 @@
     }
 }
 
-/// The first place at which `before` no longer holds.
-fn partition_point(count: usize, before: impl Fn(usize) -> bool) -> usize {
+/// Returns the first index for which `is_before` is false, by binary search.
+fn partition_point(count: usize, is_before: impl Fn(usize) -> bool) -> usize {
     let (mut low, mut high) = (0, count);
     while low < high {
         let middle = low + (high - low) / 2;
-        if before(middle) {
+        if is_before(middle) {
             low = middle + 1;
         } else {
             high = middle;
--- a/crates/configuration/src/message.rs
+++ b/crates/configuration/src/message.rs
@@ -1,7 +1,7 @@
-//! The messages of the replication between peers, and their bounded encoding.
+//! The messages that peers exchange to replicate the configuration, and their encoding with size limits.
 //!
-//! Sizes are checked before and while bytes are read. What is out of bounds is an error that the caller counts; no
-//! message that cannot be read changes anything.
+//! Sizes are checked before and while bytes are read. A message that exceeds a limit or cannot be read is an error,
+//! which the caller counts; such a message changes nothing.
 
 use crate::chunk::{Chunk, Manifest, MAX_CHUNK_BYTES};
 use crate::digest::Digest;
@@ -10,18 +10,19 @@
 use crate::version::Version;
 use serde::{Deserialize, Serialize};
 
-/// The longest message: what a stream between peers carries, less its envelope.
+/// Longest encoded message, in bytes: the longest frame of a stream between peers, less 1,024 bytes for its envelope.
 pub const MAX_MESSAGE_BYTES: usize = (1 << 20) - 1_024;
-/// The longest message that is sent as one datagram.
+/// Longest message that is sent as one datagram, in bytes.
 pub const MAX_DATAGRAM_BYTES: usize = 1_000;
-/// Names of peers that are behind in one report.
+/// Maximum number of lagging peers that one report names; further ones are only counted.
 pub const MAX_NAMED_BEHIND: usize = 16;
-/// Deltas in one message.
+/// Maximum number of deltas in one message.
 pub const MAX_DELTAS: usize = 1_024;
-/// The longest name of a peer, and the longest end of an interval: one more.
+/// Longest name of a peer, in bytes. An end of an interval may be one byte longer, because the first name above a given
+/// one is that name with a zero byte appended.
 const MAX_PEER_NAME_BYTES: usize = 64;
 
-/// Which configuration somebody holds.
+/// The configuration that a peer states it has: its version and its content.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
     /// The version.
@@ -30,16 +31,16 @@
     pub digest: Digest,
 }
 
-/// How a peer stands to a version that it does not have in force.
+/// Why a peer does not have the polled version in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LagReason {
-    /// An older one is in force.
+    /// An older version is in force.
     Behind(Version),
-    /// The same version is in force, with other records: two writers made it.
+    /// The same version is in force with other records: two writers have published it.
     Differs,
-    /// Its host could not take the version in.
+    /// The host of the peer rejected the version.
     Rejected,
-    /// It did not answer.
+    /// The peer did not answer the poll.
     Silent,
 }
 
@@ -48,33 +49,33 @@
 pub struct LaggingPeer {
     /// The peer's name.
     pub name: String,
-    /// How it stands to the version.
+    /// Why it does not have the version in force.
     pub lag_reason: LagReason,
 }
 
-/// How many of how many have a version in force, or a newer one.
+/// Counts the peers that have a version or a newer one in force, and those that do not.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tally {
-    /// How many have it.
+    /// Peers that have the version or a newer one in force.
     pub up_to_date: u32,
-    /// How many were counted.
+    /// All peers counted.
     pub total: u32,
-    /// Names of those that do not have it, [`MAX_NAMED_BEHIND`] at most.
+    /// Peers that do not have it; at most [`MAX_NAMED_BEHIND`] are named.
     pub behind: Vec<LaggingPeer>,
-    /// Those that are behind beyond the named ones.
+    /// How many further peers do not have it.
     pub unnamed_behind: u32,
 }
 
-/// The question how many of an interval have a version in force.
+/// Asks how many peers of an interval of names have a version in force.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Poll {
-    /// The number of the round, which the writer counts.
+    /// The number of the polling round; the writer counts its rounds.
     pub round: u64,
-    /// The version that is asked for.
+    /// The version that the poll is about.
     pub claim: Claim,
-    /// The names that are asked.
+    /// The interval of names that is polled.
     pub interval: Interval,
-    /// How long the answer may take, in milliseconds.
+    /// Time within which the answer must arrive, in milliseconds.
     pub timeout_ms: u32,
 }
 
@@ -83,106 +84,107 @@
 pub struct Report {
     /// The round of the poll.
     pub round: u64,
-    /// The version that was asked for.
+    /// The version that the poll was about.
     pub version: Version,
-    /// The names that were asked.
+    /// The interval of names that was polled.
     pub interval: Interval,
-    /// Who has it.
+    /// How many peers of the interval have the version in force.
     pub tally: Tally,
 }
 
-/// One message between peers. Peers of other releases read it by the order of variants and fields.
+/// One message between peers. The order of variants and fields is part of the encoding, and peers of other releases
+/// depend on it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// A version is new here. The delta that leads to it is with it where it fits a datagram.
+    /// Announces a version that is new at the sender, with the delta that leads to it if the delta fits a datagram.
     Announce {
-        /// The version that is new.
+        /// The new version.
         claim: Claim,
         /// The encoded delta.
         delta: Option<Vec<u8>>,
     },
-    /// What do you have? Answered by [`Message::Current`], [`Message::Deltas`], [`Message::Manifest`], or another
-    /// pull where the asked one is behind itself.
+    /// Asks a peer which version it has. The peer answers with [`Message::Current`], [`Message::Deltas`] or
+    /// [`Message::Manifest`]; if it is behind the sender, it also sends a pull of its own.
     Pull {
-        /// What the asker holds.
+        /// The newest version that the sender has verified.
         claim: Claim,
-        /// How many bytes the answer may have; 0 asks for the claim alone.
+        /// Maximum size of the answer, in bytes; 0 requests the claim alone.
         max_answer_bytes: u32,
-        /// Deltas did not apply: the manifest is wanted.
+        /// Set if deltas did not apply at the sender, so that only a manifest helps.
         manifest_only: bool,
     },
-    /// This is what is held here, and nothing more comes.
+    /// Answers a pull with the sender's version alone; no deltas and no manifest follow.
     Current {
-        /// What is held.
+        /// The newest version that the sender has verified.
         claim: Claim,
     },
-    /// Encoded deltas that lead on from what the asker has, and where all of them lead.
+    /// Answers a pull with deltas that continue from the requester's version.
     Deltas {
-        /// Where all of them lead.
+        /// The newest version of the sender; these deltas may end before it.
         claim: Claim,
-        /// Each encoded, in order.
+        /// The encoded deltas, in the order in which they apply.
         deltas: Vec<Vec<u8>>,
     },
-    /// What a whole snapshot consists of.
+    /// Answers a pull with the digests of all buckets of the newest snapshot.
     Manifest(Manifest),
-    /// Asks for one chunk with some of these buckets.
+    /// Asks for one chunk with as many of these buckets as fit.
     ChunkRequest {
         /// The snapshot.
         claim: Claim,
-        /// Numbers of the buckets that are missing.
+        /// Numbers of the buckets that the sender lacks.
         buckets: Vec<u16>,
     },
-    /// Some whole buckets of a snapshot.
+    /// Some buckets of a snapshot, each complete.
     Chunk(Chunk),
-    /// The wanted version is not held here, or no more is given away now.
+    /// Answers a chunk request if the sender does not have the snapshot or its budget for serving others is spent.
     Unavailable {
-        /// The version that was asked for.
+        /// The version of the requested snapshot.
         requested: Version,
-        /// What is held instead.
+        /// The newest version that the sender has verified.
         claim: Claim,
     },
-    /// Asks who of an interval has a version in force.
+    /// Asks which peers of an interval have a version in force.
     Poll(Poll),
     /// Answers a poll.
     Report(Report),
-    /// A higher epoch is in force: its writer has replaced yours.
+    /// Tells a peer that the epoch of its version has been replaced by a higher one.
     Superseded {
-        /// The version that is in force.
+        /// The version of the higher epoch.
         by: Claim,
     },
 }
 
-/// Why bytes are no message.
+/// Why bytes cannot be decoded as a message, or a message not be encoded.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MessageError {
-    /// More bytes than a message may have.
-    #[error("a message of {found} bytes, {most} at most", most = MAX_MESSAGE_BYTES)]
+    /// The message is longer than [`MAX_MESSAGE_BYTES`].
+    #[error("message has {found} bytes, at most {limit} are allowed", limit = MAX_MESSAGE_BYTES)]
     TooLong {
-        /// How many there are.
+        /// Its length, in bytes.
         found: usize,
     },
-    /// Bytes that are no such encoding.
-    #[error("cut short or no such encoding: {0}")]
+    /// The bytes are truncated or not the encoding of a message.
+    #[error("message is truncated or not validly encoded: {0}")]
     Malformed(#[from] postcard::Error),
-    /// Bytes after the end.
-    #[error("{found} bytes too many at the end")]
+    /// Bytes follow the end of the message.
+    #[error("message is followed by {found} unexpected bytes")]
     Trailing {
-        /// How many.
+        /// How many bytes follow.
         found: usize,
     },
-    /// A field that no sender writes so.
-    #[error("{field} is out of its bounds")]
+    /// A field has a value that no sender writes.
+    #[error("field {field} of the message is out of bounds")]
     OutOfBounds {
-        /// Its name.
+        /// The name of the field.
         field: &'static str,
     },
 }
 
 impl Message {
-    /// The bytes that [`Message::decode`] reads.
+    /// Returns the bytes that [`Message::decode`] reads.
     ///
     /// # Errors
-    /// Longer than a message may be.
+    /// The message is longer than [`MAX_MESSAGE_BYTES`].
     pub fn encode(&self) -> Result<Vec<u8>, MessageError> {
         let bytes = postcard::to_stdvec(self)?;
         if bytes.len() > MAX_MESSAGE_BYTES {
@@ -191,23 +193,25 @@
         Ok(bytes)
     }
 
-    /// Reads a message. Memory grows with what was read, never with what a length states.
+    /// Decodes a message. Memory grows with the bytes that were read, never with a length that the bytes merely state.
     ///
     /// # Errors
-    /// Bytes that [`Message::encode`] does not write, or a field out of its bounds.
+    /// The bytes are not the encoding of a message, or a field is out of bounds.
     pub fn decode(bytes: &[u8]) -> Result<Message, MessageError> {
         if bytes.len() > MAX_MESSAGE_BYTES {
             return Err(MessageError::TooLong { found: bytes.len() });
         }
-        let (message, rest) = postcard::take_from_bytes::<Message>(bytes)?;
-        if !rest.is_empty() {
-            return Err(MessageError::Trailing { found: rest.len() });
+        let (message, trailing) = postcard::take_from_bytes::<Message>(bytes)?;
+        if !trailing.is_empty() {
+            return Err(MessageError::Trailing {
+                found: trailing.len(),
+            });
         }
-        message.check()?;
+        message.check_bounds()?;
         Ok(message)
     }
 
-    fn check(&self) -> Result<(), MessageError> {
+    fn check_bounds(&self) -> Result<(), MessageError> {
         match self {
             Message::Deltas { deltas, .. } => ensure(deltas.len() <= MAX_DELTAS, "deltas"),
             Message::Manifest(manifest) => ensure(manifest.buckets.len() == BUCKETS, "buckets"),
@@ -226,16 +230,16 @@
     }
 }
 
-fn ensure(holds: bool, field: &'static str) -> Result<(), MessageError> {
-    holds
+fn ensure(is_valid: bool, field: &'static str) -> Result<(), MessageError> {
+    is_valid
         .then_some(())
         .ok_or(MessageError::OutOfBounds { field })
 }
 
 fn check_interval(interval: &Interval) -> Result<(), MessageError> {
-    let fits = |end: &str| end.len() <= MAX_PEER_NAME_BYTES + 1;
+    let has_valid_length = |end: &str| end.len() <= MAX_PEER_NAME_BYTES + 1;
     ensure(
-        fits(&interval.from) && interval.to.as_deref().is_none_or(fits),
+        has_valid_length(&interval.from) && interval.to.as_deref().is_none_or(has_valid_length),
         "interval",
     )
 }
@@ -250,27 +254,27 @@
         "behind",
     )?;
     let behind = tally.unnamed_behind.checked_add(tally.behind.len() as u32);
-    let sum = behind.and_then(|behind| behind.checked_add(tally.up_to_date));
-    ensure(sum == Some(tally.total), "of")
+    let total = behind.and_then(|behind| behind.checked_add(tally.up_to_date));
+    ensure(total == Some(tally.total), "of")
 }
 
 impl Tally {
     /// Counts one peer that has the version.
-    pub fn add_having(&mut self) {
+    pub fn add_up_to_date(&mut self) {
         self.up_to_date = self.up_to_date.saturating_add(1);
         self.total = self.total.saturating_add(1);
     }
 
-    /// Counts one peer that does not.
+    /// Counts one peer that does not have the version.
     pub fn add_behind(&mut self, name: &str, lag_reason: LagReason) {
         self.total = self.total.saturating_add(1);
-        self.name_behind(LaggingPeer {
+        self.push_behind(LaggingPeer {
             name: name.to_string(),
             lag_reason,
         });
     }
 
-    /// Counts what another has counted in an interval of its own.
+    /// Adds the counts of another interval.
     pub fn add(&mut self, other: Tally) {
         self.up_to_date = self.up_to_date.saturating_add(other.up_to_date);
         self.total = self.total.saturating_add(other.total);
@@ -278,10 +282,10 @@
         other
             .behind
             .into_iter()
-            .for_each(|peer| self.name_behind(peer));
+            .for_each(|peer| self.push_behind(peer));
     }
 
-    fn name_behind(&mut self, peer: LaggingPeer) {
+    fn push_behind(&mut self, peer: LaggingPeer) {
         if self.behind.len() < MAX_NAMED_BEHIND {
             self.behind.push(peer);
         } else {
--- a/crates/configuration/src/replication/gossip.rs
+++ b/crates/configuration/src/replication/gossip.rs
@@ -1,6 +1,6 @@
-//! Announcements to a few, and a pull from one random peer a period.
+//! Announces new versions to a few random peers, and pulls from one random peer per period.
 
-use super::peers::Reach;
+use super::peers::RegionFilter;
 use super::verified::DeltaOutcome;
 use super::{Event, Nanos, Replicator, Role};
 use crate::delta::Delta;
@@ -9,19 +9,20 @@
 use havenplank_membership::member::MemberId;
 use std::sync::Arc;
 
-/// What a message with deltas has around each of them, at most.
-const DELTA_OVERHEAD: usize = 16;
-/// What a message with deltas has around all of them, at most.
-const DELTAS_OVERHEAD: usize = 128;
+/// Upper bound of the bytes that a message adds to each delta in it.
+const DELTA_OVERHEAD_BYTES: usize = 16;
+/// Upper bound of the bytes that a message has besides its deltas and the overhead of each.
+const DELTAS_MESSAGE_OVERHEAD_BYTES: usize = 128;
 
-/// A pull that waits for its answer.
+/// A pull that was sent and not answered yet.
 pub(super) struct PendingPull {
     peer: MemberId,
-    until: Nanos,
+    deadline: Nanos,
 }
 
 impl Replicator {
-    /// Tells a few random peers the newest verified version, with the delta that led to it where it fits a datagram.
+    /// Announces a delta's version to a few random peers, with the delta itself if it fits a datagram; without a delta,
+    /// announces the newest verified version.
     pub(super) fn announce(&mut self, delta: Option<&Delta>) {
         let claim = delta.map_or(self.verified.claim(), |delta| Claim {
             version: delta.to,
@@ -29,17 +30,19 @@
         });
         let encoded = delta
             .map(Delta::encode)
-            .filter(|bytes| bytes.len() + DELTAS_OVERHEAD <= MAX_DATAGRAM_BYTES);
+            .filter(|bytes| bytes.len() + DELTAS_MESSAGE_OVERHEAD_BYTES <= MAX_DATAGRAM_BYTES);
         let mut announced_to: Vec<MemberId> = Vec::with_capacity(
             self.settings.same_region_fan_out + self.settings.other_region_fan_out,
         );
-        for (reach, count) in [
-            (Reach::Near, self.settings.same_region_fan_out),
-            (Reach::Far, self.settings.other_region_fan_out),
+        for (region_filter, count) in [
+            (RegionFilter::Same, self.settings.same_region_fan_out),
+            (RegionFilter::Other, self.settings.other_region_fan_out),
         ] {
             for _ in 0..count {
-                let drawn = self.peers.draw(&mut self.rng, &self.me, reach);
-                announced_to.extend(drawn.filter(|peer| !announced_to.contains(peer)));
+                let peer = self
+                    .peers
+                    .pick_random(&mut self.rng, &self.me, region_filter);
+                announced_to.extend(peer.filter(|peer| !announced_to.contains(peer)));
             }
         }
         for peer in announced_to {
@@ -53,50 +56,55 @@
         }
     }
 
-    pub(super) fn pull_where_due(&mut self, now: Nanos) {
-        let retry_is_due = self.retry_at.is_some_and(|at| at <= now);
-        if self.next_pull > now && !retry_is_due {
+    pub(super) fn pull_if_due(&mut self, now: Nanos) {
+        let retry_is_due = self.retry_pull_at.is_some_and(|at| at <= now);
+        if self.next_pull_at > now && !retry_is_due {
             return;
         }
         if retry_is_due {
-            self.retry_at = None;
+            self.retry_pull_at = None;
         }
-        if self.next_pull <= now {
-            // A tenth more or less, so that processes that started together drift apart.
+        if self.next_pull_at <= now {
+            // The period varies by up to a tenth, so that processes that started together drift apart.
             let tenth = (self.settings.pull_period / 10).max(1);
-            let scattered = self.settings.pull_period - tenth + self.rng.rand_range(0..2 * tenth);
-            self.next_pull = now.saturating_add(scattered);
+            let jittered_period =
+                self.settings.pull_period - tenth + self.rng.rand_range(0..2 * tenth);
+            self.next_pull_at = now.saturating_add(jittered_period);
         }
-        // Every second one near: that is cheap and quick; the other one crosses what the first cannot.
-        let reach = if self.rng.rand_range(0..2) == 0 {
-            Reach::Near
+        // About half of the pulls stay in the own region, which is cheap and quick. The others may go to any peer, so
+        // that versions cross regions.
+        let region_filter = if self.rng.rand_range(0..2) == 0 {
+            RegionFilter::Same
         } else {
-            Reach::Any
+            RegionFilter::Any
         };
-        if let Some(peer) = self.peers.draw(&mut self.rng, &self.me, reach) {
-            self.ask(now, &peer);
+        if let Some(peer) = self
+            .peers
+            .pick_random(&mut self.rng, &self.me, region_filter)
+        {
+            self.send_pull(now, &peer);
         }
     }
 
-    /// Asks one peer what it has, unless an answer is awaited.
-    pub(super) fn ask(&mut self, now: Nanos, peer: &MemberId) {
+    /// Sends a pull to one peer, unless the answer to another pull is awaited.
+    pub(super) fn send_pull(&mut self, now: Nanos, peer: &MemberId) {
         if self
             .pending_pull
             .as_ref()
-            .is_some_and(|pending_pull| pending_pull.until > now)
+            .is_some_and(|pending_pull| pending_pull.deadline > now)
         {
             return;
         }
         let is_fetching = self.transfer.is_some();
-        let left = if is_fetching {
+        let available = if is_fetching {
             0
         } else {
-            self.fetching.left(now)
+            self.fetch_budget.available(now)
         };
-        let max_answer_bytes = u32::try_from(left).unwrap_or(u32::MAX);
+        let max_answer_bytes = u32::try_from(available).unwrap_or(u32::MAX);
         self.pending_pull = Some(PendingPull {
             peer: peer.clone(),
-            until: now.saturating_add(self.settings.answer_timeout),
+            deadline: now.saturating_add(self.settings.answer_timeout),
         });
         let message = Message::Pull {
             claim: self.verified.claim(),
@@ -106,27 +114,27 @@
         self.send(peer, message);
     }
 
-    /// Ends the wait for an answer, where this peer was asked.
-    pub(super) fn take_answer_from(&mut self, from: &MemberId) -> bool {
+    /// Ends the pending pull if it was sent to this peer; returns whether it was.
+    pub(super) fn clear_pending_pull(&mut self, from: &MemberId) -> bool {
         self.pending_pull
             .take_if(|pending_pull| pending_pull.peer == *from)
             .is_some()
     }
 
-    /// Asks again soon, somebody at random.
-    pub(super) fn retry(&mut self, now: Nanos) {
-        let wait =
+    /// Schedules another pull from a random peer after a short random delay, once the fetch budget allows it.
+    pub(super) fn schedule_retry(&mut self, now: Nanos) {
+        let delay =
             self.settings.retry_delay + self.rng.rand_range(0..self.settings.retry_delay.max(1));
-        let at = now.saturating_add(wait).max(self.fetching.ready_at());
-        self.retry_at = Some(self.retry_at.map_or(at, |before| before.min(at)));
+        let at = now.saturating_add(delay).max(self.fetch_budget.ready_at());
+        self.retry_pull_at = Some(self.retry_pull_at.map_or(at, |previous| previous.min(at)));
     }
 
-    /// Takes note of what another holds.
+    /// Records the version that a peer claims to have, and checks it for conflicts.
     pub(super) fn observe_claim(&mut self, now: Nanos, from: &MemberId, claim: Claim) {
-        let contradiction = self.verified.contradiction(claim);
-        if let Some(verified) = contradiction {
+        let conflicting_digest = self.verified.conflicting_digest(claim);
+        if let Some(verified) = conflicting_digest {
             self.counts.conflicts += 1;
-            if self.conflict.replace(claim) != Some(claim) {
+            if self.last_conflict.replace(claim) != Some(claim) {
                 let (version, other, from) = (claim.version, claim.digest, from.clone());
                 self.emit(Event::Conflict {
                     version,
@@ -136,7 +144,7 @@
                 });
             }
         }
-        self.stop_if_superseded(claim, contradiction.is_some());
+        self.stop_if_superseded(claim, conflicting_digest.is_some());
         if claim.version > self.newest_known.version {
             self.newest_known = claim;
         }
@@ -145,14 +153,14 @@
         }
     }
 
-    /// A writer stops where a higher epoch is known, or its own epoch has another writer.
-    fn stop_if_superseded(&mut self, claim: Claim, contradicts: bool) {
+    /// Stops this writer if a higher epoch is known, or if another process writes in its own epoch.
+    fn stop_if_superseded(&mut self, claim: Claim, conflicts: bool) {
         let Role::Writer { epoch } = self.role else {
             return;
         };
-        let foreign = claim.version.epoch == epoch
-            && (contradicts || claim.version > self.verified.version());
-        if self.superseded.is_none() && (claim.version.epoch > epoch || foreign) {
+        let has_other_writer =
+            claim.version.epoch == epoch && (conflicts || claim.version > self.verified.version());
+        if self.superseded.is_none() && (claim.version.epoch > epoch || has_other_writer) {
             self.superseded = Some(claim);
             self.polling.stop();
             self.emit(Event::Superseded { by: claim });
@@ -168,55 +176,56 @@
     ) {
         self.observe_claim(now, from, claim);
         if claim.version <= self.verified.version() {
-            self.refuse_lower_epoch(from, claim);
+            self.reject_lower_epoch(from, claim);
             return;
         }
         let Some(delta) = delta else {
-            self.ask(now, from);
+            self.send_pull(now, from);
             return;
         };
         match Delta::decode(&delta) {
             Ok(delta) if delta.to == claim.version && delta.digest == claim.digest => {
-                let applied = self.take_delta(now, from, delta);
+                let applied = self.apply_delta(now, from, delta);
                 applied.iter().for_each(|delta| self.announce(Some(delta)));
             }
             _ => self.counts.unreadable += 1,
         }
     }
 
-    /// Tells a writer, or whoever repeats it, that a higher epoch is in force.
-    pub(super) fn refuse_lower_epoch(&mut self, to: &MemberId, claim: Claim) -> bool {
-        let lower = claim.version.epoch < self.verified.version().epoch;
-        if lower {
+    /// Answers a claim of a lower epoch with the higher epoch that is verified here; returns whether the claim had one.
+    /// The peer may be the replaced writer or a peer that passed its message on.
+    pub(super) fn reject_lower_epoch(&mut self, to: &MemberId, claim: Claim) -> bool {
+        let is_lower = claim.version.epoch < self.verified.version().epoch;
+        if is_lower {
             self.counts.lower_epochs += 1;
             let message = Message::Superseded {
                 by: self.verified.claim(),
             };
             self.send(to, message);
         }
-        lower
+        is_lower
     }
 
-    /// The deltas that led on, this one and early ones that follow it.
-    fn take_delta(&mut self, now: Nanos, from: &MemberId, delta: Delta) -> Vec<Arc<Delta>> {
-        match self.verified.take(delta) {
+    /// Applies a delta. Returns the deltas that were applied: this one and stored early ones that continue from it.
+    fn apply_delta(&mut self, now: Nanos, from: &MemberId, delta: Delta) -> Vec<Arc<Delta>> {
+        match self.verified.apply_delta(delta) {
             DeltaOutcome::Applied(deltas) => {
-                self.handle_newer_head(now);
+                self.handle_new_verified_version(now);
                 return deltas;
             }
-            DeltaOutcome::Known => self.counts.repeats += 1,
-            DeltaOutcome::Early => self.ask(now, from),
-            DeltaOutcome::Unfit(error) => {
+            DeltaOutcome::NotNewer => self.counts.repeats += 1,
+            DeltaOutcome::Early => self.send_pull(now, from),
+            DeltaOutcome::DoesNotApply(error) => {
                 self.counts.unfit_deltas += 1;
                 self.needs_manifest |= !matches!(error, ApplyError::WrongBase { .. });
-                self.ask(now, from);
+                self.send_pull(now, from);
             }
         }
         Vec::new()
     }
 
-    /// What follows a newer head: the host gets it, and what was fetched for an older one ends.
-    pub(super) fn handle_newer_head(&mut self, now: Nanos) {
+    /// Offers a newly verified version to the host, and ends a transfer that is not newer.
+    pub(super) fn handle_new_verified_version(&mut self, now: Nanos) {
         self.needs_manifest = false;
         self.newest_known = self.newest_known_or_verified();
         let verified = self.verified.version();
@@ -236,10 +245,10 @@
         self.observe_claim(now, from, claim);
         let verified = self.verified.claim();
         if claim.version > verified.version {
-            self.ask(now, from);
+            self.send_pull(now, from);
         } else if claim.version < verified.version
             && max_answer_bytes > 0
-            && self.serving.left(now) > 0
+            && self.serve_budget.available(now) > 0
         {
             self.serve(now, from, claim, max_answer_bytes, manifest_only);
             return;
@@ -247,7 +256,7 @@
         self.send(from, Message::Current { claim: verified });
     }
 
-    /// Gives what leads on from there: deltas as far as there is room, else the manifest.
+    /// Answers a pull with as many deltas as fit, or with the manifest if no delta fits or deltas do not help.
     fn serve(
         &mut self,
         now: Nanos,
@@ -259,10 +268,10 @@
         let chain = if manifest_only {
             None
         } else {
-            self.verified.since(claim)
+            self.verified.deltas_since(claim)
         };
         let deltas = chain
-            .map(|chain| first_that_fit(&chain, max_answer_bytes))
+            .map(|chain| deltas_that_fit(&chain, max_answer_bytes))
             .filter(|deltas| !deltas.is_empty());
         let message = match deltas {
             Some(deltas) => Message::Deltas {
@@ -274,7 +283,7 @@
         self.send_served(now, to, message);
     }
 
-    /// Sends something long within the budget for others.
+    /// Sends a message and charges its size to the budget for serving others.
     pub(super) fn send_served(&mut self, now: Nanos, to: &MemberId, message: Message) {
         let bytes = match &message {
             Message::Deltas { deltas, .. } => deltas.iter().map(Vec::len).sum(),
@@ -282,21 +291,22 @@
             Message::Manifest(manifest) => size_of_val(manifest.buckets.as_slice()),
             _ => 0,
         };
-        self.serving.spend(now, bytes + DELTAS_OVERHEAD);
+        self.serve_budget
+            .spend(now, bytes + DELTAS_MESSAGE_OVERHEAD_BYTES);
         self.send(to, message);
     }
 
     pub(super) fn handle_current(&mut self, now: Nanos, from: &MemberId, claim: Claim) {
         self.observe_claim(now, from, claim);
-        let answered = self.take_answer_from(from);
+        let is_answer = self.clear_pending_pull(from);
         if claim.version <= self.verified.version() || self.transfer.is_some() {
             return;
         }
-        if answered {
-            // It has more but gives nothing now, or our own budget was spent.
-            self.retry(now);
+        if is_answer {
+            // The peer has a newer version but serves nothing now, or the fetch budget here was spent.
+            self.schedule_retry(now);
         } else {
-            self.ask(now, from);
+            self.send_pull(now, from);
         }
     }
 
@@ -309,23 +319,23 @@
         bytes: usize,
     ) {
         self.observe_claim(now, from, claim);
-        self.fetching.spend(now, bytes);
-        let pending_pull = self.take_answer_from(from);
-        // Whoever catches up on many versions tells of the last one alone: the others have them.
-        if let Some(last) = self.take_deltas(now, from, deltas) {
+        self.fetch_budget.spend(now, bytes);
+        let is_answer = self.clear_pending_pull(from);
+        // A process that catches up on many versions announces only the last one, because its peers have the others.
+        if let Some(last) = self.apply_deltas(now, from, deltas) {
             self.announce(Some(&last));
         }
-        if pending_pull && claim.version > self.verified.version() {
-            if self.fetching.left(now) > 0 {
-                self.ask(now, from);
+        if is_answer && claim.version > self.verified.version() {
+            if self.fetch_budget.available(now) > 0 {
+                self.send_pull(now, from);
             } else {
-                self.retry(now);
+                self.schedule_retry(now);
             }
         }
     }
 
-    /// Applies deltas in order, as far as they lead on. The last one that did.
-    fn take_deltas(
+    /// Applies deltas in order until one does not apply. Returns the last one that was applied.
+    fn apply_deltas(
         &mut self,
         now: Nanos,
         from: &MemberId,
@@ -340,7 +350,7 @@
             if delta.to <= self.verified.version() {
                 continue;
             }
-            let applied = self.take_delta(now, from, delta);
+            let applied = self.apply_delta(now, from, delta);
             if applied.is_empty() {
                 break;
             }
@@ -352,25 +362,26 @@
     pub(super) fn handle_superseded(&mut self, now: Nanos, from: &MemberId, by: Claim) {
         self.observe_claim(now, from, by);
         if by.version > self.verified.version() {
-            self.ask(now, from);
+            self.send_pull(now, from);
         }
     }
 }
 
-/// The first deltas that fit, encoded; one at least, unless it fits no message.
-fn first_that_fit(chain: &[Arc<Delta>], max_answer_bytes: u32) -> Vec<Vec<u8>> {
+/// Returns the first deltas that fit the answer, encoded. The first one may exceed `max_answer_bytes`, unless no
+/// message can hold it.
+fn deltas_that_fit(chain: &[Arc<Delta>], max_answer_bytes: u32) -> Vec<Vec<u8>> {
     let max_answer_bytes = (max_answer_bytes as usize).min(MAX_MESSAGE_BYTES / 2);
     let mut used = 0;
     let mut encoded = Vec::new();
     for delta in chain.iter().take(MAX_DELTAS) {
         let bytes = delta.encode();
-        used += bytes.len() + DELTA_OVERHEAD;
-        let fits = if encoded.is_empty() {
-            used + DELTAS_OVERHEAD <= MAX_MESSAGE_BYTES
+        used += bytes.len() + DELTA_OVERHEAD_BYTES;
+        let is_within_limit = if encoded.is_empty() {
+            used + DELTAS_MESSAGE_OVERHEAD_BYTES <= MAX_MESSAGE_BYTES
         } else {
             used <= max_answer_bytes
         };
-        if !fits {
+        if !is_within_limit {
             break;
         }
         encoded.push(bytes);
--- a/crates/configuration/src/replication/installation.rs
+++ b/crates/configuration/src/replication/installation.rs
@@ -1,26 +1,26 @@
-//! Between what is verified here and what the host has in force.
+//! Offers verified versions to the host, and records which version the host has in force.
 
 use super::{Effect, Event, Nanos, Replicator};
 use crate::message::{Claim, LagReason};
 use crate::snapshot::Snapshot;
 use crate::version::Version;
 
-/// The longest reason that is kept and told.
+/// Longest reason of a rejection that is kept and reported, in bytes; the rest is cut off.
 const MAX_REASON_BYTES: usize = 256;
 
-/// A version that the host could not take in.
+/// A version that the host rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Rejection {
     /// The version.
     pub version: Version,
-    /// Why, in the words of the host.
+    /// The reason that the host gave, truncated if it is long.
     pub reason: String,
 }
 
-/// What the host has, and what it was offered.
+/// The version that the host has in force, and the version that it was offered.
 pub(super) struct Installation {
     in_force: Snapshot,
-    pub(super) since: Nanos,
+    pub(super) in_force_since: Nanos,
     offered: Option<Snapshot>,
     pub(super) rejected: Option<Rejection>,
     retry: Option<OfferRetry>,
@@ -30,7 +30,7 @@
 #[derive(Clone, Copy)]
 struct OfferRetry {
     at: Nanos,
-    /// The wait after that.
+    /// The delay between this offer and the next one.
     backoff: Nanos,
 }
 
@@ -38,7 +38,7 @@
     pub(super) fn new(now: Nanos, in_force: Snapshot) -> Installation {
         Installation {
             in_force,
-            since: now,
+            in_force_since: now,
             offered: None,
             rejected: None,
             retry: None,
@@ -53,7 +53,7 @@
         &self.in_force
     }
 
-    /// A version that is in force without being offered, as at the writer.
+    /// Sets the version in force and clears any offer and rejection.
     pub(super) fn replace(&mut self, now: Nanos, snapshot: Snapshot) {
         *self = Installation::new(now, snapshot);
     }
@@ -62,7 +62,7 @@
         self.retry.map(|retry| retry.at)
     }
 
-    /// `None` where the claimed version or a newer one is in force.
+    /// Returns why the claimed version is not in force; `None` if it or a newer one is in force.
     pub(super) fn lag_reason(&self, claim: Claim) -> Option<LagReason> {
         let version = self.version();
         if version > claim.version
@@ -70,11 +70,11 @@
         {
             return None;
         }
-        let rejected = self
+        let is_rejected = self
             .rejected
             .as_ref()
             .is_some_and(|rejected| rejected.version == claim.version);
-        Some(match (version == claim.version, rejected) {
+        Some(match (version == claim.version, is_rejected) {
             (true, _) => LagReason::Differs,
             (false, true) => LagReason::Rejected,
             (false, false) => LagReason::Behind(version),
@@ -83,10 +83,10 @@
 }
 
 impl Replicator {
-    /// The host has taken over the version that was offered last. Any other is passed over.
+    /// Records that the host has installed the version that was offered last. Any other version is ignored.
     pub fn confirm_installed(&mut self, now: Nanos, version: Version) {
-        let fits = |offered: &mut Snapshot| offered.version() == version;
-        let Some(snapshot) = self.installation.offered.take_if(fits) else {
+        let is_offered = |offered: &mut Snapshot| offered.version() == version;
+        let Some(snapshot) = self.installation.offered.take_if(is_offered) else {
             return;
         };
         self.installation.replace(now, snapshot);
@@ -95,15 +95,16 @@
         }
     }
 
-    /// The host cannot take over the version that was offered last. What was in force stays; the version is offered
-    /// again with growing waits, as what stood in its way may be gone, or until a newer one takes its place.
+    /// Records that the host rejected the version that was offered last. The version in force stays. The rejected
+    /// version is offered again after growing delays, because the obstacle may have gone, until a newer version
+    /// replaces it.
     pub fn report_rejected(&mut self, now: Nanos, version: Version, reason: &str) {
-        let fits = |offered: &mut Snapshot| offered.version() == version;
-        if self.installation.offered.take_if(fits).is_none() {
+        let is_offered = |offered: &mut Snapshot| offered.version() == version;
+        if self.installation.offered.take_if(is_offered).is_none() {
             return;
         }
-        let before = self.installation.rejected.as_ref();
-        let is_repeat = before.is_some_and(|before| before.version == version);
+        let previous = self.installation.rejected.as_ref();
+        let is_repeat = previous.is_some_and(|previous| previous.version == version);
         let backoff = match self.installation.retry {
             Some(retry) if is_repeat => retry.backoff,
             _ => self.settings.initial_offer_backoff,
@@ -116,7 +117,7 @@
         });
         let rejection = Rejection {
             version,
-            reason: shortened(reason),
+            reason: truncate_reason(reason),
         };
         self.installation.rejected = Some(rejection.clone());
         self.counts.rejected += 1;
@@ -125,18 +126,19 @@
 
     /// Offers the newest verified version to the host.
     pub(super) fn offer(&mut self, now: Nanos) {
-        let head = self.verified.head().clone();
+        let newest = self.verified.newest().clone();
         self.behind_since.get_or_insert(now);
-        self.installation.offered = Some(head.clone());
+        self.installation.offered = Some(newest.clone());
         self.effects
             .retain(|effect| !matches!(effect, Effect::Install(_)));
-        self.effects.push_back(Effect::Install(head));
+        self.effects.push_back(Effect::Install(newest));
     }
 
-    pub(super) fn offer_where_due(&mut self, now: Nanos) {
+    pub(super) fn offer_if_due(&mut self, now: Nanos) {
         let due = self.installation.retry.filter(|retry| retry.at <= now);
         if let Some(retry) = due {
-            // Moved on at once, so that a host that does not answer is not asked in each turn.
+            // The next offer is scheduled now, so that a host that does not answer is not offered the version at each
+            // wake.
             self.installation.retry = Some(OfferRetry {
                 at: now.saturating_add(retry.backoff),
                 ..retry
@@ -146,8 +148,8 @@
     }
 }
 
-/// At most [`MAX_REASON_BYTES`] of a text, in whole characters.
-fn shortened(reason: &str) -> String {
+/// Returns the start of a reason, at most [`MAX_REASON_BYTES`] long and cut at a character boundary.
+fn truncate_reason(reason: &str) -> String {
     let end = (0..=MAX_REASON_BYTES.min(reason.len()))
         .rev()
         .find(|end| reason.is_char_boundary(*end));
--- a/crates/configuration/src/replication/mod.rs
+++ b/crates/configuration/src/replication/mod.rs
@@ -1,31 +1,34 @@
-//! How a configuration reaches every sidecar, and how its writer learns that it did. No I/O; time and chance are
-//! handed in, effects are left in a queue.
+//! Replicates the configuration from its writer to every sidecar, and reports to the writer which sidecars have it.
+//! This module does no I/O: the host passes in the time and the random seed, and takes effects from a queue.
 //!
-//! Whoever newly holds a version tells a few random peers, with the delta where it fits a datagram, and no more after
-//! that (`gossip`). Each process also asks one random peer a period what it has: that reaches whoever the first way
-//! missed, was cut off or has restarted. Who is too far behind for deltas fetches the buckets that differ
-//! (`transfer`), within a budget of bytes, from any peer that holds the same version. The writer polls the names in
-//! disjoint intervals, each under a head that splits it on (`acknowledgement`); nobody sends to all.
+//! A process that newly has a version announces it once to a few random peers, with the delta if it fits a datagram
+//! (`gossip`). Each process also pulls from one random peer per period, which brings the version to processes that the
+//! announcements missed, that were cut off or that have restarted. A process that is too far behind for deltas fetches
+//! the buckets that differ (`transfer`), within a byte budget, from any peer that has the same version. The writer
+//! polls disjoint intervals of peer names; one peer of each interval, its aggregator, splits the interval further and
+//! returns the counts (`acknowledgement`). No process sends to all others.
 //!
-//! **Verified and in force.** What is *verified* has the digest that its writer stated, and is passed on. What is *in
-//! force* was taken over by the host, which answers each [`Effect::Install`] with [`Replicator::confirm_installed`] or
-//! [`Replicator::report_rejected`].
-//! Only what is in force is acknowledged. So a host that rejects a version neither hides it from others nor fetches it
-//! again, and a later version still finds its base. A sidecar stores nothing before it tells: an acknowledgement says
-//! *in force*, never *on disk*. The writer stores before it calls [`Replicator::publish`].
+//! **Verified and in force.** A *verified* version has the digest that its writer stated, and is passed on to peers. A
+//! version is *in force* once the host has installed it; the host answers each [`Effect::Install`] with
+//! [`Replicator::confirm_installed`] or [`Replicator::report_rejected`]. Only a version in force is acknowledged. A
+//! host that rejects a version therefore neither hides it from peers nor fetches it again, and the delta of a later
+//! version still finds its base. A sidecar announces a version before storing it: an acknowledgement says *in force*,
+//! never *on disk*. The writer stores a version before it calls [`Replicator::publish`].
 //!
-//! **What holds always**: versions verified and in force never fall; a version is verified only with the digest that its
-//! writer stated; of two contents of one version the first stays; nobody is counted twice in one round. **What holds
-//! while enough can talk**: everybody gets the newest version, and reports are complete. Epochs are fenced by order
-//! alone: a replaced writer stops when it hears of the higher epoch, and what it published meanwhile loses to it.
+//! **Guaranteed always**: the verified version and the version in force never go back; a version is verified only with
+//! the digest that its writer stated; of two contents of one version, a process keeps the one it received first; no
+//! peer is counted twice in one round. **Guaranteed while enough peers can communicate**: every process gets the newest
+//! version, and reports are complete. Epochs are fenced by their order alone: a replaced writer stops when it learns of
+//! the higher epoch, and versions that it published meanwhile are superseded by that epoch.
 //!
-//! Every map and queue is bounded: `effects` by one call, as the host empties it after each; `polls` by `OPEN_POLLS`,
-//! emptied by a finished or expired round; early deltas, recent snapshots and the history in `verified`; peers by the
-//! membership; names that are behind by [`MAX_NAMED_BEHIND`](crate::message::MAX_NAMED_BEHIND).
+//! Every map and queue is bounded: `effects` by the effects of one call, because the host empties it after each;
+//! `open_polls` by `MAX_OPEN_POLLS`, and a poll is removed once its round finishes or expires; early deltas, recent
+//! snapshots and the history by limits in `verified`; peers by the membership; named lagging peers by
+//! [`MAX_NAMED_BEHIND`](crate::message::MAX_NAMED_BEHIND).
 //!
 //! # Tests of each guard
-//! See `tests/replication.rs` of the package `havenplank-configuration-simulation`; its head lists which guard each test
-//! was seen to miss.
+//! See `tests/replication.rs` of the package `havenplank-configuration-simulation`. Its header lists the guards whose
+//! removal was seen to fail a test.
 
 mod acknowledgement;
 mod budget;
@@ -61,94 +64,96 @@
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// Whole nanoseconds on this process's own monotonic clock, or a span.
+/// Nanoseconds on this process's own monotonic clock, or a duration in nanoseconds.
 pub type Nanos = u64;
 
-/// Rounds of polls open at once at one head; where there are more, the oldest is dropped and its parent takes another.
-const OPEN_POLLS: usize = 8;
-/// The first pull comes within this time of the start, scattered, so that a fleet that starts as one does not ask as one.
-const FIRST_PULL: Nanos = 100_000_000;
+/// Maximum number of polls open at once at one aggregator. A further one drops the oldest, whose parent then polls
+/// another aggregator.
+const MAX_OPEN_POLLS: usize = 8;
+/// The first pull is sent at a random time up to 100 ms after the start, so that processes that start together do not
+/// all pull at once.
+const MAX_FIRST_PULL_DELAY: Nanos = 100_000_000;
 
-/// What a process does with configurations.
+/// The role of a process in the replication.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Takes versions over.
+    /// Receives versions and puts them in force.
     Sidecar,
     /// Publishes the versions of one epoch.
     Writer {
-        /// The epoch.
+        /// The epoch of all versions that it publishes.
         epoch: u64,
     },
 }
 
-/// What a process brings from before its start.
+/// The configuration that a process has kept from an earlier run.
 pub struct CachedConfiguration {
-    /// The version that was in force, or none.
+    /// The version that was in force; the empty snapshot if there is none.
     pub snapshot: Snapshot,
-    /// Deltas that led to it, as far as they are kept.
+    /// Recent deltas that led to that version, in order.
     pub deltas: Vec<Arc<Delta>>,
 }
 
-/// What the host is to do.
+/// An action that the host must carry out.
 #[derive(Clone, Debug)]
 pub enum Effect {
     /// Sends a message to a peer; it may be lost.
     Send {
         /// The peer.
         to: MemberId,
-        /// What it is told.
+        /// The message.
         message: Message,
     },
-    /// A whole new version; the host answers with [`Replicator::confirm_installed`] or [`Replicator::report_rejected`]. One that came
-    /// before and was not answered yet is void.
+    /// Installs a new version. The host answers with [`Replicator::confirm_installed`] or
+    /// [`Replicator::report_rejected`]. An earlier `Install` that was not answered yet is void.
     Install(Snapshot),
-    /// Tells operators.
+    /// Reports an event to operators.
     Event(Event),
 }
 
-/// What an operator may want to read.
+/// An event that the host logs for operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
     /// Another process holds the same version with other records: two writers share an epoch.
     Conflict {
         /// The version.
         version: Version,
-        /// The digest of its records here.
+        /// The digest of the version's records in this process.
         verified: Digest,
-        /// The digest that the other one claims.
+        /// The digest that the other process states.
         other: Digest,
         /// The other process.
         from: MemberId,
     },
     /// This writer has been replaced and publishes no more.
     Superseded {
-        /// The version that shows it.
+        /// The version that proves it.
         by: Claim,
     },
-    /// The host could not take a version in.
+    /// The host rejected a version.
     Rejected(Rejection),
-    /// A whole snapshot is being fetched.
+    /// The transfer of a complete snapshot has begun.
     TransferBegan {
-        /// Its version.
+        /// The version of the snapshot.
         version: Version,
-        /// Buckets that are missing.
+        /// How many buckets are to be fetched.
         missing: usize,
     },
-    /// A whole snapshot was fetched and verified.
+    /// A complete snapshot was fetched and verified.
     TransferDone {
-        /// Its version.
+        /// The version of the snapshot.
         version: Version,
     },
-    /// The source of a transfer was silent, refused or sent something wrong; another one takes its place.
+    /// The source of a transfer did not answer, refused or sent an invalid chunk; the transfer continues from another.
     SourceChanged {
         /// The version that is fetched.
         version: Version,
-        /// The source that is given up.
+        /// The source that failed.
         from: MemberId,
     },
-    /// No source gave the whole snapshot; the next pull may begin another transfer.
+    /// No source delivered the complete snapshot; the next pull may begin another transfer.
     TransferFailed {
-        /// Its version.
+        /// The version of the snapshot.
         version: Version,
     },
 }
@@ -156,24 +161,24 @@
 /// Why a version was not published.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PublishError {
-    /// Sidecars publish nothing.
+    /// This process is a sidecar.
     #[error("this process is not the writer")]
     NotWriter,
     /// Another writer has taken over.
     #[error("version {} is in force elsewhere; another writer has taken over and this one publishes no more", by.version)]
     Superseded {
-        /// The version that shows it.
+        /// The version that proves it.
         by: Claim,
     },
-    /// A version that is not newer than what is here.
+    /// The version is not newer than the newest verified one.
     #[error("version {version} is not newer than {verified}, which is held")]
     NotNewer {
         /// The version to be published.
         version: Version,
-        /// The newest one here.
+        /// The newest verified version.
         verified: Version,
     },
-    /// A version of another epoch.
+    /// The version belongs to another epoch.
     #[error("version {version} is not of epoch {epoch}, which this writer has")]
     WrongEpoch {
         /// The version to be published.
@@ -183,7 +188,7 @@
     },
 }
 
-/// The part of one process in the replication of configurations.
+/// Replicates the configuration for one process: decides what to send, fetch and install.
 pub struct Replicator {
     me: Peer,
     role: Role,
@@ -192,24 +197,25 @@
     peers: Peers,
     verified: VerifiedVersions,
     installation: Installation,
-    /// The newest version heard of, and since when it has not been in force here.
+    /// The newest version that any peer has claimed.
     newest_known: Claim,
+    /// Since when a newer version than the one in force is known.
     behind_since: Option<Nanos>,
-    /// By whom this writer was replaced.
+    /// The claim that showed that this writer has been replaced.
     superseded: Option<Claim>,
-    /// The last contradiction that was told as an event.
-    conflict: Option<Claim>,
+    /// The claim of the last conflict event; the same conflict is not reported again.
+    last_conflict: Option<Claim>,
     pending_pull: Option<gossip::PendingPull>,
-    next_pull: Nanos,
-    /// When to ask again, where an answer was of no use or the budget was spent.
-    retry_at: Option<Nanos>,
-    /// Deltas did not apply, so that the next answer must be a manifest.
+    next_pull_at: Nanos,
+    /// When to pull again after a useless answer or once the fetch budget allows it.
+    retry_pull_at: Option<Nanos>,
+    /// Set if deltas did not apply, so that the next answer must be a manifest.
     needs_manifest: bool,
-    fetching: Budget,
-    serving: Budget,
+    fetch_budget: Budget,
+    serve_budget: Budget,
     transfer: Option<Transfer>,
-    /// Rounds in which this process is a head.
-    polls: VecDeque<OpenPoll>,
+    /// Polls that this process aggregates.
+    open_polls: VecDeque<OpenPoll>,
     polling: Polling,
     last_message_at: Option<Nanos>,
     last_poll_at: Option<Nanos>,
@@ -218,7 +224,8 @@
 }
 
 impl Replicator {
-    /// Returns the part of process `me`, which begins at `now` with what it cached and draws from `seed`.
+    /// Returns the replicator of process `me`, which starts at `now` with its cached configuration. All random choices
+    /// follow from `seed`.
     pub fn new(
         now: Nanos,
         seed: u64,
@@ -235,7 +242,7 @@
         let verified = VerifiedVersions::new(snapshot.clone(), history);
         let is_empty = snapshot.version() == Version::NONE;
         let mut rng = Rand64::new(u128::from(seed));
-        let next_pull = now.saturating_add(rng.rand_range(0..FIRST_PULL));
+        let next_pull_at = now.saturating_add(rng.rand_range(0..MAX_FIRST_PULL_DELAY));
         Replicator {
             me,
             role,
@@ -246,15 +253,15 @@
             installation: Installation::new(now, snapshot),
             behind_since: None,
             superseded: None,
-            conflict: None,
+            last_conflict: None,
             pending_pull: None,
-            next_pull,
-            retry_at: None,
+            next_pull_at,
+            retry_pull_at: None,
             needs_manifest: false,
-            fetching: settings.fetch_budget(now, is_empty),
-            serving: settings.serve_budget(now),
+            fetch_budget: settings.fetch_budget(now, is_empty),
+            serve_budget: settings.serve_budget(now),
             transfer: None,
-            polls: VecDeque::new(),
+            open_polls: VecDeque::new(),
             polling: Polling::new(now, role, &settings),
             last_message_at: None,
             last_poll_at: None,
@@ -264,20 +271,20 @@
         }
     }
 
-    /// Sets the peers that live, as the membership has them; this process may be among them.
+    /// Sets the peers that are alive according to the membership; this process may be among them.
     pub fn set_peers(&mut self, peers: Peers) {
         self.peers = peers;
     }
 
-    /// Takes out what the host is to do next. It empties this after each call.
+    /// Removes and returns the next effect. The host must take all effects after each call.
     pub fn next_effect(&mut self) -> Option<Effect> {
         self.effects.pop_front()
     }
 
-    /// Passes on a version that this writer has stored.
+    /// Announces a version that this writer has stored.
     ///
     /// # Errors
-    /// Why it is not passed on; nothing has changed then.
+    /// The reason why the version is not published; nothing has changed then.
     pub fn publish(
         &mut self,
         now: Nanos,
@@ -308,33 +315,37 @@
         Ok(())
     }
 
-    /// Returns when [`Replicator::wake`] is due.
+    /// Returns when to call [`Replicator::wake`] next.
     pub fn next_wake(&self) -> Option<Nanos> {
         let transfer = self
             .transfer
             .as_ref()
-            .map(|transfer| transfer.next_wake(&self.fetching));
-        let polls = self.polls.iter().filter_map(OpenPoll::next_wake).min();
+            .map(|transfer| transfer.next_wake(&self.fetch_budget));
+        let polls = self.open_polls.iter().filter_map(OpenPoll::next_wake).min();
         let next_round = self.polling.next_wake().filter(|_| !self.has_open_round());
         let others = [
-            self.retry_at,
+            self.retry_pull_at,
             transfer,
             polls,
             next_round,
             self.installation.next_wake(),
         ];
-        others.into_iter().flatten().chain([self.next_pull]).min()
+        others
+            .into_iter()
+            .flatten()
+            .chain([self.next_pull_at])
+            .min()
     }
 
-    /// Does what is due.
+    /// Runs every timer that is due.
     pub fn wake(&mut self, now: Nanos) {
-        self.pull_where_due(now);
-        self.fetch_where_due(now);
-        self.poll_where_due(now);
-        self.offer_where_due(now);
+        self.pull_if_due(now);
+        self.fetch_if_due(now);
+        self.poll_if_due(now);
+        self.offer_if_due(now);
     }
 
-    /// Takes in a message. `bytes` is its encoded length.
+    /// Handles a received message. `bytes` is its encoded length.
     pub fn handle_message(&mut self, now: Nanos, from: &MemberId, message: Message, bytes: usize) {
         self.last_message_at = Some(now);
         match message {
@@ -362,7 +373,7 @@
         }
     }
 
-    /// Counts a message that could not be read.
+    /// Counts a message that could not be decoded.
     pub fn count_unreadable(&mut self) {
         self.counts.unreadable += 1;
     }
--- a/crates/configuration/src/replication/poll.rs
+++ b/crates/configuration/src/replication/poll.rs
@@ -1,8 +1,9 @@
-//! One round of a poll at one head: who of an interval has a version in force.
+//! One poll at one aggregator: counts which peers of an interval of names have a version in force.
 //!
-//! A head counts itself, splits the rest of its interval into disjoint ones and asks a random peer of each to be their
-//! head. One that stays silent is replaced by another; where that one is silent too, the names known here are reported
-//! as silent. The first report of an interval closes it, so that no name is counted twice.
+//! The aggregator counts itself, splits the rest of its interval into disjoint parts and polls one random peer of each
+//! part, which becomes the aggregator of that part. If that peer does not answer in time, another peer of the part is
+//! polled; after the last attempt all names of the part that are known here are counted as silent. The first report of
+//! a part closes it, so that no name is counted twice.
 
 use super::peers::Peers;
 use super::Nanos;
@@ -11,39 +12,41 @@
 use havenplank_membership::member::MemberId;
 use oorandom::Rand64;
 
-/// Heads tried for one interval: with 1% loss each way two would leave one of 1,600 silent in every second round.
-const ATTEMPTS: usize = 3;
-/// Taken off the time-out of a poll for the way there and back, at most half of it.
-const MARGIN_MS: u32 = 400;
+/// Maximum number of aggregators polled for one part: with 2 and 1% loss each way, one of 1,600 peers would count as
+/// silent in every second round.
+const MAX_ATTEMPTS: usize = 3;
+/// Subtracted from the timeout of a poll for the way there and back, in milliseconds; at most half of the timeout.
+const ROUND_TRIP_MARGIN_MS: u32 = 400;
 const MS: Nanos = 1_000_000;
 
 /// Why a report was not counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UncountedReason {
-    /// Of an interval that was not asked for, or from somebody who was not asked.
-    NotAsked,
-    /// The interval was reported before.
+    /// Its interval or its sender was not polled.
+    NotPolled,
+    /// The part is closed already: it was counted, or its last attempt timed out.
     Closed,
 }
 
-/// An interval that was handed to another head.
-struct Child {
+/// A part of the interval that another aggregator counts.
+struct ChildPart {
     part: IntervalPart,
-    /// Those asked so far, [`ATTEMPTS`] at most.
-    heads: Vec<MemberId>,
-    expires: Nanos,
+    /// Peers polled for this part so far, at most [`MAX_ATTEMPTS`].
+    aggregators: Vec<MemberId>,
+    attempt_deadline: Nanos,
     closed: bool,
 }
 
+/// A poll that this process aggregates and that is not finished yet.
 pub struct OpenPoll {
-    /// Who gets the report; `None` at the writer, whose poll it is.
+    /// The peer that gets the report; `None` at the writer, which started the round.
     pub parent: Option<MemberId>,
     pub poll: Poll,
     peers: Peers,
-    /// The branches of the rules and two more at most.
-    children: Vec<Child>,
+    /// At most `poll_branches` of the settings and two more.
+    children: Vec<ChildPart>,
     tally: Tally,
-    attempt_ms: u32,
+    attempt_timeout_ms: u32,
 }
 
 impl OpenPoll {
@@ -51,62 +54,63 @@
         poll: Poll,
         parent: Option<MemberId>,
         own_name: &str,
-        own: Option<LagReason>,
+        own_lag: Option<LagReason>,
         peers: Peers,
         branches: usize,
     ) -> OpenPoll {
         let mut tally = Tally::default();
-        match own {
-            None => tally.add_having(),
+        match own_lag {
+            None => tally.add_up_to_date(),
             Some(lag_reason) => tally.add_behind(own_name, lag_reason),
         }
         let parts = poll
             .interval
-            .split_around(own_name, branches, peers.len(), |place| peers.name(place));
-        let child = |part| Child {
+            .split_around(own_name, branches, peers.len(), |index| peers.name(index));
+        let child = |part| ChildPart {
             part,
-            heads: Vec::new(),
-            expires: 0,
+            aggregators: Vec::new(),
+            attempt_deadline: 0,
             closed: false,
         };
         let children = parts.into_iter().map(child).collect();
-        let margin = MARGIN_MS.min(poll.timeout_ms / 2);
-        let attempt_ms = (poll.timeout_ms - margin) / ATTEMPTS as u32;
+        let round_trip_margin_ms = ROUND_TRIP_MARGIN_MS.min(poll.timeout_ms / 2);
+        let attempt_timeout_ms = (poll.timeout_ms - round_trip_margin_ms) / MAX_ATTEMPTS as u32;
         OpenPoll {
             parent,
             poll,
             peers,
             children,
             tally,
-            attempt_ms,
+            attempt_timeout_ms,
         }
     }
 
-    /// Asks the heads that are due, and gives up on intervals where all were silent.
-    pub fn ask_due_heads(&mut self, now: Nanos, rng: &mut Rand64) -> Vec<(MemberId, Poll)> {
+    /// Returns the polls to send now: the first attempt for each part, and the next one where an attempt timed out. A
+    /// part whose last attempt timed out is closed and its names are counted as silent.
+    pub fn take_due_requests(&mut self, now: Nanos, rng: &mut Rand64) -> Vec<(MemberId, Poll)> {
         let mut requests = Vec::new();
         for child in self
             .children
             .iter_mut()
-            .filter(|child| !child.closed && child.expires <= now)
+            .filter(|child| !child.closed && child.attempt_deadline <= now)
         {
-            if child.heads.len() == ATTEMPTS {
+            if child.aggregators.len() == MAX_ATTEMPTS {
                 child.closed = true;
-                for place in child.part.indices.clone() {
+                for index in child.part.indices.clone() {
                     self.tally
-                        .add_behind(self.peers.name(place), LagReason::Silent);
+                        .add_behind(self.peers.name(index), LagReason::Silent);
                 }
                 continue;
             }
-            let head = next_head(child, &self.peers, rng);
-            child.expires = now.saturating_add(u64::from(self.attempt_ms) * MS);
-            child.heads.push(head.clone());
+            let aggregator = choose_aggregator(child, &self.peers, rng);
+            child.attempt_deadline = now.saturating_add(u64::from(self.attempt_timeout_ms) * MS);
+            child.aggregators.push(aggregator.clone());
             let interval = child.part.interval.clone();
             requests.push((
-                head,
+                aggregator,
                 Poll {
                     interval,
-                    timeout_ms: self.attempt_ms,
+                    timeout_ms: self.attempt_timeout_ms,
                     ..self.poll.clone()
                 },
             ));
@@ -117,16 +121,16 @@
     /// Counts a report.
     ///
     /// # Errors
-    /// Why it was not counted.
-    pub fn report(&mut self, from: &MemberId, report: Report) -> Result<(), UncountedReason> {
-        let was_asked = |child: &&mut Child| {
-            child.part.interval == report.interval && child.heads.contains(from)
+    /// The reason why the report was not counted.
+    pub fn count_report(&mut self, from: &MemberId, report: Report) -> Result<(), UncountedReason> {
+        let was_polled = |child: &&mut ChildPart| {
+            child.part.interval == report.interval && child.aggregators.contains(from)
         };
         let child = self
             .children
             .iter_mut()
-            .find(was_asked)
-            .ok_or(UncountedReason::NotAsked)?;
+            .find(was_polled)
+            .ok_or(UncountedReason::NotPolled)?;
         if child.closed {
             return Err(UncountedReason::Closed);
         }
@@ -139,7 +143,7 @@
         self.children
             .iter()
             .filter(|child| !child.closed)
-            .map(|child| child.expires)
+            .map(|child| child.attempt_deadline)
             .min()
     }
 
@@ -167,18 +171,18 @@
     }
 }
 
-/// A random peer of the interval, another one than before where there is one.
-fn next_head(child: &Child, peers: &Peers, rng: &mut Rand64) -> MemberId {
-    let names = &child.part.indices;
-    let drawn = names.start + rng.rand_range(0..names.len() as u64) as usize;
-    let tried = child.heads.contains(peers.member_id(drawn));
-    let following = if drawn + 1 < names.end {
-        drawn + 1
+/// Returns a random peer of the part. If that one was polled before, returns the next name of the part in its order.
+fn choose_aggregator(child: &ChildPart, peers: &Peers, rng: &mut Rand64) -> MemberId {
+    let indices = &child.part.indices;
+    let picked = indices.start + rng.rand_range(0..indices.len() as u64) as usize;
+    let was_polled = child.aggregators.contains(peers.member_id(picked));
+    let following = if picked + 1 < indices.end {
+        picked + 1
     } else {
-        names.start
+        indices.start
     };
     peers
-        .member_id(if tried { following } else { drawn })
+        .member_id(if was_polled { following } else { picked })
         .clone()
 }
 
--- a/crates/configuration/src/replication/settings.rs
+++ b/crates/configuration/src/replication/settings.rs
@@ -1,4 +1,4 @@
-//! What a host may set of the replication, with defaults for 1,600 sidecars.
+//! The settings of the replication, with defaults for a fleet of 1,600 sidecars.
 
 use super::budget::Budget;
 use super::Nanos;
@@ -6,56 +6,58 @@
 const MS: Nanos = 1_000_000;
 const SECOND: Nanos = 1_000 * MS;
 
-/// What a host may set of the replication.
+/// The settings of the replication in one process.
 #[derive(Clone, Debug)]
 pub struct ReplicationSettings {
-    /// Peers of the own region that are told of a new version.
+    /// Peers of the own region to which a new version is announced.
     pub same_region_fan_out: usize,
-    /// Peers of other regions that are told of a new version.
+    /// Peers of other regions to which a new version is announced.
     pub other_region_fan_out: usize,
-    /// One random peer is asked what it holds in each such period, in nanoseconds.
+    /// Time between two pulls from a random peer, in nanoseconds.
     pub pull_period: Nanos,
-    /// How long the answer to a pull or to a wanted chunk may take, in nanoseconds.
+    /// Time within which a pull or a chunk request must be answered, in nanoseconds.
     pub answer_timeout: Nanos,
-    /// The least wait before another peer is asked where an answer was of no use, in nanoseconds; the longest is twice it.
+    /// Shortest delay before another peer is pulled after a useless answer, in nanoseconds; the longest is twice as
+    /// long.
     pub retry_delay: Nanos,
-    /// Bytes a second that are asked for in steady running.
+    /// Long-term rate at which deltas, manifests and chunks are fetched, in bytes per second.
     pub fetch_bytes_per_s: u64,
-    /// Bytes that may be asked for at once.
+    /// Bytes that may be requested at once.
     pub fetch_burst_bytes: u64,
-    /// Bytes that may be asked for at once by a process that starts with no configuration.
+    /// Bytes that a process that starts without a configuration may request at once, one time.
     pub initial_fetch_burst_bytes: u64,
-    /// Bytes a second that are given to others.
+    /// Long-term rate at which deltas, manifests and chunks are served to peers, in bytes per second.
     pub serve_bytes_per_s: u64,
-    /// Bytes that may be given to others at once.
+    /// Bytes that may be served to peers at once.
     pub serve_burst_bytes: u64,
-    /// Sources that may fail in a row before a transfer is begun anew.
+    /// Sources of a transfer that may fail in a row; one more failure ends the transfer.
     pub max_source_failures: u32,
-    /// Deltas kept for others.
+    /// Maximum number of deltas kept to serve peers.
     pub max_history_deltas: usize,
-    /// Encoded bytes of the deltas kept for others.
+    /// Maximum size of the deltas kept to serve peers, in encoded bytes.
     pub max_history_bytes: usize,
-    /// Wait of the writer after a publication before it polls, in nanoseconds; doubled each time that some are behind.
+    /// Time from a publication to the writer's first polling round, in nanoseconds. It doubles after each round in
+    /// which some peers are behind.
     pub initial_poll_interval: Nanos,
-    /// The longest wait between two polls, in nanoseconds.
+    /// Longest time between two polling rounds, in nanoseconds.
     pub max_poll_interval: Nanos,
-    /// Intervals into which the head of an interval splits it.
+    /// About how many parts an aggregator splits its interval into.
     pub poll_branches: usize,
-    /// How long a whole round of a poll may take, in nanoseconds.
+    /// Time within which a polling round ends, in nanoseconds.
     pub round_timeout: Nanos,
-    /// Wait before a rejected version is offered to the host again, in nanoseconds; doubled each time.
+    /// Delay before a rejected version is first offered to the host again, in nanoseconds. It doubles with each offer.
     pub initial_offer_backoff: Nanos,
-    /// The longest wait between two offers, in nanoseconds.
+    /// Longest delay between two offers, in nanoseconds.
     pub max_offer_backoff: Nanos,
 }
 
 impl ReplicationSettings {
     pub(super) fn fetch_budget(&self, now: Nanos, is_empty: bool) -> Budget {
-        let at_once = match is_empty {
+        let initial = match is_empty {
             true => self.initial_fetch_burst_bytes,
             false => self.fetch_burst_bytes,
         };
-        Budget::new(now, self.fetch_bytes_per_s, self.fetch_burst_bytes, at_once)
+        Budget::new(now, self.fetch_bytes_per_s, self.fetch_burst_bytes, initial)
     }
 
     pub(super) fn serve_budget(&self, now: Nanos) -> Budget {
--- a/crates/configuration/src/replication/transfer.rs
+++ b/crates/configuration/src/replication/transfer.rs
@@ -1,21 +1,21 @@
-//! A whole snapshot, fetched bucket by bucket from any peer that holds the same version.
+//! Fetches a complete snapshot in chunks of buckets, from any peer that has the same version.
 
 use super::budget::Budget;
-use super::peers::Reach;
+use super::peers::RegionFilter;
 use super::{Event, Nanos, Replicator};
 use crate::chunk::{next_chunk, Assembly, Chunk, Manifest};
 use crate::message::{Claim, Message};
 use crate::version::Version;
 use havenplank_membership::member::MemberId;
 
-/// A transfer under way; there is one at most.
+/// The transfer that is under way; a process has at most one.
 pub(super) struct Transfer {
     claim: Claim,
     assembly: Assembly,
     source: MemberId,
-    /// Until when the source may answer, where a chunk was asked for.
-    until: Option<Nanos>,
-    /// Sources that failed in a row.
+    /// When the pending chunk request times out; `None` if no request is pending.
+    answer_deadline: Option<Nanos>,
+    /// How many sources have failed in a row.
     failures: u32,
 }
 
@@ -32,14 +32,15 @@
         self.assembly.missing().len()
     }
 
-    pub(super) fn next_wake(&self, fetching: &Budget) -> Nanos {
-        self.until.unwrap_or_else(|| fetching.ready_at())
+    pub(super) fn next_wake(&self, fetch_budget: &Budget) -> Nanos {
+        self.answer_deadline
+            .unwrap_or_else(|| fetch_budget.ready_at())
     }
 }
 
 impl Replicator {
     pub(super) fn manifest(&self) -> Message {
-        Message::Manifest(Manifest::of(self.verified.head()))
+        Message::Manifest(Manifest::of(self.verified.newest()))
     }
 
     pub(super) fn handle_manifest(
@@ -54,12 +55,12 @@
             digest: manifest.digest,
         };
         self.observe_claim(now, from, claim);
-        self.fetching.spend(now, bytes);
-        let pending_pull = self.take_answer_from(from);
-        if !pending_pull || self.transfer.is_some() || claim.version <= self.verified.version() {
+        self.fetch_budget.spend(now, bytes);
+        let is_answer = self.clear_pending_pull(from);
+        if !is_answer || self.transfer.is_some() || claim.version <= self.verified.version() {
             return;
         }
-        match Assembly::new(self.verified.head(), manifest) {
+        match Assembly::new(self.verified.newest(), manifest) {
             Ok(assembly) => {
                 let missing = assembly.missing().len();
                 self.emit(Event::TransferBegan {
@@ -71,36 +72,36 @@
                     claim,
                     assembly,
                     source,
-                    until: None,
+                    answer_deadline: None,
                     failures: 0,
                 });
-                self.finish_or_fetch(now);
+                self.finish_or_request_chunk(now);
             }
             Err(_) => {
                 self.counts.bad_chunks += 1;
-                self.retry(now);
+                self.schedule_retry(now);
             }
         }
     }
 
-    /// Asks for the next chunk where the budget allows, and changes a silent source.
-    pub(super) fn fetch_where_due(&mut self, now: Nanos) {
+    /// Requests the next chunk if the budget allows it, and changes the source if a request has timed out.
+    pub(super) fn fetch_if_due(&mut self, now: Nanos) {
         let Some(transfer) = &self.transfer else {
             return;
         };
-        match transfer.until {
-            Some(until) if until <= now => self.change_source(now),
+        match transfer.answer_deadline {
+            Some(deadline) if deadline <= now => self.change_source(now),
             Some(_) => {}
-            None => self.want(now),
+            None => self.request_chunk(now),
         }
     }
 
-    fn want(&mut self, now: Nanos) {
-        let left = self.fetching.left(now);
-        let Some(transfer) = self.transfer.as_mut().filter(|_| left > 0) else {
+    fn request_chunk(&mut self, now: Nanos) {
+        let available = self.fetch_budget.available(now);
+        let Some(transfer) = self.transfer.as_mut().filter(|_| available > 0) else {
             return;
         };
-        transfer.until = Some(now.saturating_add(self.settings.answer_timeout));
+        transfer.answer_deadline = Some(now.saturating_add(self.settings.answer_timeout));
         let message = Message::ChunkRequest {
             claim: transfer.claim,
             buckets: transfer.assembly.missing(),
@@ -109,43 +110,44 @@
         self.send(&source, message);
     }
 
-    fn finish_or_fetch(&mut self, now: Nanos) {
+    fn finish_or_request_chunk(&mut self, now: Nanos) {
         match self.transfer.take() {
             Some(transfer) if transfer.missing() == 0 => self.finish(now, transfer),
             unfinished => {
                 self.transfer = unfinished;
-                self.want(now);
+                self.request_chunk(now);
             }
         }
     }
 
     fn finish(&mut self, now: Nanos, transfer: Transfer) {
         let (claim, source) = (transfer.claim, transfer.source);
-        let whole = transfer
+        let verified = transfer
             .assembly
             .finish()
             .ok()
             .filter(|snapshot| snapshot.digest() == claim.digest);
-        let Some(snapshot) = whole else {
+        let Some(snapshot) = verified else {
             self.counts.bad_chunks += 1;
             self.emit(Event::TransferFailed {
                 version: claim.version,
             });
-            self.retry(now);
+            self.schedule_retry(now);
             return;
         };
         if self.verified.replace(snapshot) {
-            self.handle_newer_head(now);
+            self.handle_new_verified_version(now);
             self.emit(Event::TransferDone {
                 version: claim.version,
             });
             self.announce(None);
         }
-        // Deltas since the transfer began.
-        self.ask(now, &source);
+        // Newer deltas may have reached the source since the transfer began.
+        self.send_pull(now, &source);
     }
 
-    /// Takes another source; where many failed, the transfer ends and the next pull may begin another.
+    /// Continues from another source. After too many failures in a row the transfer ends; the next pull may begin
+    /// another.
     fn change_source(&mut self, now: Nanos) {
         let Some(mut transfer) = self.transfer.take() else {
             return;
@@ -154,24 +156,27 @@
         let version = transfer.version();
         if transfer.failures > self.settings.max_source_failures {
             self.emit(Event::TransferFailed { version });
-            self.retry(now);
+            self.schedule_retry(now);
             return;
         }
         self.emit(Event::SourceChanged {
             version,
             from: transfer.source.clone(),
         });
-        let reach = if transfer.failures % 2 == 1 {
-            Reach::Near
+        let region_filter = if transfer.failures % 2 == 1 {
+            RegionFilter::Same
         } else {
-            Reach::Any
+            RegionFilter::Any
         };
-        if let Some(source) = self.peers.draw(&mut self.rng, &self.me, reach) {
+        if let Some(source) = self
+            .peers
+            .pick_random(&mut self.rng, &self.me, region_filter)
+        {
             transfer.source = source;
         }
-        transfer.until = None;
+        transfer.answer_deadline = None;
         self.transfer = Some(transfer);
-        self.want(now);
+        self.request_chunk(now);
     }
 
     pub(super) fn handle_chunk_request(
@@ -181,14 +186,14 @@
         claim: Claim,
         buckets: &[u16],
     ) {
-        let allowed = self.serving.left(now) > 0;
-        let found = self
+        let has_budget = self.serve_budget.available(now) > 0;
+        let chunk = self
             .verified
             .snapshot(claim)
-            .filter(|_| allowed)
+            .filter(|_| has_budget)
             .and_then(|verified| next_chunk(verified, buckets));
         let verified = self.verified.claim();
-        match found {
+        match chunk {
             Some(chunk) => self.send_served(now, from, Message::Chunk(chunk)),
             None => self.send(
                 from,
@@ -201,11 +206,11 @@
     }
 
     pub(super) fn handle_chunk(&mut self, now: Nanos, from: &MemberId, chunk: Chunk, bytes: usize) {
-        self.fetching.spend(now, bytes);
-        let fits = |transfer: &&mut Transfer| {
+        self.fetch_budget.spend(now, bytes);
+        let matches_transfer = |transfer: &&mut Transfer| {
             transfer.source == *from && transfer.version() == chunk.version
         };
-        let Some(transfer) = self.transfer.as_mut().filter(fits) else {
+        let Some(transfer) = self.transfer.as_mut().filter(matches_transfer) else {
             self.counts.repeats += 1;
             return;
         };
@@ -214,9 +219,9 @@
             self.change_source(now);
             return;
         }
-        transfer.until = None;
+        transfer.answer_deadline = None;
         transfer.failures = 0;
-        self.finish_or_fetch(now);
+        self.finish_or_request_chunk(now);
     }
 
     pub(super) fn handle_unavailable(
@@ -227,9 +232,9 @@
         claim: Claim,
     ) {
         self.observe_claim(now, from, claim);
-        let fits =
+        let matches_transfer =
             |transfer: &Transfer| transfer.source == *from && transfer.version() == requested;
-        if self.transfer.as_ref().is_some_and(fits) {
+        if self.transfer.as_ref().is_some_and(matches_transfer) {
             self.change_source(now);
         }
     }
--- a/crates/configuration/src/replication/verified.rs
+++ b/crates/configuration/src/replication/verified.rs
@@ -1,4 +1,4 @@
-//! What was verified here: the newest snapshot, the ones before it, and the deltas that led to it.
+//! The versions verified by this process: the newest snapshot, recent older ones, and the deltas between them.
 
 use crate::delta::Delta;
 use crate::digest::Digest;
@@ -10,92 +10,96 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
-/// Snapshots kept for transfers that have begun; they share all buckets that did not change.
-const RECENT: usize = 16;
-/// Deltas that came before the one they build on; each came in one datagram. A further one is dropped and pulled later.
-const EARLY: usize = 32;
+/// Maximum number of snapshots kept, so that transfers of older versions can finish. Snapshots share all unchanged
+/// buckets.
+const MAX_RECENT_SNAPSHOTS: usize = 16;
+/// Maximum number of deltas kept that arrived before the delta they build on; each arrived in one datagram. A further
+/// one is dropped and pulled later.
+const MAX_EARLY_DELTAS: usize = 32;
 
-/// What became of a delta.
+/// The result of applying a delta.
 #[derive(Debug)]
 pub enum DeltaOutcome {
-    /// It and early ones that follow it were applied, in this order.
+    /// The delta and stored early deltas that continue from it were applied, in this order.
     Applied(Vec<Arc<Delta>>),
-    /// It leads to nothing newer.
-    Known,
-    /// It builds on a version that is not here yet.
+    /// The delta leads to no newer version.
+    NotNewer,
+    /// The delta builds on a version that has not been verified yet.
     Early,
-    /// It does not lead on from the newest verified version.
-    Unfit(ApplyError),
+    /// The delta cannot be applied to the newest verified version.
+    DoesNotApply(ApplyError),
 }
 
+/// The versions that this process has verified.
 pub struct VerifiedVersions {
-    head: Snapshot,
-    /// The newest last, `head` among them; [`RECENT`] at most.
+    newest: Snapshot,
+    /// Recent snapshots, the newest one last; at most [`MAX_RECENT_SNAPSHOTS`].
     recent: VecDeque<Snapshot>,
     history: History,
-    /// By the version that each builds on; [`EARLY`] at most, emptied as the head passes them.
+    /// Early deltas by the version that each builds on; at most [`MAX_EARLY_DELTAS`]. Those below the newest version
+    /// are removed.
     early: BTreeMap<Version, Arc<Delta>>,
 }
 
 impl VerifiedVersions {
-    pub fn new(head: Snapshot, history: History) -> VerifiedVersions {
-        let recent = VecDeque::from([head.clone()]);
+    pub fn new(newest: Snapshot, history: History) -> VerifiedVersions {
+        let recent = VecDeque::from([newest.clone()]);
         VerifiedVersions {
-            head,
+            newest,
             recent,
             history,
             early: BTreeMap::new(),
         }
     }
 
-    pub fn head(&self) -> &Snapshot {
-        &self.head
+    pub fn newest(&self) -> &Snapshot {
+        &self.newest
     }
 
     pub fn version(&self) -> Version {
-        self.head.version()
+        self.newest.version()
     }
 
     pub fn claim(&self) -> Claim {
         Claim {
-            version: self.head.version(),
-            digest: self.head.digest(),
+            version: self.newest.version(),
+            digest: self.newest.digest(),
         }
     }
 
-    /// The digest under which a recent version was verified, where it is another than the claimed one.
-    pub fn contradiction(&self, claim: Claim) -> Option<Digest> {
-        let same = self
+    /// Returns the digest of the claimed version if that version is kept here with a digest other than the claimed one.
+    pub fn conflicting_digest(&self, claim: Claim) -> Option<Digest> {
+        let held = self
             .recent
             .iter()
             .rev()
             .find(|snapshot| snapshot.version() == claim.version)?;
-        (same.digest() != claim.digest).then(|| same.digest())
+        (held.digest() != claim.digest).then(|| held.digest())
     }
 
-    /// The recent snapshot of exactly this version and digest.
+    /// Returns the recent snapshot with exactly this version and digest.
     pub fn snapshot(&self, claim: Claim) -> Option<&Snapshot> {
-        let fits = |verified: &&Snapshot| {
+        let is_same = |verified: &&Snapshot| {
             verified.version() == claim.version && verified.digest() == claim.digest
         };
-        self.recent.iter().rev().find(fits)
+        self.recent.iter().rev().find(is_same)
     }
 
-    /// The deltas that lead on from a version, where all are there.
-    pub fn since(&self, claim: Claim) -> Option<Vec<Arc<Delta>>> {
-        if self.contradiction(claim).is_some() {
+    /// Returns the deltas from a version to the newest one; `None` if one of them is missing or the digests conflict.
+    pub fn deltas_since(&self, claim: Claim) -> Option<Vec<Arc<Delta>>> {
+        if self.conflicting_digest(claim).is_some() {
             return None;
         }
         self.history.since(claim.version)
     }
 
-    /// Applies a delta, and early ones that follow it.
-    pub fn take(&mut self, delta: Delta) -> DeltaOutcome {
+    /// Applies a delta, and stored early deltas that continue from it.
+    pub fn apply_delta(&mut self, delta: Delta) -> DeltaOutcome {
         if delta.to <= self.version() {
-            return DeltaOutcome::Known;
+            return DeltaOutcome::NotNewer;
         }
         if delta.from > self.version() {
-            if self.early.len() < EARLY {
+            if self.early.len() < MAX_EARLY_DELTAS {
                 self.early.entry(delta.from).or_insert(Arc::new(delta));
             }
             return DeltaOutcome::Early;
@@ -103,9 +107,9 @@
         let mut applied = Vec::new();
         let mut next = Some(Arc::new(delta));
         while let Some(delta) = next {
-            match self.head.apply(&delta) {
+            match self.newest.apply(&delta) {
                 Ok(snapshot) => self.advance(snapshot, Arc::clone(&delta)),
-                Err(error) if applied.is_empty() => return DeltaOutcome::Unfit(error),
+                Err(error) if applied.is_empty() => return DeltaOutcome::DoesNotApply(error),
                 Err(_) => break,
             }
             applied.push(delta);
@@ -114,25 +118,26 @@
         DeltaOutcome::Applied(applied)
     }
 
-    /// Takes over a delta whose result is known.
+    /// Sets the newest snapshot to the given result of a delta.
     pub fn advance(&mut self, snapshot: Snapshot, delta: Arc<Delta>) {
         self.history.push(delta);
-        self.set_head(snapshot);
+        self.set_newest(snapshot);
     }
 
-    /// Takes over a whole snapshot, where it is newer. No delta leads to it.
+    /// Replaces the newest snapshot with a transferred one if that is newer; returns whether it is. No delta leads to
+    /// it.
     pub fn replace(&mut self, snapshot: Snapshot) -> bool {
         if snapshot.version() <= self.version() {
             return false;
         }
-        self.set_head(snapshot);
+        self.set_newest(snapshot);
         true
     }
 
-    fn set_head(&mut self, snapshot: Snapshot) {
-        self.head = snapshot.clone();
+    fn set_newest(&mut self, snapshot: Snapshot) {
+        self.newest = snapshot.clone();
         self.recent.push_back(snapshot);
-        if self.recent.len() > RECENT {
+        if self.recent.len() > MAX_RECENT_SNAPSHOTS {
             self.recent.pop_front();
         }
         let version = self.version();
--- a/crates/configuration/tests/unit/message.rs
+++ b/crates/configuration/tests/unit/message.rs
@@ -1,4 +1,4 @@
-//! Messages on the configuration: bounds and encodings.
+//! Tests of the encoding of messages and of its bounds.
 
 use super::*;
 use crate::snapshot::Snapshot;
@@ -30,18 +30,18 @@
 /// A tally of one peer that has the version and one, `c`, that is silent.
 fn tally() -> Tally {
     let mut tally = Tally::default();
-    tally.add_having();
+    tally.add_up_to_date();
     tally.add_behind("c", LagReason::Silent);
     tally
 }
 
-fn decoded(message: &Message) -> Result<Message, MessageError> {
+fn encode_and_decode(message: &Message) -> Result<Message, MessageError> {
     Message::decode(&message.encode().unwrap())
 }
 
 #[test]
-fn what_is_encoded_is_read_back_and_nothing_shorter_or_longer() {
-    let good = [
+fn decodes_an_encoded_message_but_no_truncated_or_extended_one() {
+    let valid_messages = [
         Message::Announce {
             claim: claim(),
             delta: Some(vec![1, 2]),
@@ -49,7 +49,7 @@
         Message::Manifest(Manifest::of(&Snapshot::empty())),
         report(tally()),
     ];
-    for message in good {
+    for message in valid_messages {
         let bytes = message.encode().unwrap();
         assert_eq!(Message::decode(&bytes), Ok(message));
         assert!(Message::decode(&bytes[..bytes.len() - 1]).is_err());
@@ -62,20 +62,20 @@
 }
 
 #[test]
-fn a_report_whose_tally_contradicts_itself_or_its_interval_is_refused() {
-    let of = Tally {
+fn rejects_a_report_whose_tally_contradicts_itself_or_its_interval() {
+    let wrong_total = Tally {
         total: 3,
         ..tally()
     };
-    let more = Tally {
+    let overflowing = Tally {
         unnamed_behind: u32::MAX,
         ..tally()
     };
-    let behind = Tally {
+    let too_many_named = Tally {
         behind: vec![tally().behind[0].clone(); MAX_NAMED_BEHIND + 1],
         ..tally()
     };
-    let outside = Tally {
+    let outside_interval = Tally {
         behind: vec![LaggingPeer {
             name: "d".into(),
             lag_reason: LagReason::Silent,
@@ -83,19 +83,19 @@
         ..tally()
     };
     for (tally, field) in [
-        (of, "of"),
-        (more, "of"),
-        (behind, "behind"),
-        (outside, "behind"),
+        (wrong_total, "of"),
+        (overflowing, "of"),
+        (too_many_named, "behind"),
+        (outside_interval, "behind"),
     ] {
-        let read = decoded(&report(tally));
-        assert_eq!(read, Err(MessageError::OutOfBounds { field }));
+        let decoded = encode_and_decode(&report(tally));
+        assert_eq!(decoded, Err(MessageError::OutOfBounds { field }));
     }
 }
 
 #[test]
-fn a_list_out_of_its_bounds_is_refused() {
-    let want = Message::ChunkRequest {
+fn rejects_a_list_that_is_longer_than_allowed() {
+    let request = Message::ChunkRequest {
         claim: claim(),
         buckets: vec![0; BUCKETS + 1],
     };
@@ -103,28 +103,31 @@
         claim: claim(),
         deltas: vec![vec![]; MAX_DELTAS + 1],
     };
-    for (message, field) in [(want, "buckets"), (deltas, "deltas")] {
-        assert_eq!(decoded(&message), Err(MessageError::OutOfBounds { field }));
+    for (message, field) in [(request, "buckets"), (deltas, "deltas")] {
+        assert_eq!(
+            encode_and_decode(&message),
+            Err(MessageError::OutOfBounds { field })
+        );
     }
 }
 
 #[test]
-fn a_message_that_is_too_long_is_neither_read_nor_written() {
-    let long = vec![0; MAX_MESSAGE_BYTES + 1];
+fn neither_decodes_nor_encodes_a_message_that_is_too_long() {
+    let too_long = vec![0; MAX_MESSAGE_BYTES + 1];
     assert!(matches!(
-        Message::decode(&long),
+        Message::decode(&too_long),
         Err(MessageError::TooLong { .. })
     ));
     let announce = Message::Announce {
         claim: claim(),
-        delta: Some(long),
+        delta: Some(too_long),
     };
     assert!(announce.encode().is_err());
 }
 
 proptest! {
     #[test]
-    fn noise_is_read_without_a_panic(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
+    fn decodes_random_bytes_without_a_panic(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
         let _ = Message::decode(&bytes);
     }
 }
--- a/crates/configuration/tests/unit/poll.rs
+++ b/crates/configuration/tests/unit/poll.rs
@@ -1,4 +1,4 @@
-//! One round of a poll at one head.
+//! Tests of one poll at one aggregator.
 
 use super::super::peers::Peer;
 use super::*;
@@ -22,7 +22,7 @@
     )
 }
 
-fn root(count: u64) -> OpenPoll {
+fn root_poll(count: u64) -> OpenPoll {
     let claim = Claim {
         version: Version {
             epoch: 1,
@@ -39,10 +39,10 @@
     OpenPoll::new(poll, None, "s-000", None, peers(count), 4)
 }
 
-fn answer(poll: &Poll, have: u32) -> Report {
+fn report_all_up_to_date(poll: &Poll, count: u32) -> Report {
     let tally = Tally {
-        up_to_date: have,
-        total: have,
+        up_to_date: count,
+        total: count,
         ..Tally::default()
     };
     Report {
@@ -54,33 +54,38 @@
 }
 
 #[test]
-fn a_silent_head_is_replaced_and_the_second_report_of_an_interval_is_not_counted() {
+fn replaces_a_silent_aggregator_and_does_not_count_a_second_report_of_a_part() {
     let mut rng = Rand64::new(1);
-    let mut open = root(41);
-    let asked = open.ask_due_heads(0, &mut rng);
-    assert_eq!(asked.len(), 4);
-    for (head, poll) in &asked[1..] {
-        open.report(head, answer(poll, 10)).unwrap();
+    let mut open = root_poll(41);
+    let requests = open.take_due_requests(0, &mut rng);
+    assert_eq!(requests.len(), 4);
+    for (aggregator, poll) in &requests[1..] {
+        open.count_report(aggregator, report_all_up_to_date(poll, 10))
+            .unwrap();
     }
-    let expires = open.next_wake().unwrap();
-    assert!(open.ask_due_heads(expires - 1, &mut rng).is_empty());
-    let again = open.ask_due_heads(expires, &mut rng);
-    assert_eq!(again.len(), 1);
-    let ((first, poll), (second, same)) = (&asked[0], &again[0]);
+    let deadline = open.next_wake().unwrap();
+    assert!(open.take_due_requests(deadline - 1, &mut rng).is_empty());
+    let retries = open.take_due_requests(deadline, &mut rng);
+    assert_eq!(retries.len(), 1);
+    let ((first, poll), (second, retried_poll)) = (&requests[0], &retries[0]);
     assert_ne!(first, second);
-    assert_eq!(poll.interval, same.interval);
-    // A stranger's report counts nothing; the late one of the first head counts, the second one's no more.
-    let stranger = MemberId {
+    assert_eq!(poll.interval, retried_poll.interval);
+    // A report of a peer that was not polled does not count. The late report of the first aggregator counts, and the
+    // report of its replacement does not count any more.
+    let unpolled_peer = MemberId {
         name: "s-040".into(),
         incarnation: 9,
     };
     assert_eq!(
-        open.report(&stranger, answer(poll, 10)),
-        Err(UncountedReason::NotAsked)
+        open.count_report(&unpolled_peer, report_all_up_to_date(poll, 10)),
+        Err(UncountedReason::NotPolled)
     );
-    assert_eq!(open.report(first, answer(poll, 10)), Ok(()));
     assert_eq!(
-        open.report(second, answer(same, 10)),
+        open.count_report(first, report_all_up_to_date(poll, 10)),
+        Ok(())
+    );
+    assert_eq!(
+        open.count_report(second, report_all_up_to_date(retried_poll, 10)),
         Err(UncountedReason::Closed)
     );
     assert!(open.is_finished());
@@ -88,12 +93,12 @@
 }
 
 #[test]
-fn who_never_answers_is_reported_as_silent_by_name_up_to_a_bound() {
+fn reports_peers_that_never_answer_as_silent_and_names_at_most_16() {
     let mut rng = Rand64::new(1);
-    let mut open = root(41);
-    open.ask_due_heads(0, &mut rng);
+    let mut open = root_poll(41);
+    open.take_due_requests(0, &mut rng);
     while let Some(wake) = open.next_wake() {
-        open.ask_due_heads(wake, &mut rng);
+        open.take_due_requests(wake, &mut rng);
     }
     let tally = open.tally();
     assert_eq!(
