--- a/crates/capacity/src/configuration/scenarios.rs
+++ b/crates/capacity/src/configuration/scenarios.rs
@@ -274,7 +274,7 @@
     Cost {
         bytes_per_s: traffic.sent_bytes as f64 / span,
         messages_per_s: traffic.sent_messages as f64 / span,
-        core_share: traffic.cpu_time.as_secs_f64() / span,
+        core_share: traffic.processing_time.as_secs_f64() / span,
     }
 }
 
@@ -287,18 +287,18 @@
             .saturating_sub(before.received_messages),
         received_bytes: now.received_bytes.saturating_sub(before.received_bytes),
         longest_message_bytes: now.longest_message_bytes,
-        cpu_time: now.cpu_time.saturating_sub(before.cpu_time),
+        processing_time: now.processing_time.saturating_sub(before.processing_time),
     }
 }
 
 fn added(a: &Traffic, b: &Traffic) -> Traffic {
-    let cpu_time: Duration = a.cpu_time + b.cpu_time;
+    let processing_time: Duration = a.processing_time + b.processing_time;
     Traffic {
         sent_messages: a.sent_messages + b.sent_messages,
         sent_bytes: a.sent_bytes + b.sent_bytes,
         received_messages: a.received_messages + b.received_messages,
         received_bytes: a.received_bytes + b.received_bytes,
         longest_message_bytes: a.longest_message_bytes.max(b.longest_message_bytes),
-        cpu_time,
+        processing_time,
     }
 }
--- a/crates/configuration-simulation/src/process.rs
+++ b/crates/configuration-simulation/src/process.rs
@@ -28,7 +28,7 @@
     body: Vec<u8>,
 }
 
-/// The messages and bytes that a process sent and received, and the CPU time that it used.
+/// The messages and bytes that a process sent and received, and the time that it spent on them.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Traffic {
     /// Messages sent.
@@ -42,7 +42,7 @@
     /// Length of the longest message sent, with its overhead, in bytes.
     pub longest_message_bytes: u64,
     /// Time spent in the replicator and the codec, by the wall clock around each call.
-    pub cpu_time: Duration,
+    pub processing_time: Duration,
 }
 
 /// The installation of one version.
@@ -160,7 +160,7 @@
         let result = self
             .replicator
             .publish(now, Arc::new(delta), snapshot.clone());
-        self.traffic.cpu_time += started.elapsed();
+        self.traffic.processing_time += started.elapsed();
         result?;
         self.put_in_force(now, snapshot);
         self.perform_effects(now);
@@ -205,7 +205,7 @@
     fn send(&mut self, to: MemberId, message: &Message) {
         let started = Instant::now();
         let Ok(body) = message.encode() else { return };
-        self.traffic.cpu_time += started.elapsed();
+        self.traffic.processing_time += started.elapsed();
         let bytes = body.len() as u64 + OVERHEAD_BYTES;
         self.traffic.sent_messages += 1;
         self.traffic.sent_bytes += bytes;
@@ -241,14 +241,14 @@
             }
             Err(_) => self.replicator.count_unreadable(),
         }
-        self.traffic.cpu_time += started.elapsed();
+        self.traffic.processing_time += started.elapsed();
         self.perform_effects(now);
     }
 
     fn wake(&mut self, now: Nanos) {
         let started = Instant::now();
         self.replicator.wake(now);
-        self.traffic.cpu_time += started.elapsed();
+        self.traffic.processing_time += started.elapsed();
         self.perform_effects(now);
     }
 
--- a/crates/configuration-simulation/tests/replication.rs
+++ b/crates/configuration-simulation/tests/replication.rs
@@ -102,19 +102,19 @@
         for id in 0..count {
             self.record(&fleet.net, id);
         }
-        fleet.net.run(until, |net, stepped| {
-            self.check(net, stepped, count, digests)
-        });
+        fleet
+            .net
+            .run(until, |net, id| self.check(net, id, count, digests));
     }
 
     fn check(
         &mut self,
         net: &Net<Process>,
-        stepped: Id,
+        id: Id,
         count: usize,
         digests: &BTreeMap<Version, Vec<Digest>>,
     ) {
-        let Some(process) = net.part(stepped) else {
+        let Some(process) = net.part(id) else {
             return;
         };
         let (version, digest) = (process.in_force.version(), process.in_force.digest());
@@ -125,9 +125,9 @@
         assert!(
             is_published,
             "{} has {version} in force with a content that no writer published",
-            process_name(stepped)
+            process_name(id)
         );
-        self.record(net, stepped);
+        self.record(net, id);
         if let Some(round) = process
             .replicator
             .status()
@@ -315,8 +315,8 @@
         );
     }
 
-    /// Stops a writer before it has stored its next version, or after that but before it has announced the version. Then
-    /// restarts it with what it has stored.
+    /// Stops a writer before it has stored its next version, or after that but before it has announced the version.
+    /// Then restarts it with what it has stored.
     fn crash_writer(&mut self) {
         let Some((&id, &epoch)) = self.writers.iter().next() else {
             return;
--- a/crates/configuration/src/message.rs
+++ b/crates/configuration/src/message.rs
@@ -154,7 +154,7 @@
     },
 }
 
-/// Why bytes cannot be decoded as a message, or a message not be encoded.
+/// Why a message cannot be encoded or decoded.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MessageError {
     /// The message is longer than [`MAX_MESSAGE_BYTES`].
@@ -255,6 +255,7 @@
     )?;
     let behind = tally.unnamed_behind.checked_add(tally.behind.len() as u32);
     let total = behind.and_then(|behind| behind.checked_add(tally.up_to_date));
+    // Logs and `GET /state` also name the total `of`.
     ensure(total == Some(tally.total), "of")
 }
 
--- a/crates/configuration/src/replication/mod.rs
+++ b/crates/configuration/src/replication/mod.rs
@@ -18,8 +18,8 @@
 //! **Guaranteed always**: the verified version and the version in force never go back; a version is verified only with
 //! the digest that its writer stated; of two contents of one version, a process keeps the one it received first; no
 //! peer is counted twice in one round. **Guaranteed while enough peers can communicate**: every process gets the newest
-//! version, and reports are complete. Epochs are fenced by their order alone: a replaced writer stops when it learns of
-//! the higher epoch, and versions that it published meanwhile are superseded by that epoch.
+//! version, and reports are complete. A replaced writer is fenced by the order of epochs alone: it stops when it
+//! learns of the higher epoch, and versions that it published meanwhile are superseded by that epoch.
 //!
 //! Every map and queue is bounded: `effects` by the effects of one call, because the host empties it after each;
 //! `open_polls` by `MAX_OPEN_POLLS`, and a poll is removed once its round finishes or expires; early deltas, recent
@@ -99,9 +99,9 @@
 pub enum Effect {
     /// Sends a message to a peer; it may be lost.
     Send {
-        /// The peer.
+        /// The peer that receives the message.
         to: MemberId,
-        /// The message.
+        /// The message to send.
         message: Message,
     },
     /// Installs a new version. The host answers with [`Replicator::confirm_installed`] or
@@ -197,7 +197,7 @@
     peers: Peers,
     verified: VerifiedVersions,
     installation: Installation,
-    /// The newest version that any peer has claimed.
+    /// The newest version that a peer has claimed or that was verified here.
     newest_known: Claim,
     /// Since when a newer version than the one in force is known.
     behind_since: Option<Nanos>,
--- a/crates/configuration/src/replication/status.rs
+++ b/crates/configuration/src/replication/status.rs
@@ -42,7 +42,7 @@
     pub in_force_since: Nanos,
     /// The newest version that was verified by its digest; it is passed on to peers.
     pub verified: Version,
-    /// The newest version that any peer has claimed.
+    /// The newest version that a peer has claimed or that was verified here.
     pub newest_known: Version,
     /// Since when a newer version is known that is not in force here; `None` if the newest known version is in force.
     pub behind_since: Option<Nanos>,
--- a/crates/configuration/tests/unit/poll.rs
+++ b/crates/configuration/tests/unit/poll.rs
@@ -39,10 +39,10 @@
     OpenPoll::new(poll, None, "s-000", None, peers(count), 4)
 }
 
-fn report_all_up_to_date(poll: &Poll, count: u32) -> Report {
+fn report_all_up_to_date(poll: &Poll, up_to_date: u32) -> Report {
     let tally = Tally {
-        up_to_date: count,
-        total: count,
+        up_to_date,
+        total: up_to_date,
         ..Tally::default()
     };
     Report {
@@ -56,16 +56,19 @@
 #[test]
 fn replaces_a_silent_aggregator_and_does_not_count_a_second_report_of_a_part() {
     let mut rng = Rand64::new(1);
-    let mut open = root_poll(41);
-    let requests = open.take_due_requests(0, &mut rng);
+    let mut open_poll = root_poll(41);
+    let requests = open_poll.take_due_requests(0, &mut rng);
     assert_eq!(requests.len(), 4);
     for (aggregator, poll) in &requests[1..] {
-        open.count_report(aggregator, report_all_up_to_date(poll, 10))
+        open_poll
+            .count_report(aggregator, report_all_up_to_date(poll, 10))
             .unwrap();
     }
-    let deadline = open.next_wake().unwrap();
-    assert!(open.take_due_requests(deadline - 1, &mut rng).is_empty());
-    let retries = open.take_due_requests(deadline, &mut rng);
+    let deadline = open_poll.next_wake().unwrap();
+    assert!(open_poll
+        .take_due_requests(deadline - 1, &mut rng)
+        .is_empty());
+    let retries = open_poll.take_due_requests(deadline, &mut rng);
     assert_eq!(retries.len(), 1);
     let ((first, poll), (second, retried_poll)) = (&requests[0], &retries[0]);
     assert_ne!(first, second);
@@ -77,30 +80,33 @@
         incarnation: 9,
     };
     assert_eq!(
-        open.count_report(&unpolled_peer, report_all_up_to_date(poll, 10)),
+        open_poll.count_report(&unpolled_peer, report_all_up_to_date(poll, 10)),
         Err(UncountedReason::NotPolled)
     );
     assert_eq!(
-        open.count_report(first, report_all_up_to_date(poll, 10)),
+        open_poll.count_report(first, report_all_up_to_date(poll, 10)),
         Ok(())
     );
     assert_eq!(
-        open.count_report(second, report_all_up_to_date(retried_poll, 10)),
+        open_poll.count_report(second, report_all_up_to_date(retried_poll, 10)),
         Err(UncountedReason::Closed)
     );
-    assert!(open.is_finished());
-    assert_eq!((open.tally().up_to_date, open.tally().total), (41, 41));
+    assert!(open_poll.is_finished());
+    assert_eq!(
+        (open_poll.tally().up_to_date, open_poll.tally().total),
+        (41, 41)
+    );
 }
 
 #[test]
 fn reports_peers_that_never_answer_as_silent_and_names_at_most_16() {
     let mut rng = Rand64::new(1);
-    let mut open = root_poll(41);
-    open.take_due_requests(0, &mut rng);
-    while let Some(wake) = open.next_wake() {
-        open.take_due_requests(wake, &mut rng);
+    let mut open_poll = root_poll(41);
+    open_poll.take_due_requests(0, &mut rng);
+    while let Some(wake) = open_poll.next_wake() {
+        open_poll.take_due_requests(wake, &mut rng);
     }
-    let tally = open.tally();
+    let tally = open_poll.tally();
     assert_eq!(
         (
             tally.up_to_date,
