--- a/crates/configuration/src/replication/poll.rs
+++ b/crates/configuration/src/replication/poll.rs
@@ -15,8 +15,8 @@
 /// Maximum number of aggregators polled for one part: with 2 and 1% loss each way, one of 1,600 peers would count as
 /// silent in every second round.
 const MAX_ATTEMPTS: usize = 3;
-/// Subtracted from the timeout of a poll for the way there and back, in milliseconds; at most half of the timeout.
-const ROUND_TRIP_MARGIN_MS: u32 = 400;
+/// Subtracted from the timeout of a poll for the network round-trip time, in milliseconds; at most half of the timeout.
+const RTT_MARGIN_MS: u32 = 400;
 const MS: Nanos = 1_000_000;
 
 /// Why a report was not counted.
@@ -73,8 +73,8 @@
             closed: false,
         };
         let children = parts.into_iter().map(child).collect();
-        let round_trip_margin_ms = ROUND_TRIP_MARGIN_MS.min(poll.timeout_ms / 2);
-        let attempt_timeout_ms = (poll.timeout_ms - round_trip_margin_ms) / MAX_ATTEMPTS as u32;
+        let rtt_margin_ms = RTT_MARGIN_MS.min(poll.timeout_ms / 2);
+        let attempt_timeout_ms = (poll.timeout_ms - rtt_margin_ms) / MAX_ATTEMPTS as u32;
         OpenPoll {
             parent,
             poll,
