--- a/crates/adapter/src/actions.rs
+++ b/crates/adapter/src/actions.rs
@@ -31,31 +31,31 @@
 ///
 /// # Errors
 /// A line that the adapter would not say.
-pub fn read(line: &Line, listener: &mut impl ActionListener) -> Result<Option<u64>, WireError> {
-    let f = line.of();
+pub fn decode(line: &Line, listener: &mut impl ActionListener) -> Result<Option<u64>, WireError> {
+    let f = line.fields();
     if line.verb == action::ROUND_DONE {
-        return f.whole(field::TURN).map(Some);
+        return f.integer(field::TURN).map(Some);
     }
-    let sidecar = f.whole(field::SIDECAR)?;
+    let sidecar = f.integer(field::SIDECAR)?;
     match line.verb.as_str() {
         action::ATTEMPT => {
             let (request, pod) = (f.text(field::REQUEST)?, f.text(field::POD)?);
-            listener.attempt(sidecar, request, pod, f.whole(field::TIMEOUT)?);
+            listener.attempt(sidecar, request, pod, f.integer(field::TIMEOUT)?);
         }
         action::CANCEL => {
             let request = f.text(field::REQUEST)?;
-            listener.cancel(sidecar, request, f.whole(field::ATTEMPT)? as u32);
+            listener.cancel(sidecar, request, f.integer(field::ATTEMPT)? as u32);
         }
         action::REJECT => {
             let request = f.text(field::REQUEST)?;
-            listener.reject(sidecar, request, f.whole_or(field::RETRY_AFTER, 0)?);
+            listener.reject(sidecar, request, f.integer_or(field::RETRY_AFTER, 0)?);
         }
         action::FAIL => listener.fail(sidecar, f.text(field::REQUEST)?),
         action::VOTE => {
-            let vote = wire_names::vote(f.whole(field::VOTE)?)
+            let vote = wire_names::vote(f.integer(field::VOTE)?)
                 .ok_or_else(|| f.error(field::VOTE, "not 0 to 3"))?;
-            let build = f.whole(field::BUILD)? as Build;
-            listener.vote(sidecar, build, f.whole(field::STAGE)? as usize, vote);
+            let build = f.integer(field::BUILD)? as Build;
+            listener.vote(sidecar, build, f.integer(field::STAGE)? as usize, vote);
         }
         action::HEALTH_CHECK => listener.health_check(sidecar, f.text(field::POD)?),
         action::POLL_ENDPOINTS => listener.poll_endpoints(sidecar),
--- a/crates/adapter/src/decode.rs
+++ b/crates/adapter/src/decode.rs
@@ -29,7 +29,7 @@
 /// What an instance hears, decoded: names as they stand on the wire, all else as the router takes it.
 pub trait InstanceListener {
     /// A new instance.
-    fn attach(now: Nanos, sidecar: u64, seed: u64, setup: Setup) -> Self;
+    fn create(now: Nanos, sidecar: u64, seed: u64, setup: Setup) -> Self;
     /// The time of what comes next.
     fn set_time(&mut self, now: Nanos);
     /// Lends or takes back the buffer for actions.
@@ -88,7 +88,7 @@
     listener: &mut impl InstanceListener,
     lists: &EndpointLists,
 ) -> Result<(), WireError> {
-    let fields = &line.of();
+    let fields = &line.fields();
     match line.verb.as_str() {
         event::ENDPOINTS_CHANGED => endpoints_changed(fields, listener, lists)?,
         event::REQUEST => request(fields, listener)?,
@@ -109,12 +109,12 @@
         event::FAULT_REPORTED => {
             let pod = known_pod(fields, listener)?;
             let class = route_class(fields, listener)?;
-            listener.report_fault(pod, class, fields.whole(field::AGE)?);
+            listener.report_fault(pod, class, fields.integer(field::AGE)?);
         }
         event::HEALTH_CHECKED => health_checked(fields, listener)?,
         // Nothing here sends to peers; what one says is read for its form alone.
         _ => {
-            fields.whole("sender")?;
+            fields.integer("sender")?;
             fields.text("blob")?;
         }
     }
@@ -136,7 +136,7 @@
         _ => return Err(fields.error("how", "not delta, full, cached or failed")),
     };
     let list = lists
-        .get(&fields.whole(field::LIST)?)
+        .get(&fields.integer(field::LIST)?)
         .ok_or_else(|| fields.error(field::LIST, "a list never sent"))?;
     listener.update_endpoints(whole, list);
     Ok(())
@@ -147,16 +147,16 @@
     let class = route_class(fields, listener)?;
     let tenants = &listener.names().tenants;
     let tenant = fields
-        .maybe_name("clientGroup")?
+        .optional_name("clientGroup")?
         .and_then(|name| tenants.iter().position(|known| *known == name));
-    let key = fields.maybe_text("entity")?;
+    let key = fields.optional_text("entity")?;
     let request = IncomingRequest {
         id: 0,
         class,
         tenant,
         key: key.map_or(0, |key| stable_hash(key.as_bytes())),
-        remaining: fields.whole("graceNs")?,
-        cost_hint: fields.maybe_whole("sizeHintNs")?,
+        remaining: fields.integer("graceNs")?,
+        cost_hint: fields.optional_integer("sizeHintNs")?,
         is_retry: fields.flag("repeat")?,
     };
     listener.handle_request(name, request);
@@ -165,11 +165,11 @@
 
 fn attempt_ended(fields: &Fields, listener: &mut impl InstanceListener) -> Result<(), WireError> {
     let name = fields.text(field::REQUEST)?;
-    let attempt = fields.whole(field::ATTEMPT)? as usize;
+    let attempt = fields.integer(field::ATTEMPT)? as usize;
     known_pod(fields, listener)?;
     let outcome = AttemptOutcome {
         end: attempt_end(fields)?,
-        took: fields.whole(field::LATENCY)?,
+        took: fields.integer(field::LATENCY)?,
         request_finished: fields.flag("over")?,
         load: load_report::from_row(&listener.names().load_columns, fields)?,
     };
@@ -180,18 +180,18 @@
 /// The beginning of an answer is read for its form alone.
 fn answer_begins(fields: &Fields, listener: &impl InstanceListener) -> Result<(), WireError> {
     fields.text(field::REQUEST)?;
-    fields.whole(field::ATTEMPT)?;
-    fields.whole(field::LATENCY)?;
+    fields.integer(field::ATTEMPT)?;
+    fields.integer(field::LATENCY)?;
     known_pod(fields, listener)?;
     Ok(())
 }
 
 /// A stage, which comes by itself or as the answer to a vote.
 fn stage_changed(fields: &Fields, listener: &mut impl InstanceListener) -> Result<(), WireError> {
-    let code = fields.whole(field::OUTCOME)?;
+    let code = fields.integer(field::OUTCOME)?;
     let stage = stage(fields)?;
     let stage = (code == wire_names::SUCCESS).then_some(stage);
-    let is_answer = fields.whole_or(field::VOTE, 0)? != 0;
+    let is_answer = fields.integer_or(field::VOTE, 0)? != 0;
     if is_answer {
         let receipt = wire_names::vote_receipt(code);
         listener.vote_answered(VoteReply { receipt, stage });
@@ -202,25 +202,25 @@
 }
 
 fn stage(fields: &Fields) -> Result<Stage, WireError> {
-    let phase = wire_names::phase(fields.whole_or("standing", 0)?)
+    let phase = wire_names::phase(fields.integer_or("standing", 0)?)
         .ok_or_else(|| fields.error("standing", "not 0 to 3"))?;
     Ok(Stage {
-        build: build(fields.whole(field::BUILD)?),
-        stage: fields.whole_or(field::STAGE, 0)? as usize,
+        build: build(fields.integer(field::BUILD)?),
+        stage: fields.integer_or(field::STAGE, 0)? as usize,
         phase,
         cap: fields.number_or("limitShare", 0.0)?,
-        age: fields.whole_or(field::AGE, 0)?,
+        age: fields.integer_or(field::AGE, 0)?,
     })
 }
 
 fn tally(fields: &Fields, listener: &impl InstanceListener) -> Result<Tally, WireError> {
     Ok(Tally {
-        build: build(fields.whole(field::BUILD)?),
+        build: build(fields.integer(field::BUILD)?),
         class: route_class(fields, listener)?,
-        count: fields.whole_or("count", 0)?,
-        failed: fields.whole_or("lost", 0)?,
-        mean_latency: fields.whole_or(field::LATENCY, 0)?,
-        age: fields.whole_or(field::AGE, 0)?,
+        count: fields.integer_or("count", 0)?,
+        failed: fields.integer_or("lost", 0)?,
+        mean_latency: fields.integer_or(field::LATENCY, 0)?,
+        age: fields.integer_or(field::AGE, 0)?,
     })
 }
 
@@ -229,7 +229,7 @@
     let load = load_report::from_row(&listener.names().load_columns, fields)?;
     let result = HealthCheckResult {
         end: attempt_end(fields)?,
-        took: fields.whole(field::LATENCY)?,
+        took: fields.integer(field::LATENCY)?,
         load,
     };
     listener.health_checked(pod, result);
@@ -244,18 +244,18 @@
         pod: 0,
         name_hash: 0,
         state,
-        build: build(fields.whole_or(field::BUILD, 0)?),
-        started: fields.whole_or("startedAtNs", 0)?,
+        build: build(fields.integer_or(field::BUILD, 0)?),
+        started: fields.integer_or("startedAtNs", 0)?,
         zone: 0,
         machine_type: 0,
-        cell: fields.whole_or("block", 0)? as i64,
+        cell: fields.integer_or("block", 0)? as i64,
         size: fields.number_or("size", 1.0)?,
     };
     Ok(ListedPod {
         pod: fields.text(field::POD)?.to_string(),
         zone: fields.text("az")?.to_string(),
         machine: fields
-            .maybe_text("machine")?
+            .optional_text("machine")?
             .unwrap_or_default()
             .to_string(),
         endpoint,
@@ -267,7 +267,7 @@
 }
 
 fn attempt_end(fields: &Fields) -> Result<AttemptEnd, WireError> {
-    wire_names::attempt_end(fields.whole(field::OUTCOME)?)
+    wire_names::attempt_end(fields.integer(field::OUTCOME)?)
         .ok_or_else(|| fields.error(field::OUTCOME, "an unknown outcome"))
 }
 
@@ -275,7 +275,7 @@
     fields: &Fields,
     listener: &impl InstanceListener,
 ) -> Result<RouteClassId, WireError> {
-    fields.named(field::ROUTE_CLASS, &listener.names().route_classes)
+    fields.position_of(field::ROUTE_CLASS, &listener.names().route_classes)
 }
 
 fn known_pod<'a>(
--- a/crates/adapter/src/instance.rs
+++ b/crates/adapter/src/instance.rs
@@ -219,7 +219,7 @@
 }
 
 impl InstanceListener for Instance {
-    fn attach(now: Nanos, sidecar: u64, seed: u64, setup: Setup) -> Instance {
+    fn create(now: Nanos, sidecar: u64, seed: u64, setup: Setup) -> Instance {
         Instance {
             router: Router::new(now, seed, setup.router),
             host: WireHost::new(now, sidecar, setup.names),
--- a/crates/adapter/src/line.rs
+++ b/crates/adapter/src/line.rs
@@ -19,7 +19,7 @@
     ///
     /// # Errors
     /// What is no JSON object or has no verb.
-    pub fn read(number: u64, text: &[u8]) -> Result<Line, WireError> {
+    pub fn parse(number: u64, text: &[u8]) -> Result<Line, WireError> {
         let value: Value = serde_json::from_slice(text).map_err(|source| WireError::NotJson {
             line: number,
             source,
@@ -53,7 +53,7 @@
     }
 
     /// Its fields, to be read.
-    pub fn of(&self) -> Fields<'_> {
+    pub fn fields(&self) -> Fields<'_> {
         Fields {
             line: self,
             path: String::new(),
@@ -107,7 +107,7 @@
     ///
     /// # Errors
     /// One that is missing or no whole number.
-    pub fn whole(&self, field: &str) -> Result<u64, WireError> {
+    pub fn integer(&self, field: &str) -> Result<u64, WireError> {
         self.want(field, Value::as_u64, "not a whole number")
     }
 
@@ -115,7 +115,7 @@
     ///
     /// # Errors
     /// One that is no whole number.
-    pub fn whole_or(&self, field: &str, other: u64) -> Result<u64, WireError> {
+    pub fn integer_or(&self, field: &str, other: u64) -> Result<u64, WireError> {
         Ok(self
             .may(field, Value::as_u64, "not a whole number")?
             .unwrap_or(other))
@@ -125,7 +125,7 @@
     ///
     /// # Errors
     /// One that is no whole number.
-    pub fn maybe_whole(&self, field: &str) -> Result<Option<u64>, WireError> {
+    pub fn optional_integer(&self, field: &str) -> Result<Option<u64>, WireError> {
         self.may(field, Value::as_u64, "not a whole number")
     }
 
@@ -159,7 +159,7 @@
     ///
     /// # Errors
     /// One that is not text.
-    pub fn maybe_text(&self, field: &str) -> Result<Option<&'a str>, WireError> {
+    pub fn optional_text(&self, field: &str) -> Result<Option<&'a str>, WireError> {
         self.may(field, Value::as_str, "not text")
     }
 
@@ -167,10 +167,10 @@
     ///
     /// # Errors
     /// One that is neither.
-    pub fn maybe_name(&self, field: &str) -> Result<Option<&'a str>, WireError> {
+    pub fn optional_name(&self, field: &str) -> Result<Option<&'a str>, WireError> {
         match self.map.get(field) {
             Some(Value::Number(number)) if number.as_u64() == Some(0) => Ok(None),
-            _ => self.maybe_text(field),
+            _ => self.optional_text(field),
         }
     }
 
@@ -198,7 +198,7 @@
     }
 
     /// Whether a field is there and not null.
-    pub fn maybe_has(&self, field: &str) -> bool {
+    pub fn has(&self, field: &str) -> bool {
         present(self.map.get(field)).is_some()
     }
 
@@ -206,7 +206,7 @@
     ///
     /// # Errors
     /// One that is no row of numbers.
-    pub fn maybe_numbers(&self, field: &str) -> Result<Option<Vec<f64>>, WireError> {
+    pub fn optional_numbers(&self, field: &str) -> Result<Option<Vec<f64>>, WireError> {
         let read = |value: &'a Value| value.as_array()?.iter().map(Value::as_f64).collect();
         self.may(field, read, "not a row of numbers")
     }
@@ -216,7 +216,7 @@
     /// # Errors
     /// One that is missing or no row of numbers.
     pub fn numbers(&self, field: &str) -> Result<Vec<f64>, WireError> {
-        self.maybe_numbers(field)?
+        self.optional_numbers(field)?
             .ok_or_else(|| self.error(field, "missing"))
     }
 
@@ -224,7 +224,7 @@
     ///
     /// # Errors
     /// One that is no row of names.
-    pub fn words(&self, field: &str) -> Result<Vec<String>, WireError> {
+    pub fn text_list(&self, field: &str) -> Result<Vec<String>, WireError> {
         let read = |value: &'a Value| {
             value
                 .as_array()?
@@ -261,7 +261,7 @@
     ///
     /// # Errors
     /// One that is missing, not text or not among them.
-    pub fn named(&self, field: &str, names: &[String]) -> Result<usize, WireError> {
+    pub fn position_of(&self, field: &str, names: &[String]) -> Result<usize, WireError> {
         let name = self.text(field)?;
         names
             .iter()
--- a/crates/adapter/src/load_report.rs
+++ b/crates/adapter/src/load_report.rs
@@ -10,7 +10,7 @@
     columns: &[String],
     fields: &Fields,
 ) -> Result<Option<LoadReport>, WireError> {
-    let Some(row) = fields.maybe_numbers("gauge")? else {
+    let Some(row) = fields.optional_numbers("gauge")? else {
         return Ok(None);
     };
     let mut load = LoadReport::default();
@@ -21,7 +21,7 @@
 }
 
 /// A load report as a JSON object of the given columns; none where it cannot be read.
-pub fn load_of(columns: &[String], text: &[u8]) -> Option<LoadReport> {
+pub fn parse_load_report(columns: &[String], text: &[u8]) -> Option<LoadReport> {
     let report: Value = serde_json::from_slice(text).ok()?;
     let mut load = LoadReport::default();
     let known = |column: &String| columns.contains(column);
--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -47,9 +47,9 @@
         if text.iter().all(u8::is_ascii_whitespace) {
             continue;
         }
-        let line = Line::read(number, &text)?;
-        if let Some(turn) = session.line(line)? {
-            let replied = session.reply(turn, &mut output);
+        let line = Line::parse(number, &text)?;
+        if let Some(turn) = session.handle_line(line)? {
+            let replied = session.write_actions(turn, &mut output);
             replied
                 .and_then(|()| output.flush())
                 .map_err(ServeError::Write)?;
--- a/crates/adapter/src/session.rs
+++ b/crates/adapter/src/session.rs
@@ -41,12 +41,12 @@
     ///
     /// # Errors
     /// A line with a field that is missing or wrong.
-    pub fn line(&mut self, line: Line) -> Result<Option<u64>, WireError> {
-        let fields = line.of();
+    pub fn handle_line(&mut self, line: Line) -> Result<Option<u64>, WireError> {
+        let fields = line.fields();
         match line.verb.as_str() {
             event::ROUND_BEGINS => {
-                self.now = fields.whole("momentNs")?;
-                self.turn = fields.whole(field::TURN)?;
+                self.now = fields.integer("momentNs")?;
+                self.turn = fields.integer(field::TURN)?;
             }
             event::ROUND_ENDS => return Ok(Some(self.turn)),
             event::ENDPOINT_LIST => {
@@ -55,7 +55,7 @@
                     .iter()
                     .map(decode::listed_pod)
                     .collect::<Result<_, _>>()?;
-                self.lists.insert(fields.whole(field::LIST)?, pods);
+                self.lists.insert(fields.integer(field::LIST)?, pods);
             }
             event::INSTANCE_STARTED => self.start_instance(&fields)?,
             event::INSTANCE_STOPPED => *find_instance(&mut self.instances, &fields)? = None,
@@ -74,17 +74,17 @@
     ///
     /// # Errors
     /// What the output says.
-    pub fn reply(&mut self, turn: u64, output: &mut impl io::Write) -> io::Result<()> {
+    pub fn write_actions(&mut self, turn: u64, output: &mut impl io::Write) -> io::Result<()> {
         output.write_all(self.out.as_bytes())?;
         self.out.clear();
         encode::end_round(turn, output)
     }
 
     fn start_instance(&mut self, fields: &Fields) -> Result<(), WireError> {
-        let sidecar = fields.whole(field::SIDECAR)?;
-        let seed = fields.whole("prng")?;
-        let setup = setup::read(&fields.object("setup")?)?;
-        let mut instance = Box::new(L::attach(self.now, sidecar, seed, setup));
+        let sidecar = fields.integer(field::SIDECAR)?;
+        let seed = fields.integer("prng")?;
+        let setup = setup::decode(&fields.object("setup")?)?;
+        let mut instance = Box::new(L::create(self.now, sidecar, seed, setup));
         instance.swap_output(&mut self.out);
         instance.start();
         instance.swap_output(&mut self.out);
@@ -94,7 +94,7 @@
 
     /// Hands a line to its instance; one that was stopped hears nothing.
     fn deliver(&mut self, line: &Line) -> Result<(), WireError> {
-        let Some(instance) = find_instance(&mut self.instances, &line.of())? else {
+        let Some(instance) = find_instance(&mut self.instances, &line.fields())? else {
             return Ok(());
         };
         instance.set_time(self.now);
@@ -109,7 +109,7 @@
     instances: &'a mut BTreeMap<u64, Option<Box<L>>>,
     fields: &Fields,
 ) -> Result<&'a mut Option<Box<L>>, WireError> {
-    let sidecar = fields.whole(field::SIDECAR)?;
+    let sidecar = fields.integer(field::SIDECAR)?;
     instances
         .get_mut(&sidecar)
         .ok_or_else(|| fields.error(field::SIDECAR, "an instance never started"))
--- a/crates/adapter/src/setup.rs
+++ b/crates/adapter/src/setup.rs
@@ -34,21 +34,21 @@
 ///
 /// # Errors
 /// The first field that is missing or wrong.
-pub fn read(settings: &Fields) -> Result<Setup, WireError> {
+pub fn decode(settings: &Fields) -> Result<Setup, WireError> {
     let rows = settings.objects("classes")?;
     if rows.is_empty() {
         return Err(settings.error("classes", "no path group"));
     }
     let route_classes = rows.iter().map(route_class).collect::<Result<_, _>>()?;
-    let instances = settings.whole("instances")? as usize;
+    let instances = settings.integer("instances")? as usize;
     if instances == 0 {
         return Err(settings.error("instances", "zero instances"));
     }
     let names = names(settings, &rows)?;
     let position = FleetPosition {
-        rank: settings.whole_or("rank", 0)? as usize,
+        rank: settings.integer_or("rank", 0)? as usize,
         instances,
-        zone: settings.named("locality", &names.zones)?,
+        zone: settings.position_of("locality", &names.zones)?,
     };
     let limits = settings.object("limits")?;
     let rules = settings.object("rules")?;
@@ -68,16 +68,16 @@
 fn route_class(row: &Fields) -> Result<RouteClass, WireError> {
     let idempotency = wire_names::idempotency(row.text("semantics")?)
         .ok_or_else(|| row.error("semantics", "not free, guarded or single_shot"))?;
-    let scope = row.maybe_text("keyScope")?;
+    let scope = row.optional_text("keyScope")?;
     let dedup_scope = scope
         .map_or(Some(DedupScope::All), wire_names::dedup_scope)
         .ok_or_else(|| row.error("keyScope", "not all, zone or cell"))?;
-    let client_timeout = row.whole("giveUpNs")?;
+    let client_timeout = row.integer("giveUpNs")?;
     Ok(RouteClass {
         idempotency,
         dedup_scope,
-        dedup_window: row.whole_or("windowNs", 0)?,
-        latency_objective: row.whole_or("onTimeNs", client_timeout)?,
+        dedup_window: row.integer_or("windowNs", 0)?,
+        latency_objective: row.integer_or("onTimeNs", client_timeout)?,
         client_timeout,
         priority_weight: row.number_or("worth", 1.0)?,
         late_weight: row.number_or("lateValue", 0.0)?,
@@ -86,12 +86,12 @@
 }
 
 fn names(settings: &Fields, classes: &[Fields]) -> Result<Names, WireError> {
-    let load_columns = if settings.maybe_has("loadReport") {
-        settings.object("loadReport")?.words("columns")?
+    let load_columns = if settings.has("loadReport") {
+        settings.object("loadReport")?.text_list("columns")?
     } else {
         Vec::new()
     };
-    let tenants = if settings.maybe_has("orgs") {
+    let tenants = if settings.has("orgs") {
         row_names(&settings.objects("orgs")?)?
     } else {
         Vec::new()
@@ -99,8 +99,8 @@
     Ok(Names {
         route_classes: row_names(classes)?,
         tenants,
-        zones: settings.words("azs")?,
-        machines: settings.words("skus")?,
+        zones: settings.text_list("azs")?,
+        machines: settings.text_list("skus")?,
         load_columns,
     })
 }
@@ -111,18 +111,18 @@
 }
 
 fn attempts(settings: &Fields, limits: &Fields) -> Result<AttemptSettings, WireError> {
-    let cross_zone_cost = if settings.maybe_has("prices") {
+    let cross_zone_cost = if settings.has("prices") {
         settings.object("prices")?.number_or("crossZone", 0.0)?
     } else {
         0.0
     };
     let max_retry_after = if limits.flag("retryAfter")? {
-        limits.whole_or("maxRetryAfterNs", 0)?
+        limits.integer_or("maxRetryAfterNs", 0)?
     } else {
         0
     };
     Ok(AttemptSettings {
-        max_attempts: limits.whole_or("maxAttempts", 1)?.min(u32::MAX as u64) as u32,
+        max_attempts: limits.integer_or("maxAttempts", 1)?.min(u32::MAX as u64) as u32,
         hedging: limits.flag("secondCopies")?,
         may_cancel: limits.flag("mayCancel")?,
         max_retry_after,
@@ -132,11 +132,11 @@
 
 fn pods(rules: &Fields, limits: &Fields) -> Result<PodSettings, WireError> {
     Ok(PodSettings {
-        drain_grace: rules.whole("drainGraceNs")?,
+        drain_grace: rules.integer("drainGraceNs")?,
         initial_capacity: rules.number("coldShare")?,
-        warm_up: rules.whole("warmUpNs")?,
+        warm_up: rules.integer("warmUpNs")?,
         overload_multiple: rules.number("fallMultiple")?,
-        overload_window: rules.whole("fallNs")?,
+        overload_window: rules.integer("fallNs")?,
         health_checks: limits.flag("probing")?,
     })
 }
@@ -148,12 +148,12 @@
         _ => return Err(trial.error("counts", "not all or each_class")),
     };
     Ok(ExposureSettings {
-        window: trial.whole("exposureWindowNs")?,
+        window: trial.integer("exposureWindowNs")?,
         free_attempts: trial.number("free")?,
         per_class,
-        idempotent_only_stages: trial.whole_or("shielded", 0)? as usize,
+        idempotent_only_stages: trial.integer_or("shielded", 0)? as usize,
         sticky_keys: trial.flag("oneWay")?,
-        blue_green: trial.maybe_text("style")? != Some("replace"),
+        blue_green: trial.optional_text("style")? != Some("replace"),
         caps: trial.numbers("mostShares")?,
     })
 }
@@ -163,12 +163,12 @@
         .ok_or_else(|| trial.error("control", "not first_voice, by_count or automatic"))?;
     Ok(VoteSettings {
         control,
-        advance_quorum: trial.whole_or("toAdvance", 0)? as usize,
-        rollback_quorum: trial.whole_or("noesNeeded", 1)?.max(1) as usize,
-        ttl: trial.whole("ballotTtlNs")?,
-        call_timeout: trial.whole("callTimeoutNs")?,
+        advance_quorum: trial.integer_or("toAdvance", 0)? as usize,
+        rollback_quorum: trial.integer_or("noesNeeded", 1)?.max(1) as usize,
+        ttl: trial.integer("ballotTtlNs")?,
+        call_timeout: trial.integer("callTimeoutNs")?,
         calls_per_second: trial.number_or("votesPerS", 0.0)?,
-        stage_duration: trial.whole_or("autoAfterNs", 0)?,
+        stage_duration: trial.integer_or("autoAfterNs", 0)?,
     })
 }
 
@@ -180,6 +180,6 @@
     };
     Ok(EndpointListSettings {
         must_watch,
-        max_watch_retry_delay: rules.whole_or("mustAskInNs", 0)?,
+        max_watch_retry_delay: rules.integer_or("mustAskInNs", 0)?,
     })
 }
--- a/crates/configuration/src/compile.rs
+++ b/crates/configuration/src/compile.rs
@@ -9,7 +9,9 @@
 use crate::tenant_file;
 use crate::version::Version;
 use havenplank::interface::{DedupScope, Idempotency};
-use havenplank_settings::{configuration_rows, Given, Problem, Problems, Reader, Row};
+use havenplank_settings::{
+    run_configuration_script, FieldReader, Given, Problem, Problems, RecordCall,
+};
 use std::collections::HashMap;
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
@@ -30,7 +32,7 @@
 const BACKUP_MODES: [(&str, BackupMode); 3] = [
     ("off", BackupMode::Off),
     ("before-attempt", BackupMode::BeforeAttempt),
-    ("behind", BackupMode::Behind),
+    ("behind", BackupMode::InBackground),
 ];
 /// Fields that `path_group` in the settings and `route` name differently: the name in the settings, then in a route.
 const RENAMED_FIELDS: [(&str, &str); 4] = [
@@ -46,13 +48,13 @@
 /// Every mistake found, sorted by file and line; for a script that does not run to its end, only the mistake that
 /// stopped it.
 pub fn compile(script: &Path, given: &Given, version: Version) -> Result<Snapshot, Problems> {
-    let rows = configuration_rows(script, given)?;
+    let calls = run_configuration_script(script, given)?;
     let folder = script.parent().unwrap_or(Path::new("")).to_path_buf();
     let mut compiler = Compiler {
         folder,
         ..Compiler::default()
     };
-    rows.iter().for_each(|row| compiler.read_row(row));
+    calls.iter().for_each(|call| compiler.read_call(call));
     compiler.check_services();
     compiler.check_patterns();
     compiler.finish(script, version)
@@ -66,10 +68,10 @@
 }
 
 impl Location {
-    fn of(row: &Row) -> Location {
+    fn of(call: &RecordCall) -> Location {
         Location {
-            file: row.file.as_str().into(),
-            line: row.line,
+            file: call.file.as_str().into(),
+            line: call.line,
         }
     }
 
@@ -105,17 +107,17 @@
 }
 
 impl Compiler {
-    fn read_row(&mut self, row: &Row) {
-        match row.kind {
-            "service" => self.read_service(row),
-            "route" => self.read_route(row),
-            "tenant" => self.read_tenant(row),
-            "tenants" => self.read_tenants(row),
-            settings => self.reject_setting(row, settings),
+    fn read_call(&mut self, call: &RecordCall) {
+        match call.kind {
+            "service" => self.read_service(call),
+            "route" => self.read_route(call),
+            "tenant" => self.read_tenant(call),
+            "tenants" => self.read_tenants(call),
+            settings => self.reject_setting(call, settings),
         }
     }
 
-    fn reject_setting(&mut self, row: &Row, kind: &str) {
+    fn reject_setting(&mut self, call: &RecordCall, kind: &str) {
         let expected = match kind {
             "path_group" => {
                 "route(name = ..., service = ..., ...), which declares a route class that may change"
@@ -125,17 +127,17 @@
         };
         let found = "a setting that cannot change while a process runs";
         self.problems
-            .push(Location::of(row).problem(kind.to_string(), found, expected));
+            .push(Location::of(call).problem(kind.to_string(), found, expected));
     }
 
-    fn read_service(&mut self, row: &Row) {
-        let mut reader = Reader::new(row, &mut self.problems);
+    fn read_service(&mut self, call: &RecordCall) {
+        let mut reader = FieldReader::new(call, &mut self.problems);
         let service = Service {
             name: reader.text("name"),
-            zones: reader.texts_or_none("zones"),
+            zones: reader.text_list_or_empty("zones"),
         };
         reader.finish();
-        let location = Location::of(row);
+        let location = Location::of(call);
         let record = Record::Service(service.clone());
         if register(
             &record,
@@ -147,11 +149,11 @@
         }
     }
 
-    fn read_route(&mut self, row: &Row) {
-        let mut reader = Reader::new(row, &mut self.problems);
+    fn read_route(&mut self, call: &RecordCall) {
+        let mut reader = FieldReader::new(call, &mut self.problems);
         let route = read_route_fields(&mut reader);
         reader.finish();
-        let location = Location::of(row);
+        let location = Location::of(call);
         let record = Record::from(route.clone());
         if register(
             &record,
@@ -164,31 +166,31 @@
         }
     }
 
-    fn read_tenant(&mut self, row: &Row) {
-        let mut reader = Reader::new(row, &mut self.problems);
+    fn read_tenant(&mut self, call: &RecordCall) {
+        let mut reader = FieldReader::new(call, &mut self.problems);
         let tenant = Tenant {
             name: reader.text("name"),
             limits: read_limits(&mut reader),
         };
         reader.finish();
-        self.add_tenant(tenant, &Location::of(row));
+        self.add_tenant(tenant, &Location::of(call));
     }
 
     /// Reads many tenants with the same limits, or the tenants of a file.
-    fn read_tenants(&mut self, row: &Row) {
-        let mut reader = Reader::new(row, &mut self.problems);
-        let names = reader.texts_or_none("names");
-        let file = reader.maybe_text("file");
+    fn read_tenants(&mut self, call: &RecordCall) {
+        let mut reader = FieldReader::new(call, &mut self.problems);
+        let names = reader.text_list_or_empty("names");
+        let file = reader.optional_text("file");
         let limits = read_limits(&mut reader);
         if reader.has("names") == reader.has("file") {
-            reader.complain("names", "both names and file, or neither", "one of the two");
+            reader.report("names", "both names and file, or neither", "one of the two");
         }
         if file
             .as_ref()
             .is_some_and(|file| !tenant_file::is_within_script_folder(file))
         {
             let found = format!("found {:?}", file.as_deref().unwrap_or_default());
-            reader.complain(
+            reader.report(
                 "file",
                 found,
                 "a file in the folder of the script, with no .. and no leading /",
@@ -196,7 +198,7 @@
             return reader.finish();
         }
         reader.finish();
-        let location = Location::of(row);
+        let location = Location::of(call);
         for name in names {
             self.add_tenant(Tenant { name, limits }, &location);
         }
@@ -362,9 +364,9 @@
     true
 }
 
-fn read_limits(reader: &mut Reader) -> TenantLimits {
-    let requests_per_s = reader.maybe_whole("requests_per_s", 0..=MAX_REQUESTS_PER_S.into());
-    let in_flight = reader.maybe_whole("in_flight", 0..=MAX_IN_FLIGHT.into());
+fn read_limits(reader: &mut FieldReader) -> TenantLimits {
+    let requests_per_s = reader.optional_integer("requests_per_s", 0..=MAX_REQUESTS_PER_S.into());
+    let in_flight = reader.optional_integer("in_flight", 0..=MAX_IN_FLIGHT.into());
     let to_u32 = |limit: Option<u64>| limit.and_then(|limit| u32::try_from(limit).ok());
     TenantLimits {
         requests_per_s: to_u32(requests_per_s),
@@ -372,10 +374,10 @@
     }
 }
 
-fn read_route_fields(reader: &mut Reader) -> Route {
+fn read_route_fields(reader: &mut FieldReader) -> Route {
     for (settings_name, route_name) in RENAMED_FIELDS {
-        if reader.moved(settings_name) {
-            reader.complain(
+        if reader.accept(settings_name) {
+            reader.report(
                 settings_name,
                 "the name of this field in the settings",
                 format!("{route_name} = ..."),
@@ -385,10 +387,10 @@
     let name = reader.text("name");
     let service = reader.text("service");
     let methods = read_methods(reader);
-    let paths = reader.texts("paths");
+    let paths = reader.text_list("paths");
     for path in &paths {
         if let Some(expected) = patterns::expected_pattern(path) {
-            reader.complain("paths", format!("found {path:?}"), expected);
+            reader.report("paths", format!("found {path:?}"), expected);
         }
     }
     Route {
@@ -400,22 +402,22 @@
     }
 }
 
-fn read_methods(reader: &mut Reader) -> Vec<String> {
+fn read_methods(reader: &mut FieldReader) -> Vec<String> {
     let mut methods: Vec<String> = Vec::new();
-    for method in reader.texts_or_none("methods") {
+    for method in reader.text_list_or_empty("methods") {
         let method = method.to_ascii_uppercase();
         if !method
             .bytes()
             .all(|byte| byte.is_ascii_alphanumeric() || b"-_".contains(&byte))
         {
-            reader.complain(
+            reader.report(
                 "methods",
                 format!("found {method:?}"),
                 "methods such as \"GET\"",
             );
         }
         if methods.contains(&method) {
-            reader.complain(
+            reader.report(
                 "methods",
                 format!("found {method:?} again"),
                 "each method once",
@@ -427,18 +429,18 @@
     methods
 }
 
-fn read_rules(reader: &mut Reader) -> RequestRules {
+fn read_rules(reader: &mut FieldReader) -> RequestRules {
     let idempotency = reader
         .choice("kind", &IDEMPOTENCY)
         .unwrap_or(Idempotency::NonIdempotent);
     let dedup_window = match idempotency {
-        Idempotency::Keyed => reader.span("idempotency_window"),
-        _ => reader.span_or("idempotency_window", 0),
+        Idempotency::Keyed => reader.duration("idempotency_window"),
+        _ => reader.duration_or("idempotency_window", 0),
     };
-    let latency_objective = reader.span_above_0("latency_target");
-    let deadline = reader.span_above_0("deadline");
+    let latency_objective = reader.positive_duration("latency_target");
+    let deadline = reader.positive_duration("deadline");
     if latency_objective > deadline && deadline > 0 {
-        reader.complain(
+        reader.report(
             "latency_target",
             "longer than the deadline",
             "a duration within the deadline",
@@ -461,13 +463,13 @@
 }
 
 fn optional_choice<T: Copy>(
-    reader: &mut Reader,
+    reader: &mut FieldReader,
     field: &'static str,
     choices: &[(&str, T)],
 ) -> Option<T> {
     // Marks the field as known even if it is absent.
     reader
-        .moved(field)
+        .accept(field)
         .then(|| reader.choice(field, choices))
         .flatten()
 }
--- a/crates/configuration/src/record.rs
+++ b/crates/configuration/src/record.rs
@@ -411,7 +411,7 @@
         ensure(valid, key, field, || weight.to_string(), expected)?;
     }
     let allowed =
-        rules.backup != BackupMode::Behind || rules.idempotency == Idempotency::Idempotent;
+        rules.backup != BackupMode::InBackground || rules.idempotency == Idempotency::Idempotent;
     let expected = || "BeforeAttempt unless idempotent, as a repeat could do harm".to_string();
     ensure(allowed, key, "backup", || "Behind".to_string(), expected)
 }
--- a/crates/emulator/src/drive/settings.rs
+++ b/crates/emulator/src/drive/settings.rs
@@ -2,7 +2,7 @@
 
 use crate::pod::UNSEEN;
 use havenplank::interface::RouteClass;
-use havenplank_settings::words::{self, word_of};
+use havenplank_settings::keywords::{self, keyword_of};
 use havenplank_sidecar::engine::EngineSettings;
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -75,8 +75,8 @@
             "path_group(name = {name:?}, paths = [\"/{n}\"], kind = {:?}, scope = {:?}, \
              repeat_window = \"{dedup_window}ns\", target_latency = \"{}ns\", client_timeout = \"{client_timeout}ns\", \
              benefit = {:?}, late_benefit = {:?}, stream = {})",
-            word_of(&words::IDEMPOTENCY, *idempotency),
-            word_of(&words::DEDUP_SCOPE, *dedup_scope),
+            keyword_of(&keywords::IDEMPOTENCY, *idempotency),
+            keyword_of(&keywords::DEDUP_SCOPE, *dedup_scope),
             latency_objective.min(client_timeout),
             rules.priority_weight,
             rules.late_weight,
@@ -137,7 +137,7 @@
         out,
         "votes(control = {:?}, on_needs = {}, back_needs = {}, life = \"{}ns\", call_time_out = \"{}ns\", calls_per_s = {:?}, \
          step = \"{}ns\")",
-        word_of(&words::RELEASE_CONTROL, votes.control),
+        keyword_of(&keywords::RELEASE_CONTROL, votes.control),
         votes.advance_quorum,
         votes.rollback_quorum,
         votes.ttl,
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -103,9 +103,9 @@
     /// The first field that is missing or wrong.
     pub fn parse(text: &[u8]) -> Result<Config, FieldError> {
         let object = parse_object("configuration", text)?;
-        let root = object.of();
+        let root = object.fields();
         let settings = root.object("settings")?;
-        let setup = setup::read(&settings)?;
+        let setup = setup::decode(&settings)?;
         let descriptors = descriptors(&root)?;
         let memory_bytes = memory_bytes(&root)?;
         let seed = seed(&root)?;
@@ -138,7 +138,7 @@
 
 fn descriptors(root: &Fields) -> Result<usize, FieldError> {
     let limits = root.object("limits")?;
-    let descriptors = limits.whole("sockets")? as usize;
+    let descriptors = limits.integer("sockets")? as usize;
     if !DESCRIPTORS.contains(&descriptors) {
         return Err(fields::invalid(
             &limits,
@@ -151,7 +151,7 @@
 
 fn memory_bytes(root: &Fields) -> Result<usize, FieldError> {
     let limits = root.object("limits")?;
-    let megabytes = limits.whole("memory_mb")?;
+    let megabytes = limits.integer("memory_mb")?;
     if !MEMORY_MB.contains(&megabytes) {
         return Err(fields::invalid(
             &limits,
@@ -169,7 +169,7 @@
 }
 
 fn stage(deployer: &Fields) -> Result<Option<Stage>, FieldError> {
-    if !deployer.maybe_has("news") {
+    if !deployer.has("news") {
         return Ok(None);
     }
     decode_stage(&deployer.object("news")?).map(Some)
@@ -178,14 +178,14 @@
 fn pod_connections(settings: &Fields) -> Result<PodConnectionSettings, FieldError> {
     let limits = settings.object("limits")?;
     Ok(PodConnectionSettings {
-        connect_timeout: Duration::from_nanos(limits.whole("dialTimeoutNs")?),
-        idle_limit: Duration::from_nanos(limits.whole("connIdleNs")?),
+        connect_timeout: Duration::from_nanos(limits.integer("dialTimeoutNs")?),
+        idle_limit: Duration::from_nanos(limits.integer("connIdleNs")?),
     })
 }
 
 fn response_margin(settings: &Fields) -> Result<Nanos, FieldError> {
     let rules = settings.object("rules")?;
-    Ok(rules.whole_or("answerSlackNs", 0)?)
+    Ok(rules.integer_or("answerSlackNs", 0)?)
 }
 
 fn engine_settings(name: String, setup: Setup) -> EngineSettings {
--- a/crates/platform/src/control_plane/messages.rs
+++ b/crates/platform/src/control_plane/messages.rs
@@ -61,14 +61,14 @@
             "expected a number from 0 to 1",
         ));
     }
-    let build = fields.whole("image")?.min(u64::from(Build::MAX));
+    let build = fields.integer("image")?.min(u64::from(Build::MAX));
     Ok(Stage {
         build: build as Build,
-        stage: fields.whole("ring")? as usize,
+        stage: fields.integer("ring")? as usize,
         phase,
         cap,
         age: fields
-            .whole_or("lag_ms", 0)?
+            .integer_or("lag_ms", 0)?
             .saturating_mul(NANOS_PER_MILLI),
     })
 }
@@ -114,8 +114,8 @@
 /// A text that is no object, and the first field that is missing or wrong.
 pub(super) fn decode(line: &str) -> Result<Message, FieldError> {
     let line = parse_object("control plane", line.as_bytes())?;
-    let fields = line.of();
-    match fields.maybe_text("method")? {
+    let fields = line.fields();
+    match fields.optional_text("method")? {
         Some("progress") => Ok(Message::Stage(decode_stage(&fields.object("params")?)?)),
         Some("complaint") => Ok(Message::Fault(decode_fault(&fields.object("params")?)?)),
         Some(_) => Ok(Message::Other),
@@ -127,7 +127,7 @@
     Ok(Fault {
         pod: params.text("host")?.to_string(),
         route_class: params.text("type")?.to_string(),
-        ago: params.whole("lag_ms")?.saturating_mul(NANOS_PER_MILLI),
+        ago: params.integer("lag_ms")?.saturating_mul(NANOS_PER_MILLI),
     })
 }
 
@@ -150,8 +150,8 @@
 impl Reply {
     /// Checks that the reply answers the oldest call without one.
     pub(super) fn check_answers(&self, oldest: Option<Call>) -> Result<Call, ReplyError> {
-        let fields = self.line.of();
-        let id = fields.whole("id").map_err(FieldError::from)?;
+        let fields = self.line.fields();
+        let id = fields.integer("id").map_err(FieldError::from)?;
         match oldest {
             Some(call) if call.id() == id => Ok(call),
             _ => Err(fields::invalid(&fields, "id", "a reply to no call").into()),
@@ -160,7 +160,7 @@
 
     /// Reads the reply to the call that asks for notifications.
     pub(super) fn read_follow(&self) -> Result<(), ReplyError> {
-        if self.line.of().maybe_has("error") {
+        if self.line.fields().has("error") {
             return Err(ReplyError::FollowRefused);
         }
         Ok(())
@@ -168,8 +168,8 @@
 
     /// Reads the reply to a vote.
     pub(super) fn read_vote(&self) -> Result<VoteReply, ReplyError> {
-        let fields = self.line.of();
-        if !fields.maybe_has("error") {
+        let fields = self.line.fields();
+        if !fields.has("error") {
             let result = fields.object("result").map_err(FieldError::from)?;
             let stage = decode_stage(&result)?;
             return Ok(VoteReply {
--- a/crates/platform/src/discovery/list_update.rs
+++ b/crates/platform/src/discovery/list_update.rs
@@ -33,7 +33,7 @@
         .map(|host| decode_endpoint(host, now))
         .collect::<Result<_, _>>()?;
     Ok(ListUpdate {
-        version: fields.whole("seq")?,
+        version: fields.integer("seq")?,
         complete: fields.flag("whole")?,
         endpoints,
     })
@@ -41,11 +41,13 @@
 
 fn decode_endpoint(host: &Fields, now: UnixTime) -> Result<ListedEndpoint, FieldError> {
     let state = decode_state(host)?;
-    let started_ms = host.whole_or("born_ms", 0)?;
+    let started_ms = host.integer_or("born_ms", 0)?;
     let address = host.text("dial")?.parse();
     let address =
         address.map_err(|_| fields::invalid(host, "dial", "expected an IP address with a port"))?;
-    let build = host.whole_or("revision_no", 0)?.min(u64::from(Build::MAX));
+    let build = host
+        .integer_or("revision_no", 0)?
+        .min(u64::from(Build::MAX));
     Ok(ListedEndpoint {
         name: host.text("host")?.to_string(),
         address,
@@ -53,9 +55,9 @@
         build: build as Build,
         incarnation: started_ms,
         age: age(started_ms, now),
-        zone: host.maybe_text("site")?.unwrap_or_default().to_string(),
-        machine: host.maybe_text("class")?.unwrap_or_default().to_string(),
-        cell: host.whole_or("block", 0)? as i64,
+        zone: host.optional_text("site")?.unwrap_or_default().to_string(),
+        machine: host.optional_text("class")?.unwrap_or_default().to_string(),
+        cell: host.integer_or("block", 0)? as i64,
         size: host.number_or("share", 1.0)?,
     })
 }
--- a/crates/platform/src/discovery/watch.rs
+++ b/crates/platform/src/discovery/watch.rs
@@ -147,7 +147,7 @@
         StreamItem::LineEnd => Ok(Received::KeepAlive),
         StreamItem::Object(text) => {
             let object = parse_object("endpoint list", &text)?;
-            let update = list_update::decode(&object.of(), UnixTime::now())?;
+            let update = list_update::decode(&object.fields(), UnixTime::now())?;
             Ok(Received::Update(update))
         }
     }
--- a/crates/platform/src/pod_client.rs
+++ b/crates/platform/src/pod_client.rs
@@ -4,7 +4,7 @@
 use crate::pod_pool::PodPool;
 use crate::response_memory::ResponseMemory;
 use havenplank::interface::LoadReport;
-use havenplank_adapter::load_report::load_of;
+use havenplank_adapter::load_report::parse_load_report;
 use std::cell::Cell;
 use std::time::Duration;
 
@@ -54,6 +54,6 @@
         if !self.has_load_reports() {
             return None;
         }
-        load_of(&self.load_fields, text)
+        parse_load_report(&self.load_fields, text)
     }
 }
--- a/crates/settings/src/words.rs
+++ b/crates/settings/src/keywords.rs
@@ -21,7 +21,7 @@
 pub const BACKUP_MODE: [(&str, BackupMode); 3] = [
     ("off", BackupMode::Off),
     ("before-forward", BackupMode::BeforeAttempt),
-    ("behind", BackupMode::Behind),
+    ("behind", BackupMode::InBackground),
 ];
 
 /// The words of `votes(control = ...)`.
@@ -36,7 +36,7 @@
 /// # Panics
 ///
 /// Where the table lacks the value, which no table of this module does.
-pub fn word_of<T: Copy + PartialEq>(words: &[(&'static str, T)], value: T) -> &'static str {
+pub fn keyword_of<T: Copy + PartialEq>(words: &[(&'static str, T)], value: T) -> &'static str {
     let found = words.iter().find(|(_, known)| *known == value);
     found.expect("a table has a word for each value").0
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -2,10 +2,10 @@
 //!
 //! [`load`] runs a Starlark script (source language: the Starlark specification; `load` works for files
 //! beside it) and returns a [`Site`], or every mistake found in it, each with file, line, field and what was
-//! expected. [`configuration_rows`] runs the script of a configuration that changes while sidecars run. Times become whole
+//! expected. [`run_configuration_script`] runs the script of a configuration that changes while sidecars run. Times become whole
 //! nanoseconds and sizes bytes here. Nothing here decides or tunes anything.
 //!
-//! The words of the script are older than the names in the code and stay as they are: [`words`] and the modules that read
+//! The words of the script are older than the names in the code and stay as they are: [`keywords`] and the modules that read
 //! each call map them, once.
 
 #![warn(missing_docs)]
@@ -18,15 +18,15 @@
     clippy::type_complexity
 )]
 
+pub mod keywords;
 mod reader;
 mod records;
 mod script;
 mod site;
-pub mod words;
 
-pub use reader::{Problem, Problems, Reader, Row};
+pub use reader::{FieldReader, Problem, Problems, RecordCall};
 pub use records::DISTRIBUTOR_ZONE;
-pub use script::{configuration_rows, load, Given};
+pub use script::{load, run_configuration_script, Given};
 pub use site::{
     BackupMode, ConfigurationSettings, HeaderNames, LineProtocolEndpoint, ListenerSettings,
     MembershipSettings, RouteClassSettings, Site, TakeoverSettings, TraceSettings,
--- a/crates/settings/src/reader.rs
+++ b/crates/settings/src/reader.rs
@@ -47,7 +47,7 @@
 
 /// A call of a record function in the script, as it stands there.
 #[derive(Clone, Debug)]
-pub struct Row {
+pub struct RecordCall {
     /// The name of the function.
     pub kind: &'static str,
     /// The file in which the call stands.
@@ -60,16 +60,16 @@
 
 /// Hands out the fields of a row. A field that is missing or wrong yields a stand-in value and a problem, so
 /// that the rest is still read; `finish` complains of fields nobody asked for.
-pub struct Reader<'a> {
-    row: &'a Row,
+pub struct FieldReader<'a> {
+    row: &'a RecordCall,
     asked: BTreeSet<&'static str>,
     problems: &'a mut Vec<Problem>,
 }
 
-impl<'a> Reader<'a> {
+impl<'a> FieldReader<'a> {
     /// Returns a reader of a row that adds to these problems.
-    pub fn new(row: &'a Row, problems: &'a mut Vec<Problem>) -> Reader<'a> {
-        Reader {
+    pub fn new(row: &'a RecordCall, problems: &'a mut Vec<Problem>) -> FieldReader<'a> {
+        FieldReader {
             row,
             asked: BTreeSet::new(),
             problems,
@@ -77,7 +77,7 @@
     }
 
     /// Adds a problem of a field.
-    pub fn complain(&mut self, field: &str, found: impl Into<String>, expected: impl Into<String>) {
+    pub fn report(&mut self, field: &str, found: impl Into<String>, expected: impl Into<String>) {
         self.problems.push(Problem {
             file: self.row.file.clone(),
             line: self.row.line,
@@ -97,7 +97,7 @@
 
     /// Returns whether a field stands there, and counts it as known: for one that is optional, or that has another place now
     /// and is reported as that.
-    pub fn moved(&mut self, field: &'static str) -> bool {
+    pub fn accept(&mut self, field: &'static str) -> bool {
         self.asked.insert(field);
         self.has(field)
     }
@@ -115,13 +115,13 @@
         parse: impl Fn(&Value) -> Option<T>,
     ) -> Option<T> {
         let Some(value) = self.value(field) else {
-            self.complain(field, "missing", wanted);
+            self.report(field, "missing", wanted);
             return None;
         };
         let parsed = parse(value);
         if parsed.is_none() {
             let found = format!("found {}", shortened(value.to_string()));
-            self.complain(field, found, wanted);
+            self.report(field, found, wanted);
         }
         parsed
     }
@@ -139,26 +139,30 @@
     }
 
     /// Reads a text where there is one.
-    pub fn maybe_text(&mut self, field: &'static str) -> Option<String> {
+    pub fn optional_text(&mut self, field: &'static str) -> Option<String> {
         self.asked.insert(field);
         self.has(field).then(|| self.text(field))
     }
 
     /// Reads a whole number within a range.
-    pub fn whole(&mut self, field: &'static str, range: RangeInclusive<u64>) -> u64 {
+    pub fn integer(&mut self, field: &'static str, range: RangeInclusive<u64>) -> u64 {
         let wanted = format!("a whole number from {} to {}", range.start(), range.end());
         let within = |value: &Value| value.as_u64().filter(|n| range.contains(n));
         self.take(field, &wanted, within).unwrap_or(*range.start())
     }
 
     /// Reads a whole number within a range where there is one.
-    pub fn maybe_whole(&mut self, field: &'static str, range: RangeInclusive<u64>) -> Option<u64> {
+    pub fn optional_integer(
+        &mut self,
+        field: &'static str,
+        range: RangeInclusive<u64>,
+    ) -> Option<u64> {
         self.asked.insert(field);
-        self.has(field).then(|| self.whole(field, range))
+        self.has(field).then(|| self.integer(field, range))
     }
 
     /// Reads a whole number within a range, or a default.
-    pub fn whole_or(
+    pub fn integer_or(
         &mut self,
         field: &'static str,
         range: RangeInclusive<u64>,
@@ -166,7 +170,7 @@
     ) -> u64 {
         self.asked.insert(field);
         if self.has(field) {
-            self.whole(field, range)
+            self.integer(field, range)
         } else {
             absent
         }
@@ -205,16 +209,16 @@
     }
 
     /// Reads a span such as "250ms" or "1m 30s", in whole nanoseconds; one day at most, as no wait here is longer.
-    pub fn span(&mut self, field: &'static str) -> Nanos {
-        self.span_from(field, 0)
+    pub fn duration(&mut self, field: &'static str) -> Nanos {
+        self.duration_from(field, 0)
     }
 
     /// Reads a span above 0; what is missing or wrong reads as 0 all the same.
-    pub fn span_above_0(&mut self, field: &'static str) -> Nanos {
-        self.span_from(field, 1)
+    pub fn positive_duration(&mut self, field: &'static str) -> Nanos {
+        self.duration_from(field, 1)
     }
 
-    fn span_from(&mut self, field: &'static str, least: Nanos) -> Nanos {
+    fn duration_from(&mut self, field: &'static str, least: Nanos) -> Nanos {
         let parse = |value: &Value| {
             let span = humantime::parse_duration(value.as_str()?).ok()?;
             Nanos::try_from(span.as_nanos())
@@ -227,10 +231,10 @@
     }
 
     /// Reads a span, or a default in nanoseconds.
-    pub fn span_or(&mut self, field: &'static str, absent: Nanos) -> Nanos {
+    pub fn duration_or(&mut self, field: &'static str, absent: Nanos) -> Nanos {
         self.asked.insert(field);
         if self.has(field) {
-            self.span(field)
+            self.duration(field)
         } else {
             absent
         }
@@ -273,7 +277,7 @@
     }
 
     /// Reads a list of texts, one at least.
-    pub fn texts(&mut self, field: &'static str) -> Vec<String> {
+    pub fn text_list(&mut self, field: &'static str) -> Vec<String> {
         let all = |value: &Value| {
             let full = |text: &Value| {
                 text.as_str()
@@ -292,17 +296,17 @@
     }
 
     /// Reads a list of texts, or an empty one.
-    pub fn texts_or_none(&mut self, field: &'static str) -> Vec<String> {
+    pub fn text_list_or_empty(&mut self, field: &'static str) -> Vec<String> {
         self.asked.insert(field);
         if self.has(field) {
-            self.texts(field)
+            self.text_list(field)
         } else {
             Vec::new()
         }
     }
 
     /// Reads a list of shares from 0 to 1, one at least.
-    pub fn shares(&mut self, field: &'static str) -> Vec<f64> {
+    pub fn fractions(&mut self, field: &'static str) -> Vec<f64> {
         let all = |value: &Value| {
             let share = |n: &Value| n.as_f64().filter(|n| (0.0..=1.0).contains(n));
             value
@@ -326,7 +330,7 @@
         let known = self.asked.iter().copied().collect::<Vec<_>>().join(", ");
         for field in self.row.fields.keys() {
             if !self.asked.contains(field.as_str()) {
-                self.complain(field, "no such field", format!("one of {known}"));
+                self.report(field, "no such field", format!("one of {known}"));
             }
         }
     }
--- a/crates/settings/src/records/calls.rs
+++ b/crates/settings/src/records/calls.rs
@@ -1,6 +1,6 @@
 //! The calls of one script by kind: which must stand there, which only once, and which not beside another.
 
-use crate::reader::{Problem, Reader, Row};
+use crate::reader::{FieldReader, Problem, RecordCall};
 
 /// Kinds that a script calls for at most once.
 const ONCE: [&str; 12] = [
@@ -49,12 +49,16 @@
 /// The calls of one script and the problems found in them so far.
 pub(super) struct Calls<'a> {
     file: &'a str,
-    rows: &'a [Row],
+    rows: &'a [RecordCall],
     problems: &'a mut Vec<Problem>,
 }
 
 impl<'a> Calls<'a> {
-    pub(super) fn new(file: &'a str, rows: &'a [Row], problems: &'a mut Vec<Problem>) -> Calls<'a> {
+    pub(super) fn new(
+        file: &'a str,
+        rows: &'a [RecordCall],
+        problems: &'a mut Vec<Problem>,
+    ) -> Calls<'a> {
         Calls {
             file,
             rows,
@@ -95,9 +99,13 @@
 
     /// Reads the first call of a kind. One that does not stand there is read as a call without fields; where it is needed,
     /// its missing fields are not reported, as the call itself was.
-    pub(super) fn read<T>(&mut self, kind: &'static str, read: impl FnOnce(&mut Reader) -> T) -> T {
+    pub(super) fn read<T>(
+        &mut self,
+        kind: &'static str,
+        read: impl FnOnce(&mut FieldReader) -> T,
+    ) -> T {
         let row = self.rows.iter().find(|row| row.kind == kind);
-        let blank = Row {
+        let blank = RecordCall {
             kind,
             file: self.file.to_string(),
             line: 0,
@@ -109,7 +117,7 @@
         } else {
             &mut unreported
         };
-        let mut reader = Reader::new(row.unwrap_or(&blank), problems);
+        let mut reader = FieldReader::new(row.unwrap_or(&blank), problems);
         let value = read(&mut reader);
         reader.finish();
         value
@@ -119,7 +127,7 @@
     pub(super) fn read_if_called<T>(
         &mut self,
         kind: &'static str,
-        read: impl FnOnce(&mut Reader) -> T,
+        read: impl FnOnce(&mut FieldReader) -> T,
     ) -> Option<T> {
         self.has(kind).then(|| self.read(kind, read))
     }
@@ -128,11 +136,11 @@
     pub(super) fn read_each<T>(
         &mut self,
         kind: &str,
-        mut read: impl FnMut(&mut Reader) -> T,
+        mut read: impl FnMut(&mut FieldReader) -> T,
     ) -> Vec<T> {
         let mut values = Vec::new();
         for row in self.rows.iter().filter(|row| row.kind == kind) {
-            let mut reader = Reader::new(row, self.problems);
+            let mut reader = FieldReader::new(row, self.problems);
             values.push(read(&mut reader));
             reader.finish();
         }
@@ -152,7 +160,7 @@
             field,
             expected,
         } = replaced;
-        let stands = |row: &&Row| {
+        let stands = |row: &&RecordCall| {
             row.kind == *kind && field.is_none_or(|field| row.fields.contains_key(field))
         };
         for row in self.rows.iter().filter(stands) {
--- a/crates/settings/src/records/endpoints.rs
+++ b/crates/settings/src/records/endpoints.rs
@@ -1,7 +1,7 @@
 //! `nodes(...)` and `desk(...)`: service discovery and the control plane, which speak our line protocols.
 
 use super::fields::{read_address, KIB};
-use crate::reader::Reader;
+use crate::reader::FieldReader;
 use crate::site::LineProtocolEndpoint;
 use havenplank::interface::EndpointListSettings;
 use std::path::PathBuf;
@@ -13,26 +13,26 @@
     pub(super) cached_list: Option<PathBuf>,
 }
 
-pub(super) fn read_discovery(reader: &mut Reader) -> Discovery {
+pub(super) fn read_discovery(reader: &mut FieldReader) -> Discovery {
     Discovery {
         endpoint: read_endpoint(reader),
         list: read_list(reader),
-        cached_list: reader.maybe_text("keep").map(PathBuf::from),
+        cached_list: reader.optional_text("keep").map(PathBuf::from),
     }
 }
 
-pub(super) fn read_endpoint(reader: &mut Reader) -> LineProtocolEndpoint {
+pub(super) fn read_endpoint(reader: &mut FieldReader) -> LineProtocolEndpoint {
     LineProtocolEndpoint {
         address: read_address(reader, "address"),
         max_line_bytes: reader.size_or("line_bytes", 128..=1 << 20, 4 * KIB) as usize,
     }
 }
 
-fn read_list(reader: &mut Reader) -> EndpointListSettings {
+fn read_list(reader: &mut FieldReader) -> EndpointListSettings {
     let must_watch = reader.flag_or("must_ask", false);
     let max_watch_retry_delay = match must_watch {
-        true => reader.span("ask_within"),
-        false => reader.span_or("ask_within", 0),
+        true => reader.duration("ask_within"),
+        false => reader.duration_or("ask_within", 0),
     };
     EndpointListSettings {
         must_watch,
--- a/crates/settings/src/records/listener.rs
+++ b/crates/settings/src/records/listener.rs
@@ -1,7 +1,7 @@
 //! `headers(...)` and `limits(...)`: what a request may carry and what clients may take up.
 
 use super::fields::{read_header, KIB, MS, SECOND};
-use crate::reader::Reader;
+use crate::reader::FieldReader;
 use crate::site::{HeaderNames, ListenerSettings};
 use havenplank::interface::AttemptSettings;
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
 /// What is held at once where the script does not say.
 const DEFAULT_AT_ONCE: u64 = 16_384;
 
-pub(super) fn read_headers(reader: &mut Reader) -> HeaderNames {
+pub(super) fn read_headers(reader: &mut FieldReader) -> HeaderNames {
     HeaderNames {
         timeout: read_header(reader, "timeout", "grpc-timeout"),
         idempotency_key: read_header(reader, "key", "x-key"),
@@ -30,25 +30,25 @@
     pub(super) listener: ListenerSettings,
 }
 
-pub(super) fn read_limits(reader: &mut Reader) -> Limits {
+pub(super) fn read_limits(reader: &mut FieldReader) -> Limits {
     Limits {
         attempts: AttemptSettings {
-            max_attempts: reader.whole_or("forwards", 1..=16, 4) as u32,
+            max_attempts: reader.integer_or("forwards", 1..=16, 4) as u32,
             hedging: reader.flag_or("copies", false),
             may_cancel: reader.flag_or("cancel", true),
-            max_retry_after: reader.span_or("come_back", SECOND),
+            max_retry_after: reader.duration_or("come_back", SECOND),
             cross_zone_cost: reader.number_or("cross_zone_price", 0.0..=1.0, 0.0),
         },
         listener: read_listener(reader),
     }
 }
 
-fn read_listener(reader: &mut Reader) -> ListenerSettings {
+fn read_listener(reader: &mut FieldReader) -> ListenerSettings {
     let unset = SocketAddr::from(([127, 0, 0, 1], 0));
     let head_bytes = reader.size_or("head_bytes", 8 * KIB..=KIB * KIB, 16 * KIB);
-    let head_timeout = reader.span_or("head_time", 5 * SECOND);
+    let head_timeout = reader.duration_or("head_time", 5 * SECOND);
     let body_bytes = reader.size_or("body_bytes", 0..=MAX_BODY_BYTES, 256 * KIB);
-    let body_timeout = reader.span_or("body_time", 5 * SECOND);
+    let body_timeout = reader.duration_or("body_time", 5 * SECOND);
     ListenerSettings {
         listen: unset,
         admin: unset,
@@ -56,9 +56,10 @@
         head_timeout,
         max_body_bytes: body_bytes as usize,
         body_timeout,
-        max_connections: reader.whole_or("connections", 1..=MAX_AT_ONCE, DEFAULT_AT_ONCE) as usize,
-        max_requests: reader.whole_or("hits", 1..=MAX_AT_ONCE, DEFAULT_AT_ONCE) as usize,
-        response_margin: reader.span_or("answer_margin", 20 * MS),
+        max_connections: reader.integer_or("connections", 1..=MAX_AT_ONCE, DEFAULT_AT_ONCE)
+            as usize,
+        max_requests: reader.integer_or("hits", 1..=MAX_AT_ONCE, DEFAULT_AT_ONCE) as usize,
+        response_margin: reader.duration_or("answer_margin", 20 * MS),
         buffered_response_bytes: reader.size_or("answer_bytes", 0..=MAX_BODY_BYTES, 64 * KIB)
             as usize,
     }
--- a/crates/settings/src/records/membership.rs
+++ b/crates/settings/src/records/membership.rs
@@ -2,7 +2,7 @@
 
 use super::calls::Calls;
 use super::fields::{check_peer_span, read_address, KIB, MS, SECOND};
-use crate::reader::Reader;
+use crate::reader::FieldReader;
 use crate::site::{ConfigurationSettings, MembershipSettings, TakeoverSettings};
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -43,24 +43,24 @@
     }
 }
 
-fn require_membership(reader: &mut Reader, has_membership: bool, expected: &str) {
+fn require_membership(reader: &mut FieldReader, has_membership: bool, expected: &str) {
     if !has_membership {
-        reader.complain("fellowship", "no call of fellowship(...)", expected);
+        reader.report("fellowship", "no call of fellowship(...)", expected);
     }
 }
 
-fn read_membership(reader: &mut Reader) -> MembershipSettings {
+fn read_membership(reader: &mut FieldReader) -> MembershipSettings {
     let listen = read_address(reader, "listen");
-    let seeds = reader.texts_or_none("meet");
+    let seeds = reader.text_list_or_empty("meet");
     let seeds = seeds
         .iter()
         .filter_map(|text| parse_peer(reader, "meet", text))
         .collect();
     let advertise = reader
-        .maybe_text("advertise")
+        .optional_text("advertise")
         .and_then(|text| parse_peer(reader, "advertise", &text));
     let keys = PathBuf::from(reader.text("keys"));
-    let probe_interval = reader.span_or("period", 500 * MS);
+    let probe_interval = reader.duration_or("period", 500 * MS);
     check_peer_span(reader, "period", probe_interval);
     MembershipSettings {
         listen,
@@ -71,35 +71,35 @@
     }
 }
 
-fn parse_peer(reader: &mut Reader, field: &'static str, text: &str) -> Option<SocketAddr> {
+fn parse_peer(reader: &mut FieldReader, field: &'static str, text: &str) -> Option<SocketAddr> {
     let parsed = text.parse().ok();
     if parsed.is_none() {
         let expected = "addresses with a port, such as \"127.0.0.1:7002\"";
-        reader.complain(field, format!("found {text:?}"), expected);
+        reader.report(field, format!("found {text:?}"), expected);
     }
     parsed
 }
 
-fn read_takeover(reader: &mut Reader) -> TakeoverSettings {
+fn read_takeover(reader: &mut FieldReader) -> TakeoverSettings {
     for moved in MOVED_FROM_TAKEOVER {
-        if reader.moved(moved) {
+        if reader.accept(moved) {
             let expected = format!("it in fellowship({moved} = ...), beside takeover(...)");
-            reader.complain(moved, "found here", expected);
+            reader.report(moved, "found here", expected);
         }
     }
     let takeover = TakeoverSettings {
-        backups: reader.whole_or("guardians", 1..=7, 3) as usize,
-        lease: reader.span_or("lease", 600 * MS),
-        response_retention: reader.span_or("keep", 5 * SECOND),
-        max_in_flight: reader.whole_or("held", 1..=MAX_RECORDS, 20_000) as usize,
-        max_records: reader.whole_or("kept", 1..=MAX_RECORDS, 60_000) as usize,
+        backups: reader.integer_or("guardians", 1..=7, 3) as usize,
+        lease: reader.duration_or("lease", 600 * MS),
+        response_retention: reader.duration_or("keep", 5 * SECOND),
+        max_in_flight: reader.integer_or("held", 1..=MAX_RECORDS, 20_000) as usize,
+        max_records: reader.integer_or("kept", 1..=MAX_RECORDS, 60_000) as usize,
         max_record_bytes: reader.size_or("kept_bytes", KIB..=1 << 40, 256 << 20) as usize,
     };
     check_peer_span(reader, "lease", takeover.lease);
     takeover
 }
 
-fn read_configuration(reader: &mut Reader) -> ConfigurationSettings {
+fn read_configuration(reader: &mut FieldReader) -> ConfigurationSettings {
     let rates = KIB..=MAX_BYTES_PER_S;
     ConfigurationSettings {
         cache_folder: PathBuf::from(reader.text("keep")),
--- a/crates/settings/src/records/mod.rs
+++ b/crates/settings/src/records/mod.rs
@@ -15,13 +15,13 @@
 
 use self::calls::Calls;
 use self::membership::PeerSettings;
-use crate::reader::{Problem, Row};
+use crate::reader::{Problem, RecordCall};
 use crate::site::{BackupMode, ListenerSettings, RouteClassSettings, Site};
 use std::collections::HashSet;
 
 /// Returns the site that the calls describe, with a stand-in for each value that is missing or wrong and a problem for each
 /// of those.
-pub(crate) fn read_site(file: &str, rows: &[Row], problems: &mut Vec<Problem>) -> Site {
+pub(crate) fn read_site(file: &str, rows: &[RecordCall], problems: &mut Vec<Problem>) -> Site {
     let mut calls = Calls::new(file, rows, problems);
     calls.check_kinds();
     let sidecar = calls.read("sidecar", sidecar::read);
@@ -57,7 +57,7 @@
         upstream: pods.upstream,
         exposure,
         votes,
-        list: discovery.list,
+        endpoint_list: discovery.list,
         discovery: discovery.endpoint,
         cached_list: discovery.cached_list,
         control_plane,
@@ -74,11 +74,11 @@
         let class = route_class::read(reader);
         if !names.insert(class.name.clone()) {
             let found = format!("found {:?} again", class.name);
-            reader.complain("name", found, "a name of its own");
+            reader.report("name", found, "a name of its own");
         }
         if class.backup != BackupMode::Off && peers.takeover.is_none() {
             let expected = "one, as nobody guards without it";
-            reader.complain("guard", "no call of takeover(...)", expected);
+            reader.report("guard", "no call of takeover(...)", expected);
         }
         class
     })
--- a/crates/settings/src/records/release.rs
+++ b/crates/settings/src/records/release.rs
@@ -1,22 +1,22 @@
 //! `exposure(...)` and `votes(...)`: how much a build on trial may get, and how the control plane counts votes.
 
 use super::fields::SECOND;
-use crate::reader::Reader;
-use crate::words;
+use crate::keywords;
+use crate::reader::FieldReader;
 use havenplank::interface::{ExposureSettings, ReleaseControl, VoteSettings};
 
 /// The most votes that a quorum may ask for.
 const MAX_QUORUM: u64 = 1_000_000;
 
 /// Reads the exposure; caps by class need route classes.
-pub(super) fn read_exposure(reader: &mut Reader, has_classes: bool) -> ExposureSettings {
-    let caps = reader.shares("caps");
-    let window = reader.span_above_0("window");
+pub(super) fn read_exposure(reader: &mut FieldReader, has_classes: bool) -> ExposureSettings {
+    let caps = reader.fractions("caps");
+    let window = reader.positive_duration("window");
     ExposureSettings {
         window,
         free_attempts: reader.number_or("free", 0.0..=1e6, 0.0),
         per_class: reader.flag_or("per_group", false) && has_classes,
-        idempotent_only_stages: reader.whole_or("guarded_stages", 0..=caps.len() as u64, 0)
+        idempotent_only_stages: reader.integer_or("guarded_stages", 0..=caps.len() as u64, 0)
             as usize,
         sticky_keys: reader.flag_or("one_way", false),
         blue_green: reader.flag_or("beside", true),
@@ -25,31 +25,31 @@
 }
 
 /// Reads the votes; a quorum may not ask for more votes than there are sidecars.
-pub(super) fn read_votes(reader: &mut Reader, instances: usize) -> VoteSettings {
+pub(super) fn read_votes(reader: &mut FieldReader, instances: usize) -> VoteSettings {
     let control = reader
-        .choice("control", &words::RELEASE_CONTROL)
+        .choice("control", &keywords::RELEASE_CONTROL)
         .unwrap_or(ReleaseControl::AnyVote);
-    let rollback_quorum = reader.whole_or("back_needs", 1..=MAX_QUORUM, 1) as usize;
-    let advance_quorum = reader.whole_or("on_needs", 0..=MAX_QUORUM, 0) as usize;
+    let rollback_quorum = reader.integer_or("back_needs", 1..=MAX_QUORUM, 1) as usize;
+    let advance_quorum = reader.integer_or("on_needs", 0..=MAX_QUORUM, 0) as usize;
     check_quorum(reader, "on_needs", advance_quorum, instances);
     check_quorum(reader, "back_needs", rollback_quorum, instances);
     VoteSettings {
         control,
         advance_quorum,
         rollback_quorum,
-        ttl: reader.span("life"),
-        call_timeout: reader.span_or("call_time_out", SECOND),
+        ttl: reader.duration("life"),
+        call_timeout: reader.duration_or("call_time_out", SECOND),
         calls_per_second: reader.number_or("calls_per_s", 0.0..=1e6, 0.0),
         stage_duration: match control {
-            ReleaseControl::Timed => reader.span("step"),
-            _ => reader.span_or("step", 0),
+            ReleaseControl::Timed => reader.duration("step"),
+            _ => reader.duration_or("step", 0),
         },
     }
 }
 
-fn check_quorum(reader: &mut Reader, field: &'static str, quorum: usize, instances: usize) {
+fn check_quorum(reader: &mut FieldReader, field: &'static str, quorum: usize, instances: usize) {
     if quorum > instances.max(1) {
         let expected = format!("{instances} at most, the instances");
-        reader.complain(field, format!("found {quorum}"), expected);
+        reader.report(field, format!("found {quorum}"), expected);
     }
 }
--- a/crates/settings/src/records/route_class.rs
+++ b/crates/settings/src/records/route_class.rs
@@ -1,17 +1,17 @@
 //! `path_group(...)`: a route class and the requests that belong to it.
 
 use super::fields::read_maybe_choice;
-use crate::reader::Reader;
+use crate::keywords;
+use crate::reader::FieldReader;
 use crate::site::{BackupMode, RouteClassSettings};
-use crate::words;
 use havenplank::interface::{DedupScope, Idempotency, Nanos, RouteClass};
 
 /// The largest priority weight of a served request.
 const MAX_PRIORITY_WEIGHT: f64 = 1e9;
 
-pub(super) fn read(reader: &mut Reader) -> RouteClassSettings {
+pub(super) fn read(reader: &mut FieldReader) -> RouteClassSettings {
     let name = reader.text("name");
-    let methods = reader.texts_or_none("methods");
+    let methods = reader.text_list_or_empty("methods");
     let paths = read_paths(reader);
     let rules = read_rules(reader);
     let backup = read_backup(reader, rules.idempotency);
@@ -27,10 +27,10 @@
     }
 }
 
-fn read_paths(reader: &mut Reader) -> Vec<String> {
-    let paths = reader.texts("paths");
+fn read_paths(reader: &mut FieldReader) -> Vec<String> {
+    let paths = reader.text_list("paths");
     for path in paths.iter().filter(|path| !path.starts_with('/')) {
-        reader.complain(
+        reader.report(
             "paths",
             format!("found {path:?}"),
             "paths that start with /",
@@ -39,17 +39,17 @@
     paths
 }
 
-fn read_rules(reader: &mut Reader) -> RouteClass {
+fn read_rules(reader: &mut FieldReader) -> RouteClass {
     let idempotency = reader
-        .choice("kind", &words::IDEMPOTENCY)
+        .choice("kind", &keywords::IDEMPOTENCY)
         .unwrap_or(Idempotency::NonIdempotent);
-    let dedup_scope = read_maybe_choice(reader, "scope", &words::DEDUP_SCOPE);
+    let dedup_scope = read_maybe_choice(reader, "scope", &keywords::DEDUP_SCOPE);
     let dedup_window = match idempotency {
-        Idempotency::Keyed => reader.span("repeat_window"),
-        _ => reader.span_or("repeat_window", 0),
+        Idempotency::Keyed => reader.duration("repeat_window"),
+        _ => reader.duration_or("repeat_window", 0),
     };
-    let latency_objective = reader.span_above_0("target_latency");
-    let client_timeout = reader.span_above_0("client_timeout");
+    let latency_objective = reader.positive_duration("target_latency");
+    let client_timeout = reader.positive_duration("client_timeout");
     check_objective(reader, latency_objective, client_timeout);
     RouteClass {
         idempotency,
@@ -63,19 +63,19 @@
     }
 }
 
-fn check_objective(reader: &mut Reader, latency_objective: Nanos, client_timeout: Nanos) {
+fn check_objective(reader: &mut FieldReader, latency_objective: Nanos, client_timeout: Nanos) {
     if latency_objective > client_timeout && client_timeout > 0 {
         let expected = "a span that clients still wait for";
-        reader.complain("target_latency", "longer than client_timeout", expected);
+        reader.report("target_latency", "longer than client_timeout", expected);
     }
 }
 
-fn read_backup(reader: &mut Reader, idempotency: Idempotency) -> BackupMode {
-    let backup = read_maybe_choice(reader, "guard", &words::BACKUP_MODE);
+fn read_backup(reader: &mut FieldReader, idempotency: Idempotency) -> BackupMode {
+    let backup = read_maybe_choice(reader, "guard", &keywords::BACKUP_MODE);
     let backup = backup.unwrap_or(BackupMode::Off);
-    if backup == BackupMode::Behind && idempotency != Idempotency::Idempotent {
+    if backup == BackupMode::InBackground && idempotency != Idempotency::Idempotent {
         let expected = "\"before-forward\", as a repeat could do harm";
-        reader.complain("guard", "found \"behind\"", expected);
+        reader.report("guard", "found \"behind\"", expected);
     }
     backup
 }
--- a/crates/settings/src/records/sidecar.rs
+++ b/crates/settings/src/records/sidecar.rs
@@ -1,7 +1,7 @@
 //! `sidecar(...)`: its name, its place in the fleet and where it listens.
 
 use super::fields::read_address;
-use crate::reader::Reader;
+use crate::reader::FieldReader;
 use havenplank::interface::FleetPosition;
 use std::net::SocketAddr;
 
@@ -20,13 +20,13 @@
     pub(super) admin: SocketAddr,
 }
 
-pub(super) fn read(reader: &mut Reader) -> Sidecar {
+pub(super) fn read(reader: &mut FieldReader) -> Sidecar {
     let name = read_name(reader);
-    let instances = reader.whole("instances", 1..=MAX_INSTANCES) as usize;
+    let instances = reader.integer("instances", 1..=MAX_INSTANCES) as usize;
     let rank = read_rank(reader, instances);
-    let zones = reader.texts("zones");
-    let machines = reader.texts_or_none("machines");
-    let tenants = reader.texts_or_none("customers");
+    let zones = reader.text_list("zones");
+    let machines = reader.text_list_or_empty("machines");
+    let tenants = reader.text_list_or_empty("customers");
     let zone = read_zone(reader, &zones);
     Sidecar {
         name,
@@ -43,36 +43,36 @@
     }
 }
 
-fn read_name(reader: &mut Reader) -> String {
+fn read_name(reader: &mut FieldReader) -> String {
     let name = reader.text("name");
     let is_plain = |c: char| c.is_ascii_alphanumeric() || "-._".contains(c);
     if !name.chars().all(is_plain) {
         let found = format!("found {name:?}");
-        reader.complain("name", found, "letters, digits, -, . and _");
+        reader.report("name", found, "letters, digits, -, . and _");
     }
     name
 }
 
 /// Reads the rank. Which pods a sidecar keeps to follows from it, so it may only be left out where there is one sidecar.
-fn read_rank(reader: &mut Reader, instances: usize) -> usize {
+fn read_rank(reader: &mut FieldReader, instances: usize) -> usize {
     let rank = match instances {
-        0 | 1 => reader.whole_or("rank", 0..=0, 0),
-        many => reader.whole("rank", 0..=many as u64 - 1),
+        0 | 1 => reader.integer_or("rank", 0..=0, 0),
+        many => reader.integer("rank", 0..=many as u64 - 1),
     };
     rank as usize
 }
 
 /// Reads the own zone, as its place among all zones.
-fn read_zone(reader: &mut Reader, zones: &[String]) -> usize {
+fn read_zone(reader: &mut FieldReader, zones: &[String]) -> usize {
     let zone = reader.text("zone");
     if zones.iter().any(|zone| zone == DISTRIBUTOR_ZONE) {
         let found = format!("found {DISTRIBUTOR_ZONE:?}");
-        reader.complain("zones", found, "another name, as distributors have it");
+        reader.report("zones", found, "another name, as distributors have it");
         return 0;
     }
     let place = zones.iter().position(|known| *known == zone);
     if place.is_none() {
-        reader.complain("zone", format!("found {zone:?}"), "one of zones");
+        reader.report("zone", format!("found {zone:?}"), "one of zones");
     }
     place.unwrap_or(0)
 }
--- a/crates/settings/src/records/trace.rs
+++ b/crates/settings/src/records/trace.rs
@@ -1,27 +1,27 @@
 //! `trace(...)`: where requests and decisions are recorded.
 
 use super::fields::{KIB, SECOND};
-use crate::reader::Reader;
+use crate::reader::FieldReader;
 use crate::site::TraceSettings;
 use std::path::PathBuf;
 
 /// Reads the settings of the recording; `None` without a folder, where nothing is recorded.
-pub(super) fn read(reader: &mut Reader) -> Option<TraceSettings> {
-    let folder = reader.maybe_text("folder").map(PathBuf::from);
+pub(super) fn read(reader: &mut FieldReader) -> Option<TraceSettings> {
+    let folder = reader.optional_text("folder").map(PathBuf::from);
     let trace = TraceSettings {
         folder: folder.clone().unwrap_or_default(),
         share: reader.number_or("share", 0.0..=1.0, 1.0),
         queue_bytes: reader.size_or("queue_bytes", 256 * KIB..=1 << 30, 8 << 20) as usize,
         file_bytes: reader.size_or("file_bytes", 64 * KIB..=1 << 40, 256 << 20),
         file_age: match reader.has("file_age") {
-            true => reader.span_above_0("file_age"),
-            false => reader.span_or("file_age", 3_600 * SECOND),
+            true => reader.positive_duration("file_age"),
+            false => reader.duration_or("file_age", 3_600 * SECOND),
         },
         total_bytes: reader.size_or("total_bytes", 64 * KIB..=1 << 44, 4 << 30),
     };
     if trace.total_bytes < trace.file_bytes {
         let found = format!("found {}", trace.total_bytes);
-        reader.complain("total_bytes", found, "file_bytes at least");
+        reader.report("total_bytes", found, "file_bytes at least");
     }
     folder.map(|_| trace)
 }
--- a/crates/settings/src/script.rs
+++ b/crates/settings/src/script.rs
@@ -1,6 +1,6 @@
 //! Runs a settings script within bounds and collects the records that it calls for.
 
-use crate::reader::{Problem, Problems, Row};
+use crate::reader::{Problem, Problems, RecordCall};
 use crate::records;
 use crate::site::Site;
 use serde_json::Value as Json;
@@ -56,7 +56,7 @@
 
 /// What one run has collected so far, and what was handed to it.
 struct Sheet {
-    rows: Vec<Row>,
+    rows: Vec<RecordCall>,
     given: Given,
     most_rows: usize,
 }
@@ -101,7 +101,7 @@
             sheet.rows.len() + 1,
             sheet.most_rows,
         );
-        sheet.rows.push(Row {
+        sheet.rows.push(RecordCall {
             kind,
             file,
             line,
@@ -296,7 +296,7 @@
 ///
 /// # Errors
 /// The script does not run to its end.
-pub fn configuration_rows(file: &Path, given: &Given) -> Result<Vec<Row>, Problems> {
+pub fn run_configuration_script(file: &Path, given: &Given) -> Result<Vec<RecordCall>, Problems> {
     let globals = globals()
         .with(settings_functions)
         .with(configuration_functions)
@@ -315,7 +315,7 @@
     given: &Given,
     globals: &Globals,
     bounds: Bounds,
-) -> Result<Vec<Row>, Problems> {
+) -> Result<Vec<RecordCall>, Problems> {
     let shown = file.display().to_string();
     let text = read(file, bounds.file_bytes)
         .map_err(|error| script_problem(&shown, 0, error.to_string(), "a readable file"))?;
--- a/crates/settings/src/site.rs
+++ b/crates/settings/src/site.rs
@@ -38,7 +38,7 @@
     /// How the control plane counts votes.
     pub votes: VoteSettings,
     /// How the endpoint list is followed.
-    pub list: EndpointListSettings,
+    pub endpoint_list: EndpointListSettings,
     /// Where service discovery listens.
     pub discovery: LineProtocolEndpoint,
     /// Where the last whole endpoint list is cached for a start without service discovery.
@@ -108,7 +108,8 @@
     /// Before an attempt is sent.
     BeforeAttempt,
     /// While an attempt runs; for idempotent requests only.
-    Behind,
+    #[serde(rename = "Behind")]
+    InBackground,
 }
 
 /// Where requests and decisions are recorded.
--- a/crates/settings/tests/stored.rs
+++ b/crates/settings/tests/stored.rs
@@ -1,7 +1,7 @@
 //! Settings scripts of 0.2.0, of each kind, give the values that they gave before any name in the code changed.
 
 use havenplank::interface::{DedupScope, Idempotency, ReleaseControl};
-use havenplank_settings::{configuration_rows, load, BackupMode, Given, Site};
+use havenplank_settings::{load, run_configuration_script, BackupMode, Given, Site};
 use std::path::{Path, PathBuf};
 
 const MS: u64 = 1_000_000;
@@ -75,7 +75,9 @@
         (site.votes.rollback_quorum, site.votes.calls_per_second),
         (1, 40.0)
     );
-    assert!(!site.list.must_watch && site.cached_list == Some(PathBuf::from("last-list.txt")));
+    assert!(
+        !site.endpoint_list.must_watch && site.cached_list == Some(PathBuf::from("last-list.txt"))
+    );
     assert!(site.trace.is_none() && site.takeover.is_none() && site.configuration.is_none());
 }
 
@@ -90,7 +92,7 @@
     assert_eq!(
         guards,
         [
-            BackupMode::Behind,
+            BackupMode::InBackground,
             BackupMode::BeforeAttempt,
             BackupMode::Off
         ]
@@ -152,7 +154,10 @@
         (3, 2)
     );
     assert_eq!(
-        (site.list.must_watch, site.list.max_watch_retry_delay),
+        (
+            site.endpoint_list.must_watch,
+            site.endpoint_list.max_watch_retry_delay
+        ),
         (true, 4_000 * MS)
     );
     assert_eq!(
@@ -216,7 +221,7 @@
 
 #[test]
 fn a_stored_script_of_a_distributor_gives_its_rows_in_order() {
-    let rows = configuration_rows(&fixture("fleet.star"), &Given::new());
+    let rows = run_configuration_script(&fixture("fleet.star"), &Given::new());
     let rows = rows.unwrap_or_else(|problems| panic!("{problems}"));
     let shown: Vec<_> = rows
         .iter()
--- a/crates/sidecar/src/engine/settings.rs
+++ b/crates/sidecar/src/engine/settings.rs
@@ -63,7 +63,7 @@
             pods: site.pods.clone(),
             exposure: site.exposure.clone(),
             votes: site.votes.clone(),
-            endpoint_list: site.list.clone(),
+            endpoint_list: site.endpoint_list.clone(),
             reuse_pod_ids: true,
         }
     }
--- a/crates/sidecar/src/prepared_request.rs
+++ b/crates/sidecar/src/prepared_request.rs
@@ -120,7 +120,7 @@
             tenant,
             has_client_key: false,
             announcement: match route.backup {
-                BackupMode::Behind => AnnouncementMode::InBackground,
+                BackupMode::InBackground => AnnouncementMode::InBackground,
                 BackupMode::BeforeAttempt | BackupMode::Off => AnnouncementMode::BeforeAttempt,
             },
             backed_up: Cell::new(true),
@@ -147,7 +147,7 @@
     fn of(route: &Route) -> AnnouncementMode {
         match route.backup {
             BackupMode::BeforeAttempt => AnnouncementMode::BeforeAttempt,
-            BackupMode::Behind | BackupMode::Off => AnnouncementMode::InBackground,
+            BackupMode::InBackground | BackupMode::Off => AnnouncementMode::InBackground,
         }
     }
 }
--- a/crates/trace/src/from_wire.rs
+++ b/crates/trace/src/from_wire.rs
@@ -94,7 +94,7 @@
 }
 
 impl InstanceListener for RecordingInstance {
-    fn attach(now: Nanos, sidecar: u64, seed: u64, setup: Setup) -> RecordingInstance {
+    fn create(now: Nanos, sidecar: u64, seed: u64, setup: Setup) -> RecordingInstance {
         let Setup { names, router } = setup;
         let class_names = names.route_classes.iter().cloned();
         let terms = EngineSettings {
@@ -448,7 +448,9 @@
             }
             self.number += 1;
             if !self.text.iter().all(u8::is_ascii_whitespace) {
-                return Line::read(self.number, &self.text).map(Some).map_err(unfit);
+                return Line::parse(self.number, &self.text)
+                    .map(Some)
+                    .map_err(unfit);
             }
         }
     }
@@ -465,8 +467,8 @@
         Vec::new(),
     );
     while let Some(line) = lines.next()? {
-        let sidecar = line.of().whole("sidecar").ok();
-        wire.line(line).map_err(unfit)?;
+        let sidecar = line.fields().integer("sidecar").ok();
+        wire.handle_line(line).map_err(unfit)?;
         let instance = sidecar
             .and_then(|sidecar| wire.instances.get_mut(&sidecar))
             .and_then(Option::as_mut);
@@ -498,8 +500,8 @@
         records: 0,
     };
     while let Some(line) = input.next()? {
-        let sidecar = line.of().whole("sidecar").ok();
-        let batch = conversion.session.line(line).map_err(unfit)?;
+        let sidecar = line.fields().integer("sidecar").ok();
+        let batch = conversion.session.handle_line(line).map_err(unfit)?;
         if let Some(sidecar) = sidecar {
             conversion.write_events(sidecar)?;
         }
@@ -550,7 +552,7 @@
                 wire: &mut self.session,
                 done: Vec::new(),
             };
-            let answered = actions::read(&line, &mut recorder).map_err(unfit)?;
+            let answered = actions::decode(&line, &mut recorder).map_err(unfit)?;
             for (sidecar, effect) in recorder.done {
                 if let Some(Some(instance)) = self.session.instances.get(&sidecar) {
                     self.writer.put(instance.record(What::Effect(effect)))?;
--- a/crates/trace/tests/wire.rs
+++ b/crates/trace/tests/wire.rs
@@ -87,10 +87,10 @@
             input += line;
             input.push('\n');
             if let Some(turn) = wire
-                .line(Line::read(n as u64, line.as_bytes()).unwrap())
+                .handle_line(Line::parse(n as u64, line.as_bytes()).unwrap())
                 .unwrap()
             {
-                wire.reply(turn, &mut answer).unwrap();
+                wire.write_actions(turn, &mut answer).unwrap();
             }
         }
         for line in String::from_utf8(answer.clone()).unwrap().lines() {
