--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,12 +1,16 @@
-//! The settings script: what an operator states about a deployment, checked into small records.
+//! Reads the settings script, in which an operator describes a deployment, and checks it.
 //!
-//! [`load`] runs a Starlark script (source language: the Starlark specification; `load` works for files
-//! beside it) and returns a [`Site`], or every mistake found in it, each with file, line, field and what was
-//! expected. [`run_configuration_script`] runs the script of a configuration that changes while sidecars run. Times become whole
-//! nanoseconds and sizes bytes here. Nothing here decides or tunes anything.
+//! A settings script is a Starlark program, as the Starlark specification defines the language. It may `load` files
+//! from its own folder and from folders below it. It declares settings by calls of record functions such as
+//! `sidecar(...)` and `path_group(...)`.
 //!
-//! The words of the script are older than the names in the code and stay as they are: [`keywords`] and the modules that read
-//! each call map them, once.
+//! [`load`] runs the script and returns a [`Site`], or every mistake found in the script, each with its file, line and
+//! field and what was expected. [`run_configuration_script`] runs the script of a configuration that changes while
+//! sidecars run. Both convert durations to whole nanoseconds and sizes to bytes. This crate makes no decisions and has
+//! no tuning of its own.
+//!
+//! The function, field and value names of the script predate the names in the code and must not change. The module
+//! [`keywords`] and the modules that read each call map them to the names in the code, each in one place.
 
 #![warn(missing_docs)]
 #![warn(
--- a/crates/settings/src/records/calls.rs
+++ b/crates/settings/src/records/calls.rs
@@ -1,9 +1,10 @@
-//! The calls of one script by kind: which must stand there, which only once, and which not beside another.
+//! The record function calls of one script by kind: which are required, which may occur only once, and which may not be
+//! combined with `configuration(...)`.
 
 use crate::reader::{FieldReader, Problem, RecordCall};
 
-/// Kinds that a script calls for at most once.
-const ONCE: [&str; 12] = [
+/// Record functions that a script may call at most once.
+const AT_MOST_ONCE: [&str; 12] = [
     "sidecar",
     "headers",
     "limits",
@@ -17,14 +18,15 @@
     "takeover",
     "configuration",
 ];
-/// Kinds without which there is no site.
-const NEEDED: [&str; 6] = ["sidecar", "pods", "exposure", "votes", "nodes", "desk"];
+/// Record functions that every script has to call.
+const REQUIRED: [&str; 6] = ["sidecar", "pods", "exposure", "votes", "nodes", "desk"];
 
-/// What may not stand beside `configuration(...)`, and what takes its place.
+/// A call or field that may not be combined with `configuration(...)`, and what replaces it.
 struct Replaced {
     kind: &'static str,
-    /// `None` for the whole call.
+    /// The field that is replaced; `None` if the entire call is replaced.
     field: Option<&'static str>,
+    /// What the operator should write instead, as the problem shows it.
     expected: &'static str,
 }
 
@@ -32,58 +34,58 @@
     Replaced {
         kind: "path_group",
         field: None,
-        expected: "route(...) in the script of `havenplank distribute`, as configuration(...) brings routes",
+        expected: "route(...) in the script of `havenplank distribute`, from which configuration(...) gets routes",
     },
     Replaced {
         kind: "sidecar",
         field: Some("customers"),
-        expected: "tenant(...) in the script of `havenplank distribute`, as configuration(...) brings tenants",
+        expected: "tenant(...) in the script of `havenplank distribute`, from which configuration(...) gets tenants",
     },
     Replaced {
         kind: "trace",
         field: Some("folder"),
-        expected: "no trace beside configuration(...), as a trace holds one set of routes",
+        expected: "no trace folder together with configuration(...), as a trace holds one set of routes",
     },
 ];
 
 /// The calls of one script and the problems found in them so far.
 pub(super) struct Calls<'a> {
     file: &'a str,
-    rows: &'a [RecordCall],
+    calls: &'a [RecordCall],
     problems: &'a mut Vec<Problem>,
 }
 
 impl<'a> Calls<'a> {
     pub(super) fn new(
         file: &'a str,
-        rows: &'a [RecordCall],
+        calls: &'a [RecordCall],
         problems: &'a mut Vec<Problem>,
     ) -> Calls<'a> {
         Calls {
             file,
-            rows,
+            calls,
             problems,
         }
     }
 
-    /// Returns whether the script has a call of this kind.
+    /// Returns whether the script calls this record function.
     pub(super) fn has(&self, kind: &str) -> bool {
-        self.rows.iter().any(|row| row.kind == kind)
+        self.calls.iter().any(|call| call.kind == kind)
     }
 
-    /// Reports calls that stand twice, are missing, or may not stand beside `configuration(...)`.
+    /// Reports calls that are repeated, missing, or may not be combined with `configuration(...)`.
     pub(super) fn check_kinds(&mut self) {
-        for kind in ONCE {
-            self.refuse_repeats(kind);
+        for kind in AT_MOST_ONCE {
+            self.reject_repeats(kind);
         }
         let is_configured = self.has("configuration");
         if is_configured {
             REPLACED_BY_CONFIGURATION
                 .iter()
-                .for_each(|replaced| self.refuse_replaced(replaced));
+                .for_each(|replaced| self.reject_replaced(replaced));
         }
         let routes = (!is_configured).then_some("path_group");
-        for kind in NEEDED.into_iter().chain(routes) {
+        for kind in REQUIRED.into_iter().chain(routes) {
             if !self.has(kind) {
                 let expected = format!("a call of {kind}(...)");
                 self.report(
@@ -97,33 +99,33 @@
         }
     }
 
-    /// Reads the first call of a kind. One that does not stand there is read as a call without fields; where it is needed,
-    /// its missing fields are not reported, as the call itself was.
+    /// Reads the first call of a kind. A missing call is read as a call without fields. If the kind is required, the
+    /// problems of those fields are dropped, as `check_kinds` reports the missing call itself.
     pub(super) fn read<T>(
         &mut self,
         kind: &'static str,
         read: impl FnOnce(&mut FieldReader) -> T,
     ) -> T {
-        let row = self.rows.iter().find(|row| row.kind == kind);
-        let blank = RecordCall {
+        let call = self.calls.iter().find(|call| call.kind == kind);
+        let empty_call = RecordCall {
             kind,
             file: self.file.to_string(),
             line: 0,
             fields: Default::default(),
         };
-        let mut unreported = Vec::new();
-        let problems = if row.is_some() || !NEEDED.contains(&kind) {
+        let mut dropped = Vec::new();
+        let problems = if call.is_some() || !REQUIRED.contains(&kind) {
             &mut *self.problems
         } else {
-            &mut unreported
+            &mut dropped
         };
-        let mut reader = FieldReader::new(row.unwrap_or(&blank), problems);
+        let mut reader = FieldReader::new(call.unwrap_or(&empty_call), problems);
         let value = read(&mut reader);
         reader.finish();
         value
     }
 
-    /// Reads the first call of a kind where there is one.
+    /// Reads the first call of a kind, or returns `None` if there is no such call.
     pub(super) fn read_if_called<T>(
         &mut self,
         kind: &'static str,
@@ -132,41 +134,47 @@
         self.has(kind).then(|| self.read(kind, read))
     }
 
-    /// Reads all calls of a kind, in the order of the script.
+    /// Reads all calls of a kind, in script order.
     pub(super) fn read_each<T>(
         &mut self,
         kind: &str,
         mut read: impl FnMut(&mut FieldReader) -> T,
     ) -> Vec<T> {
         let mut values = Vec::new();
-        for row in self.rows.iter().filter(|row| row.kind == kind) {
-            let mut reader = FieldReader::new(row, self.problems);
+        for call in self.calls.iter().filter(|call| call.kind == kind) {
+            let mut reader = FieldReader::new(call, self.problems);
             values.push(read(&mut reader));
             reader.finish();
         }
         values
     }
 
-    fn refuse_repeats(&mut self, kind: &str) {
-        for row in self.rows.iter().filter(|row| row.kind == kind).skip(1) {
+    fn reject_repeats(&mut self, kind: &str) {
+        for call in self.calls.iter().filter(|call| call.kind == kind).skip(1) {
             let field = kind.to_string();
-            self.report(row.file.clone(), row.line, field, "a second one", "it once");
+            self.report(
+                call.file.clone(),
+                call.line,
+                field,
+                "called again",
+                "a single call",
+            );
         }
     }
 
-    fn refuse_replaced(&mut self, replaced: &Replaced) {
+    fn reject_replaced(&mut self, replaced: &Replaced) {
         let Replaced {
             kind,
             field,
             expected,
         } = replaced;
-        let stands = |row: &&RecordCall| {
-            row.kind == *kind && field.is_none_or(|field| row.fields.contains_key(field))
+        let is_replaced = |call: &&RecordCall| {
+            call.kind == *kind && field.is_none_or(|field| call.fields.contains_key(field))
         };
-        for row in self.rows.iter().filter(stands) {
+        for call in self.calls.iter().filter(is_replaced) {
             let shown = field.map_or(kind.to_string(), |field| format!("{kind}.{field}"));
-            let found = "found beside configuration(...)";
-            self.report(row.file.clone(), row.line, shown, found, *expected);
+            let found = "found together with configuration(...)";
+            self.report(call.file.clone(), call.line, shown, found, *expected);
         }
     }
 
--- a/crates/settings/src/records/endpoints.rs
+++ b/crates/settings/src/records/endpoints.rs
@@ -1,4 +1,5 @@
-//! `nodes(...)` and `desk(...)`: service discovery and the control plane, which speak our line protocols.
+//! `nodes(...)` and `desk(...)`: the connections to service discovery and to the control plane, both of which use line
+//! protocols.
 
 use super::fields::{read_address, KIB};
 use crate::reader::FieldReader;
@@ -6,7 +7,7 @@
 use havenplank::interface::EndpointListSettings;
 use std::path::PathBuf;
 
-/// What `nodes(...)` states.
+/// The settings of `nodes(...)`.
 pub(super) struct Discovery {
     pub(super) endpoint: LineProtocolEndpoint,
     pub(super) list: EndpointListSettings,
--- a/crates/settings/src/records/listener.rs
+++ b/crates/settings/src/records/listener.rs
@@ -1,4 +1,5 @@
-//! `headers(...)` and `limits(...)`: what a request may carry and what clients may take up.
+//! `headers(...)` and `limits(...)`: the headers that a sidecar reads from requests, and the limits on attempts and on
+//! clients.
 
 use super::fields::{read_header, KIB, MS, SECOND};
 use crate::reader::FieldReader;
@@ -6,12 +7,12 @@
 use havenplank::interface::AttemptSettings;
 use std::net::SocketAddr;
 
-/// The largest body, and the largest response that is read whole.
+/// The largest limit on a request body and on a buffered response that the settings accept.
 const MAX_BODY_BYTES: u64 = 64 * KIB * KIB;
-/// The most connections or requests at once.
-const MAX_AT_ONCE: u64 = 1_000_000;
-/// What is held at once where the script does not say.
-const DEFAULT_AT_ONCE: u64 = 16_384;
+/// The largest limit on concurrent connections or requests that the settings accept.
+const MAX_CONCURRENCY: u64 = 1_000_000;
+/// The default limit on concurrent connections and on concurrent requests.
+const DEFAULT_CONCURRENCY: u64 = 16_384;
 
 pub(super) fn read_headers(reader: &mut FieldReader) -> HeaderNames {
     HeaderNames {
@@ -23,10 +24,10 @@
     }
 }
 
-/// What `limits(...)` states.
+/// The settings of `limits(...)`.
 pub(super) struct Limits {
     pub(super) attempts: AttemptSettings,
-    /// Without the addresses, which `sidecar(...)` states.
+    /// The addresses in it are placeholders; `sidecar(...)` has the real ones.
     pub(super) listener: ListenerSettings,
 }
 
@@ -56,9 +57,9 @@
         head_timeout,
         max_body_bytes: body_bytes as usize,
         body_timeout,
-        max_connections: reader.integer_or("connections", 1..=MAX_AT_ONCE, DEFAULT_AT_ONCE)
+        max_connections: reader.integer_or("connections", 1..=MAX_CONCURRENCY, DEFAULT_CONCURRENCY)
             as usize,
-        max_requests: reader.integer_or("hits", 1..=MAX_AT_ONCE, DEFAULT_AT_ONCE) as usize,
+        max_requests: reader.integer_or("hits", 1..=MAX_CONCURRENCY, DEFAULT_CONCURRENCY) as usize,
         response_margin: reader.duration_or("answer_margin", 20 * MS),
         buffered_response_bytes: reader.size_or("answer_bytes", 0..=MAX_BODY_BYTES, 64 * KIB)
             as usize,
--- a/crates/settings/src/records/membership.rs
+++ b/crates/settings/src/records/membership.rs
@@ -1,21 +1,21 @@
-//! `fellowship(...)`, `takeover(...)` and `configuration(...)`: what sidecars share with their peers.
+//! `fellowship(...)`, `takeover(...)` and `configuration(...)`: what a sidecar does together with its peers.
 
 use super::calls::Calls;
-use super::fields::{check_peer_span, read_address, KIB, MS, SECOND};
+use super::fields::{check_peer_duration, read_address, KIB, MS, SECOND};
 use crate::reader::FieldReader;
 use crate::site::{ConfigurationSettings, MembershipSettings, TakeoverSettings};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Fields that `takeover(...)` had before the membership had a call of its own.
+/// Fields that belonged to `takeover(...)` before `fellowship(...)` existed.
 const MOVED_FROM_TAKEOVER: [&str; 5] = ["listen", "advertise", "meet", "keys", "period"];
-/// The highest rate at which a configuration is fetched or served, in bytes a second.
+/// The highest rate limit for fetching or serving a configuration, in bytes per second.
 const MAX_BYTES_PER_S: u64 = 1 << 30;
 const DEFAULT_BYTES_PER_S: u64 = 8_000;
-/// The most requests or records that a sidecar may hold for others.
+/// The largest limit on backed up requests, and on records held for peers, that the settings accept.
 const MAX_RECORDS: u64 = 1_000_000;
 
-/// What a sidecar shares with peers, as far as the script calls for it.
+/// The settings for work with peers; each is `None` if the script does not call its record function.
 pub(super) struct PeerSettings {
     pub(super) membership: Option<MembershipSettings>,
     pub(super) takeover: Option<TakeoverSettings>,
@@ -27,12 +27,16 @@
     let has_membership = membership.is_some();
     let takeover = calls.read_if_called("takeover", |reader| {
         let takeover = read_takeover(reader);
-        require_membership(reader, has_membership, "one, as guardians are fellows");
+        require_membership(
+            reader,
+            has_membership,
+            "fellowship(...), as backups are chosen among its members",
+        );
         takeover
     });
     let configuration = calls.read_if_called("configuration", |reader| {
         let configuration = read_configuration(reader);
-        let expected = "one, as peers bring the configuration";
+        let expected = "fellowship(...), as peers send the configuration";
         require_membership(reader, has_membership, expected);
         configuration
     });
@@ -61,7 +65,7 @@
         .and_then(|text| parse_peer(reader, "advertise", &text));
     let keys = PathBuf::from(reader.text("keys"));
     let probe_interval = reader.duration_or("period", 500 * MS);
-    check_peer_span(reader, "period", probe_interval);
+    check_peer_duration(reader, "period", probe_interval);
     MembershipSettings {
         listen,
         advertise,
@@ -74,7 +78,7 @@
 fn parse_peer(reader: &mut FieldReader, field: &'static str, text: &str) -> Option<SocketAddr> {
     let parsed = text.parse().ok();
     if parsed.is_none() {
-        let expected = "addresses with a port, such as \"127.0.0.1:7002\"";
+        let expected = "IP addresses with a port, such as \"127.0.0.1:7002\"";
         reader.report(field, format!("found {text:?}"), expected);
     }
     parsed
@@ -83,8 +87,8 @@
 fn read_takeover(reader: &mut FieldReader) -> TakeoverSettings {
     for moved in MOVED_FROM_TAKEOVER {
         if reader.accept(moved) {
-            let expected = format!("it in fellowship({moved} = ...), beside takeover(...)");
-            reader.report(moved, "found here", expected);
+            let expected = format!("fellowship({moved} = ...), which is a separate call");
+            reader.report(moved, "found in takeover(...)", expected);
         }
     }
     let takeover = TakeoverSettings {
@@ -95,7 +99,7 @@
         max_records: reader.integer_or("kept", 1..=MAX_RECORDS, 60_000) as usize,
         max_record_bytes: reader.size_or("kept_bytes", KIB..=1 << 40, 256 << 20) as usize,
     };
-    check_peer_span(reader, "lease", takeover.lease);
+    check_peer_duration(reader, "lease", takeover.lease);
     takeover
 }
 
--- a/crates/settings/src/records/mod.rs
+++ b/crates/settings/src/records/mod.rs
@@ -1,4 +1,4 @@
-//! Reads the calls of a settings script into a [`Site`], a module for each subject.
+//! Converts the record function calls of a settings script into a [`Site`], with one module per subject.
 
 mod calls;
 mod endpoints;
@@ -19,10 +19,14 @@
 use crate::site::{BackupMode, ListenerSettings, RouteClassSettings, Site};
 use std::collections::HashSet;
 
-/// Returns the site that the calls describe, with a stand-in for each value that is missing or wrong and a problem for each
-/// of those.
-pub(crate) fn read_site(file: &str, rows: &[RecordCall], problems: &mut Vec<Problem>) -> Site {
-    let mut calls = Calls::new(file, rows, problems);
+/// Returns the site that the calls describe. Each missing or invalid value is replaced by a placeholder and adds a
+/// problem to `problems`.
+pub(crate) fn read_site(
+    file: &str,
+    record_calls: &[RecordCall],
+    problems: &mut Vec<Problem>,
+) -> Site {
+    let mut calls = Calls::new(file, record_calls, problems);
     calls.check_kinds();
     let sidecar = calls.read("sidecar", sidecar::read);
     let headers = calls.read("headers", listener::read_headers);
@@ -74,10 +78,10 @@
         let class = route_class::read(reader);
         if !names.insert(class.name.clone()) {
             let found = format!("found {:?} again", class.name);
-            reader.report("name", found, "a name of its own");
+            reader.report("name", found, "a unique name");
         }
         if class.backup != BackupMode::Off && peers.takeover.is_none() {
-            let expected = "one, as nobody guards without it";
+            let expected = "takeover(...), as no peer backs up requests without it";
             reader.report("guard", "no call of takeover(...)", expected);
         }
         class
--- a/crates/settings/src/records/pods.rs
+++ b/crates/settings/src/records/pods.rs
@@ -1,11 +1,11 @@
-//! `pods(...)`: how pods behave, and the connections to them.
+//! `pods(...)`: how pods warm up, drain and become overloaded, and the limits on connections to them.
 
 use super::fields::{read_header, MS, SECOND};
 use crate::reader::FieldReader;
 use crate::site::UpstreamSettings;
 use havenplank::interface::PodSettings;
 
-/// What `pods(...)` states.
+/// The settings of `pods(...)`.
 pub(super) struct Pods {
     pub(super) settings: PodSettings,
     pub(super) upstream: UpstreamSettings,
--- a/crates/settings/src/records/release.rs
+++ b/crates/settings/src/records/release.rs
@@ -1,14 +1,15 @@
-//! `exposure(...)` and `votes(...)`: how much a build on trial may get, and how the control plane counts votes.
+//! `exposure(...)` and `votes(...)`: the share of attempts that a build on trial may get, and how the control plane
+//! counts votes.
 
 use super::fields::SECOND;
 use crate::keywords;
 use crate::reader::FieldReader;
 use havenplank::interface::{ExposureSettings, ReleaseControl, VoteSettings};
 
-/// The most votes that a quorum may ask for.
+/// The largest quorum that the settings accept.
 const MAX_QUORUM: u64 = 1_000_000;
 
-/// Reads the exposure; caps by class need route classes.
+/// Reads the exposure settings. Caps per route class only apply if there are route classes.
 pub(super) fn read_exposure(reader: &mut FieldReader, has_classes: bool) -> ExposureSettings {
     let caps = reader.fractions("caps");
     let window = reader.positive_duration("window");
@@ -24,7 +25,7 @@
     }
 }
 
-/// Reads the votes; a quorum may not ask for more votes than there are sidecars.
+/// Reads the vote settings. A quorum may not exceed the number of sidecars.
 pub(super) fn read_votes(reader: &mut FieldReader, instances: usize) -> VoteSettings {
     let control = reader
         .choice("control", &keywords::RELEASE_CONTROL)
@@ -49,7 +50,7 @@
 
 fn check_quorum(reader: &mut FieldReader, field: &'static str, quorum: usize, instances: usize) {
     if quorum > instances.max(1) {
-        let expected = format!("{instances} at most, the instances");
+        let expected = format!("at most {instances}, the number of instances");
         reader.report(field, format!("found {quorum}"), expected);
     }
 }
--- a/crates/settings/src/records/route_class.rs
+++ b/crates/settings/src/records/route_class.rs
@@ -1,12 +1,12 @@
 //! `path_group(...)`: a route class and the requests that belong to it.
 
-use super::fields::read_maybe_choice;
+use super::fields::read_optional_choice;
 use crate::keywords;
 use crate::reader::FieldReader;
 use crate::site::{BackupMode, RouteClassSettings};
 use havenplank::interface::{DedupScope, Idempotency, Nanos, RouteClass};
 
-/// The largest priority weight of a served request.
+/// The largest priority weight that the settings accept.
 const MAX_PRIORITY_WEIGHT: f64 = 1e9;
 
 pub(super) fn read(reader: &mut FieldReader) -> RouteClassSettings {
@@ -43,7 +43,7 @@
     let idempotency = reader
         .choice("kind", &keywords::IDEMPOTENCY)
         .unwrap_or(Idempotency::NonIdempotent);
-    let dedup_scope = read_maybe_choice(reader, "scope", &keywords::DEDUP_SCOPE);
+    let dedup_scope = read_optional_choice(reader, "scope", &keywords::DEDUP_SCOPE);
     let dedup_window = match idempotency {
         Idempotency::Keyed => reader.duration("repeat_window"),
         _ => reader.duration_or("repeat_window", 0),
@@ -65,16 +65,17 @@
 
 fn check_objective(reader: &mut FieldReader, latency_objective: Nanos, client_timeout: Nanos) {
     if latency_objective > client_timeout && client_timeout > 0 {
-        let expected = "a span that clients still wait for";
+        let expected = "a duration of at most client_timeout";
         reader.report("target_latency", "longer than client_timeout", expected);
     }
 }
 
 fn read_backup(reader: &mut FieldReader, idempotency: Idempotency) -> BackupMode {
-    let backup = read_maybe_choice(reader, "guard", &keywords::BACKUP_MODE);
+    let backup = read_optional_choice(reader, "guard", &keywords::BACKUP_MODE);
     let backup = backup.unwrap_or(BackupMode::Off);
     if backup == BackupMode::InBackground && idempotency != Idempotency::Idempotent {
-        let expected = "\"before-forward\", as a repeat could do harm";
+        let expected =
+            "\"before-forward\" unless kind is \"repeatable\", as a repeat could do harm";
         reader.report("guard", "found \"behind\"", expected);
     }
     backup
--- a/crates/settings/src/records/sidecar.rs
+++ b/crates/settings/src/records/sidecar.rs
@@ -1,15 +1,15 @@
-//! `sidecar(...)`: its name, its place in the fleet and where it listens.
+//! `sidecar(...)`: the sidecar's name, its position in the fleet and the addresses on which it listens.
 
 use super::fields::read_address;
 use crate::reader::FieldReader;
 use havenplank::interface::FleetPosition;
 use std::net::SocketAddr;
 
-/// The zone that distributors of a configuration tell their peers; no sidecar is in it.
+/// The zone that the distributors of a configuration announce to their peers. No sidecar may be in it.
 pub const DISTRIBUTOR_ZONE: &str = "distributor";
 const MAX_INSTANCES: u64 = 1_000_000;
 
-/// What `sidecar(...)` states.
+/// The settings of `sidecar(...)`.
 pub(super) struct Sidecar {
     pub(super) name: String,
     pub(super) position: FleetPosition,
@@ -45,34 +45,38 @@
 
 fn read_name(reader: &mut FieldReader) -> String {
     let name = reader.text("name");
-    let is_plain = |c: char| c.is_ascii_alphanumeric() || "-._".contains(c);
-    if !name.chars().all(is_plain) {
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || "-._".contains(c);
+    if !name.chars().all(is_allowed) {
         let found = format!("found {name:?}");
-        reader.report("name", found, "letters, digits, -, . and _");
+        reader.report("name", found, "only letters, digits, -, . and _");
     }
     name
 }
 
-/// Reads the rank. Which pods a sidecar keeps to follows from it, so it may only be left out where there is one sidecar.
+/// Reads the rank. It determines which pods a sidecar uses, so it is optional only if there is a single sidecar.
 fn read_rank(reader: &mut FieldReader, instances: usize) -> usize {
     let rank = match instances {
         0 | 1 => reader.integer_or("rank", 0..=0, 0),
-        many => reader.integer("rank", 0..=many as u64 - 1),
+        instances => reader.integer("rank", 0..=instances as u64 - 1),
     };
     rank as usize
 }
 
-/// Reads the own zone, as its place among all zones.
+/// Reads the sidecar's own zone and returns its index in `zones`.
 fn read_zone(reader: &mut FieldReader, zones: &[String]) -> usize {
     let zone = reader.text("zone");
     if zones.iter().any(|zone| zone == DISTRIBUTOR_ZONE) {
         let found = format!("found {DISTRIBUTOR_ZONE:?}");
-        reader.report("zones", found, "another name, as distributors have it");
+        reader.report(
+            "zones",
+            found,
+            "another name, as this one is reserved for distributors",
+        );
         return 0;
     }
-    let place = zones.iter().position(|known| *known == zone);
-    if place.is_none() {
+    let index = zones.iter().position(|known| *known == zone);
+    if index.is_none() {
         reader.report("zone", format!("found {zone:?}"), "one of zones");
     }
-    place.unwrap_or(0)
+    index.unwrap_or(0)
 }
--- a/crates/settings/src/records/trace.rs
+++ b/crates/settings/src/records/trace.rs
@@ -1,11 +1,11 @@
-//! `trace(...)`: where requests and decisions are recorded.
+//! `trace(...)`: the recording of requests and decisions to files.
 
 use super::fields::{KIB, SECOND};
 use crate::reader::FieldReader;
 use crate::site::TraceSettings;
 use std::path::PathBuf;
 
-/// Reads the settings of the recording; `None` without a folder, where nothing is recorded.
+/// Reads the settings of the recording. Returns `None` if no folder is set, in which case nothing is recorded.
 pub(super) fn read(reader: &mut FieldReader) -> Option<TraceSettings> {
     let folder = reader.optional_text("folder").map(PathBuf::from);
     let trace = TraceSettings {
@@ -21,7 +21,7 @@
     };
     if trace.total_bytes < trace.file_bytes {
         let found = format!("found {}", trace.total_bytes);
-        reader.report("total_bytes", found, "file_bytes at least");
+        reader.report("total_bytes", found, "at least file_bytes");
     }
     folder.map(|_| trace)
 }
--- a/crates/settings/src/script.rs
+++ b/crates/settings/src/script.rs
@@ -1,4 +1,4 @@
-//! Runs a settings script within bounds and collects the records that it calls for.
+//! Runs a settings script within resource limits and collects its record function calls.
 
 use crate::reader::{Problem, Problems, RecordCall};
 use crate::records;
@@ -17,17 +17,18 @@
 use std::panic::{catch_unwind, AssertUnwindSafe};
 use std::path::{Component, Path, PathBuf};
 
-/// Function calls and turns of loops that a script may take: a second or two, where a real one needs hundreds
-/// and one that makes 150,000 tenants and 4,500 path groups by loops needs 155,000.
-const TICKS: u64 = 400_000;
-const HEAP: usize = 64 << 20;
-/// Room for a list of 150,000 tenants written out, 2.6 MB, or 4,500 path groups, 0.9 MB.
-const FILE_BYTES: u64 = 8 << 20;
-const LOADS: usize = 32;
-/// Calls of record functions, most of them path groups.
-const RECORDS: usize = 16_384;
+/// Limit on the function calls and loop iterations of a script, which take a second or two. A typical script needs
+/// hundreds; one that declares 150,000 tenants and 4,500 path groups in loops needs 155,000.
+const MAX_TICKS: u64 = 400_000;
+const MAX_HEAP_BYTES: usize = 64 << 20;
+/// Limit on the size of one file. A literal list of 150,000 tenants is 2.6 MB, and 4,500 path groups are 0.9 MB.
+const MAX_FILE_BYTES: u64 = 8 << 20;
+/// Limit on the files that a script loads, directly or through other files.
+const MAX_LOADED_FILES: usize = 32;
+/// Limit on the calls of record functions; path groups are the most numerous.
+const MAX_RECORDS: usize = 16_384;
 
-/// What one run may take.
+/// Resource limits of one run of a script.
 #[derive(Clone, Copy)]
 struct Bounds {
     ticks: u64,
@@ -37,13 +38,14 @@
 }
 
 const SETTINGS_BOUNDS: Bounds = Bounds {
-    ticks: TICKS,
-    heap_bytes: HEAP,
-    file_bytes: FILE_BYTES,
-    records: RECORDS,
+    ticks: MAX_TICKS,
+    heap_bytes: MAX_HEAP_BYTES,
+    file_bytes: MAX_FILE_BYTES,
+    records: MAX_RECORDS,
 };
-/// A configuration is compiled by one process and may have every service and route on a line of its own. Tenants
-/// have a form in bulk, and as many lines again are left for those that have not.
+/// A configuration is compiled by one process only, so it may use more resources. Each service and route may need a
+/// call of its own. Tenants can be declared in bulk, but the limit leaves room for as many individual `tenant(...)`
+/// calls.
 const CONFIGURATION_BOUNDS: Bounds = Bounds {
     ticks: 2_000_000,
     heap_bytes: 256 << 20,
@@ -51,57 +53,59 @@
     records: 200_000,
 };
 
-/// Values handed to the script from outside, which it reads with `given(name, otherwise)`.
+/// Values passed to the script from outside, by name; the script reads them with `given(name, otherwise)`.
 pub type Given = BTreeMap<String, String>;
 
-/// What one run has collected so far, and what was handed to it.
-struct Sheet {
-    rows: Vec<RecordCall>,
+/// The state of one run: the calls collected so far, and the run's inputs.
+struct RunState {
+    calls: Vec<RecordCall>,
     given: Given,
-    most_rows: usize,
+    max_calls: usize,
 }
 
 thread_local! {
-    /// The sheet of the run on this thread: the evaluator's own place for it would ask for `unsafe` code.
-    static SHEET: RefCell<Option<Sheet>> = const { RefCell::new(None) };
+    /// The state of the run on this thread. It is a thread local because passing it through the evaluator would require
+    /// `unsafe` code.
+    static RUN: RefCell<Option<RunState>> = const { RefCell::new(None) };
 }
 
-fn with_sheet<T>(work: impl FnOnce(&mut Sheet) -> anyhow::Result<T>) -> anyhow::Result<T> {
-    SHEET.with_borrow_mut(|sheet| match sheet {
-        Some(sheet) => work(sheet),
-        None => Err(anyhow::anyhow!("called outside a settings script")),
+fn with_run<T>(action: impl FnOnce(&mut RunState) -> anyhow::Result<T>) -> anyhow::Result<T> {
+    RUN.with_borrow_mut(|run| match run {
+        Some(run) => action(run),
+        None => Err(anyhow::anyhow!("function called while no script runs")),
     })
 }
 
-fn add<'v>(
+/// Adds a call of the record function `kind` to the current run.
+fn add_call<'v>(
     kind: &'static str,
     fields: SmallMap<String, Value<'v>>,
     eval: &Evaluator<'v, '_, '_>,
 ) -> anyhow::Result<NoneType> {
-    let at = eval.call_stack_top_location();
-    let (file, line) = at.map_or((String::new(), 0), |span| {
+    let location = eval.call_stack_top_location();
+    let (file, line) = location.map_or((String::new(), 0), |span| {
         (
             span.filename().to_string(),
             span.resolve_span().begin.line + 1,
         )
     });
-    let read = |(name, value): (String, Value<'v>)| {
+    let to_json = |(name, value): (String, Value<'v>)| {
         let json = value.to_json_value();
         (
             name,
             json.unwrap_or_else(|_| Json::from(format!("<{}>", value.get_type()))),
         )
     };
-    let fields = fields.into_iter().map(read).collect();
-    with_sheet(|sheet| {
+    let fields = fields.into_iter().map(to_json).collect();
+    with_run(|run| {
         anyhow::ensure!(
-            sheet.rows.len() < sheet.most_rows,
-            "{kind}(...) is record {}, and a script may call for {} at most; \
+            run.calls.len() < run.max_calls,
+            "{kind}(...) is record {}; expected at most {} records in a script; \
              give several paths to one record (paths = [...]) where its rules are the same",
-            sheet.rows.len() + 1,
-            sheet.most_rows,
+            run.calls.len() + 1,
+            run.max_calls,
         );
-        sheet.rows.push(RecordCall {
+        run.calls.push(RecordCall {
             kind,
             file,
             line,
@@ -119,7 +123,7 @@
                 #[starlark(kwargs)] fields: SmallMap<String, Value<'v>>,
                 eval: &mut Evaluator<'v, '_, '_>,
             ) -> anyhow::Result<NoneType> {
-                add(stringify!($name), fields, eval)
+                add_call(stringify!($name), fields, eval)
             })*
         }
     };
@@ -133,13 +137,13 @@
 
 #[starlark_module]
 fn input_functions(builder: &mut GlobalsBuilder) {
-    /// What was handed in from outside under this name, else the second argument.
+    /// Returns the value passed from outside under this name, or the second argument if there is none.
     fn given(
         #[starlark(require = pos)] name: &str,
         #[starlark(require = pos)] otherwise: &str,
     ) -> anyhow::Result<String> {
-        with_sheet(|sheet| {
-            Ok(sheet
+        with_run(|run| {
+            Ok(run
                 .given
                 .get(name)
                 .cloned()
@@ -148,74 +152,78 @@
     }
 }
 
-/// Reads files beside the script, each once.
-struct Beside<'a> {
+/// Loads files from the folder of the script, each once.
+struct FolderLoader<'a> {
     folder: PathBuf,
     globals: &'a Globals,
     bounds: Bounds,
-    done: RefCell<BTreeMap<String, FrozenModule>>,
-    open: RefCell<Vec<String>>,
+    loaded: RefCell<BTreeMap<String, FrozenModule>>,
+    /// Files that are being loaded, each by the one before it.
+    loading: RefCell<Vec<String>>,
 }
 
-impl FileLoader for Beside<'_> {
+impl FileLoader for FolderLoader<'_> {
     fn load(&self, path: &str) -> starlark::Result<FrozenModule> {
-        let refuse = |why: String| {
+        let reject = |reason: String| {
             Err(starlark::Error::new_other(anyhow::anyhow!(
-                "load of {path:?}: {why}"
+                "load of {path:?}: {reason}"
             )))
         };
-        if let Some(module) = self.done.borrow().get(path) {
+        if let Some(module) = self.loaded.borrow().get(path) {
             return Ok(module.clone());
         }
-        let plain = Path::new(path)
+        let is_below_folder = Path::new(path)
             .components()
-            .all(|part| matches!(part, Component::Normal(_)));
-        if !plain {
-            return refuse(
-                "expected a file beside the script, with no .. and no leading /".to_string(),
+            .all(|component| matches!(component, Component::Normal(_)));
+        if !is_below_folder {
+            return reject(
+                "expected a path within the script's folder, without .. and without a leading /"
+                    .to_string(),
             );
         }
-        if self.open.borrow().iter().any(|name| name == path) {
-            return refuse("it loads itself, by way of others".to_string());
+        if self.loading.borrow().iter().any(|name| name == path) {
+            return reject("the file loads itself, directly or through other files".to_string());
         }
-        if self.open.borrow().len() + self.done.borrow().len() >= LOADS {
-            return refuse(format!("more than {LOADS} files"));
+        if self.loading.borrow().len() + self.loaded.borrow().len() >= MAX_LOADED_FILES {
+            return reject(format!(
+                "too many files; expected at most {MAX_LOADED_FILES}"
+            ));
         }
         let file = self.folder.join(path);
         let text = match read(&file, self.bounds.file_bytes) {
             Ok(text) => text,
-            Err(error) => return refuse(error.to_string()),
+            Err(error) => return reject(error.to_string()),
         };
-        self.open.borrow_mut().push(path.to_string());
+        self.loading.borrow_mut().push(path.to_string());
         let module = run(&file.display().to_string(), text, self.globals, self);
-        self.open.borrow_mut().pop();
+        self.loading.borrow_mut().pop();
         let module = module?;
-        self.done
+        self.loaded
             .borrow_mut()
             .insert(path.to_string(), module.clone());
         Ok(module)
     }
 }
 
-/// The evaluator looks at its memory once in a thousand steps; by then a text that doubles with each would
-/// have taken all there is.
-struct Frugal {
+/// Checks the heap size before each statement. The evaluator itself checks it only once in a thousand steps; by then, a
+/// string that doubles in each step would have exhausted the memory.
+struct HeapLimit {
     heap_bytes: usize,
 }
 
-impl<'e> BeforeStmtFuncDyn<'e> for Frugal {
+impl<'e> BeforeStmtFuncDyn<'e> for HeapLimit {
     fn call<'v>(
         &mut self,
-        _at: FileSpanRef,
+        _location: FileSpanRef,
         _continued: bool,
         eval: &mut Evaluator<'v, '_, 'e>,
     ) -> starlark::Result<()> {
         match eval.heap().allocated_bytes() {
             bytes if bytes <= self.heap_bytes => Ok(()),
             bytes => {
-                let most = self.heap_bytes;
+                let max = self.heap_bytes;
                 Err(starlark::Error::new_other(anyhow::anyhow!(
-                    "{bytes} bytes of values, {most} at most"
+                    "{bytes} bytes of values; expected at most {max}"
                 )))
             }
         }
@@ -227,14 +235,14 @@
 enum ReadError {
     #[error("cannot be read ({0})")]
     Io(#[from] io::Error),
-    #[error("{found} bytes, expected {most} at most")]
-    TooLong { found: u64, most: u64 },
+    #[error("{found} bytes; expected at most {max}")]
+    TooLong { found: u64, max: u64 },
 }
 
-fn read(file: &Path, most: u64) -> Result<String, ReadError> {
+fn read(file: &Path, max: u64) -> Result<String, ReadError> {
     let found = std::fs::metadata(file)?.len();
-    if found > most {
-        return Err(ReadError::TooLong { found, most });
+    if found > max {
+        return Err(ReadError::TooLong { found, max });
     }
     Ok(std::fs::read_to_string(file)?)
 }
@@ -243,7 +251,7 @@
     name: &str,
     text: String,
     globals: &Globals,
-    loader: &Beside,
+    loader: &FolderLoader,
 ) -> starlark::Result<FrozenModule> {
     let dialect = Dialect {
         enable_top_level_stmt: true,
@@ -257,14 +265,14 @@
             let Bounds {
                 ticks, heap_bytes, ..
             } = loader.bounds;
-            let bounded = eval
+            let limited = eval
                 .set_max_tick_count(ticks)
                 .and_then(|()| eval.set_max_heap_size(heap_bytes));
-            bounded
+            limited
                 .and_then(|()| eval.set_max_callstack_size(64))
                 .map_err(starlark::Error::new_other)?;
             eval.set_loader(loader);
-            eval.before_stmt_for_dap(BeforeStmtFunc::from_dyn(Box::new(Frugal { heap_bytes })));
+            eval.before_stmt_for_dap(BeforeStmtFunc::from_dyn(Box::new(HeapLimit { heap_bytes })));
             eval.eval_module(ast, globals)?;
         }
         module
@@ -273,16 +281,16 @@
     })
 }
 
-/// Runs the script in `file` and checks what it calls for.
+/// Runs the settings script in `file` and checks the settings that it declares.
 ///
 /// # Errors
-/// Every mistake found, in order. A script that does not run to its end (syntax, a name not known, past a
-/// bound of steps or memory) yields that one with its place, and no others.
+/// Returns all mistakes, ordered by line. If the script does not run to its end (a syntax error, an undefined name, a
+/// step or memory limit exceeded), returns that single mistake with its location.
 pub fn load(file: &Path, given: &Given) -> Result<Site, Problems> {
     let globals = globals().with(settings_functions).build();
-    let rows = collect(file, given, &globals, SETTINGS_BOUNDS)?;
+    let calls = collect(file, given, &globals, SETTINGS_BOUNDS)?;
     let mut problems = Vec::new();
-    let site = records::read_site(&file.display().to_string(), &rows, &mut problems);
+    let site = records::read_site(&file.display().to_string(), &calls, &mut problems);
     problems.sort_by_key(|problem| problem.line);
     if !problems.is_empty() {
         return Err(Problems(problems));
@@ -291,11 +299,11 @@
 }
 
 /// Runs the script of a configuration that changes while sidecars run and returns the calls of its record
-/// functions: `service`, `route`, `tenant`, `tenants`. Those of the settings are known here too, so that the
-/// caller can refuse them with their place.
+/// functions: `service`, `route`, `tenant`, `tenants`. The record functions of a settings script are also defined, so
+/// that the caller can reject such calls with their location.
 ///
 /// # Errors
-/// The script does not run to its end.
+/// Returns the mistake at which the script stopped, if it does not run to its end.
 pub fn run_configuration_script(file: &Path, given: &Given) -> Result<Vec<RecordCall>, Problems> {
     let globals = globals()
         .with(settings_functions)
@@ -316,37 +324,39 @@
     globals: &Globals,
     bounds: Bounds,
 ) -> Result<Vec<RecordCall>, Problems> {
-    let shown = file.display().to_string();
+    let shown_path = file.display().to_string();
     let text = read(file, bounds.file_bytes)
-        .map_err(|error| script_problem(&shown, 0, error.to_string(), "a readable file"))?;
-    let beside = Beside {
+        .map_err(|error| script_problem(&shown_path, 0, error.to_string(), "a readable file"))?;
+    let loader = FolderLoader {
         folder: file.parent().unwrap_or(Path::new("")).to_path_buf(),
         globals,
         bounds,
-        done: RefCell::default(),
-        open: RefCell::default(),
+        loaded: RefCell::default(),
+        loading: RefCell::default(),
     };
-    SHEET.set(Some(Sheet {
-        rows: Vec::new(),
+    RUN.set(Some(RunState {
+        calls: Vec::new(),
         given: given.clone(),
-        most_rows: bounds.records,
+        max_calls: bounds.records,
     }));
-    // A value past what the interpreter can hold at all makes it panic.
-    let ran = catch_unwind(AssertUnwindSafe(|| run(&shown, text, globals, &beside)));
-    let rows = SHEET.take().map_or_else(Vec::new, |sheet| sheet.rows);
-    match ran {
-        Ok(Ok(_)) => Ok(rows),
-        Ok(Err(error)) => Err(failed_run(&shown, &error)),
+    // The interpreter panics on a value that exceeds its internal size limits.
+    let result = catch_unwind(AssertUnwindSafe(|| {
+        run(&shown_path, text, globals, &loader)
+    }));
+    let calls = RUN.take().map_or_else(Vec::new, |run| run.calls);
+    match result {
+        Ok(Ok(_)) => Ok(calls),
+        Ok(Err(error)) => Err(failed_run(&shown_path, &error)),
         Err(_) => {
             let found = "a value too large for the interpreter".to_string();
-            Err(script_problem(&shown, 0, found, RUNNING_SCRIPT))
+            Err(script_problem(&shown_path, 0, found, RUNNING_SCRIPT))
         }
     }
 }
 
-const RUNNING_SCRIPT: &str = "a script that runs";
+const RUNNING_SCRIPT: &str = "a script that runs to its end";
 
-/// The problem of a script that did not run to its end, in the file and at the line where it stopped.
+/// Returns the problem of a script that did not run to its end, with the file and line where it stopped.
 fn failed_run(file: &str, error: &starlark::Error) -> Problems {
     let span = error.span();
     let file = span.map_or(file, |span| span.filename());
--- a/crates/settings/src/site.rs
+++ b/crates/settings/src/site.rs
@@ -1,4 +1,4 @@
-//! What a settings script yields: small checked records, of which each part of the program takes the few it needs.
+//! The checked settings that a script yields, in small records, so that each module takes only those that it needs.
 
 use havenplank::interface::{
     AttemptSettings, EndpointListSettings, ExposureSettings, FleetPosition, Nanos, PodSettings,
@@ -8,208 +8,209 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// Everything a sidecar is told before it starts.
+/// All settings of a sidecar, fixed when it starts.
 #[derive(Clone, Debug)]
 pub struct Site {
-    /// The sidecar's own name, by which its peers and the control plane know it.
+    /// The sidecar's own name, by which its peers and the control plane identify it.
     pub name: String,
-    /// Its place among all sidecars.
+    /// The sidecar's rank and zone, and the size of the fleet.
     pub position: FleetPosition,
-    /// All zones; the position names the own one by its place here.
+    /// Names of all zones; the zone in `position` is an index into this list.
     pub zones: Vec<String>,
-    /// Kinds of machines that pods run on.
+    /// Names of the machine types that pods run on.
     pub machines: Vec<String>,
-    /// In the order of the script: the first that matches takes a request.
+    /// The route classes in script order; a request belongs to the first that matches.
     pub route_classes: Vec<RouteClassSettings>,
-    /// Headers that a request may carry.
+    /// Names of the headers that the sidecar reads from a request.
     pub headers: HeaderNames,
     /// Names of the tenants.
     pub tenants: Vec<String>,
-    /// How often and how a request may be attempted.
+    /// Limits on the attempts of a request, and whether attempts may be hedged or cancelled.
     pub attempts: AttemptSettings,
-    /// What clients may ask of the sidecar's listeners.
+    /// Addresses and limits of the sidecar's own listeners.
     pub listener: ListenerSettings,
-    /// How pods warm up, drain and fall to overload.
+    /// How pods warm up, drain and become overloaded.
     pub pods: PodSettings,
     /// Connections to pods.
     pub upstream: UpstreamSettings,
-    /// How much a build on trial may get.
+    /// The share of attempts that a build on trial may get.
     pub exposure: ExposureSettings,
     /// How the control plane counts votes.
     pub votes: VoteSettings,
-    /// How the endpoint list is followed.
+    /// How the sidecar follows changes to the endpoint list.
     pub endpoint_list: EndpointListSettings,
-    /// Where service discovery listens.
+    /// The address of service discovery.
     pub discovery: LineProtocolEndpoint,
-    /// Where the last whole endpoint list is cached for a start without service discovery.
+    /// File that caches the last complete endpoint list, for a start while service discovery is unreachable.
     pub cached_list: Option<PathBuf>,
-    /// Where the control plane listens.
+    /// The address of the control plane.
     pub control_plane: LineProtocolEndpoint,
-    /// `None`: nothing is recorded.
+    /// `None` if nothing is recorded.
     pub trace: Option<TraceSettings>,
-    /// `None`: no sidecar knows of another.
+    /// `None` if the sidecar runs without peers.
     pub membership: Option<MembershipSettings>,
-    /// `None`: requests in flight are lost with their sidecar.
+    /// `None` if the requests in flight of a sidecar are lost when it fails.
     pub takeover: Option<TakeoverSettings>,
-    /// `None`: routes and tenants are those of the script, for the life of the process.
+    /// `None` if routes and tenants are those of the script until the process ends.
     pub configuration: Option<ConfigurationSettings>,
 }
 
-/// How a sidecar takes in routes and tenants that change while it runs.
+/// How a sidecar receives routes and tenants that change while it runs.
 #[derive(Clone, Debug)]
 pub struct ConfigurationSettings {
-    /// Folder with the version in force, from which a restart serves at once.
+    /// Folder with the version in force, from which a restarted sidecar can serve immediately.
     pub cache_folder: PathBuf,
-    /// Bytes a second that it fetches from peers at most, in steady running.
+    /// Limit on the bytes per second that the sidecar fetches from peers, once it is in steady operation.
     pub fetch_bytes_per_s: u64,
-    /// Bytes a second that it gives to peers at most.
+    /// Limit on the bytes per second that the sidecar serves to peers.
     pub serve_bytes_per_s: u64,
 }
 
-/// How sidecars find and hear each other.
+/// How sidecars discover and probe each other.
 #[derive(Clone, Debug)]
 pub struct MembershipSettings {
-    /// Where it listens for other sidecars, on UDP and TCP.
+    /// Address on which the sidecar listens for its peers, on UDP and TCP.
     pub listen: SocketAddr,
-    /// Where others reach it, if that is another address.
+    /// Address at which peers reach the sidecar, if it differs from `listen`.
     pub advertise: Option<SocketAddr>,
-    /// Members to begin with; any that lives will do.
+    /// Addresses of members to join through; one reachable member is enough.
     pub seeds: Vec<SocketAddr>,
-    /// File with the keys that members share, read again at SIGHUP.
+    /// File with the keys that all members share; read again on SIGHUP.
     pub keys: PathBuf,
-    /// Between two probes of whether a member lives, in nanoseconds.
+    /// Interval between two liveness probes of members, in nanoseconds.
     pub probe_interval: Nanos,
 }
 
 /// How sidecars back up each other's requests in flight.
 #[derive(Clone, Debug)]
 pub struct TakeoverSettings {
-    /// Backups of each request.
+    /// Number of backups of each request.
     pub backups: usize,
     /// How long a lease is valid, in nanoseconds.
     pub lease: Nanos,
-    /// How long a response is cached after its client's time is up, in nanoseconds.
+    /// How long a response is cached after its client's timeout, in nanoseconds.
     pub response_retention: Nanos,
-    /// Own requests in flight that are backed up at once.
+    /// Limit on the sidecar's own requests in flight that are backed up at the same time.
     pub max_in_flight: usize,
-    /// Records held for other sidecars.
+    /// Limit on the records held for other sidecars.
     pub max_records: usize,
-    /// Bytes of all records held for other sidecars.
+    /// Limit on the bytes of all records held for other sidecars.
     pub max_record_bytes: usize,
 }
 
-/// Whether and when backups learn of a route class's requests in flight.
+/// Whether and when the requests in flight of a route class are announced to backups.
 ///
-/// Versions of a configuration store it by the order of its variants.
+/// Stored configurations encode a variant as its position, so the order of the variants must not change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum BackupMode {
-    /// They do not.
+    /// Never.
     Off,
     /// Before an attempt is sent.
     BeforeAttempt,
-    /// While an attempt runs; for idempotent requests only.
+    /// While the attempt already runs; for idempotent requests only.
     #[serde(rename = "Behind")]
     InBackground,
 }
 
-/// Where requests and decisions are recorded.
+/// The recording of requests and decisions to files.
 #[derive(Clone, Debug)]
 pub struct TraceSettings {
-    /// Folder of the files.
+    /// Folder of the trace files.
     pub folder: PathBuf,
-    /// Share of requests that are recorded, each with all its records; from 0 to 1.
+    /// Fraction of requests that are recorded, from 0 to 1; a recorded request has all its records.
     pub share: f64,
-    /// Bytes of records that may wait for the disk; from half of it on new requests are left out.
+    /// Limit on the bytes of records that wait to be written; from half of it on, new requests are not recorded.
     pub queue_bytes: usize,
-    /// Bytes after which a new file is begun.
+    /// Size in bytes at which a new file is started.
     pub file_bytes: u64,
-    /// Age at which a new file is begun, in nanoseconds.
+    /// Age at which a new file is started, in nanoseconds.
     pub file_age: Nanos,
-    /// Bytes of all files of this sidecar; the oldest go first.
+    /// Limit on the bytes of all files of this sidecar; the oldest files are deleted first.
     pub total_bytes: u64,
 }
 
 /// A route class and the requests that belong to it.
 #[derive(Clone, Debug)]
 pub struct RouteClassSettings {
-    /// Its name, which no other class has.
+    /// The unique name of the class.
     pub name: String,
-    /// Upper case; empty for any.
+    /// Methods in upper case; empty if any method matches.
     pub methods: Vec<String>,
-    /// Whole paths, or the start of one where the last character is `*`.
+    /// Path patterns: a complete path, or a prefix if the last character is `*`.
     pub paths: Vec<String>,
-    /// How its requests are treated.
+    /// How requests of the class are handled.
     pub rules: RouteClass,
-    /// Whether its requests in flight are backed up.
+    /// Whether and when requests in flight of the class are backed up.
     pub backup: BackupMode,
 }
 
 impl RouteClassSettings {
     /// Returns whether a request of this method and path belongs to the class.
     pub fn matches(&self, method: &str, path: &str) -> bool {
-        let fits = |pattern: &String| match pattern.strip_suffix('*') {
-            Some(start) => path.starts_with(start),
+        let matches_path = |pattern: &String| match pattern.strip_suffix('*') {
+            Some(prefix) => path.starts_with(prefix),
             None => path == pattern,
         };
         (self.methods.is_empty() || self.methods.iter().any(|known| known == method))
-            && self.paths.iter().any(fits)
+            && self.paths.iter().any(matches_path)
     }
 }
 
-/// Names of the headers that a request may carry, in lower case.
+/// Names of the headers that the sidecar reads from a request, in lower case.
 #[derive(Clone, Debug)]
 pub struct HeaderNames {
-    /// Time the client still waits, in the form of `grpc-timeout`: up to 8 digits and H, M, S, m, u or n.
+    /// The time that the client still waits, in the format of `grpc-timeout`: up to 8 digits and H, M, S, m, u or n.
     pub timeout: String,
-    /// The key by which pods drop repeats.
+    /// The key by which pods detect and drop repeated requests.
     pub idempotency_key: String,
-    /// The tenant on whose behalf it is sent.
+    /// The tenant on whose behalf the request is sent.
     pub tenant: String,
-    /// What the request may cost, in whole microseconds.
+    /// The client's estimate of the request's cost, in whole microseconds.
     pub cost_hint: String,
-    /// A request's own identifier, by which a client finds a backed up request again that has no `Idempotency-Key`.
+    /// The request's unique identifier, by which a client finds a backed up request that has no `Idempotency-Key`.
     pub request_id: String,
 }
 
-/// What clients may ask of the sidecar's own listeners.
+/// Addresses and limits of the sidecar's own listeners.
 #[derive(Clone, Debug)]
 pub struct ListenerSettings {
-    /// Where clients connect.
+    /// Address for clients.
     pub listen: SocketAddr,
-    /// Where operators connect.
+    /// Address for operators.
     pub admin: SocketAddr,
-    /// Bytes of a request's head.
+    /// Limit on the bytes of a request's head (request line and headers).
     pub max_head_bytes: usize,
     /// How long a request's head may take to arrive, in nanoseconds.
     pub head_timeout: Nanos,
-    /// Bytes of a request's body.
+    /// Limit on the bytes of a request's body.
     pub max_body_bytes: usize,
     /// How long a request's body may take to arrive, in nanoseconds.
     pub body_timeout: Nanos,
-    /// Connections of clients open at once; a further one waits to be accepted.
+    /// Limit on concurrent client connections; a further connection waits to be accepted.
     pub max_connections: usize,
-    /// Requests in flight at once; a further one is rejected before it is admitted.
+    /// Limit on concurrent requests in flight; a further request is rejected before admission.
     pub max_requests: usize,
-    /// How long a response may take to reach its client, in nanoseconds: taken off the time that a request has.
+    /// Time reserved for a response to reach its client, in nanoseconds; subtracted from the request's remaining time.
     pub response_margin: Nanos,
-    /// A response up to this many bytes is read whole before it counts as served; a longer one is passed on as it comes.
+    /// A response of up to this many bytes is read completely before the request counts as served; a longer response is
+    /// streamed to the client.
     pub buffered_response_bytes: usize,
 }
 
 /// Connections to pods.
 #[derive(Clone, Debug)]
 pub struct UpstreamSettings {
-    /// How long connecting may take, in nanoseconds; an attempt waits as long for a free connection.
+    /// Timeout for connecting, in nanoseconds; also the timeout of an attempt that waits for a free connection.
     pub connect_timeout: Nanos,
-    /// Connections open to one pod at once; an attempt beyond waits for one.
+    /// Limit on concurrent connections to one pod; an attempt beyond it waits for a free connection.
     pub max_connections_per_pod: usize,
-    /// How long an unused connection stays open, in nanoseconds.
+    /// How long an idle connection stays open, in nanoseconds.
     pub idle_timeout: Nanos,
-    /// The status by which, with its header, a pod proves that it did not process an attempt.
+    /// The status that, together with `unprocessed_header`, proves that a pod did not process an attempt.
     pub unprocessed_status: u16,
     /// The header that belongs to [`unprocessed_status`](Self::unprocessed_status), in lower case.
     pub unprocessed_header: String,
-    /// Whether pods report their load by `endpoint-load-metrics`.
+    /// Whether pods report their load in `endpoint-load-metrics` headers.
     pub load_reports: bool,
     /// The path of health checks.
     pub health_check_path: String,
@@ -218,8 +219,8 @@
 /// A service that speaks a line protocol.
 #[derive(Clone, Debug)]
 pub struct LineProtocolEndpoint {
-    /// Where it listens.
+    /// Address of the service.
     pub address: SocketAddr,
-    /// Bytes of its longest line.
+    /// Limit on the bytes of each line that the service sends.
     pub max_line_bytes: usize,
 }
--- a/crates/settings/tests/script.rs
+++ b/crates/settings/tests/script.rs
@@ -1,11 +1,11 @@
-//! Settings scripts, good and bad, and what is said of them.
+//! Loads valid and invalid settings scripts and checks the settings or the reported mistakes.
 
 use havenplank::interface::{DedupScope, Idempotency};
 use havenplank_settings::{load, Given, Problems, Site};
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-const WHOLE: &str = r#"
+const VALID_SCRIPT: &str = r#"
 sidecar(name = given("name", "s"), instances = 3, rank = 2, zones = ["a", "b"], zone = "b", listen = "127.0.0.1:0",
         admin = "127.0.0.1:0")
 pods(drain_grace = "500ms", cold_share = 0.3, warm_up = "4800ms", fall_multiple = 3, fall_window = "2s")
@@ -14,14 +14,15 @@
 nodes(address = "127.0.0.1:1")
 desk(address = "127.0.0.1:2", line_bytes = "1KiB")
 "#;
-const GROUP: &str = r#"
+const PATH_GROUP: &str = r#"
 path_group(name = "query", paths = ["/query*"], kind = "repeatable", target_latency = "800ms", client_timeout = "2s")
 "#;
 
-fn run(files: &[(&str, &str)], given: &[(&str, &str)]) -> Result<Site, Problems> {
-    let folder = tempfile::tempdir().expect("a folder");
+/// Writes the files to a folder and loads the first of them.
+fn load_files(files: &[(&str, &str)], given: &[(&str, &str)]) -> Result<Site, Problems> {
+    let folder = tempfile::tempdir().expect("create the folder");
     for (name, text) in files {
-        std::fs::write(folder.path().join(name), text).expect("a file");
+        std::fs::write(folder.path().join(name), text).expect("write the file");
     }
     let given: Given = given
         .iter()
@@ -30,8 +31,11 @@
     load(&folder.path().join(files[0].0), &given)
 }
 
-fn said(text: &str) -> Vec<(usize, String, String)> {
-    let problems = run(&[("site.star", text)], &[]).expect_err("it is wrong").0;
+/// Returns the line, field and description of each mistake in a script.
+fn mistakes(text: &str) -> Vec<(usize, String, String)> {
+    let problems = load_files(&[("site.star", text)], &[])
+        .expect_err("the script is invalid")
+        .0;
     problems
         .into_iter()
         .map(|p| (p.line, p.field, format!("{}; {}", p.found, p.expected)))
@@ -39,20 +43,20 @@
 }
 
 #[test]
-fn a_whole_script_with_loops_functions_and_a_file_beside_it() {
+fn loads_a_script_with_loops_functions_and_a_second_file() {
     let more = r#"
 def tagged(name, window):
     path_group(name = name, methods = ["post"], paths = ["/" + name], kind = "tagged", scope = "zone",
                target_latency = "1s", client_timeout = "3s", repeat_window = window)
 "#;
     let text = format!(
-        "load('more.star', 'tagged')\n{WHOLE}{GROUP}\nfor n in range(3):\n    tagged('t%d' % n, '%ds' % (n + 1))\n"
+        "load('more.star', 'tagged')\n{VALID_SCRIPT}{PATH_GROUP}\nfor n in range(3):\n    tagged('t%d' % n, '%ds' % (n + 1))\n"
     );
-    let site = run(
+    let site = load_files(
         &[("site.star", &text), ("more.star", more)],
         &[("name", "s-7")],
     )
-    .expect("it is right");
+    .expect("the script is valid");
     assert_eq!(
         (
             site.name.as_str(),
@@ -64,7 +68,7 @@
     let names: Vec<&str> = site
         .route_classes
         .iter()
-        .map(|group| group.name.as_str())
+        .map(|class| class.name.as_str())
         .collect();
     assert_eq!(names, ["query", "t0", "t1", "t2"]);
     let last = &site.route_classes[3];
@@ -86,17 +90,17 @@
 }
 
 #[test]
-fn every_mistake_at_once_with_its_place() {
+fn reports_every_mistake_at_once_with_its_location() {
     let text = format!(
-        "{WHOLE}{GROUP}path_group(name = 'query', paths = ['q'], kind = 'safe',\n  target_latency = '9s', \
+        "{VALID_SCRIPT}{PATH_GROUP}path_group(name = 'query', paths = ['q'], kind = 'safe',\n  target_latency = '9s', \
          client_timeout = '2 sheep', benfit = 1)\nlimits(forwards = 0, body_bytes = 'much')\n"
     );
-    let found = said(&text);
+    let found = mistakes(&text);
     let fields: Vec<(usize, &str)> = found
         .iter()
         .map(|(line, field, _)| (*line, field.as_str()))
         .collect();
-    for wanted in [
+    for expected in [
         (11, "path_group.name"),
         (11, "path_group.paths"),
         (11, "path_group.kind"),
@@ -105,7 +109,10 @@
         (13, "limits.forwards"),
         (13, "limits.body_bytes"),
     ] {
-        assert!(fields.contains(&wanted), "{wanted:?} not among {found:?}");
+        assert!(
+            fields.contains(&expected),
+            "{expected:?} not among {found:?}"
+        );
     }
     assert!(
         found
@@ -115,11 +122,16 @@
     );
 }
 
-/// The sockets between sidecars have a call of their own since more than the takeover hangs on them.
+/// The sockets between sidecars once belonged to `takeover(...)`. As more than the takeover depends on them, they moved
+/// to `fellowship(...)`.
 #[test]
-fn what_moved_to_the_fellowship_is_told_with_its_line_and_new_place() {
+fn reports_fields_that_moved_to_fellowship_with_line_and_new_place() {
     let both = "fellowship(listen = \"127.0.0.1:0\", keys = \"keys\")\ntakeover(guardians = 2)\n";
-    let site = run(&[("site", &format!("{WHOLE}{GROUP}{both}"))], &[]).expect("a site");
+    let site = load_files(
+        &[("site", &format!("{VALID_SCRIPT}{PATH_GROUP}{both}"))],
+        &[],
+    )
+    .expect("a site");
     assert_eq!(
         (
             site.takeover.map(|takeover| takeover.backups),
@@ -128,28 +140,32 @@
         (Some(2), true)
     );
     let old = "takeover(listen = \"127.0.0.1:0\", keys = \"keys\", period = \"200ms\")\n";
-    let told = said(&format!("{WHOLE}{GROUP}{old}"));
-    let at = format!("{WHOLE}{GROUP}").lines().count() + 1;
-    let fields: Vec<(usize, &str)> = told
+    let found = mistakes(&format!("{VALID_SCRIPT}{PATH_GROUP}{old}"));
+    let line = format!("{VALID_SCRIPT}{PATH_GROUP}").lines().count() + 1;
+    let fields: Vec<(usize, &str)> = found
         .iter()
         .map(|(line, field, _)| (*line, field.as_str()))
         .collect();
-    let wanted = [
+    let expected = [
         "takeover.listen",
         "takeover.keys",
         "takeover.period",
         "takeover.fellowship",
     ];
-    assert_eq!(fields, wanted.map(|field| (at, field)), "{told:?}");
-    assert!(told[0].2.contains("fellowship(listen = ...)"), "{told:?}");
+    assert_eq!(fields, expected.map(|field| (line, field)), "{found:?}");
+    assert!(found[0].2.contains("fellowship(listen = ...)"), "{found:?}");
 }
 
-/// Routes and tenants have one place each: the script, or a configuration that peers bring.
+/// Routes and tenants have a single source: either the script, or a configuration that peers send.
 #[test]
-fn beside_a_configuration_routes_tenants_and_traces_of_the_script_are_refused_by_line() {
+fn rejects_routes_tenants_and_traces_together_with_a_configuration() {
     let peers = "fellowship(listen = \"127.0.0.1:0\", keys = \"keys\")\n";
     let configured = "configuration(keep = \"kept\", fetch_bytes_per_s = \"64KiB\")\n";
-    let site = run(&[("site", &format!("{WHOLE}{peers}{configured}"))], &[]).expect("a site");
+    let site = load_files(
+        &[("site", &format!("{VALID_SCRIPT}{peers}{configured}"))],
+        &[],
+    )
+    .expect("a site");
     let configuration = site.configuration.expect("a configuration");
     assert_eq!(
         (
@@ -159,55 +175,61 @@
         (65_536, 8_000)
     );
     assert!(site.route_classes.is_empty());
-    let without = run(&[("site", &format!("{WHOLE}{GROUP}"))], &[]).expect("a site");
-    assert!(without.configuration.is_none(), "off by default");
+    let without =
+        load_files(&[("site", &format!("{VALID_SCRIPT}{PATH_GROUP}"))], &[]).expect("a site");
+    assert!(
+        without.configuration.is_none(),
+        "no configuration by default"
+    );
     let line = |text: &str| text.lines().count() + 1;
-    let both = format!("{WHOLE}{GROUP}{peers}{configured}");
-    let told = said(&format!("{both}trace(folder = \"traces\")\n"));
-    let fields: Vec<(usize, &str)> = told
+    let both = format!("{VALID_SCRIPT}{PATH_GROUP}{peers}{configured}");
+    let found = mistakes(&format!("{both}trace(folder = \"traces\")\n"));
+    let fields: Vec<(usize, &str)> = found
         .iter()
         .map(|(line, field, _)| (*line, field.as_str()))
         .collect();
     assert_eq!(
         fields,
         [
-            (line(WHOLE) + 1, "path_group"),
+            (line(VALID_SCRIPT) + 1, "path_group"),
             (line(&both), "trace.folder")
         ],
-        "{told:?}"
+        "{found:?}"
     );
     assert!(
-        told[0]
+        found[0]
             .2
             .contains("route(...) in the script of `havenplank distribute`"),
-        "{told:?}"
+        "{found:?}"
     );
-    let tenants = WHOLE.replacen("sidecar(", "sidecar(customers = [\"a\"], ", 1);
-    let told = said(&format!("{tenants}{peers}{configured}"));
+    let tenants = VALID_SCRIPT.replacen("sidecar(", "sidecar(customers = [\"a\"], ", 1);
+    let found = mistakes(&format!("{tenants}{peers}{configured}"));
     assert_eq!(
-        told.iter()
+        found
+            .iter()
             .map(|(_, field, _)| field.as_str())
             .collect::<Vec<_>>(),
         ["sidecar.customers"]
     );
-    let told = said(&format!("{WHOLE}{configured}"));
+    let found = mistakes(&format!("{VALID_SCRIPT}{configured}"));
     assert_eq!(
-        told.iter()
+        found
+            .iter()
             .map(|(_, field, _)| field.as_str())
             .collect::<Vec<_>>(),
         ["configuration.fellowship"]
     );
-    let zones = WHOLE.replacen("zones = [", "zones = [\"distributor\", ", 1);
-    let told = said(&format!("{zones}{GROUP}"));
+    let zones = VALID_SCRIPT.replacen("zones = [", "zones = [\"distributor\", ", 1);
+    let found = mistakes(&format!("{zones}{PATH_GROUP}"));
     assert!(
-        told.iter().any(|(_, field, _)| field == "sidecar.zones"),
-        "{told:?}"
+        found.iter().any(|(_, field, _)| field == "sidecar.zones"),
+        "{found:?}"
     );
 }
 
 #[test]
-fn what_is_missing_is_told_once() {
-    let found = said("votes(control = 'clock', life = '6s')\n");
+fn reports_a_missing_record_once() {
+    let found = mistakes("votes(control = 'clock', life = '6s')\n");
     let fields: Vec<&str> = found.iter().map(|(_, field, _)| field.as_str()).collect();
     assert_eq!(
         fields,
@@ -224,18 +246,21 @@
 }
 
 #[test]
-fn a_script_that_does_not_run_tells_its_line() {
-    let found = said("x = 1\nsidecar(name = nobody)\n");
+fn reports_the_line_at_which_a_script_fails() {
+    let found = mistakes("x = 1\nsidecar(name = nobody)\n");
     assert_eq!((found.len(), found[0].0), (1, 2), "{found:?}");
-    let found = said("x = 1\ny = (\n");
+    let found = mistakes("x = 1\ny = (\n");
     assert_eq!(found.len(), 1, "{found:?}");
-    let found = said("load('../secret.star', 'x')\n");
-    assert!(found[0].2.contains("beside the script"), "{found:?}");
+    let found = mistakes("load('../secret.star', 'x')\n");
+    assert!(
+        found[0].2.contains("within the script's folder"),
+        "{found:?}"
+    );
 }
 
 #[test]
-fn loops_recursion_and_huge_values_end_with_an_error() {
-    let began = Instant::now();
+fn stops_endless_loops_recursion_and_huge_values_with_an_error() {
+    let started = Instant::now();
     for text in [
         "def f():\n    for i in range(1000000000):\n        pass\nf()\n",
         "def f(n):\n    return f(n + 1)\nf(0)\n",
@@ -243,18 +268,18 @@
         "x = [i for i in range(1000000000)]\n",
         "load('site.star', 'x')\n",
     ] {
-        assert_eq!(said(text).len(), 1, "{text}");
+        assert_eq!(mistakes(text).len(), 1, "{text}");
     }
     assert!(
-        began.elapsed() < Duration::from_secs(60),
-        "bounded, not hanging: {:?}",
-        began.elapsed()
+        started.elapsed() < Duration::from_secs(60),
+        "the runs were not limited: {:?}",
+        started.elapsed()
     );
 }
 
 #[test]
-fn the_example_is_right() {
-    let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/site.star");
-    let site = load(&root, &Given::new()).unwrap_or_else(|problems| panic!("{problems}"));
+fn loads_the_example() {
+    let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/site.star");
+    let site = load(&path, &Given::new()).unwrap_or_else(|problems| panic!("{problems}"));
     assert_eq!(site.route_classes.len(), 3);
 }
--- a/crates/settings/tests/stored.rs
+++ b/crates/settings/tests/stored.rs
@@ -1,4 +1,5 @@
-//! Settings scripts of 0.2.0, of each kind, give the values that they gave before any name in the code changed.
+//! Each kind of settings script from version 0.2.0 still yields the same values, although names in the code have
+//! changed since.
 
 use havenplank::interface::{DedupScope, Idempotency, ReleaseControl};
 use havenplank_settings::{load, run_configuration_script, BackupMode, Given, Site};
@@ -17,7 +18,7 @@
 }
 
 #[test]
-fn the_stored_example_of_a_site_loads_with_its_values() {
+fn loads_the_stored_example_with_its_values() {
     let site = site("site.star");
     assert_eq!(
         (
@@ -34,11 +35,11 @@
     let classes: Vec<_> = site
         .route_classes
         .iter()
-        .map(|group| {
+        .map(|class| {
             (
-                group.name.as_str(),
-                group.rules.idempotency,
-                group.rules.client_timeout,
+                class.name.as_str(),
+                class.rules.idempotency,
+                class.rules.client_timeout,
             )
         })
         .collect();
@@ -82,15 +83,15 @@
 }
 
 #[test]
-fn a_stored_script_with_backups_loads_with_its_values() {
-    let site = site("guarded.star");
-    let guards: Vec<BackupMode> = site
+fn loads_a_stored_script_with_backups_with_its_values() {
+    let site = site("takeover.star");
+    let backup_modes: Vec<BackupMode> = site
         .route_classes
         .iter()
-        .map(|group| group.backup)
+        .map(|class| class.backup)
         .collect();
     assert_eq!(
-        guards,
+        backup_modes,
         [
             BackupMode::InBackground,
             BackupMode::BeforeAttempt,
@@ -103,7 +104,7 @@
         (DedupScope::Cell, 6_000 * MS)
     );
     assert!(site.route_classes[0].rules.stream && site.route_classes[0].rules.late_weight == 0.25);
-    let takeover = site.takeover.expect("a takeover");
+    let takeover = site.takeover.expect("takeover settings");
     assert_eq!(
         (
             takeover.backups,
@@ -120,16 +121,16 @@
         ),
         (500, 600, 1 << 20)
     );
-    let members = site.membership.expect("members");
+    let membership = site.membership.expect("membership settings");
     assert_eq!(
         (
-            members.seeds.len(),
-            members.probe_interval,
-            members.listen.port()
+            membership.seeds.len(),
+            membership.probe_interval,
+            membership.listen.port()
         ),
         (2, 250 * MS, 7002)
     );
-    assert_eq!(members.advertise, Some(([10, 0, 0, 1], 7002).into()));
+    assert_eq!(membership.advertise, Some(([10, 0, 0, 1], 7002).into()));
     assert_eq!(
         (
             site.exposure.per_class,
@@ -198,7 +199,7 @@
         ),
         ("x-mark", "x-team")
     );
-    let trace = site.trace.expect("a trace");
+    let trace = site.trace.expect("trace settings");
     assert_eq!(
         (trace.share, trace.queue_bytes, trace.file_age),
         (0.5, 1 << 20, 60_000 * MS)
@@ -206,35 +207,38 @@
 }
 
 #[test]
-fn a_stored_script_whose_routes_come_from_a_distributor_loads_with_its_values() {
+fn loads_a_stored_script_whose_routes_come_from_a_distributor_with_its_values() {
     let site = site("configured.star");
     assert!(site.route_classes.is_empty() && site.tenants.is_empty());
-    let configuration = site.configuration.expect("a configuration");
+    let configuration = site.configuration.expect("configuration settings");
     assert_eq!(configuration.cache_folder, PathBuf::from("kept"));
     let rates = (
         configuration.fetch_bytes_per_s,
         configuration.serve_bytes_per_s,
     );
     assert_eq!(rates, (1_000_000, 2_000_000));
-    assert_eq!(site.membership.expect("members").probe_interval, 500 * MS);
+    assert_eq!(
+        site.membership.expect("membership settings").probe_interval,
+        500 * MS
+    );
 }
 
 #[test]
-fn a_stored_script_of_a_distributor_gives_its_rows_in_order() {
-    let rows = run_configuration_script(&fixture("fleet.star"), &Given::new());
-    let rows = rows.unwrap_or_else(|problems| panic!("{problems}"));
-    let shown: Vec<_> = rows
+fn returns_the_calls_of_a_stored_distributor_script_in_order() {
+    let calls = run_configuration_script(&fixture("fleet.star"), &Given::new());
+    let calls = calls.unwrap_or_else(|problems| panic!("{problems}"));
+    let summaries: Vec<_> = calls
         .iter()
-        .map(|row| {
+        .map(|call| {
             (
-                row.kind,
-                row.line,
-                row.fields["name"].as_str().unwrap_or_default(),
+                call.kind,
+                call.line,
+                call.fields["name"].as_str().unwrap_or_default(),
             )
         })
         .collect();
     assert_eq!(
-        shown,
+        summaries,
         [
             ("service", 1, "search"),
             ("service", 2, "count"),
@@ -245,6 +249,6 @@
             ("route", 7, "rename"),
         ]
     );
-    assert_eq!(rows[2].fields["benefit"], 4.5);
-    assert_eq!(rows[3].fields["idempotency_window"], "30s");
+    assert_eq!(calls[2].fields["benefit"], 4.5);
+    assert_eq!(calls[3].fields["idempotency_window"], "30s");
 }
