--- a/crates/line-protocol/src/backoff.rs
+++ b/crates/line-protocol/src/backoff.rs
@@ -1,39 +1,40 @@
-//! Backoff with jitter between attempts to connect.
+//! Exponential backoff with jitter between attempts to connect.
 
 use oorandom::Rand64;
 use std::time::Duration;
 
-/// Delays before the next attempt: each lies between half and the whole of a span that doubles up to a bound, so that
-/// the many clients of a service that comes back do not all come at once.
+/// Computes the delay before the next attempt. A base delay doubles with each attempt up to a maximum, and each actual
+/// delay is drawn at random between half of the base delay and the full base delay. The jitter keeps the many clients
+/// of a restarted service from reconnecting all at the same time.
 pub struct Backoff {
     random: Rand64,
     first: Duration,
-    longest: Duration,
-    /// The span of the previous delay; none right after a good connection.
+    max: Duration,
+    /// The previous base delay; `None` after a reset.
     previous: Option<Duration>,
 }
 
 impl Backoff {
-    /// Spans start at `first` and grow to `longest`; the jitter is drawn from `seed`.
-    pub fn new(seed: u64, first: Duration, longest: Duration) -> Backoff {
+    /// Returns a backoff whose base delay starts at `first` and grows up to `max`; `seed` determines the jitter.
+    pub fn new(seed: u64, first: Duration, max: Duration) -> Backoff {
         Backoff {
             random: Rand64::new(seed as u128),
             first,
-            longest,
+            max,
             previous: Some(first),
         }
     }
 
-    /// Makes the next span short again, after a connection that proved good.
+    /// Restarts at the first base delay, after a connection that proved stable.
     pub fn reset(&mut self) {
         self.previous = None;
     }
 
-    /// Returns how long to wait before the next attempt, and doubles the span for the one after it.
+    /// Returns the delay before the next attempt, and doubles the base delay for the attempt after it.
     pub fn next_delay(&mut self) -> Duration {
-        let doubled = |previous: Duration| (previous * 2).min(self.longest);
-        let span = self.previous.map_or(self.first, doubled);
-        self.previous = Some(span);
-        span.mul_f64(0.5 + 0.5 * self.random.rand_float())
+        let doubled = |previous: Duration| (previous * 2).min(self.max);
+        let base = self.previous.map_or(self.first, doubled);
+        self.previous = Some(base);
+        base.mul_f64(0.5 + 0.5 * self.random.rand_float())
     }
 }
--- a/crates/line-protocol/src/client.rs
+++ b/crates/line-protocol/src/client.rs
@@ -1,4 +1,4 @@
-//! The client half of a protocol: connects, greets, hands on what it receives in order, and reconnects.
+//! The client side of a protocol: connects, sends the greeting, passes on what it receives in order, and reconnects.
 
 use crate::backoff::Backoff;
 use crate::codec::{greeting, LineCodec, LineParser};
@@ -11,40 +11,42 @@
 use tokio::time::{sleep, timeout, Instant};
 use tokio_util::codec::Framed;
 
-/// Bound on connecting, on greeting and on sending a line: a service that takes nothing in is as good as gone.
+/// Timeout for connecting, for sending the greeting and for sending a line. A service that accepts no data is treated
+/// as unreachable.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Span of the delay before the first reconnection.
+/// Base delay before the first reconnection.
 const FIRST_RECONNECT_DELAY: Duration = Duration::from_millis(100);
-/// Bound on the span between reconnections.
-const LONGEST_RECONNECT_DELAY: Duration = Duration::from_secs(5);
-/// A connection that lasted this long proved good and resets the backoff.
-const GOOD_CONNECTION: Duration = Duration::from_secs(5);
+/// Limit on the base delay between reconnections.
+const MAX_RECONNECT_DELAY: Duration = Duration::from_secs(5);
+/// A connection that lasted this long counts as stable and resets the backoff.
+const STABLE_CONNECTION: Duration = Duration::from_secs(5);
 
 /// The service to subscribe to.
 #[derive(Clone, Copy, Debug)]
 pub struct Service {
     /// The protocol's name in the greeting.
     pub protocol: &'static str,
-    /// Where the service listens.
+    /// The address of the service.
     pub address: SocketAddr,
-    /// Bound on each of its lines, in bytes.
+    /// Limit on the bytes of each line that the service sends.
     pub max_line_bytes: usize,
 }
 
-/// Reacts to what happens on a subscription; `N` is what the service's lines decode to.
+/// Handles the events of a subscription; `N` is the type to which the service's lines decode.
 pub trait Handler<N> {
-    /// A connection was made and greeted.
+    /// Called when a connection is established and the greeting is sent.
     fn connected(&mut self);
-    /// The service sent a notification.
+    /// Called for each notification of the service.
     fn received(&mut self, notification: N);
-    /// The connection ended or was never made. Requests made meanwhile come back by [`Handler::unsent`].
+    /// Called when the connection ended or could not be established. Requests made before the next attempt to connect
+    /// are returned through [`Handler::unsent`].
     fn disconnected(&mut self, reason: &ProtocolError);
-    /// A request was not sent, as there is no connection.
+    /// Called with the line of a request that was not sent because there is no connection.
     fn unsent(&mut self, line: String);
 }
 
-/// Keeps a subscription until `requests` is closed, reconnecting with backoff. `name` greets the service, `seed`
-/// scatters the reconnections, and each line from `requests` is sent as it stands.
+/// Keeps a subscription until `requests` is closed, and reconnects with backoff. The greeting carries `name`, `seed`
+/// determines the jitter of the reconnections, and each line from `requests` is sent unchanged.
 pub async fn subscribe<P: LineParser + Default>(
     service: Service,
     name: &str,
@@ -52,13 +54,13 @@
     mut requests: mpsc::Receiver<String>,
     handler: &mut impl Handler<P::Output>,
 ) {
-    let mut backoff = Backoff::new(seed, FIRST_RECONNECT_DELAY, LONGEST_RECONNECT_DELAY);
+    let mut backoff = Backoff::new(seed, FIRST_RECONNECT_DELAY, MAX_RECONNECT_DELAY);
     loop {
-        let began = Instant::now();
-        let ended = run_connection::<P>(service, name, &mut requests, handler).await;
-        let Err(reason) = ended else { return };
+        let started = Instant::now();
+        let result = run_connection::<P>(service, name, &mut requests, handler).await;
+        let Err(reason) = result else { return };
         handler.disconnected(&reason);
-        if began.elapsed() >= GOOD_CONNECTION {
+        if started.elapsed() >= STABLE_CONNECTION {
             backoff.reset();
         }
         if !wait_disconnected(backoff.next_delay(), &mut requests, handler).await {
@@ -67,7 +69,8 @@
     }
 }
 
-/// Waits and hands back the requests made meanwhile; returns false where `requests` was closed.
+/// Waits for `delay` and returns the requests made during that time to the handler. Returns false if `requests` was
+/// closed.
 async fn wait_disconnected<N>(
     delay: Duration,
     requests: &mut mpsc::Receiver<String>,
@@ -86,7 +89,7 @@
     }
 }
 
-/// Runs one connection; returns without an error where `requests` is closed.
+/// Runs one connection until it fails, or returns without an error once `requests` is closed.
 async fn run_connection<P: LineParser + Default>(
     service: Service,
     name: &str,
--- a/crates/line-protocol/src/codec.rs
+++ b/crates/line-protocol/src/codec.rs
@@ -1,39 +1,39 @@
-//! The framing that all protocols share: lines of bounded length, each parsed as a whole, after a greeting.
+//! The framing that all protocols share: a greeting, then lines of limited length, each parsed on its own.
 
 use crate::error::{ParseError, ProtocolError};
-use crate::grammar::{self, then, word};
+use crate::grammar::{self, after_space, word};
 use bytes::{Buf, BytesMut};
 use tokio_util::codec::{Decoder, Encoder};
 use winnow::combinator::{opt, preceded};
 
-/// The only protocol version spoken so far.
+/// The only protocol version that is supported.
 pub const VERSION: u32 = 1;
-/// Bound on the endpoints of one list: one that announces more is refused before it takes memory.
+/// Limit on the endpoints of one list. A list that announces more is rejected before memory is allocated for it.
 pub const MAX_ENDPOINTS: usize = 65_536;
 
-/// Decodes lines one after another. It may need several before it yields something.
+/// Decodes lines one after another. One output may need several lines.
 pub trait LineParser {
-    /// What lines decode to.
+    /// The type to which lines decode.
     type Output;
 
-    /// Takes in the next line, without its end.
+    /// Parses the next line, given without its line end. Returns `None` if more lines are needed.
     ///
     /// # Errors
-    /// What was expected, and in which column, where the line is not part of the protocol.
+    /// Returns what was expected, and in which column, if the line does not conform to the protocol.
     fn parse_line(&mut self, line: &str) -> Result<Option<Self::Output>, ParseError>;
 }
 
-/// Cuts a stream into lines of bounded length and hands each to a [`LineParser`]; writes lines as they stand.
+/// Splits a stream into lines of limited length and passes each to a [`LineParser`]; writes lines unchanged.
 pub struct LineCodec<P> {
     parser: P,
     max_line_bytes: usize,
     lines_read: u64,
-    /// Leading bytes of the buffer that are known to hold no line's end.
+    /// Number of leading bytes of the buffer that are known to contain no line end.
     scanned: usize,
 }
 
 impl<P> LineCodec<P> {
-    /// Refuses lines of more than `max_line_bytes`, not counting the line's end.
+    /// Returns a codec that rejects lines of more than `max_line_bytes`, not counting the line end.
     pub fn new(parser: P, max_line_bytes: usize) -> LineCodec<P> {
         LineCodec {
             parser,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Cuts the next line off the buffer; none where its end has not come yet.
+    /// Removes the next line from the buffer; returns `None` if its end has not been received yet.
     fn next_line(&mut self, buffer: &mut BytesMut) -> Result<Option<BytesMut>, ProtocolError> {
         let mut unscanned = buffer[self.scanned..].iter();
         let end = unscanned.position(|byte| *byte == b'\n');
@@ -96,7 +96,8 @@
     fn decode_eof(&mut self, buffer: &mut BytesMut) -> Result<Option<P::Output>, ProtocolError> {
         match self.decode(buffer)? {
             Some(output) => Ok(Some(output)),
-            // Half a line is no line: a connection cut within one must not yield half a number.
+            // An incomplete last line is discarded: if the connection is cut within a number, its first digits would
+            // otherwise be read as a complete number.
             None => Err(ProtocolError::Closed),
         }
     }
@@ -119,11 +120,11 @@
     }
 }
 
-/// Parses `hello PROTOCOL VERSION NAME`, where only a client gives a name, and returns the name.
+/// Parses `hello PROTOCOL VERSION NAME` and returns the name; a server sends no name, so it is empty.
 pub(crate) fn parse_greeting(line: &str, protocol: &'static str) -> Result<String, ParseError> {
-    let version = then(grammar::uint32("a version"));
-    let greeting = preceded("hello ", (word, version, opt(then(word))));
-    let (found, version, name) = grammar::parse_whole(line, greeting)?;
+    let version = after_space(grammar::uint32("a version"));
+    let greeting = preceded("hello ", (word, version, opt(after_space(word))));
+    let (found, version, name) = grammar::parse_complete(line, greeting)?;
     if found != protocol {
         return Err(ParseError::WrongProtocol {
             found: found.to_string(),
@@ -139,8 +140,8 @@
     Ok(name.unwrap_or_default().to_string())
 }
 
-/// Checks the numbers that a server's messages carry, counted from 1 on each connection: a gap means that something
-/// was lost, and the subscription starts anew.
+/// Checks the sequence numbers of a server's messages, which start at 1 on each connection. A gap means that a message
+/// was lost; the client then closes the connection and subscribes again.
 #[derive(Default)]
 pub(crate) struct Sequence {
     last: u64,
--- a/crates/line-protocol/src/control_plane/notification.rs
+++ b/crates/line-protocol/src/control_plane/notification.rs
@@ -1,9 +1,10 @@
-//! The control plane's lines: `stage`, `voted`, `tally` and `flagged`, each with its number on the connection.
+//! The lines that the control plane sends: `stage`, `voted`, `tally` and `flagged`, each with its sequence number on
+//! the connection.
 
-use super::calls::{ClassTally, Notification, PROTOCOL};
+use super::callbacks::{ClassTally, Notification, PROTOCOL};
 use crate::codec::{parse_greeting, LineParser, Sequence};
 use crate::error::ParseError;
-use crate::grammar::{self, name_of, non_negative, then, uint32, uint64, word};
+use crate::grammar::{self, after_space, name_of, non_negative, uint32, uint64, word};
 use havenplank::interface::{Nanos, Phase, Stage, VoteReceipt, VoteReply};
 use std::fmt::Write as _;
 use winnow::combinator::opt;
@@ -21,13 +22,13 @@
     ("unknown", VoteReceipt::Unknown),
     ("refused", VoteReceipt::Rejected),
 ];
-/// Stands for a value without a word; no value is.
-const NO_NAME: &str = "?";
-const UNKNOWN: ParseError = ParseError::UnknownMessage {
-    expected: "expected stage, voted, tally or flagged, each with a number",
+/// Written for a value that is missing from its table; the tables are complete.
+const MISSING_NAME: &str = "?";
+const UNKNOWN_MESSAGE: ParseError = ParseError::UnknownMessage {
+    expected: "expected stage, voted, tally or flagged, each with a sequence number",
 };
 
-/// Parses the control plane's lines.
+/// Parses the lines that the control plane sends.
 #[derive(Default)]
 pub struct NotificationParser {
     greeted: bool,
@@ -43,30 +44,34 @@
             self.greeted = true;
             return Ok(None);
         }
-        let (verb, rest) = line.split_once(' ').ok_or(UNKNOWN)?;
-        let (number, rest) = rest.split_once(' ').ok_or(UNKNOWN)?;
+        let (verb, rest) = line.split_once(' ').ok_or(UNKNOWN_MESSAGE)?;
+        let (number, rest) = rest.split_once(' ').ok_or(UNKNOWN_MESSAGE)?;
         let notification = match verb {
             "stage" => parse_stage(rest)?,
             "voted" => parse_vote_reply(rest)?,
             "tally" => parse_tally(rest)?,
             "flagged" => parse_fault(rest)?,
-            _ => return Err(UNKNOWN),
+            _ => return Err(UNKNOWN_MESSAGE),
         };
-        let number = grammar::parse_whole(number, uint64("a number"))?;
+        let number = grammar::parse_complete(number, uint64("a sequence number"))?;
         self.sequence.advance(number)?;
         Ok(Some(notification))
     }
 }
 
 fn parse_stage(rest: &str) -> Result<Notification, ParseError> {
-    let stage = grammar::parse_whole(rest, stage)?;
+    let stage = grammar::parse_complete(rest, stage)?;
     Ok(Box::new(move |subscriber| subscriber.update_stage(stage)))
 }
 
 fn parse_vote_reply(rest: &str) -> Result<Notification, ParseError> {
     let receipt = grammar::one_of(&RECEIPTS, "counted, moot, unknown or refused");
-    let fields = (uint64("a vote's number"), then(receipt), opt(then(stage)));
-    let (vote, receipt, stage) = grammar::parse_whole(rest, fields)?;
+    let fields = (
+        uint64("a vote number"),
+        after_space(receipt),
+        opt(after_space(stage)),
+    );
+    let (vote, receipt, stage) = grammar::parse_complete(rest, fields)?;
     let reply = VoteReply { receipt, stage };
     Ok(Box::new(move |subscriber| {
         subscriber.vote_answered(vote, reply);
@@ -76,13 +81,13 @@
 fn parse_tally(rest: &str) -> Result<Notification, ParseError> {
     let fields = (
         uint32("a build"),
-        then(word),
-        then(uint64("a count")),
-        then(uint64("how many failed")),
-        then(uint64("a mean latency in ns")),
-        then(uint64("an age in ns")),
+        after_space(word),
+        after_space(uint64("a number of requests")),
+        after_space(uint64("a number of failed requests")),
+        after_space(uint64("a mean latency in ns")),
+        after_space(uint64("an age in ns")),
     );
-    let (build, class, count, failed, mean_latency, age) = grammar::parse_whole(rest, fields)?;
+    let (build, class, count, failed, mean_latency, age) = grammar::parse_complete(rest, fields)?;
     let tally = ClassTally {
         build,
         class: class.to_string(),
@@ -95,8 +100,8 @@
 }
 
 fn parse_fault(rest: &str) -> Result<Notification, ParseError> {
-    let fields = (word, then(word), then(uint64("an age in ns")));
-    let (pod, class, ago) = grammar::parse_whole(rest, fields)?;
+    let fields = (word, after_space(word), after_space(uint64("an age in ns")));
+    let (pod, class, ago) = grammar::parse_complete(rest, fields)?;
     let (pod, class) = (pod.to_string(), class.to_string());
     Ok(Box::new(move |subscriber| {
         subscriber.report_fault(pod, class, ago);
@@ -109,10 +114,10 @@
     let cap = non_negative("a cap from 0 to 1").verify(|cap| *cap <= 1.0);
     let (build, stage, phase, cap, age) = (
         uint32("a build"),
-        then(uint32("a stage")),
-        then(grammar::one_of(&PHASES, PHASE)),
-        then(cap),
-        then(uint64("an age in ns")),
+        after_space(uint32("a stage")),
+        after_space(grammar::one_of(&PHASES, PHASE)),
+        after_space(cap),
+        after_space(uint64("an age in ns")),
     )
         .parse_next(input)?;
     Ok(Stage {
@@ -124,7 +129,7 @@
     })
 }
 
-/// Appends the state of the newest build, as message `number` of its connection.
+/// Appends the state of the newest build, as the message with sequence number `number` on its connection.
 pub fn write_stage(out: &mut String, number: u64, stage: &Stage) {
     let _ = write!(out, "stage {number}");
     write_stage_fields(out, stage);
@@ -139,11 +144,11 @@
         cap,
         age,
     } = stage;
-    let phase = name_of(&PHASES, *phase).unwrap_or(NO_NAME);
+    let phase = name_of(&PHASES, *phase).unwrap_or(MISSING_NAME);
     let _ = write!(out, " {build} {stage} {phase} {cap} {age}");
 }
 
-/// Appends the answer to a vote, as message `number` of its connection.
+/// Appends the reply to a vote, as the message with sequence number `number` on its connection.
 pub fn write_vote_reply(
     out: &mut String,
     number: u64,
@@ -151,7 +156,7 @@
     receipt: VoteReceipt,
     stage: Option<&Stage>,
 ) {
-    let receipt = name_of(&RECEIPTS, receipt).unwrap_or(NO_NAME);
+    let receipt = name_of(&RECEIPTS, receipt).unwrap_or(MISSING_NAME);
     let _ = write!(out, "voted {number} {vote} {receipt}");
     if let Some(stage) = stage {
         write_stage_fields(out, stage);
@@ -159,7 +164,7 @@
     out.push('\n');
 }
 
-/// Appends a build's request counts in a route class, as message `number` of its connection.
+/// Appends a build's request counts in a route class, as the message with sequence number `number` on its connection.
 pub fn write_tally(out: &mut String, number: u64, tally: &ClassTally) {
     let ClassTally {
         build,
@@ -175,7 +180,7 @@
     );
 }
 
-/// Appends the report of a wrong answer, as message `number` of its connection.
+/// Appends the report of a wrong response, as the message with sequence number `number` on its connection.
 pub fn write_fault(out: &mut String, number: u64, pod: &str, class: &str, ago: Nanos) {
     let _ = writeln!(out, "flagged {number} {pod} {class} {ago}");
 }
--- a/crates/line-protocol/src/control_plane/request.rs
+++ b/crates/line-protocol/src/control_plane/request.rs
@@ -1,9 +1,9 @@
-//! The subscribers' lines: the greeting with a name, then `vote NUMBER BUILD STAGE VOTE`.
+//! The lines that subscribers send: the greeting with a name, then `vote NUMBER BUILD STAGE VOTE`.
 
-use super::calls::{Request, PROTOCOL};
+use super::callbacks::{Request, PROTOCOL};
 use crate::codec::{parse_greeting, LineParser};
 use crate::error::ParseError;
-use crate::grammar::{self, name_of, then, uint32, uint64};
+use crate::grammar::{self, after_space, name_of, uint32, uint64};
 use havenplank::interface::{Build, Vote};
 use winnow::combinator::preceded;
 
@@ -14,7 +14,7 @@
     ("back", Vote::RollBack),
 ];
 
-/// Parses the subscribers' lines.
+/// Parses the lines that subscribers send.
 #[derive(Default)]
 pub struct RequestParser {
     greeted: bool,
@@ -30,19 +30,19 @@
             return Ok(Some(Box::new(move |service| service.greeted(name))));
         }
         let fields = (
-            preceded("vote ", uint64("a vote's number")),
-            then(uint32("a build")),
-            then(uint32("a stage")),
-            then(grammar::one_of(&VOTES, "none, on, hold or back")),
+            preceded("vote ", uint64("a vote number")),
+            after_space(uint32("a build")),
+            after_space(uint32("a stage")),
+            after_space(grammar::one_of(&VOTES, "none, on, hold or back")),
         );
-        let (number, build, stage, vote) = grammar::parse_whole(line, fields)?;
+        let (number, build, stage, vote) = grammar::parse_complete(line, fields)?;
         Ok(Some(Box::new(move |service| {
             service.cast_vote(number, build, stage as usize, vote);
         })))
     }
 }
 
-/// Returns the line that casts a vote; `number` comes back with the answer.
+/// Returns the line that casts a vote; the reply will repeat `number`.
 pub fn vote_line(number: u64, build: Build, stage: usize, vote: Vote) -> String {
     let vote = name_of(&VOTES, vote).unwrap_or("?");
     format!("vote {number} {build} {stage} {vote}\n")
--- a/crates/line-protocol/src/endpoint_list/cache.rs
+++ b/crates/line-protocol/src/endpoint_list/cache.rs
@@ -1,12 +1,12 @@
-//! A list cached in a file: the service's own lines, greeting and one complete list.
+//! The endpoint list as cached in a file: the same lines as the service sends, namely a greeting and one complete list.
 
-use super::calls::Subscriber;
+use super::callbacks::Subscriber;
 use super::endpoint::{ListedEndpoint, PROTOCOL};
 use super::notification::{write_list, NotificationParser};
 use crate::codec::{greeting, LineParser};
 use crate::error::CachedListError;
 
-/// Takes the last complete list out of what is parsed.
+/// Holds the list of the last notification if it was complete.
 struct CompleteList(Option<Vec<ListedEndpoint>>);
 
 impl Subscriber for CompleteList {
@@ -20,7 +20,7 @@
 /// Decodes a cached list.
 ///
 /// # Errors
-/// The line and what was expected there; a text that was cut short is refused, too.
+/// Returns the invalid line and what was expected there. A truncated text is an error, too.
 pub fn decode_cached(text: &str) -> Result<Vec<ListedEndpoint>, CachedListError> {
     if !text.ends_with('\n') {
         return Err(CachedListError::UnterminatedLine);
--- a/crates/line-protocol/src/endpoint_list/endpoint.rs
+++ b/crates/line-protocol/src/endpoint_list/endpoint.rs
@@ -6,27 +6,27 @@
 /// The protocol's name in the greeting.
 pub const PROTOCOL: &str = "nodes";
 
-/// An endpoint as the list gives it.
+/// An entry of the endpoint list: a pod and where it runs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListedEndpoint {
     /// The pod's name, unique in a list.
     pub name: String,
-    /// Where the pod listens.
+    /// The address on which the pod listens.
     pub address: SocketAddr,
-    /// Whether it runs, drains or is gone.
+    /// Whether the pod runs, drains or is gone.
     pub state: PodState,
-    /// The build that it runs.
+    /// The build that the pod runs.
     pub build: Build,
-    /// Any number that changes when the process starts anew.
+    /// A number that changes whenever the pod's process restarts.
     pub incarnation: u64,
-    /// Time since the process started, 0 for long ago, so that no two machines need the same clock.
+    /// Time since the process started, in nanoseconds, or 0 if that is long ago. An age needs no synchronised clocks.
     pub age: Nanos,
-    /// Name of its zone.
+    /// Name of the pod's zone.
     pub zone: String,
-    /// Name of its kind of machine.
+    /// Name of the machine type on which the pod runs.
     pub machine: String,
-    /// The cell within which repeated requests are recognised.
+    /// The pod's cell; within a cell, pods recognise repeated requests.
     pub cell: i64,
-    /// Its size relative to other pods.
+    /// The pod's size relative to other pods.
     pub size: f64,
 }
--- a/crates/line-protocol/src/endpoint_list/mod.rs
+++ b/crates/line-protocol/src/endpoint_list/mod.rs
@@ -1,13 +1,13 @@
-//! The endpoint list protocol: which endpoints there are, complete or by changes, pushed or polled.
+//! The endpoint list protocol: the service sends the complete list or its changes, on request or as a watch.
 
 mod cache;
-mod calls;
+mod callbacks;
 mod endpoint;
 mod notification;
 mod request;
 
 pub use cache::{decode_cached, encode_cached};
-pub use calls::{Notification, Request, Service, Subscriber};
+pub use callbacks::{Notification, Request, Service, Subscriber};
 pub use endpoint::{ListedEndpoint, PROTOCOL};
 pub use notification::{write_list, write_poll_failure, NotificationParser};
 pub use request::{poll_line, watch_line, RequestParser};
--- a/crates/line-protocol/src/endpoint_list/notification.rs
+++ b/crates/line-protocol/src/endpoint_list/notification.rs
@@ -1,10 +1,12 @@
-//! The service's lines: `whole|changes SEQ COUNT` and that many `pod` lines, or `failed SEQ REASON`.
+//! The lines that the service sends: `whole|changes SEQ COUNT` followed by COUNT `pod` lines, or `failed SEQ REASON`.
 
-use super::calls::Notification;
+use super::callbacks::Notification;
 use super::endpoint::{ListedEndpoint, PROTOCOL};
 use crate::codec::{parse_greeting, LineParser, Sequence, MAX_ENDPOINTS};
 use crate::error::ParseError;
-use crate::grammar::{self, expected, int64, name_of, non_negative, then, uint32, uint64, word};
+use crate::grammar::{
+    self, after_space, expected, int64, name_of, non_negative, uint32, uint64, word,
+};
 use havenplank::interface::PodState;
 use std::fmt::Write as _;
 use winnow::combinator::{alt, preceded};
@@ -16,14 +18,15 @@
     ("gone", PodState::Gone),
 ];
 
-/// A list whose entries are still to come.
+/// A list of which not all entries have been received.
 struct PartialList {
     complete: bool,
+    /// Number of entries that the list's first line announced.
     announced: usize,
     endpoints: Vec<ListedEndpoint>,
 }
 
-/// Parses the service's lines.
+/// Parses the lines that the service sends.
 #[derive(Default)]
 pub struct NotificationParser {
     greeted: bool,
@@ -36,10 +39,10 @@
         let kind = alt(("whole ".value(true), "changes ".value(false)));
         let header = (
             kind.context(expected("whole, changes or failed")),
-            uint64("a number"),
-            then(uint64("how many pods")),
+            uint64("a sequence number"),
+            after_space(uint64("a number of pods")),
         );
-        let (complete, number, count) = grammar::parse_whole(line, header)?;
+        let (complete, number, count) = grammar::parse_complete(line, header)?;
         self.sequence.advance(number)?;
         let announced = usize::try_from(count)
             .ok()
@@ -54,8 +57,8 @@
     }
 
     fn end_list(&mut self) -> Option<Notification> {
-        let ended = |partial: &mut PartialList| partial.announced == partial.endpoints.len();
-        let list = self.partial.take_if(ended)?;
+        let is_complete = |partial: &mut PartialList| partial.announced == partial.endpoints.len();
+        let list = self.partial.take_if(is_complete)?;
         Some(Box::new(move |subscriber| {
             subscriber.update_endpoints(list.complete, list.endpoints);
         }))
@@ -63,7 +66,7 @@
 
     fn parse_failure(&mut self, rest: &str) -> Result<Notification, ParseError> {
         let (number, reason) = rest.split_once(' ').unwrap_or((rest, "no reason given"));
-        let number = grammar::parse_whole(number, uint64("a number"))?;
+        let number = grammar::parse_complete(number, uint64("a sequence number"))?;
         self.sequence.advance(number)?;
         let reason = reason.to_string();
         Ok(Box::new(move |subscriber| subscriber.poll_failed(&reason)))
@@ -80,7 +83,9 @@
             return Ok(None);
         }
         if let Some(partial) = &mut self.partial {
-            partial.endpoints.push(grammar::parse_whole(line, entry)?);
+            partial
+                .endpoints
+                .push(grammar::parse_complete(line, entry)?);
             return Ok(self.end_list());
         }
         if let Some(rest) = line.strip_prefix("failed ") {
@@ -96,18 +101,18 @@
     let address = word.verify_map(|word: &str| word.parse().ok());
     let (name, address, state, build, incarnation, age) = (
         preceded("pod ", word).context(expected("pod and its name")),
-        then(address).context(expected("an address with a port")),
-        then(grammar::one_of(&STATES, "running, draining or gone")),
-        then(uint32("a build")),
-        then(uint64("an incarnation")),
-        then(uint64("an age in ns")),
+        after_space(address).context(expected("an IP address with a port")),
+        after_space(grammar::one_of(&STATES, "running, draining or gone")),
+        after_space(uint32("a build")),
+        after_space(uint64("an incarnation")),
+        after_space(uint64("an age in ns")),
     )
         .parse_next(input)?;
     let (zone, machine, cell, size) = (
-        then(word).context(expected("a zone")),
-        then(word).context(expected("a kind of machine")),
-        then(int64("a cell")),
-        then(non_negative("a size")),
+        after_space(word).context(expected("a zone")),
+        after_space(word).context(expected("a machine type")),
+        after_space(int64("a cell")),
+        after_space(non_negative("a size")),
     )
         .parse_next(input)?;
     Ok(ListedEndpoint {
@@ -124,7 +129,7 @@
     })
 }
 
-/// Appends a list as the service sends it, as message `number` of its connection.
+/// Appends a list, as the message with sequence number `number` on its connection.
 pub fn write_list(out: &mut String, number: u64, complete: bool, endpoints: &[ListedEndpoint]) {
     let kind = if complete { "whole" } else { "changes" };
     let _ = writeln!(out, "{kind} {number} {}", endpoints.len());
@@ -153,7 +158,8 @@
     );
 }
 
-/// Appends the service's answer to a request that it cannot serve, as message `number` of its connection.
+/// Appends the reply to a request that the service cannot serve, as the message with sequence number `number` on its
+/// connection.
 pub fn write_poll_failure(out: &mut String, number: u64, reason: &str) {
     let reason = reason.replace(['\n', '\r'], " ");
     let _ = writeln!(out, "failed {number} {reason}");
--- a/crates/line-protocol/src/endpoint_list/request.rs
+++ b/crates/line-protocol/src/endpoint_list/request.rs
@@ -1,11 +1,11 @@
-//! The subscribers' lines: the greeting with a name, then `whole` or `watch on|off`.
+//! The lines that subscribers send: the greeting with a name, then `whole` or `watch on|off`.
 
-use super::calls::Request;
+use super::callbacks::Request;
 use super::endpoint::PROTOCOL;
 use crate::codec::{parse_greeting, LineParser};
 use crate::error::ParseError;
 
-/// Parses the subscribers' lines.
+/// Parses the lines that subscribers send.
 #[derive(Default)]
 pub struct RequestParser {
     greeted: bool,
@@ -31,7 +31,7 @@
     }
 }
 
-/// Returns the line that asks for the complete list, once.
+/// Returns the line that requests the complete list, once.
 pub fn poll_line() -> String {
     "whole\n".to_string()
 }
--- a/crates/line-protocol/src/error.rs
+++ b/crates/line-protocol/src/error.rs
@@ -1,23 +1,23 @@
-//! Why a line, a connection or a cached list was given up.
+//! Errors in a line, on a connection or in a cached list.
 
 use std::io;
 use std::time::Duration;
 
-/// Why a connection was given up. Whatever was received before stays in force.
+/// The error that ended a connection. Data received before the error remains valid.
 #[derive(Debug, thiserror::Error)]
 pub enum ProtocolError {
     /// The socket failed.
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// A line exceeds the configured bound.
+    /// A line exceeds the configured length limit.
     #[error("line {line}: longer than {max_bytes} bytes")]
     TooLong {
         /// Number of the line on this connection, from 1.
         line: u64,
-        /// The bound, in bytes without the line's end.
+        /// The limit in bytes, not counting the line end.
         max_bytes: usize,
     },
-    /// A line is not part of the protocol.
+    /// A line does not conform to the protocol.
     #[error("line {line}: {source}")]
     Malformed {
         /// Number of the line on this connection, from 1.
@@ -30,45 +30,45 @@
     #[error("the service closed the connection")]
     Closed,
     /// Connecting or sending took too long.
-    #[error("the service took nothing in within {} ms", .limit.as_millis())]
+    #[error("the service did not accept a connection or data within {} ms", .limit.as_millis())]
     TimedOut {
-        /// The time that it had.
+        /// The timeout that was exceeded.
         limit: Duration,
     },
 }
 
-/// Why a line is not part of a protocol.
+/// Why a line does not conform to a protocol.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum ParseError {
-    /// The line is not text.
-    #[error("not UTF-8")]
+    /// The line is not valid UTF-8.
+    #[error("invalid UTF-8, expected text")]
     NotUtf8,
-    /// Something else stands where a word or number was expected.
+    /// The line has something other than the expected word or number.
     #[error("column {column}: {expected}")]
     Unexpected {
-        /// Column of the first byte that does not fit, from 1.
+        /// Column of the first unexpected byte, from 1.
         column: usize,
         /// What was expected there.
         expected: String,
     },
-    /// No message begins like this line.
+    /// The line does not start like any known message.
     #[error("{expected}")]
     UnknownMessage {
-        /// The messages that exist.
+        /// The known messages.
         expected: &'static str,
     },
-    /// A message was lost or repeated: each carries the number after the one before it.
+    /// A message was lost or repeated: each message has the sequence number after that of the previous one.
     #[error("number {found}, expected {expected}")]
     OutOfSequence {
-        /// The number in the message.
+        /// The sequence number in the message.
         found: u64,
-        /// The number that was due.
+        /// The next sequence number.
         expected: u64,
     },
-    /// A list announces more endpoints than one may hold.
-    #[error("too many endpoints, expected {max} at most")]
+    /// A list announces more endpoints than allowed.
+    #[error("too many endpoints, expected at most {max}")]
     TooManyEndpoints {
-        /// The bound.
+        /// The limit.
         max: usize,
     },
     /// The greeting names another protocol.
@@ -79,12 +79,12 @@
         /// The name that was expected.
         expected: &'static str,
     },
-    /// The greeting names a version that is not spoken here.
+    /// The greeting names an unsupported protocol version.
     #[error("version {found}, expected {expected}")]
     WrongVersion {
         /// The version in the greeting.
         found: u32,
-        /// The only version spoken.
+        /// The only supported version.
         expected: u32,
     },
 }
@@ -92,10 +92,10 @@
 /// Why a cached endpoint list cannot be used.
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum CachedListError {
-    /// The text ends within a line. Cut within its last line, a number there could still read as one.
-    #[error("cut short, expected a line's end")]
+    /// The text ends within a line. It is rejected because a number that was cut off could still be read as a number.
+    #[error("the text ends within a line, expected a line end")]
     UnterminatedLine,
-    /// A line cannot be read.
+    /// A line does not conform to the protocol.
     #[error("line {line}: {source}")]
     Malformed {
         /// Number of the line, from 1.
@@ -104,7 +104,7 @@
         #[source]
         source: ParseError,
     },
-    /// The text ends before its list does, or holds changes only.
-    #[error("cut short, expected one complete list")]
+    /// The text ends before its list does, or contains changes only.
+    #[error("no complete list found, expected one")]
     Incomplete,
 }
--- a/crates/line-protocol/src/grammar.rs
+++ b/crates/line-protocol/src/grammar.rs
@@ -7,20 +7,20 @@
 use winnow::prelude::*;
 use winnow::token::take_while;
 
-/// Bound on a word, in bytes.
+/// Limit on the bytes of a word.
 const MAX_WORD_BYTES: usize = 128;
 
 pub(crate) type Input<'a> = &'a str;
 pub(crate) type Parsed<T> = Result<T, ContextError>;
 
-/// Runs a parser over a whole line and words its error.
-pub(crate) fn parse_whole<'a, T>(
+/// Parses a complete line; the error names the column and what was expected there.
+pub(crate) fn parse_complete<'a, T>(
     line: &'a str,
     mut parser: impl Parser<Input<'a>, T, ContextError>,
 ) -> Result<T, ParseError> {
     parser.parse(line).map_err(|error| {
         let expected = match error.inner().to_string() {
-            none if none.is_empty() => "expected nothing more".to_string(),
+            empty if empty.is_empty() => "expected the end of the line".to_string(),
             expected => expected.replace('\n', "; "),
         };
         ParseError::Unexpected {
@@ -30,19 +30,19 @@
     })
 }
 
-/// Names what a parser expects, for its error.
+/// Describes what a parser expects, for its error message.
 pub(crate) fn expected(what: &'static str) -> StrContext {
     StrContext::Expected(StrContextValue::Description(what))
 }
 
-/// Parses a word of visible ASCII characters.
+/// Parses a word: visible ASCII characters without spaces.
 pub(crate) fn word<'a>(input: &mut Input<'a>) -> Parsed<&'a str> {
     take_while(1..=MAX_WORD_BYTES, |c: char| c.is_ascii_graphic())
         .context(expected("a word"))
         .parse_next(input)
 }
 
-/// Parses a word out of a table.
+/// Parses a word that is in a table, and returns the value that belongs to it.
 pub(crate) fn one_of<'a, T: Copy>(
     table: &'static [(&'static str, T)],
     what: &'static str,
@@ -54,14 +54,14 @@
     .context(expected(what))
 }
 
-/// Returns the word that a table has for a value.
+/// Returns the word that belongs to a value in a table.
 pub(crate) fn name_of<T: PartialEq>(table: &[(&'static str, T)], value: T) -> Option<&'static str> {
     let entry = table.iter().find(|(_, known)| *known == value);
     entry.map(|(name, _)| *name)
 }
 
-/// Parses a space and what follows it.
-pub(crate) fn then<'a, T>(
+/// Parses a space and, after it, what `parser` accepts.
+pub(crate) fn after_space<'a, T>(
     parser: impl Parser<Input<'a>, T, ContextError>,
 ) -> impl Parser<Input<'a>, T, ContextError> {
     preceded(' ', parser)
--- a/crates/line-protocol/src/lib.rs
+++ b/crates/line-protocol/src/lib.rs
@@ -1,10 +1,10 @@
-//! Line protocols between a sidecar, its endpoint list service and its control plane, described in
-//! `docs/protocols.md`.
+//! The line protocols between a sidecar and its endpoint list service, and between a sidecar and its control plane,
+//! described in `docs/protocols.md`.
 //!
-//! Both speak text over TCP, one message a line, after a versioned greeting from either side. [`codec`] is the
-//! bounded decoder that both share, [`endpoint_list`] and [`control_plane`] are what is said, and [`client`] is the
-//! client half, which reconnects by itself. Decoding yields calls on a listener trait, so that no type here mirrors
-//! a line.
+//! Both protocols are text over TCP, one message per line, after a versioned greeting from each side. [`codec`] is the
+//! decoder that both share, with a limit on the line length. [`endpoint_list`] and [`control_plane`] define the
+//! messages. [`client`] is the client side, which reconnects automatically. A decoded line is a closure that calls a
+//! method of a listener trait, so that no separate message types are needed.
 
 #![warn(missing_docs)]
 #![warn(
--- a/crates/line-protocol/tests/client.rs
+++ b/crates/line-protocol/tests/client.rs
@@ -1,4 +1,4 @@
-//! A subscription that breaks starts anew.
+//! Checks that a client reconnects after the connection of a subscription fails.
 
 mod common;
 
@@ -34,7 +34,8 @@
     }
 }
 
-/// Says one text on each connection; on the last it also asks for a watch and then lets the client go.
+/// Accepts three connections and sends one text on each. On the last, lets the client send a watch request and then
+/// closes the request channel, which ends the client.
 async fn serve(listener: TcpListener, requests: mpsc::Sender<String>) {
     let mut requests = Some(requests);
     let texts = [
@@ -43,31 +44,40 @@
         "whole 1 0\n",
     ];
     for (n, text) in texts.iter().enumerate() {
-        let (stream, _) = listener.accept().await.expect("a client");
+        let (stream, _) = listener.accept().await.expect("accept the client");
         let mut stream = BufReader::new(stream);
         let mut line = String::new();
-        stream.read_line(&mut line).await.expect("a greeting");
+        stream
+            .read_line(&mut line)
+            .await
+            .expect("read the greeting");
         assert_eq!(line, "hello nodes 1 s-1\n");
         let answer = format!("hello nodes 1\n{text}");
-        stream.write_all(answer.as_bytes()).await.expect("sent");
+        stream
+            .write_all(answer.as_bytes())
+            .await
+            .expect("send the answer");
         line.clear();
         if n == 2 {
-            let requests = requests.take().expect("there once");
-            requests.send(watch_line(true)).await.expect("taken in");
-            stream.read_line(&mut line).await.expect("a line");
+            let requests = requests.take().expect("the sender is taken once");
+            requests
+                .send(watch_line(true))
+                .await
+                .expect("queue the request");
+            stream.read_line(&mut line).await.expect("read the request");
             assert_eq!(line, "watch on\n");
         }
-        let more = stream.read_line(&mut line).await.unwrap_or(0);
-        assert_eq!(more, 0, "the client closed");
+        let bytes_read = stream.read_line(&mut line).await.unwrap_or(0);
+        assert_eq!(bytes_read, 0, "expected the client to close the connection");
     }
 }
 
 #[tokio::test]
-async fn a_client_reconnects_after_a_garbled_line_and_a_lost_one() {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+async fn reconnects_after_a_malformed_line_and_after_a_lost_message() {
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind a port");
     let service = Service {
         protocol: PROTOCOL,
-        address: listener.local_addr().expect("an address"),
+        address: listener.local_addr().expect("the bound address"),
         max_line_bytes: 256,
     };
     let (sender, requests) = mpsc::channel(4);
--- a/crates/line-protocol/tests/codec.rs
+++ b/crates/line-protocol/tests/codec.rs
@@ -1,4 +1,4 @@
-//! Whatever comes in is parsed or refused within the bound on a line.
+//! Checks that arbitrary input is parsed or rejected, within the limit on the line length.
 
 use bytes::BytesMut;
 use havenplank_line_protocol::codec::LineCodec;
@@ -10,7 +10,7 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(300) })]
 
     #[test]
-    fn no_bytes_make_a_parser_panic_or_hold_more_than_a_line(
+    fn parses_or_rejects_arbitrary_bytes_without_a_panic(
         bytes in proptest::collection::vec(any::<u8>(), 0..2000),
         greeted in any::<bool>(),
     ) {
--- a/crates/line-protocol/tests/common/mod.rs
+++ b/crates/line-protocol/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! A listener that records what it is called with, and endpoints to list.
-#![allow(dead_code, reason = "each test binary uses a part")]
+//! A listener that records the calls it receives, and sample endpoints.
+#![allow(dead_code, reason = "each test binary uses only some of these items")]
 
 use bytes::BytesMut;
 use havenplank::interface::{Build, Nanos, PodState, Stage, Vote, VoteReply};
@@ -9,7 +9,7 @@
 use havenplank_line_protocol::ProtocolError;
 use tokio_util::codec::Decoder;
 
-/// An endpoint whose every field follows from its number.
+/// Returns an endpoint whose fields are all derived from `n`.
 pub fn endpoint(n: u64) -> ListedEndpoint {
     ListedEndpoint {
         name: format!("pod-{n}"),
@@ -25,7 +25,7 @@
     }
 }
 
-/// Each call as text.
+/// Records each call as text.
 #[derive(Default)]
 pub struct Recorder(pub Vec<String>);
 
@@ -63,7 +63,7 @@
     }
 }
 
-/// Decodes the endpoint list service's lines until they end or one is refused.
+/// Decodes lines of the endpoint list service until they end or one of them is rejected.
 pub fn decode_notifications(
     text: &str,
     max_line_bytes: usize,
--- a/crates/line-protocol/tests/control_plane.rs
+++ b/crates/line-protocol/tests/control_plane.rs
@@ -1,4 +1,4 @@
-//! Notifications and votes are read back as written.
+//! Checks that notifications and votes are parsed back as they were written.
 
 mod common;
 
@@ -13,7 +13,7 @@
 use tokio_util::codec::Decoder;
 
 #[test]
-fn reads_notifications_back_as_they_were_written() {
+fn parses_written_notifications_back() {
     let stage = Stage {
         build: 9,
         stage: 2,
@@ -38,7 +38,7 @@
     let mut recorder = Recorder::default();
     let mut codec = LineCodec::new(NotificationParser::default(), 256);
     let mut buffer = BytesMut::from(text.as_bytes());
-    while let Some(notification) = codec.decode(&mut buffer).expect("it is right") {
+    while let Some(notification) = codec.decode(&mut buffer).expect("the line is valid") {
         notification(&mut recorder);
     }
     let reply = |receipt, stage| format!("{:?}", VoteReply { receipt, stage });
@@ -53,12 +53,12 @@
 }
 
 #[test]
-fn reads_a_vote_back_as_it_was_written() {
+fn parses_a_written_vote_back() {
     let text = greeting(PROTOCOL, Some("s-1")) + &vote_line(3, 9, 2, Vote::RollBack);
     let mut recorder = Recorder::default();
     let mut codec = LineCodec::new(RequestParser::default(), 256);
     let mut buffer = BytesMut::from(text.as_bytes());
-    while let Some(request) = codec.decode(&mut buffer).expect("it is right") {
+    while let Some(request) = codec.decode(&mut buffer).expect("the line is valid") {
         request(&mut recorder);
     }
     assert_eq!(text, "hello desk 1 s-1\nvote 3 9 2 back\n");
--- a/crates/line-protocol/tests/endpoint_list.rs
+++ b/crates/line-protocol/tests/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Lists are read back as written, and what is wrong is refused with its line.
+//! Checks that lists are parsed back as they were written, and that an invalid line is rejected with its number.
 
 mod common;
 
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn reads_lists_back_as_they_were_written() {
+fn parses_written_lists_back() {
     let all: Vec<_> = (0..1000).map(endpoint).collect();
     let some: Vec<_> = (5..8).map(endpoint).collect();
     let mut text = greeting(PROTOCOL, None);
@@ -33,16 +33,16 @@
     ];
     assert_eq!(recorder.0, expected);
     let cached = decode_cached(&encode_cached(&all));
-    assert_eq!(cached.expect("it was encoded"), all);
+    assert_eq!(cached.expect("decode the encoded list"), all);
 }
 
 #[test]
-fn refuses_a_wrong_line_with_its_number_and_yields_nothing_of_its_list() {
+fn rejects_an_invalid_line_with_its_number_and_drops_its_list() {
     let text = two_endpoints();
     let draining = "pod-1 127.0.0.1:4001 draining";
-    let asleep = "pod-1 127.0.0.1:4001 asleep";
-    for (garbled, expected) in [
-        (text.replace(draining, asleep), "line 4: column 26"),
+    let invalid_state = "pod-1 127.0.0.1:4001 asleep";
+    for (malformed, expected) in [
+        (text.replace(draining, invalid_state), "line 4: column 26"),
         (
             text.replace("whole 1 2", "whole 2 2"),
             "line 2: number 2, expected 1",
@@ -64,7 +64,7 @@
             "line 3: longer than 256 bytes",
         ),
     ] {
-        let (recorder, error) = decode_notifications(&garbled, 256);
+        let (recorder, error) = decode_notifications(&malformed, 256);
         let error = error.map(|error| error.to_string()).unwrap_or_default();
         let received = recorder.0;
         assert!(
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn yields_nothing_of_a_list_that_was_cut_short() {
+fn drops_a_truncated_list() {
     let text = two_endpoints();
     for cut in 0..text.len() - 1 {
         let (recorder, _) = decode_notifications(&text[..cut], 256);
@@ -85,21 +85,21 @@
 }
 
 #[test]
-fn yields_one_list_at_most_where_a_byte_changed() {
+fn yields_at_most_one_list_if_a_byte_is_changed() {
     let text = two_endpoints();
-    let count = text.find("whole 1 2").expect("its count") + 8;
-    for at in 0..text.len() {
+    let count_position = text.find("whole 1 2").expect("find the count") + 8;
+    for position in 0..text.len() {
         for byte in 0..=u8::MAX {
             let mut bytes = text.clone().into_bytes();
-            bytes[at] = byte;
+            bytes[position] = byte;
             let (recorder, error) = decode_notifications(&String::from_utf8_lossy(&bytes), 256);
-            // A smaller count, or a line's end within the last number, ends the list there; what is left is then
-            // refused as a line of its own, and the connection with it.
-            let shorter = byte == b'\n' || (at == count && byte < b'2');
+            // A smaller count, or a line end within the last number, ends the list early. The rest is then rejected as
+            // an unknown line, which ends the connection.
+            let shorter = byte == b'\n' || (position == count_position && byte < b'2');
             let received = recorder.0.len();
             assert!(
                 received <= 1 && (shorter || received == 0 || error.is_none()),
-                "byte {at} as {byte}"
+                "byte {position} changed to {byte}"
             );
         }
     }
