--- a/crates/adapter/src/decode.rs
+++ b/crates/adapter/src/decode.rs
@@ -1,4 +1,4 @@
-//! Events of the wire, decoded into what a listener takes.
+//! Decodes the events of the wire protocol into calls of a listener.
 
 use crate::error::WireError;
 use crate::line::{Fields, Line};
@@ -11,60 +11,62 @@
 };
 use std::collections::BTreeMap;
 
-/// A pod of an endpoint list: read once, mapped to indices by each instance that is pointed to the list.
+/// A pod of an endpoint list. A list is decoded once; each instance that uses it maps the names to its own indices.
 pub struct ListedPod {
-    /// Its name.
+    /// The name of the pod.
     pub pod: String,
-    /// The name of its zone.
+    /// The name of the pod's zone.
     pub zone: String,
-    /// The name of its machine type; empty where it has none.
+    /// The name of the pod's machine type; empty if there is none.
     pub machine: String,
-    /// All else; its indices are not set yet.
+    /// The other properties of the pod; the instance sets the indices in it.
     pub endpoint: Endpoint,
 }
 
-/// Endpoint lists by their numbers on the wire.
+/// Endpoint lists by their number on the wire.
 pub type EndpointLists = BTreeMap<u64, Vec<ListedPod>>;
 
-/// What an instance hears, decoded: names as they stand on the wire, all else as the router takes it.
+/// Receives the decoded events of one instance. Requests and pods are identified by their names on the wire; all other
+/// values are in the form that the router expects.
 pub trait InstanceListener {
-    /// A new instance.
+    /// Creates an instance.
     fn create(now: Nanos, sidecar: u64, seed: u64, setup: Setup) -> Self;
-    /// The time of what comes next.
+    /// Sets the time of the following events.
     fn set_time(&mut self, now: Nanos);
-    /// Lends or takes back the buffer for actions.
+    /// Swaps the instance's buffer of actions with `out`. The session calls this before and after each event, so that
+    /// all instances write to the same buffer.
     fn swap_output(&mut self, _out: &mut String) {}
-    /// The names that the instance's settings gave.
+    /// Returns the names in the instance's settings.
     fn names(&self) -> &Names;
-    /// Whether a pod was ever listed to this instance.
+    /// Returns whether a pod was in any endpoint list of this instance.
     fn knows_pod(&self, pod: &str) -> bool;
-    /// The instance may begin.
+    /// Starts the instance.
     fn start(&mut self);
-    /// A whole endpoint list, or changes to it.
-    fn update_endpoints(&mut self, whole: bool, pods: &[ListedPod]);
+    /// A complete endpoint list or changes to it arrived.
+    fn update_endpoints(&mut self, complete: bool, pods: &[ListedPod]);
     /// The watch on the endpoint list failed.
     fn endpoint_watch_failed(&mut self);
-    /// A request arrived; the id of `request` is not set yet.
+    /// A request arrived; the instance assigns its id, which is not set yet in `request`.
     fn handle_request(&mut self, name: &str, request: IncomingRequest);
-    /// An attempt of a request, counted from 0, ended.
+    /// An attempt of a request ended; attempts are counted from 0.
     fn attempt_ended(&mut self, name: &str, attempt: usize, outcome: AttemptOutcome);
-    /// A request's client left.
+    /// The client of a request disconnected.
     fn client_left(&mut self, name: &str);
     /// A timer fired.
     fn timer_fired(&mut self, id: u64);
     /// The control plane announced a stage.
     fn update_stage(&mut self, stage: Stage);
-    /// The answer to the oldest vote that has none.
+    /// The reply to the oldest unanswered vote arrived.
     fn vote_answered(&mut self, reply: VoteReply);
-    /// A sampled count of all instances' attempts.
+    /// A sampled count of the attempts of all instances arrived.
     fn update_tally(&mut self, tally: Tally);
-    /// A client found a fault in a pod's answer.
+    /// A client reported a wrong response of a pod, `ago` nanoseconds before now.
     fn report_fault(&mut self, pod: &str, class: RouteClassId, ago: Nanos);
-    /// The end of the oldest health check of a pod that has none.
+    /// The oldest unfinished health check of a pod ended.
     fn health_checked(&mut self, pod: &str, result: HealthCheckResult);
 }
 
-/// Whether a verb tells something to one instance.
+/// Returns whether the verb is that of an event for one instance.
 pub(crate) fn is_for_instance(verb: &str) -> bool {
     matches!(
         verb,
@@ -78,11 +80,11 @@
             | event::ATTEMPT_ENDED
             | event::CLIENT_LEFT
             | event::HEALTH_CHECKED
-            | event::ANSWER_BEGINS
+            | event::RESPONSE_BEGINS
     )
 }
 
-/// Decodes a line for one instance and hands it over.
+/// Decodes an event for one instance and calls the listener.
 pub(crate) fn deliver(
     line: &Line,
     listener: &mut impl InstanceListener,
@@ -94,9 +96,9 @@
         event::REQUEST => request(fields, listener)?,
         event::ATTEMPT_ENDED => attempt_ended(fields, listener)?,
         event::CLIENT_LEFT => listener.client_left(fields.text(field::REQUEST)?),
-        event::ANSWER_BEGINS => answer_begins(fields, listener)?,
+        event::RESPONSE_BEGINS => response_begins(fields, listener)?,
         event::TIMER_FIRED => {
-            // Only an alarm that this adapter set has a number.
+            // Only timers that this adapter set have a number as their key.
             if let Ok(id) = fields.text(field::TIMER)?.parse() {
                 listener.timer_fired(id);
             }
@@ -112,7 +114,7 @@
             listener.report_fault(pod, class, fields.integer(field::AGE)?);
         }
         event::HEALTH_CHECKED => health_checked(fields, listener)?,
-        // Nothing here sends to peers; what one says is read for its form alone.
+        // Instances exchange no messages with peers, so a peer message is only validated.
         _ => {
             fields.integer("sender")?;
             fields.text("blob")?;
@@ -126,19 +128,22 @@
     listener: &mut impl InstanceListener,
     lists: &EndpointLists,
 ) -> Result<(), WireError> {
-    let whole = match fields.text("how")? {
+    let complete = match fields.text("how")? {
         "delta" => false,
         "full" | "cached" => true,
         "failed" => {
             listener.endpoint_watch_failed();
             return Ok(());
         }
-        _ => return Err(fields.error("how", "not delta, full, cached or failed")),
+        _ => return Err(fields.error("how", "expected delta, full, cached or failed")),
     };
-    let list = lists
-        .get(&fields.integer(field::LIST)?)
-        .ok_or_else(|| fields.error(field::LIST, "a list never sent"))?;
-    listener.update_endpoints(whole, list);
+    let list = lists.get(&fields.integer(field::LIST)?).ok_or_else(|| {
+        fields.error(
+            field::LIST,
+            "unknown list; expected the number of a list sent before",
+        )
+    })?;
+    listener.update_endpoints(complete, list);
     Ok(())
 }
 
@@ -171,14 +176,14 @@
         end: attempt_end(fields)?,
         took: fields.integer(field::LATENCY)?,
         request_finished: fields.flag("over")?,
-        load: load_report::from_row(&listener.names().load_columns, fields)?,
+        load: load_report::from_gauge(&listener.names().load_columns, fields)?,
     };
     listener.attempt_ended(name, attempt, outcome);
     Ok(())
 }
 
-/// The beginning of an answer is read for its form alone.
-fn answer_begins(fields: &Fields, listener: &impl InstanceListener) -> Result<(), WireError> {
+/// Validates the event that a response begins, which has no effect on the instance.
+fn response_begins(fields: &Fields, listener: &impl InstanceListener) -> Result<(), WireError> {
     fields.text(field::REQUEST)?;
     fields.integer(field::ATTEMPT)?;
     fields.integer(field::LATENCY)?;
@@ -186,13 +191,13 @@
     Ok(())
 }
 
-/// A stage, which comes by itself or as the answer to a vote.
+/// Decodes a stage, which is either an announcement or the reply to a vote.
 fn stage_changed(fields: &Fields, listener: &mut impl InstanceListener) -> Result<(), WireError> {
     let code = fields.integer(field::OUTCOME)?;
     let stage = stage(fields)?;
     let stage = (code == wire_names::SUCCESS).then_some(stage);
-    let is_answer = fields.integer_or(field::VOTE, 0)? != 0;
-    if is_answer {
+    let is_vote_reply = fields.integer_or(field::VOTE, 0)? != 0;
+    if is_vote_reply {
         let receipt = wire_names::vote_receipt(code);
         listener.vote_answered(VoteReply { receipt, stage });
     } else if let Some(stage) = stage {
@@ -203,7 +208,7 @@
 
 fn stage(fields: &Fields) -> Result<Stage, WireError> {
     let phase = wire_names::phase(fields.integer_or("standing", 0)?)
-        .ok_or_else(|| fields.error("standing", "not 0 to 3"))?;
+        .ok_or_else(|| fields.error("standing", "expected a code from 0 to 3"))?;
     Ok(Stage {
         build: build(fields.integer(field::BUILD)?),
         stage: fields.integer_or(field::STAGE, 0)? as usize,
@@ -226,7 +231,7 @@
 
 fn health_checked(fields: &Fields, listener: &mut impl InstanceListener) -> Result<(), WireError> {
     let pod = known_pod(fields, listener)?;
-    let load = load_report::from_row(&listener.names().load_columns, fields)?;
+    let load = load_report::from_gauge(&listener.names().load_columns, fields)?;
     let result = HealthCheckResult {
         end: attempt_end(fields)?,
         took: fields.integer(field::LATENCY)?,
@@ -236,10 +241,10 @@
     Ok(())
 }
 
-/// A pod of an endpoint list.
+/// Decodes a pod of an endpoint list.
 pub(crate) fn listed_pod(fields: &Fields) -> Result<ListedPod, WireError> {
     let state = wire_names::pod_state(fields.text("lifecycle")?)
-        .ok_or_else(|| fields.error("lifecycle", "not Running, Stopping or Deleted"))?;
+        .ok_or_else(|| fields.error("lifecycle", "expected Running, Stopping or Deleted"))?;
     let endpoint = Endpoint {
         pod: 0,
         name_hash: 0,
@@ -268,7 +273,7 @@
 
 fn attempt_end(fields: &Fields) -> Result<AttemptEnd, WireError> {
     wire_names::attempt_end(fields.integer(field::OUTCOME)?)
-        .ok_or_else(|| fields.error(field::OUTCOME, "an unknown outcome"))
+        .ok_or_else(|| fields.error(field::OUTCOME, "unknown outcome code"))
 }
 
 fn route_class(
@@ -286,6 +291,9 @@
     if listener.knows_pod(name) {
         Ok(name)
     } else {
-        Err(fields.error(field::POD, "a pod never listed"))
+        Err(fields.error(
+            field::POD,
+            "unknown pod; expected one that was in an endpoint list",
+        ))
     }
 }
--- a/crates/adapter/src/encode.rs
+++ b/crates/adapter/src/encode.rs
@@ -1,4 +1,4 @@
-//! Effects of the router, encoded as actions of the wire: one JSON object a line.
+//! Encodes the router's effects as actions of the wire protocol: one JSON object per line.
 
 use crate::wire_names::{action, field};
 use serde_json::Value;
@@ -8,6 +8,7 @@
 /// The actions of one instance that have not been sent.
 pub(crate) struct ActionWriter {
     sidecar: u64,
+    /// The encoded lines.
     pub(crate) out: String,
 }
 
@@ -19,12 +20,12 @@
         }
     }
 
-    /// Begins an action; it is complete once [`Action::end`] was called.
+    /// Starts an action; the caller completes it with [`Action::end`].
     pub(crate) fn begin(&mut self, verb: &str) -> Action<'_> {
         let action = Action { out: &mut self.out };
         action.out.push('{');
         let _ = write!(action.out, "\"{}\":\"{verb}\"", field::VERB);
-        action.number(field::SIDECAR, self.sidecar)
+        action.json_value(field::SIDECAR, self.sidecar)
     }
 }
 
@@ -34,27 +35,29 @@
 }
 
 impl Action<'_> {
-    /// Adds a number, or true or false.
-    pub(crate) fn number(self, name: &str, value: impl Display) -> Self {
+    /// Adds a field whose value is valid JSON when formatted: a number, a boolean or encoded JSON.
+    pub(crate) fn json_value(self, name: &str, value: impl Display) -> Self {
         let _ = write!(self.out, ",\"{name}\":{value}");
         self
     }
 
+    /// Adds a field whose value is a string.
     pub(crate) fn text(self, name: &str, value: &str) -> Self {
-        self.number(name, Value::from(value))
+        self.json_value(name, Value::from(value))
     }
 
+    /// Completes the action.
     pub(crate) fn end(self) {
         self.out.push_str("}\n");
     }
 }
 
-/// Says that all actions of a round are out.
-pub(crate) fn end_round(turn: u64, output: &mut impl io::Write) -> io::Result<()> {
-    let (verb, name) = (action::ROUND_DONE, field::TURN);
+/// Writes the line that marks the end of a round's actions.
+pub(crate) fn end_round(round: u64, output: &mut impl io::Write) -> io::Result<()> {
+    let (verb, name) = (action::ROUND_DONE, field::ROUND);
     writeln!(
         output,
-        "{{\"{}\":\"{verb}\",\"{name}\":{turn}}}",
+        "{{\"{}\":\"{verb}\",\"{name}\":{round}}}",
         field::VERB
     )
 }
--- a/crates/adapter/src/error.rs
+++ b/crates/adapter/src/error.rs
@@ -1,14 +1,14 @@
-//! What can be wrong with a line of the wire.
+//! Errors in a line of the wire protocol.
 
-/// A line that the wire does not have, with the place and what was wrong there.
+/// A line that does not conform to the wire protocol, with the location and the problem.
 #[derive(Debug, thiserror::Error)]
 pub enum WireError {
-    /// The line cannot be read as JSON.
+    /// The line is not valid JSON.
     #[error("line {line}: not a JSON object ({source})")]
     NotJson {
         /// The line's number, from 1.
         line: u64,
-        /// What the JSON reader said.
+        /// The error of the JSON parser.
         source: serde_json::Error,
     },
     /// The line is JSON, but not an object.
@@ -17,7 +17,7 @@
         /// The line's number, from 1.
         line: u64,
     },
-    /// The line does not say what it is.
+    /// The line has no valid verb.
     #[error("line {line}: field verb: {problem}")]
     Verb {
         /// The line's number, from 1.
@@ -25,16 +25,16 @@
         /// What is wrong with the verb.
         problem: &'static str,
     },
-    /// A field is missing or has a wrong value.
+    /// A field is missing or has an invalid value.
     #[error("line {line}: {verb}: field {field}: {problem}")]
     Field {
         /// The line's number, from 1.
         line: u64,
-        /// What the line is.
+        /// The verb of the line.
         verb: String,
         /// The path to the field.
         field: String,
-        /// What is wrong with it.
+        /// What is wrong with the field.
         problem: &'static str,
     },
 }
--- a/crates/adapter/src/instance.rs
+++ b/crates/adapter/src/instance.rs
@@ -1,4 +1,5 @@
-//! An instance that decides: a router, and a host that keeps its callbacks and writes its effects down.
+//! An instance that makes decisions: a router, and a host that stores the router's callbacks and encodes its effects as
+//! actions.
 
 use crate::decode::{InstanceListener, ListedPod};
 use crate::encode::{Action, ActionWriter};
@@ -11,10 +12,10 @@
 use havenplank::Router;
 use std::collections::{HashMap, VecDeque};
 
-/// The attempts of a request that are in flight, and whether its final answer is still owed.
+/// The attempts of a request, each `None` once it has ended, and whether the client still waits for the response.
 struct OpenRequest {
     name: String,
-    awaits_answer: bool,
+    awaits_response: bool,
     attempts: Vec<Option<Callback<AttemptOutcome>>>,
 }
 
@@ -22,14 +23,15 @@
 struct WireHost {
     now: Nanos,
     names: Names,
-    /// Grows with the pods ever listed to this instance, not with requests; a restart empties it.
+    /// Indices of all pods that were ever in an endpoint list of this instance. Grows with the number of pods, not with
+    /// requests; a restart empties it.
     pods: HashMap<String, PodId>,
     pod_names: Vec<String>,
     request_ids: HashMap<String, RequestId>,
-    /// Emptied of a request once it is answered and all its attempts have ended.
+    /// Open requests; a request is removed once it is answered and all its attempts have ended.
     requests: HashMap<RequestId, OpenRequest>,
     next_request: RequestId,
-    /// A timer leaves when it fires.
+    /// Callbacks of the timers that have not fired yet.
     timers: HashMap<u64, Callback<()>>,
     next_timer: u64,
     votes: VecDeque<Callback<VoteReply>>,
@@ -37,7 +39,7 @@
     actions: ActionWriter,
 }
 
-/// An instance that decides.
+/// An instance that makes decisions with a [`Router`].
 pub struct Instance {
     router: Router,
     host: WireHost,
@@ -61,24 +63,24 @@
         }
     }
 
-    /// Begins an action on a request.
-    fn begin_on_request(&mut self, verb: &str, request: RequestId) -> Action<'_> {
+    /// Starts an action that concerns a request.
+    fn begin_for_request(&mut self, verb: &str, request: RequestId) -> Action<'_> {
         let name = self.requests.get(&request).map(|open| open.name.as_str());
         let action = self.actions.begin(verb);
         action.text(field::REQUEST, name.unwrap_or_default())
     }
 
-    /// Closes a request that got its final answer or lost its client.
+    /// Closes a request that was answered or whose client disconnected.
     fn close(&mut self, request: RequestId) {
         if let Some(open) = self.requests.get_mut(&request) {
-            open.awaits_answer = false;
+            open.awaits_response = false;
         }
-        self.forget_if_done(request);
+        self.remove_if_done(request);
     }
 
-    fn forget_if_done(&mut self, request: RequestId) {
+    fn remove_if_done(&mut self, request: RequestId) {
         let is_done =
-            |open: &OpenRequest| !open.awaits_answer && open.attempts.iter().all(Option::is_none);
+            |open: &OpenRequest| !open.awaits_response && open.attempts.iter().all(Option::is_none);
         if self.requests.get(&request).is_some_and(is_done) {
             if let Some(open) = self.requests.remove(&request) {
                 self.request_ids.remove(&open.name);
@@ -86,7 +88,7 @@
         }
     }
 
-    /// The index of a pod, a new one where it was never listed.
+    /// Returns the index of a pod, or assigns the next index if the pod is new.
     fn pod_index(&mut self, name: &str) -> PodId {
         if let Some(id) = self.pods.get(name) {
             return *id;
@@ -98,7 +100,7 @@
     }
 }
 
-/// The position of a name, giving a new one the next place.
+/// Returns the position of a name in `names`; appends the name if it is new.
 fn index_of(names: &mut Vec<String>, name: &str) -> usize {
     names
         .iter()
@@ -117,7 +119,7 @@
     fn is_open(&self, request: RequestId) -> bool {
         self.requests
             .get(&request)
-            .is_some_and(|open| open.awaits_answer)
+            .is_some_and(|open| open.awaits_response)
     }
 
     fn send_attempt(
@@ -130,7 +132,7 @@
         let Some(open) = self.requests.get_mut(&request) else {
             return;
         };
-        if !open.awaits_answer {
+        if !open.awaits_response {
             return;
         }
         open.attempts.push(Some(on_done));
@@ -138,23 +140,23 @@
             .begin(action::ATTEMPT)
             .text(field::REQUEST, &open.name)
             .text(field::POD, &self.pod_names[pod])
-            .number(field::TIMEOUT, timeout)
+            .json_value(field::TIMEOUT, timeout)
             .end();
     }
 
     fn cancel_attempt(&mut self, request: RequestId, attempt: u32) {
         let open = self.requests.get(&request);
         if open.is_some_and(|open| (attempt as usize) < open.attempts.len()) {
-            self.begin_on_request(action::CANCEL, request)
-                .number(field::ATTEMPT, attempt)
+            self.begin_for_request(action::CANCEL, request)
+                .json_value(field::ATTEMPT, attempt)
                 .end();
         }
     }
 
     fn reject(&mut self, request: RequestId, retry_after: Nanos) {
         if self.is_open(request) {
-            self.begin_on_request(action::REJECT, request)
-                .number(field::RETRY_AFTER, retry_after)
+            self.begin_for_request(action::REJECT, request)
+                .json_value(field::RETRY_AFTER, retry_after)
                 .end();
             self.close(request);
         }
@@ -162,7 +164,7 @@
 
     fn fail(&mut self, request: RequestId) {
         if self.is_open(request) {
-            self.begin_on_request(action::FAIL, request).end();
+            self.begin_for_request(action::FAIL, request).end();
             self.close(request);
         }
     }
@@ -170,9 +172,9 @@
     fn cast_vote(&mut self, build: Build, stage: usize, vote: Vote, on_done: Callback<VoteReply>) {
         self.actions
             .begin(action::VOTE)
-            .number(field::BUILD, build)
-            .number(field::STAGE, stage)
-            .number(field::VOTE, wire_names::vote_code(vote))
+            .json_value(field::BUILD, build)
+            .json_value(field::STAGE, stage)
+            .json_value(field::VOTE, wire_names::vote_code(vote))
             .end();
         self.votes.push_back(on_done);
     }
@@ -195,7 +197,7 @@
     fn watch_endpoints(&mut self, on: bool) {
         self.actions
             .begin(action::WATCH_ENDPOINTS)
-            .number(field::WATCH, on)
+            .json_value(field::WATCH, on)
             .end();
     }
 
@@ -206,7 +208,7 @@
         self.actions
             .begin(action::SET_TIMER)
             .text(field::TIMER, &id.to_string())
-            .number(field::DELAY, after)
+            .json_value(field::DELAY, after)
             .end();
     }
 
@@ -246,7 +248,7 @@
         self.router.start(&mut self.host);
     }
 
-    fn update_endpoints(&mut self, whole: bool, pods: &[ListedPod]) {
+    fn update_endpoints(&mut self, complete: bool, pods: &[ListedPod]) {
         let host = &mut self.host;
         let mut endpoints = Vec::with_capacity(pods.len());
         for listed in pods {
@@ -257,7 +259,7 @@
             endpoint.machine_type = index_of(&mut host.names.machines, &listed.machine);
             endpoints.push(endpoint);
         }
-        self.router.update_endpoints(host, whole, &endpoints);
+        self.router.update_endpoints(host, complete, &endpoints);
     }
 
     fn endpoint_watch_failed(&mut self) {
@@ -271,7 +273,7 @@
         host.request_ids.insert(name.to_string(), id);
         let open = OpenRequest {
             name: name.to_string(),
-            awaits_answer: true,
+            awaits_response: true,
             attempts: Vec::new(),
         };
         host.requests.insert(id, open);
@@ -287,11 +289,11 @@
         let Some(open) = host.requests.get_mut(&request) else {
             return;
         };
-        open.awaits_answer &= !outcome.request_finished;
+        open.awaits_response &= !outcome.request_finished;
         if let Some(on_done) = open.attempts.get_mut(attempt).and_then(Option::take) {
             on_done(&mut self.router, host, outcome);
         }
-        host.forget_if_done(request);
+        host.remove_if_done(request);
     }
 
     fn client_left(&mut self, name: &str) {
@@ -329,8 +331,8 @@
     fn health_checked(&mut self, pod: &str, result: HealthCheckResult) {
         let host = &mut self.host;
         let pod = host.pods.get(pod);
-        let waiting = pod.and_then(|pod| host.health_checks.get_mut(pod));
-        if let Some(on_done) = waiting.and_then(VecDeque::pop_front) {
+        let pending = pod.and_then(|pod| host.health_checks.get_mut(pod));
+        if let Some(on_done) = pending.and_then(VecDeque::pop_front) {
             on_done(&mut self.router, host, result);
         }
     }
--- a/crates/adapter/src/lib.rs
+++ b/crates/adapter/src/lib.rs
@@ -1,5 +1,6 @@
-//! The simulator's wire, decoded into calls and encoded from actions, for instances that decide and for
-//! whoever writes down what they heard.
+//! The simulator's wire protocol: JSON objects, one per line. Events are decoded into calls of a listener trait, and
+//! actions are encoded as lines. The listener is either an instance that makes decisions or one that records the
+//! events.
 
 #![warn(missing_docs)]
 #![warn(
--- a/crates/adapter/src/line.rs
+++ b/crates/adapter/src/line.rs
@@ -1,4 +1,4 @@
-//! One line of the wire, read field by field.
+//! One line of the wire protocol, and the typed access to its fields.
 
 use crate::error::WireError;
 use crate::wire_names::field;
@@ -6,19 +6,19 @@
 
 /// A JSON object with a verb.
 pub struct Line {
-    /// Its number, from 1.
+    /// The number of the line, counted from 1.
     pub number: u64,
-    /// What it tells or asks for.
+    /// The kind of event or action.
     pub verb: String,
-    /// All its fields.
+    /// All fields, including the verb.
     pub fields: Map<String, Value>,
 }
 
 impl Line {
-    /// Reads a line of JSON.
+    /// Parses a line of JSON.
     ///
     /// # Errors
-    /// What is no JSON object or has no verb.
+    /// Returns an error if the line is not a JSON object or has no verb.
     pub fn parse(number: u64, text: &[u8]) -> Result<Line, WireError> {
         let value: Value = serde_json::from_slice(text).map_err(|source| WireError::NotJson {
             line: number,
@@ -33,7 +33,7 @@
         };
         let verb = match fields.get(field::VERB) {
             Some(Value::String(verb)) => verb.clone(),
-            Some(_) => return Err(malformed("not text")),
+            Some(_) => return Err(malformed("expected a string")),
             None => return Err(malformed("missing")),
         };
         Ok(Line {
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Its fields, to be read.
+    /// Returns the reader of the line's fields.
     pub fn fields(&self) -> Fields<'_> {
         Fields {
             line: self,
@@ -62,7 +62,7 @@
     }
 }
 
-/// The fields of a line or of an object inside it, with the path to them for errors.
+/// Reads the fields of a line or of an object inside it, and keeps the path to them for errors.
 pub struct Fields<'a> {
     line: &'a Line,
     path: String,
@@ -74,99 +74,99 @@
 }
 
 impl<'a> Fields<'a> {
-    /// The error that a field is malformed; `problem` says what it is not, or what was expected.
+    /// Returns the error for an invalid field; `problem` says what is wrong or what was expected.
     pub fn error(&self, field: &str, problem: &'static str) -> WireError {
         self.line.error(&format!("{}{field}", self.path), problem)
     }
 
-    fn want<T>(
+    fn required<T>(
         &self,
         field: &str,
-        read: impl Fn(&'a Value) -> Option<T>,
+        convert: impl Fn(&'a Value) -> Option<T>,
         problem: &'static str,
     ) -> Result<T, WireError> {
         let value = present(self.map.get(field)).ok_or_else(|| self.error(field, "missing"))?;
-        read(value).ok_or_else(|| self.error(field, problem))
+        convert(value).ok_or_else(|| self.error(field, problem))
     }
 
-    fn may<T>(
+    fn optional<T>(
         &self,
         field: &str,
-        read: impl Fn(&'a Value) -> Option<T>,
+        convert: impl Fn(&'a Value) -> Option<T>,
         problem: &'static str,
     ) -> Result<Option<T>, WireError> {
         match present(self.map.get(field)) {
             None => Ok(None),
-            Some(value) => read(value)
+            Some(value) => convert(value)
                 .map(Some)
                 .ok_or_else(|| self.error(field, problem)),
         }
     }
 
-    /// A whole number.
+    /// Returns a whole number.
     ///
     /// # Errors
-    /// One that is missing or no whole number.
+    /// Returns an error if the field is missing or is not a whole number.
     pub fn integer(&self, field: &str) -> Result<u64, WireError> {
-        self.want(field, Value::as_u64, "not a whole number")
+        self.required(field, Value::as_u64, "expected a whole number")
     }
 
-    /// A whole number, or another where it is absent.
+    /// Returns a whole number, or `default` if the field is absent.
     ///
     /// # Errors
-    /// One that is no whole number.
-    pub fn integer_or(&self, field: &str, other: u64) -> Result<u64, WireError> {
+    /// Returns an error if the field is not a whole number.
+    pub fn integer_or(&self, field: &str, default: u64) -> Result<u64, WireError> {
         Ok(self
-            .may(field, Value::as_u64, "not a whole number")?
-            .unwrap_or(other))
+            .optional(field, Value::as_u64, "expected a whole number")?
+            .unwrap_or(default))
     }
 
-    /// A whole number, or none where it is absent.
+    /// Returns a whole number, or `None` if the field is absent.
     ///
     /// # Errors
-    /// One that is no whole number.
+    /// Returns an error if the field is not a whole number.
     pub fn optional_integer(&self, field: &str) -> Result<Option<u64>, WireError> {
-        self.may(field, Value::as_u64, "not a whole number")
+        self.optional(field, Value::as_u64, "expected a whole number")
     }
 
-    /// A number.
+    /// Returns a number.
     ///
     /// # Errors
-    /// One that is missing or no number.
+    /// Returns an error if the field is missing or is not a number.
     pub fn number(&self, field: &str) -> Result<f64, WireError> {
-        self.want(field, Value::as_f64, "not a number")
+        self.required(field, Value::as_f64, "expected a number")
     }
 
-    /// A number, or another where it is absent.
+    /// Returns a number, or `default` if the field is absent.
     ///
     /// # Errors
-    /// One that is no number.
-    pub fn number_or(&self, field: &str, other: f64) -> Result<f64, WireError> {
+    /// Returns an error if the field is not a number.
+    pub fn number_or(&self, field: &str, default: f64) -> Result<f64, WireError> {
         Ok(self
-            .may(field, Value::as_f64, "not a number")?
-            .unwrap_or(other))
+            .optional(field, Value::as_f64, "expected a number")?
+            .unwrap_or(default))
     }
 
-    /// Text.
+    /// Returns a string.
     ///
     /// # Errors
-    /// One that is missing or not text.
+    /// Returns an error if the field is missing or is not a string.
     pub fn text(&self, field: &str) -> Result<&'a str, WireError> {
-        self.want(field, Value::as_str, "not text")
+        self.required(field, Value::as_str, "expected a string")
     }
 
-    /// Text, or none where it is absent.
+    /// Returns a string, or `None` if the field is absent.
     ///
     /// # Errors
-    /// One that is not text.
+    /// Returns an error if the field is not a string.
     pub fn optional_text(&self, field: &str) -> Result<Option<&'a str>, WireError> {
-        self.may(field, Value::as_str, "not text")
+        self.optional(field, Value::as_str, "expected a string")
     }
 
-    /// Text, or none where it is absent or 0.
+    /// Returns a string, or `None` if the field is absent or the number 0.
     ///
     /// # Errors
-    /// One that is neither.
+    /// Returns an error if the field is neither a string nor 0.
     pub fn optional_name(&self, field: &str) -> Result<Option<&'a str>, WireError> {
         match self.map.get(field) {
             Some(Value::Number(number)) if number.as_u64() == Some(0) => Ok(None),
@@ -174,22 +174,22 @@
         }
     }
 
-    /// True or false; false where it is absent.
+    /// Returns a boolean, or false if the field is absent.
     ///
     /// # Errors
-    /// One that is neither.
+    /// Returns an error if the field is not a boolean.
     pub fn flag(&self, field: &str) -> Result<bool, WireError> {
         Ok(self
-            .may(field, Value::as_bool, "not true or false")?
+            .optional(field, Value::as_bool, "expected true or false")?
             .unwrap_or(false))
     }
 
-    /// An object.
+    /// Returns the reader of a nested object.
     ///
     /// # Errors
-    /// One that is missing or no object.
+    /// Returns an error if the field is missing or is not an object.
     pub fn object(&self, field: &str) -> Result<Fields<'a>, WireError> {
-        let map = self.want(field, Value::as_object, "not an object")?;
+        let map = self.required(field, Value::as_object, "expected an object")?;
         Ok(Fields {
             line: self.line,
             path: format!("{}{field}.", self.path),
@@ -197,35 +197,35 @@
         })
     }
 
-    /// Whether a field is there and not null.
+    /// Returns whether a field is present and not null.
     pub fn has(&self, field: &str) -> bool {
         present(self.map.get(field)).is_some()
     }
 
-    /// A row of numbers, or none where it is absent.
+    /// Returns an array of numbers, or `None` if the field is absent.
     ///
     /// # Errors
-    /// One that is no row of numbers.
+    /// Returns an error if the field is not an array of numbers.
     pub fn optional_numbers(&self, field: &str) -> Result<Option<Vec<f64>>, WireError> {
-        let read = |value: &'a Value| value.as_array()?.iter().map(Value::as_f64).collect();
-        self.may(field, read, "not a row of numbers")
+        let convert = |value: &'a Value| value.as_array()?.iter().map(Value::as_f64).collect();
+        self.optional(field, convert, "expected an array of numbers")
     }
 
-    /// A row of numbers.
+    /// Returns an array of numbers.
     ///
     /// # Errors
-    /// One that is missing or no row of numbers.
+    /// Returns an error if the field is missing or is not an array of numbers.
     pub fn numbers(&self, field: &str) -> Result<Vec<f64>, WireError> {
         self.optional_numbers(field)?
             .ok_or_else(|| self.error(field, "missing"))
     }
 
-    /// A row of names; empty where it is absent.
+    /// Returns an array of strings, which is empty if the field is absent.
     ///
     /// # Errors
-    /// One that is no row of names.
+    /// Returns an error if the field is not an array of strings.
     pub fn text_list(&self, field: &str) -> Result<Vec<String>, WireError> {
-        let read = |value: &'a Value| {
+        let convert = |value: &'a Value| {
             value
                 .as_array()?
                 .iter()
@@ -233,39 +233,39 @@
                 .collect()
         };
         Ok(self
-            .may(field, read, "not a row of names")?
+            .optional(field, convert, "expected an array of strings")?
             .unwrap_or_default())
     }
 
-    /// A row of objects.
+    /// Returns the readers of an array of objects.
     ///
     /// # Errors
-    /// One that is missing or no row of objects.
+    /// Returns an error if the field is missing or is not an array of objects.
     pub fn objects(&self, field: &str) -> Result<Vec<Fields<'a>>, WireError> {
-        let rows = self.want(field, Value::as_array, "not a row of objects")?;
-        let object = |(n, row): (usize, &'a Value)| {
-            let path = format!("{}{field}[{n}]", self.path);
-            match row.as_object() {
+        let values = self.required(field, Value::as_array, "expected an array of objects")?;
+        let to_fields = |(index, value): (usize, &'a Value)| {
+            let path = format!("{}{field}[{index}]", self.path);
+            match value.as_object() {
                 Some(map) => Ok(Fields {
                     line: self.line,
                     path: path + ".",
                     map,
                 }),
-                None => Err(self.line.error(&path, "not an object")),
+                None => Err(self.line.error(&path, "expected an object")),
             }
         };
-        rows.iter().enumerate().map(object).collect()
+        values.iter().enumerate().map(to_fields).collect()
     }
 
-    /// The position of a name among those the settings gave.
+    /// Returns the position of a name in a list of names from the settings.
     ///
     /// # Errors
-    /// One that is missing, not text or not among them.
+    /// Returns an error if the field is missing, is not a string or is not in the list.
     pub fn position_of(&self, field: &str, names: &[String]) -> Result<usize, WireError> {
         let name = self.text(field)?;
         names
             .iter()
             .position(|known| known == name)
-            .ok_or_else(|| self.error(field, "a name not in the settings"))
+            .ok_or_else(|| self.error(field, "unknown name; expected one from the settings"))
     }
 }
--- a/crates/adapter/src/load_report.rs
+++ b/crates/adapter/src/load_report.rs
@@ -1,41 +1,42 @@
-//! Load reports of pods, by the columns that the settings name.
+//! Decodes the load reports of pods. The settings list the columns of a report.
 
 use crate::error::WireError;
 use crate::line::Fields;
 use havenplank::interface::LoadReport;
 use serde_json::Value;
 
-/// The load report in a line's row of gauges, one for each of the given columns.
-pub(crate) fn from_row(
+/// Returns the load report in a line's `gauge` array, which has one number per column.
+pub(crate) fn from_gauge(
     columns: &[String],
     fields: &Fields,
 ) -> Result<Option<LoadReport>, WireError> {
-    let Some(row) = fields.optional_numbers("gauge")? else {
+    let Some(values) = fields.optional_numbers("gauge")? else {
         return Ok(None);
     };
     let mut load = LoadReport::default();
-    for (column, value) in columns.iter().zip(row) {
-        set(&mut load, column, value);
+    for (column, value) in columns.iter().zip(values) {
+        set_column(&mut load, column, value);
     }
     Ok(Some(load))
 }
 
-/// A load report as a JSON object of the given columns; none where it cannot be read.
+/// Parses a load report from a JSON object whose keys are column names; other keys are ignored. Returns `None` if the
+/// report is malformed.
 pub fn parse_load_report(columns: &[String], text: &[u8]) -> Option<LoadReport> {
     let report: Value = serde_json::from_slice(text).ok()?;
     let mut load = LoadReport::default();
-    let known = |column: &String| columns.contains(column);
+    let is_listed = |column: &String| columns.contains(column);
     for (column, value) in report
         .as_object()?
         .iter()
-        .filter(|(column, _)| known(column))
+        .filter(|(column, _)| is_listed(column))
     {
-        set(&mut load, column, value.as_f64()?);
+        set_column(&mut load, column, value.as_f64()?);
     }
     Some(load)
 }
 
-fn set(load: &mut LoadReport, column: &str, value: f64) {
+fn set_column(load: &mut LoadReport, column: &str, value: f64) {
     match column {
         "busy_reqs" => load.in_flight = Some(value),
         "pending" => load.queued = Some(value),
--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -1,4 +1,4 @@
-//! Speaks the simulator's wire on standard input and output for any number of instances.
+//! Runs any number of instances over the simulator's wire protocol, on standard input and output.
 
 use havenplank_adapter::error::WireError;
 use havenplank_adapter::instance::Instance;
@@ -7,15 +7,15 @@
 use std::io::{self, BufRead, BufWriter, Write};
 use std::process::ExitCode;
 
-/// Room for the actions of a round.
+/// Size of the buffer for the actions of a round.
 const OUTPUT_BUFFER_BYTES: usize = 1 << 16;
 
-/// Why the adapter ended early.
+/// Why the adapter stopped before the end of its input.
 #[derive(Debug, thiserror::Error)]
 enum ServeError {
-    #[error("reading: {0}")]
+    #[error("cannot read standard input: {0}")]
     Read(#[source] io::Error),
-    #[error("writing: {0}")]
+    #[error("cannot write standard output: {0}")]
     Write(#[source] io::Error),
     #[error(transparent)]
     Wire(#[from] WireError),
@@ -39,8 +39,8 @@
     let mut number = 0;
     loop {
         text.clear();
-        let read = input.read_until(b'\n', &mut text);
-        if read.map_err(ServeError::Read)? == 0 {
+        let bytes_read = input.read_until(b'\n', &mut text);
+        if bytes_read.map_err(ServeError::Read)? == 0 {
             return Ok(());
         }
         number += 1;
@@ -48,9 +48,9 @@
             continue;
         }
         let line = Line::parse(number, &text)?;
-        if let Some(turn) = session.handle_line(line)? {
-            let replied = session.write_actions(turn, &mut output);
-            replied
+        if let Some(round) = session.handle_line(line)? {
+            let written = session.write_actions(round, &mut output);
+            written
                 .and_then(|()| output.flush())
                 .map_err(ServeError::Write)?;
         }
--- a/crates/adapter/src/session.rs
+++ b/crates/adapter/src/session.rs
@@ -1,4 +1,4 @@
-//! One session of the wire: rounds, endpoint lists and any number of instances.
+//! One session of the wire protocol: rounds, endpoint lists and any number of instances.
 
 use crate::decode::{self, EndpointLists, InstanceListener};
 use crate::encode;
@@ -10,14 +10,14 @@
 use std::collections::{BTreeMap, HashSet};
 use std::io;
 
-/// The wire to any number of instances, which decide or only write down what they hear.
+/// Dispatches the lines of the simulator to any number of instances, which make decisions or only record the events.
 pub struct Session<L> {
     now: Nanos,
-    turn: u64,
+    round: u64,
     lists: EndpointLists,
-    /// By sidecar number; none for an instance that was stopped.
+    /// The instances by sidecar number; `None` for an instance that was stopped.
     pub instances: BTreeMap<u64, Option<Box<L>>>,
-    /// Unknown verbs that were reported.
+    /// Unknown verbs that have been reported, so that each is reported only once.
     unknown_verbs: HashSet<String>,
     /// Actions that have not been sent.
     out: String,
@@ -27,7 +27,7 @@
     fn default() -> Session<L> {
         Session {
             now: 0,
-            turn: 0,
+            round: 0,
             lists: EndpointLists::new(),
             instances: BTreeMap::new(),
             unknown_verbs: HashSet::new(),
@@ -37,18 +37,18 @@
 }
 
 impl<L: InstanceListener> Session<L> {
-    /// Takes one line; the number of the round where the line ends one.
+    /// Handles a line. Returns the number of the round if the line ends one.
     ///
     /// # Errors
-    /// A line with a field that is missing or wrong.
+    /// Returns an error if a field of the line is missing or invalid.
     pub fn handle_line(&mut self, line: Line) -> Result<Option<u64>, WireError> {
         let fields = line.fields();
         match line.verb.as_str() {
             event::ROUND_BEGINS => {
                 self.now = fields.integer("momentNs")?;
-                self.turn = fields.integer(field::TURN)?;
+                self.round = fields.integer(field::ROUND)?;
             }
-            event::ROUND_ENDS => return Ok(Some(self.turn)),
+            event::ROUND_ENDS => return Ok(Some(self.round)),
             event::ENDPOINT_LIST => {
                 let pods = fields.objects("records")?;
                 let pods = pods
@@ -63,7 +63,9 @@
             verb => {
                 if self.unknown_verbs.insert(verb.to_string()) {
                     let number = line.number;
-                    eprintln!("havenplank-adapter: line {number}: {verb}: unknown verb, skipped");
+                    eprintln!(
+                        "havenplank-adapter: line {number}: {verb}: unknown verb; line skipped"
+                    );
                 }
             }
         }
@@ -73,11 +75,11 @@
     /// Writes the actions of a round.
     ///
     /// # Errors
-    /// What the output says.
-    pub fn write_actions(&mut self, turn: u64, output: &mut impl io::Write) -> io::Result<()> {
+    /// Returns the error of the output.
+    pub fn write_actions(&mut self, round: u64, output: &mut impl io::Write) -> io::Result<()> {
         output.write_all(self.out.as_bytes())?;
         self.out.clear();
-        encode::end_round(turn, output)
+        encode::end_round(round, output)
     }
 
     fn start_instance(&mut self, fields: &Fields) -> Result<(), WireError> {
@@ -92,7 +94,7 @@
         Ok(())
     }
 
-    /// Hands a line to its instance; one that was stopped hears nothing.
+    /// Delivers a line to its instance. Lines for a stopped instance are dropped.
     fn deliver(&mut self, line: &Line) -> Result<(), WireError> {
         let Some(instance) = find_instance(&mut self.instances, &line.fields())? else {
             return Ok(());
@@ -112,5 +114,5 @@
     let sidecar = fields.integer(field::SIDECAR)?;
     instances
         .get_mut(&sidecar)
-        .ok_or_else(|| fields.error(field::SIDECAR, "an instance never started"))
+        .ok_or_else(|| fields.error(field::SIDECAR, "the instance was never started"))
 }
--- a/crates/adapter/src/setup.rs
+++ b/crates/adapter/src/setup.rs
@@ -1,4 +1,4 @@
-//! The settings of an instance, decoded into the router's own records.
+//! Decodes the settings of an instance into the router's own settings.
 
 use crate::error::WireError;
 use crate::line::Fields;
@@ -8,41 +8,41 @@
     PodSettings, RouteClass, RouterSettings, VoteSettings,
 };
 
-/// The names that the wire uses for what the router knows by index.
+/// The names that the wire protocol uses where the router uses indices; the index is the position in each list.
 pub struct Names {
-    /// Of the route classes.
+    /// Names of the route classes.
     pub route_classes: Vec<String>,
-    /// Of the tenants.
+    /// Names of the tenants.
     pub tenants: Vec<String>,
-    /// Of the zones; grows with the endpoint list.
+    /// Names of the zones; the endpoint list can add more.
     pub zones: Vec<String>,
-    /// Of the machine types; grows with the endpoint list.
+    /// Names of the machine types; the endpoint list can add more.
     pub machines: Vec<String>,
-    /// Of the columns of a load report.
+    /// Names of the columns of a load report.
     pub load_columns: Vec<String>,
 }
 
 /// The settings of an instance.
 pub struct Setup {
-    /// What the wire calls the router's indices.
+    /// The wire protocol's names for the router's indices.
     pub names: Names,
-    /// What the router is built from.
+    /// The settings from which the router is built.
     pub router: RouterSettings,
 }
 
 /// Decodes the settings of an instance.
 ///
 /// # Errors
-/// The first field that is missing or wrong.
+/// Returns the first field that is missing or invalid.
 pub fn decode(settings: &Fields) -> Result<Setup, WireError> {
     let rows = settings.objects("classes")?;
     if rows.is_empty() {
-        return Err(settings.error("classes", "no path group"));
+        return Err(settings.error("classes", "expected at least one route class"));
     }
     let route_classes = rows.iter().map(route_class).collect::<Result<_, _>>()?;
     let instances = settings.integer("instances")? as usize;
     if instances == 0 {
-        return Err(settings.error("instances", "zero instances"));
+        return Err(settings.error("instances", "expected at least one instance"));
     }
     let names = names(settings, &rows)?;
     let position = FleetPosition {
@@ -52,14 +52,14 @@
     };
     let limits = settings.object("limits")?;
     let rules = settings.object("rules")?;
-    let trial = settings.object("familyInfo")?;
+    let release = settings.object("familyInfo")?;
     let router = RouterSettings {
         position,
         route_classes,
         attempts: attempts(settings, &limits)?,
         pods: pods(&rules, &limits)?,
-        exposure: exposure(&trial)?,
-        votes: votes(&trial)?,
+        exposure: exposure(&release)?,
+        votes: votes(&release)?,
         endpoint_list: endpoint_list(settings, &rules)?,
     };
     Ok(Setup { names, router })
@@ -67,11 +67,11 @@
 
 fn route_class(row: &Fields) -> Result<RouteClass, WireError> {
     let idempotency = wire_names::idempotency(row.text("semantics")?)
-        .ok_or_else(|| row.error("semantics", "not free, guarded or single_shot"))?;
+        .ok_or_else(|| row.error("semantics", "expected free, guarded or single_shot"))?;
     let scope = row.optional_text("keyScope")?;
     let dedup_scope = scope
         .map_or(Some(DedupScope::All), wire_names::dedup_scope)
-        .ok_or_else(|| row.error("keyScope", "not all, zone or cell"))?;
+        .ok_or_else(|| row.error("keyScope", "expected all, zone or cell"))?;
     let client_timeout = row.integer("giveUpNs")?;
     Ok(RouteClass {
         idempotency,
@@ -141,34 +141,34 @@
     })
 }
 
-fn exposure(trial: &Fields) -> Result<ExposureSettings, WireError> {
-    let per_class = match trial.text("counts")? {
+fn exposure(release: &Fields) -> Result<ExposureSettings, WireError> {
+    let per_class = match release.text("counts")? {
         "all" => false,
         "each_class" => true,
-        _ => return Err(trial.error("counts", "not all or each_class")),
+        _ => return Err(release.error("counts", "expected all or each_class")),
     };
     Ok(ExposureSettings {
-        window: trial.integer("exposureWindowNs")?,
-        free_attempts: trial.number("free")?,
+        window: release.integer("exposureWindowNs")?,
+        free_attempts: release.number("free")?,
         per_class,
-        idempotent_only_stages: trial.integer_or("shielded", 0)? as usize,
-        sticky_keys: trial.flag("oneWay")?,
-        blue_green: trial.optional_text("style")? != Some("replace"),
-        caps: trial.numbers("mostShares")?,
+        idempotent_only_stages: release.integer_or("shielded", 0)? as usize,
+        sticky_keys: release.flag("oneWay")?,
+        blue_green: release.optional_text("style")? != Some("replace"),
+        caps: release.numbers("mostShares")?,
     })
 }
 
-fn votes(trial: &Fields) -> Result<VoteSettings, WireError> {
-    let control = wire_names::release_control(trial.text("control")?)
-        .ok_or_else(|| trial.error("control", "not first_voice, by_count or automatic"))?;
+fn votes(release: &Fields) -> Result<VoteSettings, WireError> {
+    let control = wire_names::release_control(release.text("control")?)
+        .ok_or_else(|| release.error("control", "expected first_voice, by_count or automatic"))?;
     Ok(VoteSettings {
         control,
-        advance_quorum: trial.integer_or("toAdvance", 0)? as usize,
-        rollback_quorum: trial.integer_or("noesNeeded", 1)?.max(1) as usize,
-        ttl: trial.integer("ballotTtlNs")?,
-        call_timeout: trial.integer("callTimeoutNs")?,
-        calls_per_second: trial.number_or("votesPerS", 0.0)?,
-        stage_duration: trial.integer_or("autoAfterNs", 0)?,
+        advance_quorum: release.integer_or("toAdvance", 0)? as usize,
+        rollback_quorum: release.integer_or("noesNeeded", 1)?.max(1) as usize,
+        ttl: release.integer("ballotTtlNs")?,
+        call_timeout: release.integer("callTimeoutNs")?,
+        calls_per_second: release.number_or("votesPerS", 0.0)?,
+        stage_duration: release.integer_or("autoAfterNs", 0)?,
     })
 }
 
@@ -176,7 +176,7 @@
     let must_watch = match settings.text("discovery")? {
         "automatic" => false,
         "subscribe" => true,
-        _ => return Err(settings.error("discovery", "not automatic or subscribe")),
+        _ => return Err(settings.error("discovery", "expected automatic or subscribe")),
     };
     Ok(EndpointListSettings {
         must_watch,
--- a/crates/adapter/src/wire_names.rs
+++ b/crates/adapter/src/wire_names.rs
@@ -1,10 +1,10 @@
-//! The wire's own names and codes, mapped to the router's terms.
+//! Maps the names and codes of the wire protocol to the router's terms.
 
 use havenplank::interface::{
     AttemptEnd, DedupScope, Idempotency, Phase, PodState, ReleaseControl, Vote, VoteReceipt,
 };
 
-/// What a line that is sent to the adapter tells.
+/// Verbs of the lines that the simulator sends to the adapter.
 pub(crate) mod event {
     pub(crate) const ROUND_BEGINS: &str = "ROUND";
     pub(crate) const ROUND_ENDS: &str = "GO";
@@ -15,7 +15,7 @@
     pub(crate) const REQUEST: &str = "KNOCK";
     pub(crate) const ATTEMPT_ENDED: &str = "RETURNED";
     pub(crate) const CLIENT_LEFT: &str = "HANGUP";
-    pub(crate) const ANSWER_BEGINS: &str = "HEADERS";
+    pub(crate) const RESPONSE_BEGINS: &str = "HEADERS";
     pub(crate) const TIMER_FIRED: &str = "ALARM";
     pub(crate) const STAGE: &str = "ROLLOUT_STATE";
     pub(crate) const TALLY: &str = "DIGEST";
@@ -24,7 +24,7 @@
     pub(crate) const PEER_MESSAGE: &str = "NEIGHBOUR_SAYS";
 }
 
-/// What a line that the adapter sends asks for.
+/// Verbs of the lines that the adapter sends to the simulator.
 pub(crate) mod action {
     pub(crate) const ATTEMPT: &str = "ATTEMPT";
     pub(crate) const CANCEL: &str = "RETRACT";
@@ -39,7 +39,7 @@
     pub(crate) const ROUND_DONE: &str = "YIELD";
 }
 
-/// Fields that both directions have.
+/// Fields of the lines in both directions.
 pub(crate) mod field {
     pub(crate) const VERB: &str = "verb";
     pub(crate) const SIDECAR: &str = "sidecar";
@@ -55,7 +55,7 @@
     pub(crate) const DELAY: &str = "fromNowNs";
     pub(crate) const WATCH: &str = "enable";
     pub(crate) const LOG_TEXT: &str = "message";
-    pub(crate) const TURN: &str = "turn";
+    pub(crate) const ROUND: &str = "turn";
     pub(crate) const LATENCY: &str = "latencyNs";
     pub(crate) const AGE: &str = "latenessNs";
     pub(crate) const ROUTE_CLASS: &str = "grade";
@@ -63,7 +63,7 @@
     pub(crate) const LIST: &str = "bank";
 }
 
-/// The outcome code of what went well.
+/// The outcome code of success.
 pub(crate) const SUCCESS: u64 = 100;
 const TIMED_OUT: u64 = 303;
 const NOT_SENT: u64 = 307;
@@ -82,7 +82,7 @@
     })
 }
 
-/// How a vote was taken, by the outcome code of the call.
+/// Returns how the control plane treated a vote, from the outcome code of the call.
 pub(crate) fn vote_receipt(code: u64) -> VoteReceipt {
     match code {
         SUCCESS => VoteReceipt::Counted,
@@ -116,8 +116,8 @@
     })
 }
 
-pub(crate) fn pod_state(word: &str) -> Option<PodState> {
-    Some(match word {
+pub(crate) fn pod_state(name: &str) -> Option<PodState> {
+    Some(match name {
         "Running" => PodState::Running,
         "Stopping" => PodState::Draining,
         "Deleted" => PodState::Gone,
@@ -125,8 +125,8 @@
     })
 }
 
-pub(crate) fn idempotency(word: &str) -> Option<Idempotency> {
-    Some(match word {
+pub(crate) fn idempotency(name: &str) -> Option<Idempotency> {
+    Some(match name {
         "free" => Idempotency::Idempotent,
         "guarded" => Idempotency::Keyed,
         "single_shot" => Idempotency::NonIdempotent,
@@ -134,8 +134,8 @@
     })
 }
 
-pub(crate) fn dedup_scope(word: &str) -> Option<DedupScope> {
-    Some(match word {
+pub(crate) fn dedup_scope(name: &str) -> Option<DedupScope> {
+    Some(match name {
         "all" => DedupScope::All,
         "zone" => DedupScope::Zone,
         "cell" => DedupScope::Cell,
@@ -143,8 +143,8 @@
     })
 }
 
-pub(crate) fn release_control(word: &str) -> Option<ReleaseControl> {
-    Some(match word {
+pub(crate) fn release_control(name: &str) -> Option<ReleaseControl> {
+    Some(match name {
         "first_voice" => ReleaseControl::AnyVote,
         "by_count" => ReleaseControl::Quorum,
         "automatic" => ReleaseControl::Timed,
--- a/crates/settings/src/records/listener.rs
+++ b/crates/settings/src/records/listener.rs
@@ -45,14 +45,14 @@
 }
 
 fn read_listener(reader: &mut FieldReader) -> ListenerSettings {
-    let unset = SocketAddr::from(([127, 0, 0, 1], 0));
+    let placeholder = SocketAddr::from(([127, 0, 0, 1], 0));
     let head_bytes = reader.size_or("head_bytes", 8 * KIB..=KIB * KIB, 16 * KIB);
     let head_timeout = reader.duration_or("head_time", 5 * SECOND);
     let body_bytes = reader.size_or("body_bytes", 0..=MAX_BODY_BYTES, 256 * KIB);
     let body_timeout = reader.duration_or("body_time", 5 * SECOND);
     ListenerSettings {
-        listen: unset,
-        admin: unset,
+        listen: placeholder,
+        admin: placeholder,
         max_head_bytes: head_bytes as usize,
         head_timeout,
         max_body_bytes: body_bytes as usize,
