--- a/crates/line-protocol/src/backoff.rs
+++ b/crates/line-protocol/src/backoff.rs
@@ -10,12 +10,12 @@
     random: Rand64,
     first: Duration,
     max: Duration,
-    /// The previous base delay; `None` after a reset.
+    /// The previous base delay; `None` after a reset, in which case the next one is `first`.
     previous: Option<Duration>,
 }
 
 impl Backoff {
-    /// Returns a backoff whose base delay starts at `first` and grows up to `max`; `seed` determines the jitter.
+    /// Returns a backoff whose base delay grows from `first` up to `max`; `seed` determines the jitter.
     pub fn new(seed: u64, first: Duration, max: Duration) -> Backoff {
         Backoff {
             random: Rand64::new(seed as u128),
--- a/crates/line-protocol/src/client.rs
+++ b/crates/line-protocol/src/client.rs
@@ -14,7 +14,7 @@
 /// Timeout for connecting, for sending the greeting and for sending a line. A service that accepts no data is treated
 /// as unreachable.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Base delay before the first reconnection.
+/// Base delay from which the delays between reconnections grow.
 const FIRST_RECONNECT_DELAY: Duration = Duration::from_millis(100);
 /// Limit on the base delay between reconnections.
 const MAX_RECONNECT_DELAY: Duration = Duration::from_secs(5);
--- a/crates/settings/src/site.rs
+++ b/crates/settings/src/site.rs
@@ -45,13 +45,13 @@
     pub cached_list: Option<PathBuf>,
     /// The address of the control plane.
     pub control_plane: LineProtocolEndpoint,
-    /// `None` if nothing is recorded.
+    /// The recording of requests; `None` if nothing is recorded.
     pub trace: Option<TraceSettings>,
-    /// `None` if the sidecar runs without peers.
+    /// The sidecar's peers; `None` if it runs without peers.
     pub membership: Option<MembershipSettings>,
-    /// `None` if the requests in flight of a sidecar are lost when it fails.
+    /// The takeover of requests by peers; `None` if the requests in flight of a sidecar are lost when it fails.
     pub takeover: Option<TakeoverSettings>,
-    /// `None` if routes and tenants are those of the script until the process ends.
+    /// The source of changing routes and tenants; `None` if those of the script apply until the process ends.
     pub configuration: Option<ConfigurationSettings>,
 }
 
@@ -60,7 +60,7 @@
 pub struct ConfigurationSettings {
     /// Folder with the version in force, from which a restarted sidecar can serve immediately.
     pub cache_folder: PathBuf,
-    /// Limit on the bytes per second that the sidecar fetches from peers, once it is in steady operation.
+    /// Limit on the bytes per second that the sidecar fetches from peers in steady operation.
     pub fetch_bytes_per_s: u64,
     /// Limit on the bytes per second that the sidecar serves to peers.
     pub serve_bytes_per_s: u64,
