--- a/crates/adapter/src/decode.rs
+++ b/crates/adapter/src/decode.rs
@@ -137,12 +137,9 @@
         }
         _ => return Err(fields.error("how", "expected delta, full, cached or failed")),
     };
-    let list = lists.get(&fields.integer(field::LIST)?).ok_or_else(|| {
-        fields.error(
-            field::LIST,
-            "unknown list; expected the number of a list sent before",
-        )
-    })?;
+    let list = lists
+        .get(&fields.integer(field::LIST)?)
+        .ok_or_else(|| fields.error(field::LIST, "expected a list sent before"))?;
     listener.update_endpoints(complete, list);
     Ok(())
 }
--- a/crates/settings/src/script.rs
+++ b/crates/settings/src/script.rs
@@ -324,9 +324,9 @@
     globals: &Globals,
     bounds: Bounds,
 ) -> Result<Vec<RecordCall>, Problems> {
-    let shown_path = file.display().to_string();
+    let path = file.display().to_string();
     let text = read(file, bounds.file_bytes)
-        .map_err(|error| script_problem(&shown_path, 0, error.to_string(), "a readable file"))?;
+        .map_err(|error| script_problem(&path, 0, error.to_string(), "a readable file"))?;
     let loader = FolderLoader {
         folder: file.parent().unwrap_or(Path::new("")).to_path_buf(),
         globals,
@@ -340,16 +340,14 @@
         max_calls: bounds.records,
     }));
     // The interpreter panics on a value that exceeds its internal size limits.
-    let result = catch_unwind(AssertUnwindSafe(|| {
-        run(&shown_path, text, globals, &loader)
-    }));
+    let result = catch_unwind(AssertUnwindSafe(|| run(&path, text, globals, &loader)));
     let calls = RUN.take().map_or_else(Vec::new, |run| run.calls);
     match result {
         Ok(Ok(_)) => Ok(calls),
-        Ok(Err(error)) => Err(failed_run(&shown_path, &error)),
+        Ok(Err(error)) => Err(failed_run(&path, &error)),
         Err(_) => {
             let found = "a value too large for the interpreter".to_string();
-            Err(script_problem(&shown_path, 0, found, RUNNING_SCRIPT))
+            Err(script_problem(&path, 0, found, RUNNING_SCRIPT))
         }
     }
 }
