--- a/crates/sidecar/src/attempt.rs
+++ b/crates/sidecar/src/attempt.rs
@@ -3,9 +3,9 @@
 
 use crate::body::Body;
 use crate::dispatcher::{AttemptId, AttemptResult};
-use crate::exactly_once;
 use crate::headers;
 use crate::prepared_request::PreparedRequest;
+use crate::protected_request;
 use crate::shell::Shell;
 use crate::takeover_service::AnnouncedAttempt;
 use crate::upstream::{Reuse, UpstreamConnection};
@@ -102,7 +102,7 @@
                 return Err(AttemptEnd::Reset);
             }
             if reuse == Reuse::Never {
-                announced.iter().for_each(AnnouncedAttempt::never_ran);
+                announced.iter().for_each(AnnouncedAttempt::set_never_ran);
                 return Err(AttemptEnd::ConnectFailed);
             }
             self.set_sent(&announced, false);
@@ -115,12 +115,12 @@
     /// withdrawn.
     async fn may_send(&self, announced: &mut Option<AnnouncedAttempt>) -> bool {
         if let (Some(protection), None) = (&self.request.protection, &announced) {
-            match exactly_once::announce_attempt(self.shell, protection, self.pod).await {
+            match protected_request::announce_attempt(self.shell, protection, self.pod).await {
                 Ok(announcement) => *announced = announcement,
-                Err(exactly_once::NotOurs) => return false,
+                Err(protected_request::NotOwner) => return false,
             }
         }
-        self.shell.may_send(self.id) && exactly_once::may_send(self.shell, self.request)
+        self.shell.may_send(self.id) && protected_request::may_send(self.shell, self.request)
     }
 
     fn set_sent(&self, announced: &Option<AnnouncedAttempt>, sent: bool) {
@@ -155,7 +155,7 @@
         let end = self.attempt_end(&parts);
         let load = load_report(self.shell, &parts.headers);
         if end.never_ran() {
-            announced.iter().for_each(AnnouncedAttempt::never_ran);
+            announced.iter().for_each(AnnouncedAttempt::set_never_ran);
         }
         headers::strip_hop_by_hop(&mut parts.headers);
         let read = match self.request.route.rules.stream {
@@ -172,7 +172,7 @@
                 parts.headers.insert(POD_HEADER, name);
             }
             if end == AttemptEnd::Served {
-                announced.iter().for_each(AnnouncedAttempt::served);
+                announced.iter().for_each(AnnouncedAttempt::set_served);
             }
             Response::from_parts(parts, body)
         });
--- a/crates/sidecar/src/backup_record.rs
+++ b/crates/sidecar/src/backup_record.rs
@@ -79,7 +79,7 @@
 /// Decodes a request that was backed up; `None` where it cannot be read, or no route here has its name.
 pub fn decode(routes: &RouteTable, record: &Record) -> Option<BackedUpRequest> {
     let stored: RequestRecord = postcard::from_bytes(&record.payload).ok()?;
-    let route = routes.named(&stored.route_class)?.clone();
+    let route = routes.find_by_name(&stored.route_class)?.clone();
     let tenant = stored.tenant.as_ref();
     let attributes = RequestAttributes {
         route_class: route.route_class(),
--- a/crates/sidecar/src/configuration.rs
+++ b/crates/sidecar/src/configuration.rs
@@ -2,7 +2,7 @@
 //! requests, and cached on disk for the next start.
 
 use crate::persister::Persister;
-use crate::replication::{Host, Replication};
+use crate::replication::{Installer, Replication};
 use crate::routes::{routes_of, RouteTable};
 use crate::shell::{ConfigurationSource, Shell};
 use havenplank::interface::RouteClass;
@@ -79,7 +79,7 @@
 impl ConfigurationSource for Configuration {
     fn state(&self) -> Value {
         let mut state = self.replication.state();
-        let persisted = self.replication.host().persister.persisted();
+        let persisted = self.replication.installer().persister.persisted();
         state["kept"] = persisted.to_string().into();
         state
     }
@@ -108,13 +108,13 @@
         ..ReplicationSettings::default()
     };
     let seed = seed ^ me.life.incarnation;
-    let spreader = Replicator::new(membership.now(), seed, me, Role::Sidecar, installed, rules);
-    let host = InForce {
+    let replicator = Replicator::new(membership.now(), seed, me, Role::Sidecar, installed, rules);
+    let installer = InForce {
         shell: Rc::downgrade(shell),
         persister: Persister::start(cached.store),
     };
     let period = Duration::from_nanos(peers.probe_interval);
-    let replication = Replication::start(membership, spreader, host, period);
+    let replication = Replication::start(membership, replicator, installer, period);
     let _ = shell
         .configuration
         .set(Box::new(Configuration { replication }));
@@ -158,7 +158,7 @@
     persister: Persister,
 }
 
-impl Host for InForce {
+impl Installer for InForce {
     type Error = InstallError;
 
     fn install(&self, snapshot: &Snapshot) -> Result<(), InstallError> {
--- a/crates/sidecar/src/daemon.rs
+++ b/crates/sidecar/src/daemon.rs
@@ -11,7 +11,7 @@
 use crate::shell::{Shell, Sidecar};
 use crate::takeover_service::TakeoverService;
 use crate::upstream::UpstreamConnections;
-use crate::{control_plane, discovery, endpoint_cache, exactly_once};
+use crate::{control_plane, discovery, endpoint_cache, protected_request};
 use havenplank_configuration::store::StoreError;
 use havenplank_settings::Site;
 use havenplank_takeover::record::Record;
@@ -240,7 +240,7 @@
 
 async fn take_over(shell: Rc<Shell>, mut taken_over: mpsc::UnboundedReceiver<Record>) {
     while let Some(record) = taken_over.recv().await {
-        exactly_once::take_over(&shell, record);
+        protected_request::take_over(&shell, record);
     }
 }
 
--- a/crates/sidecar/src/distributor/error.rs
+++ b/crates/sidecar/src/distributor/error.rs
@@ -40,7 +40,7 @@
          epoch of the writer that is replaced",
         REPLACE_PATIENCE.as_secs()
     )]
-    NobodyHeard,
+    NoConfigurationFromPeers,
     /// The version is not taken for publishing.
     #[error("{0}")]
     Publish(#[from] PublishError),
@@ -49,7 +49,7 @@
         "peers hold version {theirs}, the store of this distributor ends at {ours}: it is not the store of their writer; \
          start this one with --replace-writer"
     )]
-    NewerElsewhere {
+    StoreBehindPeers {
         /// The store's newest version.
         ours: Version,
         /// The newest version of peers.
--- a/crates/sidecar/src/distributor/mod.rs
+++ b/crates/sidecar/src/distributor/mod.rs
@@ -115,9 +115,9 @@
         snapshot: opened.store.snapshot().clone(),
         deltas: opened.deltas.clone(),
     };
-    let spreader = spreader(membership, role, installed);
+    let replicator = replicator(membership, role, installed);
     let period = Duration::from_nanos(settings.membership.probe_interval);
-    Replication::start(membership, spreader, NewestVersion::default(), period)
+    Replication::start(membership, replicator, NewestVersion::default(), period)
 }
 
 fn open_store(settings: &DistributorSettings) -> Result<Opened, DistributorError> {
@@ -131,8 +131,8 @@
     Ok(opened)
 }
 
-/// Builds a distributor's spreader in this role.
-fn spreader(membership: &Membership, role: Role, installed: InstalledVersion) -> Replicator {
+/// Builds a distributor's replicator in this role.
+fn replicator(membership: &Membership, role: Role, installed: InstalledVersion) -> Replicator {
     let me = Peer {
         life: membership.me().clone(),
         zone: DISTRIBUTOR_ZONE.to_string(),
--- a/crates/sidecar/src/distributor/writer.rs
+++ b/crates/sidecar/src/distributor/writer.rs
@@ -1,8 +1,8 @@
 //! The writer: stores each version before any peer learns of it, publishes it, and reports who has it in force.
 
-use super::{spreader, DistributorError, DistributorSettings};
+use super::{replicator, DistributorError, DistributorSettings};
 use crate::membership::Membership;
-use crate::replication::{Host, Replication};
+use crate::replication::{Installer, Replication};
 use havenplank_configuration::compile::compile;
 use havenplank_configuration::replication::{
     CachedConfiguration as InstalledVersion, PublishError, Role, RoundStatus,
@@ -32,7 +32,7 @@
 #[derive(Default)]
 pub(super) struct NewestVersion(RefCell<Option<Snapshot>>);
 
-impl Host for NewestVersion {
+impl Installer for NewestVersion {
     type Error = Infallible;
 
     fn install(&self, snapshot: &Snapshot) -> Result<(), Infallible> {
@@ -79,7 +79,7 @@
         membership: &Membership,
     ) -> Result<(), DistributorError> {
         let newest = timeout(REPLACE_PATIENCE, self.settled_newest()).await;
-        let newest = newest.map_err(|_| DistributorError::NobodyHeard)?;
+        let newest = newest.map_err(|_| DistributorError::NoConfigurationFromPeers)?;
         if let Some(newest) = newest.filter(|newest| newest.version() > self.stored()) {
             self.store.replace(&newest)?;
         }
@@ -92,7 +92,7 @@
         };
         let role = Role::Writer { epoch: self.epoch };
         self.replication
-            .replace_spreader(spreader(membership, role, installed));
+            .replace_replicator(replicator(membership, role, installed));
         Ok(())
     }
 
@@ -108,7 +108,7 @@
                 (settled, last) = (Instant::now(), status.newest_heard);
             }
             if settled.elapsed() >= REPLACE_SETTLED {
-                return self.replication.host().0.borrow().clone();
+                return self.replication.installer().0.borrow().clone();
             }
             sleep(REPLACE_POLL).await;
         }
@@ -131,7 +131,7 @@
         let snapshot = self.store.append(&delta)?.clone();
         tracing::info!(%version, digest = %snapshot.digest(), changes, "stored");
         self.replication
-            .call(|spreader, now| spreader.publish(now, Arc::new(delta), snapshot))?;
+            .call(|replicator, now| replicator.publish(now, Arc::new(delta), snapshot))?;
         tracing::info!(%version, "published");
         Ok(())
     }
@@ -144,7 +144,7 @@
         }
         let (ours, theirs) = (self.stored(), status.newest_heard);
         if theirs > ours {
-            return Err(DistributorError::NewerElsewhere { ours, theirs });
+            return Err(DistributorError::StoreBehindPeers { ours, theirs });
         }
         Ok(())
     }
@@ -189,7 +189,7 @@
         let status = self.replication.status();
         let (ours, theirs) = (self.stored(), status.newest_heard);
         if theirs > ours && self.ahead.replace(theirs) != Some(theirs) {
-            let error = DistributorError::NewerElsewhere { ours, theirs };
+            let error = DistributorError::StoreBehindPeers { ours, theirs };
             tracing::error!(%error, "not the newest");
         }
         let Some(round) = status.writer.and_then(|writer| writer.round) else {
--- a/crates/sidecar/src/engine/endpoints.rs
+++ b/crates/sidecar/src/engine/endpoints.rs
@@ -17,7 +17,7 @@
     ) -> Vec<Option<PodId>> {
         self.advance(now);
         let observed = self.observer.is_some().then(|| pods.clone());
-        let endpoints = self.host.pods.apply(self.host.now, complete, pods);
+        let endpoints = self.host.pods.update(self.host.now, complete, pods);
         let pod_ids: Vec<Option<PodId>> = endpoints
             .iter()
             .map(|endpoint| endpoint.map(|endpoint| endpoint.pod))
@@ -33,7 +33,7 @@
         self.host.set_endpoints(complete, &endpoints);
         self.router
             .update_endpoints(&mut self.host, complete, &endpoints);
-        self.host.pods.sweep();
+        self.host.pods.free_unused_indices();
         pod_ids
     }
 
--- a/crates/sidecar/src/engine/mod.rs
+++ b/crates/sidecar/src/engine/mod.rs
@@ -145,7 +145,7 @@
     /// Returns the longest client timeout, in nanoseconds, of the current routes and of the routes of requests in
     /// flight.
     pub fn longest_client_timeout(&self) -> Nanos {
-        self.slots.longest_time_out()
+        self.slots.longest_client_timeout()
     }
 
     fn advance(&mut self, now: Nanos) {
--- a/crates/sidecar/src/membership.rs
+++ b/crates/sidecar/src/membership.rs
@@ -58,35 +58,35 @@
 #[derive(Clone, Debug, Default)]
 pub struct MembershipStatus {
     /// Names of the others that live, as far as known here.
-    pub living: Vec<String>,
+    pub alive: Vec<String>,
     /// How far this sidecar's own slowness stretches its time-outs.
-    pub slowness: u32,
+    pub health_score: u32,
     /// Its quorum state.
-    pub standing: Option<QuorumState>,
+    pub quorum_state: Option<QuorumState>,
     /// For how long that has held, in ns.
-    pub stands_for: u64,
+    pub quorum_state_age: u64,
     /// How many members there should be.
-    pub belong: usize,
+    pub voters: usize,
     /// Of those who belong, itself counted.
-    pub reached: usize,
+    pub reachable_voters: usize,
     /// Names of those who are not reached.
-    pub missing: Vec<String>,
+    pub unreachable_voters: Vec<String>,
     /// Names of those who do not hear this one.
-    pub deaf_to_us: Vec<String>,
+    pub not_receiving_us: Vec<String>,
     /// Names of those who came and went of late.
-    pub unsteady: Vec<String>,
+    pub flapping: Vec<String>,
     /// With whom it does not agree on who is there.
     pub disputes: Vec<Dispute>,
     /// Messages sent since the start.
-    pub sent: u64,
+    pub sent_messages: u64,
     /// Bytes of those.
     pub sent_bytes: u64,
     /// Frames refused for what they are since the start.
-    pub refused: u64,
+    pub rejected_frames: u64,
     /// Messages lost for want of room to receive since the start.
-    pub overrun: u64,
+    pub dropped_receives: u64,
     /// Messages lost for want of room to send since the start.
-    pub unsent: u64,
+    pub dropped_sends: u64,
 }
 
 impl Membership {
@@ -240,7 +240,10 @@
     }
 
     /// Looks at the others that live, as far as known here.
-    pub fn with_living<T>(&self, look: impl FnOnce(&mut dyn Iterator<Item = &Member>) -> T) -> T {
+    pub fn with_alive_members<T>(
+        &self,
+        look: impl FnOnce(&mut dyn Iterator<Item = &Member>) -> T,
+    ) -> T {
         self.transport
             .call(|node, _| look(&mut node.membership().alive()))
     }
@@ -252,32 +255,32 @@
 
     /// Returns what an operator may look at.
     pub fn status(&self) -> MembershipStatus {
-        let unsent = self.transport.dropped_sends();
+        let dropped_sends = self.transport.dropped_sends();
         let (now, views) = (self.now(), self.views.borrow());
         let quorum = views.quorum();
-        let (standing, since) = (quorum.state(), quorum.state_since());
+        let (quorum_state, since) = (quorum.state(), quorum.state_since());
         let mut disputes = quorum.disputes(now);
         disputes.truncate(SHOWN_NAMES);
         self.transport.call(|node, _| MembershipStatus {
-            living: node
+            alive: node
                 .membership()
                 .alive()
                 .map(|member| member.id.name.clone())
                 .collect(),
-            slowness: node.membership().health_score(),
-            standing: Some(standing),
-            stands_for: now.saturating_sub(since),
-            belong: quorum.voter_count(),
-            reached: quorum.voter_count() - quorum.missing(now).count(),
-            missing: shown(quorum.missing(now)),
-            deaf_to_us: shown(quorum.deaf_to_us(now)),
-            unsteady: shown(quorum.flapping(now)),
+            health_score: node.membership().health_score(),
+            quorum_state: Some(quorum_state),
+            quorum_state_age: now.saturating_sub(since),
+            voters: quorum.voter_count(),
+            reachable_voters: quorum.voter_count() - quorum.missing(now).count(),
+            unreachable_voters: shown(quorum.missing(now)),
+            not_receiving_us: shown(quorum.deaf_to_us(now)),
+            flapping: shown(quorum.flapping(now)),
             disputes,
-            sent: node.sent,
+            sent_messages: node.sent,
             sent_bytes: node.sent_bytes,
-            refused: node.rejected.total(),
-            overrun: node.overflowed.values().sum(),
-            unsent,
+            rejected_frames: node.rejected.total(),
+            dropped_receives: node.overflowed.values().sum(),
+            dropped_sends,
         })
     }
 }
--- a/crates/sidecar/src/outcome.rs
+++ b/crates/sidecar/src/outcome.rs
@@ -29,9 +29,9 @@
 ) -> (Response<Body>, Outcome) {
     let idempotency = request.route.rules.idempotency;
     let retryable = idempotency != Idempotency::NonIdempotent;
-    let knowledge = request.protection.as_ref().map(Protection::knowledge);
+    let protection = request.protection.as_ref().map(Protection::state);
     let may_reject =
-        knowledge.is_none_or(|knowledge| may_promise_that_it_never_ran(idempotency, knowledge));
+        protection.is_none_or(|state| may_promise_that_it_never_ran(idempotency, state));
     match response.extensions().get::<LocalReply>() {
         Some(LocalReply::Rejected) if may_reject => (response, Outcome::Rejected),
         Some(LocalReply::Rejected) => (failed(false), Outcome::Failed { retryable }),
--- a/crates/sidecar/src/pod_registry.rs
+++ b/crates/sidecar/src/pod_registry.rs
@@ -15,7 +15,7 @@
 const MAX_INDICES: usize = 2 * MAX_ENDPOINTS;
 
 /// The start time that stands for "long ago"; the clock of an engine starts far later.
-pub const LONG_AGO: Nanos = 0;
+pub const STARTED_LONG_AGO: Nanos = 0;
 
 struct RegisteredPod {
     listed: ListedEndpoint,
@@ -26,7 +26,7 @@
 impl RegisteredPod {
     /// Returns its age now, at least 1, or 0 where it started long ago.
     fn age(&self, now: Nanos) -> Nanos {
-        if self.started <= LONG_AGO + 1 {
+        if self.started <= STARTED_LONG_AGO + 1 {
             0
         } else {
             now.saturating_sub(self.started).max(1)
@@ -107,7 +107,7 @@
     ///
     /// The same incarnation keeps the start time it had when first listed; another incarnation, build or address makes
     /// a pod that started anew under its old name.
-    pub fn apply(
+    pub fn update(
         &mut self,
         now: Nanos,
         complete: bool,
@@ -170,7 +170,7 @@
     }
 
     /// Frees the indices of pods that are gone for good; to be called after the decisions took the list in.
-    pub fn sweep(&mut self) {
+    pub fn free_unused_indices(&mut self) {
         if !self.reuse_pod_ids {
             return;
         }
@@ -193,9 +193,9 @@
             pod.started
         }
         // Long ago twice is two incarnations all the same, and the decisions tell them by this.
-        Some(pod) if pod.started == LONG_AGO && listed.age == 0 => LONG_AGO + 1,
-        _ if listed.age == 0 => LONG_AGO,
-        _ => now.saturating_sub(listed.age).max(LONG_AGO + 2),
+        Some(pod) if pod.started == STARTED_LONG_AGO && listed.age == 0 => STARTED_LONG_AGO + 1,
+        _ if listed.age == 0 => STARTED_LONG_AGO,
+        _ => now.saturating_sub(listed.age).max(STARTED_LONG_AGO + 2),
     }
 }
 
--- a/crates/sidecar/src/prepared_request.rs
+++ b/crates/sidecar/src/prepared_request.rs
@@ -1,7 +1,7 @@
 //! A request in the form in which it is sent to pods, and the data that protects it from running twice.
 
 use crate::routes::Route;
-use crate::takeover_policy::Knowledge;
+use crate::takeover_policy::ProtectionState;
 use crate::takeover_service::{request_id, TakeoverService};
 use bytes::Bytes;
 use havenplank_settings::BackupMode;
@@ -128,9 +128,9 @@
         }
     }
 
-    /// Returns the current knowledge about the request.
-    pub fn knowledge(&self) -> Knowledge {
-        Knowledge {
+    /// Returns the current state of the protection.
+    pub fn state(&self) -> ProtectionState {
+        ProtectionState {
             has_client_key: self.has_client_key,
             announced: self.announced.get(),
             backed_up: self.backed_up.get(),
--- a/crates/sidecar/src/exactly_once.rs
+++ b/crates/sidecar/src/protected_request.rs
@@ -33,7 +33,7 @@
     request: PreparedRequest,
 ) -> Response<Body> {
     let (responder, answered) = oneshot::channel();
-    let serving = service.count_serving();
+    let serving = service.serving_guard();
     spawn_local(async move {
         let _serving = serving;
         let response = serve_leased(&shell, &service, attributes, request).await;
@@ -67,7 +67,7 @@
         id: protection.id,
         digest: protection.digest,
         payload: &payload,
-        exactly_once: must_not_repeat(&request.route.rules, protection.has_client_key),
+        must_not_repeat: must_not_repeat(&request.route.rules, protection.has_client_key),
         remaining: attributes.remaining,
     };
     if protection.announces_before_attempt() {
@@ -168,7 +168,7 @@
 
 /// The request is another sidecar's, or it is not sure whose.
 #[derive(Debug)]
-pub struct NotOurs;
+pub struct NotOwner;
 
 /// Tells the backups that an attempt is about to be sent; nothing where nobody backs the request up.
 ///
@@ -178,7 +178,7 @@
     shell: &Shell,
     protection: &Protection,
     pod: PodId,
-) -> Result<Option<AnnouncedAttempt>, NotOurs> {
+) -> Result<Option<AnnouncedAttempt>, NotOwner> {
     let service = shell.takeover.as_ref();
     let Some(service) = service.filter(|_| protection.backed_up.get()) else {
         return Ok(None);
@@ -187,7 +187,7 @@
     let wait = protection.announces_before_attempt();
     protection.announced.set(true);
     match service.announce_attempt(protection.id, &pod, wait).await {
-        None if wait => Err(NotOurs),
+        None if wait => Err(NotOwner),
         announced => Ok(announced),
     }
 }
--- a/crates/sidecar/src/proxy.rs
+++ b/crates/sidecar/src/proxy.rs
@@ -2,7 +2,7 @@
 
 use crate::body::Body;
 use crate::engine::RequestAttributes;
-use crate::exactly_once;
+use crate::protected_request;
 use crate::request_reader;
 use crate::responses::{failed, rejected_with_retry_after, text_response, with_connection_close};
 use crate::shell::Shell;
@@ -59,7 +59,7 @@
     };
     let takeover = shell.takeover.clone();
     if let Some(service) = takeover.filter(|_| request.protection.is_some()) {
-        return Ok(exactly_once::serve(shell, service, attributes, request).await);
+        return Ok(protected_request::serve(shell, service, attributes, request).await);
     }
     let (responder, receiver) = oneshot::channel();
     let request = shell.dispatch(attributes, request, responder);
--- a/crates/sidecar/src/replication.rs
+++ b/crates/sidecar/src/replication.rs
@@ -25,7 +25,7 @@
 const SHORTEST_WAIT: Duration = Duration::from_millis(1);
 
 /// Takes versions over.
-pub trait Host: 'static {
+pub trait Installer: 'static {
     type Error: Display;
 
     /// Puts a complete version in force, in one call.
@@ -38,26 +38,26 @@
 /// Replicates versions between this process and its peers.
 pub struct Replication<H> {
     membership: Rc<Membership>,
-    spreader: RefCell<Replicator>,
-    host: H,
+    replicator: RefCell<Replicator>,
+    installer: H,
     period: Duration,
     rearm: Notify,
 }
 
-impl<H: Host> Replication<H> {
-    /// Reads messages from now on, and wakes the spreader until the thread's tasks end. Peers are read anew from the
+impl<H: Installer> Replication<H> {
+    /// Reads messages from now on, and wakes the replicator until the thread's tasks end. Peers are read anew from the
     /// membership once a period.
     pub fn start(
         membership: &Rc<Membership>,
-        spreader: Replicator,
-        host: H,
+        replicator: Replicator,
+        installer: H,
         period: Duration,
     ) -> Rc<Replication<H>> {
         let membership = membership.clone();
         let replication = Rc::new(Replication {
             membership,
-            spreader: RefCell::new(spreader),
-            host,
+            replicator: RefCell::new(replicator),
+            installer,
             period,
             rearm: Notify::new(),
         });
@@ -70,17 +70,17 @@
         replication
     }
 
-    /// Makes one call on the spreader, then carries out all that it left to do.
+    /// Makes one call on the replicator, then carries out all that it left to do.
     pub fn call<T>(&self, work: impl FnOnce(&mut Replicator, Nanos) -> T) -> T {
-        let done = work(&mut self.spreader.borrow_mut(), self.membership.now());
+        let done = work(&mut self.replicator.borrow_mut(), self.membership.now());
         self.perform_effects();
         done
     }
 
-    /// Goes on in another role, with another spreader; what the one before had left to do is dropped.
-    pub fn replace_spreader(&self, mut spreader: Replicator) {
-        spreader.set_peers(self.living());
-        self.spreader.replace(spreader);
+    /// Goes on in another role, with another replicator; what the one before had left to do is dropped.
+    pub fn replace_replicator(&self, mut replicator: Replicator) {
+        replicator.set_peers(self.living());
+        self.replicator.replace(replicator);
         self.rearm.notify_one();
     }
 
@@ -91,28 +91,28 @@
         };
         Peers::new(
             self.membership
-                .with_living(|others| others.map(peer).collect()),
+                .with_alive_members(|others| others.map(peer).collect()),
         )
     }
 
     /// Returns how far versions have come.
     pub fn status(&self) -> Status {
-        self.spreader.borrow().status()
+        self.replicator.borrow().status()
     }
 
     /// Returns whom versions are handed to.
-    pub fn host(&self) -> &H {
-        &self.host
+    pub fn installer(&self) -> &H {
+        &self.installer
     }
 
     fn receive(&self, from: &MemberId, body: &[u8]) {
         match Message::decode(body) {
             Ok(message) => {
-                self.call(|spreader, now| spreader.handle_message(now, from, message, body.len()))
+                self.call(|receiver, now| receiver.handle_message(now, from, message, body.len()))
             }
             Err(error) => {
                 tracing::debug!(peer = from.name, %error, "message on the configuration passed over");
-                self.spreader.borrow_mut().count_unreadable();
+                self.replicator.borrow_mut().count_unreadable();
             }
         }
         self.rearm.notify_one();
@@ -120,12 +120,12 @@
 
     async fn run_timers(self: Rc<Self>) {
         loop {
-            let next = self.spreader.borrow().next_wake();
+            let next = self.replicator.borrow().next_wake();
             let wait = next.map_or(self.period, |at| {
                 Duration::from_nanos(at.saturating_sub(self.membership.now())).max(SHORTEST_WAIT)
             });
             tokio::select! {
-                () = sleep(wait) => self.call(|spreader, now| spreader.wake(now)),
+                () = sleep(wait) => self.call(|replicator, now| replicator.wake(now)),
                 () = self.rearm.notified() => {}
             }
         }
@@ -134,14 +134,14 @@
     async fn follow_membership(self: Rc<Self>) {
         loop {
             let peers = self.living();
-            self.spreader.borrow_mut().set_peers(peers);
+            self.replicator.borrow_mut().set_peers(peers);
             sleep(self.period).await;
         }
     }
 
     fn perform_effects(&self) {
         loop {
-            let effect = self.spreader.borrow_mut().next_effect();
+            let effect = self.replicator.borrow_mut().next_effect();
             match effect {
                 None => break,
                 Some(Effect::Send { to, message }) => match message.encode() {
@@ -157,13 +157,13 @@
 
     fn install(&self, snapshot: &Snapshot) {
         let (version, now) = (snapshot.version(), self.membership.now());
-        match self.host.install(snapshot) {
+        match self.installer.install(snapshot) {
             Ok(()) => {
                 tracing::info!(%version, digest = %snapshot.digest(), "configuration in force");
-                self.spreader.borrow_mut().confirm_installed(now, version);
+                self.replicator.borrow_mut().confirm_installed(now, version);
             }
             Err(reason) => {
-                self.spreader
+                self.replicator
                     .borrow_mut()
                     .report_rejected(now, version, &reason.to_string())
             }
--- a/crates/sidecar/src/route_slots.rs
+++ b/crates/sidecar/src/route_slots.rs
@@ -106,7 +106,7 @@
     }
 
     /// Returns the longest client time-out of all that are in force or held.
-    pub fn longest_time_out(&self) -> Nanos {
+    pub fn longest_client_timeout(&self) -> Nanos {
         let used = self.rows.iter().filter(|row| !row.is_free());
         used.map(|row| row.rules.client_timeout).max().unwrap_or(0)
     }
--- a/crates/sidecar/src/routes.rs
+++ b/crates/sidecar/src/routes.rs
@@ -197,7 +197,7 @@
     }
 
     /// Returns the route of this name.
-    pub fn named(&self, name: &str) -> Option<&Rc<Route>> {
+    pub fn find_by_name(&self, name: &str) -> Option<&Rc<Route>> {
         self.routes.get(*self.by_name.get(name)? as usize)
     }
 
--- a/crates/sidecar/src/shell.rs
+++ b/crates/sidecar/src/shell.rs
@@ -60,7 +60,7 @@
         let protected = self
             .takeover
             .as_ref()
-            .map_or(0, |service| service.serving());
+            .map_or(0, |service| service.serving_count());
         let held = self.engine().requests_held().max(protected);
         self.stopping.get() || held >= self.site.listener.max_requests
     }
--- a/crates/sidecar/src/state_report.rs
+++ b/crates/sidecar/src/state_report.rs
@@ -57,13 +57,13 @@
 
 fn membership_report(status: &MembershipStatus) -> Value {
     json!({
-        "living": status.living,
-        "slowness": status.slowness,
-        "sent": status.sent,
+        "living": status.alive,
+        "slowness": status.health_score,
+        "sent": status.sent_messages,
         "sent_bytes": status.sent_bytes,
-        "refused": status.refused,
-        "overrun": status.overrun,
-        "unsent": status.unsent,
+        "refused": status.rejected_frames,
+        "overrun": status.dropped_receives,
+        "unsent": status.dropped_sends,
     })
 }
 
@@ -77,13 +77,13 @@
         })
     });
     json!({
-        "is": status.standing,
-        "for_ms": status.stands_for / NANOS_PER_MILLI,
-        "belong": status.belong,
-        "reached": status.reached,
-        "missing": status.missing,
-        "deaf_to_us": status.deaf_to_us,
-        "unsteady": status.unsteady,
+        "is": status.quorum_state,
+        "for_ms": status.quorum_state_age / NANOS_PER_MILLI,
+        "belong": status.voters,
+        "reached": status.reachable_voters,
+        "missing": status.unreachable_voters,
+        "deaf_to_us": status.not_receiving_us,
+        "unsteady": status.flapping,
         "disputes": disputes.collect::<Vec<_>>(),
     })
 }
--- a/crates/sidecar/src/takeover_policy.rs
+++ b/crates/sidecar/src/takeover_policy.rs
@@ -13,7 +13,7 @@
 
 /// What is known of a request when it is answered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Knowledge {
+pub struct ProtectionState {
     /// The client can name the request, and so finds it again.
     pub has_client_key: bool,
     /// Some attempt of it was announced to backups.
@@ -27,7 +27,7 @@
 /// Where it cannot name the request, and backups may believe for a moment longer that it is to be finished, that is not
 /// sure: if this sidecar were lost now, both the retry and a takeover would run. A request that may be repeated is
 /// always rejected.
-pub fn may_promise_that_it_never_ran(idempotency: Idempotency, known: Knowledge) -> bool {
+pub fn may_promise_that_it_never_ran(idempotency: Idempotency, known: ProtectionState) -> bool {
     let may_be_taken_over = !known.has_client_key && known.announced && known.backed_up;
     idempotency != Idempotency::NonIdempotent || !may_be_taken_over
 }
--- a/crates/sidecar/src/takeover_service/announcement.rs
+++ b/crates/sidecar/src/takeover_service/announcement.rs
@@ -57,12 +57,12 @@
     }
 
     /// Notes that the pod's answer proves that it never ran.
-    pub fn never_ran(&self) {
+    pub fn set_never_ran(&self) {
         self.sent.set(false);
     }
 
     /// Notes that its response is the final answer, which says it all.
-    pub fn served(&self) {
+    pub fn set_served(&self) {
         self.served.set(true);
     }
 }
--- a/crates/sidecar/src/takeover_service/lease.rs
+++ b/crates/sidecar/src/takeover_service/lease.rs
@@ -17,7 +17,7 @@
     /// The request as its backups keep it.
     pub payload: &'a [u8],
     /// Whether it must not run twice, whatever that costs.
-    pub exactly_once: bool,
+    pub must_not_repeat: bool,
     /// Time left until its client gives up.
     pub remaining: Nanos,
 }
@@ -55,7 +55,7 @@
 
     fn begin_lease_request(&self, request: LeaseRequest<'_>) -> Begun {
         let LeaseRequest { id, .. } = request;
-        let required = match request.exactly_once {
+        let required = match request.must_not_repeat {
             true => RequiredAcks::All,
             false => RequiredAcks::Majority,
         };
--- a/crates/sidecar/src/takeover_service/mod.rs
+++ b/crates/sidecar/src/takeover_service/mod.rs
@@ -219,7 +219,7 @@
     }
 
     fn backups_of(&self, id: RequestId) -> Vec<MemberId> {
-        self.membership.with_living(|others| {
+        self.membership.with_alive_members(|others| {
             // A distributor of the configuration takes nobody's work over.
             let sidecars = others.filter(|member| member.zone != DISTRIBUTOR_ZONE);
             let candidates: Vec<Candidate<'_>> = sidecars
@@ -262,12 +262,12 @@
     }
 
     /// Counts a request as served here for as long as this is held.
-    pub fn count_serving(&self) -> Rc<()> {
+    pub fn serving_guard(&self) -> Rc<()> {
         self.serving.clone()
     }
 
     /// Returns how many requests wait for a lease or an outcome or are served, also those under one key.
-    pub fn serving(&self) -> usize {
+    pub fn serving_count(&self) -> usize {
         Rc::strong_count(&self.serving) - 1
     }
 
--- a/crates/sidecar/tests/routes.rs
+++ b/crates/sidecar/tests/routes.rs
@@ -217,7 +217,7 @@
         (Some("rest"), None)
     );
     assert_eq!(
-        table.named("r-12").map(|route| route.route_class()),
+        table.find_by_name("r-12").map(|route| route.route_class()),
         Some(12)
     );
     let index = |name| table.tenant(name).and_then(|tenant| tenant.index);
--- a/crates/sidecar/tests/unit/backup_record.rs
+++ b/crates/sidecar/tests/unit/backup_record.rs
@@ -49,7 +49,7 @@
 }
 
 fn request(table: &RouteTable) -> PreparedRequest {
-    let route = table.named("search").expect("a route").clone();
+    let route = table.find_by_name("search").expect("a route").clone();
     let value = HeaderValue::from_bytes(b"\xff!").expect("a value");
     let mut headers = HeaderMap::new();
     headers.insert("x-a", value);
--- a/crates/sidecar/tests/unit/takeover_policy.rs
+++ b/crates/sidecar/tests/unit/takeover_policy.rs
@@ -1,6 +1,6 @@
 //! What may be promised of a request that others may take over.
 
-use super::{may_promise_that_it_never_ran, must_not_repeat, Knowledge};
+use super::{may_promise_that_it_never_ran, must_not_repeat, ProtectionState};
 use havenplank::interface::{DedupScope, Idempotency, RouteClass};
 
 fn rules(idempotency: Idempotency, dedup_scope: DedupScope) -> RouteClass {
@@ -33,22 +33,22 @@
 
 #[test]
 fn a_rejection_is_not_promised_while_backups_may_still_take_an_unnamed_request_over() {
-    let doubtful = Knowledge {
+    let doubtful = ProtectionState {
         has_client_key: false,
         announced: true,
         backed_up: true,
     };
     let promised = |known| may_promise_that_it_never_ran(Idempotency::NonIdempotent, known);
     assert!(!promised(doubtful));
-    assert!(promised(Knowledge {
+    assert!(promised(ProtectionState {
         has_client_key: true,
         ..doubtful
     }));
-    assert!(promised(Knowledge {
+    assert!(promised(ProtectionState {
         announced: false,
         ..doubtful
     }));
-    assert!(promised(Knowledge {
+    assert!(promised(ProtectionState {
         backed_up: false,
         ..doubtful
     }));
