--- a/crates/cli/src/bench_takeover.rs
+++ b/crates/cli/src/bench_takeover.rs
@@ -194,7 +194,7 @@
         let count = |group: &mut Group| -> usize {
             let others = (0..SIDECARS).filter(|other| *other != id);
             others
-                .map(|other| group.sidecars[other].said("work taken over"))
+                .map(|other| group.sidecars[other].said("request taken over"))
                 .sum()
         };
         let before = count(group);
--- a/crates/cli/tests/takeover.rs
+++ b/crates/cli/tests/takeover.rs
@@ -63,7 +63,7 @@
         }
         let taken: usize = group.sidecars[1..]
             .iter_mut()
-            .map(|sidecar| sidecar.said("work taken over"))
+            .map(|sidecar| sidecar.said("request taken over"))
             .sum();
         assert_eq!(taken, 16, "each once");
     });
@@ -77,7 +77,7 @@
         let began = Instant::now();
         while [0, 1, 3]
             .iter()
-            .map(|id| group.sidecars[*id].said("work finished"))
+            .map(|id| group.sidecars[*id].said("finished a request that was taken over"))
             .sum::<usize>()
             < 8
         {
@@ -192,7 +192,7 @@
         let taken: usize = group
             .sidecars
             .iter_mut()
-            .map(|sidecar| sidecar.said("work taken over"))
+            .map(|sidecar| sidecar.said("request taken over"))
             .sum();
         assert!(taken > 0, "the kills found no work in hand");
         assert!(
@@ -244,7 +244,7 @@
         let began = Instant::now();
         let taking = loop {
             assert!(began.elapsed() < PATIENCE, "nobody took over");
-            if let Some(id) = (2..6).find(|id| group.sidecars[*id].said("work taken over") > 0) {
+            if let Some(id) = (2..6).find(|id| group.sidecars[*id].said("request taken over") > 0) {
                 break id;
             }
             sleep(Duration::from_millis(1)).await;
@@ -369,7 +369,7 @@
             let taken: usize = group
                 .sidecars
                 .iter_mut()
-                .map(|sidecar| sidecar.said("work taken over"))
+                .map(|sidecar| sidecar.said("request taken over"))
                 .sum();
             assert_eq!(taken, 0);
             let next = group.launch(id).await.expect("its next life");
--- a/crates/sidecar/src/backup_record.rs
+++ b/crates/sidecar/src/backup_record.rs
@@ -1,4 +1,5 @@
-//! A request as its backups keep it, and back from there. The field order is what travels between sidecars (postcard).
+//! Encodes a request for its backups, and decodes it when it is taken over. Sidecars send the encoding to each other in
+//! postcard format, where the field order matters.
 
 use crate::engine::RequestAttributes;
 use crate::headers;
@@ -9,13 +10,14 @@
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
 use serde::{Deserialize, Serialize};
 
-/// The longest request or answer that backups keep, in bytes.
+/// Limit on the encoded size of a request or response that backups keep, in bytes.
 pub const MAX_RECORD_BYTES: usize = 256 << 10;
 
-/// Headers as they travel between sidecars.
+/// Header names and values as sidecars send them to each other.
 pub type HeaderList = Vec<(String, Vec<u8>)>;
 
-/// A request by names, as two sidecars may number route classes and tenants differently.
+/// A request as backups keep it. It holds names of route classes and tenants, because their indices differ between
+/// sidecars.
 #[derive(Serialize, Deserialize)]
 struct RequestRecord {
     #[serde(rename = "group")]
@@ -30,22 +32,22 @@
     body: Vec<u8>,
 }
 
-/// A request that was backed up here.
+/// A request that was decoded from a backup record.
 pub struct BackedUpRequest {
-    /// What the decisions see of it.
+    /// The attributes of the request for the engine.
     pub attributes: RequestAttributes,
-    /// What is sent.
+    /// The request that is sent to pods.
     pub request: PreparedRequest,
 }
 
-/// Copies headers to the form in which they travel.
+/// Converts headers to the form in which sidecars send them.
 pub fn header_list(headers: &HeaderMap) -> HeaderList {
     let pair =
         |(name, value): (&HeaderName, &HeaderValue)| (name.to_string(), value.as_bytes().to_vec());
     headers.iter().map(pair).collect()
 }
 
-/// Reads headers back; what is none is left out.
+/// Converts received headers back. Leaves out names and values that are no valid header.
 pub fn header_map(headers: &HeaderList) -> HeaderMap {
     let header = |(name, value): &(String, Vec<u8>)| {
         Some((
@@ -56,7 +58,7 @@
     headers.iter().filter_map(header).collect()
 }
 
-/// Encodes a request for its backups; `None` where it is too long to be stored.
+/// Encodes a request for its backups. Returns `None` if the encoding is longer than [`MAX_RECORD_BYTES`].
 pub fn encode(
     attributes: &RequestAttributes,
     request: &PreparedRequest,
@@ -76,7 +78,8 @@
     Some(bytes).filter(|bytes| bytes.len() <= MAX_RECORD_BYTES)
 }
 
-/// Decodes a request that was backed up; `None` where it cannot be read, or no route here has its name.
+/// Decodes a request from its backup record. Returns `None` if the record is unreadable or if no route here has the
+/// name of its route class.
 pub fn decode(routes: &RouteTable, record: &Record) -> Option<BackedUpRequest> {
     let stored: RequestRecord = postcard::from_bytes(&record.payload).ok()?;
     let route = routes.find_by_name(&stored.route_class)?.clone();
--- a/crates/sidecar/src/protected_request.rs
+++ b/crates/sidecar/src/protected_request.rs
@@ -1,6 +1,7 @@
-//! The way of a request that other sidecars back up: leased, sent once its backups know, answered once, by whoever owns
-//! it at its end. Which of these may be done when is decided in `havenplank-takeover`, what is done next by the
-//! decisions.
+//! Serves a request that other sidecars back up. The request is leased, its attempts are sent once the backups know of
+//! them (idempotent routes may announce them in the background instead), and only the sidecar that owns the request in
+//! the end responds. `havenplank-takeover` decides when each step is allowed; the decision module of the engine decides
+//! which step is next.
 
 use crate::backup_record::{self, BackedUpRequest};
 use crate::body::Body;
@@ -25,22 +26,22 @@
 const KEY_REUSED: &str =
     "Idempotency-Key: another hit was sent under it; expected the same hit or another key\n";
 
-/// Serves a request in a task of its own: it goes on though its client leaves.
+/// Serves a request in a separate task, so that it continues when its client disconnects.
 pub async fn serve(
     shell: Rc<Shell>,
     service: Rc<TakeoverService>,
     attributes: RequestAttributes,
     request: PreparedRequest,
 ) -> Response<Body> {
-    let (responder, answered) = oneshot::channel();
+    let (responder, response_receiver) = oneshot::channel();
     let serving = service.serving_guard();
     spawn_local(async move {
         let _serving = serving;
         let response = serve_leased(&shell, &service, attributes, request).await;
-        // Where the client has left meanwhile nobody is there to be answered.
+        // Fails if the client has disconnected; the outcome is stored at the backups all the same.
         let _ = responder.send(response);
     });
-    answered.await.unwrap_or_else(|_| failed(false))
+    response_receiver.await.unwrap_or_else(|_| failed(false))
 }
 
 async fn serve_leased(
@@ -54,7 +55,7 @@
     let Some(protection) = &request.protection else {
         return failed(false);
     };
-    let owned = Owned {
+    let owned = OwnedRequest {
         shell,
         service,
         id: protection.id,
@@ -74,7 +75,7 @@
         match request_lease(service, lease, began).await {
             LeaseReply::Granted => {}
             LeaseReply::Unprotected => protection.backed_up.set(false),
-            refused => return response_to_refusal(shell, refused),
+            refused => return refusal_response(shell, refused),
         }
     } else {
         service.request_lease_in_background(lease);
@@ -86,8 +87,8 @@
     owned.finish(None, attributes, request.clone()).await
 }
 
-/// Asks for a lease until it is granted or refused. A request that was leased and given up elsewhere leaves nobody who
-/// knows it: then the lease is asked for anew, as long as its client waits.
+/// Requests a lease until it is granted or refused. If another sidecar held the lease and its backups have since
+/// forgotten the request, the lease is requested again as long as the client waits.
 async fn request_lease(
     service: &TakeoverService,
     request: LeaseRequest<'_>,
@@ -114,7 +115,7 @@
     remaining.saturating_sub(elapsed(began))
 }
 
-fn response_to_refusal(shell: &Shell, reply: LeaseReply) -> Response<Body> {
+fn refusal_response(shell: &Shell, reply: LeaseReply) -> Response<Body> {
     match reply {
         LeaseReply::Uncertain => rejected_with_retry_after(shell.site.attempts.max_retry_after),
         LeaseReply::Finished(outcome) => response_of(outcome),
@@ -123,15 +124,16 @@
     }
 }
 
-/// A request that is owned here.
-struct Owned<'a> {
+/// A request that this sidecar owns.
+struct OwnedRequest<'a> {
     shell: &'a Rc<Shell>,
     service: &'a Rc<TakeoverService>,
     id: RequestId,
 }
 
-impl Owned<'_> {
-    /// Lets the decisions finish a request; or, where it is lost to another sidecar, waits for that one's answer.
+impl OwnedRequest<'_> {
+    /// Dispatches the request to pods until it has a response. If another sidecar takes the request over, waits for the
+    /// response of that sidecar instead.
     async fn finish(
         &self,
         prior_attempts: Option<Vec<PriorAttempt>>,
@@ -141,14 +143,14 @@
         let began = Instant::now();
         let remaining = Duration::from_nanos(attributes.remaining);
         let OwnerWatch { lost, outcome } = self.service.watch(self.id);
-        let (responder, answered) = oneshot::channel();
+        let (responder, response_receiver) = oneshot::channel();
         let dispatched =
             self.shell
                 .dispatch_resumed(prior_attempts, attributes, request.clone(), responder);
         let response = tokio::select! {
-            // A request that is answered here is answered, whatever else is known by now.
+            // A response that is ready here is used, even if another sidecar took the request over at the same moment.
             biased;
-            response = answered => response.unwrap_or_else(|_| failed(false)),
+            response = response_receiver => response.unwrap_or_else(|_| failed(false)),
             Ok(()) = lost => {
                 self.shell.client_left(dispatched);
                 let left = remaining.saturating_sub(began.elapsed());
@@ -166,14 +168,15 @@
     }
 }
 
-/// The request is another sidecar's, or it is not sure whose.
+/// The error that another sidecar owns the request, or that its owner is uncertain.
 #[derive(Debug)]
 pub struct NotOwner;
 
-/// Tells the backups that an attempt is about to be sent; nothing where nobody backs the request up.
+/// Announces to the backups that an attempt is about to be sent. Returns `None` if the request has no backups, or if an
+/// attempt that need not wait for backups could not be announced.
 ///
 /// # Errors
-/// The attempt may not be sent, as the request is not surely ours.
+/// Fails if the attempt must not be sent, because this sidecar may not own the request.
 pub async fn announce_attempt(
     shell: &Shell,
     protection: &Protection,
@@ -192,7 +195,7 @@
     }
 }
 
-/// Returns whether an attempt of this request may be written at this moment.
+/// Returns whether an attempt of this request may be sent at this moment. Ask right before the write.
 pub fn may_send(shell: &Shell, request: &PreparedRequest) -> bool {
     let leased = |protection: &&Protection| {
         protection.announces_before_attempt() && protection.backed_up.get()
@@ -204,14 +207,14 @@
     let may_send = service.is_some_and(|service| service.may_send(protection.id));
     if !may_send {
         tracing::warn!(
-            mark = request_id_text(protection.id),
-            "forward not sent: the right to the work is lost or unsure"
+            request_id = request_id_text(protection.id),
+            "attempt not sent: the lease on the request is lost or uncertain"
         );
     }
     may_send
 }
 
-/// Finishes a request that was another sidecar's.
+/// Finishes a request that this sidecar took over from another.
 pub fn take_over(shell: &Rc<Shell>, record: Record) {
     let Some(service) = shell.takeover.clone() else {
         return;
@@ -223,22 +226,25 @@
         let status = finish_record(&shell, &service, &record).await;
         let took_ms = began.elapsed().as_millis() as u64;
         tracing::info!(
-            mark = request_id_text(id),
+            request_id = request_id_text(id),
             status = status.as_u16(),
             took_ms,
-            "work finished"
+            "finished a request that was taken over"
         );
     });
 }
 
 fn log_takeover(record: &Record) {
-    let may_have_run = record.attempts.iter().filter(|prior| may_have_run(prior));
+    let may_have_run = record
+        .attempts
+        .iter()
+        .filter(|attempt| may_have_run(attempt));
     tracing::info!(
-        mark = request_id_text(record.request),
-        forwards = record.attempts.len(),
+        request_id = request_id_text(record.request),
+        attempts = record.attempts.len(),
         may_have_run = may_have_run.count(),
-        left_ms = record.remaining / 1_000_000,
-        "work taken over"
+        remaining_ms = record.remaining / 1_000_000,
+        "request taken over"
     );
 }
 
@@ -253,8 +259,8 @@
 ) -> StatusCode {
     let Some(backed_up) = backup_record::decode(&shell.routes(), record) else {
         tracing::warn!(
-            mark = request_id_text(record.request),
-            "work of a path group that is not known here: errored"
+            request_id = request_id_text(record.request),
+            "cannot finish a taken-over request: its record is unreadable or names an unknown route"
         );
         service.finish(record.request, Outcome::Failed { retryable: false });
         return StatusCode::BAD_GATEWAY;
@@ -263,13 +269,13 @@
         attributes,
         request,
     } = backed_up;
-    let prior = |prior: &Attempt| PriorAttempt {
-        pod: shell.engine().pod_id(&prior.pod),
-        ago: prior.age,
-        may_have_run: may_have_run(prior),
+    let to_prior = |attempt: &Attempt| PriorAttempt {
+        pod: shell.engine().pod_id(&attempt.pod),
+        ago: attempt.age,
+        may_have_run: may_have_run(attempt),
     };
-    let prior_attempts = record.attempts.iter().map(prior).collect();
-    let owned = Owned {
+    let prior_attempts = record.attempts.iter().map(to_prior).collect();
+    let owned = OwnedRequest {
         shell,
         service,
         id: record.request,
--- a/crates/sidecar/src/takeover_policy.rs
+++ b/crates/sidecar/src/takeover_policy.rs
@@ -1,9 +1,9 @@
-//! Decides what a sidecar may promise of a request that others may take over. Free of I/O.
+//! Decides what a sidecar may promise about a request that other sidecars may take over. Performs no I/O.
 
 use havenplank::interface::{DedupScope, Idempotency, RouteClass};
 
-/// Returns whether a request must not run twice, whatever that costs: its client counts on its key, and no pod drops a
-/// repeat. Such a request is rejected where it is not sure who owns it; others are served without backups.
+/// Returns whether a request must not run twice: its client relies on its key, and the pods do not drop every repeat.
+/// Such a request is rejected if its owner is uncertain. Other requests are served without backups in that case.
 pub fn must_not_repeat(rules: &RouteClass, has_client_key: bool) -> bool {
     let is_harmless = rules.idempotency == Idempotency::Idempotent;
     let pods_drop_repeats =
@@ -11,24 +11,24 @@
     has_client_key && !is_harmless && !pods_drop_repeats
 }
 
-/// What is known of a request when it is answered.
+/// What a sidecar knows about the protection of a request when it responds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProtectionState {
-    /// The client can name the request, and so finds it again.
+    /// The client sent a key, so its retry is recognised as the same request.
     pub has_client_key: bool,
-    /// Some attempt of it was announced to backups.
+    /// An attempt of the request was announced to backups.
     pub announced: bool,
-    /// Backups know of the request.
+    /// Backups hold the request.
     pub backed_up: bool,
 }
 
-/// Returns whether a client may be told that its request never ran and that a retry does no harm.
+/// Returns whether the client may be promised that its request never ran and that a retry is harmless.
 ///
-/// Where it cannot name the request, and backups may believe for a moment longer that it is to be finished, that is not
-/// sure: if this sidecar were lost now, both the retry and a takeover would run. A request that may be repeated is
-/// always rejected.
-pub fn may_promise_that_it_never_ran(idempotency: Idempotency, known: ProtectionState) -> bool {
-    let may_be_taken_over = !known.has_client_key && known.announced && known.backed_up;
+/// The promise is unsafe if the client sent no key and the backups may still expect the request to be finished: if this
+/// sidecar were lost now, a backup would take the request over, and both the takeover and the client's retry would run.
+/// For a request that may be repeated, the promise is always allowed.
+pub fn may_promise_that_it_never_ran(idempotency: Idempotency, state: ProtectionState) -> bool {
+    let may_be_taken_over = !state.has_client_key && state.announced && state.backed_up;
     idempotency != Idempotency::NonIdempotent || !may_be_taken_over
 }
 
--- a/crates/sidecar/src/takeover_service/announcement.rs
+++ b/crates/sidecar/src/takeover_service/announcement.rs
@@ -1,4 +1,4 @@
-//! Announces attempts to the backups of their request.
+//! Announces the attempts of a request to its backups.
 
 use super::TakeoverService;
 use havenplank_takeover::record::{AttemptState, RequestId};
@@ -7,8 +7,8 @@
 use tokio::sync::oneshot;
 
 impl TakeoverService {
-    /// Tells the backups of an attempt, and where `wait` says so waits until they know. `None` where it may not be
-    /// sent.
+    /// Announces an attempt to the backups of its request. If `wait` is set, waits until they have acknowledged it.
+    /// Returns `None` if this sidecar does not own the request; with `wait`, the attempt must not be sent then.
     pub async fn announce_attempt(
         self: &Rc<Self>,
         id: RequestId,
@@ -34,14 +34,15 @@
 
     fn wait_for_backups(&self, id: RequestId, attempt: usize) -> oneshot::Receiver<()> {
         let (sender, ready) = oneshot::channel();
-        let mut all = self.waiters.borrow_mut();
-        let waiters = all.entry(id).or_default();
+        let mut waiters_by_request = self.waiters.borrow_mut();
+        let waiters = waiters_by_request.entry(id).or_default();
         waiters.attempt_ready.insert(attempt, sender);
         ready
     }
 }
 
-/// One attempt that was announced to backups; whatever becomes of the task that carries it, they learn how it ended.
+/// One attempt that was announced to backups. When the value is dropped, even by a cancelled task, the backups are
+/// notified of how the attempt ended.
 pub struct AnnouncedAttempt {
     service: Rc<TakeoverService>,
     id: RequestId,
@@ -51,17 +52,18 @@
 }
 
 impl AnnouncedAttempt {
-    /// Notes whether it may have run from here on.
+    /// Sets whether the attempt may have run, because it has been sent.
     pub fn set_sent(&self, sent: bool) {
         self.sent.set(sent);
     }
 
-    /// Notes that the pod's answer proves that it never ran.
+    /// Records that the attempt provably never ran.
     pub fn set_never_ran(&self) {
         self.sent.set(false);
     }
 
-    /// Notes that its response is the final answer, which says it all.
+    /// Records that the response of the attempt is the final response. The backups get that as the outcome of the
+    /// request, so the end of the attempt is not announced separately.
     pub fn set_served(&self) {
         self.served.set(true);
     }
--- a/crates/sidecar/src/takeover_service/lease.rs
+++ b/crates/sidecar/src/takeover_service/lease.rs
@@ -1,4 +1,4 @@
-//! Asks for the lease on a request: the right to send attempts for it.
+//! Requests the lease on a client request: the right to send attempts for it.
 
 use super::{LeaseReply, TakeoverService};
 use havenplank_takeover::record::RequestId;
@@ -7,45 +7,51 @@
 use tokio::sync::oneshot;
 use tokio::time::timeout;
 
-/// A request for which a lease is asked.
+/// The arguments of a lease request.
 #[derive(Clone, Copy, Debug)]
 pub struct LeaseRequest<'a> {
-    /// Names the request among sidecars.
+    /// Identifies the client request among sidecars.
     pub id: RequestId,
-    /// Hash of what was asked.
+    /// Hash of the content of the client request, to detect a different request under the same key.
     pub digest: u64,
-    /// The request as its backups keep it.
+    /// The encoded client request that backups keep.
     pub payload: &'a [u8],
-    /// Whether it must not run twice, whatever that costs.
+    /// Whether the client request must not run twice, even if it has to be rejected for that.
     pub must_not_repeat: bool,
-    /// Time left until its client gives up.
+    /// Time left until the client's deadline, in nanoseconds.
     pub remaining: Nanos,
 }
 
-/// How far a lease request came at once.
-enum Begun {
+/// The state of a lease request right after its start.
+enum Start {
+    /// The reply is already known.
     Replied(LeaseReply),
-    /// Backups are asked.
-    Waits,
-    /// Another sidecar owns it, and tells its outcome.
+    /// The backups have been asked and must reply first.
+    Waiting,
+    /// Another sidecar owns the client request and will report its outcome.
     Joined,
 }
 
 impl TakeoverService {
-    /// Asks for the lease on a request, and waits until it is ours or has its outcome: no longer than its client does.
+    /// Requests the lease and waits until it is granted or refused, or until the owner of the client request reports an
+    /// outcome. Waits no longer than the client's remaining time.
     pub async fn request_lease(&self, request: LeaseRequest<'_>) -> LeaseReply {
         let LeaseRequest { id, remaining, .. } = request;
         let (sender, reply) = oneshot::channel();
         match self.begin_lease_request(request) {
-            Begun::Replied(reply) => return reply,
-            Begun::Waits => self.waiters.borrow_mut().entry(id).or_default().lease = Some(sender),
-            Begun::Joined => {
-                let mut all = self.waiters.borrow_mut();
-                all.entry(id).or_default().outcome.push(sender);
+            Start::Replied(reply) => return reply,
+            Start::Waiting => self.waiters.borrow_mut().entry(id).or_default().lease = Some(sender),
+            Start::Joined => {
+                let mut waiters_by_request = self.waiters.borrow_mut();
+                waiters_by_request
+                    .entry(id)
+                    .or_default()
+                    .outcome
+                    .push(sender);
             }
         }
         let reply = timeout(Duration::from_nanos(remaining), reply).await;
-        // Whoever waited in vain is not notified any more.
+        // After a timeout the receiver is closed, and its sender has to leave the table.
         self.forget_closed_waiters(id);
         reply
             .ok()
@@ -53,7 +59,7 @@
             .unwrap_or(LeaseReply::Unknown)
     }
 
-    fn begin_lease_request(&self, request: LeaseRequest<'_>) -> Begun {
+    fn begin_lease_request(&self, request: LeaseRequest<'_>) -> Start {
         let LeaseRequest { id, .. } = request;
         let required = match request.must_not_repeat {
             true => RequiredAcks::All,
@@ -62,32 +68,32 @@
         let incoming = self.incoming(&request);
         let now = self.membership.now();
         self.takeover.borrow_mut().claim(now, incoming, required);
-        let mut begun = Begun::Waits;
+        let mut start = Start::Waiting;
         loop {
             let effect = self.takeover.borrow_mut().next_effect();
             let reply = match effect {
-                Some(Effect::Finished(known, outcome)) if known == id => {
+                Some(Effect::Finished(for_id, outcome)) if for_id == id => {
                     LeaseReply::Finished(outcome)
                 }
-                Some(Effect::KeyReused(known)) if known == id => LeaseReply::KeyReused,
-                Some(Effect::Unprotected(known)) if known == id => LeaseReply::Unprotected,
-                Some(Effect::Uncertain(known)) if known == id => LeaseReply::Uncertain,
-                Some(Effect::Joined(known)) if known == id => {
-                    begun = Begun::Joined;
+                Some(Effect::KeyReused(for_id)) if for_id == id => LeaseReply::KeyReused,
+                Some(Effect::Unprotected(for_id)) if for_id == id => LeaseReply::Unprotected,
+                Some(Effect::Uncertain(for_id)) if for_id == id => LeaseReply::Uncertain,
+                Some(Effect::Joined(for_id)) if for_id == id => {
+                    start = Start::Joined;
                     continue;
                 }
                 Some(effect) => {
                     self.perform(effect);
                     continue;
                 }
-                None => return begun,
+                None => return start,
             };
-            return Begun::Replied(reply);
+            return Start::Replied(reply);
         }
     }
 
-    /// Asks for the lease without waiting; where another has it, the request is served all the same, as a repeat does
-    /// no harm.
+    /// Requests the lease without waiting for it. If another sidecar holds the lease, the client request is served here
+    /// nevertheless, because a repeat of it is harmless.
     pub fn request_lease_in_background(&self, request: LeaseRequest<'_>) {
         let incoming = self.incoming(&request);
         let now = self.membership.now();
@@ -97,7 +103,7 @@
         self.perform_effects();
     }
 
-    /// Returns a request as the decisions take it, with its backups.
+    /// Returns the client request in the form that the takeover state machine takes, with its backups.
     fn incoming(&self, request: &LeaseRequest<'_>) -> IncomingRequest {
         IncomingRequest {
             request: request.id,
--- a/crates/sidecar/src/takeover_service/mod.rs
+++ b/crates/sidecar/src/takeover_service/mod.rs
@@ -1,5 +1,5 @@
-//! The takeover of requests among sidecars: its decisions on the membership's sockets, and the requests here that wait
-//! for what they decide.
+//! Runs the takeover of requests: connects the state machine of `havenplank-takeover` with the messages of the
+//! membership, and notifies the requests of this sidecar that wait for its decisions.
 
 mod announcement;
 mod lease;
@@ -26,72 +26,76 @@
 use tokio::time::{interval, MissedTickBehavior};
 use waiters::Waiters;
 
-/// The membership's kind of message that is ours.
+/// The kind under which the membership carries takeover messages.
 const MESSAGE_KIND: u8 = 2;
-/// How often within a lease it is looked at what is due.
+/// Wake-ups of the takeover state machine within the duration of one lease.
 const TICKS_PER_LEASE: Nanos = 24;
+/// Lower bound on the interval between wake-ups.
 const SHORTEST_TICK: Duration = Duration::from_millis(2);
 
-/// The answer to a lease request.
+/// The reply to a lease request.
 #[derive(Debug)]
 pub enum LeaseReply {
-    /// Ours, and its backups know.
+    /// This sidecar owns the request, and the backups have it.
     Granted,
-    /// Ours, though nobody backs it up.
+    /// This sidecar serves the request without backups.
     Unprotected,
-    /// It may be in flight elsewhere, and those who would know cannot be reached.
+    /// The request may be in flight at another sidecar, and the backups that would know cannot be reached.
     Uncertain,
-    /// It has its outcome, by whoever finished it.
+    /// The request already has an outcome.
     Finished(Outcome),
-    /// Another request under the same key.
+    /// A different request was sent under the same key.
     KeyReused,
-    /// Whoever had it is gone, or its time is up.
+    /// No sidecar knows the request any more, or the client's time is up.
     Unknown,
 }
 
-/// What an operator may look at.
+/// The status of the takeover for operators.
 #[derive(Clone, Debug, Default)]
 pub struct TakeoverStatus {
-    /// Requests owned here.
+    /// Requests that this sidecar owns.
     pub owned: usize,
-    /// Records of others kept here.
+    /// Records kept here for other sidecars.
     pub replicas: usize,
-    /// Requests whose outcome is waited for here.
+    /// Requests of other owners whose outcome is awaited here.
     pub waiting: usize,
     /// Requests served without backups since the start.
     pub unprotected: u64,
-    /// Records of others rejected for want of room since the start.
+    /// Records of other sidecars rejected for lack of room since the start.
     pub rejected_records: u64,
     /// Requests taken over since the start.
     pub taken_over: u64,
 }
 
-/// What the owner of a request is notified of.
+/// Notifies the owner of a request of changes made by other sidecars.
 pub struct OwnerWatch {
-    /// Another sidecar owns it now.
+    /// Completes when another sidecar has become the owner.
     pub lost: oneshot::Receiver<()>,
-    /// Its outcome, if another finishes it.
+    /// Completes with the outcome if another sidecar finishes the request.
     pub outcome: oneshot::Receiver<LeaseReply>,
 }
 
-/// Backs up other sidecars' requests, and has them back up those of this one.
+/// Backs up the requests of other sidecars, and has the requests of this sidecar backed up by them.
 pub struct TakeoverService {
     membership: Rc<Membership>,
     takeover: RefCell<Takeover>,
-    /// Entries leave once nobody waits any more; one waiter a request at most, and the listener bounds those.
+    /// The waiting tasks by request. An entry is removed once nothing waits for it. Each client request waits at most
+    /// once, and the listener bounds the number of client requests.
     waiters: RefCell<HashMap<RequestId, Waiters>>,
-    /// Backups of a request.
+    /// The number of backups of each request.
     backups: usize,
     tick: Duration,
     generated_ids: Cell<u64>,
-    /// Shared by each request that is served here, so that it counts them: they go on though their client leaves.
+    /// Each request that is served here holds a clone, so the reference count gives their number. It includes requests
+    /// whose client has disconnected, because they continue.
     serving: Rc<()>,
-    /// Requests to be finished here; no more than records that are kept, each of which begins once.
+    /// Requests that this sidecar took over and has to finish. There are no more of them than records kept here, because
+    /// each record is taken over once.
     taken_over: mpsc::UnboundedSender<Record>,
 }
 
 impl TakeoverService {
-    /// Starts backing up. What comes out are requests that are to be finished here.
+    /// Starts the service. The receiver yields the requests that this sidecar took over and has to finish.
     pub fn start(
         settings: &Settings,
         membership: &Rc<Membership>,
@@ -123,8 +127,8 @@
         (service, taken_over)
     }
 
-    /// Looks at what is due often enough for a lease: what is waited for comes with messages, and a timer set anew at
-    /// each of them would look through all records each time.
+    /// Wakes the takeover state machine at a fixed interval. Most changes arrive in messages; a timer that was set to the
+    /// next due time after each message would have to scan all records each time.
     async fn run_timers(self: Rc<Self>) {
         let mut ticks = interval(self.tick);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -146,12 +150,12 @@
             Err(error) => tracing::warn!(
                 peer = from.name,
                 %error,
-                "takeover message passed over: not readable"
+                "ignored an unreadable takeover message"
             ),
         }
     }
 
-    /// Carries out all that a call left to do.
+    /// Performs all effects that the state machine has queued.
     fn perform_effects(&self) {
         loop {
             let effect = self.takeover.borrow_mut().next_effect();
@@ -171,21 +175,21 @@
             Effect::Unprotected(id) => self.reply_to_lease(id, LeaseReply::Unprotected),
             Effect::Uncertain(id) => self.reply_to_lease(id, LeaseReply::Uncertain),
             Effect::KeyReused(id) => self.reply_to_lease(id, LeaseReply::KeyReused),
-            Effect::Joined(id) => self.with_waiters(id, Waiters::join),
+            Effect::Joined(id) => self.with_waiters(id, Waiters::wait_for_outcome),
             Effect::AttemptReady(id, attempt) => {
-                self.with_waiters(id, |waiters| waiters.attempt_ready(attempt));
+                self.with_waiters(id, |waiters| waiters.notify_attempt_ready(attempt));
             }
             Effect::Lost(id) => {
                 tracing::warn!(
-                    mark = request_id_text(id),
-                    "work lost to another: nothing more is sent for it here"
+                    request_id = request_id_text(id),
+                    "another sidecar took over the request; no more attempts are sent from here"
                 );
-                self.with_waiters(id, Waiters::lose);
+                self.with_waiters(id, Waiters::notify_lost);
             }
             Effect::Finished(id, outcome) => {
-                self.with_waiters(id, |waiters| waiters.finish(&outcome));
+                self.with_waiters(id, |waiters| waiters.reply_finished(&outcome));
             }
-            Effect::Unknown(id) => self.with_waiters(id, Waiters::give_up),
+            Effect::Unknown(id) => self.with_waiters(id, Waiters::reply_unknown),
             Effect::TakenOver(record) => drop(self.taken_over.send(record)),
         }
     }
@@ -194,19 +198,19 @@
         self.with_waiters(id, |waiters| waiters.reply_to_lease(reply));
     }
 
-    /// Changes who waits for a request, and forgets it once nobody does.
+    /// Changes the waiters of a request, and removes its entry once nothing waits for it.
     fn with_waiters(&self, id: RequestId, change: impl FnOnce(&mut Waiters)) {
-        let mut all = self.waiters.borrow_mut();
-        let Some(waiters) = all.get_mut(&id) else {
+        let mut waiters_by_request = self.waiters.borrow_mut();
+        let Some(waiters) = waiters_by_request.get_mut(&id) else {
             return;
         };
         change(waiters);
         if !waiters.is_needed() {
-            all.remove(&id);
+            waiters_by_request.remove(&id);
         }
     }
 
-    /// Generates an id for a request that its client cannot name.
+    /// Generates an id for a request that has no client key.
     pub fn generate_request_id(&self) -> RequestId {
         let number = self.generated_ids.get() + 1;
         self.generated_ids.set(number);
@@ -220,7 +224,7 @@
 
     fn backups_of(&self, id: RequestId) -> Vec<MemberId> {
         self.membership.with_alive_members(|others| {
-            // A distributor of the configuration takes nobody's work over.
+            // Distributors of the configuration are members, but they serve no requests.
             let sidecars = others.filter(|member| member.zone != DISTRIBUTOR_ZONE);
             let candidates: Vec<Candidate<'_>> = sidecars
                 .map(|member| Candidate {
@@ -232,23 +236,24 @@
         })
     }
 
-    /// Forgets whoever waits no more for a request.
+    /// Removes the waiters of a request whose receivers are closed.
     pub fn forget_closed_waiters(&self, id: RequestId) {
         self.with_waiters(id, |_| {});
     }
 
-    /// Watches a request that is owned here.
+    /// Watches a request that this sidecar owns, to learn whether another sidecar takes it over.
     pub fn watch(&self, id: RequestId) -> OwnerWatch {
-        let (lose, lost) = oneshot::channel();
-        let (finish, outcome) = oneshot::channel();
-        let mut all = self.waiters.borrow_mut();
-        let waiters = all.entry(id).or_default();
-        waiters.lost = Some(lose);
-        waiters.outcome.push(finish);
+        let (lost_sender, lost) = oneshot::channel();
+        let (outcome_sender, outcome) = oneshot::channel();
+        let mut waiters_by_request = self.waiters.borrow_mut();
+        let waiters = waiters_by_request.entry(id).or_default();
+        waiters.lost = Some(lost_sender);
+        waiters.outcome.push(outcome_sender);
         OwnerWatch { lost, outcome }
     }
 
-    /// Tells the outcome of a request that is owned here to its backups and to whoever joined it here.
+    /// Reports the outcome of a request that this sidecar owns to its backups, and to the repeats of the request that
+    /// wait here.
     pub fn finish(&self, id: RequestId, outcome: Outcome) {
         let now = self.membership.now();
         self.takeover.borrow_mut().finish(now, id, outcome.clone());
@@ -256,22 +261,22 @@
         self.perform(Effect::Finished(id, outcome));
     }
 
-    /// Returns whether an attempt of this request may be written at this moment.
+    /// Returns whether an attempt of this request may be sent at this moment. Ask right before the write.
     pub fn may_send(&self, id: RequestId) -> bool {
         self.takeover.borrow().may_send(self.membership.now(), id)
     }
 
-    /// Counts a request as served here for as long as this is held.
+    /// Returns a guard. A request counts as served here as long as its guard is held.
     pub fn serving_guard(&self) -> Rc<()> {
         self.serving.clone()
     }
 
-    /// Returns how many requests wait for a lease or an outcome or are served, also those under one key.
+    /// Returns how many requests are served here or wait for a lease or an outcome. Repeats under one key count each.
     pub fn serving_count(&self) -> usize {
         Rc::strong_count(&self.serving) - 1
     }
 
-    /// Returns what an operator may look at.
+    /// Returns the status for operators.
     pub fn status(&self) -> TakeoverStatus {
         let takeover = self.takeover.borrow();
         let TableSizes {
--- a/crates/sidecar/src/takeover_service/request_id.rs
+++ b/crates/sidecar/src/takeover_service/request_id.rs
@@ -1,8 +1,9 @@
-//! Ids that name a request among sidecars.
+//! Ids that identify a request among sidecars.
 
 use havenplank_takeover::record::RequestId;
 
-/// Hashes these parts to a request id; parts are told apart by their lengths.
+/// Hashes the parts to a request id. The length of each part is hashed as well, so that a shift of bytes from one part
+/// to the next gives another id.
 pub fn request_id(parts: &[&[u8]]) -> RequestId {
     let mut hash = blake3::Hasher::new();
     for part in parts {
@@ -13,7 +14,7 @@
     RequestId::from_le_bytes(bytes)
 }
 
-/// Formats a request id for the log.
+/// Formats a request id for the log, as 32 hexadecimal digits.
 pub fn request_id_text(id: RequestId) -> String {
     format!("{id:032x}")
 }
--- a/crates/sidecar/tests/unit/backup_record.rs
+++ b/crates/sidecar/tests/unit/backup_record.rs
@@ -1,4 +1,5 @@
-//! A request between sidecars, both ways, as the structs of 0.2.0 laid it out; the bytes are spelled out by hand.
+//! The encoding of requests that sidecars send to each other must stay compatible with release 0.2.0. The expected bytes
+//! are written out by hand, so that a reordered field fails here.
 
 use super::{decode, encode, BackedUpRequest};
 use crate::engine::RequestAttributes;
@@ -11,7 +12,7 @@
 use havenplank_takeover::record::Record;
 use hyper::header::{HeaderMap, HeaderValue};
 
-/// Class, tenant, key, cost hint, method, path, headers, body: the order that sidecars of 0.2.0 read.
+/// Route class, tenant, key, cost hint, method, path, headers, body: the field order of release 0.2.0.
 const REQUEST: &[u8] =
     b"\x06search\x01\x04acme\xac\x02\x01\x05\x03PUT\x06/a?b=1\x01\x03x-a\x02\xff!\x02hi";
 
@@ -26,7 +27,7 @@
         late_weight: 0.0,
         stream: false,
     };
-    let group = RouteClassSettings {
+    let route_class = RouteClassSettings {
         name: "search".to_string(),
         methods: Vec::new(),
         paths: vec!["/a".to_string()],
@@ -34,7 +35,7 @@
         backup: BackupMode::BeforeAttempt,
     };
     let slots = Slots::new([("search".to_string(), rules)].into_iter()).in_force();
-    RouteTable::from_settings(&[group], slots, &["acme".to_string()])
+    RouteTable::from_settings(&[route_class], slots, &["acme".to_string()])
 }
 
 fn attributes() -> RequestAttributes {
@@ -88,7 +89,7 @@
 }
 
 #[test]
-fn a_request_travels_in_the_field_order_of_the_version_before() {
+fn encodes_a_request_in_the_field_order_of_release_0_2_0() {
     let table = table();
     let request = request(&table);
     let protection = request.protection.as_ref().expect("protected");
@@ -97,28 +98,28 @@
 }
 
 #[test]
-fn a_request_of_the_version_before_is_read_back() {
+fn decodes_a_request_of_release_0_2_0() {
     let table = table();
     let BackedUpRequest {
-        attributes: read,
-        request: read_request,
+        attributes: decoded,
+        request: decoded_request,
     } = decode(&table, &record(REQUEST, 900)).expect("readable");
-    assert_eq!(read, attributes());
-    let wanted = request(&table);
-    assert_eq!(read_request.method, wanted.method);
-    assert_eq!(read_request.uri, wanted.uri);
-    assert_eq!(read_request.headers, wanted.headers);
-    assert_eq!(read_request.body, wanted.body);
+    assert_eq!(decoded, attributes());
+    let expected = request(&table);
+    assert_eq!(decoded_request.method, expected.method);
+    assert_eq!(decoded_request.uri, expected.uri);
+    assert_eq!(decoded_request.headers, expected.headers);
+    assert_eq!(decoded_request.body, expected.body);
 }
 
 #[test]
-fn no_request_waits_longer_than_its_route_class_allows() {
+fn limits_the_remaining_time_to_the_client_timeout_of_the_route_class() {
     let decoded = decode(&table(), &record(REQUEST, 5_000)).expect("readable");
     assert_eq!(decoded.attributes.remaining, 1_000);
 }
 
 #[test]
-fn a_request_that_is_cut_short_or_of_an_unknown_route_is_not_read() {
+fn rejects_a_truncated_record_and_a_record_of_an_unknown_route() {
     let unknown = RouteTable::from_settings(&[], Vec::new(), &[]);
     assert!(decode(&unknown, &record(REQUEST, 900)).is_none());
     for length in 0..REQUEST.len() {
--- a/crates/sidecar/tests/unit/takeover_policy.rs
+++ b/crates/sidecar/tests/unit/takeover_policy.rs
@@ -1,4 +1,4 @@
-//! What may be promised of a request that others may take over.
+//! What a sidecar may promise about a request that other sidecars may take over.
 
 use super::{may_promise_that_it_never_ran, must_not_repeat, ProtectionState};
 use havenplank::interface::{DedupScope, Idempotency, RouteClass};
@@ -17,42 +17,42 @@
 }
 
 #[test]
-fn only_a_named_request_that_no_pod_drops_must_not_repeat() {
-    let harmless = rules(Idempotency::Idempotent, DedupScope::Zone);
-    let dropped = rules(Idempotency::Keyed, DedupScope::All);
-    let keyed = rules(Idempotency::Keyed, DedupScope::Zone);
-    let once = rules(Idempotency::NonIdempotent, DedupScope::All);
-    for rules in [keyed, once] {
+fn a_request_must_not_repeat_only_if_it_has_a_client_key_and_pods_may_run_it_twice() {
+    let idempotent = rules(Idempotency::Idempotent, DedupScope::Zone);
+    let keyed_everywhere = rules(Idempotency::Keyed, DedupScope::All);
+    let keyed_in_zone = rules(Idempotency::Keyed, DedupScope::Zone);
+    let non_idempotent = rules(Idempotency::NonIdempotent, DedupScope::All);
+    for rules in [keyed_in_zone, non_idempotent] {
         assert!(must_not_repeat(&rules, true));
         assert!(!must_not_repeat(&rules, false));
     }
-    for rules in [harmless, dropped] {
+    for rules in [idempotent, keyed_everywhere] {
         assert!(!must_not_repeat(&rules, true));
     }
 }
 
 #[test]
-fn a_rejection_is_not_promised_while_backups_may_still_take_an_unnamed_request_over() {
-    let doubtful = ProtectionState {
+fn a_request_without_a_key_is_not_said_to_have_never_run_while_backups_may_take_it_over() {
+    let exposed = ProtectionState {
         has_client_key: false,
         announced: true,
         backed_up: true,
     };
-    let promised = |known| may_promise_that_it_never_ran(Idempotency::NonIdempotent, known);
-    assert!(!promised(doubtful));
-    assert!(promised(ProtectionState {
+    let may_promise = |state| may_promise_that_it_never_ran(Idempotency::NonIdempotent, state);
+    assert!(!may_promise(exposed));
+    assert!(may_promise(ProtectionState {
         has_client_key: true,
-        ..doubtful
+        ..exposed
     }));
-    assert!(promised(ProtectionState {
+    assert!(may_promise(ProtectionState {
         announced: false,
-        ..doubtful
+        ..exposed
     }));
-    assert!(promised(ProtectionState {
+    assert!(may_promise(ProtectionState {
         backed_up: false,
-        ..doubtful
+        ..exposed
     }));
     for idempotency in [Idempotency::Idempotent, Idempotency::Keyed] {
-        assert!(may_promise_that_it_never_ran(idempotency, doubtful));
+        assert!(may_promise_that_it_never_ran(idempotency, exposed));
     }
 }
