--- a/crates/sidecar/examples/route_lookup.rs
+++ b/crates/sidecar/examples/route_lookup.rs
@@ -1,5 +1,5 @@
-//! What a lookup costs by the number of routes, and what it takes to put a whole version in force: the figures of
-//! docs/configuration.md. `cargo run --release -p havenplank-sidecar --example route_lookup`.
+//! Measures the time of a route lookup, and the time to put a configuration version in force, by the number of routes.
+//! `docs/configuration.md` quotes the results. Run: `cargo run --release -p havenplank-sidecar --example route_lookup`.
 
 use havenplank::interface::{DedupScope, Idempotency, RouteClass};
 use havenplank_settings::{BackupMode, RouteClassSettings};
@@ -9,10 +9,14 @@
 use std::path::Path;
 use std::time::Instant;
 
+/// Lookups measured for each number of routes.
 const LOOKUPS: usize = 1_000_000;
-const SWAPS: u32 = 20;
+/// Versions put in force for each number of routes.
+const VERSIONS: u32 = 20;
+/// One second in nanoseconds.
 const SECOND: u64 = 1_000_000_000;
 
+/// Returns `count` routes. The first one differs between versions, so each version is a change.
 fn routes(count: usize, version: u64) -> Vec<RouteClassSettings> {
     let rules = RouteClass {
         idempotency: Idempotency::Idempotent,
@@ -38,13 +42,13 @@
     (0..count).map(route).collect()
 }
 
-fn put_in_force(engine: &mut Engine, groups: &[RouteClassSettings]) -> RouteTable {
-    let rules: Vec<(String, RouteClass)> = groups
+fn put_in_force(engine: &mut Engine, route_classes: &[RouteClassSettings]) -> RouteTable {
+    let rules: Vec<(String, RouteClass)> = route_classes
         .iter()
-        .map(|group| (group.name.clone(), group.rules))
+        .map(|route_class| (route_class.name.clone(), route_class.rules))
         .collect();
     let slots = engine.set_routes(EPOCH, &rules);
-    RouteTable::from_settings(groups, slots, &[])
+    RouteTable::from_settings(route_classes, slots, &[])
 }
 
 fn main() {
@@ -69,14 +73,14 @@
             black_box(table.find("GET", path).map(|route| route.route_class()));
         }
         let lookup_ns = began.elapsed().as_nanos() as f64 / LOOKUPS as f64;
-        let versions: Vec<Vec<RouteClassSettings>> = (1..=u64::from(SWAPS))
+        let versions: Vec<Vec<RouteClassSettings>> = (1..=u64::from(VERSIONS))
             .map(|version| routes(count, version))
             .collect();
         let began = Instant::now();
-        for groups in &versions {
-            table = put_in_force(&mut engine, groups);
+        for route_classes in &versions {
+            table = put_in_force(&mut engine, route_classes);
         }
-        let swap_us = began.elapsed().as_micros() as f64 / f64::from(SWAPS);
+        let swap_us = began.elapsed().as_micros() as f64 / f64::from(VERSIONS);
         println!(
             "routes {count}: lookup_ns {lookup_ns:.0}, put_in_force_us {swap_us:.0}, held {}",
             table.len()
--- a/crates/sidecar/src/configuration.rs
+++ b/crates/sidecar/src/configuration.rs
@@ -1,5 +1,5 @@
-//! Routes and tenants that change while a sidecar runs: a version that peers bring is checked, put in force between two
-//! requests, and cached on disk for the next start.
+//! Changes routes and tenants while a sidecar runs. A configuration version received from peers is checked, installed
+//! between two requests, and cached on disk for the next start.
 
 use crate::persister::Persister;
 use crate::replication::{Installer, Replication};
@@ -20,10 +20,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Why a version cannot be put in force here.
+/// The reason why this sidecar cannot install a version.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InstallError {
-    /// A route asks for what this sidecar has no settings for.
+    /// A route requires backups, but this sidecar has no settings for takeover.
     #[error(
         "route {route:?} asks for backups, but the settings of this sidecar have no takeover(...)"
     )]
@@ -31,7 +31,7 @@
         /// The route's name.
         route: String,
     },
-    /// A service stands in a zone that this sidecar does not know.
+    /// A service is in a zone that this sidecar does not know.
     #[error("service {service:?} names zone {zone:?}, which is none of this sidecar's zones")]
     UnknownZone {
         /// The service's name.
@@ -44,7 +44,7 @@
     Stopping,
 }
 
-/// The version that an earlier run cached, with the store that holds it.
+/// The version that an earlier run cached, and the store that holds it.
 pub struct CachedConfiguration {
     store: Store,
     deltas: Vec<Arc<Delta>>,
@@ -54,7 +54,7 @@
     /// Opens the folder in which versions are cached.
     ///
     /// # Errors
-    /// A folder that another process uses, or that cannot be read.
+    /// Fails if another process uses the folder, or if its content cannot be read.
     pub fn open(folder: &Path) -> Result<CachedConfiguration, StoreError> {
         let Opened {
             store,
@@ -64,16 +64,16 @@
         if let Some(torn) = torn_tail {
             tracing::info!(
                 bytes = torn.bytes,
-                "the end of an unfinished write was cut off the kept configuration"
+                "removed an incomplete write from the end of the cached configuration"
             );
         }
         Ok(CachedConfiguration { store, deltas })
     }
 }
 
-/// The configuration of one sidecar.
+/// The configuration of one sidecar, as the source of its reported state.
 struct Configuration {
-    replication: Rc<Replication<InForce>>,
+    replication: Rc<Replication<ShellInstaller>>,
 }
 
 impl ConfigurationSource for Configuration {
@@ -85,8 +85,8 @@
     }
 }
 
-/// Puts the cached version in force and takes newer ones from peers from now on. Nothing happens where the settings
-/// have no configuration or no peers.
+/// Installs the cached version, and newer versions as peers send them. Does nothing if the settings have no
+/// configuration or no membership.
 pub fn start(shell: &Rc<Shell>, cached: CachedConfiguration, seed: u64) {
     let site = &shell.site;
     let settings = site.configuration.as_ref().zip(site.membership.as_ref());
@@ -109,7 +109,7 @@
     };
     let seed = seed ^ me.life.incarnation;
     let replicator = Replicator::new(membership.now(), seed, me, Role::Sidecar, installed, rules);
-    let installer = InForce {
+    let installer = ShellInstaller {
         shell: Rc::downgrade(shell),
         persister: Persister::start(cached.store),
     };
@@ -120,21 +120,21 @@
         .set(Box::new(Configuration { replication }));
 }
 
-/// Puts the cached version in force; an empty one where that is not possible any more, so that it is fetched and
-/// offered again.
+/// Installs the cached version. If this sidecar can no longer install it, installs an empty one instead, so that the
+/// replicator fetches the version from peers and offers it for installation again.
 fn install_cached(shell: &Shell, cached: &CachedConfiguration) -> InstalledVersion {
     let snapshot = cached.store.snapshot().clone();
     let version = snapshot.version();
     match install(shell, &snapshot) {
         Ok(()) => {
-            tracing::info!(%version, digest = %snapshot.digest(), "kept configuration in force");
+            tracing::info!(%version, digest = %snapshot.digest(), "installed the cached configuration");
             InstalledVersion {
                 snapshot,
                 deltas: cached.deltas.clone(),
             }
         }
         Err(reason) => {
-            tracing::error!(%version, %reason, "the kept configuration cannot be put in force");
+            tracing::error!(%version, %reason, "could not install the cached configuration");
             install_empty(shell)
         }
     }
@@ -143,7 +143,7 @@
 fn install_empty(shell: &Shell) -> InstalledVersion {
     let snapshot = Snapshot::empty();
     if let Err(reason) = install(shell, &snapshot) {
-        tracing::error!(%reason, "no configuration");
+        tracing::error!(%reason, "could not install an empty configuration");
     }
     InstalledVersion {
         snapshot,
@@ -151,14 +151,14 @@
     }
 }
 
-/// Puts versions in force in a sidecar.
-struct InForce {
-    /// The shell owns the configuration, and so is not owned by it.
+/// Installs versions in a sidecar and caches them on disk.
+struct ShellInstaller {
+    /// Weak, because the shell owns the configuration.
     shell: Weak<Shell>,
     persister: Persister,
 }
 
-impl Installer for InForce {
+impl Installer for ShellInstaller {
     type Error = InstallError;
 
     fn install(&self, snapshot: &Snapshot) -> Result<(), InstallError> {
@@ -169,21 +169,22 @@
     }
 }
 
-/// Swaps all routes and tenants, with their rules in the decisions, in one call between two requests.
+/// Replaces all routes and tenants, and their rules in the engine, in one call between two requests: no request sees a
+/// mixture of two versions.
 fn install(shell: &Shell, snapshot: &Snapshot) -> Result<(), InstallError> {
     check(&shell.site, snapshot)?;
-    let groups = routes_of(snapshot);
-    let rules: Vec<(String, RouteClass)> = groups
+    let route_classes = routes_of(snapshot);
+    let rules: Vec<(String, RouteClass)> = route_classes
         .iter()
-        .map(|group| (group.name.clone(), group.rules))
+        .map(|route_class| (route_class.name.clone(), route_class.rules))
         .collect();
     let slots = shell.set_routes(&rules);
-    let table = RouteTable::from_snapshot(snapshot.clone(), &groups, slots);
+    let table = RouteTable::from_snapshot(snapshot.clone(), &route_classes, slots);
     shell.routes.replace(Rc::new(table));
     Ok(())
 }
 
-/// Checks that this sidecar has all that the version asks of it.
+/// Checks that this sidecar has the settings that the version requires.
 fn check(site: &Site, snapshot: &Snapshot) -> Result<(), InstallError> {
     let mut routes = snapshot.routes();
     let backed_up = routes.find(|route| route.rules.backup != BackupMode::Off);
--- a/crates/sidecar/src/distributor/epoch.rs
+++ b/crates/sidecar/src/distributor/epoch.rs
@@ -1,4 +1,4 @@
-//! Decides under which epoch a distributor publishes.
+//! Chooses the epoch under which a distributor publishes.
 
 use super::DistributorError;
 use havenplank_configuration::version::Version;
@@ -9,25 +9,26 @@
 /// Which epoch a distributor publishes under.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EpochChoice {
-    /// That of its store, or the first.
+    /// The epoch of the store, or the first epoch if the store is empty.
     AsStored,
-    /// This one.
+    /// The given epoch.
     Number(u64),
-    /// One above the newest that its peers have.
+    /// One above the newest epoch that the peers have.
     ReplaceWriter,
 }
 
 impl EpochChoice {
-    /// Returns the epoch to begin with; a writer that replaces another learns its own from its peers.
+    /// Returns the epoch at the start. A writer that replaces another gets its final epoch from its peers later.
     ///
     /// # Errors
-    /// A number below the epoch of the store: a version would be published twice with two contents.
+    /// Fails if the given epoch is below the epoch of the store, because one version could then be published twice with
+    /// different contents.
     pub(super) fn resolve(self, stored: Version) -> Result<u64, DistributorError> {
         match self {
-            EpochChoice::Number(asked) if asked < stored.epoch => {
-                Err(DistributorError::LowerEpoch { asked, stored })
+            EpochChoice::Number(requested) if requested < stored.epoch => {
+                Err(DistributorError::LowerEpoch { requested, stored })
             }
-            EpochChoice::Number(asked) => Ok(asked),
+            EpochChoice::Number(requested) => Ok(requested),
             EpochChoice::AsStored | EpochChoice::ReplaceWriter => Ok(stored.epoch.max(FIRST_EPOCH)),
         }
     }
--- a/crates/sidecar/src/distributor/error.rs
+++ b/crates/sidecar/src/distributor/error.rs
@@ -1,6 +1,6 @@
-//! Why a distributor cannot start or publish.
+//! The errors of a distributor.
 
-use super::writer::REPLACE_PATIENCE;
+use super::writer::REPLACE_TIMEOUT;
 use crate::listener::ListenError;
 use crate::membership::MembershipError;
 use havenplank_configuration::replication::PublishError;
@@ -9,10 +9,10 @@
 use havenplank_settings::Problems;
 use std::io;
 
-/// Why a distributor cannot start or publish.
+/// The reason why a distributor cannot start or publish.
 #[derive(Debug, thiserror::Error)]
 pub enum DistributorError {
-    /// The script has mistakes.
+    /// The script has errors.
     #[error("{0}")]
     Script(#[from] Problems),
     /// The store cannot be used.
@@ -21,41 +21,41 @@
     /// The membership cannot start.
     #[error("{0}")]
     Membership(#[from] MembershipError),
-    /// The operators' address cannot be listened on.
+    /// The address for operators cannot be listened on.
     #[error("{0}")]
     Listen(#[from] ListenError),
-    /// The epoch asked for is below that of the store.
+    /// The requested epoch is below the epoch of the store.
     #[error(
-        "--epoch {asked}: the store holds version {stored}; expected its epoch or a higher one"
+        "--epoch {requested}: the store holds version {stored}; expected the epoch of that version or a higher one"
     )]
     LowerEpoch {
-        /// The epoch asked for.
-        asked: u64,
-        /// The store's newest version.
+        /// The requested epoch.
+        requested: u64,
+        /// The newest version in the store.
         stored: Version,
     },
-    /// No peer said what is in force.
+    /// No peer reported a configuration in time.
     #[error(
-        "--replace-writer: no peer told of a configuration within {} s; expected peers at --meet, or --epoch N above the \
-         epoch of the writer that is replaced",
-        REPLACE_PATIENCE.as_secs()
+        "--replace-writer: no peer reported a configuration within {} s; expected reachable peers at --meet, or \
+         --epoch N above the epoch of the writer that is replaced",
+        REPLACE_TIMEOUT.as_secs()
     )]
     NoConfigurationFromPeers,
-    /// The version is not taken for publishing.
+    /// The replication does not accept the version for publishing.
     #[error("{0}")]
     Publish(#[from] PublishError),
-    /// Peers have a newer version than the store.
+    /// Peers know of a newer version than the store holds.
     #[error(
-        "peers hold version {theirs}, the store of this distributor ends at {ours}: it is not the store of their writer; \
-         start this one with --replace-writer"
+        "peers know of version {announced}, but the store of this distributor ends at version {stored}, so it is not \
+         the store of their writer; start this one with --replace-writer"
     )]
     StoreBehindPeers {
-        /// The store's newest version.
-        ours: Version,
-        /// The newest version of peers.
-        theirs: Version,
+        /// The newest version in the store.
+        stored: Version,
+        /// The newest version that peers have announced.
+        announced: Version,
     },
-    /// The signal that reloads the script cannot be waited for.
+    /// The handler of the signal that reloads the script cannot be installed.
     #[error("SIGHUP: {0}")]
     Signal(io::Error),
 }
--- a/crates/sidecar/src/distributor/mod.rs
+++ b/crates/sidecar/src/distributor/mod.rs
@@ -1,5 +1,5 @@
-//! The single writer of a configuration: compiles the operator's script, stores each version before any peer learns of it,
-//! and knows how many peers have it in force.
+//! The distributor: the single writer of a configuration. It compiles the operator's script, stores each version before
+//! any peer learns of it, and tracks how many peers have the version in force.
 
 mod epoch;
 mod error;
@@ -31,36 +31,36 @@
 /// The settings of a distributor.
 #[derive(Clone, Debug)]
 pub struct DistributorSettings {
-    /// Its name among the members.
+    /// The name of the distributor as a member.
     pub name: String,
-    /// The script that states the configuration.
+    /// The file of the script that defines the configuration.
     pub script: PathBuf,
-    /// Values that the script reads.
+    /// Values given on the command line for the script to read.
     pub given: Given,
-    /// Where and with whom it talks.
+    /// The settings of the membership.
     pub membership: MembershipSettings,
-    /// Where operators look at its state.
+    /// The address where operators read the state.
     pub admin: SocketAddr,
-    /// The folder of its versions.
+    /// The folder where versions are stored.
     pub store: PathBuf,
-    /// The epoch that it publishes under.
+    /// The epoch to publish under.
     pub epoch: EpochChoice,
 }
 
-/// Where a running distributor listens.
+/// The addresses that a running distributor listens on.
 #[derive(Clone, Copy, Debug)]
 pub struct DistributorAddresses {
-    /// Its peers.
+    /// The address for peers.
     pub membership: SocketAddr,
-    /// Its operators.
+    /// The address for operators.
     pub admin: SocketAddr,
 }
 
-/// Runs a distributor on the present thread until `stop` is done. The script is compiled at the start and again at each
-/// SIGHUP; mistakes at the start are an error, later ones leave the version that is in force.
+/// Runs a distributor on the current thread until `stop` completes. Compiles the script at the start and again at each
+/// SIGHUP. Script errors at the start are returned; later ones are logged, and the current version stays in force.
 ///
 /// # Errors
-/// Mistakes of the script, a store that cannot be used, an address that is taken, an epoch that is too low.
+/// Fails if the script has errors, the store cannot be used, an address is in use, or the epoch is too low.
 pub async fn run(
     settings: DistributorSettings,
     ready: impl FnOnce(DistributorAddresses),
@@ -89,18 +89,19 @@
     let replaces = settings.epoch == EpochChoice::ReplaceWriter;
     let mut writer = Writer::new(settings, opened.store, epoch, replication);
     if replaces {
-        writer.replace_other(&membership).await?;
+        writer.replace_other_writer(&membership).await?;
     }
     writer.publish(&compiled)?;
     tokio::select! {
-        () = writer.follow(&mut reloads) => {}
+        () = writer.run(&mut reloads) => {}
         () = stop => {}
     }
     membership.leave();
     Ok(())
 }
 
-/// Takes part in the replication: as the writer, or as one that only listens where it replaces another writer.
+/// Starts the replication in the role of the writer. A distributor that replaces another writer starts in the role of a
+/// sidecar, to receive the newest version first.
 fn start_replication(
     settings: &DistributorSettings,
     membership: &Rc<Membership>,
@@ -125,13 +126,13 @@
     if let Some(torn) = &opened.torn_tail {
         tracing::info!(
             bytes = torn.bytes,
-            "the end of an unfinished write was cut off the store"
+            "removed an incomplete write from the end of the store"
         );
     }
     Ok(opened)
 }
 
-/// Builds a distributor's replicator in this role.
+/// Builds the replicator of a distributor with the given role.
 fn replicator(membership: &Membership, role: Role, installed: InstalledVersion) -> Replicator {
     let me = Peer {
         life: membership.me().clone(),
--- a/crates/sidecar/src/distributor/operators.rs
+++ b/crates/sidecar/src/distributor/operators.rs
@@ -1,4 +1,4 @@
-//! The distributor's listener for operators: `GET /state`.
+//! Serves `GET /state` to operators.
 
 use super::writer::NewestVersion;
 use crate::replication::Replication;
@@ -20,36 +20,40 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// Connections of operators at once.
-const CONNECTIONS: usize = 16;
-/// How long one may last.
-const CONNECTION_TIME: Duration = Duration::from_secs(10);
-/// How long to wait after a connection could not be accepted.
-const ACCEPT_RETRY: Duration = Duration::from_millis(50);
+/// Limit on concurrent connections of operators.
+const MAX_CONNECTIONS: usize = 16;
+/// The time after which a connection is closed, so that idle operators do not use up the limit.
+const CONNECTION_TIMEOUT: Duration = Duration::from_secs(10);
+/// The delay before the next accept after one has failed.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Serves operators until the thread's tasks end.
+/// Accepts connections of operators until the thread's tasks end.
 pub(super) async fn serve(
     listener: TcpListener,
     name: String,
     replication: Rc<Replication<NewestVersion>>,
 ) {
-    let permits = Arc::new(Semaphore::new(CONNECTIONS));
+    let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     loop {
         let permit = permits.clone().acquire_owned().await;
         let Ok((stream, _)) = listener.accept().await else {
-            // No descriptors left, most likely.
-            sleep(ACCEPT_RETRY).await;
+            // Most likely the process has no file descriptors left; accept again once some are free.
+            sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let (name, replication) = (name.clone(), replication.clone());
         spawn_local(async move {
-            let _ = timeout(CONNECTION_TIME, connection(stream, &name, &replication)).await;
+            let _ = timeout(
+                CONNECTION_TIMEOUT,
+                serve_connection(stream, &name, &replication),
+            )
+            .await;
             drop(permit);
         });
     }
 }
 
-async fn connection(stream: TcpStream, name: &str, replication: &Replication<NewestVersion>) {
+async fn serve_connection(stream: TcpStream, name: &str, replication: &Replication<NewestVersion>) {
     let service =
         service_fn(
             |request| async move { Ok::<_, Infallible>(respond(&request, name, replication)) },
@@ -58,7 +62,7 @@
         .timer(TokioTimer::new())
         .serve_connection(TokioIo::new(stream), service);
     if let Err(error) = connection.await {
-        tracing::debug!(%error, "operator's connection ended");
+        tracing::debug!(%error, "operator connection failed");
     }
 }
 
--- a/crates/sidecar/src/distributor/writer.rs
+++ b/crates/sidecar/src/distributor/writer.rs
@@ -1,4 +1,4 @@
-//! The writer: stores each version before any peer learns of it, publishes it, and reports who has it in force.
+//! The writer: stores each version before any peer learns of it, publishes it, and logs which peers have it in force.
 
 use super::{replicator, DistributorError, DistributorSettings};
 use crate::membership::Membership;
@@ -19,16 +19,16 @@
 use tokio::task::spawn_blocking;
 use tokio::time::{interval, sleep, timeout};
 
-/// How often the last poll is looked at for the log.
+/// The interval at which the result of the last poll is logged if it has changed.
 const REPORT_PERIOD: Duration = Duration::from_secs(1);
-/// How long a writer that replaces another looks for the newest version.
-pub(super) const REPLACE_PATIENCE: Duration = Duration::from_secs(30);
-/// How long none newer may be announced before the newest counts as found.
-const REPLACE_SETTLED: Duration = Duration::from_secs(2);
-/// How often it looks.
-const REPLACE_POLL: Duration = Duration::from_millis(50);
-
-/// The newest version that peers brought; a writer publishes its own.
+/// The time within which a writer that replaces another must find the newest version of the peers.
+pub(super) const REPLACE_TIMEOUT: Duration = Duration::from_secs(30);
+/// The newest version counts as found if peers announce no newer one for this time.
+const REPLACE_SETTLE_TIME: Duration = Duration::from_secs(2);
+/// The interval at which the replication is checked for a newer version meanwhile.
+const REPLACE_POLL_INTERVAL: Duration = Duration::from_millis(50);
+
+/// Holds the newest version received from peers, for a distributor that replaces a writer. A writer receives none.
 #[derive(Default)]
 pub(super) struct NewestVersion(RefCell<Option<Snapshot>>);
 
@@ -48,8 +48,8 @@
     epoch: u64,
     replication: Rc<Replication<NewestVersion>>,
     last_round: Option<RoundStatus>,
-    /// The newest version of peers that is ahead of the store, once that was logged.
-    ahead: Option<Version>,
+    /// The newest version of the peers that was logged as newer than the store.
+    logged_announced: Option<Version>,
 }
 
 impl Writer {
@@ -65,7 +65,7 @@
             epoch,
             replication,
             last_round: None,
-            ahead: None,
+            logged_announced: None,
         }
     }
 
@@ -73,19 +73,19 @@
         self.store.snapshot().version()
     }
 
-    /// Fetches the newest version that peers have, and becomes the writer of the next epoch.
-    pub(super) async fn replace_other(
+    /// Stores the newest version that peers have, and becomes the writer of the next epoch.
+    pub(super) async fn replace_other_writer(
         &mut self,
         membership: &Membership,
     ) -> Result<(), DistributorError> {
-        let newest = timeout(REPLACE_PATIENCE, self.settled_newest()).await;
+        let newest = timeout(REPLACE_TIMEOUT, self.settled_newest()).await;
         let newest = newest.map_err(|_| DistributorError::NoConfigurationFromPeers)?;
         if let Some(newest) = newest.filter(|newest| newest.version() > self.stored()) {
             self.store.replace(&newest)?;
         }
         let snapshot = self.store.snapshot().clone();
         self.epoch = snapshot.version().epoch.saturating_add(1);
-        tracing::info!(epoch = self.epoch, after = %snapshot.version(), "replaces the writer");
+        tracing::info!(epoch = self.epoch, newest = %snapshot.version(), "replacing the writer");
         let installed = InstalledVersion {
             snapshot,
             deltas: Vec::new(),
@@ -96,7 +96,7 @@
         Ok(())
     }
 
-    /// Returns the newest version of the peers, once none newer was announced for a while.
+    /// Returns the newest version of the peers once no newer one was announced for [`REPLACE_SETTLE_TIME`].
     async fn settled_newest(&self) -> Option<Snapshot> {
         let (mut settled, mut last) = (Instant::now(), Version::NONE);
         loop {
@@ -107,26 +107,27 @@
             if is_unsettled {
                 (settled, last) = (Instant::now(), status.newest_heard);
             }
-            if settled.elapsed() >= REPLACE_SETTLED {
+            if settled.elapsed() >= REPLACE_SETTLE_TIME {
                 return self.replication.installer().0.borrow().clone();
             }
-            sleep(REPLACE_POLL).await;
+            sleep(REPLACE_POLL_INTERVAL).await;
         }
     }
 
-    /// Publishes what was compiled where it differs from the newest version: on disk first, then to peers.
+    /// Publishes the compiled configuration if it differs from the newest version: stores it first, then sends it to
+    /// peers.
     pub(super) fn publish(&mut self, compiled: &Snapshot) -> Result<(), DistributorError> {
         self.check_is_writer()?;
-        let before = self.store.snapshot().clone();
-        if before.digest() == compiled.digest() && before.version().epoch == self.epoch {
-            tracing::info!(version = %before.version(), "the script has not changed");
+        let previous = self.store.snapshot().clone();
+        if previous.digest() == compiled.digest() && previous.version().epoch == self.epoch {
+            tracing::info!(version = %previous.version(), "the script has not changed");
             return Ok(());
         }
         let version = Version {
             epoch: self.epoch,
-            number: before.version().number.saturating_add(1),
+            number: previous.version().number.saturating_add(1),
         };
-        let delta = before.delta_to(compiled, version);
+        let delta = previous.delta_to(compiled, version);
         let changes = delta.changes.len();
         let snapshot = self.store.append(&delta)?.clone();
         tracing::info!(%version, digest = %snapshot.digest(), changes, "stored");
@@ -136,21 +137,21 @@
         Ok(())
     }
 
-    /// Checks that no other writer has taken this one's place.
+    /// Checks that no other writer has replaced this one.
     fn check_is_writer(&self) -> Result<(), DistributorError> {
         let status = self.replication.status();
         if let Some(by) = status.writer.and_then(|writer| writer.superseded) {
             return Err(PublishError::Superseded { by }.into());
         }
-        let (ours, theirs) = (self.stored(), status.newest_heard);
-        if theirs > ours {
-            return Err(DistributorError::StoreBehindPeers { ours, theirs });
+        let (stored, announced) = (self.stored(), status.newest_heard);
+        if announced > stored {
+            return Err(DistributorError::StoreBehindPeers { stored, announced });
         }
         Ok(())
     }
 
-    /// Publishes again at each reload, and reports once a period; never ends.
-    pub(super) async fn follow(&mut self, reloads: &mut Signal) {
+    /// Compiles and publishes the script at each reload signal, and logs the state of the polls; never returns.
+    pub(super) async fn run(&mut self, reloads: &mut Signal) {
         let mut reports = interval(REPORT_PERIOD);
         loop {
             tokio::select! {
@@ -160,7 +161,7 @@
         }
     }
 
-    /// Compiles the script again and publishes it. What cannot be published is logged, and the version before stays.
+    /// Compiles the script again and publishes it. Logs any error; the current version then stays in force.
     async fn reload(&mut self) {
         let (script, given) = (self.settings.script.clone(), self.settings.given.clone());
         let compiled = spawn_blocking(move || compile(&script, &given, Version::NONE)).await;
@@ -168,38 +169,38 @@
             Ok(Ok(compiled)) => self.publish(&compiled),
             Ok(Err(problems)) => {
                 for problem in &problems.0 {
-                    tracing::error!(%problem, "script refused");
+                    tracing::error!(%problem, "script error");
                 }
-                let (mistakes, version) = (problems.0.len(), self.stored());
-                tracing::error!(mistakes, %version, "nothing published, the old version stays");
+                let (errors, version) = (problems.0.len(), self.stored());
+                tracing::error!(errors, %version, "nothing published; the current version stays in force");
                 return;
             }
             Err(error) => {
-                tracing::error!(%error, "the script could not be compiled, the old version stays");
+                tracing::error!(%error, "the script compiler did not finish; the current version stays in force");
                 return;
             }
         };
         if let Err(error) = published {
-            tracing::error!(%error, "nothing published, the old version stays");
+            tracing::error!(%error, "nothing published; the current version stays in force");
         }
     }
 
-    /// Logs a finished poll that tells something new, and peers that are ahead.
+    /// Logs the last finished poll if its result is new, and an error if peers have a newer version than the store.
     fn report(&mut self) {
         let status = self.replication.status();
-        let (ours, theirs) = (self.stored(), status.newest_heard);
-        if theirs > ours && self.ahead.replace(theirs) != Some(theirs) {
-            let error = DistributorError::StoreBehindPeers { ours, theirs };
-            tracing::error!(%error, "not the newest");
+        let (stored, announced) = (self.stored(), status.newest_heard);
+        if announced > stored && self.logged_announced.replace(announced) != Some(announced) {
+            let error = DistributorError::StoreBehindPeers { stored, announced };
+            tracing::error!(%error, "the store is behind the peers");
         }
         let Some(round) = status.writer.and_then(|writer| writer.round) else {
             return;
         };
         let last = self.last_round.as_ref();
-        let is_known = last.is_some_and(|last| {
+        let is_logged = last.is_some_and(|last| {
             (last.version, last.have, last.of) == (round.version, round.have, round.of)
         });
-        if !is_known {
+        if !is_logged {
             log_round(&round);
         }
         self.last_round = Some(round);
@@ -209,5 +210,5 @@
 fn log_round(round: &RoundStatus) {
     let behind: Vec<&str> = round.behind.iter().map(|peer| peer.name.as_str()).collect();
     let (have, of, more) = (round.have, round.of, round.more);
-    tracing::info!(version = %round.version, have, of, ?behind, more_behind = more, "in force");
+    tracing::info!(version = %round.version, have, of, ?behind, more_behind = more, "polled the versions in force");
 }
--- a/crates/sidecar/src/endpoint_cache.rs
+++ b/crates/sidecar/src/endpoint_cache.rs
@@ -1,4 +1,4 @@
-//! The endpoint list on disk, for a start without service discovery.
+//! Caches the endpoint list on disk, so that a sidecar can start while service discovery is unreachable.
 
 use crate::shell::Shell;
 use havenplank::interface::Nanos;
@@ -10,7 +10,7 @@
 use std::time::{Duration, SystemTime};
 use tokio::task::spawn_blocking;
 
-/// Why a cached list cannot be taken in.
+/// The reason why a cached list cannot be loaded.
 #[derive(Debug, thiserror::Error)]
 enum CacheError {
     #[error("{0}")]
@@ -19,22 +19,22 @@
     Malformed(#[from] CachedListError),
 }
 
-/// Takes in the list that an earlier run wrote.
+/// Loads the list that an earlier run cached.
 pub fn load(shell: &Rc<Shell>, path: &Path) {
     match read(path) {
         Ok(pods) => {
-            tracing::info!(pods = pods.len(), "list kept by an earlier life taken in");
+            tracing::info!(pods = pods.len(), "loaded the cached endpoint list");
             shell.call(|engine, now| engine.update_endpoints(now, true, pods));
         }
-        Err(why) => tracing::warn!(
+        Err(error) => tracing::warn!(
             file = %path.display(),
-            why = why.to_string(),
-            "no kept list"
+            error = error.to_string(),
+            "could not load the cached endpoint list"
         ),
     }
 }
 
-/// Reads a cached list. Its pods' ages go on from when the file was written.
+/// Reads a cached list. Adds the time since the file was written to the ages of its pods.
 fn read(path: &Path) -> Result<Vec<ListedEndpoint>, CacheError> {
     let text = std::fs::read_to_string(path)?;
     let mut pods = endpoint_list::decode_cached(&text)?;
@@ -48,7 +48,7 @@
     Ok(pods)
 }
 
-/// Writes the list each time that it changes; never ends where the settings have a file for it.
+/// Writes the list each time it changes. Never returns, unless the settings name no file for the list.
 pub async fn run(shell: Rc<Shell>) {
     let Some(path) = shell.site.cached_list.clone() else {
         return;
@@ -58,16 +58,16 @@
         let text = endpoint_list::encode_cached(&shell.listed_pods());
         let path = path.clone();
         if let Ok(Err(error)) = spawn_blocking(move || replace(&path, &text)).await {
-            tracing::warn!(%error, "the list could not be kept");
+            tracing::warn!(%error, "could not cache the endpoint list");
         }
     }
 }
 
-/// Writes a file beside the old one and moves it there, so that a kill leaves the old one or the new one.
+/// Writes a new file next to the old one and renames it, so that a crash leaves either the old or the new list intact.
 fn replace(path: &Path, text: &str) -> io::Result<()> {
-    let mut beside = path.as_os_str().to_os_string();
-    beside.push(".new");
-    let beside = PathBuf::from(beside);
-    std::fs::write(&beside, text)?;
-    std::fs::rename(&beside, path)
+    let mut temporary = path.as_os_str().to_os_string();
+    temporary.push(".new");
+    let temporary = PathBuf::from(temporary);
+    std::fs::write(&temporary, text)?;
+    std::fs::rename(&temporary, path)
 }
--- a/crates/sidecar/src/membership.rs
+++ b/crates/sidecar/src/membership.rs
@@ -1,5 +1,5 @@
-//! Where a sidecar hears the others: the membership's sockets and keys, who here reads which kind of message, and
-//! whether it may believe that it sees enough of them.
+//! The membership of a sidecar: its sockets and keys, the handlers of each kind of message, and the quorum state, which
+//! says whether the sidecar reaches enough of the other members.
 
 use havenplank_membership::keys::{read_keys, KeyFileError};
 use havenplank_membership::member::{Member, MemberId, MemberState};
@@ -19,81 +19,83 @@
 use tokio::task::spawn_local;
 use tokio::time::{interval, MissedTickBehavior};
 
-/// Names of each sort that an operator is shown, at most; [`MembershipStatus::reached`] counts all.
-const SHOWN_NAMES: usize = 32;
-/// How much of a period a member has to answer a ping: 3 of 10 parts.
-const ANSWER_PARTS: (u64, u64) = (3, 10);
+/// Limit on the names in each list of [`MembershipStatus`] but the list of alive members. The counts include all
+/// members.
+const MAX_SHOWN_NAMES: usize = 32;
+/// The ping timeout as a fraction of the probe interval: 3 / 10.
+const PING_TIMEOUT_FRACTION: (u64, u64) = (3, 10);
 
-/// Why a sidecar has no membership.
+/// The reason why a membership cannot start.
 #[derive(Debug, thiserror::Error)]
 pub enum MembershipError {
-    /// The key file gives no keys.
+    /// The key file cannot be read or holds no valid keys.
     #[error("fellowship.keys: {0}")]
     Keys(#[from] KeyFileError),
     /// The address cannot be bound.
     #[error("fellowship.listen {at}: {source}; expected an address of this machine whose port is free for UDP and TCP")]
     Listen {
-        /// The address that was asked for.
+        /// The configured address.
         at: SocketAddr,
-        /// Why not.
+        /// The error of the operating system.
         source: std::io::Error,
     },
 }
 
-/// Reads the messages of one kind.
+/// Handles the messages of one kind; the arguments are the sender and the body.
 type MessageHandler = Rc<dyn Fn(&MemberId, &[u8])>;
 
-/// This sidecar among the others.
+/// A sidecar or distributor as a member of its fleet.
 pub struct Membership {
     transport: Rc<Transport>,
     me: MemberId,
-    /// By kind of message. One entry a part of the program that talks, set at the start.
+    /// The handlers by kind of message, registered at the start. Each module that exchanges messages has one.
     handlers: RefCell<BTreeMap<u8, MessageHandler>>,
     views: RefCell<ViewExchange>,
-    /// Views are sent to one member after the other, once a period.
+    /// The interval at which the own view is sent, each time to the next member.
     period: Duration,
 }
 
-/// What an operator may look at.
+/// The status of the membership for operators.
 #[derive(Clone, Debug, Default)]
 pub struct MembershipStatus {
-    /// Names of the others that live, as far as known here.
+    /// Names of the other members that are alive, as far as known here.
     pub alive: Vec<String>,
-    /// How far this sidecar's own slowness stretches its time-outs.
+    /// The local health score of Lifeguard: 0 if this member is healthy. A higher score means that this member is slow;
+    /// its timeouts are longer then.
     pub health_score: u32,
-    /// Its quorum state.
+    /// The quorum state.
     pub quorum_state: Option<QuorumState>,
-    /// For how long that has held, in ns.
+    /// The time since the quorum state last changed, in nanoseconds.
     pub quorum_state_age: u64,
-    /// How many members there should be.
+    /// The number of voters, this member included.
     pub voters: usize,
-    /// Of those who belong, itself counted.
+    /// The number of voters that this member reaches, itself included.
     pub reachable_voters: usize,
-    /// Names of those who are not reached.
+    /// Names of the voters that this member does not reach.
     pub unreachable_voters: Vec<String>,
-    /// Names of those who do not hear this one.
+    /// Names of the voters that this member reaches but that report that they do not reach this member.
     pub not_receiving_us: Vec<String>,
-    /// Names of those who came and went of late.
+    /// Names of the voters that recently joined and left too often to count as reached.
     pub flapping: Vec<String>,
-    /// With whom it does not agree on who is there.
+    /// The disagreements with other voters on which members are voters or are reached.
     pub disputes: Vec<Dispute>,
     /// Messages sent since the start.
     pub sent_messages: u64,
-    /// Bytes of those.
+    /// Bytes of the messages sent since the start.
     pub sent_bytes: u64,
-    /// Frames refused for what they are since the start.
+    /// Received frames that were rejected as invalid since the start.
     pub rejected_frames: u64,
-    /// Messages lost for want of room to receive since the start.
+    /// Received messages that were dropped because a queue was full, since the start.
     pub dropped_receives: u64,
-    /// Messages lost for want of room to send since the start.
+    /// Messages that were dropped because the send buffer was full, since the start.
     pub dropped_sends: u64,
 }
 
 impl Membership {
-    /// Binds the sockets; the others are met once it runs.
+    /// Binds the sockets. The member contacts others only once [`Membership::run`] is called.
     ///
     /// # Errors
-    /// An address that cannot be bound, or a key file that gives no keys.
+    /// Fails if the address cannot be bound, or if the key file is invalid.
     pub async fn bind(
         settings: &Settings,
         name: &str,
@@ -104,10 +106,10 @@
             name: name.to_string(),
             incarnation: new_incarnation(),
         };
-        let (parts, of) = ANSWER_PARTS;
+        let (numerator, denominator) = PING_TIMEOUT_FRACTION;
         let rules = Rules {
             period: settings.probe_interval,
-            ping_timeout: settings.probe_interval * parts / of,
+            ping_timeout: settings.probe_interval * numerator / denominator,
             ..Rules::default()
         };
         let transport = Transport::bind(settings.listen, |now, bound| {
@@ -136,13 +138,13 @@
         }))
     }
 
-    /// Hands messages of this kind to `handler` from now on. One part of the program owns a kind.
+    /// Passes messages of this kind to `handler` from now on. Each kind has a single handler.
     pub fn on_message(&self, kind: u8, handler: impl Fn(&MemberId, &[u8]) + 'static) {
         self.transport.call(|node, _| node.accept_kind(kind));
         self.handlers.borrow_mut().insert(kind, Rc::new(handler));
     }
 
-    /// Meets the others and goes on until the thread's tasks end. `keys` is read again at SIGHUP.
+    /// Joins the other members and runs until the thread's tasks end. The file `keys` is read again at each SIGHUP.
     pub fn run(self: &Rc<Self>, keys: PathBuf) {
         let membership = self.clone();
         let transport = self.transport.clone();
@@ -161,7 +163,7 @@
                 let now = self.now();
                 let received = self.views.borrow_mut().receive(now, &from, &body);
                 if received.is_err() {
-                    tracing::warn!(fellow = from.name, "view passed over: not readable");
+                    tracing::warn!(peer = from.name, "ignored an unreadable view");
                 }
             }
             NodeEvent::Message { from, kind, body } => {
@@ -177,7 +179,7 @@
         }
     }
 
-    /// Once a period, tells who lives to the decision on the quorum state, and our view to one member.
+    /// Once a period, updates the quorum state from the alive members and sends the own view to one member.
     async fn send_views(self: Rc<Self>) {
         let mut periods = interval(self.period);
         periods.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -193,14 +195,26 @@
 
     fn log_change(&self, Change { was, is }: Change) {
         let (now, views) = (self.now(), self.views.borrow());
-        let (belong, missing) = (
+        let (voters, unreachable) = (
             views.quorum().voter_count(),
             views.quorum().missing(now).count(),
         );
         if is > was {
-            tracing::warn!(?was, ?is, belong, missing, "standing");
+            tracing::warn!(
+                ?was,
+                ?is,
+                belong = voters,
+                missing = unreachable,
+                "standing"
+            );
         } else {
-            tracing::info!(?was, ?is, belong, missing, "standing");
+            tracing::info!(
+                ?was,
+                ?is,
+                belong = voters,
+                missing = unreachable,
+                "standing"
+            );
         }
     }
 
@@ -211,56 +225,56 @@
         while hangups.recv().await.is_some() {
             match read_keys(&file) {
                 Ok(keys) => {
-                    tracing::info!(keys = keys.len(), "keys read again");
+                    tracing::info!(keys = keys.len(), "keys reloaded");
                     self.transport.call(|node, _| node.replace_keys(keys));
                 }
-                Err(why) => tracing::warn!(%why, "keys refused, the old ones stay"),
+                Err(error) => tracing::warn!(%error, "keys not reloaded; old keys stay"),
             }
         }
     }
 
-    /// Returns this sidecar's name and incarnation.
+    /// Returns the name and the incarnation of this member.
     pub fn me(&self) -> &MemberId {
         &self.me
     }
 
-    /// Returns the time since the start on the monotonic clock, in ns.
+    /// Returns the time since the start on the monotonic clock, in nanoseconds.
     pub fn now(&self) -> u64 {
         self.transport.now()
     }
 
-    /// Returns where other sidecars reach it.
+    /// Returns the local address that the sockets are bound to.
     pub fn address(&self) -> Option<SocketAddr> {
         self.transport.local_address().ok()
     }
 
-    /// Sends a message to a member. One that is not known any more hears nothing, as if it were lost on the way.
+    /// Sends a message to a member. Drops the message, as if the network had lost it, if the member is no longer known.
     pub fn send(&self, to: &MemberId, kind: u8, body: Vec<u8>) {
         self.transport.call(|node, _| node.send(to, kind, body));
     }
 
-    /// Looks at the others that live, as far as known here.
+    /// Calls a function with the other members that are alive, as far as known here.
     pub fn with_alive_members<T>(
         &self,
-        look: impl FnOnce(&mut dyn Iterator<Item = &Member>) -> T,
+        callback: impl FnOnce(&mut dyn Iterator<Item = &Member>) -> T,
     ) -> T {
         self.transport
-            .call(|node, _| look(&mut node.membership().alive()))
+            .call(|node, _| callback(&mut node.membership().alive()))
     }
 
-    /// Tells the others that it leaves.
+    /// Notifies the other members that this member leaves.
     pub fn leave(&self) {
         self.transport.call(|node, _| node.leave());
     }
 
-    /// Returns what an operator may look at.
+    /// Returns the status for operators.
     pub fn status(&self) -> MembershipStatus {
         let dropped_sends = self.transport.dropped_sends();
         let (now, views) = (self.now(), self.views.borrow());
         let quorum = views.quorum();
         let (quorum_state, since) = (quorum.state(), quorum.state_since());
         let mut disputes = quorum.disputes(now);
-        disputes.truncate(SHOWN_NAMES);
+        disputes.truncate(MAX_SHOWN_NAMES);
         self.transport.call(|node, _| MembershipStatus {
             alive: node
                 .membership()
@@ -272,9 +286,9 @@
             quorum_state_age: now.saturating_sub(since),
             voters: quorum.voter_count(),
             reachable_voters: quorum.voter_count() - quorum.missing(now).count(),
-            unreachable_voters: shown(quorum.missing(now)),
-            not_receiving_us: shown(quorum.deaf_to_us(now)),
-            flapping: shown(quorum.flapping(now)),
+            unreachable_voters: first_names(quorum.missing(now)),
+            not_receiving_us: first_names(quorum.deaf_to_us(now)),
+            flapping: first_names(quorum.flapping(now)),
             disputes,
             sent_messages: node.sent,
             sent_bytes: node.sent_bytes,
@@ -285,7 +299,7 @@
     }
 }
 
-/// Returns as many names as an operator is shown.
-fn shown<'a>(names: impl Iterator<Item = &'a str>) -> Vec<String> {
-    names.take(SHOWN_NAMES).map(str::to_string).collect()
+/// Returns the first [`MAX_SHOWN_NAMES`] names.
+fn first_names<'a>(names: impl Iterator<Item = &'a str>) -> Vec<String> {
+    names.take(MAX_SHOWN_NAMES).map(str::to_string).collect()
 }
--- a/crates/sidecar/src/persister.rs
+++ b/crates/sidecar/src/persister.rs
@@ -1,4 +1,4 @@
-//! Writes the configuration in force to disk, on a thread of its own: no request waits for a sync.
+//! Writes the installed configuration to disk. A separate thread does it, so that no request waits for the disk.
 
 use havenplank_configuration::snapshot::Snapshot;
 use havenplank_configuration::store::{Store, StoreError};
@@ -7,14 +7,14 @@
 use std::thread::JoinHandle;
 use tokio::sync::watch;
 
-/// Writes versions to a store. Dropped, it waits until the last version that it was given is on disk.
+/// Writes versions to a store. When dropped, waits until the newest queued version is on disk.
 pub struct Persister {
     mailbox: Arc<Mailbox>,
     persisted: watch::Receiver<Version>,
     thread: Option<JoinHandle<()>>,
 }
 
-/// Holds one version: a newer one takes the place of one that waits, however slow the disk is.
+/// Holds at most one version. A newer version replaces a waiting one, so a slow disk causes no backlog.
 #[derive(Default)]
 struct Mailbox {
     contents: Mutex<Contents>,
@@ -33,11 +33,11 @@
         self.changed.notify_one();
     }
 
-    /// Waits for a version; `None` once the mailbox is closed and empty.
+    /// Waits for a version. Returns `None` once the mailbox is closed and empty.
     fn take(&self) -> Option<Snapshot> {
         let contents = self.contents.lock().unwrap_or_else(PoisonError::into_inner);
-        let waits = |contents: &mut Contents| contents.newest.is_none() && !contents.closed;
-        let contents = self.changed.wait_while(contents, waits);
+        let is_empty = |contents: &mut Contents| contents.newest.is_none() && !contents.closed;
+        let contents = self.changed.wait_while(contents, is_empty);
         contents
             .unwrap_or_else(PoisonError::into_inner)
             .newest
@@ -46,7 +46,7 @@
 }
 
 impl Persister {
-    /// Starts the thread that writes to this store.
+    /// Starts the thread that writes to the store.
     pub fn start(store: Store) -> Persister {
         let mailbox = Arc::new(Mailbox::default());
         let (report, persisted) = watch::channel(store.snapshot().version());
@@ -54,7 +54,10 @@
         let offered = mailbox.clone();
         let thread = thread.spawn(move || persist_all(store, &offered, &report));
         if let Err(error) = &thread {
-            tracing::warn!(%error, "no thread that keeps the configuration: a restart begins without one");
+            tracing::warn!(
+                %error,
+                "could not start the thread that stores the configuration; new versions are not stored"
+            );
         }
         Persister {
             mailbox,
@@ -63,13 +66,13 @@
         }
     }
 
-    /// Queues a version; it replaces one that still waits.
+    /// Queues a version. It replaces a version that is still waiting.
     pub fn persist(&self, snapshot: Snapshot) {
         self.mailbox
             .change(|contents| contents.newest = Some(snapshot));
     }
 
-    /// Returns the version that a restart would find.
+    /// Returns the version that a restart would load.
     pub fn persisted(&self) -> Version {
         *self.persisted.borrow()
     }
@@ -87,7 +90,7 @@
 fn persist_all(mut store: Store, offered: &Mailbox, report: &watch::Sender<Version>) {
     while let Some(newest) = offered.take() {
         if let Err(error) = persist(&mut store, &newest) {
-            tracing::error!(%error, "the configuration could not be kept; a restart begins with an older one");
+            tracing::error!(%error, "could not store the configuration; a restart loads an older version");
             if matches!(
                 error,
                 StoreError::Disk { .. } | StoreError::DiskFailedEarlier
@@ -99,7 +102,7 @@
     }
 }
 
-/// Appends what changed since the version on disk, so that a small change is a small write.
+/// Appends the difference to the version on disk, so that a small change causes a small write.
 fn persist(store: &mut Store, snapshot: &Snapshot) -> Result<(), StoreError> {
     if snapshot.version() <= store.snapshot().version() {
         return Ok(());
--- a/crates/sidecar/src/pod_registry.rs
+++ b/crates/sidecar/src/pod_registry.rs
@@ -1,4 +1,4 @@
-//! The pods by name: which index each has, where it listens and since when it runs.
+//! Maps the name of each pod to its index, address and start time.
 
 use havenplank::interface::{stable_hash, Endpoint, Nanos, PodId, PodState};
 use havenplank_line_protocol::codec::MAX_ENDPOINTS;
@@ -6,15 +6,15 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// Zones and kinds of machine that a list may name beyond those of the settings; further ones count as the
-/// last.
+/// Limit on the number of zones, and on the number of machine types. The settings name the first ones; endpoint lists
+/// may add others. Names beyond the limit get the index of the last name.
 const MAX_NAMES: usize = 256;
 
-/// Indices that are in use at once: twice what a list may hold. A pod beyond that gets nothing until others have
-/// gone.
+/// Limit on the number of indices in use: twice the number of pods in the longest list. Further pods get no index, and
+/// so no requests, until other pods are gone.
 const MAX_INDICES: usize = 2 * MAX_ENDPOINTS;
 
-/// The start time that stands for "long ago"; the clock of an engine starts far later.
+/// The start time of a pod that started at an unknown time long ago. The clock of an engine starts far later.
 pub const STARTED_LONG_AGO: Nanos = 0;
 
 struct RegisteredPod {
@@ -24,7 +24,7 @@
 }
 
 impl RegisteredPod {
-    /// Returns its age now, at least 1, or 0 where it started long ago.
+    /// Returns the current age of the pod in nanoseconds, at least 1. Returns 0 if the pod started long ago.
     fn age(&self, now: Nanos) -> Nanos {
         if self.started <= STARTED_LONG_AGO + 1 {
             0
@@ -38,61 +38,61 @@
     }
 }
 
-/// Gives each pod an index. An index goes to another pod only once the list dropped its pod, no attempt is in
-/// flight there, and the decisions have taken in a list since: so the table holds the pods listed and those that
-/// requests wait for, and no more.
+/// Gives each pod an index. An index is given to another pod only after its pod is no longer listed, no attempt to that
+/// pod is in flight, and the router has processed a list since. So the table holds only the listed pods and the pods
+/// with attempts in flight.
 #[derive(Default)]
 pub struct PodRegistry {
     by_name: HashMap<String, PodId>,
     pods: Vec<Option<RegisteredPod>>,
-    free: Vec<PodId>,
+    free_indices: Vec<PodId>,
     zones: Vec<String>,
-    machines: Vec<String>,
-    /// Off for a recorded host that kept each name its index for good, so that draws fall on the same pods.
+    machine_types: Vec<String>,
+    /// False when a run is replayed whose recorder never reused an index: random draws then select the same pods.
     reuse_pod_ids: bool,
 }
 
 impl PodRegistry {
-    /// Builds a registry that knows these zones and kinds of machine by their index.
-    pub fn new(zones: Vec<String>, machines: Vec<String>, reuse_pod_ids: bool) -> PodRegistry {
+    /// Builds a registry with these zones and machine types, which keep their positions as indices.
+    pub fn new(zones: Vec<String>, machine_types: Vec<String>, reuse_pod_ids: bool) -> PodRegistry {
         PodRegistry {
             zones,
-            machines,
+            machine_types,
             reuse_pod_ids,
             ..PodRegistry::default()
         }
     }
 
-    /// Returns the index of a pod.
+    /// Returns the index of the pod with this name.
     pub fn find(&self, name: &str) -> Option<PodId> {
         self.by_name.get(name).copied()
     }
 
-    /// Returns the name of a pod.
+    /// Returns the name of the pod with this index.
     pub fn name(&self, id: PodId) -> Option<&str> {
         Some(&self.pod(id)?.listed.name)
     }
 
-    /// Returns where a pod listens.
+    /// Returns the address that a pod listens on.
     pub fn address(&self, id: PodId) -> Option<SocketAddr> {
         Some(self.pod(id)?.listed.address)
     }
 
-    /// Counts an attempt that goes to a pod.
+    /// Counts an attempt that is sent to a pod.
     pub fn attempt_sent(&mut self, id: PodId) {
         if let Some(Some(pod)) = self.pods.get_mut(id) {
             pod.attempts_in_flight += 1;
         }
     }
 
-    /// Counts an attempt that has ended.
+    /// Counts the end of an attempt.
     pub fn attempt_ended(&mut self, id: PodId) {
         if let Some(Some(pod)) = self.pods.get_mut(id) {
             pod.attempts_in_flight = pod.attempts_in_flight.saturating_sub(1);
         }
     }
 
-    /// Returns the pods as last listed with their ages now, as a list to be cached.
+    /// Returns the listed pods with their current ages, as a list to be cached.
     pub fn listed(&self, now: Nanos) -> Vec<ListedEndpoint> {
         let pods = self.pods.iter().flatten();
         let live = pods.filter(|pod| pod.listed.state != PodState::Gone);
@@ -103,10 +103,10 @@
         aged.collect()
     }
 
-    /// Takes a list in and maps it to endpoints, `None` for a pod that no index was left for.
+    /// Updates the registry from a list. Returns the endpoint of each listed pod, or `None` for a pod without an index.
     ///
-    /// The same incarnation keeps the start time it had when first listed; another incarnation, build or address makes
-    /// a pod that started anew under its old name.
+    /// An incarnation keeps the start time it had when it was first listed. Under the same name, another incarnation,
+    /// build or address is a pod that has started anew.
     pub fn update(
         &mut self,
         now: Nanos,
@@ -123,11 +123,11 @@
     }
 
     fn register(&mut self, now: Nanos, listed: ListedEndpoint) -> Option<Endpoint> {
-        let pod = self.index(&listed.name)?;
+        let pod = self.find_or_add_index(&listed.name)?;
         let zone = index_of_name(&mut self.zones, &listed.zone);
-        let machine_type = index_of_name(&mut self.machines, &listed.machine);
-        let before = self.pods[pod].as_ref();
-        let started = start_time(now, before, &listed);
+        let machine_type = index_of_name(&mut self.machine_types, &listed.machine);
+        let previous = self.pods[pod].as_ref();
+        let started = start_time(now, previous, &listed);
         let endpoint = Endpoint {
             pod,
             name_hash: stable_hash(listed.name.as_bytes()),
@@ -139,7 +139,7 @@
             cell: listed.cell,
             size: listed.size,
         };
-        let attempts_in_flight = before.map_or(0, |pod| pod.attempts_in_flight);
+        let attempts_in_flight = previous.map_or(0, |pod| pod.attempts_in_flight);
         self.pods[pod] = Some(RegisteredPod {
             listed,
             started,
@@ -152,12 +152,12 @@
         self.pods.get(id)?.as_ref()
     }
 
-    /// Returns the index of a name, a new one where it has none; `None` where none is left.
-    fn index(&mut self, name: &str) -> Option<PodId> {
+    /// Returns the index of a name, a new index if the name has none yet, or `None` if no index is left.
+    fn find_or_add_index(&mut self, name: &str) -> Option<PodId> {
         if let Some(id) = self.by_name.get(name) {
             return Some(*id);
         }
-        let id = match self.free.pop() {
+        let id = match self.free_indices.pop() {
             Some(id) => id,
             None if self.pods.len() < MAX_INDICES => {
                 self.pods.push(None);
@@ -169,7 +169,8 @@
         Some(id)
     }
 
-    /// Frees the indices of pods that are gone for good; to be called after the decisions took the list in.
+    /// Frees the indices of pods that are gone and have no attempts in flight. The router must have processed the list
+    /// before this call.
     pub fn free_unused_indices(&mut self) {
         if !self.reuse_pod_ids {
             return;
@@ -177,29 +178,29 @@
         for (id, slot) in self.pods.iter_mut().enumerate() {
             if let Some(pod) = slot.take_if(|pod| pod.is_idle_and_gone()) {
                 self.by_name.remove(&pod.listed.name);
-                self.free.push(id);
+                self.free_indices.push(id);
             }
         }
     }
 }
 
-/// Returns when a listed pod started: as before where it is the same incarnation at the same address.
-fn start_time(now: Nanos, before: Option<&RegisteredPod>, listed: &ListedEndpoint) -> Nanos {
-    match before {
+/// Returns the start time of a listed pod. The same incarnation at the same address keeps its start time.
+fn start_time(now: Nanos, previous: Option<&RegisteredPod>, listed: &ListedEndpoint) -> Nanos {
+    match previous {
         Some(pod)
             if (pod.listed.incarnation, pod.listed.address)
                 == (listed.incarnation, listed.address) =>
         {
             pod.started
         }
-        // Long ago twice is two incarnations all the same, and the decisions tell them by this.
+        // Two incarnations that both started long ago need different start times, by which the router tells them apart.
         Some(pod) if pod.started == STARTED_LONG_AGO && listed.age == 0 => STARTED_LONG_AGO + 1,
         _ if listed.age == 0 => STARTED_LONG_AGO,
         _ => now.saturating_sub(listed.age).max(STARTED_LONG_AGO + 2),
     }
 }
 
-/// Returns the index of a name, adding it where there is room; else the last index.
+/// Returns the index of a name. Adds an unknown name if there is room; otherwise returns the last index.
 fn index_of_name(names: &mut Vec<String>, name: &str) -> usize {
     let known = names.iter().position(|known| known == name);
     known.unwrap_or_else(|| {
--- a/crates/sidecar/src/replication.rs
+++ b/crates/sidecar/src/replication.rs
@@ -1,5 +1,5 @@
-//! The messages and the time around a [`Replicator`]: replicates configuration versions on the sockets that peers have for
-//! each other, and learns from the membership who lives.
+//! Runs a [`Replicator`]: sends and receives its messages through the membership, wakes it when its timers expire, and
+//! updates its peers from the alive members.
 
 use crate::membership::Membership;
 use havenplank_configuration::message::Message;
@@ -18,20 +18,20 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// The membership's kind of message in which configurations travel.
+/// The kind under which the membership carries configuration messages.
 const MESSAGE_KIND: u8 = 4;
 const NS_PER_MS: Nanos = 1_000_000;
-/// However much is due, others on the thread get their turn between two wakes.
-const SHORTEST_WAIT: Duration = Duration::from_millis(1);
+/// Lower bound on the wait between two wake-ups, so that other tasks of the thread run even if many timers are due.
+const MIN_WAIT: Duration = Duration::from_millis(1);
 
-/// Takes versions over.
+/// Installs configuration versions.
 pub trait Installer: 'static {
     type Error: Display;
 
-    /// Puts a complete version in force, in one call.
+    /// Puts a complete version in force in one step.
     ///
     /// # Errors
-    /// Why it cannot be; what was in force stays.
+    /// Fails if the version cannot be installed. The previous version then stays in force.
     fn install(&self, snapshot: &Snapshot) -> Result<(), Self::Error>;
 }
 
@@ -40,12 +40,14 @@
     membership: Rc<Membership>,
     replicator: RefCell<Replicator>,
     installer: H,
+    /// The interval at which the peers are updated.
     period: Duration,
+    /// Notified when the next wake-up of the replicator may have changed.
     rearm: Notify,
 }
 
 impl<H: Installer> Replication<H> {
-    /// Reads messages from now on, and wakes the replicator until the thread's tasks end. Peers are read anew from the
+    /// Starts to handle messages and to wake the replicator, until the thread's tasks end. Updates the peers from the
     /// membership once a period.
     pub fn start(
         membership: &Rc<Membership>,
@@ -70,21 +72,21 @@
         replication
     }
 
-    /// Makes one call on the replicator, then carries out all that it left to do.
-    pub fn call<T>(&self, work: impl FnOnce(&mut Replicator, Nanos) -> T) -> T {
-        let done = work(&mut self.replicator.borrow_mut(), self.membership.now());
+    /// Calls a function on the replicator, then performs the effects that the replicator has queued.
+    pub fn call<T>(&self, operation: impl FnOnce(&mut Replicator, Nanos) -> T) -> T {
+        let result = operation(&mut self.replicator.borrow_mut(), self.membership.now());
         self.perform_effects();
-        done
+        result
     }
 
-    /// Goes on in another role, with another replicator; what the one before had left to do is dropped.
+    /// Replaces the replicator, to continue in another role. Effects that the previous one has queued are dropped.
     pub fn replace_replicator(&self, mut replicator: Replicator) {
-        replicator.set_peers(self.living());
+        replicator.set_peers(self.alive_peers());
         self.replicator.replace(replicator);
         self.rearm.notify_one();
     }
 
-    fn living(&self) -> Peers {
+    fn alive_peers(&self) -> Peers {
         let peer = |member: &Member| Peer {
             life: member.id.clone(),
             zone: member.zone.clone(),
@@ -95,12 +97,12 @@
         )
     }
 
-    /// Returns how far versions have come.
+    /// Returns the status of the replication.
     pub fn status(&self) -> Status {
         self.replicator.borrow().status()
     }
 
-    /// Returns whom versions are handed to.
+    /// Returns the installer of versions.
     pub fn installer(&self) -> &H {
         &self.installer
     }
@@ -111,7 +113,7 @@
                 self.call(|receiver, now| receiver.handle_message(now, from, message, body.len()))
             }
             Err(error) => {
-                tracing::debug!(peer = from.name, %error, "message on the configuration passed over");
+                tracing::debug!(peer = from.name, %error, "ignored an unreadable configuration message");
                 self.replicator.borrow_mut().count_unreadable();
             }
         }
@@ -122,7 +124,7 @@
         loop {
             let next = self.replicator.borrow().next_wake();
             let wait = next.map_or(self.period, |at| {
-                Duration::from_nanos(at.saturating_sub(self.membership.now())).max(SHORTEST_WAIT)
+                Duration::from_nanos(at.saturating_sub(self.membership.now())).max(MIN_WAIT)
             });
             tokio::select! {
                 () = sleep(wait) => self.call(|replicator, now| replicator.wake(now)),
@@ -133,7 +135,7 @@
 
     async fn follow_membership(self: Rc<Self>) {
         loop {
-            let peers = self.living();
+            let peers = self.alive_peers();
             self.replicator.borrow_mut().set_peers(peers);
             sleep(self.period).await;
         }
@@ -146,10 +148,10 @@
                 None => break,
                 Some(Effect::Send { to, message }) => match message.encode() {
                     Ok(body) => self.membership.send(&to, MESSAGE_KIND, body),
-                    Err(error) => tracing::warn!(peer = to.name, %error, "message not sent"),
+                    Err(error) => tracing::warn!(peer = to.name, %error, "message not encoded"),
                 },
                 Some(Effect::Install(snapshot)) => self.install(&snapshot),
-                Some(Effect::Event(event)) => log(event),
+                Some(Effect::Event(event)) => log_event(event),
             }
         }
         self.rearm.notify_one();
@@ -170,7 +172,7 @@
         }
     }
 
-    /// Returns what an operator sees.
+    /// Returns the state for operators. The keys are part of `GET /state`.
     pub fn state(&self) -> Value {
         let (status, now) = (self.status(), self.membership.now());
         let age_ms = |at: Nanos| now.saturating_sub(at) / NS_PER_MS;
@@ -204,7 +206,8 @@
         })
     }
 
-    /// Returns what an operator sees of a writer: how many of how many have the last polled version, and who has not.
+    /// Returns the state of a writer for operators: how many of the polled peers have the last polled version in force,
+    /// and which peers do not. Returns null for a sidecar.
     pub fn writer_state(&self) -> Value {
         let Some(writer) = self.status().writer else {
             return Value::Null;
@@ -227,7 +230,7 @@
     }
 }
 
-fn log(event: Event) {
+fn log_event(event: Event) {
     match event {
         Event::Conflict {
             version,
@@ -235,24 +238,24 @@
             other,
             from,
         } => tracing::error!(
-            %version, held = %verified, %other, peer = from.name,
-            "two contents of one configuration version: two distributors share an epoch"
+            %version, verified = %verified, %other, peer = from.name,
+            "a configuration version has two different digests: two distributors publish under one epoch"
         ),
         Event::Superseded { by } => {
             tracing::error!(by = %by.version, "superseded: another distributor has a higher epoch");
         }
         Event::Rejected(rejection) => tracing::warn!(
-            version = %rejection.version, reason = rejection.reason, "configuration rejected, the old one stays"
+            version = %rejection.version, reason = rejection.reason, "configuration rejected; the previous one stays"
         ),
         Event::TransferBegan { version, missing } => {
-            tracing::info!(%version, missing_buckets = missing, "fetching the whole configuration");
+            tracing::info!(%version, missing_buckets = missing, "fetching the configuration");
         }
-        Event::TransferDone { version } => tracing::info!(%version, "whole configuration fetched"),
+        Event::TransferDone { version } => tracing::info!(%version, "configuration fetched"),
         Event::SourceChanged { version, from } => {
-            tracing::info!(%version, peer = from.name, "fetching goes on from another peer");
+            tracing::info!(%version, peer = from.name, "fetching the configuration continues from another peer");
         }
         Event::TransferFailed { version } => {
-            tracing::warn!(%version, "fetching the configuration failed")
+            tracing::warn!(%version, "could not fetch the configuration")
         }
     }
 }
--- a/crates/sidecar/src/route_slots.rs
+++ b/crates/sidecar/src/route_slots.rs
@@ -1,11 +1,12 @@
-//! The indices that routes have in the decisions: which are in force, and which a request still holds.
+//! Assigns the indices of routes in the engine, and tracks which are in force and which are still held by a request.
 
 use havenplank::interface::{Nanos, RouteClass, RouteClassId};
 use havenplank::RouteClassChange;
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
 
-/// The index of one version of a route. As long as a copy of it lives, the index means that version and no other.
+/// The index of one version of a route. Copies are counted: as long as one exists, the index is not given to another
+/// version or route.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Slot(Rc<RouteClassId>);
 
@@ -16,21 +17,22 @@
     }
 }
 
-/// How many slots there are, for whoever checks that they stay bounded.
+/// The numbers of slots, to check that they stay bounded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SlotCounts {
-    /// Given out at any time: no more than routes and requests that were held at once.
+    /// All slots, the free ones included. Free slots are reused, so the number is bounded by the routes in force and
+    /// the slots held at one time.
     pub all: usize,
-    /// Those of the routes in force.
+    /// Slots of the routes in force.
     pub in_force: usize,
-    /// Replaced or removed, and held by a request or a route table.
+    /// Slots of replaced or removed routes that a request or a route table still holds.
     pub retired: usize,
 }
 
-/// What a replacement may use again.
+/// The free indices that a replacement of routes may reuse.
 struct FreeIndices {
     slots: Vec<RouteClassId>,
-    /// Looked up with the first route that needs one.
+    /// `None` until the first route needs a free bucket.
     buckets: Option<Vec<usize>>,
 }
 
@@ -38,7 +40,7 @@
 struct Row {
     name: String,
     rules: RouteClass,
-    /// Where the decisions count its requests.
+    /// The index under which the router keeps the statistics of the route.
     bucket: usize,
     in_force: bool,
     slot: Slot,
@@ -50,18 +52,18 @@
     }
 }
 
-/// All slots of one engine. A changed route gets a slot of its own; the one before it is given to another route only
-/// when nothing holds it any more.
+/// All slots of one engine. A changed route gets a new slot. Its previous slot is given to another route only when
+/// nothing holds it any more.
 pub(crate) struct Slots {
     rows: Vec<Row>,
-    /// The latest slot of each name; also of a route that was removed, until its slot is given to another.
+    /// The latest slot of each name. A removed route keeps its entry until its slot is given to another route.
     latest: HashMap<String, RouteClassId>,
-    /// How many slots count their requests in a bucket; one that none uses is free.
+    /// For each bucket, the number of slots that use it. A bucket with 0 users is free.
     bucket_users: Vec<usize>,
 }
 
 impl Slots {
-    /// Gives each of these routes a slot, in their order.
+    /// Gives each route a slot, in the given order.
     pub fn new(routes: impl Iterator<Item = (String, RouteClass)>) -> Slots {
         let mut slots = Slots {
             rows: Vec::new(),
@@ -69,34 +71,34 @@
             bucket_users: Vec::new(),
         };
         for (name, rules) in routes {
-            let group = slots.rows.len();
-            slots.latest.entry(name.clone()).or_insert(group);
+            let index = slots.rows.len();
+            slots.latest.entry(name.clone()).or_insert(index);
             slots.bucket_users.push(1);
             slots.rows.push(Row {
                 name,
                 rules,
-                bucket: group,
+                bucket: index,
                 in_force: true,
-                slot: Slot(Rc::new(group)),
+                slot: Slot(Rc::new(index)),
             });
         }
         slots
     }
 
-    /// Returns the slot of a request that comes under this index, to be held until it has ended.
-    pub fn hold(&self, group: RouteClassId) -> Option<Slot> {
-        self.rows.get(group).map(|row| row.slot.clone())
+    /// Returns a copy of the slot with this index. A request holds it until the request has ended.
+    pub fn hold(&self, index: RouteClassId) -> Option<Slot> {
+        self.rows.get(index).map(|row| row.slot.clone())
     }
 
-    /// Returns the slot in force of this name.
+    /// Returns the index of the route in force with this name.
     pub fn find(&self, name: &str) -> Option<RouteClassId> {
         self.latest
             .get(name)
             .copied()
-            .filter(|group| self.rows[*group].in_force)
+            .filter(|index| self.rows[*index].in_force)
     }
 
-    /// Returns the slots in force, in the order of their indices.
+    /// Returns the slots of the routes in force, in the order of their indices.
     pub fn in_force(&self) -> Vec<Slot> {
         self.rows
             .iter()
@@ -105,13 +107,13 @@
             .collect()
     }
 
-    /// Returns the longest client time-out of all that are in force or held.
+    /// Returns the longest client timeout, in nanoseconds, of all routes that are in force or held.
     pub fn longest_client_timeout(&self) -> Nanos {
         let used = self.rows.iter().filter(|row| !row.is_free());
         used.map(|row| row.rules.client_timeout).max().unwrap_or(0)
     }
 
-    /// Returns how many slots there are.
+    /// Returns the numbers of slots.
     pub fn counts(&self) -> SlotCounts {
         let in_force = self.rows.iter().filter(|row| row.in_force).count();
         let free = self.rows.iter().filter(|row| row.is_free()).count();
@@ -122,8 +124,8 @@
         }
     }
 
-    /// Puts these routes in force in place of all before. Returns the slot of each, in their order, and what has
-    /// changed for the decisions. A route that stays as it was keeps its slot; names are expected once each.
+    /// Replaces the routes in force by the given ones. Returns the slot of each route, in the given order, and the
+    /// changes for the router. An unchanged route keeps its slot. Names must be unique.
     pub fn replace(
         &mut self,
         routes: &[(String, RouteClass)],
@@ -136,8 +138,8 @@
         self.retire_all_but(routes);
         let (mut slots, mut changes) = (Vec::with_capacity(routes.len()), Vec::new());
         for route in routes {
-            if let Some(group) = self.unchanged(route) {
-                slots.push(self.rows[group].slot.clone());
+            if let Some(index) = self.unchanged(route) {
+                slots.push(self.rows[index].slot.clone());
                 continue;
             }
             let change = self.add(route, &mut free);
@@ -147,16 +149,16 @@
         (slots, changes)
     }
 
-    /// Takes all routes out of force that do not stay as they are.
+    /// Marks each route as no longer in force, unless it is among the given routes with the same rules.
     fn retire_all_but(&mut self, routes: &[(String, RouteClass)]) {
         let unchanged = routes.iter().filter_map(|route| self.unchanged(route));
         let unchanged: HashSet<RouteClassId> = unchanged.collect();
-        for (group, row) in self.rows.iter_mut().enumerate() {
-            row.in_force &= unchanged.contains(&group);
+        for (index, row) in self.rows.iter_mut().enumerate() {
+            row.in_force &= unchanged.contains(&index);
         }
     }
 
-    /// Gives a new or changed route a slot.
+    /// Gives a new or changed route a slot. A changed route keeps the bucket of its predecessor.
     fn add(
         &mut self,
         (name, rules): &(String, RouteClass),
@@ -164,56 +166,58 @@
     ) -> RouteClassChange {
         let predecessor = self.latest.get(name).copied();
         let bucket = match predecessor {
-            Some(known) => self.rows[known].bucket,
+            Some(index) => self.rows[index].bucket,
             None => self.free_bucket(&mut free.buckets),
         };
         self.bucket_users[bucket] += 1;
-        let group = free.slots.pop().unwrap_or(self.rows.len());
+        let index = free.slots.pop().unwrap_or(self.rows.len());
         let row = Row {
             name: name.clone(),
             rules: *rules,
             bucket,
             in_force: true,
-            slot: Slot(Rc::new(group)),
+            slot: Slot(Rc::new(index)),
         };
-        match self.rows.get_mut(group) {
+        match self.rows.get_mut(index) {
             None => self.rows.push(row),
-            Some(known) => {
-                let before = std::mem::replace(known, row);
-                self.forget(&before, group);
+            Some(previous) => {
+                let previous = std::mem::replace(previous, row);
+                self.remove_previous(&previous, index);
             }
         }
-        self.latest.insert(name.clone(), group);
+        self.latest.insert(name.clone(), index);
         RouteClassChange {
-            class: group,
+            class: index,
             rules: *rules,
             predecessor,
             bucket,
         }
     }
 
-    /// Returns slots that nothing holds, but for those whose routes come back under their names: they are predecessors.
+    /// Returns the free slots. Leaves out the latest slot of each name in `names`, because it is the predecessor of the
+    /// route that gets the name now.
     fn free_slots(&self, names: &HashSet<&str>) -> Vec<RouteClassId> {
-        let comes_back = |group: RouteClassId, name: &str| {
-            names.contains(name) && self.latest.get(name) == Some(&group)
+        let is_latest = |index: RouteClassId, name: &str| {
+            names.contains(name) && self.latest.get(name) == Some(&index)
         };
         let free =
-            |(group, row): &(RouteClassId, &Row)| row.is_free() && !comes_back(*group, &row.name);
+            |(index, row): &(RouteClassId, &Row)| row.is_free() && !is_latest(*index, &row.name);
         self.rows
             .iter()
             .enumerate()
             .filter(free)
-            .map(|(group, _)| group)
+            .map(|(index, _)| index)
             .collect()
     }
 
-    /// Returns the slot in force of a route that stays as it is.
+    /// Returns the index of a route that is in force with the same rules.
     fn unchanged(&self, (name, rules): &(String, RouteClass)) -> Option<RouteClassId> {
         self.find(name)
-            .filter(|group| self.rows[*group].rules == *rules)
+            .filter(|index| self.rows[*index].rules == *rules)
     }
 
-    /// Returns a bucket that no slot uses. Those that were free at the start of a replacement are looked up once.
+    /// Returns a bucket that no slot uses. The free buckets are listed once in each replacement, since that scans all
+    /// buckets.
     fn free_bucket(&mut self, free: &mut Option<Vec<usize>>) -> usize {
         let users = &self.bucket_users;
         let free = free.get_or_insert_with(|| {
@@ -228,11 +232,11 @@
         })
     }
 
-    /// Ends what a slot was before it was given to another route.
-    fn forget(&mut self, before: &Row, group: RouteClassId) {
-        self.bucket_users[before.bucket] -= 1;
-        if self.latest.get(&before.name) == Some(&group) {
-            self.latest.remove(&before.name);
+    /// Removes what was recorded for the previous route of a slot that was given to another route.
+    fn remove_previous(&mut self, previous: &Row, index: RouteClassId) {
+        self.bucket_users[previous.bucket] -= 1;
+        if self.latest.get(&previous.name) == Some(&index) {
+            self.latest.remove(&previous.name);
         }
     }
 }
--- a/crates/sidecar/src/routes.rs
+++ b/crates/sidecar/src/routes.rs
@@ -1,8 +1,9 @@
-//! Which route takes a request: an immutable table, built once for each configuration and replaced as one.
+//! The route table: finds the route of a request by method and path. A table is immutable. It is built once for each
+//! configuration version and replaced as a whole.
 //!
-//! Of the routes whose methods and paths fit, the first of the settings takes a request; in a configuration that changes
-//! while running order means nothing, and the most specific pattern does. A lookup costs one hash of the path and one
-//! walk down a trie of the path's own length, however many routes there are.
+//! If several routes match a request, the first one in the settings wins. In a configuration that changes while the
+//! sidecar runs, routes have no order, and the route with the most specific pattern wins. A lookup costs one hash of
+//! the path and one descent in a trie, at most as deep as the path is long, independent of the number of routes.
 
 use crate::route_slots::Slot;
 use havenplank::interface::{RouteClass, RouteClassId};
@@ -13,40 +14,42 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// One version of a route, for as long as any request that began with it.
+/// One version of a route. It is kept as long as a route table or a request that began under it needs it.
 #[derive(Debug)]
 pub struct Route {
-    /// Its name.
+    /// The name.
     pub name: String,
-    /// Its rules in the decisions.
+    /// The rules by which the router decides on requests of the route.
     pub rules: RouteClass,
-    /// Whether and when backups know of its requests.
+    /// Whether and when requests are announced to backups.
     pub backup: BackupMode,
     slot: Slot,
 }
 
 impl Route {
-    /// Returns its index in the decisions, which means this version as long as the route lives.
+    /// Returns the index of the route in the engine. It stands for this version as long as the value exists.
     pub fn route_class(&self) -> RouteClassId {
         self.slot.route_class()
     }
 }
 
-/// Where a route stands in the table.
+/// The position of a route in the table.
 type Order = u32;
 
-/// Which of two patterns that fit wins: the lower. Of equal patterns the route that stands first.
+/// Orders the matching patterns: the lowest rank wins. Of equally specific patterns the one of the earlier route wins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Rank {
+    /// Lower for a more specific pattern; 0 for all patterns if only the order counts.
     specificity: u32,
     order: Order,
 }
 
-/// What decides between patterns that fit.
+/// The rule that decides between several matching patterns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Precedence {
+    /// The route that is first in the settings wins.
     Order,
-    /// An exact path before a prefix, a longer prefix before a shorter one.
+    /// An exact path wins over a prefix, and a longer prefix over a shorter one.
     Specificity,
 }
 
@@ -60,7 +63,7 @@
     }
 }
 
-/// The routes of one pattern: of each method, and of any, the first.
+/// The first route with a certain pattern: for each method, and for all methods.
 #[derive(Debug, Default)]
 struct Candidates {
     any_method: Option<Rank>,
@@ -83,22 +86,24 @@
     }
 }
 
-/// Who the tenants are.
+/// The known tenants.
 #[derive(Debug)]
 enum Tenants {
-    /// By name, the index in the settings.
-    ListedEndpoint(HashMap<String, usize>),
+    /// The tenants of the settings: the index by name.
+    Listed(HashMap<String, usize>),
+    /// The tenants of a configuration version.
     Configured(Snapshot),
 }
 
 /// A tenant that the configuration knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct KnownTenant {
-    /// Its index in the settings; `None` where tenants change while running, as nothing is decided by it.
+    /// The index in the settings. `None` for a tenant of a configuration that changes while the sidecar runs: such
+    /// tenants have no influence on decisions.
     pub index: Option<usize>,
 }
 
-/// All routes of one configuration, and its tenants.
+/// All routes and tenants of one configuration.
 #[derive(Debug)]
 pub struct RouteTable {
     routes: Vec<Rc<Route>>,
@@ -109,9 +114,9 @@
 }
 
 impl RouteTable {
-    /// Builds a table of the routes and tenants of the settings, with the slot of each route in the decisions.
+    /// Builds a table of the routes and tenants of the settings. `slots` holds the slot of each route.
     pub fn from_settings(
-        groups: &[RouteClassSettings],
+        route_classes: &[RouteClassSettings],
         slots: Vec<Slot>,
         tenants: &[String],
     ) -> RouteTable {
@@ -120,21 +125,22 @@
             listed.entry(name.clone()).or_insert(index);
         }
         RouteTable::build(
-            groups,
+            route_classes,
             slots,
             Precedence::Order,
-            Tenants::ListedEndpoint(listed),
+            Tenants::Listed(listed),
         )
     }
 
-    /// Builds a table of the routes of a snapshot, as [`routes_of`] returns them, and of its tenants.
+    /// Builds a table of the routes and tenants of a snapshot. The routes are given as [`routes_of`] returns them;
+    /// `slots` holds the slot of each route.
     pub fn from_snapshot(
         snapshot: Snapshot,
-        groups: &[RouteClassSettings],
+        route_classes: &[RouteClassSettings],
         slots: Vec<Slot>,
     ) -> RouteTable {
         RouteTable::build(
-            groups,
+            route_classes,
             slots,
             Precedence::Specificity,
             Tenants::Configured(snapshot),
@@ -142,30 +148,30 @@
     }
 
     fn build(
-        groups: &[RouteClassSettings],
+        route_classes: &[RouteClassSettings],
         slots: Vec<Slot>,
         precedence: Precedence,
         tenants: Tenants,
     ) -> RouteTable {
-        let (mut routes, mut by_name) = (Vec::with_capacity(groups.len()), HashMap::new());
+        let (mut routes, mut by_name) = (Vec::with_capacity(route_classes.len()), HashMap::new());
         let mut exact_paths: HashMap<String, Candidates> = HashMap::new();
         let mut prefixes: HashMap<&str, Candidates> = HashMap::new();
-        for (group, slot) in groups.iter().zip(slots) {
+        for (route_class, slot) in route_classes.iter().zip(slots) {
             let order = routes.len() as Order;
-            for pattern in &group.paths {
+            for pattern in &route_class.paths {
                 let candidates = match pattern.strip_suffix('*') {
                     None => exact_paths.entry(pattern.clone()).or_default(),
                     Some(prefix) => prefixes.entry(prefix).or_default(),
                 };
-                candidates.add(&group.methods, precedence.rank(pattern, order));
+                candidates.add(&route_class.methods, precedence.rank(pattern, order));
             }
-            by_name.entry(group.name.clone()).or_insert(order);
+            by_name.entry(route_class.name.clone()).or_insert(order);
             let RouteClassSettings {
                 name,
                 rules,
                 backup,
                 ..
-            } = group;
+            } = route_class;
             routes.push(Rc::new(Route {
                 name: name.clone(),
                 rules: *rules,
@@ -182,7 +188,7 @@
         }
     }
 
-    /// Returns the route that takes this method and path.
+    /// Returns the route of a request with this method and path.
     pub fn find(&self, method: &str, path: &str) -> Option<&Rc<Route>> {
         let exact = self
             .exact_paths
@@ -196,15 +202,15 @@
         self.routes.get(first.order as usize)
     }
 
-    /// Returns the route of this name.
+    /// Returns the route with this name.
     pub fn find_by_name(&self, name: &str) -> Option<&Rc<Route>> {
         self.routes.get(*self.by_name.get(name)? as usize)
     }
 
-    /// Returns the tenant of this name.
+    /// Returns the tenant with this name.
     pub fn tenant(&self, name: &str) -> Option<KnownTenant> {
         match &self.tenants {
-            Tenants::ListedEndpoint(listed) => listed.get(name).map(|index| KnownTenant {
+            Tenants::Listed(listed) => listed.get(name).map(|index| KnownTenant {
                 index: Some(*index),
             }),
             Tenants::Configured(snapshot) => {
@@ -213,23 +219,23 @@
         }
     }
 
-    /// Returns how many routes there are.
+    /// Returns the number of routes.
     pub fn len(&self) -> usize {
         self.routes.len()
     }
 
-    /// Returns whether there is no route.
+    /// Returns whether the table has no routes.
     pub fn is_empty(&self) -> bool {
         self.routes.is_empty()
     }
 
-    /// Returns whether routes come from a configuration of which no version has come yet.
+    /// Returns whether the sidecar gets its routes from a configuration and has not received any version yet.
     pub fn awaits_configuration(&self) -> bool {
         matches!(&self.tenants, Tenants::Configured(snapshot) if snapshot.version() == Version::NONE)
     }
 }
 
-/// Returns the routes of a snapshot, by name.
+/// Returns the routes of a snapshot, sorted by name.
 pub fn routes_of(snapshot: &Snapshot) -> Vec<RouteClassSettings> {
     let mut routes: Vec<RouteClassSettings> = snapshot
         .routes()
--- a/crates/sidecar/src/takeover_service/mod.rs
+++ b/crates/sidecar/src/takeover_service/mod.rs
@@ -89,8 +89,8 @@
     /// Each request that is served here holds a clone, so the reference count gives their number. It includes requests
     /// whose client has disconnected, because they continue.
     serving: Rc<()>,
-    /// Requests that this sidecar took over and has to finish. There are no more of them than records kept here, because
-    /// each record is taken over once.
+    /// Requests that this sidecar took over and has to finish. There are never more of them than records kept here,
+    /// because each record is taken over once.
     taken_over: mpsc::UnboundedSender<Record>,
 }
 
@@ -127,8 +127,8 @@
         (service, taken_over)
     }
 
-    /// Wakes the takeover state machine at a fixed interval. Most changes arrive in messages; a timer that was set to the
-    /// next due time after each message would have to scan all records each time.
+    /// Wakes the takeover state machine at a fixed interval. Most changes arrive in messages; a timer that is set again
+    /// after each message would have to scan all records each time.
     async fn run_timers(self: Rc<Self>) {
         let mut ticks = interval(self.tick);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
--- a/crates/sidecar/tests/routes.rs
+++ b/crates/sidecar/tests/routes.rs
@@ -1,4 +1,5 @@
-//! The route table against the linear scan it replaces, and the slots that routes have in the decisions.
+//! The route table must find the same routes as a linear scan. Slots must neither be shared by two routes nor pile up
+//! as routes change.
 
 use havenplank::interface::{AttemptEnd, DedupScope, Idempotency, Nanos, PodState, RouteClass};
 use havenplank_configuration::record::{
@@ -16,6 +17,7 @@
 use std::path::Path;
 use std::sync::LazyLock;
 
+/// Nanoseconds in a millisecond and in a second.
 const MS: Nanos = 1_000_000;
 const S: Nanos = 1_000 * MS;
 const METHODS: [&str; 3] = ["GET", "POST", "DELETE"];
@@ -33,7 +35,7 @@
     }
 }
 
-fn group(name: String, methods: Vec<String>, paths: Vec<String>) -> RouteClassSettings {
+fn route_class(name: String, methods: Vec<String>, paths: Vec<String>) -> RouteClassSettings {
     RouteClassSettings {
         name,
         methods,
@@ -43,7 +45,7 @@
     }
 }
 
-/// A route named by its only pattern.
+/// Returns the record of a route whose name is its only pattern.
 fn route(pattern: &str, idempotency: Idempotency) -> Record {
     let rules = RequestRules {
         idempotency,
@@ -64,7 +66,7 @@
         .unwrap_or_else(|error| panic!("{error}"))
 }
 
-/// An engine without routes of its own settings.
+/// Returns an engine without routes.
 fn engine(per_class: bool) -> Engine {
     static SETTINGS: LazyLock<EngineSettings> = LazyLock::new(|| {
         let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/site.star");
@@ -77,10 +79,10 @@
     Engine::new(EPOCH, 1, &settings)
 }
 
-fn slots(engine: &mut Engine, groups: &[RouteClassSettings]) -> Vec<Slot> {
-    let routes: Vec<_> = groups
+fn slots(engine: &mut Engine, route_classes: &[RouteClassSettings]) -> Vec<Slot> {
+    let routes: Vec<_> = route_classes
         .iter()
-        .map(|group| (group.name.clone(), group.rules))
+        .map(|route_class| (route_class.name.clone(), route_class.rules))
         .collect();
     engine.set_routes(EPOCH, &routes)
 }
@@ -89,7 +91,7 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(1_000) })]
 
     #[test]
-    fn any_patterns_and_paths_find_what_the_linear_scan_finds(
+    fn a_lookup_finds_the_same_route_as_a_linear_scan(
         patterns in proptest::collection::vec(
             (
                 proptest::collection::vec(proptest::sample::select(METHODS.to_vec()), 0..3),
@@ -102,24 +104,27 @@
             1..12,
         ),
     ) {
-        let groups: Vec<RouteClassSettings> = patterns
+        let route_classes: Vec<RouteClassSettings> = patterns
             .into_iter()
             .enumerate()
             .map(|(n, (methods, paths))| {
-                group(format!("r-{n}"), methods.into_iter().map(str::to_string).collect(), paths)
+                route_class(format!("r-{n}"), methods.into_iter().map(str::to_string).collect(), paths)
             })
             .collect();
-        let slots = slots(&mut engine(false), &groups);
-        let table = RouteTable::from_settings(&groups, slots, &[]);
+        let slots = slots(&mut engine(false), &route_classes);
+        let table = RouteTable::from_settings(&route_classes, slots, &[]);
         for (method, path) in requests {
-            let wanted = groups.iter().find(|group| group.matches(method, &path)).map(|group| group.name.as_str());
+            let expected = route_classes
+                .iter()
+                .find(|route| route.matches(method, &path))
+                .map(|route| route.name.as_str());
             let found = table.find(method, &path).map(|route| route.name.as_str());
-            prop_assert_eq!(found, wanted, "{} {:?}", method, path);
+            prop_assert_eq!(found, expected, "{} {:?}", method, path);
         }
     }
 
     #[test]
-    fn in_a_snapshot_the_most_specific_pattern_wins_whatever_the_order_of_records(
+    fn the_most_specific_pattern_of_a_snapshot_wins_in_any_order_of_records(
         patterns in proptest::collection::btree_set("/[ab/]{0,4}\\*?", 0..10),
         rotated in 0..10usize,
         paths in proptest::collection::vec("/[ab/]{0,6}", 1..12),
@@ -128,23 +133,23 @@
         let mut records: Vec<Record> = patterns.iter().map(|pattern| route(pattern, Idempotency::Idempotent)).collect();
         records.rotate_left(rotated % patterns.len().max(1));
         let snapshot = snapshot(1, records);
-        let groups = routes_of(&snapshot);
-        let slots = slots(&mut engine(false), &groups);
-        let table = RouteTable::from_snapshot(snapshot, &groups, slots);
+        let route_classes = routes_of(&snapshot);
+        let slots = slots(&mut engine(false), &route_classes);
+        let table = RouteTable::from_snapshot(snapshot, &route_classes, slots);
         for path in paths {
             let fits = |pattern: &&String| match pattern.strip_suffix('*') {
                 Some(prefix) => path.starts_with(prefix),
                 None => **pattern == path,
             };
             let specific = |pattern: &&String| (!pattern.ends_with('*'), pattern.len());
-            let wanted = patterns.iter().filter(fits).max_by_key(specific);
+            let expected = patterns.iter().filter(fits).max_by_key(specific);
             let found = table.find("GET", &path).map(|route| &route.name);
-            prop_assert_eq!(found, wanted, "{:?}", path);
+            prop_assert_eq!(found, expected, "{:?}", path);
         }
     }
 
     #[test]
-    fn no_two_routes_that_are_held_or_in_force_share_a_slot(
+    fn routes_that_are_held_or_in_force_never_share_a_slot(
         versions in proptest::collection::vec(
             (proptest::collection::vec((0..8usize, 1..4u64), 0..8), any::<bool>()),
             1..20,
@@ -153,7 +158,7 @@
         let mut engine = engine(true);
         let mut held: Vec<(Slot, (String, RouteClass))> = Vec::new();
         let mut before: Vec<Slot> = Vec::new();
-        let mut most = 0;
+        let mut max_slots = 0;
         for (routes, hold) in versions {
             let mut names = HashSet::new();
             let routes: Vec<(String, RouteClass)> = routes
@@ -162,7 +167,7 @@
                 .map(|(name, target)| (format!("r-{name}"), rules(target * S)))
                 .collect();
             let slots = engine.set_routes(EPOCH, &routes);
-            // The table of the version before is dropped once the new one is in force.
+            // The slots of the previous version are dropped once the new version is in force.
             before = slots.clone();
             if hold {
                 held.extend(slots.iter().cloned().zip(routes.iter().cloned()));
@@ -179,28 +184,32 @@
             let distinct: HashSet<usize> = held.iter().map(|(slot, _)| slot.route_class()).chain(indices).collect();
             let counts = engine.slot_counts();
             prop_assert_eq!((counts.in_force, counts.in_force + counts.retired), (routes.len(), distinct.len()));
-            // The most that two versions and all that is held could ever ask for.
-            most = most.max(2 * 8 + held.len());
-            prop_assert!(counts.all <= most, "{:?} {}", counts, most);
+            // The upper bound: two versions of 8 routes each, and all held slots.
+            max_slots = max_slots.max(2 * 8 + held.len());
+            prop_assert!(counts.all <= max_slots, "{:?} {}", counts, max_slots);
         }
         drop(before);
     }
 }
 
 #[test]
-fn a_lookup_among_many_routes_finds_the_right_one_and_the_first_wins_across_kinds_of_pattern() {
-    let mut groups: Vec<RouteClassSettings> = (0..4_500)
-        .map(|n| group(format!("r-{n}"), vec![], vec![format!("/team-{n}/api/*")]))
+fn the_first_matching_route_wins_among_many_prefixes_and_exact_paths() {
+    let mut route_classes: Vec<RouteClassSettings> = (0..4_500)
+        .map(|n| route_class(format!("r-{n}"), vec![], vec![format!("/team-{n}/api/*")]))
         .collect();
-    groups.push(group(
-        "late-whole".into(),
+    route_classes.push(route_class(
+        "late-exact".into(),
         vec![],
         vec!["/team-7/api/x".into()],
     ));
-    groups.push(group("rest".into(), vec!["GET".into()], vec!["/*".into()]));
-    let slots = slots(&mut engine(false), &groups);
+    route_classes.push(route_class(
+        "rest".into(),
+        vec!["GET".into()],
+        vec!["/*".into()],
+    ));
+    let slots = slots(&mut engine(false), &route_classes);
     let table = RouteTable::from_settings(
-        &groups,
+        &route_classes,
         slots,
         &["first".into(), "second".into(), "first".into()],
     );
@@ -210,7 +219,7 @@
     assert_eq!(
         name("GET", "/team-7/api/x"),
         Some("r-7"),
-        "the first of the script, not the longest pattern"
+        "the first route of the settings must win, not the longest pattern"
     );
     assert_eq!(
         (name("GET", "/other"), name("PUT", "/other")),
@@ -227,7 +236,7 @@
     );
 }
 
-fn listed(n: u16) -> ListedEndpoint {
+fn listed_pod(n: u16) -> ListedEndpoint {
     ListedEndpoint {
         name: format!("pod-{n}"),
         address: ([127, 0, 0, 1], 4000 + n).into(),
@@ -263,15 +272,15 @@
     });
     (
         request,
-        timeout.unwrap_or_else(|| panic!("no attempt in {effects:?}")),
+        timeout.unwrap_or_else(|| panic!("no attempt was sent: {effects:?}")),
     )
 }
 
 #[test]
-fn a_request_ends_by_the_rules_it_began_with_and_its_slot_is_free_only_then() {
+fn a_request_keeps_the_rules_it_began_with_and_frees_its_slot_only_when_it_ends() {
     let mut engine = engine(true);
     engine.start(EPOCH);
-    engine.update_endpoints(EPOCH, true, (0..4).map(listed).collect());
+    engine.update_endpoints(EPOCH, true, (0..4).map(listed_pod).collect());
     let old = engine.set_routes(
         EPOCH,
         &[("a".into(), rules(2 * S)), ("b".into(), rules(3 * S))],
@@ -283,15 +292,16 @@
         ..rules(5 * S)
     };
     let new = engine.set_routes(EPOCH, &[("a".into(), mutating), ("b".into(), rules(3 * S))]);
-    assert_eq!(old[1], new[1], "an unchanged route keeps its slot");
+    assert_eq!(old[1], new[1], "an unchanged route must keep its slot");
     assert_ne!(old[0].route_class(), new[0].route_class());
     let (other, timeout) = send_request(&mut engine, &new[0]);
     assert_eq!(
         timeout,
         10 * S,
-        "non-idempotent: the whole time its client waits"
+        "an attempt of a non-idempotent request may take the complete client timeout"
     );
-    // After a failure the old one is tried again, as its rules allow; the new one must not be.
+    // After a failure the request under the old rules is retried. The request under the new rules must not be retried,
+    // because its route is non-idempotent now.
     drop(old);
     assert_eq!(
         engine.slot_counts(),
@@ -320,7 +330,7 @@
         });
         assert_eq!((again, failed), (retried, !retried), "{effects:?}");
     }
-    // While the old request is out, no route may get its slot.
+    // While the old request is in flight, no route may get its slot.
     let third = engine.set_routes(EPOCH, &[("a".into(), mutating), ("c".into(), rules(S))]);
     assert_eq!(
         third[1].route_class(),
@@ -352,12 +362,15 @@
             ("d".into(), rules(S)),
         ],
     );
-    assert!([0, 1].contains(&fourth[2].route_class()), "free by now");
+    assert!(
+        [0, 1].contains(&fourth[2].route_class()),
+        "a free slot must be reused"
+    );
     assert_eq!(engine.slot_counts().all, 4);
 }
 
 #[test]
-fn a_thousand_changes_leave_no_more_slots_than_two_versions_need() {
+fn a_thousand_versions_use_no_more_slots_than_two_versions_need() {
     let mut engine = engine(true);
     let mut table = Vec::new();
     for version in 0..1_000u64 {
@@ -373,9 +386,9 @@
 }
 
 #[test]
-fn tallies_and_fault_reports_find_a_route_by_its_name_while_it_is_in_force() {
+fn a_fault_report_finds_a_route_by_name_only_while_it_is_in_force() {
     let mut engine = engine(false);
-    engine.update_endpoints(EPOCH, true, vec![listed(0)]);
+    engine.update_endpoints(EPOCH, true, vec![listed_pod(0)]);
     engine.set_routes(EPOCH, &[("a".into(), rules(S))]);
     assert!(engine.report_fault(EPOCH, "pod-0", "a", 0));
     engine.set_routes(EPOCH, &[("b".into(), rules(S))]);
@@ -385,17 +398,17 @@
 }
 
 #[test]
-fn a_table_of_a_snapshot_knows_its_tenants_and_waits_only_before_the_first_version() {
+fn a_table_of_a_snapshot_has_its_tenants_and_awaits_a_configuration_only_without_a_version() {
     let tenant = Tenant {
         name: "t".to_string(),
         limits: TenantLimits::default(),
     };
     let records = vec![route("/a", Idempotency::Keyed), Record::from(tenant)];
     let (first, empty) = (snapshot(1, records), Snapshot::empty());
-    let groups = routes_of(&first);
-    assert_eq!(groups[0].rules.idempotency, Idempotency::Keyed);
-    let slots = slots(&mut engine(false), &groups);
-    let table = RouteTable::from_snapshot(first, &groups, slots);
+    let route_classes = routes_of(&first);
+    assert_eq!(route_classes[0].rules.idempotency, Idempotency::Keyed);
+    let slots = slots(&mut engine(false), &route_classes);
+    let table = RouteTable::from_snapshot(first, &route_classes, slots);
     assert_eq!(
         (table.tenant("t"), table.tenant("u")),
         (Some(KnownTenant { index: None }), None)
--- a/crates/sidecar/tests/stored.rs
+++ b/crates/sidecar/tests/stored.rs
@@ -1,35 +1,36 @@
-//! What a sidecar of the release build of 0.2.0 kept on disk, before any name in the code changed, is read and written the
-//! same.
+//! Files that a sidecar of release 0.2.0 stored must still be readable, and the endpoint list must be written with the
+//! same bytes. The files were stored before names in the code changed, so a rename that changes a file fails here.
 
 use havenplank::interface::{DedupScope, Idempotency, PodState, RouteClass};
 use havenplank_configuration::store::Store;
 use havenplank_line_protocol::endpoint_list::{decode_cached, encode_cached};
 use std::path::Path;
 
-/// Kept by a sidecar at the end of a day with pods that died and left.
+/// The endpoint list that a sidecar cached at the end of a day on which pods crashed and left.
 const LIST: &str = include_str!("fixtures/kept.list");
 
 #[test]
-fn a_kept_endpoint_list_reads_whole_and_is_written_with_the_same_bytes() {
-    let pods = decode_cached(LIST).expect("a whole list");
+fn a_cached_endpoint_list_is_read_and_written_with_the_same_bytes() {
+    let pods = decode_cached(LIST).expect("a valid list");
     let names: Vec<&str> = pods.iter().map(|pod| pod.name.as_str()).collect();
     assert_eq!(names, ["pod-0", "pod-6", "pod-2", "pod-4", "pod-5"]);
-    let trial = &pods[3];
+    // A pod of the second build, in cell 1.
+    let pod = &pods[3];
     assert_eq!(
-        (trial.state, trial.build, trial.incarnation),
+        (pod.state, pod.build, pod.incarnation),
         (PodState::Running, 2, 5)
     );
-    assert_eq!((trial.age, trial.cell, trial.size), (6_097_393_364, 1, 3.0));
+    assert_eq!((pod.age, pod.cell, pod.size), (6_097_393_364, 1, 3.0));
     assert_eq!(
-        (trial.zone.as_str(), trial.machine.as_str()),
+        (pod.zone.as_str(), pod.machine.as_str()),
         ("room-1", "three-core")
     );
-    assert_eq!(trial.address, ([127, 0, 0, 1], 38_145).into());
+    assert_eq!(pod.address, ([127, 0, 0, 1], 38_145).into());
     assert_eq!(encode_cached(&pods), LIST);
 }
 
 #[test]
-fn a_kept_configuration_gives_the_version_and_route_classes_of_then() {
+fn a_stored_configuration_has_the_version_and_the_route_classes_it_was_stored_with() {
     let stored = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures/configuration");
     let folder = tempfile::tempdir().expect("a folder");
     for file in ["snapshot", "log"] {
--- a/crates/sidecar/tests/unit/backup_record.rs
+++ b/crates/sidecar/tests/unit/backup_record.rs
@@ -1,5 +1,5 @@
-//! The encoding of requests that sidecars send to each other must stay compatible with release 0.2.0. The expected bytes
-//! are written out by hand, so that a reordered field fails here.
+//! The encoding of requests that sidecars send to each other must stay compatible with release 0.2.0. The expected
+//! bytes are written out by hand, so that a reordered field fails here.
 
 use super::{decode, encode, BackedUpRequest};
 use crate::engine::RequestAttributes;
