--- a/crates/sidecar/src/distributor/mod.rs
+++ b/crates/sidecar/src/distributor/mod.rs
@@ -56,8 +56,9 @@
     pub admin: SocketAddr,
 }
 
-/// Runs a distributor on the current thread until `stop` completes. Compiles the script at the start and again at each
-/// SIGHUP. Script errors at the start are returned; later ones are logged, and the current version stays in force.
+/// Runs a distributor on the current thread until `stop` completes. Calls `ready` with the addresses once it listens.
+/// Compiles the script at the start and again at each SIGHUP. Script errors at the start are returned; later ones are
+/// logged, and the current version stays in force.
 ///
 /// # Errors
 /// Fails if the script has errors, the store cannot be used, an address is in use, or the epoch is too low.
--- a/crates/sidecar/src/distributor/writer.rs
+++ b/crates/sidecar/src/distributor/writer.rs
@@ -210,5 +210,5 @@
 fn log_round(round: &RoundStatus) {
     let behind: Vec<&str> = round.behind.iter().map(|peer| peer.name.as_str()).collect();
     let (have, of, more) = (round.have, round.of, round.more);
-    tracing::info!(version = %round.version, have, of, ?behind, more_behind = more, "polled the versions in force");
+    tracing::info!(version = %round.version, have, of, ?behind, more_behind = more, "poll of peers finished");
 }
--- a/crates/sidecar/src/endpoint_cache.rs
+++ b/crates/sidecar/src/endpoint_cache.rs
@@ -34,7 +34,8 @@
     }
 }
 
-/// Reads a cached list. Adds the time since the file was written to the ages of its pods.
+/// Reads a cached list. Adds the time since the file was written to the ages of its pods. An age of 0, which
+/// means that the pod started long ago, stays 0.
 fn read(path: &Path) -> Result<Vec<ListedEndpoint>, CacheError> {
     let text = std::fs::read_to_string(path)?;
     let mut pods = endpoint_list::decode_cached(&text)?;
--- a/crates/sidecar/src/membership.rs
+++ b/crates/sidecar/src/membership.rs
@@ -75,7 +75,7 @@
     pub unreachable_voters: Vec<String>,
     /// Names of the voters that this member reaches but that report that they do not reach this member.
     pub not_receiving_us: Vec<String>,
-    /// Names of the voters that recently joined and left too often to count as reached.
+    /// Names of the voters that came back too often or too recently to count as reached.
     pub flapping: Vec<String>,
     /// The disagreements with other voters on which members are voters or are reached.
     pub disputes: Vec<Dispute>,
@@ -193,6 +193,7 @@
         }
     }
 
+    /// Logs a change of the quorum state. The message and its fields have the same names as in `GET /state`.
     fn log_change(&self, Change { was, is }: Change) {
         let (now, views) = (self.now(), self.views.borrow());
         let (voters, unreachable) = (
--- a/crates/sidecar/src/persister.rs
+++ b/crates/sidecar/src/persister.rs
@@ -51,8 +51,8 @@
         let mailbox = Arc::new(Mailbox::default());
         let (report, persisted) = watch::channel(store.snapshot().version());
         let thread = std::thread::Builder::new().name("configuration".to_string());
-        let offered = mailbox.clone();
-        let thread = thread.spawn(move || persist_all(store, &offered, &report));
+        let thread_mailbox = mailbox.clone();
+        let thread = thread.spawn(move || persist_all(store, &thread_mailbox, &report));
         if let Err(error) = &thread {
             tracing::warn!(
                 %error,
@@ -87,8 +87,8 @@
     }
 }
 
-fn persist_all(mut store: Store, offered: &Mailbox, report: &watch::Sender<Version>) {
-    while let Some(newest) = offered.take() {
+fn persist_all(mut store: Store, mailbox: &Mailbox, report: &watch::Sender<Version>) {
+    while let Some(newest) = mailbox.take() {
         if let Err(error) = persist(&mut store, &newest) {
             tracing::error!(%error, "could not store the configuration; a restart loads an older version");
             if matches!(
--- a/crates/sidecar/src/pod_registry.rs
+++ b/crates/sidecar/src/pod_registry.rs
@@ -104,9 +104,10 @@
     }
 
     /// Updates the registry from a list. Returns the endpoint of each listed pod, or `None` for a pod without an index.
+    /// If the list is complete, pods that it leaves out are gone.
     ///
     /// An incarnation keeps the start time it had when it was first listed. Under the same name, another incarnation,
-    /// build or address is a pod that has started anew.
+    /// build or address counts as a restart of the pod.
     pub fn update(
         &mut self,
         now: Nanos,
--- a/crates/sidecar/src/protected_request.rs
+++ b/crates/sidecar/src/protected_request.rs
@@ -195,7 +195,8 @@
     }
 }
 
-/// Returns whether an attempt of this request may be sent at this moment. Ask right before the write.
+/// Returns whether an attempt of this request may be sent at this moment. Must be called right before
+/// the write, because the lease may expire.
 pub fn may_send(shell: &Shell, request: &PreparedRequest) -> bool {
     let leased = |protection: &&Protection| {
         protection.announces_before_attempt() && protection.backed_up.get()
--- a/crates/sidecar/src/replication.rs
+++ b/crates/sidecar/src/replication.rs
@@ -36,25 +36,25 @@
 }
 
 /// Replicates versions between this process and its peers.
-pub struct Replication<H> {
+pub struct Replication<I> {
     membership: Rc<Membership>,
     replicator: RefCell<Replicator>,
-    installer: H,
+    installer: I,
     /// The interval at which the peers are updated.
     period: Duration,
     /// Notified when the next wake-up of the replicator may have changed.
     rearm: Notify,
 }
 
-impl<H: Installer> Replication<H> {
+impl<I: Installer> Replication<I> {
     /// Starts to handle messages and to wake the replicator, until the thread's tasks end. Updates the peers from the
     /// membership once a period.
     pub fn start(
         membership: &Rc<Membership>,
         replicator: Replicator,
-        installer: H,
+        installer: I,
         period: Duration,
-    ) -> Rc<Replication<H>> {
+    ) -> Rc<Replication<I>> {
         let membership = membership.clone();
         let replication = Rc::new(Replication {
             membership,
@@ -103,7 +103,7 @@
     }
 
     /// Returns the installer of versions.
-    pub fn installer(&self) -> &H {
+    pub fn installer(&self) -> &I {
         &self.installer
     }
 
--- a/crates/sidecar/src/routes.rs
+++ b/crates/sidecar/src/routes.rs
@@ -27,7 +27,7 @@
 }
 
 impl Route {
-    /// Returns the index of the route in the engine. It stands for this version as long as the value exists.
+    /// Returns the index of the route in the engine. It identifies this version as long as the value exists.
     pub fn route_class(&self) -> RouteClassId {
         self.slot.route_class()
     }
--- a/crates/sidecar/src/takeover_service/lease.rs
+++ b/crates/sidecar/src/takeover_service/lease.rs
@@ -103,7 +103,7 @@
         self.perform_effects();
     }
 
-    /// Returns the client request in the form that the takeover state machine takes, with its backups.
+    /// Chooses the backups of the client request, and converts it to an argument of the takeover state machine.
     fn incoming(&self, request: &LeaseRequest<'_>) -> IncomingRequest {
         IncomingRequest {
             request: request.id,
--- a/crates/sidecar/src/takeover_service/mod.rs
+++ b/crates/sidecar/src/takeover_service/mod.rs
@@ -261,7 +261,8 @@
         self.perform(Effect::Finished(id, outcome));
     }
 
-    /// Returns whether an attempt of this request may be sent at this moment. Ask right before the write.
+    /// Returns whether an attempt of this request may be sent at this moment. Must be called right
+    /// before the write, because the lease may expire.
     pub fn may_send(&self, id: RequestId) -> bool {
         self.takeover.borrow().may_send(self.membership.now(), id)
     }
