--- a/crates/sidecar/src/replication.rs
+++ b/crates/sidecar/src/replication.rs
@@ -1,5 +1,5 @@
-//! The messages and the time around a [`Replicator`]: replicates configuration versions on the sockets that peers have for
-//! each other, and learns from the membership who lives.
+//! Runs a [`Replicator`]: sends and receives its messages through the membership, wakes it when its timers expire, and
+//! updates its peers from the alive members.
 
 use crate::membership::Membership;
 use havenplank_configuration::message::Message;
@@ -18,46 +18,48 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// The membership's kind of message in which configurations travel.
+/// The kind under which the membership carries configuration messages.
 const MESSAGE_KIND: u8 = 4;
 const NS_PER_MS: Nanos = 1_000_000;
-/// However much is due, others on the thread get their turn between two wakes.
-const SHORTEST_WAIT: Duration = Duration::from_millis(1);
+/// Lower bound on the wait between two wake-ups, so that other tasks of the thread run even if many timers are due.
+const MIN_WAIT: Duration = Duration::from_millis(1);
 
-/// Takes versions over.
-pub trait Host: 'static {
+/// Installs configuration versions.
+pub trait Installer: 'static {
     type Error: Display;
 
-    /// Puts a complete version in force, in one call.
+    /// Puts a complete version in force in one step.
     ///
     /// # Errors
-    /// Why it cannot be; what was in force stays.
+    /// Fails if the version cannot be installed. The previous version then stays in force.
     fn install(&self, snapshot: &Snapshot) -> Result<(), Self::Error>;
 }
 
 /// Replicates versions between this process and its peers.
-pub struct Replication<H> {
+pub struct Replication<I> {
     membership: Rc<Membership>,
-    spreader: RefCell<Replicator>,
-    host: H,
+    replicator: RefCell<Replicator>,
+    installer: I,
+    /// The interval at which the peers are updated.
     period: Duration,
+    /// Notified when the next wake-up of the replicator may have changed.
     rearm: Notify,
 }
 
-impl<H: Host> Replication<H> {
-    /// Reads messages from now on, and wakes the spreader until the thread's tasks end. Peers are read anew from the
+impl<I: Installer> Replication<I> {
+    /// Starts to handle messages and to wake the replicator, until the thread's tasks end. Updates the peers from the
     /// membership once a period.
     pub fn start(
         membership: &Rc<Membership>,
-        spreader: Replicator,
-        host: H,
+        replicator: Replicator,
+        installer: I,
         period: Duration,
-    ) -> Rc<Replication<H>> {
+    ) -> Rc<Replication<I>> {
         let membership = membership.clone();
         let replication = Rc::new(Replication {
             membership,
-            spreader: RefCell::new(spreader),
-            host,
+            replicator: RefCell::new(replicator),
+            installer,
             period,
             rearm: Notify::new(),
         });
@@ -70,49 +72,49 @@
         replication
     }
 
-    /// Makes one call on the spreader, then carries out all that it left to do.
-    pub fn call<T>(&self, work: impl FnOnce(&mut Replicator, Nanos) -> T) -> T {
-        let done = work(&mut self.spreader.borrow_mut(), self.membership.now());
+    /// Calls a function on the replicator, then performs the effects that the replicator has queued.
+    pub fn call<T>(&self, operation: impl FnOnce(&mut Replicator, Nanos) -> T) -> T {
+        let result = operation(&mut self.replicator.borrow_mut(), self.membership.now());
         self.perform_effects();
-        done
+        result
     }
 
-    /// Goes on in another role, with another spreader; what the one before had left to do is dropped.
-    pub fn replace_spreader(&self, mut spreader: Replicator) {
-        spreader.set_peers(self.living());
-        self.spreader.replace(spreader);
+    /// Replaces the replicator, to continue in another role. Effects that the previous one has queued are dropped.
+    pub fn replace_replicator(&self, mut replicator: Replicator) {
+        replicator.set_peers(self.alive_peers());
+        self.replicator.replace(replicator);
         self.rearm.notify_one();
     }
 
-    fn living(&self) -> Peers {
+    fn alive_peers(&self) -> Peers {
         let peer = |member: &Member| Peer {
             member_id: member.id.clone(),
             zone: member.zone.clone(),
         };
         Peers::new(
             self.membership
-                .with_living(|others| others.map(peer).collect()),
+                .with_alive_members(|others| others.map(peer).collect()),
         )
     }
 
-    /// Returns how far versions have come.
+    /// Returns the status of the replication.
     pub fn status(&self) -> Status {
-        self.spreader.borrow().status()
+        self.replicator.borrow().status()
     }
 
-    /// Returns whom versions are handed to.
-    pub fn host(&self) -> &H {
-        &self.host
+    /// Returns the installer of versions.
+    pub fn installer(&self) -> &I {
+        &self.installer
     }
 
     fn receive(&self, from: &MemberId, body: &[u8]) {
         match Message::decode(body) {
             Ok(message) => {
-                self.call(|spreader, now| spreader.handle_message(now, from, message, body.len()))
+                self.call(|receiver, now| receiver.handle_message(now, from, message, body.len()))
             }
             Err(error) => {
-                tracing::debug!(peer = from.name, %error, "message on the configuration passed over");
-                self.spreader.borrow_mut().count_unreadable();
+                tracing::debug!(peer = from.name, %error, "ignored an unreadable configuration message");
+                self.replicator.borrow_mut().count_unreadable();
             }
         }
         self.rearm.notify_one();
@@ -120,12 +122,12 @@
 
     async fn run_timers(self: Rc<Self>) {
         loop {
-            let next = self.spreader.borrow().next_wake();
+            let next = self.replicator.borrow().next_wake();
             let wait = next.map_or(self.period, |at| {
-                Duration::from_nanos(at.saturating_sub(self.membership.now())).max(SHORTEST_WAIT)
+                Duration::from_nanos(at.saturating_sub(self.membership.now())).max(MIN_WAIT)
             });
             tokio::select! {
-                () = sleep(wait) => self.call(|spreader, now| spreader.wake(now)),
+                () = sleep(wait) => self.call(|replicator, now| replicator.wake(now)),
                 () = self.rearm.notified() => {}
             }
         }
@@ -133,23 +135,23 @@
 
     async fn follow_membership(self: Rc<Self>) {
         loop {
-            let peers = self.living();
-            self.spreader.borrow_mut().set_peers(peers);
+            let peers = self.alive_peers();
+            self.replicator.borrow_mut().set_peers(peers);
             sleep(self.period).await;
         }
     }
 
     fn perform_effects(&self) {
         loop {
-            let effect = self.spreader.borrow_mut().next_effect();
+            let effect = self.replicator.borrow_mut().next_effect();
             match effect {
                 None => break,
                 Some(Effect::Send { to, message }) => match message.encode() {
                     Ok(body) => self.membership.send(&to, MESSAGE_KIND, body),
-                    Err(error) => tracing::warn!(peer = to.name, %error, "message not sent"),
+                    Err(error) => tracing::warn!(peer = to.name, %error, "message not encoded"),
                 },
                 Some(Effect::Install(snapshot)) => self.install(&snapshot),
-                Some(Effect::Event(event)) => log(event),
+                Some(Effect::Event(event)) => log_event(event),
             }
         }
         self.rearm.notify_one();
@@ -157,20 +159,20 @@
 
     fn install(&self, snapshot: &Snapshot) {
         let (version, now) = (snapshot.version(), self.membership.now());
-        match self.host.install(snapshot) {
+        match self.installer.install(snapshot) {
             Ok(()) => {
                 tracing::info!(%version, digest = %snapshot.digest(), "configuration in force");
-                self.spreader.borrow_mut().confirm_installed(now, version);
+                self.replicator.borrow_mut().confirm_installed(now, version);
             }
             Err(reason) => {
-                self.spreader
+                self.replicator
                     .borrow_mut()
                     .report_rejected(now, version, &reason.to_string())
             }
         }
     }
 
-    /// Returns what an operator sees.
+    /// Returns the state for operators. The keys are part of `GET /state`.
     pub fn state(&self) -> Value {
         let (status, now) = (self.status(), self.membership.now());
         let age_ms = |at: Nanos| now.saturating_sub(at) / NS_PER_MS;
@@ -204,7 +206,8 @@
         })
     }
 
-    /// Returns what an operator sees of a writer: how many of how many have the last polled version, and who has not.
+    /// Returns the state of a writer for operators: how many of the polled peers have the last polled version in force,
+    /// and which peers do not. Returns null for a sidecar.
     pub fn writer_state(&self) -> Value {
         let Some(writer) = self.status().writer else {
             return Value::Null;
@@ -227,7 +230,7 @@
     }
 }
 
-fn log(event: Event) {
+fn log_event(event: Event) {
     match event {
         Event::Conflict {
             version,
@@ -235,24 +238,24 @@
             other,
             from,
         } => tracing::error!(
-            %version, held = %verified, %other, peer = from.name,
-            "two contents of one configuration version: two distributors share an epoch"
+            %version, verified = %verified, %other, peer = from.name,
+            "a configuration version has two different digests: two distributors publish under one epoch"
         ),
         Event::Superseded { by } => {
             tracing::error!(by = %by.version, "superseded: another distributor has a higher epoch");
         }
         Event::Rejected(rejection) => tracing::warn!(
-            version = %rejection.version, reason = rejection.reason, "configuration rejected, the old one stays"
+            version = %rejection.version, reason = rejection.reason, "configuration rejected; the previous one stays"
         ),
         Event::TransferBegan { version, missing } => {
-            tracing::info!(%version, missing_buckets = missing, "fetching the whole configuration");
+            tracing::info!(%version, missing_buckets = missing, "fetching the configuration");
         }
-        Event::TransferDone { version } => tracing::info!(%version, "whole configuration fetched"),
+        Event::TransferDone { version } => tracing::info!(%version, "configuration fetched"),
         Event::SourceChanged { version, from } => {
-            tracing::info!(%version, peer = from.name, "fetching goes on from another peer");
+            tracing::info!(%version, peer = from.name, "fetching the configuration continues from another peer");
         }
         Event::TransferFailed { version } => {
-            tracing::warn!(%version, "fetching the configuration failed")
+            tracing::warn!(%version, "could not fetch the configuration")
         }
     }
 }
