--- a/crates/capacity/src/configuration/scenarios.rs
+++ b/crates/capacity/src/configuration/scenarios.rs
@@ -5,7 +5,7 @@
 use havenplank_configuration::snapshot::Snapshot;
 use havenplank_configuration_simulation::fleet::{place_region, tenants, Fleet, SECOND};
 use havenplank_configuration_simulation::process::{Process, Traffic};
-use havenplank_emulator::net::{Id, Weather};
+use havenplank_emulator::net::{Id, NetworkFaults};
 use std::time::Duration;
 
 /// Tenants of the simulated configuration. Fewer than planned, so that 1,600 copies fit one machine's memory.
@@ -66,9 +66,9 @@
 
 fn fleet(count: usize, seed: u64) -> (Fleet, Snapshot) {
     let base = tenants(TENANTS);
-    let weather = Weather {
+    let weather = NetworkFaults {
         loss: LOSS,
-        ..Weather::default()
+        ..NetworkFaults::default()
     };
     let mut fleet = Fleet::new(count, seed, &base, weather);
     fleet.run_for(2 * SECOND);
@@ -80,7 +80,7 @@
     let of = |id| {
         fleet
             .net
-            .part(id)
+            .host(id)
             .map(|process| process.traffic)
             .unwrap_or_default()
     };
@@ -191,7 +191,7 @@
     let began = fleet.net.now();
     let newest = fleet
         .net
-        .part(WRITER)
+        .host(WRITER)
         .map(|writer| writer.in_force.version());
     let mut behind: Vec<Id> = ids.iter().copied().filter(|id| *id != WRITER).collect();
     let mut seconds = Vec::new();
@@ -201,7 +201,7 @@
         let caught_up = |id: &Id| {
             fleet
                 .net
-                .part(*id)
+                .host(*id)
                 .map(|process| process.in_force.version())
                 == newest
         };
@@ -226,7 +226,7 @@
 fn acknowledged(fleet: &Fleet) -> String {
     let writer = fleet
         .net
-        .part(WRITER)
+        .host(WRITER)
         .and_then(|writer| writer.replicator.status().writer);
     match writer.and_then(|writer| writer.round) {
         Some(round) => format!(
@@ -243,7 +243,7 @@
     let all: Vec<(Id, Traffic)> = fleet
         .net
         .ids()
-        .filter_map(|id| Some((id, since(id, fleet.net.part(id)?))))
+        .filter_map(|id| Some((id, since(id, fleet.net.host(id)?))))
         .collect();
     let sidecars = || {
         all.iter()
--- a/crates/capacity/src/hollow.rs
+++ b/crates/capacity/src/hollow.rs
@@ -1,6 +1,6 @@
 //! A sidecar with everything left out but membership and views: the real code, driven by a network of the test's choice.
 
-use havenplank_emulator::net::{Nanos, Part};
+use havenplank_emulator::net::{Host, Nanos};
 use havenplank_membership::keys::Key;
 use havenplank_membership::member::MemberId;
 use havenplank_membership::member::{Member, MemberState};
@@ -160,8 +160,8 @@
     }
 }
 
-impl Part for HollowSidecar {
-    fn heard(&mut self, now: Nanos, bytes: &[u8]) {
+impl Host for HollowSidecar {
+    fn receive_datagram(&mut self, now: Nanos, bytes: &[u8]) {
         self.cost.received += 1;
         self.cost.received_bytes += bytes.len() as u64;
         self.timed(|sidecar| {
--- a/crates/capacity/src/membership.rs
+++ b/crates/capacity/src/membership.rs
@@ -6,7 +6,7 @@
 
 use crate::hollow::{self, Cost, HollowSidecar};
 use crate::report::{fit, Point, Section, Series};
-use havenplank_emulator::net::{Clock, Id, Nanos, Net, Weather};
+use havenplank_emulator::net::{Clock, Id, Nanos, Net, NetworkFaults};
 use havenplank_membership::quorum::QuorumState;
 use std::net::SocketAddr;
 
@@ -143,7 +143,7 @@
     /// All start at once.
     pub fn start(size: usize) -> Fleet {
         let mut fleet = Fleet {
-            net: Net::new(SEED, Weather::default()),
+            net: Net::new(SEED, NetworkFaults::default()),
             incarnations: vec![1; size],
         };
         for number in 0..size {
@@ -173,7 +173,7 @@
     pub fn costs(&self) -> impl Iterator<Item = &Cost> {
         self.net
             .ids()
-            .filter_map(|id| self.net.part(id))
+            .filter_map(|id| self.net.host(id))
             .map(HollowSidecar::cost)
     }
 
@@ -182,7 +182,7 @@
         for id in self.net.ids() {
             let cost = self
                 .net
-                .part(id)
+                .host(id)
                 .map(HollowSidecar::cost)
                 .cloned()
                 .unwrap_or_default();
@@ -202,13 +202,13 @@
     fn running(&self) -> Vec<Id> {
         self.net
             .ids()
-            .filter(|id| self.net.part(*id).is_some())
+            .filter(|id| self.net.host(*id).is_some())
             .collect()
     }
 
     fn share(&self, holds: impl Fn(&HollowSidecar) -> bool) -> f64 {
         let running = self.running();
-        let parts = running.iter().filter_map(|id| self.net.part(*id));
+        let parts = running.iter().filter_map(|id| self.net.host(*id));
         parts.filter(|part| holds(part)).count() as f64 / running.len().max(1) as f64
     }
 
@@ -236,7 +236,7 @@
 
     /// A goodbye, a moment away, the next incarnation.
     fn restart(&mut self, id: Id) {
-        if let Some(part) = self.net.part_mut(id) {
+        if let Some(part) = self.net.host_mut(id) {
             part.leave();
         }
         self.net.post(id);
@@ -248,7 +248,7 @@
     fn kill(&mut self, id: Id) -> Cost {
         let cost = self
             .net
-            .part(id)
+            .host(id)
             .map(HollowSidecar::cost)
             .cloned()
             .unwrap_or_default();
@@ -388,9 +388,9 @@
 fn lossy(fleet: &mut Fleet, figures: &mut Figures, span: Nanos) {
     const SECTION: &str = "Membership: 1% of datagrams lost, nobody dies";
     let before = fleet.spent().all;
-    fleet.net.weather.loss = 0.01;
+    fleet.net.faults.loss = 0.01;
     measure(fleet, figures, SECTION, "1% lost", |fleet| fleet.run(span));
-    fleet.net.weather.loss = 0.0;
+    fleet.net.faults.loss = 0.0;
     let (after, size) = (fleet.spent().all, fleet.size());
     figures.add(
         SECTION,
--- a/crates/cli/src/bench/load.rs
+++ b/crates/cli/src/bench/load.rs
@@ -3,7 +3,7 @@
 
 use bytes::Bytes;
 use havenplank_capacity::samples;
-use havenplank_emulator::bare::HOLD;
+use havenplank_emulator::baseline::HOLD_MS_HEADER;
 use hdrhistogram::Histogram;
 use http_body_util::{BodyExt, Empty};
 use hyper::client::conn::http1::{self, SendRequest};
@@ -46,7 +46,9 @@
                 )
             }
         };
-        let mut request = Request::get(path).header("host", "h").header(HOLD, hold_ms);
+        let mut request = Request::get(path)
+            .header("host", "h")
+            .header(HOLD_MS_HEADER, hold_ms);
         if let Some(tenant) = tenant {
             request = request.header(TENANT_HEADER, tenant);
         }
--- a/crates/cli/src/bench/processes.rs
+++ b/crates/cli/src/bench/processes.rs
@@ -2,7 +2,7 @@
 
 use anyhow::{bail, Context};
 use havenplank::interface::PodState;
-use havenplank_emulator::bare;
+use havenplank_emulator::baseline;
 use havenplank_line_protocol::codec::greeting;
 use havenplank_line_protocol::endpoint_list::{self, ListedEndpoint};
 use std::io::{BufRead, BufReader};
@@ -30,9 +30,9 @@
         let listener = TcpListener::bind(ANY_PORT).await?;
         println!("{}", listener.local_addr()?);
         match kind {
-            "pod" => bare::pod(listener, None).await,
-            "small-pod" => bare::pod(listener, Some(SMALL_POD_SLOTS)).await,
-            "bare" if !addresses.is_empty() => bare::proxy(listener, addresses).await,
+            "pod" => baseline::pod(listener, None).await,
+            "small-pod" => baseline::pod(listener, Some(SMALL_POD_SLOTS)).await,
+            "bare" if !addresses.is_empty() => baseline::proxy(listener, addresses).await,
             _ => bail!(
                 "part {kind:?}: expected pod, small-pod, pods with addresses, or bare with pods"
             ),
@@ -50,7 +50,7 @@
             .await
             .with_context(|| address.to_string())?;
         bound.push(listener.local_addr()?.to_string());
-        pods.spawn_local(bare::pod(listener, None));
+        pods.spawn_local(baseline::pod(listener, None));
     }
     println!("{}", bound.join(" "));
     while pods.join_next().await.is_some() {}
--- a/crates/cli/src/bench_takeover.rs
+++ b/crates/cli/src/bench_takeover.rs
@@ -4,8 +4,8 @@
 use crate::write_json;
 use anyhow::Context;
 use bytes::Bytes;
-use havenplank_emulator::hands::{ask, state, Group};
-use havenplank_emulator::relay::Weather;
+use havenplank_emulator::relay::NetworkFaults;
+use havenplank_emulator::sidecar_processes::{send_with_key, state, SidecarGroup};
 use hdrhistogram::Histogram;
 use http_body_util::{BodyExt, Full};
 use hyper::client::conn::http1::{self, SendRequest};
@@ -85,7 +85,7 @@
 }
 
 /// Processor ms of all sidecars, bytes sent between them, and pieces of work taken over.
-async fn sums(group: &Group) -> anyhow::Result<(u64, u64, u64)> {
+async fn sums(group: &SidecarGroup) -> anyhow::Result<(u64, u64, u64)> {
     let (mut cpu, mut bytes, mut taken) = (0, 0, 0);
     for sidecar in &group.sidecars {
         let state = state(sidecar.admin).await.context("its state")?;
@@ -128,7 +128,7 @@
     Ok((times, failed.get()))
 }
 
-fn doors(group: &Group) -> Vec<Rc<Door>> {
+fn doors(group: &SidecarGroup) -> Vec<Rc<Door>> {
     let door = |at| {
         Rc::new(Door {
             at,
@@ -138,12 +138,12 @@
     group
         .sidecars
         .iter()
-        .map(|sidecar| door(sidecar.at))
+        .map(|sidecar| door(sidecar.listen))
         .collect()
 }
 
 /// The three ways by turns, on one run of the same processes.
-async fn cost(group: &Group, seconds: u64) -> anyhow::Result<Value> {
+async fn cost(group: &SidecarGroup, seconds: u64) -> anyhow::Result<Value> {
     const ROUNDS: u64 = 3;
     let doors = doors(group);
     for path in ["/off", "/behind", "/before"] {
@@ -184,17 +184,17 @@
 }
 
 /// From the kill of a sidecar in the middle of its work to the first takeover of it, and to the client's answer.
-async fn kills(group: &mut Group, many: usize) -> anyhow::Result<Value> {
+async fn kills(group: &mut SidecarGroup, many: usize) -> anyhow::Result<Value> {
     group.pods.work.set(Duration::from_millis(300));
     let (mut begins, mut answers) = (Histogram::<u64>::new(3)?, Histogram::<u64>::new(3)?);
     let (mut twice, mut unanswered) = (0, 0);
     for round in 0..many {
         let id = 1 + round % (SIDECARS - 1);
-        let asked = group.begun(id, 4, round).await?;
-        let count = |group: &mut Group| -> usize {
+        let asked = group.start_requests(id, 4, round).await?;
+        let count = |group: &mut SidecarGroup| -> usize {
             let others = (0..SIDECARS).filter(|other| *other != id);
             others
-                .map(|other| group.sidecars[other].said("work taken over"))
+                .map(|other| group.sidecars[other].count_log_lines("work taken over"))
                 .sum()
         };
         let before = count(group);
@@ -203,11 +203,11 @@
         let mut back = JoinSet::new();
         let mut names = Vec::new();
         for (n, asked) in asked.into_iter().enumerate() {
-            let at = group.sidecars[(id + 1 + n % (SIDECARS - 1)) % SIDECARS].at;
+            let at = group.sidecars[(id + 1 + n % (SIDECARS - 1)) % SIDECARS].listen;
             names.push(asked.name.clone());
             back.spawn_local(async move {
                 asked.answer.await.ok();
-                let answer = ask(at, asked.path, &asked.name, vec![7; 20]).await;
+                let answer = send_with_key(at, asked.path, &asked.name, vec![7; 20]).await;
                 (answer.map(|(status, _)| status), killed.elapsed())
             });
         }
@@ -226,19 +226,22 @@
                 None => unanswered += 1,
             }
         }
-        twice += names.iter().filter(|name| group.pods.ran(name) > 1).count();
+        twice += names
+            .iter()
+            .filter(|name| group.pods.run_count(name) > 1)
+            .count();
         let joined: Vec<usize> = group
             .sidecars
             .iter_mut()
-            .map(|sidecar| sidecar.said("member joined"))
+            .map(|sidecar| sidecar.count_log_lines("member joined"))
             .collect();
         group.sidecars[id] = group.launch(id).await?;
         group.sidecars[id]
-            .until("member joined", SIDECARS - 1)
+            .wait_for_log("member joined", SIDECARS - 1)
             .await?;
         for other in (0..SIDECARS).filter(|other| *other != id) {
             group.sidecars[other]
-                .until("member joined", joined[other] + 1)
+                .wait_for_log("member joined", joined[other] + 1)
                 .await?;
         }
     }
@@ -274,7 +277,7 @@
 }
 
 /// Takeovers though nobody was lost, under lost datagrams and while a sidecar's process stands still for a second.
-async fn unneeded(group: &mut Group, seconds: u64) -> anyhow::Result<Value> {
+async fn unneeded(group: &mut SidecarGroup, seconds: u64) -> anyhow::Result<Value> {
     group.pods.work.set(Duration::from_millis(20));
     let mut rows = Vec::new();
     let troubles = [
@@ -284,9 +287,9 @@
     ];
     for (round, (what, loss, stalls)) in (900..).zip(troubles) {
         if let Some(relays) = &group.relays {
-            relays.weather(Weather {
+            relays.set_faults(NetworkFaults {
                 loss,
-                ..Weather::default()
+                ..NetworkFaults::default()
             });
         }
         let (doors, before) = (doors(group), sums(group).await?);
@@ -333,7 +336,7 @@
         let mut rows = Vec::new();
         for size in SIZES {
             let folder = tempfile::tempdir()?;
-            let mut group = Group::start(&program, folder.path(), size, true).await?;
+            let mut group = SidecarGroup::start(&program, folder.path(), size, true).await?;
             group.pods.work.set(Duration::ZERO);
             // What is said at the start is over by then.
             sleep(Duration::from_secs(3)).await;
@@ -348,7 +351,7 @@
             }
             let guarding = (sums(&group).await?.1 - before.1).saturating_sub(quiet);
             let lost: Vec<usize> =
-                group.sidecars.iter_mut().map(|sidecar| sidecar.said("member lost")).collect();
+                group.sidecars.iter_mut().map(|sidecar| sidecar.count_log_lines("member lost")).collect();
             group.sidecars[size - 1].signal(Signal::KILL)?;
             let (killed, mut heard) = (Instant::now(), vec![None; size - 1]);
             while heard.iter().any(Option::is_none) {
@@ -357,7 +360,7 @@
                     "not all of {size} heard of a loss"
                 );
                 for (id, heard) in heard.iter_mut().enumerate().filter(|(_, heard)| heard.is_none()) {
-                    if group.sidecars[id].said("member lost") > lost[id] {
+                    if group.sidecars[id].count_log_lines("member lost") > lost[id] {
                         *heard = Some(killed.elapsed().as_millis() as u64);
                     }
                 }
@@ -390,11 +393,11 @@
     let measured = runtime.block_on(LocalSet::new().run_until(async {
         let (first, second) = (tempfile::tempdir()?, tempfile::tempdir()?);
         println!("{SIDECARS} sidecars, {RATE} hits a second, 3 turns of {seconds} s each");
-        let group = Group::start(&program, first.path(), SIDECARS, false).await?;
+        let group = SidecarGroup::start(&program, first.path(), SIDECARS, false).await?;
         group.pods.work.set(Duration::ZERO);
         let cost = cost(&group, seconds).await?;
         drop(group);
-        let mut group = Group::start(&program, second.path(), SIDECARS, true).await?;
+        let mut group = SidecarGroup::start(&program, second.path(), SIDECARS, true).await?;
         let kills = kills(&mut group, many).await?;
         println!();
         let unneeded = unneeded(&mut group, seconds).await?;
--- a/crates/cli/src/scenario.rs
+++ b/crates/cli/src/scenario.rs
@@ -3,10 +3,10 @@
 use crate::verify::{check, print_verdicts};
 use crate::{settings, write_json, BROKEN, DONE, USAGE};
 use anyhow::{bail, Context};
-use havenplank_emulator::clients::Fared;
-use havenplank_emulator::day::{self, Launch, Played};
-use havenplank_emulator::notation::{self, Day};
-use havenplank_invariants::ledger::{self, Seen};
+use havenplank_emulator::clients::ClassOutcomes;
+use havenplank_emulator::scenario::{self, Launch, ScenarioOutcome};
+use havenplank_emulator::scenario_file::{self, Scenario};
+use havenplank_invariants::ledger::{self, LedgerEvent};
 use havenplank_invariants::Verdict;
 use havenplank_settings::Site;
 use indicatif::{ProgressBar, ProgressStyle};
@@ -17,9 +17,9 @@
 const NANOS_PER_SECOND: u64 = 1_000_000_000;
 
 /// Reads a scenario; `None` after its mistakes were printed.
-fn read(file: &Path) -> anyhow::Result<Option<Day>> {
+fn read(file: &Path) -> anyhow::Result<Option<Scenario>> {
     let text = std::fs::read_to_string(file).with_context(|| format!("{}", file.display()))?;
-    match notation::read(&text) {
+    match scenario_file::read(&text) {
         Ok(day) => Ok(Some(day)),
         Err(problems) => {
             problems
@@ -71,7 +71,7 @@
     script.rate = args.rate.unwrap_or(script.rate);
     let folder = args.scenario.parent().unwrap_or(Path::new(""));
     let settings_file = folder.join(&script.settings);
-    let given = day::given(&script);
+    let given = scenario::settings_values(&script);
     let given = given.iter().map(|(name, value)| format!("{name}={value}"));
     let given: Vec<String> = given.collect();
     let Some(site) = settings::load(&settings_file, &given)? else {
@@ -88,7 +88,7 @@
     if let Some(file) = &args.json {
         write_json(file, &as_json(&script, &played, args.seed, &verdicts))?;
     }
-    for trouble in &played.troubles {
+    for trouble in &played.unexpected_faults {
         println!("trouble: {trouble}");
     }
     status(&played, broken)
@@ -96,10 +96,10 @@
 
 fn play(
     args: &ScenarioArgs,
-    script: &Day,
+    script: &Scenario,
     site: Site,
     settings: PathBuf,
-) -> anyhow::Result<Played> {
+) -> anyhow::Result<ScenarioOutcome> {
     let temporary = tempfile::tempdir().context("a folder for lists and logs")?;
     let folder = args.ledger.as_deref().unwrap_or(temporary.path());
     std::fs::create_dir_all(folder).with_context(|| format!("{}", folder.display()))?;
@@ -117,7 +117,7 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
-    let playing = day::play(script.clone(), site, launch, args.seed, show_progress);
+    let playing = scenario::run(script.clone(), site, launch, args.seed, show_progress);
     let played = runtime.block_on(tokio::task::LocalSet::new().run_until(playing))?;
     bar.finish_and_clear();
     Ok(played)
@@ -130,8 +130,8 @@
 }
 
 /// Returns the exit status: broken invariants first, then a ledger that proves nothing, then unexpected faults.
-fn status(played: &Played, broken: usize) -> anyhow::Result<u8> {
-    let (lost, troubles) = (played.lost, played.troubles.len());
+fn status(played: &ScenarioOutcome, broken: usize) -> anyhow::Result<u8> {
+    let (lost, troubles) = (played.lost, played.unexpected_faults.len());
     match (broken, lost, troubles) {
         (0, 0, 0) => Ok(DONE),
         (0, 0, _) => bail!("{troubles} troubles that the script did not make"),
@@ -141,18 +141,18 @@
 }
 
 /// Returns the priority weight delivered within the latency objective, as a share of the weight requested.
-fn service(fared: &[Fared]) -> f64 {
-    let sum = |of: fn(&Fared) -> u64| {
+fn service(fared: &[ClassOutcomes]) -> f64 {
+    let sum = |of: fn(&ClassOutcomes) -> u64| {
         fared
             .iter()
             .map(|group| group.priority_weight * of(group) as f64)
             .sum::<f64>()
     };
-    sum(|group| group.in_time) / sum(|group| group.asked).max(1e-9)
+    sum(|group| group.in_time) / sum(|group| group.requests).max(1e-9)
 }
 
-fn report(script: &Day, played: &Played, seed: u64, took_s: f64) {
-    let Day {
+fn report(script: &Scenario, played: &ScenarioOutcome, seed: u64, took_s: f64) {
+    let Scenario {
         sidecars,
         pods,
         rate,
@@ -162,59 +162,64 @@
         "{sidecars} sidecars, {pods} pods, {rate} hits/s, seed {seed}, played in {took_s:.1} s\n"
     );
     println!("path group      asked  in time  late  bounced  errored  left  wrong  p50 ms  p99 ms");
-    for Fared {
-        group,
-        asked,
+    for ClassOutcomes {
+        route_class,
+        requests,
         in_time,
         late,
-        bounced,
-        errored,
+        rejected,
+        failed,
         left,
         wrong,
         took_us,
         ..
-    } in &played.fared
+    } in &played.outcomes
     {
         let ms = |quantile| took_us.value_at_quantile(quantile) as f64 / 1e3;
         println!(
-            "{group:<12} {asked:>8} {in_time:>8} {late:>5} {bounced:>8} {errored:>8} {left:>5} {wrong:>6} {:>7.1} {:>7.1}",
+            "{route_class:<12} {requests:>8} {in_time:>8} {late:>5} {rejected:>8} {failed:>8} {left:>5} {wrong:>6} {:>7.1} {:>7.1}",
             ms(0.5),
             ms(0.99)
         );
     }
-    let count = |of: fn(&Seen) -> bool| {
+    let count = |of: fn(&LedgerEvent) -> bool| {
         played
             .entries
             .iter()
-            .filter(|entry| of(&entry.seen))
+            .filter(|entry| of(&entry.event))
             .count()
     };
     println!(
         "\nservice {:.3}; {} tries by clients, {} forwards, {} turned away unseen, votes {:?}",
-        service(&played.fared),
-        played.tries,
-        count(|seen| matches!(seen, Seen::Arrived { .. })),
-        count(|seen| matches!(seen, Seen::Unseen { .. })),
+        service(&played.outcomes),
+        played.attempts,
+        count(|seen| matches!(seen, LedgerEvent::Arrived { .. })),
+        count(|seen| matches!(seen, LedgerEvent::Unprocessed { .. })),
         played.votes
     );
-    for line in &played.story {
+    for line in &played.release_log {
         println!("{line}");
     }
 }
 
-fn as_json(script: &Day, played: &Played, seed: u64, verdicts: &[Verdict]) -> serde_json::Value {
-    let group = |fared: &Fared| {
+fn as_json(
+    script: &Scenario,
+    played: &ScenarioOutcome,
+    seed: u64,
+    verdicts: &[Verdict],
+) -> serde_json::Value {
+    let group = |fared: &ClassOutcomes| {
         let us = |quantile| fared.took_us.value_at_quantile(quantile);
         json!({
-            "path_group": fared.group, "asked": fared.asked, "in_time": fared.in_time, "late": fared.late,
-            "bounced": fared.bounced, "errored": fared.errored, "left": fared.left, "wrong": fared.wrong,
+            "path_group": fared.route_class, "asked": fared.requests, "in_time": fared.in_time, "late": fared.late,
+            "bounced": fared.rejected, "errored": fared.failed, "left": fared.left, "wrong": fared.wrong,
             "took_p50_us": us(0.5), "took_p99_us": us(0.99),
         })
     };
     json!({
         "sidecars": script.sidecars, "pods": script.pods, "rate_per_s": script.rate, "seed": seed,
-        "path_groups": played.fared.iter().map(group).collect::<Vec<_>>(),
-        "service": service(&played.fared), "tries": played.tries, "votes": played.votes, "story": played.story, "troubles": played.troubles,
+        "path_groups": played.outcomes.iter().map(group).collect::<Vec<_>>(),
+        "service": service(&played.outcomes), "tries": played.attempts, "votes": played.votes, "story": played.release_log, "troubles": played.unexpected_faults,
         "rules": verdicts,
     })
 }
--- a/crates/cli/src/traces/drive.rs
+++ b/crates/cli/src/traces/drive.rs
@@ -3,7 +3,7 @@
 use super::files::{open, Opened};
 use crate::{write_json, FAILED, USAGE};
 use anyhow::Context;
-use havenplank_emulator::drive::{self, Driven, Fared};
+use havenplank_emulator::drive::{self, DriveOutcome, Outcomes};
 use indicatif::ProgressBar;
 use serde_json::{json, Value};
 use std::path::Path;
@@ -20,13 +20,13 @@
     };
     let driven = run(&mut reader, source)?;
     print_figures(&driven);
-    for fault in &driven.troubles {
+    for fault in &driven.unexpected_faults {
         eprintln!("{fault}");
     }
     if let Some(file) = json {
         write_json(file, &as_json(&driven))?;
     }
-    Ok(if driven.troubles.is_empty() {
+    Ok(if driven.unexpected_faults.is_empty() {
         0
     } else {
         FAILED
@@ -47,7 +47,7 @@
     }
 }
 
-fn run(reader: &mut Opened, source: usize) -> anyhow::Result<Driven> {
+fn run(reader: &mut Opened, source: usize) -> anyhow::Result<DriveOutcome> {
     let folder = tempfile::tempdir()?;
     let program = std::env::current_exe().context("this program's own path")?;
     let bar = ProgressBar::new(0);
@@ -64,21 +64,21 @@
     Ok(driven)
 }
 
-fn print_figures(driven: &Driven) {
+fn print_figures(driven: &DriveOutcome) {
     println!("             hits  delivered  bounced  errored     left  forwards");
     let sides = [("recorded", &driven.recorded), ("driven", &driven.driven)];
     for (side, figures) in sides {
-        let Fared {
-            hits,
+        let Outcomes {
+            requests,
             delivered,
-            bounced,
-            errored,
+            rejected,
+            failed,
             left,
-            forwards,
+            attempts,
             ..
         } = figures;
         println!(
-            "{side:<9} {hits:>7} {delivered:>10} {bounced:>8} {errored:>8} {left:>8} {forwards:>9}"
+            "{side:<9} {requests:>7} {delivered:>10} {rejected:>8} {failed:>8} {left:>8} {attempts:>9}"
         );
     }
     for (side, figures) in sides {
@@ -92,20 +92,20 @@
     );
 }
 
-fn as_json(driven: &Driven) -> Value {
+fn as_json(driven: &DriveOutcome) -> Value {
     json!({
         "recorded": figures_json(&driven.recorded), "driven": figures_json(&driven.driven),
         "as_recorded": driven.as_recorded, "as_build": driven.as_build,
     })
 }
 
-fn figures_json(figures: &Fared) -> Value {
+fn figures_json(figures: &Outcomes) -> Value {
     let votes = figures.votes.iter().map(|((build, stage, vote), count)| {
         json!({"build": build, "stage": stage, "voice": vote, "votes": count})
     });
     json!({
-        "hits": figures.hits, "delivered": figures.delivered, "bounced": figures.bounced,
-        "errored": figures.errored, "left": figures.left, "forwards": figures.forwards,
+        "hits": figures.requests, "delivered": figures.delivered, "bounced": figures.rejected,
+        "errored": figures.failed, "left": figures.left, "forwards": figures.attempts,
         "votes": votes.collect::<Vec<_>>(),
     })
 }
--- a/crates/cli/tests/configuration.rs
+++ b/crates/cli/tests/configuration.rs
@@ -1,8 +1,10 @@
 //! Configurations over processes of the program: six sidecars and a distributor, with relays between them.
 
 use havenplank::interface::PodState;
-use havenplank_emulator::hands::{ask_without_key, state, Pods, Sidecar, PATIENCE};
-use havenplank_emulator::relay::{Relays, Weather};
+use havenplank_emulator::relay::{NetworkFaults, Relays};
+use havenplank_emulator::sidecar_processes::{
+    send_without_key, state, Pods, Sidecar, STEP_TIMEOUT,
+};
 use havenplank_line_protocol::endpoint_list::{encode_cached, ListedEndpoint};
 use rustix::process::Signal;
 use serde_json::Value;
@@ -42,7 +44,7 @@
 async fn until(what: &str, mut holds: impl AsyncFnMut() -> bool) {
     let began = Instant::now();
     while !holds().await {
-        assert!(began.elapsed() < PATIENCE, "never came: {what}");
+        assert!(began.elapsed() < STEP_TIMEOUT, "never came: {what}");
         sleep(LOOK).await;
     }
 }
@@ -102,7 +104,7 @@
         }
         for sidecar in &mut fleet.sidecars {
             sidecar
-                .until("member joined", SIDECARS - 1)
+                .wait_for_log("member joined", SIDECARS - 1)
                 .await
                 .expect("all meet");
         }
@@ -110,7 +112,11 @@
     }
 
     async fn launch(&self, id: usize) -> Sidecar {
-        let (folder, at, first) = (self.folder.display(), self.relays.at(id), self.relays.at(0));
+        let (folder, at, first) = (
+            self.folder.display(),
+            self.relays.address(id),
+            self.relays.address(0),
+        );
         let text = format!(
             r#"
 sidecar(name = "s-{id}", instances = 8, rank = {id}, zones = ["room-1"], zone = "room-1",
@@ -129,15 +135,17 @@
         let arguments = ["serve".to_string(), file.display().to_string()];
         let mut sidecar = Sidecar::spawn(Path::new(env!("CARGO_BIN_EXE_havenplank")), &arguments)
             .expect("a process");
-        sidecar.until("admin=", 1).await.expect("it listens");
-        sidecar.at = sidecar.address("admin=", "listen=").expect("its address");
+        sidecar.wait_for_log("admin=", 1).await.expect("it listens");
+        sidecar.listen = sidecar
+            .logged_address("admin=", "listen=")
+            .expect("its address");
         sidecar.admin = sidecar
-            .address("admin=", "admin=")
+            .logged_address("admin=", "admin=")
             .expect("its admin address");
-        self.relays.serves(
+        self.relays.set_target(
             id,
             sidecar
-                .address("fellowship", "listen=")
+                .logged_address("fellowship", "listen=")
                 .expect("its peers' address"),
         );
         sidecar
@@ -160,8 +168,8 @@
         let mut arguments: Vec<String> = format!(
             "distribute {folder}/fleet.star --name d-{relay} --listen 127.0.0.1:0 --advertise {} --meet {} \
              --keys {folder}/keys --period 200ms --store {folder}/store-{relay}",
-            self.relays.at(relay),
-            self.relays.at(0)
+            self.relays.address(relay),
+            self.relays.address(0)
         )
         .split(' ')
         .map(str::to_string)
@@ -173,16 +181,16 @@
     async fn distributor(&self, relay: usize, options: &[&str]) -> Sidecar {
         let mut distributor = self.spawn_distributor(relay, options);
         distributor
-            .until("distributor listening", 1)
+            .wait_for_log("distributor listening", 1)
             .await
             .expect("it listens");
         let address = |name: &str| {
             distributor
-                .address("distributor listening", name)
+                .logged_address("distributor listening", name)
                 .expect(name)
         };
         let (peers, admin) = (address("peers="), address("admin="));
-        self.relays.serves(relay, peers);
+        self.relays.set_target(relay, peers);
         distributor.admin = admin;
         distributor
     }
@@ -217,9 +225,9 @@
 
     /// The statuses of both paths at a sidecar, without a key.
     async fn routed(&self, id: usize) -> (u16, u16) {
-        let at = self.sidecars[id].at;
+        let at = self.sidecars[id].listen;
         let status = async |path| {
-            ask_without_key(at, path, "probe")
+            send_without_key(at, path, "probe")
                 .await
                 .map_or(0, |(status, _)| status)
         };
@@ -245,13 +253,16 @@
         let over = Rc::new(Cell::new(false));
         let clients: Vec<_> = (0..SIDECARS * 2)
             .map(|n| {
-                let (at, path, over) =
-                    (fleet.sidecars[n / 2].at, ["/a", "/b"][n % 2], over.clone());
+                let (at, path, over) = (
+                    fleet.sidecars[n / 2].listen,
+                    ["/a", "/b"][n % 2],
+                    over.clone(),
+                );
                 spawn_local(async move {
                     let mut seen = [0, 0];
                     while !over.get() {
                         // Under a version whole: refused for want of a key, or its deadline is longer than the work.
-                        match ask_without_key(at, path, "load").await {
+                        match send_without_key(at, path, "load").await {
                             Some((400, _)) => seen[0] += 1,
                             Some((200, _)) => seen[1] += 1,
                             other => panic!("{path} lost or served by a mixture: {other:?}"),
@@ -301,17 +312,17 @@
                 // Before anything, right after the write, and at whatever point lies between.
                 0 => {}
                 1 => distributor
-                    .until("stored version", 1)
+                    .wait_for_log("stored version", 1)
                     .await
                     .expect("stored"),
                 2 => distributor
-                    .until("published version", 1)
+                    .wait_for_log("published version", 1)
                     .await
                     .expect("published"),
                 later => sleep(Duration::from_millis(2 * later)).await,
             }
             distributor.signal(Signal::KILL).expect("killed");
-            distributor.over().await.expect("gone");
+            distributor.wait_for_exit().await.expect("gone");
             distributor = fleet.distributor(FIRST, &[]).await;
             fleet.everybody_at(&format!("1.{}", kill + 2)).await;
             // One that finds its script in force stores nothing anew, so that the next "stored" is that of a change.
@@ -320,7 +331,7 @@
             fleet.write(&script(kill % 2 == 0, &format!("kill-{kill}")));
             distributor = fleet.distributor(FIRST, &[]).await;
             distributor
-                .until("the script has not changed", 1)
+                .wait_for_log("the script has not changed", 1)
                 .await
                 .expect("nothing new");
         }
@@ -332,7 +343,7 @@
         .await;
         fleet.relays.isolate(5);
         fleet.sidecars[5].signal(Signal::KILL).expect("killed");
-        fleet.sidecars[5].over().await.expect("gone");
+        fleet.sidecars[5].wait_for_exit().await.expect("gone");
         fleet.sidecars[5] = fleet.launch(5).await;
         assert_eq!(fleet.configuration(5).await["version"], "1.7");
         assert_eq!(fleet.routed(5).await, (400, 200));
@@ -342,9 +353,9 @@
 #[test]
 fn a_stopped_sidecar_and_one_that_hears_nothing_end_where_all_others_are() {
     test(async |fleet| {
-        fleet.relays.weather(Weather {
+        fleet.relays.set_faults(NetworkFaults {
             loss: 0.1,
-            repeat: 0.2,
+            duplicate: 0.2,
             delay: Duration::from_millis(20),
         });
         fleet.write(&script(false, "0"));
@@ -386,7 +397,7 @@
         let mut refused = fleet.spawn_distributor(FIRST, &[]);
         assert_eq!(refused.exit_code().await.expect("over"), Some(64));
         until("the mistake with its line", async || {
-            refused.said("fleet.star:2: route.service") == 1
+            refused.count_log_lines("fleet.star:2: route.service") == 1
         })
         .await;
         fleet.write(&script(false, "0"));
@@ -395,7 +406,7 @@
         fleet.write(&format!("{}nonsense(\n", script(true, "1")));
         distributor.signal(Signal::HUP).expect("told");
         distributor
-            .until("nothing published", 1)
+            .wait_for_log("nothing published", 1)
             .await
             .expect("refused");
         // No sidecar has such a zone, nor a takeover: each says so, and the writer knows of all.
@@ -438,7 +449,7 @@
         fleet.write(&script(true, "1"));
         let mut second = fleet.distributor(SECOND, &["--epoch", "1"]).await;
         second
-            .until("superseded", 1)
+            .wait_for_log("superseded", 1)
             .await
             .expect("it hears of the higher epoch");
         assert_eq!(writer(&second).await["superseded_by"], "2.1");
@@ -449,11 +460,14 @@
         let mut third = fleet.distributor(SECOND, &["--replace-writer"]).await;
         fleet.everybody_at("3.2").await;
         assert_eq!(fleet.routed(0).await, (200, 400));
-        first.until("superseded", 1).await.expect("it is replaced");
+        first
+            .wait_for_log("superseded", 1)
+            .await
+            .expect("it is replaced");
         fleet.write(&script(false, "4"));
         first.signal(Signal::HUP).expect("told");
         first
-            .until("nothing published", 1)
+            .wait_for_log("nothing published", 1)
             .await
             .expect("it publishes no more");
         third.signal(Signal::HUP).expect("told");
@@ -465,11 +479,13 @@
         std::fs::remove_dir_all(fleet.folder.join(format!("store-{SECOND}"))).expect("lost");
         fleet.write(&script(true, "5"));
         let mut lost = fleet.distributor(SECOND, &["--epoch", "3"]).await;
-        lost.until("start this one with --replace-writer", 1)
+        lost.wait_for_log("start this one with --replace-writer", 1)
             .await
             .expect("it hears of the newer one");
         lost.signal(Signal::HUP).expect("told");
-        lost.until("nothing published", 1).await.expect("refused");
+        lost.wait_for_log("nothing published", 1)
+            .await
+            .expect("refused");
         fleet.everybody_at("3.3").await;
     });
 }
--- a/crates/cli/tests/fellows.rs
+++ b/crates/cli/tests/fellows.rs
@@ -1,6 +1,6 @@
 //! The fellowship as processes of the program: killed, paused, cut off and started again, through relays on loopback.
 
-use havenplank_emulator::relay::{Relays, Weather};
+use havenplank_emulator::relay::{NetworkFaults, Relays};
 use std::io::{BufRead, BufReader};
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
@@ -91,9 +91,9 @@
         ]);
         command.args([
             "--advertise",
-            &self.relays.at(id).to_string(),
+            &self.relays.address(id).to_string(),
             "--meet",
-            &self.relays.at(0).to_string(),
+            &self.relays.address(0).to_string(),
         ]);
         command
             .arg("--keys")
@@ -130,7 +130,7 @@
             .nth(1)
             .and_then(|rest| rest.split_whitespace().next())
             .expect("an address");
-        self.relays.serves(id, at.parse().expect("an address"));
+        self.relays.set_target(id, at.parse().expect("an address"));
         fellow
     }
 
@@ -259,16 +259,16 @@
         // Nothing from 1 reaches 2, and of all the rest a third is lost, some twice, none in order.
         group.relays.cut(1, 2);
         let delay = Duration::from_millis(30);
-        group.relays.weather(Weather {
+        group.relays.set_faults(NetworkFaults {
             loss: 0.3,
-            repeat: 0.1,
+            duplicate: 0.1,
             delay,
         });
         let (carried, _) = group.relays.counts();
         while group.relays.counts().0 < carried + 600 {
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
-        group.relays.weather(Weather::default());
+        group.relays.set_faults(NetworkFaults::default());
         group.agree(&[0, 1, 2, 3, 4]).await;
     });
 }
--- a/crates/cli/tests/standing.rs
+++ b/crates/cli/tests/standing.rs
@@ -1,7 +1,7 @@
 //! What processes of the program believe of their own place while relays on loopback cut them off, and some are paused,
 //! killed and started again.
 
-use havenplank_emulator::hands::{state, Group, PATIENCE};
+use havenplank_emulator::sidecar_processes::{state, SidecarGroup, STEP_TIMEOUT};
 use rustix::process::Signal;
 use serde_json::Value;
 use std::path::Path;
@@ -9,7 +9,7 @@
 use tokio::task::LocalSet;
 use tokio::time::sleep;
 
-fn test(many: usize, work: impl AsyncFnOnce(Group)) {
+fn test(many: usize, work: impl AsyncFnOnce(SidecarGroup)) {
     let folder = tempfile::tempdir().expect("a folder");
     let program = Path::new(env!("CARGO_BIN_EXE_havenplank"));
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -18,7 +18,7 @@
         .expect("a runtime");
     runtime.block_on(LocalSet::new().run_until(async {
         work(
-            Group::start(program, folder.path(), many, true)
+            SidecarGroup::start(program, folder.path(), many, true)
                 .await
                 .expect("sidecars"),
         )
@@ -27,7 +27,7 @@
 }
 
 /// Looks at these until each says so, and no longer than patience lasts.
-async fn until(group: &Group, ids: &[usize], what: &str, says: impl Fn(&Value) -> bool) {
+async fn until(group: &SidecarGroup, ids: &[usize], what: &str, says: impl Fn(&Value) -> bool) {
     let began = Instant::now();
     loop {
         let mut last = Vec::new();
@@ -38,7 +38,7 @@
         if last.iter().all(&says) {
             return;
         }
-        assert!(began.elapsed() < PATIENCE, "{what}: {last:#?}");
+        assert!(began.elapsed() < STEP_TIMEOUT, "{what}: {last:#?}");
         sleep(Duration::from_millis(50)).await;
     }
 }
@@ -73,7 +73,7 @@
         })
         .await;
         assert!(
-            group.sidecars[0].said("standing was=Agreed is=Few") >= 1,
+            group.sidecars[0].count_log_lines("standing was=Agreed is=Few") >= 1,
             "the fall is logged"
         );
     });
@@ -84,7 +84,7 @@
     test(5, async |mut group| {
         until(&group, &[0, 1, 2, 3, 4], "whole", is("Agreed", 5, 0)).await;
         group.sidecars[4].signal(Signal::TERM).expect("stopped");
-        group.sidecars[4].over().await.expect("its end");
+        group.sidecars[4].wait_for_exit().await.expect("its end");
         until(&group, &[0, 1, 2, 3], "one left", is("Agreed", 4, 0)).await;
         for id in [2, 3] {
             group.sidecars[id].signal(Signal::KILL).expect("killed");
--- a/crates/cli/tests/takeover.rs
+++ b/crates/cli/tests/takeover.rs
@@ -1,7 +1,9 @@
 //! Work in hand over processes of the program: sidecars killed, paused and stopped in the middle of hits.
 
-use havenplank_emulator::hands::{ask, state, Asked, Group, PATIENCE};
-use havenplank_emulator::relay::Weather;
+use havenplank_emulator::relay::NetworkFaults;
+use havenplank_emulator::sidecar_processes::{
+    send_with_key, state, PendingRequest, SidecarGroup, STEP_TIMEOUT,
+};
 use oorandom::Rand64;
 use rustix::process::Signal;
 use std::path::Path;
@@ -10,7 +12,7 @@
 use tokio::time::sleep;
 
 /// Runs with so many sidecars that know each other.
-fn test(many: usize, relayed: bool, work: impl AsyncFnOnce(Group)) {
+fn test(many: usize, relayed: bool, work: impl AsyncFnOnce(SidecarGroup)) {
     let folder = tempfile::tempdir().expect("a folder");
     let program = Path::new(env!("CARGO_BIN_EXE_havenplank"));
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -19,7 +21,7 @@
         .expect("a runtime");
     runtime.block_on(LocalSet::new().run_until(async {
         work(
-            Group::start(program, folder.path(), many, relayed)
+            SidecarGroup::start(program, folder.path(), many, relayed)
                 .await
                 .expect("sidecars"),
         )
@@ -30,7 +32,7 @@
 #[test]
 fn work_of_a_killed_sidecar_is_finished_by_another_and_its_client_finds_the_answer_anywhere() {
     test(4, true, async |mut group| {
-        let asked = group.begun(0, 16, 0).await.expect("hits");
+        let asked = group.start_requests(0, 16, 0).await.expect("hits");
         group.sidecars[0].signal(Signal::KILL).expect("killed");
         let mut back = Vec::new();
         for (n, asked) in asked.into_iter().enumerate() {
@@ -42,19 +44,21 @@
             );
             // Some come back before the loss is noticed, some later, each to another sidecar.
             let (at, after) = (
-                group.sidecars[1 + n % 3].at,
+                group.sidecars[1 + n % 3].listen,
                 Duration::from_millis(n as u64 % 4 * 400),
             );
             let sent = name.clone();
             let answer = spawn_local(async move {
                 sleep(after).await;
-                ask(at, path, &sent, vec![7; 20]).await.expect("an answer")
+                send_with_key(at, path, &sent, vec![7; 20])
+                    .await
+                    .expect("an answer")
             });
             back.push((name, path, answer));
         }
         for (name, path, answer) in back {
             let (status, body) = answer.await.expect("a task");
-            assert_eq!(group.pods.ran(&name), 1, "{name} ran once");
+            assert_eq!(group.pods.run_count(&name), 1, "{name} ran once");
             match path {
                 "/tagged" => assert_eq!((status, body), (200, format!("{name} done, 20 bytes"))),
                 // It ran, and nobody may run it again, so that all that can be said is that it may have.
@@ -63,7 +67,7 @@
         }
         let taken: usize = group.sidecars[1..]
             .iter_mut()
-            .map(|sidecar| sidecar.said("work taken over"))
+            .map(|sidecar| sidecar.count_log_lines("work taken over"))
             .sum();
         assert_eq!(taken, 16, "each once");
     });
@@ -72,17 +76,17 @@
 #[test]
 fn a_paused_sidecar_finds_its_right_lost_and_its_clients_get_the_answer_of_who_took_over() {
     test(4, true, async |mut group| {
-        let asked = group.begun(2, 8, 0).await.expect("hits");
+        let asked = group.start_requests(2, 8, 0).await.expect("hits");
         group.sidecars[2].signal(Signal::STOP).expect("paused");
         let began = Instant::now();
         while [0, 1, 3]
             .iter()
-            .map(|id| group.sidecars[*id].said("work finished"))
+            .map(|id| group.sidecars[*id].count_log_lines("work finished"))
             .sum::<usize>()
             < 8
         {
             assert!(
-                began.elapsed() < PATIENCE,
+                began.elapsed() < STEP_TIMEOUT,
                 "not all was finished by the others"
             );
             sleep(Duration::from_millis(5)).await;
@@ -90,7 +94,12 @@
         group.sidecars[2].signal(Signal::CONT).expect("goes on");
         for asked in asked {
             let answer = asked.answer.await.expect("a task").expect("an answer");
-            assert_eq!(group.pods.ran(&asked.name), 1, "{} ran once", asked.name);
+            assert_eq!(
+                group.pods.run_count(&asked.name),
+                1,
+                "{} ran once",
+                asked.name
+            );
             // What the pods had answered lay in its sockets when it woke, and is as good.
             assert!(
                 answer.0 == 200 || asked.path == "/mutating",
@@ -108,25 +117,25 @@
         for path in ["/tagged", "/mutating"] {
             let name = format!("{}-twice", &path[1..]);
             let all = (0..4).map(|id| {
-                let (at, name) = (group.sidecars[id].at, name.clone());
+                let (at, name) = (group.sidecars[id].listen, name.clone());
                 spawn_local(async move {
                     sleep(Duration::from_millis(id as u64 * 60)).await;
-                    ask(at, path, &name, vec![7; 20_000]).await
+                    send_with_key(at, path, &name, vec![7; 20_000]).await
                 })
             });
             for answer in all.collect::<Vec<_>>() {
                 let wanted = (200, format!("{name} done, 20000 bytes"));
                 assert_eq!(answer.await.expect("a task"), Some(wanted));
             }
-            assert_eq!(group.pods.ran(&name), 1);
-            let other = ask(group.sidecars[3].at, path, &name, vec![8; 20_000])
+            assert_eq!(group.pods.run_count(&name), 1);
+            let other = send_with_key(group.sidecars[3].listen, path, &name, vec![8; 20_000])
                 .await
                 .expect("an answer");
             assert_eq!(other.0, 422, "{other:?}");
         }
-        let at = group.sidecars[0].at;
+        let at = group.sidecars[0].listen;
         assert_eq!(
-            ask(at, "/behind", "query", Vec::new())
+            send_with_key(at, "/behind", "query", Vec::new())
                 .await
                 .map(|answer| answer.0),
             Some(200)
@@ -137,11 +146,15 @@
 #[test]
 fn whatever_is_killed_at_whatever_moment_no_hit_runs_twice_and_each_client_gets_one_answer() {
     test(6, true, async |mut group| {
-        group.relays.as_ref().expect("relays").weather(Weather {
-            loss: 0.1,
-            repeat: 0.1,
-            ..Weather::default()
-        });
+        group
+            .relays
+            .as_ref()
+            .expect("relays")
+            .set_faults(NetworkFaults {
+                loss: 0.1,
+                duplicate: 0.1,
+                ..NetworkFaults::default()
+            });
         group.pods.work.set(Duration::from_millis(150));
         let mut chance = Rand64::new(11);
         let mut answers = Vec::new();
@@ -157,14 +170,18 @@
                         .expect("killed")
                 });
             }
-            let ats: Vec<_> = group.sidecars.iter().map(|sidecar| sidecar.at).collect();
+            let ats: Vec<_> = group
+                .sidecars
+                .iter()
+                .map(|sidecar| sidecar.listen)
+                .collect();
             let mut at = chance.rand_range(0..6) as usize;
             answers.push((
                 name.clone(),
                 spawn_local(async move {
                     // A client tries one sidecar after the other, always with its key, until one has its answer.
                     loop {
-                        match ask(ats[at % 6], path, &name, vec![1; 10]).await {
+                        match send_with_key(ats[at % 6], path, &name, vec![1; 10]).await {
                             Some((status, _)) if status != 503 => return status,
                             _ => sleep(Duration::from_millis(30)).await,
                         }
@@ -177,7 +194,7 @@
         let (mut delivered, mut errored) = (0, 0);
         for (name, answer) in answers {
             let status = answer.await.expect("a task");
-            let ran = group.pods.ran(&name);
+            let ran = group.pods.run_count(&name);
             assert!(ran <= 1, "{name} ran {ran} times");
             match status {
                 200 => assert_eq!(
@@ -192,7 +209,7 @@
         let taken: usize = group
             .sidecars
             .iter_mut()
-            .map(|sidecar| sidecar.said("work taken over"))
+            .map(|sidecar| sidecar.count_log_lines("work taken over"))
             .sum();
         assert!(taken > 0, "the kills found no work in hand");
         assert!(
@@ -203,17 +220,24 @@
 }
 
 /// Clients of these hits come back with their keys at these sidecars, by turns; the status of each.
-async fn back(group: &Group, asked: Vec<Asked>, ats: &[usize]) -> Vec<(String, &'static str, u16)> {
+async fn back(
+    group: &SidecarGroup,
+    asked: Vec<PendingRequest>,
+    ats: &[usize],
+) -> Vec<(String, &'static str, u16)> {
     let mut answers = Vec::new();
     for (n, asked) in asked.into_iter().enumerate() {
         let (name, path, at) = (
             asked.name,
             asked.path,
-            group.sidecars[ats[n % ats.len()]].at,
+            group.sidecars[ats[n % ats.len()]].listen,
         );
         let sent = name.clone();
-        let answer =
-            spawn_local(async move { ask(at, path, &sent, vec![7; 20]).await.expect("an answer") });
+        let answer = spawn_local(async move {
+            send_with_key(at, path, &sent, vec![7; 20])
+                .await
+                .expect("an answer")
+        });
         answers.push((name, path, answer));
     }
     let mut statuses = Vec::new();
@@ -223,9 +247,9 @@
     statuses
 }
 
-fn once(group: &Group, statuses: &[(String, &str, u16)]) {
+fn once(group: &SidecarGroup, statuses: &[(String, &str, u16)]) {
     for (name, path, status) in statuses {
-        assert_eq!(group.pods.ran(name), 1, "{name} ran once");
+        assert_eq!(group.pods.run_count(name), 1, "{name} ran once");
         assert!(
             *status == 200 || (*path == "/mutating" && *status == 502),
             "{name}: {status}"
@@ -236,15 +260,17 @@
 #[test]
 fn a_guardian_that_dies_with_the_holder_and_one_that_dies_in_the_middle_of_a_takeover() {
     test(6, true, async |mut group| {
-        let asked = group.begun(0, 12, 0).await.expect("hits");
+        let asked = group.start_requests(0, 12, 0).await.expect("hits");
         // Two of six die together: three guardians of five others lose one at most.
         [0, 1]
             .iter()
             .for_each(|id| group.sidecars[*id].signal(Signal::KILL).expect("killed"));
         let began = Instant::now();
         let taking = loop {
-            assert!(began.elapsed() < PATIENCE, "nobody took over");
-            if let Some(id) = (2..6).find(|id| group.sidecars[*id].said("work taken over") > 0) {
+            assert!(began.elapsed() < STEP_TIMEOUT, "nobody took over");
+            if let Some(id) =
+                (2..6).find(|id| group.sidecars[*id].count_log_lines("work taken over") > 0)
+            {
                 break id;
             }
             sleep(Duration::from_millis(1)).await;
@@ -255,7 +281,7 @@
         // With two of its three guardians dead work waits for ever, and its clients hear that it may have run, or that
         // nobody can say and a retry does no harm.
         for (name, path, status) in &statuses {
-            assert!(group.pods.ran(name) <= 1, "{name} ran twice");
+            assert!(group.pods.run_count(name) <= 1, "{name} ran twice");
             assert!(
                 [200, 502, 503, 504].contains(status),
                 "{name} at {path}: {status}"
@@ -275,7 +301,7 @@
 fn a_sidecar_cut_off_from_its_fellows_gives_its_work_up_and_one_way_is_enough() {
     test(5, true, async |group| {
         for (round, (id, sticky_keys)) in [(1, false), (2, true)].into_iter().enumerate() {
-            let asked = group.begun(id, 8, round).await.expect("hits");
+            let asked = group.start_requests(id, 8, round).await.expect("hits");
             let relays = group.relays.as_ref().expect("relays");
             match sticky_keys {
                 true => (0..5)
@@ -294,10 +320,10 @@
             // may be in hand elsewhere, for all that it knows.
             for (path, wanted) in [("/tagged", (200, 1)), ("/mutating", (503, 0))] {
                 let name = format!("alone-{round}-{}", &path[1..]);
-                let alone = ask(group.sidecars[id].at, path, &name, vec![7; 20])
+                let alone = send_with_key(group.sidecars[id].listen, path, &name, vec![7; 20])
                     .await
                     .expect("an answer");
-                assert_eq!((alone.0, group.pods.ran(&name)), wanted, "{path}");
+                assert_eq!((alone.0, group.pods.run_count(&name)), wanted, "{path}");
             }
             let state = state(group.sidecars[id].admin).await.expect("its state");
             assert!(state["takeover"]["unguarded"].as_u64() > Some(0), "{state}");
@@ -309,13 +335,17 @@
 #[test]
 fn a_fellowship_paused_one_after_the_other_under_late_and_repeated_letters_runs_nothing_twice() {
     test(4, true, async |group| {
-        let late = Weather {
+        let late = NetworkFaults {
             loss: 0.1,
-            repeat: 0.2,
+            duplicate: 0.2,
             delay: Duration::from_millis(80),
         };
-        group.relays.as_ref().expect("relays").weather(late);
-        let ats: Vec<_> = group.sidecars.iter().map(|sidecar| sidecar.at).collect();
+        group.relays.as_ref().expect("relays").set_faults(late);
+        let ats: Vec<_> = group
+            .sidecars
+            .iter()
+            .map(|sidecar| sidecar.listen)
+            .collect();
         let mut answers = Vec::new();
         for (n, sidecar) in group.sidecars.iter().enumerate() {
             for k in 0..6 {
@@ -325,7 +355,7 @@
                 answers.push((
                     name,
                     path,
-                    spawn_local(async move { ask(at, path, &sent, vec![7; 20]).await }),
+                    spawn_local(async move { send_with_key(at, path, &sent, vec![7; 20]).await }),
                 ));
             }
             sleep(Duration::from_millis(50)).await;
@@ -340,7 +370,7 @@
         let mut delivered = 0;
         for (name, _, answer) in answers {
             let (status, _) = answer.await.expect("a task").expect("an answer");
-            assert!(group.pods.ran(&name) <= 1, "{name} ran twice");
+            assert!(group.pods.run_count(&name) <= 1, "{name} ran twice");
             assert!([200, 502, 503, 504].contains(&status), "{name}: {status}");
             delivered += (status == 200) as usize;
         }
@@ -352,31 +382,31 @@
 fn a_rolling_restart_answers_what_was_taken_and_nobody_takes_it_over() {
     test(4, true, async |mut group| {
         for id in 0..4 {
-            let asked = group.begun(id, 6, id).await.expect("hits");
+            let asked = group.start_requests(id, 6, id).await.expect("hits");
             group.sidecars[id]
                 .signal(Signal::TERM)
                 .expect("told to stop");
             for asked in asked {
                 let answer = asked.answer.await.expect("a task").expect("an answer");
                 assert_eq!(
-                    (answer.0, group.pods.ran(&asked.name)),
+                    (answer.0, group.pods.run_count(&asked.name)),
                     (200, 1),
                     "{}",
                     asked.name
                 );
             }
-            group.sidecars[id].over().await.expect("it ends");
+            group.sidecars[id].wait_for_exit().await.expect("it ends");
             let taken: usize = group
                 .sidecars
                 .iter_mut()
-                .map(|sidecar| sidecar.said("work taken over"))
+                .map(|sidecar| sidecar.count_log_lines("work taken over"))
                 .sum();
             assert_eq!(taken, 0);
             let next = group.launch(id).await.expect("its next life");
             group.sidecars[id] = next;
             // The first one has nobody but itself to meet; the others find it again by themselves.
             group.sidecars[id]
-                .until("member joined", 3)
+                .wait_for_log("member joined", 3)
                 .await
                 .expect("known again");
         }
@@ -391,14 +421,18 @@
         let usual = group.pods.work.replace(Duration::from_secs(20));
         let mut asked = Vec::new();
         for id in 0..7 {
-            asked.extend(group.begun(id, 4, 0).await.expect("hits"));
+            asked.extend(group.start_requests(id, 4, 0).await.expect("hits"));
         }
         (0..7).for_each(|id| group.sidecars[id].signal(Signal::KILL).expect("killed"));
         group.pods.work.set(usual);
         let statuses = back(&group, asked, &[7, 8, 9]).await;
         // Most work lost two of its three guardians: it may wait in vain, but nobody runs it again in doubt.
         for (name, path, status) in &statuses {
-            assert_eq!(group.pods.ran(name), 1, "{name} ran once, before the kill");
+            assert_eq!(
+                group.pods.run_count(name),
+                1,
+                "{name} ran once, before the kill"
+            );
             assert!(
                 [200, 502, 503, 504].contains(status),
                 "{name} at {path}: {status}"
--- a/crates/configuration-simulation/src/fleet.rs
+++ b/crates/configuration-simulation/src/fleet.rs
@@ -9,7 +9,7 @@
 };
 use havenplank_configuration::snapshot::Snapshot;
 use havenplank_configuration::version::Version;
-use havenplank_emulator::net::{Clock, Id, Net, Weather};
+use havenplank_emulator::net::{Clock, Id, Net, NetworkFaults};
 use havenplank_membership::member::MemberId;
 use std::collections::BTreeMap;
 
@@ -126,7 +126,7 @@
 
 impl Fleet {
     /// Processes that all hold `base` and know each other; the first one is the writer of epoch 1.
-    pub fn new(count: usize, seed: u64, base: &Snapshot, faults: Weather) -> Fleet {
+    pub fn new(count: usize, seed: u64, base: &Snapshot, faults: NetworkFaults) -> Fleet {
         Fleet::with_clocks(count, seed, base, faults, |_| Clock::default())
     }
 
@@ -135,7 +135,7 @@
         count: usize,
         seed: u64,
         base: &Snapshot,
-        faults: Weather,
+        faults: NetworkFaults,
         clock: impl Fn(Id) -> Clock,
     ) -> Fleet {
         let mut net = Net::new(seed, faults);
@@ -214,7 +214,7 @@
 
     /// Tells every process of all that live.
     pub fn tell_everyone(&mut self) {
-        let living = self.net.ids().filter(|id| self.net.part(*id).is_some());
+        let living = self.net.ids().filter(|id| self.net.host(*id).is_some());
         let peers = self.peers(living);
         for id in self.net.ids() {
             self.tell(id, &peers);
@@ -223,7 +223,7 @@
 
     /// Tells a process who lives.
     pub fn tell(&mut self, id: Id, peers: &Peers) {
-        if let Some(process) = self.net.part_mut(id) {
+        if let Some(process) = self.net.host_mut(id) {
             process.replicator.set_peers(peers.clone());
         }
     }
@@ -241,7 +241,7 @@
     pub fn publish(&mut self, id: Id, epoch: u64) -> Result<Version, PublishError> {
         let changes = self.next_change();
         let (now, own) = (self.net.now(), self.net.own_time(id));
-        let Some(writer) = self.net.part_mut(id) else {
+        let Some(writer) = self.net.host_mut(id) else {
             return Err(PublishError::NotWriter);
         };
         let version = writer.publish(own, epoch, changes)?;
@@ -275,7 +275,7 @@
     }
 
     fn latency(&self, publication: &Publication, id: Id) -> Option<Nanos> {
-        let log = &self.net.part(id)?.log;
+        let log = &self.net.host(id)?.log;
         let first = log.partition_point(|installed| installed.version < publication.version);
         let installed = log.get(first)?;
         Some(installed.at.saturating_sub(publication.at))
--- a/crates/configuration-simulation/src/process.rs
+++ b/crates/configuration-simulation/src/process.rs
@@ -9,7 +9,7 @@
 };
 use havenplank_configuration::snapshot::Snapshot;
 use havenplank_configuration::version::Version;
-use havenplank_emulator::net::{Id, Net, Part};
+use havenplank_emulator::net::{Host, Id, Net};
 use havenplank_membership::member::MemberId;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
@@ -217,8 +217,8 @@
     }
 }
 
-impl Part for Process {
-    fn heard(&mut self, now: Nanos, bytes: &[u8]) {
+impl Host for Process {
+    fn receive_datagram(&mut self, now: Nanos, bytes: &[u8]) {
         let Ok(envelope) = postcard::from_bytes::<Envelope>(bytes) else {
             return;
         };
--- a/crates/configuration-simulation/tests/replication.rs
+++ b/crates/configuration-simulation/tests/replication.rs
@@ -24,7 +24,7 @@
     change, place_region, tenants, Fleet, MS, SECOND,
 };
 use havenplank_configuration_simulation::process::{name, Process};
-use havenplank_emulator::net::{Clock, Id, Net, Weather};
+use havenplank_emulator::net::{Clock, Id, Net, NetworkFaults};
 use havenplank_membership::member::MemberId;
 use oorandom::Rand64;
 use std::collections::{BTreeMap, BTreeSet};
@@ -34,10 +34,10 @@
 /// The longest that a whole round may take, and the wait before the next one after a failed one, with room.
 const TWO_ROUNDS: Nanos = 40 * SECOND;
 
-fn one_percent_loss() -> Weather {
-    Weather {
+fn one_percent_loss() -> NetworkFaults {
+    NetworkFaults {
         loss: 0.01,
-        ..Weather::default()
+        ..NetworkFaults::default()
     }
 }
 
@@ -51,16 +51,16 @@
 fn version_at(fleet: &Fleet, id: Id) -> Version {
     fleet
         .net
-        .part(id)
+        .host(id)
         .map_or(Version::NONE, |process| process.in_force.version())
 }
 
 fn digest_at(fleet: &Fleet, id: Id) -> Digest {
-    fleet.net.part(id).unwrap().in_force.digest()
+    fleet.net.host(id).unwrap().in_force.digest()
 }
 
 fn round_at(fleet: &Fleet, id: Id) -> Option<RoundStatus> {
-    fleet.net.part(id)?.replicator.status().writer?.round
+    fleet.net.host(id)?.replicator.status().writer?.round
 }
 
 /// Plays until these have what the writer has, and says how long that took.
@@ -110,7 +110,7 @@
         count: usize,
         digests: &BTreeMap<Version, Vec<Digest>>,
     ) {
-        let Some(process) = net.part(moved) else {
+        let Some(process) = net.host(moved) else {
             return;
         };
         let (version, digest) = (process.in_force.version(), process.in_force.digest());
@@ -137,7 +137,7 @@
 
     fn record(&mut self, net: &Net<Process>, id: Id) {
         let version = net
-            .part(id)
+            .host(id)
             .map_or(Version::NONE, |process| process.in_force.version());
         let ever = self.ever.entry(id).or_default();
         *ever = version.max(*ever);
@@ -180,10 +180,10 @@
         let mut rng = Rand64::new(u128::from(seed));
         let count = rng.rand_range(12..41) as usize;
         let share = |rng: &mut Rand64, most: f64| rng.rand_float() * most;
-        let weather = Weather {
+        let weather = NetworkFaults {
             loss: share(&mut rng, 0.15),
-            repeat: share(&mut rng, 0.15),
-            ..Weather::default()
+            duplicate: share(&mut rng, 0.15),
+            ..NetworkFaults::default()
         };
         let base = tenants(200);
         let clock = |id: Id| Clock {
@@ -264,7 +264,7 @@
         let in_force = self
             .fleet
             .net
-            .part(id)
+            .host(id)
             .map(|process| process.in_force.clone());
         let kept = match self.rng.rand_range(0..3) {
             0 => in_force.unwrap_or_else(Snapshot::empty),
@@ -297,7 +297,7 @@
         let kept = self
             .fleet
             .net
-            .part(id)
+            .host(id)
             .map(|process| process.in_force.clone());
         self.writers.insert(id, epoch);
         self.start(
@@ -313,7 +313,7 @@
             return;
         };
         let changes = self.fleet.next_change();
-        let Some(process) = self.fleet.net.part(id) else {
+        let Some(process) = self.fleet.net.host(id) else {
             return;
         };
         let before = process.in_force.clone();
@@ -335,7 +335,7 @@
 
     fn change_hosts(&mut self) {
         let (id, rejects) = (self.any(), self.one_in(2));
-        if let Some(process) = self.fleet.net.part_mut(id) {
+        if let Some(process) = self.fleet.net.host_mut(id) {
             process.rejects = rejects;
         }
     }
@@ -343,16 +343,16 @@
     /// The weather clears, and a writer of a higher epoch publishes: everybody ends with that, and it is told so.
     fn end(&mut self) {
         self.fleet.net.heal();
-        self.fleet.net.weather = one_percent_loss();
+        self.fleet.net.faults = one_percent_loss();
         for id in 0..self.count() {
             self.fleet.net.unpause(id);
-            if let Some(process) = self.fleet.net.part_mut(id) {
+            if let Some(process) = self.fleet.net.host_mut(id) {
                 process.rejects = false;
             }
         }
         let (epoch, kept) = (
             self.top_epoch + 1,
-            self.fleet.net.part(WRITER).map(|own| own.in_force.clone()),
+            self.fleet.net.host(WRITER).map(|own| own.in_force.clone()),
         );
         self.fleet.restart(
             WRITER,
@@ -369,7 +369,7 @@
         );
         for id in 0..self.count() {
             let found = (version_at(&self.fleet, id), digest_at(&self.fleet, id));
-            let status = self.fleet.net.part(id).unwrap().replicator.status();
+            let status = self.fleet.net.host(id).unwrap().replicator.status();
             assert_eq!(found, (version, digest), "{}: {status:?}", name(id));
         }
         self.invariants.run(&mut self.fleet, TWO_ROUNDS);
@@ -448,12 +448,12 @@
     fleet.net.heal();
     let before: u64 = cut
         .iter()
-        .map(|id| fleet.net.part(*id).unwrap().traffic.sent)
+        .map(|id| fleet.net.host(*id).unwrap().traffic.sent)
         .sum();
     catch_up(&mut fleet, &cut, CONVERGENCE_LIMIT);
     let after: u64 = cut
         .iter()
-        .map(|id| fleet.net.part(*id).unwrap().traffic.sent)
+        .map(|id| fleet.net.host(*id).unwrap().traffic.sent)
         .sum();
     let each = (after - before) / cut.len() as u64;
     assert!(
@@ -473,7 +473,7 @@
     let mut fleet = Fleet::new(30, 7, &tenants(20_000), one_percent_loss());
     fleet.restart(9, Role::Sidecar, Snapshot::empty());
     fleet.tell_everyone();
-    let transfer = |fleet: &Fleet| fleet.net.part(9).unwrap().replicator.status().transfer;
+    let transfer = |fleet: &Fleet| fleet.net.host(9).unwrap().replicator.status().transfer;
     while transfer(&fleet).is_none_or(|transfer| transfer.missing_buckets > 900) {
         assert!(fleet.net.now() < CONVERGENCE_LIMIT, "no transfer began");
         fleet.run_for(MS);
@@ -486,7 +486,7 @@
     }
     // One silence, and not as many as end a transfer.
     catch_up(&mut fleet, &[9], 2 * SECOND);
-    let events = &fleet.net.part(9).unwrap().events;
+    let events = &fleet.net.host(9).unwrap().events;
     let changed = events
         .iter()
         .any(|event| matches!(event, Event::SourceChanged { .. }));
@@ -498,7 +498,7 @@
     let mut fleet = Fleet::new(24, 8, &tenants(100), one_percent_loss());
     let (left, right): (Vec<Id>, Vec<Id>) = fleet.net.ids().partition(|id| *id < 12);
     fleet.net.split(&[&left, &right]);
-    let kept = fleet.net.part(20).unwrap().in_force.clone();
+    let kept = fleet.net.host(20).unwrap().in_force.clone();
     fleet.restart(20, Role::Writer { epoch: 1 }, kept);
     fleet.tell_everyone();
     let (one, other) = (
@@ -520,7 +520,7 @@
         } => (*verified, *other) == (digests[0], digests[20]),
         _ => false,
     };
-    assert!(fleet.net.part(3).unwrap().events.iter().any(conflict));
+    assert!(fleet.net.host(3).unwrap().events.iter().any(conflict));
     for id in [WRITER, 20] {
         assert!(matches!(
             fleet.publish(id, 1),
@@ -528,7 +528,7 @@
         ));
     }
     // Only a higher epoch mends it.
-    let kept = fleet.net.part(4).unwrap().in_force.clone();
+    let kept = fleet.net.host(4).unwrap().in_force.clone();
     fleet.restart(4, Role::Writer { epoch: 2 }, kept);
     fleet.tell_everyone();
     let mended = fleet.publish(4, 2).unwrap();
@@ -545,7 +545,7 @@
     let mut fleet = Fleet::new(24, 9, &tenants(100), one_percent_loss());
     let rest: Vec<Id> = (1..24).collect();
     fleet.net.split(&[&[WRITER], &rest]);
-    let kept = fleet.net.part(13).unwrap().in_force.clone();
+    let kept = fleet.net.host(13).unwrap().in_force.clone();
     fleet.restart(13, Role::Writer { epoch: 2 }, kept);
     fleet.tell_everyone();
     let newer = fleet.publish(13, 2).unwrap();
@@ -559,7 +559,7 @@
     assert!(
         matches!(fleet.publish(WRITER, 1), Err(PublishError::Superseded { by }) if by.version == newer)
     );
-    let writer = fleet.net.part(WRITER).unwrap();
+    let writer = fleet.net.host(WRITER).unwrap();
     assert!(writer
         .events
         .iter()
@@ -570,7 +570,7 @@
 #[test]
 fn a_rejected_version_leaves_the_old_one_in_force_is_named_and_not_fetched_again() {
     let mut fleet = Fleet::new(40, 10, &tenants(100), one_percent_loss());
-    fleet.net.part_mut(7).unwrap().rejects = true;
+    fleet.net.host_mut(7).unwrap().rejects = true;
     let old = version_at(&fleet, WRITER);
     let new = fleet.publish(WRITER, 1).unwrap();
     fleet.run_for(20 * SECOND);
@@ -586,7 +586,7 @@
         ("p-00007", LagReason::Rejected)
     );
     assert!(round.behind[0].since < round.at, "{round:?}");
-    let process = fleet.net.part_mut(7).unwrap();
+    let process = fleet.net.host_mut(7).unwrap();
     // Offered after 0, 5 and 15 s, as the waits double.
     assert_eq!(process.replicator.status().counts.rejected, 3);
     assert_eq!(process.replicator.status().verified, new);
@@ -603,8 +603,8 @@
         200,
         11,
         &tenants(100),
-        Weather {
-            repeat: 0.5,
+        NetworkFaults {
+            duplicate: 0.5,
             ..one_percent_loss()
         },
     );
@@ -634,7 +634,7 @@
             fleet.publish(WRITER, 1).unwrap();
             fleet.run_for(12 * SECOND);
         }
-        let traffic = |id| fleet.net.part(id).map(|process| process.traffic).unwrap();
+        let traffic = |id| fleet.net.host(id).map(|process| process.traffic).unwrap();
         let all: u64 = (1..count).map(|id| traffic(id).sent).sum();
         let longest = (0..count).map(|id| traffic(id).longest).max().unwrap();
         (
--- a/crates/emulator/src/bare.rs
+++ b/crates/emulator/src/baseline.rs
@@ -1,6 +1,6 @@
 //! What the sidecar's cost is measured against: a bare `hyper` proxy, and a pod that does nothing.
 
-use crate::pod::UNSEEN;
+use crate::pod::UNPROCESSED_HEADER;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
@@ -20,7 +20,7 @@
 use tokio::time::sleep;
 
 /// How long the pod holds a hit, in milliseconds.
-pub const HOLD: &str = "x-hold-ms";
+pub const HOLD_MS_HEADER: &str = "x-hold-ms";
 
 /// Answers every hit with two bytes, at once or after the time that it asks for. With `slots` it serves only so
 /// many at a time, lets as many wait four times over, and turns the rest away unseen.
@@ -59,7 +59,7 @@
         let mut full = Response::new(Full::new(Bytes::new()));
         *full.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
         full.headers_mut()
-            .insert(UNSEEN, HeaderValue::from_static("1"));
+            .insert(UNPROCESSED_HEADER, HeaderValue::from_static("1"));
         return Ok(full);
     }
     count.set(count.get() + 1);
@@ -67,7 +67,7 @@
     let _slot = free.acquire().await;
     let hold = request
         .headers()
-        .get(HOLD)
+        .get(HOLD_MS_HEADER)
         .and_then(|hold| hold.to_str().ok()?.parse().ok());
     if let Some(hold) = hold.filter(|hold| *hold > 0) {
         sleep(Duration::from_millis(hold)).await;
--- a/crates/emulator/src/clients.rs
+++ b/crates/emulator/src/clients.rs
@@ -1,11 +1,11 @@
 //! Emulated clients: open-loop load with timeouts, retries where they are harmless, and clients that leave early.
 
-use crate::book::Book;
-use crate::notation::Day;
-use crate::pod::{ASK, GROUP, WORK, WRONG};
+use crate::ledger_writer::LedgerWriter;
+use crate::pod::{CLASS_HEADER, REQUEST_HEADER, WORK_HEADER, WRONG_ANSWER_HEADER};
+use crate::scenario_file::Scenario;
 use bytes::Bytes;
 use havenplank::interface::{Idempotency, Nanos};
-use havenplank_invariants::ledger::{Answer, Seen};
+use havenplank_invariants::ledger::{Answer, LedgerEvent};
 use havenplank_settings::Site;
 use hdrhistogram::Histogram;
 use http_body_util::{BodyExt, Full};
@@ -58,14 +58,14 @@
     }
 
     /// Sets the addresses of a sidecar that has started.
-    pub fn comes_up(&self, address: SocketAddr, admin: SocketAddr) {
+    pub fn mark_up(&self, address: SocketAddr, admin: SocketAddr) {
         self.idle.borrow_mut().clear();
         self.address.set(Some(address));
         self.admin.set(Some(admin));
     }
 
     /// Forgets the addresses and connections of a sidecar that ends.
-    pub fn goes_down(&self) {
+    pub fn mark_down(&self) {
         self.address.set(None);
         self.admin.set(None);
         self.idle.borrow_mut().clear();
@@ -111,7 +111,7 @@
 }
 
 /// How long a client waits for an answer, and what it counts after that.
-struct Patience {
+struct WaitLimit {
     limit: Duration,
     at_limit: Answer,
 }
@@ -179,27 +179,29 @@
     Reply {
         answer,
         retry_after: retry_after.unwrap_or(0) * 1_000_000_000,
-        wrong_pod: text(WRONG).and(text("x-pod")).map(str::to_string),
+        wrong_pod: text(WRONG_ANSWER_HEADER)
+            .and(text("x-pod"))
+            .map(str::to_string),
     }
 }
 
 /// Outcomes of one route class's requests; a client's retries count as the same request.
 #[derive(Clone)]
-pub struct Fared {
+pub struct ClassOutcomes {
     /// The route class.
-    pub group: String,
+    pub route_class: String,
     /// Value of a request that is answered within the latency objective.
     pub priority_weight: f64,
     /// Requests sent.
-    pub asked: u64,
+    pub requests: u64,
     /// Requests answered within the latency objective.
     pub in_time: u64,
     /// Requests answered later.
     pub late: u64,
     /// Requests rejected with advice to retry.
-    pub bounced: u64,
+    pub rejected: u64,
     /// Requests that ended in an error.
-    pub errored: u64,
+    pub failed: u64,
     /// Requests whose client left early.
     pub left: u64,
     /// Requests with a wrong answer.
@@ -210,16 +212,16 @@
 
 /// All emulated clients of a scenario.
 pub struct Clients {
-    book: Book,
+    ledger: LedgerWriter,
     site: Rc<Site>,
-    day: Day,
+    scenario: Scenario,
     targets: Vec<Rc<Target>>,
     /// Factor on the usual request rate.
-    pub surge: Cell<f64>,
+    pub rate_factor: Cell<f64>,
     /// Outcomes by route class.
-    pub fared: RefCell<Vec<Fared>>,
+    pub outcomes: RefCell<Vec<ClassOutcomes>>,
     /// Attempts sent, retries counted.
-    pub tries: Cell<u64>,
+    pub attempts: Cell<u64>,
     next: Cell<u64>,
     random: RefCell<Rand64>,
 }
@@ -227,34 +229,34 @@
 impl Clients {
     /// Clients of these sidecars, with the scenario's load.
     pub fn new(
-        book: Book,
+        ledger: LedgerWriter,
         site: Rc<Site>,
-        day: &Day,
+        scenario: &Scenario,
         targets: Vec<Rc<Target>>,
         seed: u64,
     ) -> Rc<Clients> {
-        let new = |group: &havenplank_settings::RouteClassSettings| Fared {
-            group: group.name.clone(),
+        let no_outcomes = |group: &havenplank_settings::RouteClassSettings| ClassOutcomes {
+            route_class: group.name.clone(),
             priority_weight: group.rules.priority_weight,
-            asked: 0,
+            requests: 0,
             in_time: 0,
             late: 0,
-            bounced: 0,
-            errored: 0,
+            rejected: 0,
+            failed: 0,
             left: 0,
             wrong: 0,
             // One minute at most, to three digits: fixed bounds, so it cannot fail.
             took_us: Histogram::new_with_bounds(1, 60_000_000, 3).expect("bounds that fit"),
         };
-        let fared = RefCell::new(site.route_classes.iter().map(new).collect());
+        let outcomes = RefCell::new(site.route_classes.iter().map(no_outcomes).collect());
         Rc::new(Clients {
-            book,
+            ledger,
             site,
-            day: day.clone(),
+            scenario: scenario.clone(),
             targets,
-            surge: Cell::new(1.0),
-            fared,
-            tries: Cell::new(0),
+            rate_factor: Cell::new(1.0),
+            outcomes,
+            attempts: Cell::new(0),
             next: Cell::new(1),
             random: RefCell::new(Rand64::new(seed as u128)),
         })
@@ -264,7 +266,7 @@
         self.random.borrow_mut().rand_float()
     }
 
-    fn number(&self) -> u64 {
+    fn next_number(&self) -> u64 {
         self.next.replace(self.next.get() + 1)
     }
 
@@ -272,19 +274,19 @@
     pub async fn run(self: &Rc<Self>) {
         let began = tokio::time::Instant::now();
         let mut at = Duration::ZERO;
-        let mut out = JoinSet::new();
+        let mut in_flight = JoinSet::new();
         loop {
-            let rate = (self.day.rate * self.surge.get()).max(0.001);
+            let rate = (self.scenario.rate * self.rate_factor.get()).max(0.001);
             at += Duration::from_secs_f64(-(1.0 - self.draw()).ln() / rate);
-            if at.as_nanos() as Nanos >= self.day.length {
+            if at.as_nanos() as Nanos >= self.scenario.length {
                 break;
             }
             sleep_until(began + at).await;
             let clients = self.clone();
-            out.spawn_local(async move { clients.send().await });
-            while out.try_join_next().is_some() {}
+            in_flight.spawn_local(async move { clients.send().await });
+            while in_flight.try_join_next().is_some() {}
         }
-        while out.join_next().await.is_some() {}
+        while in_flight.join_next().await.is_some() {}
     }
 
     /// Sends one request, with retries, and counts its outcome.
@@ -293,7 +295,7 @@
             return;
         };
         let began = Instant::now();
-        self.fared.borrow_mut()[request.class].asked += 1;
+        self.outcomes.borrow_mut()[request.class].requests += 1;
         let mut last = Answer::Errored;
         for _ in 0..MAX_ATTEMPTS {
             let outcome = self.attempt(&request).await;
@@ -307,32 +309,40 @@
             }
             sleep(self.draw_pause(&request, outcome.retry_after)).await;
         }
-        let fared = &mut self.fared.borrow_mut()[request.class];
+        let outcomes = &mut self.outcomes.borrow_mut()[request.class];
         match last {
-            Answer::Left => fared.left += 1,
-            Answer::Bounced => fared.bounced += 1,
-            _ => fared.errored += 1,
+            Answer::Left => outcomes.left += 1,
+            Answer::Bounced => outcomes.rejected += 1,
+            _ => outcomes.failed += 1,
         }
     }
 
     /// Draws a request of one of the scenario's loads; none if the settings lack its route class.
     fn draw_request(&self) -> Option<ClientRequest> {
-        let mut left = self.draw() * self.day.loads.iter().map(|load| load.share).sum::<f64>();
-        let load = self.day.loads.iter().find(|load| {
+        let mut left = self.draw()
+            * self
+                .scenario
+                .loads
+                .iter()
+                .map(|load| load.share)
+                .sum::<f64>();
+        let load = self.scenario.loads.iter().find(|load| {
             left -= load.share;
             left < 0.0
         });
-        let load = load.unwrap_or(&self.day.loads[0]);
+        let load = load.unwrap_or(&self.scenario.loads[0]);
         let classes = &self.site.route_classes;
-        let class = classes.iter().position(|class| class.name == load.group)?;
+        let class = classes
+            .iter()
+            .position(|class| class.name == load.route_class)?;
         let client_timeout = classes[class].rules.client_timeout as f64;
         Some(ClientRequest {
-            id: self.number(),
+            id: self.next_number(),
             class,
             key: (self.draw() * load.keys as f64) as u64 + 1,
             work: (load.work as f64 * (0.5 - 0.5 * (1.0 - self.draw()).ln())) as Nanos,
-            retries: self.draw() < self.day.retries,
-            heeds_retry_after: self.draw() < self.day.honour,
+            retries: self.draw() < self.scenario.retry,
+            heeds_retry_after: self.draw() < self.scenario.heed_retry_after,
             timeout: (client_timeout * (0.5 + 0.5 * self.draw())) as Nanos,
         })
     }
@@ -341,14 +351,14 @@
         let objective = self.site.route_classes[request.class]
             .rules
             .latency_objective;
-        let fared = &mut self.fared.borrow_mut()[request.class];
-        fared.wrong += wrong as u64;
+        let outcomes = &mut self.outcomes.borrow_mut()[request.class];
+        outcomes.wrong += wrong as u64;
         if took.as_nanos() as Nanos <= objective {
-            fared.in_time += 1;
+            outcomes.in_time += 1;
         } else {
-            fared.late += 1;
+            outcomes.late += 1;
         }
-        let _ = fared.took_us.record(took.as_micros() as u64);
+        let _ = outcomes.took_us.record(took.as_micros() as u64);
     }
 
     /// Only a rejection says that a retry is harmless; an idempotent request may always be retried.
@@ -378,21 +388,21 @@
         let Some(mut sender) = target.connection().await else {
             return AttemptOutcome::UNREACHABLE;
         };
-        let attempt = self.number();
-        self.tries.set(self.tries.get() + 1);
+        let attempt = self.next_number();
+        self.attempts.set(self.attempts.get() + 1);
         let message = self.message(attempt, request);
-        self.book.write(Seen::Asked {
+        self.ledger.write(LedgerEvent::RequestSent {
             ask: attempt,
-            hit: request.id,
+            operation: request.id,
             sidecar: target.name.clone(),
-            group: request.class,
+            class: request.class,
             key: request.key,
-            left: request.timeout,
+            remaining: request.timeout,
         });
-        let patience = self.draw_patience(request.timeout);
-        let ended = timeout(patience.limit, exchange(&mut sender, message)).await;
-        let reply = ended.unwrap_or(Reply::without_body(patience.at_limit));
-        self.book.write(Seen::Answered {
+        let wait = self.draw_wait_limit(request.timeout);
+        let ended = timeout(wait.limit, exchange(&mut sender, message)).await;
+        let reply = ended.unwrap_or(Reply::without_body(wait.at_limit));
+        self.ledger.write(LedgerEvent::Answered {
             ask: attempt,
             answer: reply.answer,
             retry_after: reply.retry_after,
@@ -401,9 +411,12 @@
             target.idle.borrow_mut().push((sender, Instant::now()));
         }
         let wrong = reply.wrong_pod.is_some();
-        if let Some(pod) = reply.wrong_pod.filter(|_| self.draw() < self.day.flagged) {
+        if let Some(pod) = reply
+            .wrong_pod
+            .filter(|_| self.draw() < self.scenario.report_wrong)
+        {
             let (clients, class) = (self.clone(), request.class);
-            spawn_local(async move { clients.flag(&target, &pod, class).await });
+            spawn_local(async move { clients.report_wrong_answer(&target, &pod, class).await });
         }
         AttemptOutcome {
             answer: reply.answer,
@@ -425,14 +438,14 @@
         Some(up[(self.draw() * up.len() as f64) as usize].clone())
     }
 
-    fn draw_patience(&self, client_timeout: Nanos) -> Patience {
-        let leaves = self.draw() < self.day.impatient;
+    fn draw_wait_limit(&self, client_timeout: Nanos) -> WaitLimit {
+        let leaves = self.draw() < self.scenario.leave_early;
         let limit = if leaves {
             client_timeout as f64 * 0.2 * self.draw()
         } else {
             client_timeout as f64 + LATE_ANSWER_GRACE.as_nanos() as f64
         };
-        Patience {
+        WaitLimit {
             limit: Duration::from_nanos(limit as u64),
             at_limit: if leaves {
                 Answer::Left
@@ -457,9 +470,9 @@
             .method(method)
             .uri(path.trim_end_matches('*'))
             .header("host", "search.example.org")
-            .header(ASK, attempt)
-            .header(GROUP, request.class)
-            .header(WORK, request.work / 1_000)
+            .header(REQUEST_HEADER, attempt)
+            .header(CLASS_HEADER, request.class)
+            .header(WORK_HEADER, request.work / 1_000)
             .header(&headers.idempotency_key, request.key)
             .header(
                 &headers.timeout,
@@ -475,9 +488,9 @@
     }
 
     /// Reports a wrong answer to the sidecar, as clients do when they find out.
-    async fn flag(&self, target: &Target, pod: &str, group: usize) {
-        let found = 0.3 + 0.7 * self.draw();
-        sleep(Duration::from_secs_f64(found)).await;
+    async fn report_wrong_answer(&self, target: &Target, pod: &str, group: usize) {
+        let delay_s = 0.3 + 0.7 * self.draw();
+        sleep(Duration::from_secs_f64(delay_s)).await;
         let Some(admin) = target.admin.get() else {
             return;
         };
@@ -491,9 +504,9 @@
             let _ = connection.await;
         });
         let group = &self.site.route_classes[group].name;
-        let told =
-            serde_json::json!({"pod": pod, "path_group": group, "ago_ms": (found * 1e3) as u64});
-        let mut request = Request::new(Full::new(Bytes::from(told.to_string())));
+        let report =
+            serde_json::json!({"pod": pod, "path_group": group, "ago_ms": (delay_s * 1e3) as u64});
+        let mut request = Request::new(Full::new(Bytes::from(report.to_string())));
         *request.method_mut() = hyper::Method::POST;
         *request.uri_mut() = hyper::Uri::from_static("/flagged");
         request
--- a/crates/emulator/src/desk.rs
+++ b/crates/emulator/src/control_plane.rs
@@ -1,12 +1,12 @@
 //! The emulated control plane: offers builds, moves their stages by votes or by time, announces stages late.
 
-use crate::book::Book;
 use crate::fleet::Fleet;
-use crate::notation::{part, Offer, FIRST};
+use crate::ledger_writer::LedgerWriter;
+use crate::scenario_file::{share_of, Offer, FIRST_BUILD};
 use crate::vote_inbox::{PendingVote, VoteInbox};
 use futures_util::{SinkExt, StreamExt};
 use havenplank::interface::{Build, Nanos, Phase, ReleaseControl, Stage, Vote, VoteReceipt};
-use havenplank_invariants::ledger::{phase_name, Seen};
+use havenplank_invariants::ledger::{phase_name, LedgerEvent};
 use havenplank_line_protocol::codec::{greeting, LineCodec};
 use havenplank_line_protocol::control_plane;
 use std::cell::{Cell, RefCell};
@@ -19,6 +19,8 @@
 use tokio_util::codec::Framed;
 
 const MS: Nanos = 1_000_000;
+/// Log target of release events: log filters and readers know it by this name.
+const LOG_TARGET: &str = "havenplank_emulator::desk";
 /// How long after the last pod of a stage started its clock starts.
 const SETTLE_TIME: Nanos = 1_000 * MS;
 /// How long a stage that votes move runs at least.
@@ -34,13 +36,13 @@
 /// How often stages are evaluated, and how often a connection looks for news.
 const EVALUATION_INTERVAL: Duration = Duration::from_millis(50);
 /// How often the listener looks whether the control plane is to be away.
-const AWAY_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+const AVAILABILITY_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 /// Longest line that a sidecar may send, in bytes.
-const MAX_LINE: usize = 1024;
+const MAX_LINE_BYTES: usize = 1024;
 
 /// By what the control plane moves stages.
 #[derive(Clone, Debug)]
-pub struct Terms {
+pub struct ReleaseRules {
     /// Who moves stages.
     pub control: ReleaseControl,
     /// Sidecars that must vote to advance.
@@ -48,9 +50,9 @@
     /// Sidecars that must vote to roll back, or to hold a timed stage.
     pub rollback_quorum: usize,
     /// How long a vote stands, in nanoseconds.
-    pub life: Nanos,
+    pub vote_ttl: Nanos,
     /// How long a timed stage runs, in nanoseconds.
-    pub step: Nanos,
+    pub stage_duration: Nanos,
     /// Votes taken a second, all sidecars together; 0 for no limit.
     pub calls_per_second: f64,
     /// Exposure cap of each stage.
@@ -58,7 +60,7 @@
     /// Share of the pods that each stage gets.
     pub shares: Vec<f64>,
     /// Pods of a complete release.
-    pub places: usize,
+    pub total_pods: usize,
 }
 
 #[derive(Clone, Copy)]
@@ -71,27 +73,27 @@
 
 /// Where the newest build stands.
 #[derive(Clone, Copy, Debug)]
-struct State {
+struct ReleaseState {
     build: Build,
     stage: usize,
     phase: Phase,
     since: Nanos,
     /// When the stage's clock started.
-    clock: Option<Nanos>,
+    timed_from: Option<Nanos>,
 }
 
 /// The stage that a sidecar was told last, and when.
 #[derive(Clone, Copy, Debug)]
-struct Announced {
+struct Announcement {
     build: Build,
     stage: usize,
     phase: Phase,
     at: Nanos,
 }
 
-impl Announced {
-    fn new(state: &State, at: Nanos) -> Announced {
-        Announced {
+impl Announcement {
+    fn new(state: &ReleaseState, at: Nanos) -> Announcement {
+        Announcement {
             build: state.build,
             stage: state.stage,
             phase: state.phase,
@@ -99,7 +101,7 @@
         }
     }
 
-    fn is_of(&self, state: &State) -> bool {
+    fn is_current_for(&self, state: &ReleaseState) -> bool {
         (self.build, self.stage, self.phase) == (state.build, state.stage, state.phase)
     }
 }
@@ -122,12 +124,12 @@
 }
 
 /// The emulated control plane.
-pub struct Desk {
-    book: Book,
+pub struct ControlPlane {
+    ledger: LedgerWriter,
     fleet: Rc<Fleet>,
-    terms: Terms,
+    rules: ReleaseRules,
     offers: Vec<Offer>,
-    state: Cell<Option<State>>,
+    state: Cell<Option<ReleaseState>>,
     /// The build that all pods run outside trials.
     released: Cell<Build>,
     /// The build before it, which a late rollback brings again.
@@ -137,73 +139,73 @@
     votes: RefCell<HashMap<String, CastVote>>,
     calls: RefCell<CallRate>,
     /// Whether nothing listens.
-    pub away: Cell<bool>,
+    pub is_unavailable: Cell<bool>,
     /// How much later than usual stages are announced, in nanoseconds.
-    pub late: Cell<Nanos>,
+    pub extra_announce_delay: Cell<Nanos>,
     /// Whether votes are counted but not answered.
-    pub mute: Cell<bool>,
+    pub withholds_vote_replies: Cell<bool>,
     /// What happened to builds, for the report; bounded by the offers and their stages.
-    pub story: RefCell<Vec<String>>,
+    pub release_log: RefCell<Vec<String>>,
     route_classes: Vec<String>,
 }
 
-impl Desk {
+impl ControlPlane {
     /// A control plane that will offer these builds, at their times.
     pub fn new(
-        book: Book,
+        ledger: LedgerWriter,
         fleet: Rc<Fleet>,
-        terms: Terms,
+        rules: ReleaseRules,
         offers: Vec<Offer>,
         route_classes: Vec<String>,
-    ) -> Rc<Desk> {
-        Rc::new(Desk {
-            book,
+    ) -> Rc<ControlPlane> {
+        Rc::new(ControlPlane {
+            ledger,
             fleet,
-            terms,
+            rules,
             offers,
             state: Cell::new(None),
-            released: Cell::new(FIRST),
-            previous: Cell::new(FIRST),
+            released: Cell::new(FIRST_BUILD),
+            previous: Cell::new(FIRST_BUILD),
             offered: Cell::new(0),
             votes: RefCell::default(),
             calls: RefCell::default(),
-            away: Cell::new(false),
-            late: Cell::new(0),
-            mute: Cell::new(false),
-            story: RefCell::default(),
+            is_unavailable: Cell::new(false),
+            extra_announce_delay: Cell::new(0),
+            withholds_vote_replies: Cell::new(false),
+            release_log: RefCell::default(),
             route_classes,
         })
     }
 
-    fn note(&self, what: String) {
-        tracing::info!(what, "desk");
-        self.story
+    fn log_release(&self, what: String) {
+        tracing::info!(target: LOG_TARGET, what, "desk");
+        self.release_log
             .borrow_mut()
-            .push(format!("{:6.1} s  {what}", self.book.now() as f64 / 1e9));
+            .push(format!("{:6.1} s  {what}", self.ledger.now() as f64 / 1e9));
     }
 
     fn enter(&self, build: Build, stage: usize, phase: Phase) {
-        let since = self.book.now();
-        self.state.set(Some(State {
+        let since = self.ledger.now();
+        self.state.set(Some(ReleaseState {
             build,
             stage,
             phase,
             since,
-            clock: None,
+            timed_from: None,
         }));
-        self.note(format!("build {build} stage {stage}: {phase:?}"));
+        self.log_release(format!("build {build} stage {stage}: {phase:?}"));
     }
 
-    fn cap(&self, state: &State) -> f64 {
+    fn cap(&self, state: &ReleaseState) -> f64 {
         match state.phase {
-            Phase::Trial => self.terms.caps.get(state.stage).copied().unwrap_or(0.0),
+            Phase::Trial => self.rules.caps.get(state.stage).copied().unwrap_or(0.0),
             Phase::Released => 1.0,
             Phase::RollingBack | Phase::Withdrawn => 0.0,
         }
     }
 
-    fn announcement(&self, state: &State) -> Stage {
-        let State {
+    fn announcement(&self, state: &ReleaseState) -> Stage {
+        let ReleaseState {
             build,
             stage,
             phase,
@@ -215,7 +217,7 @@
             stage,
             phase,
             cap: self.cap(state),
-            age: self.book.now().saturating_sub(since),
+            age: self.ledger.now().saturating_sub(since),
         }
     }
 
@@ -229,7 +231,7 @@
 
     /// Offers the next build if it is due, and moves the newest build on or back otherwise.
     async fn evaluate(&self) {
-        let now = self.book.now();
+        let now = self.ledger.now();
         let next = self.offers.get(self.offered.get());
         if let Some(offer) = next.filter(|offer| offer.at <= now) {
             self.offer(offer).await;
@@ -255,34 +257,34 @@
     /// Starts the trial of the next build; one that is still on trial is withdrawn first.
     async fn offer(&self, offer: &Offer) {
         if let Some(state) = self.state.get().filter(|state| state.phase == Phase::Trial) {
-            self.note(format!(
+            self.log_release(format!(
                 "build {} still on trial when the next came: taken off",
                 state.build
             ));
             self.drain_build(state.build);
         }
         self.offered.set(self.offered.get() + 1);
-        let build = FIRST + self.offered.get() as Build;
-        let class = offer.group.as_ref().and_then(|name| {
+        let build = FIRST_BUILD + self.offered.get() as Build;
+        let class = offer.route_class.as_ref().and_then(|name| {
             let mut known = self.route_classes.iter();
             known.position(|known| known == name)
         });
-        self.fleet.spoil(build, offer, class);
+        self.fleet.set_build_faults(build, offer, class);
         let quality = if offer.bad { "bad" } else { "good" };
-        self.note(format!("build {build} offered, {quality}"));
+        self.log_release(format!("build {build} offered, {quality}"));
         self.enter(build, 0, Phase::Trial);
-        self.fill(build, 0).await;
+        self.start_stage_pods(build, 0).await;
     }
 
-    async fn evaluate_trial(&self, mut state: State, now: Nanos) {
-        if state.clock.is_none() {
-            state.clock = Some(self.book.now() + SETTLE_TIME);
+    async fn evaluate_trial(&self, mut state: ReleaseState, now: Nanos) {
+        if state.timed_from.is_none() {
+            state.timed_from = Some(self.ledger.now() + SETTLE_TIME);
             self.state.set(Some(state));
         }
-        let ran = now.saturating_sub(state.clock.unwrap_or(now));
+        let ran = now.saturating_sub(state.timed_from.unwrap_or(now));
         if self.rollback_is_voted(&state) {
             self.roll_back(&state);
-        } else if self.moves_on(&state, ran) {
+        } else if self.may_advance(&state, ran) {
             self.advance(&state).await;
         }
     }
@@ -290,54 +292,55 @@
     /// Starts pods of the build before the released one, as its own are gone.
     async fn restore_previous(&self) {
         let previous = self.previous.get();
-        for _ in self.fleet.of(previous).len()..self.terms.places {
+        for _ in self.fleet.running_of_build(previous).len()..self.rules.total_pods {
             let _ = self.fleet.start(previous, None, false).await;
         }
         self.released.set(previous);
     }
 
     fn drain_build(&self, build: Build) {
-        for pod in self.fleet.of(build) {
+        for pod in self.fleet.running_of_build(build) {
             self.fleet.drain(&pod);
         }
     }
 
-    fn rollback_is_voted(&self, state: &State) -> bool {
-        self.count(state, Vote::RollBack) >= self.rollback_quorum()
+    fn rollback_is_voted(&self, state: &ReleaseState) -> bool {
+        self.count_votes(state, Vote::RollBack) >= self.rollback_quorum()
     }
 
     fn rollback_quorum(&self) -> usize {
-        if self.terms.control == ReleaseControl::AnyVote {
+        if self.rules.control == ReleaseControl::AnyVote {
             1
         } else {
-            self.terms.rollback_quorum
+            self.rules.rollback_quorum
         }
     }
 
-    fn roll_back(&self, state: &State) {
+    fn roll_back(&self, state: &ReleaseState) {
         self.enter(state.build, state.stage, Phase::RollingBack);
     }
 
-    fn moves_on(&self, state: &State, ran: Nanos) -> bool {
-        match self.terms.control {
+    fn may_advance(&self, state: &ReleaseState, ran: Nanos) -> bool {
+        match self.rules.control {
             ReleaseControl::AnyVote => {
-                ran >= MIN_STAGE_TIME && self.count(state, Vote::Advance) >= 1
+                ran >= MIN_STAGE_TIME && self.count_votes(state, Vote::Advance) >= 1
             }
             ReleaseControl::Quorum => {
                 ran >= MIN_STAGE_TIME
-                    && self.count(state, Vote::Advance) >= self.terms.advance_quorum
+                    && self.count_votes(state, Vote::Advance) >= self.rules.advance_quorum
             }
             ReleaseControl::Timed => {
-                ran >= self.terms.step && self.count(state, Vote::Hold) < self.terms.rollback_quorum
+                ran >= self.rules.stage_duration
+                    && self.count_votes(state, Vote::Hold) < self.rules.rollback_quorum
             }
         }
     }
 
-    async fn advance(&self, state: &State) {
+    async fn advance(&self, state: &ReleaseState) {
         let stage = state.stage + 1;
-        if stage < self.terms.shares.len() {
+        if stage < self.rules.shares.len() {
             self.enter(state.build, stage, Phase::Trial);
-            self.fill(state.build, stage).await;
+            self.start_stage_pods(state.build, stage).await;
             return;
         }
         self.enter(state.build, state.stage, Phase::Released);
@@ -345,35 +348,35 @@
             .fleet
             .running()
             .into_iter()
-            .filter(|pod| pod.who.build < state.build);
+            .filter(|pod| pod.identity.build < state.build);
         old.for_each(|pod| self.fleet.drain(&pod));
         self.previous.set(self.released.replace(state.build));
     }
 
     /// Starts the pods that a stage's share asks for.
-    async fn fill(&self, build: Build, stage: usize) {
-        let share = self.terms.shares.get(stage).copied().unwrap_or(1.0);
-        for _ in self.fleet.of(build).len()..part(share, self.terms.places) {
+    async fn start_stage_pods(&self, build: Build, stage: usize) {
+        let share = self.rules.shares.get(stage).copied().unwrap_or(1.0);
+        for _ in self.fleet.running_of_build(build).len()..share_of(share, self.rules.total_pods) {
             let _ = self.fleet.start(build, None, false).await;
         }
     }
 
     /// Sidecars whose vote stands for this.
-    fn count(&self, state: &State, vote: Vote) -> usize {
-        let now = self.book.now();
-        let stands = |cast: &&CastVote| {
+    fn count_votes(&self, state: &ReleaseState, vote: Vote) -> usize {
+        let now = self.ledger.now();
+        let is_valid = |cast: &&CastVote| {
             cast.expires > now
                 && cast.build == state.build
                 && cast.vote == vote
                 && (vote == Vote::RollBack || cast.stage == state.stage)
         };
-        self.votes.borrow().values().filter(stands).count()
+        self.votes.borrow().values().filter(is_valid).count()
     }
 
     /// Takes a sidecar's vote in place of its last one.
     fn receive_vote(&self, sidecar: &str, pending: &PendingVote) -> VoteReceipt {
-        let now = self.book.now();
-        let per_second = self.terms.calls_per_second;
+        let now = self.ledger.now();
+        let per_second = self.rules.calls_per_second;
         if !self.calls.borrow_mut().admit(now, per_second) {
             return VoteReceipt::Rejected;
         }
@@ -385,16 +388,16 @@
             build: pending.build,
             stage: pending.stage,
             vote: pending.vote,
-            expires: now + self.terms.life,
+            expires: now + self.rules.vote_ttl,
         };
         self.votes.borrow_mut().insert(sidecar.to_string(), cast);
         VoteReceipt::Counted
     }
 
     /// Whether a vote is of the build and the stage as they stand, and of a kind that matters there.
-    fn is_current(&self, state: &State, pending: &PendingVote) -> bool {
+    fn is_current(&self, state: &ReleaseState, pending: &PendingVote) -> bool {
         let trial = state.phase == Phase::Trial;
-        let timed = self.terms.control == ReleaseControl::Timed;
+        let timed = self.rules.control == ReleaseControl::Timed;
         let same_stage = pending.stage == state.stage;
         state.build == pending.build
             && match pending.vote {
@@ -412,27 +415,27 @@
         };
         let mut first = Some(listener);
         loop {
-            while self.away.get() {
+            while self.is_unavailable.get() {
                 first = None;
-                sleep(AWAY_CHECK_INTERVAL).await;
+                sleep(AVAILABILITY_CHECK_INTERVAL).await;
             }
             let listener = match first.take() {
                 Some(listener) => Ok(listener),
                 None => TcpListener::bind(address).await,
             };
             let Ok(listener) = listener else {
-                sleep(AWAY_CHECK_INTERVAL).await;
+                sleep(AVAILABILITY_CHECK_INTERVAL).await;
                 continue;
             };
             let mut connections = JoinSet::new();
-            while !self.away.get() {
+            while !self.is_unavailable.get() {
                 tokio::select! {
                     accepted = listener.accept() => if let Ok((stream, _)) = accepted {
-                        let desk = self.clone();
-                        connections.spawn_local(async move { desk.serve_sidecar(stream).await });
+                        let control_plane = self.clone();
+                        connections.spawn_local(async move { control_plane.serve_sidecar(stream).await });
                     },
                     Some(_) = connections.join_next() => {}
-                    () = sleep(AWAY_CHECK_INTERVAL) => {}
+                    () = sleep(AVAILABILITY_CHECK_INTERVAL) => {}
                 }
             }
         }
@@ -440,7 +443,7 @@
 
     /// Writes into the ledger that a sidecar is told of a stage.
     fn record_announcement(&self, sidecar: &str, stage: &Stage) {
-        self.book.write(Seen::News {
+        self.ledger.write(LedgerEvent::StageAnnounced {
             sidecar: sidecar.to_string(),
             build: stage.build,
             stage: stage.stage,
@@ -452,7 +455,7 @@
     /// Serves one sidecar until it leaves.
     async fn serve_sidecar(&self, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
-        let codec = LineCodec::new(control_plane::RequestParser::default(), MAX_LINE);
+        let codec = LineCodec::new(control_plane::RequestParser::default(), MAX_LINE_BYTES);
         let mut framed = Framed::new(stream, codec);
         let greeting = greeting(control_plane::PROTOCOL, None);
         if framed.send(greeting).await.is_err() {
@@ -460,7 +463,7 @@
         }
         let mut inbox = VoteInbox::default();
         let mut connection = Connection {
-            desk: self,
+            control_plane: self,
             sequence: 0,
             announced: None,
         };
@@ -476,7 +479,7 @@
                 continue;
             };
             let mut out = String::new();
-            let now = self.book.now();
+            let now = self.ledger.now();
             connection.announce_due(&mut out, &sidecar, now);
             for vote in inbox.take() {
                 connection.answer_vote(&mut out, &sidecar, &vote, now).await;
@@ -490,31 +493,35 @@
 
 /// One sidecar's connection.
 struct Connection<'a> {
-    desk: &'a Desk,
+    control_plane: &'a ControlPlane,
     /// Number of the message sent last.
     sequence: u64,
-    announced: Option<Announced>,
+    announced: Option<Announcement>,
 }
 
 impl Connection<'_> {
     /// Announces the stage to a sidecar that does not know it in time, and again now and then.
     fn announce_due(&mut self, out: &mut String, sidecar: &str, now: Nanos) {
-        let Some(state) = self.desk.state.get() else {
+        let Some(state) = self.control_plane.state.get() else {
             return;
         };
         let due = match self.announced {
             None => true,
-            Some(announced) if announced.is_of(&state) => now >= announced.at + ANNOUNCE_INTERVAL,
-            Some(_) => now >= state.since + ANNOUNCE_DELAY + self.desk.late.get(),
+            Some(announced) if announced.is_current_for(&state) => {
+                now >= announced.at + ANNOUNCE_INTERVAL
+            }
+            Some(_) => {
+                now >= state.since + ANNOUNCE_DELAY + self.control_plane.extra_announce_delay.get()
+            }
         };
         if !due {
             return;
         }
-        let stage = self.desk.announcement(&state);
+        let stage = self.control_plane.announcement(&state);
         self.sequence += 1;
-        self.desk.record_announcement(sidecar, &stage);
+        self.control_plane.record_announcement(sidecar, &stage);
         control_plane::write_stage(out, self.sequence, &stage);
-        self.announced = Some(Announced::new(&state, now));
+        self.announced = Some(Announcement::new(&state, now));
     }
 
     /// Counts a vote and answers it, with the stage unless announcements are late.
@@ -526,16 +533,16 @@
         now: Nanos,
     ) {
         sleep(VOTE_DELAY).await;
-        let receipt = self.desk.receive_vote(sidecar, vote);
-        if self.desk.mute.get() {
+        let receipt = self.control_plane.receive_vote(sidecar, vote);
+        if self.control_plane.withholds_vote_replies.get() {
             return;
         }
-        let on_time = self.desk.late.get() == 0;
-        let state = self.desk.state.get().filter(|_| on_time);
-        let stage = state.map(|state| self.desk.announcement(&state));
+        let on_time = self.control_plane.extra_announce_delay.get() == 0;
+        let state = self.control_plane.state.get().filter(|_| on_time);
+        let stage = state.map(|state| self.control_plane.announcement(&state));
         if let (Some(state), Some(stage)) = (&state, &stage) {
-            self.desk.record_announcement(sidecar, stage);
-            self.announced = Some(Announced::new(state, now));
+            self.control_plane.record_announcement(sidecar, stage);
+            self.announced = Some(Announcement::new(state, now));
         }
         self.sequence += 1;
         control_plane::write_vote_reply(out, self.sequence, vote.call, receipt, stage.as_ref());
--- a/crates/emulator/src/drive/control_plane.rs
+++ b/crates/emulator/src/drive/control_plane.rs
@@ -14,7 +14,7 @@
 use tokio_util::codec::Framed;
 
 /// Longest line that a sidecar may send, in bytes.
-const MAX_LINE: usize = 1024;
+const MAX_LINE_BYTES: usize = 1024;
 
 /// Serves one sidecar after the other until dropped.
 pub(super) async fn serve(replay: Rc<Replay>, listener: TcpListener) {
@@ -39,7 +39,7 @@
 
 impl Connection<'_> {
     async fn run(mut self, stream: TcpStream) {
-        let codec = LineCodec::new(RequestParser::default(), MAX_LINE);
+        let codec = LineCodec::new(RequestParser::default(), MAX_LINE_BYTES);
         let mut framed = Framed::new(stream, codec);
         if framed.send(greeting(PROTOCOL, None)).await.is_err() {
             return;
--- a/crates/emulator/src/drive/error.rs
+++ b/crates/emulator/src/drive/error.rs
@@ -13,8 +13,8 @@
     Io(#[from] std::io::Error),
     /// The trace holds no requests, or too many.
     #[error("{0}")]
-    Unfit(String),
+    UnsuitableTrace(String),
     /// The sidecar did not start to listen in time; holds what it logged.
     #[error("the sidecar did not listen within 20 s: {0}")]
-    Silent(String),
+    NotListening(String),
 }
--- a/crates/emulator/src/drive/mod.rs
+++ b/crates/emulator/src/drive/mod.rs
@@ -17,5 +17,5 @@
 mod sidecar;
 
 pub use error::DriveError;
-pub use outcome::{Driven, Fared};
+pub use outcome::{DriveOutcome, Outcomes};
 pub use runner::drive;
--- a/crates/emulator/src/drive/outcome.rs
+++ b/crates/emulator/src/drive/outcome.rs
@@ -5,24 +5,24 @@
 
 /// Outcomes of a trace's requests, and its votes: as recorded, or as driven.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Fared {
+pub struct Outcomes {
     /// Requests sent by clients.
-    pub hits: u64,
+    pub requests: u64,
     /// Requests answered by a pod.
     pub delivered: u64,
     /// Requests that the sidecar rejected with advice to retry.
-    pub bounced: u64,
+    pub rejected: u64,
     /// Requests that ended in a server error.
-    pub errored: u64,
+    pub failed: u64,
     /// Requests whose client left before an answer.
     pub left: u64,
     /// Attempts sent to pods.
-    pub forwards: u64,
+    pub attempts: u64,
     /// Votes cast by build, stage and vote.
     pub votes: BTreeMap<(Build, usize, String), u64>,
 }
 
-impl Fared {
+impl Outcomes {
     /// Counts one vote.
     pub(crate) fn count_vote(&mut self, build: Build, stage: usize, vote: Vote) {
         let key = (build, stage, format!("{vote:?}"));
@@ -32,15 +32,15 @@
 
 /// The result of a drive.
 #[derive(Debug, Default)]
-pub struct Driven {
+pub struct DriveOutcome {
     /// What the trace recorded.
-    pub recorded: Fared,
+    pub recorded: Outcomes,
     /// What happened in the drive.
-    pub driven: Fared,
+    pub driven: Outcomes,
     /// Attempts that ended as a recorded attempt of the same request to the same build.
     pub as_recorded: u64,
     /// Attempts that ended as the build's attempts of that time did, since nothing nearer was recorded.
     pub as_build: u64,
     /// Faults of the drive itself, a line each.
-    pub troubles: Vec<String>,
+    pub unexpected_faults: Vec<String>,
 }
--- a/crates/emulator/src/drive/pods.rs
+++ b/crates/emulator/src/drive/pods.rs
@@ -2,7 +2,7 @@
 
 use super::replay::Replay;
 use super::script::{PlannedEnd, RecordedAttempt};
-use crate::pod::{ASK, UNSEEN};
+use crate::pod::{REQUEST_HEADER, UNPROCESSED_HEADER};
 use bytes::Bytes;
 use havenplank::interface::{AttemptEnd, Build, LoadReport, RequestId};
 use http_body_util::Full;
@@ -19,7 +19,7 @@
 use tokio::time::sleep;
 
 /// Header of a load report.
-const LOAD_REPORT: &str = "endpoint-load-metrics";
+const LOAD_REPORT_HEADER: &str = "endpoint-load-metrics";
 
 /// Ends a connection without an answer.
 #[derive(Debug, thiserror::Error)]
@@ -58,20 +58,26 @@
 }
 
 fn request_id(request: &Request<Incoming>) -> Option<RequestId> {
-    request.headers().get(ASK)?.to_str().ok()?.parse().ok()
+    request
+        .headers()
+        .get(REQUEST_HEADER)?
+        .to_str()
+        .ok()?
+        .parse()
+        .ok()
 }
 
 /// Counts an attempt and returns how many of the request came to this build before.
 fn count_attempt(replay: &Replay, request: RequestId, build: Build) -> usize {
-    let mut seen = replay.seen.borrow_mut();
-    let count = seen.entry(request).or_default().entry(build).or_default();
+    let mut counts = replay.attempt_counts.borrow_mut();
+    let count = counts.entry(request).or_default().entry(build).or_default();
     *count += 1;
     *count - 1
 }
 
 fn count_planned(replay: &Replay, planned: Option<&PlannedEnd>) {
     let mut counts = replay.counts.borrow_mut();
-    counts.driven.forwards += 1;
+    counts.driven.attempts += 1;
     if planned.is_some_and(|planned| planned.of_request) {
         counts.as_recorded += 1;
     } else {
@@ -85,7 +91,7 @@
         AttemptEnd::Rejected => {
             *response.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
             let headers = response.headers_mut();
-            headers.insert(UNSEEN, HeaderValue::from_static("1"));
+            headers.insert(UNPROCESSED_HEADER, HeaderValue::from_static("1"));
             return Ok(response);
         }
         AttemptEnd::ConnectFailed => return Err(DeliberateReset),
@@ -98,7 +104,7 @@
         _ => {}
     }
     if let Some(text) = attempt.load.and_then(load_report) {
-        response.headers_mut().insert(LOAD_REPORT, text);
+        response.headers_mut().insert(LOAD_REPORT_HEADER, text);
     }
     Ok(response)
 }
--- a/crates/emulator/src/drive/recording.rs
+++ b/crates/emulator/src/drive/recording.rs
@@ -67,7 +67,9 @@
     }
     let mut script = reading.script;
     if script.requests.is_empty() {
-        return Err(DriveError::Unfit("no hits in the trace".to_string()));
+        return Err(DriveError::UnsuitableTrace(
+            "no hits in the trace".to_string(),
+        ));
     }
     if !script.has_complete_list() {
         script.list_pods_of_builds();
@@ -117,9 +119,9 @@
         if self.script.requests.len() >= MAX_REQUESTS {
             let why =
                 format!("more than {MAX_REQUESTS} hits; expected a trace that was cut to fewer");
-            return Err(DriveError::Unfit(why));
+            return Err(DriveError::UnsuitableTrace(why));
         }
-        self.script.recorded.hits += 1;
+        self.script.recorded.requests += 1;
         self.script.requests.push(RecordedRequest {
             at: self.script.length,
             request,
@@ -182,15 +184,15 @@
             Effect::SendAttempt {
                 request, attempt, ..
             } => {
-                recorded.forwards += 1;
+                recorded.attempts += 1;
                 let sent = SentAttempt {
                     at: self.script.length,
                     build: build_of_pod,
                 };
                 self.in_flight.insert(AttemptKey { request, attempt }, sent);
             }
-            Effect::Reject { .. } => recorded.bounced += 1,
-            Effect::Fail { .. } => recorded.errored += 1,
+            Effect::Reject { .. } => recorded.rejected += 1,
+            Effect::Fail { .. } => recorded.failed += 1,
             Effect::CastVote {
                 build, stage, vote, ..
             } => recorded.count_vote(build, stage, vote),
--- a/crates/emulator/src/drive/replay.rs
+++ b/crates/emulator/src/drive/replay.rs
@@ -1,6 +1,6 @@
 //! State that the emulated pods, services and clients of one drive share.
 
-use super::outcome::Driven;
+use super::outcome::DriveOutcome;
 use super::script::{Notification, Script};
 use havenplank::interface::{Build, Nanos, RequestId};
 use havenplank_line_protocol::endpoint_list::ListedEndpoint;
@@ -36,8 +36,8 @@
     /// Addresses of the emulated pods; bounded by the script's endpoint lists.
     pub(super) pods: RefCell<HashMap<PodKey, SocketAddr>>,
     /// Attempts of each request that have come so far; bounded by the script's requests.
-    pub(super) seen: RefCell<HashMap<RequestId, HashMap<Build, usize>>>,
-    pub(super) counts: RefCell<Driven>,
+    pub(super) attempt_counts: RefCell<HashMap<RequestId, HashMap<Build, usize>>>,
+    pub(super) counts: RefCell<DriveOutcome>,
     /// The endpoint list as sent last, for a sidecar that polls; bounded by the script's endpoint lists.
     pub(super) endpoints: RefCell<BTreeMap<String, ListedEndpoint>>,
 }
@@ -48,7 +48,7 @@
             script,
             began: Cell::new(None),
             pods: RefCell::default(),
-            seen: RefCell::default(),
+            attempt_counts: RefCell::default(),
             counts: RefCell::default(),
             endpoints: RefCell::default(),
         }
--- a/crates/emulator/src/drive/requests.rs
+++ b/crates/emulator/src/drive/requests.rs
@@ -1,9 +1,9 @@
 //! Sends the recorded requests again, as clients of the sidecar.
 
-use super::outcome::Fared;
+use super::outcome::Outcomes;
 use super::replay::Replay;
 use super::script::RecordedRequest;
-use crate::pod::ASK;
+use crate::pod::REQUEST_HEADER;
 use bytes::Bytes;
 use havenplank::interface::Idempotency;
 use havenplank_sidecar::engine::EngineSettings;
@@ -19,7 +19,7 @@
 use tokio::time::timeout;
 
 /// Header of the idempotency key.
-const IDEMPOTENCY_KEY: &str = "idempotency-key";
+const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 /// Largest value of `grpc-timeout`, which has at most eight digits.
 const MAX_TIMEOUT_VALUE: u64 = 99_999_999;
 /// How long a client waits after its timeout before it leaves.
@@ -106,7 +106,7 @@
         .method(method)
         .uri(format!("/{}", attributes.route_class))
         .header("host", "drive")
-        .header(ASK, *id)
+        .header(REQUEST_HEADER, *id)
         .header("grpc-timeout", format!("{timeout_us}u"));
     if attributes.key != 0 {
         request = request.header("x-key", format!("{:x}", attributes.key));
@@ -118,19 +118,19 @@
         request = request.header("x-cost", cost / 1_000);
     }
     if idempotency == Idempotency::Keyed {
-        request = request.header(IDEMPOTENCY_KEY, format!("\"hit-{id}\""));
+        request = request.header(IDEMPOTENCY_KEY_HEADER, format!("\"hit-{id}\""));
     }
     request.body(Full::new(Bytes::new())).ok()
 }
 
-fn count(outcomes: &mut Fared, answer: Option<Answer>) {
-    outcomes.hits += 1;
+fn count(outcomes: &mut Outcomes, answer: Option<Answer>) {
+    outcomes.requests += 1;
     match answer {
         Some(Answer {
             status: StatusCode::SERVICE_UNAVAILABLE,
             retry_after: true,
-        }) => outcomes.bounced += 1,
-        Some(answer) if answer.status.is_server_error() => outcomes.errored += 1,
+        }) => outcomes.rejected += 1,
+        Some(answer) if answer.status.is_server_error() => outcomes.failed += 1,
         Some(_) => outcomes.delivered += 1,
         None => outcomes.left += 1,
     }
--- a/crates/emulator/src/drive/runner.rs
+++ b/crates/emulator/src/drive/runner.rs
@@ -1,7 +1,7 @@
 //! Runs a drive: starts the emulated services, the sidecar and the clients, and collects the result.
 
 use super::error::DriveError;
-use super::outcome::Driven;
+use super::outcome::DriveOutcome;
 use super::recording::read_script;
 use super::replay::{PodKey, Replay};
 use super::requests::Clients;
@@ -27,7 +27,7 @@
 
 /// Drives one source of a trace.
 ///
-/// `program` is this program, `folder` keeps the sidecar's settings and log. `tell` is called once a second
+/// `program` is this program, `folder` keeps the sidecar's settings and log. `on_progress` is called once a second
 /// with the time of the script and its length.
 ///
 /// # Errors
@@ -37,8 +37,8 @@
     number: usize,
     program: PathBuf,
     folder: &Path,
-    tell: impl FnMut(Nanos, Nanos),
-) -> Result<Driven, DriveError> {
+    on_progress: impl FnMut(Nanos, Nanos),
+) -> Result<DriveOutcome, DriveError> {
     let script = read_script(reader, number)?;
     let discovery = TcpListener::bind(ANY_PORT).await?;
     let control = TcpListener::bind(ANY_PORT).await?;
@@ -54,14 +54,14 @@
     tasks.spawn_local(control_plane::serve(replay.clone(), control));
     let log = folder.join("drive.log");
     let sidecar = Sidecar::start(program, &settings, seed, log, &mut tasks).await?;
-    send_requests(&replay, Clients::new(sidecar.address), tell).await;
+    send_requests(&replay, Clients::new(sidecar.address), on_progress).await;
     let ended = sidecar.stop().await?;
     tasks.abort_all();
     let mut driven = std::mem::take(&mut *replay.counts.borrow_mut());
     driven.recorded = replay.script.recorded.clone();
     if let Some(status) = ended {
-        let trouble = format!("the sidecar ended by itself: {status}");
-        driven.troubles.push(trouble);
+        let fault = format!("the sidecar ended by itself: {status}");
+        driven.unexpected_faults.push(fault);
     }
     Ok(driven)
 }
@@ -87,13 +87,17 @@
 }
 
 /// Begins the drive, sends each request at its time and waits for the last answer.
-async fn send_requests(replay: &Rc<Replay>, clients: Clients, mut tell: impl FnMut(Nanos, Nanos)) {
+async fn send_requests(
+    replay: &Rc<Replay>,
+    clients: Clients,
+    mut on_progress: impl FnMut(Nanos, Nanos),
+) {
     let began = Instant::now();
     replay.began.set(Some(began));
     sleep(FIRST_REQUEST_DELAY).await;
     let clients = Rc::new(clients);
     let mut in_flight = JoinSet::new();
-    let mut told_second = 0;
+    let mut reported_second = 0;
     for recorded in &replay.script.requests {
         let due = recorded.at;
         sleep_until(began + FIRST_REQUEST_DELAY + Duration::from_nanos(due)).await;
@@ -101,9 +105,9 @@
         let length = replay.script.length;
         in_flight.spawn_local(async move { clients.send(&replay, &recorded).await });
         while in_flight.try_join_next().is_some() {}
-        if due / NANOS_PER_SECOND > told_second {
-            told_second = due / NANOS_PER_SECOND;
-            tell(due, length);
+        if due / NANOS_PER_SECOND > reported_second {
+            reported_second = due / NANOS_PER_SECOND;
+            on_progress(due, length);
         }
     }
     while in_flight.join_next().await.is_some() {}
--- a/crates/emulator/src/drive/script.rs
+++ b/crates/emulator/src/drive/script.rs
@@ -1,6 +1,6 @@
 //! The script of a drive: what is sent when, and how each attempt ends.
 
-use super::outcome::Fared;
+use super::outcome::Outcomes;
 use havenplank::interface::{
     AttemptEnd, Build, LoadReport, Nanos, PodState, RequestId, RouteClassId, Stage, Tally,
 };
@@ -85,7 +85,7 @@
     pub(super) attempts: HashMap<RequestId, Vec<Option<RecordedAttempt>>>,
     /// All attempts of each build, by the time of their end.
     pub(super) by_build: HashMap<Build, Vec<TimedAttempt>>,
-    pub(super) recorded: Fared,
+    pub(super) recorded: Outcomes,
     pub(super) length: Nanos,
 }
 
@@ -97,7 +97,7 @@
             notifications: Vec::new(),
             attempts: HashMap::new(),
             by_build: HashMap::new(),
-            recorded: Fared::default(),
+            recorded: Outcomes::default(),
             length: 0,
         }
     }
--- a/crates/emulator/src/drive/settings.rs
+++ b/crates/emulator/src/drive/settings.rs
@@ -1,6 +1,6 @@
 //! Writes the settings script of the driven sidecar from the settings that the trace recorded.
 
-use crate::pod::UNSEEN;
+use crate::pod::UNPROCESSED_HEADER;
 use havenplank::interface::RouteClass;
 use havenplank_settings::words::{self, word_of};
 use havenplank_sidecar::engine::EngineSettings;
@@ -105,7 +105,7 @@
     let _ = writeln!(
         out,
         "pods(drain_grace = \"{}ns\", cold_share = {:?}, warm_up = \"{}ns\", fall_multiple = {:?}, \
-         fall_window = \"{}ns\", probes = {}, unseen_header = {UNSEEN:?}, load_reports = True, connections = 256)",
+         fall_window = \"{}ns\", probes = {}, unseen_header = {UNPROCESSED_HEADER:?}, load_reports = True, connections = 256)",
         pods.drain_grace,
         pods.initial_capacity,
         pods.warm_up,
--- a/crates/emulator/src/drive/sidecar.rs
+++ b/crates/emulator/src/drive/sidecar.rs
@@ -55,7 +55,7 @@
             while let Ok(line) = logged.try_recv() {
                 lines.push(line);
             }
-            return Err(DriveError::Silent(lines.join("; ")));
+            return Err(DriveError::NotListening(lines.join("; ")));
         };
         Ok(Sidecar { child, address })
     }
--- a/crates/emulator/src/nodes.rs
+++ b/crates/emulator/src/endpoint_list.rs
@@ -1,10 +1,10 @@
 //! The node list's stand-in: tells each follower late, and may be stale or out of reach.
 
-use crate::book::Book;
 use crate::fleet::Fleet;
+use crate::ledger_writer::LedgerWriter;
 use futures_util::{SinkExt, StreamExt};
 use havenplank::interface::{Nanos, PodState};
-use havenplank_invariants::ledger::{state_name, Seen};
+use havenplank_invariants::ledger::{state_name, LedgerEvent};
 use havenplank_line_protocol::codec::{greeting, LineCodec};
 use havenplank_line_protocol::endpoint_list::{self, ListedEndpoint};
 use std::cell::{Cell, RefCell};
@@ -16,28 +16,34 @@
 use tokio::time::sleep;
 use tokio_util::codec::Framed;
 
-pub struct Nodes {
-    book: Book,
+pub struct EndpointListService {
+    ledger: LedgerWriter,
     fleet: Rc<Fleet>,
-    notice: Nanos,
-    period: Nanos,
-    pub away: Cell<bool>,
-    pub stale: Cell<Nanos>,
-    /// By sidecar the lives it was told of, so that one left out of a whole list is told gone.
-    told: RefCell<HashMap<String, HashMap<String, u64>>>,
+    delay: Nanos,
+    interval: Nanos,
+    pub is_unavailable: Cell<bool>,
+    pub extra_delay: Cell<Nanos>,
+    /// By sidecar the lives it was told of, so that one left out of a complete list is told gone.
+    announced: RefCell<HashMap<String, HashMap<String, u64>>>,
 }
 
-impl Nodes {
-    pub fn new(book: Book, fleet: Rc<Fleet>, notice: Nanos, period: Nanos) -> Rc<Nodes> {
-        let (away, stale, told) = (Cell::new(false), Cell::new(0), RefCell::default());
-        Rc::new(Nodes {
-            book,
+impl EndpointListService {
+    pub fn new(
+        ledger: LedgerWriter,
+        fleet: Rc<Fleet>,
+        delay: Nanos,
+        interval: Nanos,
+    ) -> Rc<EndpointListService> {
+        let (is_unavailable, extra_delay, announced) =
+            (Cell::new(false), Cell::new(0), RefCell::default());
+        Rc::new(EndpointListService {
+            ledger,
             fleet,
-            notice,
-            period,
-            away,
-            stale,
-            told,
+            delay,
+            interval,
+            is_unavailable,
+            extra_delay,
+            announced,
         })
     }
 
@@ -48,7 +54,7 @@
         };
         let mut first = Some(listener);
         loop {
-            while self.away.get() {
+            while self.is_unavailable.get() {
                 first = None;
                 sleep(Duration::from_millis(20)).await;
             }
@@ -60,76 +66,76 @@
                 sleep(Duration::from_millis(20)).await;
                 continue;
             };
-            let mut followers = JoinSet::new();
-            while !self.away.get() {
+            let mut connections = JoinSet::new();
+            while !self.is_unavailable.get() {
                 tokio::select! {
                     accepted = listener.accept() => if let Ok((stream, _)) = accepted {
-                        let nodes = self.clone();
-                        followers.spawn_local(async move { nodes.follower(stream).await });
+                        let service = self.clone();
+                        connections.spawn_local(async move { service.serve_sidecar(stream).await });
                     },
-                    Some(_) = followers.join_next() => {}
+                    Some(_) = connections.join_next() => {}
                     () = sleep(Duration::from_millis(20)) => {}
                 }
             }
         }
     }
 
-    fn seen(&self) -> usize {
-        self.fleet.until(
-            self.book
+    fn visible_changes(&self) -> usize {
+        self.fleet.change_count_at(
+            self.ledger
                 .now()
-                .saturating_sub(self.notice + self.stale.get()),
+                .saturating_sub(self.delay + self.extra_delay.get()),
         )
     }
 
-    fn tell(&self, sidecar: &str, whole: bool, pods: &[ListedEndpoint]) {
-        let mut all = self.told.borrow_mut();
-        let told = all.entry(sidecar.to_string()).or_default();
-        let write = |pod: &str, life, state| {
+    fn record_announcements(&self, sidecar: &str, complete: bool, pods: &[ListedEndpoint]) {
+        let mut all = self.announced.borrow_mut();
+        let announced = all.entry(sidecar.to_string()).or_default();
+        let write = |pod: &str, incarnation, state| {
             let (sidecar, pod) = (sidecar.to_string(), pod.to_string());
-            self.book.write(Seen::Told {
+            self.ledger.write(LedgerEvent::EndpointAnnounced {
                 sidecar,
                 pod,
-                life,
+                incarnation,
                 state: state_name(state),
             });
         };
-        if whole {
+        if complete {
             let named = |pod: &String| pods.iter().any(|listed| listed.name == *pod);
-            let dropped: Vec<(String, u64)> = told
+            let dropped: Vec<(String, u64)> = announced
                 .iter()
                 .filter(|(pod, _)| !named(pod))
-                .map(|(pod, life)| (pod.clone(), *life))
+                .map(|(pod, incarnation)| (pod.clone(), *incarnation))
                 .collect();
-            for (pod, life) in dropped {
-                write(&pod, life, PodState::Gone);
-                told.remove(&pod);
+            for (pod, incarnation) in dropped {
+                write(&pod, incarnation, PodState::Gone);
+                announced.remove(&pod);
             }
         }
         for pod in pods {
             write(&pod.name, pod.incarnation, pod.state);
             if pod.state == PodState::Gone {
-                told.remove(&pod.name);
+                announced.remove(&pod.name);
             } else {
-                told.insert(pod.name.clone(), pod.incarnation);
+                announced.insert(pod.name.clone(), pod.incarnation);
             }
         }
     }
 
-    async fn follower(&self, stream: TcpStream) {
-        struct Asks {
+    async fn serve_sidecar(&self, stream: TcpStream) {
+        struct Inbox {
             name: Option<String>,
-            whole: bool,
+            complete: bool,
         }
-        impl endpoint_list::Service for Asks {
+        impl endpoint_list::Service for Inbox {
             fn greeted(&mut self, name: String) {
-                (self.name, self.whole) = (Some(name), true);
+                (self.name, self.complete) = (Some(name), true);
             }
             fn poll(&mut self) {
-                self.whole = true;
+                self.complete = true;
             }
             fn watch(&mut self, on: bool) {
-                self.whole |= on;
+                self.complete |= on;
             }
         }
         let _ = stream.set_nodelay(true);
@@ -144,37 +150,37 @@
         {
             return;
         }
-        let mut asks = Asks {
+        let mut inbox = Inbox {
             name: None,
-            whole: false,
+            complete: false,
         };
         let (mut at, mut seq) = (0, 0);
         loop {
             tokio::select! {
-                said = framed.next() => match said {
-                    Some(Ok(call)) => call(&mut asks),
+                received = framed.next() => match received {
+                    Some(Ok(call)) => call(&mut inbox),
                     _ => return,
                 },
-                () = sleep(Duration::from_nanos(self.period)) => {}
+                () = sleep(Duration::from_nanos(self.interval)) => {}
             }
-            let Some(name) = asks.name.clone() else {
+            let Some(name) = inbox.name.clone() else {
                 continue;
             };
             // What it once told it does not take back, however stale it turns.
-            let now = self.seen().max(at);
-            let whole = std::mem::take(&mut asks.whole);
-            if !whole && now == at {
+            let now = self.visible_changes().max(at);
+            let complete = std::mem::take(&mut inbox.complete);
+            if !complete && now == at {
                 continue;
             }
-            let pods = if whole {
-                self.fleet.whole(now)
+            let pods = if complete {
+                self.fleet.complete_list(now)
             } else {
-                self.fleet.changes(at, now)
+                self.fleet.changes_between(at, now)
             };
             (at, seq) = (now, seq + 1);
             let mut out = String::new();
-            endpoint_list::write_list(&mut out, seq, whole, &pods);
-            self.tell(&name, whole, &pods);
+            endpoint_list::write_list(&mut out, seq, complete, &pods);
+            self.record_announcements(&name, complete, &pods);
             if framed.send(out).await.is_err() {
                 return;
             }
--- a/crates/emulator/src/faults.rs
+++ b/crates/emulator/src/faults.rs
@@ -1,11 +1,11 @@
 //! Injects the faults of a scenario: each for its span, then the state before is restored.
 
 use crate::clients::Clients;
-use crate::desk::Desk;
+use crate::control_plane::ControlPlane;
+use crate::endpoint_list::EndpointListService;
 use crate::fleet::Fleet;
-use crate::nodes::Nodes;
-use crate::notation::What;
 use crate::pod::{Faults, Pod};
+use crate::scenario_file::FaultKind;
 use crate::sidecars::{Shutdown, Sidecars};
 use std::cell::Cell;
 use std::rc::Rc;
@@ -20,62 +20,83 @@
 pub(crate) struct FaultInjector {
     pub(crate) sidecars: Rc<Sidecars>,
     pub(crate) fleet: Rc<Fleet>,
-    pub(crate) endpoint_list: Rc<Nodes>,
-    pub(crate) control_plane: Rc<Desk>,
+    pub(crate) endpoint_list: Rc<EndpointListService>,
+    pub(crate) control_plane: Rc<ControlPlane>,
     pub(crate) clients: Rc<Clients>,
 }
 
 impl FaultInjector {
     /// Injects one fault and returns when it is over.
-    pub(crate) async fn inject(self, fault: What, lasts: Duration) {
+    pub(crate) async fn inject(self, fault: FaultKind, duration: Duration) {
         tracing::info!(target: LOG_TARGET, what = ?fault, "trouble");
         match fault {
-            What::Pods(count, faults) => self.degrade_pods(count, faults, lasts).await,
-            What::ZoneLost(zone) => self.lose_zone(&zone, lasts).await,
-            What::NodesAway => hold(&self.endpoint_list.away, true, false, lasts).await,
-            What::NodesStale(by) => hold(&self.endpoint_list.stale, by, 0, lasts).await,
-            What::DeskAway => hold(&self.control_plane.away, true, false, lasts).await,
-            What::DeskLate(by) => hold(&self.control_plane.late, by, 0, lasts).await,
-            What::DeskMute => hold(&self.control_plane.mute, true, false, lasts).await,
-            What::Rate(surge) => hold(&self.clients.surge, surge, 1.0, lasts).await,
-            What::Kill(count, down) => {
+            FaultKind::Pods(count, faults) => self.degrade_pods(count, faults, duration).await,
+            FaultKind::ZoneLost(zone) => self.lose_zone(&zone, duration).await,
+            FaultKind::NodesAway => {
+                set_for(&self.endpoint_list.is_unavailable, true, false, duration).await
+            }
+            FaultKind::NodesStale(by) => {
+                set_for(&self.endpoint_list.extra_delay, by, 0, duration).await
+            }
+            FaultKind::DeskAway => {
+                set_for(&self.control_plane.is_unavailable, true, false, duration).await
+            }
+            FaultKind::DeskLate(by) => {
+                set_for(&self.control_plane.extra_announce_delay, by, 0, duration).await
+            }
+            FaultKind::DeskMute => {
+                set_for(
+                    &self.control_plane.withholds_vote_replies,
+                    true,
+                    false,
+                    duration,
+                )
+                .await
+            }
+            FaultKind::Rate(factor) => {
+                set_for(&self.clients.rate_factor, factor, 1.0, duration).await
+            }
+            FaultKind::Kill(count, down) => {
                 let down = Duration::from_nanos(down);
                 self.restart_some(count, down, Shutdown::Kill).await;
             }
-            What::Stop(count, down) => {
+            FaultKind::Stop(count, down) => {
                 let down = Duration::from_nanos(down);
                 self.restart_some(count, down, Shutdown::Graceful).await;
             }
-            What::Roll(batch, down) => {
+            FaultKind::Roll(batch, down) => {
                 let down = Duration::from_nanos(down);
-                self.rolling_restart(batch, down, lasts).await;
+                self.rolling_restart(batch, down, duration).await;
             }
-            What::Drain(count) => self.replace_pods(count, Shutdown::Graceful).await,
-            What::Die(count) => self.replace_pods(count, Shutdown::Kill).await,
+            FaultKind::Drain(count) => self.replace_pods(count, Shutdown::Graceful).await,
+            FaultKind::Die(count) => self.replace_pods(count, Shutdown::Kill).await,
         }
     }
 
-    async fn degrade_pods(&self, count: usize, faults: Faults, lasts: Duration) {
-        let pods = self.fleet.some(count);
+    async fn degrade_pods(&self, count: usize, faults: Faults, duration: Duration) {
+        let pods = self.fleet.draw_pods(count);
         for pod in &pods {
             *pod.faults.borrow_mut() = faults.clone();
         }
-        sleep(lasts).await;
+        sleep(duration).await;
         for pod in &pods {
             *pod.faults.borrow_mut() = Faults::default();
         }
     }
 
     /// Kills all pods of a zone, and replaces them there when the fault is over.
-    async fn lose_zone(&self, zone: &str, lasts: Duration) {
+    async fn lose_zone(&self, zone: &str, duration: Duration) {
         let running = self.fleet.running().into_iter();
-        let lost: Vec<Rc<Pod>> = running.filter(|pod| pod.who.zone == zone).collect();
+        let lost: Vec<Rc<Pod>> = running.filter(|pod| pod.identity.zone == zone).collect();
         for pod in &lost {
             self.fleet.kill(pod);
         }
-        sleep(lasts).await;
+        sleep(duration).await;
         for pod in lost {
-            let _ = self.fleet.start(pod.who.build, Some(zone), false).await;
+            let _ = self
+                .fleet
+                .start(pod.identity.build, Some(zone), false)
+                .await;
         }
     }
 
@@ -85,10 +106,10 @@
     }
 
     /// Kills and restarts all sidecars in batches, spread over the fault's span.
-    async fn rolling_restart(&self, batch: usize, down: Duration, lasts: Duration) {
+    async fn rolling_restart(&self, batch: usize, down: Duration, duration: Duration) {
         let order = self.sidecars.draw(self.sidecars.count());
         let batches: Vec<&[usize]> = order.chunks(batch.max(1)).collect();
-        let pause = lasts / batches.len().max(1) as u32;
+        let pause = duration / batches.len().max(1) as u32;
         for batch in batches {
             let next = Instant::now() + pause;
             self.sidecars.restart_all(batch, down, Shutdown::Kill).await;
@@ -97,20 +118,20 @@
     }
 
     async fn replace_pods(&self, count: usize, shutdown: Shutdown) {
-        for pod in self.fleet.some(count) {
+        for pod in self.fleet.draw_pods(count) {
             match shutdown {
                 Shutdown::Graceful => self.fleet.drain(&pod),
                 Shutdown::Kill => self.fleet.kill(&pod),
             }
-            let zone = Some(pod.who.zone.as_str());
-            let _ = self.fleet.start(pod.who.build, zone, false).await;
+            let zone = Some(pod.identity.zone.as_str());
+            let _ = self.fleet.start(pod.identity.build, zone, false).await;
         }
     }
 }
 
 /// Sets a value for a while, then back to its normal one.
-async fn hold<T>(cell: &Cell<T>, value: T, normal: T, lasts: Duration) {
+async fn set_for<T>(cell: &Cell<T>, value: T, normal: T, duration: Duration) {
     cell.set(value);
-    sleep(lasts).await;
+    sleep(duration).await;
     cell.set(normal);
 }
--- a/crates/emulator/src/fleet.rs
+++ b/crates/emulator/src/fleet.rs
@@ -1,8 +1,8 @@
 //! All pods of a day: which run, what each is like, and every change that a node list could tell.
 
-use crate::book::Book;
-use crate::notation::{Day, Offer, FIRST};
-use crate::pod::{Faults, Machine, Marks, Pod, Served, Who};
+use crate::ledger_writer::LedgerWriter;
+use crate::pod::{Faults, Machine, Pod, PodIdentity, SeenKeys, ServedClass};
+use crate::scenario_file::{Offer, Scenario, FIRST_BUILD};
 use havenplank::interface::{Build, DedupScope, Nanos, PodState};
 use havenplank_line_protocol::endpoint_list::ListedEndpoint;
 use oorandom::Rand64;
@@ -14,37 +14,37 @@
 use tokio::time::sleep;
 
 /// Pods of a cell, which drop each other's repeats.
-const CELL: usize = 4;
+const PODS_PER_CELL: usize = 4;
 /// Longest that a draining pod finishes its work.
-const DRAINS: Duration = Duration::from_secs(3);
+const MAX_DRAIN_TIME: Duration = Duration::from_secs(3);
 
 pub struct Fleet {
-    book: Book,
+    ledger: LedgerWriter,
     machine: Machine,
     machine_name: String,
     zones: Vec<String>,
-    groups: Rc<Vec<Served>>,
-    marks_all: Rc<Marks>,
-    marks_by_zone: RefCell<HashMap<String, Rc<Marks>>>,
-    marks_by_cell: RefCell<HashMap<i64, Rc<Marks>>>,
+    classes: Rc<Vec<ServedClass>>,
+    keys_all: Rc<SeenKeys>,
+    keys_by_zone: RefCell<HashMap<String, Rc<SeenKeys>>>,
+    keys_by_cell: RefCell<HashMap<i64, Rc<SeenKeys>>>,
     pods: RefCell<Vec<Rc<Pod>>>,
     /// Every change, in order: as long as the day's script makes it.
     changes: RefCell<Vec<(Nanos, ListedEndpoint)>>,
-    bad: RefCell<HashMap<Build, (Faults, Nanos, f64)>>,
+    build_faults: RefCell<HashMap<Build, (Faults, Nanos, f64)>>,
     /// How much what all pods share slows them.
-    shared: Rc<Cell<f64>>,
+    shared_slowdown: Rc<Cell<f64>>,
     next: Cell<u64>,
-    chance: RefCell<Rand64>,
+    random: RefCell<Rand64>,
 }
 
 impl Fleet {
     pub fn new(
-        day: &Day,
-        groups: Vec<Served>,
+        day: &Scenario,
+        classes: Vec<ServedClass>,
         machine_name: &str,
         fall: (f64, Nanos),
         seed: u64,
-        book: Book,
+        ledger: LedgerWriter,
     ) -> Rc<Fleet> {
         let machine = Machine {
             cores: day.cores,
@@ -56,32 +56,32 @@
             overload_window: fall.1,
         };
         Rc::new(Fleet {
-            book,
+            ledger,
             machine,
             machine_name: machine_name.to_string(),
             zones: day.zones.clone(),
-            groups: Rc::new(groups),
-            marks_all: Rc::default(),
-            marks_by_zone: RefCell::default(),
-            marks_by_cell: RefCell::default(),
+            classes: Rc::new(classes),
+            keys_all: Rc::default(),
+            keys_by_zone: RefCell::default(),
+            keys_by_cell: RefCell::default(),
             pods: RefCell::default(),
             changes: RefCell::default(),
-            bad: RefCell::default(),
-            shared: Rc::new(Cell::new(1.0)),
+            build_faults: RefCell::default(),
+            shared_slowdown: Rc::new(Cell::new(1.0)),
             next: Cell::new(0),
-            chance: RefCell::new(Rand64::new(seed as u128)),
+            random: RefCell::new(Rand64::new(seed as u128)),
         })
     }
 
     /// Says what is wrong with a build before its first pod starts.
-    pub fn spoil(&self, build: Build, offer: &Offer, group: Option<usize>) {
+    pub fn set_build_faults(&self, build: Build, offer: &Offer, group: Option<usize>) {
         let faults = Faults {
             error_group: group,
             ..offer.faults.clone()
         };
-        self.bad
+        self.build_faults
             .borrow_mut()
-            .insert(build, (faults, offer.late, offer.shared));
+            .insert(build, (faults, offer.fault_delay, offer.shared_slowdown));
     }
 
     /// Starts a pod of a build; `warm` for one that has run since long ago.
@@ -99,10 +99,10 @@
         let zone = zone
             .unwrap_or(&self.zones[place % self.zones.len()])
             .to_string();
-        let cell = (place / CELL) as i64;
-        let who = Who {
+        let cell = (place / PODS_PER_CELL) as i64;
+        let identity = PodIdentity {
             name: format!("pod-{number}"),
-            life: number + 1,
+            incarnation: number + 1,
             build,
             zone: zone.clone(),
             cell,
@@ -111,21 +111,21 @@
         if warm {
             machine.warm_up = 0;
         }
-        let mut marks = [self.marks_all.clone(), Rc::default(), Rc::default()];
-        marks[DedupScope::Zone as usize] = self
-            .marks_by_zone
+        let mut seen_keys = [self.keys_all.clone(), Rc::default(), Rc::default()];
+        seen_keys[DedupScope::Zone as usize] = self
+            .keys_by_zone
             .borrow_mut()
             .entry(zone)
             .or_default()
             .clone();
-        marks[DedupScope::Cell as usize] = self
-            .marks_by_cell
+        seen_keys[DedupScope::Cell as usize] = self
+            .keys_by_cell
             .borrow_mut()
             .entry(cell)
             .or_default()
             .clone();
         let (faults, late, _) =
-            self.bad
+            self.build_faults
                 .borrow()
                 .get(&build)
                 .cloned()
@@ -135,9 +135,16 @@
         } else {
             Faults::default()
         };
-        let seed = self.chance.borrow_mut().rand_u64();
-        let (groups, shared, book) = (self.groups.clone(), self.shared.clone(), self.book.clone());
-        let pod = Pod::start(who, machine, groups, marks, shared, at_once, seed, book).await?;
+        let seed = self.random.borrow_mut().rand_u64();
+        let (classes, shared, ledger) = (
+            self.classes.clone(),
+            self.shared_slowdown.clone(),
+            self.ledger.clone(),
+        );
+        let pod = Pod::start(
+            identity, machine, classes, seen_keys, shared, at_once, seed, ledger,
+        )
+        .await?;
         if late > 0 {
             let pod = pod.clone();
             spawn_local(async move {
@@ -152,13 +159,13 @@
 
     fn change(&self, pod: &Pod, state: PodState, warm: bool) {
         let age = if warm { 0 } else { pod.up_at.max(1) };
-        let Who {
+        let PodIdentity {
             name,
-            life,
+            incarnation,
             build,
             zone,
             cell,
-        } = pod.who.clone();
+        } = pod.identity.clone();
         let (address, machine) = (pod.address, self.machine_name.clone());
         let size = self.machine.cores as f64;
         let listed = ListedEndpoint {
@@ -166,14 +173,14 @@
             address,
             state,
             build,
-            incarnation: life,
+            incarnation,
             age,
             zone,
             machine,
             cell,
             size,
         };
-        self.changes.borrow_mut().push((self.book.now(), listed));
+        self.changes.borrow_mut().push((self.ledger.now(), listed));
     }
 
     /// Turns new work away from now on, finishes what there is, and goes.
@@ -185,10 +192,10 @@
         self.change(pod, PodState::Draining, warm);
         let (fleet, pod) = (self.clone(), pod.clone());
         spawn_local(async move {
-            let mut left = DRAINS;
+            let mut left = MAX_DRAIN_TIME;
             while left > Duration::ZERO
                 && !pod.is_down()
-                && (pod.busy.get() > 0 || left > DRAINS / 2)
+                && (pod.busy.get() > 0 || left > MAX_DRAIN_TIME / 2)
             {
                 sleep(Duration::from_millis(50)).await;
                 left = left.saturating_sub(Duration::from_millis(50));
@@ -200,10 +207,10 @@
     /// Ends a pod at once.
     pub fn kill(&self, pod: &Rc<Pod>) {
         pod.kill();
-        self.buried(pod);
+        self.remove_dead(pod);
     }
 
-    fn buried(&self, pod: &Rc<Pod>) {
+    fn remove_dead(&self, pod: &Rc<Pod>) {
         let mut pods = self.pods.borrow_mut();
         if let Some(at) = pods.iter().position(|known| Rc::ptr_eq(known, pod)) {
             pods.remove(at);
@@ -213,7 +220,7 @@
     }
 
     /// A look at all pods: those that fell over are gone, and what a build does to all is felt.
-    pub fn look(&self) {
+    pub fn update(&self) {
         let fallen: Vec<Rc<Pod>> = self
             .pods
             .borrow()
@@ -221,19 +228,19 @@
             .filter(|pod| pod.is_down())
             .cloned()
             .collect();
-        fallen.iter().for_each(|pod| self.buried(pod));
+        fallen.iter().for_each(|pod| self.remove_dead(pod));
         let (mut all, mut felt) = (0.0, 0.0);
         for pod in self.pods.borrow().iter() {
-            let forwards = pod.forwards.replace(0) as f64;
+            let attempts = pod.attempts.replace(0) as f64;
             let slows = self
-                .bad
+                .build_faults
                 .borrow()
-                .get(&pod.who.build)
+                .get(&pod.identity.build)
                 .map_or(1.0, |(.., shared)| *shared);
-            all += forwards;
-            felt += forwards * (slows - 1.0);
+            all += attempts;
+            felt += attempts * (slows - 1.0);
         }
-        self.shared
+        self.shared_slowdown
             .set(1.0 + if all > 0.0 { felt / all } else { 0.0 });
     }
 
@@ -246,33 +253,33 @@
             .collect()
     }
 
-    pub fn of(&self, build: Build) -> Vec<Rc<Pod>> {
+    pub fn running_of_build(&self, build: Build) -> Vec<Rc<Pod>> {
         self.running()
             .into_iter()
-            .filter(|pod| pod.who.build == build)
+            .filter(|pod| pod.identity.build == build)
             .collect()
     }
 
-    /// So many of the pods that run, drawn by chance.
-    pub fn some(&self, count: usize) -> Vec<Rc<Pod>> {
+    /// So many of the pods that run, drawn by random.
+    pub fn draw_pods(&self, count: usize) -> Vec<Rc<Pod>> {
         let (mut all, mut drawn) = (self.running(), Vec::new());
         while drawn.len() < count && !all.is_empty() {
-            let at = self.chance.borrow_mut().rand_range(0..all.len() as u64) as usize;
+            let at = self.random.borrow_mut().rand_range(0..all.len() as u64) as usize;
             drawn.push(all.swap_remove(at));
         }
         drawn
     }
 
     /// How many changes there were until a time.
-    pub fn until(&self, at: Nanos) -> usize {
+    pub fn change_count_at(&self, at: Nanos) -> usize {
         self.changes
             .borrow()
             .partition_point(|(then, _)| *then <= at)
     }
 
     /// The changes of a range, each pod's age as of now.
-    pub fn changes(&self, from: usize, to: usize) -> Vec<ListedEndpoint> {
-        let now = self.book.now();
+    pub fn changes_between(&self, from: usize, to: usize) -> Vec<ListedEndpoint> {
+        let now = self.ledger.now();
         let aged = |(_, listed): &(Nanos, ListedEndpoint)| {
             let age = if listed.age == 0 {
                 0
@@ -288,10 +295,10 @@
     }
 
     /// The list as it stood after so many changes, without what is gone.
-    pub fn whole(&self, to: usize) -> Vec<ListedEndpoint> {
+    pub fn complete_list(&self, to: usize) -> Vec<ListedEndpoint> {
         let mut last: Vec<ListedEndpoint> = Vec::new();
         let mut places: HashMap<String, usize> = HashMap::new();
-        for listed in self.changes(0, to) {
+        for listed in self.changes_between(0, to) {
             match places.get(&listed.name) {
                 Some(at) => last[*at] = listed,
                 None => {
@@ -308,9 +315,9 @@
     ///
     /// # Errors
     /// No address to be had.
-    pub async fn begin(self: &Rc<Self>, count: usize) -> std::io::Result<()> {
+    pub async fn start_initial_pods(self: &Rc<Self>, count: usize) -> std::io::Result<()> {
         for _ in 0..count {
-            self.start(FIRST, None, true).await?;
+            self.start(FIRST_BUILD, None, true).await?;
         }
         Ok(())
     }
--- a/crates/emulator/src/net.rs
+++ b/crates/emulator/src/net.rs
@@ -8,18 +8,18 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
-/// Nanoseconds since the start of the run, or on a part's own clock.
+/// Nanoseconds since the start of the run, or on a host's own clock.
 pub type Nanos = u64;
-/// A part's index, in the order of joining.
+/// A host's index, in the order of joining.
 pub type Id = usize;
 
-/// Datagrams that wait at a paused part, at most; more are dropped, as by a socket's buffer.
+/// Datagrams that wait at a paused host, at most; more are dropped, as by a socket's buffer.
 const MAX_BUFFERED: usize = 512;
 
 /// A state machine with its codec. Times are on its own clock.
-pub trait Part {
+pub trait Host {
     /// Receives a datagram.
-    fn heard(&mut self, now: Nanos, bytes: &[u8]);
+    fn receive_datagram(&mut self, now: Nanos, bytes: &[u8]);
     /// Runs the timers that are due.
     fn wake(&mut self, now: Nanos);
     /// When the next timer is due.
@@ -30,31 +30,31 @@
 
 /// Faults of the network.
 #[derive(Clone, Debug)]
-pub struct Weather {
+pub struct NetworkFaults {
     /// Share of datagrams lost, from 0 to 1.
     pub loss: f64,
     /// Share of datagrams that arrive twice, from 0 to 1.
-    pub repeat: f64,
+    pub duplicate: f64,
     /// Least and greatest delay of a datagram.
     pub delay: (Nanos, Nanos),
 }
 
-impl Default for Weather {
-    fn default() -> Weather {
-        Weather {
+impl Default for NetworkFaults {
+    fn default() -> NetworkFaults {
+        NetworkFaults {
             loss: 0.0,
-            repeat: 0.0,
+            duplicate: 0.0,
             delay: (100_000, 400_000),
         }
     }
 }
 
-/// A part's own clock.
+/// A host's own clock.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Clock {
     /// What it showed at the start of the run.
     pub began: Nanos,
-    /// By how many parts per million it runs fast.
+    /// By how many hosts per million it runs fast.
     pub drift_ppm: i64,
 }
 
@@ -64,7 +64,7 @@
         self.began + (time as i128 * (1_000_000 + self.drift_ppm as i128) / 1_000_000) as Nanos
     }
 
-    /// The first moment at which the part's clock shows at least this.
+    /// The first moment at which the host's clock shows at least this.
     fn when(&self, own: Nanos) -> Nanos {
         let rate = 1_000_000 + self.drift_ppm as i128;
         let ran = own.saturating_sub(self.began) as i128;
@@ -74,42 +74,42 @@
 
 /// What became of a datagram, and when.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
-    /// Stopped by a partition, or no part has that address.
-    Cut,
+pub enum DatagramOutcome {
+    /// Stopped by a partition, or no host has that address.
+    Partitioned,
     /// Lost by the network.
     Lost,
     /// Sent; holds the number of copies.
-    Goes(usize),
-    /// Received by a part that runs.
-    VoteReceipt,
+    Sent(usize),
+    /// Received by a host that runs.
+    Received,
     /// Buffered, as its receiver is paused.
-    Waits,
+    Buffered,
     /// Dropped, as its receiver is dead or paused with a full buffer.
     Dropped,
 }
 
-/// An entry of [`Net::written`].
+/// An entry of [`Net::datagram_log`].
 #[derive(Clone, Debug)]
-pub struct Passed {
+pub struct DatagramEvent {
     /// When it happened.
     pub at: Nanos,
     /// The sender; none on arrival, as a datagram in transit does not name it.
     pub from: Option<Id>,
-    /// The receiver, if a part has that address.
+    /// The receiver, if a host has that address.
     pub to: Option<Id>,
     /// What became of the datagram.
-    pub fate: Fate,
+    pub outcome: DatagramOutcome,
     /// The datagram.
     pub bytes: Vec<u8>,
 }
 
-/// Least and greatest delay of a datagram from the first part to the second.
+/// Least and greatest delay of a datagram from the first host to the second.
 pub type Delay = Box<dyn Fn(Id, Id) -> (Nanos, Nanos)>;
 
-/// A part with its address and clock, dead or alive.
-struct Place<P> {
-    part: Option<P>,
+/// A host with its address and clock, dead or alive.
+struct Slot<P> {
+    host: Option<P>,
     at: SocketAddr,
     clock: Clock,
     paused: bool,
@@ -125,7 +125,7 @@
     sequence: u64,
 }
 
-/// The way from one part to another.
+/// The way from one host to another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Link {
     from: Id,
@@ -138,70 +138,70 @@
     bytes: Vec<u8>,
 }
 
-/// The simulated network with its parts.
+/// The simulated network with its hosts.
 pub struct Net<P> {
     now: Nanos,
-    places: Vec<Place<P>>,
+    slots: Vec<Slot<P>>,
     by_address: BTreeMap<SocketAddr, Id>,
-    /// Datagrams in transit, by arrival. Bounded by what the parts send within the greatest delay.
+    /// Datagrams in transit, by arrival. Bounded by what the hosts send within the greatest delay.
     in_transit: BTreeMap<Arrival, Datagram>,
     /// Copies sent so far.
     sequence: u64,
-    /// When each part that is not paused wakes next; those in `touched` are updated before the next step.
+    /// When each host that is not paused wakes next; those in `touched` are updated before the next step.
     wakes: BTreeSet<(Nanos, Id)>,
     touched: Vec<Id>,
     /// Faults that apply to all datagrams.
-    pub weather: Weather,
-    /// Takes precedence over the delay in `weather`, as zones and regions lie apart.
+    pub faults: NetworkFaults,
+    /// Takes precedence over the delay in `faults`, as zones and regions lie apart.
     pub delay: Option<Delay>,
     /// One-way partitions.
     cut: BTreeSet<Link>,
     random: Rand64,
-    /// Datagrams that parts sent.
-    pub carried: u64,
-    /// Bytes that parts sent.
-    pub carried_bytes: u64,
+    /// Datagrams that hosts sent.
+    pub sent: u64,
+    /// Bytes that hosts sent.
+    pub sent_bytes: u64,
     /// Datagrams that did not reach their receiver.
     pub lost: u64,
     /// What became of each datagram, if set; whoever sets it empties it.
-    pub written: Option<Vec<Passed>>,
+    pub datagram_log: Option<Vec<DatagramEvent>>,
 }
 
-impl<P: Part> Net<P> {
-    /// A network without parts.
-    pub fn new(seed: u64, weather: Weather) -> Net<P> {
+impl<P: Host> Net<P> {
+    /// A network without hosts.
+    pub fn new(seed: u64, faults: NetworkFaults) -> Net<P> {
         Net {
             now: 0,
-            places: Vec::new(),
+            slots: Vec::new(),
             by_address: BTreeMap::new(),
             in_transit: BTreeMap::new(),
             sequence: 0,
             wakes: BTreeSet::new(),
             touched: Vec::new(),
-            weather,
+            faults,
             delay: None,
             cut: BTreeSet::new(),
             random: Rand64::new(seed as u128),
-            carried: 0,
-            carried_bytes: 0,
+            sent: 0,
+            sent_bytes: 0,
             lost: 0,
-            written: None,
+            datagram_log: None,
         }
     }
 
-    fn write(&mut self, from: Option<Id>, to: Option<Id>, fate: Fate, bytes: &[u8]) {
-        if let Some(written) = &mut self.written {
-            written.push(Passed {
+    fn write(&mut self, from: Option<Id>, to: Option<Id>, outcome: DatagramOutcome, bytes: &[u8]) {
+        if let Some(datagram_log) = &mut self.datagram_log {
+            datagram_log.push(DatagramEvent {
                 at: self.now,
                 from,
                 to,
-                fate,
+                outcome,
                 bytes: bytes.to_vec(),
             });
         }
     }
 
-    /// The address of the nth part, for whoever must name it before it joins.
+    /// The address of the nth host, for whoever must name it before it joins.
     pub fn address(id: Id) -> SocketAddr {
         SocketAddr::from(([10, (id >> 16) as u8, (id >> 8) as u8, id as u8], 7_000))
     }
@@ -211,18 +211,18 @@
         self.now
     }
 
-    /// What a part's clock shows.
+    /// What a host's clock shows.
     pub fn own_time(&self, id: Id) -> Nanos {
-        self.places[id].clock.own(self.now)
+        self.slots[id].clock.own(self.now)
     }
 
-    /// Adds a part; `make` gets its own time and its address.
+    /// Adds a host; `make` gets its own time and its address.
     pub fn join(&mut self, clock: Clock, make: impl FnOnce(Nanos, SocketAddr) -> P) -> Id {
-        let (id, at) = (self.places.len(), Self::address(self.places.len()));
-        let part = Some(make(clock.own(self.now), at));
+        let (id, at) = (self.slots.len(), Self::address(self.slots.len()));
+        let host = Some(make(clock.own(self.now), at));
         let buffer = VecDeque::new();
-        self.places.push(Place {
-            part,
+        self.slots.push(Slot {
+            host,
             at,
             clock,
             paused: false,
@@ -234,55 +234,55 @@
         id
     }
 
-    /// A part, unless it is dead.
-    pub fn part(&self, id: Id) -> Option<&P> {
-        self.places[id].part.as_ref()
+    /// A host, unless it is dead.
+    pub fn host(&self, id: Id) -> Option<&P> {
+        self.slots[id].host.as_ref()
     }
 
-    /// A part, unless it is dead; its timers are read anew before the next step.
-    pub fn part_mut(&mut self, id: Id) -> Option<&mut P> {
+    /// A host, unless it is dead; its timers are read anew before the next step.
+    pub fn host_mut(&mut self, id: Id) -> Option<&mut P> {
         self.touched.push(id);
-        self.places[id].part.as_mut()
+        self.slots[id].host.as_mut()
     }
 
-    /// All parts, dead ones too.
+    /// All hosts, dead ones too.
     pub fn ids(&self) -> impl Iterator<Item = Id> + use<P> {
-        0..self.places.len()
+        0..self.slots.len()
     }
 
-    /// Kills a part, with what was buffered for it.
+    /// Kills a host, with what was buffered for it.
     pub fn kill(&mut self, id: Id) {
-        self.places[id].part = None;
-        self.places[id].buffer.clear();
+        self.slots[id].host = None;
+        self.slots[id].buffer.clear();
         self.touched.push(id);
     }
 
-    /// Starts a part anew at its address.
+    /// Starts a host anew at its address.
     pub fn restart(&mut self, id: Id, make: impl FnOnce(Nanos, SocketAddr) -> P) {
         let own = self.own_time(id);
-        let place = &mut self.places[id];
-        place.part = Some(make(own, place.at));
-        place.paused = false;
+        let slot = &mut self.slots[id];
+        slot.host = Some(make(own, slot.at));
+        slot.paused = false;
         self.touched.push(id);
     }
 
-    /// Pauses a part; datagrams that arrive meanwhile are buffered up to a bound.
+    /// Pauses a host; datagrams that arrive meanwhile are buffered up to a bound.
     pub fn pause(&mut self, id: Id) {
-        self.places[id].paused = true;
+        self.slots[id].paused = true;
         self.touched.push(id);
     }
 
-    /// Runs a paused part again, with what was buffered.
+    /// Runs a paused host again, with what was buffered.
     pub fn unpause(&mut self, id: Id) {
-        self.places[id].paused = false;
+        self.slots[id].paused = false;
         let own = self.own_time(id);
         // As a loop does on waking: timers first, then what lies in the socket.
-        if let Some(part) = &mut self.places[id].part {
-            part.wake(own);
+        if let Some(host) = &mut self.slots[id].host {
+            host.wake(own);
         }
-        while let Some(bytes) = self.places[id].buffer.pop_front() {
-            if let Some(part) = &mut self.places[id].part {
-                part.heard(own, &bytes);
+        while let Some(bytes) = self.slots[id].buffer.pop_front() {
+            if let Some(host) = &mut self.slots[id].host {
+                host.receive_datagram(own, &bytes);
             }
         }
         self.post(id);
@@ -293,7 +293,7 @@
         self.cut.insert(Link { from, to });
     }
 
-    /// Partitions both ways between the groups; parts in no group reach all.
+    /// Partitions both ways between the groups; hosts in no group reach all.
     pub fn split(&mut self, groups: &[&[Id]]) {
         for (n, group) in groups.iter().enumerate() {
             for other in groups.iter().skip(n + 1) {
@@ -313,15 +313,15 @@
         self.cut.clear();
     }
 
-    /// Runs to a time. `look` is called after each step with the part that moved.
+    /// Runs to a time. `look` is called after each step with the host that moved.
     pub fn run(&mut self, until: Nanos, mut look: impl FnMut(&mut Net<P>, Id)) {
         while let Some((time, next)) = self.next().filter(|(time, _)| *time <= until) {
             self.now = self.now.max(time);
             let moved = match next {
                 Some(id) => {
                     let own = self.own_time(id);
-                    if let Some(part) = &mut self.places[id].part {
-                        part.wake(own);
+                    if let Some(host) = &mut self.slots[id].host {
+                        host.wake(own);
                     }
                     id
                 }
@@ -333,7 +333,7 @@
         self.now = self.now.max(until);
     }
 
-    /// What comes next: a part's wake, or a datagram (no part) where that is due no later.
+    /// What comes next: a host's wake, or a datagram (no host) where that is due no later.
     fn next(&mut self) -> Option<(Nanos, Option<Id>)> {
         while let Some(id) = self.touched.pop() {
             self.enter_wake(id);
@@ -346,14 +346,14 @@
         }
     }
 
-    /// Enters when the part wakes next, in place of what stood there.
+    /// Enters when the host wakes next, in slot of what stood there.
     fn enter_wake(&mut self, id: Id) {
-        let place = &mut self.places[id];
-        let part = place.part.as_ref().filter(|_| !place.paused);
-        let due = part
-            .and_then(Part::next_wake)
-            .map(|own| place.clock.when(own).max(self.now));
-        if let Some(before) = std::mem::replace(&mut place.wakes_at, due) {
+        let slot = &mut self.slots[id];
+        let host = slot.host.as_ref().filter(|_| !slot.paused);
+        let due = host
+            .and_then(Host::next_wake)
+            .map(|own| slot.clock.when(own).max(self.now));
+        if let Some(before) = std::mem::replace(&mut slot.wakes_at, due) {
             self.wakes.remove(&(before, id));
         }
         if let Some(due) = due {
@@ -367,45 +367,49 @@
             return 0;
         };
         let own = self.own_time(to);
-        let fate = match &self.places[to] {
-            Place {
-                part: Some(_),
+        let outcome = match &self.slots[to] {
+            Slot {
+                host: Some(_),
                 paused: false,
                 ..
-            } => Fate::VoteReceipt,
-            Place {
-                part: Some(_),
+            } => DatagramOutcome::Received,
+            Slot {
+                host: Some(_),
                 buffer,
                 ..
-            } if buffer.len() < MAX_BUFFERED => Fate::Waits,
-            _ => Fate::Dropped,
+            } if buffer.len() < MAX_BUFFERED => DatagramOutcome::Buffered,
+            _ => DatagramOutcome::Dropped,
         };
-        self.write(None, Some(to), fate, &bytes);
-        let place = &mut self.places[to];
-        match (&mut place.part, fate) {
-            (Some(part), Fate::VoteReceipt) => part.heard(own, &bytes),
-            (_, Fate::Waits) => place.buffer.push_back(bytes),
+        self.write(None, Some(to), outcome, &bytes);
+        let slot = &mut self.slots[to];
+        match (&mut slot.host, outcome) {
+            (Some(host), DatagramOutcome::Received) => host.receive_datagram(own, &bytes),
+            (_, DatagramOutcome::Buffered) => slot.buffer.push_back(bytes),
             _ => self.lost += 1,
         }
         to
     }
 
-    /// Takes what a part has to send and sends it.
+    /// Takes what a host has to send and sends it.
     pub fn post(&mut self, from: Id) {
         self.touched.push(from);
-        while let Some((at, bytes)) = self.places[from].part.as_mut().and_then(Part::datagram) {
-            self.carried += 1;
-            self.carried_bytes += bytes.len() as u64;
+        while let Some((at, bytes)) = self.slots[from].host.as_mut().and_then(Host::datagram) {
+            self.sent += 1;
+            self.sent_bytes += bytes.len() as u64;
             let named = self.by_address.get(&at).copied();
             let to = named.filter(|to| !self.cut.contains(&Link { from, to: *to }));
-            let Some(to) = to.filter(|_| self.random.rand_float() >= self.weather.loss) else {
+            let Some(to) = to.filter(|_| self.random.rand_float() >= self.faults.loss) else {
                 self.lost += 1;
-                let fate = if to.is_some() { Fate::Lost } else { Fate::Cut };
-                self.write(Some(from), named, fate, &bytes);
+                let outcome = if to.is_some() {
+                    DatagramOutcome::Lost
+                } else {
+                    DatagramOutcome::Partitioned
+                };
+                self.write(Some(from), named, outcome, &bytes);
                 continue;
             };
-            let copies = 1 + (self.random.rand_float() < self.weather.repeat) as usize;
-            self.write(Some(from), Some(to), Fate::Goes(copies), &bytes);
+            let copies = 1 + (self.random.rand_float() < self.faults.duplicate) as usize;
+            self.write(Some(from), Some(to), DatagramOutcome::Sent(copies), &bytes);
             for _ in 0..copies {
                 self.send_copy(from, to, bytes.clone());
             }
@@ -415,7 +419,7 @@
     fn send_copy(&mut self, from: Id, to: Id, bytes: Vec<u8>) {
         let (least, greatest) = match &self.delay {
             Some(delay) => delay(from, to),
-            None => self.weather.delay,
+            None => self.faults.delay,
         };
         let delay = self.random.rand_range(least..greatest.max(least) + 1);
         self.sequence += 1;
@@ -440,8 +444,8 @@
         says: u8,
     }
 
-    impl Part for Caller {
-        fn heard(&mut self, now: Nanos, bytes: &[u8]) {
+    impl Host for Caller {
+        fn receive_datagram(&mut self, now: Nanos, bytes: &[u8]) {
             self.came.push((now, bytes[0]));
         }
         fn wake(&mut self, now: Nanos) {
@@ -458,8 +462,8 @@
         }
     }
 
-    fn pair(weather: Weather) -> Net<Caller> {
-        let mut net = Net::new(3, weather);
+    fn pair(faults: NetworkFaults) -> Net<Caller> {
+        let mut net = Net::new(3, faults);
         for n in 0..2 {
             let to = Net::<Caller>::address(1 - n);
             let clock = Clock {
@@ -481,18 +485,18 @@
     fn faults_do_what_they_say_and_a_seed_plays_the_same_run() {
         let second = 1_000_000_000;
         let play = || {
-            let mut net = pair(Weather {
+            let mut net = pair(NetworkFaults {
                 loss: 0.3,
-                repeat: 0.2,
-                ..Weather::default()
+                duplicate: 0.2,
+                ..NetworkFaults::default()
             });
             net.run(100 * second, |_, _| {});
-            [0, 1].map(|id| net.part(id).unwrap().came.clone())
+            [0, 1].map(|id| net.host(id).unwrap().came.clone())
         };
         assert_eq!(play(), play());
-        let mut net = pair(Weather::default());
+        let mut net = pair(NetworkFaults::default());
         net.run(100 * second, |_, _| {});
-        let came = |net: &Net<Caller>, id: Id| net.part(id).unwrap().came.len();
+        let came = |net: &Net<Caller>, id: Id| net.host(id).unwrap().came.len();
         // The second one's clock runs a tenth fast; what was sent at the last moment is under way.
         assert_eq!((came(&net, 0), came(&net, 1)), (110, 100));
         net.cut(0, 1);
--- a/crates/emulator/src/pod.rs
+++ b/crates/emulator/src/pod.rs
@@ -1,9 +1,9 @@
 //! An emulated pod behind a real socket: cores, a queue, a slow start, and faults that a scenario injects.
 
-use crate::book::Book;
+use crate::ledger_writer::LedgerWriter;
 use bytes::Bytes;
 use havenplank::interface::{Build, DedupScope, Nanos};
-use havenplank_invariants::ledger::{Cold, Seen};
+use havenplank_invariants::ledger::{LedgerEvent, SlowStart};
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
 use hyper::header::{HeaderMap, HeaderValue, VIA};
@@ -23,19 +23,19 @@
 use tokio::time::sleep;
 
 /// Header of a client's attempt: its number in the ledger.
-pub const ASK: &str = "x-ask";
+pub const REQUEST_HEADER: &str = "x-ask";
 /// Header of the work that a request needs, in microseconds of a core.
-pub const WORK: &str = "x-work-us";
+pub const WORK_HEADER: &str = "x-work-us";
 /// Header of a request's route class, by index.
-pub const GROUP: &str = "x-group";
+pub const CLASS_HEADER: &str = "x-group";
 /// Header of a rejection by a pod that did not run the request.
-pub const UNSEEN: &str = "x-never-ran";
+pub const UNPROCESSED_HEADER: &str = "x-never-ran";
 /// Tells the emulated client, and nobody else, that an answer is wrong.
-pub const WRONG: &str = "x-wrong";
+pub const WRONG_ANSWER_HEADER: &str = "x-wrong";
 /// Header of the idempotency key.
-const IDEMPOTENCY_KEY: &str = "idempotency-key";
+const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 /// Header of a load report.
-const LOAD_REPORT: &str = "endpoint-load-metrics";
+const LOAD_REPORT_HEADER: &str = "endpoint-load-metrics";
 /// How often a pod looks whether it is to refuse connections.
 const REFUSE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
@@ -130,18 +130,18 @@
     route_class: usize,
 }
 
-/// Additions to [`Marks`] between two removals of expired keys.
+/// Additions to [`SeenKeys`] between two removals of expired keys.
 const EXPIRE_EVERY: u32 = 1_000;
 
 /// Idempotency keys of requests that ran, shared by the pods that drop each other's repeats.
 #[derive(Default)]
-pub struct Marks {
+pub struct SeenKeys {
     /// Until when a repeat is dropped; bounded by the requests of a window and [`EXPIRE_EVERY`].
     seen: RefCell<HashMap<ScopedKey, Nanos>>,
     added: Cell<u32>,
 }
 
-impl Marks {
+impl SeenKeys {
     /// Whether this key is new; remembers it for the window.
     fn insert(&self, now: Nanos, key: ScopedKey, window: Nanos) -> bool {
         let mut seen = self.seen.borrow_mut();
@@ -159,22 +159,22 @@
 
 /// What a pod must know of a route class.
 #[derive(Clone, Debug)]
-pub struct Served {
+pub struct ServedClass {
     /// Which pods drop each other's repeats.
     pub scope: DedupScope,
     /// Whether requests carry an idempotency key.
-    pub tagged: bool,
+    pub keyed: bool,
     /// How long a repeat is dropped, in nanoseconds.
     pub dedup_window: Nanos,
 }
 
 /// Which pod it is.
 #[derive(Clone, Debug)]
-pub struct Who {
+pub struct PodIdentity {
     /// Its name, unique in a scenario.
     pub name: String,
     /// Its incarnation.
-    pub life: u64,
+    pub incarnation: u64,
     /// The build that it runs.
     pub build: Build,
     /// The zone that it runs in.
@@ -214,7 +214,7 @@
 /// An emulated pod.
 pub struct Pod {
     /// Which pod it is.
-    pub who: Who,
+    pub identity: PodIdentity,
     /// The machine that it runs on.
     pub machine: Machine,
     /// Where it listens.
@@ -226,20 +226,20 @@
     /// Faults of its build.
     pub build_faults: RefCell<Faults>,
     /// Factor by which what all pods share slows them.
-    pub shared: Rc<Cell<f64>>,
+    pub shared_slowdown: Rc<Cell<f64>>,
     /// Whether it takes no new requests.
     pub draining: Cell<bool>,
-    book: Book,
-    route_classes: Rc<Vec<Served>>,
+    ledger: LedgerWriter,
+    route_classes: Rc<Vec<ServedClass>>,
     /// By scope of deduplication.
-    marks: [Rc<Marks>; 3],
+    seen_keys: [Rc<SeenKeys>; 3],
     cores: Semaphore,
     queued: Cell<usize>,
     /// Requests that run now.
     pub busy: Cell<usize>,
     /// Attempts that arrived since the fleet last counted them.
-    pub forwards: Cell<u64>,
-    recent: RefCell<RecentWork>,
+    pub attempts: Cell<u64>,
+    recent_work: RefCell<RecentWork>,
     random: RefCell<Rand64>,
     down: watch::Sender<bool>,
 }
@@ -267,11 +267,11 @@
         let text = |name: &str| headers.get(name)?.to_str().ok();
         let number = |name: &str| text(name)?.parse::<u64>().ok();
         Attempt {
-            id: number(ASK).unwrap_or(0),
-            work: number(WORK).unwrap_or(1_000) * 1_000,
-            route_class: number(GROUP).unwrap_or(0) as usize,
+            id: number(REQUEST_HEADER).unwrap_or(0),
+            work: number(WORK_HEADER).unwrap_or(1_000) * 1_000,
+            route_class: number(CLASS_HEADER).unwrap_or(0) as usize,
             sidecar: via(headers),
-            idempotency_key: text(IDEMPOTENCY_KEY).unwrap_or_default().to_string(),
+            idempotency_key: text(IDEMPOTENCY_KEY_HEADER).unwrap_or_default().to_string(),
         }
     }
 }
@@ -283,53 +283,53 @@
     /// No address to be had.
     #[allow(clippy::too_many_arguments)] // the fleet alone calls it, with a value for each
     pub async fn start(
-        who: Who,
+        identity: PodIdentity,
         machine: Machine,
-        route_classes: Rc<Vec<Served>>,
-        marks: [Rc<Marks>; 3],
-        shared: Rc<Cell<f64>>,
+        route_classes: Rc<Vec<ServedClass>>,
+        seen_keys: [Rc<SeenKeys>; 3],
+        shared_slowdown: Rc<Cell<f64>>,
         build_faults: Faults,
         seed: u64,
-        book: Book,
+        ledger: LedgerWriter,
     ) -> std::io::Result<Rc<Pod>> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
-        let cold = Cold {
+        let slow_start = SlowStart {
             capacity: machine.cores as f64 * machine.speed * 1e9,
-            share: machine.initial_capacity,
+            initial_share: machine.initial_capacity,
             warm_up: machine.warm_up,
         };
-        let Who {
+        let PodIdentity {
             name,
-            life,
+            incarnation,
             build,
             zone,
             cell,
-        } = who.clone();
-        let up_at = book.write(Seen::PodUp {
+        } = identity.clone();
+        let up_at = ledger.write(LedgerEvent::PodStarted {
             pod: name,
-            life,
+            incarnation,
             build,
             zone,
             cell,
-            cold,
+            slow_start,
         });
         let pod = Rc::new(Pod {
-            who,
+            identity,
             machine,
             address: listener.local_addr()?,
             up_at,
             faults: RefCell::default(),
             build_faults: RefCell::new(build_faults),
-            shared,
+            shared_slowdown,
             draining: Cell::new(false),
-            book,
+            ledger,
             route_classes,
-            marks,
+            seen_keys,
             cores: Semaphore::new(machine.cores),
             queued: Cell::new(0),
             busy: Cell::new(0),
-            forwards: Cell::new(0),
-            recent: RefCell::default(),
+            attempts: Cell::new(0),
+            recent_work: RefCell::default(),
             random: RefCell::new(Rand64::new(seed as u128)),
             down: watch::Sender::new(false),
         });
@@ -349,31 +349,31 @@
 
     /// Time since its start.
     pub fn age(&self) -> Nanos {
-        self.book.now().saturating_sub(self.up_at)
+        self.ledger.now().saturating_sub(self.up_at)
     }
 
     /// The share of its capacity that a pod has by now.
-    fn warmth(&self) -> f64 {
+    fn capacity_share(&self) -> f64 {
         let warm = (self.age() as f64 / self.machine.warm_up.max(1) as f64).min(1.0);
         self.machine.initial_capacity + (1.0 - self.machine.initial_capacity) * warm
     }
 
     /// Draws whether a fault of this share happens.
-    fn happens(&self, share: f64) -> bool {
+    fn draw_fault(&self, share: f64) -> bool {
         share > 0.0 && self.random.borrow_mut().rand_float() < share
     }
 
     /// Counts work that reached it; a warming pod that gets too much breaks down and stays down.
-    fn bear(&self, work: Nanos) {
+    fn add_load(&self, work: Nanos) {
         let window = self.machine.overload_window;
-        let now = self.book.now();
-        let recent = self.recent.borrow_mut().add(now, work, window);
-        let capacity = self.machine.cores as f64 * self.machine.speed * self.warmth();
+        let now = self.ledger.now();
+        let recent = self.recent_work.borrow_mut().add(now, work, window);
+        let capacity = self.machine.cores as f64 * self.machine.speed * self.capacity_share();
         let budget = self.machine.overload_multiple * capacity * window as f64;
         if self.age() < self.machine.warm_up && recent > budget && !self.is_down() {
-            self.book.write(Seen::PodFell {
-                pod: self.who.name.clone(),
-                life: self.who.life,
+            self.ledger.write(LedgerEvent::PodOverloaded {
+                pod: self.identity.name.clone(),
+                incarnation: self.identity.incarnation,
             });
             self.kill();
         }
@@ -387,15 +387,15 @@
             return Outcome::Reset;
         }
         let attempt = Attempt::read(&parts.headers);
-        self.forwards.set(self.forwards.get() + 1);
-        self.book.write(Seen::Arrived {
+        self.attempts.set(self.attempts.get() + 1);
+        self.ledger.write(LedgerEvent::Arrived {
             ask: attempt.id,
             sidecar: attempt.sidecar.clone(),
-            pod: self.who.name.clone(),
-            life: self.who.life,
+            pod: self.identity.name.clone(),
+            incarnation: self.identity.incarnation,
             work: attempt.work,
         });
-        self.bear(attempt.work);
+        self.add_load(attempt.work);
         if self.is_down() {
             return Outcome::Reset;
         }
@@ -406,7 +406,7 @@
         if faults.hang {
             return Outcome::Hang;
         }
-        if self.happens(faults.reset_before) {
+        if self.draw_fault(faults.reset_before) {
             return Outcome::Reset;
         }
         // Once begun, work goes on whether or not anyone still waits for it.
@@ -416,15 +416,15 @@
     }
 
     fn reject(&self, attempt: &Attempt) -> Outcome {
-        self.book.write(Seen::Unseen {
+        self.ledger.write(LedgerEvent::Unprocessed {
             ask: attempt.id,
-            pod: self.who.name.clone(),
-            life: self.who.life,
+            pod: self.identity.name.clone(),
+            incarnation: self.identity.incarnation,
         });
         let mut answer = Response::new(Full::new(Bytes::new()));
         *answer.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
         let headers = answer.headers_mut();
-        headers.insert(UNSEEN, HeaderValue::from_static("1"));
+        headers.insert(UNPROCESSED_HEADER, HeaderValue::from_static("1"));
         Outcome::Answer(answer)
     }
 
@@ -434,33 +434,33 @@
         if self.is_down() {
             return Outcome::Reset;
         }
-        let fresh = self.is_fresh(&attempt);
+        let is_first = self.is_first(&attempt);
         let class = attempt.route_class;
         let affected = faults.error_group.is_none_or(|failing| failing == class);
-        let fails = affected && self.happens(faults.error);
-        if fresh && !fails {
-            self.book.write(Seen::Ran {
+        let fails = affected && self.draw_fault(faults.error);
+        if is_first && !fails {
+            self.ledger.write(LedgerEvent::TookEffect {
                 ask: attempt.id,
-                pod: self.who.name.clone(),
-                life: self.who.life,
+                pod: self.identity.name.clone(),
+                incarnation: self.identity.incarnation,
             });
         }
-        if self.happens(faults.reset_after) {
+        if self.draw_fault(faults.reset_after) {
             return Outcome::Reset;
         }
-        if self.happens(faults.lose_answer) {
+        if self.draw_fault(faults.lose_answer) {
             return Outcome::Hang;
         }
         if fails {
-            let mut answer = found();
+            let mut answer = success_response();
             *answer.status_mut() = StatusCode::INTERNAL_SERVER_ERROR;
             return Outcome::Answer(answer);
         }
         let answer = self.answer(faults);
-        self.book.write(Seen::Gave {
+        self.ledger.write(LedgerEvent::Succeeded {
             ask: attempt.id,
-            pod: self.who.name.clone(),
-            life: self.who.life,
+            pod: self.identity.name.clone(),
+            incarnation: self.identity.incarnation,
         });
         Outcome::Answer(answer)
     }
@@ -473,29 +473,30 @@
         self.busy.set(self.busy.get() + 1);
         let crowded = self.busy.get() * 2 > self.machine.cores;
         let busy = if crowded { faults.slow_busy } else { 1.0 };
-        let pace = self.machine.speed * self.warmth() / (faults.slow * busy * self.shared.get());
+        let pace = self.machine.speed * self.capacity_share()
+            / (faults.slow * busy * self.shared_slowdown.get());
         sleep(Duration::from_nanos((work as f64 / pace.max(0.01)) as u64)).await;
         self.busy.set(self.busy.get() - 1);
         drop(core);
     }
 
     /// Whether the attempt is no repeat that the pods of its scope drop.
-    fn is_fresh(&self, attempt: &Attempt) -> bool {
+    fn is_first(&self, attempt: &Attempt) -> bool {
         let class = self.route_classes.get(attempt.route_class);
-        let Some(class) = class.filter(|class| class.tagged) else {
+        let Some(class) = class.filter(|class| class.keyed) else {
             return true;
         };
         let key = ScopedKey {
             key: attempt.idempotency_key.clone(),
             route_class: attempt.route_class,
         };
-        let marks = &self.marks[class.scope as usize];
-        marks.insert(self.book.now(), key, class.dedup_window)
+        let seen_keys = &self.seen_keys[class.scope as usize];
+        seen_keys.insert(self.ledger.now(), key, class.dedup_window)
     }
 
     /// A good answer with a load report, or a wrong one that only the emulated client can tell.
     fn answer(&self, faults: &Faults) -> Response<Full<Bytes>> {
-        let mut answer = found();
+        let mut answer = success_response();
         let load = format!(
             "TEXT cpu_utilization={:.3}, named_metrics.in_flight={}",
             self.busy.get() as f64 / self.machine.cores as f64,
@@ -503,16 +504,16 @@
         );
         let headers = answer.headers_mut();
         if let Ok(load) = HeaderValue::from_str(&load) {
-            headers.insert(LOAD_REPORT, load);
+            headers.insert(LOAD_REPORT_HEADER, load);
         }
-        if self.happens(faults.wrong) {
-            headers.insert(WRONG, HeaderValue::from_static("1"));
+        if self.draw_fault(faults.wrong) {
+            headers.insert(WRONG_ANSWER_HEADER, HeaderValue::from_static("1"));
         }
         answer
     }
 }
 
-fn found() -> Response<Full<Bytes>> {
+fn success_response() -> Response<Full<Bytes>> {
     Response::new(Full::new(Bytes::from_static(b"found\n")))
 }
 
--- a/crates/emulator/src/relay.rs
+++ b/crates/emulator/src/relay.rs
@@ -28,10 +28,10 @@
 
 /// What happens to datagrams that are not cut.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Weather {
+pub struct NetworkFaults {
     /// Share lost, and share that comes twice.
     pub loss: f64,
-    pub repeat: f64,
+    pub duplicate: f64,
     /// Each waits up to this long, by chance, and so overtakes others.
     pub delay: Duration,
 }
@@ -41,7 +41,7 @@
     sources: HashMap<SocketAddr, usize>,
     targets: Vec<Option<SocketAddr>>,
     cut: HashSet<(usize, usize)>,
-    weather: Weather,
+    faults: NetworkFaults,
     chance: Rand64,
     held: usize,
     carried: u64,
@@ -87,7 +87,7 @@
             sources: HashMap::new(),
             targets: vec![None; many],
             cut: HashSet::new(),
-            weather: Weather::default(),
+            faults: NetworkFaults::default(),
             chance: Rand64::new(seed as u128),
             held: 0,
             carried: 0,
@@ -106,12 +106,12 @@
     }
 
     /// What others must be told as the address of a process.
-    pub fn at(&self, id: usize) -> SocketAddr {
+    pub fn address(&self, id: usize) -> SocketAddr {
         self.at[id]
     }
 
     /// Where a process has its own socket now; a later life of it may have another.
-    pub fn serves(&self, id: usize, own: SocketAddr) {
+    pub fn set_target(&self, id: usize, own: SocketAddr) {
         let mut table = self.table.borrow_mut();
         table.sources.retain(|_, known| *known != id);
         table.sources.insert(own, id);
@@ -135,8 +135,8 @@
         self.table.borrow_mut().cut.clear();
     }
 
-    pub fn weather(&self, weather: Weather) {
-        self.table.borrow_mut().weather = weather;
+    pub fn set_faults(&self, faults: NetworkFaults) {
+        self.table.borrow_mut().faults = faults;
     }
 
     /// Datagrams carried and lost so far.
@@ -189,15 +189,15 @@
             let through = from
                 .filter(|from| !table.cut.contains(&(*from, to)))
                 .and(table.targets[to]);
-            let lost = table.chance.rand_float() < table.weather.loss || table.held >= HELD;
+            let lost = table.chance.rand_float() < table.faults.loss || table.held >= HELD;
             let Some(target) = through.filter(|_| !lost) else {
                 table.lost += 1;
                 continue;
             };
             table.carried += 1;
-            let copies = 1 + (table.chance.rand_float() < table.weather.repeat) as usize;
+            let copies = 1 + (table.chance.rand_float() < table.faults.duplicate) as usize;
             let delays: Vec<Duration> = (0..copies)
-                .map(|_| table.weather.delay.mul_f64(table.chance.rand_float()))
+                .map(|_| table.faults.delay.mul_f64(table.chance.rand_float()))
                 .collect();
             table.held += copies;
             (target, copies, delays)
