--- a/crates/emulator/src/day.rs
+++ b/crates/emulator/src/scenario.rs
@@ -1,16 +1,16 @@
 //! Plays a scenario: emulated services in this process, sidecars as child processes, and scripted faults.
 
-use crate::book::Book;
-use crate::clients::{Clients, Fared, Target};
-use crate::desk::{Desk, Terms};
+use crate::clients::{ClassOutcomes, Clients, Target};
+use crate::control_plane::{ControlPlane, ReleaseRules};
+use crate::endpoint_list::EndpointListService;
 use crate::faults::FaultInjector;
 use crate::fleet::Fleet;
-use crate::nodes::Nodes;
-use crate::notation::{part, Day};
-use crate::pod::Served;
+use crate::ledger_writer::LedgerWriter;
+use crate::pod::ServedClass;
+use crate::scenario_file::{share_of, Scenario};
 use crate::sidecars::{ServiceAddresses, Sidecars};
 use havenplank::interface::{Idempotency, Nanos, ReleaseControl};
-use havenplank_invariants::ledger::{Entry, Exposure, Figures, Group, Seen};
+use havenplank_invariants::ledger::{ClassRules, Entry, Exposure, LedgerEvent, RuleParameters};
 use havenplank_settings::{RouteClassSettings, Site};
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -19,7 +19,7 @@
 use tokio::task::{spawn_local, JoinSet};
 use tokio::time::{sleep, sleep_until, Instant};
 
-pub use crate::sidecars::{given, DayError, Launch};
+pub use crate::sidecars::{settings_values, Launch, ScenarioError};
 
 /// How long after its time is up a final answer still counts.
 const ANSWER_SLACK: Nanos = 20_000_000;
@@ -31,35 +31,35 @@
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The result of a scenario.
-pub struct Played {
+pub struct ScenarioOutcome {
     /// The ledger.
     pub entries: Vec<Entry>,
     /// Entries that the ledger had no space for.
     pub lost: u64,
     /// Outcomes by route class.
-    pub fared: Vec<Fared>,
+    pub outcomes: Vec<ClassOutcomes>,
     /// Requests sent to sidecars, retries of clients counted.
-    pub tries: u64,
+    pub attempts: u64,
     /// What happened to builds, a line each.
-    pub story: Vec<String>,
+    pub release_log: Vec<String>,
     /// Votes that sidecars logged, by vote.
     pub votes: BTreeMap<String, u64>,
     /// Faults of the sidecar processes, a line each.
-    pub troubles: Vec<String>,
+    pub unexpected_faults: Vec<String>,
 }
 
 /// The figures that the invariants are checked by, from the settings that sidecars get.
-pub fn figures(site: &Site) -> Figures {
+pub fn rule_parameters(site: &Site) -> RuleParameters {
     let group = |group: &RouteClassSettings| {
-        Group::new(
+        ClassRules::new(
             &group.name,
             group.rules.idempotency,
             group.rules.dedup_scope,
             group.rules.dedup_window,
         )
     };
-    Figures {
-        groups: site.route_classes.iter().map(group).collect(),
+    RuleParameters {
+        classes: site.route_classes.iter().map(group).collect(),
         drain_grace: site.pods.drain_grace,
         overload_multiple: site.pods.overload_multiple,
         overload_window: site.pods.overload_window,
@@ -69,28 +69,28 @@
     }
 }
 
-/// Plays a scenario to its end. `tell` is called once a second with the time and a line for a terminal.
+/// Plays a scenario to its end. `on_progress` is called once a second with the time and a line for a terminal.
 ///
 /// # Errors
 /// No sockets to be had, or a sidecar that does not start.
-pub async fn play(
-    day: Day,
+pub async fn run(
+    scenario: Scenario,
     site: Site,
     launch: Launch,
     seed: u64,
-    tell: impl FnMut(Nanos, String),
-) -> Result<Played, DayError> {
-    let mut running = Running::start(&day, Rc::new(site), launch, seed).await?;
+    on_progress: impl FnMut(Nanos, String),
+) -> Result<ScenarioOutcome, ScenarioError> {
+    let mut running = Running::start(&scenario, Rc::new(site), launch, seed).await?;
     let began = Instant::now();
-    running.schedule_faults(&day, began);
-    running.run_clients(began, tell).await;
+    running.schedule_faults(&scenario, began);
+    running.run_clients(began, on_progress).await;
     Ok(running.finish().await)
 }
 
 /// A scenario that runs.
 struct Running {
-    book: Book,
-    parts: FaultInjector,
+    ledger: LedgerWriter,
+    injector: FaultInjector,
     /// The emulated services and the faults; ended when dropped.
     tasks: JoinSet<()>,
 }
@@ -98,157 +98,182 @@
 impl Running {
     /// Starts the pods, the services and the sidecars.
     async fn start(
-        day: &Day,
+        scenario: &Scenario,
         site: Rc<Site>,
         launch: Launch,
         seed: u64,
-    ) -> Result<Running, DayError> {
-        let book = Book::new();
-        book.write(Seen::Figures(figures(&site)));
-        let fleet = start_fleet(day, &site, seed ^ 1, book.clone()).await?;
-        let nodes = Nodes::new(book.clone(), fleet.clone(), day.notice, day.period);
-        let desk = control_plane(day, &site, book.clone(), fleet.clone());
-        let nodes_listener = loopback_listener().await?;
-        let desk_listener = loopback_listener().await?;
+    ) -> Result<Running, ScenarioError> {
+        let ledger = LedgerWriter::new();
+        ledger.write(LedgerEvent::Parameters(rule_parameters(&site)));
+        let fleet = start_fleet(scenario, &site, seed ^ 1, ledger.clone()).await?;
+        let endpoint_list = EndpointListService::new(
+            ledger.clone(),
+            fleet.clone(),
+            scenario.endpoint_list_delay,
+            scenario.endpoint_list_interval,
+        );
+        let control_plane = control_plane(scenario, &site, ledger.clone(), fleet.clone());
+        let endpoint_list_listener = loopback_listener().await?;
+        let control_plane_listener = loopback_listener().await?;
         let services = ServiceAddresses {
-            endpoint_list: nodes_listener.local_addr()?,
-            control_plane: desk_listener.local_addr()?,
+            endpoint_list: endpoint_list_listener.local_addr()?,
+            control_plane: control_plane_listener.local_addr()?,
         };
-        let targets: Vec<Rc<Target>> = (0..day.sidecars)
+        let targets: Vec<Rc<Target>> = (0..scenario.sidecars)
             .map(|n| Target::new(&format!("sidecar-{n}")))
             .collect();
-        let clients = Clients::new(book.clone(), site, day, targets.clone(), seed ^ 2);
+        let clients = Clients::new(ledger.clone(), site, scenario, targets.clone(), seed ^ 2);
         let mut tasks = JoinSet::new();
-        tasks.spawn_local(nodes.clone().serve(nodes_listener));
-        tasks.spawn_local(desk.clone().serve(desk_listener));
+        tasks.spawn_local(endpoint_list.clone().serve(endpoint_list_listener));
+        tasks.spawn_local(control_plane.clone().serve(control_plane_listener));
         tasks.spawn_local(update_fleet(fleet.clone()));
         let sidecars = Sidecars::new(
-            book.clone(),
+            ledger.clone(),
             launch,
-            day.clone(),
+            scenario.clone(),
             services,
             targets,
             seed ^ 3,
         );
-        for instance in 0..day.sidecars {
+        for instance in 0..scenario.sidecars {
             sidecars.start(instance).await?;
         }
-        tasks.spawn_local(desk.clone().run());
-        let parts = FaultInjector {
+        tasks.spawn_local(control_plane.clone().run());
+        let injector = FaultInjector {
             sidecars,
             fleet,
-            endpoint_list: nodes,
-            control_plane: desk,
+            endpoint_list: endpoint_list,
+            control_plane: control_plane,
             clients,
         };
-        Ok(Running { book, parts, tasks })
+        Ok(Running {
+            ledger,
+            injector,
+            tasks,
+        })
     }
 
     /// Injects each fault of the scenario at its time.
-    fn schedule_faults(&mut self, day: &Day, began: Instant) {
-        for event in day.events.clone() {
-            let injector = self.parts.clone();
+    fn schedule_faults(&mut self, scenario: &Scenario, began: Instant) {
+        for fault in scenario.faults.clone() {
+            let injector = self.injector.clone();
             self.tasks.spawn_local(async move {
-                sleep_until(began + Duration::from_nanos(event.at)).await;
-                let lasts = Duration::from_nanos(event.lasts);
-                injector.inject(event.what, lasts).await;
+                sleep_until(began + Duration::from_nanos(fault.at)).await;
+                let duration = Duration::from_nanos(fault.duration);
+                injector.inject(fault.kind, duration).await;
             });
         }
     }
 
     /// Runs the clients to their end, and tells of progress meanwhile.
-    async fn run_clients(&self, began: Instant, mut tell: impl FnMut(Nanos, String)) {
-        let clients = self.parts.clients.clone();
+    async fn run_clients(&self, began: Instant, mut on_progress: impl FnMut(Nanos, String)) {
+        let clients = self.injector.clients.clone();
         let mut run = spawn_local(async move { clients.run().await });
         loop {
             tokio::select! {
                 _ = &mut run => return,
                 () = sleep(PROGRESS_INTERVAL) => {
-                    tell(began.elapsed().as_nanos() as Nanos, self.progress());
+                    on_progress(began.elapsed().as_nanos() as Nanos, self.progress());
                 }
             }
         }
     }
 
     fn progress(&self) -> String {
-        let fared = self.parts.clients.fared.borrow();
-        let sum = |of: fn(&Fared) -> u64| fared.iter().map(of).sum::<u64>();
+        let outcomes = self.injector.clients.outcomes.borrow();
+        let sum = |of: fn(&ClassOutcomes) -> u64| outcomes.iter().map(of).sum::<u64>();
         format!(
             "{} pods, {} asked, {} in time, {} bounced, {} errored",
-            self.parts.fleet.running().len(),
-            sum(|f| f.asked),
+            self.injector.fleet.running().len(),
+            sum(|f| f.requests),
             sum(|f| f.in_time),
-            sum(|f| f.bounced),
-            sum(|f| f.errored),
+            sum(|f| f.rejected),
+            sum(|f| f.failed),
         )
     }
 
     /// Ends everything and collects the result.
-    async fn finish(mut self) -> Played {
+    async fn finish(mut self) -> ScenarioOutcome {
         let FaultInjector {
             sidecars,
             control_plane,
             clients,
             ..
-        } = &self.parts;
+        } = &self.injector;
         sidecars.close();
         self.tasks.abort_all();
         sidecars.kill_all().await;
-        let (entries, lost) = self.book.close();
+        let (entries, lost) = self.ledger.take();
         let observed = sidecars.take_observed();
-        Played {
+        ScenarioOutcome {
             entries,
             lost,
-            fared: clients.fared.borrow().clone(),
-            tries: clients.tries.get(),
-            story: control_plane.story.borrow().clone(),
+            outcomes: clients.outcomes.borrow().clone(),
+            attempts: clients.attempts.get(),
+            release_log: control_plane.release_log.borrow().clone(),
             votes: observed.votes,
-            troubles: observed.troubles,
+            unexpected_faults: observed.unexpected_faults,
         }
     }
 }
 
 /// Starts the scenario's pods.
-async fn start_fleet(day: &Day, site: &Site, seed: u64, book: Book) -> Result<Rc<Fleet>, DayError> {
-    let served = |group: &RouteClassSettings| Served {
+async fn start_fleet(
+    scenario: &Scenario,
+    site: &Site,
+    seed: u64,
+    ledger: LedgerWriter,
+) -> Result<Rc<Fleet>, ScenarioError> {
+    let served = |group: &RouteClassSettings| ServedClass {
         scope: group.rules.dedup_scope,
-        tagged: group.rules.idempotency == Idempotency::Keyed,
+        keyed: group.rules.idempotency == Idempotency::Keyed,
         dedup_window: group.rules.dedup_window,
     };
     let machine = site.machines.first().map_or("machine", String::as_str);
     let overload = (site.pods.overload_multiple, site.pods.overload_window);
     let classes = site.route_classes.iter().map(served).collect();
-    let fleet = Fleet::new(day, classes, machine, overload, seed, book);
-    fleet.begin(day.pods).await?;
+    let fleet = Fleet::new(scenario, classes, machine, overload, seed, ledger);
+    fleet.start_initial_pods(scenario.pods).await?;
     Ok(fleet)
 }
 
 /// The emulated control plane, with the terms of the sidecars' settings.
-fn control_plane(day: &Day, site: &Site, book: Book, fleet: Rc<Fleet>) -> Rc<Desk> {
+fn control_plane(
+    scenario: &Scenario,
+    site: &Site,
+    ledger: LedgerWriter,
+    fleet: Rc<Fleet>,
+) -> Rc<ControlPlane> {
     let advance_quorum = match site.votes.control {
         ReleaseControl::AnyVote => 1,
-        _ => part(day.advance_quorum, day.sidecars),
+        _ => share_of(scenario.advance_quorum, scenario.sidecars),
     };
-    let terms = Terms {
+    let rules = ReleaseRules {
         control: site.votes.control,
         advance_quorum,
         rollback_quorum: site.votes.rollback_quorum,
-        life: site.votes.ttl,
-        step: site.votes.stage_duration,
+        vote_ttl: site.votes.ttl,
+        stage_duration: site.votes.stage_duration,
         calls_per_second: site.votes.calls_per_second,
         caps: site.exposure.caps.clone(),
-        shares: day.stages.clone(),
-        places: day.pods,
+        shares: scenario.stages.clone(),
+        total_pods: scenario.pods,
     };
     let names = site.route_classes.iter().map(|class| class.name.clone());
-    Desk::new(book, fleet, terms, day.offers.clone(), names.collect())
+    ControlPlane::new(
+        ledger,
+        fleet,
+        rules,
+        scenario.offers.clone(),
+        names.collect(),
+    )
 }
 
 /// Removes dead pods and updates the shared slowdown until dropped.
 async fn update_fleet(fleet: Rc<Fleet>) {
     loop {
         sleep(FLEET_UPDATE_INTERVAL).await;
-        fleet.look();
+        fleet.update();
     }
 }
 
--- a/crates/emulator/src/notation.rs
+++ b/crates/emulator/src/scenario_file.rs
@@ -1,4 +1,4 @@
-//! Day files: who is there and what goes wrong when, a statement a line, in a notation of our own.
+//! Scenario files: who is there and what goes wrong when, a statement a line, in a notation of our own.
 //!
 //! docs/running.md lists the statements. `#` begins a comment. A mistake is told with its line and column.
 
@@ -10,12 +10,12 @@
 use winnow::prelude::*;
 use winnow::token::take_while;
 
-type Res<T> = Result<T, ErrMode<ContextError>>;
+type ParseResult<T> = Result<T, ErrMode<ContextError>>;
 
-/// What a day is made of.
+/// FaultKind a scenario is made of.
 #[derive(Clone, Debug)]
-pub struct Day {
-    /// The settings script of its sidecars, as seen from the day file.
+pub struct Scenario {
+    /// The settings script of its sidecars, as seen from the scenario file.
     pub settings: String,
     pub length: Nanos,
     /// Hits a second that clients ask for, their own retries not counted.
@@ -36,21 +36,21 @@
     pub advance_quorum: f64,
     pub rollback_quorum: f64,
     /// How late the list tells of a change, and how often it looks.
-    pub notice: Nanos,
-    pub period: Nanos,
+    pub endpoint_list_delay: Nanos,
+    pub endpoint_list_interval: Nanos,
     /// Shares of clients that try again, that heed advice to come back, and that leave early.
-    pub retries: f64,
-    pub honour: f64,
-    pub impatient: f64,
+    pub retry: f64,
+    pub heed_retry_after: f64,
+    pub leave_early: f64,
     /// The share of wrong answers that clients report.
-    pub flagged: f64,
-    pub events: Vec<Event>,
+    pub report_wrong: f64,
+    pub faults: Vec<TimedFault>,
 }
 
-/// What clients ask of a path group.
+/// FaultKind clients ask of a path group.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Load {
-    pub group: String,
+    pub route_class: String,
     pub work: Nanos,
     pub share: f64,
     pub keys: u64,
@@ -62,22 +62,22 @@
     pub at: Nanos,
     pub bad: bool,
     pub faults: Faults,
-    pub group: Option<String>,
+    pub route_class: Option<String>,
     /// Bad only so long after its pods' start.
-    pub late: Nanos,
+    pub fault_delay: Nanos,
     /// Slows all pods by this factor, in step with the share of traffic that it gets.
-    pub shared: f64,
+    pub shared_slowdown: f64,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Event {
+pub struct TimedFault {
     pub at: Nanos,
-    pub lasts: Nanos,
-    pub what: What,
+    pub duration: Nanos,
+    pub kind: FaultKind,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum What {
+pub enum FaultKind {
     Pods(usize, Faults),
     ZoneLost(String),
     NodesAway,
@@ -99,10 +99,10 @@
     Die(usize),
 }
 
-impl Default for Day {
-    fn default() -> Day {
+impl Default for Scenario {
+    fn default() -> Scenario {
         const S: Nanos = 1_000_000_000;
-        Day {
+        Scenario {
             settings: "../site.star".to_string(),
             length: 30 * S,
             rate: 300.0,
@@ -120,63 +120,64 @@
             control: "count".to_string(),
             advance_quorum: 0.6,
             rollback_quorum: 0.3,
-            notice: S / 2,
-            period: S / 4,
-            retries: 0.5,
-            honour: 0.7,
-            impatient: 0.005,
-            flagged: 0.5,
-            events: Vec::new(),
+            endpoint_list_delay: S / 2,
+            endpoint_list_interval: S / 4,
+            retry: 0.5,
+            heed_retry_after: 0.7,
+            leave_early: 0.005,
+            report_wrong: 0.5,
+            faults: Vec::new(),
         }
     }
 }
 
-fn want(what: &'static str) -> StrContext {
+fn expected(what: &'static str) -> StrContext {
     StrContext::Expected(StrContextValue::Description(what))
 }
 
-fn name(input: &mut &str) -> Res<String> {
+fn name(input: &mut &str) -> ParseResult<String> {
     take_while(1..=64, |c: char| {
         c.is_ascii_alphanumeric() || "-_.".contains(c)
     })
     .map(str::to_string)
-    .context(want("a name"))
+    .context(expected("a name"))
     .parse_next(input)
 }
 
-fn span(input: &mut &str) -> Res<Nanos> {
+fn span(input: &mut &str) -> ParseResult<Nanos> {
     let unit = alt(("ms".value(1e6), "us".value(1e3), "s".value(1e9)));
-    let told = (float, unit)
+    let parsed = (float, unit)
         .verify(|(n, unit): &(f64, f64)| n.is_finite() && *n >= 0.0 && n * unit < 1e14);
-    told.map(|(n, unit)| (n * unit) as Nanos)
-        .context(want("a span such as 250ms or 3s"))
+    parsed
+        .map(|(n, unit)| (n * unit) as Nanos)
+        .context(expected("a span such as 250ms or 3s"))
         .parse_next(input)
 }
 
-fn number(input: &mut &str) -> Res<f64> {
+fn number(input: &mut &str) -> ParseResult<f64> {
     float
         .verify(|n: &f64| n.is_finite() && (0.0..=1e6).contains(n))
-        .context(want("a number that is not negative"))
+        .context(expected("a number that is not negative"))
         .parse_next(input)
 }
 
-fn share(input: &mut &str) -> Res<f64> {
+fn share(input: &mut &str) -> ParseResult<f64> {
     float
         .verify(|n: &f64| (0.0..=1.0).contains(n))
-        .context(want("a share from 0 to 1"))
+        .context(expected("a share from 0 to 1"))
         .parse_next(input)
 }
 
-fn count(input: &mut &str) -> Res<usize> {
+fn count(input: &mut &str) -> ParseResult<usize> {
     dec_uint::<_, u32, _>
         .verify(|n| *n <= 100_000)
         .map(|n| n as usize)
-        .context(want("a whole number up to 100000"))
+        .context(expected("a whole number up to 100000"))
         .parse_next(input)
 }
 
 /// ` word value`.
-fn with<'a, T>(
+fn keyword_value<'a, T>(
     word: &'static str,
     value: impl Parser<&'a str, T, ErrMode<ContextError>>,
 ) -> impl Parser<&'a str, T, ErrMode<ContextError>> {
@@ -184,13 +185,14 @@
 }
 
 /// Any of a fault's words, each with its value, in any order.
-fn faults(input: &mut &str) -> Res<(Faults, Option<String>, Nanos, f64)> {
-    let (mut all, mut group, mut late, mut shared) = (Faults::default(), None, 0, 1.0);
+fn faults(input: &mut &str) -> ParseResult<(Faults, Option<String>, Nanos, f64)> {
+    let (mut all, mut route_class, mut fault_delay, mut shared_slowdown) =
+        (Faults::default(), None, 0, 1.0);
     loop {
         let start = *input;
         let word: Option<&str> = opt(preceded(space1, alphanumeric1)).parse_next(input)?;
         let Some(word) = word else {
-            return Ok((all, group, late, shared));
+            return Ok((all, route_class, fault_delay, shared_slowdown));
         };
         let mut share = || preceded(space1, cut_err(share)).parse_next(input);
         match word {
@@ -212,97 +214,105 @@
                     .max(0.1)
             }
             "shared" => {
-                shared = preceded(space1, cut_err(number))
+                shared_slowdown = preceded(space1, cut_err(number))
                     .parse_next(input)?
                     .max(1.0)
             }
             "connect" => all.slow_connect = preceded(space1, cut_err(span)).parse_next(input)?,
-            "late" => late = preceded(space1, cut_err(span)).parse_next(input)?,
-            "group" => group = Some(preceded(space1, cut_err(name)).parse_next(input)?),
+            "late" => fault_delay = preceded(space1, cut_err(span)).parse_next(input)?,
+            "group" => route_class = Some(preceded(space1, cut_err(name)).parse_next(input)?),
             _ => {
                 *input = start;
-                return Ok((all, group, late, shared));
+                return Ok((all, route_class, fault_delay, shared_slowdown));
             }
         }
     }
 }
 
-fn what(input: &mut &str) -> Res<What> {
+fn fault_kind(input: &mut &str) -> ParseResult<FaultKind> {
     let word = take_while(1.., |c: char| c.is_ascii_alphabetic());
     let known = "pods, zone, nodes, desk, rate, kill, roll, stop, drain or die";
-    let word: &str = word.context(want(known)).parse_next(input)?;
-    space1.context(want("a value")).parse_next(input)?;
+    let word: &str = word.context(expected(known)).parse_next(input)?;
+    space1.context(expected("a value")).parse_next(input)?;
     match word {
         "pods" => (count, faults)
-            .map(|(count, (faults, ..))| What::Pods(count, faults))
+            .map(|(count, (faults, ..))| FaultKind::Pods(count, faults))
             .parse_next(input),
         "zone" => (name, space1, "lost")
-            .map(|(zone, ..)| What::ZoneLost(zone))
+            .map(|(zone, ..)| FaultKind::ZoneLost(zone))
             .parse_next(input),
         "nodes" => alt((
-            "away".value(What::NodesAway),
-            with_span("stale").map(What::NodesStale),
+            "away".value(FaultKind::NodesAway),
+            keyword_span("stale").map(FaultKind::NodesStale),
         ))
-        .context(want("away, or stale and a span"))
+        .context(expected("away, or stale and a span"))
         .parse_next(input),
         "desk" => {
-            let how = ("away".value(What::DeskAway), "mute".value(What::DeskMute));
-            alt((how.0, how.1, with_span("late").map(What::DeskLate)))
-                .context(want("away, mute, or late and a span"))
+            let how = (
+                "away".value(FaultKind::DeskAway),
+                "mute".value(FaultKind::DeskMute),
+            );
+            alt((how.0, how.1, keyword_span("late").map(FaultKind::DeskLate)))
+                .context(expected("away, mute, or late and a span"))
                 .parse_next(input)
         }
-        "rate" => number.map(What::Rate).parse_next(input),
-        "kill" => (count, with("down", span))
-            .map(|(n, down)| What::Kill(n, down))
+        "rate" => number.map(FaultKind::Rate).parse_next(input),
+        "kill" => (count, keyword_value("down", span))
+            .map(|(n, down)| FaultKind::Kill(n, down))
             .parse_next(input),
-        "roll" => (count, with("down", span))
-            .map(|(n, down)| What::Roll(n, down))
+        "roll" => (count, keyword_value("down", span))
+            .map(|(n, down)| FaultKind::Roll(n, down))
             .parse_next(input),
-        "stop" => (count, with("down", span))
-            .map(|(n, down)| What::Stop(n, down))
+        "stop" => (count, keyword_value("down", span))
+            .map(|(n, down)| FaultKind::Stop(n, down))
             .parse_next(input),
-        "drain" => count.map(What::Drain).parse_next(input),
-        "die" => count.map(What::Die).parse_next(input),
+        "drain" => count.map(FaultKind::Drain).parse_next(input),
+        "die" => count.map(FaultKind::Die).parse_next(input),
         _ => {
             let mut error = ContextError::new();
-            error.push(want(known));
+            error.push(expected(known));
             Err(ErrMode::Cut(error))
         }
     }
 }
 
-fn with_span<'a>(word: &'static str) -> impl Parser<&'a str, Nanos, ErrMode<ContextError>> {
+fn keyword_span<'a>(word: &'static str) -> impl Parser<&'a str, Nanos, ErrMode<ContextError>> {
     preceded((word, space1), cut_err(span))
 }
 
-fn event(input: &mut &str) -> Res<Event> {
-    let (at, lasts, _, what) = (span, opt(with("for", span)), space1, what).parse_next(input)?;
-    Ok(Event {
+fn timed_fault(input: &mut &str) -> ParseResult<TimedFault> {
+    let (at, duration, _, kind) =
+        (span, opt(keyword_value("for", span)), space1, fault_kind).parse_next(input)?;
+    Ok(TimedFault {
         at,
-        lasts: lasts.unwrap_or(0),
-        what,
+        duration: duration.unwrap_or(0),
+        kind,
     })
 }
 
-fn offer(input: &mut &str) -> Res<Offer> {
-    let kind = alt(("good".value(false), "bad".value(true))).context(want("good or bad"));
-    let (at, _, bad, (faults, group, late, shared)) =
+fn offer(input: &mut &str) -> ParseResult<Offer> {
+    let kind = alt(("good".value(false), "bad".value(true))).context(expected("good or bad"));
+    let (at, _, bad, (faults, route_class, fault_delay, shared_slowdown)) =
         (span, space1, kind, faults).parse_next(input)?;
     Ok(Offer {
         at,
         bad,
         faults,
-        group,
-        late,
-        shared,
+        route_class,
+        fault_delay,
+        shared_slowdown,
     })
 }
 
-fn load(input: &mut &str) -> Res<Load> {
-    let (group, _, work) = (name, space1, span).parse_next(input)?;
-    let (share, keys) = (with("share", share), opt(with("keys", count))).parse_next(input)?;
+fn load(input: &mut &str) -> ParseResult<Load> {
+    let (route_class, _, work) = (name, space1, span).parse_next(input)?;
+    let (share, keys) = (
+        keyword_value("share", share),
+        opt(keyword_value("keys", count)),
+    )
+        .parse_next(input)?;
     Ok(Load {
-        group,
+        route_class,
         work,
         share,
         keys: keys.unwrap_or(1_000).max(1) as u64,
@@ -310,33 +320,36 @@
 }
 
 /// Reads one statement into the scenario.
-fn statement(day: &mut Day, input: &mut &str) -> Res<()> {
+fn statement(scenario: &mut Scenario, input: &mut &str) -> ParseResult<()> {
     let word = take_while(1.., |c: char| c.is_ascii_alphabetic() || c == '_');
-    let word: &str = word.context(want("a statement")).parse_next(input)?;
-    space1.context(want("a value")).parse_next(input)?;
+    let word: &str = word.context(expected("a statement")).parse_next(input)?;
+    space1.context(expected("a value")).parse_next(input)?;
     match word {
-        "settings" => day.settings = settings_path(input)?,
-        "length" => day.length = span(input)?,
-        "rate" => day.rate = number(input)?,
-        "sidecars" => day.sidecars = count(input)?.max(1),
-        "pods" => pods(day, input)?,
-        "zones" => day.zones = one_or_more(name, input)?,
-        "work" => day.loads.push(load(input)?),
-        "stages" => day.stages = one_or_more(share, input)?,
-        "offer" => day.offers.push(offer(input)?),
-        "control" => control(day, input)?,
+        "settings" => scenario.settings = settings_path(input)?,
+        "length" => scenario.length = span(input)?,
+        "rate" => scenario.rate = number(input)?,
+        "sidecars" => scenario.sidecars = count(input)?.max(1),
+        "pods" => pods(scenario, input)?,
+        "zones" => scenario.zones = one_or_more(name, input)?,
+        "work" => scenario.loads.push(load(input)?),
+        "stages" => scenario.stages = one_or_more(share, input)?,
+        "offer" => scenario.offers.push(offer(input)?),
+        "control" => control(scenario, input)?,
         "notice" => {
             let both = separated_pair(span, (space1, "period", space1), span);
-            (day.notice, day.period) = { both }.parse_next(input)?;
+            (
+                scenario.endpoint_list_delay,
+                scenario.endpoint_list_interval,
+            ) = { both }.parse_next(input)?;
         }
-        "clients" => clients(day, input)?,
-        "at" => day.events.push(event(input)?),
+        "clients" => clients(scenario, input)?,
+        "at" => scenario.faults.push(timed_fault(input)?),
         _ => return Err(unknown_statement()),
     }
     Ok(())
 }
 
-fn settings_path(input: &mut &str) -> Res<String> {
+fn settings_path(input: &mut &str) -> ParseResult<String> {
     take_while(1..=256, |c: char| c.is_ascii_graphic())
         .map(str::to_string)
         .parse_next(input)
@@ -344,78 +357,86 @@
 
 /// One value or more, with spaces between them.
 fn one_or_more<'a, T>(
-    mut value: impl FnMut(&mut &'a str) -> Res<T>,
+    mut value: impl FnMut(&mut &'a str) -> ParseResult<T>,
     input: &mut &'a str,
-) -> Res<Vec<T>> {
+) -> ParseResult<Vec<T>> {
     let first = value(input)?;
     let more: Vec<T> = repeat(0.., preceded(space1, value)).parse_next(input)?;
     Ok(std::iter::once(first).chain(more).collect())
 }
 
 /// The pods' number and, where given, what each can do.
-fn pods(day: &mut Day, input: &mut &str) -> Res<()> {
-    day.pods = count(input)?.max(1);
+fn pods(scenario: &mut Scenario, input: &mut &str) -> ParseResult<()> {
+    scenario.pods = count(input)?.max(1);
     let more = (
-        opt(with("cores", count)),
-        opt(with("speed", number)),
-        opt(with("queue", count)),
-        opt(with("cold", share)),
-        opt(with("warm", span)),
+        opt(keyword_value("cores", count)),
+        opt(keyword_value("speed", number)),
+        opt(keyword_value("queue", count)),
+        opt(keyword_value("cold", share)),
+        opt(keyword_value("warm", span)),
     );
     let (cores, speed, queue, cold, warm) = { more }.parse_next(input)?;
-    day.cores = cores.unwrap_or(day.cores).max(1);
-    day.speed = speed.unwrap_or(day.speed).max(0.01);
-    day.queue = queue.unwrap_or(day.queue);
-    day.initial_capacity = cold.unwrap_or(day.initial_capacity);
-    day.warm_up = warm.unwrap_or(day.warm_up);
+    scenario.cores = cores.unwrap_or(scenario.cores).max(1);
+    scenario.speed = speed.unwrap_or(scenario.speed).max(0.01);
+    scenario.queue = queue.unwrap_or(scenario.queue);
+    scenario.initial_capacity = cold.unwrap_or(scenario.initial_capacity);
+    scenario.warm_up = warm.unwrap_or(scenario.warm_up);
     Ok(())
 }
 
 /// Who moves the stages, and the quorums.
-fn control(day: &mut Day, input: &mut &str) -> Res<()> {
-    let kinds = alt(("any", "count", "clock")).context(want("any, count or clock"));
-    day.control = { kinds }.map(str::to_string).parse_next(input)?;
-    let quorums = (opt(with("on", share)), opt(with("back", share)));
+fn control(scenario: &mut Scenario, input: &mut &str) -> ParseResult<()> {
+    let kinds = alt(("any", "count", "clock")).context(expected("any, count or clock"));
+    scenario.control = { kinds }.map(str::to_string).parse_next(input)?;
+    let quorums = (
+        opt(keyword_value("on", share)),
+        opt(keyword_value("back", share)),
+    );
     let (advance, rollback) = { quorums }.parse_next(input)?;
-    day.advance_quorum = advance.unwrap_or(day.advance_quorum);
-    day.rollback_quorum = rollback.unwrap_or(day.rollback_quorum);
+    scenario.advance_quorum = advance.unwrap_or(scenario.advance_quorum);
+    scenario.rollback_quorum = rollback.unwrap_or(scenario.rollback_quorum);
     Ok(())
 }
 
 /// The shares of clients that retry, heed advice, leave early and report wrong answers.
-fn clients(day: &mut Day, input: &mut &str) -> Res<()> {
+fn clients(scenario: &mut Scenario, input: &mut &str) -> ParseResult<()> {
     let shares = (
         share,
-        with("honour", share),
-        with("impatient", share),
-        with("flagged", share),
+        keyword_value("honour", share),
+        keyword_value("impatient", share),
+        keyword_value("flagged", share),
     );
-    (day.retries, day.honour, day.impatient, day.flagged) = { shares }.parse_next(input)?;
+    (
+        scenario.retry,
+        scenario.heed_retry_after,
+        scenario.leave_early,
+        scenario.report_wrong,
+    ) = { shares }.parse_next(input)?;
     Ok(())
 }
 
 fn unknown_statement() -> ErrMode<ContextError> {
     let known = "settings, length, rate, sidecars, pods, zones, work, stages, offer, control, notice, clients, at";
     let mut error = ContextError::new();
-    error.push(want(known));
+    error.push(expected(known));
     ErrMode::Cut(error)
 }
 
-/// Reads a day file.
+/// Reads a scenario file.
 ///
 /// # Errors
 /// Every line that is wrong, with its column and what was expected.
-pub fn read(text: &str) -> Result<Day, Vec<String>> {
-    let (mut day, mut problems) = (Day::default(), Vec::new());
+pub fn read(text: &str) -> Result<Scenario, Vec<String>> {
+    let (mut scenario, mut problems) = (Scenario::default(), Vec::new());
     for (n, line) in text.lines().enumerate() {
         let line = line.split('#').next().unwrap_or("").trim();
         if line.is_empty() {
             continue;
         }
         let mut rest = line;
-        let said = statement(&mut day, &mut rest);
+        let parsed = statement(&mut scenario, &mut rest);
         let column = line.len() - rest.len() + 1;
-        match said {
+        match parsed {
             Ok(()) if rest.is_empty() => {}
             Ok(()) => problems.push(format!(
                 "line {}: column {column}: nothing more was expected",
@@ -430,19 +451,19 @@
             }
         }
     }
-    if day.loads.is_empty() {
+    if scenario.loads.is_empty() {
         problems.push("no work; expected a line such as work query 60ms share 0.8".to_string());
     }
     match problems.is_empty() {
-        true => Ok(day),
+        true => Ok(scenario),
         false => Err(problems),
     }
 }
 
 /// How many of `all` a share stands for, one at least.
-pub fn part(share: f64, all: usize) -> usize {
+pub fn share_of(share: f64, all: usize) -> usize {
     ((share * all as f64).ceil() as usize).clamp(1, all.max(1))
 }
 
 /// Builds are numbered from 1, the one that runs at the start.
-pub const FIRST: Build = 1;
+pub const FIRST_BUILD: Build = 1;
--- a/crates/emulator/src/scripted.rs
+++ b/crates/emulator/src/scripted.rs
@@ -22,13 +22,13 @@
 }
 
 /// A pod, node list or release desk before anybody connected.
-pub struct Peer(TcpListener);
+pub struct ScriptedServer(TcpListener);
 
-impl Peer {
+impl ScriptedServer {
     /// # Errors
     /// No port to be had.
-    pub async fn new() -> io::Result<Peer> {
-        Ok(Peer(TcpListener::bind("127.0.0.1:0").await?))
+    pub async fn new() -> io::Result<ScriptedServer> {
+        Ok(ScriptedServer(TcpListener::bind("127.0.0.1:0").await?))
     }
 
     /// # Errors
@@ -41,35 +41,35 @@
     ///
     /// # Errors
     /// None came in time.
-    pub async fn accept(&self) -> io::Result<Talk> {
-        Ok(Talk(soon("a connection", self.0.accept()).await??.0))
+    pub async fn accept(&self) -> io::Result<Connection> {
+        Ok(Connection(soon("a connection", self.0.accept()).await??.0))
     }
 
     /// Whether nobody is waiting to be accepted now.
-    pub async fn is_alone(&self) -> bool {
+    pub async fn has_no_pending_connection(&self) -> bool {
         timeout(Duration::ZERO, self.0.accept()).await.is_err()
     }
 }
 
 /// One side of a connection.
-pub struct Talk(TcpStream);
+pub struct Connection(TcpStream);
 
-impl From<TcpStream> for Talk {
-    fn from(stream: TcpStream) -> Talk {
-        Talk(stream)
+impl From<TcpStream> for Connection {
+    fn from(stream: TcpStream) -> Connection {
+        Connection(stream)
     }
 }
 
-impl Talk {
+impl Connection {
     /// # Errors
     /// Nobody listens there.
-    pub async fn to(at: SocketAddr) -> io::Result<Talk> {
-        Ok(Talk(TcpStream::connect(at).await?))
+    pub async fn connect(at: SocketAddr) -> io::Result<Connection> {
+        Ok(Connection(TcpStream::connect(at).await?))
     }
 
     /// # Errors
     /// The other side is gone.
-    pub async fn say(&mut self, bytes: impl AsRef<[u8]>) -> io::Result<()> {
+    pub async fn send(&mut self, bytes: impl AsRef<[u8]>) -> io::Result<()> {
         self.0.write_all(bytes.as_ref()).await
     }
 
@@ -120,14 +120,14 @@
     }
 
     /// Whether the other side ends the connection, whatever it says before.
-    pub async fn ends(&mut self) -> bool {
+    pub async fn closes_in_time(&mut self) -> bool {
         let rest =
             async { while matches!(self.0.read(&mut [0; 4096]).await, Ok(more) if more > 0) {} };
         soon("an end", rest).await.is_ok()
     }
 }
 
-/// The value of a header in a head as [`Talk::message`] gives it.
+/// The value of a header in a head as [`Connection::message`] gives it.
 pub fn header<'a>(head: &'a str, name: &str) -> Option<&'a str> {
     head.lines()
         .find_map(|line| line.strip_prefix(name)?.strip_prefix(": "))
--- a/crates/emulator/src/hands.rs
+++ b/crates/emulator/src/sidecar_processes.rs
@@ -26,7 +26,7 @@
 use tokio::time::{sleep, timeout};
 
 /// No step takes nearly as long; what takes so long never comes.
-pub const PATIENCE: Duration = Duration::from_secs(60);
+pub const STEP_TIMEOUT: Duration = Duration::from_secs(60);
 const PODS: u16 = 4;
 
 fn wrong(what: impl Into<String>) -> io::Error {
@@ -97,7 +97,7 @@
         Ok(at)
     }
 
-    pub fn ran(&self, name: &str) -> usize {
+    pub fn run_count(&self, name: &str) -> usize {
         self.ran.borrow().get(name).copied().unwrap_or(0)
     }
 }
@@ -108,7 +108,7 @@
     log: Receiver<String>,
     told: Vec<String>,
     /// Where it takes hits, and where operators look.
-    pub at: SocketAddr,
+    pub listen: SocketAddr,
     pub admin: SocketAddr,
 }
 
@@ -136,7 +136,7 @@
             process,
             log,
             told: Vec::new(),
-            at: nowhere,
+            listen: nowhere,
             admin: nowhere,
         })
     }
@@ -146,7 +146,7 @@
     /// # Errors
     /// It never is.
     pub async fn exit_code(&mut self) -> io::Result<Option<i32>> {
-        self.over().await?;
+        self.wait_for_exit().await?;
         Ok(self.process.wait()?.code())
     }
 
@@ -162,7 +162,7 @@
     }
 
     /// How many lines of its log hold this.
-    pub fn said(&mut self, what: &str) -> usize {
+    pub fn count_log_lines(&mut self, what: &str) -> usize {
         while let Ok(line) = self.log.try_recv() {
             self.told.push(line);
         }
@@ -173,10 +173,10 @@
     ///
     /// # Errors
     /// It never came, or the process ended.
-    pub async fn until(&mut self, what: &str, times: usize) -> io::Result<()> {
+    pub async fn wait_for_log(&mut self, what: &str, times: usize) -> io::Result<()> {
         let began = Instant::now();
-        while self.said(what) < times {
-            if began.elapsed() > PATIENCE {
+        while self.count_log_lines(what) < times {
+            if began.elapsed() > STEP_TIMEOUT {
                 return Err(wrong(format!(
                     "never came: {what}\n{}",
                     self.told.join("\n")
@@ -197,10 +197,10 @@
     ///
     /// # Errors
     /// It never is.
-    pub async fn over(&mut self) -> io::Result<Duration> {
+    pub async fn wait_for_exit(&mut self) -> io::Result<Duration> {
         let began = Instant::now();
         while self.process.try_wait()?.is_none() {
-            if began.elapsed() > PATIENCE {
+            if began.elapsed() > STEP_TIMEOUT {
                 return Err(wrong("a process that never ends"));
             }
             sleep(Duration::from_millis(2)).await;
@@ -212,7 +212,7 @@
     ///
     /// # Errors
     /// No such line, or none with an address.
-    pub fn address(&self, what: &str, name: &str) -> io::Result<SocketAddr> {
+    pub fn logged_address(&self, what: &str, name: &str) -> io::Result<SocketAddr> {
         let line = self
             .told
             .iter()
@@ -232,13 +232,13 @@
         let _ = self.process.kill();
         let _ = self.process.wait();
         if std::thread::panicking() {
-            self.said("");
+            self.count_log_lines("");
             eprintln!("--\n{}", self.told.join("\n"));
         }
     }
 }
 
-pub struct Group {
+pub struct SidecarGroup {
     program: PathBuf,
     folder: PathBuf,
     pub pods: Rc<Pods>,
@@ -249,7 +249,7 @@
     pub sidecars: Vec<Sidecar>,
 }
 
-impl Group {
+impl SidecarGroup {
     /// Starts so many sidecars, and waits until all know each other. Needs a `LocalSet` or `LocalRuntime`.
     ///
     /// # Errors
@@ -259,7 +259,7 @@
         folder: &Path,
         many: usize,
         relayed: bool,
-    ) -> io::Result<Group> {
+    ) -> io::Result<SidecarGroup> {
         let pods = Pods::new(Duration::from_millis(400));
         let mut listed = Vec::new();
         for n in 0..PODS {
@@ -285,9 +285,9 @@
         };
         let first = relays
             .as_ref()
-            .map_or(String::new(), |relays| relays.at(0).to_string());
+            .map_or(String::new(), |relays| relays.address(0).to_string());
         let (program, folder) = (program.to_path_buf(), folder.to_path_buf());
-        let mut group = Group {
+        let mut group = SidecarGroup {
             program,
             folder,
             pods,
@@ -300,7 +300,7 @@
             group.sidecars.push(sidecar);
         }
         for sidecar in &mut group.sidecars {
-            sidecar.until("member joined", many - 1).await?;
+            sidecar.wait_for_log("member joined", many - 1).await?;
         }
         Ok(group)
     }
@@ -309,7 +309,7 @@
         let advertise = self
             .relays
             .as_ref()
-            .map(|relays| format!("advertise = \"{}\",", relays.at(id)));
+            .map(|relays| format!("advertise = \"{}\",", relays.address(id)));
         let meet = Some(&self.first).filter(|first| !first.is_empty());
         let (zone, folder) = (1 + id % 2, self.folder.display());
         let times = "target_latency = \"3s\", client_timeout = \"8s\"";
@@ -349,14 +349,14 @@
         std::fs::write(&file, self.settings(id))?;
         let mut sidecar =
             Sidecar::spawn(&self.program, &["serve".into(), file.display().to_string()])?;
-        sidecar.until("admin=", 1).await?;
-        (sidecar.at, sidecar.admin) = (
-            sidecar.address("admin=", "listen=")?,
-            sidecar.address("admin=", "admin=")?,
+        sidecar.wait_for_log("admin=", 1).await?;
+        (sidecar.listen, sidecar.admin) = (
+            sidecar.logged_address("admin=", "listen=")?,
+            sidecar.logged_address("admin=", "admin=")?,
         );
-        let fellow = sidecar.address("fellowship", "listen=")?;
+        let fellow = sidecar.logged_address("fellowship", "listen=")?;
         match &self.relays {
-            Some(relays) => relays.serves(id, fellow),
+            Some(relays) => relays.set_target(id, fellow),
             None if self.first.is_empty() => self.first = fellow.to_string(),
             None => {}
         }
@@ -367,21 +367,30 @@
     ///
     /// # Errors
     /// Hits that never reach a pod.
-    pub async fn begun(&self, id: usize, many: usize, round: usize) -> io::Result<Vec<Asked>> {
+    pub async fn start_requests(
+        &self,
+        id: usize,
+        many: usize,
+        round: usize,
+    ) -> io::Result<Vec<PendingRequest>> {
         let mut asked = Vec::new();
         for n in 0..many {
             let path = ["/tagged", "/mutating"][n % 2];
             let (name, at) = (
                 format!("{}-{id}-{n}-{round}", &path[1..]),
-                self.sidecars[id].at,
+                self.sidecars[id].listen,
             );
             let sent = name.clone();
-            let answer = spawn_local(async move { ask(at, path, &sent, vec![7; 20]).await });
-            asked.push(Asked { name, path, answer });
+            let answer =
+                spawn_local(async move { send_with_key(at, path, &sent, vec![7; 20]).await });
+            asked.push(PendingRequest { name, path, answer });
         }
         let began = Instant::now();
-        while asked.iter().any(|asked| self.pods.ran(&asked.name) == 0) {
-            if began.elapsed() > PATIENCE {
+        while asked
+            .iter()
+            .any(|asked| self.pods.run_count(&asked.name) == 0)
+        {
+            if began.elapsed() > STEP_TIMEOUT {
                 return Err(wrong("not all hits reached a pod"));
             }
             sleep(Duration::from_millis(2)).await;
@@ -391,14 +400,19 @@
 }
 
 /// A hit on its way.
-pub struct Asked {
+pub struct PendingRequest {
     pub name: String,
     pub path: &'static str,
     pub answer: tokio::task::JoinHandle<Option<(u16, String)>>,
 }
 
 /// One hit with this name as its key; `None` where the connection broke before its answer.
-pub async fn ask(at: SocketAddr, path: &str, name: &str, body: Vec<u8>) -> Option<(u16, String)> {
+pub async fn send_with_key(
+    at: SocketAddr,
+    path: &str,
+    name: &str,
+    body: Vec<u8>,
+) -> Option<(u16, String)> {
     let request = Request::post(path)
         .header("host", "search")
         .header("x-order", name)
@@ -409,7 +423,7 @@
 }
 
 /// One request without a key and a body.
-pub async fn ask_without_key(at: SocketAddr, path: &str, name: &str) -> Option<(u16, String)> {
+pub async fn send_without_key(at: SocketAddr, path: &str, name: &str) -> Option<(u16, String)> {
     let request = Request::post(path)
         .header("host", "search")
         .header("x-order", name)
@@ -433,7 +447,7 @@
         .await
         .ok()?;
     spawn_local(connection);
-    let answer = timeout(PATIENCE, sender.send_request(request))
+    let answer = timeout(STEP_TIMEOUT, sender.send_request(request))
         .await
         .ok()?
         .ok()?;
--- a/crates/emulator/src/sidecars.rs
+++ b/crates/emulator/src/sidecars.rs
@@ -1,9 +1,9 @@
 //! The sidecar processes of a scenario: started, stopped or killed, restarted, their logs read.
 
-use crate::book::Book;
 use crate::clients::Target;
-use crate::notation::{part, Day};
-use havenplank_invariants::ledger::Seen;
+use crate::ledger_writer::LedgerWriter;
+use crate::scenario_file::{share_of, Scenario};
+use havenplank_invariants::ledger::LedgerEvent;
 use oorandom::Rand64;
 use rustix::process::{kill_process, Pid, Signal};
 use std::cell::{Cell, RefCell};
@@ -21,7 +21,7 @@
 use tokio::time::{sleep, timeout};
 
 /// How long a sidecar may take until it listens.
-const START: Duration = Duration::from_secs(20);
+const START_TIMEOUT: Duration = Duration::from_secs(20);
 /// How long a sidecar that was told to stop may take.
 const STOP_TIMEOUT: Duration = Duration::from_secs(10);
 
@@ -40,27 +40,37 @@
 
 /// Why a scenario could not be played.
 #[derive(Debug, thiserror::Error)]
-pub enum DayError {
+pub enum ScenarioError {
     /// A socket, a file or a process failed.
     #[error("stand-ins: {0}")]
     Io(#[from] std::io::Error),
     /// A sidecar did not say in time where it listens.
-    #[error("{0} did not say where it listens within {START:?}; its log is beside its list")]
-    Silent(String),
+    #[error(
+        "{0} did not say where it listens within {START_TIMEOUT:?}; its log is beside its list"
+    )]
+    NotListening(String),
 }
 
-/// The values that a settings script is given for a day, apart from names and addresses.
-pub fn given(day: &Day) -> Vec<(String, String)> {
-    let advance = part(day.advance_quorum, day.sidecars);
-    let rollback = part(day.rollback_quorum, day.sidecars);
-    let advance = if day.control == "count" { advance } else { 0 };
-    let rollback = if day.control == "any" { 1 } else { rollback };
+/// The values that a settings script is given for a scenario, apart from names and addresses.
+pub fn settings_values(scenario: &Scenario) -> Vec<(String, String)> {
+    let advance = share_of(scenario.advance_quorum, scenario.sidecars);
+    let rollback = share_of(scenario.rollback_quorum, scenario.sidecars);
+    let advance = if scenario.control == "count" {
+        advance
+    } else {
+        0
+    };
+    let rollback = if scenario.control == "any" {
+        1
+    } else {
+        rollback
+    };
     [
-        ("instances", day.sidecars.to_string()),
-        ("control", day.control.clone()),
+        ("instances", scenario.sidecars.to_string()),
+        ("control", scenario.control.clone()),
         ("on_needs", advance.to_string()),
         ("back_needs", rollback.to_string()),
-        ("zone", day.zones[0].clone()),
+        ("zone", scenario.zones[0].clone()),
     ]
     .map(|(name, value)| (name.to_string(), value))
     .to_vec()
@@ -93,42 +103,42 @@
     /// Votes cast, by vote.
     pub(crate) votes: BTreeMap<String, u64>,
     /// Faults of the sidecar processes, a line each.
-    pub(crate) troubles: Vec<String>,
+    pub(crate) unexpected_faults: Vec<String>,
 }
 
 /// All sidecar processes of a scenario.
 pub(crate) struct Sidecars {
-    book: Book,
+    ledger: LedgerWriter,
     launch: Launch,
-    day: Day,
+    scenario: Scenario,
     services: ServiceAddresses,
     targets: Vec<Rc<Target>>,
     children: RefCell<Vec<Option<Child>>>,
     random: RefCell<Rand64>,
     observed: Rc<RefCell<Observed>>,
     /// Set at the end, when no sidecar is started again.
-    over: Cell<bool>,
+    is_closed: Cell<bool>,
 }
 
 impl Sidecars {
     pub(crate) fn new(
-        book: Book,
+        ledger: LedgerWriter,
         launch: Launch,
-        day: Day,
+        scenario: Scenario,
         services: ServiceAddresses,
         targets: Vec<Rc<Target>>,
         seed: u64,
     ) -> Rc<Sidecars> {
         Rc::new(Sidecars {
-            book,
+            ledger,
             launch,
             services,
-            children: RefCell::new((0..day.sidecars).map(|_| None).collect()),
-            day,
+            children: RefCell::new((0..scenario.sidecars).map(|_| None).collect()),
+            scenario,
             targets,
             random: RefCell::new(Rand64::new(seed as u128)),
             observed: Rc::default(),
-            over: Cell::new(false),
+            is_closed: Cell::new(false),
         })
     }
 
@@ -137,7 +147,7 @@
     }
 
     /// Starts a sidecar and waits until it listens.
-    pub(crate) async fn start(&self, instance: usize) -> Result<(), DayError> {
+    pub(crate) async fn start(&self, instance: usize) -> Result<(), ScenarioError> {
         let target = self.targets[instance].clone();
         let name = target.name.clone();
         let log = std::fs::OpenOptions::new()
@@ -155,11 +165,15 @@
             };
             spawn_local(reader.run(BufReader::new(stderr)));
         }
-        let addresses = timeout(START, listens).await.ok().and_then(Result::ok);
-        let addresses = addresses.ok_or(DayError::Silent(name.clone()))?;
-        self.book.write(Seen::SidecarUp { sidecar: name });
+        let addresses = timeout(START_TIMEOUT, listens)
+            .await
+            .ok()
+            .and_then(Result::ok);
+        let addresses = addresses.ok_or(ScenarioError::NotListening(name.clone()))?;
+        self.ledger
+            .write(LedgerEvent::SidecarStarted { sidecar: name });
         self.children.borrow_mut()[instance] = Some(child);
-        target.comes_up(addresses.listen, addresses.admin);
+        target.mark_up(addresses.listen, addresses.admin);
         Ok(())
     }
 
@@ -185,8 +199,8 @@
     fn values(&self, instance: usize) -> Vec<(String, String)> {
         let name = &self.targets[instance].name;
         let cached_list = self.launch.folder.join(format!("{name}.list"));
-        let zones = &self.day.zones;
-        let own = [
+        let zones = &self.scenario.zones;
+        let own_values = [
             ("name", name.clone()),
             ("rank", instance.to_string()),
             ("listen", "127.0.0.1:0".to_string()),
@@ -196,11 +210,11 @@
             ("keep", cached_list.display().to_string()),
             ("zone", zones[instance % zones.len()].clone()),
         ];
-        let mut values = given(&self.day);
+        let mut values = settings_values(&self.scenario);
         if let Some(folder) = &self.launch.trace {
             values.push(("trace".to_string(), folder.display().to_string()));
         }
-        values.extend(own.map(|(name, value)| (name.to_string(), value)));
+        values.extend(own_values.map(|(name, value)| (name.to_string(), value)));
         values
     }
 
@@ -228,7 +242,7 @@
             Shutdown::Kill => self.kill(instance, &mut child).await,
         }
         sleep(down).await;
-        if self.over.get() {
+        if self.is_closed.get() {
             return;
         }
         if let Err(error) = self.start(instance).await {
@@ -239,8 +253,9 @@
     async fn stop(&self, instance: usize, child: &mut Child) {
         let target = &self.targets[instance];
         let sidecar = target.name.clone();
-        self.book.write(Seen::SidecarStops { sidecar });
-        target.goes_down();
+        self.ledger
+            .write(LedgerEvent::SidecarStopRequested { sidecar });
+        target.mark_down();
         if let Some(pid) = child.id().and_then(|pid| Pid::from_raw(pid as i32)) {
             let _ = kill_process(pid, Signal::TERM);
         }
@@ -253,14 +268,14 @@
     async fn kill(&self, instance: usize, child: &mut Child) {
         let target = &self.targets[instance];
         let sidecar = target.name.clone();
-        self.book.write(Seen::SidecarKilled { sidecar });
-        target.goes_down();
+        self.ledger.write(LedgerEvent::SidecarKilled { sidecar });
+        target.mark_down();
         let _ = child.kill().await;
     }
 
     /// From now on no sidecar is started again.
     pub(crate) fn close(&self) {
-        self.over.set(true);
+        self.is_closed.set(true);
     }
 
     /// Kills all sidecars and reports those that had ended by themselves.
@@ -280,8 +295,8 @@
         self.observed.take()
     }
 
-    fn report(&self, trouble: String) {
-        self.observed.borrow_mut().troubles.push(trouble);
+    fn report(&self, fault: String) {
+        self.observed.borrow_mut().unexpected_faults.push(fault);
     }
 
     /// Draws different sidecars at random, all of them when there are not so many.
@@ -315,8 +330,8 @@
 
     fn read(&mut self, line: &str) {
         let Ok(logged) = serde_json::from_str::<serde_json::Value>(line) else {
-            let trouble = format!("{}: {line}", self.sidecar);
-            self.observed.borrow_mut().troubles.push(trouble);
+            let fault = format!("{}: {line}", self.sidecar);
+            self.observed.borrow_mut().unexpected_faults.push(fault);
             return;
         };
         let field = |name: &str| logged["fields"][name].as_str().unwrap_or_default();
--- a/crates/invariants/src/check/answered.rs
+++ b/crates/invariants/src/check/answered.rs
@@ -1,54 +1,54 @@
-//! Rule `answered`: every request is answered once and in time, and not attempted after its answer.
+//! Rule `answered`: every request gets one answer in time, and no attempt after its answer.
 
 use super::history::{History, Request};
 use super::verdict::Verdict;
 use super::Arrival;
-use crate::ledger::{Answer, Figures};
+use crate::ledger::{Answer, RuleParameters};
 use havenplank::interface::Nanos;
 use std::collections::HashMap;
 
 const NS_PER_US: Nanos = 1_000;
 
-/// When a sidecar was ended, all its starts together.
+/// When a sidecar was killed or asked to stop, over all its restarts.
 #[derive(Default)]
-struct Ends {
-    killed: Vec<Nanos>,
+struct Shutdowns {
+    kills: Vec<Nanos>,
     stops: Vec<Nanos>,
 }
 
-impl Ends {
-    /// Whether a request that got no answer was no longer the sidecar's duty: it was killed while the answer was awaited,
-    /// or had been told to stop before it could have admitted the request.
-    fn excuse(&self, request: &Request, figures: &Figures) -> bool {
-        let awaited = request.at..=request.at + request.remaining + figures.answer_slack;
+impl Shutdowns {
+    /// Returns whether the sidecar owed a request no answer: it was killed while the client waited, or was asked to stop
+    /// before it could have admitted the request.
+    fn excuse(&self, request: &Request, parameters: &RuleParameters) -> bool {
+        let awaited = request.at..=request.at + request.remaining + parameters.answer_slack;
         let stopped = |stop: &Nanos| {
-            *stop <= request.at + figures.transit && request.at <= stop + request.remaining
+            *stop <= request.at + parameters.transit && request.at <= stop + request.remaining
         };
-        self.killed.iter().any(|kill| awaited.contains(kill)) || self.stops.iter().any(stopped)
+        self.kills.iter().any(|kill| awaited.contains(kill)) || self.stops.iter().any(stopped)
     }
 }
 
 pub(super) struct AnsweredRule {
     pub(super) verdict: Verdict,
-    ends: HashMap<String, Ends>,
+    shutdowns: HashMap<String, Shutdowns>,
 }
 
 impl AnsweredRule {
     pub(super) fn new() -> AnsweredRule {
         AnsweredRule {
             verdict: Verdict::new("answered"),
-            ends: HashMap::new(),
+            shutdowns: HashMap::new(),
         }
     }
 
     pub(super) fn note_kill(&mut self, at: Nanos, sidecar: &str) {
-        let ends = self.ends.entry(sidecar.to_string()).or_default();
-        ends.killed.push(at);
+        let shutdowns = self.shutdowns.entry(sidecar.to_string()).or_default();
+        shutdowns.kills.push(at);
     }
 
     pub(super) fn note_stop(&mut self, at: Nanos, sidecar: &str) {
-        let ends = self.ends.entry(sidecar.to_string()).or_default();
-        ends.stops.push(at);
+        let shutdowns = self.shutdowns.entry(sidecar.to_string()).or_default();
+        shutdowns.stops.push(at);
     }
 
     pub(super) fn report_second_answer(
@@ -62,8 +62,13 @@
             .report(at, format!("ask {ask}: {second:?} after {first:?}"));
     }
 
-    /// Checks the first answer of a request: that it came in time, or that none was owed any more.
-    pub(super) fn check_answer(&mut self, ask: u64, request: &Request, figures: &Figures) {
+    /// Checks that the first answer of a request came in time, or that the sidecar owed none.
+    pub(super) fn check_answer(
+        &mut self,
+        ask: u64,
+        request: &Request,
+        parameters: &RuleParameters,
+    ) {
         let Some(answered) = request.answered else {
             return;
         };
@@ -71,17 +76,17 @@
         match answer {
             Answer::Left | Answer::NotTaken => {}
             Answer::Broken | Answer::Missing => {
-                if !self.is_excused(request, figures) {
+                if !self.is_excused(request, parameters) {
                     let what = format!("ask {ask} to {}: {answer:?}", request.sidecar);
                     self.verdict.report(at, what);
                 }
             }
             Answer::Delivered | Answer::Bounced | Answer::Errored => {
                 let took = at - request.at;
-                let most = request.remaining + figures.answer_slack;
-                self.verdict.test(took as f64 / most as f64);
-                if took > most {
-                    let late_us = (took - most) / NS_PER_US;
+                let limit = request.remaining + parameters.answer_slack;
+                self.verdict.test(took as f64 / limit as f64);
+                if took > limit {
+                    let late_us = (took - limit) / NS_PER_US;
                     let what = format!("ask {ask}: {answer:?} {late_us} us late");
                     self.verdict.report(at, what);
                 }
@@ -89,15 +94,15 @@
         }
     }
 
-    /// Checks that an attempt does not come after the answer; a client that went away is not told of its end.
+    /// Checks that no attempt arrives after the answer, unless the client left: the sidecar learns of that only later.
     pub(super) fn check_attempt(
         &mut self,
         arrival: &Arrival,
         request: &Request,
-        figures: &Figures,
+        parameters: &RuleParameters,
     ) {
         let is_late = request.answered.is_some_and(|first| {
-            first.answer != Answer::Left && arrival.at > first.at + figures.transit
+            first.answer != Answer::Left && arrival.at > first.at + parameters.transit
         });
         if is_late {
             let Arrival { ask, pod, .. } = arrival;
@@ -106,7 +111,7 @@
         }
     }
 
-    /// Checks, at the end of the ledger, that no request is left without an answer.
+    /// Checks at the end of the ledger that every request whose client has stopped waiting got an answer.
     pub(super) fn check_unanswered(&mut self, history: &History, end: Nanos) {
         let unanswered = history
             .requests
@@ -115,16 +120,16 @@
         let mut unanswered: Vec<(&u64, &Request)> = unanswered.collect();
         unanswered.sort_by_key(|(ask, request)| (request.at, **ask));
         for (ask, request) in unanswered {
-            let due = request.at + request.remaining + history.figures.answer_slack;
-            if due < end && !self.is_excused(request, &history.figures) {
+            let due = request.at + request.remaining + history.parameters.answer_slack;
+            if due < end && !self.is_excused(request, &history.parameters) {
                 let what = format!("ask {ask} to {}: no answer", request.sidecar);
                 self.verdict.report(due, what);
             }
         }
     }
 
-    fn is_excused(&self, request: &Request, figures: &Figures) -> bool {
-        let ends = self.ends.get(&request.sidecar);
-        ends.is_some_and(|ends| ends.excuse(request, figures))
+    fn is_excused(&self, request: &Request, parameters: &RuleParameters) -> bool {
+        let shutdowns = self.shutdowns.get(&request.sidecar);
+        shutdowns.is_some_and(|shutdowns| shutdowns.excuse(request, parameters))
     }
 }
--- a/crates/invariants/src/check/cold.rs
+++ b/crates/invariants/src/check/cold.rs
@@ -1,9 +1,9 @@
-//! Rule `cold`: a pod that warms up is not given more than it bears.
+//! Rule `cold`: a pod that warms up gets no more work than its capacity at that age allows.
 
-use super::history::{Pod, PodLife};
+use super::history::{Pod, PodIncarnation};
 use super::verdict::Verdict;
 use super::Arrival;
-use crate::ledger::Figures;
+use crate::ledger::RuleParameters;
 use havenplank::interface::Nanos;
 use std::collections::{HashMap, VecDeque};
 
@@ -15,7 +15,7 @@
     amount: Nanos,
 }
 
-/// Work that reached a pod within the last window.
+/// Work that reached a pod within the overload window.
 #[derive(Default)]
 struct RecentWork {
     attempts: VecDeque<Work>,
@@ -35,44 +35,50 @@
 
 pub(super) struct ColdRule {
     pub(super) verdict: Verdict,
-    recent: HashMap<PodLife, RecentWork>,
+    recent_work: HashMap<PodIncarnation, RecentWork>,
 }
 
 impl ColdRule {
     pub(super) fn new() -> ColdRule {
         ColdRule {
             verdict: Verdict::new("cold"),
-            recent: HashMap::new(),
+            recent_work: HashMap::new(),
         }
     }
 
     /// Forgets the work of a pod that starts.
-    pub(super) fn forget_work(&mut self, place: &PodLife) {
-        self.recent.remove(place);
+    pub(super) fn forget_work(&mut self, pod: &PodIncarnation) {
+        self.recent_work.remove(pod);
     }
 
-    pub(super) fn report_overload(&mut self, at: Nanos, pod: &str, life: u64) {
-        let what = format!("{pod} (life {life}) was pushed over while cold");
+    pub(super) fn report_overload(&mut self, at: Nanos, pod: &str, incarnation: u64) {
+        let what =
+            format!("{pod} (incarnation {incarnation}) failed under load while it warmed up");
         self.verdict.report(at, what);
     }
 
-    /// Checks that the work of the last window is within the multiple of the pod's capacity at its age.
-    pub(super) fn check_attempt(&mut self, arrival: &Arrival, pod: &Pod, figures: &Figures) {
-        let (at, window) = (arrival.at, figures.overload_window);
-        let recent = self.recent.entry(arrival.pod.clone()).or_default();
+    /// Checks that the work within the overload window is within the allowed multiple of the pod's capacity at its age.
+    pub(super) fn check_attempt(
+        &mut self,
+        arrival: &Arrival,
+        pod: &Pod,
+        parameters: &RuleParameters,
+    ) {
+        let (at, window) = (arrival.at, parameters.overload_window);
+        let recent = self.recent_work.entry(arrival.pod.clone()).or_default();
         let amount = arrival.work;
         recent.add(Work { at, amount }, window);
         let age = at.saturating_sub(pod.started);
-        if age >= pod.cold.warm_up {
+        if age >= pod.slow_start.warm_up {
             return;
         }
-        let capacity = figures.overload_multiple * pod.cold.at(age);
+        let capacity = parameters.overload_multiple * pod.slow_start.capacity_at(age);
         let budget = capacity * window as f64 / NS_PER_SECOND;
         let share = recent.sum / budget.max(1.0);
         self.verdict.test(share);
         if recent.sum > budget {
             let what = format!(
-                "{}: {share:.2} times what a cold pod bears",
+                "{}: {share:.2} times the work that a warming pod may get",
                 arrival.pod.pod
             );
             self.verdict.report(at, what);
--- a/crates/invariants/src/check/drains.rs
+++ b/crates/invariants/src/check/drains.rs
@@ -1,21 +1,21 @@
-//! Rule `drains`: a pod that is told to be draining or gone gets nothing new after the grace.
+//! Rule `drains`: a pod that was announced as draining or gone gets no new attempts after the grace period.
 
-use super::history::PodLife;
+use super::history::PodIncarnation;
 use super::verdict::Verdict;
 use super::Arrival;
-use crate::ledger::Figures;
+use crate::ledger::RuleParameters;
 use havenplank::interface::Nanos;
 use std::collections::HashMap;
 
 const NS_PER_US: Nanos = 1_000;
 
-/// What service discovery told a sidecar of pods since its start.
+/// The pod states that service discovery sent a sidecar since the sidecar's start.
 #[derive(Default)]
 struct Notices {
-    /// Since when it knows that nothing new may go there.
-    closed: HashMap<PodLife, Nanos>,
-    /// The life last told of each pod.
-    lives: HashMap<String, u64>,
+    /// When the sidecar was first notified that a pod takes no new attempts.
+    closed: HashMap<PodIncarnation, Nanos>,
+    /// The last announced incarnation of each pod.
+    incarnations: HashMap<String, u64>,
 }
 
 pub(super) struct DrainRule {
@@ -31,37 +31,39 @@
         }
     }
 
-    /// Forgets what a sidecar was told, as a restart does.
+    /// Forgets the notices that a sidecar received, as its restart does.
     pub(super) fn forget_notices(&mut self, sidecar: &str) {
         self.sidecars.remove(sidecar);
     }
 
-    /// Takes note that a sidecar was told of a pod's state.
+    /// Records that a sidecar was notified of a pod's state.
     pub(super) fn note_state(
         &mut self,
         at: Nanos,
         sidecar: &str,
-        place: &PodLife,
+        pod: &PodIncarnation,
         is_running: bool,
     ) {
         let notices = self.sidecars.entry(sidecar.to_string()).or_default();
-        let before = notices.lives.insert(place.pod.clone(), place.life);
-        if let Some(before) = before.filter(|before| *before != place.life) {
-            // The address belongs to another life now: whoever goes there goes to a gone pod.
-            let gone = PodLife::new(&place.pod, before);
+        let before = notices
+            .incarnations
+            .insert(pod.pod.clone(), pod.incarnation);
+        if let Some(before) = before.filter(|before| *before != pod.incarnation) {
+            // The new incarnation has taken the name, so the one before is gone.
+            let gone = PodIncarnation::new(&pod.pod, before);
             notices.closed.entry(gone).or_insert(at);
         }
         if is_running {
-            notices.closed.remove(place);
+            notices.closed.remove(pod);
         } else {
-            // The notice is the test: that nothing comes after it is what the rule asks for.
+            // The notice itself counts as a test: the rule holds when no attempt follows it.
             self.verdict.tested += 1;
-            notices.closed.entry(place.clone()).or_insert(at);
+            notices.closed.entry(pod.clone()).or_insert(at);
         }
     }
 
-    /// Checks that an attempt does not go to a pod that its sidecar knows to be closed for longer than the grace.
-    pub(super) fn check_attempt(&mut self, arrival: &Arrival, figures: &Figures) {
+    /// Checks that an attempt does not go to a pod that was announced as closed for longer than the grace period.
+    pub(super) fn check_attempt(&mut self, arrival: &Arrival, parameters: &RuleParameters) {
         let Arrival {
             at,
             ask,
@@ -73,12 +75,12 @@
         let Some(closed) = notices.and_then(|notices| notices.closed.get(pod)) else {
             return;
         };
-        let (since, most) = (
+        let (since, limit) = (
             at.saturating_sub(*closed),
-            figures.drain_grace + figures.transit,
+            parameters.drain_grace + parameters.transit,
         );
-        self.verdict.test(since as f64 / most.max(1) as f64);
-        if since > most {
+        self.verdict.test(since as f64 / limit.max(1) as f64);
+        if since > limit {
             let (name, since_us) = (&pod.pod, since / NS_PER_US);
             let what = format!("ask {ask}: {sidecar} to {name} {since_us} us after it was told");
             self.verdict.report(*at, what);
--- a/crates/invariants/src/check/error.rs
+++ b/crates/invariants/src/check/error.rs
@@ -1,14 +1,14 @@
-//! Why a ledger cannot be checked.
+//! Errors of a ledger that cannot be checked.
 
 use havenplank::interface::Nanos;
 
 /// Why a ledger gives no verdict.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CheckError {
-    /// The figures that the rules are checked by are missing.
-    #[error("no figures; expected an entry of them")]
-    NoFigures,
-    /// An entry does not follow from those before it.
+    /// The entry with the parameters of the rules is missing.
+    #[error("the ledger has no entry \"figures\"; expected one with the parameters of the rules")]
+    NoParameters,
+    /// An entry contradicts those before it.
     #[error("at {at} ns: {source}")]
     Entry {
         /// The entry's time on the ledger's clock, in nanoseconds.
@@ -18,41 +18,45 @@
     },
 }
 
-/// Why an entry does not follow from those before it.
+/// How an entry contradicts those before it.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum EntryError {
     /// A request of a route class that does not exist.
-    #[error("path group {class}, which the figures do not name")]
+    #[error(
+        "a request has route class {class}; expected the index of a class in the entry \"figures\""
+    )]
     UnknownClass {
-        /// The class, counted from 0.
+        /// The index of the class, counted from 0.
         class: usize,
     },
     /// Something happened to a request that no client sent.
-    #[error("{event} of ask {ask}; expected an entry that it was asked before")]
+    #[error("{event} of ask {ask}, which no client sent; expected an entry \"asked\" before")]
     UnknownRequest {
-        /// What happened.
+        /// What the entry records.
         event: &'static str,
         /// The number of the request.
         ask: u64,
     },
     /// Something happened at a pod that never started.
-    #[error("{event} at {pod} (life {life}); expected an entry that it started before")]
+    #[error(
+        "{event} at {pod} (life {life}), which never started; expected an entry \"pod_up\" before"
+    )]
     UnknownPod {
-        /// What happened.
+        /// What the entry records.
         event: &'static str,
         /// The pod's name.
         pod: String,
-        /// Which start of the pod.
+        /// The pod's incarnation.
         life: u64,
     },
-    /// A pod turned away an attempt that it never read.
+    /// A pod rejected an attempt that it never received.
     #[error("ask {ask} turned away by {pod} (life {life}); expected an entry that it arrived there before")]
     NeverArrived {
         /// The number of the request.
         ask: u64,
         /// The pod's name.
         pod: String,
-        /// Which start of the pod.
+        /// The pod's incarnation.
         life: u64,
     },
 }
--- a/crates/invariants/src/check/exposed.rs
+++ b/crates/invariants/src/check/exposed.rs
@@ -1,19 +1,20 @@
-//! Rule `exposed`: a build on trial gets no more of a window than its cap, and no key goes back to an older build.
+//! Rule `exposed`: a build on trial gets no larger share of a window's requests than its cap, and no key goes back to an
+//! older build.
 
 use super::history::Request;
 use super::verdict::Verdict;
-use crate::ledger::{Exposure, Figures, Seen};
+use crate::ledger::{Exposure, LedgerEvent, RuleParameters};
 use havenplank::interface::{Build, Idempotency, Nanos};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-/// The ledger's words for phases of a release.
+/// The ledger's names of release phases.
 const RELEASED: &str = "released";
 const ROLLING_BACK: &str = "goingback";
 const WITHDRAWN: &str = "withdrawn";
-/// The key of requests that have none.
+/// Key of a request without an idempotency key.
 const NO_KEY: u64 = 0;
-/// Keeps the share of the limit finite where nothing is allowed.
-const LEAST_ALLOWED: f64 = 1e-9;
+/// Divisor where no attempt is allowed, so that the reported share of the limit stays finite.
+const MIN_ALLOWED: f64 = 1e-9;
 
 /// An attempt that a sidecar sent to a build.
 pub(super) struct SentAttempt<'a> {
@@ -25,7 +26,7 @@
     pub(super) key: u64,
 }
 
-/// The stage of a release that a sidecar was last told.
+/// The stage of a release that a sidecar was last notified of.
 struct StageNotice {
     build: Build,
     stage: usize,
@@ -33,7 +34,7 @@
     cap: f64,
 }
 
-/// A cap before it was lowered, and until when it may still be used; attempts count anew from then.
+/// A cap that was lowered. The one before may be used until a time, and attempts are counted from zero after it.
 #[derive(Clone, Copy)]
 struct LoweredCap {
     build: Build,
@@ -41,16 +42,16 @@
     until: Nanos,
 }
 
-/// A build that answered for a key.
+/// The build that first answered a request with a key, and when.
 struct BoundKey {
     build: Build,
     since: Nanos,
 }
 
-/// What a sidecar was told and what it did; a restart forgets only what it was told.
+/// The notices that a sidecar received and the attempts that it sent; a restart forgets only the notices.
 #[derive(Default)]
 struct Sidecar {
-    /// The oldest build of which it was told a running pod.
+    /// The oldest build with a pod that was announced as running.
     oldest: Option<Build>,
     notice: Option<StageNotice>,
     lowered: Option<LoweredCap>,
@@ -62,7 +63,7 @@
 }
 
 impl Sidecar {
-    /// The cap that binds a build now; `None` where it is not on trial.
+    /// The cap of a build now; `None` where the build is not on trial.
     fn cap(&self, exposure: &Exposure, build: Build) -> Option<f64> {
         let first = exposure.caps.first().copied().unwrap_or(0.0);
         match &self.notice {
@@ -91,7 +92,7 @@
         self.sidecars.entry(name.to_string()).or_default()
     }
 
-    /// Forgets what a sidecar was told, as a restart does.
+    /// Forgets the notices that a sidecar received, as its restart does.
     pub(super) fn forget_notices(&mut self, name: &str) {
         let sidecar = self.sidecar(name);
         sidecar.notice = None;
@@ -106,38 +107,49 @@
         sidecar.oldest = Some(oldest);
     }
 
-    pub(super) fn note_request(&mut self, at: Nanos, name: &str, class: usize, figures: &Figures) {
-        let counted = counted_class(&figures.exposure, class);
+    pub(super) fn note_request(
+        &mut self,
+        at: Nanos,
+        name: &str,
+        class: usize,
+        parameters: &RuleParameters,
+    ) {
+        let counted = counted_class(&parameters.exposure, class);
         let requests = &mut self.sidecar(name).requests;
         requests.entry(counted).or_default().push_back(at);
     }
 
-    /// Takes note of a stage that a sidecar was told; a cap that it lowers may be used for the grace.
-    pub(super) fn note_stage(&mut self, at: Nanos, seen: &Seen, figures: &Figures) {
-        let Seen::News {
+    /// Records the stage that a sidecar was notified of; a cap before it was lowered may be used for the drain grace.
+    pub(super) fn note_stage(
+        &mut self,
+        at: Nanos,
+        event: &LedgerEvent,
+        parameters: &RuleParameters,
+    ) {
+        let LedgerEvent::StageAnnounced {
             sidecar,
             build,
             stage,
             phase,
             cap,
-        } = seen
+        } = event
         else {
             return;
         };
         let sidecar = self.sidecar(sidecar);
-        let before = sidecar.cap(&figures.exposure, *build).unwrap_or(1.0);
+        let before = sidecar.cap(&parameters.exposure, *build).unwrap_or(1.0);
         sidecar.notice = Some(StageNotice {
             build: *build,
             stage: *stage,
             phase: phase.clone(),
             cap: *cap,
         });
-        let now = sidecar.cap(&figures.exposure, *build).unwrap_or(1.0);
+        let now = sidecar.cap(&parameters.exposure, *build).unwrap_or(1.0);
         if now < before {
             sidecar.lowered = Some(LoweredCap {
                 build: *build,
                 before,
-                until: at + figures.drain_grace,
+                until: at + parameters.drain_grace,
             });
         }
         if phase == ROLLING_BACK || phase == WITHDRAWN {
@@ -145,7 +157,7 @@
         }
     }
 
-    /// Binds the key of a request to the build that answered it, where that one is on trial or newer.
+    /// Binds the key of a request to the build that answered it, if that build is on trial or newer.
     pub(super) fn note_success(&mut self, at: Nanos, request: &Request, build: Build) {
         let sidecar = self.sidecar(&request.sidecar);
         let notice = sidecar.notice.as_ref();
@@ -155,20 +167,20 @@
         }
     }
 
-    /// Checks an attempt against the key's build, the stage and the cap.
-    pub(super) fn check_attempt(&mut self, sent: &SentAttempt, figures: &Figures) {
-        self.check_key(sent, figures);
+    /// Checks an attempt against the build bound to its key, the stage and the cap.
+    pub(super) fn check_attempt(&mut self, sent: &SentAttempt, parameters: &RuleParameters) {
+        self.check_key(sent, parameters);
         let sidecar = self.sidecar(sent.sidecar);
-        let Some(cap) = sidecar.cap(&figures.exposure, sent.build) else {
+        let Some(cap) = sidecar.cap(&parameters.exposure, sent.build) else {
             return;
         };
         let lowered = sidecar.lowered;
         let in_grace = lowered.filter(|lowered| {
-            lowered.build == sent.build && sent.at <= lowered.until + figures.transit
+            lowered.build == sent.build && sent.at <= lowered.until + parameters.transit
         });
         let cap = in_grace.map_or(cap, |lowered| lowered.before.max(cap));
         if in_grace.is_none() {
-            self.check_stage(sent, figures);
+            self.check_stage(sent, parameters);
         }
         if cap <= 0.0 {
             let SentAttempt { ask, build, .. } = sent;
@@ -179,10 +191,10 @@
             self.verdict.report(sent.at, what);
             return;
         }
-        self.check_share(sent, cap, figures);
+        self.check_share(sent, cap, parameters);
     }
 
-    fn check_key(&mut self, sent: &SentAttempt, figures: &Figures) {
+    fn check_key(&mut self, sent: &SentAttempt, parameters: &RuleParameters) {
         let SentAttempt {
             at,
             ask,
@@ -190,13 +202,13 @@
             key,
             ..
         } = sent;
-        if !figures.exposure.sticky_keys || *key == NO_KEY {
+        if !parameters.exposure.sticky_keys || *key == NO_KEY {
             return;
         }
         let Some(bound) = self.sidecar(sent.sidecar).bound_keys.get(key) else {
             return;
         };
-        if *build < bound.build && *at > bound.since + figures.transit {
+        if *build < bound.build && *at > bound.since + parameters.transit {
             let what = format!(
                 "ask {ask}: key {key} to build {build}, answered by {}",
                 bound.build
@@ -206,30 +218,30 @@
     }
 
     /// Checks that the first stages get idempotent requests only.
-    fn check_stage(&mut self, sent: &SentAttempt, figures: &Figures) {
+    fn check_stage(&mut self, sent: &SentAttempt, parameters: &RuleParameters) {
         let SentAttempt { ask, build, .. } = sent;
         let notice = self.sidecar(sent.sidecar).notice.as_ref();
         let notice = notice.filter(|notice| notice.build == *build);
         let stage = notice.map_or(0, |notice| notice.stage);
-        let class = &figures.groups[sent.class];
-        let is_restricted = stage < figures.exposure.idempotent_only_stages;
-        if is_restricted && !class.is(Idempotency::Idempotent) {
+        let class = &parameters.classes[sent.class];
+        let is_restricted = stage < parameters.exposure.idempotent_only_stages;
+        if is_restricted && !class.has_idempotency(Idempotency::Idempotent) {
             let name = &class.name;
             let what = format!("ask {ask} ({name}): to build {build} in stage {stage}");
             self.verdict.report(sent.at, what);
         }
     }
 
-    /// Checks the attempts of the last window against the cap's share of its requests.
-    fn check_share(&mut self, sent: &SentAttempt, cap: f64, figures: &Figures) {
-        let (exposure, build) = (&figures.exposure, sent.build);
+    /// Checks that the attempts of the last window are within the cap's share of the window's requests.
+    fn check_share(&mut self, sent: &SentAttempt, cap: f64, parameters: &RuleParameters) {
+        let (exposure, build) = (&parameters.exposure, sent.build);
         let counted = counted_class(exposure, sent.class);
         let from = sent.at.saturating_sub(exposure.window);
         let sidecar = self.sidecar(sent.sidecar);
         let requests = sidecar.requests.entry(counted).or_default();
-        forget_before(requests, from.saturating_sub(figures.transit));
+        forget_before(requests, from.saturating_sub(parameters.transit));
         let allowed = exposure.free + cap * requests.len() as f64;
-        // A lower cap counts anew from where it began to bind.
+        // After the cap was lowered, attempts count from when the lower cap took effect.
         let lowered = sidecar.lowered.filter(|lowered| lowered.build == build);
         let counts_from = lowered.map(|lowered| lowered.until);
         let counts_from = counts_from.filter(|until| sent.at > *until).unwrap_or(0);
@@ -237,7 +249,7 @@
         attempts.push_back(sent.at);
         forget_before(attempts, from.max(counts_from));
         let count = attempts.len() as f64;
-        self.verdict.test(count / allowed.max(LEAST_ALLOWED));
+        self.verdict.test(count / allowed.max(MIN_ALLOWED));
         if count > allowed {
             let SentAttempt { ask, sidecar, .. } = sent;
             let what = format!(
@@ -248,7 +260,7 @@
     }
 }
 
-/// The class under which a request counts: its own where caps hold by class, else one for all.
+/// The class that a request is counted under: its own where caps apply per class, otherwise 0 for all.
 fn counted_class(exposure: &Exposure, class: usize) -> usize {
     if exposure.per_class {
         class
--- a/crates/invariants/src/check/history.rs
+++ b/crates/invariants/src/check/history.rs
@@ -1,23 +1,23 @@
-//! Requests and pods as the ledger has introduced them so far.
+//! The requests and pods of the ledger entries read so far.
 
 use super::error::EntryError;
 use super::Arrival;
-use crate::ledger::{Answer, Cold, Figures, Group};
+use crate::ledger::{Answer, ClassRules, RuleParameters, SlowStart};
 use havenplank::interface::{Build, Nanos};
 use std::collections::HashMap;
 
-/// One start of a pod.
+/// One incarnation of a pod.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(super) struct PodLife {
+pub(super) struct PodIncarnation {
     pub(super) pod: String,
-    pub(super) life: u64,
+    pub(super) incarnation: u64,
 }
 
-impl PodLife {
-    pub(super) fn new(pod: &str, life: u64) -> PodLife {
-        PodLife {
+impl PodIncarnation {
+    pub(super) fn new(pod: &str, incarnation: u64) -> PodIncarnation {
+        PodIncarnation {
             pod: pod.to_string(),
-            life,
+            incarnation,
         }
     }
 }
@@ -27,21 +27,21 @@
     pub(super) zone: String,
     pub(super) cell: i64,
     pub(super) started: Nanos,
-    pub(super) cold: Cold,
+    pub(super) slow_start: SlowStart,
 }
 
-/// What a client sent to a sidecar once, and what came of it.
+/// A request that a client sent to a sidecar, with its attempts and its answer.
 pub(super) struct Request {
     pub(super) at: Nanos,
-    /// The same for all that the client sends for one purpose.
-    pub(super) hit: u64,
+    /// The number of the client's operation, which all its retries share.
+    pub(super) operation: u64,
     pub(super) sidecar: String,
     pub(super) class: usize,
     pub(super) key: u64,
-    /// How long the client still waits when it sends.
+    /// How long the client waits from when it sends the request.
     pub(super) remaining: Nanos,
     pub(super) answered: Option<FirstAnswer>,
-    /// In the order that pods read them.
+    /// In the order in which pods received them.
     pub(super) attempts: Vec<Attempt>,
 }
 
@@ -53,8 +53,8 @@
 
 pub(super) struct Attempt {
     pub(super) at: Nanos,
-    pub(super) pod: PodLife,
-    /// The pod proved that it did not process it.
+    pub(super) pod: PodIncarnation,
+    /// Whether the pod proved that it did not process the attempt.
     pub(super) unprocessed: bool,
 }
 
@@ -65,24 +65,24 @@
     }
 }
 
-/// All that rules look up.
+/// What the rules look up in common.
 pub(super) struct History {
-    pub(super) figures: Figures,
+    pub(super) parameters: RuleParameters,
     pub(super) requests: HashMap<u64, Request>,
-    pub(super) pods: HashMap<PodLife, Pod>,
+    pub(super) pods: HashMap<PodIncarnation, Pod>,
 }
 
 impl History {
-    pub(super) fn new(figures: Figures) -> History {
+    pub(super) fn new(parameters: RuleParameters) -> History {
         History {
-            figures,
+            parameters,
             requests: HashMap::new(),
             pods: HashMap::new(),
         }
     }
 
-    pub(super) fn class(&self, request: &Request) -> &Group {
-        &self.figures.groups[request.class]
+    pub(super) fn class(&self, request: &Request) -> &ClassRules {
+        &self.parameters.classes[request.class]
     }
 
     pub(super) fn request(&self, ask: u64, event: &'static str) -> Result<&Request, EntryError> {
@@ -91,15 +91,19 @@
             .ok_or(EntryError::UnknownRequest { event, ask })
     }
 
-    pub(super) fn pod(&self, place: &PodLife, event: &'static str) -> Result<&Pod, EntryError> {
-        self.pods.get(place).ok_or_else(|| EntryError::UnknownPod {
+    pub(super) fn pod(
+        &self,
+        pod: &PodIncarnation,
+        event: &'static str,
+    ) -> Result<&Pod, EntryError> {
+        self.pods.get(pod).ok_or_else(|| EntryError::UnknownPod {
             event,
-            pod: place.pod.clone(),
-            life: place.life,
+            pod: pod.pod.clone(),
+            life: pod.incarnation,
         })
     }
 
-    /// Takes note of an answer; returns the first one where the request had one before.
+    /// Records an answer; returns the earlier one if the request already had one.
     pub(super) fn note_answer(
         &mut self,
         ask: u64,
@@ -124,17 +128,21 @@
         }
     }
 
-    /// Takes note that a pod proved that it did not process its latest attempt of a request.
-    pub(super) fn mark_unprocessed(&mut self, ask: u64, place: &PodLife) -> Result<(), EntryError> {
-        let event = "an attempt turned away";
+    /// Records that a pod proved that it did not process its latest attempt of a request.
+    pub(super) fn mark_unprocessed(
+        &mut self,
+        ask: u64,
+        pod: &PodIncarnation,
+    ) -> Result<(), EntryError> {
+        let event = "the rejection of an attempt";
         let request = self.requests.get_mut(&ask);
         let request = request.ok_or(EntryError::UnknownRequest { event, ask })?;
         let mut latest_first = request.attempts.iter_mut().rev();
-        let attempt = latest_first.find(|attempt| attempt.pod == *place);
+        let attempt = latest_first.find(|attempt| attempt.pod == *pod);
         let attempt = attempt.ok_or_else(|| EntryError::NeverArrived {
             ask,
-            pod: place.pod.clone(),
-            life: place.life,
+            pod: pod.pod.clone(),
+            life: pod.incarnation,
         })?;
         attempt.unprocessed = true;
         Ok(())
--- a/crates/invariants/src/check/mod.rs
+++ b/crates/invariants/src/check/mod.rs
@@ -1,6 +1,6 @@
 //! The verdict on each of the five rules, from a ledger in order of time.
 //!
-//! [`History`] is what all rules look up; each rule has a module with the state that it alone needs.
+//! [`History`] holds the state that all rules share; the module of each rule holds the rest.
 
 mod answered;
 mod cold;
@@ -18,22 +18,22 @@
 use self::cold::ColdRule;
 use self::drains::DrainRule;
 use self::exposed::{ExposureRule, SentAttempt};
-use self::history::{History, Pod, PodLife, Request};
+use self::history::{History, Pod, PodIncarnation, Request};
 use self::once::OnceRule;
-use crate::ledger::{Entry, Figures, Seen};
+use crate::ledger::{Entry, LedgerEvent, RuleParameters};
 use havenplank::interface::Nanos;
 
-/// Checks a ledger that is in order of time and returns the verdicts on the rules `answered`, `once`, `drains`, `cold` and
-/// `exposed`.
+/// Checks a ledger that is in order of time, and returns the verdicts on the rules `answered`, `once`, `drains`, `cold`
+/// and `exposed`.
 ///
 /// # Errors
-/// A ledger without figures, or one that names what it never introduced.
+/// The ledger has no parameters, or names a request, a class or a pod that no earlier entry introduced.
 pub fn check(entries: &[Entry]) -> Result<Vec<Verdict>, CheckError> {
-    let figures = entries.iter().find_map(|entry| match &entry.seen {
-        Seen::Figures(figures) => Some(figures.clone()),
+    let parameters = entries.iter().find_map(|entry| match &entry.event {
+        LedgerEvent::Parameters(parameters) => Some(parameters.clone()),
         _ => None,
     });
-    let mut checker = Checker::new(figures.ok_or(CheckError::NoFigures)?);
+    let mut checker = Checker::new(parameters.ok_or(CheckError::NoParameters)?);
     for entry in entries {
         checker.read(entry).map_err(|source| CheckError::Entry {
             at: entry.at,
@@ -54,20 +54,20 @@
     exposed: ExposureRule,
 }
 
-/// An attempt as a pod read it.
+/// An attempt that a pod received.
 struct Arrival<'a> {
     at: Nanos,
     ask: u64,
     sidecar: &'a str,
-    pod: PodLife,
-    /// Nanoseconds of one core.
+    pod: PodIncarnation,
+    /// The work that it needs, in nanoseconds of one core.
     work: Nanos,
 }
 
 impl Checker {
-    fn new(figures: Figures) -> Checker {
+    fn new(parameters: RuleParameters) -> Checker {
         Checker {
-            history: History::new(figures),
+            history: History::new(parameters),
             answered: AnsweredRule::new(),
             once: OnceRule::new(),
             drains: DrainRule::new(),
@@ -89,83 +89,93 @@
 
     fn read(&mut self, entry: &Entry) -> Result<(), EntryError> {
         let at = entry.at;
-        match &entry.seen {
-            Seen::Figures(_) => Ok(()),
-            Seen::SidecarUp { .. } | Seen::SidecarKilled { .. } | Seen::SidecarStops { .. } => {
-                self.read_sidecar(at, &entry.seen);
+        match &entry.event {
+            LedgerEvent::Parameters(_) => Ok(()),
+            LedgerEvent::SidecarStarted { .. }
+            | LedgerEvent::SidecarKilled { .. }
+            | LedgerEvent::SidecarStopRequested { .. } => {
+                self.read_sidecar(at, &entry.event);
                 Ok(())
             }
-            Seen::Asked { .. } => self.read_asked(at, &entry.seen),
-            Seen::Answered { .. } => self.read_answered(at, &entry.seen),
-            Seen::PodUp { .. } | Seen::PodFell { .. } => {
-                self.read_pod(at, &entry.seen);
+            LedgerEvent::RequestSent { .. } => self.read_request(at, &entry.event),
+            LedgerEvent::Answered { .. } => self.read_answer(at, &entry.event),
+            LedgerEvent::PodStarted { .. } | LedgerEvent::PodOverloaded { .. } => {
+                self.read_pod(at, &entry.event);
                 Ok(())
             }
-            Seen::Arrived {
+            LedgerEvent::Arrived {
                 ask,
                 sidecar,
                 pod,
-                life,
+                incarnation,
                 work,
             } => self.read_arrival(&Arrival {
                 at,
                 ask: *ask,
                 sidecar,
-                pod: PodLife::new(pod, *life),
+                pod: PodIncarnation::new(pod, *incarnation),
                 work: *work,
             }),
-            Seen::Unseen { ask, pod, life } => self
+            LedgerEvent::Unprocessed {
+                ask,
+                pod,
+                incarnation,
+            } => self
                 .history
-                .mark_unprocessed(*ask, &PodLife::new(pod, *life)),
-            Seen::Ran { ask, pod, .. } => {
+                .mark_unprocessed(*ask, &PodIncarnation::new(pod, *incarnation)),
+            LedgerEvent::TookEffect { ask, pod, .. } => {
                 let request = self.history.request(*ask, "an effect")?;
                 self.once.check_effect(at, request, pod, &self.history);
                 Ok(())
             }
-            Seen::Gave { ask, pod, life } => self.read_success(at, *ask, &PodLife::new(pod, *life)),
-            Seen::Told { .. } | Seen::News { .. } => {
-                self.read_notice(at, &entry.seen);
+            LedgerEvent::Succeeded {
+                ask,
+                pod,
+                incarnation,
+            } => self.read_success(at, *ask, &PodIncarnation::new(pod, *incarnation)),
+            LedgerEvent::EndpointAnnounced { .. } | LedgerEvent::StageAnnounced { .. } => {
+                self.read_notice(at, &entry.event);
                 Ok(())
             }
         }
     }
 
-    fn read_sidecar(&mut self, at: Nanos, seen: &Seen) {
-        match seen {
-            Seen::SidecarUp { sidecar } => {
+    fn read_sidecar(&mut self, at: Nanos, event: &LedgerEvent) {
+        match event {
+            LedgerEvent::SidecarStarted { sidecar } => {
                 self.drains.forget_notices(sidecar);
                 self.exposed.forget_notices(sidecar);
             }
-            Seen::SidecarKilled { sidecar } => self.answered.note_kill(at, sidecar),
-            Seen::SidecarStops { sidecar } => self.answered.note_stop(at, sidecar),
+            LedgerEvent::SidecarKilled { sidecar } => self.answered.note_kill(at, sidecar),
+            LedgerEvent::SidecarStopRequested { sidecar } => self.answered.note_stop(at, sidecar),
             _ => {}
         }
     }
 
-    fn read_asked(&mut self, at: Nanos, seen: &Seen) -> Result<(), EntryError> {
-        let Seen::Asked {
+    fn read_request(&mut self, at: Nanos, event: &LedgerEvent) -> Result<(), EntryError> {
+        let LedgerEvent::RequestSent {
             ask,
-            hit,
+            operation,
             sidecar,
-            group,
+            class,
             key,
-            left,
-        } = seen
+            remaining,
+        } = event
         else {
             return Ok(());
         };
-        let figures = &self.history.figures;
-        if *group >= figures.groups.len() {
-            return Err(EntryError::UnknownClass { class: *group });
+        let parameters = &self.history.parameters;
+        if *class >= parameters.classes.len() {
+            return Err(EntryError::UnknownClass { class: *class });
         }
-        self.exposed.note_request(at, sidecar, *group, figures);
+        self.exposed.note_request(at, sidecar, *class, parameters);
         let request = Request {
             at,
-            hit: *hit,
+            operation: *operation,
             sidecar: sidecar.clone(),
-            class: *group,
+            class: *class,
             key: *key,
-            remaining: *left,
+            remaining: *remaining,
             answered: None,
             attempts: Vec::new(),
         };
@@ -173,12 +183,12 @@
         Ok(())
     }
 
-    fn read_answered(&mut self, at: Nanos, seen: &Seen) -> Result<(), EntryError> {
-        let Seen::Answered {
+    fn read_answer(&mut self, at: Nanos, event: &LedgerEvent) -> Result<(), EntryError> {
+        let LedgerEvent::Answered {
             ask,
             answer,
             retry_after,
-        } = seen
+        } = event
         else {
             return Ok(());
         };
@@ -189,35 +199,37 @@
             return Ok(());
         }
         let request = self.history.request(*ask, "an answer")?;
-        let figures = &self.history.figures;
+        let parameters = &self.history.parameters;
         self.once
-            .check_rejection(*ask, request, at + retry_after, figures);
-        self.answered.check_answer(*ask, request, figures);
+            .check_rejection(*ask, request, at + retry_after, parameters);
+        self.answered.check_answer(*ask, request, parameters);
         Ok(())
     }
 
-    fn read_pod(&mut self, at: Nanos, seen: &Seen) {
-        match seen {
-            Seen::PodUp {
+    fn read_pod(&mut self, at: Nanos, event: &LedgerEvent) {
+        match event {
+            LedgerEvent::PodStarted {
                 pod,
-                life,
+                incarnation,
                 build,
                 zone,
                 cell,
-                cold,
+                slow_start,
             } => {
-                let place = PodLife::new(pod, *life);
-                self.cold.forget_work(&place);
+                let pod = PodIncarnation::new(pod, *incarnation);
+                self.cold.forget_work(&pod);
                 let started = Pod {
                     build: *build,
                     zone: zone.clone(),
                     cell: *cell,
                     started: at,
-                    cold: *cold,
+                    slow_start: *slow_start,
                 };
-                self.history.pods.insert(place, started);
+                self.history.pods.insert(pod, started);
+            }
+            LedgerEvent::PodOverloaded { pod, incarnation } => {
+                self.cold.report_overload(at, pod, *incarnation)
             }
-            Seen::PodFell { pod, life } => self.cold.report_overload(at, pod, *life),
             _ => {}
         }
     }
@@ -226,11 +238,11 @@
         let history = &self.history;
         let request = history.request(arrival.ask, "an attempt")?;
         let pod = history.pod(&arrival.pod, "an attempt")?;
-        let figures = &history.figures;
-        self.answered.check_attempt(arrival, request, figures);
+        let parameters = &history.parameters;
+        self.answered.check_attempt(arrival, request, parameters);
         self.once.check_attempt(arrival, request, pod, history)?;
-        self.drains.check_attempt(arrival, figures);
-        self.cold.check_attempt(arrival, pod, figures);
+        self.drains.check_attempt(arrival, parameters);
+        self.cold.check_attempt(arrival, pod, parameters);
         let sent = SentAttempt {
             at: arrival.at,
             ask: arrival.ask,
@@ -239,13 +251,18 @@
             class: request.class,
             key: request.key,
         };
-        self.exposed.check_attempt(&sent, figures);
+        self.exposed.check_attempt(&sent, parameters);
         self.history.note_attempt(arrival);
         Ok(())
     }
 
-    fn read_success(&mut self, at: Nanos, ask: u64, pod: &PodLife) -> Result<(), EntryError> {
-        if !self.history.figures.exposure.sticky_keys {
+    fn read_success(
+        &mut self,
+        at: Nanos,
+        ask: u64,
+        pod: &PodIncarnation,
+    ) -> Result<(), EntryError> {
+        if !self.history.parameters.exposure.sticky_keys {
             return Ok(());
         }
         let request = self.history.request(ask, "a response")?;
@@ -254,23 +271,25 @@
         Ok(())
     }
 
-    fn read_notice(&mut self, at: Nanos, seen: &Seen) {
-        match seen {
-            Seen::Told {
+    fn read_notice(&mut self, at: Nanos, event: &LedgerEvent) {
+        match event {
+            LedgerEvent::EndpointAnnounced {
                 sidecar,
                 pod,
-                life,
+                incarnation,
                 state,
             } => {
-                let place = PodLife::new(pod, *life);
+                let pod = PodIncarnation::new(pod, *incarnation);
                 let is_running = state == "running";
-                self.drains.note_state(at, sidecar, &place, is_running);
-                let build = self.history.pods.get(&place).map(|pod| pod.build);
+                self.drains.note_state(at, sidecar, &pod, is_running);
+                let build = self.history.pods.get(&pod).map(|pod| pod.build);
                 if let Some(build) = build.filter(|_| is_running) {
                     self.exposed.note_running(sidecar, build);
                 }
             }
-            Seen::News { .. } => self.exposed.note_stage(at, seen, &self.history.figures),
+            LedgerEvent::StageAnnounced { .. } => {
+                self.exposed.note_stage(at, event, &self.history.parameters)
+            }
             _ => {}
         }
     }
--- a/crates/invariants/src/check/once.rs
+++ b/crates/invariants/src/check/once.rs
@@ -1,10 +1,10 @@
-//! Rule `once`: what may do harm twice does not run twice.
+//! Rule `once`: a request that is not idempotent does not run twice.
 
 use super::error::EntryError;
 use super::history::{Attempt, History, Pod, Request};
 use super::verdict::Verdict;
 use super::Arrival;
-use crate::ledger::{Answer, Figures, Group};
+use crate::ledger::{Answer, ClassRules, RuleParameters};
 use havenplank::interface::{DedupScope, Idempotency, Nanos};
 use std::collections::HashSet;
 
@@ -24,14 +24,14 @@
         }
     }
 
-    /// Checks that a request that may have run is rejected only where its client may send it again: rejecting says that
-    /// a retry is harmless.
+    /// Checks that a request that may have run is rejected only where its client may send it again, since a rejection
+    /// says that a retry is harmless.
     pub(super) fn check_rejection(
         &mut self,
         ask: u64,
         request: &Request,
         retry_at: Nanos,
-        figures: &Figures,
+        parameters: &RuleParameters,
     ) {
         let rejected = request
             .answered
@@ -39,18 +39,18 @@
         let Some((rejected, first)) = rejected.zip(request.first_run()) else {
             return;
         };
-        let class = &figures.groups[request.class];
-        let is_harmless = class.is(Idempotency::Idempotent)
-            || (class.is(Idempotency::Keyed)
-                && class.scoped(DedupScope::All)
-                && retry_at < first.at + class.dedup_window + figures.transit);
+        let class = &parameters.classes[request.class];
+        let is_harmless = class.has_idempotency(Idempotency::Idempotent)
+            || (class.has_idempotency(Idempotency::Keyed)
+                && class.has_scope(DedupScope::All)
+                && retry_at < first.at + class.dedup_window + parameters.transit);
         if !is_harmless {
             let what = format!("ask {ask} ({}): bounced, but it may have run", class.name);
             self.verdict.report(rejected.at, what);
         }
     }
 
-    /// Checks a further attempt of a request: that the pod drops it as a repeat, where the first one may have run.
+    /// Checks that the pod drops a further attempt of a request as a repeat, if the first attempt may have run.
     pub(super) fn check_attempt(
         &mut self,
         arrival: &Arrival,
@@ -59,7 +59,7 @@
         history: &History,
     ) -> Result<(), EntryError> {
         let class = history.class(request);
-        if class.is(Idempotency::Idempotent) {
+        if class.has_idempotency(Idempotency::Idempotent) {
             return Ok(());
         }
         self.verdict.tested += 1;
@@ -68,25 +68,25 @@
         };
         let first_pod = history.pod(&first.pod, "an attempt")?;
         let drops_repeats = share_keys(class, first_pod, pod);
-        self.check_repeat(arrival, class, first, drops_repeats, &history.figures);
+        self.check_repeat(arrival, class, first, drops_repeats, &history.parameters);
         Ok(())
     }
 
     fn check_repeat(
         &mut self,
         arrival: &Arrival,
-        class: &Group,
+        class: &ClassRules,
         first: &Attempt,
         drops_repeats: bool,
-        figures: &Figures,
+        parameters: &RuleParameters,
     ) {
         let window = class.dedup_window.max(1);
         let since = arrival.at.saturating_sub(first.at);
-        if class.is(Idempotency::Keyed) {
+        if class.has_idempotency(Idempotency::Keyed) {
             self.verdict.approach(since as f64 / window as f64);
         }
-        let is_dropped = drops_repeats && since <= window + figures.transit;
-        if class.is(Idempotency::NonIdempotent) || !is_dropped {
+        let is_dropped = drops_repeats && since <= window + parameters.transit;
+        if class.has_idempotency(Idempotency::NonIdempotent) || !is_dropped {
             let Arrival { at, ask, pod, .. } = arrival;
             let (name, since_us) = (&class.name, since / NS_PER_US);
             let what = format!(
@@ -97,8 +97,8 @@
         }
     }
 
-    /// Checks that a non-idempotent request takes effect once. Clients send such a request again only after it was
-    /// rejected, so that one effect is all it may have.
+    /// Checks that a non-idempotent request takes effect once. Clients retry such a request only after a rejection, so
+    /// a second effect is always a fault.
     pub(super) fn check_effect(
         &mut self,
         at: Nanos,
@@ -107,16 +107,18 @@
         history: &History,
     ) {
         let class = history.class(request);
-        if class.is(Idempotency::NonIdempotent) && !self.took_effect.insert(request.hit) {
-            let what = format!("hit {}: took effect again, at {pod}", request.hit);
+        if class.has_idempotency(Idempotency::NonIdempotent)
+            && !self.took_effect.insert(request.operation)
+        {
+            let what = format!("hit {}: took effect again, at {pod}", request.operation);
             self.verdict.report(at, what);
         }
     }
 }
 
-/// Whether one pod knows the idempotency keys that another has seen.
-fn share_keys(class: &Group, one: &Pod, other: &Pod) -> bool {
-    class.scoped(DedupScope::All)
-        || (class.scoped(DedupScope::Zone) && one.zone == other.zone)
-        || (class.scoped(DedupScope::Cell) && one.cell == other.cell)
+/// Whether two pods share the idempotency keys of this class.
+fn share_keys(class: &ClassRules, one: &Pod, other: &Pod) -> bool {
+    class.has_scope(DedupScope::All)
+        || (class.has_scope(DedupScope::Zone) && one.zone == other.zone)
+        || (class.has_scope(DedupScope::Cell) && one.cell == other.cell)
 }
--- a/crates/invariants/src/check/verdict.rs
+++ b/crates/invariants/src/check/verdict.rs
@@ -1,31 +1,31 @@
-//! What the ledger says of one rule.
+//! The verdict on one rule.
 
 use havenplank::interface::Nanos;
 use serde::Serialize;
 
-/// Broken cases that are described; more are only counted.
+/// Number of broken cases that are described; further ones are only counted.
 const MAX_CASES: usize = 20;
 const NS_PER_MS: f64 = 1e6;
 
-/// Where a rule was broken.
+/// A case in which a rule was broken.
 #[derive(Clone, Debug, Serialize)]
 pub struct Case {
-    /// When, in milliseconds on the ledger's clock.
+    /// When it happened, in milliseconds on the ledger's clock.
     pub at_ms: f64,
     /// What happened.
     pub what: String,
 }
 
-/// What the ledger says of one rule.
+/// The verdict on one rule.
 #[derive(Clone, Debug, Serialize)]
 pub struct Verdict {
     /// The name of the rule.
     pub rule: &'static str,
-    /// How often something came under the rule at all: a rule that nothing tested proves nothing.
+    /// How many events the rule applied to; a rule with 0 tests proves nothing.
     pub tested: u64,
-    /// How often it was broken.
+    /// How often the rule was broken.
     pub broken: u64,
-    /// The nearest approach as a share of the limit; above 1 is broken.
+    /// The largest value measured against the rule's limit, as a share of the limit; above 1 breaks the rule.
     pub nearest: f64,
     /// The first broken cases.
     pub cases: Vec<Case>,
@@ -42,13 +42,13 @@
         }
     }
 
-    /// Counts one test that came as near to the limit as this share of it.
+    /// Counts a test whose value was this share of the limit.
     pub(super) fn test(&mut self, share: f64) {
         self.tested += 1;
         self.approach(share);
     }
 
-    /// Takes note of an approach to the limit that was counted as a test before.
+    /// Records a value as a share of the limit, for an event that was already counted as a test.
     pub(super) fn approach(&mut self, share: f64) {
         self.nearest = self.nearest.max(share);
     }
--- a/crates/invariants/src/ledger.rs
+++ b/crates/invariants/src/ledger.rs
@@ -1,7 +1,8 @@
-//! The ledger: one JSON object a line, each with the time that its writer saw it, in nanoseconds.
+//! The ledger of a scenario: one JSON object per line, each with the time at which its writer observed the event, in
+//! nanoseconds.
 //!
-//! Names of entries and fields are those of stored ledgers; where the code has another name, the derive states the stored
-//! one.
+//! Stored ledgers keep the names of an earlier version. Where the code has another name, a `serde` attribute states the
+//! stored one.
 
 use havenplank::interface::{
     Build, DedupScope, ExposureSettings, Idempotency, Nanos, Phase, PodState,
@@ -10,7 +11,7 @@
 use std::io::{BufRead, BufReader, BufWriter, Write};
 use std::path::{Path, PathBuf};
 
-/// Entries that one ledger may hold: some ten times what a long day writes. One more is refused.
+/// Limit on the entries of one ledger, about ten times what a long scenario writes; a longer ledger is refused.
 pub const MAX_ENTRIES: usize = 20_000_000;
 
 /// How a request ended, as its client saw it.
@@ -19,94 +20,102 @@
 pub enum Answer {
     /// Served by a pod.
     Delivered,
-    /// Rejected: a retry is harmless.
+    /// Rejected by the sidecar, which promises that a retry is harmless.
     Bounced,
-    /// Failed: it may have run.
+    /// Failed; the request may have run.
     Errored,
-    /// Refused before it was admitted: not found, too large, malformed.
+    /// Refused before admission: not found, too large or malformed.
     NotTaken,
-    /// The connection broke before the answer was whole.
+    /// The connection broke before the answer was complete.
     Broken,
-    /// None came while the client waited, and some time beyond.
+    /// No answer came while the client waited, nor for some time after.
     Missing,
-    /// The client went away by itself: no answer was due any more.
+    /// The client left before its timeout, so no answer was due any more.
     Left,
 }
 
-/// The figures that the rules are checked by.
+/// The parameters of the rules: limits and tolerances that the checks apply.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Figures {
-    /// The route classes; entries name one by its place here.
-    pub groups: Vec<Group>,
-    /// How long after a notice that a pod drains or is gone attempts may still reach it, in nanoseconds.
+pub struct RuleParameters {
+    /// The route classes; entries refer to one by its index here.
+    #[serde(rename = "groups")]
+    pub classes: Vec<ClassRules>,
+    /// How long attempts may still reach a pod after a notice that it is draining or gone, in nanoseconds.
     pub drain_grace: Nanos,
     /// A pod that warms up fails at this multiple of its capacity.
     #[serde(rename = "fall_multiple")]
     pub overload_multiple: f64,
-    /// Over which its work is summed, in nanoseconds.
+    /// The window over which the work of a warming pod is summed, in nanoseconds.
     #[serde(rename = "fall_window")]
     pub overload_window: Nanos,
     /// The rules for builds on trial.
     pub exposure: Exposure,
-    /// How long after its time is up a final answer still counts, in nanoseconds.
+    /// How long after the client's timeout a final answer is still accepted, in nanoseconds.
     pub answer_slack: Nanos,
-    /// How much later than it was sent the other side may see something, in nanoseconds.
+    /// Longest delay between sending something and its receipt by the other side, in nanoseconds.
     pub transit: Nanos,
 }
 
-/// A route class, as far as the rules need it.
+/// What the rules need to know of a route class.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Group {
+pub struct ClassRules {
     /// Its name in the settings.
     pub name: String,
-    /// The place of its [`Idempotency`] among the variants.
-    pub kind: u8,
-    /// The place of its [`DedupScope`] among the variants.
-    pub scope: u8,
-    /// How long, from the first attempt that may have run, pods drop repeats, in nanoseconds.
+    /// Its [`Idempotency`], as the variant's index.
+    #[serde(rename = "kind")]
+    pub idempotency: u8,
+    /// Its [`DedupScope`], as the variant's index.
+    #[serde(rename = "scope")]
+    pub dedup_scope: u8,
+    /// How long pods drop repeats, counted from the first attempt that may have run, in nanoseconds.
     #[serde(rename = "repeat_window")]
     pub dedup_window: Nanos,
 }
 
-impl Group {
-    /// Returns the class of these rules; `dedup_window` in nanoseconds.
-    pub fn new(name: &str, kind: Idempotency, scope: DedupScope, dedup_window: Nanos) -> Group {
-        Group {
+impl ClassRules {
+    /// Returns the rules of a class; `dedup_window` is in nanoseconds.
+    pub fn new(
+        name: &str,
+        idempotency: Idempotency,
+        scope: DedupScope,
+        dedup_window: Nanos,
+    ) -> ClassRules {
+        ClassRules {
             name: name.to_string(),
-            kind: kind as u8,
-            scope: scope as u8,
+            idempotency: idempotency as u8,
+            dedup_scope: scope as u8,
             dedup_window,
         }
     }
 
-    /// Returns whether its requests are of this idempotency.
-    pub fn is(&self, kind: Idempotency) -> bool {
-        self.kind == kind as u8
+    /// Returns whether the requests of this class have the given idempotency.
+    pub fn has_idempotency(&self, idempotency: Idempotency) -> bool {
+        self.idempotency == idempotency as u8
     }
 
-    /// Returns whether this scope drops its repeats.
-    pub fn scoped(&self, scope: DedupScope) -> bool {
-        self.scope == scope as u8
+    /// Returns whether repeats are dropped within this scope.
+    pub fn has_scope(&self, scope: DedupScope) -> bool {
+        self.dedup_scope == scope as u8
     }
 }
 
 /// The rules for builds on trial.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Exposure {
-    /// Over which requests and attempts are counted, in nanoseconds.
+    /// The window over which requests and attempts are counted, in nanoseconds.
     pub window: Nanos,
-    /// Attempts in each window beyond the cap's share.
+    /// Attempts allowed in each window on top of the cap's share.
     pub free: f64,
-    /// Whether each class is counted by itself.
+    /// Whether each class is counted separately.
     #[serde(rename = "per_group")]
     pub per_class: bool,
-    /// The first stages, which get idempotent requests only.
+    /// Number of first stages that get idempotent requests only.
     #[serde(rename = "guarded_stages")]
     pub idempotent_only_stages: usize,
     /// Whether a key that a newer build has answered may not go back to an older one.
     #[serde(rename = "one_way")]
     pub sticky_keys: bool,
-    /// The share of a window's requests that each stage may get, from 0 to 1.
+    /// The share of a window's requests that a build on trial may get, by stage, from 0 to 1.
     pub caps: Vec<f64>,
 }
 
@@ -132,129 +141,153 @@
     }
 }
 
-/// Something that crossed a socket, or happened to a process. `ask` numbers one request as a client sends it: what its
-/// client retries has a new `ask` and the same `hit`.
+/// Something that crossed a socket, or happened to a process.
+///
+/// `ask` is the number of one request as a client sent it. When the client retries, the new request has a new `ask` and
+/// the same `operation`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Seen {
-    /// The figures that the rules are checked by; before all others.
-    Figures(Figures),
-    /// A sidecar began.
-    SidecarUp {
-        /// Its name.
+pub enum LedgerEvent {
+    /// The parameters of the rules; the first entry of a ledger.
+    #[serde(rename = "figures")]
+    Parameters(RuleParameters),
+    /// A sidecar process started.
+    #[serde(rename = "sidecar_up")]
+    SidecarStarted {
+        /// The sidecar's name.
         sidecar: String,
     },
-    /// Killed: its requests in flight are no longer its duty.
+    /// A sidecar was killed; it owes no answers to its requests in flight.
     SidecarKilled {
-        /// Its name.
+        /// The sidecar's name.
         sidecar: String,
     },
-    /// Told to stop: what reaches it from now on it need not admit.
-    SidecarStops {
-        /// Its name.
+    /// A sidecar was asked to stop; it need not admit requests that reach it from now on.
+    #[serde(rename = "sidecar_stops")]
+    SidecarStopRequested {
+        /// The sidecar's name.
         sidecar: String,
     },
-    /// A client wrote a request to a sidecar.
-    Asked {
-        /// Its number.
+    /// A client sent a request to a sidecar.
+    #[serde(rename = "asked")]
+    RequestSent {
+        /// The number of the request.
         ask: u64,
-        /// The same over all retries of its client.
-        hit: u64,
-        /// To whom it was written.
+        /// The number of the client's operation, which all its retries share.
+        #[serde(rename = "hit")]
+        operation: u64,
+        /// The sidecar that the request was sent to.
         sidecar: String,
-        /// The place of its route class among the figures.
-        group: usize,
-        /// Its idempotency key; 0 for none.
+        /// The index of its route class in [`RuleParameters::classes`].
+        #[serde(rename = "group")]
+        class: usize,
+        /// Its idempotency key as a number; 0 for none.
         key: u64,
         /// How long the client waits, in nanoseconds.
-        left: Nanos,
+        #[serde(rename = "left")]
+        remaining: Nanos,
     },
-    /// A client got the answer to a request, or what stands for one.
+    /// A client got the answer to a request, or stopped waiting for it.
     Answered {
-        /// The request.
+        /// The number of the request.
         ask: u64,
-        /// What it got.
+        /// How the request ended.
         answer: Answer,
-        /// When a rejected client may retry, from now, in nanoseconds.
+        /// How long a rejected client is advised to wait before it retries, in nanoseconds.
         #[serde(rename = "come_back")]
         retry_after: Nanos,
     },
-    /// A pod began.
-    PodUp {
-        /// Its name.
+    /// A pod started.
+    #[serde(rename = "pod_up")]
+    PodStarted {
+        /// The pod's name.
         pod: String,
-        /// Which start of it, counted over all pods.
-        life: u64,
+        /// Its incarnation: the number of this start, counted over all pods.
+        #[serde(rename = "life")]
+        incarnation: u64,
         /// The build that it runs.
         build: Build,
-        /// Where it runs.
+        /// The zone that it runs in.
         zone: String,
         /// The cell within which pods share idempotency keys.
         cell: i64,
-        /// How it warms up.
-        cold: Cold,
+        /// How its capacity grows after the start.
+        #[serde(rename = "cold")]
+        slow_start: SlowStart,
     },
     /// A pod failed under load while it warmed up.
-    PodFell {
-        /// Its name.
+    #[serde(rename = "pod_fell")]
+    PodOverloaded {
+        /// The pod's name.
         pod: String,
-        /// Which start of it.
-        life: u64,
+        /// The pod's incarnation.
+        #[serde(rename = "life")]
+        incarnation: u64,
     },
-    /// A pod read an attempt whole, whatever came of it.
+    /// A pod received an attempt completely, however it ended.
     Arrived {
-        /// The request.
+        /// The number of the request.
         ask: u64,
-        /// Who sent it.
+        /// The sidecar that sent the attempt.
         sidecar: String,
-        /// Who read it.
+        /// The pod that received it.
         pod: String,
-        /// Which start of the pod.
-        life: u64,
-        /// What it takes, in nanoseconds of one core.
+        /// The pod's incarnation.
+        #[serde(rename = "life")]
+        incarnation: u64,
+        /// The work that it needs, in nanoseconds of one core.
         work: Nanos,
     },
-    /// The pod turned an attempt away with the proof that it never ran.
-    Unseen {
-        /// The request.
+    /// A pod rejected an attempt with the proof that it did not run.
+    #[serde(rename = "unseen")]
+    Unprocessed {
+        /// The number of the request.
         ask: u64,
-        /// The pod\'s name.
+        /// The pod's name.
         pod: String,
-        /// Which start of the pod.
-        life: u64,
+        /// The pod's incarnation.
+        #[serde(rename = "life")]
+        incarnation: u64,
     },
     /// An attempt took effect; not written for a repeat that was dropped.
-    Ran {
-        /// The request.
+    #[serde(rename = "ran")]
+    TookEffect {
+        /// The number of the request.
         ask: u64,
-        /// The pod\'s name.
+        /// The pod's name.
         pod: String,
-        /// Which start of the pod.
-        life: u64,
+        /// The pod's incarnation.
+        #[serde(rename = "life")]
+        incarnation: u64,
     },
-    /// The pod's answer of success left.
-    Gave {
-        /// The request.
+    /// A pod sent an answer of success.
+    #[serde(rename = "gave")]
+    Succeeded {
+        /// The number of the request.
         ask: u64,
-        /// The pod\'s name.
+        /// The pod's name.
         pod: String,
-        /// Which start of the pod.
-        life: u64,
+        /// The pod's incarnation.
+        #[serde(rename = "life")]
+        incarnation: u64,
     },
-    /// Service discovery told a sidecar of a pod.
-    Told {
-        /// Who was told.
+    /// Service discovery sent a sidecar the state of a pod.
+    #[serde(rename = "told")]
+    EndpointAnnounced {
+        /// The sidecar that the state was sent to.
         sidecar: String,
         /// The pod's name.
         pod: String,
-        /// Which start of the pod.
-        life: u64,
-        /// As [`state_name`] writes it; `gone` also where a whole list no longer names the pod.
+        /// The pod's incarnation.
+        #[serde(rename = "life")]
+        incarnation: u64,
+        /// As [`state_name`] writes it; also `gone` where a complete list no longer names the pod.
         state: String,
     },
-    /// The control plane told a sidecar of a release's stage.
-    News {
-        /// Who was told.
+    /// The control plane sent a sidecar the stage of a release.
+    #[serde(rename = "news")]
+    StageAnnounced {
+        /// The sidecar that the stage was sent to.
         sidecar: String,
         /// The build on trial.
         build: Build,
@@ -267,31 +300,32 @@
     },
 }
 
-/// How a pod warms up.
+/// How the capacity of a pod grows after its start.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Cold {
-    /// What it bears when warm, in nanoseconds of work a second.
+pub struct SlowStart {
+    /// Its capacity when warm, in nanoseconds of work per second.
     pub capacity: f64,
-    /// The share of it with which it starts, from 0 to 1.
-    pub share: f64,
-    /// How long until it is warm, in nanoseconds.
+    /// The share of that capacity with which it starts, from 0 to 1.
+    #[serde(rename = "share")]
+    pub initial_share: f64,
+    /// How long it takes to reach full capacity, in nanoseconds.
     pub warm_up: Nanos,
 }
 
-impl Cold {
-    /// Returns the nanoseconds of work a second that it bears at an age in nanoseconds.
-    pub fn at(&self, age: Nanos) -> f64 {
+impl SlowStart {
+    /// Returns the capacity at an age in nanoseconds, in nanoseconds of work per second.
+    pub fn capacity_at(&self, age: Nanos) -> f64 {
         let warm = (age as f64 / self.warm_up.max(1) as f64).min(1.0);
-        self.capacity * (self.share + (1.0 - self.share) * warm)
+        self.capacity * (self.initial_share + (1.0 - self.initial_share) * warm)
     }
 }
 
-/// Returns the ledger's word for a state of a pod.
+/// Returns the ledger's name of a pod's state.
 pub fn state_name(state: PodState) -> String {
     format!("{state:?}").to_lowercase()
 }
 
-/// Returns the ledger's word for a phase of a release.
+/// Returns the ledger's name of a release's phase.
 pub fn phase_name(phase: Phase) -> String {
     let name = match phase {
         Phase::Trial => "trial",
@@ -305,12 +339,13 @@
 /// One line of a ledger.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
-    /// When it was seen, on the ledger's clock, in nanoseconds.
+    /// When the event was observed, on the ledger's clock, in nanoseconds.
     pub at: Nanos,
-    /// What was seen.
-    // Neither flattened nor tagged within: numbers read by way of a buffer fail wherever another crate turns
-    // on serde_json's arbitrary precision.
-    pub seen: Seen,
+    /// What was observed.
+    // Neither flattened nor internally tagged: serde then reads numbers through a buffer, which fails where another
+    // crate turns on the `arbitrary_precision` feature of `serde_json`.
+    #[serde(rename = "seen")]
+    pub event: LedgerEvent,
 }
 
 /// Why a ledger cannot be read or written.
@@ -321,34 +356,34 @@
     Io {
         /// The file or folder.
         path: String,
-        /// Why.
+        /// The error of the file system.
         source: std::io::Error,
     },
-    /// A line that is no entry.
+    /// A line is not a valid entry.
     #[error("{file}:{line}: {source}; expected a ledger entry")]
     Line {
         /// The file.
         file: String,
-        /// Counted from 1.
+        /// The line, counted from 1.
         line: usize,
-        /// Why it is none.
+        /// The error of the JSON parser.
         source: serde_json::Error,
     },
-    /// More entries than [`MAX_ENTRIES`].
-    #[error("more than {MAX_ENTRIES} entries")]
+    /// The ledger has more entries than [`MAX_ENTRIES`].
+    #[error("the ledger has more than {MAX_ENTRIES} entries")]
     TooLong,
     /// The folder holds no entry.
-    #[error("{folder}: no ledger there; expected files that end in .ledger")]
+    #[error("{folder}: no ledger found; expected files that end in .ledger")]
     Empty {
         /// The folder.
         folder: String,
     },
 }
 
-/// Reads all files of a folder that end in `.ledger`, in order of time.
+/// Reads all files of a folder that end in `.ledger`, and returns their entries in order of time.
 ///
 /// # Errors
-/// A file that cannot be read, the first line that is no entry, too many entries, or none.
+/// A file cannot be read, a line is not an entry, or the folder holds too many entries or none.
 pub fn read(folder: &Path) -> Result<Vec<Entry>, LedgerError> {
     let mut entries = Vec::new();
     for path in ledger_files(folder)? {
@@ -389,10 +424,10 @@
     Ok(())
 }
 
-/// Writes entries to one file of a folder, which is made where it is missing.
+/// Writes entries to one file of a folder, and creates the folder if it is missing.
 ///
 /// # Errors
-/// A folder or file that cannot be written.
+/// The folder or the file cannot be written.
 pub fn write(folder: &Path, name: &str, entries: &[Entry]) -> Result<(), LedgerError> {
     std::fs::create_dir_all(folder).map_err(failed_at(folder))?;
     let path = folder.join(format!("{name}.ledger"));
@@ -407,7 +442,7 @@
     out.flush().map_err(failed_at(&path))
 }
 
-/// Returns what turns an error of the file system at a path into one of the ledger.
+/// Returns a function that adds the path to an error of the file system.
 fn failed_at(path: &Path) -> impl FnOnce(std::io::Error) -> LedgerError + '_ {
     move |source| LedgerError::Io {
         path: path.display().to_string(),
--- a/crates/invariants/tests/doctored.rs
+++ b/crates/invariants/tests/rules.rs
@@ -1,23 +1,28 @@
-//! For each rule a ledger that just keeps it and one that narrowly breaks it, in `ledgers/`.
+//! Checks each rule against ledgers that just keep it and ledgers that narrowly break it, in `ledgers/`.
 //!
-//! A line is a time in ms and words; `keeps` or `breaks RULE` begins each ledger of a file. The figures: path
-//! groups read (repeatable), mark (tagged for 5 s), cell (tagged within a cell) and write (mutating), drain grace
-//! 500 ms, cold pods fall at 3 times their capacity over 2 s, exposure 2 free in 6 s, caps 0.1 and 0.5, the first
-//! stage guarded, one-way, slack 20 ms, transit 50 ms.
+//! Each ledger of a file begins with a title line, `# keeps` or `# breaks RULE`; the lines before the first title belong to
+//! all ledgers of the file. A line is a time in ms and the words of one entry.
+//!
+//! The parameters are: route classes `read` (idempotent), `mark` (keyed for 5 s), `cell` (keyed within a cell) and `write`
+//! (not idempotent); drain grace 500 ms; warming pods fail at 3 times their capacity over 2 s; exposure with 2 free
+//! attempts in 6 s, caps 0.1 and 0.5, the first stage for idempotent requests only, and sticky keys; answer slack 20 ms;
+//! transit 50 ms.
 
 use havenplank::interface::{DedupScope, Idempotency};
-use havenplank_invariants::ledger::{self, Answer, Cold, Entry, Exposure, Figures, Group, Seen};
+use havenplank_invariants::ledger::{
+    self, Answer, ClassRules, Entry, Exposure, LedgerEvent, RuleParameters, SlowStart,
+};
 use havenplank_invariants::{check, CheckError, EntryError};
 use std::path::Path;
 
 const MS: u64 = 1_000_000;
 
-fn figures() -> Figures {
-    let groups = vec![
-        Group::new("read", Idempotency::Idempotent, DedupScope::All, 0),
-        Group::new("mark", Idempotency::Keyed, DedupScope::All, 5_000 * MS),
-        Group::new("cell", Idempotency::Keyed, DedupScope::Cell, 5_000 * MS),
-        Group::new("write", Idempotency::NonIdempotent, DedupScope::All, 0),
+fn parameters() -> RuleParameters {
+    let classes = vec![
+        ClassRules::new("read", Idempotency::Idempotent, DedupScope::All, 0),
+        ClassRules::new("mark", Idempotency::Keyed, DedupScope::All, 5_000 * MS),
+        ClassRules::new("cell", Idempotency::Keyed, DedupScope::Cell, 5_000 * MS),
+        ClassRules::new("write", Idempotency::NonIdempotent, DedupScope::All, 0),
     ];
     let caps = vec![0.1, 0.5];
     let exposure = Exposure {
@@ -28,8 +33,8 @@
         sticky_keys: true,
         caps,
     };
-    Figures {
-        groups,
+    RuleParameters {
+        classes,
         drain_grace: 500 * MS,
         overload_multiple: 3.0,
         overload_window: 2_000 * MS,
@@ -39,8 +44,8 @@
     }
 }
 
-/// The entries of one line; `xN` at its end repeats it, each a ms after the other and with the next ask.
-fn line(text: &str) -> Vec<Entry> {
+/// Parses one line into entries; `xN` at its end repeats the entry N times, each 1 ms later and with the next number.
+fn parse_line(text: &str) -> Vec<Entry> {
     let mut words: Vec<&str> = text.split_whitespace().collect();
     let times = words
         .last()
@@ -58,23 +63,23 @@
     (0..times.unwrap_or(1))
         .map(|n| {
             let ask = |at: usize| number(at) as u64 + n;
-            let group = |at: usize| {
+            let class = |at: usize| {
                 ["read", "mark", "cell", "write"]
                     .iter()
-                    .position(|g| *g == words[at])
+                    .position(|class| *class == words[at])
             };
-            let seen = match words[1] {
-                "up" => Seen::SidecarUp { sidecar: name(2) },
-                "killed" => Seen::SidecarKilled { sidecar: name(2) },
-                "stops" => Seen::SidecarStops { sidecar: name(2) },
-                // ask sidecar group key left_ms
-                "asked" => Seen::Asked {
+            let event = match words[1] {
+                "up" => LedgerEvent::SidecarStarted { sidecar: name(2) },
+                "killed" => LedgerEvent::SidecarKilled { sidecar: name(2) },
+                "stops" => LedgerEvent::SidecarStopRequested { sidecar: name(2) },
+                // request number, sidecar, class, key, remaining ms
+                "asked" => LedgerEvent::RequestSent {
                     ask: ask(2),
-                    hit: ask(2),
+                    operation: ask(2),
                     sidecar: name(3),
-                    group: group(4).unwrap_or_else(|| panic!("{text}: no such group")),
+                    class: class(4).unwrap_or_else(|| panic!("{text}: no such class")),
                     key: number(5) as u64,
-                    left: number(6) as u64 * MS,
+                    remaining: number(6) as u64 * MS,
                 },
                 "answered" => {
                     let answer = serde_json::from_str::<Answer>(&format!("\"{}\"", words[3]));
@@ -84,59 +89,59 @@
                     } else {
                         0
                     };
-                    Seen::Answered {
+                    LedgerEvent::Answered {
                         ask: ask(2),
                         answer,
                         retry_after,
                     }
                 }
-                // pod life build cell; a capacity of one core, cold at half for 4 s
-                "pod" => Seen::PodUp {
+                // pod, incarnation, build, cell; a capacity of one core, half of it at the start, full after 4 s
+                "pod" => LedgerEvent::PodStarted {
                     pod: name(2),
-                    life: number(3) as u64,
+                    incarnation: number(3) as u64,
                     build: number(4) as u32,
                     zone: "z".to_string(),
                     cell: number(5) as i64,
-                    cold: Cold {
+                    slow_start: SlowStart {
                         capacity: 1e9,
-                        share: 0.5,
+                        initial_share: 0.5,
                         warm_up: 4_000 * MS,
                     },
                 },
-                "arrived" => Seen::Arrived {
+                "arrived" => LedgerEvent::Arrived {
                     ask: ask(2),
                     sidecar: name(3),
                     pod: name(4),
-                    life: 1,
+                    incarnation: 1,
                     work: if words.len() > 5 {
                         number(5) as u64 * MS
                     } else {
                         MS
                     },
                 },
-                "unseen" => Seen::Unseen {
+                "unseen" => LedgerEvent::Unprocessed {
                     ask: ask(2),
                     pod: name(3),
-                    life: 1,
+                    incarnation: 1,
                 },
-                "ran" => Seen::Ran {
+                "ran" => LedgerEvent::TookEffect {
                     ask: ask(2),
                     pod: name(3),
-                    life: 1,
+                    incarnation: 1,
                 },
-                "gave" => Seen::Gave {
+                "gave" => LedgerEvent::Succeeded {
                     ask: ask(2),
                     pod: name(3),
-                    life: 1,
+                    incarnation: 1,
                 },
-                "told" => Seen::Told {
+                "told" => LedgerEvent::EndpointAnnounced {
                     sidecar: name(2),
                     pod: name(3),
-                    life: 1,
+                    incarnation: 1,
                     state: name(4),
                 },
-                // sidecar build stage phase cap
-                "news" => Seen::News {
+                // sidecar, build, stage, phase, cap
+                "news" => LedgerEvent::StageAnnounced {
                     sidecar: name(2),
                     build: number(3) as u32,
                     stage: number(4) as usize,
@@ -147,32 +152,32 @@
             };
             Entry {
                 at: (number(0) * MS as f64) as u64 + n * MS,
-                seen,
+                event,
             }
         })
         .collect()
 }
 
 #[test]
-fn each_rule_is_kept_narrowly_and_broken_narrowly() {
+fn each_rule_passes_just_within_its_limit_and_fails_just_beyond_it() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/ledgers");
     let mut rules = std::collections::BTreeMap::new();
     for file in std::fs::read_dir(folder).expect("the ledgers") {
         let file = file.expect("a ledger").path();
         let text = std::fs::read_to_string(&file).expect("a text");
         let common = text.split("\n# ").next().unwrap_or("");
-        for part in text.split("\n# ").skip(1) {
-            let (title, lines) = part.split_once('\n').expect("a title and lines");
+        for ledger in text.split("\n# ").skip(1) {
+            let (title, lines) = ledger.split_once('\n').expect("a title and lines");
             let mut entries = vec![Entry {
                 at: 0,
-                seen: Seen::Figures(figures()),
+                event: LedgerEvent::Parameters(parameters()),
             }];
             for text in common
                 .lines()
                 .chain(lines.lines())
                 .filter(|line| !line.trim().is_empty())
             {
-                entries.extend(line(text));
+                entries.extend(parse_line(text));
             }
             entries.sort_by_key(|entry| entry.at);
             let verdicts = check(&entries)
@@ -198,34 +203,37 @@
             } += 1;
         }
     }
-    assert_eq!(rules.len(), 5, "a file for each rule");
+    assert_eq!(rules.len(), 5, "one file for each rule");
     assert!(
         rules
             .values()
             .all(|(kept, broken)| *kept > 0 && *broken > 0),
-        "both for each: {rules:?}"
+        "each rule has a ledger that keeps it and one that breaks it: {rules:?}"
     );
 }
 
 #[test]
-fn a_ledger_reads_back_as_written_and_a_wrong_line_is_told() {
+fn reads_a_ledger_back_as_written_and_reports_invalid_lines_and_entries() {
     let folder = tempfile::tempdir().expect("a folder");
     let mut entries = vec![Entry {
         at: 0,
-        seen: Seen::Figures(figures()),
+        event: LedgerEvent::Parameters(parameters()),
     }];
-    entries.extend(line("3 asked 1 s read 7 100"));
-    entries.extend(line("5 answered 1 bounced 1000"));
+    entries.extend(parse_line("3 asked 1 s read 7 100"));
+    entries.extend(parse_line("5 answered 1 bounced 1000"));
     ledger::write(folder.path(), "day", &entries).expect("written");
     assert_eq!(ledger::read(folder.path()).expect("read"), entries);
     std::fs::write(folder.path().join("worse.ledger"), "{\"at\":1}\n").expect("written");
     let error = ledger::read(folder.path())
-        .expect_err("no entry")
+        .expect_err("an invalid line")
         .to_string();
     assert!(error.contains("worse.ledger:1:"), "{error}");
-    assert!(check(&[]).is_err() && check(&line("1 answered 9 delivered")).is_err());
-    let unknown = [entries[0].clone(), line("1 answered 9 delivered").remove(0)];
-    let error = check(&unknown).expect_err("never asked");
+    assert!(check(&[]).is_err() && check(&parse_line("1 answered 9 delivered")).is_err());
+    let unknown = [
+        entries[0].clone(),
+        parse_line("1 answered 9 delivered").remove(0),
+    ];
+    let error = check(&unknown).expect_err("a request that was never sent");
     let source = EntryError::UnknownRequest {
         event: "an answer",
         ask: 9,
--- a/crates/membership/tests/follow_ups.rs
+++ b/crates/membership/tests/follow_ups.rs
@@ -1,6 +1,6 @@
 //! Whether a dispute ends once the two views agree again, and shows while they differ.
 
-use havenplank_emulator::net::{Clock, Id, Nanos, Net, Part, Weather};
+use havenplank_emulator::net::{Clock, Host, Id, Nanos, Net, NetworkFaults};
 use havenplank_membership::keys::Key;
 use havenplank_membership::member::MemberId;
 use havenplank_membership::member::{Member, MemberState};
@@ -59,8 +59,8 @@
     }
 }
 
-impl Part for Sidecar {
-    fn heard(&mut self, now: Nanos, bytes: &[u8]) {
+impl Host for Sidecar {
+    fn receive_datagram(&mut self, now: Nanos, bytes: &[u8]) {
         self.node.receive_datagram(now, bytes);
         self.take_events(now);
     }
@@ -133,7 +133,7 @@
 
 /// Returns the share of sidecars that agree, every ten seconds after they have all started at the same time.
 fn agreed_after_a_common_start(size: usize, seconds: u64) -> Vec<f64> {
-    let mut net = Net::new(1, Weather::default());
+    let mut net = Net::new(1, NetworkFaults::default());
     for id in 0..size {
         let clock = Clock {
             began: id as Nanos * 77 * SECOND,
@@ -142,7 +142,7 @@
         net.join(clock, |now, addr| Sidecar::new(now, addr, id));
     }
     let agrees = |net: &Net<Sidecar>, id: Id| {
-        net.part(id).unwrap().views.quorum().state() == QuorumState::Agreed
+        net.host(id).unwrap().views.quorum().state() == QuorumState::Agreed
     };
     let end_times = (1..=seconds / 10).map(|tens| tens * 10 * SECOND);
     end_times
@@ -287,9 +287,9 @@
 /// Compares the messages and bytes that a seeded run carries, and the states in which it ends, with recorded ones.
 #[test]
 fn a_seeded_run_of_views_carries_the_recorded_messages_and_bytes() {
-    let conditions = Weather {
+    let conditions = NetworkFaults {
         loss: 0.05,
-        ..Weather::default()
+        ..NetworkFaults::default()
     };
     let mut net = Net::new(3, conditions);
     for id in 0..9 {
@@ -311,7 +311,7 @@
     net.run(1_200 * SECOND, |_, _| {});
     let final_states: Vec<String> = net
         .ids()
-        .filter_map(|id| net.part(id))
+        .filter_map(|id| net.host(id))
         .map(|part| {
             let quorum = part.views.quorum();
             let rows = quorum.rows_visited() + part.node.membership().rows_visited();
@@ -323,7 +323,7 @@
             )
         })
         .collect();
-    let text = format!("{} {} {final_states:?}", net.carried, net.carried_bytes);
+    let text = format!("{} {} {final_states:?}", net.sent, net.sent_bytes);
     let digest = blake3::hash(text.as_bytes()).to_hex();
     assert_eq!(&digest[..16], "fcf4298eaea2e76e", "{text}");
 }
--- a/crates/membership/tests/quorum.rs
+++ b/crates/membership/tests/quorum.rs
@@ -1,6 +1,6 @@
 //! The quorum state on the simulated network, with the membership code that also runs on sockets.
 
-use havenplank_emulator::net::{Clock, Id, Nanos, Net, Part, Weather};
+use havenplank_emulator::net::{Clock, Host, Id, Nanos, Net, NetworkFaults};
 use havenplank_membership::keys::Key;
 use havenplank_membership::member::MemberId;
 use havenplank_membership::member::{Member, MemberState};
@@ -25,8 +25,8 @@
     changes: Vec<(Nanos, QuorumState, QuorumState)>,
 }
 
-impl Part for Sidecar {
-    fn heard(&mut self, now: Nanos, bytes: &[u8]) {
+impl Host for Sidecar {
+    fn receive_datagram(&mut self, now: Nanos, bytes: &[u8]) {
         self.node.receive_datagram(now, bytes);
         self.take_events(now);
     }
@@ -135,9 +135,9 @@
 fn fleet(size: usize, seed: u64, rules: &Rules) -> Net<Sidecar> {
     let mut net = Net::new(
         seed,
-        Weather {
+        NetworkFaults {
             loss: 0.05,
-            ..Weather::default()
+            ..NetworkFaults::default()
         },
     );
     for id in 0..size {
@@ -153,7 +153,7 @@
 }
 
 fn state(net: &Net<Sidecar>, id: Id) -> QuorumState {
-    net.part(id).unwrap().quorum.state()
+    net.host(id).unwrap().quorum.state()
 }
 
 fn states(net: &Net<Sidecar>, ids: &[Id]) -> Vec<QuorumState> {
@@ -202,7 +202,7 @@
         assert!(
             minority
                 .iter()
-                .all(|id| net.part(*id).unwrap().quorum.voter_count() == 9),
+                .all(|id| net.host(*id).unwrap().quorum.voter_count() == 9),
             "seed {seed}"
         );
         assert!(
@@ -215,7 +215,7 @@
         assert!(
             majority
                 .iter()
-                .all(|id| net.part(*id).unwrap().quorum.voter_count() == 5),
+                .all(|id| net.host(*id).unwrap().quorum.voter_count() == 5),
             "seed {seed}: the minority is evicted"
         );
         net.heal();
@@ -229,7 +229,7 @@
         );
         assert!(
             ids.iter()
-                .all(|id| net.part(*id).unwrap().quorum.voter_count() == 9),
+                .all(|id| net.host(*id).unwrap().quorum.voter_count() == 9),
             "seed {seed}: the evicted voters have rejoined"
         );
     }
@@ -269,12 +269,12 @@
 fn the_state_becomes_worse_at_once_and_better_after_a_delay() {
     let mut net = fleet(5, 4, &Rules::default());
     net.run(60 * SECOND, |_, _| {});
-    let first_change = net.part(0).unwrap().changes.len();
+    let first_change = net.host(0).unwrap().changes.len();
     net.split(&[&[0, 1], &[2, 3, 4]]);
     net.run(100 * SECOND, |_, _| {});
     net.heal();
     net.run(300 * SECOND, |_, _| {});
-    let changes = &net.part(0).unwrap().changes[first_change..];
+    let changes = &net.host(0).unwrap().changes[first_change..];
     let transitions: Vec<(QuorumState, QuorumState)> =
         changes.iter().map(|(_, was, is)| (*was, *is)).collect();
     assert_eq!(
@@ -298,13 +298,13 @@
     let mut net = fleet(7, 5, &Rules::default());
     net.run(60 * SECOND, |_, _| {});
     for id in [5, 6] {
-        net.part_mut(id).unwrap().node.leave();
+        net.host_mut(id).unwrap().node.leave();
         net.post(id);
         net.run(net.now() + SECOND, |_, _| {});
         net.kill(id);
     }
     net.run(100 * SECOND, |_, _| {});
-    let voter_count = |net: &Net<Sidecar>| net.part(0).unwrap().quorum.voter_count();
+    let voter_count = |net: &Net<Sidecar>| net.host(0).unwrap().quorum.voter_count();
     assert_eq!(
         (voter_count(&net), state(&net, 0)),
         (5, QuorumState::Agreed)
@@ -326,7 +326,7 @@
         "a restarted sidecar is still a voter"
     );
     let missing: Vec<String> = net
-        .part(0)
+        .host(0)
         .unwrap()
         .quorum
         .unreached(net.own_time(0))
--- a/crates/membership/tests/simulated.rs
+++ b/crates/membership/tests/simulated.rs
@@ -1,7 +1,7 @@
 //! The membership on the simulated network: the code that also runs on sockets, reproducible by seed and without
 //! waiting.
 
-use havenplank_emulator::net::{Clock, Id, Nanos, Net, Part, Weather};
+use havenplank_emulator::net::{Clock, Host, Id, Nanos, Net, NetworkFaults};
 use havenplank_membership::keys::Key;
 use havenplank_membership::member::MemberId;
 use havenplank_membership::member::{Member, MemberState};
@@ -19,8 +19,8 @@
     arrived: Vec<Vec<u8>>,
 }
 
-impl Part for Sidecar {
-    fn heard(&mut self, now: Nanos, bytes: &[u8]) {
+impl Host for Sidecar {
+    fn receive_datagram(&mut self, now: Nanos, bytes: &[u8]) {
         self.arrived.push(bytes.to_vec());
         self.node.receive_datagram(now, bytes);
         self.take_events(now);
@@ -100,7 +100,7 @@
     format!("s-{id:04}")
 }
 
-fn fleet(size: usize, seed: u64, conditions: Weather) -> Net<Sidecar> {
+fn fleet(size: usize, seed: u64, conditions: NetworkFaults) -> Net<Sidecar> {
     let mut net = Net::new(seed, conditions);
     for id in 0..size {
         // Clocks that differ: they start at different times, and run up to a thousandth too fast or too slow.
@@ -122,7 +122,7 @@
             .filter(|other| **other != name(*id))
             .cloned()
             .collect();
-        net.part(*id).is_some_and(|part| part.names() == others)
+        net.host(*id).is_some_and(|part| part.names() == others)
     })
 }
 
@@ -133,9 +133,9 @@
         let mut net = fleet(
             16,
             seed,
-            Weather {
+            NetworkFaults {
                 loss: 0.1,
-                repeat: 0.05,
+                duplicate: 0.05,
                 delay: (100_000, 30_000_000),
             },
         );
@@ -144,13 +144,13 @@
         assert!(
             agree(&net, &all),
             "seed {seed}: {:?}",
-            net.part(3).map(Sidecar::names)
+            net.host(3).map(Sidecar::names)
         );
         net.run(120 * SECOND, |_, _| {});
         assert!(agree(&net, &all), "seed {seed}");
         lost_members += net
             .ids()
-            .map(|id| net.part(id).unwrap().count_lost())
+            .map(|id| net.host(id).unwrap().count_lost())
             .sum::<usize>();
     }
     assert_eq!(lost_members, 0);
@@ -162,13 +162,13 @@
         let mut net = fleet(
             24,
             seed,
-            Weather {
+            NetworkFaults {
                 loss: 0.05,
-                ..Weather::default()
+                ..NetworkFaults::default()
             },
         );
         net.run(20 * SECOND, |_, _| {});
-        let old_datagrams = net.part(5).unwrap().arrived.clone();
+        let old_datagrams = net.host(5).unwrap().arrived.clone();
         net.kill(5);
         net.run(50 * SECOND, |_, _| {});
         let others: Vec<Id> = net.ids().filter(|id| *id != 5).collect();
@@ -179,7 +179,7 @@
         assert!(agree(&net, &all), "seed {seed}");
         for id in &others {
             assert_eq!(
-                net.part(*id)
+                net.host(*id)
                     .unwrap()
                     .node
                     .membership()
@@ -192,11 +192,11 @@
         }
         // Datagrams that were sent to its first incarnation have no effect when they are replayed to the second.
         let now = net.own_time(5);
-        let part = net.part_mut(5).unwrap();
+        let part = net.host_mut(5).unwrap();
         let (events, rejected_before) = (part.events.len(), part.node.rejected.total());
         old_datagrams
             .iter()
-            .for_each(|bytes| part.heard(now, bytes));
+            .for_each(|bytes| part.receive_datagram(now, bytes));
         assert_eq!(
             (
                 part.events.len(),
@@ -209,7 +209,7 @@
 
 #[test]
 fn a_paused_member_is_declared_dead_returns_by_itself_and_suspects_no_other() {
-    let mut net = fleet(12, 3, Weather::default());
+    let mut net = fleet(12, 3, NetworkFaults::default());
     net.run(20 * SECOND, |_, _| {});
     net.pause(4);
     net.run(80 * SECOND, |_, _| {});
@@ -218,9 +218,9 @@
     net.unpause(4);
     net.run(100 * SECOND, |_, _| {});
     let all: Vec<Id> = net.ids().collect();
-    assert!(agree(&net, &all), "{:?}", net.part(4).map(Sidecar::names));
+    assert!(agree(&net, &all), "{:?}", net.host(4).map(Sidecar::names));
     let suspected_another = |id: &Id| {
-        net.part(*id)
+        net.host(*id)
             .unwrap()
             .events
             .iter()
@@ -233,7 +233,7 @@
         !others.iter().any(suspected_another),
         "a member that was not paused was suspected"
     );
-    let resumed_events = &net.part(4).unwrap().events;
+    let resumed_events = &net.host(4).unwrap().events;
     assert!(
         !resumed_events
             .iter()
@@ -245,7 +245,7 @@
 #[test]
 fn the_two_sides_of_a_partition_merge_after_it_heals() {
     for seed in 0..4 {
-        let mut net = fleet(10, seed, Weather::default());
+        let mut net = fleet(10, seed, NetworkFaults::default());
         net.run(20 * SECOND, |_, _| {});
         let (first, second): (Vec<Id>, Vec<Id>) = net.ids().partition(|id| *id < 5);
         net.split(&[&first, &second]);
@@ -257,14 +257,14 @@
         assert!(
             agree(&net, &all),
             "seed {seed}: {:?}",
-            net.part(0).map(Sidecar::names)
+            net.host(0).map(Sidecar::names)
         );
     }
 }
 
 #[test]
 fn frames_with_another_key_and_repeated_frames_have_no_effect() {
-    let mut net = fleet(6, 1, Weather::default());
+    let mut net = fleet(6, 1, NetworkFaults::default());
     // Two sidecars with another key: one under a free name, one under the name of a member.
     for incarnation in [1, 9] {
         let id = net.ids().count();
@@ -276,22 +276,22 @@
     net.run(30 * SECOND, |_, _| {});
     let all: Vec<Id> = (0..6).collect();
     assert!(agree(&net, &all));
-    assert!(net.part(0).unwrap().node.rejected.count(Rejection::BadTag) > 5);
+    assert!(net.host(0).unwrap().node.rejected.count(Rejection::BadTag) > 5);
     // Replays all that sidecar 0 received, minutes later, to itself and to another sidecar.
     net.run(300 * SECOND, |_, _| {});
-    let old_datagrams = net.part(0).unwrap().arrived.clone();
+    let old_datagrams = net.host(0).unwrap().arrived.clone();
     for id in [0, 1] {
         let now = net.own_time(id);
-        let part = net.part_mut(id).unwrap();
+        let part = net.host_mut(id).unwrap();
         let events = part.events.len();
         old_datagrams
             .iter()
-            .for_each(|bytes| part.heard(now, bytes));
+            .for_each(|bytes| part.receive_datagram(now, bytes));
         assert_eq!(part.events.len(), events);
         while part.datagram().is_some() {}
     }
     assert!(
-        net.part(0)
+        net.host(0)
             .unwrap()
             .node
             .rejected
@@ -299,7 +299,7 @@
             > 100
     );
     assert!(
-        net.part(1)
+        net.host(1)
             .unwrap()
             .node
             .rejected
@@ -312,7 +312,7 @@
 
 #[test]
 fn a_key_is_replaced_without_losing_a_member() {
-    let mut net = fleet(6, 2, Weather::default());
+    let mut net = fleet(6, 2, NetworkFaults::default());
     net.run(20 * SECOND, |_, _| {});
     let (old, new) = (Key::new([7; 32]), Key::new([9; 32]));
     for keys in [
@@ -321,7 +321,7 @@
         vec![new],
     ] {
         for id in 0..6 {
-            net.part_mut(id).unwrap().node.replace_keys(keys.clone());
+            net.host_mut(id).unwrap().node.replace_keys(keys.clone());
             net.run(net.now() + 3 * SECOND, |_, _| {});
         }
     }
@@ -330,7 +330,7 @@
     assert!(agree(&net, &all));
     assert_eq!(
         net.ids()
-            .map(|id| net.part(id).unwrap().count_lost())
+            .map(|id| net.host(id).unwrap().count_lost())
             .sum::<usize>(),
         0
     );
@@ -338,14 +338,14 @@
 
 #[test]
 fn a_burst_of_one_kind_of_message_is_bounded_and_delays_no_other_kind() {
-    let mut net = fleet(2, 1, Weather::default());
+    let mut net = fleet(2, 1, NetworkFaults::default());
     net.run(10 * SECOND, |_, _| {});
     let now = net.own_time(1);
     let to = MemberId {
         name: name(1),
         incarnation: 1,
     };
-    let sender = net.part_mut(0).unwrap();
+    let sender = net.host_mut(0).unwrap();
     let mut datagrams = Vec::new();
     let burst = MAX_PENDING_MESSAGES + 50;
     for n in 0..burst + 2 {
@@ -353,7 +353,7 @@
         assert!(sender.node.send(&to, kind, vec![n as u8]));
         datagrams.extend(sender.node.next_datagram());
     }
-    let receiver = &mut net.part_mut(1).unwrap().node;
+    let receiver = &mut net.host_mut(1).unwrap().node;
     receiver.accept_kind(2);
     receiver.accept_kind(3);
     datagrams
@@ -372,10 +372,10 @@
         .map(|n| (2, n as u8))
         .chain([(3, burst as u8), (3, burst as u8 + 1)]);
     assert_eq!(arrived, expected.collect::<Vec<_>>());
-    let sender = &mut net.part_mut(0).unwrap().node;
+    let sender = &mut net.host_mut(0).unwrap().node;
     assert!(sender.send(&to, 2, vec![9]));
     let (_, datagram) = sender.next_datagram().unwrap();
-    let receiver = &mut net.part_mut(1).unwrap().node;
+    let receiver = &mut net.host_mut(1).unwrap().node;
     receiver.receive_datagram(now, &datagram);
     assert!(matches!(
         receiver.next_event(),
@@ -387,14 +387,14 @@
 #[test]
 fn the_traffic_of_each_member_does_not_grow_with_the_fleet() {
     let sent_by_each = |size: usize| {
-        let mut net = fleet(size, 1, Weather::default());
+        let mut net = fleet(size, 1, NetworkFaults::default());
         net.run(40 * SECOND, |_, _| {});
-        let (sent, bytes) = (net.carried, net.carried_bytes);
+        let (sent, bytes) = (net.sent, net.sent_bytes);
         net.run(60 * SECOND, |_, _| {});
         let per_member_and_second = |total: u64| total as f64 / size as f64 / 20.0;
         (
-            per_member_and_second(net.carried - sent),
-            per_member_and_second(net.carried_bytes - bytes),
+            per_member_and_second(net.sent - sent),
+            per_member_and_second(net.sent_bytes - bytes),
         )
     };
     let (small, large) = (sent_by_each(4), sent_by_each(96));
@@ -410,9 +410,9 @@
 fn seeded_runs_carry_the_recorded_messages_and_bytes() {
     let measured: Vec<String> = (0..4)
         .map(|seed| {
-            let conditions = Weather {
+            let conditions = NetworkFaults {
                 loss: 0.1,
-                repeat: 0.05,
+                duplicate: 0.05,
                 delay: (100_000, 30_000_000),
             };
             let mut net = fleet(12, seed, conditions);
@@ -422,11 +422,11 @@
             net.restart(5, |now, addr| Sidecar::new(now, addr, &name(5), 2, 7));
             net.run(90 * SECOND, |_, _| {});
             let mut arrived = blake3::Hasher::new();
-            for bytes in net.ids().flat_map(|id| &net.part(id).unwrap().arrived) {
+            for bytes in net.ids().flat_map(|id| &net.host(id).unwrap().arrived) {
                 arrived.update(bytes);
             }
             let digest = &arrived.finalize().to_hex()[..16];
-            format!("{} {} {digest}", net.carried, net.carried_bytes)
+            format!("{} {} {digest}", net.sent, net.sent_bytes)
         })
         .collect();
     let recorded = [
--- a/crates/platform/tests/common/mod.rs
+++ b/crates/platform/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A sidecar between scripted peers on loopback, for the tests of this folder.
 #![allow(dead_code, reason = "each test file uses only some of these items")]
 
-use havenplank_emulator::scripted::{configuration, entry, Peer, Talk};
+use havenplank_emulator::scripted::{configuration, entry, Connection, ScriptedServer};
 use havenplank_platform::{serve, Command, Config};
 use serde_json::Value;
 use std::future::Future;
@@ -19,9 +19,9 @@
 /// A sidecar connected to peers whose messages the test scripts.
 pub struct Rig {
     pub address: SocketAddr,
-    pub discovery: Peer,
-    pub control_plane: Peer,
-    pub pod: Peer,
+    pub discovery: ScriptedServer,
+    pub control_plane: ScriptedServer,
+    pub pod: ScriptedServer,
     pub commands: mpsc::Sender<Command>,
     pub ended: oneshot::Receiver<()>,
     _sidecar: Sidecar,
@@ -44,8 +44,12 @@
 impl Rig {
     /// Starts a sidecar with one pod, `p`, of build 7; `change` adapts the configuration first.
     pub async fn new(change: impl FnOnce(&mut Value)) -> Rig {
-        let [discovery, control_plane, pod] =
-            [Peer::new().await, Peer::new().await, Peer::new().await].map(Result::unwrap);
+        let [discovery, control_plane, pod] = [
+            ScriptedServer::new().await,
+            ScriptedServer::new().await,
+            ScriptedServer::new().await,
+        ]
+        .map(Result::unwrap);
         let hosts = [entry("p", pod.at().unwrap(), 7, "active")];
         let mut config =
             configuration(discovery.at().unwrap(), control_plane.at().unwrap(), &hosts);
@@ -70,14 +74,14 @@
         }
     }
 
-    pub async fn client(&self) -> Talk {
-        Talk::to(self.address).await.expect("a sidecar")
+    pub async fn client(&self) -> Connection {
+        Connection::connect(self.address).await.expect("a sidecar")
     }
 
     /// Sends a request; returns the client connection, and the pod connection from which the attempt was read.
-    pub async fn request(&self, bytes: &str) -> (Talk, Talk) {
+    pub async fn request(&self, bytes: &str) -> (Connection, Connection) {
         let mut client = self.client().await;
-        client.say(bytes).await.unwrap();
+        client.send(bytes).await.unwrap();
         let mut pod = self.pod.accept().await.unwrap();
         pod.message().await.unwrap();
         (client, pod)
@@ -107,14 +111,14 @@
 
 const FOLLOW_REPLY: &str = r#"{"jsonrpc":"2.0","id":0,"result":true}"#;
 
-pub async fn accept_follow(control_plane: &Peer) -> Talk {
+pub async fn accept_follow(control_plane: &ScriptedServer) -> Connection {
     let mut session = control_plane.accept().await.unwrap();
     assert!(session
         .line()
         .await
         .unwrap()
         .contains(r#""method":"follow""#));
-    session.say(format!("{FOLLOW_REPLY}\n")).await.unwrap();
+    session.send(format!("{FOLLOW_REPLY}\n")).await.unwrap();
     session
 }
 
@@ -127,7 +131,7 @@
 pub async fn let_sidecar_run(rig: &Rig) {
     let mut client = rig.client().await;
     for _ in 0..5 {
-        client.say(HEALTH).await.unwrap();
+        client.send(HEALTH).await.unwrap();
         client.answer().await.unwrap();
     }
 }
--- a/crates/platform/tests/list_races.rs
+++ b/crates/platform/tests/list_races.rs
@@ -3,7 +3,9 @@
 mod common;
 
 use common::{get, let_sidecar_run, parse_config, run_test, Rig, OK_CLOSE};
-use havenplank_emulator::scripted::{chunk, configuration, entry, list, Peer, Talk, WATCH};
+use havenplank_emulator::scripted::{
+    chunk, configuration, entry, list, Connection, ScriptedServer, WATCH,
+};
 use havenplank_platform::Command;
 use serde_json::json;
 use socket2::{Domain, Socket, Type};
@@ -14,11 +16,11 @@
 const MS: Duration = Duration::from_millis(1);
 
 /// Accepts the watch and makes it active by an update without entries to version `version`.
-async fn open_watch(rig: &Rig, version: u64) -> Talk {
+async fn open_watch(rig: &Rig, version: u64) -> Connection {
     let mut watch = rig.discovery.accept().await.unwrap();
     watch.message().await.unwrap();
     watch
-        .say(WATCH.to_string() + &chunk(&list(version, false, &[])))
+        .send(WATCH.to_string() + &chunk(&list(version, false, &[])))
         .await
         .unwrap();
     let_sidecar_run(rig).await;
@@ -26,16 +28,16 @@
 }
 
 /// Asserts that a request now goes to this pod, which answers it.
-async fn assert_request_reaches(rig: &Rig, pod: &Peer, id: &str) {
+async fn assert_request_reaches(rig: &Rig, pod: &ScriptedServer, id: &str) {
     let mut client = rig.client().await;
-    client.say(get(id)).await.unwrap();
+    client.send(get(id)).await.unwrap();
     let mut pod = pod
         .accept()
         .await
         .unwrap_or_else(|error| panic!("{id}: {error}"));
     pod.message().await.unwrap();
     // Closes the connection, so that the next request must connect again.
-    pod.say(OK_CLOSE).await.unwrap();
+    pod.send(OK_CLOSE).await.unwrap();
     assert_eq!(client.answer().await.unwrap().0, 200, "{id}");
 }
 
@@ -44,25 +46,28 @@
     run_test(async {
         let rig = Rig::new(|_| {}).await;
         let mut watch = open_watch(&rig, 4).await;
-        let other = Peer::new().await.unwrap();
+        let other = ScriptedServer::new().await.unwrap();
         let moved = entry("p", other.at().unwrap(), 7, "active");
         let update = json!({"seq": 5, "whole": false, "hosts": [moved]});
         let update = format!("\t {}\n\n", serde_json::to_string_pretty(&update).unwrap());
         assert!(update.matches('\n').count() > 10);
         for byte in update.chars() {
-            watch.say(chunk(&byte.to_string())).await.unwrap();
+            watch.send(chunk(&byte.to_string())).await.unwrap();
         }
         // Once a message after the update is processed, so is the update.
-        watch.say(chunk("\n")).await.unwrap();
+        watch.send(chunk("\n")).await.unwrap();
         let_sidecar_run(&rig).await;
         assert_request_reaches(&rig, &other, "i1").await;
         // Two updates on one line are both applied and the watch stays open.
         let back = entry("p", rig.pod.at().unwrap(), 7, "active");
         let updates = list(6, false, &[]).trim().to_string() + &list(7, false, &[back]);
-        watch.say(chunk(&updates)).await.unwrap();
+        watch.send(chunk(&updates)).await.unwrap();
         let_sidecar_run(&rig).await;
         assert_request_reaches(&rig, &rig.pod, "i2").await;
-        assert!(rig.discovery.is_alone().await, "no new watch was needed");
+        assert!(
+            rig.discovery.has_no_pending_connection().await,
+            "no new watch was needed"
+        );
     });
 }
 
@@ -85,18 +90,18 @@
         };
         let dribble = async {
             // White space and the start of an object are not a message, however often they arrive.
-            old.say(chunk("{")).await.unwrap();
+            old.send(chunk("{")).await.unwrap();
             loop {
                 sleep(200 * MS).await;
-                if old.say(chunk(" ")).await.is_err() {
+                if old.send(chunk(" ")).await.is_err() {
                     std::future::pending::<()>().await;
                 }
             }
         };
         let mut last = tokio::select! { last = next => last, () = dribble => unreachable!() };
-        let other = Peer::new().await.unwrap();
+        let other = ScriptedServer::new().await.unwrap();
         let moved = entry("p", other.at().unwrap(), 7, "active");
-        last.say(WATCH.to_string() + &chunk(&list(5, false, &[moved])))
+        last.send(WATCH.to_string() + &chunk(&list(5, false, &[moved])))
             .await
             .unwrap();
         let_sidecar_run(&rig).await;
@@ -117,19 +122,19 @@
         let mut old = open_watch(&rig, 4).await;
         let mut next = rig.discovery.accept().await.unwrap();
         next.message().await.unwrap();
-        let other = Peer::new().await.unwrap();
+        let other = ScriptedServer::new().await.unwrap();
         let moved = entry("p", other.at().unwrap(), 7, "active");
-        old.say(chunk(&list(6, false, &[moved]))).await.unwrap();
+        old.send(chunk(&list(6, false, &[moved]))).await.unwrap();
         let_sidecar_run(&rig).await;
         assert_request_reaches(&rig, &other, "i1").await;
         // The candidate delivers older changes: they are ignored, and it becomes the active watch.
         let back = entry("p", rig.pod.at().unwrap(), 7, "active");
-        next.say(WATCH.to_string() + &chunk(&list(5, false, std::slice::from_ref(&back))))
+        next.send(WATCH.to_string() + &chunk(&list(5, false, std::slice::from_ref(&back))))
             .await
             .unwrap();
-        assert!(old.ends().await);
+        assert!(old.closes_in_time().await);
         assert_request_reaches(&rig, &other, "i2").await;
-        next.say(chunk(&list(7, false, &[back]))).await.unwrap();
+        next.send(chunk(&list(7, false, &[back]))).await.unwrap();
         let_sidecar_run(&rig).await;
         assert_request_reaches(&rig, &rig.pod, "i3").await;
     });
@@ -143,7 +148,10 @@
     run_test(async {
         let rig = Rig::new(|_| {}).await;
         let mut old = open_watch(&rig, 8).await;
-        let (discovery, control_plane) = (Peer::new().await.unwrap(), Peer::new().await.unwrap());
+        let (discovery, control_plane) = (
+            ScriptedServer::new().await.unwrap(),
+            ScriptedServer::new().await.unwrap(),
+        );
         let here = entry("p", rig.pod.at().unwrap(), 7, "active");
         let config = configuration(
             discovery.at().unwrap(),
@@ -160,19 +168,20 @@
         }
         let mut new = discovery.accept().await.unwrap();
         assert!(new.message().await.unwrap().0.contains("since=8 "));
-        let [one, two] = [Peer::new().await, Peer::new().await].map(Result::unwrap);
-        let entry_at = |peer: &Peer| entry("p", peer.at().unwrap(), 7, "active");
+        let [one, two] =
+            [ScriptedServer::new().await, ScriptedServer::new().await].map(Result::unwrap);
+        let entry_at = |peer: &ScriptedServer| entry("p", peer.at().unwrap(), 7, "active");
         // The new watch becomes active, and the old one delivers a message after that.
-        new.say(WATCH.to_string() + &chunk(&list(3, true, &[entry_at(&one)])))
+        new.send(WATCH.to_string() + &chunk(&list(3, true, &[entry_at(&one)])))
             .await
             .unwrap();
         let_sidecar_run(&rig).await;
-        let late = old.say(chunk(&list(9, false, &[entry_at(&two)]))).await;
+        let late = old.send(chunk(&list(9, false, &[entry_at(&two)]))).await;
         let_sidecar_run(&rig).await;
         assert_request_reaches(&rig, &one, "i1").await;
-        assert!(late.is_err() || old.ends().await);
+        assert!(late.is_err() || old.closes_in_time().await);
         // Its next changes apply to the earlier version that it returned to.
-        new.say(chunk(&list(4, false, &[entry_at(&two)])))
+        new.send(chunk(&list(4, false, &[entry_at(&two)])))
             .await
             .unwrap();
         let_sidecar_run(&rig).await;
@@ -199,7 +208,7 @@
             .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
             .unwrap();
         let address = closed.local_addr().unwrap().as_socket().unwrap();
-        let control_plane = Peer::new().await.unwrap();
+        let control_plane = ScriptedServer::new().await.unwrap();
         let config = configuration(address, control_plane.at().unwrap(), &[]);
         rig.commands
             .send(Command::Reload(Box::new(parse_config(&config))))
@@ -207,9 +216,9 @@
             .ok()
             .unwrap();
         sleep(100 * MS).await;
-        let other = Peer::new().await.unwrap();
+        let other = ScriptedServer::new().await.unwrap();
         let moved = entry("p", other.at().unwrap(), 7, "active");
-        old.say(chunk(&list(5, false, &[moved]))).await.unwrap();
+        old.send(chunk(&list(5, false, &[moved]))).await.unwrap();
         let_sidecar_run(&rig).await;
         assert_request_reaches(&rig, &other, "i1").await;
         closed.listen(1).unwrap();
--- a/crates/platform/tests/protocol.rs
+++ b/crates/platform/tests/protocol.rs
@@ -6,7 +6,9 @@
     accept_follow, get, parse_config, request, run_test, wait_until_reusable, Rig, OK, OK_CLOSE,
     UNPROCESSED,
 };
-use havenplank_emulator::scripted::{chunk, configuration, entry, header, list, Peer, Talk, WATCH};
+use havenplank_emulator::scripted::{
+    chunk, configuration, entry, header, list, Connection, ScriptedServer, WATCH,
+};
 use havenplank_platform::{Command, Config};
 use serde_json::{json, Value};
 use std::net::SocketAddr;
@@ -21,9 +23,9 @@
             rig.client().await,
             request("POST /mark/a?b=1", "i1", "idempotency-key: k\r\n", "{body}"),
         );
-        client.say(&request[..9]).await.unwrap();
+        client.send(&request[..9]).await.unwrap();
         sleep(Duration::from_millis(150)).await;
-        client.say(&request[9..]).await.unwrap();
+        client.send(&request[9..]).await.unwrap();
         let mut pod = rig.pod.accept().await.unwrap();
         let (head, body) = pod.message().await.unwrap();
         assert!(head.starts_with("post /mark/a?b=1 http/1.1\n"), "{head}");
@@ -32,13 +34,13 @@
         // The sidecar waits for the pod until the target latency, but no longer than the client waits.
         let left: u64 = header(&head, "x-time-left-ms").unwrap().parse().unwrap();
         assert!(left <= 400, "{left}");
-        pod.say(OK).await.unwrap();
+        pod.send(OK).await.unwrap();
         assert_eq!(client.answer().await.unwrap().0, 200);
         // With 300 ms left, of which 150 pass before the request is complete, less than 150 remain.
         let short = request.replace("i1", "i2").replace("800", "300");
-        client.say(&short[..9]).await.unwrap();
+        client.send(&short[..9]).await.unwrap();
         sleep(Duration::from_millis(150)).await;
-        client.say(&short[9..]).await.unwrap();
+        client.send(&short[9..]).await.unwrap();
         let (head, _) = pod.message().await.unwrap();
         let left: u64 = header(&head, "x-time-left-ms").unwrap().parse().unwrap();
         assert!(left < 150, "{left}");
@@ -51,7 +53,7 @@
         let rig = Rig::new(|_| {}).await;
         let (client, mut pod) = rig.request(&get("i1")).await;
         drop(client);
-        assert!(pod.ends().await);
+        assert!(pod.closes_in_time().await);
     });
 }
 
@@ -98,24 +100,26 @@
         for bytes in bad {
             let mut client = rig.client().await;
             // The sidecar may reject it before its last byte is written.
-            let _ = client.say(&bytes).await;
+            let _ = client.send(&bytes).await;
             let (status, ..) = client
                 .answer()
                 .await
                 .unwrap_or_else(|error| panic!("{bytes:.90}: {error}"));
             assert!((400..500).contains(&status), "{status} to {bytes:.90}");
-            assert!(client.ends().await, "{bytes:.90}");
+            assert!(client.closes_in_time().await, "{bytes:.90}");
         }
         // An incomplete request that is not continued.
         let mut half = rig.client().await;
-        half.say("POST /mark HTTP/1.1\r\ncontent-le").await.unwrap();
-        assert!(half.ends().await);
-        assert!(rig.pod.is_alone().await);
-        pod.say(OK).await.unwrap();
+        half.send("POST /mark HTTP/1.1\r\ncontent-le")
+            .await
+            .unwrap();
+        assert!(half.closes_in_time().await);
+        assert!(rig.pod.has_no_pending_connection().await);
+        pod.send(OK).await.unwrap();
         assert_eq!(busy.answer().await.unwrap().0, 200);
         // Its correlation id can be used again.
         wait_until_reusable().await;
-        busy.say(get("busy")).await.unwrap();
+        busy.send(get("busy")).await.unwrap();
         pod.message().await.unwrap();
     });
 }
@@ -130,12 +134,12 @@
             silent.push(rig.client().await);
         }
         let mut client = rig.client().await;
-        client.say("GET /healthz HTTP/1.1\r\n\r\n").await.unwrap();
+        client.send("GET /healthz HTTP/1.1\r\n\r\n").await.unwrap();
         assert_eq!(client.answer().await.unwrap().0, 200);
-        pod.say(OK).await.unwrap();
+        pod.send(OK).await.unwrap();
         assert_eq!(busy.answer().await.unwrap().0, 200);
         for mut client in silent {
-            assert!(client.ends().await);
+            assert!(client.closes_in_time().await);
         }
     });
 }
@@ -147,13 +151,13 @@
         let mut stayed = Vec::new();
         for _ in 0..40 {
             let mut client = rig.client().await;
-            client.say("GET /healthz HTTP/1.1\r\n\r\n").await.unwrap();
+            client.send("GET /healthz HTTP/1.1\r\n\r\n").await.unwrap();
             assert_eq!(client.answer().await.unwrap().0, 200);
             stayed.push(client);
         }
         // Four fifths of a third of 128 are 34, and the listener accepts 45: the first closes long before it has been
         // idle for 2 s.
-        let first = tokio::time::timeout(Duration::from_secs(1), stayed[0].ends()).await;
+        let first = tokio::time::timeout(Duration::from_secs(1), stayed[0].closes_in_time()).await;
         assert!(first.expect("closed immediately"));
     });
 }
@@ -201,20 +205,23 @@
             let rig =
                 Rig::new(|config| config["settings"]["limits"]["maxAttempts"] = json!(1)).await;
             let (mut client, mut pod) = rig.request(&request("POST /write", "i", "", "x")).await;
-            pod.say(&response).await.unwrap();
+            pod.send(&response).await.unwrap();
             // The sidecar would wait for the rest of an incomplete response; closing ends it.
             drop(pod);
             let (status, _, body) = client.answer().await.unwrap();
             assert_eq!(status, expected_status, "{response:.60}");
             assert_eq!(status == 200, body == "ok", "{response:.60}");
-            assert!(rig.pod.is_alone().await, "sent again after {response:.60}");
+            assert!(
+                rig.pod.has_no_pending_connection().await,
+                "sent again after {response:.60}"
+            );
         }
         // Nothing listens at the address of the pod: the request never ran.
         let rig =
             Rig::new(|config| config["known"]["hosts"][0]["dial"] = json!("127.0.0.1:1")).await;
         let mut client = rig.client().await;
         client
-            .say(request("POST /write", "i", "", "x"))
+            .send(request("POST /write", "i", "", "x"))
             .await
             .unwrap();
         let (status, head, _) = client.answer().await.unwrap();
@@ -238,13 +245,13 @@
         .iter()
         .enumerate()
         {
-            pod.say(OK.replace("\r\n\r\n", &format!("\r\nx-backend-load: {report}\r\n\r\n")))
+            pod.send(OK.replace("\r\n\r\n", &format!("\r\nx-backend-load: {report}\r\n\r\n")))
                 .await
                 .unwrap();
             assert_eq!(client.answer().await.unwrap().0, 200, "{report}");
             // The next request uses the same connection.
             wait_until_reusable().await;
-            client.say(get(&format!("i{}", n + 1))).await.unwrap();
+            client.send(get(&format!("i{}", n + 1))).await.unwrap();
             pod.message().await.unwrap();
         }
     });
@@ -256,7 +263,7 @@
         let rig = Rig::new(|_| {}).await;
         let (mut client, mut pod) = rig.request(&get("i1")).await;
         let body = "y".repeat(400_000);
-        pod.say(format!(
+        pod.send(format!(
             "HTTP/1.1 200 OK\r\ncontent-length: 400000\r\n\r\n{body}"
         ))
         .await
@@ -271,11 +278,11 @@
     run_test(async {
         let rig = Rig::new(|_| {}).await;
         let (mut client, mut pod) = rig.request(&request("POST /write", "i", "", "x")).await;
-        pod.say("HTTP/1.1 200 OK\r\ncontent-length: 3000000000\r\n\r\n")
+        pod.send("HTTP/1.1 200 OK\r\ncontent-length: 3000000000\r\n\r\n")
             .await
             .unwrap();
         assert_eq!(client.answer().await.unwrap().0, 502);
-        assert!(pod.ends().await);
+        assert!(pod.closes_in_time().await);
     });
 }
 
@@ -286,7 +293,7 @@
             let rig = Rig::new(|_| {}).await;
             let (mut client, mut pod) = rig.request(&get("i1")).await;
             let extra = OK.replace("ok", "no");
-            pod.say(if late {
+            pod.send(if late {
                 OK.to_string()
             } else {
                 format!("{OK}{extra}")
@@ -295,19 +302,19 @@
             .unwrap();
             assert_eq!(client.answer().await.unwrap().2, "ok");
             if late {
-                pod.say(&extra).await.unwrap();
+                pod.send(&extra).await.unwrap();
             }
             wait_until_reusable().await;
-            client.say(get("i2")).await.unwrap();
+            client.send(get("i2")).await.unwrap();
             let mut other = rig.pod.accept().await.unwrap();
             other.message().await.unwrap();
-            other.say(OK).await.unwrap();
+            other.send(OK).await.unwrap();
             assert_eq!(client.answer().await.unwrap().2, "ok");
             // A connection without extra bytes is kept.
             wait_until_reusable().await;
-            client.say(get("i3")).await.unwrap();
+            client.send(get("i3")).await.unwrap();
             other.message().await.unwrap();
-            other.say(OK).await.unwrap();
+            other.send(OK).await.unwrap();
             assert_eq!(client.answer().await.unwrap().0, 200);
         }
     });
@@ -320,13 +327,13 @@
             Rig::new(|config| config["settings"]["limits"]["connIdleNs"] = json!(400_000_000))
                 .await;
         let (mut client, mut pod) = rig.request(&get("i1")).await;
-        pod.say(OK).await.unwrap();
+        pod.send(OK).await.unwrap();
         assert_eq!(client.answer().await.unwrap().0, 200);
         sleep(Duration::from_millis(300)).await;
-        client.say(get("i2")).await.unwrap();
+        client.send(get("i2")).await.unwrap();
         let mut other = rig.pod.accept().await.unwrap();
         other.message().await.unwrap();
-        assert!(pod.ends().await);
+        assert!(pod.closes_in_time().await);
     });
 }
 
@@ -341,32 +348,32 @@
             .unwrap()
             .0
             .starts_with("get /v1/servers?follow=1&since=3 "));
-        let other = Peer::new().await.unwrap();
+        let other = ScriptedServer::new().await.unwrap();
         let moved = entry("p", other.at().unwrap(), 7, "active");
         watch
-            .say(WATCH.to_string() + &chunk(&list(5, false, &[moved])))
+            .send(WATCH.to_string() + &chunk(&list(5, false, &[moved])))
             .await
             .unwrap();
         watch
-            .say(chunk("{\"seq\": 6, \"hosts\": [{}]}\n"))
+            .send(chunk("{\"seq\": 6, \"hosts\": [{}]}\n"))
             .await
             .unwrap();
-        assert!(watch.ends().await);
+        assert!(watch.closes_in_time().await);
         // The next watch starts at the version of the last valid update, which is applied: the pod has moved.
         let mut watch = rig.discovery.accept().await.unwrap();
         assert!(watch.message().await.unwrap().0.contains("since=5 "));
         let mut client = rig.client().await;
-        client.say(get("i1")).await.unwrap();
+        client.send(get("i1")).await.unwrap();
         let mut pod = other.accept().await.unwrap();
         pod.message().await.unwrap();
-        pod.say(OK).await.unwrap();
+        pod.send(OK).await.unwrap();
         assert_eq!(client.answer().await.unwrap().0, 200);
-        assert!(rig.pod.is_alone().await);
+        assert!(rig.pod.has_no_pending_connection().await);
         // An update may arrive in pieces; a complete list removes pods that it does not contain.
         let back = entry("q", rig.pod.at().unwrap(), 7, "active");
         let complete = list(9, true, &[back]);
         watch
-            .say(
+            .send(
                 WATCH.to_string()
                     + &chunk(&complete[..20])
                     + &chunk(&complete[20..])
@@ -375,15 +382,15 @@
             .await
             .unwrap();
         // Idle connections to an address without a listed pod are closed.
-        assert!(pod.ends().await);
-        client.say(get("i2")).await.unwrap();
+        assert!(pod.closes_in_time().await);
+        client.send(get("i2")).await.unwrap();
         let mut pod = rig.pod.accept().await.unwrap();
         pod.message().await.unwrap();
     });
 }
 
 /// Reports faults of the pod, which runs build 7, and returns the vote against the build that follows.
-async fn provoke_vote(session: &mut Talk) -> Value {
+async fn provoke_vote(session: &mut Connection) -> Value {
     let stage = json!({"image": 7, "ring": 0, "progress": "canary", "ceiling": 0.5, "lag_ms": 0});
     let fault = json!({"host": "p", "type": "read", "lag_ms": 5});
     let mut lines =
@@ -392,25 +399,25 @@
         lines +=
             &(json!({"jsonrpc": "2.0", "method": "complaint", "params": fault}).to_string() + "\n");
     }
-    session.say(lines).await.unwrap();
+    session.send(lines).await.unwrap();
     serde_json::from_str(&session.line().await.unwrap()).unwrap()
 }
 
 #[test]
 fn votes_are_cast_again_after_a_malformed_rejecting_or_missing_reply() {
     run_test(async {
-        let older = Peer::new().await.unwrap();
+        let older = ScriptedServer::new().await.unwrap();
         let host = entry("o", older.at().unwrap(), 6, "active");
         let rig =
             Rig::new(|config| config["known"]["hosts"].as_array_mut().unwrap().push(host)).await;
         // Both builds get requests; without them the sequential test has nothing to compare.
         for (n, pod) in [(0, &rig.pod), (1, &rig.pod), (2, &rig.pod)] {
             let mut client = rig.client().await;
-            client.say(get(&format!("i{n}"))).await.unwrap();
+            client.send(get(&format!("i{n}"))).await.unwrap();
             let mut pod =
                 tokio::select! { pod = pod.accept() => pod, pod = older.accept() => pod }.unwrap();
             pod.message().await.unwrap();
-            pod.say(OK).await.unwrap();
+            pod.send(OK).await.unwrap();
             assert_eq!(client.answer().await.unwrap().0, 200);
         }
         let mut session = accept_follow(&rig.control_plane).await;
@@ -421,19 +428,22 @@
         );
         assert_eq!(call["params"]["opinion"], "back");
         // The reply is malformed, so the vote may have counted. It is cast again in the next session.
-        session.say("{\"jsonrpc\":\"2.0\",\"id\":\n").await.unwrap();
-        assert!(session.ends().await);
+        session
+            .send("{\"jsonrpc\":\"2.0\",\"id\":\n")
+            .await
+            .unwrap();
+        assert!(session.closes_in_time().await);
         let mut session = accept_follow(&rig.control_plane).await;
         let again: Value = serde_json::from_str(&session.line().await.unwrap()).unwrap();
         assert_eq!(again["params"], call["params"]);
         let full = json!({"jsonrpc": "2.0", "id": again["id"], "error": {"code": 1, "message": "throttled"}});
-        session.say(format!("{full}\n")).await.unwrap();
+        session.send(format!("{full}\n")).await.unwrap();
         let third: Value = serde_json::from_str(&session.line().await.unwrap()).unwrap();
         assert_eq!(third["params"], call["params"]);
         assert_ne!(third["id"], again["id"]);
         // No reply and no other line: votes that the sidecar writes each second do not count as a sign of life.
         session.line().await.unwrap();
-        assert!(session.ends().await);
+        assert!(session.closes_in_time().await);
     });
 }
 
@@ -442,7 +452,7 @@
     run_test(async {
         let rig = Rig::new(|_| {}).await;
         let mut session = accept_follow(&rig.control_plane).await;
-        assert!(session.ends().await);
+        assert!(session.closes_in_time().await);
         accept_follow(&rig.control_plane).await;
     });
 }
@@ -454,17 +464,20 @@
         let mut old = rig.discovery.accept().await.unwrap();
         old.message().await.unwrap();
         let here = entry("p", rig.pod.at().unwrap(), 7, "active");
-        old.say(WATCH.to_string() + &chunk(&list(4, false, &[])))
+        old.send(WATCH.to_string() + &chunk(&list(4, false, &[])))
             .await
             .unwrap();
-        let (discovery, control_plane) = (Peer::new().await.unwrap(), Peer::new().await.unwrap());
+        let (discovery, control_plane) = (
+            ScriptedServer::new().await.unwrap(),
+            ScriptedServer::new().await.unwrap(),
+        );
         let config = configuration(
             discovery.at().unwrap(),
             control_plane.at().unwrap(),
             &[here],
         );
         let (mut client, mut pod) = rig.request(&get("i0")).await;
-        pod.say(OK).await.unwrap();
+        pod.send(OK).await.unwrap();
         assert_eq!(client.answer().await.unwrap().0, 200);
         rig.commands
             .send(Command::Reload(Box::new(parse_config(&config))))
@@ -475,19 +488,20 @@
         assert!(new.message().await.unwrap().0.contains("since=4 "));
         accept_follow(&control_plane).await;
         // Updates on the old watch still apply until the new one delivers a message.
-        let [other, third] = [Peer::new().await, Peer::new().await].map(Result::unwrap);
+        let [other, third] =
+            [ScriptedServer::new().await, ScriptedServer::new().await].map(Result::unwrap);
         for to in [&other, &third] {
             let moved = entry("p", to.at().unwrap(), 7, "active");
-            old.say(chunk(&list(5, false, &[moved]))).await.unwrap();
-            assert!(pod.ends().await);
-            client.say(get("i1")).await.unwrap();
+            old.send(chunk(&list(5, false, &[moved]))).await.unwrap();
+            assert!(pod.closes_in_time().await);
+            client.send(get("i1")).await.unwrap();
             pod = to.accept().await.unwrap();
             pod.message().await.unwrap();
-            pod.say(OK).await.unwrap();
+            pod.send(OK).await.unwrap();
             assert_eq!(client.answer().await.unwrap().0, 200);
         }
-        new.say(WATCH.to_string() + &chunk("\n")).await.unwrap();
-        assert!(old.ends().await);
+        new.send(WATCH.to_string() + &chunk("\n")).await.unwrap();
+        assert!(old.closes_in_time().await);
     });
 }
 
@@ -498,16 +512,16 @@
         let (mut client, mut pod) = rig.request(&get("i1")).await;
         rig.commands.send(Command::Stop).await.ok().unwrap();
         let mut late = rig.client().await;
-        late.say("GET /healthz HTTP/1.1\r\n\r\n").await.unwrap();
+        late.send("GET /healthz HTTP/1.1\r\n\r\n").await.unwrap();
         assert_eq!(late.answer().await.unwrap().0, 503);
-        pod.say(OK).await.unwrap();
+        pod.send(OK).await.unwrap();
         let (status, head, _) = client.answer().await.unwrap();
         assert_eq!((status, header(&head, "connection")), (200, Some("close")));
         wait_until_reusable().await;
         let mut late = rig.client().await;
-        late.say(get("i2")).await.unwrap();
+        late.send(get("i2")).await.unwrap();
         pod.message().await.unwrap();
-        pod.say(OK).await.unwrap();
+        pod.send(OK).await.unwrap();
         assert_eq!(late.answer().await.unwrap().0, 200);
         rig.ended.await.unwrap();
     });
@@ -517,7 +531,7 @@
 #[test]
 fn requests_with_a_key_stay_on_the_newest_build_once_it_has_answered() {
     run_test(async {
-        let newer = Peer::new().await.unwrap();
+        let newer = ScriptedServer::new().await.unwrap();
         let host = entry("q", newer.at().unwrap(), 8, "active");
         let rig = Rig::new(|config| {
             config["known"]["hosts"].as_array_mut().unwrap().push(host);
@@ -533,7 +547,7 @@
             let extra_headers = "cookie: other=1; sid=k1\r\nx-account: t\r\nx-weight-hint: 5\r\n";
             let mut client = rig.client().await;
             client
-                .say(request("GET /read", &format!("i{n}"), extra_headers, ""))
+                .send(request("GET /read", &format!("i{n}"), extra_headers, ""))
                 .await
                 .unwrap();
             let (mut pod, is_newer) = tokio::select! {
@@ -545,7 +559,7 @@
                 "request {n} went back to the earlier build"
             );
             pod.message().await.unwrap();
-            pod.say(OK_CLOSE).await.unwrap();
+            pod.send(OK_CLOSE).await.unwrap();
             assert_eq!(client.answer().await.unwrap().0, 200);
             answered |= is_newer;
             later_requests += answered as u32;
