--- a/crates/platform/tests/races.rs
+++ b/crates/platform/tests/races.rs
@@ -6,7 +6,7 @@
 use common::{
     get, let_sidecar_run, request, run_test, wait_until_reusable, Rig, HEALTH, OK, OK_CLOSE,
 };
-use havenplank_emulator::scripted::{header, Talk};
+use havenplank_emulator::scripted::{header, Connection};
 use havenplank_platform::Command;
 use serde_json::{json, Value};
 use std::io::{ErrorKind, Read, Write};
@@ -80,7 +80,7 @@
         .unwrap();
     let mut pod = rig.pod.accept().await.unwrap();
     pod.message().await.unwrap();
-    pod.say(format!(
+    pod.send(format!(
         "HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{body}",
         body.len()
     ))
@@ -133,7 +133,7 @@
             silent.push(rig.client().await);
         }
         let mut client = rig.client().await;
-        client.say(HEALTH).await.unwrap();
+        client.send(HEALTH).await.unwrap();
         assert_eq!(client.answer().await.unwrap().0, 200);
         assert_reads_complete_response(slow, large_body()).await;
     });
@@ -185,21 +185,21 @@
             let rig = Rig::new(|_| {}).await;
             let mut client = rig.client().await;
             if kept {
-                client.say(HEALTH).await.unwrap();
+                client.send(HEALTH).await.unwrap();
                 assert_eq!(client.answer().await.unwrap().0, 200);
             }
             let bytes = get("i1");
-            client.say(&bytes[..20]).await.unwrap();
+            client.send(&bytes[..20]).await.unwrap();
             // Requests are read in order of arrival, so the partial one has been read when this one is answered.
             let mut other = rig.client().await;
-            other.say(HEALTH).await.unwrap();
+            other.send(HEALTH).await.unwrap();
             assert_eq!(other.answer().await.unwrap().0, 200);
             rig.commands.send(Command::Stop).await.ok().unwrap();
-            assert!(other.ends().await, "the stop was processed");
-            client.say(&bytes[20..]).await.unwrap();
+            assert!(other.closes_in_time().await, "the stop was processed");
+            client.send(&bytes[20..]).await.unwrap();
             let mut pod = rig.pod.accept().await.unwrap();
             pod.message().await.unwrap();
-            pod.say(OK).await.unwrap();
+            pod.send(OK).await.unwrap();
             let (status, head, _) = client.answer().await.unwrap();
             assert_eq!(
                 (status, header(&head, "connection")),
@@ -218,14 +218,14 @@
         for _ in 0..20 {
             let rig = Rig::new(|_| {}).await;
             let (mut client, mut pod) = rig.request(&get("i1")).await;
-            pod.say(OK).await.unwrap();
+            pod.send(OK).await.unwrap();
             assert_eq!(client.answer().await.unwrap().0, 200);
             wait_until_reusable().await;
             // There is no await between the two that would let the runtime poll.
-            client.say(get("i2")).await.unwrap();
+            client.send(get("i2")).await.unwrap();
             rig.commands.try_send(Command::Stop).ok().unwrap();
             pod.message().await.unwrap();
-            pod.say(OK).await.unwrap();
+            pod.send(OK).await.unwrap();
             assert_eq!(client.answer().await.unwrap().0, 200);
         }
     });
@@ -240,17 +240,17 @@
         for n in 0..16 {
             let mut client = rig.client().await;
             if n == 0 {
-                client.say(HEALTH).await.unwrap();
+                client.send(HEALTH).await.unwrap();
                 assert_eq!(client.answer().await.unwrap().0, 200);
             }
             kept.push(client);
         }
         // None of the others has been silent long enough to be evicted first.
         let mut newcomer = connect_without_polling(&rig);
-        kept[0].say(get("i1")).await.unwrap();
+        kept[0].send(get("i1")).await.unwrap();
         let mut pod = rig.pod.accept().await.unwrap();
         pod.message().await.unwrap();
-        pod.say(OK).await.unwrap();
+        pod.send(OK).await.unwrap();
         assert_eq!(kept[0].answer().await.unwrap().0, 200);
         newcomer.write_all(HEALTH.as_bytes()).unwrap();
         let mut byte = [0];
@@ -274,39 +274,42 @@
         let rig = Rig::new(|_| {}).await;
         let (first, mut pod) = rig.request(&get("same")).await;
         let mut second = rig.client().await;
-        second.say(HEALTH).await.unwrap();
+        second.send(HEALTH).await.unwrap();
         assert_eq!(second.answer().await.unwrap().0, 200);
-        second.say(get("same")).await.unwrap();
+        second.send(get("same")).await.unwrap();
         drop(first);
-        assert!(pod.ends().await);
+        assert!(pod.closes_in_time().await);
         let mut pod = rig.pod.accept().await.unwrap();
         pod.message().await.unwrap();
-        pod.say(OK_CLOSE).await.unwrap();
+        pod.send(OK_CLOSE).await.unwrap();
         assert_eq!(second.answer().await.unwrap().0, 200);
         // Not idempotent and forwarded: the request may have run and is not sent again.
         for class in ["mark", "write"] {
             let (first, mut pod) = rig.request(&post(class, class)).await;
             let mut second = rig.client().await;
-            second.say(HEALTH).await.unwrap();
+            second.send(HEALTH).await.unwrap();
             assert_eq!(second.answer().await.unwrap().0, 200);
-            second.say(post(class, class)).await.unwrap();
+            second.send(post(class, class)).await.unwrap();
             drop(first);
             assert_eq!(second.answer().await.unwrap().0, 502, "{class}");
-            assert!(pod.ends().await);
-            assert!(rig.pod.is_alone().await, "{class} sent again");
+            assert!(pod.closes_in_time().await);
+            assert!(
+                rig.pod.has_no_pending_connection().await,
+                "{class} sent again"
+            );
         }
         // Not idempotent and incomplete: nothing was forwarded, so the second request is served.
         let mut first = rig.client().await;
         let bytes = post("write", "half");
-        first.say(&bytes[..bytes.len() - 1]).await.unwrap();
+        first.send(&bytes[..bytes.len() - 1]).await.unwrap();
         let mut second = rig.client().await;
-        second.say(HEALTH).await.unwrap();
+        second.send(HEALTH).await.unwrap();
         assert_eq!(second.answer().await.unwrap().0, 200);
-        second.say(&bytes).await.unwrap();
+        second.send(&bytes).await.unwrap();
         drop(first);
         let mut pod = rig.pod.accept().await.unwrap();
         pod.message().await.unwrap();
-        pod.say(OK).await.unwrap();
+        pod.send(OK).await.unwrap();
         assert_eq!(second.answer().await.unwrap().0, 200);
     });
 }
@@ -319,14 +322,14 @@
         for extra_bytes in ["\r\n", "GET /read HTTP/1.1\r\n", &"x".repeat(9000)] {
             let rig = Rig::new(set_long_timeouts).await;
             let (mut client, mut pod) = rig.request(&get("i1").replace("800", "8000")).await;
-            client.say(extra_bytes).await.unwrap();
+            client.send(extra_bytes).await.unwrap();
             // The bytes have been received by now, so that the close arrives separately.
             let mut other = rig.client().await;
-            other.say(HEALTH).await.unwrap();
+            other.send(HEALTH).await.unwrap();
             assert_eq!(other.answer().await.unwrap().0, 200);
             drop(client);
             let began = Instant::now();
-            assert!(pod.ends().await);
+            assert!(pod.closes_in_time().await);
             assert!(
                 began.elapsed() < 300 * MS,
                 "{:?} after {extra_bytes:.9}",
@@ -344,9 +347,9 @@
         let (mut client, mut pod) = rig.request(&get("i1")).await;
         for n in 2..5 {
             let next = get(&format!("i{n}"));
-            client.say(&next[..10]).await.unwrap();
-            client.say(&next[10..]).await.unwrap();
-            pod.say(OK).await.unwrap();
+            client.send(&next[..10]).await.unwrap();
+            client.send(&next[10..]).await.unwrap();
+            pod.send(OK).await.unwrap();
             assert_eq!(client.answer().await.unwrap().0, 200);
             // The previous connection to the pod may not be reused yet, so a new one is opened.
             pod = rig.pod.accept().await.unwrap();
@@ -363,11 +366,11 @@
         for (class, sent_again) in [("read", true), ("write", false)] {
             let rig = Rig::new(|_| {}).await;
             let (mut client, mut pod) = rig.request(&get("i0")).await;
-            pod.say(OK).await.unwrap();
+            pod.send(OK).await.unwrap();
             assert_eq!(client.answer().await.unwrap().0, 200);
             wait_until_reusable().await;
             client
-                .say(if class == "read" {
+                .send(if class == "read" {
                     get("i1")
                 } else {
                     post(class, "i1")
@@ -380,11 +383,14 @@
             if sent_again {
                 let mut pod = rig.pod.accept().await.unwrap();
                 pod.message().await.unwrap();
-                pod.say(OK).await.unwrap();
+                pod.send(OK).await.unwrap();
             }
             let (status, ..) = client.answer().await.unwrap();
             assert_eq!(status, if sent_again { 200 } else { 502 }, "{class}");
-            assert!(rig.pod.is_alone().await, "{class}: sent again");
+            assert!(
+                rig.pod.has_no_pending_connection().await,
+                "{class}: sent again"
+            );
         }
     });
 }
@@ -422,20 +428,20 @@
         for delay_ms in [0, 1, 5, 20] {
             let rig = Rig::new(|_| {}).await;
             let (mut client, mut pod) = rig.request(&get("i1")).await;
-            pod.say(OK).await.unwrap();
+            pod.send(OK).await.unwrap();
             assert_eq!(client.answer().await.unwrap().2, "ok");
             // The request is sent before the duplicate response is.
-            client.say(get("i2")).await.unwrap();
+            client.send(get("i2")).await.unwrap();
             let second = async {
                 sleep(delay_ms * MS).await;
                 // The connection may be closed by now.
-                let _ = pod.say(OK.replace("ok", "no")).await;
+                let _ = pod.send(OK.replace("ok", "no")).await;
                 std::future::pending::<()>().await
             };
             let served = async {
                 let mut other = rig.pod.accept().await.unwrap();
                 other.message().await.unwrap();
-                other.say(OK).await.unwrap();
+                other.send(OK).await.unwrap();
                 std::future::pending::<()>().await
             };
             tokio::select! {
@@ -479,7 +485,7 @@
     }
 
     /// Starts a sidecar and sends a request that waits for its connection to this pod, with a long time-out.
-    async fn send_waiting_request(&self) -> (Rig, Talk) {
+    async fn send_waiting_request(&self) -> (Rig, Connection) {
         let address = self.listener.local_addr().unwrap();
         let rig = Rig::new(|config| {
             set_long_timeouts(config);
@@ -488,7 +494,7 @@
         })
         .await;
         let mut client = rig.client().await;
-        client.say(get("i1").replace("800", "8000")).await.unwrap();
+        client.send(get("i1").replace("800", "8000")).await.unwrap();
         let_sidecar_run(&rig).await;
         (rig, client)
     }
@@ -524,9 +530,9 @@
         sleep(700 * MS).await;
         let pod = pod.drain_queue();
         let (stream, _) = pod.accept().await.unwrap();
-        let mut stream = Talk::from(stream);
+        let mut stream = Connection::from(stream);
         stream.message().await.unwrap();
-        stream.say(OK).await.unwrap();
+        stream.send(OK).await.unwrap();
         let (status, head, _) = client.answer().await.unwrap();
         assert_eq!((status, header(&head, "connection")), (200, Some("close")));
         rig.ended.await.unwrap();
@@ -542,14 +548,17 @@
             let rig = Rig::new(|_| {}).await;
             let (first, mut pod) = rig.request(&post(class, "same")).await;
             let mut second = rig.client().await;
-            second.say(HEALTH).await.unwrap();
+            second.send(HEALTH).await.unwrap();
             assert_eq!(second.answer().await.unwrap().0, 200);
             // The runtime polls after all three: it reads the response first, then the second request, then the close.
-            pod.say(OK).await.unwrap();
-            second.say(post(class, "same")).await.unwrap();
+            pod.send(OK).await.unwrap();
+            second.send(post(class, "same")).await.unwrap();
             drop(first);
             assert_eq!(second.answer().await.unwrap().0, 502, "{class}");
-            assert!(rig.pod.is_alone().await, "{class} sent again");
+            assert!(
+                rig.pod.has_no_pending_connection().await,
+                "{class} sent again"
+            );
         }
     });
 }
--- a/crates/takeover/tests/simulated.rs
+++ b/crates/takeover/tests/simulated.rs
@@ -1,6 +1,6 @@
 //! Takeovers over the simulated network: what no seed may break, and what must come about while enough can talk.
 
-use havenplank_emulator::net::{Clock, Fate, Id, Nanos, Net, Part, Weather};
+use havenplank_emulator::net::{Clock, DatagramOutcome, Host, Id, Nanos, Net, NetworkFaults};
 use havenplank_membership::member::MemberId;
 use havenplank_takeover::message::Message;
 use havenplank_takeover::placement::{choose_backups, Candidate};
@@ -174,8 +174,8 @@
     }
 }
 
-impl Part for Sidecar {
-    fn heard(&mut self, now: Nanos, bytes: &[u8]) {
+impl Host for Sidecar {
+    fn receive_datagram(&mut self, now: Nanos, bytes: &[u8]) {
         self.arrived.update(bytes);
         let (from, to, message): (MemberId, MemberId, Message) =
             postcard::from_bytes(bytes).unwrap();
@@ -271,7 +271,7 @@
 }
 
 impl Run {
-    fn new(many: usize, seed: u64, weather: Weather) -> Run {
+    fn new(many: usize, seed: u64, weather: NetworkFaults) -> Run {
         let mut net = Net::new(seed, weather);
         for id in 0..many {
             let clock = Clock {
@@ -295,10 +295,10 @@
 
     fn tell(&mut self) {
         self.story = Some(Vec::new());
-        self.net.written = Some(Vec::new());
+        self.net.datagram_log = Some(Vec::new());
         self.net.ids().for_each(|id| {
             self.net
-                .part_mut(id)
+                .host_mut(id)
                 .into_iter()
                 .for_each(|p| p.story = Some(vec![]))
         });
@@ -314,7 +314,7 @@
     fn send_request(&mut self, id: Id, request: RequestId, after: Nanos) {
         let at = self.net.own_time(id) + after;
         self.net
-            .part_mut(id)
+            .host_mut(id)
             .unwrap()
             .at(at, Action::IncomingRequest(request, 5));
         if !self.requests.contains(&request) {
@@ -331,7 +331,7 @@
             }
             for request in requests {
                 let may = |id: &Id| {
-                    net.part(*id)
+                    net.host(*id)
                         .is_some_and(|part| part.takeover.may_send(net.own_time(*id), *request))
                 };
                 let owners: Vec<Id> = net.ids().filter(may).collect();
@@ -357,7 +357,7 @@
     }
 
     fn note(&mut self, id: Id) {
-        if let Some(part) = self.net.part_mut(id) {
+        if let Some(part) = self.net.host_mut(id) {
             std::mem::take(&mut part.written)
                 .into_iter()
                 .for_each(|request| *self.written.entry(request).or_default() += 1);
@@ -442,22 +442,30 @@
 /// Takes over what a part and the network wrote down.
 fn read(net: &mut Net<Sidecar>, moved: Id, story: &mut Vec<(Nanos, Option<RequestId>, String)>) {
     let now = net.now();
-    for passed in net.written.iter_mut().flat_map(|written| written.drain(..)) {
+    for passed in net
+        .datagram_log
+        .iter_mut()
+        .flat_map(|written| written.drain(..))
+    {
         let (from, to, message): (MemberId, MemberId, Message) =
             postcard::from_bytes(&passed.bytes).unwrap();
         let (request, said) = brief(&message);
-        let way = match passed.fate {
-            Fate::VoteReceipt | Fate::Waits | Fate::Dropped => "arrives",
-            Fate::Cut | Fate::Lost | Fate::Goes(_) => "says",
+        let way = match passed.outcome {
+            DatagramOutcome::Received | DatagramOutcome::Buffered | DatagramOutcome::Dropped => {
+                "arrives"
+            }
+            DatagramOutcome::Partitioned | DatagramOutcome::Lost | DatagramOutcome::Sent(_) => {
+                "says"
+            }
         };
         let what = format!(
             "{} to {} {way} {:?}: {said}",
-            from.name, to.name, passed.fate
+            from.name, to.name, passed.outcome
         );
         story.push((passed.at, request, what));
     }
     let part = net
-        .part_mut(moved)
+        .host_mut(moved)
         .and_then(|part| part.story.as_mut())
         .map(std::mem::take);
     for (request, what) in part.into_iter().flatten() {
@@ -482,9 +490,9 @@
     let mut run = Run::new(
         many,
         seed,
-        Weather {
+        NetworkFaults {
             loss,
-            repeat: 0.1,
+            duplicate: 0.1,
             delay: (100_000, 50 * MS),
         },
     );
@@ -492,7 +500,7 @@
         run.tell();
     }
     for id in 0..many {
-        let part = run.net.part_mut(id).unwrap();
+        let part = run.net.host_mut(id).unwrap();
         (part.never_ran, part.gives_up) = [(0.1, 0.0), (0.5, 0.7)][(seed % 2) as usize];
         if kind == Kind::Long {
             (part.never_ran, part.gives_up, part.takes) = (0.6, 0.1, 1_500);
@@ -556,7 +564,7 @@
     // Attempts follow each other here however late it is; the last of them ends some time, and is known for a while.
     run.play(if kind == Kind::Long { 60 * S } else { 30 * S });
     let mut broken = run.broken();
-    let parts = || run.net.ids().filter_map(|id| run.net.part(id));
+    let parts = || run.net.ids().filter_map(|id| run.net.host(id));
     let left: Vec<TableSizes> = parts()
         .map(|part| part.takeover.table_sizes())
         .filter(|sizes| *sizes != TableSizes::default())
@@ -579,11 +587,11 @@
 /// Datagrams and bytes carried, and a hash of what arrived at those that still run.
 fn traffic(net: &Net<Sidecar>) -> String {
     let mut arrived = blake3::Hasher::new();
-    for part in net.ids().filter_map(|id| net.part(id)) {
+    for part in net.ids().filter_map(|id| net.host(id)) {
         arrived.update(part.arrived.finalize().as_bytes());
     }
     let digest = &arrived.finalize().to_hex()[..16];
-    format!("{} {} {digest}", net.carried, net.carried_bytes)
+    format!("{} {} {digest}", net.sent, net.sent_bytes)
 }
 
 struct Played {
@@ -679,15 +687,15 @@
         let mut run = Run::new(
             4,
             seed,
-            Weather {
+            NetworkFaults {
                 loss: 0.3,
-                ..Weather::default()
+                ..NetworkFaults::default()
             },
         );
         if number("HAVENPLANK_SEED") == Some(seed) {
             run.tell();
         }
-        (0..4).for_each(|id| run.net.part_mut(id).unwrap().never_ran = 0.5);
+        (0..4).for_each(|id| run.net.host_mut(id).unwrap().never_ran = 0.5);
         run.net.pause(3);
         run.send_request(0, 1, 0);
         // What it would be told of the end does not come.
@@ -699,7 +707,7 @@
         let open = |record: &Record| record.confirmed && record.outcome.is_none();
         knew += run
             .net
-            .part(3)
+            .host(3)
             .unwrap()
             .takeover
             .replica(1)
@@ -779,9 +787,9 @@
 fn the_first_owner_remembers_when_all_its_backups_are_dead() {
     let mut knew = 0;
     for request in 0..60 {
-        let mut run = Run::new(8, request as u64, Weather::default());
-        let told = run.net.part(0).unwrap().backups(request, 3);
-        run.net.part_mut(0).unwrap().never_ran = 0.0;
+        let mut run = Run::new(8, request as u64, NetworkFaults::default());
+        let told = run.net.host(0).unwrap().backups(request, 3);
+        run.net.host_mut(0).unwrap().never_ran = 0.0;
         run.send_request(0, request, 0);
         run.play(S);
         let dead: Vec<Id> = told
@@ -794,13 +802,13 @@
             .map(member_id)
             .collect();
         for id in (0..8).filter(|id| !dead.contains(id)) {
-            run.net.part_mut(id).unwrap().members = living.clone();
+            run.net.host_mut(id).unwrap().members = living.clone();
         }
         let other = (1..8).find(|id| !dead.contains(id)).unwrap();
         // Where it is not among those asked, nobody asked knows: what docs/takeover-design.md says is left.
         if !run
             .net
-            .part(other)
+            .host(other)
             .unwrap()
             .backups(request, 3)
             .contains(&member_id(0))
@@ -823,9 +831,9 @@
         let mut run = Run::new(
             7,
             seed,
-            Weather {
+            NetworkFaults {
                 loss: 0.05,
-                ..Weather::default()
+                ..NetworkFaults::default()
             },
         );
         (0..20).for_each(|n| run.send_request(0, n, n as Nanos * 10 * MS));
@@ -834,7 +842,7 @@
         let killed = run.net.now();
         let known: Vec<RequestId> = (0..20)
             .filter(|request| {
-                let kept = |id: Id| run.net.part(id)?.takeover.replica(*request);
+                let kept = |id: Id| run.net.host(id)?.takeover.replica(*request);
                 let kept: Vec<&Record> = (1..7).filter_map(kept).collect();
                 kept.len() >= 2
                     && kept
@@ -846,7 +854,7 @@
         for request in &known {
             taken += 1;
             let taken_over = (1..7).find_map(|id| {
-                let part = run.net.part(id).unwrap();
+                let part = run.net.host(id).unwrap();
                 part.taken_over
                     .iter()
                     .find(|(_, known)| known == request)
@@ -866,27 +874,27 @@
 #[test]
 fn a_client_that_retries_elsewhere_joins_and_a_different_request_is_told_apart() {
     for seed in 0..40 {
-        let mut run = Run::new(6, seed, Weather::default());
+        let mut run = Run::new(6, seed, NetworkFaults::default());
         run.send_request(0, 1, 0);
         run.send_request(1, 1, 20 * MS);
         run.send_request(2, 1, 400 * MS);
         let at = run.net.own_time(3) + 30 * MS;
         run.net
-            .part_mut(3)
+            .host_mut(3)
             .unwrap()
             .at(at, Action::IncomingRequest(1, 6));
         run.play(4 * S);
         run.effects_once();
         assert_eq!(run.written.get(&1), Some(&1));
         for id in [1, 2] {
-            let part = run.net.part(id).unwrap();
+            let part = run.net.host(id).unwrap();
             assert_eq!(
                 part.answers,
                 [(1, Outcome::Served(vec![1]))],
                 "seed {seed}, sidecar {id}"
             );
         }
-        assert_eq!(run.net.part(3).unwrap().differs, 1);
+        assert_eq!(run.net.host(3).unwrap().differs, 1);
     }
 }
 
@@ -896,23 +904,23 @@
         let mut run = Run::new(
             6,
             seed,
-            Weather {
+            NetworkFaults {
                 loss: 0.1,
-                ..Weather::default()
+                ..NetworkFaults::default()
             },
         );
-        let first = run.net.part_mut(0).unwrap();
+        let first = run.net.host_mut(0).unwrap();
         (first.never_ran, first.gives_up) = (1.0, 1.0);
         run.send_request(0, 1, 0);
         // Known nowhere but where it was rejected, where it rejected itself, and at a stranger.
         run.send_request((seed % 6) as Id, 1, 1_200 * MS);
         run.play(1_100 * MS);
-        (0..6).for_each(|id| run.net.part_mut(id).unwrap().never_ran = 0.0);
+        (0..6).for_each(|id| run.net.host_mut(id).unwrap().never_ran = 0.0);
         run.send_request(((seed + 1) % 6) as Id, 1, 2_500 * MS);
         run.play(6 * S);
         run.effects_once();
         assert_eq!(run.written.get(&1), Some(&1), "seed {seed}");
-        let last = run.net.part(((seed + 1) % 6) as Id).unwrap();
+        let last = run.net.host(((seed + 1) % 6) as Id).unwrap();
         assert_eq!(
             last.answers.last(),
             Some(&(1, Outcome::Served(vec![1]))),
@@ -923,9 +931,9 @@
 
 #[test]
 fn a_claim_in_the_background_costs_nothing_when_finished_soon_and_is_known_when_not() {
-    let mut run = Run::new(4, 1, Weather::default());
+    let mut run = Run::new(4, 1, NetworkFaults::default());
     let at = run.net.own_time(0);
-    let first = run.net.part_mut(0).unwrap();
+    let first = run.net.host_mut(0).unwrap();
     for request in [1, 2] {
         let incoming = IncomingRequest {
             request,
@@ -951,7 +959,7 @@
         (1..4)
             .filter(|id| {
                 run.net
-                    .part(*id)
+                    .host(*id)
                     .unwrap()
                     .takeover
                     .replica(request)
@@ -1025,11 +1033,11 @@
 
 #[test]
 fn without_backups_in_reach_a_request_is_served_unprotected_not_held_up() {
-    let mut run = Run::new(4, 1, Weather::default());
+    let mut run = Run::new(4, 1, NetworkFaults::default());
     (1..4).for_each(|id| run.net.cut(id, 0));
     run.send_request(0, 1, 0);
     run.play(S);
-    assert_eq!(run.net.part(0).unwrap().unprotected, 1);
+    assert_eq!(run.net.host(0).unwrap().unprotected, 1);
 }
 
 #[test]
