--- a/crates/emulator/src/baseline.rs
+++ b/crates/emulator/src/baseline.rs
@@ -1,4 +1,4 @@
-//! What the sidecar's cost is measured against: a bare `hyper` proxy, and a pod that does nothing.
+//! The baseline that the sidecar's cost is measured against: a minimal `hyper` proxy, and pods that do no work.
 
 use crate::pod::UNPROCESSED_HEADER;
 use bytes::Bytes;
@@ -19,20 +19,23 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// How long the pod holds a hit, in milliseconds.
+/// Header that says how long the pod waits before it answers, in milliseconds.
 pub const HOLD_MS_HEADER: &str = "x-hold-ms";
 
-/// Answers every hit with two bytes, at once or after the time that it asks for. With `slots` it serves only so
-/// many at a time, lets as many wait four times over, and turns the rest away unseen.
+/// Answers every request with two bytes, at once or after the time in [`HOLD_MS_HEADER`].
+///
+/// With `slots` the pod serves that many requests at a time and queues up to four times as many. It rejects the others
+/// with the header that says that they did not run.
 pub async fn pod(listener: TcpListener, slots: Option<usize>) {
-    let most = slots.unwrap_or(Semaphore::MAX_PERMITS);
-    let (free, here) = (Rc::new(Semaphore::new(most)), Rc::new(Cell::new(0)));
+    let max_running = slots.unwrap_or(Semaphore::MAX_PERMITS);
+    let (free, in_flight) = (Rc::new(Semaphore::new(max_running)), Rc::new(Cell::new(0)));
     while let Ok((stream, _)) = listener.accept().await {
         let _ = stream.set_nodelay(true);
-        let (free, here) = (free.clone(), here.clone());
+        let (free, in_flight) = (free.clone(), in_flight.clone());
         spawn_local(async move {
-            let service =
-                service_fn(|request: Request<Incoming>| serve(request, &free, &here, most));
+            let service = service_fn(|request: Request<Incoming>| {
+                serve(request, &free, &in_flight, max_running)
+            });
             let _ = server::Builder::new()
                 .serve_connection(TokioIo::new(stream), service)
                 .await;
@@ -40,10 +43,10 @@
     }
 }
 
-/// Counts a hit for as long as it is here, also where its connection breaks off.
-struct Here<'a>(&'a Cell<usize>);
+/// Counts a request as in flight until dropped, also where its connection breaks.
+struct InFlightGuard<'a>(&'a Cell<usize>);
 
-impl Drop for Here<'_> {
+impl Drop for InFlightGuard<'_> {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
@@ -53,17 +56,18 @@
     request: Request<Incoming>,
     free: &Semaphore,
     count: &Cell<usize>,
-    most: usize,
+    max_running: usize,
 ) -> Result<Response<Full<Bytes>>, hyper::Error> {
-    if count.get() >= most.saturating_mul(5) {
-        let mut full = Response::new(Full::new(Bytes::new()));
-        *full.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
-        full.headers_mut()
+    if count.get() >= max_running.saturating_mul(5) {
+        let mut rejection = Response::new(Full::new(Bytes::new()));
+        *rejection.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
+        rejection
+            .headers_mut()
             .insert(UNPROCESSED_HEADER, HeaderValue::from_static("1"));
-        return Ok(full);
+        return Ok(rejection);
     }
     count.set(count.get() + 1);
-    let _here = Here(count);
+    let _in_flight = InFlightGuard(count);
     let _slot = free.acquire().await;
     let hold = request
         .headers()
@@ -77,27 +81,29 @@
 
 type Sender = SendRequest<Full<Bytes>>;
 
-struct Bare {
+/// The proxy: idle connections by pod, and the number of requests so far.
+struct Proxy {
     pods: Vec<(SocketAddr, RefCell<Vec<Sender>>)>,
     next: Cell<usize>,
 }
 
-/// Hands each hit to the next pod in turn over a kept connection, body read whole as the sidecar reads it;
-/// no time-outs, no second try, no counting.
+/// Forwards requests to the pods in turn, over connections that are kept open.
+///
+/// Bodies are read completely before they are forwarded, as the sidecar does. There are no timeouts, retries or metrics.
 pub async fn proxy(listener: TcpListener, pods: Vec<SocketAddr>) {
     let pods = pods
         .into_iter()
         .map(|pod| (pod, RefCell::default()))
         .collect();
-    let bare = Rc::new(Bare {
+    let proxy = Rc::new(Proxy {
         pods,
         next: Cell::new(0),
     });
     while let Ok((stream, _)) = listener.accept().await {
         let _ = stream.set_nodelay(true);
-        let bare = bare.clone();
+        let proxy = proxy.clone();
         spawn_local(async move {
-            let service = service_fn(|request| bare.clone().forward(request));
+            let service = service_fn(|request| proxy.clone().forward(request));
             let _ = server::Builder::new()
                 .serve_connection(TokioIo::new(stream), service)
                 .await;
@@ -105,17 +111,17 @@
     }
 }
 
-impl Bare {
+impl Proxy {
     async fn forward(
         self: Rc<Self>,
         request: Request<Incoming>,
-    ) -> Result<Response<Full<Bytes>>, BareError> {
+    ) -> Result<Response<Full<Bytes>>, ProxyError> {
         let (parts, body) = request.into_parts();
         let body = body.collect().await?.to_bytes();
         let turn = self.next.replace(self.next.get() + 1);
         let (address, idle) = &self.pods[turn % self.pods.len()];
-        let kept = idle.borrow_mut().pop();
-        let mut sender = match kept.filter(|kept| !kept.is_closed()) {
+        let idle_sender = idle.borrow_mut().pop();
+        let mut sender = match idle_sender.filter(|sender| !sender.is_closed()) {
             Some(sender) => sender,
             None => {
                 let stream = TcpStream::connect(address).await?;
@@ -140,7 +146,7 @@
 
 #[derive(Debug, thiserror::Error)]
 #[error(transparent)]
-enum BareError {
+enum ProxyError {
     Hyper(#[from] hyper::Error),
     Io(#[from] std::io::Error),
 }
--- a/crates/emulator/src/endpoint_list.rs
+++ b/crates/emulator/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The node list's stand-in: tells each follower late, and may be stale or out of reach.
+//! The emulated discovery service: sends endpoint lists with a delay, and may be stale or unavailable.
 
 use crate::fleet::Fleet;
 use crate::ledger_writer::LedgerWriter;
@@ -16,18 +16,24 @@
 use tokio::time::sleep;
 use tokio_util::codec::Framed;
 
+/// The emulated discovery service.
 pub struct EndpointListService {
     ledger: LedgerWriter,
     fleet: Rc<Fleet>,
+    /// How long after a change of the fleet sidecars are notified, in nanoseconds.
     delay: Nanos,
+    /// How often a connection looks for changes, in nanoseconds.
     interval: Nanos,
+    /// Whether nothing listens.
     pub is_unavailable: Cell<bool>,
+    /// Further delay of changes while the list is stale, in nanoseconds.
     pub extra_delay: Cell<Nanos>,
-    /// By sidecar the lives it was told of, so that one left out of a complete list is told gone.
+    /// By sidecar, the announced incarnation of each pod; a pod that a complete list leaves out is recorded as gone.
     announced: RefCell<HashMap<String, HashMap<String, u64>>>,
 }
 
 impl EndpointListService {
+    /// A service that announces the changes of this fleet; `delay` and `interval` are in nanoseconds.
     pub fn new(
         ledger: LedgerWriter,
         fleet: Rc<Fleet>,
@@ -47,7 +53,7 @@
         })
     }
 
-    /// Serves on a listener, and later on its address, until dropped; while away, nothing listens there.
+    /// Serves until dropped: first on the listener, and after each time of being unavailable on a new one at its address.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) {
         let Ok(address) = listener.local_addr() else {
             return;
@@ -80,6 +86,7 @@
         }
     }
 
+    /// Number of the fleet's changes that are old enough to be announced.
     fn visible_changes(&self) -> usize {
         self.fleet.change_count_at(
             self.ledger
@@ -88,6 +95,7 @@
         )
     }
 
+    /// Records in the ledger that a list was sent to a sidecar.
     fn record_announcements(&self, sidecar: &str, complete: bool, pods: &[ListedEndpoint]) {
         let mut all = self.announced.borrow_mut();
         let announced = all.entry(sidecar.to_string()).or_default();
@@ -122,6 +130,7 @@
         }
     }
 
+    /// Serves one sidecar until it disconnects.
     async fn serve_sidecar(&self, stream: TcpStream) {
         struct Inbox {
             name: Option<String>,
@@ -166,7 +175,7 @@
             let Some(name) = inbox.name.clone() else {
                 continue;
             };
-            // What it once told it does not take back, however stale it turns.
+            // Changes that were announced stay announced, also when the list becomes stale afterwards.
             let now = self.visible_changes().max(at);
             let complete = std::mem::take(&mut inbox.complete);
             if !complete && now == at {
--- a/crates/emulator/src/fleet.rs
+++ b/crates/emulator/src/fleet.rs
@@ -1,4 +1,4 @@
-//! All pods of a day: which run, what each is like, and every change that a node list could tell.
+//! All pods of a scenario: which run, with which faults, and every change that an endpoint list announces.
 
 use crate::ledger_writer::LedgerWriter;
 use crate::pod::{Faults, Machine, Pod, PodIdentity, SeenKeys, ServedClass};
@@ -13,53 +13,58 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// Pods of a cell, which drop each other's repeats.
+/// Number of pods in a cell; with the narrowest scope of deduplication, pods of one cell drop each other's repeats.
 const PODS_PER_CELL: usize = 4;
-/// Longest that a draining pod finishes its work.
+/// Longest time for which a draining pod finishes its work.
 const MAX_DRAIN_TIME: Duration = Duration::from_secs(3);
 
+/// The pods of a scenario.
 pub struct Fleet {
     ledger: LedgerWriter,
     machine: Machine,
     machine_name: String,
     zones: Vec<String>,
     classes: Rc<Vec<ServedClass>>,
+    /// Idempotency keys that all pods share; those of a zone and of a cell follow.
     keys_all: Rc<SeenKeys>,
     keys_by_zone: RefCell<HashMap<String, Rc<SeenKeys>>>,
     keys_by_cell: RefCell<HashMap<i64, Rc<SeenKeys>>>,
     pods: RefCell<Vec<Rc<Pod>>>,
-    /// Every change, in order: as long as the day's script makes it.
+    /// Every change of a pod's state with its time, in order; bounded by the scenario's builds and faults.
+    /// Here `age` holds the time of the pod's start, or 0 for a warm pod.
     changes: RefCell<Vec<(Nanos, ListedEndpoint)>>,
+    /// By build: its faults, how long after the start of a pod they begin, and its factor on the shared slowdown.
     build_faults: RefCell<HashMap<Build, (Faults, Nanos, f64)>>,
-    /// How much what all pods share slows them.
+    /// Factor by which a resource that all pods share slows them.
     shared_slowdown: Rc<Cell<f64>>,
-    next: Cell<u64>,
+    next_number: Cell<u64>,
     random: RefCell<Rand64>,
 }
 
 impl Fleet {
+    /// A fleet without pods. `overload` is the overload multiple and the overload window.
     pub fn new(
-        day: &Scenario,
+        scenario: &Scenario,
         classes: Vec<ServedClass>,
         machine_name: &str,
-        fall: (f64, Nanos),
+        overload: (f64, Nanos),
         seed: u64,
         ledger: LedgerWriter,
     ) -> Rc<Fleet> {
         let machine = Machine {
-            cores: day.cores,
-            speed: day.speed,
-            queue: day.queue,
-            initial_capacity: day.initial_capacity,
-            warm_up: day.warm_up,
-            overload_multiple: fall.0,
-            overload_window: fall.1,
+            cores: scenario.cores,
+            speed: scenario.speed,
+            queue: scenario.queue,
+            initial_capacity: scenario.initial_capacity,
+            warm_up: scenario.warm_up,
+            overload_multiple: overload.0,
+            overload_window: overload.1,
         };
         Rc::new(Fleet {
             ledger,
             machine,
             machine_name: machine_name.to_string(),
-            zones: day.zones.clone(),
+            zones: scenario.zones.clone(),
             classes: Rc::new(classes),
             keys_all: Rc::default(),
             keys_by_zone: RefCell::default(),
@@ -68,12 +73,12 @@
             changes: RefCell::default(),
             build_faults: RefCell::default(),
             shared_slowdown: Rc::new(Cell::new(1.0)),
-            next: Cell::new(0),
+            next_number: Cell::new(0),
             random: RefCell::new(Rand64::new(seed as u128)),
         })
     }
 
-    /// Says what is wrong with a build before its first pod starts.
+    /// Sets the faults of a build, before its first pod starts.
     pub fn set_build_faults(&self, build: Build, offer: &Offer, group: Option<usize>) {
         let faults = Faults {
             error_group: group,
@@ -84,22 +89,22 @@
             .insert(build, (faults, offer.fault_delay, offer.shared_slowdown));
     }
 
-    /// Starts a pod of a build; `warm` for one that has run since long ago.
+    /// Starts a pod of a build; `warm` for one without a slow start, as if it had run for long.
     ///
     /// # Errors
-    /// No address to be had.
+    /// No socket can be bound.
     pub async fn start(
         self: &Rc<Self>,
         build: Build,
         zone: Option<&str>,
         warm: bool,
     ) -> std::io::Result<Rc<Pod>> {
-        let number = self.next.replace(self.next.get() + 1);
-        let place = number as usize;
+        let number = self.next_number.replace(self.next_number.get() + 1);
+        let index = number as usize;
         let zone = zone
-            .unwrap_or(&self.zones[place % self.zones.len()])
+            .unwrap_or(&self.zones[index % self.zones.len()])
             .to_string();
-        let cell = (place / PODS_PER_CELL) as i64;
+        let cell = (index / PODS_PER_CELL) as i64;
         let identity = PodIdentity {
             name: format!("pod-{number}"),
             incarnation: number + 1,
@@ -124,13 +129,13 @@
             .entry(cell)
             .or_default()
             .clone();
-        let (faults, late, _) =
+        let (faults, fault_delay, _) =
             self.build_faults
                 .borrow()
                 .get(&build)
                 .cloned()
                 .unwrap_or((Faults::default(), 0, 1.0));
-        let at_once = if late == 0 {
+        let initial_faults = if fault_delay == 0 {
             faults.clone()
         } else {
             Faults::default()
@@ -142,22 +147,30 @@
             self.ledger.clone(),
         );
         let pod = Pod::start(
-            identity, machine, classes, seen_keys, shared, at_once, seed, ledger,
+            identity,
+            machine,
+            classes,
+            seen_keys,
+            shared,
+            initial_faults,
+            seed,
+            ledger,
         )
         .await?;
-        if late > 0 {
+        if fault_delay > 0 {
             let pod = pod.clone();
             spawn_local(async move {
-                sleep(Duration::from_nanos(late)).await;
+                sleep(Duration::from_nanos(fault_delay)).await;
                 *pod.build_faults.borrow_mut() = faults;
             });
         }
         self.pods.borrow_mut().push(pod.clone());
-        self.change(&pod, PodState::Running, warm);
+        self.record_change(&pod, PodState::Running, warm);
         Ok(pod)
     }
 
-    fn change(&self, pod: &Pod, state: PodState, warm: bool) {
+    /// Appends a change of a pod's state.
+    fn record_change(&self, pod: &Pod, state: PodState, warm: bool) {
         let age = if warm { 0 } else { pod.up_at.max(1) };
         let PodIdentity {
             name,
@@ -183,22 +196,22 @@
         self.changes.borrow_mut().push((self.ledger.now(), listed));
     }
 
-    /// Turns new work away from now on, finishes what there is, and goes.
+    /// Lets a pod reject new requests, finish those in flight, and end.
     pub fn drain(self: &Rc<Self>, pod: &Rc<Pod>) {
         if pod.draining.replace(true) || pod.is_down() {
             return;
         }
         let warm = pod.machine.warm_up == 0;
-        self.change(pod, PodState::Draining, warm);
+        self.record_change(pod, PodState::Draining, warm);
         let (fleet, pod) = (self.clone(), pod.clone());
         spawn_local(async move {
-            let mut left = MAX_DRAIN_TIME;
-            while left > Duration::ZERO
+            let mut remaining = MAX_DRAIN_TIME;
+            while remaining > Duration::ZERO
                 && !pod.is_down()
-                && (pod.busy.get() > 0 || left > MAX_DRAIN_TIME / 2)
+                && (pod.busy.get() > 0 || remaining > MAX_DRAIN_TIME / 2)
             {
                 sleep(Duration::from_millis(50)).await;
-                left = left.saturating_sub(Duration::from_millis(50));
+                remaining = remaining.saturating_sub(Duration::from_millis(50));
             }
             fleet.kill(&pod);
         });
@@ -210,40 +223,42 @@
         self.remove_dead(pod);
     }
 
+    /// Removes a pod that ended, and records it as gone.
     fn remove_dead(&self, pod: &Rc<Pod>) {
         let mut pods = self.pods.borrow_mut();
         if let Some(at) = pods.iter().position(|known| Rc::ptr_eq(known, pod)) {
             pods.remove(at);
             drop(pods);
-            self.change(pod, PodState::Gone, pod.machine.warm_up == 0);
+            self.record_change(pod, PodState::Gone, pod.machine.warm_up == 0);
         }
     }
 
-    /// A look at all pods: those that fell over are gone, and what a build does to all is felt.
+    /// Removes the pods that failed, and updates the shared slowdown by each build's share of the attempts.
     pub fn update(&self) {
-        let fallen: Vec<Rc<Pod>> = self
+        let failed: Vec<Rc<Pod>> = self
             .pods
             .borrow()
             .iter()
             .filter(|pod| pod.is_down())
             .cloned()
             .collect();
-        fallen.iter().for_each(|pod| self.remove_dead(pod));
-        let (mut all, mut felt) = (0.0, 0.0);
+        failed.iter().for_each(|pod| self.remove_dead(pod));
+        let (mut all, mut added) = (0.0, 0.0);
         for pod in self.pods.borrow().iter() {
             let attempts = pod.attempts.replace(0) as f64;
-            let slows = self
+            let slowdown = self
                 .build_faults
                 .borrow()
                 .get(&pod.identity.build)
-                .map_or(1.0, |(.., shared)| *shared);
+                .map_or(1.0, |(.., slowdown)| *slowdown);
             all += attempts;
-            felt += attempts * (slows - 1.0);
+            added += attempts * (slowdown - 1.0);
         }
         self.shared_slowdown
-            .set(1.0 + if all > 0.0 { felt / all } else { 0.0 });
+            .set(1.0 + if all > 0.0 { added / all } else { 0.0 });
     }
 
+    /// The pods that accept requests.
     pub fn running(&self) -> Vec<Rc<Pod>> {
         self.pods
             .borrow()
@@ -253,6 +268,7 @@
             .collect()
     }
 
+    /// The pods of a build that accept requests.
     pub fn running_of_build(&self, build: Build) -> Vec<Rc<Pod>> {
         self.running()
             .into_iter()
@@ -260,7 +276,7 @@
             .collect()
     }
 
-    /// So many of the pods that run, drawn by random.
+    /// Draws `count` of the running pods at random.
     pub fn draw_pods(&self, count: usize) -> Vec<Rc<Pod>> {
         let (mut all, mut drawn) = (self.running(), Vec::new());
         while drawn.len() < count && !all.is_empty() {
@@ -270,14 +286,14 @@
         drawn
     }
 
-    /// How many changes there were until a time.
+    /// Number of changes up to a time.
     pub fn change_count_at(&self, at: Nanos) -> usize {
         self.changes
             .borrow()
             .partition_point(|(then, _)| *then <= at)
     }
 
-    /// The changes of a range, each pod's age as of now.
+    /// The changes in a range of indices, with each pod's age as of now.
     pub fn changes_between(&self, from: usize, to: usize) -> Vec<ListedEndpoint> {
         let now = self.ledger.now();
         let aged = |(_, listed): &(Nanos, ListedEndpoint)| {
@@ -294,27 +310,27 @@
         self.changes.borrow()[from..to].iter().map(aged).collect()
     }
 
-    /// The list as it stood after so many changes, without what is gone.
+    /// The complete list after the first `to` changes, without pods that are gone.
     pub fn complete_list(&self, to: usize) -> Vec<ListedEndpoint> {
-        let mut last: Vec<ListedEndpoint> = Vec::new();
-        let mut places: HashMap<String, usize> = HashMap::new();
+        let mut listed_pods: Vec<ListedEndpoint> = Vec::new();
+        let mut positions: HashMap<String, usize> = HashMap::new();
         for listed in self.changes_between(0, to) {
-            match places.get(&listed.name) {
-                Some(at) => last[*at] = listed,
+            match positions.get(&listed.name) {
+                Some(at) => listed_pods[*at] = listed,
                 None => {
-                    places.insert(listed.name.clone(), last.len());
-                    last.push(listed);
+                    positions.insert(listed.name.clone(), listed_pods.len());
+                    listed_pods.push(listed);
                 }
             }
         }
-        last.retain(|listed| listed.state != PodState::Gone);
-        last
+        listed_pods.retain(|listed| listed.state != PodState::Gone);
+        listed_pods
     }
 
-    /// The pods that run at the start, warm.
+    /// Starts the pods that run when the scenario begins, warm.
     ///
     /// # Errors
-    /// No address to be had.
+    /// No socket can be bound.
     pub async fn start_initial_pods(self: &Rc<Self>, count: usize) -> std::io::Result<()> {
         for _ in 0..count {
             self.start(FIRST_BUILD, None, true).await?;
--- a/crates/emulator/src/net.rs
+++ b/crates/emulator/src/net.rs
@@ -2,21 +2,21 @@
 //! restarts.
 //!
 //! Nothing here sleeps or opens a socket: time is a number, randomness comes from a seed, and the same seed gives
-//! the same run. The state machines are the very ones that run over sockets elsewhere.
+//! the same run. The state machines are the same ones that run over sockets in production.
 
 use oorandom::Rand64;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
-/// Nanoseconds since the start of the run, or on a host's own clock.
+/// Nanoseconds since the start of the run, or on the clock of one host.
 pub type Nanos = u64;
-/// A host's index, in the order of joining.
+/// The index of a host, in the order of joining.
 pub type Id = usize;
 
-/// Datagrams that wait at a paused host, at most; more are dropped, as by a socket's buffer.
+/// Most datagrams that are buffered for a paused host; further ones are dropped, as by a full socket buffer.
 const MAX_BUFFERED: usize = 512;
 
-/// A state machine with its codec. Times are on its own clock.
+/// A state machine with its codec, as the network runs it. All times are on the clock of its host.
 pub trait Host {
     /// Receives a datagram.
     fn receive_datagram(&mut self, now: Nanos, bytes: &[u8]);
@@ -35,7 +35,7 @@
     pub loss: f64,
     /// Share of datagrams that arrive twice, from 0 to 1.
     pub duplicate: f64,
-    /// Least and greatest delay of a datagram.
+    /// Smallest and largest delay of a datagram, in nanoseconds.
     pub delay: (Nanos, Nanos),
 }
 
@@ -49,30 +49,30 @@
     }
 }
 
-/// A host's own clock.
+/// The clock of a host.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Clock {
-    /// What it showed at the start of the run.
+    /// Its reading at the start of the run.
     pub began: Nanos,
-    /// By how many hosts per million it runs fast.
+    /// How fast it runs, in parts per million; negative where it is slow.
     pub drift_ppm: i64,
 }
 
 impl Clock {
-    /// What the clock shows at a time of the run.
-    fn own(&self, time: Nanos) -> Nanos {
+    /// The clock's reading at a time of the run.
+    fn reading_at(&self, time: Nanos) -> Nanos {
         self.began + (time as i128 * (1_000_000 + self.drift_ppm as i128) / 1_000_000) as Nanos
     }
 
-    /// The first moment at which the host's clock shows at least this.
-    fn when(&self, own: Nanos) -> Nanos {
+    /// The first time of the run at which the clock reads at least this.
+    fn time_of(&self, reading: Nanos) -> Nanos {
         let rate = 1_000_000 + self.drift_ppm as i128;
-        let ran = own.saturating_sub(self.began) as i128;
-        ((ran * 1_000_000 + rate - 1) / rate) as Nanos
+        let elapsed = reading.saturating_sub(self.began) as i128;
+        ((elapsed * 1_000_000 + rate - 1) / rate) as Nanos
     }
 }
 
-/// What became of a datagram, and when.
+/// How one step in the delivery of a datagram ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DatagramOutcome {
     /// Stopped by a partition, or no host has that address.
@@ -81,7 +81,7 @@
     Lost,
     /// Sent; holds the number of copies.
     Sent(usize),
-    /// Received by a host that runs.
+    /// Received by a running host.
     Received,
     /// Buffered, as its receiver is paused.
     Buffered,
@@ -92,40 +92,40 @@
 /// An entry of [`Net::datagram_log`].
 #[derive(Clone, Debug)]
 pub struct DatagramEvent {
-    /// When it happened.
+    /// When it happened, as a time of the run.
     pub at: Nanos,
     /// The sender; none on arrival, as a datagram in transit does not name it.
     pub from: Option<Id>,
     /// The receiver, if a host has that address.
     pub to: Option<Id>,
-    /// What became of the datagram.
+    /// How the step ended.
     pub outcome: DatagramOutcome,
     /// The datagram.
     pub bytes: Vec<u8>,
 }
 
-/// Least and greatest delay of a datagram from the first host to the second.
+/// Smallest and largest delay of a datagram from the first host to the second, in nanoseconds.
 pub type Delay = Box<dyn Fn(Id, Id) -> (Nanos, Nanos)>;
 
-/// A host with its address and clock, dead or alive.
+/// A host's address, clock and buffer, whether it runs or not.
 struct Slot<P> {
     host: Option<P>,
-    at: SocketAddr,
+    address: SocketAddr,
     clock: Clock,
     paused: bool,
     buffer: VecDeque<Vec<u8>>,
-    /// Its entry in [`Net::wakes`].
+    /// The time of its entry in [`Net::wakes`].
     wakes_at: Option<Nanos>,
 }
 
-/// When a datagram arrives; those of one moment in the order of sending.
+/// When a datagram arrives; datagrams with the same time arrive in the order of sending.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Arrival {
     at: Nanos,
     sequence: u64,
 }
 
-/// The way from one host to another.
+/// A direction between two hosts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Link {
     from: Id,
@@ -143,16 +143,17 @@
     now: Nanos,
     slots: Vec<Slot<P>>,
     by_address: BTreeMap<SocketAddr, Id>,
-    /// Datagrams in transit, by arrival. Bounded by what the hosts send within the greatest delay.
+    /// Datagrams in transit, by arrival. Bounded by what the hosts send within the largest delay.
     in_transit: BTreeMap<Arrival, Datagram>,
     /// Copies sent so far.
     sequence: u64,
-    /// When each host that is not paused wakes next; those in `touched` are updated before the next step.
+    /// When the next timer of each host that is not paused is due; entries of `touched` hosts are updated before the next
+    /// step.
     wakes: BTreeSet<(Nanos, Id)>,
     touched: Vec<Id>,
     /// Faults that apply to all datagrams.
     pub faults: NetworkFaults,
-    /// Takes precedence over the delay in `faults`, as zones and regions lie apart.
+    /// Takes precedence over the delay in `faults`, so that delays can depend on zones and regions.
     pub delay: Option<Delay>,
     /// One-way partitions.
     cut: BTreeSet<Link>,
@@ -163,7 +164,7 @@
     pub sent_bytes: u64,
     /// Datagrams that did not reach their receiver.
     pub lost: u64,
-    /// What became of each datagram, if set; whoever sets it empties it.
+    /// Records the delivery of each datagram, if set. Whoever sets it must empty it.
     pub datagram_log: Option<Vec<DatagramEvent>>,
 }
 
@@ -189,7 +190,7 @@
         }
     }
 
-    fn write(&mut self, from: Option<Id>, to: Option<Id>, outcome: DatagramOutcome, bytes: &[u8]) {
+    fn record(&mut self, from: Option<Id>, to: Option<Id>, outcome: DatagramOutcome, bytes: &[u8]) {
         if let Some(datagram_log) = &mut self.datagram_log {
             datagram_log.push(DatagramEvent {
                 at: self.now,
@@ -201,7 +202,7 @@
         }
     }
 
-    /// The address of the nth host, for whoever must name it before it joins.
+    /// The address of the host with this index, also before it joins.
     pub fn address(id: Id) -> SocketAddr {
         SocketAddr::from(([10, (id >> 16) as u8, (id >> 8) as u8, id as u8], 7_000))
     }
@@ -211,25 +212,25 @@
         self.now
     }
 
-    /// What a host's clock shows.
+    /// The reading of a host's clock.
     pub fn own_time(&self, id: Id) -> Nanos {
-        self.slots[id].clock.own(self.now)
+        self.slots[id].clock.reading_at(self.now)
     }
 
-    /// Adds a host; `make` gets its own time and its address.
+    /// Adds a host; `make` gets the reading of its clock and its address.
     pub fn join(&mut self, clock: Clock, make: impl FnOnce(Nanos, SocketAddr) -> P) -> Id {
-        let (id, at) = (self.slots.len(), Self::address(self.slots.len()));
-        let host = Some(make(clock.own(self.now), at));
+        let (id, address) = (self.slots.len(), Self::address(self.slots.len()));
+        let host = Some(make(clock.reading_at(self.now), address));
         let buffer = VecDeque::new();
         self.slots.push(Slot {
             host,
-            at,
+            address,
             clock,
             paused: false,
             buffer,
             wakes_at: None,
         });
-        self.by_address.insert(at, id);
+        self.by_address.insert(address, id);
         self.touched.push(id);
         id
     }
@@ -239,29 +240,29 @@
         self.slots[id].host.as_ref()
     }
 
-    /// A host, unless it is dead; its timers are read anew before the next step.
+    /// A host, unless it is dead; the time of its next timer is read again before the next step.
     pub fn host_mut(&mut self, id: Id) -> Option<&mut P> {
         self.touched.push(id);
         self.slots[id].host.as_mut()
     }
 
-    /// All hosts, dead ones too.
+    /// All hosts, including dead ones.
     pub fn ids(&self) -> impl Iterator<Item = Id> + use<P> {
         0..self.slots.len()
     }
 
-    /// Kills a host, with what was buffered for it.
+    /// Kills a host and drops what was buffered for it.
     pub fn kill(&mut self, id: Id) {
         self.slots[id].host = None;
         self.slots[id].buffer.clear();
         self.touched.push(id);
     }
 
-    /// Starts a host anew at its address.
+    /// Restarts a host at its address.
     pub fn restart(&mut self, id: Id, make: impl FnOnce(Nanos, SocketAddr) -> P) {
         let own = self.own_time(id);
         let slot = &mut self.slots[id];
-        slot.host = Some(make(own, slot.at));
+        slot.host = Some(make(own, slot.address));
         slot.paused = false;
         self.touched.push(id);
     }
@@ -272,11 +273,11 @@
         self.touched.push(id);
     }
 
-    /// Runs a paused host again, with what was buffered.
+    /// Resumes a paused host and delivers what was buffered.
     pub fn unpause(&mut self, id: Id) {
         self.slots[id].paused = false;
         let own = self.own_time(id);
-        // As a loop does on waking: timers first, then what lies in the socket.
+        // As an event loop does when it resumes: timers first, then the datagrams in the socket buffer.
         if let Some(host) = &mut self.slots[id].host {
             host.wake(own);
         }
@@ -288,12 +289,12 @@
         self.post(id);
     }
 
-    /// Partitions one way: nothing from the first reaches the second.
+    /// Partitions one direction: nothing from the first host reaches the second.
     pub fn cut(&mut self, from: Id, to: Id) {
         self.cut.insert(Link { from, to });
     }
 
-    /// Partitions both ways between the groups; hosts in no group reach all.
+    /// Partitions both directions between the groups; hosts in no group reach all others.
     pub fn split(&mut self, groups: &[&[Id]]) {
         for (n, group) in groups.iter().enumerate() {
             for other in groups.iter().skip(n + 1) {
@@ -313,11 +314,11 @@
         self.cut.clear();
     }
 
-    /// Runs to a time. `look` is called after each step with the host that moved.
-    pub fn run(&mut self, until: Nanos, mut look: impl FnMut(&mut Net<P>, Id)) {
+    /// Runs until a time. `observe` is called after each step with the host that ran.
+    pub fn run(&mut self, until: Nanos, mut observe: impl FnMut(&mut Net<P>, Id)) {
         while let Some((time, next)) = self.next().filter(|(time, _)| *time <= until) {
             self.now = self.now.max(time);
-            let moved = match next {
+            let id = match next {
                 Some(id) => {
                     let own = self.own_time(id);
                     if let Some(host) = &mut self.slots[id].host {
@@ -327,16 +328,16 @@
                 }
                 None => self.arrive(),
             };
-            self.post(moved);
-            look(self, moved);
+            self.post(id);
+            observe(self, id);
         }
         self.now = self.now.max(until);
     }
 
-    /// What comes next: a host's wake, or a datagram (no host) where that is due no later.
+    /// The next step: a host's timer, or the arrival of a datagram (`None`) if that is due no later.
     fn next(&mut self) -> Option<(Nanos, Option<Id>)> {
         while let Some(id) = self.touched.pop() {
-            self.enter_wake(id);
+            self.schedule_wake(id);
         }
         let wake = self.wakes.first().map(|(time, id)| (*time, Some(*id)));
         let arrival = self.in_transit.keys().next().map(|next| (next.at, None));
@@ -346,13 +347,13 @@
         }
     }
 
-    /// Enters when the host wakes next, in slot of what stood there.
-    fn enter_wake(&mut self, id: Id) {
+    /// Replaces the entry for the host's next timer.
+    fn schedule_wake(&mut self, id: Id) {
         let slot = &mut self.slots[id];
         let host = slot.host.as_ref().filter(|_| !slot.paused);
         let due = host
             .and_then(Host::next_wake)
-            .map(|own| slot.clock.when(own).max(self.now));
+            .map(|reading| slot.clock.time_of(reading).max(self.now));
         if let Some(before) = std::mem::replace(&mut slot.wakes_at, due) {
             self.wakes.remove(&(before, id));
         }
@@ -380,7 +381,7 @@
             } if buffer.len() < MAX_BUFFERED => DatagramOutcome::Buffered,
             _ => DatagramOutcome::Dropped,
         };
-        self.write(None, Some(to), outcome, &bytes);
+        self.record(None, Some(to), outcome, &bytes);
         let slot = &mut self.slots[to];
         match (&mut slot.host, outcome) {
             (Some(host), DatagramOutcome::Received) => host.receive_datagram(own, &bytes),
@@ -390,14 +391,14 @@
         to
     }
 
-    /// Takes what a host has to send and sends it.
+    /// Sends all datagrams that a host has ready.
     pub fn post(&mut self, from: Id) {
         self.touched.push(from);
         while let Some((at, bytes)) = self.slots[from].host.as_mut().and_then(Host::datagram) {
             self.sent += 1;
             self.sent_bytes += bytes.len() as u64;
-            let named = self.by_address.get(&at).copied();
-            let to = named.filter(|to| !self.cut.contains(&Link { from, to: *to }));
+            let destination = self.by_address.get(&at).copied();
+            let to = destination.filter(|to| !self.cut.contains(&Link { from, to: *to }));
             let Some(to) = to.filter(|_| self.random.rand_float() >= self.faults.loss) else {
                 self.lost += 1;
                 let outcome = if to.is_some() {
@@ -405,11 +406,11 @@
                 } else {
                     DatagramOutcome::Partitioned
                 };
-                self.write(Some(from), named, outcome, &bytes);
+                self.record(Some(from), destination, outcome, &bytes);
                 continue;
             };
             let copies = 1 + (self.random.rand_float() < self.faults.duplicate) as usize;
-            self.write(Some(from), Some(to), DatagramOutcome::Sent(copies), &bytes);
+            self.record(Some(from), Some(to), DatagramOutcome::Sent(copies), &bytes);
             for _ in 0..copies {
                 self.send_copy(from, to, bytes.clone());
             }
@@ -417,11 +418,11 @@
     }
 
     fn send_copy(&mut self, from: Id, to: Id, bytes: Vec<u8>) {
-        let (least, greatest) = match &self.delay {
+        let (min, max) = match &self.delay {
             Some(delay) => delay(from, to),
             None => self.faults.delay,
         };
-        let delay = self.random.rand_range(least..greatest.max(least) + 1);
+        let delay = self.random.rand_range(min..max.max(min) + 1);
         self.sequence += 1;
         let arrival = Arrival {
             at: self.now + delay,
@@ -435,22 +436,22 @@
 mod tests {
     use super::*;
 
-    /// Sends its own number to a partner each second and keeps what comes.
-    struct Caller {
+    /// Sends its own number to a peer each second and keeps what it receives.
+    struct PeriodicSender {
         to: SocketAddr,
         next: Nanos,
         out: VecDeque<(SocketAddr, Vec<u8>)>,
-        came: Vec<(Nanos, u8)>,
-        says: u8,
+        received: Vec<(Nanos, u8)>,
+        number: u8,
     }
 
-    impl Host for Caller {
+    impl Host for PeriodicSender {
         fn receive_datagram(&mut self, now: Nanos, bytes: &[u8]) {
-            self.came.push((now, bytes[0]));
+            self.received.push((now, bytes[0]));
         }
         fn wake(&mut self, now: Nanos) {
             while self.next <= now {
-                self.out.push_back((self.to, vec![self.says]));
+                self.out.push_back((self.to, vec![self.number]));
                 self.next += 1_000_000_000;
             }
         }
@@ -462,54 +463,67 @@
         }
     }
 
-    fn pair(faults: NetworkFaults) -> Net<Caller> {
+    fn pair(faults: NetworkFaults) -> Net<PeriodicSender> {
         let mut net = Net::new(3, faults);
         for n in 0..2 {
-            let to = Net::<Caller>::address(1 - n);
+            let to = Net::<PeriodicSender>::address(1 - n);
             let clock = Clock {
                 began: 5_000_000_000 * n as Nanos,
                 drift_ppm: 100_000 * n as i64,
             };
-            net.join(clock, |now, _| Caller {
+            net.join(clock, |now, _| PeriodicSender {
                 to,
                 next: now,
                 out: VecDeque::new(),
-                came: vec![],
-                says: n as u8,
+                received: vec![],
+                number: n as u8,
             });
         }
         net
     }
 
     #[test]
-    fn faults_do_what_they_say_and_a_seed_plays_the_same_run() {
+    fn faults_affect_delivery_and_a_seed_repeats_the_same_run() {
         let second = 1_000_000_000;
-        let play = || {
+        let run = || {
             let mut net = pair(NetworkFaults {
                 loss: 0.3,
                 duplicate: 0.2,
                 ..NetworkFaults::default()
             });
             net.run(100 * second, |_, _| {});
-            [0, 1].map(|id| net.host(id).unwrap().came.clone())
+            [0, 1].map(|id| net.host(id).unwrap().received.clone())
         };
-        assert_eq!(play(), play());
+        assert_eq!(run(), run());
         let mut net = pair(NetworkFaults::default());
         net.run(100 * second, |_, _| {});
-        let came = |net: &Net<Caller>, id: Id| net.host(id).unwrap().came.len();
-        // The second one's clock runs a tenth fast; what was sent at the last moment is under way.
-        assert_eq!((came(&net, 0), came(&net, 1)), (110, 100));
+        let received_count =
+            |net: &Net<PeriodicSender>, id: Id| net.host(id).unwrap().received.len();
+        // The clock of the second host runs a tenth fast; datagrams sent at the last moment are in transit.
+        assert_eq!(
+            (received_count(&net, 0), received_count(&net, 1)),
+            (110, 100)
+        );
         net.cut(0, 1);
         net.run(110 * second, |_, _| {});
-        assert_eq!((came(&net, 0), came(&net, 1)), (121, 101));
+        assert_eq!(
+            (received_count(&net, 0), received_count(&net, 1)),
+            (121, 101)
+        );
         net.heal();
         net.pause(1);
         net.run(120 * second, |_, _| {});
-        assert_eq!((came(&net, 0), came(&net, 1)), (122, 101));
+        assert_eq!(
+            (received_count(&net, 0), received_count(&net, 1)),
+            (122, 101)
+        );
         net.unpause(1);
-        // It hears at once what lay there, and says late what was due.
+        // The host receives the buffered datagrams at once, and sends the overdue ones late.
         net.run(121 * second, |_, _| {});
-        assert_eq!((came(&net, 0), came(&net, 1)), (134, 111));
+        assert_eq!(
+            (received_count(&net, 0), received_count(&net, 1)),
+            (134, 111)
+        );
         net.kill(1);
         net.run(130 * second, |_, _| {});
         assert!(net.lost >= 9);
--- a/crates/emulator/src/relay.rs
+++ b/crates/emulator/src/relay.rs
@@ -1,8 +1,9 @@
-//! Relays of datagrams between processes on loopback: what a network does to them, without any privilege.
+//! Relays between processes on loopback that inject network faults, without any privilege.
 //!
-//! Each process tells others the address of its relay and gets from there what is meant for it. Who sent a datagram
-//! shows from its source, so that every direction between two processes can be cut, slowed or thinned by itself. Streams
-//! are carried on demand; who opened one does not show, so that any cut towards a process cuts all streams to it.
+//! Each process advertises the address of its relay, and the relay forwards to the process what arrives there. The source
+//! address of a datagram identifies its sender, so datagrams can be cut in each direction between two processes. Streams
+//! are relayed on demand. The relay cannot tell which process opened a stream, so any cut towards a process cuts all
+//! streams to it.
 
 use havenplank_membership::port_pair::PortPair;
 use oorandom::Rand64;
@@ -17,132 +18,141 @@
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
-/// On loopback, at a port that the system chooses.
+/// A loopback address with a port that the system chooses.
 const ANY_PORT: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
-const LONGEST: usize = 65_536;
-/// Datagrams that are held back at once, at most; what comes on top is lost.
-const HELD: usize = 10_000;
+/// Size of the receive buffer, which holds the longest datagram, in bytes.
+const MAX_DATAGRAM_BYTES: usize = 65_536;
+/// Most datagrams that are delayed at one time; further ones are lost.
+const MAX_DELAYED: usize = 10_000;
 
-/// How soon a cut ends the streams that are open.
-const CUT_LOOK: Duration = Duration::from_millis(5);
+/// How often an open stream checks whether it has been cut.
+const CUT_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// What happens to datagrams that are not cut.
+/// Faults of the network, for datagrams that are not cut.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct NetworkFaults {
-    /// Share lost, and share that comes twice.
+    /// Share of datagrams that are lost, from 0 to 1.
     pub loss: f64,
+    /// Share of datagrams that arrive twice, from 0 to 1.
     pub duplicate: f64,
-    /// Each waits up to this long, by chance, and so overtakes others.
+    /// Largest delay. Each datagram gets a random one up to it, so datagrams may arrive out of order.
     pub delay: Duration,
 }
 
+/// The state that all relays share.
 struct Table {
-    /// Which process a source address belongs to, and where each has its own socket.
+    /// The process that sends from each source address.
     sources: HashMap<SocketAddr, usize>,
+    /// The address of each process's own socket.
     targets: Vec<Option<SocketAddr>>,
+    /// Cut directions, as sender and receiver.
     cut: HashSet<(usize, usize)>,
     faults: NetworkFaults,
-    chance: Rand64,
-    held: usize,
-    carried: u64,
+    random: Rand64,
+    /// Datagrams that are being delayed.
+    delayed: usize,
+    forwarded: u64,
     lost: u64,
 }
 
-/// The relays of a group of processes, one each, numbered from 0.
+/// The relays of a group of processes, one for each, numbered from 0.
 pub struct Relays {
     table: Rc<RefCell<Table>>,
-    at: Vec<SocketAddr>,
+    addresses: Vec<SocketAddr>,
 }
 
 impl Relays {
-    /// Binds relays that carry datagrams and refuse streams. Needs a `LocalSet` or `LocalRuntime`; the relays end with it.
+    /// Binds relays that forward datagrams and refuse streams. Needs a `LocalSet` or `LocalRuntime`; the relays end with
+    /// it.
     ///
     /// # Errors
-    /// No sockets to be had.
-    pub async fn bind(many: usize, seed: u64) -> io::Result<Relays> {
-        let mut relays = Relays::new(many, seed);
-        for to in 0..many {
+    /// A socket cannot be bound.
+    pub async fn bind(count: usize, seed: u64) -> io::Result<Relays> {
+        let mut relays = Relays::new(count, seed);
+        for to in 0..count {
             let socket = UdpSocket::bind(ANY_PORT).await?;
-            relays.carry_datagrams(socket, to)?;
+            relays.forward_datagrams(socket, to)?;
         }
         Ok(relays)
     }
 
-    /// Binds relays that carry datagrams and, on the same ports, streams.
+    /// Binds relays that forward datagrams and, on the same ports, streams.
     ///
     /// # Errors
-    /// No sockets to be had.
-    pub async fn bind_with_streams(many: usize, seed: u64) -> io::Result<Relays> {
-        let mut relays = Relays::new(many, seed);
-        for to in 0..many {
+    /// A socket cannot be bound.
+    pub async fn bind_with_streams(count: usize, seed: u64) -> io::Result<Relays> {
+        let mut relays = Relays::new(count, seed);
+        for to in 0..count {
             let pair = PortPair::bind(ANY_PORT).await?;
-            relays.carry_datagrams(pair.datagrams, to)?;
+            relays.forward_datagrams(pair.datagrams, to)?;
             spawn_local(relay_streams(relays.table.clone(), pair.streams, to));
         }
         Ok(relays)
     }
 
-    fn new(many: usize, seed: u64) -> Relays {
+    fn new(count: usize, seed: u64) -> Relays {
         let table = Table {
             sources: HashMap::new(),
-            targets: vec![None; many],
+            targets: vec![None; count],
             cut: HashSet::new(),
             faults: NetworkFaults::default(),
-            chance: Rand64::new(seed as u128),
-            held: 0,
-            carried: 0,
+            random: Rand64::new(seed as u128),
+            delayed: 0,
+            forwarded: 0,
             lost: 0,
         };
         Relays {
             table: Rc::new(RefCell::new(table)),
-            at: Vec::new(),
+            addresses: Vec::new(),
         }
     }
 
-    fn carry_datagrams(&mut self, socket: UdpSocket, to: usize) -> io::Result<()> {
-        self.at.push(socket.local_addr()?);
+    fn forward_datagrams(&mut self, socket: UdpSocket, to: usize) -> io::Result<()> {
+        self.addresses.push(socket.local_addr()?);
         spawn_local(relay(self.table.clone(), Rc::new(socket), to));
         Ok(())
     }
 
-    /// What others must be told as the address of a process.
+    /// The address that a process advertises to others: that of its relay.
     pub fn address(&self, id: usize) -> SocketAddr {
-        self.at[id]
+        self.addresses[id]
     }
 
-    /// Where a process has its own socket now; a later life of it may have another.
-    pub fn set_target(&self, id: usize, own: SocketAddr) {
+    /// Sets the address of a process's own socket; after a restart it may be another.
+    pub fn set_target(&self, id: usize, address: SocketAddr) {
         let mut table = self.table.borrow_mut();
         table.sources.retain(|_, known| *known != id);
-        table.sources.insert(own, id);
-        table.targets[id] = Some(own);
+        table.sources.insert(address, id);
+        table.targets[id] = Some(address);
     }
 
-    /// From the first nothing reaches the second.
+    /// Cuts one direction: nothing from the first process reaches the second.
     pub fn cut(&self, from: usize, to: usize) {
         self.table.borrow_mut().cut.insert((from, to));
     }
 
-    /// Both ways, between one and all others.
+    /// Cuts both directions between one process and all others.
     pub fn isolate(&self, id: usize) {
-        for other in (0..self.at.len()).filter(|other| *other != id) {
+        for other in (0..self.addresses.len()).filter(|other| *other != id) {
             self.cut(id, other);
             self.cut(other, id);
         }
     }
 
+    /// Ends all cuts.
     pub fn heal(&self) {
         self.table.borrow_mut().cut.clear();
     }
 
+    /// Replaces the faults of the network.
     pub fn set_faults(&self, faults: NetworkFaults) {
         self.table.borrow_mut().faults = faults;
     }
 
-    /// Datagrams carried and lost so far.
+    /// Datagrams forwarded and lost so far.
     pub fn counts(&self) -> (u64, u64) {
         let table = self.table.borrow();
-        (table.carried, table.lost)
+        (table.forwarded, table.lost)
     }
 }
 
@@ -154,63 +164,65 @@
         let table = table.clone();
         spawn_local(async move {
             tokio::select! {
-                () = carry(&table, stream, to) => {}
+                () = forward_stream(&table, stream, to) => {}
                 () = until_cut(&table, to) => {}
             }
         });
     }
 }
 
-async fn carry(table: &RefCell<Table>, mut stream: TcpStream, to: usize) {
+async fn forward_stream(table: &RefCell<Table>, mut stream: TcpStream, to: usize) {
     let target = table.borrow().targets[to];
     let Some(target) = target else { return };
-    if let Ok(mut onwards) = TcpStream::connect(target).await {
-        // A stream that breaks is the loss of what it carried, which the processes are to bear.
-        let _ = copy_bidirectional(&mut stream, &mut onwards).await;
+    if let Ok(mut upstream) = TcpStream::connect(target).await {
+        // An error breaks the stream on both sides, which the processes must cope with.
+        let _ = copy_bidirectional(&mut stream, &mut upstream).await;
     }
 }
 
+/// Waits until some direction towards a process is cut.
 async fn until_cut(table: &RefCell<Table>, to: usize) {
     while !table.borrow().cut.iter().any(|(_, target)| *target == to) {
-        sleep(CUT_LOOK).await;
+        sleep(CUT_CHECK_INTERVAL).await;
     }
 }
 
 async fn relay(table: Rc<RefCell<Table>>, socket: Rc<UdpSocket>, to: usize) {
-    let mut bytes = vec![0; LONGEST];
+    let mut bytes = vec![0; MAX_DATAGRAM_BYTES];
     loop {
-        // An error tells of an earlier datagram that found nobody.
+        // The error belongs to an earlier datagram, whose receiver had no socket.
         let Ok((length, source)) = socket.recv_from(&mut bytes).await else {
             continue;
         };
-        let (target, copies, delay) = {
+        let (target, copies, delays) = {
             let mut table = table.borrow_mut();
             let from = table.sources.get(&source).copied();
-            let through = from
+            let target = from
                 .filter(|from| !table.cut.contains(&(*from, to)))
                 .and(table.targets[to]);
-            let lost = table.chance.rand_float() < table.faults.loss || table.held >= HELD;
-            let Some(target) = through.filter(|_| !lost) else {
+            let lost =
+                table.random.rand_float() < table.faults.loss || table.delayed >= MAX_DELAYED;
+            let Some(target) = target.filter(|_| !lost) else {
                 table.lost += 1;
                 continue;
             };
-            table.carried += 1;
-            let copies = 1 + (table.chance.rand_float() < table.faults.duplicate) as usize;
+            table.forwarded += 1;
+            let copies = 1 + (table.random.rand_float() < table.faults.duplicate) as usize;
             let delays: Vec<Duration> = (0..copies)
-                .map(|_| table.faults.delay.mul_f64(table.chance.rand_float()))
+                .map(|_| table.faults.delay.mul_f64(table.random.rand_float()))
                 .collect();
-            table.held += copies;
+            table.delayed += copies;
             (target, copies, delays)
         };
-        let all = bytes[..length].to_vec();
-        for delay in delay.into_iter().take(copies) {
-            let (table, socket, all) = (table.clone(), socket.clone(), all.clone());
+        let datagram = bytes[..length].to_vec();
+        for delay in delays.into_iter().take(copies) {
+            let (table, socket, datagram) = (table.clone(), socket.clone(), datagram.clone());
             let send = async move {
                 if !delay.is_zero() {
                     sleep(delay).await;
                 }
-                let _ = socket.send_to(&all, target).await;
-                table.borrow_mut().held -= 1;
+                let _ = socket.send_to(&datagram, target).await;
+                table.borrow_mut().delayed -= 1;
             };
             spawn_local(send);
         }
--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -1,4 +1,4 @@
-//! Plays a scenario: emulated services in this process, sidecars as child processes, and scripted faults.
+//! Runs a scenario: emulated services in this process, sidecars as child processes, and injected faults.
 
 use crate::clients::{ClassOutcomes, Clients, Target};
 use crate::control_plane::{ControlPlane, ReleaseRules};
@@ -21,13 +21,13 @@
 
 pub use crate::sidecars::{settings_values, Launch, ScenarioError};
 
-/// How long after its time is up a final answer still counts.
+/// How long after the client's timeout a final answer is still accepted, in nanoseconds.
 const ANSWER_SLACK: Nanos = 20_000_000;
-/// How late the other side may see something.
+/// Longest delay between sending something and its receipt by the other side, in nanoseconds.
 const TRANSIT: Nanos = 50_000_000;
 /// How often the fleet removes dead pods and updates how much pods slow each other.
 const FLEET_UPDATE_INTERVAL: Duration = Duration::from_millis(200);
-/// How often progress is told.
+/// How often progress is reported.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
 
 /// The result of a scenario.
@@ -38,28 +38,28 @@
     pub lost: u64,
     /// Outcomes by route class.
     pub outcomes: Vec<ClassOutcomes>,
-    /// Requests sent to sidecars, retries of clients counted.
+    /// Requests sent to sidecars, including retries of clients.
     pub attempts: u64,
-    /// What happened to builds, a line each.
+    /// The history of the builds, one line per event.
     pub release_log: Vec<String>,
-    /// Votes that sidecars logged, by vote.
+    /// Number of votes that sidecars logged, by vote.
     pub votes: BTreeMap<String, u64>,
-    /// Faults of the sidecar processes, a line each.
+    /// Faults of the sidecar processes that the scenario did not inject, one line each.
     pub unexpected_faults: Vec<String>,
 }
 
-/// The figures that the invariants are checked by, from the settings that sidecars get.
+/// The parameters of the invariants, from the settings of the sidecars.
 pub fn rule_parameters(site: &Site) -> RuleParameters {
-    let group = |group: &RouteClassSettings| {
+    let class_rules = |class: &RouteClassSettings| {
         ClassRules::new(
-            &group.name,
-            group.rules.idempotency,
-            group.rules.dedup_scope,
-            group.rules.dedup_window,
+            &class.name,
+            class.rules.idempotency,
+            class.rules.dedup_scope,
+            class.rules.dedup_window,
         )
     };
     RuleParameters {
-        classes: site.route_classes.iter().map(group).collect(),
+        classes: site.route_classes.iter().map(class_rules).collect(),
         drain_grace: site.pods.drain_grace,
         overload_multiple: site.pods.overload_multiple,
         overload_window: site.pods.overload_window,
@@ -69,10 +69,10 @@
     }
 }
 
-/// Plays a scenario to its end. `on_progress` is called once a second with the time and a line for a terminal.
+/// Runs a scenario to its end. `on_progress` is called once a second with the time and a line for a terminal.
 ///
 /// # Errors
-/// No sockets to be had, or a sidecar that does not start.
+/// A socket cannot be bound, or a sidecar does not start.
 pub async fn run(
     scenario: Scenario,
     site: Site,
@@ -87,11 +87,11 @@
     Ok(running.finish().await)
 }
 
-/// A scenario that runs.
+/// A running scenario.
 struct Running {
     ledger: LedgerWriter,
     injector: FaultInjector,
-    /// The emulated services and the faults; ended when dropped.
+    /// The emulated services and the faults; aborted when dropped.
     tasks: JoinSet<()>,
 }
 
@@ -142,8 +142,8 @@
         let injector = FaultInjector {
             sidecars,
             fleet,
-            endpoint_list: endpoint_list,
-            control_plane: control_plane,
+            endpoint_list,
+            control_plane,
             clients,
         };
         Ok(Running {
@@ -165,7 +165,7 @@
         }
     }
 
-    /// Runs the clients to their end, and tells of progress meanwhile.
+    /// Runs the clients to their end, and reports progress meanwhile.
     async fn run_clients(&self, began: Instant, mut on_progress: impl FnMut(Nanos, String)) {
         let clients = self.injector.clients.clone();
         let mut run = spawn_local(async move { clients.run().await });
@@ -183,7 +183,7 @@
         let outcomes = self.injector.clients.outcomes.borrow();
         let sum = |of: fn(&ClassOutcomes) -> u64| outcomes.iter().map(of).sum::<u64>();
         format!(
-            "{} pods, {} asked, {} in time, {} bounced, {} errored",
+            "{} pods, {} requests, {} in time, {} rejected, {} failed",
             self.injector.fleet.running().len(),
             sum(|f| f.requests),
             sum(|f| f.in_time),
@@ -224,20 +224,20 @@
     seed: u64,
     ledger: LedgerWriter,
 ) -> Result<Rc<Fleet>, ScenarioError> {
-    let served = |group: &RouteClassSettings| ServedClass {
-        scope: group.rules.dedup_scope,
-        keyed: group.rules.idempotency == Idempotency::Keyed,
-        dedup_window: group.rules.dedup_window,
+    let served_class = |class: &RouteClassSettings| ServedClass {
+        scope: class.rules.dedup_scope,
+        keyed: class.rules.idempotency == Idempotency::Keyed,
+        dedup_window: class.rules.dedup_window,
     };
     let machine = site.machines.first().map_or("machine", String::as_str);
     let overload = (site.pods.overload_multiple, site.pods.overload_window);
-    let classes = site.route_classes.iter().map(served).collect();
+    let classes = site.route_classes.iter().map(served_class).collect();
     let fleet = Fleet::new(scenario, classes, machine, overload, seed, ledger);
     fleet.start_initial_pods(scenario.pods).await?;
     Ok(fleet)
 }
 
-/// The emulated control plane, with the terms of the sidecars' settings.
+/// The emulated control plane, with the release rules of the sidecars' settings.
 fn control_plane(
     scenario: &Scenario,
     site: &Site,
@@ -277,7 +277,8 @@
     }
 }
 
-/// A listener at a port that the system chooses. It is kept until it is served on: a port that is let go may be taken.
+/// Binds a port that the system chooses. The listener is kept until it is served: another process could take a port that
+/// is released meanwhile.
 async fn loopback_listener() -> std::io::Result<TcpListener> {
     TcpListener::bind("127.0.0.1:0").await
 }
--- a/crates/emulator/src/scenario_file.rs
+++ b/crates/emulator/src/scenario_file.rs
@@ -1,6 +1,6 @@
-//! Scenario files: who is there and what goes wrong when, a statement a line, in a notation of our own.
+//! Parses scenario files: what runs and which faults are injected when, one statement per line.
 //!
-//! docs/running.md lists the statements. `#` begins a comment. A mistake is told with its line and column.
+//! docs/running.md lists the statements. `#` begins a comment. Errors name the line and the column.
 
 use crate::pod::Faults;
 use havenplank::interface::{Build, Nanos};
@@ -12,90 +12,128 @@
 
 type ParseResult<T> = Result<T, ErrMode<ContextError>>;
 
-/// FaultKind a scenario is made of.
+/// A scenario: what runs, under which load, and which faults are injected. Times are in nanoseconds.
 #[derive(Clone, Debug)]
 pub struct Scenario {
-    /// The settings script of its sidecars, as seen from the scenario file.
+    /// Path of the sidecars' settings script, relative to the scenario file.
     pub settings: String,
+    /// How long clients send requests.
     pub length: Nanos,
-    /// Hits a second that clients ask for, their own retries not counted.
+    /// Requests per second that clients send, retries not counted.
     pub rate: f64,
+    /// Number of sidecars.
     pub sidecars: usize,
+    /// Number of pods of a complete release.
     pub pods: usize,
+    /// Requests that a pod runs at one time.
     pub cores: usize,
+    /// Nanoseconds of work that a warm core does in a nanosecond.
     pub speed: f64,
+    /// Most requests that wait for a core of a pod.
     pub queue: usize,
+    /// Share of its capacity that a pod has at its start.
     pub initial_capacity: f64,
+    /// How long the slow start of a pod takes.
     pub warm_up: Nanos,
+    /// The zones that pods and sidecars are spread over.
     pub zones: Vec<String>,
+    /// The load by route class.
     pub loads: Vec<Load>,
-    /// The share of the pods that each stage gets.
+    /// The share of the pods that run a build on trial, by stage.
     pub stages: Vec<f64>,
+    /// The builds that the control plane offers.
     pub offers: Vec<Offer>,
+    /// What moves stages: `any`, `count` or `clock`.
     pub control: String,
+    /// Share of the sidecars whose votes advance a stage.
     pub advance_quorum: f64,
+    /// Share of the sidecars whose votes roll a build back.
     pub rollback_quorum: f64,
-    /// How late the list tells of a change, and how often it looks.
+    /// How long after a change of the pods the endpoint list announces it.
     pub endpoint_list_delay: Nanos,
+    /// How often the endpoint list is checked for changes.
     pub endpoint_list_interval: Nanos,
-    /// Shares of clients that try again, that heed advice to come back, and that leave early.
+    /// Share of clients that retry.
     pub retry: f64,
+    /// Share of clients that heed the advice when to retry.
     pub heed_retry_after: f64,
+    /// Share of clients that leave before their timeout.
     pub leave_early: f64,
-    /// The share of wrong answers that clients report.
+    /// Share of wrong answers that clients report.
     pub report_wrong: f64,
+    /// The faults to inject.
     pub faults: Vec<TimedFault>,
 }
 
-/// FaultKind clients ask of a path group.
+/// The load of one route class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Load {
+    /// The name of the route class.
     pub route_class: String,
+    /// Mean work of a request, in nanoseconds of a core.
     pub work: Nanos,
+    /// Share of all requests, relative to the shares of the other loads.
     pub share: f64,
+    /// Number of different idempotency keys.
     pub keys: u64,
 }
 
-/// A build offered, and what is wrong with it.
+/// A build that the control plane offers, and its faults.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Offer {
+    /// When it is offered.
     pub at: Nanos,
+    /// Whether the scenario calls it bad.
     pub bad: bool,
+    /// Faults of its pods.
     pub faults: Faults,
+    /// The only route class with errors; all classes if not set.
     pub route_class: Option<String>,
-    /// Bad only so long after its pods' start.
+    /// How long after the start of a pod its faults begin.
     pub fault_delay: Nanos,
-    /// Slows all pods by this factor, in step with the share of traffic that it gets.
+    /// Factor by which it slows the pods of all builds, weighted by its share of the traffic.
     pub shared_slowdown: f64,
 }
 
+/// A fault, and when it is injected.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TimedFault {
+    /// When it begins.
     pub at: Nanos,
+    /// How long it lasts.
     pub duration: Nanos,
+    /// What is injected.
     pub kind: FaultKind,
 }
 
+/// A kind of fault, as a line `at` of a scenario names it. Logs show the names of the variants.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FaultKind {
+    /// This many pods have these faults.
     Pods(usize, Faults),
+    /// All pods of a zone are killed, and replaced afterwards.
     ZoneLost(String),
+    /// The discovery service is unavailable.
     NodesAway,
+    /// The endpoint list is stale by this long.
     NodesStale(Nanos),
+    /// The control plane is unavailable.
     DeskAway,
+    /// Stages are announced later by this long.
     DeskLate(Nanos),
-    /// Votes are counted, but their answers never come.
+    /// Votes are counted but not answered.
     DeskMute,
+    /// Factor on the request rate.
     Rate(f64),
-    /// So many sidecars are killed, and come back after a while.
+    /// This many sidecars are killed, and restarted after this long.
     Kill(usize, Nanos),
-    /// All of them, so many at a time, one batch after the other over the event's span.
+    /// All sidecars are killed and restarted after this long, in batches of this size that are spread over the duration.
     Roll(usize, Nanos),
-    /// So many are told to stop, and come back after a while.
+    /// This many sidecars are asked to stop, and restarted after this long.
     Stop(usize, Nanos),
-    /// Pods that drain and are replaced.
+    /// This many pods drain and are replaced.
     Drain(usize),
-    /// Pods that die and are replaced.
+    /// This many pods die and are replaced.
     Die(usize),
 }
 
@@ -131,6 +169,7 @@
     }
 }
 
+/// Describes what the parser expected, for its error message.
 fn expected(what: &'static str) -> StrContext {
     StrContext::Expected(StrContextValue::Description(what))
 }
@@ -144,6 +183,7 @@
     .parse_next(input)
 }
 
+/// A time span with its unit, in nanoseconds.
 fn span(input: &mut &str) -> ParseResult<Nanos> {
     let unit = alt(("ms".value(1e6), "us".value(1e3), "s".value(1e9)));
     let parsed = (float, unit)
@@ -176,7 +216,7 @@
         .parse_next(input)
 }
 
-/// ` word value`.
+/// Parses ` keyword value`.
 fn keyword_value<'a, T>(
     word: &'static str,
     value: impl Parser<&'a str, T, ErrMode<ContextError>>,
@@ -184,7 +224,9 @@
     preceded((space1, word, space1), cut_err(value))
 }
 
-/// Any of a fault's words, each with its value, in any order.
+/// Parses the faults of pods or of a build, each with its value, in any order.
+///
+/// Returns them with the route class, the delay and the shared slowdown.
 fn faults(input: &mut &str) -> ParseResult<(Faults, Option<String>, Nanos, f64)> {
     let (mut all, mut route_class, mut fault_delay, mut shared_slowdown) =
         (Faults::default(), None, 0, 1.0);
@@ -231,8 +273,8 @@
 
 fn fault_kind(input: &mut &str) -> ParseResult<FaultKind> {
     let word = take_while(1.., |c: char| c.is_ascii_alphabetic());
-    let known = "pods, zone, nodes, desk, rate, kill, roll, stop, drain or die";
-    let word: &str = word.context(expected(known)).parse_next(input)?;
+    let keywords = "pods, zone, nodes, desk, rate, kill, roll, stop, drain or die";
+    let word: &str = word.context(expected(keywords)).parse_next(input)?;
     space1.context(expected("a value")).parse_next(input)?;
     match word {
         "pods" => (count, faults)
@@ -248,13 +290,17 @@
         .context(expected("away, or stale and a span"))
         .parse_next(input),
         "desk" => {
-            let how = (
+            let states = (
                 "away".value(FaultKind::DeskAway),
                 "mute".value(FaultKind::DeskMute),
             );
-            alt((how.0, how.1, keyword_span("late").map(FaultKind::DeskLate)))
-                .context(expected("away, mute, or late and a span"))
-                .parse_next(input)
+            alt((
+                states.0,
+                states.1,
+                keyword_span("late").map(FaultKind::DeskLate),
+            ))
+            .context(expected("away, mute, or late and a span"))
+            .parse_next(input)
         }
         "rate" => number.map(FaultKind::Rate).parse_next(input),
         "kill" => (count, keyword_value("down", span))
@@ -270,7 +316,7 @@
         "die" => count.map(FaultKind::Die).parse_next(input),
         _ => {
             let mut error = ContextError::new();
-            error.push(expected(known));
+            error.push(expected(keywords));
             Err(ErrMode::Cut(error))
         }
     }
@@ -319,7 +365,7 @@
     })
 }
 
-/// Reads one statement into the scenario.
+/// Parses one statement into the scenario.
 fn statement(scenario: &mut Scenario, input: &mut &str) -> ParseResult<()> {
     let word = take_while(1.., |c: char| c.is_ascii_alphabetic() || c == '_');
     let word: &str = word.context(expected("a statement")).parse_next(input)?;
@@ -355,7 +401,7 @@
         .parse_next(input)
 }
 
-/// One value or more, with spaces between them.
+/// Parses one value or more, separated by spaces.
 fn one_or_more<'a, T>(
     mut value: impl FnMut(&mut &'a str) -> ParseResult<T>,
     input: &mut &'a str,
@@ -365,7 +411,7 @@
     Ok(std::iter::once(first).chain(more).collect())
 }
 
-/// The pods' number and, where given, what each can do.
+/// Parses the number of pods and, where given, what each can do.
 fn pods(scenario: &mut Scenario, input: &mut &str) -> ParseResult<()> {
     scenario.pods = count(input)?.max(1);
     let more = (
@@ -384,7 +430,7 @@
     Ok(())
 }
 
-/// Who moves the stages, and the quorums.
+/// Parses what moves stages, and the quorums.
 fn control(scenario: &mut Scenario, input: &mut &str) -> ParseResult<()> {
     let kinds = alt(("any", "count", "clock")).context(expected("any, count or clock"));
     scenario.control = { kinds }.map(str::to_string).parse_next(input)?;
@@ -398,7 +444,7 @@
     Ok(())
 }
 
-/// The shares of clients that retry, heed advice, leave early and report wrong answers.
+/// Parses the shares of clients that retry, heed advice when to retry, leave early and report wrong answers.
 fn clients(scenario: &mut Scenario, input: &mut &str) -> ParseResult<()> {
     let shares = (
         share,
@@ -416,16 +462,16 @@
 }
 
 fn unknown_statement() -> ErrMode<ContextError> {
-    let known = "settings, length, rate, sidecars, pods, zones, work, stages, offer, control, notice, clients, at";
+    let keywords = "settings, length, rate, sidecars, pods, zones, work, stages, offer, control, notice, clients, at";
     let mut error = ContextError::new();
-    error.push(expected(known));
+    error.push(expected(keywords));
     ErrMode::Cut(error)
 }
 
-/// Reads a scenario file.
+/// Parses a scenario file.
 ///
 /// # Errors
-/// Every line that is wrong, with its column and what was expected.
+/// Returns a message for each invalid line, with the column and what was expected.
 pub fn read(text: &str) -> Result<Scenario, Vec<String>> {
     let (mut scenario, mut problems) = (Scenario::default(), Vec::new());
     for (n, line) in text.lines().enumerate() {
@@ -460,10 +506,10 @@
     }
 }
 
-/// How many of `all` a share stands for, one at least.
+/// A share of `all`, rounded up, at least 1.
 pub fn share_of(share: f64, all: usize) -> usize {
     ((share * all as f64).ceil() as usize).clamp(1, all.max(1))
 }
 
-/// Builds are numbered from 1, the one that runs at the start.
+/// The build that runs at the start; builds are numbered from it.
 pub const FIRST_BUILD: Build = 1;
--- a/crates/emulator/src/scripted.rs
+++ b/crates/emulator/src/scripted.rs
@@ -1,4 +1,5 @@
-//! Peers of the operators' platform whose every byte a test decides, on loopback ports of the system's choice.
+//! Peers of the operators' platform that send exactly the bytes that a test gives them, on loopback ports that the system
+//! chooses.
 
 use serde_json::{json, Value};
 use std::io;
@@ -8,44 +9,51 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::timeout;
 
-/// Far beyond what anything on loopback takes; reached, the test fails.
-const PATIENCE: Duration = Duration::from_secs(8);
+/// Limit on each step of a test, far longer than any step takes on loopback.
+const STEP_TIMEOUT: Duration = Duration::from_secs(8);
 
-async fn soon<T>(what: &str, work: impl std::future::Future<Output = T>) -> io::Result<T> {
-    let late = |_| {
+/// Runs a step, and fails when it takes longer than [`STEP_TIMEOUT`].
+async fn within_limit<T>(what: &str, work: impl std::future::Future<Output = T>) -> io::Result<T> {
+    let timed_out = |_| {
         io::Error::new(
             io::ErrorKind::TimedOut,
-            format!("{what}: not within {PATIENCE:?}"),
+            format!("{what}: not within {STEP_TIMEOUT:?}"),
         )
     };
-    timeout(PATIENCE, work).await.map_err(late)
+    timeout(STEP_TIMEOUT, work).await.map_err(timed_out)
 }
 
-/// A pod, node list or release desk before anybody connected.
+/// A listener in place of a pod, the discovery service or the control plane.
 pub struct ScriptedServer(TcpListener);
 
 impl ScriptedServer {
+    /// Binds a port.
+    ///
     /// # Errors
-    /// No port to be had.
+    /// No port can be bound.
     pub async fn new() -> io::Result<ScriptedServer> {
         Ok(ScriptedServer(TcpListener::bind("127.0.0.1:0").await?))
     }
 
+    /// The address that it listens on.
+    ///
     /// # Errors
-    /// The system does not tell.
-    pub fn at(&self) -> io::Result<SocketAddr> {
+    /// The system does not know the address.
+    pub fn address(&self) -> io::Result<SocketAddr> {
         self.0.local_addr()
     }
 
-    /// The next connection.
+    /// Accepts the next connection.
     ///
     /// # Errors
-    /// None came in time.
+    /// No connection came in time.
     pub async fn accept(&self) -> io::Result<Connection> {
-        Ok(Connection(soon("a connection", self.0.accept()).await??.0))
+        Ok(Connection(
+            within_limit("a connection", self.0.accept()).await??.0,
+        ))
     }
 
-    /// Whether nobody is waiting to be accepted now.
+    /// Whether no connection waits to be accepted.
     pub async fn has_no_pending_connection(&self) -> bool {
         timeout(Duration::ZERO, self.0.accept()).await.is_err()
     }
@@ -61,31 +69,35 @@
 }
 
 impl Connection {
+    /// Connects to an address.
+    ///
     /// # Errors
-    /// Nobody listens there.
+    /// Nothing listens there.
     pub async fn connect(at: SocketAddr) -> io::Result<Connection> {
         Ok(Connection(TcpStream::connect(at).await?))
     }
 
+    /// Sends bytes.
+    ///
     /// # Errors
-    /// The other side is gone.
+    /// The other side has closed the connection.
     pub async fn send(&mut self, bytes: impl AsRef<[u8]>) -> io::Result<()> {
         self.0.write_all(bytes.as_ref()).await
     }
 
-    /// The next line, without its end.
+    /// Reads the next line, without its line end.
     ///
     /// # Errors
     /// The connection ended first, or nothing came in time.
     pub async fn line(&mut self) -> io::Result<String> {
         let mut line = Vec::new();
-        while let byte @ (0..=9 | 11..) = soon("a line", self.0.read_u8()).await?? {
+        while let byte @ (0..=9 | 11..) = within_limit("a line", self.0.read_u8()).await?? {
             line.push(byte);
         }
         Ok(String::from_utf8_lossy(&line).trim_end().to_string())
     }
 
-    /// One HTTP message: its head in lower case, and the body that its length tells.
+    /// Reads one HTTP message: its head in lower case, and a body of the length that the head states.
     ///
     /// # Errors
     /// The connection ended first, or nothing came in time.
@@ -101,11 +113,11 @@
             .and_then(|text| text.parse().ok())
             .unwrap_or(0);
         let mut body = vec![0; length];
-        soon("a body", self.0.read_exact(&mut body)).await??;
+        within_limit("a body", self.0.read_exact(&mut body)).await??;
         Ok((head, String::from_utf8_lossy(&body).to_string()))
     }
 
-    /// The status of the next answer, its head and its body.
+    /// Reads the next HTTP response: its status, its head and its body.
     ///
     /// # Errors
     /// The connection ended first, or nothing came in time.
@@ -119,58 +131,59 @@
         Ok((status, head, body))
     }
 
-    /// Whether the other side ends the connection, whatever it says before.
+    /// Returns whether the other side closes the connection in time, whatever it sends before.
     pub async fn closes_in_time(&mut self) -> bool {
         let rest =
             async { while matches!(self.0.read(&mut [0; 4096]).await, Ok(more) if more > 0) {} };
-        soon("an end", rest).await.is_ok()
+        within_limit("an end", rest).await.is_ok()
     }
 }
 
-/// The value of a header in a head as [`Connection::message`] gives it.
+/// The value of a header in a head that [`Connection::message`] returned.
 pub fn header<'a>(head: &'a str, name: &str) -> Option<&'a str> {
     head.lines()
         .find_map(|line| line.strip_prefix(name)?.strip_prefix(": "))
 }
 
-/// A pod's entry in the node list.
+/// The entry of a pod in the endpoint list.
 pub fn entry(name: &str, at: SocketAddr, build: u32, health: &str) -> Value {
     json!({"host": name, "dial": at.to_string(), "site": "z", "class": "m", "block": 0, "health": health,
         "share": 3.0, "born_ms": 0, "revision_no": build})
 }
 
-/// A line of the node list.
+/// A line of the endpoint list; `whole` for a complete list, otherwise changes.
 pub fn list(seq: u64, whole: bool, hosts: &[Value]) -> String {
     format!("{}\n", json!({"seq": seq, "whole": whole, "hosts": hosts}))
 }
 
-/// What stands in front of the lines of a watch, and one chunk of it.
+/// The response head of a watch; its lines follow as chunks.
 pub const WATCH: &str = "HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\n";
 
+/// One chunk of a chunked body.
 pub fn chunk(text: &str) -> String {
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
-/// A configuration with path groups `read` (repeatable), `mark` (tagged) and `write` (mutating); build 7 is
-/// released in it.
-pub fn configuration(nodes: SocketAddr, desk: SocketAddr, hosts: &[Value]) -> Value {
-    let group = |name: &str, semantics: &str| {
+/// A configuration with the route classes `read` (idempotent), `mark` (keyed) and `write` (not idempotent), in which build 7
+/// is released.
+pub fn configuration(discovery: SocketAddr, control_plane: SocketAddr, hosts: &[Value]) -> Value {
+    let class = |name: &str, semantics: &str| {
         json!({"name": name, "semantics": semantics, "onTimeNs": 400_000_000u64, "giveUpNs": 900_000_000u64,
             "windowNs": 5_000_000_000u64, "worth": 1.0, "lateValue": 0.0, "stream": false, "keyScope": "all"})
     };
-    let groups = [
-        group("read", "free"),
-        group("mark", "guarded"),
-        group("write", "single_shot"),
+    let classes = [
+        class("read", "free"),
+        class("mark", "guarded"),
+        class("write", "single_shot"),
     ];
     json!({
-        "name": "n0", "listen": "127.0.0.1:0", "discovery": nodes.to_string(), "seed": "0000000000000005",
+        "name": "n0", "listen": "127.0.0.1:0", "discovery": discovery.to_string(), "seed": "0000000000000005",
         "limits": {"cores": 1.0, "memory_mb": 64, "sockets": 64},
-        "deployer": {"address": desk.to_string(),
+        "deployer": {"address": control_plane.to_string(),
             "news": {"image": 7, "ring": 1, "progress": "stable", "ceiling": 1.0, "lag_ms": 60_000}},
         "known": {"seq": 3, "whole": true, "hosts": hosts},
         "settings": {
-            "azs": ["z"], "locality": "z", "skus": ["m"], "classes": groups, "instances": 1, "rank": 0,
+            "azs": ["z"], "locality": "z", "skus": ["m"], "classes": classes, "instances": 1, "rank": 0,
             "discovery": "automatic", "loadReport": {"how": "silent", "columns": []},
             "familyInfo": {"control": "by_count", "counts": "all", "exposureWindowNs": 6_000_000_000u64,
                 "free": 3.0, "mostShares": [0.5, 1.0], "oneWay": false, "style": "parallel", "noesNeeded": 1,
--- a/crates/emulator/src/sidecar_processes.rs
+++ b/crates/emulator/src/sidecar_processes.rs
@@ -1,5 +1,5 @@
-//! Sidecars that guard each other's work, as processes of the program: their fellowship through relays on loopback, pods
-//! that count what ran, and clients that come back.
+//! Sidecar processes for tests and benches of takeover: a group of sidecars that are connected by relays on loopback, pods
+//! that count how often each request ran, and clients that retry.
 
 use crate::relay::Relays;
 use bytes::Bytes;
@@ -25,19 +25,21 @@
 use tokio::task::spawn_local;
 use tokio::time::{sleep, timeout};
 
-/// No step takes nearly as long; what takes so long never comes.
+/// Limit on each step of a test, far longer than any step takes.
 pub const STEP_TIMEOUT: Duration = Duration::from_secs(60);
-const PODS: u16 = 4;
+const POD_COUNT: u16 = 4;
 
-fn wrong(what: impl Into<String>) -> io::Error {
+fn other_error(what: impl Into<String>) -> io::Error {
     io::Error::other(what.into())
 }
 
-/// How often each hit ran at a pod, by the name in its `x-order`. A tagged one that comes again is dropped there and
-/// answered as before, as its kind says of pods. One row a name: for as many hits as a test sends.
+/// Pods that count how often each request ran, by the name in its `x-order` header.
+///
+/// A repeat of a keyed request does not run again and gets the same answer, as its idempotency requires of pods.
 pub struct Pods {
-    ran: RefCell<HashMap<String, usize>>,
-    /// How long a hit takes.
+    /// Bounded by the requests that a test sends.
+    run_counts: RefCell<HashMap<String, usize>>,
+    /// How long a request takes.
     pub work: Cell<Duration>,
 }
 
@@ -51,7 +53,7 @@
             .get("x-order")
             .and_then(|name| name.to_str().ok())
             .map(str::to_string);
-        let tagged = request.uri().path() == "/tagged";
+        let keyed = request.uri().path() == "/tagged";
         let body = request
             .into_body()
             .collect()
@@ -59,9 +61,9 @@
             .map(|body| body.to_bytes())
             .unwrap_or_default();
         if let Some(name) = &name {
-            let mut ran = self.ran.borrow_mut();
-            let times = ran.entry(name.clone()).or_default();
-            *times += (!tagged || *times == 0) as usize;
+            let mut counts = self.run_counts.borrow_mut();
+            let count = counts.entry(name.clone()).or_default();
+            *count += (!keyed || *count == 0) as usize;
         }
         sleep(self.work.get()).await;
         let name = name.unwrap_or_default();
@@ -70,18 +72,18 @@
         )))
     }
 
-    /// None that ran anything yet.
+    /// Pods that have run no request yet.
     pub fn new(work: Duration) -> Rc<Pods> {
         Rc::new(Pods {
-            ran: RefCell::default(),
+            run_counts: RefCell::default(),
             work: Cell::new(work),
         })
     }
 
-    /// Starts one more pod; all count together.
+    /// Starts one more pod; all pods share the counts.
     ///
     /// # Errors
-    /// No address to be had.
+    /// No socket can be bound.
     pub async fn start(self: &Rc<Self>) -> io::Result<SocketAddr> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let (at, pods) = (listener.local_addr()?, self.clone());
@@ -97,18 +99,20 @@
         Ok(at)
     }
 
+    /// How often the request of this name ran.
     pub fn run_count(&self, name: &str) -> usize {
-        self.ran.borrow().get(name).copied().unwrap_or(0)
+        self.run_counts.borrow().get(name).copied().unwrap_or(0)
     }
 }
 
-/// One process of the program; it ends with this.
+/// A process of the program; killed when dropped.
 pub struct Sidecar {
     process: Child,
     log: Receiver<String>,
-    told: Vec<String>,
-    /// Where it takes hits, and where operators look.
+    log_lines: Vec<String>,
+    /// The address for requests.
     pub listen: SocketAddr,
+    /// The address of the admin interface.
     pub admin: SocketAddr,
 }
 
@@ -116,7 +120,7 @@
     /// Starts the program with these arguments.
     ///
     /// # Errors
-    /// No process to be had.
+    /// The process cannot be started.
     pub fn spawn(program: &Path, arguments: &[String]) -> io::Result<Sidecar> {
         let mut command = Command::new(program);
         command
@@ -125,67 +129,80 @@
             .stderr(Stdio::piped());
         let mut process = command.spawn()?;
         let (lines, log) = channel();
-        let from = BufReader::new(process.stderr.take().ok_or(wrong("no log"))?);
+        let stderr = BufReader::new(
+            process
+                .stderr
+                .take()
+                .ok_or(other_error("the process has no standard error"))?,
+        );
         std::thread::spawn(move || {
-            from.lines()
+            stderr
+                .lines()
                 .map_while(Result::ok)
                 .all(|line| lines.send(line).is_ok())
         });
-        let nowhere = SocketAddr::from(([127, 0, 0, 1], 0));
+        let unset = SocketAddr::from(([127, 0, 0, 1], 0));
         Ok(Sidecar {
             process,
             log,
-            told: Vec::new(),
-            listen: nowhere,
-            admin: nowhere,
+            log_lines: Vec::new(),
+            listen: unset,
+            admin: unset,
         })
     }
 
-    /// Its exit status, once it is over.
+    /// Waits until the process ends, and returns its exit code.
     ///
     /// # Errors
-    /// It never is.
+    /// The process does not end within [`STEP_TIMEOUT`].
     pub async fn exit_code(&mut self) -> io::Result<Option<i32>> {
         self.wait_for_exit().await?;
         Ok(self.process.wait()?.code())
     }
 
+    /// Sends a signal to the process.
+    ///
     /// # Errors
-    /// A process that is gone.
+    /// The process has ended.
     pub fn signal(&self, signal: Signal) -> io::Result<()> {
-        let pid = Pid::from_raw(self.process.id() as i32).ok_or(wrong("no process"))?;
+        let pid =
+            Pid::from_raw(self.process.id() as i32).ok_or(other_error("the process has no id"))?;
         Ok(kill_process(pid, signal)?)
     }
 
+    /// The id of the process.
     pub fn pid(&self) -> u32 {
         self.process.id()
     }
 
-    /// How many lines of its log hold this.
+    /// Number of lines in its log so far that contain `what`.
     pub fn count_log_lines(&mut self, what: &str) -> usize {
         while let Ok(line) = self.log.try_recv() {
-            self.told.push(line);
+            self.log_lines.push(line);
         }
-        self.told.iter().filter(|line| line.contains(what)).count()
+        self.log_lines
+            .iter()
+            .filter(|line| line.contains(what))
+            .count()
     }
 
-    /// Waits until its log holds this so often.
+    /// Waits until `times` lines of its log contain `what`.
     ///
     /// # Errors
-    /// It never came, or the process ended.
+    /// The lines do not come within [`STEP_TIMEOUT`], or the process ends before.
     pub async fn wait_for_log(&mut self, what: &str, times: usize) -> io::Result<()> {
         let began = Instant::now();
         while self.count_log_lines(what) < times {
             if began.elapsed() > STEP_TIMEOUT {
-                return Err(wrong(format!(
-                    "never came: {what}\n{}",
-                    self.told.join("\n")
+                return Err(other_error(format!(
+                    "log lines with {what:?} did not come within {STEP_TIMEOUT:?}:\n{}",
+                    self.log_lines.join("\n")
                 )));
             }
             if self.process.try_wait()?.is_some() {
-                return Err(wrong(format!(
-                    "ended before: {what}\n{}",
-                    self.told.join("\n")
+                return Err(other_error(format!(
+                    "the process ended before log lines with {what:?}:\n{}",
+                    self.log_lines.join("\n")
                 )));
             }
             sleep(Duration::from_millis(2)).await;
@@ -193,37 +210,39 @@
         Ok(())
     }
 
-    /// Waits until the process is over.
+    /// Waits until the process ends, and returns how long that took.
     ///
     /// # Errors
-    /// It never is.
+    /// The process does not end within [`STEP_TIMEOUT`].
     pub async fn wait_for_exit(&mut self) -> io::Result<Duration> {
         let began = Instant::now();
         while self.process.try_wait()?.is_none() {
             if began.elapsed() > STEP_TIMEOUT {
-                return Err(wrong("a process that never ends"));
+                return Err(other_error("the process did not end in time"));
             }
             sleep(Duration::from_millis(2)).await;
         }
         Ok(began.elapsed())
     }
 
-    /// The address after this in the first line of the log that holds `what`.
+    /// The address that follows `name` in the first log line that contains `what`.
     ///
     /// # Errors
-    /// No such line, or none with an address.
+    /// No log line contains `what`, or no address follows `name`.
     pub fn logged_address(&self, what: &str, name: &str) -> io::Result<SocketAddr> {
         let line = self
-            .told
+            .log_lines
             .iter()
             .find(|line| line.contains(what))
-            .ok_or(wrong(what))?;
+            .ok_or(other_error(what))?;
         let text = line
             .split(name)
             .nth(1)
             .and_then(|rest| rest.split_whitespace().next());
         text.and_then(|text| text.trim_matches('"').parse().ok())
-            .ok_or(wrong(format!("{name} in {line}")))
+            .ok_or(other_error(format!(
+                "no address after {name} in the log line: {line}"
+            )))
     }
 }
 
@@ -233,36 +252,39 @@
         let _ = self.process.wait();
         if std::thread::panicking() {
             self.count_log_lines("");
-            eprintln!("--\n{}", self.told.join("\n"));
+            eprintln!("--\n{}", self.log_lines.join("\n"));
         }
     }
 }
 
+/// A group of sidecar processes with takeover, and their pods.
 pub struct SidecarGroup {
     program: PathBuf,
     folder: PathBuf,
+    /// The pods that all sidecars forward to.
     pub pods: Rc<Pods>,
-    /// What the network between fellows does; `None` where they reach each other straight.
+    /// The relays between the sidecars; `None` where they connect directly.
     pub relays: Option<Relays>,
-    /// Where a fellow is met first.
-    first: String,
+    /// Address of the member that others contact first.
+    seed: String,
+    /// The sidecars, by number.
     pub sidecars: Vec<Sidecar>,
 }
 
 impl SidecarGroup {
-    /// Starts so many sidecars, and waits until all know each other. Needs a `LocalSet` or `LocalRuntime`.
+    /// Starts `count` sidecars, and waits until each has seen all others join. Needs a `LocalSet` or `LocalRuntime`.
     ///
     /// # Errors
-    /// No sockets, no processes, or sidecars that never meet.
+    /// A socket or a process cannot be had, or a sidecar does not see the others in time.
     pub async fn start(
         program: &Path,
         folder: &Path,
-        many: usize,
+        count: usize,
         relayed: bool,
     ) -> io::Result<SidecarGroup> {
         let pods = Pods::new(Duration::from_millis(400));
         let mut listed = Vec::new();
-        for n in 0..PODS {
+        for n in 0..POD_COUNT {
             listed.push(ListedEndpoint {
                 name: format!("pod-{n}"),
                 address: pods.start().await?,
@@ -279,11 +301,11 @@
         std::fs::write(folder.join("keys"), "0123456789abcdef".repeat(4))?;
         std::fs::write(folder.join("pods"), encode_cached(&listed))?;
         let relays = if relayed {
-            Some(Relays::bind(many, 7).await?)
+            Some(Relays::bind(count, 7).await?)
         } else {
             None
         };
-        let first = relays
+        let seed = relays
             .as_ref()
             .map_or(String::new(), |relays| relays.address(0).to_string());
         let (program, folder) = (program.to_path_buf(), folder.to_path_buf());
@@ -292,15 +314,15 @@
             folder,
             pods,
             relays,
-            first,
+            seed,
             sidecars: Vec::new(),
         };
-        for id in 0..many {
+        for id in 0..count {
             let sidecar = group.launch(id).await?;
             group.sidecars.push(sidecar);
         }
         for sidecar in &mut group.sidecars {
-            sidecar.wait_for_log("member joined", many - 1).await?;
+            sidecar.wait_for_log("member joined", count - 1).await?;
         }
         Ok(group)
     }
@@ -310,7 +332,7 @@
             .relays
             .as_ref()
             .map(|relays| format!("advertise = \"{}\",", relays.address(id)));
-        let meet = Some(&self.first).filter(|first| !first.is_empty());
+        let meet = Some(&self.seed).filter(|seed| !seed.is_empty());
         let (zone, folder) = (1 + id % 2, self.folder.display());
         let times = "target_latency = \"3s\", client_timeout = \"8s\"";
         format!(
@@ -340,10 +362,10 @@
         )
     }
 
-    /// Starts a sidecar of this number, be it for the first time or after its end.
+    /// Starts or restarts the sidecar of this number, and waits until it listens.
     ///
     /// # Errors
-    /// No process, or one that ends at once.
+    /// The process cannot be started, or ends before it listens.
     pub async fn launch(&mut self, id: usize) -> io::Result<Sidecar> {
         let file = self.folder.join(format!("s-{id}.star"));
         std::fs::write(&file, self.settings(id))?;
@@ -354,27 +376,27 @@
             sidecar.logged_address("admin=", "listen=")?,
             sidecar.logged_address("admin=", "admin=")?,
         );
-        let fellow = sidecar.logged_address("fellowship", "listen=")?;
+        let member = sidecar.logged_address("fellowship", "listen=")?;
         match &self.relays {
-            Some(relays) => relays.set_target(id, fellow),
-            None if self.first.is_empty() => self.first = fellow.to_string(),
+            Some(relays) => relays.set_target(id, member),
+            None if self.seed.is_empty() => self.seed = member.to_string(),
             None => {}
         }
         Ok(sidecar)
     }
 
-    /// Hits of both guarded kinds at one sidecar, by turns, each in the middle of its work at a pod.
+    /// Sends keyed and non-idempotent requests in turn to one sidecar, and returns once each of them runs at a pod.
     ///
     /// # Errors
-    /// Hits that never reach a pod.
+    /// A request does not reach a pod in time.
     pub async fn start_requests(
         &self,
         id: usize,
-        many: usize,
+        count: usize,
         round: usize,
     ) -> io::Result<Vec<PendingRequest>> {
-        let mut asked = Vec::new();
-        for n in 0..many {
+        let mut requests = Vec::new();
+        for n in 0..count {
             let path = ["/tagged", "/mutating"][n % 2];
             let (name, at) = (
                 format!("{}-{id}-{n}-{round}", &path[1..]),
@@ -383,30 +405,35 @@
             let sent = name.clone();
             let answer =
                 spawn_local(async move { send_with_key(at, path, &sent, vec![7; 20]).await });
-            asked.push(PendingRequest { name, path, answer });
+            requests.push(PendingRequest { name, path, answer });
         }
         let began = Instant::now();
-        while asked
+        while requests
             .iter()
-            .any(|asked| self.pods.run_count(&asked.name) == 0)
+            .any(|request| self.pods.run_count(&request.name) == 0)
         {
             if began.elapsed() > STEP_TIMEOUT {
-                return Err(wrong("not all hits reached a pod"));
+                return Err(other_error("not all requests reached a pod in time"));
             }
             sleep(Duration::from_millis(2)).await;
         }
-        Ok(asked)
+        Ok(requests)
     }
 }
 
-/// A hit on its way.
+/// A request that a client has sent and waits for.
 pub struct PendingRequest {
+    /// The name of the request, which is also its idempotency key.
     pub name: String,
+    /// The path of its route class.
     pub path: &'static str,
+    /// The status and the body of the answer; `None` where the connection broke before it.
     pub answer: tokio::task::JoinHandle<Option<(u16, String)>>,
 }
 
-/// One hit with this name as its key; `None` where the connection broke before its answer.
+/// Sends a request with its name as its idempotency key, and returns the status and the body of the answer.
+///
+/// Returns `None` where the connection broke, or nothing came within [`STEP_TIMEOUT`].
 pub async fn send_with_key(
     at: SocketAddr,
     path: &str,
@@ -422,7 +449,7 @@
     send(at, request).await
 }
 
-/// One request without a key and a body.
+/// Sends a request without a key and a body; returns as [`send_with_key`].
 pub async fn send_without_key(at: SocketAddr, path: &str, name: &str) -> Option<(u16, String)> {
     let request = Request::post(path)
         .header("host", "search")
@@ -431,7 +458,7 @@
     send(at, request.ok()?).await
 }
 
-/// What an operator sees of a sidecar.
+/// The state that a sidecar reports on its admin address, as JSON.
 pub async fn state(admin: SocketAddr) -> Option<serde_json::Value> {
     let request = Request::builder()
         .method(Method::GET)
--- a/crates/platform/tests/common/mod.rs
+++ b/crates/platform/tests/common/mod.rs
@@ -50,9 +50,12 @@
             ScriptedServer::new().await,
         ]
         .map(Result::unwrap);
-        let hosts = [entry("p", pod.at().unwrap(), 7, "active")];
-        let mut config =
-            configuration(discovery.at().unwrap(), control_plane.at().unwrap(), &hosts);
+        let hosts = [entry("p", pod.address().unwrap(), 7, "active")];
+        let mut config = configuration(
+            discovery.address().unwrap(),
+            control_plane.address().unwrap(),
+            &hosts,
+        );
         change(&mut config);
         let (commands, received) = mpsc::channel(4);
         let ((ready, address), (end, ended)) = (oneshot::channel(), oneshot::channel());
--- a/crates/platform/tests/list_races.rs
+++ b/crates/platform/tests/list_races.rs
@@ -47,7 +47,7 @@
         let rig = Rig::new(|_| {}).await;
         let mut watch = open_watch(&rig, 4).await;
         let other = ScriptedServer::new().await.unwrap();
-        let moved = entry("p", other.at().unwrap(), 7, "active");
+        let moved = entry("p", other.address().unwrap(), 7, "active");
         let update = json!({"seq": 5, "whole": false, "hosts": [moved]});
         let update = format!("\t {}\n\n", serde_json::to_string_pretty(&update).unwrap());
         assert!(update.matches('\n').count() > 10);
@@ -59,7 +59,7 @@
         let_sidecar_run(&rig).await;
         assert_request_reaches(&rig, &other, "i1").await;
         // Two updates on one line are both applied and the watch stays open.
-        let back = entry("p", rig.pod.at().unwrap(), 7, "active");
+        let back = entry("p", rig.pod.address().unwrap(), 7, "active");
         let updates = list(6, false, &[]).trim().to_string() + &list(7, false, &[back]);
         watch.send(chunk(&updates)).await.unwrap();
         let_sidecar_run(&rig).await;
@@ -100,7 +100,7 @@
         };
         let mut last = tokio::select! { last = next => last, () = dribble => unreachable!() };
         let other = ScriptedServer::new().await.unwrap();
-        let moved = entry("p", other.at().unwrap(), 7, "active");
+        let moved = entry("p", other.address().unwrap(), 7, "active");
         last.send(WATCH.to_string() + &chunk(&list(5, false, &[moved])))
             .await
             .unwrap();
@@ -123,12 +123,12 @@
         let mut next = rig.discovery.accept().await.unwrap();
         next.message().await.unwrap();
         let other = ScriptedServer::new().await.unwrap();
-        let moved = entry("p", other.at().unwrap(), 7, "active");
+        let moved = entry("p", other.address().unwrap(), 7, "active");
         old.send(chunk(&list(6, false, &[moved]))).await.unwrap();
         let_sidecar_run(&rig).await;
         assert_request_reaches(&rig, &other, "i1").await;
         // The candidate delivers older changes: they are ignored, and it becomes the active watch.
-        let back = entry("p", rig.pod.at().unwrap(), 7, "active");
+        let back = entry("p", rig.pod.address().unwrap(), 7, "active");
         next.send(WATCH.to_string() + &chunk(&list(5, false, std::slice::from_ref(&back))))
             .await
             .unwrap();
@@ -152,10 +152,10 @@
             ScriptedServer::new().await.unwrap(),
             ScriptedServer::new().await.unwrap(),
         );
-        let here = entry("p", rig.pod.at().unwrap(), 7, "active");
+        let here = entry("p", rig.pod.address().unwrap(), 7, "active");
         let config = configuration(
-            discovery.at().unwrap(),
-            control_plane.at().unwrap(),
+            discovery.address().unwrap(),
+            control_plane.address().unwrap(),
             std::slice::from_ref(&here),
         );
         // Twice: the candidate of the second reload replaces that of the first, which has not delivered a message.
@@ -170,7 +170,7 @@
         assert!(new.message().await.unwrap().0.contains("since=8 "));
         let [one, two] =
             [ScriptedServer::new().await, ScriptedServer::new().await].map(Result::unwrap);
-        let entry_at = |peer: &ScriptedServer| entry("p", peer.at().unwrap(), 7, "active");
+        let entry_at = |peer: &ScriptedServer| entry("p", peer.address().unwrap(), 7, "active");
         // The new watch becomes active, and the old one delivers a message after that.
         new.send(WATCH.to_string() + &chunk(&list(3, true, &[entry_at(&one)])))
             .await
@@ -209,7 +209,7 @@
             .unwrap();
         let address = closed.local_addr().unwrap().as_socket().unwrap();
         let control_plane = ScriptedServer::new().await.unwrap();
-        let config = configuration(address, control_plane.at().unwrap(), &[]);
+        let config = configuration(address, control_plane.address().unwrap(), &[]);
         rig.commands
             .send(Command::Reload(Box::new(parse_config(&config))))
             .await
@@ -217,7 +217,7 @@
             .unwrap();
         sleep(100 * MS).await;
         let other = ScriptedServer::new().await.unwrap();
-        let moved = entry("p", other.at().unwrap(), 7, "active");
+        let moved = entry("p", other.address().unwrap(), 7, "active");
         old.send(chunk(&list(5, false, &[moved]))).await.unwrap();
         let_sidecar_run(&rig).await;
         assert_request_reaches(&rig, &other, "i1").await;
--- a/crates/platform/tests/protocol.rs
+++ b/crates/platform/tests/protocol.rs
@@ -349,7 +349,7 @@
             .0
             .starts_with("get /v1/servers?follow=1&since=3 "));
         let other = ScriptedServer::new().await.unwrap();
-        let moved = entry("p", other.at().unwrap(), 7, "active");
+        let moved = entry("p", other.address().unwrap(), 7, "active");
         watch
             .send(WATCH.to_string() + &chunk(&list(5, false, &[moved])))
             .await
@@ -370,7 +370,7 @@
         assert_eq!(client.answer().await.unwrap().0, 200);
         assert!(rig.pod.has_no_pending_connection().await);
         // An update may arrive in pieces; a complete list removes pods that it does not contain.
-        let back = entry("q", rig.pod.at().unwrap(), 7, "active");
+        let back = entry("q", rig.pod.address().unwrap(), 7, "active");
         let complete = list(9, true, &[back]);
         watch
             .send(
@@ -407,7 +407,7 @@
 fn votes_are_cast_again_after_a_malformed_rejecting_or_missing_reply() {
     run_test(async {
         let older = ScriptedServer::new().await.unwrap();
-        let host = entry("o", older.at().unwrap(), 6, "active");
+        let host = entry("o", older.address().unwrap(), 6, "active");
         let rig =
             Rig::new(|config| config["known"]["hosts"].as_array_mut().unwrap().push(host)).await;
         // Both builds get requests; without them the sequential test has nothing to compare.
@@ -463,7 +463,7 @@
         let rig = Rig::new(|_| {}).await;
         let mut old = rig.discovery.accept().await.unwrap();
         old.message().await.unwrap();
-        let here = entry("p", rig.pod.at().unwrap(), 7, "active");
+        let here = entry("p", rig.pod.address().unwrap(), 7, "active");
         old.send(WATCH.to_string() + &chunk(&list(4, false, &[])))
             .await
             .unwrap();
@@ -472,8 +472,8 @@
             ScriptedServer::new().await.unwrap(),
         );
         let config = configuration(
-            discovery.at().unwrap(),
-            control_plane.at().unwrap(),
+            discovery.address().unwrap(),
+            control_plane.address().unwrap(),
             &[here],
         );
         let (mut client, mut pod) = rig.request(&get("i0")).await;
@@ -491,7 +491,7 @@
         let [other, third] =
             [ScriptedServer::new().await, ScriptedServer::new().await].map(Result::unwrap);
         for to in [&other, &third] {
-            let moved = entry("p", to.at().unwrap(), 7, "active");
+            let moved = entry("p", to.address().unwrap(), 7, "active");
             old.send(chunk(&list(5, false, &[moved]))).await.unwrap();
             assert!(pod.closes_in_time().await);
             client.send(get("i1")).await.unwrap();
@@ -532,7 +532,7 @@
 fn requests_with_a_key_stay_on_the_newest_build_once_it_has_answered() {
     run_test(async {
         let newer = ScriptedServer::new().await.unwrap();
-        let host = entry("q", newer.at().unwrap(), 8, "active");
+        let host = entry("q", newer.address().unwrap(), 8, "active");
         let rig = Rig::new(|config| {
             config["known"]["hosts"].as_array_mut().unwrap().push(host);
             config["settings"]["familyInfo"]["oneWay"] = json!(true);
