--- a/crates/emulator/src/clients.rs
+++ b/crates/emulator/src/clients.rs
@@ -22,11 +22,11 @@
 use tokio::task::{spawn_local, JoinSet};
 use tokio::time::{sleep, sleep_until, timeout};
 
-/// Attempts of one request, the first counted.
+/// Most attempts of one request, including the first.
 const MAX_ATTEMPTS: u32 = 4;
 /// A connection idle for longer is not used again: the other side may be closing it.
 const MAX_IDLE: Duration = Duration::from_secs(1);
-/// How long past its timeout a client still listens, to tell a late answer from none.
+/// How long after its timeout a client still waits, to distinguish a late answer from a missing one.
 const LATE_ANSWER_GRACE: Duration = Duration::from_millis(500);
 /// How long connecting, or reporting a fault, may take.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
@@ -37,16 +37,16 @@
 pub struct Target {
     /// The sidecar's name.
     pub name: String,
-    /// Where it takes requests, while it is up.
+    /// The address for requests, while the sidecar runs.
     pub address: Cell<Option<SocketAddr>>,
-    /// Where it takes fault reports, while it is up.
+    /// The address for fault reports, while the sidecar runs.
     pub admin: Cell<Option<SocketAddr>>,
-    /// Bounded by the requests in flight at one time.
+    /// Idle connections and since when; bounded by the requests in flight at one time.
     idle: RefCell<Vec<(Sender, Instant)>>,
 }
 
 impl Target {
-    /// A sidecar that is not up yet.
+    /// A sidecar that has not started yet.
     pub fn new(name: &str) -> Rc<Target> {
         let name = name.to_string();
         Rc::new(Target {
@@ -97,7 +97,7 @@
     }
 }
 
-/// A request as drawn for a client; its retries repeat it.
+/// A request that was drawn for a client; its retries repeat it.
 struct ClientRequest {
     id: u64,
     /// Index of its route class.
@@ -110,13 +110,13 @@
     timeout: Nanos,
 }
 
-/// How long a client waits for an answer, and what it counts after that.
+/// How long a client waits for an answer, and the outcome that is recorded if none comes.
 struct WaitLimit {
     limit: Duration,
     at_limit: Answer,
 }
 
-/// What a client sees of one attempt.
+/// The outcome of one attempt for its client.
 struct AttemptOutcome {
     answer: Answer,
     retry_after: Nanos,
@@ -124,7 +124,7 @@
 }
 
 impl AttemptOutcome {
-    /// No sidecar took a connection.
+    /// No sidecar accepted a connection.
     const UNREACHABLE: AttemptOutcome = AttemptOutcome {
         answer: Answer::Bounced,
         retry_after: 0,
@@ -132,7 +132,7 @@
     };
 }
 
-/// What came back on the connection.
+/// What the connection returned.
 struct Reply {
     answer: Answer,
     retry_after: Nanos,
@@ -202,11 +202,11 @@
     pub rejected: u64,
     /// Requests that ended in an error.
     pub failed: u64,
-    /// Requests whose client left early.
+    /// Requests whose client left before its timeout.
     pub left: u64,
     /// Requests with a wrong answer.
     pub wrong: u64,
-    /// Microseconds from the first attempt to the answer.
+    /// Time from the first attempt to the answer, in microseconds.
     pub took_us: Histogram<u64>,
 }
 
@@ -216,12 +216,13 @@
     site: Rc<Site>,
     scenario: Scenario,
     targets: Vec<Rc<Target>>,
-    /// Factor on the usual request rate.
+    /// Factor on the scenario's request rate.
     pub rate_factor: Cell<f64>,
     /// Outcomes by route class.
     pub outcomes: RefCell<Vec<ClassOutcomes>>,
-    /// Attempts sent, retries counted.
+    /// Attempts sent, including retries.
     pub attempts: Cell<u64>,
+    /// The next number of a request or an attempt.
     next: Cell<u64>,
     random: RefCell<Rand64>,
 }
@@ -235,9 +236,9 @@
         targets: Vec<Rc<Target>>,
         seed: u64,
     ) -> Rc<Clients> {
-        let no_outcomes = |group: &havenplank_settings::RouteClassSettings| ClassOutcomes {
-            route_class: group.name.clone(),
-            priority_weight: group.rules.priority_weight,
+        let no_outcomes = |class: &havenplank_settings::RouteClassSettings| ClassOutcomes {
+            route_class: class.name.clone(),
+            priority_weight: class.rules.priority_weight,
             requests: 0,
             in_time: 0,
             late: 0,
@@ -245,7 +246,7 @@
             failed: 0,
             left: 0,
             wrong: 0,
-            // One minute at most, to three digits: fixed bounds, so it cannot fail.
+            // Up to one minute, with 3 significant digits; the bounds are fixed, so this cannot fail.
             took_us: Histogram::new_with_bounds(1, 60_000_000, 3).expect("bounds that fit"),
         };
         let outcomes = RefCell::new(site.route_classes.iter().map(no_outcomes).collect());
@@ -262,6 +263,7 @@
         })
     }
 
+    /// Draws a number from 0 to 1.
     fn draw(&self) -> f64 {
         self.random.borrow_mut().rand_float()
     }
@@ -317,9 +319,9 @@
         }
     }
 
-    /// Draws a request of one of the scenario's loads; none if the settings lack its route class.
+    /// Draws a request of one of the scenario's loads; `None` if the settings lack its route class.
     fn draw_request(&self) -> Option<ClientRequest> {
-        let mut left = self.draw()
+        let mut remaining = self.draw()
             * self
                 .scenario
                 .loads
@@ -327,8 +329,8 @@
                 .map(|load| load.share)
                 .sum::<f64>();
         let load = self.scenario.loads.iter().find(|load| {
-            left -= load.share;
-            left < 0.0
+            remaining -= load.share;
+            remaining < 0.0
         });
         let load = load.unwrap_or(&self.scenario.loads[0]);
         let classes = &self.site.route_classes;
@@ -361,7 +363,8 @@
         let _ = outcomes.took_us.record(took.as_micros() as u64);
     }
 
-    /// Only a rejection says that a retry is harmless; an idempotent request may always be retried.
+    /// Whether the client retries: an idempotent request after any failure, others only after a rejection, which says that
+    /// a retry is harmless.
     fn may_retry(&self, request: &ClientRequest, answer: Answer) -> bool {
         let harmless = match self.site.route_classes[request.class].rules.idempotency {
             Idempotency::Idempotent => true,
@@ -380,7 +383,7 @@
         Duration::from_secs_f64(pause)
     }
 
-    /// Sends a request once, to one of the sidecars that are up.
+    /// Sends a request once, to one of the running sidecars.
     async fn attempt(self: &Rc<Self>, request: &ClientRequest) -> AttemptOutcome {
         let Some(target) = self.draw_target() else {
             return AttemptOutcome::UNREACHABLE;
@@ -425,17 +428,17 @@
         }
     }
 
-    /// Draws a sidecar that is up, if any is.
+    /// Draws a running sidecar, if there is one.
     fn draw_target(&self) -> Option<Rc<Target>> {
-        let up: Vec<&Rc<Target>> = self
+        let running: Vec<&Rc<Target>> = self
             .targets
             .iter()
             .filter(|target| target.address.get().is_some())
             .collect();
-        if up.is_empty() {
+        if running.is_empty() {
             return None;
         }
-        Some(up[(self.draw() * up.len() as f64) as usize].clone())
+        Some(running[(self.draw() * running.len() as f64) as usize].clone())
     }
 
     fn draw_wait_limit(&self, client_timeout: Nanos) -> WaitLimit {
@@ -481,14 +484,14 @@
         if class.rules.idempotency == Idempotency::Keyed {
             message = message.header("idempotency-key", format!("\"hit-{}\"", request.id));
         }
-        // The parts are all our own or from checked settings.
+        // All values are numbers, constants or from checked settings.
         message
             .body(Full::new(body))
-            .expect("a request that is well formed")
+            .expect("a well-formed request")
     }
 
-    /// Reports a wrong answer to the sidecar, as clients do when they find out.
-    async fn report_wrong_answer(&self, target: &Target, pod: &str, group: usize) {
+    /// Reports a wrong answer to the sidecar, some time after the client got it.
+    async fn report_wrong_answer(&self, target: &Target, pod: &str, class: usize) {
         let delay_s = 0.3 + 0.7 * self.draw();
         sleep(Duration::from_secs_f64(delay_s)).await;
         let Some(admin) = target.admin.get() else {
@@ -503,9 +506,9 @@
         spawn_local(async move {
             let _ = connection.await;
         });
-        let group = &self.site.route_classes[group].name;
+        let class = &self.site.route_classes[class].name;
         let report =
-            serde_json::json!({"pod": pod, "path_group": group, "ago_ms": (delay_s * 1e3) as u64});
+            serde_json::json!({"pod": pod, "path_group": class, "ago_ms": (delay_s * 1e3) as u64});
         let mut request = Request::new(Full::new(Bytes::from(report.to_string())));
         *request.method_mut() = hyper::Method::POST;
         *request.uri_mut() = hyper::Uri::from_static("/flagged");
--- a/crates/emulator/src/control_plane.rs
+++ b/crates/emulator/src/control_plane.rs
@@ -21,45 +21,45 @@
 const MS: Nanos = 1_000_000;
 /// Log target of release events: log filters and readers know it by this name.
 const LOG_TARGET: &str = "havenplank_emulator::desk";
-/// How long after the last pod of a stage started its clock starts.
+/// Time from the start of a stage's last pod until the duration of the stage begins to count.
 const SETTLE_TIME: Nanos = 1_000 * MS;
-/// How long a stage that votes move runs at least.
+/// Shortest duration of a stage that votes advance.
 const MIN_STAGE_TIME: Nanos = 1_500 * MS;
-/// How late a change of stage is announced.
+/// Delay until a change of stage is announced.
 const ANNOUNCE_DELAY: Nanos = 200 * MS;
-/// How often a stage is announced again.
+/// Interval at which the same stage is announced again.
 const ANNOUNCE_INTERVAL: Nanos = 4_000 * MS;
-/// How long a vote's answer takes.
+/// Delay until a vote is answered.
 const VOTE_DELAY: Duration = Duration::from_millis(60);
-/// How long pods of a build that is rolled back stay.
+/// How long the pods of a build that is rolled back keep running.
 const ROLLBACK_TIME: Nanos = 500 * MS;
-/// How often stages are evaluated, and how often a connection looks for news.
+/// How often stages are evaluated, and how often a connection checks whether to announce one.
 const EVALUATION_INTERVAL: Duration = Duration::from_millis(50);
-/// How often the listener looks whether the control plane is to be away.
+/// How often the listener checks whether the control plane is to be unavailable.
 const AVAILABILITY_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 /// Longest line that a sidecar may send, in bytes.
 const MAX_LINE_BYTES: usize = 1024;
 
-/// By what the control plane moves stages.
+/// The rules by which the control plane advances stages and rolls builds back.
 #[derive(Clone, Debug)]
 pub struct ReleaseRules {
-    /// Who moves stages.
+    /// What advances stages: any vote, a quorum or time.
     pub control: ReleaseControl,
-    /// Sidecars that must vote to advance.
+    /// Number of sidecars that must vote to advance a stage.
     pub advance_quorum: usize,
-    /// Sidecars that must vote to roll back, or to hold a timed stage.
+    /// Number of sidecars that must vote to roll a build back, or to hold a timed stage.
     pub rollback_quorum: usize,
-    /// How long a vote stands, in nanoseconds.
+    /// How long a vote is valid, in nanoseconds.
     pub vote_ttl: Nanos,
     /// How long a timed stage runs, in nanoseconds.
     pub stage_duration: Nanos,
-    /// Votes taken a second, all sidecars together; 0 for no limit.
+    /// Votes admitted per second from all sidecars together; 0 for no limit.
     pub calls_per_second: f64,
     /// Exposure cap of each stage.
     pub caps: Vec<f64>,
-    /// Share of the pods that each stage gets.
+    /// Share of the pods that run the build on trial, by stage.
     pub shares: Vec<f64>,
-    /// Pods of a complete release.
+    /// Number of pods of a complete release.
     pub total_pods: usize,
 }
 
@@ -71,18 +71,18 @@
     expires: Nanos,
 }
 
-/// Where the newest build stands.
+/// The stage and the phase of the newest build.
 #[derive(Clone, Copy, Debug)]
 struct ReleaseState {
     build: Build,
     stage: usize,
     phase: Phase,
     since: Nanos,
-    /// When the stage's clock started.
+    /// When the duration of the stage begins to count; not set while its pods start.
     timed_from: Option<Nanos>,
 }
 
-/// The stage that a sidecar was told last, and when.
+/// The stage that was last announced to a sidecar, and when.
 #[derive(Clone, Copy, Debug)]
 struct Announcement {
     build: Build,
@@ -106,20 +106,20 @@
     }
 }
 
-/// Votes taken lately, as a bucket that leaks at the allowed rate.
+/// Limits the rate of votes with a leaky bucket.
 #[derive(Clone, Copy, Debug, Default)]
 struct CallRate {
     since: Nanos,
-    used: f64,
+    level: f64,
 }
 
 impl CallRate {
-    /// Counts a call; false if it is over the allowed rate, where there is one.
+    /// Counts a vote; returns false if it exceeds the allowed rate, where there is one.
     fn admit(&mut self, now: Nanos, per_second: f64) -> bool {
         let leaked = (now - self.since) as f64 / 1e9 * per_second;
-        self.used = (self.used - leaked).max(0.0) + 1.0;
+        self.level = (self.level - leaked).max(0.0) + 1.0;
         self.since = now;
-        per_second <= 0.0 || self.used <= per_second
+        per_second <= 0.0 || self.level <= per_second
     }
 }
 
@@ -130,27 +130,28 @@
     rules: ReleaseRules,
     offers: Vec<Offer>,
     state: Cell<Option<ReleaseState>>,
-    /// The build that all pods run outside trials.
+    /// The build that is released.
     released: Cell<Build>,
-    /// The build before it, which a late rollback brings again.
+    /// The build released before it, which a rollback after the release restores.
     previous: Cell<Build>,
+    /// Number of builds offered so far.
     offered: Cell<usize>,
-    /// By sidecar: one vote each.
+    /// The last vote of each sidecar.
     votes: RefCell<HashMap<String, CastVote>>,
     calls: RefCell<CallRate>,
     /// Whether nothing listens.
     pub is_unavailable: Cell<bool>,
-    /// How much later than usual stages are announced, in nanoseconds.
+    /// Further delay of announcements, in nanoseconds.
     pub extra_announce_delay: Cell<Nanos>,
     /// Whether votes are counted but not answered.
     pub withholds_vote_replies: Cell<bool>,
-    /// What happened to builds, for the report; bounded by the offers and their stages.
+    /// The history of the builds for the report, one line per event; bounded by the offers and their stages.
     pub release_log: RefCell<Vec<String>>,
     route_classes: Vec<String>,
 }
 
 impl ControlPlane {
-    /// A control plane that will offer these builds, at their times.
+    /// A control plane that offers these builds at their times.
     pub fn new(
         ledger: LedgerWriter,
         fleet: Rc<Fleet>,
@@ -177,6 +178,7 @@
         })
     }
 
+    /// Logs an event of a release and adds it to the history.
     fn log_release(&self, what: String) {
         tracing::info!(target: LOG_TARGET, what, "desk");
         self.release_log
@@ -229,7 +231,7 @@
         }
     }
 
-    /// Offers the next build if it is due, and moves the newest build on or back otherwise.
+    /// Offers the next build if it is due; otherwise advances the newest build or rolls it back.
     async fn evaluate(&self) {
         let now = self.ledger.now();
         let next = self.offers.get(self.offered.get());
@@ -254,7 +256,7 @@
         }
     }
 
-    /// Starts the trial of the next build; one that is still on trial is withdrawn first.
+    /// Starts the trial of the next build; the pods of a build that is still on trial are drained first.
     async fn offer(&self, offer: &Offer) {
         if let Some(state) = self.state.get().filter(|state| state.phase == Phase::Trial) {
             self.log_release(format!(
@@ -266,8 +268,8 @@
         self.offered.set(self.offered.get() + 1);
         let build = FIRST_BUILD + self.offered.get() as Build;
         let class = offer.route_class.as_ref().and_then(|name| {
-            let mut known = self.route_classes.iter();
-            known.position(|known| known == name)
+            let mut names = self.route_classes.iter();
+            names.position(|known| known == name)
         });
         self.fleet.set_build_faults(build, offer, class);
         let quality = if offer.bad { "bad" } else { "good" };
@@ -281,15 +283,15 @@
             state.timed_from = Some(self.ledger.now() + SETTLE_TIME);
             self.state.set(Some(state));
         }
-        let ran = now.saturating_sub(state.timed_from.unwrap_or(now));
+        let elapsed = now.saturating_sub(state.timed_from.unwrap_or(now));
         if self.rollback_is_voted(&state) {
             self.roll_back(&state);
-        } else if self.may_advance(&state, ran) {
+        } else if self.may_advance(&state, elapsed) {
             self.advance(&state).await;
         }
     }
 
-    /// Starts pods of the build before the released one, as its own are gone.
+    /// Starts pods of the build before the released one, whose own pods were drained at the release.
     async fn restore_previous(&self) {
         let previous = self.previous.get();
         for _ in self.fleet.running_of_build(previous).len()..self.rules.total_pods {
@@ -320,17 +322,17 @@
         self.enter(state.build, state.stage, Phase::RollingBack);
     }
 
-    fn may_advance(&self, state: &ReleaseState, ran: Nanos) -> bool {
+    fn may_advance(&self, state: &ReleaseState, elapsed: Nanos) -> bool {
         match self.rules.control {
             ReleaseControl::AnyVote => {
-                ran >= MIN_STAGE_TIME && self.count_votes(state, Vote::Advance) >= 1
+                elapsed >= MIN_STAGE_TIME && self.count_votes(state, Vote::Advance) >= 1
             }
             ReleaseControl::Quorum => {
-                ran >= MIN_STAGE_TIME
+                elapsed >= MIN_STAGE_TIME
                     && self.count_votes(state, Vote::Advance) >= self.rules.advance_quorum
             }
             ReleaseControl::Timed => {
-                ran >= self.rules.stage_duration
+                elapsed >= self.rules.stage_duration
                     && self.count_votes(state, Vote::Hold) < self.rules.rollback_quorum
             }
         }
@@ -353,7 +355,7 @@
         self.previous.set(self.released.replace(state.build));
     }
 
-    /// Starts the pods that a stage's share asks for.
+    /// Starts pods until the build has the share of them that its stage requires.
     async fn start_stage_pods(&self, build: Build, stage: usize) {
         let share = self.rules.shares.get(stage).copied().unwrap_or(1.0);
         for _ in self.fleet.running_of_build(build).len()..share_of(share, self.rules.total_pods) {
@@ -361,7 +363,7 @@
         }
     }
 
-    /// Sidecars whose vote stands for this.
+    /// Number of sidecars with this valid vote on the build, and on the stage unless it is a vote to roll back.
     fn count_votes(&self, state: &ReleaseState, vote: Vote) -> usize {
         let now = self.ledger.now();
         let is_valid = |cast: &&CastVote| {
@@ -373,7 +375,7 @@
         self.votes.borrow().values().filter(is_valid).count()
     }
 
-    /// Takes a sidecar's vote in place of its last one.
+    /// Replaces a sidecar's last vote by this one, unless the vote is over the rate limit or stale.
     fn receive_vote(&self, sidecar: &str, pending: &PendingVote) -> VoteReceipt {
         let now = self.ledger.now();
         let per_second = self.rules.calls_per_second;
@@ -394,7 +396,7 @@
         VoteReceipt::Counted
     }
 
-    /// Whether a vote is of the build and the stage as they stand, and of a kind that matters there.
+    /// Whether a vote is on the current build and stage, and of a kind that has an effect there.
     fn is_current(&self, state: &ReleaseState, pending: &PendingVote) -> bool {
         let trial = state.phase == Phase::Trial;
         let timed = self.rules.control == ReleaseControl::Timed;
@@ -408,7 +410,7 @@
             }
     }
 
-    /// Serves on a listener, and later on its address, until dropped; while away, nothing listens there.
+    /// Serves until dropped: first on the listener, and after each time of being unavailable on a new one at its address.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) {
         let Ok(address) = listener.local_addr() else {
             return;
@@ -441,7 +443,7 @@
         }
     }
 
-    /// Writes into the ledger that a sidecar is told of a stage.
+    /// Records in the ledger that a stage is announced to a sidecar.
     fn record_announcement(&self, sidecar: &str, stage: &Stage) {
         self.ledger.write(LedgerEvent::StageAnnounced {
             sidecar: sidecar.to_string(),
@@ -452,7 +454,7 @@
         });
     }
 
-    /// Serves one sidecar until it leaves.
+    /// Serves one sidecar until it disconnects.
     async fn serve_sidecar(&self, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
         let codec = LineCodec::new(control_plane::RequestParser::default(), MAX_LINE_BYTES);
@@ -500,7 +502,7 @@
 }
 
 impl Connection<'_> {
-    /// Announces the stage to a sidecar that does not know it in time, and again now and then.
+    /// Announces a changed stage after the delay, and the same stage again at an interval.
     fn announce_due(&mut self, out: &mut String, sidecar: &str, now: Nanos) {
         let Some(state) = self.control_plane.state.get() else {
             return;
@@ -524,7 +526,7 @@
         self.announced = Some(Announcement::new(&state, now));
     }
 
-    /// Counts a vote and answers it, with the stage unless announcements are late.
+    /// Counts a vote and answers it; the answer holds the stage unless announcements are delayed further.
     async fn answer_vote(
         &mut self,
         out: &mut String,
--- a/crates/emulator/src/drive/control_plane.rs
+++ b/crates/emulator/src/drive/control_plane.rs
@@ -1,4 +1,4 @@
-//! The emulated control plane: sends the recorded stages, tallies and faults at their times, counts votes.
+//! The emulated control plane: sends the recorded stages, tallies and faults at their times, and counts votes.
 
 use super::replay::Replay;
 use super::script::Notification;
@@ -16,7 +16,7 @@
 /// Longest line that a sidecar may send, in bytes.
 const MAX_LINE_BYTES: usize = 1024;
 
-/// Serves one sidecar after the other until dropped.
+/// Serves one connection after the other until dropped.
 pub(super) async fn serve(replay: Rc<Replay>, listener: TcpListener) {
     while let Ok((stream, _)) = listener.accept().await {
         let connection = Connection {
@@ -31,7 +31,7 @@
 /// One sidecar's connection.
 struct Connection<'a> {
     replay: &'a Replay,
-    /// Number of the message sent last.
+    /// Sequence number of the last message.
     sequence: u64,
     /// Index of the next notification of the script.
     next: usize,
@@ -108,7 +108,7 @@
         write_fault(out, self.sequence, pod, class, ago);
     }
 
-    /// Counts a vote and confirms it. Stages move as recorded, whatever is voted now.
+    /// Counts a vote and confirms it. Votes have no effect on the stages, which change as recorded.
     fn count_vote(&mut self, out: &mut String, vote: PendingVote) {
         let mut counts = self.replay.counts.borrow_mut();
         counts.driven.count_vote(vote.build, vote.stage, vote.vote);
--- a/crates/emulator/src/drive/endpoint_list.rs
+++ b/crates/emulator/src/drive/endpoint_list.rs
@@ -35,7 +35,7 @@
     }
 }
 
-/// Serves one sidecar after the other until dropped.
+/// Serves one connection after the other until dropped.
 pub(super) async fn serve(replay: Rc<Replay>, listener: TcpListener) {
     while let Ok((stream, _)) = listener.accept().await {
         let connection = Connection {
@@ -50,7 +50,7 @@
 /// One sidecar's connection.
 struct Connection<'a> {
     replay: &'a Replay,
-    /// Number of the message sent last.
+    /// Sequence number of the last message.
     sequence: u64,
     /// Index of the next notification of the script.
     next: usize,
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Answers a poll with the list as sent last, if any was.
+    /// Answers a poll with the last list sent, if there is one.
     fn write_known(&mut self, out: &mut String) {
         let endpoints = self.replay.endpoints.borrow();
         if endpoints.is_empty() {
@@ -116,7 +116,7 @@
 }
 
 impl Replay {
-    /// The pods of a list at the addresses of their emulated pods.
+    /// Replaces the addresses of a list by those of the emulated pods.
     fn with_addresses(&self, pods: &[ListedEndpoint]) -> Vec<ListedEndpoint> {
         let addresses = self.pods.borrow();
         let with_address = |pod: &ListedEndpoint| {
--- a/crates/emulator/src/drive/error.rs
+++ b/crates/emulator/src/drive/error.rs
@@ -2,7 +2,7 @@
 
 use havenplank_trace::TraceError;
 
-/// Why a trace could not be driven.
+/// Why a drive failed.
 #[derive(Debug, thiserror::Error)]
 pub enum DriveError {
     /// The trace could not be read.
@@ -11,10 +11,10 @@
     /// A socket, a file or the sidecar process failed.
     #[error("{0}")]
     Io(#[from] std::io::Error),
-    /// The trace holds no requests, or too many.
+    /// The trace holds no requests or too many; says which.
     #[error("{0}")]
     UnsuitableTrace(String),
-    /// The sidecar did not start to listen in time; holds what it logged.
+    /// The sidecar did not listen in time; holds the lines that it logged.
     #[error("the sidecar did not listen within 20 s: {0}")]
     NotListening(String),
 }
--- a/crates/emulator/src/drive/outcome.rs
+++ b/crates/emulator/src/drive/outcome.rs
@@ -1,9 +1,9 @@
-//! What a drive counts, as recorded and as driven.
+//! The counts of a drive, as recorded and as measured in the drive.
 
 use havenplank::interface::{Build, Vote};
 use std::collections::BTreeMap;
 
-/// Outcomes of a trace's requests, and its votes: as recorded, or as driven.
+/// Outcomes of a trace's requests, and its votes: as recorded, or as measured in the drive.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Outcomes {
     /// Requests sent by clients.
@@ -33,14 +33,14 @@
 /// The result of a drive.
 #[derive(Debug, Default)]
 pub struct DriveOutcome {
-    /// What the trace recorded.
+    /// The counts of the recording.
     pub recorded: Outcomes,
-    /// What happened in the drive.
+    /// The counts of the drive.
     pub driven: Outcomes,
-    /// Attempts that ended as a recorded attempt of the same request to the same build.
+    /// Attempts that ended like a recorded attempt of the same request to the same build.
     pub as_recorded: u64,
-    /// Attempts that ended as the build's attempts of that time did, since nothing nearer was recorded.
+    /// Attempts that ended like the build's last attempt at that time, as none of the same request was recorded.
     pub as_build: u64,
-    /// Faults of the drive itself, a line each.
+    /// Faults of the drive itself, one line each.
     pub unexpected_faults: Vec<String>,
 }
--- a/crates/emulator/src/drive/pods.rs
+++ b/crates/emulator/src/drive/pods.rs
@@ -21,7 +21,7 @@
 /// Header of a load report.
 const LOAD_REPORT_HEADER: &str = "endpoint-load-metrics";
 
-/// Ends a connection without an answer.
+/// Error of a service that closes the connection without an answer.
 #[derive(Debug, thiserror::Error)]
 #[error("reset on purpose")]
 struct DeliberateReset;
@@ -67,7 +67,7 @@
         .ok()
 }
 
-/// Counts an attempt and returns how many of the request came to this build before.
+/// Counts an attempt, and returns the number of earlier attempts of the request at this build.
 fn count_attempt(replay: &Replay, request: RequestId, build: Build) -> usize {
     let mut counts = replay.attempt_counts.borrow_mut();
     let count = counts.entry(request).or_default().entry(build).or_default();
--- a/crates/emulator/src/drive/recording.rs
+++ b/crates/emulator/src/drive/recording.rs
@@ -11,7 +11,7 @@
 use std::collections::HashMap;
 use std::io::{Read, Seek};
 
-/// Requests of one drive: all of it is held in memory, so a longer trace is to be cut first.
+/// Most requests of one drive. A drive is held in memory, so a longer trace must be cut first.
 const MAX_REQUESTS: usize = 1_000_000;
 
 /// One attempt of a request.
@@ -27,7 +27,7 @@
     build: Build,
 }
 
-/// A script that is being read, with the attempts that have not ended yet.
+/// Reads a script, and keeps the attempts that have not ended yet.
 struct ScriptReader {
     script: Script,
     in_flight: HashMap<AttemptKey, SentAttempt>,
@@ -42,7 +42,7 @@
     number: usize,
 ) -> Result<Script, DriveError> {
     let source = reader.head.sources[number].clone();
-    let mut reading = ScriptReader {
+    let mut script_reader = ScriptReader {
         script: Script::new(source),
         in_flight: HashMap::new(),
     };
@@ -53,22 +53,22 @@
         }
         if began.is_none() {
             began = Some(record.own);
-            // A cut trace begins with the stage that was in force.
+            // A cut trace begins with the stage that was in effect.
             let standing = reader
                 .standing
                 .iter()
                 .find(|standing| standing.source == number);
             if let Some(standing) = standing {
-                reading.notify(Notification::Stage(standing.stage));
+                script_reader.notify(Notification::Stage(standing.stage));
             }
         }
-        reading.script.length = record.own.saturating_sub(began.unwrap_or(record.own));
-        reading.take(record)?;
+        script_reader.script.length = record.own.saturating_sub(began.unwrap_or(record.own));
+        script_reader.read_record(record)?;
     }
-    let mut script = reading.script;
+    let mut script = script_reader.script;
     if script.requests.is_empty() {
         return Err(DriveError::UnsuitableTrace(
-            "no hits in the trace".to_string(),
+            "the trace has no requests; expected at least one".to_string(),
         ));
     }
     if !script.has_complete_list() {
@@ -85,12 +85,12 @@
             .push(TimedNotification { at, notification });
     }
 
-    fn take(&mut self, record: Record) -> Result<(), DriveError> {
+    fn read_record(&mut self, record: Record) -> Result<(), DriveError> {
         match record.what {
             What::Event(Event::RequestArrived {
                 request,
                 attributes,
-            }) => self.arrived(request, attributes)?,
+            }) => self.read_request(request, attributes)?,
             What::Event(Event::FaultReported {
                 route_class, ago, ..
             }) => {
@@ -101,25 +101,25 @@
                     ago,
                 });
             }
-            What::Event(event) => self.take_event(event),
+            What::Event(event) => self.read_event(event),
             What::Effect(effect) => {
                 let build = record.pod.as_ref().map_or(0, |pod| pod.build);
-                self.take_effect(effect, build);
+                self.read_effect(effect, build);
             }
             What::Lost { .. } => {}
         }
         Ok(())
     }
 
-    fn arrived(
+    fn read_request(
         &mut self,
         request: RequestId,
         attributes: RequestAttributes,
     ) -> Result<(), DriveError> {
         if self.script.requests.len() >= MAX_REQUESTS {
-            let why =
-                format!("more than {MAX_REQUESTS} hits; expected a trace that was cut to fewer");
-            return Err(DriveError::UnsuitableTrace(why));
+            let message =
+                format!("the trace has more than {MAX_REQUESTS} requests; cut it to fewer");
+            return Err(DriveError::UnsuitableTrace(message));
         }
         self.script.recorded.requests += 1;
         self.script.requests.push(RecordedRequest {
@@ -130,7 +130,7 @@
         Ok(())
     }
 
-    fn take_event(&mut self, event: Event) {
+    fn read_event(&mut self, event: Event) {
         match event {
             Event::AttemptEnded {
                 request,
@@ -151,7 +151,7 @@
                     took,
                     load,
                 };
-                self.ended(key, sent.at, ended);
+                self.record_end(key, sent.at, ended);
             }
             Event::ClientLeft { .. } => self.script.recorded.left += 1,
             Event::EndpointsListed { complete, pods, .. } => {
@@ -169,7 +169,7 @@
         }
     }
 
-    fn ended(&mut self, key: AttemptKey, sent: Nanos, attempt: RecordedAttempt) {
+    fn record_end(&mut self, key: AttemptKey, sent: Nanos, attempt: RecordedAttempt) {
         let nth = key.attempt as usize;
         let attempts = self.script.attempts.entry(key.request).or_default();
         attempts.resize(attempts.len().max(nth + 1), None);
@@ -178,7 +178,7 @@
         of_build.push(TimedAttempt { sent, attempt });
     }
 
-    fn take_effect(&mut self, effect: Effect, build_of_pod: Build) {
+    fn read_effect(&mut self, effect: Effect, build_of_pod: Build) {
         let recorded = &mut self.script.recorded;
         match effect {
             Effect::SendAttempt {
--- a/crates/emulator/src/drive/replay.rs
+++ b/crates/emulator/src/drive/replay.rs
@@ -10,10 +10,10 @@
 use std::time::Duration;
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// How often a service looks whether the drive has begun.
+/// How often a service checks whether the drive has begun.
 const START_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// A pod by name and incarnation, as a name may come back as another pod.
+/// A pod by name and incarnation, as another pod may reuse a name.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct PodKey {
     name: String,
@@ -29,16 +29,16 @@
     }
 }
 
-/// Everything that the parts of one drive share.
+/// The state that the emulated pods, services and clients of one drive share.
 pub(super) struct Replay {
     pub(super) script: Script,
     pub(super) began: Cell<Option<Instant>>,
     /// Addresses of the emulated pods; bounded by the script's endpoint lists.
     pub(super) pods: RefCell<HashMap<PodKey, SocketAddr>>,
-    /// Attempts of each request that have come so far; bounded by the script's requests.
+    /// Number of attempts so far, by request and build; bounded by the script's requests.
     pub(super) attempt_counts: RefCell<HashMap<RequestId, HashMap<Build, usize>>>,
     pub(super) counts: RefCell<DriveOutcome>,
-    /// The endpoint list as sent last, for a sidecar that polls; bounded by the script's endpoint lists.
+    /// The last endpoint list sent, for a sidecar that polls; bounded by the script's endpoint lists.
     pub(super) endpoints: RefCell<BTreeMap<String, ListedEndpoint>>,
 }
 
@@ -67,9 +67,9 @@
         (timed.at <= self.now()).then_some(&timed.notification)
     }
 
-    /// Waits until the notification at this index is due; for ever after the last one.
+    /// Waits until the notification at this index is due; never returns after the last one.
     ///
-    /// Before the drive begins it returns after [`START_CHECK_INTERVAL`], to be called again.
+    /// Before the drive begins it returns after [`START_CHECK_INTERVAL`], and the caller calls it again.
     pub(super) async fn until_notification(&self, index: usize) {
         let due = self.script.notifications.get(index).map(|timed| timed.at);
         match (due, self.began.get()) {
--- a/crates/emulator/src/drive/requests.rs
+++ b/crates/emulator/src/drive/requests.rs
@@ -36,7 +36,7 @@
 /// Connections to the sidecar, kept for the next request.
 pub(super) struct Clients {
     sidecar: SocketAddr,
-    /// Bounded by the requests that were in flight at one time.
+    /// Idle connections; bounded by the requests in flight at one time.
     idle: RefCell<Vec<Sender>>,
 }
 
--- a/crates/emulator/src/drive/runner.rs
+++ b/crates/emulator/src/drive/runner.rs
@@ -19,7 +19,7 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, sleep_until, Instant};
 
-/// Head start of the endpoint list and the stage over the first request, as when they were recorded.
+/// Delay of the first request, so that the sidecar gets the endpoint list and the stage before it, as in the recording.
 const FIRST_REQUEST_DELAY: Duration = Duration::from_millis(100);
 const NANOS_PER_SECOND: Nanos = 1_000_000_000;
 /// A port that the system chooses.
@@ -27,11 +27,11 @@
 
 /// Drives one source of a trace.
 ///
-/// `program` is this program, `folder` keeps the sidecar's settings and log. `on_progress` is called once a second
-/// with the time of the script and its length.
+/// `program` is the program that runs the sidecar, `folder` holds the sidecar's settings and log. `on_progress` is called
+/// once a second with the time of the script and its length.
 ///
 /// # Errors
-/// A damaged trace, one without requests or with too many, no sockets to be had, a sidecar that does not start.
+/// The trace is damaged or has no requests or too many, a socket cannot be bound, or the sidecar does not start.
 pub async fn drive<R: Read + Seek>(
     reader: &mut Reader<R>,
     number: usize,
@@ -60,7 +60,7 @@
     let mut driven = std::mem::take(&mut *replay.counts.borrow_mut());
     driven.recorded = replay.script.recorded.clone();
     if let Some(status) = ended {
-        let fault = format!("the sidecar ended by itself: {status}");
+        let fault = format!("the sidecar ended during the drive: {status}");
         driven.unexpected_faults.push(fault);
     }
     Ok(driven)
--- a/crates/emulator/src/drive/script.rs
+++ b/crates/emulator/src/drive/script.rs
@@ -23,7 +23,7 @@
 }
 
 impl RecordedAttempt {
-    /// Whether a pod of this build decided the end.
+    /// Whether a pod of this build ended the attempt.
     fn ended_by(&self, build: Build) -> bool {
         self.build == build && !matches!(self.end, AttemptEnd::NotSent | AttemptEnd::Cancelled)
     }
@@ -40,7 +40,7 @@
 #[derive(Clone, Copy)]
 pub(super) struct PlannedEnd {
     pub(super) attempt: RecordedAttempt,
-    /// Whether it was recorded of this very request.
+    /// Whether the attempt belongs to the same request.
     pub(super) of_request: bool,
 }
 
@@ -77,13 +77,13 @@
 /// The script of a drive; all times are counted from the first record of its source.
 pub(super) struct Script {
     pub(super) source: Source,
-    /// By time.
+    /// In order of time.
     pub(super) requests: Vec<RecordedRequest>,
-    /// By time.
+    /// In order of time.
     pub(super) notifications: Vec<TimedNotification>,
-    /// The attempts of each request, in order.
+    /// The attempts of each request, by number; `None` for one that did not end.
     pub(super) attempts: HashMap<RequestId, Vec<Option<RecordedAttempt>>>,
-    /// All attempts of each build, by the time of their end.
+    /// All attempts of each build, in the order in which they ended.
     pub(super) by_build: HashMap<Build, Vec<TimedAttempt>>,
     pub(super) recorded: Outcomes,
     pub(super) length: Nanos,
@@ -111,7 +111,7 @@
         })
     }
 
-    /// Lists emulated pods for each build that the attempts name, as a cut trace may hold no complete list.
+    /// Adds a complete list with emulated pods of each build, for a cut trace that holds no complete list.
     pub(super) fn list_pods_of_builds(&mut self) {
         let mut pods: Vec<ListedEndpoint> = self
             .by_build
@@ -151,8 +151,8 @@
 
     /// How the `nth` attempt of a request at a build is to end.
     ///
-    /// Takes the request's own recorded attempts at that build first, the last of them again when there are
-    /// fewer, and otherwise the build's attempt that was sent last before `now`.
+    /// If the request has recorded attempts at that build, returns the `nth` of them, or the last one if there are fewer.
+    /// Otherwise returns the build's attempt that was sent last before `now`.
     pub(super) fn planned_end(
         &self,
         request: RequestId,
--- a/crates/emulator/src/drive/settings.rs
+++ b/crates/emulator/src/drive/settings.rs
@@ -1,4 +1,4 @@
-//! Writes the settings script of the driven sidecar from the settings that the trace recorded.
+//! Writes the settings script of the sidecar from the settings in the trace.
 
 use crate::pod::UNPROCESSED_HEADER;
 use havenplank::interface::RouteClass;
@@ -7,7 +7,7 @@
 use std::fmt::Write;
 use std::net::SocketAddr;
 
-/// The settings script that a sidecar with these recorded settings is started with.
+/// The settings script for a sidecar with these recorded settings.
 pub(super) fn settings_script(
     terms: &EngineSettings,
     discovery: SocketAddr,
@@ -24,7 +24,7 @@
     out
 }
 
-/// A Starlark truth value.
+/// A Starlark boolean.
 fn flag(on: bool) -> &'static str {
     if on {
         "True"
@@ -33,7 +33,7 @@
     }
 }
 
-/// A further argument with a list of texts, left out when the list is empty.
+/// A further argument with a list of strings, left out when the list is empty.
 fn texts(name: &str, all: &[String]) -> String {
     if all.is_empty() {
         return String::new();
--- a/crates/emulator/src/drive/sidecar.rs
+++ b/crates/emulator/src/drive/sidecar.rs
@@ -12,12 +12,12 @@
 use tokio::task::JoinSet;
 use tokio::time::timeout;
 
-/// How long the sidecar may take until it listens.
+/// How long the sidecar may take from its start until it listens.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
-/// Log lines kept to say why the sidecar does not listen.
+/// Number of log lines kept for the error when the sidecar does not listen.
 const MAX_START_LINES: usize = 64;
 
-/// A sidecar that listens; killed when dropped.
+/// A running sidecar process; killed when dropped.
 pub(super) struct Sidecar {
     child: Child,
     pub(super) address: SocketAddr,
@@ -63,7 +63,7 @@
     /// Kills the process; returns its status if it had ended by itself.
     ///
     /// # Errors
-    /// The system cannot say whether the process runs.
+    /// The state of the process cannot be read.
     pub(super) async fn stop(mut self) -> Result<Option<ExitStatus>, DriveError> {
         let ended = self.child.try_wait()?;
         let _ = self.child.kill().await;
@@ -71,7 +71,7 @@
     }
 }
 
-/// Copies the log to a file; sends the address once the sidecar listens, and what it logs before.
+/// Copies the log to a file, sends the lines before the sidecar listens, and then its address.
 async fn read_log(
     log: impl AsyncBufRead + Unpin,
     file: PathBuf,
@@ -89,7 +89,7 @@
             (Some(address), Some(ready)) => {
                 let _ = ready.send(address);
             }
-            // Before it listens, what it logs is why it does not.
+            // The lines before it listens show why it did not.
             (None, Some(still_waiting)) => {
                 ready = Some(still_waiting);
                 let _ = start_lines.try_send(line);
--- a/crates/emulator/src/faults.rs
+++ b/crates/emulator/src/faults.rs
@@ -1,4 +1,4 @@
-//! Injects the faults of a scenario: each for its span, then the state before is restored.
+//! Injects the faults of a scenario, each for its duration; then the normal state is restored.
 
 use crate::clients::Clients;
 use crate::control_plane::ControlPlane;
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Kills all pods of a zone, and replaces them there when the fault is over.
+    /// Kills all pods of a zone, and replaces them in that zone when the fault is over.
     async fn lose_zone(&self, zone: &str, duration: Duration) {
         let running = self.fleet.running().into_iter();
         let lost: Vec<Rc<Pod>> = running.filter(|pod| pod.identity.zone == zone).collect();
@@ -105,7 +105,7 @@
         self.sidecars.restart_all(&instances, down, shutdown).await;
     }
 
-    /// Kills and restarts all sidecars in batches, spread over the fault's span.
+    /// Kills and restarts all sidecars in batches, spread over the fault's duration.
     async fn rolling_restart(&self, batch: usize, down: Duration, duration: Duration) {
         let order = self.sidecars.draw(self.sidecars.count());
         let batches: Vec<&[usize]> = order.chunks(batch.max(1)).collect();
@@ -129,7 +129,7 @@
     }
 }
 
-/// Sets a value for a while, then back to its normal one.
+/// Sets a value for a duration, then restores the normal one.
 async fn set_for<T>(cell: &Cell<T>, value: T, normal: T, duration: Duration) {
     cell.set(value);
     sleep(duration).await;
--- a/crates/emulator/src/fleet.rs
+++ b/crates/emulator/src/fleet.rs
@@ -208,7 +208,7 @@
             let mut remaining = MAX_DRAIN_TIME;
             while remaining > Duration::ZERO
                 && !pod.is_down()
-                && (pod.busy.get() > 0 || remaining > MAX_DRAIN_TIME / 2)
+                && (pod.running.get() > 0 || remaining > MAX_DRAIN_TIME / 2)
             {
                 sleep(Duration::from_millis(50)).await;
                 remaining = remaining.saturating_sub(Duration::from_millis(50));
--- a/crates/emulator/src/pod.rs
+++ b/crates/emulator/src/pod.rs
@@ -22,56 +22,56 @@
 use tokio::task::{spawn_local, JoinSet};
 use tokio::time::sleep;
 
-/// Header of a client's attempt: its number in the ledger.
+/// Header of a request's number in the ledger (`ask`); each retry of a client has a new one.
 pub const REQUEST_HEADER: &str = "x-ask";
 /// Header of the work that a request needs, in microseconds of a core.
 pub const WORK_HEADER: &str = "x-work-us";
 /// Header of a request's route class, by index.
 pub const CLASS_HEADER: &str = "x-group";
-/// Header of a rejection by a pod that did not run the request.
+/// Header of a pod's rejection, as the proof that the request did not run.
 pub const UNPROCESSED_HEADER: &str = "x-never-ran";
-/// Tells the emulated client, and nobody else, that an answer is wrong.
+/// Header that marks a wrong answer for the emulated client; sidecars do not interpret it.
 pub const WRONG_ANSWER_HEADER: &str = "x-wrong";
 /// Header of the idempotency key.
 const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 /// Header of a load report.
 const LOAD_REPORT_HEADER: &str = "endpoint-load-metrics";
-/// How often a pod looks whether it is to refuse connections.
+/// How often a pod checks whether it is to refuse connections.
 const REFUSE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What kind of machine a pod runs on.
+/// The capacity of the machine that a pod runs on.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Machine {
     /// Requests that run at one time.
     pub cores: usize,
     /// Nanoseconds of work that a warm core does in a nanosecond.
     pub speed: f64,
-    /// Requests that wait for a core, at most; one more is rejected without having run.
+    /// Most requests that wait for a core; one more is rejected without running.
     pub queue: usize,
     /// Share of its capacity that a pod has at its start.
     pub initial_capacity: f64,
     /// How long the slow start takes, in nanoseconds.
     pub warm_up: Nanos,
-    /// Work that a warming pod bears within the window, as a multiple of its capacity.
+    /// Most work that a warming pod can receive within the window without failing, as a multiple of its capacity.
     pub overload_multiple: f64,
-    /// The window in which that work is counted, in nanoseconds.
+    /// The window over which that work is summed, in nanoseconds.
     pub overload_window: Nanos,
 }
 
-/// What may be wrong with a pod or a build; all shares from 0 to 1.
+/// Faults of a pod or a build; all shares are from 0 to 1. Logs show the names of the fields.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Faults {
     /// No request gets an answer.
     pub hang: bool,
     /// Share of requests that end in a server error.
     pub error: f64,
-    /// Errors of one route class only.
+    /// The only route class with errors; all classes if not set.
     pub error_group: Option<usize>,
     /// Share of answers that are wrong.
     pub wrong: f64,
     /// Factor on the time that work takes.
     pub slow: f64,
-    /// Slow only while more than half of its cores are busy.
+    /// Factor on the time that work takes while more than half of the cores are busy.
     pub slow_busy: f64,
     /// Share of requests whose connection closes before they run.
     pub reset_before: f64,
@@ -81,7 +81,7 @@
     pub lose_answer: f64,
     /// How long a new connection waits before it is served, in nanoseconds.
     pub slow_connect: Nanos,
-    /// Nothing listens; open connections stay.
+    /// New connections are refused; open ones stay.
     pub refuse: bool,
 }
 
@@ -104,7 +104,7 @@
 }
 
 impl Faults {
-    /// Both faults at once.
+    /// Combines two sets of faults.
     pub fn with(&self, other: &Faults) -> Faults {
         let either = |a: f64, b: f64| 1.0 - (1.0 - a) * (1.0 - b);
         Faults {
@@ -130,26 +130,26 @@
     route_class: usize,
 }
 
-/// Additions to [`SeenKeys`] between two removals of expired keys.
+/// Number of additions to [`SeenKeys`] between two removals of expired keys.
 const EXPIRE_EVERY: u32 = 1_000;
 
 /// Idempotency keys of requests that ran, shared by the pods that drop each other's repeats.
 #[derive(Default)]
 pub struct SeenKeys {
-    /// Until when a repeat is dropped; bounded by the requests of a window and [`EXPIRE_EVERY`].
+    /// When each key expires; bounded by the requests of a window and [`EXPIRE_EVERY`].
     seen: RefCell<HashMap<ScopedKey, Nanos>>,
     added: Cell<u32>,
 }
 
 impl SeenKeys {
-    /// Whether this key is new; remembers it for the window.
+    /// Remembers a key for the window; returns whether it is new.
     fn insert(&self, now: Nanos, key: ScopedKey, window: Nanos) -> bool {
         let mut seen = self.seen.borrow_mut();
         self.added.set(self.added.get() + 1);
         if self.added.get().is_multiple_of(EXPIRE_EVERY) {
-            seen.retain(|_, until| *until >= now);
+            seen.retain(|_, expiry| *expiry >= now);
         }
-        if seen.get(&key).is_some_and(|until| *until >= now) {
+        if seen.get(&key).is_some_and(|expiry| *expiry >= now) {
             return false;
         }
         seen.insert(key, now + window);
@@ -157,10 +157,10 @@
     }
 }
 
-/// What a pod must know of a route class.
+/// What a pod needs to know of a route class.
 #[derive(Clone, Debug)]
 pub struct ServedClass {
-    /// Which pods drop each other's repeats.
+    /// Among which pods repeats are dropped.
     pub scope: DedupScope,
     /// Whether requests carry an idempotency key.
     pub keyed: bool,
@@ -168,22 +168,22 @@
     pub dedup_window: Nanos,
 }
 
-/// Which pod it is.
+/// The identity of a pod and where it runs.
 #[derive(Clone, Debug)]
 pub struct PodIdentity {
     /// Its name, unique in a scenario.
     pub name: String,
-    /// Its incarnation.
+    /// Its incarnation: the number of its start, counted over all pods.
     pub incarnation: u64,
     /// The build that it runs.
     pub build: Build,
     /// The zone that it runs in.
     pub zone: String,
-    /// Its cell: pods of one drop each other's repeats at the narrowest scope.
+    /// Its cell, the narrowest scope of deduplication.
     pub cell: i64,
 }
 
-/// Work that reached a pod at a moment.
+/// Work that reached a pod, and when.
 #[derive(Clone, Copy, Debug)]
 struct Arrival {
     at: Nanos,
@@ -213,30 +213,30 @@
 
 /// An emulated pod.
 pub struct Pod {
-    /// Which pod it is.
+    /// Its identity and where it runs.
     pub identity: PodIdentity,
     /// The machine that it runs on.
     pub machine: Machine,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
     /// When it started.
     pub up_at: Nanos,
-    /// Faults that the scenario injects for a while.
+    /// Faults that the scenario injects for a time.
     pub faults: RefCell<Faults>,
     /// Faults of its build.
     pub build_faults: RefCell<Faults>,
-    /// Factor by which what all pods share slows them.
+    /// Factor by which a resource that all pods share slows them.
     pub shared_slowdown: Rc<Cell<f64>>,
-    /// Whether it takes no new requests.
+    /// Whether it rejects new requests.
     pub draining: Cell<bool>,
     ledger: LedgerWriter,
     route_classes: Rc<Vec<ServedClass>>,
-    /// By scope of deduplication.
+    /// The idempotency keys seen, by [`DedupScope`].
     seen_keys: [Rc<SeenKeys>; 3],
     cores: Semaphore,
     queued: Cell<usize>,
-    /// Requests that run now.
-    pub busy: Cell<usize>,
+    /// Number of requests that run now.
+    pub running: Cell<usize>,
     /// Attempts that arrived since the fleet last counted them.
     pub attempts: Cell<u64>,
     recent_work: RefCell<RecentWork>,
@@ -280,8 +280,8 @@
     /// Starts a pod on an address that the system chooses, and serves until [`Pod::kill`].
     ///
     /// # Errors
-    /// No address to be had.
-    #[allow(clippy::too_many_arguments)] // the fleet alone calls it, with a value for each
+    /// No socket can be bound.
+    #[allow(clippy::too_many_arguments)] // called only by the fleet, with a different value for each
     pub async fn start(
         identity: PodIdentity,
         machine: Machine,
@@ -327,7 +327,7 @@
             seen_keys,
             cores: Semaphore::new(machine.cores),
             queued: Cell::new(0),
-            busy: Cell::new(0),
+            running: Cell::new(0),
             attempts: Cell::new(0),
             recent_work: RefCell::default(),
             random: RefCell::new(Rand64::new(seed as u128)),
@@ -337,33 +337,33 @@
         Ok(pod)
     }
 
-    /// Ends it at once: connections break, nothing listens there any more.
+    /// Ends the pod at once: its connections break and it stops listening.
     pub fn kill(&self) {
         self.down.send_replace(true);
     }
 
-    /// Whether it was killed or broke down.
+    /// Whether the pod was killed or failed under load.
     pub fn is_down(&self) -> bool {
         *self.down.borrow()
     }
 
-    /// Time since its start.
+    /// Time since the pod's start.
     pub fn age(&self) -> Nanos {
         self.ledger.now().saturating_sub(self.up_at)
     }
 
-    /// The share of its capacity that a pod has by now.
+    /// The share of its capacity that the pod has at its age.
     fn capacity_share(&self) -> f64 {
         let warm = (self.age() as f64 / self.machine.warm_up.max(1) as f64).min(1.0);
         self.machine.initial_capacity + (1.0 - self.machine.initial_capacity) * warm
     }
 
-    /// Draws whether a fault of this share happens.
+    /// Draws whether a fault with this share of requests happens.
     fn draw_fault(&self, share: f64) -> bool {
         share > 0.0 && self.random.borrow_mut().rand_float() < share
     }
 
-    /// Counts work that reached it; a warming pod that gets too much breaks down and stays down.
+    /// Counts work that reached the pod; a warming pod that receives too much fails for good.
     fn add_load(&self, work: Nanos) {
         let window = self.machine.overload_window;
         let now = self.ledger.now();
@@ -379,7 +379,7 @@
         }
     }
 
-    /// Takes an attempt: rejects it, or runs it to its end.
+    /// Receives an attempt, and rejects it or runs it to its end.
     async fn receive(self: &Rc<Self>, request: Request<Incoming>) -> Outcome {
         let faults = self.faults.borrow().with(&self.build_faults.borrow());
         let (parts, body) = request.into_parts();
@@ -409,7 +409,7 @@
         if self.draw_fault(faults.reset_before) {
             return Outcome::Reset;
         }
-        // Once begun, work goes on whether or not anyone still waits for it.
+        // The work runs in a task of its own, so that it continues when the client closes the connection.
         let pod = self.clone();
         let ran = spawn_local(async move { pod.run(attempt, &faults).await });
         ran.await.unwrap_or(Outcome::Reset)
@@ -465,22 +465,26 @@
         Outcome::Answer(answer)
     }
 
-    /// Waits for a core and occupies it while the work takes.
+    /// Waits for a core and occupies it for as long as the work takes.
     async fn work(&self, work: Nanos, faults: &Faults) {
         self.queued.set(self.queued.get() + 1);
         let core = self.cores.acquire().await;
         self.queued.set(self.queued.get() - 1);
-        self.busy.set(self.busy.get() + 1);
-        let crowded = self.busy.get() * 2 > self.machine.cores;
-        let busy = if crowded { faults.slow_busy } else { 1.0 };
-        let pace = self.machine.speed * self.capacity_share()
-            / (faults.slow * busy * self.shared_slowdown.get());
-        sleep(Duration::from_nanos((work as f64 / pace.max(0.01)) as u64)).await;
-        self.busy.set(self.busy.get() - 1);
+        self.running.set(self.running.get() + 1);
+        let more_than_half = self.running.get() * 2 > self.machine.cores;
+        let slow_busy = if more_than_half {
+            faults.slow_busy
+        } else {
+            1.0
+        };
+        let speed = self.machine.speed * self.capacity_share()
+            / (faults.slow * slow_busy * self.shared_slowdown.get());
+        sleep(Duration::from_nanos((work as f64 / speed.max(0.01)) as u64)).await;
+        self.running.set(self.running.get() - 1);
         drop(core);
     }
 
-    /// Whether the attempt is no repeat that the pods of its scope drop.
+    /// Whether the attempt is not a repeat that the pods of its scope drop.
     fn is_first(&self, attempt: &Attempt) -> bool {
         let class = self.route_classes.get(attempt.route_class);
         let Some(class) = class.filter(|class| class.keyed) else {
@@ -494,13 +498,13 @@
         seen_keys.insert(self.ledger.now(), key, class.dedup_window)
     }
 
-    /// A good answer with a load report, or a wrong one that only the emulated client can tell.
+    /// A successful answer with a load report; marked as wrong for the emulated client with the share of wrong answers.
     fn answer(&self, faults: &Faults) -> Response<Full<Bytes>> {
         let mut answer = success_response();
         let load = format!(
             "TEXT cpu_utilization={:.3}, named_metrics.in_flight={}",
-            self.busy.get() as f64 / self.machine.cores as f64,
-            self.busy.get() + self.queued.get()
+            self.running.get() as f64 / self.machine.cores as f64,
+            self.running.get() + self.queued.get()
         );
         let headers = answer.headers_mut();
         if let Ok(load) = HeaderValue::from_str(&load) {
@@ -517,7 +521,7 @@
     Response::new(Full::new(Bytes::from_static(b"found\n")))
 }
 
-/// The sidecar that forwarded, as the last `Via` names it.
+/// The name of the sidecar that forwarded a request, from its last `Via` header.
 fn via(headers: &HeaderMap) -> String {
     let last = headers
         .get_all(VIA)
@@ -529,7 +533,7 @@
         .to_string()
 }
 
-/// A connection that is closed from within an answer shows the client no answer at all.
+/// Error of a service that closes the connection, so that the client gets no answer.
 #[derive(Debug, thiserror::Error)]
 #[error("reset on purpose")]
 struct DeliberateReset;
@@ -559,7 +563,7 @@
             Some(_) = connections.join_next() => {}
         }
     }
-    // Dropping the set breaks every connection.
+    // Dropping the set closes all connections.
 }
 
 async fn serve_connection(pod: Rc<Pod>, stream: TcpStream) {
--- a/crates/emulator/src/sidecars.rs
+++ b/crates/emulator/src/sidecars.rs
@@ -1,4 +1,4 @@
-//! The sidecar processes of a scenario: started, stopped or killed, restarted, their logs read.
+//! The sidecar processes of a scenario: starts, stops, kills and restarts them, and reads their logs.
 
 use crate::clients::Target;
 use crate::ledger_writer::LedgerWriter;
@@ -20,9 +20,9 @@
 use tokio::task::{spawn_local, JoinSet};
 use tokio::time::{sleep, timeout};
 
-/// How long a sidecar may take until it listens.
+/// How long a sidecar may take from its start until it listens.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
-/// How long a sidecar that was told to stop may take.
+/// How long a sidecar may take to end after it was asked to stop.
 const STOP_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// How sidecars are started.
@@ -32,26 +32,26 @@
     pub program: PathBuf,
     /// The settings script of all sidecars.
     pub settings: PathBuf,
-    /// Where each keeps its last list and its log.
+    /// The folder of each sidecar's last endpoint list and log.
     pub folder: PathBuf,
-    /// Where the sidecars record, if they are to.
+    /// The folder that the sidecars record traces in, if they record.
     pub trace: Option<PathBuf>,
 }
 
-/// Why a scenario could not be played.
+/// Why a scenario could not run.
 #[derive(Debug, thiserror::Error)]
 pub enum ScenarioError {
     /// A socket, a file or a process failed.
-    #[error("stand-ins: {0}")]
+    #[error("emulated services and sidecars: {0}")]
     Io(#[from] std::io::Error),
-    /// A sidecar did not say in time where it listens.
+    /// A sidecar did not log its address in time.
     #[error(
-        "{0} did not say where it listens within {START_TIMEOUT:?}; its log is beside its list"
+        "{0} did not listen within {START_TIMEOUT:?}; its log is in the folder of its endpoint list"
     )]
     NotListening(String),
 }
 
-/// The values that a settings script is given for a scenario, apart from names and addresses.
+/// The values that a scenario passes to the settings script, except names and addresses.
 pub fn settings_values(scenario: &Scenario) -> Vec<(String, String)> {
     let advance = share_of(scenario.advance_quorum, scenario.sidecars);
     let rollback = share_of(scenario.rollback_quorum, scenario.sidecars);
@@ -97,12 +97,12 @@
     admin: SocketAddr,
 }
 
-/// What the logs of all sidecars told.
+/// What was read from the logs of all sidecars.
 #[derive(Debug, Default)]
 pub(crate) struct Observed {
-    /// Votes cast, by vote.
+    /// Number of votes cast, by vote.
     pub(crate) votes: BTreeMap<String, u64>,
-    /// Faults of the sidecar processes, a line each.
+    /// Faults of the sidecar processes that the scenario did not inject, one line each.
     pub(crate) unexpected_faults: Vec<String>,
 }
 
@@ -116,7 +116,7 @@
     children: RefCell<Vec<Option<Child>>>,
     random: RefCell<Rand64>,
     observed: Rc<RefCell<Observed>>,
-    /// Set at the end, when no sidecar is started again.
+    /// Set at the end of the scenario, after which no sidecar is restarted.
     is_closed: Cell<bool>,
 }
 
@@ -195,7 +195,7 @@
         command
     }
 
-    /// The values that the settings script is given for this sidecar.
+    /// The values that are passed to the settings script of this sidecar.
     fn values(&self, instance: usize) -> Vec<(String, String)> {
         let name = &self.targets[instance].name;
         let cached_list = self.launch.folder.join(format!("{name}.list"));
@@ -218,7 +218,7 @@
         values
     }
 
-    /// Restarts these sidecars side by side; each stays down for `down`.
+    /// Restarts these sidecars concurrently; each stays down for `down`.
     pub(crate) async fn restart_all(
         self: &Rc<Self>,
         instances: &[usize],
@@ -261,7 +261,10 @@
         }
         let ended = timeout(STOP_TIMEOUT, child.wait()).await;
         if !matches!(ended, Ok(Ok(status)) if status.success()) {
-            self.report(format!("{}: did not stop as told: {ended:?}", target.name));
+            self.report(format!(
+                "{} did not stop within {STOP_TIMEOUT:?} with exit status 0: {ended:?}",
+                target.name
+            ));
         }
     }
 
@@ -273,24 +276,27 @@
         let _ = child.kill().await;
     }
 
-    /// From now on no sidecar is started again.
+    /// Prevents further restarts.
     pub(crate) fn close(&self) {
         self.is_closed.set(true);
     }
 
-    /// Kills all sidecars and reports those that had ended by themselves.
+    /// Kills all sidecars, and reports those that had already ended.
     pub(crate) async fn kill_all(&self) {
         let children: Vec<Option<Child>> = self.children.borrow_mut().drain(..).collect();
         for (target, child) in self.targets.iter().zip(children) {
             let Some(mut child) = child else { continue };
             if let Ok(Some(status)) = child.try_wait() {
-                self.report(format!("{} ended by itself: {status}", target.name));
+                self.report(format!(
+                    "{} ended although nothing stopped it: {status}",
+                    target.name
+                ));
             }
             let _ = child.kill().await;
         }
     }
 
-    /// Takes what the logs told.
+    /// Takes what was read from the logs.
     pub(crate) fn take_observed(&self) -> Observed {
         self.observed.take()
     }
@@ -299,7 +305,7 @@
         self.observed.borrow_mut().unexpected_faults.push(fault);
     }
 
-    /// Draws different sidecars at random, all of them when there are not so many.
+    /// Draws `count` different sidecars at random, or all if there are fewer.
     pub(crate) fn draw(&self, count: usize) -> Vec<usize> {
         let mut all: Vec<usize> = (0..self.targets.len()).collect();
         let mut drawn = Vec::new();
@@ -311,7 +317,7 @@
     }
 }
 
-/// Copies a sidecar's log to a file, and reads off it where the sidecar listens and how it votes.
+/// Copies a sidecar's log to a file, and reads its addresses and votes from it.
 struct LogReader {
     sidecar: String,
     copy: std::fs::File,
