--- a/crates/capacity/src/membership.rs
+++ b/crates/capacity/src/membership.rs
@@ -239,7 +239,7 @@
         if let Some(part) = self.net.host_mut(id) {
             part.leave();
         }
-        self.net.post(id);
+        self.net.send_ready(id);
         let cost = self.kill(id);
         self.run(RESTART_DOWN);
         self.revive(id, cost);
--- a/crates/configuration-simulation/src/fleet.rs
+++ b/crates/configuration-simulation/src/fleet.rs
@@ -247,7 +247,7 @@
         let version = writer.publish(own, epoch, changes)?;
         let digest = writer.in_force.digest();
         self.digests.entry(version).or_default().push(digest);
-        self.net.post(id);
+        self.net.send_ready(id);
         self.published.push(Publication {
             at: now,
             version,
--- a/crates/emulator/src/baseline.rs
+++ b/crates/emulator/src/baseline.rs
@@ -89,7 +89,8 @@
 
 /// Forwards requests to the pods in turn, over connections that are kept open.
 ///
-/// Bodies are read completely before they are forwarded, as the sidecar does. There are no timeouts, retries or metrics.
+/// Bodies are read completely before they are forwarded, as the sidecar does. There are no timeouts, retries or
+/// metrics.
 pub async fn proxy(listener: TcpListener, pods: Vec<SocketAddr>) {
     let pods = pods
         .into_iter()
--- a/crates/emulator/src/clients.rs
+++ b/crates/emulator/src/clients.rs
@@ -104,7 +104,7 @@
     class: usize,
     key: u64,
     work: Nanos,
-    /// Whether the client retries at all.
+    /// Whether the client retries rejected and failed requests.
     retries: bool,
     heeds_retry_after: bool,
     timeout: Nanos,
@@ -272,7 +272,8 @@
         self.next.replace(self.next.get() + 1)
     }
 
-    /// Sends requests for the scenario's length, however slow the answers, then waits for those in flight.
+    /// Sends requests at the scenario's rate for its length, however slow the answers are, then waits for those in
+    /// flight.
     pub async fn run(self: &Rc<Self>) {
         let began = tokio::time::Instant::now();
         let mut at = Duration::ZERO;
@@ -363,8 +364,8 @@
         let _ = outcomes.took_us.record(took.as_micros() as u64);
     }
 
-    /// Whether the client retries: an idempotent request after any failure, others only after a rejection, which says that
-    /// a retry is harmless.
+    /// Whether the client retries: an idempotent request after any failure, others only after a rejection, which says
+    /// that a retry is harmless.
     fn may_retry(&self, request: &ClientRequest, answer: Answer) -> bool {
         let harmless = match self.site.route_classes[request.class].rules.idempotency {
             Idempotency::Idempotent => true,
--- a/crates/emulator/src/control_plane.rs
+++ b/crates/emulator/src/control_plane.rs
@@ -1,4 +1,5 @@
-//! The emulated control plane: offers builds, moves their stages by votes or by time, announces stages late.
+//! The emulated control plane: offers builds, advances their stages by votes or by time, and announces stages with a
+//! delay.
 
 use crate::fleet::Fleet;
 use crate::ledger_writer::LedgerWriter;
@@ -223,7 +224,7 @@
         }
     }
 
-    /// Runs the stages until dropped.
+    /// Offers builds and evaluates their stages until dropped.
     pub async fn run(self: Rc<Self>) {
         loop {
             sleep(EVALUATION_INTERVAL).await;
@@ -410,7 +411,8 @@
             }
     }
 
-    /// Serves until dropped: first on the listener, and after each time of being unavailable on a new one at its address.
+    /// Serves until dropped: first on the listener, and after each time of being unavailable on a new one at its
+    /// address.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) {
         let Ok(address) = listener.local_addr() else {
             return;
@@ -493,10 +495,10 @@
     }
 }
 
-/// One sidecar's connection.
+/// The connection of one sidecar.
 struct Connection<'a> {
     control_plane: &'a ControlPlane,
-    /// Number of the message sent last.
+    /// Sequence number of the last message.
     sequence: u64,
     announced: Option<Announcement>,
 }
--- a/crates/emulator/src/drive/runner.rs
+++ b/crates/emulator/src/drive/runner.rs
@@ -27,8 +27,8 @@
 
 /// Drives one source of a trace.
 ///
-/// `program` is the program that runs the sidecar, `folder` holds the sidecar's settings and log. `on_progress` is called
-/// once a second with the time of the script and its length.
+/// `program` is the program that runs the sidecar, `folder` holds the sidecar's settings and log. `on_progress` is
+/// called once a second with the time of the script and its length.
 ///
 /// # Errors
 /// The trace is damaged or has no requests or too many, a socket cannot be bound, or the sidecar does not start.
--- a/crates/emulator/src/drive/script.rs
+++ b/crates/emulator/src/drive/script.rs
@@ -151,8 +151,8 @@
 
     /// How the `nth` attempt of a request at a build is to end.
     ///
-    /// If the request has recorded attempts at that build, returns the `nth` of them, or the last one if there are fewer.
-    /// Otherwise returns the build's attempt that was sent last before `now`.
+    /// If the request has recorded attempts at that build, returns the `nth` of them, or the last one if there are
+    /// fewer. Otherwise returns the build's attempt that was sent last before `now`.
     pub(super) fn planned_end(
         &self,
         request: RequestId,
--- a/crates/emulator/src/endpoint_list.rs
+++ b/crates/emulator/src/endpoint_list.rs
@@ -53,7 +53,8 @@
         })
     }
 
-    /// Serves until dropped: first on the listener, and after each time of being unavailable on a new one at its address.
+    /// Serves until dropped: first on the listener, and after each time of being unavailable on a new one at its
+    /// address.
     pub async fn serve(self: Rc<Self>, listener: TcpListener) {
         let Ok(address) = listener.local_addr() else {
             return;
--- a/crates/emulator/src/fleet.rs
+++ b/crates/emulator/src/fleet.rs
@@ -25,9 +25,11 @@
     machine_name: String,
     zones: Vec<String>,
     classes: Rc<Vec<ServedClass>>,
-    /// Idempotency keys that all pods share; those of a zone and of a cell follow.
+    /// Idempotency keys for classes whose repeats are dropped by all pods.
     keys_all: Rc<SeenKeys>,
+    /// Idempotency keys for classes whose repeats are dropped within a zone.
     keys_by_zone: RefCell<HashMap<String, Rc<SeenKeys>>>,
+    /// Idempotency keys for classes whose repeats are dropped within a cell.
     keys_by_cell: RefCell<HashMap<i64, Rc<SeenKeys>>>,
     pods: RefCell<Vec<Rc<Pod>>>,
     /// Every change of a pod's state with its time, in order; bounded by the scenario's builds and faults.
@@ -78,10 +80,10 @@
         })
     }
 
-    /// Sets the faults of a build, before its first pod starts.
-    pub fn set_build_faults(&self, build: Build, offer: &Offer, group: Option<usize>) {
+    /// Sets the faults of a build, before its first pod starts. `class` is the only route class with errors, if set.
+    pub fn set_build_faults(&self, build: Build, offer: &Offer, class: Option<usize>) {
         let faults = Faults {
-            error_group: group,
+            error_group: class,
             ..offer.faults.clone()
         };
         self.build_faults
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,10 +1,11 @@
 //! Emulates what a sidecar communicates with: pods, endpoint list, control plane and clients, on loopback sockets.
 //!
 //! Each of them is a model that is served over a real socket and records what it sends and receives through one
-//! [`ledger_writer::LedgerWriter`]. [`scenario_file`] reads scenarios, which say what runs and which faults are injected;
-//! [`scenario`] runs one. All models run on one thread, within a `tokio` `LocalSet`.
+//! [`ledger_writer::LedgerWriter`]. [`scenario_file`] reads scenarios, which say what runs and which faults are
+//! injected; [`scenario`] runs one. All models run on one thread, within a `tokio` `LocalSet`.
 //!
-//! [`net`] and [`relay`] provide networks with faults, simulated and on loopback sockets, for the tests of other packages.
+//! [`net`] and [`relay`] provide networks with faults, simulated and on loopback sockets, for the tests of other
+//! packages.
 
 pub mod baseline;
 pub mod clients;
--- a/crates/emulator/src/net.rs
+++ b/crates/emulator/src/net.rs
@@ -147,8 +147,8 @@
     in_transit: BTreeMap<Arrival, Datagram>,
     /// Copies sent so far.
     sequence: u64,
-    /// When the next timer of each host that is not paused is due; entries of `touched` hosts are updated before the next
-    /// step.
+    /// When the next timer of each host that is not paused is due; entries of `touched` hosts are updated before the
+    /// next step.
     wakes: BTreeSet<(Nanos, Id)>,
     touched: Vec<Id>,
     /// Faults that apply to all datagrams.
@@ -286,7 +286,7 @@
                 host.receive_datagram(own, &bytes);
             }
         }
-        self.post(id);
+        self.send_ready(id);
     }
 
     /// Partitions one direction: nothing from the first host reaches the second.
@@ -328,7 +328,7 @@
                 }
                 None => self.arrive(),
             };
-            self.post(id);
+            self.send_ready(id);
             observe(self, id);
         }
         self.now = self.now.max(until);
@@ -392,7 +392,7 @@
     }
 
     /// Sends all datagrams that a host has ready.
-    pub fn post(&mut self, from: Id) {
+    pub fn send_ready(&mut self, from: Id) {
         self.touched.push(from);
         while let Some((at, bytes)) = self.slots[from].host.as_mut().and_then(Host::datagram) {
             self.sent += 1;
--- a/crates/emulator/src/relay.rs
+++ b/crates/emulator/src/relay.rs
@@ -1,9 +1,9 @@
 //! Relays between processes on loopback that inject network faults, without any privilege.
 //!
-//! Each process advertises the address of its relay, and the relay forwards to the process what arrives there. The source
-//! address of a datagram identifies its sender, so datagrams can be cut in each direction between two processes. Streams
-//! are relayed on demand. The relay cannot tell which process opened a stream, so any cut towards a process cuts all
-//! streams to it.
+//! Each process advertises the address of its relay, and the relay forwards to the process what arrives there. The
+//! source address of a datagram identifies its sender, so datagrams can be cut in each direction between two processes.
+//! Streams are relayed on demand. The relay cannot tell which process opened a stream, so any cut towards a process
+//! cuts all streams to it.
 
 use havenplank_membership::port_pair::PortPair;
 use oorandom::Rand64;
@@ -62,8 +62,8 @@
 }
 
 impl Relays {
-    /// Binds relays that forward datagrams and refuse streams. Needs a `LocalSet` or `LocalRuntime`; the relays end with
-    /// it.
+    /// Binds relays that forward datagrams and refuse streams. Needs a `LocalSet` or `LocalRuntime`; the relays end
+    /// with it.
     ///
     /// # Errors
     /// A socket cannot be bound.
--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -277,8 +277,8 @@
     }
 }
 
-/// Binds a port that the system chooses. The listener is kept until it is served: another process could take a port that
-/// is released meanwhile.
+/// Binds a port that the system chooses. The listener is kept until it is served: another process could take a port
+/// that is released meanwhile.
 async fn loopback_listener() -> std::io::Result<TcpListener> {
     TcpListener::bind("127.0.0.1:0").await
 }
--- a/crates/emulator/src/scenario_file.rs
+++ b/crates/emulator/src/scenario_file.rs
@@ -127,7 +127,8 @@
     Rate(f64),
     /// This many sidecars are killed, and restarted after this long.
     Kill(usize, Nanos),
-    /// All sidecars are killed and restarted after this long, in batches of this size that are spread over the duration.
+    /// All sidecars are killed and restarted after this long, in batches of this size that are spread over the
+    /// duration.
     Roll(usize, Nanos),
     /// This many sidecars are asked to stop, and restarted after this long.
     Stop(usize, Nanos),
--- a/crates/emulator/src/scripted.rs
+++ b/crates/emulator/src/scripted.rs
@@ -1,5 +1,5 @@
-//! Peers of the operators' platform that send exactly the bytes that a test gives them, on loopback ports that the system
-//! chooses.
+//! Peers of the operators' platform that send exactly the bytes that a test gives them, on loopback ports that the
+//! system chooses.
 
 use serde_json::{json, Value};
 use std::io;
@@ -164,8 +164,8 @@
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
-/// A configuration with the route classes `read` (idempotent), `mark` (keyed) and `write` (not idempotent), in which build 7
-/// is released.
+/// A configuration with the route classes `read` (idempotent), `mark` (keyed) and `write` (not idempotent), in which
+/// build 7 is released.
 pub fn configuration(discovery: SocketAddr, control_plane: SocketAddr, hosts: &[Value]) -> Value {
     let class = |name: &str, semantics: &str| {
         json!({"name": name, "semantics": semantics, "onTimeNs": 400_000_000u64, "giveUpNs": 900_000_000u64,
--- a/crates/emulator/src/sidecar_processes.rs
+++ b/crates/emulator/src/sidecar_processes.rs
@@ -1,5 +1,5 @@
-//! Sidecar processes for tests and benches of takeover: a group of sidecars that are connected by relays on loopback, pods
-//! that count how often each request ran, and clients that retry.
+//! Sidecar processes for tests and benches of takeover: a group of sidecars that are connected by relays on loopback,
+//! pods that count how often each request ran, and clients that retry.
 
 use crate::relay::Relays;
 use bytes::Bytes;
@@ -275,7 +275,7 @@
     /// Starts `count` sidecars, and waits until each has seen all others join. Needs a `LocalSet` or `LocalRuntime`.
     ///
     /// # Errors
-    /// A socket or a process cannot be had, or a sidecar does not see the others in time.
+    /// A socket cannot be bound, a process cannot be started, or a sidecar does not see the others in time.
     pub async fn start(
         program: &Path,
         folder: &Path,
@@ -449,7 +449,7 @@
     send(at, request).await
 }
 
-/// Sends a request without a key and a body; returns as [`send_with_key`].
+/// Sends a request without a key and a body, and returns the same as [`send_with_key`].
 pub async fn send_without_key(at: SocketAddr, path: &str, name: &str) -> Option<(u16, String)> {
     let request = Request::post(path)
         .header("host", "search")
--- a/crates/invariants/src/check/answered.rs
+++ b/crates/invariants/src/check/answered.rs
@@ -17,8 +17,8 @@
 }
 
 impl Shutdowns {
-    /// Returns whether the sidecar owed a request no answer: it was killed while the client waited, or was asked to stop
-    /// before it could have admitted the request.
+    /// Returns whether the sidecar owed a request no answer: it was killed while the client waited, or was asked to
+    /// stop before it could have admitted the request.
     fn excuse(&self, request: &Request, parameters: &RuleParameters) -> bool {
         let awaited = request.at..=request.at + request.remaining + parameters.answer_slack;
         let stopped = |stop: &Nanos| {
@@ -106,7 +106,7 @@
         });
         if is_late {
             let Arrival { ask, pod, .. } = arrival;
-            let what = format!("ask {ask}: forwarded to {} after its answer", pod.pod);
+            let what = format!("ask {ask}: forwarded to {} after its answer", pod.name);
             self.verdict.report(arrival.at, what);
         }
     }
--- a/crates/invariants/src/check/cold.rs
+++ b/crates/invariants/src/check/cold.rs
@@ -79,7 +79,7 @@
         if recent.sum > budget {
             let what = format!(
                 "{}: {share:.2} times the work that a warming pod may get",
-                arrival.pod.pod
+                arrival.pod.name
             );
             self.verdict.report(at, what);
         }
--- a/crates/invariants/src/check/drains.rs
+++ b/crates/invariants/src/check/drains.rs
@@ -47,10 +47,10 @@
         let notices = self.sidecars.entry(sidecar.to_string()).or_default();
         let before = notices
             .incarnations
-            .insert(pod.pod.clone(), pod.incarnation);
+            .insert(pod.name.clone(), pod.incarnation);
         if let Some(before) = before.filter(|before| *before != pod.incarnation) {
             // The new incarnation has taken the name, so the one before is gone.
-            let gone = PodIncarnation::new(&pod.pod, before);
+            let gone = PodIncarnation::new(&pod.name, before);
             notices.closed.entry(gone).or_insert(at);
         }
         if is_running {
@@ -81,7 +81,7 @@
         );
         self.verdict.test(since as f64 / limit.max(1) as f64);
         if since > limit {
-            let (name, since_us) = (&pod.pod, since / NS_PER_US);
+            let (name, since_us) = (&pod.name, since / NS_PER_US);
             let what = format!("ask {ask}: {sidecar} to {name} {since_us} us after it was told");
             self.verdict.report(*at, what);
         }
--- a/crates/invariants/src/check/exposed.rs
+++ b/crates/invariants/src/check/exposed.rs
@@ -1,5 +1,5 @@
-//! Rule `exposed`: a build on trial gets no larger share of a window's requests than its cap, and no key goes back to an
-//! older build.
+//! Rule `exposed`: a build on trial gets no larger share of a window's requests than its cap, and no key goes back to
+//! an older build.
 
 use super::history::Request;
 use super::verdict::Verdict;
--- a/crates/invariants/src/check/history.rs
+++ b/crates/invariants/src/check/history.rs
@@ -9,14 +9,14 @@
 /// One incarnation of a pod.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct PodIncarnation {
-    pub(super) pod: String,
+    pub(super) name: String,
     pub(super) incarnation: u64,
 }
 
 impl PodIncarnation {
-    pub(super) fn new(pod: &str, incarnation: u64) -> PodIncarnation {
+    pub(super) fn new(name: &str, incarnation: u64) -> PodIncarnation {
         PodIncarnation {
-            pod: pod.to_string(),
+            name: name.to_string(),
             incarnation,
         }
     }
@@ -30,7 +30,7 @@
     pub(super) slow_start: SlowStart,
 }
 
-/// A request that a client sent to a sidecar, with its attempts and its answer.
+/// A request that a client sent to a sidecar, with its attempts and its answer. The ledger's number of it is `ask`.
 pub(super) struct Request {
     pub(super) at: Nanos,
     /// The number of the client's operation, which all its retries share.
@@ -98,7 +98,7 @@
     ) -> Result<&Pod, EntryError> {
         self.pods.get(pod).ok_or_else(|| EntryError::UnknownPod {
             event,
-            pod: pod.pod.clone(),
+            pod: pod.name.clone(),
             life: pod.incarnation,
         })
     }
@@ -141,7 +141,7 @@
         let attempt = latest_first.find(|attempt| attempt.pod == *pod);
         let attempt = attempt.ok_or_else(|| EntryError::NeverArrived {
             ask,
-            pod: pod.pod.clone(),
+            pod: pod.name.clone(),
             life: pod.incarnation,
         })?;
         attempt.unprocessed = true;
--- a/crates/invariants/src/check/mod.rs
+++ b/crates/invariants/src/check/mod.rs
@@ -57,6 +57,7 @@
 /// An attempt that a pod received.
 struct Arrival<'a> {
     at: Nanos,
+    /// The number of the request.
     ask: u64,
     sidecar: &'a str,
     pod: PodIncarnation,
--- a/crates/invariants/src/check/once.rs
+++ b/crates/invariants/src/check/once.rs
@@ -91,7 +91,7 @@
             let (name, since_us) = (&class.name, since / NS_PER_US);
             let what = format!(
                 "ask {ask} ({name}): again at {} {since_us} us later",
-                pod.pod
+                pod.name
             );
             self.verdict.report(*at, what);
         }
--- a/crates/invariants/src/lib.rs
+++ b/crates/invariants/src/lib.rs
@@ -1,8 +1,8 @@
 //! Checks the five invariants of the sidecar against a ledger of events.
 //!
-//! Emulated clients, pods, service discovery and control plane record in the [`ledger`] what crosses their sockets, on one
-//! monotonic clock. [`check`](fn@check) reads the ledger and returns a verdict on each rule. The checks do not depend on
-//! how a sidecar decides.
+//! Emulated clients, pods, service discovery and control plane record in the [`ledger`] what crosses their sockets, on
+//! one monotonic clock. [`check`](fn@check) reads the ledger and returns a verdict on each rule. The checks do not
+//! depend on how a sidecar decides.
 
 #![warn(missing_docs)]
 #![warn(
--- a/crates/invariants/tests/rules.rs
+++ b/crates/invariants/tests/rules.rs
@@ -1,12 +1,12 @@
 //! Checks each rule against ledgers that just keep it and ledgers that narrowly break it, in `ledgers/`.
 //!
-//! Each ledger of a file begins with a title line, `# keeps` or `# breaks RULE`; the lines before the first title belong to
-//! all ledgers of the file. A line is a time in ms and the words of one entry.
+//! Each ledger of a file begins with a title line, `# keeps` or `# breaks RULE`; the lines before the first title
+//! belong to all ledgers of the file. A line is a time in ms and the words of one entry.
 //!
-//! The parameters are: route classes `read` (idempotent), `mark` (keyed for 5 s), `cell` (keyed within a cell) and `write`
-//! (not idempotent); drain grace 500 ms; warming pods fail at 3 times their capacity over 2 s; exposure with 2 free
-//! attempts in 6 s, caps 0.1 and 0.5, the first stage for idempotent requests only, and sticky keys; answer slack 20 ms;
-//! transit 50 ms.
+//! The parameters are: route classes `read` (idempotent), `mark` (keyed for 5 s), `cell` (keyed within a cell) and
+//! `write` (not idempotent); drain grace 500 ms; warming pods fail at 3 times their capacity over 2 s; exposure with 2
+//! free attempts in 6 s, caps 0.1 and 0.5, the first stage for idempotent requests only, and sticky keys; answer slack
+//! 20 ms; transit 50 ms.
 
 use havenplank::interface::{DedupScope, Idempotency};
 use havenplank_invariants::ledger::{
--- a/crates/invariants/tests/stored_ledger.rs
+++ b/crates/invariants/tests/stored_ledger.rs
@@ -1,13 +1,13 @@
-//! A ledger that the release build of 0.2.0 wrote, before identifiers in the code were renamed, is still read, written and
-//! checked with the same result.
+//! A ledger that the release build of 0.2.0 wrote, before identifiers in the code were renamed, is still read, written
+//! and checked with the same result.
 
 use havenplank_invariants::check;
 use havenplank_invariants::ledger::{self, Answer, Entry, LedgerEvent};
 use serde_json::{json, Value};
 use std::path::Path;
 
-/// Two sidecars and four pods for eight seconds, with a build on trial, pods that die or drain, one sidecar that is killed
-/// and one that is asked to stop.
+/// Two sidecars and four pods for eight seconds, with a build on trial, pods that die or drain, one sidecar that is
+/// killed and one that is asked to stop.
 const LEDGER: &str = include_str!("fixtures/day.ledger");
 /// The output of `rules --json` of that build for [`LEDGER`].
 const VERDICTS: &str = include_str!("fixtures/verdicts.json");
--- a/crates/membership/tests/quorum.rs
+++ b/crates/membership/tests/quorum.rs
@@ -299,7 +299,7 @@
     net.run(60 * SECOND, |_, _| {});
     for id in [5, 6] {
         net.host_mut(id).unwrap().node.leave();
-        net.post(id);
+        net.send_ready(id);
         net.run(net.now() + SECOND, |_, _| {});
         net.kill(id);
     }
