--- a/crates/configuration-simulation/src/fleet.rs
+++ b/crates/configuration-simulation/src/fleet.rs
@@ -9,7 +9,7 @@
 };
 use havenplank_configuration::snapshot::Snapshot;
 use havenplank_configuration::version::Version;
-use havenplank_emulator::net::{Clock, Id, Net, Weather};
+use havenplank_emulator::net::{Clock, Id, Net, NetworkFaults};
 use havenplank_membership::member::MemberId;
 use std::collections::BTreeMap;
 
@@ -129,7 +129,7 @@
 
 impl Fleet {
     /// Returns a fleet whose processes all have `base` and know each other; the first one is the writer of epoch 1.
-    pub fn new(count: usize, seed: u64, base: &Snapshot, faults: Weather) -> Fleet {
+    pub fn new(count: usize, seed: u64, base: &Snapshot, faults: NetworkFaults) -> Fleet {
         Fleet::with_clocks(count, seed, base, faults, |_| Clock::default())
     }
 
@@ -138,7 +138,7 @@
         count: usize,
         seed: u64,
         base: &Snapshot,
-        faults: Weather,
+        faults: NetworkFaults,
         clock: impl Fn(Id) -> Clock,
     ) -> Fleet {
         let mut net = Net::new(seed, faults);
@@ -217,7 +217,7 @@
 
     /// Gives every process the list of all processes that are alive.
     pub fn set_peers_everywhere(&mut self) {
-        let alive = self.net.ids().filter(|id| self.net.part(*id).is_some());
+        let alive = self.net.ids().filter(|id| self.net.host(*id).is_some());
         let peers = self.peers(alive);
         for id in self.net.ids() {
             self.set_peers(id, &peers);
@@ -226,7 +226,7 @@
 
     /// Gives one process its list of peers.
     pub fn set_peers(&mut self, id: Id, peers: &Peers) {
-        if let Some(process) = self.net.part_mut(id) {
+        if let Some(process) = self.net.host_mut(id) {
             process.replicator.set_peers(peers.clone());
         }
     }
@@ -248,13 +248,13 @@
     pub fn publish(&mut self, id: Id, epoch: u64) -> Result<Version, PublishError> {
         let changes = self.next_change();
         let (now, own_time) = (self.net.now(), self.net.own_time(id));
-        let Some(writer) = self.net.part_mut(id) else {
+        let Some(writer) = self.net.host_mut(id) else {
             return Err(PublishError::NotWriter);
         };
         let version = writer.publish(own_time, epoch, changes)?;
         let digest = writer.in_force.digest();
         self.digests.entry(version).or_default().push(digest);
-        self.net.post(id);
+        self.net.send_ready(id);
         self.publications.push(Publication {
             at: now,
             version,
@@ -283,7 +283,7 @@
     }
 
     fn latency(&self, publication: &Publication, id: Id) -> Option<Nanos> {
-        let installations = &self.net.part(id)?.installations;
+        let installations = &self.net.host(id)?.installations;
         let first =
             installations.partition_point(|installed| installed.version < publication.version);
         let installed = installations.get(first)?;
--- a/crates/configuration-simulation/tests/replication.rs
+++ b/crates/configuration-simulation/tests/replication.rs
@@ -27,7 +27,7 @@
     region_index, tenant_changes, tenant_snapshot, Fleet, MS, SECOND,
 };
 use havenplank_configuration_simulation::process::{process_name, Process};
-use havenplank_emulator::net::{Clock, Id, Net, Weather};
+use havenplank_emulator::net::{Clock, Id, Net, NetworkFaults};
 use havenplank_membership::member::MemberId;
 use oorandom::Rand64;
 use std::collections::{BTreeMap, BTreeSet};
@@ -37,10 +37,10 @@
 /// Upper bound of the duration of a complete round plus the delay after a failed round, with a margin.
 const TWO_ROUNDS: Nanos = 40 * SECOND;
 
-fn one_percent_loss() -> Weather {
-    Weather {
+fn one_percent_loss() -> NetworkFaults {
+    NetworkFaults {
         loss: 0.01,
-        ..Weather::default()
+        ..NetworkFaults::default()
     }
 }
 
@@ -54,16 +54,16 @@
 fn version_at(fleet: &Fleet, id: Id) -> Version {
     fleet
         .net
-        .part(id)
+        .host(id)
         .map_or(Version::NONE, |process| process.in_force.version())
 }
 
 fn digest_at(fleet: &Fleet, id: Id) -> Digest {
-    fleet.net.part(id).unwrap().in_force.digest()
+    fleet.net.host(id).unwrap().in_force.digest()
 }
 
 fn round_at(fleet: &Fleet, id: Id) -> Option<RoundStatus> {
-    fleet.net.part(id)?.replicator.status().writer?.round
+    fleet.net.host(id)?.replicator.status().writer?.round
 }
 
 /// Runs until these processes have the writer's version in force. Returns how long that took.
@@ -114,7 +114,7 @@
         count: usize,
         digests: &BTreeMap<Version, Vec<Digest>>,
     ) {
-        let Some(process) = net.part(id) else {
+        let Some(process) = net.host(id) else {
             return;
         };
         let (version, digest) = (process.in_force.version(), process.in_force.digest());
@@ -141,7 +141,7 @@
 
     fn record(&mut self, net: &Net<Process>, id: Id) {
         let version = net
-            .part(id)
+            .host(id)
             .map_or(Version::NONE, |process| process.in_force.version());
         let newest = self.newest_in_force.entry(id).or_default();
         *newest = version.max(*newest);
@@ -187,10 +187,10 @@
         let mut rng = Rand64::new(u128::from(seed));
         let count = rng.rand_range(12..41) as usize;
         let random_up_to = |rng: &mut Rand64, limit: f64| rng.rand_float() * limit;
-        let faults = Weather {
+        let faults = NetworkFaults {
             loss: random_up_to(&mut rng, 0.15),
-            repeat: random_up_to(&mut rng, 0.15),
-            ..Weather::default()
+            duplicate: random_up_to(&mut rng, 0.15),
+            ..NetworkFaults::default()
         };
         let base = tenant_snapshot(200);
         let clock = |id: Id| Clock {
@@ -272,7 +272,7 @@
         let in_force = self
             .fleet
             .net
-            .part(id)
+            .host(id)
             .map(|process| process.in_force.clone());
         let cached = match self.rng.rand_range(0..3) {
             0 => in_force.unwrap_or_else(Snapshot::empty),
@@ -305,7 +305,7 @@
         let cached = self
             .fleet
             .net
-            .part(id)
+            .host(id)
             .map(|process| process.in_force.clone());
         self.writers.insert(id, epoch);
         self.start(
@@ -322,7 +322,7 @@
             return;
         };
         let changes = self.fleet.next_change();
-        let Some(process) = self.fleet.net.part(id) else {
+        let Some(process) = self.fleet.net.host(id) else {
             return;
         };
         let before = process.in_force.clone();
@@ -344,7 +344,7 @@
 
     fn change_rejection(&mut self) {
         let (id, rejects) = (self.random_process(), self.one_in(2));
-        if let Some(process) = self.fleet.net.part_mut(id) {
+        if let Some(process) = self.fleet.net.host_mut(id) {
             process.rejects_versions = rejects;
         }
     }
@@ -353,16 +353,16 @@
     /// and that the writer's report says so.
     fn converge(&mut self) {
         self.fleet.net.heal();
-        self.fleet.net.weather = one_percent_loss();
+        self.fleet.net.faults = one_percent_loss();
         for id in 0..self.count() {
             self.fleet.net.unpause(id);
-            if let Some(process) = self.fleet.net.part_mut(id) {
+            if let Some(process) = self.fleet.net.host_mut(id) {
                 process.rejects_versions = false;
             }
         }
         let (epoch, cached) = (
             self.top_epoch + 1,
-            self.fleet.net.part(WRITER).map(|own| own.in_force.clone()),
+            self.fleet.net.host(WRITER).map(|own| own.in_force.clone()),
         );
         self.fleet.restart(
             WRITER,
@@ -379,7 +379,7 @@
         );
         for id in 0..self.count() {
             let found = (version_at(&self.fleet, id), digest_at(&self.fleet, id));
-            let status = self.fleet.net.part(id).unwrap().replicator.status();
+            let status = self.fleet.net.host(id).unwrap().replicator.status();
             assert_eq!(found, (version, digest), "{}: {status:?}", process_name(id));
         }
         self.invariants.run(&mut self.fleet, TWO_ROUNDS);
@@ -458,12 +458,12 @@
     fleet.net.heal();
     let before: u64 = cut
         .iter()
-        .map(|id| fleet.net.part(*id).unwrap().traffic.sent_messages)
+        .map(|id| fleet.net.host(*id).unwrap().traffic.sent_messages)
         .sum();
     run_until_caught_up(&mut fleet, &cut, CONVERGENCE_LIMIT);
     let after: u64 = cut
         .iter()
-        .map(|id| fleet.net.part(*id).unwrap().traffic.sent_messages)
+        .map(|id| fleet.net.host(*id).unwrap().traffic.sent_messages)
         .sum();
     let each = (after - before) / cut.len() as u64;
     assert!(
@@ -483,7 +483,7 @@
     let mut fleet = Fleet::new(30, 7, &tenant_snapshot(20_000), one_percent_loss());
     fleet.restart(9, Role::Sidecar, Snapshot::empty());
     fleet.set_peers_everywhere();
-    let transfer = |fleet: &Fleet| fleet.net.part(9).unwrap().replicator.status().transfer;
+    let transfer = |fleet: &Fleet| fleet.net.host(9).unwrap().replicator.status().transfer;
     while transfer(&fleet).is_none_or(|transfer| transfer.missing_buckets > 900) {
         assert!(fleet.net.now() < CONVERGENCE_LIMIT, "no transfer began");
         fleet.run_for(MS);
@@ -500,7 +500,7 @@
     }
     // Enough for one unanswered request, not for as many as end a transfer.
     run_until_caught_up(&mut fleet, &[9], 2 * SECOND);
-    let events = &fleet.net.part(9).unwrap().events;
+    let events = &fleet.net.host(9).unwrap().events;
     let has_changed_source = events
         .iter()
         .any(|event| matches!(event, Event::SourceChanged { .. }));
@@ -512,7 +512,7 @@
     let mut fleet = Fleet::new(24, 8, &tenant_snapshot(100), one_percent_loss());
     let (left, right): (Vec<Id>, Vec<Id>) = fleet.net.ids().partition(|id| *id < 12);
     fleet.net.split(&[&left, &right]);
-    let cached = fleet.net.part(20).unwrap().in_force.clone();
+    let cached = fleet.net.host(20).unwrap().in_force.clone();
     fleet.restart(20, Role::Writer { epoch: 1 }, cached);
     fleet.set_peers_everywhere();
     let (one, other) = (
@@ -534,7 +534,7 @@
         } => (*verified, *other) == (digests[0], digests[20]),
         _ => false,
     };
-    assert!(fleet.net.part(3).unwrap().events.iter().any(conflict));
+    assert!(fleet.net.host(3).unwrap().events.iter().any(conflict));
     for id in [WRITER, 20] {
         assert!(matches!(
             fleet.publish(id, 1),
@@ -542,7 +542,7 @@
         ));
     }
     // Only a writer of a higher epoch resolves the conflict.
-    let cached = fleet.net.part(4).unwrap().in_force.clone();
+    let cached = fleet.net.host(4).unwrap().in_force.clone();
     fleet.restart(4, Role::Writer { epoch: 2 }, cached);
     fleet.set_peers_everywhere();
     let resolved = fleet.publish(4, 2).unwrap();
@@ -559,7 +559,7 @@
     let mut fleet = Fleet::new(24, 9, &tenant_snapshot(100), one_percent_loss());
     let rest: Vec<Id> = (1..24).collect();
     fleet.net.split(&[&[WRITER], &rest]);
-    let cached = fleet.net.part(13).unwrap().in_force.clone();
+    let cached = fleet.net.host(13).unwrap().in_force.clone();
     fleet.restart(13, Role::Writer { epoch: 2 }, cached);
     fleet.set_peers_everywhere();
     let newer = fleet.publish(13, 2).unwrap();
@@ -573,7 +573,7 @@
     assert!(
         matches!(fleet.publish(WRITER, 1), Err(PublishError::Superseded { by }) if by.version == newer)
     );
-    let writer = fleet.net.part(WRITER).unwrap();
+    let writer = fleet.net.host(WRITER).unwrap();
     assert!(writer
         .events
         .iter()
@@ -584,7 +584,7 @@
 #[test]
 fn a_process_that_rejects_a_version_keeps_the_old_one_is_reported_and_does_not_fetch_it_again() {
     let mut fleet = Fleet::new(40, 10, &tenant_snapshot(100), one_percent_loss());
-    fleet.net.part_mut(7).unwrap().rejects_versions = true;
+    fleet.net.host_mut(7).unwrap().rejects_versions = true;
     let old = version_at(&fleet, WRITER);
     let new = fleet.publish(WRITER, 1).unwrap();
     fleet.run_for(20 * SECOND);
@@ -600,7 +600,7 @@
         ("p-00007", LagReason::Rejected)
     );
     assert!(round.behind[0].since < round.at, "{round:?}");
-    let process = fleet.net.part_mut(7).unwrap();
+    let process = fleet.net.host_mut(7).unwrap();
     // The version was offered after 0, 5 and 15 s, because the delays double.
     assert_eq!(process.replicator.status().counts.rejected, 3);
     assert_eq!(process.replicator.status().verified, new);
@@ -617,8 +617,8 @@
         200,
         11,
         &tenant_snapshot(100),
-        Weather {
-            repeat: 0.5,
+        NetworkFaults {
+            duplicate: 0.5,
             ..one_percent_loss()
         },
     );
@@ -653,7 +653,7 @@
             fleet.publish(WRITER, 1).unwrap();
             fleet.run_for(12 * SECOND);
         }
-        let traffic = |id| fleet.net.part(id).map(|process| process.traffic).unwrap();
+        let traffic = |id| fleet.net.host(id).map(|process| process.traffic).unwrap();
         let all: u64 = (1..count).map(|id| traffic(id).sent_messages).sum();
         let longest = (0..count)
             .map(|id| traffic(id).longest_message_bytes)
--- a/crates/emulator/src/drive/control_plane.rs
+++ b/crates/emulator/src/drive/control_plane.rs
@@ -1,4 +1,4 @@
-//! The emulated control plane: sends the recorded stages, tallies and faults at their times, counts votes.
+//! The emulated control plane: sends the recorded stages, tallies and faults at their times, and counts votes.
 
 use super::replay::Replay;
 use super::script::Notification;
@@ -14,9 +14,9 @@
 use tokio_util::codec::Framed;
 
 /// Longest line that a sidecar may send, in bytes.
-const MAX_LINE: usize = 1024;
+const MAX_LINE_BYTES: usize = 1024;
 
-/// Serves one sidecar after the other until dropped.
+/// Serves one connection after the other until dropped.
 pub(super) async fn serve(replay: Rc<Replay>, listener: TcpListener) {
     while let Ok((stream, _)) = listener.accept().await {
         let connection = Connection {
@@ -31,7 +31,7 @@
 /// One sidecar's connection.
 struct Connection<'a> {
     replay: &'a Replay,
-    /// Number of the message sent last.
+    /// Sequence number of the last message.
     sequence: u64,
     /// Index of the next notification of the script.
     next: usize,
@@ -39,7 +39,7 @@
 
 impl Connection<'_> {
     async fn run(mut self, stream: TcpStream) {
-        let codec = LineCodec::new(RequestParser::default(), MAX_LINE);
+        let codec = LineCodec::new(RequestParser::default(), MAX_LINE_BYTES);
         let mut framed = Framed::new(stream, codec);
         if framed.send(greeting(PROTOCOL, None)).await.is_err() {
             return;
@@ -108,7 +108,7 @@
         write_fault(out, self.sequence, pod, class, ago);
     }
 
-    /// Counts a vote and confirms it. Stages move as recorded, whatever is voted now.
+    /// Counts a vote and confirms it. Votes have no effect on the stages, which change as recorded.
     fn count_vote(&mut self, out: &mut String, vote: PendingVote) {
         let mut counts = self.replay.counts.borrow_mut();
         counts.driven.count_vote(vote.build, vote.stage, vote.vote);
--- a/crates/emulator/src/drive/settings.rs
+++ b/crates/emulator/src/drive/settings.rs
@@ -1,13 +1,13 @@
-//! Writes the settings script of the driven sidecar from the settings that the trace recorded.
+//! Writes the settings script of the sidecar from the settings in the trace.
 
-use crate::pod::UNSEEN;
+use crate::pod::UNPROCESSED_HEADER;
 use havenplank::interface::RouteClass;
 use havenplank_settings::keywords::{self, keyword_of};
 use havenplank_sidecar::engine::EngineSettings;
 use std::fmt::Write;
 use std::net::SocketAddr;
 
-/// The settings script that a sidecar with these recorded settings is started with.
+/// The settings script for a sidecar with these recorded settings.
 pub(super) fn settings_script(
     terms: &EngineSettings,
     discovery: SocketAddr,
@@ -24,7 +24,7 @@
     out
 }
 
-/// A Starlark truth value.
+/// A Starlark boolean.
 fn flag(on: bool) -> &'static str {
     if on {
         "True"
@@ -33,7 +33,7 @@
     }
 }
 
-/// A further argument with a list of texts, left out when the list is empty.
+/// A further argument with a list of strings, left out when the list is empty.
 fn texts(name: &str, all: &[String]) -> String {
     if all.is_empty() {
         return String::new();
@@ -105,7 +105,7 @@
     let _ = writeln!(
         out,
         "pods(drain_grace = \"{}ns\", cold_share = {:?}, warm_up = \"{}ns\", fall_multiple = {:?}, \
-         fall_window = \"{}ns\", probes = {}, unseen_header = {UNSEEN:?}, load_reports = True, connections = 256)",
+         fall_window = \"{}ns\", probes = {}, unseen_header = {UNPROCESSED_HEADER:?}, load_reports = True, connections = 256)",
         pods.drain_grace,
         pods.initial_capacity,
         pods.warm_up,
--- a/crates/emulator/src/pod.rs
+++ b/crates/emulator/src/pod.rs
@@ -1,9 +1,9 @@
 //! An emulated pod behind a real socket: cores, a queue, a slow start, and faults that a scenario injects.
 
-use crate::book::Book;
+use crate::ledger_writer::LedgerWriter;
 use bytes::Bytes;
 use havenplank::interface::{Build, DedupScope, Nanos};
-use havenplank_invariants::ledger::{Cold, Seen};
+use havenplank_invariants::ledger::{LedgerEvent, SlowStart};
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
 use hyper::header::{HeaderMap, HeaderValue, VIA};
@@ -22,56 +22,56 @@
 use tokio::task::{spawn_local, JoinSet};
 use tokio::time::sleep;
 
-/// Header of a client's attempt: its number in the ledger.
-pub const ASK: &str = "x-ask";
+/// Header of a request's number in the ledger (`ask`); each retry of a client has a new one.
+pub const REQUEST_HEADER: &str = "x-ask";
 /// Header of the work that a request needs, in microseconds of a core.
-pub const WORK: &str = "x-work-us";
+pub const WORK_HEADER: &str = "x-work-us";
 /// Header of a request's route class, by index.
-pub const GROUP: &str = "x-group";
-/// Header of a rejection by a pod that did not run the request.
-pub const UNSEEN: &str = "x-never-ran";
-/// Tells the emulated client, and nobody else, that an answer is wrong.
-pub const WRONG: &str = "x-wrong";
+pub const CLASS_HEADER: &str = "x-group";
+/// Header of a pod's rejection, as the proof that the request did not run.
+pub const UNPROCESSED_HEADER: &str = "x-never-ran";
+/// Header that marks a wrong answer for the emulated client; sidecars do not interpret it.
+pub const WRONG_ANSWER_HEADER: &str = "x-wrong";
 /// Header of the idempotency key.
-const IDEMPOTENCY_KEY: &str = "idempotency-key";
+const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 /// Header of a load report.
-const LOAD_REPORT: &str = "endpoint-load-metrics";
-/// How often a pod looks whether it is to refuse connections.
+const LOAD_REPORT_HEADER: &str = "endpoint-load-metrics";
+/// How often a pod checks whether it is to refuse connections.
 const REFUSE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What kind of machine a pod runs on.
+/// The capacity of the machine that a pod runs on.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Machine {
     /// Requests that run at one time.
     pub cores: usize,
     /// Nanoseconds of work that a warm core does in a nanosecond.
     pub speed: f64,
-    /// Requests that wait for a core, at most; one more is rejected without having run.
+    /// Most requests that wait for a core; one more is rejected without running.
     pub queue: usize,
     /// Share of its capacity that a pod has at its start.
     pub initial_capacity: f64,
     /// How long the slow start takes, in nanoseconds.
     pub warm_up: Nanos,
-    /// Work that a warming pod bears within the window, as a multiple of its capacity.
+    /// Most work that a warming pod can receive within the window without failing, as a multiple of its capacity.
     pub overload_multiple: f64,
-    /// The window in which that work is counted, in nanoseconds.
+    /// The window over which that work is summed, in nanoseconds.
     pub overload_window: Nanos,
 }
 
-/// What may be wrong with a pod or a build; all shares from 0 to 1.
+/// Faults of a pod or a build; all shares are from 0 to 1. Logs show the names of the fields.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Faults {
     /// No request gets an answer.
     pub hang: bool,
     /// Share of requests that end in a server error.
     pub error: f64,
-    /// Errors of one route class only.
+    /// The only route class with errors; all classes if not set.
     pub error_group: Option<usize>,
     /// Share of answers that are wrong.
     pub wrong: f64,
     /// Factor on the time that work takes.
     pub slow: f64,
-    /// Slow only while more than half of its cores are busy.
+    /// Factor on the time that work takes while more than half of the cores are busy.
     pub slow_busy: f64,
     /// Share of requests whose connection closes before they run.
     pub reset_before: f64,
@@ -81,7 +81,7 @@
     pub lose_answer: f64,
     /// How long a new connection waits before it is served, in nanoseconds.
     pub slow_connect: Nanos,
-    /// Nothing listens; open connections stay.
+    /// New connections are refused; open ones stay.
     pub refuse: bool,
 }
 
@@ -104,7 +104,7 @@
 }
 
 impl Faults {
-    /// Both faults at once.
+    /// Combines two sets of faults.
     pub fn with(&self, other: &Faults) -> Faults {
         let either = |a: f64, b: f64| 1.0 - (1.0 - a) * (1.0 - b);
         Faults {
@@ -130,26 +130,26 @@
     route_class: usize,
 }
 
-/// Additions to [`Marks`] between two removals of expired keys.
+/// Number of additions to [`SeenKeys`] between two removals of expired keys.
 const EXPIRE_EVERY: u32 = 1_000;
 
 /// Idempotency keys of requests that ran, shared by the pods that drop each other's repeats.
 #[derive(Default)]
-pub struct Marks {
-    /// Until when a repeat is dropped; bounded by the requests of a window and [`EXPIRE_EVERY`].
+pub struct SeenKeys {
+    /// When each key expires; bounded by the requests of a window and [`EXPIRE_EVERY`].
     seen: RefCell<HashMap<ScopedKey, Nanos>>,
     added: Cell<u32>,
 }
 
-impl Marks {
-    /// Whether this key is new; remembers it for the window.
+impl SeenKeys {
+    /// Remembers a key for the window; returns whether it is new.
     fn insert(&self, now: Nanos, key: ScopedKey, window: Nanos) -> bool {
         let mut seen = self.seen.borrow_mut();
         self.added.set(self.added.get() + 1);
         if self.added.get().is_multiple_of(EXPIRE_EVERY) {
-            seen.retain(|_, until| *until >= now);
+            seen.retain(|_, expiry| *expiry >= now);
         }
-        if seen.get(&key).is_some_and(|until| *until >= now) {
+        if seen.get(&key).is_some_and(|expiry| *expiry >= now) {
             return false;
         }
         seen.insert(key, now + window);
@@ -157,33 +157,33 @@
     }
 }
 
-/// What a pod must know of a route class.
+/// What a pod needs to know of a route class.
 #[derive(Clone, Debug)]
-pub struct Served {
-    /// Which pods drop each other's repeats.
+pub struct ServedClass {
+    /// Among which pods repeats are dropped.
     pub scope: DedupScope,
     /// Whether requests carry an idempotency key.
-    pub tagged: bool,
+    pub keyed: bool,
     /// How long a repeat is dropped, in nanoseconds.
     pub dedup_window: Nanos,
 }
 
-/// Which pod it is.
+/// The identity of a pod and where it runs.
 #[derive(Clone, Debug)]
-pub struct Who {
+pub struct PodIdentity {
     /// Its name, unique in a scenario.
     pub name: String,
-    /// Its incarnation.
-    pub life: u64,
+    /// Its incarnation: the number of its start, counted over all pods.
+    pub incarnation: u64,
     /// The build that it runs.
     pub build: Build,
     /// The zone that it runs in.
     pub zone: String,
-    /// Its cell: pods of one drop each other's repeats at the narrowest scope.
+    /// Its cell, the narrowest scope of deduplication.
     pub cell: i64,
 }
 
-/// Work that reached a pod at a moment.
+/// Work that reached a pod, and when.
 #[derive(Clone, Copy, Debug)]
 struct Arrival {
     at: Nanos,
@@ -213,33 +213,33 @@
 
 /// An emulated pod.
 pub struct Pod {
-    /// Which pod it is.
-    pub who: Who,
+    /// Its identity and where it runs.
+    pub identity: PodIdentity,
     /// The machine that it runs on.
     pub machine: Machine,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
     /// When it started.
     pub up_at: Nanos,
-    /// Faults that the scenario injects for a while.
+    /// Faults that the scenario injects for a time.
     pub faults: RefCell<Faults>,
     /// Faults of its build.
     pub build_faults: RefCell<Faults>,
-    /// Factor by which what all pods share slows them.
-    pub shared: Rc<Cell<f64>>,
-    /// Whether it takes no new requests.
+    /// Factor by which a resource that all pods share slows them.
+    pub shared_slowdown: Rc<Cell<f64>>,
+    /// Whether it rejects new requests.
     pub draining: Cell<bool>,
-    book: Book,
-    route_classes: Rc<Vec<Served>>,
-    /// By scope of deduplication.
-    marks: [Rc<Marks>; 3],
+    ledger: LedgerWriter,
+    route_classes: Rc<Vec<ServedClass>>,
+    /// The idempotency keys seen, by [`DedupScope`].
+    seen_keys: [Rc<SeenKeys>; 3],
     cores: Semaphore,
     queued: Cell<usize>,
-    /// Requests that run now.
-    pub busy: Cell<usize>,
+    /// Number of requests that run now.
+    pub running: Cell<usize>,
     /// Attempts that arrived since the fleet last counted them.
-    pub forwards: Cell<u64>,
-    recent: RefCell<RecentWork>,
+    pub attempts: Cell<u64>,
+    recent_work: RefCell<RecentWork>,
     random: RefCell<Rand64>,
     down: watch::Sender<bool>,
 }
@@ -267,11 +267,11 @@
         let text = |name: &str| headers.get(name)?.to_str().ok();
         let number = |name: &str| text(name)?.parse::<u64>().ok();
         Attempt {
-            id: number(ASK).unwrap_or(0),
-            work: number(WORK).unwrap_or(1_000) * 1_000,
-            route_class: number(GROUP).unwrap_or(0) as usize,
+            id: number(REQUEST_HEADER).unwrap_or(0),
+            work: number(WORK_HEADER).unwrap_or(1_000) * 1_000,
+            route_class: number(CLASS_HEADER).unwrap_or(0) as usize,
             sidecar: via(headers),
-            idempotency_key: text(IDEMPOTENCY_KEY).unwrap_or_default().to_string(),
+            idempotency_key: text(IDEMPOTENCY_KEY_HEADER).unwrap_or_default().to_string(),
         }
     }
 }
@@ -280,56 +280,56 @@
     /// Starts a pod on an address that the system chooses, and serves until [`Pod::kill`].
     ///
     /// # Errors
-    /// No address to be had.
-    #[allow(clippy::too_many_arguments)] // the fleet alone calls it, with a value for each
+    /// No socket can be bound.
+    #[allow(clippy::too_many_arguments)] // called only by the fleet, with a different value for each
     pub async fn start(
-        who: Who,
+        identity: PodIdentity,
         machine: Machine,
-        route_classes: Rc<Vec<Served>>,
-        marks: [Rc<Marks>; 3],
-        shared: Rc<Cell<f64>>,
+        route_classes: Rc<Vec<ServedClass>>,
+        seen_keys: [Rc<SeenKeys>; 3],
+        shared_slowdown: Rc<Cell<f64>>,
         build_faults: Faults,
         seed: u64,
-        book: Book,
+        ledger: LedgerWriter,
     ) -> std::io::Result<Rc<Pod>> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
-        let cold = Cold {
+        let slow_start = SlowStart {
             capacity: machine.cores as f64 * machine.speed * 1e9,
-            share: machine.initial_capacity,
+            initial_share: machine.initial_capacity,
             warm_up: machine.warm_up,
         };
-        let Who {
+        let PodIdentity {
             name,
-            life,
+            incarnation,
             build,
             zone,
             cell,
-        } = who.clone();
-        let up_at = book.write(Seen::PodUp {
+        } = identity.clone();
+        let up_at = ledger.write(LedgerEvent::PodStarted {
             pod: name,
-            life,
+            incarnation,
             build,
             zone,
             cell,
-            cold,
+            slow_start,
         });
         let pod = Rc::new(Pod {
-            who,
+            identity,
             machine,
             address: listener.local_addr()?,
             up_at,
             faults: RefCell::default(),
             build_faults: RefCell::new(build_faults),
-            shared,
+            shared_slowdown,
             draining: Cell::new(false),
-            book,
+            ledger,
             route_classes,
-            marks,
+            seen_keys,
             cores: Semaphore::new(machine.cores),
             queued: Cell::new(0),
-            busy: Cell::new(0),
-            forwards: Cell::new(0),
-            recent: RefCell::default(),
+            running: Cell::new(0),
+            attempts: Cell::new(0),
+            recent_work: RefCell::default(),
             random: RefCell::new(Rand64::new(seed as u128)),
             down: watch::Sender::new(false),
         });
@@ -337,49 +337,49 @@
         Ok(pod)
     }
 
-    /// Ends it at once: connections break, nothing listens there any more.
+    /// Ends the pod at once: its connections break and it stops listening.
     pub fn kill(&self) {
         self.down.send_replace(true);
     }
 
-    /// Whether it was killed or broke down.
+    /// Whether the pod was killed or failed under load.
     pub fn is_down(&self) -> bool {
         *self.down.borrow()
     }
 
-    /// Time since its start.
+    /// Time since the pod's start.
     pub fn age(&self) -> Nanos {
-        self.book.now().saturating_sub(self.up_at)
+        self.ledger.now().saturating_sub(self.up_at)
     }
 
-    /// The share of its capacity that a pod has by now.
-    fn warmth(&self) -> f64 {
+    /// The share of its capacity that the pod has at its age.
+    fn capacity_share(&self) -> f64 {
         let warm = (self.age() as f64 / self.machine.warm_up.max(1) as f64).min(1.0);
         self.machine.initial_capacity + (1.0 - self.machine.initial_capacity) * warm
     }
 
-    /// Draws whether a fault of this share happens.
-    fn happens(&self, share: f64) -> bool {
+    /// Draws whether a fault with this share of requests happens.
+    fn draw_fault(&self, share: f64) -> bool {
         share > 0.0 && self.random.borrow_mut().rand_float() < share
     }
 
-    /// Counts work that reached it; a warming pod that gets too much breaks down and stays down.
-    fn bear(&self, work: Nanos) {
+    /// Counts work that reached the pod; a warming pod that receives too much fails for good.
+    fn add_load(&self, work: Nanos) {
         let window = self.machine.overload_window;
-        let now = self.book.now();
-        let recent = self.recent.borrow_mut().add(now, work, window);
-        let capacity = self.machine.cores as f64 * self.machine.speed * self.warmth();
+        let now = self.ledger.now();
+        let recent = self.recent_work.borrow_mut().add(now, work, window);
+        let capacity = self.machine.cores as f64 * self.machine.speed * self.capacity_share();
         let budget = self.machine.overload_multiple * capacity * window as f64;
         if self.age() < self.machine.warm_up && recent > budget && !self.is_down() {
-            self.book.write(Seen::PodFell {
-                pod: self.who.name.clone(),
-                life: self.who.life,
+            self.ledger.write(LedgerEvent::PodOverloaded {
+                pod: self.identity.name.clone(),
+                incarnation: self.identity.incarnation,
             });
             self.kill();
         }
     }
 
-    /// Takes an attempt: rejects it, or runs it to its end.
+    /// Receives an attempt, and rejects it or runs it to its end.
     async fn receive(self: &Rc<Self>, request: Request<Incoming>) -> Outcome {
         let faults = self.faults.borrow().with(&self.build_faults.borrow());
         let (parts, body) = request.into_parts();
@@ -387,15 +387,15 @@
             return Outcome::Reset;
         }
         let attempt = Attempt::read(&parts.headers);
-        self.forwards.set(self.forwards.get() + 1);
-        self.book.write(Seen::Arrived {
+        self.attempts.set(self.attempts.get() + 1);
+        self.ledger.write(LedgerEvent::Arrived {
             ask: attempt.id,
             sidecar: attempt.sidecar.clone(),
-            pod: self.who.name.clone(),
-            life: self.who.life,
+            pod: self.identity.name.clone(),
+            incarnation: self.identity.incarnation,
             work: attempt.work,
         });
-        self.bear(attempt.work);
+        self.add_load(attempt.work);
         if self.is_down() {
             return Outcome::Reset;
         }
@@ -406,25 +406,25 @@
         if faults.hang {
             return Outcome::Hang;
         }
-        if self.happens(faults.reset_before) {
+        if self.draw_fault(faults.reset_before) {
             return Outcome::Reset;
         }
-        // Once begun, work goes on whether or not anyone still waits for it.
+        // The work runs in a task of its own, so that it continues when the client closes the connection.
         let pod = self.clone();
         let ran = spawn_local(async move { pod.run(attempt, &faults).await });
         ran.await.unwrap_or(Outcome::Reset)
     }
 
     fn reject(&self, attempt: &Attempt) -> Outcome {
-        self.book.write(Seen::Unseen {
+        self.ledger.write(LedgerEvent::Unprocessed {
             ask: attempt.id,
-            pod: self.who.name.clone(),
-            life: self.who.life,
+            pod: self.identity.name.clone(),
+            incarnation: self.identity.incarnation,
         });
         let mut answer = Response::new(Full::new(Bytes::new()));
         *answer.status_mut() = StatusCode::SERVICE_UNAVAILABLE;
         let headers = answer.headers_mut();
-        headers.insert(UNSEEN, HeaderValue::from_static("1"));
+        headers.insert(UNPROCESSED_HEADER, HeaderValue::from_static("1"));
         Outcome::Answer(answer)
     }
 
@@ -434,89 +434,94 @@
         if self.is_down() {
             return Outcome::Reset;
         }
-        let fresh = self.is_fresh(&attempt);
+        let is_first = self.is_first(&attempt);
         let class = attempt.route_class;
         let affected = faults.error_group.is_none_or(|failing| failing == class);
-        let fails = affected && self.happens(faults.error);
-        if fresh && !fails {
-            self.book.write(Seen::Ran {
+        let fails = affected && self.draw_fault(faults.error);
+        if is_first && !fails {
+            self.ledger.write(LedgerEvent::TookEffect {
                 ask: attempt.id,
-                pod: self.who.name.clone(),
-                life: self.who.life,
+                pod: self.identity.name.clone(),
+                incarnation: self.identity.incarnation,
             });
         }
-        if self.happens(faults.reset_after) {
+        if self.draw_fault(faults.reset_after) {
             return Outcome::Reset;
         }
-        if self.happens(faults.lose_answer) {
+        if self.draw_fault(faults.lose_answer) {
             return Outcome::Hang;
         }
         if fails {
-            let mut answer = found();
+            let mut answer = success_response();
             *answer.status_mut() = StatusCode::INTERNAL_SERVER_ERROR;
             return Outcome::Answer(answer);
         }
         let answer = self.answer(faults);
-        self.book.write(Seen::Gave {
+        self.ledger.write(LedgerEvent::Succeeded {
             ask: attempt.id,
-            pod: self.who.name.clone(),
-            life: self.who.life,
+            pod: self.identity.name.clone(),
+            incarnation: self.identity.incarnation,
         });
         Outcome::Answer(answer)
     }
 
-    /// Waits for a core and occupies it while the work takes.
+    /// Waits for a core and occupies it for as long as the work takes.
     async fn work(&self, work: Nanos, faults: &Faults) {
         self.queued.set(self.queued.get() + 1);
         let core = self.cores.acquire().await;
         self.queued.set(self.queued.get() - 1);
-        self.busy.set(self.busy.get() + 1);
-        let crowded = self.busy.get() * 2 > self.machine.cores;
-        let busy = if crowded { faults.slow_busy } else { 1.0 };
-        let pace = self.machine.speed * self.warmth() / (faults.slow * busy * self.shared.get());
-        sleep(Duration::from_nanos((work as f64 / pace.max(0.01)) as u64)).await;
-        self.busy.set(self.busy.get() - 1);
+        self.running.set(self.running.get() + 1);
+        let more_than_half = self.running.get() * 2 > self.machine.cores;
+        let slow_busy = if more_than_half {
+            faults.slow_busy
+        } else {
+            1.0
+        };
+        let speed = self.machine.speed * self.capacity_share()
+            / (faults.slow * slow_busy * self.shared_slowdown.get());
+        sleep(Duration::from_nanos((work as f64 / speed.max(0.01)) as u64)).await;
+        self.running.set(self.running.get() - 1);
         drop(core);
     }
 
-    /// Whether the attempt is no repeat that the pods of its scope drop.
-    fn is_fresh(&self, attempt: &Attempt) -> bool {
+    /// Whether the attempt is not a repeat that the pods of its scope drop.
+    fn is_first(&self, attempt: &Attempt) -> bool {
         let class = self.route_classes.get(attempt.route_class);
-        let Some(class) = class.filter(|class| class.tagged) else {
+        let Some(class) = class.filter(|class| class.keyed) else {
             return true;
         };
         let key = ScopedKey {
             key: attempt.idempotency_key.clone(),
             route_class: attempt.route_class,
         };
-        let marks = &self.marks[class.scope as usize];
-        marks.insert(self.book.now(), key, class.dedup_window)
+        let seen_keys = &self.seen_keys[class.scope as usize];
+        seen_keys.insert(self.ledger.now(), key, class.dedup_window)
     }
 
-    /// A good answer with a load report, or a wrong one that only the emulated client can tell.
+    /// A successful answer with a load report; marked as wrong for the emulated client with the share of wrong answers.
     fn answer(&self, faults: &Faults) -> Response<Full<Bytes>> {
-        let mut answer = found();
+        let mut answer = success_response();
         let load = format!(
             "TEXT cpu_utilization={:.3}, named_metrics.in_flight={}",
-            self.busy.get() as f64 / self.machine.cores as f64,
-            self.busy.get() + self.queued.get()
+            self.running.get() as f64 / self.machine.cores as f64,
+            self.running.get() + self.queued.get()
         );
         let headers = answer.headers_mut();
         if let Ok(load) = HeaderValue::from_str(&load) {
-            headers.insert(LOAD_REPORT, load);
+            headers.insert(LOAD_REPORT_HEADER, load);
         }
-        if self.happens(faults.wrong) {
-            headers.insert(WRONG, HeaderValue::from_static("1"));
+        if self.draw_fault(faults.wrong) {
+            headers.insert(WRONG_ANSWER_HEADER, HeaderValue::from_static("1"));
         }
         answer
     }
 }
 
-fn found() -> Response<Full<Bytes>> {
+fn success_response() -> Response<Full<Bytes>> {
     Response::new(Full::new(Bytes::from_static(b"found\n")))
 }
 
-/// The sidecar that forwarded, as the last `Via` names it.
+/// The name of the sidecar that forwarded a request, from its last `Via` header.
 fn via(headers: &HeaderMap) -> String {
     let last = headers
         .get_all(VIA)
@@ -528,7 +533,7 @@
         .to_string()
 }
 
-/// A connection that is closed from within an answer shows the client no answer at all.
+/// Error of a service that closes the connection, so that the client gets no answer.
 #[derive(Debug, thiserror::Error)]
 #[error("reset on purpose")]
 struct DeliberateReset;
@@ -558,7 +563,7 @@
             Some(_) = connections.join_next() => {}
         }
     }
-    // Dropping the set breaks every connection.
+    // Dropping the set closes all connections.
 }
 
 async fn serve_connection(pod: Rc<Pod>, stream: TcpStream) {
--- a/crates/takeover/tests/simulated.rs
+++ b/crates/takeover/tests/simulated.rs
@@ -1,7 +1,7 @@
 //! Takeovers over the simulated network: guarantees that hold for every seed, and progress while enough sidecars can
 //! reach each other.
 
-use havenplank_emulator::net::{Clock, Fate, Id, Nanos, Net, Part, Weather};
+use havenplank_emulator::net::{Clock, DatagramOutcome, Host, Id, Nanos, Net, NetworkFaults};
 use havenplank_membership::member::MemberId;
 use havenplank_takeover::message::Message;
 use havenplank_takeover::placement::{choose_backups, Candidate};
@@ -186,8 +186,8 @@
     }
 }
 
-impl Part for Sidecar {
-    fn heard(&mut self, now: Nanos, bytes: &[u8]) {
+impl Host for Sidecar {
+    fn receive_datagram(&mut self, now: Nanos, bytes: &[u8]) {
         self.received_hash.update(bytes);
         let (from, to, message): (MemberId, MemberId, Message) =
             postcard::from_bytes(bytes).unwrap();
@@ -290,7 +290,7 @@
 }
 
 impl Run {
-    fn new(sidecar_count: usize, seed: u64, weather: Weather) -> Run {
+    fn new(sidecar_count: usize, seed: u64, weather: NetworkFaults) -> Run {
         let mut net = Net::new(seed, weather);
         for id in 0..sidecar_count {
             let clock = Clock {
@@ -314,10 +314,10 @@
 
     fn enable_event_log(&mut self) {
         self.event_log = Some(Vec::new());
-        self.net.written = Some(Vec::new());
+        self.net.datagram_log = Some(Vec::new());
         self.net.ids().for_each(|id| {
             self.net
-                .part_mut(id)
+                .host_mut(id)
                 .into_iter()
                 .for_each(|sidecar| sidecar.event_log = Some(vec![]))
         });
@@ -333,7 +333,7 @@
     fn send_request(&mut self, id: Id, request: RequestId, after: Nanos) {
         let at = self.net.own_time(id) + after;
         self.net
-            .part_mut(id)
+            .host_mut(id)
             .unwrap()
             .schedule(at, Action::IncomingRequest(request, 5));
         if !self.requests.contains(&request) {
@@ -351,7 +351,7 @@
             }
             for request in requests {
                 let may_act = |id: &Id| {
-                    net.part(*id).is_some_and(|sidecar| {
+                    net.host(*id).is_some_and(|sidecar| {
                         sidecar.takeover.may_send(net.own_time(*id), *request)
                     })
                 };
@@ -378,7 +378,7 @@
     }
 
     fn count_executions(&mut self, id: Id) {
-        if let Some(sidecar) = self.net.part_mut(id) {
+        if let Some(sidecar) = self.net.host_mut(id) {
             std::mem::take(&mut sidecar.written_attempts)
                 .into_iter()
                 .for_each(|request| *self.execution_counts.entry(request).or_default() += 1);
@@ -477,22 +477,26 @@
     event_log: &mut Vec<(Nanos, Option<RequestId>, String)>,
 ) {
     let now = net.now();
-    for datagram in net.written.iter_mut().flat_map(|written| written.drain(..)) {
+    for datagram in net.datagram_log.iter_mut().flat_map(|log| log.drain(..)) {
         let (from, to, message): (MemberId, MemberId, Message) =
             postcard::from_bytes(&datagram.bytes).unwrap();
         let (request, summary) = summarize(&message);
-        let verb = match datagram.fate {
-            Fate::VoteReceipt | Fate::Waits | Fate::Dropped => "arrives",
-            Fate::Cut | Fate::Lost | Fate::Goes(_) => "sends",
+        let verb = match datagram.outcome {
+            DatagramOutcome::Received | DatagramOutcome::Buffered | DatagramOutcome::Dropped => {
+                "arrives"
+            }
+            DatagramOutcome::Partitioned | DatagramOutcome::Lost | DatagramOutcome::Sent(_) => {
+                "sends"
+            }
         };
         let description = format!(
             "{} to {} {verb} {:?}: {summary}",
-            from.name, to.name, datagram.fate
+            from.name, to.name, datagram.outcome
         );
         event_log.push((datagram.at, request, description));
     }
     let entries = net
-        .part_mut(active)
+        .host_mut(active)
         .and_then(|sidecar| sidecar.event_log.as_mut())
         .map(std::mem::take);
     for (request, description) in entries.into_iter().flatten() {
@@ -517,9 +521,9 @@
     let mut run = Run::new(
         sidecar_count,
         seed,
-        Weather {
+        NetworkFaults {
             loss,
-            repeat: 0.1,
+            duplicate: 0.1,
             delay: (100_000, 50 * MS),
         },
     );
@@ -527,7 +531,7 @@
         run.enable_event_log();
     }
     for id in 0..sidecar_count {
-        let sidecar = run.net.part_mut(id).unwrap();
+        let sidecar = run.net.host_mut(id).unwrap();
         (sidecar.never_ran_share, sidecar.rejected_share) =
             [(0.1, 0.0), (0.5, 0.7)][(seed % 2) as usize];
         if scenario == Scenario::LongAttempts {
@@ -602,7 +606,7 @@
         30 * S
     });
     let mut violations = run.take_violations();
-    let sidecars = || run.net.ids().filter_map(|id| run.net.part(id));
+    let sidecars = || run.net.ids().filter_map(|id| run.net.host(id));
     let remaining: Vec<TableSizes> = sidecars()
         .map(|sidecar| sidecar.takeover.table_sizes())
         .filter(|sizes| *sizes != TableSizes::default())
@@ -625,11 +629,11 @@
 /// Returns the numbers of datagrams and bytes sent, and a hash of what the sidecars still running have received.
 fn traffic(net: &Net<Sidecar>) -> String {
     let mut received = blake3::Hasher::new();
-    for sidecar in net.ids().filter_map(|id| net.part(id)) {
+    for sidecar in net.ids().filter_map(|id| net.host(id)) {
         received.update(sidecar.received_hash.finalize().as_bytes());
     }
     let digest = &received.finalize().to_hex()[..16];
-    format!("{} {} {digest}", net.carried, net.carried_bytes)
+    format!("{} {} {digest}", net.sent, net.sent_bytes)
 }
 
 struct RunResult {
@@ -735,15 +739,15 @@
         let mut run = Run::new(
             4,
             seed,
-            Weather {
+            NetworkFaults {
                 loss: 0.3,
-                ..Weather::default()
+                ..NetworkFaults::default()
             },
         );
         if number_from_env("HAVENPLANK_SEED") == Some(seed) {
             run.enable_event_log();
         }
-        (0..4).for_each(|id| run.net.part_mut(id).unwrap().never_ran_share = 0.5);
+        (0..4).for_each(|id| run.net.host_mut(id).unwrap().never_ran_share = 0.5);
         run.net.pause(3);
         run.send_request(0, 1, 0);
         // The messages about the outcome do not reach the paused backup.
@@ -755,7 +759,7 @@
         let is_open = |record: &Record| record.confirmed && record.outcome.is_none();
         resumed_with_open_request += run
             .net
-            .part(3)
+            .host(3)
             .unwrap()
             .takeover
             .replica(1)
@@ -838,9 +842,9 @@
 fn the_first_owner_still_knows_a_request_when_all_its_backups_are_dead() {
     let mut cases = 0;
     for request in 0..60 {
-        let mut run = Run::new(8, request as u64, Weather::default());
-        let first_backups = run.net.part(0).unwrap().backups_for(request, 3);
-        run.net.part_mut(0).unwrap().never_ran_share = 0.0;
+        let mut run = Run::new(8, request as u64, NetworkFaults::default());
+        let first_backups = run.net.host(0).unwrap().backups_for(request, 3);
+        run.net.host_mut(0).unwrap().never_ran_share = 0.0;
         run.send_request(0, request, 0);
         run.run_until(S);
         let dead: Vec<Id> = first_backups
@@ -853,14 +857,14 @@
             .map(member_id)
             .collect();
         for id in (0..8).filter(|id| !dead.contains(id)) {
-            run.net.part_mut(id).unwrap().members = living.clone();
+            run.net.host_mut(id).unwrap().members = living.clone();
         }
         let other = (1..8).find(|id| !dead.contains(id)).unwrap();
         // If the first owner is not a backup of the new claim, no backup of that claim knows the request.
         // docs/takeover-design.md describes this remaining case.
         if !run
             .net
-            .part(other)
+            .host(other)
             .unwrap()
             .backups_for(request, 3)
             .contains(&member_id(0))
@@ -890,9 +894,9 @@
         let mut run = Run::new(
             7,
             seed,
-            Weather {
+            NetworkFaults {
                 loss: 0.05,
-                ..Weather::default()
+                ..NetworkFaults::default()
             },
         );
         (0..20).for_each(|n| run.send_request(0, n, n as Nanos * 10 * MS));
@@ -901,7 +905,7 @@
         let killed = run.net.now();
         let stored_requests: Vec<RequestId> = (0..20)
             .filter(|request| {
-                let stored = |id: Id| run.net.part(id)?.takeover.replica(*request);
+                let stored = |id: Id| run.net.host(id)?.takeover.replica(*request);
                 let stored: Vec<&Record> = (1..7).filter_map(stored).collect();
                 stored.len() >= 2
                     && stored
@@ -913,7 +917,7 @@
         for request in &stored_requests {
             expected += 1;
             let taken_over = (1..7).find_map(|id| {
-                let sidecar = run.net.part(id).unwrap();
+                let sidecar = run.net.host(id).unwrap();
                 sidecar
                     .taken_over
                     .iter()
@@ -937,27 +941,27 @@
 #[test]
 fn a_client_that_retries_elsewhere_joins_and_a_different_request_with_its_key_is_detected() {
     for seed in 0..40 {
-        let mut run = Run::new(6, seed, Weather::default());
+        let mut run = Run::new(6, seed, NetworkFaults::default());
         run.send_request(0, 1, 0);
         run.send_request(1, 1, 20 * MS);
         run.send_request(2, 1, 400 * MS);
         let at = run.net.own_time(3) + 30 * MS;
         run.net
-            .part_mut(3)
+            .host_mut(3)
             .unwrap()
             .schedule(at, Action::IncomingRequest(1, 6));
         run.run_until(4 * S);
         run.assert_no_violations();
         assert_eq!(run.execution_counts.get(&1), Some(&1));
         for id in [1, 2] {
-            let sidecar = run.net.part(id).unwrap();
+            let sidecar = run.net.host(id).unwrap();
             assert_eq!(
                 sidecar.answers,
                 [(1, Outcome::Served(vec![1]))],
                 "seed {seed}, sidecar {id}"
             );
         }
-        assert_eq!(run.net.part(3).unwrap().reused_keys, 1);
+        assert_eq!(run.net.host(3).unwrap().reused_keys, 1);
     }
 }
 
@@ -967,24 +971,24 @@
         let mut run = Run::new(
             6,
             seed,
-            Weather {
+            NetworkFaults {
                 loss: 0.1,
-                ..Weather::default()
+                ..NetworkFaults::default()
             },
         );
-        let first_owner = run.net.part_mut(0).unwrap();
+        let first_owner = run.net.host_mut(0).unwrap();
         (first_owner.never_ran_share, first_owner.rejected_share) = (1.0, 1.0);
         run.send_request(0, 1, 0);
         // Depending on the seed, the client retries at the sidecar that rejected the request, at one of its backups, or
         // at a sidecar that does not know it.
         run.send_request((seed % 6) as Id, 1, 1_200 * MS);
         run.run_until(1_100 * MS);
-        (0..6).for_each(|id| run.net.part_mut(id).unwrap().never_ran_share = 0.0);
+        (0..6).for_each(|id| run.net.host_mut(id).unwrap().never_ran_share = 0.0);
         run.send_request(((seed + 1) % 6) as Id, 1, 2_500 * MS);
         run.run_until(6 * S);
         run.assert_no_violations();
         assert_eq!(run.execution_counts.get(&1), Some(&1), "seed {seed}");
-        let last_owner = run.net.part(((seed + 1) % 6) as Id).unwrap();
+        let last_owner = run.net.host(((seed + 1) % 6) as Id).unwrap();
         assert_eq!(
             last_owner.answers.last(),
             Some(&(1, Outcome::Served(vec![1]))),
@@ -995,9 +999,9 @@
 
 #[test]
 fn a_background_claim_sends_nothing_when_finished_soon_and_reaches_all_backups_otherwise() {
-    let mut run = Run::new(4, 1, Weather::default());
+    let mut run = Run::new(4, 1, NetworkFaults::default());
     let at = run.net.own_time(0);
-    let owner = run.net.part_mut(0).unwrap();
+    let owner = run.net.host_mut(0).unwrap();
     for request in [1, 2] {
         let incoming = IncomingRequest {
             request,
@@ -1023,7 +1027,7 @@
         (1..4)
             .filter(|id| {
                 run.net
-                    .part(*id)
+                    .host(*id)
                     .unwrap()
                     .takeover
                     .replica(request)
@@ -1100,11 +1104,11 @@
 
 #[test]
 fn without_reachable_backups_a_request_is_served_unprotected_without_waiting() {
-    let mut run = Run::new(4, 1, Weather::default());
+    let mut run = Run::new(4, 1, NetworkFaults::default());
     (1..4).for_each(|id| run.net.cut(id, 0));
     run.send_request(0, 1, 0);
     run.run_until(S);
-    assert_eq!(run.net.part(0).unwrap().unprotected, 1);
+    assert_eq!(run.net.host(0).unwrap().unprotected, 1);
 }
 
 #[test]
