--- a/crates/emulator/src/endpoint_list.rs
+++ b/crates/emulator/src/endpoint_list.rs
@@ -135,17 +135,17 @@
     async fn serve_sidecar(&self, stream: TcpStream) {
         struct Inbox {
             name: Option<String>,
-            complete: bool,
+            wants_complete_list: bool,
         }
         impl endpoint_list::Service for Inbox {
             fn greeted(&mut self, name: String) {
-                (self.name, self.complete) = (Some(name), true);
+                (self.name, self.wants_complete_list) = (Some(name), true);
             }
             fn poll(&mut self) {
-                self.complete = true;
+                self.wants_complete_list = true;
             }
             fn watch(&mut self, on: bool) {
-                self.complete |= on;
+                self.wants_complete_list |= on;
             }
         }
         let _ = stream.set_nodelay(true);
@@ -162,9 +162,9 @@
         }
         let mut inbox = Inbox {
             name: None,
-            complete: false,
+            wants_complete_list: false,
         };
-        let (mut at, mut seq) = (0, 0);
+        let (mut announced, mut seq) = (0, 0);
         loop {
             tokio::select! {
                 received = framed.next() => match received {
@@ -177,17 +177,17 @@
                 continue;
             };
             // Changes that were announced stay announced, also when the list becomes stale afterwards.
-            let now = self.visible_changes().max(at);
-            let complete = std::mem::take(&mut inbox.complete);
-            if !complete && now == at {
+            let now = self.visible_changes().max(announced);
+            let complete = std::mem::take(&mut inbox.wants_complete_list);
+            if !complete && now == announced {
                 continue;
             }
             let pods = if complete {
                 self.fleet.complete_list(now)
             } else {
-                self.fleet.changes_between(at, now)
+                self.fleet.changes_between(announced, now)
             };
-            (at, seq) = (now, seq + 1);
+            (announced, seq) = (now, seq + 1);
             let mut out = String::new();
             endpoint_list::write_list(&mut out, seq, complete, &pods);
             self.record_announcements(&name, complete, &pods);
--- a/crates/invariants/src/check/drains.rs
+++ b/crates/invariants/src/check/drains.rs
@@ -49,7 +49,7 @@
             .incarnations
             .insert(pod.name.clone(), pod.incarnation);
         if let Some(before) = before.filter(|before| *before != pod.incarnation) {
-            // The new incarnation has taken the name, so the one before is gone.
+            // The address belongs to the new incarnation, so an attempt to the one before goes to a pod that is gone.
             let gone = PodIncarnation::new(&pod.name, before);
             notices.closed.entry(gone).or_insert(at);
         }
