--- a/crates/capacity/src/configuration.rs
+++ b/crates/capacity/src/configuration.rs
@@ -7,43 +7,43 @@
 use havenplank_configuration_simulation::process::OVERHEAD_BYTES;
 
 /// Changes of one day in the size to plan with, and so the wait between two.
-pub const CHANGES_A_DAY: u64 = 6_800;
+pub const CHANGES_PER_DAY: u64 = 6_800;
 /// Bytes a second and share of a core that a sidecar may spend on all control.
 pub const BYTES_PER_S_BUDGET: f64 = 13_000.0;
 /// The share of a core that a sidecar may spend on all control.
 pub const CORE_SHARE_BUDGET: f64 = 0.019;
 /// Seconds within which a change is in force everywhere.
-pub const SECONDS_BUDGET: f64 = 5.0;
+pub const IN_FORCE_BUDGET_S: f64 = 5.0;
 
 /// What happens to a fleet.
 pub struct Scenario {
     /// Its name in reports.
     pub title: &'static str,
     /// Plays it with so many processes, by seed.
-    pub play: fn(usize, u64) -> Outcome,
+    pub run: fn(usize, u64) -> Outcome,
 }
 
 /// All scenarios, in the order in which they are measured.
 pub const SCENARIOS: [Scenario; 5] = [
     Scenario {
         title: "changes every 12.7 s",
-        play: scenarios::steady,
+        run: scenarios::steady,
     },
     Scenario {
         title: "ten changes at once",
-        play: scenarios::burst,
+        run: scenarios::burst,
     },
     Scenario {
         title: "one in a hundred restarts with an old version",
-        play: scenarios::restart_old,
+        run: scenarios::restart_with_old_version,
     },
     Scenario {
         title: "one in a hundred restarts without any",
-        play: scenarios::restart_empty,
+        run: scenarios::restart_empty,
     },
     Scenario {
         title: "one region cut off for an hour's changes",
-        play: scenarios::region_cut,
+        run: scenarios::region_partition,
     },
 ];
 
@@ -81,11 +81,11 @@
     },
     Quantity {
         name: "sidecar_sent_bytes_per_s",
-        of: |outcome| outcome.mean.bytes_per_s,
+        of: |outcome| outcome.mean_sidecar.bytes_per_s,
     },
     Quantity {
         name: "sidecar_sent_messages_per_s",
-        of: |outcome| outcome.mean.messages_per_s,
+        of: |outcome| outcome.mean_sidecar.messages_per_s,
     },
     Quantity {
         name: "busiest_sidecar_sent_bytes_per_s",
@@ -93,7 +93,7 @@
     },
     Quantity {
         name: "busiest_sidecar_heard_bytes_per_s",
-        of: |outcome| outcome.busiest_heard_bytes_per_s,
+        of: |outcome| outcome.busiest_received_bytes_per_s,
     },
     Quantity {
         name: "writer_sent_bytes_per_s",
@@ -105,7 +105,7 @@
     },
     Quantity {
         name: "decision_core_share",
-        of: |outcome| outcome.mean.core_share,
+        of: |outcome| outcome.mean_sidecar.core_share,
     },
 ];
 
@@ -113,7 +113,7 @@
 pub fn section(scenario: &Scenario, sizes: &[usize], seed: u64) -> Section {
     let outcomes: Vec<(usize, Outcome)> = sizes
         .iter()
-        .map(|size| (*size, (scenario.play)(*size, seed)))
+        .map(|size| (*size, (scenario.run)(*size, seed)))
         .collect();
     let series = QUANTITIES.iter().map(|quantity| {
         let point = |(size, outcome): &(usize, Outcome)| Point {
@@ -128,7 +128,7 @@
         )
     });
     let budgets = format!(
-        "budgets: in force everywhere within {SECONDS_BUDGET} s; {BYTES_PER_S_BUDGET} bytes/s and \
+        "budgets: in force everywhere within {IN_FORCE_BUDGET_S} s; {BYTES_PER_S_BUDGET} bytes/s and \
          {CORE_SHARE_BUDGET} of a core for all control of a sidecar"
     );
     let notes = outcomes
--- a/crates/capacity/src/configuration/scenarios.rs
+++ b/crates/capacity/src/configuration/scenarios.rs
@@ -1,6 +1,6 @@
 //! What happens to a simulated fleet, and what is measured of it.
 
-use super::CHANGES_A_DAY;
+use super::CHANGES_PER_DAY;
 use havenplank_configuration::replication::{Nanos, Role};
 use havenplank_configuration::snapshot::Snapshot;
 use havenplank_configuration_simulation::fleet::{region_index, tenant_snapshot, Fleet, SECOND};
@@ -13,7 +13,7 @@
 /// Publications of the steady scenario: some hundred seconds.
 const STEADY: usize = 8;
 /// Changes in an hour.
-const HOUR: usize = (CHANGES_A_DAY / 24) as usize;
+const HOUR: usize = (CHANGES_PER_DAY / 24) as usize;
 const LOSS: f64 = 0.01;
 /// How long a scenario waits for the last process.
 const GRACE: Nanos = 30 * SECOND;
@@ -36,19 +36,19 @@
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
     /// Seconds until in force, ascending.
-    pub seconds: Vec<f64>,
+    pub latencies_s: Vec<f64>,
     /// Pairs of process and change that were not reached in time.
     pub not_reached: usize,
     /// Of a sidecar.
-    pub mean: Cost,
+    pub mean_sidecar: Cost,
     /// Of the writer.
     pub writer: Cost,
     /// Bytes a second that the busiest sidecar sends.
     pub busiest_bytes_per_s: f64,
     /// Bytes a second that the busiest sidecar receives.
-    pub busiest_heard_bytes_per_s: f64,
+    pub busiest_received_bytes_per_s: f64,
     /// The longest message of all, with what is around it.
-    pub longest_message: u64,
+    pub longest_message_bytes: u64,
     /// What else a reader should know, in words.
     pub note: String,
 }
@@ -56,8 +56,8 @@
 impl Outcome {
     /// The time within which this share was reached.
     pub fn quantile(&self, share: f64) -> f64 {
-        let last = self.seconds.len().saturating_sub(1);
-        self.seconds
+        let last = self.latencies_s.len().saturating_sub(1);
+        self.latencies_s
             .get((last as f64 * share).ceil() as usize)
             .copied()
             .unwrap_or(f64::NAN)
@@ -93,7 +93,7 @@
     let (began, before) = (fleet.net.now(), traffic(&fleet));
     for _ in 0..STEADY {
         publish(&mut fleet);
-        fleet.run_for(86_400 * SECOND / CHANGES_A_DAY);
+        fleet.run_for(86_400 * SECOND / CHANGES_PER_DAY);
     }
     let mut outcome = costs(&fleet, &before, began);
     let everyone: Vec<Id> = fleet.net.ids().collect();
@@ -107,7 +107,7 @@
     let (mut fleet, _) = fleet(count, seed);
     let (began, before) = (fleet.net.now(), traffic(&fleet));
     (0..10).for_each(|_| publish(&mut fleet));
-    fleet.run_for(86_400 * SECOND / CHANGES_A_DAY);
+    fleet.run_for(86_400 * SECOND / CHANGES_PER_DAY);
     let mut outcome = costs(&fleet, &before, began);
     let everyone: Vec<Id> = fleet.net.ids().collect();
     reached(&mut outcome, fleet.latencies(began, &everyone));
@@ -116,7 +116,7 @@
 }
 
 /// One in a hundred starts again with what it had an hour's changes ago, in a fleet that was told at once.
-pub fn restart_old(count: usize, seed: u64) -> Outcome {
+pub fn restart_with_old_version(count: usize, seed: u64) -> Outcome {
     restart(count, seed, true)
 }
 
@@ -144,13 +144,13 @@
     fleet.set_peers_everywhere();
     let (seconds, not_reached) = catch_up(&mut fleet, &restarted);
     let mut outcome = costs(&fleet, &before, began);
-    (outcome.seconds, outcome.not_reached) = (seconds, not_reached);
+    (outcome.latencies_s, outcome.not_reached) = (seconds, not_reached);
     outcome.note = format!("{HOUR} changes before, {} restarted", restarted.len());
     outcome
 }
 
 /// One region hears nothing of an hour's changes and is back then. The membership loses it and has it back at once.
-pub fn region_cut(count: usize, seed: u64) -> Outcome {
+pub fn region_partition(count: usize, seed: u64) -> Outcome {
     let (mut fleet, _) = fleet(count, seed);
     let (cut, rest): (Vec<Id>, Vec<Id>) = fleet.net.ids().partition(|id| region_index(*id) == 3);
     fleet.net.split(&[&cut, &rest]);
@@ -164,7 +164,7 @@
     let (began, before) = (fleet.net.now(), traffic(&fleet));
     let (seconds, not_reached) = catch_up(&mut fleet, &cut);
     let mut outcome = costs(&fleet, &before, began);
-    (outcome.seconds, outcome.not_reached) = (seconds, not_reached);
+    (outcome.latencies_s, outcome.not_reached) = (seconds, not_reached);
     outcome.note = format!("{HOUR} changes missed by {}", cut.len());
     outcome
 }
@@ -214,12 +214,12 @@
 
 fn reached(outcome: &mut Outcome, latencies: Vec<Option<Nanos>>) {
     outcome.not_reached = latencies.iter().filter(|latency| latency.is_none()).count();
-    outcome.seconds = latencies
+    outcome.latencies_s = latencies
         .into_iter()
         .flatten()
         .map(|ns| ns as f64 / SECOND as f64)
         .collect();
-    outcome.seconds.sort_by(f64::total_cmp);
+    outcome.latencies_s.sort_by(f64::total_cmp);
 }
 
 /// What the writer's last round says.
@@ -254,15 +254,15 @@
     let sum = sidecars().fold(Traffic::default(), |sum, traffic| added(&sum, traffic));
     let rate = |most: Option<u64>| most.unwrap_or(0) as f64 / span;
     Outcome {
-        mean: cost(&sum, span * count),
+        mean_sidecar: cost(&sum, span * count),
         writer: all
             .iter()
             .find(|(id, _)| *id == WRITER)
             .map(|(_, own)| cost(own, span))
             .unwrap_or_default(),
         busiest_bytes_per_s: rate(sidecars().map(|traffic| traffic.sent_bytes).max()),
-        busiest_heard_bytes_per_s: rate(sidecars().map(|traffic| traffic.received_bytes).max()),
-        longest_message: sidecars()
+        busiest_received_bytes_per_s: rate(sidecars().map(|traffic| traffic.received_bytes).max()),
+        longest_message_bytes: sidecars()
             .map(|traffic| traffic.longest_message_bytes)
             .max()
             .unwrap_or(0),
--- a/crates/capacity/src/discovery.rs
+++ b/crates/capacity/src/discovery.rs
@@ -12,7 +12,7 @@
 use std::time::Instant;
 
 /// What a sidecar may receive for control, in bytes a second.
-pub const CONTROL_BYTES_PER_S: f64 = 13_000.0;
+pub const CONTROL_BUDGET_BYTES_PER_S: f64 = 13_000.0;
 const ROLL_SECONDS: f64 = 3_600.0;
 /// Changes that a replaced pod makes: the new one runs, the old one drains, the old one is gone.
 const CHANGES_PER_REPLACED_POD: f64 = 3.0;
@@ -59,7 +59,7 @@
 }
 
 /// Bytes of a whole list as it is sent.
-pub fn whole_list_bytes(pods: &[ListedEndpoint]) -> usize {
+pub fn complete_list_bytes(pods: &[ListedEndpoint]) -> usize {
     encoded(true, pods).len()
 }
 
@@ -77,17 +77,17 @@
 
 /// Bytes of the news of a stage, of a vote and of its answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ControlBytes {
+pub struct ControlLineBytes {
     /// Of the notice of a stage.
-    pub news: usize,
+    pub stage_update: usize,
     /// Of a vote.
     pub vote: usize,
     /// Of the answer to a vote.
-    pub answer: usize,
+    pub vote_reply: usize,
 }
 
 /// Returns the bytes of each line between a sidecar and the control plane.
-pub fn control_bytes() -> ControlBytes {
+pub fn control_line_bytes() -> ControlLineBytes {
     let stage = Stage {
         build: 1_042,
         stage: 2,
@@ -95,14 +95,20 @@
         cap: 0.25,
         age: 90_000_000_000,
     };
-    let (mut news, mut answer) = (String::new(), String::new());
-    control_plane::write_stage(&mut news, 10_000, &stage);
-    control_plane::write_vote_reply(&mut answer, 10_000, 500, VoteReceipt::Counted, Some(&stage));
+    let (mut stage_update, mut vote_reply) = (String::new(), String::new());
+    control_plane::write_stage(&mut stage_update, 10_000, &stage);
+    control_plane::write_vote_reply(
+        &mut vote_reply,
+        10_000,
+        500,
+        VoteReceipt::Counted,
+        Some(&stage),
+    );
     let vote = control_plane::vote_line(500, stage.build, stage.stage, Vote::Advance);
-    ControlBytes {
-        news: news.len(),
+    ControlLineBytes {
+        stage_update: stage_update.len(),
         vote: vote.len(),
-        answer: answer.len(),
+        vote_reply: vote_reply.len(),
     }
 }
 
@@ -130,9 +136,9 @@
 }
 
 fn lists(options: &Options) -> Section {
-    let whole = |pods: usize| whole_list_bytes(&samples::pods(pods)) as f64;
+    let whole = |pods: usize| complete_list_bytes(&samples::pods(pods)) as f64;
     let changed = |pods: usize| change_bytes(&samples::pod(pods.saturating_sub(1))) as f64;
-    let waits = |pods: usize| whole(pods) / CONTROL_BYTES_PER_S;
+    let waits = |pods: usize| whole(pods) / CONTROL_BUDGET_BYTES_PER_S;
     let encoded = |name, points| Series::new(name, "pods", "encoded", points);
     Section {
         title: "Service discovery: a list for one sidecar".to_string(),
@@ -142,7 +148,7 @@
             encoded("whole_list_at_control_budget_s", points(&options.pods, waits)),
         ],
         notes: vec![
-            format!("encoded: lines of the real codec for sample pods; budget {CONTROL_BYTES_PER_S} bytes/s"),
+            format!("encoded: lines of the real codec for sample pods; budget {CONTROL_BUDGET_BYTES_PER_S} bytes/s"),
             "a sidecar that takes only the pods of its services takes the row of that many pods".to_string(),
         ],
     }
@@ -154,7 +160,7 @@
     let changes_per_s = all as f64 * CHANGES_PER_REPLACED_POD / ROLL_SECONDS;
     let mut series = Vec::new();
     for subset in options.subsets.iter().map(|subset| (*subset).min(all)) {
-        let whole = whole_list_bytes(&samples::pods(subset)) as f64;
+        let whole = complete_list_bytes(&samples::pods(subset)) as f64;
         let share = subset as f64 / all.max(1) as f64;
         let received = changes_per_s * share * change;
         let by_sidecars = |name: String, each: f64| {
@@ -239,8 +245,9 @@
 }
 
 fn control_plane(options: &Options) -> Section {
-    let bytes = control_bytes();
-    let repeated = |sidecars: usize| sidecars as f64 * bytes.news as f64 / NEWS_REPEATED_EVERY_S;
+    let bytes = control_line_bytes();
+    let repeated =
+        |sidecars: usize| sidecars as f64 * bytes.stage_update as f64 / NEWS_REPEATED_EVERY_S;
     let votes = |sidecars: usize| sidecars as f64 / VOTE_CAST_AGAIN_AFTER_S;
     let by_sidecars = |name, value: &dyn Fn(usize) -> f64| {
         Series::new(
@@ -256,11 +263,11 @@
             by_sidecars("news_sent_bytes_per_s", &repeated),
             by_sidecars("votes_received_per_s", &votes),
             by_sidecars("votes_received_bytes_per_s", &|sidecars| votes(sidecars) * bytes.vote as f64),
-            by_sidecars("vote_answers_sent_bytes_per_s", &|sidecars| votes(sidecars) * bytes.answer as f64),
-            by_sidecars("stage_change_sent_bytes", &|sidecars| (sidecars * bytes.news) as f64),
+            by_sidecars("vote_answers_sent_bytes_per_s", &|sidecars| votes(sidecars) * bytes.vote_reply as f64),
+            by_sidecars("stage_change_sent_bytes", &|sidecars| (sidecars * bytes.stage_update) as f64),
         ],
         notes: vec![
-            format!("bytes of one line: news {}, vote {}, answer {}", bytes.news, bytes.vote, bytes.answer),
+            format!("bytes of one line: news {}, vote {}, answer {}", bytes.stage_update, bytes.vote, bytes.vote_reply),
             format!(
                 "news repeated every {NEWS_REPEATED_EVERY_S} s; while a vote stands it is cast again after \
                  {VOTE_CAST_AGAIN_AFTER_S:.2} s in the mean (life {VOTE_LIFE_S} s); all sidecars voting"
--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -16,9 +16,9 @@
 pub mod configuration;
 pub mod discovery;
 pub mod error;
-pub mod hollow;
 pub mod membership;
 pub mod membership_sockets;
 pub mod report;
 pub mod samples;
 pub mod tables;
+pub mod test_sidecar;
--- a/crates/capacity/src/membership.rs
+++ b/crates/capacity/src/membership.rs
@@ -4,8 +4,8 @@
 //! killed, a hundredth of all datagrams lost, a zone lost, regions parted and joined again. The seed is fixed, so all
 //! that is counted is the same in each run and on each machine; the processor's time is not.
 
-use crate::hollow::{self, Cost, HollowSidecar};
 use crate::report::{fit, Point, Section, Series};
+use crate::test_sidecar::{self, Cost, TestSidecar};
 use havenplank_emulator::net::{Clock, Id, Nanos, Net, Weather};
 use havenplank_membership::quorum::QuorumState;
 use std::net::SocketAddr;
@@ -128,7 +128,7 @@
 
 /// A fleet of hollow sidecars on the simulated network.
 pub struct Fleet {
-    net: Net<HollowSidecar>,
+    net: Net<TestSidecar>,
     incarnations: Vec<u64>,
 }
 
@@ -136,7 +136,7 @@
 #[derive(Clone, Debug, Default)]
 struct Spent {
     all: Cost,
-    received: Vec<u64>,
+    received_datagrams: Vec<u64>,
 }
 
 impl Fleet {
@@ -174,7 +174,7 @@
         self.net
             .ids()
             .filter_map(|id| self.net.part(id))
-            .map(HollowSidecar::cost)
+            .map(TestSidecar::cost)
     }
 
     fn spent(&self) -> Spent {
@@ -183,17 +183,17 @@
             let cost = self
                 .net
                 .part(id)
-                .map(HollowSidecar::cost)
+                .map(TestSidecar::cost)
                 .cloned()
                 .unwrap_or_default();
-            spent.received.push(cost.received);
-            spent.all.received += cost.received;
+            spent.received_datagrams.push(cost.received_datagrams);
+            spent.all.received_datagrams += cost.received_datagrams;
             spent.all.received_bytes += cost.received_bytes;
-            spent.all.sent += cost.sent;
+            spent.all.sent_datagrams += cost.sent_datagrams;
             spent.all.sent_bytes += cost.sent_bytes;
-            spent.all.processor += cost.processor;
-            spent.all.lost += cost.lost;
-            spent.all.suspected += cost.suspected;
+            spent.all.processor_time += cost.processor_time;
+            spent.all.peers_declared_lost += cost.peers_declared_lost;
+            spent.all.peers_suspected += cost.peers_suspected;
             spent.all.rows_visited += cost.rows_visited;
         }
         spent
@@ -206,7 +206,7 @@
             .collect()
     }
 
-    fn share(&self, holds: impl Fn(&HollowSidecar) -> bool) -> f64 {
+    fn share(&self, holds: impl Fn(&TestSidecar) -> bool) -> f64 {
         let running = self.running();
         let parts = running.iter().filter_map(|id| self.net.part(*id));
         parts.filter(|part| holds(part)).count() as f64 / running.len().max(1) as f64
@@ -215,7 +215,7 @@
     /// Share of sidecars that see as many peers as run.
     fn share_whole(&self) -> f64 {
         let others = self.running().len().saturating_sub(1);
-        self.share(|part| part.living() == others)
+        self.share(|part| part.alive_peers() == others)
     }
 
     fn share_agreed(&self) -> f64 {
@@ -249,7 +249,7 @@
         let cost = self
             .net
             .part(id)
-            .map(HollowSidecar::cost)
+            .map(TestSidecar::cost)
             .cloned()
             .unwrap_or_default();
         self.net.kill(id);
@@ -264,15 +264,13 @@
     }
 }
 
-fn sidecar(
-    now: Nanos,
-    at: SocketAddr,
-    number: usize,
-    incarnation: u64,
-    cost: Cost,
-) -> HollowSidecar {
-    let seeds = (0..SEEDS).map(Net::<HollowSidecar>::address).collect();
-    HollowSidecar::new(now, hollow::node(now, at, number, incarnation, seeds), cost)
+fn sidecar(now: Nanos, at: SocketAddr, number: usize, incarnation: u64, cost: Cost) -> TestSidecar {
+    let seeds = (0..SEEDS).map(Net::<TestSidecar>::address).collect();
+    TestSidecar::new(
+        now,
+        test_sidecar::node(now, at, number, incarnation, seeds),
+        cost,
+    )
 }
 
 /// Plays a phase, and adds what each sidecar spent in it a second.
@@ -291,19 +289,22 @@
         of(&after.all).saturating_sub(of(&before.all)) as f64 / seconds / size as f64
     };
     let busiest = after
-        .received
+        .received_datagrams
         .iter()
-        .zip(&before.received)
+        .zip(&before.received_datagrams)
         .map(|(after, before)| after.saturating_sub(*before));
     let processor = after
         .all
-        .processor
-        .saturating_sub(before.all.processor)
+        .processor_time
+        .saturating_sub(before.all.processor_time)
         .as_secs_f64();
     let mut add =
         |name: &str, value: f64| figures.add(section, &format!("{phase}: {name}"), size, value);
     add("received_bytes_per_s", each(|cost| cost.received_bytes));
-    add("received_messages_per_s", each(|cost| cost.received));
+    add(
+        "received_messages_per_s",
+        each(|cost| cost.received_datagrams),
+    );
     add("sent_bytes_per_s", each(|cost| cost.sent_bytes));
     add(
         "busiest_received_messages_per_s",
@@ -360,7 +361,7 @@
 fn one_killed(fleet: &mut Fleet, figures: &mut Figures) {
     const SECTION: &str = "Membership: one sidecar killed";
     let (size, victim) = (fleet.size(), fleet.size() / 2);
-    let (name, incarnation) = (hollow::name(victim), fleet.incarnations[victim]);
+    let (name, incarnation) = (test_sidecar::name(victim), fleet.incarnations[victim]);
     let cost = fleet.kill(victim);
     let began = fleet.net.now();
     for (series, share) in [
@@ -368,7 +369,8 @@
         ("known_lost_to_99_percent_s", 0.99),
         ("known_lost_to_all_s", 1.0),
     ] {
-        let known = |fleet: &Fleet| fleet.share(|part| !part.sees(&name, incarnation)) >= share;
+        let known =
+            |fleet: &Fleet| fleet.share(|part| !part.considers_alive(&name, incarnation)) >= share;
         if fleet.until(known).is_some() {
             figures.add(
                 SECTION,
@@ -396,13 +398,13 @@
         SECTION,
         "false_losses_in_all",
         size,
-        (after.lost - before.lost) as f64,
+        (after.peers_declared_lost - before.peers_declared_lost) as f64,
     );
     figures.add(
         SECTION,
         "suspicions_in_all",
         size,
-        (after.suspected - before.suspected) as f64,
+        (after.peers_suspected - before.peers_suspected) as f64,
     );
 }
 
--- a/crates/capacity/src/membership_sockets.rs
+++ b/crates/capacity/src/membership_sockets.rs
@@ -1,8 +1,8 @@
 //! The same hollow sidecars on sockets: hundreds in one process on loopback, each with its own UDP and TCP socket.
 
-use crate::hollow;
 use crate::membership::{resident_bytes, Figures};
 use crate::report::Section;
+use crate::test_sidecar;
 use havenplank_membership::node::NodeEvent;
 use havenplank_membership::quorum::Rules as QuorumRules;
 use havenplank_membership::swim::Rules;
@@ -52,7 +52,7 @@
 
 /// Why a size was not measured.
 #[derive(Debug, thiserror::Error)]
-pub enum Refusal {
+pub enum SizeError {
     /// More than half of the available memory would be taken.
     #[error("{size} sidecars need {needed} bytes of memory; half of what is available is {half}")]
     Memory {
@@ -93,17 +93,17 @@
 ///
 /// # Errors
 /// A size that would take more than half of the memory or of the descriptors.
-pub fn check(size: usize) -> Result<(), Refusal> {
+pub fn check_resources(size: usize) -> Result<(), SizeError> {
     let count = size as u64;
     let half = number_of("/proc/meminfo", "MemAvailable:").unwrap_or(0) * 1_024 / 2;
     let needed = count * (BYTES_EACH + BYTES_PER_PEER * count);
     if needed > half {
-        return Err(Refusal::Memory { size, needed, half });
+        return Err(SizeError::Memory { size, needed, half });
     }
     let half = number_of("/proc/self/limits", "Max open files").unwrap_or(0) / 2;
     let needed = count * DESCRIPTORS_EACH;
     if needed > half {
-        return Err(Refusal::Descriptors { size, needed, half });
+        return Err(SizeError::Descriptors { size, needed, half });
     }
     Ok(())
 }
@@ -112,7 +112,7 @@
     async fn start(number: usize, seeds: Vec<SocketAddr>) -> io::Result<Running> {
         let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
         let transport =
-            Transport::bind(any, |now, at| hollow::node(now, at, number, 1, seeds)).await?;
+            Transport::bind(any, |now, at| test_sidecar::node(now, at, number, 1, seeds)).await?;
         let me = transport.call(|node, _| node.membership().me().id.clone());
         let views = Rc::new(RefCell::new(ViewExchange::new(
             transport.now(),
@@ -141,7 +141,7 @@
         Ok(Running { transport })
     }
 
-    fn living(&self) -> usize {
+    fn alive_peers(&self) -> usize {
         self.transport
             .call(|node, _| node.membership().alive().count())
     }
@@ -162,7 +162,7 @@
     }
 }
 
-async fn measure(size: usize, windows_s: &[u64], figures: &mut Figures) -> Result<(), Refusal> {
+async fn measure(size: usize, windows_s: &[u64], figures: &mut Figures) -> Result<(), SizeError> {
     const SECTION: &str = "Membership on sockets: after a common start";
     let mut running: Vec<Running> = Vec::new();
     let mut seeds = Vec::new();
@@ -197,7 +197,7 @@
         add("sent_bytes_per_s", each(2));
         let whole = running
             .iter()
-            .filter(|sidecar| sidecar.living() + 1 == size)
+            .filter(|sidecar| sidecar.alive_peers() + 1 == size)
             .count();
         add("share_seeing_all", whole as f64 / size as f64);
         (from, before) = (*until, after);
@@ -224,7 +224,7 @@
             .enable_all()
             .build()?;
         let work = measure(*size, &options.windows_s, &mut figures);
-        let done = check(*size).and_then(|()| LocalSet::new().block_on(&runtime, work));
+        let done = check_resources(*size).and_then(|()| LocalSet::new().block_on(&runtime, work));
         notes.extend(done.err().map(|refusal| format!("not measured: {refusal}")));
     }
     Ok(figures.sections(&notes))
--- a/crates/capacity/src/report.rs
+++ b/crates/capacity/src/report.rs
@@ -52,7 +52,7 @@
     }
 
     /// What the line says of a size, and by which factor that lies beyond the largest measured one.
-    pub fn at(&self, size: f64) -> Option<(f64, f64)> {
+    pub fn extrapolate(&self, size: f64) -> Option<(f64, f64)> {
         let largest = self
             .points
             .iter()
--- a/crates/capacity/src/samples.rs
+++ b/crates/capacity/src/samples.rs
@@ -13,7 +13,7 @@
 /// Sidecars of the sample fleet.
 pub const SIDECARS: usize = 1_600;
 /// The pods of one service in the mean.
-pub const PODS_OF_SERVICE: usize = 52;
+pub const PODS_PER_SERVICE: usize = 52;
 const FIRST_INCARNATION: u64 = 1_764_633_600_000_000_000;
 const FIRST_ADDRESS: u32 = 0x0a00_0000;
 const PORT: u16 = 8_080;
@@ -22,12 +22,12 @@
 
 /// A pod that has been running since long ago.
 pub fn pod(number: usize) -> ListedEndpoint {
-    pod_of(number, 1, 0)
+    pod_of_build(number, 1, 0)
 }
 
 /// A pod of a build that started `age` ago, 0 for long ago.
-pub fn pod_of(number: usize, build: Build, age: Nanos) -> ListedEndpoint {
-    let service = number / PODS_OF_SERVICE;
+pub fn pod_of_build(number: usize, build: Build, age: Nanos) -> ListedEndpoint {
+    let service = number / PODS_PER_SERVICE;
     let address = SocketAddr::from((Ipv4Addr::from(FIRST_ADDRESS + number as u32), PORT));
     ListedEndpoint {
         name: format!("service-{service}-{number:05}"),
@@ -81,7 +81,7 @@
 ///
 /// # Errors
 /// What the check of the settings refuses, and files that cannot be written.
-pub fn site(routes: usize, tenants: usize) -> Result<Site, CapacityError> {
+pub fn load_settings(routes: usize, tenants: usize) -> Result<Site, CapacityError> {
     let folder = tempfile::tempdir().map_err(CapacityError::io("folder for settings"))?;
     let file = folder.path().join("capacity.star");
     std::fs::write(&file, script(routes, tenants)).map_err(CapacityError::io("settings file"))?;
--- a/crates/capacity/src/tables/timed.rs
+++ b/crates/capacity/src/tables/call_times.rs
@@ -10,7 +10,7 @@
 const SIGNIFICANT_DIGITS: u8 = 3;
 
 /// Times of many like calls, and what ticks took meanwhile.
-pub struct Timed {
+pub struct CallTimes {
     each_ns: Histogram<u64>,
     /// Time that ticks took.
     pub(super) ticks: Duration,
@@ -18,10 +18,10 @@
     pub(super) span: Duration,
 }
 
-impl Timed {
-    pub(super) fn new() -> Result<Timed, CapacityError> {
+impl CallTimes {
+    pub(super) fn new() -> Result<CallTimes, CapacityError> {
         let each_ns = Histogram::new_with_bounds(1, MAX_RECORDED_NS, SIGNIFICANT_DIGITS)?;
-        Ok(Timed {
+        Ok(CallTimes {
             each_ns,
             ticks: Duration::ZERO,
             span: Duration::ZERO,
--- a/crates/capacity/src/tables/driver.rs
+++ b/crates/capacity/src/tables/driver.rs
@@ -1,6 +1,6 @@
 //! A sidecar's engine at work, without sockets and in virtual time.
 
-use super::timed::Timed;
+use super::call_times::CallTimes;
 use crate::error::CapacityError;
 use havenplank::interface::{AttemptEnd, Nanos, RequestId, Stage};
 use havenplank::PodVisits;
@@ -27,7 +27,7 @@
     routes: u64,
     rng: Rand64,
     due: VecDeque<Answer>,
-    counted: Counts,
+    effect_counts: EffectCounts,
 }
 
 struct SentAttempt {
@@ -46,7 +46,7 @@
 
 /// Effects of an engine, by kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct EffectCounts {
     /// Attempts sent to pods.
     pub attempts: u64,
     /// Requests rejected or failed.
@@ -57,7 +57,7 @@
     pub others: u64,
 }
 
-impl Counts {
+impl EffectCounts {
     /// Returns the number of all effects.
     pub fn all(&self) -> u64 {
         self.attempts + self.rejected + self.votes + self.others
@@ -78,17 +78,17 @@
             routes,
             rng,
             due: VecDeque::new(),
-            counted: Counts::default(),
+            effect_counts: EffectCounts::default(),
         }
     }
 
     /// Returns the effects so far.
-    pub fn counts(&self) -> Counts {
-        self.counted
+    pub fn effect_counts(&self) -> EffectCounts {
+        self.effect_counts
     }
 
     /// Does `work` and returns the pods that the engine looked at meanwhile.
-    pub fn visits_of(&mut self, work: impl FnOnce(&mut Driver)) -> PodVisits {
+    pub fn pod_visits_during(&mut self, work: impl FnOnce(&mut Driver)) -> PodVisits {
         let before = self.engine.visits();
         work(self);
         let after = self.engine.visits();
@@ -106,7 +106,7 @@
     }
 
     /// Tells the engine of changed pods and returns the time that the call took.
-    pub fn change(&mut self, pods: Vec<ListedEndpoint>) -> Duration {
+    pub fn update_endpoints(&mut self, pods: Vec<ListedEndpoint>) -> Duration {
         let began = Instant::now();
         self.engine.update_endpoints(self.now, false, pods);
         began.elapsed()
@@ -119,19 +119,19 @@
                 Effect::SendAttempt {
                     request, attempt, ..
                 } => {
-                    self.counted.attempts += 1;
+                    self.effect_counts.attempts += 1;
                     sent.push(SentAttempt { request, attempt });
                 }
-                Effect::Reject { .. } | Effect::Fail { .. } => self.counted.rejected += 1,
-                Effect::CastVote { .. } => self.counted.votes += 1,
-                _ => self.counted.others += 1,
+                Effect::Reject { .. } | Effect::Fail { .. } => self.effect_counts.rejected += 1,
+                Effect::CastVote { .. } => self.effect_counts.votes += 1,
+                _ => self.effect_counts.others += 1,
             }
         }
         sent
     }
 
     /// Lets time pass and returns the time that the engine's own wakes took.
-    pub fn pass(&mut self, until: Nanos) -> Duration {
+    pub fn advance_to(&mut self, until: Nanos) -> Duration {
         self.now = self.now.max(until);
         let began = Instant::now();
         self.engine.run_timers(self.now);
@@ -141,7 +141,7 @@
     }
 
     /// Sends one request and takes out the effects that it leaves at once.
-    pub fn request(&mut self) {
+    pub fn send_request(&mut self) {
         let route_class = self.rng.rand_range(0..self.routes) as usize;
         let key = self.rng.rand_u64().max(1);
         let attributes = RequestAttributes {
@@ -163,16 +163,20 @@
     ///
     /// # Errors
     /// The histogram of times cannot be made.
-    pub fn requests(&mut self, count: usize, rate_per_s: u64) -> Result<Timed, CapacityError> {
-        let mut timed = Timed::new()?;
+    pub fn send_requests(
+        &mut self,
+        count: usize,
+        rate_per_s: u64,
+    ) -> Result<CallTimes, CapacityError> {
+        let mut timed = CallTimes::new()?;
         let first = self.now;
         for n in 0..count as u64 {
             let at = first + n * SECOND / rate_per_s;
             while let Some(due) = self.due.pop_front_if(|answer| answer.at <= at) {
                 timed.record(self.answer(due));
             }
-            timed.ticks += self.pass(at);
-            self.request();
+            timed.ticks += self.advance_to(at);
+            self.send_request();
         }
         timed.span = Duration::from_nanos(self.now - first);
         while let Some(due) = self.due.pop_front() {
--- a/crates/capacity/src/tables/lists.rs
+++ b/crates/capacity/src/tables/lists.rs
@@ -1,8 +1,8 @@
 //! What service discovery and ticks cost one engine, by pods.
 
+use super::call_times::CallTimes;
 use super::driver::{Driver, MS};
-use super::table::Table;
-use super::timed::Timed;
+use super::series_builder::SeriesBuilder;
 use super::{Options, RATES_PER_S};
 use crate::error::CapacityError;
 use crate::report::Section;
@@ -17,7 +17,7 @@
 /// A replaced pod, as a rolling release tells it: one more drains, then it is gone and a new one runs.
 fn replacement(number: usize, count: usize) -> [Vec<ListedEndpoint>; 2] {
     let old = samples::pod(number % count.max(1));
-    let new = samples::pod_of(count + number, 1, MS);
+    let new = samples::pod_of_build(count + number, 1, MS);
     let drains = ListedEndpoint {
         state: PodState::Draining,
         ..old.clone()
@@ -35,8 +35,8 @@
 }
 
 pub(super) fn lists(options: &Options) -> Result<Section, CapacityError> {
-    let mut table = Table::new("pods");
-    let site = samples::site(1, 1)?;
+    let mut table = SeriesBuilder::new("pods");
+    let site = samples::load_settings(1, 1)?;
     for count in &options.pods {
         let pods = samples::pods(*count);
         let began = Instant::now();
@@ -73,12 +73,12 @@
     driver: &mut Driver,
     changes: usize,
     count: usize,
-) -> Result<(Timed, PodVisits), CapacityError> {
-    let (mut timed, mut visits) = (Timed::new()?, PodVisits::default());
+) -> Result<(CallTimes, PodVisits), CapacityError> {
+    let (mut timed, mut visits) = (CallTimes::new()?, PodVisits::default());
     for change in (0..changes).flat_map(|number| replacement(number, count)) {
-        driver.pass(driver.now + 100 * MS);
+        driver.advance_to(driver.now + 100 * MS);
         let mut spent = Duration::ZERO;
-        let looked = driver.visits_of(|driver| spent = driver.change(change));
+        let looked = driver.pod_visits_during(|driver| spent = driver.update_endpoints(change));
         timed.record(spent);
         visits.scanned += looked.scanned;
         visits.sorted += looked.sorted;
@@ -87,16 +87,16 @@
 }
 
 pub(super) fn ticks(options: &Options) -> Result<Section, CapacityError> {
-    let mut table = Table::new("pods");
-    let site = samples::site(1, 1)?;
+    let mut table = SeriesBuilder::new("pods");
+    let site = samples::load_settings(1, 1)?;
     let ticks = 100;
     for count in &options.pods {
         let mut driver = Driver::new(&site, options.seed, samples::pods(*count));
-        driver.requests(100, RATES_PER_S[0])?;
+        driver.send_requests(100, RATES_PER_S[0])?;
         let (first, mut spent) = (driver.now, Duration::ZERO);
-        let visits = driver.visits_of(|driver| {
+        let visits = driver.pod_visits_during(|driver| {
             spent = (1..=ticks)
-                .map(|tick| driver.pass(first + tick * 200 * MS))
+                .map(|tick| driver.advance_to(first + tick * 200 * MS))
                 .sum();
         });
         let span = Duration::from_nanos(driver.now - first);
--- a/crates/capacity/src/tables/lookups.rs
+++ b/crates/capacity/src/tables/lookups.rs
@@ -1,7 +1,7 @@
 //! What a lookup of a route or a tenant costs the proxy.
 
-use super::table::Table;
-use super::timed::Timed;
+use super::call_times::CallTimes;
+use super::series_builder::SeriesBuilder;
 use super::Options;
 use crate::error::CapacityError;
 use crate::report::Section;
@@ -20,9 +20,12 @@
 
 pub(super) fn lookups(options: &Options) -> Result<Section, CapacityError> {
     let mut rng = Rand64::new(u128::from(options.seed));
-    let mut by_routes = Table::new("routes");
+    let mut by_routes = SeriesBuilder::new("routes");
     for routes in &options.routes {
-        let (table, mut timed) = (route_table(&samples::site(*routes, 1)?), Timed::new()?);
+        let (table, mut timed) = (
+            route_table(&samples::load_settings(*routes, 1)?),
+            CallTimes::new()?,
+        );
         for _ in 0..options.requests {
             let path = samples::route_path(rng.rand_range(0..*routes as u64) as usize);
             let began = Instant::now();
@@ -31,9 +34,12 @@
         }
         by_routes.put_times("route_lookup", *routes, &timed);
     }
-    let mut by_tenants = Table::new("tenants");
+    let mut by_tenants = SeriesBuilder::new("tenants");
     for tenants in &options.tenants {
-        let (table, mut timed) = (route_table(&samples::site(1, *tenants)?), Timed::new()?);
+        let (table, mut timed) = (
+            route_table(&samples::load_settings(1, *tenants)?),
+            CallTimes::new()?,
+        );
         for _ in 0..options.requests {
             let name = samples::tenant(rng.rand_range(0..*tenants as u64) as usize);
             let began = Instant::now();
--- a/crates/capacity/src/tables/memory.rs
+++ b/crates/capacity/src/tables/memory.rs
@@ -1,7 +1,7 @@
 //! Memory of one engine, by pods, routes and tenants.
 
 use super::driver::{Driver, SECOND};
-use super::table::Table;
+use super::series_builder::SeriesBuilder;
 use super::Options;
 use crate::error::CapacityError;
 use crate::report::Section;
@@ -48,13 +48,13 @@
     Ok(section)
 }
 
-fn by_pods(options: &Options, kept: &mut Kept) -> Result<Table, CapacityError> {
-    let mut table = Table::new("pods");
-    let small = samples::site(1, 1)?;
+fn by_pods(options: &Options, kept: &mut Kept) -> Result<SeriesBuilder, CapacityError> {
+    let mut table = SeriesBuilder::new("pods");
+    let small = samples::load_settings(1, 1)?;
     for count in &options.pods {
         let before = resident_bytes();
         let mut driver = Driver::new(&small, options.seed, samples::pods(*count));
-        driver.pass(EPOCH + SECOND);
+        driver.advance_to(EPOCH + SECOND);
         table.put("engine_with_pods_mb", *count, grown_mb(before));
         kept.drivers.push(driver);
     }
@@ -66,12 +66,12 @@
     sizes: &[usize],
     seed: u64,
     kept: &mut Kept,
-) -> Result<Table, CapacityError> {
-    let mut table = Table::new(size_of);
+) -> Result<SeriesBuilder, CapacityError> {
+    let mut table = SeriesBuilder::new(size_of);
     for size in sizes {
         let site = match size_of {
-            "routes" => samples::site(*size, 1)?,
-            _ => samples::site(1, *size)?,
+            "routes" => samples::load_settings(*size, 1)?,
+            _ => samples::load_settings(1, *size)?,
         };
         let before = resident_bytes();
         let copy = site.clone();
--- a/crates/capacity/src/tables/mod.rs
+++ b/crates/capacity/src/tables/mod.rs
@@ -1,17 +1,17 @@
 //! What one sidecar's tables cost it: the real engine, without sockets and in virtual time.
 
+mod call_times;
 mod driver;
 mod lists;
 mod lookups;
 mod memory;
 mod requests;
+mod series_builder;
 mod settings;
-mod table;
-mod timed;
 
-pub use self::driver::{Counts, Driver};
+pub use self::call_times::CallTimes;
+pub use self::driver::{Driver, EffectCounts};
 pub use self::lookups::route_table;
-pub use self::timed::Timed;
 
 use crate::error::CapacityError;
 use crate::report::Section;
@@ -25,7 +25,7 @@
     /// Pods of one table.
     pub pods: Vec<usize>,
     /// Pods of one zone and build each, as many as share a table today where they are of many services.
-    pub sides: Vec<usize>,
+    pub pod_groups: Vec<usize>,
     /// Routes of one script.
     pub routes: Vec<usize>,
     /// Tenants of one script.
@@ -43,7 +43,7 @@
     pub fn quick() -> Options {
         Options {
             pods: vec![100, 1_000, 3_000],
-            sides: vec![4, 40],
+            pod_groups: vec![4, 40],
             routes: vec![10, 400],
             tenants: vec![100, 2_000],
             requests: 500,
@@ -56,7 +56,7 @@
     pub fn full() -> Options {
         Options {
             pods: vec![100, 1_000, 5_000, 10_000, 21_000],
-            sides: vec![10, 50, 100, 200, 400],
+            pod_groups: vec![10, 50, 100, 200, 400],
             routes: vec![10, 100, 1_000, 4_500],
             tenants: vec![100, 1_000, 10_000, 150_000],
             requests: 5_000,
@@ -80,7 +80,7 @@
         lists::lists(options)?,
         lists::ticks(options)?,
         requests::requests_by_pods(options)?,
-        requests::requests_by_sides(options)?,
+        requests::requests_by_pod_groups(options)?,
         requests::requests_by_routes(options)?,
         lookups::lookups(options)?,
         settings::settings(options)?,
--- a/crates/capacity/src/tables/requests.rs
+++ b/crates/capacity/src/tables/requests.rs
@@ -1,8 +1,8 @@
 //! What a request costs one engine, by pods, sides of its table and routes.
 
+use super::call_times::CallTimes;
 use super::driver::{Driver, MS, SECOND};
-use super::table::Table;
-use super::timed::Timed;
+use super::series_builder::SeriesBuilder;
 use super::{Options, RATES_PER_S};
 use crate::error::CapacityError;
 use crate::report::Section;
@@ -14,8 +14,8 @@
 const WARM_UP_SHARE: usize = 5;
 
 pub(super) fn requests_by_pods(options: &Options) -> Result<Section, CapacityError> {
-    let mut table = Table::new("pods");
-    let site = samples::site(10, 1)?;
+    let mut table = SeriesBuilder::new("pods");
+    let site = samples::load_settings(10, 1)?;
     for count in &options.pods {
         for rate in RATES_PER_S {
             let mut driver = Driver::new(&site, options.seed, samples::pods(*count));
@@ -25,7 +25,7 @@
         table.put_times(
             "request_with_cold_pods",
             *count,
-            &cold.requests(options.requests / WARM_UP_SHARE, RATES_PER_S[1])?,
+            &cold.send_requests(options.requests / WARM_UP_SHARE, RATES_PER_S[1])?,
         );
     }
     let notes = [
@@ -37,15 +37,16 @@
 }
 
 fn put_requests(
-    table: &mut Table,
+    table: &mut SeriesBuilder,
     driver: &mut Driver,
     pods: usize,
     rate_per_s: u64,
     requests: usize,
 ) -> Result<(), CapacityError> {
-    driver.requests(requests / WARM_UP_SHARE, rate_per_s)?;
-    let mut timed = Timed::new();
-    let visits = driver.visits_of(|driver| timed = driver.requests(requests, rate_per_s));
+    driver.send_requests(requests / WARM_UP_SHARE, rate_per_s)?;
+    let mut timed = CallTimes::new();
+    let visits =
+        driver.pod_visits_during(|driver| timed = driver.send_requests(requests, rate_per_s));
     let timed = timed?;
     let name = format!("request_at_{rate_per_s}_per_s");
     table.put_times(&name, pods, &timed);
@@ -59,7 +60,7 @@
 
 fn cold_pods(count: usize) -> Vec<ListedEndpoint> {
     (0..count)
-        .map(|number| samples::pod_of(number, 1, MS))
+        .map(|number| samples::pod_of_build(number, 1, MS))
         .collect()
 }
 
@@ -68,15 +69,15 @@
     let builds = (sides / samples::ZONES).max(1);
     let build = |number: usize| 1 + (number / samples::ZONES % builds) as u32;
     (0..count)
-        .map(|number| samples::pod_of(number, build(number), 0))
+        .map(|number| samples::pod_of_build(number, build(number), 0))
         .collect()
 }
 
-pub(super) fn requests_by_sides(options: &Options) -> Result<Section, CapacityError> {
-    let mut table = Table::new("sides");
-    let site = samples::site(10, 1)?;
+pub(super) fn requests_by_pod_groups(options: &Options) -> Result<Section, CapacityError> {
+    let mut table = SeriesBuilder::new("sides");
+    let site = samples::load_settings(10, 1)?;
     let count = options.largest_pods();
-    for sides in &options.sides {
+    for sides in &options.pod_groups {
         let mut driver = Driver::new(&site, options.seed, sided_pods(count, *sides));
         let build = (*sides / samples::ZONES).max(1) as u32;
         driver.update_stage(Stage {
@@ -86,8 +87,8 @@
             cap: 1.0,
             age: 60 * SECOND,
         });
-        driver.requests(options.requests / WARM_UP_SHARE, RATES_PER_S[0])?;
-        let timed = driver.requests(options.requests, RATES_PER_S[0])?;
+        driver.send_requests(options.requests / WARM_UP_SHARE, RATES_PER_S[0])?;
+        let timed = driver.send_requests(options.requests, RATES_PER_S[0])?;
         table.put_times("request", *sides, &timed);
         table.put(
             "ticks_percent_of_core",
@@ -104,12 +105,16 @@
 }
 
 pub(super) fn requests_by_routes(options: &Options) -> Result<Section, CapacityError> {
-    let mut table = Table::new("routes");
+    let mut table = SeriesBuilder::new("routes");
     for routes in &options.routes {
-        let site = samples::site(*routes, 1)?;
-        let mut driver = Driver::new(&site, options.seed, samples::pods(samples::PODS_OF_SERVICE));
-        driver.requests(options.requests / WARM_UP_SHARE, RATES_PER_S[0])?;
-        let timed = driver.requests(options.requests, RATES_PER_S[0])?;
+        let site = samples::load_settings(*routes, 1)?;
+        let mut driver = Driver::new(
+            &site,
+            options.seed,
+            samples::pods(samples::PODS_PER_SERVICE),
+        );
+        driver.send_requests(options.requests / WARM_UP_SHARE, RATES_PER_S[0])?;
+        let timed = driver.send_requests(options.requests, RATES_PER_S[0])?;
         table.put_times("request", *routes, &timed);
         table.put(
             "ticks_percent_of_core",
--- a/crates/capacity/src/tables/table.rs
+++ b/crates/capacity/src/tables/series_builder.rs
@@ -1,10 +1,10 @@
 //! Series that are filled size by size.
 
-use super::timed::Timed;
+use super::call_times::CallTimes;
 use crate::report::{Point, Section, Series};
 
 /// One series for each name, filled size by size.
-pub(super) struct Table {
+pub(super) struct SeriesBuilder {
     size_of: &'static str,
     columns: Vec<Column>,
 }
@@ -14,9 +14,9 @@
     points: Vec<Point>,
 }
 
-impl Table {
-    pub(super) fn new(size_of: &'static str) -> Table {
-        Table {
+impl SeriesBuilder {
+    pub(super) fn new(size_of: &'static str) -> SeriesBuilder {
+        SeriesBuilder {
             size_of,
             columns: Vec::new(),
         }
@@ -39,7 +39,7 @@
     }
 
     /// Adds the median and the 99th percentile of some times.
-    pub(super) fn put_times(&mut self, what: &str, size: usize, timed: &Timed) {
+    pub(super) fn put_times(&mut self, what: &str, size: usize, timed: &CallTimes) {
         self.put(&format!("{what}_p50_us"), size, timed.us(0.5));
         self.put(&format!("{what}_p99_us"), size, timed.us(0.99));
     }
--- a/crates/capacity/src/tables/settings.rs
+++ b/crates/capacity/src/tables/settings.rs
@@ -1,7 +1,7 @@
 //! What it costs to run and check a settings script.
 
 use super::memory::{grown_mb, resident_bytes};
-use super::table::Table;
+use super::series_builder::SeriesBuilder;
 use super::Options;
 use crate::error::CapacityError;
 use crate::report::Section;
@@ -21,7 +21,7 @@
 
 fn check(routes: usize, tenants: usize) -> Result<Checked, CapacityError> {
     let (before, began) = (resident_bytes(), Instant::now());
-    let site = samples::site(routes, tenants)?;
+    let site = samples::load_settings(routes, tenants)?;
     let spent_ms = began.elapsed().as_secs_f64() * MS_PER_SECOND;
     let grown_mb = grown_mb(before);
     let names: HashSet<&String> = site.route_classes.iter().map(|class| &class.name).collect();
@@ -33,13 +33,13 @@
 }
 
 pub(super) fn settings(options: &Options) -> Result<Section, CapacityError> {
-    let mut by_routes = Table::new("routes");
+    let mut by_routes = SeriesBuilder::new("routes");
     for routes in &options.routes {
         let checked = check(*routes, 1)?;
         by_routes.put("check_ms", *routes, checked.spent_ms);
         by_routes.put("check_grown_mb", *routes, checked.grown_mb);
     }
-    let mut by_tenants = Table::new("tenants");
+    let mut by_tenants = SeriesBuilder::new("tenants");
     for tenants in &options.tenants {
         let checked = check(1, *tenants)?;
         by_tenants.put("check_ms", *tenants, checked.spent_ms);
--- a/crates/capacity/src/hollow.rs
+++ b/crates/capacity/src/test_sidecar.rs
@@ -17,25 +17,25 @@
 #[derive(Clone, Debug, Default)]
 pub struct Cost {
     /// Datagrams that came.
-    pub received: u64,
+    pub received_datagrams: u64,
     /// Bytes of the datagrams that came.
     pub received_bytes: u64,
     /// Datagrams sent.
-    pub sent: u64,
+    pub sent_datagrams: u64,
     /// Bytes of the datagrams sent.
     pub sent_bytes: u64,
     /// Time within the sidecar's own code, the network's left out.
-    pub processor: Duration,
+    pub processor_time: Duration,
     /// Peers that membership declared lost, and suspected.
-    pub lost: u64,
+    pub peers_declared_lost: u64,
     /// Peers that membership suspected.
-    pub suspected: u64,
+    pub peers_suspected: u64,
     /// Rows of tables visited by membership and quorum state; the same on every machine.
     pub rows_visited: u64,
 }
 
 /// A sidecar of which only membership and views run.
-pub struct HollowSidecar {
+pub struct TestSidecar {
     node: Node,
     views: ViewExchange,
     period: Nanos,
@@ -83,16 +83,16 @@
     node
 }
 
-impl HollowSidecar {
+impl TestSidecar {
     /// Returns a sidecar that begins now, with the cost of its earlier incarnations.
-    pub fn new(now: Nanos, node: Node, cost: Cost) -> HollowSidecar {
+    pub fn new(now: Nanos, node: Node, cost: Cost) -> TestSidecar {
         let views = ViewExchange::new(
             now,
             node.membership().me().id.clone(),
             QuorumRules::default(),
         );
         let earlier_rows = cost.rows_visited;
-        HollowSidecar {
+        TestSidecar {
             node,
             views,
             period: Rules::default().period,
@@ -113,12 +113,12 @@
     }
 
     /// How many peers it takes for living.
-    pub fn living(&self) -> usize {
+    pub fn alive_peers(&self) -> usize {
         self.node.membership().alive().count()
     }
 
     /// Whether it takes this incarnation for living.
-    pub fn sees(&self, name: &str, incarnation: u64) -> bool {
+    pub fn considers_alive(&self, name: &str, incarnation: u64) -> bool {
         let known = self.node.membership().get(name);
         known.is_some_and(|news| {
             news.id.incarnation == incarnation
@@ -131,10 +131,10 @@
         self.node.leave();
     }
 
-    fn timed(&mut self, work: impl FnOnce(&mut HollowSidecar)) {
+    fn timed(&mut self, work: impl FnOnce(&mut TestSidecar)) {
         let began = Instant::now();
         work(self);
-        self.cost.processor += began.elapsed();
+        self.cost.processor_time += began.elapsed();
         let rows = self.node.membership().rows_visited() + self.views.quorum().rows_visited();
         self.cost.rows_visited = self.earlier_rows + rows;
     }
@@ -151,8 +151,10 @@
                 }
                 NodeEvent::Message { .. } => {}
                 NodeEvent::Membership(event) => {
-                    self.cost.lost += u64::from(matches!(event, MemberEvent::Lost(_)));
-                    self.cost.suspected += u64::from(matches!(event, MemberEvent::Suspected(_)));
+                    self.cost.peers_declared_lost +=
+                        u64::from(matches!(event, MemberEvent::Lost(_)));
+                    self.cost.peers_suspected +=
+                        u64::from(matches!(event, MemberEvent::Suspected(_)));
                     self.views.observe(now, &event);
                 }
             }
@@ -160,9 +162,9 @@
     }
 }
 
-impl Part for HollowSidecar {
+impl Part for TestSidecar {
     fn heard(&mut self, now: Nanos, bytes: &[u8]) {
-        self.cost.received += 1;
+        self.cost.received_datagrams += 1;
         self.cost.received_bytes += bytes.len() as u64;
         self.timed(|sidecar| {
             sidecar.node.receive_datagram(now, bytes);
@@ -191,7 +193,7 @@
 
     fn datagram(&mut self) -> Option<(SocketAddr, Vec<u8>)> {
         let datagram = self.node.next_datagram()?;
-        self.cost.sent += 1;
+        self.cost.sent_datagrams += 1;
         self.cost.sent_bytes += datagram.1.len() as u64;
         Some(datagram)
     }
--- a/crates/capacity/tests/membership.rs
+++ b/crates/capacity/tests/membership.rs
@@ -1,7 +1,7 @@
-//! Membership must cost one sidecar about the same in a small fleet and in a large one. Counts alone, by a fixed seed.
+//! Membership must cost one sidecar about the same in a small fleet and in a large one. EffectCounts alone, by a fixed seed.
 
-use havenplank_capacity::hollow::Cost;
 use havenplank_capacity::membership::Fleet;
+use havenplank_capacity::test_sidecar::Cost;
 
 /// Both larger than the piece of the table that fits into one message, whose cost is flat from there on.
 const SMALL: usize = 64;
@@ -39,7 +39,7 @@
 fn counts(fleet: &Fleet) -> [u64; 3] {
     let sum = |of: fn(&Cost) -> u64| fleet.costs().map(of).sum();
     [
-        sum(|cost| cost.received),
+        sum(|cost| cost.received_datagrams),
         sum(|cost| cost.received_bytes),
         sum(|cost| cost.rows_visited),
     ]
--- a/crates/capacity/tests/tables.rs
+++ b/crates/capacity/tests/tables.rs
@@ -1,7 +1,7 @@
 //! What one sidecar's tables cost, held by counts at small sizes: pods looked at, effects and bytes, never time.
 
 use havenplank::interface::{AttemptEnd, Nanos, PodState};
-use havenplank_capacity::discovery::{change_bytes, control_bytes, whole_list_bytes};
+use havenplank_capacity::discovery::{change_bytes, complete_list_bytes, control_line_bytes};
 use havenplank_capacity::samples;
 use havenplank_capacity::tables::{route_table, Driver};
 use havenplank_line_protocol::endpoint_list::{self, ListedEndpoint};
@@ -18,7 +18,7 @@
 const AT_ONCE: u64 = 30;
 
 fn driver(pods: usize) -> Driver {
-    let site = samples::site(3, 3).expect("settings of a scale test");
+    let site = samples::load_settings(3, 3).expect("settings of a scale test");
     Driver::new(&site, SEED, samples::pods(pods))
 }
 
@@ -26,10 +26,11 @@
 fn a_request_fetches_no_more_pods_where_more_are_listed() {
     let fetched = |pods: usize| {
         let mut driver = driver(pods);
-        driver.requests(200, 700).expect("requests");
-        let before = driver.counts().attempts;
-        let visits = driver.visits_of(|driver| (0..AT_ONCE).for_each(|_| driver.request()));
-        assert_eq!(driver.counts().attempts - before, AT_ONCE);
+        driver.send_requests(200, 700).expect("requests");
+        let before = driver.effect_counts().attempts;
+        let visits =
+            driver.pod_visits_during(|driver| (0..AT_ONCE).for_each(|_| driver.send_request()));
+        assert_eq!(driver.effect_counts().attempts - before, AT_ONCE);
         assert_eq!(
             visits.sorted + visits.scanned,
             0,
@@ -47,9 +48,9 @@
 #[test]
 fn a_tick_passes_over_the_table_twice_at_most() {
     let mut driver = driver(MANY);
-    driver.pass(EPOCH + S);
-    let visits = driver.visits_of(|driver| {
-        driver.pass(EPOCH + S + 200 * MS);
+    driver.advance_to(EPOCH + S);
+    let visits = driver.pod_visits_during(|driver| {
+        driver.advance_to(EPOCH + S + 200 * MS);
     });
     assert!(visits.scanned <= 2 * MANY as u64, "{visits:?}");
     assert!(
@@ -71,13 +72,13 @@
         state: PodState::Gone,
         ..old
     };
-    let new = samples::pod_of(MANY + 2, 1, MS);
+    let new = samples::pod_of_build(MANY + 2, 1, MS);
     // The look at all pods that follows each list comes on top: two passes.
     let survey = 2 * (MANY as u64 + 1);
     let side = (MANY / samples::ZONES) as u64 + 1;
     for change in [vec![drained], vec![gone], vec![new]] {
-        let visits = driver.visits_of(|driver| {
-            driver.change(change);
+        let visits = driver.pod_visits_during(|driver| {
+            driver.update_endpoints(change);
         });
         assert!(visits.sorted <= 1, "{visits:?}");
         assert!(
@@ -91,12 +92,12 @@
 fn an_engine_at_rest_leaves_no_effects_however_much_is_listed() {
     for pods in [FEW, MANY] {
         let mut driver = driver(pods);
-        driver.pass(EPOCH + S);
-        let before = driver.counts().all();
+        driver.advance_to(EPOCH + S);
+        let before = driver.effect_counts().all();
         (0..100).for_each(|tick| {
-            driver.pass(EPOCH + S + tick * 200 * MS);
+            driver.advance_to(EPOCH + S + tick * 200 * MS);
         });
-        assert_eq!(driver.counts().all(), before, "with {pods} pods");
+        assert_eq!(driver.effect_counts().all(), before, "with {pods} pods");
     }
 }
 
@@ -105,17 +106,21 @@
     let one = change_bytes(&samples::pod(MANY - 1));
     assert!(one <= 160, "{one} bytes for one change");
     let (few, many) = (
-        whole_list_bytes(&samples::pods(FEW)),
-        whole_list_bytes(&samples::pods(MANY)),
+        complete_list_bytes(&samples::pods(FEW)),
+        complete_list_bytes(&samples::pods(MANY)),
     );
     let each = (many - few) as f64 / (MANY - FEW) as f64;
     assert!(
         each <= one as f64,
         "{each} bytes for a pod of a whole list, {one} for a change"
     );
-    let control = control_bytes();
+    let control = control_line_bytes();
     assert!(
-        control.news.max(control.vote).max(control.answer) <= 64,
+        control
+            .stage_update
+            .max(control.vote)
+            .max(control.vote_reply)
+            <= 64,
         "{control:?}"
     );
     let read = endpoint_list::decode_cached(&endpoint_list::encode_cached(&samples::pods(MANY)))
@@ -125,7 +130,7 @@
 
 #[test]
 fn settings_take_4500_routes_and_150000_tenants_and_name_their_limit() {
-    let site = samples::site(4_500, 150_000).expect("the size to plan for");
+    let site = samples::load_settings(4_500, 150_000).expect("the size to plan for");
     assert_eq!(
         (site.route_classes.len(), site.tenants.len()),
         (4_500, 150_000)
@@ -196,7 +201,7 @@
     let age = chance.rand_range(0..2) * chance.rand_range(1..8) * S;
     ListedEndpoint {
         size: 0.1 + 0.7 * chance.rand_float(),
-        ..samples::pod_of(number, build, age)
+        ..samples::pod_of_build(number, build, age)
     }
 }
 
@@ -232,7 +237,7 @@
 #[test]
 fn changes_lead_to_the_same_decisions_as_whole_lists() {
     for seed in 0..6 {
-        let site = samples::site(3, 3).expect("settings of a scale test");
+        let site = samples::load_settings(3, 3).expect("settings of a scale test");
         let engine = || Engine::new(EPOCH, seed, &EngineSettings::from(&site));
         let mut chance = Rand64::new(seed as u128);
         let mut pods: Vec<ListedEndpoint> =
