--- a/crates/capacity/src/configuration.rs
+++ b/crates/capacity/src/configuration.rs
@@ -1,4 +1,4 @@
-//! How fast a configuration reaches a fleet, and what that costs each process, in a simulated network.
+//! Measures how fast configuration changes reach a fleet on the simulated network, and what that costs each process.
 
 pub mod scenarios;
 
@@ -6,20 +6,20 @@
 use crate::report::{Point, Section, Series};
 use havenplank_configuration_simulation::process::OVERHEAD_BYTES;
 
-/// Changes of one day in the size to plan with, and so the wait between two.
+/// Number of changes a day in the planned fleet, which also gives the time between two changes.
 pub const CHANGES_PER_DAY: u64 = 6_800;
-/// Bytes a second and share of a core that a sidecar may spend on all control.
-pub const BYTES_PER_S_BUDGET: f64 = 13_000.0;
-/// The share of a core that a sidecar may spend on all control.
-pub const CORE_SHARE_BUDGET: f64 = 0.019;
-/// Seconds within which a change is in force everywhere.
+/// Bytes per second that a sidecar may spend on all control traffic.
+pub const CONTROL_BUDGET_BYTES_PER_S: f64 = 13_000.0;
+/// The share of a core that a sidecar may spend on all control traffic.
+pub const CONTROL_BUDGET_CORE_SHARE: f64 = 0.019;
+/// Seconds within which a change must be in force in every process.
 pub const IN_FORCE_BUDGET_S: f64 = 5.0;
 
-/// What happens to a fleet.
+/// A sequence of changes and faults that a simulated fleet goes through.
 pub struct Scenario {
-    /// Its name in reports.
+    /// The scenario's name in reports.
     pub title: &'static str,
-    /// Plays it with so many processes, by seed.
+    /// Runs the scenario with a number of processes and a seed.
     pub run: fn(usize, u64) -> Outcome,
 }
 
@@ -27,11 +27,11 @@
 pub const SCENARIOS: [Scenario; 5] = [
     Scenario {
         title: "changes every 12.7 s",
-        run: scenarios::steady,
+        run: scenarios::steady_changes,
     },
     Scenario {
         title: "ten changes at once",
-        run: scenarios::burst,
+        run: scenarios::burst_of_changes,
     },
     Scenario {
         title: "one in a hundred restarts with an old version",
@@ -47,7 +47,7 @@
     },
 ];
 
-/// One section a scenario, with a point for each number of processes.
+/// Runs all scenarios and returns a section for each, with a point for each number of processes.
 pub fn measure(sizes: &[usize], seed: u64) -> Vec<Section> {
     SCENARIOS
         .iter()
@@ -55,61 +55,61 @@
         .collect()
 }
 
-/// A quantity of an outcome.
+/// A quantity that is reported of each outcome.
 struct Quantity {
-    /// With its unit at the end.
+    /// The name of its series, with the unit at the end.
     name: &'static str,
-    of: fn(&Outcome) -> f64,
+    value_of: fn(&Outcome) -> f64,
 }
 
 const QUANTITIES: [Quantity; 11] = [
     Quantity {
         name: "in_force_p50_s",
-        of: |outcome| outcome.quantile(0.5),
+        value_of: |outcome| outcome.quantile(0.5),
     },
     Quantity {
         name: "in_force_p99_s",
-        of: |outcome| outcome.quantile(0.99),
+        value_of: |outcome| outcome.quantile(0.99),
     },
     Quantity {
         name: "in_force_worst_s",
-        of: |outcome| outcome.quantile(1.0),
+        value_of: |outcome| outcome.quantile(1.0),
     },
     Quantity {
         name: "not_reached",
-        of: |outcome| outcome.not_reached as f64,
+        value_of: |outcome| outcome.not_reached as f64,
     },
     Quantity {
         name: "sidecar_sent_bytes_per_s",
-        of: |outcome| outcome.mean_sidecar.bytes_per_s,
+        value_of: |outcome| outcome.mean_sidecar.bytes_per_s,
     },
     Quantity {
         name: "sidecar_sent_messages_per_s",
-        of: |outcome| outcome.mean_sidecar.messages_per_s,
+        value_of: |outcome| outcome.mean_sidecar.messages_per_s,
     },
     Quantity {
         name: "busiest_sidecar_sent_bytes_per_s",
-        of: |outcome| outcome.busiest_bytes_per_s,
+        value_of: |outcome| outcome.busiest_bytes_per_s,
     },
     Quantity {
         name: "busiest_sidecar_heard_bytes_per_s",
-        of: |outcome| outcome.busiest_received_bytes_per_s,
+        value_of: |outcome| outcome.busiest_received_bytes_per_s,
     },
     Quantity {
         name: "writer_sent_bytes_per_s",
-        of: |outcome| outcome.writer.bytes_per_s,
+        value_of: |outcome| outcome.writer.bytes_per_s,
     },
     Quantity {
         name: "writer_sent_messages_per_s",
-        of: |outcome| outcome.writer.messages_per_s,
+        value_of: |outcome| outcome.writer.messages_per_s,
     },
     Quantity {
         name: "decision_core_share",
-        of: |outcome| outcome.mean_sidecar.core_share,
+        value_of: |outcome| outcome.mean_sidecar.core_share,
     },
 ];
 
-/// What one scenario gives at each size.
+/// Runs one scenario at each size and returns its section.
 pub fn section(scenario: &Scenario, sizes: &[usize], seed: u64) -> Section {
     let outcomes: Vec<(usize, Outcome)> = sizes
         .iter()
@@ -118,7 +118,7 @@
     let series = QUANTITIES.iter().map(|quantity| {
         let point = |(size, outcome): &(usize, Outcome)| Point {
             size: *size as f64,
-            value: (quantity.of)(outcome),
+            value: (quantity.value_of)(outcome),
         };
         Series::new(
             quantity.name,
@@ -128,8 +128,8 @@
         )
     });
     let budgets = format!(
-        "budgets: in force everywhere within {IN_FORCE_BUDGET_S} s; {BYTES_PER_S_BUDGET} bytes/s and \
-         {CORE_SHARE_BUDGET} of a core for all control of a sidecar"
+        "budgets: a change in force everywhere within {IN_FORCE_BUDGET_S} s; {CONTROL_BUDGET_BYTES_PER_S} bytes/s and \
+         {CONTROL_BUDGET_CORE_SHARE} of a core for all control traffic of a sidecar"
     );
     let notes = outcomes
         .iter()
--- a/crates/capacity/src/configuration/scenarios.rs
+++ b/crates/capacity/src/configuration/scenarios.rs
@@ -1,4 +1,4 @@
-//! What happens to a simulated fleet, and what is measured of it.
+//! The scenarios that a simulated fleet goes through, and the figures measured in each.
 
 use super::CHANGES_PER_DAY;
 use havenplank_configuration::replication::{Nanos, Role};
@@ -8,53 +8,53 @@
 use havenplank_emulator::net::{Id, Weather};
 use std::time::Duration;
 
-/// Tenants of the simulated configuration. Fewer than planned, so that 1,600 copies fit one machine's memory.
+/// Tenants in the simulated configuration: fewer than planned, so that 1,600 copies fit into one machine's memory.
 const TENANTS: usize = 8_000;
-/// Publications of the steady scenario: some hundred seconds.
-const STEADY: usize = 8;
-/// Changes in an hour.
-const HOUR: usize = (CHANGES_PER_DAY / 24) as usize;
-const LOSS: f64 = 0.01;
-/// How long a scenario waits for the last process.
-const GRACE: Nanos = 30 * SECOND;
-/// Between two looks at who has caught up.
-const LOOK: Nanos = SECOND / 50;
+/// Changes published in the scenario of steady changes, which thus lasts about a hundred seconds.
+const STEADY_CHANGES: usize = 8;
+const CHANGES_PER_HOUR: usize = (CHANGES_PER_DAY / 24) as usize;
+/// Share of datagrams lost.
+const LOSS_SHARE: f64 = 0.01;
+/// How long a scenario waits for the last process to catch up.
+const CATCH_UP_TIMEOUT: Nanos = 30 * SECOND;
+/// The time between two checks of which processes have caught up.
+const CATCH_UP_POLL_INTERVAL: Nanos = SECOND / 50;
 const WRITER: Id = 0;
 
-/// What a process spends on average.
+/// The mean cost of a process.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Cost {
-    /// Bytes sent a second, with what is around each message.
+    /// Bytes sent per second, with the overhead of each message.
     pub bytes_per_s: f64,
-    /// Messages sent a second.
+    /// Messages sent per second.
     pub messages_per_s: f64,
-    /// Processor time of decision and codec, by the wall clock around each call.
+    /// Share of a core that the replicator and the codec use, by the wall clock around each call.
     pub core_share: f64,
 }
 
-/// What a scenario shows.
+/// The figures of one run of a scenario.
 #[derive(Clone, Debug, Default)]
 pub struct Outcome {
-    /// Seconds until in force, ascending.
+    /// Seconds until a change was in force at a process, or until a process had caught up; ascending.
     pub latencies_s: Vec<f64>,
-    /// Pairs of process and change that were not reached in time.
+    /// Changes that were not in force in time, counted once per process, or processes that did not catch up in time.
     pub not_reached: usize,
-    /// Of a sidecar.
+    /// The mean cost of a sidecar.
     pub mean_sidecar: Cost,
-    /// Of the writer.
+    /// The cost of the writer.
     pub writer: Cost,
-    /// Bytes a second that the busiest sidecar sends.
+    /// Bytes sent per second by the sidecar that sends the most.
     pub busiest_bytes_per_s: f64,
-    /// Bytes a second that the busiest sidecar receives.
+    /// Bytes received per second by the sidecar that receives the most.
     pub busiest_received_bytes_per_s: f64,
-    /// The longest message of all, with what is around it.
+    /// Length of the longest message that a sidecar sent, with its overhead, in bytes.
     pub longest_message_bytes: u64,
-    /// What else a reader should know, in words.
+    /// A remark on the run for the reader of the report.
     pub note: String,
 }
 
 impl Outcome {
-    /// The time within which this share was reached.
+    /// Returns the latency that this share of all latencies does not exceed, or NaN if there are none.
     pub fn quantile(&self, share: f64) -> f64 {
         let last = self.latencies_s.len().saturating_sub(1);
         self.latencies_s
@@ -66,112 +66,120 @@
 
 fn fleet(count: usize, seed: u64) -> (Fleet, Snapshot) {
     let base = tenant_snapshot(TENANTS);
-    let weather = Weather {
-        loss: LOSS,
+    let faults = Weather {
+        loss: LOSS_SHARE,
         ..Weather::default()
     };
-    let mut fleet = Fleet::new(count, seed, &base, weather);
+    let mut fleet = Fleet::new(count, seed, &base, faults);
     fleet.run_for(2 * SECOND);
     (fleet, base)
 }
 
-/// Traffic of every process, to tell later what a span has cost.
+/// Returns the traffic counters of every process; [`costs`] subtracts them from later ones.
 fn traffic(fleet: &Fleet) -> Vec<Traffic> {
-    let of = |id| {
+    let counters = |id| {
         fleet
             .net
             .part(id)
             .map(|process| process.traffic)
             .unwrap_or_default()
     };
-    fleet.net.ids().map(of).collect()
+    fleet.net.ids().map(counters).collect()
 }
 
-/// Changes at the pace of the day.
-pub fn steady(count: usize, seed: u64) -> Outcome {
+/// Publishes changes at intervals of a day divided by [`CHANGES_PER_DAY`].
+pub fn steady_changes(count: usize, seed: u64) -> Outcome {
     let (mut fleet, _) = fleet(count, seed);
-    let (began, before) = (fleet.net.now(), traffic(&fleet));
-    for _ in 0..STEADY {
+    let (start, before) = (fleet.net.now(), traffic(&fleet));
+    for _ in 0..STEADY_CHANGES {
         publish(&mut fleet);
         fleet.run_for(86_400 * SECOND / CHANGES_PER_DAY);
     }
-    let mut outcome = costs(&fleet, &before, began);
-    let everyone: Vec<Id> = fleet.net.ids().collect();
-    reached(&mut outcome, fleet.latencies(began, &everyone));
-    outcome.note = format!("{STEADY} changes; {}", acknowledged(&fleet));
+    let mut outcome = costs(&fleet, &before, start);
+    let all_ids: Vec<Id> = fleet.net.ids().collect();
+    record_latencies(&mut outcome, fleet.latencies(start, &all_ids));
+    outcome.note = format!("{STEADY_CHANGES} changes; {}", last_round_note(&fleet));
     outcome
 }
 
-/// Ten changes in one moment.
-pub fn burst(count: usize, seed: u64) -> Outcome {
+/// Publishes ten changes at the same moment.
+pub fn burst_of_changes(count: usize, seed: u64) -> Outcome {
     let (mut fleet, _) = fleet(count, seed);
-    let (began, before) = (fleet.net.now(), traffic(&fleet));
+    let (start, before) = (fleet.net.now(), traffic(&fleet));
     (0..10).for_each(|_| publish(&mut fleet));
     fleet.run_for(86_400 * SECOND / CHANGES_PER_DAY);
-    let mut outcome = costs(&fleet, &before, began);
-    let everyone: Vec<Id> = fleet.net.ids().collect();
-    reached(&mut outcome, fleet.latencies(began, &everyone));
-    outcome.note = acknowledged(&fleet);
+    let mut outcome = costs(&fleet, &before, start);
+    let all_ids: Vec<Id> = fleet.net.ids().collect();
+    record_latencies(&mut outcome, fleet.latencies(start, &all_ids));
+    outcome.note = last_round_note(&fleet);
     outcome
 }
 
-/// One in a hundred starts again with what it had an hour's changes ago, in a fleet that was told at once.
+/// Restarts one process in a hundred with the configuration from before the last hour's changes. Every process is
+/// notified of the restarts at once.
 pub fn restart_with_old_version(count: usize, seed: u64) -> Outcome {
     restart(count, seed, true)
 }
 
-/// One in a hundred starts again without any configuration.
+/// Restarts one process in a hundred without a configuration. Every process is notified of the restarts at once.
 pub fn restart_empty(count: usize, seed: u64) -> Outcome {
     restart(count, seed, false)
 }
 
-fn restart(count: usize, seed: u64, keeps: bool) -> Outcome {
+fn restart(count: usize, seed: u64, keeps_configuration: bool) -> Outcome {
     let (mut fleet, base) = fleet(count, seed);
-    hour_of_changes(&mut fleet);
+    publish_hour_of_changes(&mut fleet);
     let restarted: Vec<Id> = (1..=count.div_ceil(100))
         .map(|n| n * 97 % count.max(2))
         .collect();
-    let (began, mut before) = (fleet.net.now(), traffic(&fleet));
+    let (start, mut before) = (fleet.net.now(), traffic(&fleet));
     for &id in restarted.iter().filter(|id| **id != WRITER) {
-        let kept = if keeps {
+        let cached = if keeps_configuration {
             base.clone()
         } else {
             Snapshot::empty()
         };
-        fleet.restart(id, Role::Sidecar, kept);
+        fleet.restart(id, Role::Sidecar, cached);
         before[id] = Traffic::default();
     }
     fleet.set_peers_everywhere();
-    let (seconds, not_reached) = catch_up(&mut fleet, &restarted);
-    let mut outcome = costs(&fleet, &before, began);
+    let (seconds, not_reached) = run_until_caught_up(&mut fleet, &restarted);
+    let mut outcome = costs(&fleet, &before, start);
     (outcome.latencies_s, outcome.not_reached) = (seconds, not_reached);
-    outcome.note = format!("{HOUR} changes before, {} restarted", restarted.len());
+    outcome.note = format!(
+        "{CHANGES_PER_HOUR} changes published before; {} processes restarted",
+        restarted.len()
+    );
     outcome
 }
 
-/// One region hears nothing of an hour's changes and is back then. The membership loses it and has it back at once.
+/// Cuts off one region while an hour's changes are published, then reconnects it. Membership reports the loss and the
+/// return of the region without delay.
 pub fn region_partition(count: usize, seed: u64) -> Outcome {
     let (mut fleet, _) = fleet(count, seed);
-    let (cut, rest): (Vec<Id>, Vec<Id>) = fleet.net.ids().partition(|id| region_index(*id) == 3);
-    fleet.net.split(&[&cut, &rest]);
-    for side in [&cut, &rest] {
-        let peers = fleet.peers(side.iter().copied());
-        side.iter().for_each(|id| fleet.set_peers(*id, &peers));
+    let (cut, other): (Vec<Id>, Vec<Id>) = fleet.net.ids().partition(|id| region_index(*id) == 3);
+    fleet.net.split(&[&cut, &other]);
+    for group in [&cut, &other] {
+        let peers = fleet.peers(group.iter().copied());
+        group.iter().for_each(|id| fleet.set_peers(*id, &peers));
     }
-    hour_of_changes(&mut fleet);
+    publish_hour_of_changes(&mut fleet);
     fleet.net.heal();
     fleet.set_peers_everywhere();
-    let (began, before) = (fleet.net.now(), traffic(&fleet));
-    let (seconds, not_reached) = catch_up(&mut fleet, &cut);
-    let mut outcome = costs(&fleet, &before, began);
+    let (start, before) = (fleet.net.now(), traffic(&fleet));
+    let (seconds, not_reached) = run_until_caught_up(&mut fleet, &cut);
+    let mut outcome = costs(&fleet, &before, start);
     (outcome.latencies_s, outcome.not_reached) = (seconds, not_reached);
-    outcome.note = format!("{HOUR} changes missed by {}", cut.len());
+    outcome.note = format!(
+        "{CHANGES_PER_HOUR} changes missed by {} processes",
+        cut.len()
+    );
     outcome
 }
 
-/// An hour's changes, five a second so that the hour need not be played.
-fn hour_of_changes(fleet: &mut Fleet) {
-    for _ in 0..HOUR {
+/// Publishes an hour's changes at five a second, so that the simulation need not run for an hour.
+fn publish_hour_of_changes(fleet: &mut Fleet) {
+    for _ in 0..CHANGES_PER_HOUR {
         publish(fleet);
         fleet.run_for(SECOND / 5);
     }
@@ -182,28 +190,29 @@
     let published = fleet.publish(WRITER, 1);
     assert!(
         published.is_ok(),
-        "the only writer may publish: {published:?}"
+        "the fleet's only writer failed to publish: {published:?}"
     );
 }
 
-/// Plays until these have what the writer has. When each did, in seconds, and how many did not.
-fn catch_up(fleet: &mut Fleet, ids: &[Id]) -> (Vec<f64>, usize) {
-    let began = fleet.net.now();
-    let newest = fleet
+/// Runs the fleet until these processes have the writer's version, for at most [`CATCH_UP_TIMEOUT`]. Returns the seconds
+/// that each took, and the number of those that did not catch up.
+fn run_until_caught_up(fleet: &mut Fleet, ids: &[Id]) -> (Vec<f64>, usize) {
+    let start = fleet.net.now();
+    let writer_version = fleet
         .net
         .part(WRITER)
         .map(|writer| writer.in_force.version());
     let mut behind: Vec<Id> = ids.iter().copied().filter(|id| *id != WRITER).collect();
     let mut seconds = Vec::new();
-    while !behind.is_empty() && fleet.net.now() < began + GRACE {
-        fleet.run_for(LOOK);
-        let elapsed = (fleet.net.now() - began) as f64 / SECOND as f64;
+    while !behind.is_empty() && fleet.net.now() < start + CATCH_UP_TIMEOUT {
+        fleet.run_for(CATCH_UP_POLL_INTERVAL);
+        let elapsed = (fleet.net.now() - start) as f64 / SECOND as f64;
         let caught_up = |id: &Id| {
             fleet
                 .net
                 .part(*id)
                 .map(|process| process.in_force.version())
-                == newest
+                == writer_version
         };
         let before = behind.len();
         behind.retain(|id| !caught_up(id));
@@ -212,7 +221,7 @@
     (seconds, behind.len())
 }
 
-fn reached(outcome: &mut Outcome, latencies: Vec<Option<Nanos>>) {
+fn record_latencies(outcome: &mut Outcome, latencies: Vec<Option<Nanos>>) {
     outcome.not_reached = latencies.iter().filter(|latency| latency.is_none()).count();
     outcome.latencies_s = latencies
         .into_iter()
@@ -222,43 +231,44 @@
     outcome.latencies_s.sort_by(f64::total_cmp);
 }
 
-/// What the writer's last round says.
-fn acknowledged(fleet: &Fleet) -> String {
+/// Describes the result of the writer's last polling round.
+fn last_round_note(fleet: &Fleet) -> String {
     let writer = fleet
         .net
         .part(WRITER)
         .and_then(|writer| writer.replicator.status().writer);
     match writer.and_then(|writer| writer.round) {
         Some(round) => format!(
-            "last round: {} of {} have {}",
+            "last polling round: {} of {} processes have version {}",
             round.up_to_date, round.total, round.version
         ),
-        None => "no round has ended".to_string(),
+        None => "no polling round has ended".to_string(),
     }
 }
 
-fn costs(fleet: &Fleet, before: &[Traffic], began: Nanos) -> Outcome {
-    let span = (fleet.net.now() - began) as f64 / SECOND as f64;
-    let since = |id: Id, process: &Process| spent(&process.traffic, &before[id]);
-    let all: Vec<(Id, Traffic)> = fleet
+fn costs(fleet: &Fleet, before: &[Traffic], start: Nanos) -> Outcome {
+    let duration_s = (fleet.net.now() - start) as f64 / SECOND as f64;
+    let since_start = |id: Id, process: &Process| difference(&process.traffic, &before[id]);
+    let traffic_by_id: Vec<(Id, Traffic)> = fleet
         .net
         .ids()
-        .filter_map(|id| Some((id, since(id, fleet.net.part(id)?))))
+        .filter_map(|id| Some((id, since_start(id, fleet.net.part(id)?))))
         .collect();
     let sidecars = || {
-        all.iter()
+        traffic_by_id
+            .iter()
             .filter(|(id, _)| *id != WRITER)
             .map(|(_, traffic)| traffic)
     };
     let count = sidecars().count().max(1) as f64;
-    let sum = sidecars().fold(Traffic::default(), |sum, traffic| added(&sum, traffic));
-    let rate = |most: Option<u64>| most.unwrap_or(0) as f64 / span;
+    let total = sidecars().fold(Traffic::default(), |total, traffic| sum(&total, traffic));
+    let rate = |largest: Option<u64>| largest.unwrap_or(0) as f64 / duration_s;
     Outcome {
-        mean_sidecar: cost(&sum, span * count),
-        writer: all
+        mean_sidecar: cost(&total, duration_s * count),
+        writer: traffic_by_id
             .iter()
             .find(|(id, _)| *id == WRITER)
-            .map(|(_, own)| cost(own, span))
+            .map(|(_, traffic)| cost(traffic, duration_s))
             .unwrap_or_default(),
         busiest_bytes_per_s: rate(sidecars().map(|traffic| traffic.sent_bytes).max()),
         busiest_received_bytes_per_s: rate(sidecars().map(|traffic| traffic.received_bytes).max()),
@@ -270,28 +280,28 @@
     }
 }
 
-fn cost(traffic: &Traffic, span: f64) -> Cost {
+fn cost(traffic: &Traffic, duration_s: f64) -> Cost {
     Cost {
-        bytes_per_s: traffic.sent_bytes as f64 / span,
-        messages_per_s: traffic.sent_messages as f64 / span,
-        core_share: traffic.processing_time.as_secs_f64() / span,
+        bytes_per_s: traffic.sent_bytes as f64 / duration_s,
+        messages_per_s: traffic.sent_messages as f64 / duration_s,
+        core_share: traffic.processing_time.as_secs_f64() / duration_s,
     }
 }
 
-fn spent(now: &Traffic, before: &Traffic) -> Traffic {
+fn difference(after: &Traffic, before: &Traffic) -> Traffic {
     Traffic {
-        sent_messages: now.sent_messages.saturating_sub(before.sent_messages),
-        sent_bytes: now.sent_bytes.saturating_sub(before.sent_bytes),
-        received_messages: now
+        sent_messages: after.sent_messages.saturating_sub(before.sent_messages),
+        sent_bytes: after.sent_bytes.saturating_sub(before.sent_bytes),
+        received_messages: after
             .received_messages
             .saturating_sub(before.received_messages),
-        received_bytes: now.received_bytes.saturating_sub(before.received_bytes),
-        longest_message_bytes: now.longest_message_bytes,
-        processing_time: now.processing_time.saturating_sub(before.processing_time),
+        received_bytes: after.received_bytes.saturating_sub(before.received_bytes),
+        longest_message_bytes: after.longest_message_bytes,
+        processing_time: after.processing_time.saturating_sub(before.processing_time),
     }
 }
 
-fn added(a: &Traffic, b: &Traffic) -> Traffic {
+fn sum(a: &Traffic, b: &Traffic) -> Traffic {
     let processing_time: Duration = a.processing_time + b.processing_time;
     Traffic {
         sent_messages: a.sent_messages + b.sent_messages,
--- a/crates/capacity/src/error.rs
+++ b/crates/capacity/src/error.rs
@@ -1,35 +1,35 @@
-//! Why a scale test could not be run to its end.
+//! The errors that stop a scale test.
 
 use havenplank_settings::Problems;
 use std::io;
 
-/// Why a scale test could not be run to its end.
+/// An error that stops a scale test.
 #[derive(Debug, thiserror::Error)]
 pub enum CapacityError {
-    /// The settings of a size are refused.
-    #[error("settings of the scale test: {0}")]
+    /// The settings check rejects the settings script that was generated for a size.
+    #[error("invalid settings of the scale test: {0}")]
     Settings(#[from] Problems),
-    /// The system refused something.
-    #[error("{what}: {source}")]
+    /// An operating system call failed.
+    #[error("cannot {action}: {source}")]
     Io {
-        /// What was tried.
-        what: String,
-        /// Why it failed.
+        /// The action that failed, as an infinitive: `create a file`.
+        action: String,
+        /// The cause.
         source: io::Error,
     },
-    /// A histogram of times cannot be made.
-    #[error("histogram of times: {0}")]
+    /// A histogram of call times cannot be created.
+    #[error("cannot create the histogram of call times: {0}")]
     Histogram(#[from] hdrhistogram::CreationError),
-    /// A list that was written cannot be read.
-    #[error("encoded list of the scale test: {0}")]
+    /// The codec cannot decode an endpoint list that it has encoded.
+    #[error("cannot decode the encoded endpoint list of the scale test: {0}")]
     Encoding(String),
 }
 
 impl CapacityError {
-    /// Returns what turns an error of the system into one that says what was tried.
-    pub fn io(what: &str) -> impl FnOnce(io::Error) -> CapacityError + '_ {
+    /// Returns a function that adds the failed action, as an infinitive, to an I/O error.
+    pub fn io(action: &str) -> impl FnOnce(io::Error) -> CapacityError + '_ {
         move |source| CapacityError::Io {
-            what: what.to_string(),
+            action: action.to_string(),
             source,
         }
     }
--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -1,7 +1,7 @@
-//! Scale tests: what each part costs at several sizes, and how that grows.
+//! Scale tests: measure what each part of the software costs at several sizes, and how that cost grows with the size.
 //!
-//! Each module measures one part of the program and returns a [`report::Section`]; the program prints them or writes
-//! them as JSON. What is counted (messages, bytes, steps) is the same on every machine; what is timed is not.
+//! Each module measures one part and returns [`report::Section`]s, which `havenplank bench capacity` prints or writes as
+//! JSON. Counts (messages, bytes, steps) are the same on every machine; times are not.
 
 #![warn(missing_docs)]
 #![warn(
--- a/crates/capacity/src/membership.rs
+++ b/crates/capacity/src/membership.rs
@@ -1,8 +1,9 @@
-//! What membership and views cost one sidecar, and how fast news reaches all, by size of the fleet, simulated.
+//! Measures what membership and view exchange cost one sidecar, and how fast membership changes reach all sidecars, for
+//! fleets of several sizes on the simulated network.
 //!
-//! One fleet of each size goes through all of it in order: a common start, its first minutes, restarts, one sidecar
-//! killed, a hundredth of all datagrams lost, a zone lost, regions parted and joined again. The seed is fixed, so all
-//! that is counted is the same in each run and on each machine; the processor's time is not.
+//! One fleet of each size goes through all phases in order: a common start and the first minutes after it, restarts, one
+//! sidecar killed, 1% of all datagrams lost, a zone lost, regions partitioned and reconnected. The seed is fixed, so all
+//! counts are the same in each run and on each machine; processor times are not.
 
 use crate::report::{fit, Point, Section, Series};
 use crate::test_sidecar::{self, Cost, TestSidecar};
@@ -11,36 +12,40 @@
 use std::net::SocketAddr;
 
 const SECOND: Nanos = 1_000_000_000;
+/// The seed of the simulated network.
 const SEED: u64 = 1;
-/// Sidecars that all others are given to begin with.
+/// Number of seed addresses: the first sidecars, whose addresses every sidecar has from its start.
 const SEEDS: usize = 3;
-/// The fleet of the target and its time between two restarts; a smaller fleet has fewer by its size.
+/// Number of sidecars in the planned fleet.
 const TARGET: usize = 1_600;
-const TARGET_RESTART: Nanos = 36 * SECOND;
-/// How long a sidecar is away between its goodbye and its next start.
-const RESTART_DOWN: Nanos = 2 * SECOND;
-const ZONE_LOST: usize = 14;
+/// Time between two restarts in the planned fleet. In a smaller fleet it is longer in proportion.
+const TARGET_RESTART_INTERVAL: Nanos = 36 * SECOND;
+/// How long a sidecar is stopped between its leave message and its next start.
+const RESTART_DOWNTIME: Nanos = 2 * SECOND;
+/// Number of sidecars in the zone that is lost.
+const LOST_ZONE_SIDECARS: usize = 14;
 const REGIONS: usize = 4;
 const ZONES: usize = 14;
-/// How often it is looked whether news has reached all, and for how long at most.
-const POLL: Nanos = SECOND / 4;
-const PATIENCE: Nanos = 300 * SECOND;
+/// The time between two checks of a condition that is waited for.
+const POLL_INTERVAL: Nanos = SECOND / 4;
+/// How long a condition is waited for.
+const CONVERGENCE_TIMEOUT: Nanos = 300 * SECOND;
 
-/// What is measured.
+/// The sizes and phases to measure.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Sizes of the fleet.
+    /// The fleet sizes, in sidecars.
     pub sizes: Vec<usize>,
-    /// Ends of the windows after the common start, in seconds.
+    /// The ends of the measured windows, in seconds after the common start.
     pub windows_s: Vec<u64>,
-    /// How long restarts, loss and a parting last.
+    /// The duration of the restarts, of the datagram loss and of the partition, in seconds each.
     pub phase_s: u64,
-    /// Whether the faults after the start and the restarts are played.
+    /// Whether to run the phases with faults, which come after the start and the restarts.
     pub faults: bool,
 }
 
 impl Options {
-    /// A minute or two.
+    /// Returns options for a run of a minute or two.
     pub fn quick() -> Options {
         Options {
             sizes: vec![50, 100, 200, 400],
@@ -50,7 +55,7 @@
         }
     }
 
-    /// Up to the target's size.
+    /// Returns options with sizes up to the planned fleet.
     pub fn full() -> Options {
         Options {
             sizes: vec![50, 100, 200, 400, 800, 1_600],
@@ -61,7 +66,7 @@
     }
 }
 
-/// Figures as they come, sorted into sections and series in the order in which they were first named.
+/// Collects figures into sections and series, each in the order of its first figure.
 pub(crate) struct Figures {
     measured_on: String,
     sections: Vec<Section>,
@@ -76,7 +81,7 @@
     }
 
     pub(crate) fn add(&mut self, section: &str, series: &str, size: usize, value: f64) {
-        let at = self
+        let index = self
             .sections
             .iter()
             .position(|known| known.title == section)
@@ -89,26 +94,26 @@
                 });
                 self.sections.len() - 1
             });
-        let all = &mut self.sections[at].series;
-        let at = all
+        let section_series = &mut self.sections[index].series;
+        let index = section_series
             .iter()
             .position(|known| known.name == series)
             .unwrap_or_else(|| {
-                all.push(Series::new(
+                section_series.push(Series::new(
                     series,
                     "sidecars",
                     &self.measured_on,
                     Vec::new(),
                 ));
-                all.len() - 1
+                section_series.len() - 1
             });
-        all[at].points.push(Point {
+        section_series[index].points.push(Point {
             size: size as f64,
             value,
         });
     }
 
-    /// All sections, with lines fitted and these notes.
+    /// Fits the lines and returns all sections, each with these notes.
     pub(crate) fn sections(self, notes: &[String]) -> Vec<Section> {
         let finish = |section: Section| Section {
             series: section
@@ -126,28 +131,28 @@
     }
 }
 
-/// A fleet of hollow sidecars on the simulated network.
+/// A fleet of [`TestSidecar`]s on the simulated network.
 pub struct Fleet {
     net: Net<TestSidecar>,
     incarnations: Vec<u64>,
 }
 
-/// The cost of a whole fleet, and of the sidecar that received most.
+/// The counters of the complete fleet, and the datagrams received by each sidecar.
 #[derive(Clone, Debug, Default)]
-struct Spent {
+struct FleetCost {
     all: Cost,
     received_datagrams: Vec<u64>,
 }
 
 impl Fleet {
-    /// All start at once.
+    /// Starts a fleet, all sidecars at once.
     pub fn start(size: usize) -> Fleet {
         let mut fleet = Fleet {
             net: Net::new(SEED, Weather::default()),
             incarnations: vec![1; size],
         };
         for number in 0..size {
-            // Clocks that never agree: other starts, and up to a thousandth fast or slow.
+            // No two clocks agree: each begins at another time, and most run a thousandth fast or slow.
             let clock = Clock {
                 began: number as Nanos * 77 * SECOND,
                 drift_ppm: (number as i64 % 3 - 1) * 1_000,
@@ -159,17 +164,17 @@
         fleet
     }
 
-    /// Returns how many sidecars there are.
+    /// Returns the number of sidecars, stopped ones included.
     pub fn size(&self) -> usize {
         self.incarnations.len()
     }
 
-    /// Plays on for so long.
-    pub fn run(&mut self, span: Nanos) {
-        self.net.run(self.net.now() + span, |_, _| {});
+    /// Runs the simulation for a duration in nanoseconds.
+    pub fn run(&mut self, duration: Nanos) {
+        self.net.run(self.net.now() + duration, |_, _| {});
     }
 
-    /// Of each sidecar that runs.
+    /// Returns the counters of each running sidecar.
     pub fn costs(&self) -> impl Iterator<Item = &Cost> {
         self.net
             .ids()
@@ -177,8 +182,8 @@
             .map(TestSidecar::cost)
     }
 
-    fn spent(&self) -> Spent {
-        let mut spent = Spent::default();
+    fn fleet_cost(&self) -> FleetCost {
+        let mut total = FleetCost::default();
         for id in self.net.ids() {
             let cost = self
                 .net
@@ -186,17 +191,17 @@
                 .map(TestSidecar::cost)
                 .cloned()
                 .unwrap_or_default();
-            spent.received_datagrams.push(cost.received_datagrams);
-            spent.all.received_datagrams += cost.received_datagrams;
-            spent.all.received_bytes += cost.received_bytes;
-            spent.all.sent_datagrams += cost.sent_datagrams;
-            spent.all.sent_bytes += cost.sent_bytes;
-            spent.all.processor_time += cost.processor_time;
-            spent.all.peers_declared_lost += cost.peers_declared_lost;
-            spent.all.peers_suspected += cost.peers_suspected;
-            spent.all.rows_visited += cost.rows_visited;
+            total.received_datagrams.push(cost.received_datagrams);
+            total.all.received_datagrams += cost.received_datagrams;
+            total.all.received_bytes += cost.received_bytes;
+            total.all.sent_datagrams += cost.sent_datagrams;
+            total.all.sent_bytes += cost.sent_bytes;
+            total.all.processor_time += cost.processor_time;
+            total.all.peers_declared_lost += cost.peers_declared_lost;
+            total.all.peers_suspected += cost.peers_suspected;
+            total.all.rows_visited += cost.rows_visited;
         }
-        spent
+        total
     }
 
     fn running(&self) -> Vec<Id> {
@@ -206,43 +211,44 @@
             .collect()
     }
 
-    fn share(&self, holds: impl Fn(&TestSidecar) -> bool) -> f64 {
+    fn share(&self, predicate: impl Fn(&TestSidecar) -> bool) -> f64 {
         let running = self.running();
-        let parts = running.iter().filter_map(|id| self.net.part(*id));
-        parts.filter(|part| holds(part)).count() as f64 / running.len().max(1) as f64
+        let sidecars = running.iter().filter_map(|id| self.net.part(*id));
+        sidecars.filter(|sidecar| predicate(sidecar)).count() as f64 / running.len().max(1) as f64
     }
 
-    /// Share of sidecars that see as many peers as run.
-    fn share_whole(&self) -> f64 {
+    /// Returns the share of running sidecars that consider as many peers alive as are running.
+    fn share_seeing_all(&self) -> f64 {
         let others = self.running().len().saturating_sub(1);
-        self.share(|part| part.alive_peers() == others)
+        self.share(|sidecar| sidecar.alive_peers() == others)
     }
 
     fn share_agreed(&self) -> f64 {
-        self.share(|part| part.quorum_state() == QuorumState::Agreed)
+        self.share(|sidecar| sidecar.quorum_state() == QuorumState::Agreed)
     }
 
-    /// Seconds until something holds; none within [`PATIENCE`].
-    fn until(&mut self, holds: impl Fn(&Fleet) -> bool) -> Option<f64> {
-        let began = self.net.now();
-        while !holds(self) {
-            if self.net.now() - began >= PATIENCE {
+    /// Runs the simulation until a condition holds. Returns the seconds that this took, or `None` after
+    /// [`CONVERGENCE_TIMEOUT`].
+    fn seconds_until(&mut self, condition: impl Fn(&Fleet) -> bool) -> Option<f64> {
+        let start = self.net.now();
+        while !condition(self) {
+            if self.net.now() - start >= CONVERGENCE_TIMEOUT {
                 return None;
             }
-            self.run(POLL);
+            self.run(POLL_INTERVAL);
         }
-        Some((self.net.now() - began) as f64 / SECOND as f64)
+        Some((self.net.now() - start) as f64 / SECOND as f64)
     }
 
-    /// A goodbye, a moment away, the next incarnation.
+    /// Lets a sidecar announce that it leaves, and starts its next incarnation after [`RESTART_DOWNTIME`].
     fn restart(&mut self, id: Id) {
-        if let Some(part) = self.net.part_mut(id) {
-            part.leave();
+        if let Some(sidecar) = self.net.part_mut(id) {
+            sidecar.leave();
         }
         self.net.post(id);
         let cost = self.kill(id);
-        self.run(RESTART_DOWN);
-        self.revive(id, cost);
+        self.run(RESTART_DOWNTIME);
+        self.start_next_incarnation(id, cost);
     }
 
     fn kill(&mut self, id: Id) -> Cost {
@@ -256,7 +262,7 @@
         cost
     }
 
-    fn revive(&mut self, id: Id, cost: Cost) {
+    fn start_next_incarnation(&mut self, id: Id, cost: Cost) {
         self.incarnations[id] += 1;
         let incarnation = self.incarnations[id];
         self.net
@@ -273,19 +279,19 @@
     )
 }
 
-/// Plays a phase, and adds what each sidecar spent in it a second.
+/// Runs a phase, and adds its mean cost per sidecar and second to the figures.
 fn measure(
     fleet: &mut Fleet,
     figures: &mut Figures,
     section: &str,
     phase: &str,
-    play: impl FnOnce(&mut Fleet),
+    run: impl FnOnce(&mut Fleet),
 ) {
-    let (before, began) = (fleet.spent(), fleet.net.now());
-    play(fleet);
-    let (after, size) = (fleet.spent(), fleet.size());
-    let seconds = (fleet.net.now() - began) as f64 / SECOND as f64;
-    let each = |of: fn(&Cost) -> u64| {
+    let (before, start) = (fleet.fleet_cost(), fleet.net.now());
+    run(fleet);
+    let (after, size) = (fleet.fleet_cost(), fleet.size());
+    let seconds = (fleet.net.now() - start) as f64 / SECOND as f64;
+    let per_sidecar = |of: fn(&Cost) -> u64| {
         of(&after.all).saturating_sub(of(&before.all)) as f64 / seconds / size as f64
     };
     let busiest = after
@@ -300,100 +306,103 @@
         .as_secs_f64();
     let mut add =
         |name: &str, value: f64| figures.add(section, &format!("{phase}: {name}"), size, value);
-    add("received_bytes_per_s", each(|cost| cost.received_bytes));
+    add(
+        "received_bytes_per_s",
+        per_sidecar(|cost| cost.received_bytes),
+    );
     add(
         "received_messages_per_s",
-        each(|cost| cost.received_datagrams),
+        per_sidecar(|cost| cost.received_datagrams),
     );
-    add("sent_bytes_per_s", each(|cost| cost.sent_bytes));
+    add("sent_bytes_per_s", per_sidecar(|cost| cost.sent_bytes));
     add(
         "busiest_received_messages_per_s",
         busiest.max().unwrap_or(0) as f64 / seconds,
     );
-    add("rows_visited_per_s", each(|cost| cost.rows_visited));
+    add("rows_visited_per_s", per_sidecar(|cost| cost.rows_visited));
     add(
         "processor_share_percent",
         100.0 * processor / seconds / size as f64,
     );
-    add("share_seeing_all", fleet.share_whole());
+    add("share_seeing_all", fleet.share_seeing_all());
     add("share_agreed", fleet.share_agreed());
 }
 
-/// The first minutes after all start at once, window by window.
+/// Measures the first minutes after the common start, window by window.
 fn common_start(fleet: &mut Fleet, figures: &mut Figures, windows_s: &[u64]) {
     const SECTION: &str = "Membership: after a common start";
-    let mut from = 0;
-    for until in windows_s {
-        let phase = format!("{from} to {until} s");
+    let mut start = 0;
+    for end in windows_s {
+        let phase = format!("{start} to {end} s");
         measure(fleet, figures, SECTION, &phase, |fleet| {
-            fleet.run((until - from) * SECOND)
+            fleet.run((end - start) * SECOND)
         });
-        from = *until;
+        start = *end;
     }
 }
 
-/// Restarts at the target's rate for a fleet of this size.
+/// Measures restarts at the rate of the planned fleet, scaled to the size of this one.
 fn restarts(fleet: &mut Fleet, figures: &mut Figures, span: Nanos) {
     let size = fleet.size();
-    let every = TARGET_RESTART * TARGET as Nanos / size as Nanos;
-    let play = |fleet: &mut Fleet| {
-        let until = fleet.net.now() + span;
-        let mut next = fleet.net.now() + every / 2;
-        let mut turn = 0;
-        while next + RESTART_DOWN < until {
-            fleet.run(next - fleet.net.now());
-            fleet.restart((SEEDS + 37 * turn) % size);
-            turn += 1;
-            next += every;
+    let interval = TARGET_RESTART_INTERVAL * TARGET as Nanos / size as Nanos;
+    let run_restarts = |fleet: &mut Fleet| {
+        let end = fleet.net.now() + span;
+        let mut next_at = fleet.net.now() + interval / 2;
+        let mut restarted = 0;
+        while next_at + RESTART_DOWNTIME < end {
+            fleet.run(next_at - fleet.net.now());
+            fleet.restart((SEEDS + 37 * restarted) % size);
+            restarted += 1;
+            next_at += interval;
         }
-        fleet.run(until - fleet.net.now());
+        fleet.run(end - fleet.net.now());
     };
     measure(
         fleet,
         figures,
         "Membership: restarts at the target's rate",
         "restarts",
-        play,
+        run_restarts,
     );
 }
 
-/// How long until one killed sidecar is known lost.
+/// Measures how long it takes until the others know that a killed sidecar is lost, and then that it has started again.
 fn one_killed(fleet: &mut Fleet, figures: &mut Figures) {
     const SECTION: &str = "Membership: one sidecar killed";
-    let (size, victim) = (fleet.size(), fleet.size() / 2);
-    let (name, incarnation) = (test_sidecar::name(victim), fleet.incarnations[victim]);
-    let cost = fleet.kill(victim);
-    let began = fleet.net.now();
+    let (size, killed_id) = (fleet.size(), fleet.size() / 2);
+    let (name, incarnation) = (test_sidecar::name(killed_id), fleet.incarnations[killed_id]);
+    let cost = fleet.kill(killed_id);
+    let start = fleet.net.now();
     for (series, share) in [
         ("known_lost_to_half_s", 0.5),
         ("known_lost_to_99_percent_s", 0.99),
         ("known_lost_to_all_s", 1.0),
     ] {
         let known =
-            |fleet: &Fleet| fleet.share(|part| !part.considers_alive(&name, incarnation)) >= share;
-        if fleet.until(known).is_some() {
+            |fleet: &Fleet| fleet.share(|peer| !peer.considers_alive(&name, incarnation)) >= share;
+        if fleet.seconds_until(known).is_some() {
             figures.add(
                 SECTION,
                 series,
                 size,
-                (fleet.net.now() - began) as f64 / SECOND as f64,
+                (fleet.net.now() - start) as f64 / SECOND as f64,
             );
         }
     }
-    fleet.revive(victim, cost);
-    if let Some(seconds) = fleet.until(|fleet| fleet.share_whole() >= 1.0) {
+    fleet.start_next_incarnation(killed_id, cost);
+    if let Some(seconds) = fleet.seconds_until(|fleet| fleet.share_seeing_all() >= 1.0) {
         figures.add(SECTION, "seen_by_all_after_its_next_start_s", size, seconds);
     }
 }
 
-/// Who is suspected and lost while nobody dies and a hundredth of all datagrams is lost.
-fn lossy(fleet: &mut Fleet, figures: &mut Figures, span: Nanos) {
+/// Counts the false suspicions and losses while 1% of all datagrams is lost and no sidecar stops.
+fn datagram_loss(fleet: &mut Fleet, figures: &mut Figures, span: Nanos) {
     const SECTION: &str = "Membership: 1% of datagrams lost, nobody dies";
-    let before = fleet.spent().all;
+    let before = fleet.fleet_cost().all;
     fleet.net.weather.loss = 0.01;
     measure(fleet, figures, SECTION, "1% lost", |fleet| fleet.run(span));
     fleet.net.weather.loss = 0.0;
-    let (after, size) = (fleet.spent().all, fleet.size());
+    let (after, size) = (fleet.fleet_cost().all, fleet.size());
     figures.add(
         SECTION,
         "false_losses_in_all",
@@ -408,25 +417,29 @@
     );
 }
 
-/// Fourteen at once.
+/// Kills a zone of 14 sidecars at once. Measures how long it takes until all others know that these are lost, and then
+/// that they have started again.
 fn zone_lost(fleet: &mut Fleet, figures: &mut Figures) {
     const SECTION: &str = "Membership: a zone of 14 lost at once";
     let size = fleet.size();
-    let victims: Vec<Id> = (0..ZONE_LOST).map(|n| SEEDS + 2 * n).collect();
-    let costs: Vec<Cost> = victims.iter().map(|id| fleet.kill(*id)).collect();
-    let began = fleet.net.now();
+    let killed_ids: Vec<Id> = (0..LOST_ZONE_SIDECARS).map(|n| SEEDS + 2 * n).collect();
+    let costs: Vec<Cost> = killed_ids.iter().map(|id| fleet.kill(*id)).collect();
+    let start = fleet.net.now();
     measure(fleet, figures, SECTION, "first 60 s", |fleet| {
         fleet.run(60 * SECOND)
     });
-    if fleet.until(|fleet| fleet.share_whole() >= 1.0).is_some() {
-        let seconds = (fleet.net.now() - began) as f64 / SECOND as f64;
+    if fleet
+        .seconds_until(|fleet| fleet.share_seeing_all() >= 1.0)
+        .is_some()
+    {
+        let seconds = (fleet.net.now() - start) as f64 / SECOND as f64;
         figures.add(SECTION, "lost_to_all_s_at_least_60", size, seconds);
     }
-    victims
+    killed_ids
         .iter()
         .zip(costs)
-        .for_each(|(id, cost)| fleet.revive(*id, cost));
-    if let Some(seconds) = fleet.until(|fleet| fleet.share_whole() >= 1.0) {
+        .for_each(|(id, cost)| fleet.start_next_incarnation(*id, cost));
+    if let Some(seconds) = fleet.seconds_until(|fleet| fleet.share_seeing_all() >= 1.0) {
         figures.add(
             SECTION,
             "seen_by_all_after_their_next_start_s",
@@ -436,8 +449,8 @@
     }
 }
 
-/// Regions that do not reach each other, and what it takes until all see all again.
-fn regions_parted(fleet: &mut Fleet, figures: &mut Figures, span: Nanos) {
+/// Partitions the regions, reconnects them, and measures how long it takes until every sidecar sees all others again.
+fn regions_partitioned(fleet: &mut Fleet, figures: &mut Figures, span: Nanos) {
     const SECTION: &str = "Membership: four regions parted, and joined again";
     let size = fleet.size();
     let region = |id: &Id| id % ZONES % REGIONS;
@@ -449,12 +462,15 @@
         .split(&groups.iter().map(Vec::as_slice).collect::<Vec<_>>());
     measure(fleet, figures, SECTION, "parted", |fleet| fleet.run(span));
     fleet.net.heal();
-    let joined = fleet.net.now();
+    let healed_at = fleet.net.now();
     measure(fleet, figures, SECTION, "first 60 s joined", |fleet| {
         fleet.run(60 * SECOND)
     });
-    if fleet.until(|fleet| fleet.share_whole() >= 1.0).is_some() {
-        let seconds = (fleet.net.now() - joined) as f64 / SECOND as f64;
+    if fleet
+        .seconds_until(|fleet| fleet.share_seeing_all() >= 1.0)
+        .is_some()
+    {
+        let seconds = (fleet.net.now() - healed_at) as f64 / SECOND as f64;
         figures.add(SECTION, "all_see_all_s_at_least_60", size, seconds);
     }
     measure(fleet, figures, SECTION, "the 60 s after that", |fleet| {
@@ -462,25 +478,25 @@
     });
 }
 
-/// Resident memory of this process, in bytes; 0 where the system does not say.
+/// Returns the resident memory of this process in bytes, or 0 if the system does not report it.
 pub(crate) fn resident_bytes() -> u64 {
-    const PAGE: u64 = 4_096;
+    const PAGE_BYTES: u64 = 4_096;
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     text.split_whitespace()
         .nth(1)
         .and_then(|pages| pages.parse::<u64>().ok())
         .unwrap_or(0)
-        * PAGE
+        * PAGE_BYTES
 }
 
-/// Everything, for each size.
+/// Runs all phases for each fleet size and returns their sections.
 pub fn membership(options: &Options) -> Vec<Section> {
     let mut figures = Figures::new("simulated");
-    let empty = resident_bytes();
+    let resident_before = resident_bytes();
     for size in &options.sizes {
         let mut fleet = Fleet::start(*size);
         common_start(&mut fleet, &mut figures, &options.windows_s);
-        let memory = resident_bytes().saturating_sub(empty) as f64 / *size as f64;
+        let memory = resident_bytes().saturating_sub(resident_before) as f64 / *size as f64;
         figures.add(
             "Membership: memory",
             "resident_bytes_per_sidecar",
@@ -491,16 +507,16 @@
         restarts(&mut fleet, &mut figures, span);
         if options.faults {
             one_killed(&mut fleet, &mut figures);
-            lossy(&mut fleet, &mut figures, span);
+            datagram_loss(&mut fleet, &mut figures, span);
             zone_lost(&mut fleet, &mut figures);
-            regions_parted(&mut fleet, &mut figures, span);
+            regions_partitioned(&mut fleet, &mut figures, span);
         }
     }
     figures.sections(&[format!(
         "seed {SEED}; names of 12 bytes, {SEEDS} addresses to begin with; one fleet of each size goes through all \
          sections in order; a restart each {} s at {TARGET}, fewer by size; a time that is missing was not reached \
          within {} s",
-        TARGET_RESTART / SECOND,
-        PATIENCE / SECOND
+        TARGET_RESTART_INTERVAL / SECOND,
+        CONVERGENCE_TIMEOUT / SECOND
     )])
 }
--- a/crates/capacity/src/membership_sockets.rs
+++ b/crates/capacity/src/membership_sockets.rs
@@ -1,4 +1,5 @@
-//! The same hollow sidecars on sockets: hundreds in one process on loopback, each with its own UDP and TCP socket.
+//! Measures membership and view exchange over sockets: hundreds of sidecars in one process on loopback, each with a UDP
+//! and a TCP socket of its own.
 
 use crate::membership::{resident_bytes, Figures};
 use crate::report::Section;
@@ -16,24 +17,26 @@
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::{interval, sleep, MissedTickBehavior};
 
+/// Number of seed addresses: the first sidecars, whose addresses every later sidecar has from its start.
 const SEEDS: usize = 3;
-/// One for UDP, one for TCP, and one for a stream that may be open.
-const DESCRIPTORS_EACH: u64 = 3;
-/// Memory of one sidecar for each peer of its fleet, and whatever the fleet: what the simulation showed, rounded up.
+/// File descriptors of one sidecar: one for UDP, one for TCP, and one for a stream that may be open.
+const DESCRIPTORS_PER_SIDECAR: u64 = 3;
+/// Memory of one sidecar for each peer: the value from the simulation, rounded up.
 const BYTES_PER_PEER: u64 = 3_000;
-const BYTES_EACH: u64 = 200_000;
+/// Memory of one sidecar that does not depend on the size of the fleet: the value from the simulation, rounded up.
+const BYTES_PER_SIDECAR: u64 = 200_000;
 
-/// What is measured.
+/// The sizes and windows to measure.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Sizes of the fleet.
+    /// The fleet sizes, in sidecars.
     pub sizes: Vec<usize>,
-    /// Ends of the windows after the common start, in seconds.
+    /// The ends of the measured windows, in seconds after the common start.
     pub windows_s: Vec<u64>,
 }
 
 impl Options {
-    /// Half a minute for each size.
+    /// Returns options that take half a minute for each size.
     pub fn quick() -> Options {
         Options {
             sizes: vec![50, 100],
@@ -41,7 +44,7 @@
         }
     }
 
-    /// Two minutes for each size.
+    /// Returns options that take two minutes for each size.
     pub fn full() -> Options {
         Options {
             sizes: vec![50, 100, 200, 400],
@@ -50,66 +53,67 @@
     }
 }
 
-/// Why a size was not measured.
+/// The reason why a size was not measured.
 #[derive(Debug, thiserror::Error)]
 pub enum SizeError {
-    /// More than half of the available memory would be taken.
-    #[error("{size} sidecars need {needed} bytes of memory; half of what is available is {half}")]
+    /// The fleet would use more than half of the available memory.
+    #[error("{size} sidecars need {needed} bytes of memory, but half of the available memory is {half} bytes")]
     Memory {
         /// Sidecars.
         size: usize,
-        /// Bytes that they need.
+        /// The memory that they need, in bytes.
         needed: u64,
-        /// Half of the bytes available.
+        /// Half of the available memory, in bytes.
         half: u64,
     },
-    /// More than half of the descriptors would be taken.
-    #[error("{size} sidecars need {needed} descriptors; half of the limit is {half}")]
+    /// The fleet would use more than half of the file descriptors that this process may open.
+    #[error("{size} sidecars need {needed} file descriptors, but half of the limit is {half}")]
     Descriptors {
         /// Sidecars.
         size: usize,
-        /// Descriptors that they need.
+        /// The file descriptors that they need.
         needed: u64,
-        /// Half of the limit.
+        /// Half of the limit of open files.
         half: u64,
     },
-    /// The system gives no socket.
-    #[error("no socket on loopback: {0}")]
+    /// A socket cannot be opened on loopback.
+    #[error("cannot open a socket on loopback: {0}")]
     Socket(#[from] io::Error),
 }
 
-struct Running {
+/// A sidecar that runs membership and view exchange over sockets.
+struct SocketSidecar {
     transport: Rc<Transport>,
 }
 
-/// A number in a file of the system, in the line that begins so.
-fn number_of(file: &str, line: &str) -> Option<u64> {
+/// Returns the number after a prefix in the first line of a system file that begins with the prefix.
+fn number_after(file: &str, prefix: &str) -> Option<u64> {
     let text = std::fs::read_to_string(file).ok()?;
-    let rest = text.lines().find_map(|found| found.strip_prefix(line))?;
+    let rest = text.lines().find_map(|line| line.strip_prefix(prefix))?;
     rest.split_whitespace().next()?.parse().ok()
 }
 
-/// Checks that a size fits this machine.
+/// Checks that a fleet of this size fits into half of the memory and half of the file descriptors.
 ///
 /// # Errors
-/// A size that would take more than half of the memory or of the descriptors.
+/// The fleet would use more than half of the available memory or of the file descriptors.
 pub fn check_resources(size: usize) -> Result<(), SizeError> {
     let count = size as u64;
-    let half = number_of("/proc/meminfo", "MemAvailable:").unwrap_or(0) * 1_024 / 2;
-    let needed = count * (BYTES_EACH + BYTES_PER_PEER * count);
+    let half = number_after("/proc/meminfo", "MemAvailable:").unwrap_or(0) * 1_024 / 2;
+    let needed = count * (BYTES_PER_SIDECAR + BYTES_PER_PEER * count);
     if needed > half {
         return Err(SizeError::Memory { size, needed, half });
     }
-    let half = number_of("/proc/self/limits", "Max open files").unwrap_or(0) / 2;
-    let needed = count * DESCRIPTORS_EACH;
+    let half = number_after("/proc/self/limits", "Max open files").unwrap_or(0) / 2;
+    let needed = count * DESCRIPTORS_PER_SIDECAR;
     if needed > half {
         return Err(SizeError::Descriptors { size, needed, half });
     }
     Ok(())
 }
 
-impl Running {
-    async fn start(number: usize, seeds: Vec<SocketAddr>) -> io::Result<Running> {
+impl SocketSidecar {
+    async fn start(number: usize, seeds: Vec<SocketAddr>) -> io::Result<SocketSidecar> {
         let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
         let transport =
             Transport::bind(any, |now, at| test_sidecar::node(now, at, number, 1, seeds)).await?;
@@ -119,26 +123,26 @@
             me,
             QuorumRules::default(),
         )));
-        let heard = views.clone();
+        let receiver = views.clone();
         spawn_local(
             transport
                 .clone()
-                .run(move |transport, happened| match happened {
+                .run(move |transport, node_event| match node_event {
                     NodeEvent::Message {
                         from,
                         kind: VIEW_KIND,
                         body,
                     } => {
-                        let _ = heard.borrow_mut().receive(transport.now(), &from, &body);
+                        let _ = receiver.borrow_mut().receive(transport.now(), &from, &body);
                     }
                     NodeEvent::Message { .. } => {}
                     NodeEvent::Membership(event) => {
-                        heard.borrow_mut().observe(transport.now(), &event)
+                        receiver.borrow_mut().observe(transport.now(), &event)
                     }
                 }),
         );
-        spawn_local(tell_views(transport.clone(), views));
-        Ok(Running { transport })
+        spawn_local(run_view_exchange(transport.clone(), views));
+        Ok(SocketSidecar { transport })
     }
 
     fn alive_peers(&self) -> usize {
@@ -146,61 +150,56 @@
             .call(|node, _| node.membership().alive().count())
     }
 
-    /// Messages that came, messages sent, and their bytes.
+    /// Returns the messages received, the messages sent, and the bytes of the messages sent.
     fn counts(&self) -> [u64; 3] {
         self.transport
             .call(|node, _| [node.received, node.sent, node.sent_bytes])
     }
 }
 
-async fn tell_views(transport: Rc<Transport>, views: Rc<RefCell<ViewExchange>>) {
-    let mut periods = interval(Duration::from_nanos(Rules::default().period));
-    periods.set_missed_tick_behavior(MissedTickBehavior::Delay);
+async fn run_view_exchange(transport: Rc<Transport>, views: Rc<RefCell<ViewExchange>>) {
+    let mut ticks = interval(Duration::from_nanos(Rules::default().period));
+    ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
-        periods.tick().await;
+        ticks.tick().await;
         transport.call(|node, now| views.borrow_mut().tick(now, node));
     }
 }
 
 async fn measure(size: usize, windows_s: &[u64], figures: &mut Figures) -> Result<(), SizeError> {
     const SECTION: &str = "Membership on sockets: after a common start";
-    let mut running: Vec<Running> = Vec::new();
+    let mut sidecars: Vec<SocketSidecar> = Vec::new();
     let mut seeds = Vec::new();
     for number in 0..size {
-        let sidecar = Running::start(number, seeds.clone()).await?;
+        let sidecar = SocketSidecar::start(number, seeds.clone()).await?;
         if seeds.len() < SEEDS {
             seeds.push(sidecar.transport.local_address()?);
         }
-        running.push(sidecar);
+        sidecars.push(sidecar);
     }
-    let sums = |running: &[Running]| {
-        running
+    let totals = |sidecars: &[SocketSidecar]| {
+        sidecars
             .iter()
-            .map(Running::counts)
+            .map(SocketSidecar::counts)
             .fold([0; 3], |sum, each| [0, 1, 2].map(|n| sum[n] + each[n]))
     };
-    let (mut from, mut before) = (0, sums(&running));
-    for until in windows_s {
-        sleep(Duration::from_secs(until - from)).await;
-        let after = sums(&running);
-        let each = |n: usize| (after[n] - before[n]) as f64 / (until - from) as f64 / size as f64;
+    let (mut start, mut before) = (0, totals(&sidecars));
+    for end in windows_s {
+        sleep(Duration::from_secs(end - start)).await;
+        let after = totals(&sidecars);
+        let rate = |n: usize| (after[n] - before[n]) as f64 / (end - start) as f64 / size as f64;
         let mut add = |name: &str, value: f64| {
-            figures.add(
-                SECTION,
-                &format!("{from} to {until} s: {name}"),
-                size,
-                value,
-            );
+            figures.add(SECTION, &format!("{start} to {end} s: {name}"), size, value);
         };
-        add("received_messages_per_s", each(0));
-        add("sent_messages_per_s", each(1));
-        add("sent_bytes_per_s", each(2));
-        let whole = running
+        add("received_messages_per_s", rate(0));
+        add("sent_messages_per_s", rate(1));
+        add("sent_bytes_per_s", rate(2));
+        let seeing_all = sidecars
             .iter()
             .filter(|sidecar| sidecar.alive_peers() + 1 == size)
             .count();
-        add("share_seeing_all", whole as f64 / size as f64);
-        (from, before) = (*until, after);
+        add("share_seeing_all", seeing_all as f64 / size as f64);
+        (start, before) = (*end, after);
     }
     figures.add(
         SECTION,
@@ -211,21 +210,25 @@
     Ok(())
 }
 
-/// All sizes in turn; one that would take too much of the machine is refused and named in the notes.
+/// Measures all sizes in turn. A size that would use too much of the machine is skipped, and the notes say why.
 ///
 /// # Errors
-/// A runtime that the system does not give.
+/// The asynchronous runtime cannot be created.
 pub fn membership_on_sockets(options: &Options) -> io::Result<Vec<Section>> {
     let mut figures = Figures::new("sockets");
     let mut notes = vec!["all sidecars in one thread of one process, on loopback".to_string()];
     for size in &options.sizes {
-        // A runtime for each size: whatever runs in it ends with it.
+        // Each size has a runtime of its own, so that all its tasks end with it.
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build()?;
         let work = measure(*size, &options.windows_s, &mut figures);
-        let done = check_resources(*size).and_then(|()| LocalSet::new().block_on(&runtime, work));
-        notes.extend(done.err().map(|refusal| format!("not measured: {refusal}")));
+        let result = check_resources(*size).and_then(|()| LocalSet::new().block_on(&runtime, work));
+        notes.extend(
+            result
+                .err()
+                .map(|error| format!("size not measured: {error}")),
+        );
     }
     Ok(figures.sections(&notes))
 }
--- a/crates/capacity/src/report.rs
+++ b/crates/capacity/src/report.rs
@@ -1,4 +1,4 @@
-//! Measured figures by size, and the slope fitted through them.
+//! Measured figures by size, and the straight lines fitted through them.
 
 use serde::Serialize;
 use std::fmt;
@@ -6,40 +6,41 @@
 /// One measured figure.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Point {
-    /// What was varied: sidecars, pods, routes or tenants.
+    /// The size at which it was measured: a number of sidecars, pods, pod groups, routes or tenants.
     pub size: f64,
-    /// The figure, in the unit that the name of its series ends in.
+    /// The measured value, in the unit at the end of the name of its series.
     pub value: f64,
 }
 
 /// A straight line through the points of a series, by least squares.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Fit {
-    /// Growth of the value for each one of size.
+    /// Growth of the value when the size grows by 1.
     pub slope: f64,
     /// The value at size 0.
     pub intercept: f64,
-    /// Largest distance of a point from the line, as a share of the largest value.
+    /// The largest difference between a value and the line, as a share of the largest absolute value.
     pub spread: f64,
 }
 
 /// One quantity at several sizes.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Series {
-    /// What is measured, with the unit at its end: `received_bytes_per_s`.
+    /// The measured quantity, with its unit at the end, for example `received_bytes_per_s`.
     pub name: String,
-    /// What `size` counts: `sidecars`, `pods`, `routes`, `tenants`.
+    /// What [`Point::size`] counts, for example `sidecars`, `pods`, `routes` or `tenants`.
     pub size_of: String,
-    /// How it was measured: `simulated`, `sockets` or `process`.
+    /// How it was measured: `simulated` (on the simulated network), `sockets` (over loopback), `process` (in one process
+    /// without a network) or `encoded` (computed from the sizes of encoded lines).
     pub measured_on: String,
-    /// By size, in the order measured.
+    /// One point for each size, in the order in which they were measured.
     pub points: Vec<Point>,
     /// The line through the points; `None` for fewer than two sizes.
     pub fit: Option<Fit>,
 }
 
 impl Series {
-    /// Returns a series with its line fitted.
+    /// Returns a series with a line fitted through its points.
     pub fn new(name: &str, size_of: &str, measured_on: &str, points: Vec<Point>) -> Series {
         let fit = fit(&points);
         Series {
@@ -51,7 +52,7 @@
         }
     }
 
-    /// What the line says of a size, and by which factor that lies beyond the largest measured one.
+    /// Returns the value of the fitted line at a size, and the ratio of that size to the largest measured one.
     pub fn extrapolate(&self, size: f64) -> Option<(f64, f64)> {
         let largest = self
             .points
@@ -67,18 +68,18 @@
     }
 }
 
-/// Figures that belong together, as one table.
+/// Series that were measured together.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Section {
     /// What was measured.
     pub title: String,
-    /// The quantities measured together.
+    /// The measured quantities.
     pub series: Vec<Series>,
-    /// What a reader must know of how they came about: seeds, spans, what was left out or refused.
+    /// What a reader needs to interpret the figures: seeds, durations, and what was left out or skipped.
     pub notes: Vec<String>,
 }
 
-/// Least squares; `None` for fewer than two sizes.
+/// Fits a straight line by least squares. Returns `None` for fewer than two different sizes.
 pub fn fit(points: &[Point]) -> Option<Fit> {
     let count = points.len() as f64;
     let mean_size = points.iter().map(|point| point.size).sum::<f64>() / count;
@@ -90,11 +91,11 @@
     if points.len() < 2 || variance <= 0.0 {
         return None;
     }
-    let together: f64 = points
+    let covariance: f64 = points
         .iter()
         .map(|point| (point.size - mean_size) * (point.value - mean_value))
         .sum();
-    let slope = together / variance;
+    let slope = covariance / variance;
     let intercept = mean_value - slope * mean_size;
     let distance = |point: &Point| (point.value - intercept - slope * point.size).abs();
     let largest = points
--- a/crates/capacity/src/samples.rs
+++ b/crates/capacity/src/samples.rs
@@ -1,4 +1,4 @@
-//! Sample pods and settings of any size, alike in every run.
+//! Sample pods and sample settings of any size, identical in every run.
 
 use crate::error::CapacityError;
 use havenplank::interface::{Build, Nanos, PodState};
@@ -6,26 +6,28 @@
 use havenplank_settings::{load, Given, Site};
 use std::net::{Ipv4Addr, SocketAddr};
 
-/// Zones of the sample fleet.
+/// Number of zones in the sample fleet.
 pub const ZONES: usize = 4;
-/// Services of the sample fleet.
+/// Number of services in the sample fleet.
 pub const SERVICES: usize = 400;
-/// Sidecars of the sample fleet.
+/// Number of sidecars in the sample fleet.
 pub const SIDECARS: usize = 1_600;
-/// The pods of one service in the mean.
+/// Mean number of pods per service.
 pub const PODS_PER_SERVICE: usize = 52;
+/// The incarnation of pod 0: a start time in nanoseconds since the Unix epoch.
 const FIRST_INCARNATION: u64 = 1_764_633_600_000_000_000;
+/// The IPv4 address of pod 0: 10.0.0.0.
 const FIRST_ADDRESS: u32 = 0x0a00_0000;
 const PORT: u16 = 8_080;
-const PODS_OF_CELL: usize = 4;
-const POD_SIZE: f64 = 4.0;
+const PODS_PER_CELL: usize = 4;
+const RELATIVE_POD_SIZE: f64 = 4.0;
 
-/// A pod that has been running since long ago.
+/// Returns a running pod of build 1 that started long ago.
 pub fn pod(number: usize) -> ListedEndpoint {
     pod_of_build(number, 1, 0)
 }
 
-/// A pod of a build that started `age` ago, 0 for long ago.
+/// Returns a running pod of a build. `age` is the time since the pod started, or 0 if it started long ago.
 pub fn pod_of_build(number: usize, build: Build, age: Nanos) -> ListedEndpoint {
     let service = number / PODS_PER_SERVICE;
     let address = SocketAddr::from((Ipv4Addr::from(FIRST_ADDRESS + number as u32), PORT));
@@ -38,27 +40,27 @@
         age,
         zone: format!("zone-{}", number % ZONES),
         machine: "standard-8".to_string(),
-        cell: (number / PODS_OF_CELL) as i64,
-        size: POD_SIZE,
+        cell: (number / PODS_PER_CELL) as i64,
+        size: RELATIVE_POD_SIZE,
     }
 }
 
-/// Returns so many pods that have been running since long ago.
+/// Returns `count` running pods of build 1 that started long ago.
 pub fn pods(count: usize) -> Vec<ListedEndpoint> {
     (0..count).map(pod).collect()
 }
 
-/// Returns a path that the route of a number takes.
+/// Returns a path that matches the numbered route of [`script`].
 pub fn route_path(number: usize) -> String {
     format!("/service-{}/route-{number}/item", number % SERVICES)
 }
 
-/// Returns the name of the tenant of a number.
+/// Returns the name of the numbered tenant of [`script`].
 pub fn tenant(number: usize) -> String {
     format!("tenant-{number}")
 }
 
-/// A settings script with so many path groups and tenants, both made by loops of the script.
+/// Returns a settings script that declares this many path groups and tenants, both in loops.
 pub fn script(routes: usize, tenants: usize) -> String {
     format!(
         r#"
@@ -77,13 +79,16 @@
     )
 }
 
-/// Runs and checks such a script as a sidecar does before it starts.
+/// Runs and checks the settings script of [`script`] as a sidecar does before it starts.
 ///
 /// # Errors
-/// What the check of the settings refuses, and files that cannot be written.
+/// The settings check rejects the script, or the script cannot be written to a temporary file.
 pub fn load_settings(routes: usize, tenants: usize) -> Result<Site, CapacityError> {
-    let folder = tempfile::tempdir().map_err(CapacityError::io("folder for settings"))?;
-    let file = folder.path().join("capacity.star");
-    std::fs::write(&file, script(routes, tenants)).map_err(CapacityError::io("settings file"))?;
+    let directory = tempfile::tempdir().map_err(CapacityError::io(
+        "create a temporary directory for the settings script",
+    ))?;
+    let file = directory.path().join("capacity.star");
+    std::fs::write(&file, script(routes, tenants))
+        .map_err(CapacityError::io("write the settings script"))?;
     Ok(load(&file, &Given::new())?)
 }
--- a/crates/capacity/src/test_sidecar.rs
+++ b/crates/capacity/src/test_sidecar.rs
@@ -1,4 +1,5 @@
-//! A sidecar with everything left out but membership and views: the real code, driven by a network of the test's choice.
+//! A sidecar for scale tests that runs only membership and view exchange. Both are the product's code; the test chooses
+//! the network that drives them.
 
 use havenplank_emulator::net::{Nanos, Part};
 use havenplank_membership::keys::Key;
@@ -13,44 +14,44 @@
 
 const ZONES: usize = 14;
 
-/// What one sidecar spent and saw since its start; kept over its restarts.
+/// The counters of one sidecar since its first start, over all its incarnations.
 #[derive(Clone, Debug, Default)]
 pub struct Cost {
-    /// Datagrams that came.
+    /// Datagrams received.
     pub received_datagrams: u64,
-    /// Bytes of the datagrams that came.
+    /// Bytes of the datagrams received.
     pub received_bytes: u64,
     /// Datagrams sent.
     pub sent_datagrams: u64,
     /// Bytes of the datagrams sent.
     pub sent_bytes: u64,
-    /// Time within the sidecar's own code, the network's left out.
+    /// Time spent in the sidecar's own code, without that of the simulated network.
     pub processor_time: Duration,
-    /// Peers that membership declared lost, and suspected.
+    /// How many times membership declared a peer lost.
     pub peers_declared_lost: u64,
-    /// Peers that membership suspected.
+    /// How many times membership suspected a peer.
     pub peers_suspected: u64,
-    /// Rows of tables visited by membership and quorum state; the same on every machine.
+    /// Table rows visited by membership and by the quorum state: a measure of work that is the same on every machine.
     pub rows_visited: u64,
 }
 
-/// A sidecar of which only membership and views run.
+/// A sidecar that runs only membership and view exchange.
 pub struct TestSidecar {
     node: Node,
     views: ViewExchange,
     period: Nanos,
     next_tick: Nanos,
     cost: Cost,
-    /// Rows visited by earlier incarnations.
+    /// Table rows visited by earlier incarnations.
     earlier_rows: u64,
 }
 
-/// The name of the nth sidecar.
+/// Returns the name of the numbered sidecar.
 pub fn name(number: usize) -> String {
     format!("sidecar-{number:04}")
 }
 
-/// The membership node of the nth sidecar, as the program makes it.
+/// Returns the membership node of the numbered sidecar, with the default rules of the product.
 pub fn node(
     now: Nanos,
     at: SocketAddr,
@@ -84,7 +85,7 @@
 }
 
 impl TestSidecar {
-    /// Returns a sidecar that begins now, with the cost of its earlier incarnations.
+    /// Returns a sidecar that starts now. `cost` holds the counters of its earlier incarnations.
     pub fn new(now: Nanos, node: Node, cost: Cost) -> TestSidecar {
         let views = ViewExchange::new(
             now,
@@ -102,46 +103,46 @@
         }
     }
 
-    /// Returns what it spent and saw.
+    /// Returns the sidecar's counters.
     pub fn cost(&self) -> &Cost {
         &self.cost
     }
 
-    /// Returns its quorum state.
+    /// Returns the sidecar's quorum state.
     pub fn quorum_state(&self) -> QuorumState {
         self.views.quorum().state()
     }
 
-    /// How many peers it takes for living.
+    /// Returns how many peers the sidecar considers alive, suspected ones included.
     pub fn alive_peers(&self) -> usize {
         self.node.membership().alive().count()
     }
 
-    /// Whether it takes this incarnation for living.
+    /// Returns whether the sidecar considers this incarnation of a peer alive, even if suspected.
     pub fn considers_alive(&self, name: &str, incarnation: u64) -> bool {
         let known = self.node.membership().get(name);
-        known.is_some_and(|news| {
-            news.id.incarnation == incarnation
-                && matches!(news.state, MemberState::Alive | MemberState::Suspected(_))
+        known.is_some_and(|member| {
+            member.id.incarnation == incarnation
+                && matches!(member.state, MemberState::Alive | MemberState::Suspected(_))
         })
     }
 
-    /// Tells its peers that it leaves.
+    /// Notifies the peers that the sidecar leaves.
     pub fn leave(&mut self) {
         self.node.leave();
     }
 
-    fn timed(&mut self, work: impl FnOnce(&mut TestSidecar)) {
-        let began = Instant::now();
+    fn run_timed(&mut self, work: impl FnOnce(&mut TestSidecar)) {
+        let start = Instant::now();
         work(self);
-        self.cost.processor_time += began.elapsed();
+        self.cost.processor_time += start.elapsed();
         let rows = self.node.membership().rows_visited() + self.views.quorum().rows_visited();
         self.cost.rows_visited = self.earlier_rows + rows;
     }
 
-    fn take_events(&mut self, now: Nanos) {
-        while let Some(happened) = self.node.next_event() {
-            match happened {
+    fn process_events(&mut self, now: Nanos) {
+        while let Some(event) = self.node.next_event() {
+            match event {
                 NodeEvent::Message {
                     from,
                     kind: VIEW_KIND,
@@ -166,20 +167,20 @@
     fn heard(&mut self, now: Nanos, bytes: &[u8]) {
         self.cost.received_datagrams += 1;
         self.cost.received_bytes += bytes.len() as u64;
-        self.timed(|sidecar| {
+        self.run_timed(|sidecar| {
             sidecar.node.receive_datagram(now, bytes);
-            sidecar.take_events(now);
+            sidecar.process_events(now);
         });
     }
 
     fn wake(&mut self, now: Nanos) {
-        self.timed(|sidecar| {
+        self.run_timed(|sidecar| {
             sidecar.node.wake(now);
             if now >= sidecar.next_tick {
                 sidecar.next_tick = now + sidecar.period;
                 sidecar.views.tick(now, &mut sidecar.node);
             }
-            sidecar.take_events(now);
+            sidecar.process_events(now);
         });
     }
 
