--- a/crates/capacity/examples/configuration.rs
+++ b/crates/capacity/examples/configuration.rs
@@ -1,4 +1,4 @@
-//! Prints the figures of the replication of configurations, scenario by scenario:
+//! Prints the figures of configuration replication, scenario by scenario:
 //! `cargo run --release -p havenplank-capacity --example configuration [SIZE...]`.
 
 use havenplank_capacity::configuration::{section, SCENARIOS};
--- a/crates/capacity/src/configuration/scenarios.rs
+++ b/crates/capacity/src/configuration/scenarios.rs
@@ -194,8 +194,8 @@
     );
 }
 
-/// Runs the fleet until these processes have the writer's version, for at most [`CATCH_UP_TIMEOUT`]. Returns the seconds
-/// that each took, and the number of those that did not catch up.
+/// Runs the fleet until these processes have the writer's version, for at most [`CATCH_UP_TIMEOUT`]. Returns the
+/// seconds that each took, and the number of those that did not catch up.
 fn run_until_caught_up(fleet: &mut Fleet, ids: &[Id]) -> (Vec<f64>, usize) {
     let start = fleet.net.now();
     let writer_version = fleet
--- a/crates/capacity/src/discovery.rs
+++ b/crates/capacity/src/discovery.rs
@@ -1,7 +1,7 @@
-//! What one machine of service discovery and of the control plane must send to a whole fleet.
+//! Computes what one machine of service discovery and one of the control plane must send to all sidecars of a fleet.
 //!
-//! All bytes are those of lines that the real codecs of the feeds write for sample pods; rates are these bytes
-//! times the stated counts. Only the processor time of writing and reading a list is timed.
+//! Sizes are those of the lines that the product's codecs write for sample pods. Rates are these sizes multiplied by
+//! the stated counts. Only the processor time of encoding and decoding a list is measured by a clock.
 
 use crate::error::CapacityError;
 use crate::report::{Point, Section, Series};
@@ -11,28 +11,32 @@
 use havenplank_line_protocol::{control_plane, endpoint_list};
 use std::time::Instant;
 
-/// What a sidecar may receive for control, in bytes a second.
+/// Bytes of control traffic that a sidecar may receive per second.
 pub const CONTROL_BUDGET_BYTES_PER_S: f64 = 13_000.0;
-const ROLL_SECONDS: f64 = 3_600.0;
-/// Changes that a replaced pod makes: the new one runs, the old one drains, the old one is gone.
+/// Duration of a rolling release that replaces all pods.
+const ROLLING_RELEASE_S: f64 = 3_600.0;
+/// Changes of the list for each replaced pod: the new pod runs, the old pod drains, the old pod is gone.
 const CHANGES_PER_REPLACED_POD: f64 = 3.0;
-/// How often the control plane repeats its news, and how long a vote stands.
-const NEWS_REPEATED_EVERY_S: f64 = 4.0;
-const VOTE_LIFE_S: f64 = 6.0;
-/// A vote is cast again after 0.75 to 0.95 of its life less a call's time-out of one second.
-const VOTE_CAST_AGAIN_AFTER_S: f64 = 0.85 * (VOTE_LIFE_S - 1.0);
+/// Interval at which the control plane repeats the stage to each sidecar.
+const STAGE_REPEAT_INTERVAL_S: f64 = 4.0;
+/// How long a vote is valid.
+const VOTE_VALIDITY_S: f64 = 6.0;
+/// Mean interval at which a sidecar renews a vote. The time for which a vote can be renewed is its validity less a
+/// call's timeout of one second; the renewal comes after 0.75 to 0.95 of that time.
+const VOTE_RENEWAL_INTERVAL_S: f64 = 0.85 * (VOTE_VALIDITY_S - 1.0);
+/// Rate of Ethernet at 1 Gbit/s.
 const ETHERNET_BYTES_PER_S: f64 = 125e6;
 
-/// What is measured.
+/// The sizes to measure.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Sizes of the whole list.
+    /// Numbers of pods in the complete list.
     pub pods: Vec<usize>,
-    /// Sizes of the fleet.
+    /// Numbers of sidecars in the fleet.
     pub sidecars: Vec<usize>,
-    /// Pods of the services that one sidecar calls.
+    /// Numbers of pods of the services that one sidecar calls.
     pub subsets: Vec<usize>,
-    /// How often a list is written and read for its processor time.
+    /// How many times a list is encoded and decoded to measure the processor time.
     pub rounds: usize,
 }
 
@@ -47,7 +51,7 @@
         }
     }
 
-    /// Returns sizes up to those to plan with.
+    /// Returns sizes up to those of the planned fleet.
     pub fn full() -> Options {
         Options {
             pods: vec![100, 1_000, 5_000, 10_000, 21_000],
@@ -58,35 +62,35 @@
     }
 }
 
-/// Bytes of a whole list as it is sent.
+/// Returns the length of an encoded complete list, in bytes.
 pub fn complete_list_bytes(pods: &[ListedEndpoint]) -> usize {
-    encoded(true, pods).len()
+    encode(true, pods).len()
 }
 
-/// Bytes of one change as it is sent, whatever else is listed.
+/// Returns the length of an encoded change of one pod, in bytes. It does not depend on the other pods of the list.
 pub fn change_bytes(pod: &ListedEndpoint) -> usize {
-    encoded(false, std::slice::from_ref(pod)).len()
+    encode(false, std::slice::from_ref(pod)).len()
 }
 
-fn encoded(whole: bool, pods: &[ListedEndpoint]) -> String {
+fn encode(complete: bool, pods: &[ListedEndpoint]) -> String {
     let mut text = String::new();
-    // A number of as many digits as a feed has after some hours.
-    endpoint_list::write_list(&mut text, 10_000, whole, pods);
+    // A message number with as many digits as on a connection that has been open for some hours.
+    endpoint_list::write_list(&mut text, 10_000, complete, pods);
     text
 }
 
-/// Bytes of the news of a stage, of a vote and of its answer.
+/// Lengths of the lines between a sidecar and the control plane, in bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ControlLineBytes {
-    /// Of the notice of a stage.
+    /// Length of the line that announces a stage.
     pub stage_update: usize,
-    /// Of a vote.
+    /// Length of the line that casts a vote.
     pub vote: usize,
-    /// Of the answer to a vote.
+    /// Length of the line that replies to a vote.
     pub vote_reply: usize,
 }
 
-/// Returns the bytes of each line between a sidecar and the control plane.
+/// Returns the lengths of the lines between a sidecar and the control plane.
 pub fn control_line_bytes() -> ControlLineBytes {
     let stage = Stage {
         build: 1_042,
@@ -112,13 +116,13 @@
     }
 }
 
-/// All sections of service discovery and of the control plane.
+/// Measures service discovery and the control plane, and returns their sections.
 ///
 /// # Errors
-/// A list that its own codec does not read back.
+/// The codec cannot decode a list that it has encoded.
 pub fn discovery(options: &Options) -> Result<Vec<Section>, CapacityError> {
     Ok(vec![
-        lists(options),
+        list_lengths(options),
         sent_by_one_machine(options),
         codec_time(options)?,
         control_plane(options),
@@ -135,21 +139,23 @@
         .collect()
 }
 
-fn lists(options: &Options) -> Section {
-    let whole = |pods: usize| complete_list_bytes(&samples::pods(pods)) as f64;
+fn list_lengths(options: &Options) -> Section {
+    let complete = |pods: usize| complete_list_bytes(&samples::pods(pods)) as f64;
     let changed = |pods: usize| change_bytes(&samples::pod(pods.saturating_sub(1))) as f64;
-    let waits = |pods: usize| whole(pods) / CONTROL_BUDGET_BYTES_PER_S;
+    let seconds_at_budget = |pods: usize| complete(pods) / CONTROL_BUDGET_BYTES_PER_S;
     let encoded = |name, points| Series::new(name, "pods", "encoded", points);
     Section {
         title: "Service discovery: a list for one sidecar".to_string(),
         series: vec![
-            encoded("whole_list_bytes", points(&options.pods, whole)),
+            encoded("whole_list_bytes", points(&options.pods, complete)),
             encoded("one_change_bytes", points(&options.pods, changed)),
-            encoded("whole_list_at_control_budget_s", points(&options.pods, waits)),
+            encoded("whole_list_at_control_budget_s", points(&options.pods, seconds_at_budget)),
         ],
         notes: vec![
-            format!("encoded: lines of the real codec for sample pods; budget {CONTROL_BUDGET_BYTES_PER_S} bytes/s"),
-            "a sidecar that takes only the pods of its services takes the row of that many pods".to_string(),
+            format!(
+                "encoded: lines of the product's codec for sample pods; budget {CONTROL_BUDGET_BYTES_PER_S} bytes/s"
+            ),
+            "for a sidecar that receives only the pods of its services, see the row of that many pods".to_string(),
         ],
     }
 }
@@ -157,14 +163,14 @@
 fn sent_by_one_machine(options: &Options) -> Section {
     let all = options.pods.iter().copied().max().unwrap_or(0);
     let change = change_bytes(&samples::pod(all.saturating_sub(1))) as f64;
-    let changes_per_s = all as f64 * CHANGES_PER_REPLACED_POD / ROLL_SECONDS;
+    let changes_per_s = all as f64 * CHANGES_PER_REPLACED_POD / ROLLING_RELEASE_S;
     let mut series = Vec::new();
     for subset in options.subsets.iter().map(|subset| (*subset).min(all)) {
-        let whole = complete_list_bytes(&samples::pods(subset)) as f64;
+        let complete = complete_list_bytes(&samples::pods(subset)) as f64;
         let share = subset as f64 / all.max(1) as f64;
         let received = changes_per_s * share * change;
-        let by_sidecars = |name: String, each: f64| {
-            let points = points(&options.sidecars, |sidecars| sidecars as f64 * each);
+        let by_sidecars = |name: String, per_sidecar: f64| {
+            let points = points(&options.sidecars, |sidecars| sidecars as f64 * per_sidecar);
             Series::new(&name, "sidecars", "encoded", points)
         };
         series.push(by_sidecars(
@@ -173,12 +179,12 @@
         ));
         series.push(by_sidecars(
             format!("restart_sent_bytes, {subset} pods each"),
-            whole,
+            complete,
         ));
-        let wire = whole / ETHERNET_BYTES_PER_S;
+        let transmission_s = complete / ETHERNET_BYTES_PER_S;
         series.push(by_sidecars(
             format!("restart_at_1_gbit_s, {subset} pods each"),
-            wire,
+            transmission_s,
         ));
         let points = vec![Point {
             size: subset as f64,
@@ -196,49 +202,49 @@
         series,
         notes: vec![
             format!(
-                "rolling release: {all} pods replaced in {ROLL_SECONDS} s, {CHANGES_PER_REPLACED_POD} changes each, \
-                 {changes_per_s:.1} changes/s, each sent by itself"
+                "rolling release: {all} pods replaced in {ROLLING_RELEASE_S} s, {CHANGES_PER_REPLACED_POD} changes each, \
+                 {changes_per_s:.1} changes/s, each sent separately"
             ),
-            "restart: every sidecar connects again and takes a whole list at once; bytes only, no pacing".to_string(),
-            "steady: without changes the codec sends nothing; there is no heartbeat line".to_string(),
+            "restart: all sidecars reconnect and receive a complete list at once; bytes only, no pacing".to_string(),
+            "steady state: without changes nothing is sent; there is no heartbeat line".to_string(),
             "encoded bytes times counts, without TCP and IP headers; nothing here was sent over sockets".to_string(),
         ],
     }
 }
 
 fn codec_time(options: &Options) -> Result<Section, CapacityError> {
-    let (mut writing, mut reading) = (Vec::new(), Vec::new());
+    let (mut encoding, mut decoding) = (Vec::new(), Vec::new());
     for count in &options.pods {
         let pods = samples::pods(*count);
-        let began = Instant::now();
+        let start = Instant::now();
         let text = (0..options.rounds)
             .map(|_| endpoint_list::encode_cached(&pods))
             .next_back()
             .unwrap_or_default();
-        let wrote = began.elapsed().as_secs_f64() / options.rounds.max(1) as f64;
-        let began = Instant::now();
+        let encoding_s = start.elapsed().as_secs_f64() / options.rounds.max(1) as f64;
+        let start = Instant::now();
         for _ in 0..options.rounds {
             endpoint_list::decode_cached(&text)
                 .map_err(|error| CapacityError::Encoding(error.to_string()))?;
         }
-        let read = began.elapsed().as_secs_f64() / options.rounds.max(1) as f64;
-        writing.push(Point {
+        let decoding_s = start.elapsed().as_secs_f64() / options.rounds.max(1) as f64;
+        encoding.push(Point {
             size: *count as f64,
-            value: wrote * 1e3,
+            value: encoding_s * 1e3,
         });
-        reading.push(Point {
+        decoding.push(Point {
             size: *count as f64,
-            value: read * 1e3,
+            value: decoding_s * 1e3,
         });
     }
     Ok(Section {
         title: "Service discovery: processor time of the codec".to_string(),
         series: vec![
-            Series::new("write_whole_list_ms", "pods", "process", writing),
-            Series::new("read_whole_list_ms", "pods", "process", reading),
+            Series::new("write_whole_list_ms", "pods", "process", encoding),
+            Series::new("read_whole_list_ms", "pods", "process", decoding),
         ],
         notes: vec![
-            "timed in this process, without sockets; written anew for each sidecar as today"
+            "timed in this process, without sockets; a server encodes the list anew for each sidecar"
                 .to_string(),
         ],
     })
@@ -246,9 +252,9 @@
 
 fn control_plane(options: &Options) -> Section {
     let bytes = control_line_bytes();
-    let repeated =
-        |sidecars: usize| sidecars as f64 * bytes.stage_update as f64 / NEWS_REPEATED_EVERY_S;
-    let votes = |sidecars: usize| sidecars as f64 / VOTE_CAST_AGAIN_AFTER_S;
+    let stage_bytes_per_s =
+        |sidecars: usize| sidecars as f64 * bytes.stage_update as f64 / STAGE_REPEAT_INTERVAL_S;
+    let votes_per_s = |sidecars: usize| sidecars as f64 / VOTE_RENEWAL_INTERVAL_S;
     let by_sidecars = |name, value: &dyn Fn(usize) -> f64| {
         Series::new(
             name,
@@ -260,24 +266,24 @@
     Section {
         title: "Control plane: one machine for all sidecars".to_string(),
         series: vec![
-            by_sidecars("news_sent_bytes_per_s", &repeated),
-            by_sidecars("votes_received_per_s", &votes),
-            by_sidecars("votes_received_bytes_per_s", &|sidecars| votes(sidecars) * bytes.vote as f64),
-            by_sidecars("vote_answers_sent_bytes_per_s", &|sidecars| votes(sidecars) * bytes.vote_reply as f64),
+            by_sidecars("news_sent_bytes_per_s", &stage_bytes_per_s),
+            by_sidecars("votes_received_per_s", &votes_per_s),
+            by_sidecars("votes_received_bytes_per_s", &|sidecars| votes_per_s(sidecars) * bytes.vote as f64),
+            by_sidecars("vote_answers_sent_bytes_per_s", &|sidecars| votes_per_s(sidecars) * bytes.vote_reply as f64),
             by_sidecars("stage_change_sent_bytes", &|sidecars| (sidecars * bytes.stage_update) as f64),
         ],
         notes: vec![
-            format!("bytes of one line: news {}, vote {}, answer {}", bytes.stage_update, bytes.vote, bytes.vote_reply),
+            format!("bytes of one line: stage {}, vote {}, reply {}", bytes.stage_update, bytes.vote, bytes.vote_reply),
             format!(
-                "news repeated every {NEWS_REPEATED_EVERY_S} s; while a vote stands it is cast again after \
-                 {VOTE_CAST_AGAIN_AFTER_S:.2} s in the mean (life {VOTE_LIFE_S} s); all sidecars voting"
+                "the stage is repeated every {STAGE_REPEAT_INTERVAL_S} s; a valid vote is renewed after \
+                 {VOTE_RENEWAL_INTERVAL_S:.2} s on average (valid for {VOTE_VALIDITY_S} s); all sidecars vote"
             ),
             "encoded bytes times counts; nothing here was sent over sockets".to_string(),
         ],
     }
 }
 
-/// The change that takes a pod off the list.
+/// Returns the change that removes a pod from the list.
 pub fn removal(pod: &ListedEndpoint) -> ListedEndpoint {
     ListedEndpoint {
         state: PodState::Gone,
--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -1,7 +1,7 @@
-//! Scale tests: measure what each part of the software costs at several sizes, and how that cost grows with the size.
+//! Scale tests: measure what each part of the software costs at several sizes, and how the cost grows.
 //!
-//! Each module measures one part and returns [`report::Section`]s, which `havenplank bench capacity` prints or writes as
-//! JSON. Counts (messages, bytes, steps) are the same on every machine; times are not.
+//! Each module measures one part and returns [`report::Section`]s, which `havenplank bench capacity` prints or writes
+//! as JSON. Counts (messages, bytes, steps) are the same on every machine; times are not.
 
 #![warn(missing_docs)]
 #![warn(
--- a/crates/capacity/src/membership.rs
+++ b/crates/capacity/src/membership.rs
@@ -1,9 +1,9 @@
-//! Measures what membership and view exchange cost one sidecar, and how fast membership changes reach all sidecars, for
+//! Measures what membership and view exchange cost one sidecar, and how fast membership changes reach all sidecars, in
 //! fleets of several sizes on the simulated network.
 //!
-//! One fleet of each size goes through all phases in order: a common start and the first minutes after it, restarts, one
-//! sidecar killed, 1% of all datagrams lost, a zone lost, regions partitioned and reconnected. The seed is fixed, so all
-//! counts are the same in each run and on each machine; processor times are not.
+//! One fleet of each size goes through all phases in order: a common start and the first minutes after it, restarts,
+//! one sidecar killed, 1% of all datagrams lost, a zone lost, regions partitioned and reconnected. The seed is fixed,
+//! so all counts are the same in each run and on each machine; processor times are not.
 
 use crate::report::{fit, Point, Section, Series};
 use crate::test_sidecar::{self, Cost, TestSidecar};
@@ -14,7 +14,7 @@
 const SECOND: Nanos = 1_000_000_000;
 /// The seed of the simulated network.
 const SEED: u64 = 1;
-/// Number of seed addresses: the first sidecars, whose addresses every sidecar has from its start.
+/// Number of seeds: the first sidecars, whose addresses every sidecar is given at its start.
 const SEEDS: usize = 3;
 /// Number of sidecars in the planned fleet.
 const TARGET: usize = 1_600;
--- a/crates/capacity/src/membership_sockets.rs
+++ b/crates/capacity/src/membership_sockets.rs
@@ -17,7 +17,7 @@
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::{interval, sleep, MissedTickBehavior};
 
-/// Number of seed addresses: the first sidecars, whose addresses every later sidecar has from its start.
+/// Number of seeds: the first sidecars, whose addresses every later sidecar is given at its start.
 const SEEDS: usize = 3;
 /// File descriptors of one sidecar: one for UDP, one for TCP, and one for a stream that may be open.
 const DESCRIPTORS_PER_SIDECAR: u64 = 3;
@@ -59,7 +59,7 @@
     /// The fleet would use more than half of the available memory.
     #[error("{size} sidecars need {needed} bytes of memory, but half of the available memory is {half} bytes")]
     Memory {
-        /// Sidecars.
+        /// The fleet size, in sidecars.
         size: usize,
         /// The memory that they need, in bytes.
         needed: u64,
@@ -69,7 +69,7 @@
     /// The fleet would use more than half of the file descriptors that this process may open.
     #[error("{size} sidecars need {needed} file descriptors, but half of the limit is {half}")]
     Descriptors {
-        /// Sidecars.
+        /// The fleet size, in sidecars.
         size: usize,
         /// The file descriptors that they need.
         needed: u64,
--- a/crates/capacity/src/tables/driver.rs
+++ b/crates/capacity/src/tables/driver.rs
@@ -1,4 +1,4 @@
-//! A sidecar's engine at work, without sockets and in virtual time.
+//! Drives the engine of a sidecar without sockets and in virtual time.
 
 use super::call_times::CallTimes;
 use crate::error::CapacityError;
@@ -13,20 +13,20 @@
 
 pub(super) const MS: Nanos = 1_000_000;
 pub(super) const SECOND: Nanos = 1_000 * MS;
-/// How long a sample pod takes to answer.
-const ANSWERS_AFTER: Nanos = 5 * MS;
-/// How long a client waits.
-const REMAINING: Nanos = 2 * SECOND;
+/// How long a sample pod takes to respond.
+const RESPONSE_TIME: Nanos = 5 * MS;
+/// The time from the arrival of a request to its deadline.
+const TIME_TO_DEADLINE: Nanos = 2 * SECOND;
 
-/// A sidecar's engine at work: requests at a steady rate, each answered after a fixed time.
+/// Sends requests to a sidecar's engine at a steady rate, and responds to each attempt after a fixed time.
 pub struct Driver {
-    /// The engine of the product.
+    /// The product's engine.
     pub engine: Engine,
-    /// The engine's time.
+    /// The current time of the engine.
     pub(super) now: Nanos,
-    routes: u64,
+    route_count: u64,
     rng: Rand64,
-    due: VecDeque<Answer>,
+    pending: VecDeque<PendingResponse>,
     effect_counts: EffectCounts,
 }
 
@@ -35,16 +35,16 @@
     attempt: u32,
 }
 
-/// An answer that a pod gives later.
-struct Answer {
-    at: Nanos,
+/// A response that a pod sends later.
+struct PendingResponse {
+    due_at: Nanos,
     request: RequestId,
     attempt: u32,
-    /// Processor time of the engine on the request so far.
+    /// The time that the engine has spent on the request so far.
     spent: Duration,
 }
 
-/// Effects of an engine, by kind.
+/// The number of an engine's effects, by kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EffectCounts {
     /// Attempts sent to pods.
@@ -65,29 +65,29 @@
 }
 
 impl Driver {
-    /// Returns a driver of a new engine that has taken in these pods.
+    /// Returns a driver with a new engine that has applied a complete list of these pods.
     pub fn new(site: &Site, seed: u64, pods: Vec<ListedEndpoint>) -> Driver {
         let mut engine = Engine::new(EPOCH, seed, &EngineSettings::from(site));
         engine.start(EPOCH);
         engine.update_endpoints(EPOCH, true, pods);
-        let routes = site.route_classes.len().max(1) as u64;
+        let route_count = site.route_classes.len().max(1) as u64;
         let rng = Rand64::new(u128::from(seed));
         Driver {
             engine,
             now: EPOCH,
-            routes,
+            route_count,
             rng,
-            due: VecDeque::new(),
+            pending: VecDeque::new(),
             effect_counts: EffectCounts::default(),
         }
     }
 
-    /// Returns the effects so far.
+    /// Returns the number of effects so far.
     pub fn effect_counts(&self) -> EffectCounts {
         self.effect_counts
     }
 
-    /// Does `work` and returns the pods that the engine looked at meanwhile.
+    /// Runs `work` and returns how many pods the engine visited during it.
     pub fn pod_visits_during(&mut self, work: impl FnOnce(&mut Driver)) -> PodVisits {
         let before = self.engine.visits();
         work(self);
@@ -99,20 +99,21 @@
         }
     }
 
-    /// Tells the engine of a stage.
+    /// Applies a stage to the engine.
     pub fn update_stage(&mut self, stage: Stage) {
         self.engine.update_stage(self.now, stage);
-        self.drain();
+        self.process_effects();
     }
 
-    /// Tells the engine of changed pods and returns the time that the call took.
+    /// Applies changed pods to the engine and returns the time that the call took.
     pub fn update_endpoints(&mut self, pods: Vec<ListedEndpoint>) -> Duration {
-        let began = Instant::now();
+        let start = Instant::now();
         self.engine.update_endpoints(self.now, false, pods);
-        began.elapsed()
+        start.elapsed()
     }
 
-    fn drain(&mut self) -> Vec<SentAttempt> {
+    /// Reads and counts the engine's effects, and returns the attempts among them.
+    fn process_effects(&mut self) -> Vec<SentAttempt> {
         let mut sent = Vec::new();
         while let Some(effect) = self.engine.next_effect() {
             match effect {
@@ -130,86 +131,86 @@
         sent
     }
 
-    /// Lets time pass and returns the time that the engine's own wakes took.
+    /// Advances the virtual time, runs the engine's timers that are due, and returns the processor time that they took.
     pub fn advance_to(&mut self, until: Nanos) -> Duration {
         self.now = self.now.max(until);
-        let began = Instant::now();
+        let start = Instant::now();
         self.engine.run_timers(self.now);
-        let spent = began.elapsed();
-        self.drain();
+        let spent = start.elapsed();
+        self.process_effects();
         spent
     }
 
-    /// Sends one request and takes out the effects that it leaves at once.
+    /// Sends one request and reads the effects that follow immediately.
     pub fn send_request(&mut self) {
-        let route_class = self.rng.rand_range(0..self.routes) as usize;
+        let route_class = self.rng.rand_range(0..self.route_count) as usize;
         let key = self.rng.rand_u64().max(1);
         let attributes = RequestAttributes {
             route_class,
             tenant: None,
             key,
-            remaining: REMAINING,
+            remaining: TIME_TO_DEADLINE,
             cost_hint: None,
             is_retry: false,
         };
-        let began = Instant::now();
+        let start = Instant::now();
         self.engine.handle_request(self.now, attributes);
-        let sent = self.drain();
-        let spent = began.elapsed();
-        self.expect_answers(sent, spent);
+        let sent = self.process_effects();
+        let spent = start.elapsed();
+        self.schedule_responses(sent, spent);
     }
 
-    /// Sends requests at a rate and returns the time that each took the engine in all, with its answer.
+    /// Sends requests at a rate. Returns the total time that the engine spent on each, including its response.
     ///
     /// # Errors
-    /// The histogram of times cannot be made.
+    /// The histogram of times cannot be created.
     pub fn send_requests(
         &mut self,
         count: usize,
         rate_per_s: u64,
     ) -> Result<CallTimes, CapacityError> {
-        let mut timed = CallTimes::new()?;
-        let first = self.now;
+        let mut times = CallTimes::new()?;
+        let start = self.now;
         for n in 0..count as u64 {
-            let at = first + n * SECOND / rate_per_s;
-            while let Some(due) = self.due.pop_front_if(|answer| answer.at <= at) {
-                timed.record(self.answer(due));
+            let at = start + n * SECOND / rate_per_s;
+            while let Some(response) = self.pending.pop_front_if(|response| response.due_at <= at) {
+                times.record(self.respond(response));
             }
-            timed.ticks += self.advance_to(at);
+            times.tick_time += self.advance_to(at);
             self.send_request();
         }
-        timed.span = Duration::from_nanos(self.now - first);
-        while let Some(due) = self.due.pop_front() {
-            timed.record(self.answer(due));
+        times.virtual_time = Duration::from_nanos(self.now - start);
+        while let Some(response) = self.pending.pop_front() {
+            times.record(self.respond(response));
         }
-        Ok(timed)
+        Ok(times)
     }
 
-    fn expect_answers(&mut self, sent: Vec<SentAttempt>, spent: Duration) {
-        let at = self.now + ANSWERS_AFTER;
-        let answer = |sent: SentAttempt| Answer {
-            at,
+    fn schedule_responses(&mut self, sent: Vec<SentAttempt>, spent: Duration) {
+        let due_at = self.now + RESPONSE_TIME;
+        let response = |sent: SentAttempt| PendingResponse {
+            due_at,
             request: sent.request,
             attempt: sent.attempt,
             spent,
         };
-        self.due.extend(sent.into_iter().map(answer));
+        self.pending.extend(sent.into_iter().map(response));
     }
 
-    fn answer(&mut self, due: Answer) -> Duration {
-        self.now = self.now.max(due.at);
-        let began = Instant::now();
+    fn respond(&mut self, response: PendingResponse) -> Duration {
+        self.now = self.now.max(response.due_at);
+        let start = Instant::now();
         self.engine.attempt_ended(
             self.now,
-            due.request,
-            due.attempt,
+            response.request,
+            response.attempt,
             AttemptEnd::Served,
-            ANSWERS_AFTER,
+            RESPONSE_TIME,
             None,
         );
-        let sent = self.drain();
-        let spent = due.spent + began.elapsed();
-        self.expect_answers(sent, spent);
+        let sent = self.process_effects();
+        let spent = response.spent + start.elapsed();
+        self.schedule_responses(sent, spent);
         spent
     }
 }
--- a/crates/capacity/src/tables/lookups.rs
+++ b/crates/capacity/src/tables/lookups.rs
@@ -1,4 +1,4 @@
-//! What a lookup of a route or a tenant costs the proxy.
+//! Measures what the lookup of a route or a tenant costs the proxy.
 
 use super::call_times::CallTimes;
 use super::series_builder::SeriesBuilder;
@@ -12,7 +12,8 @@
 use oorandom::Rand64;
 use std::time::Instant;
 
-/// Returns the table in which the proxy finds routes and tenants, and its engine, which gives each route its index.
+/// Returns the table in which the proxy looks up routes and tenants. The index of each route is
+/// that of its slot in an engine with the same settings.
 pub fn route_table(site: &Site) -> RouteTable {
     let engine = Engine::new(EPOCH, 1, &EngineSettings::from(site));
     RouteTable::from_settings(&site.route_classes, engine.slots(), &site.tenants)
@@ -22,34 +23,34 @@
     let mut rng = Rand64::new(u128::from(options.seed));
     let mut by_routes = SeriesBuilder::new("routes");
     for routes in &options.routes {
-        let (table, mut timed) = (
+        let (table, mut times) = (
             route_table(&samples::load_settings(*routes, 1)?),
             CallTimes::new()?,
         );
         for _ in 0..options.requests {
             let path = samples::route_path(rng.rand_range(0..*routes as u64) as usize);
-            let began = Instant::now();
+            let start = Instant::now();
             std::hint::black_box(table.find("GET", &path));
-            timed.record(began.elapsed());
+            times.record(start.elapsed());
         }
-        by_routes.put_times("route_lookup", *routes, &timed);
+        by_routes.add_times("route_lookup", *routes, &times);
     }
     let mut by_tenants = SeriesBuilder::new("tenants");
     for tenants in &options.tenants {
-        let (table, mut timed) = (
+        let (table, mut times) = (
             route_table(&samples::load_settings(1, *tenants)?),
             CallTimes::new()?,
         );
         for _ in 0..options.requests {
             let name = samples::tenant(rng.rand_range(0..*tenants as u64) as usize);
-            let began = Instant::now();
+            let start = Instant::now();
             std::hint::black_box(table.tenant(&name));
-            timed.record(began.elapsed());
+            times.record(start.elapsed());
         }
-        by_tenants.put_times("tenant_lookup", *tenants, &timed);
+        by_tenants.add_times("tenant_lookup", *tenants, &times);
     }
     let notes =
-        ["in the proxy's own table; drawn evenly, each found; a reading of the clock is in each time"];
+        ["in the proxy's own table; drawn evenly, all found; each time includes reading the clock once"];
     let mut section = by_routes.section("Lookup of routes and tenants", &notes);
     section.series.extend(by_tenants.section("", &[]).series);
     Ok(section)
--- a/crates/capacity/src/tables/memory.rs
+++ b/crates/capacity/src/tables/memory.rs
@@ -1,4 +1,4 @@
-//! Memory of one engine, by pods, routes and tenants.
+//! Measures the memory of one engine, by number of pods, routes and tenants.
 
 use super::driver::{Driver, SECOND};
 use super::series_builder::SeriesBuilder;
@@ -9,11 +9,11 @@
 use havenplank_settings::Site;
 use havenplank_sidecar::engine::{Engine, EngineSettings, EPOCH};
 
-/// The size of a page on the machines that we measure on.
+/// The page size of the machines that the scale tests run on.
 const PAGE_BYTES: u64 = 4_096;
 pub(super) const BYTES_PER_MB: f64 = 1e6;
 
-/// Memory of this process in pages that are there, 0 where the system does not tell.
+/// Returns the resident memory of this process in bytes, or 0 if the system does not report it.
 pub(super) fn resident_bytes() -> u64 {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages: u64 = text
@@ -24,50 +24,53 @@
     pages * PAGE_BYTES
 }
 
-/// What is kept to the end, so that none is built in memory that another gave back.
+/// Everything that was built, kept until all is measured, so that nothing is built in memory that was freed before.
 #[derive(Default)]
-struct Kept {
+struct Retained {
     drivers: Vec<Driver>,
     engines: Vec<(Site, Site, Engine)>,
 }
 
 pub(super) fn memory(options: &Options) -> Result<Section, CapacityError> {
-    let mut kept = Kept::default();
-    let mut section = by_pods(options, &mut kept)?.section(
+    let mut retained = Retained::default();
+    let mut section = memory_by_pods(options, &mut retained)?.section(
         "Memory of one engine",
-        &["growth of the resident set, sizes in order of growth, none given back between them"],
+        &["growth of the resident set, sizes in ascending order, nothing freed between them"],
     );
     for (size_of, sizes) in [("routes", &options.routes), ("tenants", &options.tenants)] {
-        let table = by_settings(size_of, sizes, options.seed, &mut kept)?;
-        section.series.extend(table.section("", &[]).series);
+        let series = memory_by_settings(size_of, sizes, options.seed, &mut retained)?;
+        section.series.extend(series.section("", &[]).series);
     }
     let note =
-        "by routes and tenants: a copy of the checked settings and an engine made of them; what running \
-                the script takes is in the section of the settings";
+        "by routes and tenants: a copy of the checked settings and an engine built from them; the memory that running \
+                the script takes is in the section on settings";
     section.notes.push(note.to_string());
     Ok(section)
 }
 
-fn by_pods(options: &Options, kept: &mut Kept) -> Result<SeriesBuilder, CapacityError> {
-    let mut table = SeriesBuilder::new("pods");
-    let small = samples::load_settings(1, 1)?;
+fn memory_by_pods(
+    options: &Options,
+    retained: &mut Retained,
+) -> Result<SeriesBuilder, CapacityError> {
+    let mut series = SeriesBuilder::new("pods");
+    let small_site = samples::load_settings(1, 1)?;
     for count in &options.pods {
         let before = resident_bytes();
-        let mut driver = Driver::new(&small, options.seed, samples::pods(*count));
+        let mut driver = Driver::new(&small_site, options.seed, samples::pods(*count));
         driver.advance_to(EPOCH + SECOND);
-        table.put("engine_with_pods_mb", *count, grown_mb(before));
-        kept.drivers.push(driver);
+        series.add("engine_with_pods_mb", *count, grown_mb(before));
+        retained.drivers.push(driver);
     }
-    Ok(table)
+    Ok(series)
 }
 
-fn by_settings(
+fn memory_by_settings(
     size_of: &'static str,
     sizes: &[usize],
     seed: u64,
-    kept: &mut Kept,
+    retained: &mut Retained,
 ) -> Result<SeriesBuilder, CapacityError> {
-    let mut table = SeriesBuilder::new(size_of);
+    let mut series = SeriesBuilder::new(size_of);
     for size in sizes {
         let site = match size_of {
             "routes" => samples::load_settings(*size, 1)?,
@@ -77,13 +80,13 @@
         let copy = site.clone();
         let engine = Engine::new(EPOCH, seed, &EngineSettings::from(&copy));
         let name = format!("settings_and_engine_with_{size_of}_mb");
-        table.put(&name, *size, grown_mb(before));
-        kept.engines.push((site, copy, engine));
+        series.add(&name, *size, grown_mb(before));
+        retained.engines.push((site, copy, engine));
     }
-    Ok(table)
+    Ok(series)
 }
 
-/// By how much the resident set has grown, in megabytes.
+/// Returns the growth of the resident set, in megabytes.
 pub(super) fn grown_mb(before: u64) -> f64 {
     resident_bytes().saturating_sub(before) as f64 / BYTES_PER_MB
 }
--- a/crates/capacity/src/tables/mod.rs
+++ b/crates/capacity/src/tables/mod.rs
@@ -1,4 +1,5 @@
-//! What one sidecar's tables cost it: the real engine, without sockets and in virtual time.
+//! Measures what the tables of one sidecar (pods, routes, tenants) cost its engine. The engine is the product's,
+//! without sockets and in virtual time.
 
 mod call_times;
 mod driver;
@@ -16,25 +17,26 @@
 use crate::error::CapacityError;
 use crate::report::Section;
 
-/// Requests a second of a sidecar in the mean and of the busiest.
+/// Requests per second: of a sidecar on average, and of the busiest sidecar.
 pub const RATES_PER_S: [u64; 2] = [137, 700];
 
-/// The sizes to measure at.
+/// The sizes to measure.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Pods of one table.
+    /// Numbers of pods in the table.
     pub pods: Vec<usize>,
-    /// Pods of one zone and build each, as many as share a table today where they are of many services.
+    /// Numbers of groups into which the pods of one table are divided, each of one zone and build. In a sidecar of many
+    /// services, whose pods share one table, the groups stand for the services.
     pub pod_groups: Vec<usize>,
-    /// Routes of one script.
+    /// Numbers of routes in a settings script.
     pub routes: Vec<usize>,
-    /// Tenants of one script.
+    /// Numbers of tenants in a settings script.
     pub tenants: Vec<usize>,
-    /// Requests for each size and rate.
+    /// Number of requests for each size and rate.
     pub requests: usize,
-    /// Changes of one pod for each size.
+    /// Number of replaced pods for each size.
     pub changes: usize,
-    /// From which all draws come.
+    /// The seed of all random numbers.
     pub seed: u64,
 }
 
@@ -52,7 +54,7 @@
         }
     }
 
-    /// Returns sizes up to those to plan with.
+    /// Returns sizes up to those of the planned fleet.
     pub fn full() -> Options {
         Options {
             pods: vec![100, 1_000, 5_000, 10_000, 21_000],
@@ -70,10 +72,11 @@
     }
 }
 
-/// Measures all sections of one sidecar's tables. Memory comes first, while no freed memory is there to be used again.
+/// Measures all sections of one sidecar's tables. Memory is measured first, because memory that other measurements have
+/// freed would be reused and hide the growth.
 ///
 /// # Errors
-/// Settings of a size that the settings script refuses.
+/// The settings check rejects a generated settings script, a file cannot be written, or a histogram cannot be created.
 pub fn tables(options: &Options) -> Result<Vec<Section>, CapacityError> {
     Ok(vec![
         memory::memory(options)?,
--- a/crates/capacity/src/tables/series_builder.rs
+++ b/crates/capacity/src/tables/series_builder.rs
@@ -1,9 +1,9 @@
-//! Series that are filled size by size.
+//! Collects the points of several series.
 
 use super::call_times::CallTimes;
 use crate::report::{Point, Section, Series};
 
-/// One series for each name, filled size by size.
+/// Collects points into one series for each name.
 pub(super) struct SeriesBuilder {
     size_of: &'static str,
     columns: Vec<Column>,
@@ -22,14 +22,14 @@
         }
     }
 
-    /// Adds a value at a size to the series of a name.
-    pub(super) fn put(&mut self, name: &str, size: usize, value: f64) {
+    /// Adds the value at a size to the series with this name.
+    pub(super) fn add(&mut self, name: &str, size: usize, value: f64) {
         let point = Point {
             size: size as f64,
             value,
         };
-        let known = self.columns.iter_mut().find(|column| column.name == name);
-        match known {
+        let column = self.columns.iter_mut().find(|column| column.name == name);
+        match column {
             Some(column) => column.points.push(point),
             None => self.columns.push(Column {
                 name: name.to_string(),
@@ -38,10 +38,10 @@
         }
     }
 
-    /// Adds the median and the 99th percentile of some times.
-    pub(super) fn put_times(&mut self, what: &str, size: usize, timed: &CallTimes) {
-        self.put(&format!("{what}_p50_us"), size, timed.us(0.5));
-        self.put(&format!("{what}_p99_us"), size, timed.us(0.99));
+    /// Adds the median and the 99th percentile of the times of some calls.
+    pub(super) fn add_times(&mut self, call: &str, size: usize, times: &CallTimes) {
+        self.add(&format!("{call}_p50_us"), size, times.quantile_us(0.5));
+        self.add(&format!("{call}_p99_us"), size, times.quantile_us(0.99));
     }
 
     pub(super) fn section(self, title: &str, notes: &[&str]) -> Section {
--- a/crates/capacity/tests/membership.rs
+++ b/crates/capacity/tests/membership.rs
@@ -1,26 +1,28 @@
-//! Membership must cost one sidecar about the same in a small fleet and in a large one. EffectCounts alone, by a fixed seed.
+//! Checks that membership costs one sidecar about the same in a small fleet and in a large one. The test compares
+//! counts alone, and its seed is fixed.
 
 use havenplank_capacity::membership::Fleet;
 use havenplank_capacity::test_sidecar::Cost;
 
-/// Both larger than the piece of the table that fits into one message, whose cost is flat from there on.
+/// Both fleets are larger than the piece of the member table that fits into one message. From that size on, the cost of
+/// this piece no longer grows.
 const SMALL: usize = 64;
 const LARGE: usize = 128;
-/// Rows visited a second for each further peer, at most.
-const ROWS_PER_PEER: f64 = 0.15;
+/// The limit of the table rows that a sidecar visits per second for each additional peer.
+const MAX_ROWS_PER_PEER: f64 = 0.15;
 const SECOND: u64 = 1_000_000_000;
 const SETTLING_S: u64 = 90;
-/// Whole rounds of the look at all peers, which comes once a minute.
+/// A multiple of one minute, the interval at which a sidecar visits all its peers.
 const MEASURED_S: u64 = 60;
 
-/// What one sidecar spends a second once a common start is over.
-struct Steady {
+/// The cost of one sidecar per second, once the fleet has settled after its common start.
+struct SteadyCost {
     messages: f64,
     bytes: f64,
     rows: f64,
 }
 
-fn steady(size: usize) -> Steady {
+fn steady_cost(size: usize) -> SteadyCost {
     let mut fleet = Fleet::start(size);
     fleet.run(SETTLING_S * SECOND);
     let before = counts(&fleet);
@@ -28,14 +30,14 @@
     let after = counts(&fleet);
     let [messages, bytes, rows] =
         [0, 1, 2].map(|n| (after[n] - before[n]) as f64 / (size as u64 * MEASURED_S) as f64);
-    Steady {
+    SteadyCost {
         messages,
         bytes,
         rows,
     }
 }
 
-/// Messages, bytes and rows of the whole fleet.
+/// Returns the messages received, the bytes received and the table rows visited by the complete fleet.
 fn counts(fleet: &Fleet) -> [u64; 3] {
     let sum = |of: fn(&Cost) -> u64| fleet.costs().map(of).sum();
     [
@@ -47,7 +49,7 @@
 
 #[test]
 fn a_larger_fleet_costs_each_sidecar_about_the_same() {
-    let (small, large) = (steady(SMALL), steady(LARGE));
+    let (small, large) = (steady_cost(SMALL), steady_cost(LARGE));
     let figures = format!(
         "messages {:.2} to {:.2}, bytes {:.0} to {:.0}, rows {:.1} to {:.1}",
         small.messages, large.messages, small.bytes, large.bytes, small.rows, large.rows
@@ -55,7 +57,8 @@
     println!("{figures}");
     assert!(large.messages < 1.1 * small.messages, "{figures}");
     assert!(large.bytes < 1.35 * small.bytes, "{figures}");
-    // All peers are looked at once a minute: at 1,600 that is some 240 rows a second, far below a thousandth of a core.
+    // A sidecar visits all its peers once a minute. At 1,600 peers the limit is about 240 rows per second, which take
+    // far less than a thousandth of a core.
     let rows_per_peer = (large.rows - small.rows) / (LARGE - SMALL) as f64;
-    assert!(rows_per_peer < ROWS_PER_PEER, "{figures}");
+    assert!(rows_per_peer < MAX_ROWS_PER_PEER, "{figures}");
 }
--- a/crates/capacity/tests/tables.rs
+++ b/crates/capacity/tests/tables.rs
@@ -1,4 +1,4 @@
-//! What one sidecar's tables cost, held by counts at small sizes: pods looked at, effects and bytes, never time.
+//! Checks the cost of one sidecar's tables at small sizes, by counts alone: pods visited, effects and bytes, never times.
 
 use havenplank::interface::{AttemptEnd, Nanos, PodState};
 use havenplank_capacity::discovery::{change_bytes, complete_list_bytes, control_line_bytes};
@@ -10,12 +10,13 @@
 use oorandom::Rand64;
 
 const MS: Nanos = 1_000_000;
-const S: Nanos = 1_000 * MS;
+const SECOND: Nanos = 1_000 * MS;
 const SEED: u64 = 7;
-const FEW: usize = 200;
-const MANY: usize = 3_000;
-/// At once, so that no answer and no tick comes between, and fewer than the engine lets in.
-const AT_ONCE: u64 = 30;
+const FEW_PODS: usize = 200;
+const MANY_PODS: usize = 3_000;
+/// Requests sent at the same time, so that no response and no tick comes in between. They are fewer than the engine
+/// admits.
+const BURST_SIZE: u64 = 30;
 
 fn driver(pods: usize) -> Driver {
     let site = samples::load_settings(3, 3).expect("settings of a scale test");
@@ -23,48 +24,48 @@
 }
 
 #[test]
-fn a_request_fetches_no_more_pods_where_more_are_listed() {
+fn a_request_fetches_no_more_pods_when_more_are_listed() {
     let fetched = |pods: usize| {
         let mut driver = driver(pods);
         driver.send_requests(200, 700).expect("requests");
         let before = driver.effect_counts().attempts;
         let visits =
-            driver.pod_visits_during(|driver| (0..AT_ONCE).for_each(|_| driver.send_request()));
-        assert_eq!(driver.effect_counts().attempts - before, AT_ONCE);
+            driver.pod_visits_during(|driver| (0..BURST_SIZE).for_each(|_| driver.send_request()));
+        assert_eq!(driver.effect_counts().attempts - before, BURST_SIZE);
         assert_eq!(
             visits.sorted + visits.scanned,
             0,
-            "a pass over the table within a request"
+            "a request scanned or sorted pods"
         );
-        visits.fetched as f64 / AT_ONCE as f64
+        visits.fetched as f64 / BURST_SIZE as f64
     };
-    let (few, many) = (fetched(FEW), fetched(MANY));
+    let (few, many) = (fetched(FEW_PODS), fetched(MANY_PODS));
     assert!(
         many <= 1.25 * few && many <= 60.0,
-        "fetched for a request: {few} with {FEW}, {many} with {MANY}"
+        "pods fetched for a request: {few} of {FEW_PODS}, {many} of {MANY_PODS}"
     );
 }
 
 #[test]
-fn a_tick_passes_over_the_table_twice_at_most() {
-    let mut driver = driver(MANY);
-    driver.advance_to(EPOCH + S);
+fn a_tick_scans_the_pod_table_at_most_twice() {
+    let mut driver = driver(MANY_PODS);
+    driver.advance_to(EPOCH + SECOND);
     let visits = driver.pod_visits_during(|driver| {
-        driver.advance_to(EPOCH + S + 200 * MS);
+        driver.advance_to(EPOCH + SECOND + 200 * MS);
     });
-    assert!(visits.scanned <= 2 * MANY as u64, "{visits:?}");
+    assert!(visits.scanned <= 2 * MANY_PODS as u64, "{visits:?}");
     assert!(
         visits.fetched <= 200,
-        "a tick fetches the pods that the sidecar keeps to: {visits:?}"
+        "a tick fetches more than the pods of the sidecar's subset: {visits:?}"
     );
     assert_eq!(visits.sorted, 0);
 }
 
 #[test]
-fn one_change_sorts_one_pod_and_passes_over_its_side_alone() {
-    let mut driver = driver(MANY);
+fn a_change_sorts_one_pod_and_scans_only_its_group() {
+    let mut driver = driver(MANY_PODS);
     let old = samples::pod(1);
-    let drained = ListedEndpoint {
+    let draining = ListedEndpoint {
         state: PodState::Draining,
         ..old.clone()
     };
@@ -72,47 +73,47 @@
         state: PodState::Gone,
         ..old
     };
-    let new = samples::pod_of_build(MANY + 2, 1, MS);
-    // The look at all pods that follows each list comes on top: two passes.
-    let survey = 2 * (MANY as u64 + 1);
-    let side = (MANY / samples::ZONES) as u64 + 1;
-    for change in [vec![drained], vec![gone], vec![new]] {
+    let new = samples::pod_of_build(MANY_PODS + 2, 1, MS);
+    // The update of all pods that follows each list scans the table twice in addition.
+    let update_scans = 2 * (MANY_PODS as u64 + 1);
+    let group_size = (MANY_PODS / samples::ZONES) as u64 + 1;
+    for change in [vec![draining], vec![gone], vec![new]] {
         let visits = driver.pod_visits_during(|driver| {
             driver.update_endpoints(change);
         });
         assert!(visits.sorted <= 1, "{visits:?}");
         assert!(
-            visits.scanned <= survey + side + 1,
-            "{visits:?}, survey {survey}, side {side}"
+            visits.scanned <= update_scans + group_size + 1,
+            "{visits:?}, scans of the update {update_scans}, group size {group_size}"
         );
     }
 }
 
 #[test]
-fn an_engine_at_rest_leaves_no_effects_however_much_is_listed() {
-    for pods in [FEW, MANY] {
+fn an_idle_engine_has_no_effects_however_many_pods_are_listed() {
+    for pods in [FEW_PODS, MANY_PODS] {
         let mut driver = driver(pods);
-        driver.advance_to(EPOCH + S);
+        driver.advance_to(EPOCH + SECOND);
         let before = driver.effect_counts().all();
         (0..100).for_each(|tick| {
-            driver.advance_to(EPOCH + S + tick * 200 * MS);
+            driver.advance_to(EPOCH + SECOND + tick * 200 * MS);
         });
         assert_eq!(driver.effect_counts().all(), before, "with {pods} pods");
     }
 }
 
 #[test]
-fn a_change_on_the_line_costs_the_same_in_any_list_and_a_whole_list_its_pods() {
-    let one = change_bytes(&samples::pod(MANY - 1));
+fn a_change_takes_few_bytes_and_a_complete_list_no_more_for_each_pod() {
+    let one = change_bytes(&samples::pod(MANY_PODS - 1));
     assert!(one <= 160, "{one} bytes for one change");
     let (few, many) = (
-        complete_list_bytes(&samples::pods(FEW)),
-        complete_list_bytes(&samples::pods(MANY)),
+        complete_list_bytes(&samples::pods(FEW_PODS)),
+        complete_list_bytes(&samples::pods(MANY_PODS)),
     );
-    let each = (many - few) as f64 / (MANY - FEW) as f64;
+    let bytes_per_pod = (many - few) as f64 / (MANY_PODS - FEW_PODS) as f64;
     assert!(
-        each <= one as f64,
-        "{each} bytes for a pod of a whole list, {one} for a change"
+        bytes_per_pod <= one as f64,
+        "{bytes_per_pod} bytes per pod of a complete list, {one} for a change"
     );
     let control = control_line_bytes();
     assert!(
@@ -123,14 +124,15 @@
             <= 64,
         "{control:?}"
     );
-    let read = endpoint_list::decode_cached(&endpoint_list::encode_cached(&samples::pods(MANY)))
-        .expect("its own list");
-    assert_eq!(read, samples::pods(MANY));
+    let read =
+        endpoint_list::decode_cached(&endpoint_list::encode_cached(&samples::pods(MANY_PODS)))
+            .expect("the list that was just encoded");
+    assert_eq!(read, samples::pods(MANY_PODS));
 }
 
 #[test]
-fn settings_take_4500_routes_and_150000_tenants_and_name_their_limit() {
-    let site = samples::load_settings(4_500, 150_000).expect("the size to plan for");
+fn settings_accept_4500_routes_and_150000_tenants_and_report_the_record_limit() {
+    let site = samples::load_settings(4_500, 150_000).expect("settings of the planned size");
     assert_eq!(
         (site.route_classes.len(), site.tenants.len()),
         (4_500, 150_000)
@@ -149,38 +151,39 @@
             .and_then(|tenant| tenant.index),
         Some(149_999)
     );
-    let folder = tempfile::tempdir().expect("a folder");
-    let file = folder.path().join("large.star");
-    std::fs::write(&file, samples::script(20_000, 1)).expect("a file");
+    let directory = tempfile::tempdir().expect("create a temporary directory");
+    let file = directory.path().join("large.star");
+    std::fs::write(&file, samples::script(20_000, 1)).expect("write the settings script");
     let problems = load(&file, &Given::new())
-        .expect_err("more records than a script may call for")
+        .expect_err("more records than a script may declare")
         .0;
     let problem = &problems[0];
     assert!(
         problem.file.ends_with("large.star") && problem.line == 6,
         "{problem}"
     );
-    for part in [
+    for text in [
         "path_group(...) is record 16385",
         "16384 at most",
         "paths = [...]",
     ] {
-        assert!(problem.found.contains(part), "{problem} lacks {part:?}");
+        assert!(problem.found.contains(text), "{problem} lacks {text:?}");
     }
 }
 
-/// Two engines that are asked the same; one hears of changes alone, the other of the whole list as well.
-struct Pair {
-    by_changes: Engine,
-    by_wholes: Engine,
+/// Two engines that receive the same calls. One receives only the changed pods, the other also the complete list after
+/// each change.
+struct EnginePair {
+    with_changes: Engine,
+    with_complete_lists: Engine,
     now: Nanos,
     attempts: usize,
 }
 
-impl Pair {
+impl EnginePair {
     fn compare(&mut self, call: impl Fn(&mut Engine, Nanos)) {
         let mut effects = [Vec::new(), Vec::new()];
-        for (engine, effects) in [&mut self.by_changes, &mut self.by_wholes]
+        for (engine, effects) in [&mut self.with_changes, &mut self.with_complete_lists]
             .into_iter()
             .zip(&mut effects)
         {
@@ -195,21 +198,22 @@
     }
 }
 
-/// A pod of any zone and build, and of a size whose sum rounds.
-fn any_pod(number: usize, chance: &mut Rand64) -> ListedEndpoint {
-    let build = 1 + chance.rand_range(0..2) as u32;
-    let age = chance.rand_range(0..2) * chance.rand_range(1..8) * S;
+/// Returns a random pod. Its size is a fraction, so that sums of sizes are subject to rounding.
+fn random_pod(number: usize, rng: &mut Rand64) -> ListedEndpoint {
+    let build = 1 + rng.rand_range(0..2) as u32;
+    let age = rng.rand_range(0..2) * rng.rand_range(1..8) * SECOND;
     ListedEndpoint {
-        size: 0.1 + 0.7 * chance.rand_float(),
+        size: 0.1 + 0.7 * rng.rand_float(),
         ..samples::pod_of_build(number, build, age)
     }
 }
 
-/// Lets one pod drain, go, come back as another incarnation or build, change its size, or be a new one.
-fn change(pods: &mut Vec<ListedEndpoint>, step: u64, chance: &mut Rand64) -> ListedEndpoint {
-    let at = chance.rand_range(0..pods.len() as u64) as usize;
+/// Changes one pod at random and returns the change: the pod drains, is gone, returns as another incarnation or build,
+/// has another size, or is new.
+fn random_change(pods: &mut Vec<ListedEndpoint>, step: u64, rng: &mut Rand64) -> ListedEndpoint {
+    let at = rng.rand_range(0..pods.len() as u64) as usize;
     let number = 100 + step as usize;
-    match chance.rand_range(0..5) {
+    match rng.rand_range(0..5) {
         0 => pods[at].state = PodState::Draining,
         1 if pods.len() > 20 => {
             return ListedEndpoint {
@@ -218,15 +222,15 @@
             }
         }
         2 => {
-            let renewed = any_pod(number, chance);
+            let replacement = random_pod(number, rng);
             pods[at] = ListedEndpoint {
                 name: pods[at].name.clone(),
-                ..renewed
+                ..replacement
             };
         }
-        3 => pods[at].size = 0.1 + chance.rand_float(),
+        3 => pods[at].size = 0.1 + rng.rand_float(),
         _ => {
-            let new = any_pod(number, chance);
+            let new = random_pod(number, rng);
             pods.push(new.clone());
             return new;
         }
@@ -235,16 +239,16 @@
 }
 
 #[test]
-fn changes_lead_to_the_same_decisions_as_whole_lists() {
+fn changes_lead_to_the_same_decisions_as_complete_lists() {
     for seed in 0..6 {
         let site = samples::load_settings(3, 3).expect("settings of a scale test");
         let engine = || Engine::new(EPOCH, seed, &EngineSettings::from(&site));
-        let mut chance = Rand64::new(seed as u128);
+        let mut rng = Rand64::new(seed as u128);
         let mut pods: Vec<ListedEndpoint> =
-            (0..60).map(|number| any_pod(number, &mut chance)).collect();
-        let mut pair = Pair {
-            by_changes: engine(),
-            by_wholes: engine(),
+            (0..60).map(|number| random_pod(number, &mut rng)).collect();
+        let mut pair = EnginePair {
+            with_changes: engine(),
+            with_complete_lists: engine(),
             now: EPOCH,
             attempts: 0,
         };
@@ -254,34 +258,34 @@
             pair.now += 20 * MS;
             pair.compare(|engine, now| engine.run_timers(now));
             if step % 3 == 0 {
-                let change = change(&mut pods, step, &mut chance);
+                let change = random_change(&mut pods, step, &mut rng);
                 pair.compare(|engine, now| {
                     drop(engine.update_endpoints(now, false, vec![change.clone()]))
                 });
-                // Makes this one's sides anew.
-                pair.by_wholes
+                // Makes this engine build its pod groups again.
+                pair.with_complete_lists
                     .update_endpoints(pair.now, true, pods.clone());
             }
-            let (key, left) = (step + 1, S);
-            let asked = RequestAttributes {
+            let (key, time_left) = (step + 1, SECOND);
+            let attributes = RequestAttributes {
                 route_class: 0,
                 tenant: None,
                 key,
-                remaining: left,
+                remaining: time_left,
                 cost_hint: None,
                 is_retry: false,
             };
             pair.compare(|engine, now| {
-                engine.handle_request(now, asked.clone());
+                engine.handle_request(now, attributes.clone());
             });
-            let end = if chance.rand_range(0..10) == 0 {
+            let end = if rng.rand_range(0..10) == 0 {
                 AttemptEnd::Failed
             } else {
                 AttemptEnd::Served
             };
-            if let Some(hit) = step.checked_sub(5) {
+            if let Some(request) = step.checked_sub(5) {
                 pair.compare(|engine, now| {
-                    engine.attempt_ended(now, hit, 0, end, 100 * MS, None);
+                    engine.attempt_ended(now, request, 0, end, 100 * MS, None);
                 });
             }
         }
