--- a/crates/capacity/src/report.rs
+++ b/crates/capacity/src/report.rs
@@ -30,8 +30,8 @@
     pub name: String,
     /// What [`Point::size`] counts, for example `sidecars`, `pods`, `routes` or `tenants`.
     pub size_of: String,
-    /// How it was measured: `simulated` (on the simulated network), `sockets` (over loopback), `process` (in one
-    /// process without a network) or `encoded` (computed from the sizes of encoded lines).
+    /// How it was measured: `simulated` (on the simulated network), `sockets` (over loopback), `process` (in this
+    /// process or in child processes) or `encoded` (computed from the sizes of encoded lines).
     pub measured_on: String,
     /// One point for each size, in the order in which they were measured.
     pub points: Vec<Point>,
--- a/crates/capacity/src/tables/requests.rs
+++ b/crates/capacity/src/tables/requests.rs
@@ -51,8 +51,8 @@
     let times = times?;
     let name = format!("request_at_{rate_per_s}_per_s");
     series.add_times(&name, pods, &times);
-    let each = visits.fetched as f64 / requests.max(1) as f64;
-    series.add(&format!("{name}_fetched_pods"), pods, each);
+    let fetched_per_request = visits.fetched as f64 / requests.max(1) as f64;
+    series.add(&format!("{name}_fetched_pods"), pods, fetched_per_request);
     let share = 100.0 * times.tick_share_of_core();
     let name = format!("ticks_at_{rate_per_s}_per_s_percent_of_core");
     series.add(&name, pods, share);
--- a/crates/capacity/src/test_sidecar.rs
+++ b/crates/capacity/src/test_sidecar.rs
@@ -54,7 +54,7 @@
 /// Returns the membership node of the numbered sidecar, with the default rules of the product.
 pub fn node(
     now: Nanos,
-    at: SocketAddr,
+    listen_address: SocketAddr,
     number: usize,
     incarnation: u64,
     seeds: Vec<SocketAddr>,
@@ -66,7 +66,7 @@
     let zone = format!("zone-{:02}", number % ZONES);
     let me = Member {
         id,
-        address: at,
+        address: listen_address,
         zone,
         refutations: 0,
         state: MemberState::Alive,
