--- a/crates/capacity/src/configuration.rs
+++ b/crates/capacity/src/configuration.rs
@@ -1,4 +1,4 @@
-//! How fast a configuration reaches a fleet, and what that costs each process, in a simulated network.
+//! Measures how fast configuration changes reach a fleet on the simulated network, and what that costs each process.
 
 pub mod scenarios;
 
@@ -6,48 +6,48 @@
 use crate::report::{Point, Section, Series};
 use havenplank_configuration_simulation::process::OVERHEAD_BYTES;
 
-/// Changes of one day in the size to plan with, and so the wait between two.
-pub const CHANGES_A_DAY: u64 = 6_800;
-/// Bytes a second and share of a core that a sidecar may spend on all control.
-pub const BYTES_PER_S_BUDGET: f64 = 13_000.0;
-/// The share of a core that a sidecar may spend on all control.
-pub const CORE_SHARE_BUDGET: f64 = 0.019;
-/// Seconds within which a change is in force everywhere.
-pub const SECONDS_BUDGET: f64 = 5.0;
+/// Number of changes a day in the planned fleet, which also gives the time between two changes.
+pub const CHANGES_PER_DAY: u64 = 6_800;
+/// Bytes per second that a sidecar may spend on all control traffic.
+pub const CONTROL_BUDGET_BYTES_PER_S: f64 = 13_000.0;
+/// The share of a core that a sidecar may spend on all control traffic.
+pub const CONTROL_BUDGET_CORE_SHARE: f64 = 0.019;
+/// Seconds within which a change must be in force in every process.
+pub const IN_FORCE_BUDGET_S: f64 = 5.0;
 
-/// What happens to a fleet.
+/// A sequence of changes and faults that a simulated fleet goes through.
 pub struct Scenario {
-    /// Its name in reports.
+    /// The scenario's name in reports.
     pub title: &'static str,
-    /// Plays it with so many processes, by seed.
-    pub play: fn(usize, u64) -> Outcome,
+    /// Runs the scenario with a number of processes and a seed.
+    pub run: fn(usize, u64) -> Outcome,
 }
 
 /// All scenarios, in the order in which they are measured.
 pub const SCENARIOS: [Scenario; 5] = [
     Scenario {
         title: "changes every 12.7 s",
-        play: scenarios::steady,
+        run: scenarios::steady_changes,
     },
     Scenario {
         title: "ten changes at once",
-        play: scenarios::burst,
+        run: scenarios::burst_of_changes,
     },
     Scenario {
         title: "one in a hundred restarts with an old version",
-        play: scenarios::restart_old,
+        run: scenarios::restart_with_old_version,
     },
     Scenario {
         title: "one in a hundred restarts without any",
-        play: scenarios::restart_empty,
+        run: scenarios::restart_empty,
     },
     Scenario {
         title: "one region cut off for an hour's changes",
-        play: scenarios::region_cut,
+        run: scenarios::region_partition,
     },
 ];
 
-/// One section a scenario, with a point for each number of processes.
+/// Runs all scenarios and returns a section for each, with a point for each number of processes.
 pub fn measure(sizes: &[usize], seed: u64) -> Vec<Section> {
     SCENARIOS
         .iter()
@@ -55,70 +55,70 @@
         .collect()
 }
 
-/// A quantity of an outcome.
+/// A quantity that is reported of each outcome.
 struct Quantity {
-    /// With its unit at the end.
+    /// The name of its series, with the unit at the end.
     name: &'static str,
-    of: fn(&Outcome) -> f64,
+    value_of: fn(&Outcome) -> f64,
 }
 
 const QUANTITIES: [Quantity; 11] = [
     Quantity {
         name: "in_force_p50_s",
-        of: |outcome| outcome.quantile(0.5),
+        value_of: |outcome| outcome.quantile(0.5),
     },
     Quantity {
         name: "in_force_p99_s",
-        of: |outcome| outcome.quantile(0.99),
+        value_of: |outcome| outcome.quantile(0.99),
     },
     Quantity {
         name: "in_force_worst_s",
-        of: |outcome| outcome.quantile(1.0),
+        value_of: |outcome| outcome.quantile(1.0),
     },
     Quantity {
         name: "not_reached",
-        of: |outcome| outcome.not_reached as f64,
+        value_of: |outcome| outcome.not_reached as f64,
     },
     Quantity {
         name: "sidecar_sent_bytes_per_s",
-        of: |outcome| outcome.mean.bytes_per_s,
+        value_of: |outcome| outcome.mean_sidecar.bytes_per_s,
     },
     Quantity {
         name: "sidecar_sent_messages_per_s",
-        of: |outcome| outcome.mean.messages_per_s,
+        value_of: |outcome| outcome.mean_sidecar.messages_per_s,
     },
     Quantity {
         name: "busiest_sidecar_sent_bytes_per_s",
-        of: |outcome| outcome.busiest_bytes_per_s,
+        value_of: |outcome| outcome.busiest_bytes_per_s,
     },
     Quantity {
         name: "busiest_sidecar_heard_bytes_per_s",
-        of: |outcome| outcome.busiest_heard_bytes_per_s,
+        value_of: |outcome| outcome.busiest_received_bytes_per_s,
     },
     Quantity {
         name: "writer_sent_bytes_per_s",
-        of: |outcome| outcome.writer.bytes_per_s,
+        value_of: |outcome| outcome.writer.bytes_per_s,
     },
     Quantity {
         name: "writer_sent_messages_per_s",
-        of: |outcome| outcome.writer.messages_per_s,
+        value_of: |outcome| outcome.writer.messages_per_s,
     },
     Quantity {
         name: "decision_core_share",
-        of: |outcome| outcome.mean.core_share,
+        value_of: |outcome| outcome.mean_sidecar.core_share,
     },
 ];
 
-/// What one scenario gives at each size.
+/// Runs one scenario at each size and returns its section.
 pub fn section(scenario: &Scenario, sizes: &[usize], seed: u64) -> Section {
     let outcomes: Vec<(usize, Outcome)> = sizes
         .iter()
-        .map(|size| (*size, (scenario.play)(*size, seed)))
+        .map(|size| (*size, (scenario.run)(*size, seed)))
         .collect();
     let series = QUANTITIES.iter().map(|quantity| {
         let point = |(size, outcome): &(usize, Outcome)| Point {
             size: *size as f64,
-            value: (quantity.of)(outcome),
+            value: (quantity.value_of)(outcome),
         };
         Series::new(
             quantity.name,
@@ -128,8 +128,8 @@
         )
     });
     let budgets = format!(
-        "budgets: in force everywhere within {SECONDS_BUDGET} s; {BYTES_PER_S_BUDGET} bytes/s and \
-         {CORE_SHARE_BUDGET} of a core for all control of a sidecar"
+        "budgets: a change in force everywhere within {IN_FORCE_BUDGET_S} s; {CONTROL_BUDGET_BYTES_PER_S} bytes/s and \
+         {CONTROL_BUDGET_CORE_SHARE} of a core for all control traffic of a sidecar"
     );
     let notes = outcomes
         .iter()
--- a/crates/capacity/src/lib.rs
+++ b/crates/capacity/src/lib.rs
@@ -1,7 +1,7 @@
-//! Scale tests: what each part costs at several sizes, and how that grows.
+//! Scale tests: measure what each part of the software costs at several sizes, and how the cost grows.
 //!
-//! Each module measures one part of the program and returns a [`report::Section`]; the program prints them or writes
-//! them as JSON. What is counted (messages, bytes, steps) is the same on every machine; what is timed is not.
+//! Each module measures one part and returns [`report::Section`]s, which `havenplank bench capacity` prints or writes
+//! as JSON. Counts (messages, bytes, steps) are the same on every machine; times are not.
 
 #![warn(missing_docs)]
 #![warn(
@@ -16,9 +16,9 @@
 pub mod configuration;
 pub mod discovery;
 pub mod error;
-pub mod hollow;
 pub mod membership;
 pub mod membership_sockets;
 pub mod report;
 pub mod samples;
 pub mod tables;
+pub mod test_sidecar;
--- a/crates/capacity/src/tables/mod.rs
+++ b/crates/capacity/src/tables/mod.rs
@@ -1,40 +1,42 @@
-//! What one sidecar's tables cost it: the real engine, without sockets and in virtual time.
+//! Measures what the tables of one sidecar (pods, routes, tenants) cost its engine. The engine is the product's,
+//! without sockets and in virtual time.
 
+mod call_times;
 mod driver;
 mod lists;
 mod lookups;
 mod memory;
 mod requests;
+mod series_builder;
 mod settings;
-mod table;
-mod timed;
 
-pub use self::driver::{Counts, Driver};
+pub use self::call_times::CallTimes;
+pub use self::driver::{Driver, EffectCounts};
 pub use self::lookups::route_table;
-pub use self::timed::Timed;
 
 use crate::error::CapacityError;
 use crate::report::Section;
 
-/// Requests a second of a sidecar in the mean and of the busiest.
+/// Requests per second: of a sidecar on average, and of the busiest sidecar.
 pub const RATES_PER_S: [u64; 2] = [137, 700];
 
-/// The sizes to measure at.
+/// The sizes to measure.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// Pods of one table.
+    /// Numbers of pods in the table.
     pub pods: Vec<usize>,
-    /// Pods of one zone and build each, as many as share a table today where they are of many services.
-    pub sides: Vec<usize>,
-    /// Routes of one script.
+    /// Numbers of groups into which the pods of one table are divided, each of one zone and build. In a sidecar of many
+    /// services, whose pods share one table, the groups stand for the services.
+    pub pod_groups: Vec<usize>,
+    /// Numbers of routes in a settings script.
     pub routes: Vec<usize>,
-    /// Tenants of one script.
+    /// Numbers of tenants in a settings script.
     pub tenants: Vec<usize>,
-    /// Requests for each size and rate.
+    /// Number of requests for each size and rate.
     pub requests: usize,
-    /// Changes of one pod for each size.
+    /// Number of replaced pods for each size.
     pub changes: usize,
-    /// From which all draws come.
+    /// The seed of all random numbers.
     pub seed: u64,
 }
 
@@ -43,7 +45,7 @@
     pub fn quick() -> Options {
         Options {
             pods: vec![100, 1_000, 3_000],
-            sides: vec![4, 40],
+            pod_groups: vec![4, 40],
             routes: vec![10, 400],
             tenants: vec![100, 2_000],
             requests: 500,
@@ -52,11 +54,11 @@
         }
     }
 
-    /// Returns sizes up to those to plan with.
+    /// Returns sizes up to those of the planned fleet.
     pub fn full() -> Options {
         Options {
             pods: vec![100, 1_000, 5_000, 10_000, 21_000],
-            sides: vec![10, 50, 100, 200, 400],
+            pod_groups: vec![10, 50, 100, 200, 400],
             routes: vec![10, 100, 1_000, 4_500],
             tenants: vec![100, 1_000, 10_000, 150_000],
             requests: 5_000,
@@ -70,17 +72,18 @@
     }
 }
 
-/// Measures all sections of one sidecar's tables. Memory comes first, while no freed memory is there to be used again.
+/// Measures all sections of one sidecar's tables. Memory is measured first, because memory that other measurements have
+/// freed would be reused and hide the growth.
 ///
 /// # Errors
-/// Settings of a size that the settings script refuses.
+/// The settings check rejects a generated settings script, a file cannot be written, or a histogram cannot be created.
 pub fn tables(options: &Options) -> Result<Vec<Section>, CapacityError> {
     Ok(vec![
         memory::memory(options)?,
         lists::lists(options)?,
         lists::ticks(options)?,
         requests::requests_by_pods(options)?,
-        requests::requests_by_sides(options)?,
+        requests::requests_by_pod_groups(options)?,
         requests::requests_by_routes(options)?,
         lookups::lookups(options)?,
         settings::settings(options)?,
