--- a/crates/cli/src/bench_trace.rs
+++ b/crates/cli/src/bench_trace.rs
@@ -54,29 +54,29 @@
 }
 
 /// Records a life of so many hits: a fiftieth of the forwards fail, every pod tells its load, keys are Zipf-like.
-fn live(terms: &EngineSettings, hits: u64, folder: &Path) -> anyhow::Result<PathBuf> {
-    let until = u64::MAX;
-    let (terms, wall) = (terms.clone(), 1_700_000_000 * S);
-    let mut engine = Engine::new(EPOCH, 1, &terms);
+fn live(settings: &EngineSettings, hits: u64, folder: &Path) -> anyhow::Result<PathBuf> {
+    let records_end = u64::MAX;
+    let (settings, wall_start) = (settings.clone(), 1_700_000_000 * S);
+    let mut engine = Engine::new(EPOCH, 1, &settings);
     let source = Source {
-        terms,
+        settings,
         seed: 1,
-        life: 1,
+        incarnation: 1,
         part: 0,
-        began: EPOCH,
-        wall,
-        share: 1.0,
-        whole: true,
-        until,
+        engine_start: EPOCH,
+        wall_start,
+        sample_share: 1.0,
+        is_complete: true,
+        records_end,
     };
     let limits = Limits {
-        share: 1.0,
-        queue: 1 << 30,
-        longest: 3 * S,
+        sample_share: 1.0,
+        queue_bytes: 1 << 30,
+        max_request_duration: 3 * S,
         file_bytes: u64::MAX,
         file_age: u64::MAX,
     };
-    let shelf = Folder::new(folder, "bench", wall, u64::MAX)?;
+    let shelf = Folder::new(folder, "bench", wall_start, u64::MAX)?;
     let (recorder, writing) = Recorder::start(source, limits, Box::new(shelf));
     engine = engine.with_observer(Box::new(recorder));
     engine.start(EPOCH);
@@ -234,11 +234,11 @@
     let mut lines = zstd::Encoder::new(Vec::new(), 3)?;
     let (mut compared, mut at) = (0, 0);
     while let Some(record) = reader.record()? {
-        compared += record.begins_hit() as u64;
+        compared += record.is_arrival() as u64;
         if compared > COMPARED {
             break;
         }
-        at = reader.read_to();
+        at = reader.next_block();
         writeln!(lines, "{}", json_view::line(&record, &reader.head))?;
     }
     let as_json = lines.finish()?.len() as f64 / compared.clamp(1, COMPARED) as f64;
@@ -259,7 +259,7 @@
     println!(
         "opened in {:.2} ms; 10 s cut ({} hits) in {:.1} ms; {records} records read in {:.2} s",
         opened.as_secs_f64() * 1e3,
-        made.hits,
+        made.requests,
         cutting.as_secs_f64() * 1e3,
         whole.as_secs_f64()
     );
@@ -279,8 +279,8 @@
     let (played, _) = replay::replay(vec![open(&file)?])?;
     let replaying = began.elapsed().as_secs_f64();
     let outcome = &played.first().context("a source")?.1;
-    let per_s = outcome.hits as f64 / replaying;
-    let same = outcome.differs.is_none() && outcome.hits == hits;
+    let per_s = outcome.requests as f64 / replaying;
+    let same = outcome.first_difference.is_none() && outcome.requests == hits;
     println!("replayed in {replaying:.1} s, {per_s:.0} hits/s, identical: {same}");
     if let Some(file) = json {
         let value = json!({
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -4,7 +4,7 @@
 use havenplank_settings::Site;
 use havenplank_sidecar::engine::{EngineSettings, EPOCH};
 use havenplank_sidecar::events::Observer;
-use havenplank_trace::recorder::{Folder, Limits, Recorder, Writing};
+use havenplank_trace::recorder::{Folder, Limits, Recorder, WriterHandle};
 use havenplank_trace::Source;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::runtime::LocalOptions;
@@ -20,32 +20,32 @@
 }
 
 /// The recorder that the settings ask for, if they do.
-fn recorder(site: &Site, seed: u64) -> anyhow::Result<Option<(Recorder, Writing)>> {
+fn recorder(site: &Site, seed: u64) -> anyhow::Result<Option<(Recorder, WriterHandle)>> {
     let Some(trace) = &site.trace else {
         return Ok(None);
     };
-    let wall = wall();
-    let folder = Folder::new(&trace.folder, &site.name, wall, trace.total_bytes);
+    let wall_start = wall();
+    let folder = Folder::new(&trace.folder, &site.name, wall_start, trace.total_bytes);
     let folder = folder.with_context(|| format!("trace.folder: {}", trace.folder.display()))?;
-    let (terms, life) = (
+    let (settings, incarnation) = (
         EngineSettings::from(site),
-        wall ^ (std::process::id() as u64) << 32,
+        wall_start ^ (std::process::id() as u64) << 32,
     );
     let source = Source {
-        terms,
+        settings,
         seed,
-        life,
+        incarnation,
         part: 0,
-        began: EPOCH,
-        wall,
-        share: 1.0,
-        whole: true,
-        until: u64::MAX,
+        engine_start: EPOCH,
+        wall_start,
+        sample_share: 1.0,
+        is_complete: true,
+        records_end: u64::MAX,
     };
     let limits = Limits {
-        share: trace.share,
-        queue: trace.queue_bytes,
-        longest: site
+        sample_share: trace.share,
+        queue_bytes: trace.queue_bytes,
+        max_request_duration: site
             .route_classes
             .iter()
             .map(|group| group.rules.client_timeout)
--- a/crates/cli/src/traces/anonymise.rs
+++ b/crates/cli/src/traces/anonymise.rs
@@ -29,10 +29,10 @@
 /// Returns the key in `file`, which is created with a new key where it does not exist.
 fn read_or_create_key(file: Option<&Path>) -> anyhow::Result<anonymise::Key> {
     let Some(file) = file else {
-        return Ok(anonymise::draw_key()?);
+        return Ok(anonymise::random_key()?);
     };
     if !file.exists() {
-        let key = anonymise::draw_key()?;
+        let key = anonymise::random_key()?;
         let text: String = key.iter().map(|byte| format!("{byte:02x}")).collect();
         std::fs::write(file, text + "\n").with_context(|| format!("{}", file.display()))?;
         return Ok(key);
--- a/crates/cli/src/traces/cut.rs
+++ b/crates/cli/src/traces/cut.rs
@@ -15,13 +15,13 @@
     }
     let (cut, damage) = write(output, |out| cut::cut(&mut reader, out, from, to))?;
     let Cut {
-        hits,
+        requests,
         records,
         blocks,
         unfinished,
     } = cut;
     let all_blocks = reader.index.len();
-    println!("{hits} hits, {records} records, {blocks} of {all_blocks} blocks read");
+    println!("{requests} hits, {records} records, {blocks} of {all_blocks} blocks read");
     if unfinished > 0 {
         println!("{unfinished} hits are not followed to their end");
     }
--- a/crates/cli/src/traces/drive.rs
+++ b/crates/cli/src/traces/drive.rs
@@ -35,7 +35,7 @@
 
 fn source_names(reader: &Opened) -> Vec<String> {
     let sources = reader.head.sources.iter();
-    sources.map(|source| source.terms.name.clone()).collect()
+    sources.map(|source| source.settings.name.clone()).collect()
 }
 
 /// Returns the index of the named source, or of the only one.
--- a/crates/cli/src/traces/export.rs
+++ b/crates/cli/src/traces/export.rs
@@ -22,9 +22,9 @@
     let mut reader = open(file)?;
     let mut shown = 0;
     let damage = for_each_record(&mut reader, |record, head| {
-        let name = &head.sources[record.source].terms.name;
+        let name = &head.sources[record.source].settings.name;
         let is_source = source.is_none_or(|source| source == name);
-        if is_source && record.hit() == Some(request) {
+        if is_source && record.request_id() == Some(request) {
             println!("{}", json_view::line(&record, head));
             shown += 1;
         }
--- a/crates/cli/src/traces/files.rs
+++ b/crates/cli/src/traces/files.rs
@@ -1,7 +1,7 @@
 //! Opening, writing and reading trace files, and the times of the command line.
 
 use anyhow::{bail, Context};
-use havenplank_trace::file::{TraceError, MAJOR, MINOR};
+use havenplank_trace::file::{TraceError, MAJOR_VERSION, MINOR_VERSION};
 use havenplank_trace::{Head, Reader, Record};
 use std::fs::File;
 use std::io::{BufReader, BufWriter, Write};
@@ -16,13 +16,13 @@
     let opened = File::open(file).with_context(|| format!("{}", file.display()))?;
     let reader =
         Reader::open(BufReader::new(opened)).with_context(|| format!("{}", file.display()))?;
-    if let Some(why) = &reader.rebuilt {
+    if let Some(why) = &reader.index_error {
         eprintln!("{}: {why}; read by its blocks", file.display());
     }
-    if reader.minor > MINOR {
-        let minor = reader.minor;
+    if reader.minor_version > MINOR_VERSION {
+        let minor = reader.minor_version;
         eprintln!(
-            "{}: version {MAJOR}.{minor} is newer; what is new in it is passed over",
+            "{}: version {MAJOR_VERSION}.{minor} is newer; what is new in it is passed over",
             file.display()
         );
     }
@@ -76,12 +76,12 @@
     let wall = at
         .duration_since(UNIX_EPOCH)
         .map_or(0, |since| since.as_nanos() as u64);
-    Ok(reader.head.clock(wall))
+    Ok(reader.head.file_time(wall))
 }
 
 /// Formats a time of the file, in nanoseconds on its clock, as RFC 3339 in UTC.
 pub(super) fn format_time(reader: &Opened, at: u64) -> String {
-    let wall = UNIX_EPOCH + Duration::from_nanos(reader.head.wall(at));
+    let wall = UNIX_EPOCH + Duration::from_nanos(reader.head.wall_time(at));
     humantime::format_rfc3339_millis(wall).to_string()
 }
 
--- a/crates/cli/src/traces/from_bench.rs
+++ b/crates/cli/src/traces/from_bench.rs
@@ -2,17 +2,19 @@
 
 use super::files::write;
 use anyhow::Context;
-use havenplank_trace::from_wire;
+use havenplank_trace::from_adapter;
 use std::fs::File;
 use std::io::BufReader;
 use std::path::Path;
 
 /// Writes a trace from what the adapter read (`input`) and wrote (`output`).
 pub(super) fn from_bench(input: &Path, output: &Path, trace: &Path) -> anyhow::Result<u8> {
-    let sources = from_wire::sources(open_lines(input)?);
+    let sources = from_adapter::sources(open_lines(input)?);
     let sources = sources.with_context(|| format!("{}", input.display()))?;
     let (read, written) = (open_lines(input)?, open_lines(output)?);
-    let records = write(trace, |out| from_wire::write(read, written, sources, out))?;
+    let records = write(trace, |out| {
+        from_adapter::write(read, written, sources, out)
+    })?;
     println!("{records} records");
     Ok(0)
 }
--- a/crates/cli/src/traces/info.rs
+++ b/crates/cli/src/traces/info.rs
@@ -1,14 +1,14 @@
 //! `havenplank trace info`: prints what a trace holds.
 
 use super::files::{format_time, open, Opened};
-use havenplank_trace::file::{Entry, MAJOR};
+use havenplank_trace::file::{IndexEntry, MAJOR_VERSION};
 use havenplank_trace::{Head, Source};
 use std::path::Path;
 
 /// Prints version, sources, time span and counts, by head and index alone.
 pub(super) fn info(file: &Path) -> anyhow::Result<u8> {
     let reader = open(file)?;
-    print_head(&reader.head, reader.minor);
+    print_head(&reader.head, reader.minor_version);
     if let Some((first, last)) = reader.span() {
         let (first, last) = (format_time(&reader, first), format_time(&reader, last));
         println!("{first} to {last}");
@@ -18,8 +18,8 @@
 }
 
 fn print_head(head: &Head, minor: u16) {
-    let (program, settings) = (&head.program, &head.settings);
-    println!("version {MAJOR}.{minor}, written by {program}, settings {settings}");
+    let (program, settings) = (&head.program, &head.settings_hash);
+    println!("version {MAJOR_VERSION}.{minor}, written by {program}, settings {settings}");
     if head.anonymised {
         println!("anonymised: names are stand-ins");
     }
@@ -27,22 +27,22 @@
 }
 
 fn print_source(source: &Source) {
-    let (name, share) = (&source.terms.name, source.share);
+    let (name, share) = (&source.settings.name, source.sample_share);
     let (part, seed) = (source.part, source.seed);
-    let note = if source.whole {
+    let note = if source.is_complete {
         ""
     } else {
         ", not all records"
     };
     println!(
         "{name}: life {:016x} part {part}, seed {seed}, share {share}{note}",
-        source.life
+        source.incarnation
     );
 }
 
 fn print_counts(reader: &Opened) {
-    let sum = |of: fn(&Entry) -> u32| reader.index.iter().map(|e| of(e) as u64).sum::<u64>();
-    let (hits, records) = (sum(|e| e.hits), sum(|e| e.records));
+    let sum = |of: fn(&IndexEntry) -> u32| reader.index.iter().map(|e| of(e) as u64).sum::<u64>();
+    let (hits, records) = (sum(|e| e.requests), sum(|e| e.records));
     let (packed, unpacked) = (sum(|e| e.packed), sum(|e| e.unpacked));
     let blocks = reader.index.len();
     println!("{hits} hits, {records} records in {blocks} blocks");
--- a/crates/cli/src/traces/replay.rs
+++ b/crates/cli/src/traces/replay.rs
@@ -11,7 +11,7 @@
     let mut status = 0;
     for (name, outcome) in outcomes {
         print_outcome(&name, &outcome);
-        if outcome.differs.is_some() {
+        if outcome.first_difference.is_some() {
             status = BROKEN;
         }
     }
@@ -24,17 +24,17 @@
 
 fn print_outcome(name: &str, outcome: &Outcome) {
     let Outcome {
-        hits,
+        requests,
         compared,
         records,
-        differs,
-        stopped,
+        first_difference,
+        stopped_at,
     } = outcome;
-    println!("{name}: {hits} hits, {records} records, {compared} decisions compared");
-    if let Some(at) = stopped {
+    println!("{name}: {requests} hits, {records} records, {compared} decisions compared");
+    if let Some(at) = stopped_at {
         println!("{name}: played up to {at}, from where records are missing");
     }
-    let Some(difference) = differs else {
+    let Some(difference) = first_difference else {
         println!("{name}: identical");
         return;
     };
--- a/crates/cli/src/traces/summarise.rs
+++ b/crates/cli/src/traces/summarise.rs
@@ -47,10 +47,10 @@
 fn write_totals(out: &mut String, reader: &Opened, summary: &Summary) -> fmt::Result {
     let first = format_time(reader, summary.first);
     let last = format_time(reader, summary.last);
-    let (hits, records) = (summary.hits, summary.records);
-    writeln!(out, "{first} to {last}: {hits} hits, {records} records")?;
+    let (requests, records) = (summary.requests, summary.records);
+    writeln!(out, "{first} to {last}: {requests} hits, {records} records")?;
     let notes = [
-        (summary.lost_hits, "hits were left out when recorded"),
+        (summary.lost_requests, "hits were left out when recorded"),
         (summary.lost_records, "records were lost when recorded"),
         (summary.unfinished, "hits are not followed to their end"),
         (
@@ -68,19 +68,19 @@
     writeln!(out, "\nbuild  path group        hits  delivered    in time  bounced  errored     left   p50 ms   p99 ms  forwards")?;
     for ((build, class), figures) in &summary.builds {
         let Figures {
-            hits,
+            requests,
             delivered,
             in_time,
-            bounced,
-            errored,
-            left,
+            rejected,
+            failed,
+            client_left,
             ..
         } = figures;
         let (p50, p99) = (figures.latency_ms(0.5), figures.latency_ms(0.99));
-        let ends = ends(&figures.forwards);
+        let ends = ends(&figures.attempts);
         writeln!(
             out,
-            "{build:<6} {class:<14} {hits:>8} {delivered:>10} {in_time:>10} {bounced:>8} {errored:>8} {left:>8} {p50:>8.1} {p99:>8.1}  {ends}"
+            "{build:<6} {class:<14} {requests:>8} {delivered:>10} {in_time:>10} {rejected:>8} {failed:>8} {client_left:>8} {p50:>8.1} {p99:>8.1}  {ends}"
         )?;
     }
     Ok(())
@@ -102,19 +102,19 @@
 }
 
 fn write_exposure(out: &mut String, summary: &Summary) -> fmt::Result {
-    if !summary.exposed.is_empty() {
+    if !summary.exposure.is_empty() {
         writeln!(
             out,
             "\nsidecar (build)      exposed    taken   share  most of the cap in a window"
         )?;
     }
-    for ((name, build), exposed) in &summary.exposed {
-        let share = exposed.hits as f64 / exposed.taken.max(1) as f64;
+    for ((name, build), exposed) in &summary.exposure {
+        let share = exposed.exposed_requests as f64 / exposed.arrived_requests.max(1) as f64;
         let sidecar = format!("{name} ({build})");
         writeln!(
             out,
             "{sidecar:<20} {:>7} {:>8} {share:>7.3}  {:.2}",
-            exposed.hits, exposed.taken, exposed.most
+            exposed.exposed_requests, exposed.arrived_requests, exposed.max_allowance_used
         )?;
     }
     Ok(())
@@ -134,11 +134,11 @@
             "\nfrom                      build     hits  delivered    in time  bounced  errored"
         )?;
     }
-    for ((at, build), [hits, delivered, in_time, bounced, errored]) in &summary.spans {
+    for ((at, build), [requests, delivered, in_time, rejected, failed]) in &summary.spans {
         let at = format_time(reader, *at);
         writeln!(
             out,
-            "{at:<25} {build:<5} {hits:>8} {delivered:>10} {in_time:>10} {bounced:>8} {errored:>8}"
+            "{at:<25} {build:<5} {requests:>8} {delivered:>10} {in_time:>10} {rejected:>8} {failed:>8}"
         )?;
     }
     Ok(())
@@ -148,35 +148,35 @@
 fn summary_json(summary: &Summary) -> serde_json::Value {
     let builds = summary.builds.iter().map(|((build, group), f)| {
         json!({
-            "build": build, "path_group": group, "hits": f.hits, "delivered": f.delivered,
-            "in_time": f.in_time, "bounced": f.bounced, "errored": f.errored, "left": f.left,
-            "forwards": f.forwards, "p50_ms": f.latency_ms(0.5), "p99_ms": f.latency_ms(0.99),
+            "build": build, "path_group": group, "hits": f.requests, "delivered": f.delivered,
+            "in_time": f.in_time, "bounced": f.rejected, "errored": f.failed, "left": f.client_left,
+            "forwards": f.attempts, "p50_ms": f.latency_ms(0.5), "p99_ms": f.latency_ms(0.99),
         })
     });
     let pods = summary
         .pods
         .iter()
         .map(|((pod, build), ends)| json!({"pod": pod, "build": build, "forwards": ends}));
-    let exposed = summary.exposed.iter().map(|((name, build), e)| {
+    let exposed = summary.exposure.iter().map(|((name, build), e)| {
         json!({
-            "sidecar": name, "build": build, "exposed": e.hits, "taken": e.taken, "windows": e.windows,
-            "most_of_cap": e.most,
+            "sidecar": name, "build": build, "exposed": e.exposed_requests, "taken": e.arrived_requests, "windows": e.windows,
+            "most_of_cap": e.max_allowance_used,
         })
     });
     let votes = summary.votes.iter().map(|((build, stage, voice), count)| {
         json!({"build": build, "stage": stage, "voice": voice, "votes": count})
     });
     let spans = summary.spans.iter().map(
-        |((at, build), [hits, delivered, in_time, bounced, errored])| {
+        |((at, build), [requests, delivered, in_time, rejected, failed])| {
             json!({
-                "at": at, "build": build, "hits": hits, "delivered": delivered, "in_time": in_time,
-                "bounced": bounced, "errored": errored,
+                "at": at, "build": build, "hits": requests, "delivered": delivered, "in_time": in_time,
+                "bounced": rejected, "errored": failed,
             })
         },
     );
     json!({
-        "hits": summary.hits, "records": summary.records, "skipped": summary.skipped,
-        "unfinished": summary.unfinished, "lost_hits": summary.lost_hits, "lost_records": summary.lost_records,
+        "hits": summary.requests, "records": summary.records, "skipped": summary.skipped,
+        "unfinished": summary.unfinished, "lost_hits": summary.lost_requests, "lost_records": summary.lost_records,
         "builds": builds.collect::<Vec<_>>(), "pods": pods.collect::<Vec<_>>(),
         "exposed": exposed.collect::<Vec<_>>(), "votes": votes.collect::<Vec<_>>(),
         "spans": spans.collect::<Vec<_>>(),
--- a/crates/emulator/src/drive/control_plane.rs
+++ b/crates/emulator/src/drive/control_plane.rs
@@ -119,7 +119,7 @@
 
 impl Replay {
     fn class_name(&self, class: RouteClassId) -> Option<&str> {
-        let classes = &self.script.source.terms.route_classes;
+        let classes = &self.script.source.settings.route_classes;
         classes.get(class).map(|(name, _)| name.as_str())
     }
 }
--- a/crates/emulator/src/drive/recording.rs
+++ b/crates/emulator/src/drive/recording.rs
@@ -7,7 +7,7 @@
 use havenplank::interface::{Build, Nanos, RequestId};
 use havenplank_sidecar::engine::{Effect, RequestAttributes};
 use havenplank_sidecar::events::Event;
-use havenplank_trace::{Reader, Record, What};
+use havenplank_trace::{Payload, Reader, Record};
 use std::collections::HashMap;
 use std::io::{Read, Seek};
 
@@ -52,17 +52,19 @@
             continue;
         }
         if began.is_none() {
-            began = Some(record.own);
+            began = Some(record.engine_time);
             // A cut trace begins with the stage that was in force.
             let standing = reader
-                .standing
+                .stages_in_force
                 .iter()
                 .find(|standing| standing.source == number);
             if let Some(standing) = standing {
                 reading.notify(Notification::Stage(standing.stage));
             }
         }
-        reading.script.length = record.own.saturating_sub(began.unwrap_or(record.own));
+        reading.script.length = record
+            .engine_time
+            .saturating_sub(began.unwrap_or(record.engine_time));
         reading.take(record)?;
     }
     let mut script = reading.script;
@@ -84,12 +86,12 @@
     }
 
     fn take(&mut self, record: Record) -> Result<(), DriveError> {
-        match record.what {
-            What::Event(Event::RequestArrived {
+        match record.payload {
+            Payload::Event(Event::RequestArrived {
                 request,
                 attributes,
             }) => self.arrived(request, attributes)?,
-            What::Event(Event::FaultReported {
+            Payload::Event(Event::FaultReported {
                 route_class, ago, ..
             }) => {
                 let pod = record.pod.map(|pod| pod.name.clone()).unwrap_or_default();
@@ -99,12 +101,12 @@
                     ago,
                 });
             }
-            What::Event(event) => self.take_event(event),
-            What::Effect(effect) => {
+            Payload::Event(event) => self.take_event(event),
+            Payload::Effect(effect) => {
                 let build = record.pod.as_ref().map_or(0, |pod| pod.build);
                 self.take_effect(effect, build);
             }
-            What::Lost { .. } => {}
+            Payload::Lost { .. } => {}
         }
         Ok(())
     }
--- a/crates/emulator/src/drive/requests.rs
+++ b/crates/emulator/src/drive/requests.rs
@@ -50,7 +50,7 @@
 
     /// Sends a request and counts its outcome.
     pub(super) async fn send(&self, replay: &Replay, recorded: &RecordedRequest) {
-        let terms = &replay.script.source.terms;
+        let terms = &replay.script.source.settings;
         let wait = Duration::from_nanos(recorded.attributes.remaining) + ANSWER_GRACE;
         let exchange = self.exchange(terms, recorded);
         let answer = timeout(wait, exchange).await.ok().flatten();
--- a/crates/emulator/src/drive/runner.rs
+++ b/crates/emulator/src/drive/runner.rs
@@ -42,7 +42,7 @@
     let script = read_script(reader, number)?;
     let discovery = TcpListener::bind(ANY_PORT).await?;
     let control = TcpListener::bind(ANY_PORT).await?;
-    let terms = &script.source.terms;
+    let terms = &script.source.settings;
     let text = settings_script(terms, discovery.local_addr()?, control.local_addr()?);
     let settings = folder.join("drive.star");
     std::fs::write(&settings, text)?;
--- a/crates/emulator/src/drive/script.rs
+++ b/crates/emulator/src/drive/script.rs
@@ -133,7 +133,7 @@
     }
 
     fn unlisted_pod(&self, build: Build, n: usize) -> ListedEndpoint {
-        let terms = &self.source.terms;
+        let terms = &self.source.settings;
         let machine = terms.machines.first().cloned();
         ListedEndpoint {
             name: format!("build-{build}-pod-{n}"),
--- a/crates/trace/src/anonymise.rs
+++ b/crates/trace/src/anonymise.rs
@@ -1,7 +1,7 @@
 //! Anonymises a trace: every name is replaced by a pseudonym, the same for the same name, that tells nothing of the name.
 
 use crate::file::{Reader, TraceError, Writer};
-use crate::record::{Head, PodSnapshot, Record, StageInForce, What};
+use crate::record::{Head, Payload, PodSnapshot, Record, StageInForce};
 use havenplank_line_protocol::endpoint_list::ListedEndpoint;
 use havenplank_sidecar::engine::Effect;
 use havenplank_sidecar::events::Event;
@@ -23,10 +23,10 @@
 ///
 /// # Errors
 /// The system has no random numbers to give.
-pub fn draw_key() -> Result<Key, TraceError> {
+pub fn random_key() -> Result<Key, TraceError> {
     let mut key = [0; 32];
     getrandom::fill(&mut key)
-        .map_err(|error| TraceError::Unfit(format!("no key to be drawn: {error}")))?;
+        .map_err(|error| TraceError::Unusable(format!("no key to be drawn: {error}")))?;
     Ok(key)
 }
 
@@ -108,7 +108,7 @@
     fn head(&self, head: &Head) -> Head {
         let mut sources = head.sources.clone();
         for source in &mut sources {
-            let settings = &mut source.terms;
+            let settings = &mut source.settings;
             settings.name = self.name("sidecar", &settings.name);
             let replace = |names: &mut Vec<String>, kind| {
                 names
@@ -133,14 +133,14 @@
 
     fn record(&mut self, record: &mut Record) {
         record.pod = record.pod.take().map(|card| self.pod(&card));
-        match &mut record.what {
-            What::Event(Event::RequestArrived { attributes, .. }) => {
+        match &mut record.payload {
+            Payload::Event(Event::RequestArrived { attributes, .. }) => {
                 attributes.key = self.idempotency_key(attributes.key)
             }
-            What::Event(Event::EndpointsListed { pods, .. }) => {
+            Payload::Event(Event::EndpointsListed { pods, .. }) => {
                 pods.iter_mut().for_each(|pod| self.endpoint(pod))
             }
-            What::Effect(Effect::Log(text)) => *text = self.name("log", text),
+            Payload::Effect(Effect::Log(text)) => *text = self.name("log", text),
             _ => {}
         }
     }
--- a/crates/trace/src/columns/decoder.rs
+++ b/crates/trace/src/columns/decoder.rs
@@ -23,7 +23,7 @@
     keys: Vec<u64>,
     texts: Vec<String>,
     /// The stages in force before the first record, one for each source that has any.
-    pub standing: Vec<StageInForce>,
+    pub stages_in_force: Vec<StageInForce>,
     last_values: LastValues,
     at: Nanos,
     has_unknown_value: bool,
@@ -46,7 +46,7 @@
             pods,
             keys,
             texts,
-            standing,
+            stages_in_force,
             ..
         } = body;
         Ok(BlockDecoder {
@@ -55,7 +55,7 @@
             columns,
             keys,
             texts,
-            standing,
+            stages_in_force,
             last_values: LastValues::default(),
             at: first_at,
             has_unknown_value: false,
@@ -102,15 +102,15 @@
         let source = source.map_err(|_| ColumnError::OutOfRange(SOURCE_COLUMN))?;
         self.has_unknown_value = false;
         self.text_budget = MAX_RECORD_TEXT_BYTES;
-        let Some(what) = blank_payload(kind) else {
+        let Some(payload) = blank_payload(kind) else {
             self.skipped += 1;
             return Ok(None);
         };
         let record = Record {
             at: self.at,
-            own: self.at.wrapping_add(own_offset),
+            engine_time: self.at.wrapping_add(own_offset),
             source: usize::from(source),
-            what,
+            payload,
             pod: None,
         };
         Ok(Some((kind as u16, record)))
--- a/crates/trace/src/columns/encoder.rs
+++ b/crates/trace/src/columns/encoder.rs
@@ -22,7 +22,7 @@
     key_entries: HashMap<u64, u64>,
     texts: Vec<String>,
     text_entries: HashMap<String, u64>,
-    standing: Vec<StageInForce>,
+    stages_in_force: Vec<StageInForce>,
     source: usize,
     /// Unpacked bytes of the block so far, about.
     pub bytes: usize,
@@ -40,7 +40,7 @@
 
 impl BlockEncoder {
     /// Begins a block; `standing` holds the stages in force before its first record.
-    pub fn new(standing: Vec<StageInForce>) -> BlockEncoder {
+    pub fn new(stages_in_force: Vec<StageInForce>) -> BlockEncoder {
         BlockEncoder {
             columns: vec![Vec::new(); COLUMN_COUNT],
             last_values: LastValues::default(),
@@ -50,7 +50,7 @@
             key_entries: HashMap::new(),
             texts: Vec::new(),
             text_entries: HashMap::new(),
-            standing,
+            stages_in_force,
             source: 0,
             bytes: 0,
             records: 0,
@@ -68,7 +68,7 @@
             self.at = record.at;
         }
         let at = record.at.max(self.at);
-        let kind = kind_number(&record.what);
+        let kind = kind_number(&record.payload);
         self.source = record.source;
         let source = record.source as u64;
         // Encoding never fails: the errors of the visitor are the decoder's.
@@ -76,11 +76,15 @@
         let _ = self.number(KIND_COLUMN, &mut (kind as u64));
         let _ = self.number(TIME_COLUMN, &mut step);
         let _ = self.number(SOURCE_COLUMN, &mut { source });
-        let _ = self.delta(OWN_TIME_COLUMN, source, &mut record.own.wrapping_sub(at));
+        let _ = self.delta(
+            OWN_TIME_COLUMN,
+            source,
+            &mut record.engine_time.wrapping_sub(at),
+        );
         let _ = visit_record(self, kind, source, &mut record);
         self.at = at;
         self.records += 1;
-        self.requests += record.begins_hit() as u32;
+        self.requests += record.is_arrival() as u32;
         self.shared += record.is_shared() as u32;
     }
 
@@ -95,7 +99,7 @@
             pods: self.pods.clone(),
             keys: self.keys.clone(),
             texts: self.texts.clone(),
-            standing: self.standing.clone(),
+            stages_in_force: self.stages_in_force.clone(),
             columns: columns
                 .map(|(column, bytes)| (column as u16, &bytes[..]))
                 .collect(),
--- a/crates/trace/src/columns/kind.rs
+++ b/crates/trace/src/columns/kind.rs
@@ -1,6 +1,6 @@
 //! The number that each kind of record has in a file, and an empty payload of each kind to decode into.
 
-use crate::record::What;
+use crate::record::Payload;
 use havenplank::interface::{
     AttemptEnd, HealthCheckResult, Phase, PodState, Stage, Tally, Vote, VoteReceipt, VoteReply,
 };
@@ -19,9 +19,9 @@
 };
 
 /// Returns the number of a record's kind. New kinds get new numbers, and none is ever reused.
-pub(super) fn kind_number(what: &What) -> u16 {
-    match what {
-        What::Event(told) => match told {
+pub(super) fn kind_number(payload: &Payload) -> u16 {
+    match payload {
+        Payload::Event(told) => match told {
             Event::Started => 1,
             Event::RequestArrived { .. } => 2,
             Event::SendPermission { .. } => 3,
@@ -37,7 +37,7 @@
             Event::TimerFired(_) => 13,
             Event::RequestResumed { .. } => 14,
         },
-        What::Effect(effect) => match effect {
+        Payload::Effect(effect) => match effect {
             Effect::SendAttempt { .. } => 16,
             Effect::CancelAttempt { .. } => 17,
             Effect::Reject { .. } => 18,
@@ -48,17 +48,17 @@
             Effect::WatchEndpoints(_) => 23,
             Effect::Log(_) => 24,
         },
-        What::Lost { .. } => 25,
+        Payload::Lost { .. } => 25,
     }
 }
 
 /// Returns an empty payload of a kind, whose fields the decoder fills; `None` for a kind of a newer version.
-pub(super) fn blank_payload(kind: u64) -> Option<What> {
+pub(super) fn blank_payload(kind: u64) -> Option<Payload> {
     match kind {
-        1..=14 => blank_event(kind).map(What::Event),
-        16..=24 => blank_effect(kind).map(What::Effect),
-        25 => Some(What::Lost {
-            hits: 0,
+        1..=14 => blank_event(kind).map(Payload::Event),
+        16..=24 => blank_effect(kind).map(Payload::Effect),
+        25 => Some(Payload::Lost {
+            requests: 0,
             records: 0,
         }),
         _ => None,
--- a/crates/trace/src/columns/mod.rs
+++ b/crates/trace/src/columns/mod.rs
@@ -36,7 +36,7 @@
     pods: Vec<PodSnapshot>,
     keys: Vec<u64>,
     texts: Vec<String>,
-    standing: Vec<StageInForce>,
+    stages_in_force: Vec<StageInForce>,
     #[serde(borrow)]
     columns: Vec<(u16, &'a [u8])>,
 }
--- a/crates/trace/src/columns/visit.rs
+++ b/crates/trace/src/columns/visit.rs
@@ -4,7 +4,7 @@
 use super::field_visitor::FieldVisitor;
 use super::kind::{blank_endpoint, BLANK_STAGE};
 use super::COLUMNS_PER_KIND;
-use crate::record::{PodSnapshot, Record, What};
+use crate::record::{Payload, PodSnapshot, Record};
 use havenplank::interface::{
     AttemptEnd, LoadReport, Nanos, Phase, PodId, PodState, PriorAttempt, RequestId, Stage, Tally,
     Vote, VoteReceipt, VoteReply,
@@ -68,13 +68,13 @@
     let context = Context {
         first: kind * COLUMNS_PER_KIND,
         source,
-        own_time: record.own,
+        own_time: record.engine_time,
     };
-    match &mut record.what {
-        What::Event(event) => visit_event(visitor, context, event, &mut record.pod),
-        What::Effect(effect) => visit_effect(visitor, context, effect, &mut record.pod),
-        What::Lost { hits, records } => {
-            visitor.number(context.first, hits)?;
+    match &mut record.payload {
+        Payload::Event(event) => visit_event(visitor, context, event, &mut record.pod),
+        Payload::Effect(effect) => visit_effect(visitor, context, effect, &mut record.pod),
+        Payload::Lost { requests, records } => {
+            visitor.number(context.first, requests)?;
             visitor.number(context.first + 1, records)
         }
     }
--- a/crates/trace/src/cut.rs
+++ b/crates/trace/src/cut.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Cut {
     /// Requests that began between the times.
-    pub hits: u64,
+    pub requests: u64,
     /// Records copied.
     pub records: u64,
     /// Blocks that were read.
@@ -58,10 +58,10 @@
     let written = output.finish()?;
     if !written && damage.is_none() {
         let why = "nothing was recorded within these times";
-        return Err(TraceError::Unfit(why.into()));
+        return Err(TraceError::Unusable(why.into()));
     }
     let mut cut = cutter.cut;
-    cut.blocks = reader.read_to() - first_block;
+    cut.blocks = reader.next_block() - first_block;
     cut.unfinished = cutter.timelines.in_flight();
     Ok((cut, damage))
 }
@@ -73,8 +73,8 @@
     let (first, last) = reader.span().unwrap_or((Nanos::MAX, 0));
     let until = if head.merged { Nanos::MAX } else { to };
     for source in &mut head.sources {
-        source.whole &= from <= first && (!head.merged || last < to);
-        source.until = source.until.min(until);
+        source.is_complete &= from <= first && (!head.merged || last < to);
+        source.records_end = source.records_end.min(until);
     }
     head
 }
@@ -105,14 +105,14 @@
             return false;
         }
         let is_within = record.at < self.to;
-        let is_taken = match record.hit() {
-            Some(_) if record.opens_hit() => is_within,
+        let is_taken = match record.request_id() {
+            Some(_) if record.begins_request() => is_within,
             Some(request) => self.timelines.contains(record.source, request),
             None => is_within,
         };
         if is_taken {
             self.timelines.record(record);
-            self.cut.hits += record.begins_hit() as u64;
+            self.cut.requests += record.is_arrival() as u64;
             self.cut.records += 1;
         }
         is_taken
@@ -133,7 +133,9 @@
         reader: &Reader<R>,
     ) -> Result<Output<W>, TraceError> {
         let mut writer = match self {
-            Output::Unopened(out) => Box::new(Writer::new(out, head, reader.standing.clone())?),
+            Output::Unopened(out) => {
+                Box::new(Writer::new(out, head, reader.stages_in_force.clone())?)
+            }
             Output::Open(writer) => writer,
         };
         writer.put(record)?;
--- a/crates/trace/src/file/block_frame.rs
+++ b/crates/trace/src/file/block_frame.rs
@@ -1,6 +1,6 @@
 //! The frame in front of each block and of the index.
 
-use super::Entry;
+use super::IndexEntry;
 
 /// Bytes of a frame.
 pub(super) const FRAME_BYTES: usize = 48;
@@ -10,7 +10,7 @@
 pub(super) const INDEX_TAG: &[u8; 4] = b"HPix";
 
 /// Returns the bytes of a frame; `checksum` is that of the bytes that follow it.
-pub(super) fn encode_frame(tag: &[u8; 4], entry: &Entry, checksum: u32) -> [u8; FRAME_BYTES] {
+pub(super) fn encode_frame(tag: &[u8; 4], entry: &IndexEntry, checksum: u32) -> [u8; FRAME_BYTES] {
     let mut frame = [0; FRAME_BYTES];
     let mut at = 0;
     let mut add = |bytes: &[u8]| {
@@ -22,7 +22,7 @@
         entry.packed,
         entry.unpacked,
         entry.records,
-        entry.hits,
+        entry.requests,
         entry.shared,
     ] {
         add(&number.to_le_bytes());
@@ -53,16 +53,16 @@
 pub(super) fn decode_frame(
     bytes: &[u8; FRAME_BYTES],
     offset: u64,
-) -> Option<([u8; 4], Entry, u32)> {
+) -> Option<([u8; 4], IndexEntry, u32)> {
     if crc32fast::hash(&bytes[..FRAME_BYTES - 4]) != u32_at(bytes, FRAME_BYTES - 4) {
         return None;
     }
-    let entry = Entry {
+    let entry = IndexEntry {
         offset,
         packed: u32_at(bytes, 4),
         unpacked: u32_at(bytes, 8),
         records: u32_at(bytes, 12),
-        hits: u32_at(bytes, 16),
+        requests: u32_at(bytes, 16),
         shared: u32_at(bytes, 20),
         first: u64_at(bytes, 24),
         last: u64_at(bytes, 32),
--- a/crates/trace/src/file/block_writer.rs
+++ b/crates/trace/src/file/block_writer.rs
@@ -1,7 +1,9 @@
 //! Writes the parts of a trace file: head, blocks, index and trailer.
 
 use super::block_frame::{encode_frame, BLOCK_TAG, FRAME_BYTES, INDEX_TAG};
-use super::{Entry, TraceError, MAGIC, MAJOR, MAX_BLOCK_BYTES, MINOR, TRAILER_MAGIC};
+use super::{
+    IndexEntry, TraceError, MAGIC, MAJOR_VERSION, MAX_BLOCK_BYTES, MINOR_VERSION, TRAILER_MAGIC,
+};
 use crate::columns::BlockEncoder;
 use crate::record::Head;
 use std::io::{self, Write};
@@ -13,7 +15,7 @@
 pub struct BlockWriter<W> {
     out: W,
     offset: u64,
-    index: Vec<Entry>,
+    index: Vec<IndexEntry>,
 }
 
 impl<W: Write> BlockWriter<W> {
@@ -24,14 +26,14 @@
     pub fn new(mut out: W, head: &Head) -> Result<BlockWriter<W>, TraceError> {
         let head = serde_json::to_vec(head).map_err(io::Error::from)?;
         if head.len() > MAX_BLOCK_BYTES {
-            return Err(TraceError::Unfit(format!(
+            return Err(TraceError::Unusable(format!(
                 "a greeting of {} bytes; {MAX_BLOCK_BYTES} at most",
                 head.len()
             )));
         }
         let mut greeting = MAGIC.to_vec();
-        greeting.extend(MAJOR.to_le_bytes());
-        greeting.extend(MINOR.to_le_bytes());
+        greeting.extend(MAJOR_VERSION.to_le_bytes());
+        greeting.extend(MINOR_VERSION.to_le_bytes());
         greeting.extend((head.len() as u32).to_le_bytes());
         greeting.extend(head);
         let sum = crc32fast::hash(&greeting);
@@ -44,16 +46,21 @@
         })
     }
 
-    fn append(&mut self, tag: &[u8; 4], entry: Entry, bytes: &[u8]) -> Result<Entry, TraceError> {
+    fn append(
+        &mut self,
+        tag: &[u8; 4],
+        entry: IndexEntry,
+        bytes: &[u8],
+    ) -> Result<IndexEntry, TraceError> {
         if bytes.len() > MAX_BLOCK_BYTES {
-            return Err(TraceError::Unfit(format!(
+            return Err(TraceError::Unusable(format!(
                 "a block of {} bytes; {MAX_BLOCK_BYTES} at most",
                 bytes.len()
             )));
         }
         let packed = zstd::bulk::compress(bytes, COMPRESSION_LEVEL)?;
         let (length, unpacked) = (packed.len() as u32, bytes.len() as u32);
-        let entry = Entry {
+        let entry = IndexEntry {
             offset: self.offset,
             packed: length,
             unpacked,
@@ -76,18 +83,18 @@
         }
         let BlockEncoder {
             records,
-            requests: hits,
+            requests,
             shared,
             first,
             at,
             ..
         } = *block;
-        let told = Entry {
+        let told = IndexEntry {
             offset: 0,
             packed: 0,
             unpacked: 0,
             records,
-            hits,
+            requests,
             shared,
             first,
             last: at,
@@ -117,12 +124,12 @@
     pub fn finish(mut self) -> Result<W, TraceError> {
         let offset = self.offset;
         let index = postcard::to_stdvec(&self.index).unwrap_or_default();
-        let blank = Entry {
+        let blank = IndexEntry {
             offset,
             packed: 0,
             unpacked: 0,
             records: 0,
-            hits: 0,
+            requests: 0,
             shared: 0,
             first: 0,
             last: 0,
--- a/crates/trace/src/file/error.rs
+++ b/crates/trace/src/file/error.rs
@@ -1,6 +1,6 @@
 //! What can go wrong with a trace file.
 
-use super::MAJOR;
+use super::MAJOR_VERSION;
 use crate::columns::ColumnError;
 use std::io;
 
@@ -12,10 +12,10 @@
     Io(#[from] io::Error),
     /// The file is none of ours.
     #[error("byte 0: not a trace; expected a file that begins with \"HPTRACE\"")]
-    NoTrace,
+    NotATrace,
     /// The file has a major version that this program cannot read.
-    #[error("byte 8: major version {0}; expected {MAJOR}, as this program reads no other")]
-    Major(u16),
+    #[error("byte 8: major version {0}; expected {MAJOR_VERSION}, as this program reads no other")]
+    UnsupportedMajor(u16),
     /// The file is damaged; what comes before the damage was read.
     #[error("byte {at}: {what}")]
     Damage {
@@ -26,7 +26,7 @@
     },
     /// Two files that do not go together, or one that the call cannot use.
     #[error("{0}")]
-    Unfit(String),
+    Unusable(String),
 }
 
 impl TraceError {
--- a/crates/trace/src/file/reader.rs
+++ b/crates/trace/src/file/reader.rs
@@ -2,7 +2,9 @@
 
 use super::block_frame::{decode_frame, u32_at, u64_at, BLOCK_TAG, FRAME_BYTES, INDEX_TAG};
 use super::error::{DamageKind, IndexError};
-use super::{update_stages, Entry, TraceError, MAGIC, MAJOR, MAX_BLOCK_BYTES, TRAILER_MAGIC};
+use super::{
+    update_stages, IndexEntry, TraceError, MAGIC, MAJOR_VERSION, MAX_BLOCK_BYTES, TRAILER_MAGIC,
+};
 use crate::columns::BlockDecoder;
 use crate::record::{Head, Record, StageInForce};
 use havenplank::interface::Nanos;
@@ -22,11 +24,11 @@
     /// The head of the file.
     pub head: Head,
     /// Minor version of the writer; a newer one may hold records that are skipped here.
-    pub minor: u16,
+    pub minor_version: u16,
     /// The blocks of the file, in order.
-    pub index: Vec<Entry>,
+    pub index: Vec<IndexEntry>,
     /// Why the index had to be rebuilt from the blocks, where it had.
-    pub rebuilt: Option<IndexError>,
+    pub index_error: Option<IndexError>,
     /// The offset at which a rebuilt index ends before the file does, and why.
     damage: Option<UnindexedTail>,
     /// Index of the block to read next.
@@ -35,7 +37,7 @@
     current: Option<(u64, BlockDecoder)>,
     skipped: u64,
     /// The stages in force at the record that was read last.
-    pub standing: Vec<StageInForce>,
+    pub stages_in_force: Vec<StageInForce>,
 }
 
 /// Where the blocks of a file without an index end before the file does.
@@ -59,18 +61,18 @@
 /// The head of a file, as it was read.
 struct StoredHead {
     head: Head,
-    minor: u16,
+    minor_version: u16,
     /// Bytes of the head, after which the blocks begin.
     length: u64,
 }
 
 fn read_head(input: &mut impl Read) -> Result<StoredHead, TraceError> {
     let start = read_exactly(input, HEAD_START_BYTES)?.filter(|bytes| bytes.starts_with(MAGIC));
-    let mut bytes = start.ok_or(TraceError::NoTrace)?;
+    let mut bytes = start.ok_or(TraceError::NotATrace)?;
     let major = u16::from_le_bytes([bytes[8], bytes[9]]);
-    let minor = u16::from_le_bytes([bytes[10], bytes[11]]);
-    if major != MAJOR {
-        return Err(TraceError::Major(major));
+    let minor_version = u16::from_le_bytes([bytes[10], bytes[11]]);
+    if major != MAJOR_VERSION {
+        return Err(TraceError::UnsupportedMajor(major));
     }
     let json_length = u32_at(&bytes, 12) as usize;
     let rest = if json_length <= MAX_BLOCK_BYTES {
@@ -89,7 +91,7 @@
     let length = (bytes.len() + CHECKSUM_BYTES) as u64;
     Ok(StoredHead {
         head,
-        minor,
+        minor_version,
         length,
     })
 }
@@ -104,25 +106,25 @@
         input.seek(SeekFrom::Start(0))?;
         let StoredHead {
             head,
-            minor,
+            minor_version,
             length: start,
         } = read_head(&mut input)?;
         let mut reader = Reader {
             input,
             head,
-            minor,
+            minor_version,
             index: Vec::new(),
-            rebuilt: None,
+            index_error: None,
             damage: None,
             next_block: 0,
             current: None,
             skipped: 0,
-            standing: Vec::new(),
+            stages_in_force: Vec::new(),
         };
         match reader.stored_index(file_length, start) {
             Ok(index) => reader.index = index,
             Err(error) => {
-                reader.rebuilt = Some(error);
+                reader.index_error = Some(error);
                 reader.rebuild_index(start, file_length)?;
                 reader.limit_sources();
             }
@@ -139,11 +141,15 @@
         let last = self.span().map_or(0, |(_, last)| last);
         let until = last.saturating_add(1);
         for source in &mut self.head.sources {
-            source.until = source.until.min(until);
+            source.records_end = source.records_end.min(until);
         }
     }
 
-    fn stored_index(&mut self, file_length: u64, start: u64) -> Result<Vec<Entry>, IndexError> {
+    fn stored_index(
+        &mut self,
+        file_length: u64,
+        start: u64,
+    ) -> Result<Vec<IndexEntry>, IndexError> {
         let trailer_at = file_length
             .checked_sub(TRAILER_BYTES)
             .filter(|at| *at >= start)
@@ -163,7 +169,7 @@
             return Err(damaged());
         }
         let bytes = self.unpacked(&entry, checksum)?;
-        let index: Vec<Entry> = postcard::from_bytes(&bytes).map_err(|_| damaged())?;
+        let index: Vec<IndexEntry> = postcard::from_bytes(&bytes).map_err(|_| damaged())?;
         if is_contiguous(&index, start, offset) {
             Ok(index)
         } else {
@@ -172,14 +178,14 @@
     }
 
     /// Reads the frame at an offset; `None` where there is none.
-    fn frame(&mut self, offset: u64) -> io::Result<Option<([u8; 4], Entry, u32)>> {
+    fn frame(&mut self, offset: u64) -> io::Result<Option<([u8; 4], IndexEntry, u32)>> {
         self.input.seek(SeekFrom::Start(offset))?;
         let bytes = read_exactly(&mut self.input, FRAME_BYTES)?;
         Ok(bytes.and_then(|bytes| decode_frame(bytes.first_chunk()?, offset)))
     }
 
     /// Returns what follows the frame that was read last, checked and decompressed.
-    fn unpacked(&mut self, entry: &Entry, checksum: u32) -> Result<Vec<u8>, TraceError> {
+    fn unpacked(&mut self, entry: &IndexEntry, checksum: u32) -> Result<Vec<u8>, TraceError> {
         let at = entry.offset;
         if entry.packed as usize > MAX_BLOCK_BYTES + (MAX_BLOCK_BYTES >> 4)
             || entry.unpacked as usize > MAX_BLOCK_BYTES
@@ -225,7 +231,7 @@
     }
 
     /// Returns the index of the block after the one that was read last.
-    pub fn read_to(&self) -> usize {
+    pub fn next_block(&self) -> usize {
         self.next_block
     }
 
@@ -262,7 +268,7 @@
                     if record.source >= self.head.sources.len() {
                         return Err(TraceError::damage(*at, DamageKind::UnknownSource));
                     }
-                    update_stages(&mut self.standing, &record);
+                    update_stages(&mut self.stages_in_force, &record);
                     return Ok(Some(record));
                 }
                 self.skipped += block.skipped;
@@ -276,13 +282,13 @@
             }
             let entry = self.index[self.next_block];
             let block = self.block(&entry)?;
-            self.standing.clone_from(&block.standing);
+            self.stages_in_force.clone_from(&block.stages_in_force);
             self.current = Some((entry.offset, block));
             self.next_block += 1;
         }
     }
 
-    fn block(&mut self, entry: &Entry) -> Result<BlockDecoder, TraceError> {
+    fn block(&mut self, entry: &IndexEntry) -> Result<BlockDecoder, TraceError> {
         let at = entry.offset;
         let Some((tag, found, checksum)) = self.frame(at)? else {
             return Err(TraceError::damage(at, DamageKind::BlockFrame));
@@ -297,7 +303,7 @@
 }
 
 /// Whether the blocks of an index stand side by side from `start` to `end`.
-fn is_contiguous(index: &[Entry], start: u64, end: u64) -> bool {
+fn is_contiguous(index: &[IndexEntry], start: u64, end: u64) -> bool {
     let mut at = start;
     for entry in index {
         if entry.offset != at {
--- a/crates/trace/src/file/writer.rs
+++ b/crates/trace/src/file/writer.rs
@@ -1,7 +1,7 @@
 //! Writes records to a trace file.
 
 use super::block_writer::BlockWriter;
-use super::{update_stages, TraceError, FULL_BYTES, FULL_RECORDS};
+use super::{update_stages, TraceError, FULL_BLOCK_BYTES, FULL_BLOCK_RECORDS};
 use crate::columns::BlockEncoder;
 use crate::record::{Head, Record, StageInForce};
 use std::io::Write;
@@ -10,7 +10,7 @@
 pub struct Writer<W: Write> {
     blocks: BlockWriter<W>,
     block: BlockEncoder,
-    standing: Vec<StageInForce>,
+    stages_in_force: Vec<StageInForce>,
 }
 
 impl<W: Write> Writer<W> {
@@ -18,11 +18,15 @@
     ///
     /// # Errors
     /// As [`BlockWriter::new`].
-    pub fn new(out: W, head: &Head, standing: Vec<StageInForce>) -> Result<Writer<W>, TraceError> {
+    pub fn new(
+        out: W,
+        head: &Head,
+        stages_in_force: Vec<StageInForce>,
+    ) -> Result<Writer<W>, TraceError> {
         Ok(Writer {
             blocks: BlockWriter::new(out, head)?,
-            block: BlockEncoder::new(standing.clone()),
-            standing,
+            block: BlockEncoder::new(stages_in_force.clone()),
+            stages_in_force,
         })
     }
 
@@ -31,9 +35,9 @@
     /// # Errors
     /// Errors of the output.
     pub fn put(&mut self, record: Record) -> Result<(), TraceError> {
-        update_stages(&mut self.standing, &record);
+        update_stages(&mut self.stages_in_force, &record);
         self.block.put(record);
-        if self.block.bytes >= FULL_BYTES || self.block.records >= FULL_RECORDS {
+        if self.block.bytes >= FULL_BLOCK_BYTES || self.block.records >= FULL_BLOCK_RECORDS {
             self.flush()?;
         }
         Ok(())
@@ -45,7 +49,7 @@
     /// Errors of the output.
     pub fn flush(&mut self) -> Result<(), TraceError> {
         self.blocks.block(&self.block)?;
-        self.block = BlockEncoder::new(self.standing.clone());
+        self.block = BlockEncoder::new(self.stages_in_force.clone());
         Ok(())
     }
 
--- a/crates/trace/src/from_wire.rs
+++ b/crates/trace/src/from_adapter.rs
@@ -1,7 +1,7 @@
 //! Makes a trace of a bench run from what the adapter read and wrote on its pipes.
 
 use crate::file::{TraceError, Writer};
-use crate::record::{Head, PodSnapshot, Record, Source, What};
+use crate::record::{Head, Payload, PodSnapshot, Record, Source};
 use havenplank::interface::{
     AttemptEnd, AttemptOutcome, Build, HealthCheckResult, IncomingRequest, Nanos, PodId, RequestId,
     RouteClassId, Stage, Tally, Vote, VoteReply,
@@ -39,7 +39,7 @@
     pods: HashMap<String, PodId>,
     cards: Vec<Arc<PodSnapshot>>,
     /// Requests in flight by name; a request leaves once it is answered and its attempts have ended.
-    hits: HashMap<String, InFlightRequest>,
+    requests: HashMap<String, InFlightRequest>,
     next_hit: RequestId,
     /// Votes and health checks are counted together, as an engine counts them.
     calls: u64,
@@ -50,15 +50,15 @@
 
 impl RecordingInstance {
     /// Returns a record of now, with the pod that it names.
-    fn record(&self, what: What) -> Record {
+    fn record(&self, payload: Payload) -> Record {
         let record = Record {
             at: self.now,
-            own: self.now,
+            engine_time: self.now,
             source: self.number,
-            what,
+            payload,
             pod: None,
         };
-        let pod = record.pod_index().and_then(|pod| self.cards.get(pod));
+        let pod = record.pod_id().and_then(|pod| self.cards.get(pod));
         Record {
             pod: pod.cloned(),
             ..record
@@ -72,21 +72,23 @@
 
     fn sweep(&mut self, name: &str) {
         if self
-            .hits
+            .requests
             .get(name)
             .is_some_and(|held| !held.open && !held.out.contains(&true))
         {
-            self.hits.remove(name);
+            self.requests.remove(name);
         }
     }
 
     fn id(&self, name: &str) -> RequestId {
         // The replay reports a request that nobody knows.
-        self.hits.get(name).map_or(RequestId::MAX, |held| held.id)
+        self.requests
+            .get(name)
+            .map_or(RequestId::MAX, |held| held.id)
     }
 
     fn close(&mut self, name: &str) {
-        if let Some(held) = self.hits.get_mut(name) {
+        if let Some(held) = self.requests.get_mut(name) {
             held.open = false;
         }
         self.sweep(name);
@@ -97,7 +99,7 @@
     fn attach(now: Nanos, sidecar: u64, seed: u64, setup: Setup) -> RecordingInstance {
         let Setup { names, router } = setup;
         let class_names = names.route_classes.iter().cloned();
-        let terms = EngineSettings {
+        let settings = EngineSettings {
             name: format!("sidecar-{sidecar}"),
             position: router.position,
             zones: names.zones.clone(),
@@ -111,17 +113,17 @@
             endpoint_list: router.endpoint_list,
             reuse_pod_ids: false,
         };
-        let (life, until) = (seed ^ now, Nanos::MAX);
+        let (incarnation, records_end) = (seed ^ now, Nanos::MAX);
         let source = Source {
-            terms,
+            settings,
             seed,
-            life,
+            incarnation,
             part: 0,
-            began: now,
-            wall: now,
-            share: 1.0,
-            whole: true,
-            until,
+            engine_start: now,
+            wall_start: now,
+            sample_share: 1.0,
+            is_complete: true,
+            records_end,
         };
         RecordingInstance {
             now,
@@ -130,7 +132,7 @@
             number: 0,
             pods: HashMap::new(),
             cards: Vec::new(),
-            hits: HashMap::new(),
+            requests: HashMap::new(),
             next_hit: 0,
             calls: 0,
             votes: VecDeque::new(),
@@ -224,7 +226,7 @@
             open: true,
             out: Vec::new(),
         };
-        self.hits.insert(name.to_string(), held);
+        self.requests.insert(name.to_string(), held);
         let asked = RequestAttributes {
             route_class: group,
             tenant,
@@ -240,7 +242,7 @@
     }
 
     fn attempt_ended(&mut self, name: &str, nth: usize, outcome: AttemptOutcome) {
-        let Some(held) = self.hits.get_mut(name) else {
+        let Some(held) = self.requests.get_mut(name) else {
             return;
         };
         let Some(out) = held.out.get_mut(nth).filter(|out| **out) else {
@@ -265,7 +267,7 @@
     }
 
     fn client_left(&mut self, name: &str) {
-        if let Some(hit) = self.hits.get(name).map(|held| held.id) {
+        if let Some(hit) = self.requests.get(name).map(|held| held.id) {
             self.told.push(Event::ClientLeft { request: hit });
             self.close(name);
         }
@@ -332,7 +334,7 @@
     fn attempt(&mut self, sidecar: u64, hit: &str, pod: &str, time_out: Nanos) {
         self.by(sidecar, |instance| {
             let pod = instance.pods.get(pod).copied().unwrap_or(PodId::MAX);
-            let Some(held) = instance.hits.get_mut(hit) else {
+            let Some(held) = instance.requests.get_mut(hit) else {
                 return Effect::SendAttempt {
                     request: RequestId::MAX,
                     attempt: 0,
@@ -371,7 +373,7 @@
     fn fail(&mut self, sidecar: u64, hit: &str) {
         self.by(sidecar, |instance| {
             let late = instance
-                .hits
+                .requests
                 .get(hit)
                 .is_some_and(|held| instance.now >= held.deadline);
             let errored = Effect::Fail {
@@ -421,7 +423,7 @@
 }
 
 fn unfit(error: WireError) -> TraceError {
-    TraceError::Unfit(error.to_string())
+    TraceError::Unusable(error.to_string())
 }
 
 /// Reads the lines of one pipe and counts them.
@@ -533,7 +535,7 @@
             self.incarnations += 1;
         }
         for event in std::mem::take(&mut instance.told) {
-            self.writer.put(instance.record(What::Event(event)))?;
+            self.writer.put(instance.record(Payload::Event(event)))?;
             self.records += 1;
         }
         Ok(())
@@ -544,7 +546,7 @@
         loop {
             let Some(line) = self.output.next()? else {
                 let why = format!("the output ends before its answer to batch {batch}");
-                return Err(TraceError::Unfit(why));
+                return Err(TraceError::Unusable(why));
             };
             let mut recorder = ActionRecorder {
                 wire: &mut self.session,
@@ -553,7 +555,7 @@
             let answered = actions::read(&line, &mut recorder).map_err(unfit)?;
             for (sidecar, effect) in recorder.done {
                 if let Some(Some(instance)) = self.session.instances.get(&sidecar) {
-                    self.writer.put(instance.record(What::Effect(effect)))?;
+                    self.writer.put(instance.record(Payload::Effect(effect)))?;
                     self.records += 1;
                 }
             }
@@ -562,7 +564,7 @@
                 Some(answered) => {
                     let why =
                         format!("the output answers batch {answered} where the input has {batch}");
-                    return Err(TraceError::Unfit(why));
+                    return Err(TraceError::Unusable(why));
                 }
                 None => {}
             }
--- a/crates/trace/src/json_view.rs
+++ b/crates/trace/src/json_view.rs
@@ -1,8 +1,8 @@
 //! The JSON view: a record as one JSON object, with names in place of indices. Its words are a stable format, described
 //! in `docs/trace-format.md`, and do not follow the names in the code.
 
-use crate::record::{Head, Record, StageInForce, What};
-use crate::summary::{ended, vote_name};
+use crate::record::{Head, Payload, Record, StageInForce};
+use crate::summary::{attempt_end_name, vote_name};
 use havenplank::interface::{
     LoadReport, Phase, PodId, PodState, PriorAttempt, RequestId, Stage, Tally, VoteReceipt,
     VoteReply,
@@ -13,25 +13,28 @@
 use serde_json::{json, Map, Value};
 
 /// Returns the stage in force at the start of a block, in the words of [`line()`].
-pub fn standing(standing: &StageInForce) -> Value {
-    json!({"source": standing.source, "at": standing.at, "in_force": stage(&standing.stage)})
+pub fn stage_in_force(in_force: &StageInForce) -> Value {
+    json!({"source": in_force.source, "at": in_force.at, "in_force": stage(&in_force.stage)})
 }
 
 /// Returns one record; `at` is in nanoseconds on the file's clock, and other times name their unit.
 pub fn line(record: &Record, head: &Head) -> Value {
-    let settings = head.sources.get(record.source).map(|source| &source.terms);
+    let settings = head
+        .sources
+        .get(record.source)
+        .map(|source| &source.settings);
     let names = Names { settings };
-    let (side, (kind, fields)) = match &record.what {
-        What::Event(event) => ("told", event_view(event, &names)),
-        What::Effect(effect) => ("did", effect_view(effect)),
-        What::Lost { hits, records } => {
-            let fields = json!({"hits": hits, "records": records});
+    let (side, (kind, fields)) = match &record.payload {
+        Payload::Event(event) => ("told", event_view(event, &names)),
+        Payload::Effect(effect) => ("did", effect_view(effect)),
+        Payload::Lost { requests, records } => {
+            let fields = json!({"hits": requests, "records": records});
             ("lost", ("lost", fields))
         }
     };
     let mut line = json!({"at": record.at, "source": record.source, side: kind});
-    if record.own != record.at {
-        line["own"] = json!(record.own);
+    if record.engine_time != record.at {
+        line["own"] = json!(record.engine_time);
     }
     if let Some(pod) = &record.pod {
         line["pod"] = json!({"name": pod.name, "build": pod.build, "index": pod.pod});
@@ -96,7 +99,7 @@
         Event::VoteAnswered { vote, reply } => ("voted", vote_reply(*vote, reply)),
         Event::HealthCheckEnded { check, result } => {
             let fields = json!({
-                "probe": check, "end": ended(result.end), "took_ns": result.took,
+                "probe": check, "end": attempt_end_name(result.end), "took_ns": result.took,
                 "load": load_report(&result.load),
             });
             ("probed", fields)
@@ -184,7 +187,7 @@
         return Value::Null;
     };
     json!({
-        "hit": request, "nth": attempt, "end": ended(*end), "took_ns": took, "load": load_report(load),
+        "hit": request, "nth": attempt, "end": attempt_end_name(*end), "took_ns": took, "load": load_report(load),
         "to_client": delivered,
     })
 }
--- a/crates/trace/src/lib.rs
+++ b/crates/trace/src/lib.rs
@@ -15,7 +15,7 @@
 mod columns;
 pub mod cut;
 pub mod file;
-pub mod from_wire;
+pub mod from_adapter;
 pub mod json_view;
 pub mod merge;
 pub mod record;
@@ -30,4 +30,4 @@
 
 pub use columns::ColumnError;
 pub use file::{Reader, TraceError, Writer};
-pub use record::{Head, Record, Source, What};
+pub use record::{Head, Payload, Record, Source};
--- a/crates/trace/src/merge/clocks.rs
+++ b/crates/trace/src/merge/clocks.rs
@@ -20,7 +20,7 @@
     /// The sidecar's name.
     pub name: String,
     /// Its incarnation.
-    pub life: u64,
+    pub incarnation: u64,
     /// Nanoseconds added to its wall clock at its first shared event.
     pub offset: i64,
     /// Nanoseconds added for each nanosecond since then.
@@ -78,13 +78,13 @@
 
 fn uncorrected(source: &Source) -> Clock {
     Clock {
-        name: source.terms.name.clone(),
-        life: source.life,
+        name: source.settings.name.clone(),
+        incarnation: source.incarnation,
         offset: 0,
         drift: 0.0,
         events: 0,
         spread: 0,
-        from: source.wall as i128,
+        from: source.wall_start as i128,
     }
 }
 
--- a/crates/trace/src/merge/mod.rs
+++ b/crates/trace/src/merge/mod.rs
@@ -8,7 +8,7 @@
 use crate::file::{Reader, TraceError, Writer};
 use crate::record::{Head, Record, Source};
 use havenplank::interface::Nanos;
-use shared_events::{shared_events, wall, FirstReceived};
+use shared_events::{shared_events, wall_time, FirstReceived};
 use std::io::{Read, Seek, Write};
 
 /// Writes all records of all files to one, by time, and returns how each source's clock was corrected. Times of the
@@ -67,7 +67,7 @@
         return Ok(anonymised);
     }
     let why = "some are anonymised and some are not: their names differ";
-    Err(TraceError::Unfit(why.to_string()))
+    Err(TraceError::Unusable(why.to_string()))
 }
 
 /// The sources of the merged file.
@@ -100,10 +100,10 @@
     last_parts: &mut Vec<u64>,
     source: &Source,
 ) -> Result<usize, TraceError> {
-    let (name, part) = (&source.terms.name, source.part);
+    let (name, part) = (&source.settings.name, source.part);
     let known = sources
         .iter()
-        .position(|known| known.life == source.life && known.terms.name == *name);
+        .position(|known| known.incarnation == source.incarnation && known.settings.name == *name);
     let Some(index) = known else {
         last_parts.push(part);
         sources.push(source.clone());
@@ -113,11 +113,11 @@
     if part != last_part + 1 {
         let why =
             format!("{name}: part {part} after part {last_part}; expected the files in order");
-        return Err(TraceError::Unfit(why));
+        return Err(TraceError::Unusable(why));
     }
     last_parts[index] = part;
-    sources[index].whole &= source.whole;
-    sources[index].until = source.until;
+    sources[index].is_complete &= source.is_complete;
+    sources[index].records_end = source.records_end;
     Ok(index)
 }
 
@@ -172,7 +172,7 @@
         self.next = self.reader.record()?;
         if let Some(record) = &mut self.next {
             record.source = self.indices[record.source];
-            let own_wall = wall(&sources[record.source], record.own);
+            let own_wall = wall_time(&sources[record.source], record.engine_time);
             let at = clocks[record.source].at(own_wall);
             let last = &mut self.last[record.source];
             *last = Nanos::try_from(at).unwrap_or(0).max(*last);
--- a/crates/trace/src/merge/shared_events.rs
+++ b/crates/trace/src/merge/shared_events.rs
@@ -1,7 +1,7 @@
 //! The events that several sidecars receive alike, by which their clocks are aligned.
 
 use crate::file::{Reader, TraceError};
-use crate::record::{Record, Source, What};
+use crate::record::{Payload, Record, Source};
 use havenplank::interface::{Nanos, Stage};
 use havenplank_line_protocol::endpoint_list::ListedEndpoint;
 use havenplank_sidecar::events::Event;
@@ -28,8 +28,8 @@
 pub(super) type FirstReceived = HashMap<SharedEvent, i128>;
 
 /// Converts a time of a source's engine to its wall clock, in nanoseconds since 1970.
-pub(super) fn wall(source: &Source, own: Nanos) -> i128 {
-    source.wall as i128 + own as i128 - source.began as i128
+pub(super) fn wall_time(source: &Source, own: Nanos) -> i128 {
+    source.wall_start as i128 + own as i128 - source.engine_start as i128
 }
 
 /// Reads the shared events of each source of a file; blocks without such are not read.
@@ -61,7 +61,7 @@
         };
         let skipped = reader.skipped() - skipped_before;
         remaining = remaining.saturating_sub(1 + skipped);
-        let at = wall(&sources[record.source], record.own);
+        let at = wall_time(&sources[record.source], record.engine_time);
         let received = &mut received[record.source];
         if received.len() < MAX_EVENTS {
             add_events(received, &record, at);
@@ -71,12 +71,12 @@
 }
 
 fn add_events(received: &mut FirstReceived, record: &Record, at: i128) {
-    match &record.what {
-        What::Event(Event::StageChanged(stage)) => {
+    match &record.payload {
+        Payload::Event(Event::StageChanged(stage)) => {
             received.entry(stage_event(stage)).or_insert(at);
         }
         // A complete list has what was true before; only changes reach all sidecars at once.
-        What::Event(Event::EndpointsListed {
+        Payload::Event(Event::EndpointsListed {
             complete: false,
             pods,
             ..
--- a/crates/trace/src/record.rs
+++ b/crates/trace/src/record.rs
@@ -12,18 +12,18 @@
     /// Time in nanoseconds on the file's clock: the engine's own in a file of one source, since 1970 in merged files.
     pub at: Nanos,
     /// Time in nanoseconds on the engine's own clock.
-    pub own: Nanos,
+    pub engine_time: Nanos,
     /// Index of the source in the head.
     pub source: usize,
     /// The payload.
-    pub what: What,
+    pub payload: Payload,
     /// The pod that it names, as the pod was then.
     pub pod: Option<Arc<PodSnapshot>>,
 }
 
 /// The payload of a record.
 #[derive(Clone, Debug, PartialEq)]
-pub enum What {
+pub enum Payload {
     /// What the engine received.
     Event(Event),
     /// What the engine asked for.
@@ -32,7 +32,7 @@
     /// whose end does not follow have lost records.
     Lost {
         /// Requests that were left out with all their records.
-        hits: u64,
+        requests: u64,
         /// Other records.
         records: u64,
     },
@@ -66,27 +66,33 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Source {
     /// The settings of its engine.
-    pub terms: EngineSettings,
+    #[serde(rename = "terms")]
+    pub settings: EngineSettings,
     /// Seed of the engine's random numbers.
     pub seed: u64,
     /// The incarnation's number, which no other has: parts with the same one belong together.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
     /// Number of the file among those of the incarnation, from 0.
     pub part: u64,
     /// Time on the engine's clock when the engine was made, in nanoseconds.
-    pub began: Nanos,
+    #[serde(rename = "began")]
+    pub engine_start: Nanos,
     /// Nanoseconds since 1970 when the engine was made.
-    pub wall: Nanos,
+    #[serde(rename = "wall")]
+    pub wall_start: Nanos,
     /// Share of the requests that were recorded, 0 to 1.
-    pub share: f64,
-    /// Whether nothing is missing between the first and the last record but what [`What::Lost`] counts.
-    pub whole: bool,
+    #[serde(rename = "share")]
+    pub sample_share: f64,
+    /// Whether nothing is missing between the first and the last record but what [`Payload::Lost`] counts.
+    #[serde(rename = "whole")]
+    pub is_complete: bool,
     /// Time on the engine's clock, in nanoseconds, from which records are missing, as the trace was cut.
-    #[serde(default = "never")]
-    pub until: Nanos,
+    #[serde(rename = "until", default = "no_end")]
+    pub records_end: Nanos,
 }
 
-fn never() -> Nanos {
+fn no_end() -> Nanos {
     Nanos::MAX
 }
 
@@ -96,7 +102,8 @@
     /// Name and version of the program that wrote it.
     pub program: String,
     /// Hash of all sources' settings, as 16 hexadecimal digits.
-    pub settings: String,
+    #[serde(rename = "settings")]
+    pub settings_hash: String,
     /// Whether names and log texts are pseudonyms.
     pub anonymised: bool,
     /// Whether times are nanoseconds since 1970 in place of the engine's own.
@@ -111,15 +118,15 @@
     pub fn new(sources: Vec<Source>) -> Head {
         let mut hash = blake3::Hasher::new();
         for source in &sources {
-            let settings = serde_json::to_vec(&source.terms).unwrap_or_default();
+            let settings = serde_json::to_vec(&source.settings).unwrap_or_default();
             hash.update(&(settings.len() as u64).to_le_bytes())
                 .update(&settings);
         }
-        let settings = hash.finalize().to_hex()[..16].to_string();
+        let settings_hash = hash.finalize().to_hex()[..16].to_string();
         let program = concat!("havenplank ", env!("CARGO_PKG_VERSION")).to_string();
         Head {
             program,
-            settings,
+            settings_hash,
             anonymised: false,
             merged: false,
             sources,
@@ -127,19 +134,21 @@
     }
 
     /// Converts nanoseconds since 1970 to the file's clock.
-    pub fn clock(&self, wall: Nanos) -> Nanos {
+    pub fn file_time(&self, wall_time: Nanos) -> Nanos {
         match self.sources.first().filter(|_| !self.merged) {
             Some(source) => source
-                .began
-                .saturating_add(wall.saturating_sub(source.wall)),
-            None => wall,
+                .engine_start
+                .saturating_add(wall_time.saturating_sub(source.wall_start)),
+            None => wall_time,
         }
     }
 
     /// Converts nanoseconds on the file's clock to nanoseconds since 1970.
-    pub fn wall(&self, at: Nanos) -> Nanos {
+    pub fn wall_time(&self, at: Nanos) -> Nanos {
         match self.sources.first().filter(|_| !self.merged) {
-            Some(source) => source.wall.saturating_add(at.saturating_sub(source.began)),
+            Some(source) => source
+                .wall_start
+                .saturating_add(at.saturating_sub(source.engine_start)),
             None => at,
         }
     }
@@ -147,16 +156,16 @@
 
 impl Record {
     /// Returns the request that the record belongs to, if it belongs to one.
-    pub fn hit(&self) -> Option<RequestId> {
-        match &self.what {
-            What::Event(
+    pub fn request_id(&self) -> Option<RequestId> {
+        match &self.payload {
+            Payload::Event(
                 Event::RequestArrived { request, .. }
                 | Event::RequestResumed { request, .. }
                 | Event::SendPermission { request, .. }
                 | Event::AttemptEnded { request, .. }
                 | Event::ClientLeft { request },
             )
-            | What::Effect(
+            | Payload::Effect(
                 Effect::SendAttempt { request, .. }
                 | Effect::CancelAttempt { request, .. }
                 | Effect::Reject { request, .. }
@@ -167,31 +176,31 @@
     }
 
     /// Whether a request arrives with this record.
-    pub fn begins_hit(&self) -> bool {
-        matches!(self.what, What::Event(Event::RequestArrived { .. }))
+    pub fn is_arrival(&self) -> bool {
+        matches!(self.payload, Payload::Event(Event::RequestArrived { .. }))
     }
 
     /// Whether this record is the first of a request: its arrival, or its resumption in front of it.
-    pub fn opens_hit(&self) -> bool {
-        self.begins_hit() || matches!(self.what, What::Event(Event::RequestResumed { .. }))
+    pub fn begins_request(&self) -> bool {
+        self.is_arrival() || matches!(self.payload, Payload::Event(Event::RequestResumed { .. }))
     }
 
     /// Returns the id of the pod that the record names, if it names one.
-    pub fn pod_index(&self) -> Option<PodId> {
-        match &self.what {
-            What::Effect(Effect::SendAttempt { pod, .. } | Effect::HealthCheck { pod, .. }) => {
+    pub fn pod_id(&self) -> Option<PodId> {
+        match &self.payload {
+            Payload::Effect(Effect::SendAttempt { pod, .. } | Effect::HealthCheck { pod, .. }) => {
                 Some(*pod)
             }
-            What::Event(Event::FaultReported { pod, .. }) => Some(*pod),
+            Payload::Event(Event::FaultReported { pod, .. }) => Some(*pod),
             _ => None,
         }
     }
 
     /// Returns the stage that the record brings, if it brings one.
     pub fn stage(&self) -> Option<Stage> {
-        match &self.what {
-            What::Event(Event::StageChanged(stage)) => Some(*stage),
-            What::Event(Event::VoteAnswered { reply, .. }) => reply.stage,
+        match &self.payload {
+            Payload::Event(Event::StageChanged(stage)) => Some(*stage),
+            Payload::Event(Event::VoteAnswered { reply, .. }) => reply.stage,
             _ => None,
         }
     }
@@ -199,8 +208,8 @@
     /// Whether other sidecars receive the same event at about the same time.
     pub fn is_shared(&self) -> bool {
         matches!(
-            self.what,
-            What::Event(Event::EndpointsListed { .. } | Event::StageChanged(_))
+            self.payload,
+            Payload::Event(Event::EndpointsListed { .. } | Event::StageChanged(_))
         )
     }
 }
--- a/crates/trace/src/recorder.rs
+++ b/crates/trace/src/recorder.rs
@@ -1,8 +1,8 @@
 //! The recorder: observes an engine, compresses and writes in a thread of its own, and never delays a request.
 
 use crate::columns::BlockEncoder;
-use crate::file::{update_stages, BlockWriter, TraceError, FULL_BYTES, FULL_RECORDS};
-use crate::record::{Head, PodSnapshot, Record, Source, StageInForce, What};
+use crate::file::{update_stages, BlockWriter, TraceError, FULL_BLOCK_BYTES, FULL_BLOCK_RECORDS};
+use crate::record::{Head, Payload, PodSnapshot, Record, Source, StageInForce};
 use havenplank::interface::{Nanos, PodId, RequestId};
 use havenplank_line_protocol::endpoint_list::ListedEndpoint;
 use havenplank_sidecar::engine::Effect;
@@ -26,12 +26,12 @@
 #[derive(Clone, Debug)]
 pub struct Limits {
     /// Share of the requests that are recorded, 0 to 1, each with all its records.
-    pub share: f64,
+    pub sample_share: f64,
     /// Bytes of records that may wait for the disk. From half of it on new requests are left out, so that those in
     /// flight have the rest.
-    pub queue: usize,
+    pub queue_bytes: usize,
     /// Longest that a request may last, in nanoseconds.
-    pub longest: Nanos,
+    pub max_request_duration: Nanos,
     /// Size at which a file is closed, in bytes.
     pub file_bytes: u64,
     /// Age at which a file is closed, in nanoseconds.
@@ -39,7 +39,7 @@
 }
 
 /// Where trace files are stored. Only the writing thread uses it, so it may block.
-pub trait Shelf: Send {
+pub trait FileStore: Send {
     /// Creates the file of a part.
     ///
     /// # Errors
@@ -116,7 +116,7 @@
     }
 }
 
-impl Shelf for Folder {
+impl FileStore for Folder {
     fn open(&mut self, part: u64) -> io::Result<Box<dyn Write + Send>> {
         let path = self
             .folder
@@ -138,16 +138,16 @@
 #[derive(Default)]
 struct Shared {
     waiting: AtomicU64,
-    lost_hits: AtomicU64,
+    lost_requests: AtomicU64,
     lost_records: AtomicU64,
 }
 
 /// Waits for the writing thread.
-pub struct Writing {
+pub struct WriterHandle {
     done: Receiver<()>,
 }
 
-impl Writing {
+impl WriterHandle {
     /// Waits until everything is written, for a bounded time; false where the disk was slower.
     pub fn wait(&self, most: Duration) -> bool {
         // Nothing is ever sent: the end of the thread closes the channel.
@@ -158,7 +158,7 @@
 /// Records what an engine receives and asks for. Dropping it closes the trace.
 pub struct Recorder {
     block: BlockEncoder,
-    standing: Vec<StageInForce>,
+    stages_in_force: Vec<StageInForce>,
     cards: Vec<Option<Arc<PodSnapshot>>>,
     /// Requests whose hash is below this are recorded; `None` for all.
     below: Option<u64>,
@@ -180,9 +180,14 @@
 
 impl Recorder {
     /// Starts the writing thread; sets `whole`, `share` and `part` of the source by the limits.
-    pub fn start(mut source: Source, limits: Limits, shelf: Box<dyn Shelf>) -> (Recorder, Writing) {
-        let share = limits.share.clamp(0.0, 1.0);
-        (source.share, source.whole, source.part) = (share, share >= 1.0, 0);
+    pub fn start(
+        mut source: Source,
+        limits: Limits,
+        shelf: Box<dyn FileStore>,
+    ) -> (Recorder, WriterHandle) {
+        let sample_share = limits.sample_share.clamp(0.0, 1.0);
+        (source.sample_share, source.is_complete, source.part) =
+            (sample_share, sample_share >= 1.0, 0);
         let shared = Arc::new(Shared::default());
         let (to_writer, blocks) = mpsc::channel();
         let (ends, done) = mpsc::channel();
@@ -200,17 +205,17 @@
         });
         let recorder = Recorder {
             block: BlockEncoder::new(Vec::new()),
-            standing: Vec::new(),
+            stages_in_force: Vec::new(),
             cards: Vec::new(),
-            below: (share < 1.0).then_some((share * u64::MAX as f64) as u64),
-            queue: limits.queue as u64,
-            longest: limits.longest,
+            below: (sample_share < 1.0).then_some((sample_share * u64::MAX as f64) as u64),
+            queue: limits.queue_bytes as u64,
+            longest: limits.max_request_duration,
             spells: VecDeque::new(),
             lost: (0, 0),
             shared,
             to_writer,
         };
-        (recorder, Writing { done })
+        (recorder, WriterHandle { done })
     }
 
     fn waiting(&self) -> u64 {
@@ -260,29 +265,32 @@
         self.cards.get(pod?)?.clone()
     }
 
-    fn put(&mut self, now: Nanos, what: What) {
+    fn put(&mut self, now: Nanos, payload: Payload) {
         let record = Record {
             at: now,
-            own: now,
+            engine_time: now,
             source: 0,
-            what,
+            payload,
             pod: None,
         };
-        if record.hit().is_some_and(|hit| !self.keeps(hit)) {
+        if record.request_id().is_some_and(|hit| !self.keeps(hit)) {
             return;
         }
-        let pod = self.card(record.pod_index());
+        let pod = self.card(record.pod_id());
         let record = Record { pod, ..record };
-        update_stages(&mut self.standing, &record);
+        update_stages(&mut self.stages_in_force, &record);
         self.block.put(record);
         let old = now.saturating_sub(self.block.first) >= MAX_BLOCK_AGE;
-        if old || self.block.bytes >= FULL_BYTES || self.block.records >= FULL_RECORDS {
+        if old || self.block.bytes >= FULL_BLOCK_BYTES || self.block.records >= FULL_BLOCK_RECORDS {
             self.close(now);
         }
     }
 
     fn close(&mut self, now: Nanos) {
-        let full = std::mem::replace(&mut self.block, BlockEncoder::new(self.standing.clone()));
+        let full = std::mem::replace(
+            &mut self.block,
+            BlockEncoder::new(self.stages_in_force.clone()),
+        );
         let bytes = full.bytes as u64;
         if self.waiting() + bytes > self.queue {
             self.lost.0 += full.requests as u64;
@@ -293,16 +301,16 @@
                 self.shared.waiting.fetch_sub(bytes, Ordering::Relaxed);
             }
         }
-        self.lost.0 += self.shared.lost_hits.swap(0, Ordering::Relaxed);
+        self.lost.0 += self.shared.lost_requests.swap(0, Ordering::Relaxed);
         self.lost.1 += self.shared.lost_records.swap(0, Ordering::Relaxed);
-        let (hits, records) = std::mem::take(&mut self.lost);
-        if hits + records > 0 {
-            let what = What::Lost { hits, records };
+        let (requests, records) = std::mem::take(&mut self.lost);
+        if requests + records > 0 {
+            let payload = Payload::Lost { requests, records };
             self.block.put(Record {
                 at: now,
-                own: now,
+                engine_time: now,
                 source: 0,
-                what,
+                payload,
                 pod: None,
             });
         }
@@ -344,11 +352,11 @@
             } => self.listed(pods, given),
             _ => {}
         }
-        self.put(now, What::Event(told));
+        self.put(now, Payload::Event(told));
     }
 
     fn on_effect(&mut self, now: Nanos, effect: &Effect) {
-        self.put(now, What::Effect(effect.clone()));
+        self.put(now, Payload::Effect(effect.clone()));
     }
 }
 
@@ -366,7 +374,7 @@
 struct WritingThread {
     source: Source,
     sizes: (u64, Nanos),
-    shelf: Box<dyn Shelf>,
+    shelf: Box<dyn FileStore>,
     counts: Arc<Shared>,
     /// The open file and the time of its first record.
     open: Option<(BlockWriter<Box<dyn Write + Send>>, Nanos)>,
@@ -378,7 +386,7 @@
             if let Err(error) = self.write(&block) {
                 tracing::warn!(%error, records = block.records, "a block of the trace is lost");
                 self.counts
-                    .lost_hits
+                    .lost_requests
                     .fetch_add(block.requests as u64, Ordering::Relaxed);
                 self.counts
                     .lost_records
--- a/crates/trace/src/replay.rs
+++ b/crates/trace/src/replay.rs
@@ -1,7 +1,7 @@
 //! Replays recorded events through an engine and compares every decision, record by record.
 
 use crate::file::{Reader, TraceError};
-use crate::record::{Record, Source, What};
+use crate::record::{Payload, Record, Source};
 use havenplank::interface::Nanos;
 use havenplank_sidecar::engine::{Effect, Engine, EngineSettings};
 use havenplank_sidecar::events::Event;
@@ -19,15 +19,15 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Outcome {
     /// Requests that arrived.
-    pub hits: u64,
+    pub requests: u64,
     /// Decisions that were compared.
     pub compared: u64,
     /// Records that were replayed.
     pub records: u64,
     /// The first decision that differs, if one does.
-    pub differs: Option<Difference>,
+    pub first_difference: Option<Difference>,
     /// Time on the source's clock, in nanoseconds, from which records are missing; the replay ends there.
-    pub stopped: Option<Nanos>,
+    pub stopped_at: Option<Nanos>,
 }
 
 /// The first decision that differs from the recorded one.
@@ -62,15 +62,15 @@
     /// # Errors
     /// A source that cannot be replayed: sampled, cut, or without its beginning.
     pub fn new(source: &Source, number: usize, anonymised: bool) -> Result<Replay, TraceError> {
-        let name = &source.terms.name;
-        if source.part != 0 || !source.whole {
-            let why = if source.share < 1.0 {
+        let name = &source.settings.name;
+        if source.part != 0 || !source.is_complete {
+            let why = if source.sample_share < 1.0 {
                 "holds a sample of hits"
             } else {
                 "does not hold the beginning"
             };
             let why = format!("{name}: cannot be played again, as the trace {why}");
-            return Err(TraceError::Unfit(why));
+            return Err(TraceError::Unusable(why));
         }
         let EngineSettings {
             route_classes,
@@ -78,28 +78,28 @@
             position,
             zones,
             ..
-        } = &source.terms;
+        } = &source.settings;
         let is_complete =
             !route_classes.is_empty() && !exposure.caps.is_empty() && exposure.window > 0;
         if !is_complete || position.instances == 0 || position.zone >= zones.len() {
-            return Err(TraceError::Unfit(format!(
+            return Err(TraceError::Unusable(format!(
                 "{name}: the greeting's terms are no sidecar's settings"
             )));
         }
         Ok(Replay {
             route_classes: route_classes.len(),
-            engine: Engine::new(source.began, source.seed, &source.terms),
+            engine: Engine::new(source.engine_start, source.seed, &source.settings),
             source: number,
-            until: source.until,
+            until: source.records_end,
             pseudonyms: anonymised.then(Default::default),
-            last: source.began,
+            last: source.engine_start,
             outcome: Outcome::default(),
         })
     }
 
     /// Whether the replay has ended, by a difference or by missing records.
     pub fn is_over(&self) -> bool {
-        self.outcome.differs.is_some() || self.outcome.stopped.is_some()
+        self.outcome.first_difference.is_some() || self.outcome.stopped_at.is_some()
     }
 
     fn compare(
@@ -113,7 +113,7 @@
         if !same {
             let (recorded, now) = (format!("{recorded:?}"), format!("{now:?}"));
             let record = self.outcome.records;
-            self.outcome.differs = Some(Difference {
+            self.outcome.first_difference = Some(Difference {
                 record,
                 at,
                 recorded,
@@ -139,7 +139,7 @@
         if record.source != self.source || self.is_over() {
             return;
         }
-        let at = record.own;
+        let at = record.engine_time;
         if at < self.last || at - self.last > MAX_CLOCK_STEP {
             let problem = "a clock that goes back or stands still for a day";
             self.compare(at, record, problem, false);
@@ -147,13 +147,13 @@
         }
         self.last = at;
         if at >= self.until {
-            self.outcome.stopped = Some(at);
+            self.outcome.stopped_at = Some(at);
             return;
         }
-        match record.what {
-            What::Event(event) => self.event(at, event),
-            What::Effect(effect) => self.effect(at, effect),
-            What::Lost { .. } => self.outcome.stopped = Some(at),
+        match record.payload {
+            Payload::Event(event) => self.event(at, event),
+            Payload::Effect(effect) => self.effect(at, effect),
+            Payload::Lost { .. } => self.outcome.stopped_at = Some(at),
         }
         self.outcome.records += 1;
     }
@@ -165,7 +165,7 @@
             return;
         }
         if matches!(event, Event::RequestArrived { .. }) {
-            self.outcome.hits += 1;
+            self.outcome.requests += 1;
         }
         match event {
             Event::EndpointsListed {
@@ -219,7 +219,7 @@
     }
 
     /// Goes on with the next part, in whose file the source has this index and until this time all records.
-    pub fn goes_on(&mut self, source: usize, until: Nanos) {
+    pub fn continue_with(&mut self, source: usize, until: Nanos) {
         (self.source, self.until) = (source, until);
     }
 
@@ -236,7 +236,7 @@
 }
 
 /// The result of replaying files: name and outcome of each source, and where a file is damaged.
-pub type Played = (Vec<(String, Outcome)>, Option<TraceError>);
+pub type ReplayResult = (Vec<(String, Outcome)>, Option<TraceError>);
 
 /// One process of a sidecar, whose parts may be in several files.
 struct Incarnation {
@@ -254,13 +254,13 @@
 ///
 /// # Errors
 /// A source that cannot be replayed, or parts out of order.
-pub fn replay<R: Read + Seek>(readers: Vec<Reader<R>>) -> Result<Played, TraceError> {
+pub fn replay<R: Read + Seek>(readers: Vec<Reader<R>>) -> Result<ReplayResult, TraceError> {
     let mut incarnations: Vec<Incarnation> = Vec::new();
     let mut damage = None;
     for mut reader in readers {
         let of_sources = find_or_start(&mut incarnations, &reader)?;
         damage = replay_file(&mut incarnations, &of_sources, &mut reader);
-        let is_closed = reader.rebuilt.is_none() && damage.is_none();
+        let is_closed = reader.index_error.is_none() && damage.is_none();
         for index in of_sources {
             incarnations[index].is_closed = is_closed;
         }
@@ -282,21 +282,23 @@
 ) -> Result<Vec<usize>, TraceError> {
     let mut indices = Vec::new();
     for (number, source) in reader.head.sources.iter().enumerate() {
-        let name = &source.terms.name;
+        let name = &source.settings.name;
         let known = incarnations
             .iter()
-            .position(|known| known.id == source.life && known.name == *name)
+            .position(|known| known.id == source.incarnation && known.name == *name)
             .filter(|index| incarnations[*index].part + 1 == source.part);
         if let Some(index) = known {
             incarnations[index].part += 1;
-            incarnations[index].replay.goes_on(number, source.until);
+            incarnations[index]
+                .replay
+                .continue_with(number, source.records_end);
             indices.push(index);
             continue;
         }
         let replay = Replay::new(source, number, reader.head.anonymised)?;
         indices.push(incarnations.len());
         incarnations.push(Incarnation {
-            id: source.life,
+            id: source.incarnation,
             name: name.clone(),
             part: source.part,
             is_closed: false,
--- a/crates/trace/src/request_timelines.rs
+++ b/crates/trace/src/request_timelines.rs
@@ -1,6 +1,6 @@
 //! Request timelines: the records of each request joined from its arrival to its end.
 
-use crate::record::{PodSnapshot, Record, Source, What};
+use crate::record::{Payload, PodSnapshot, Record, Source};
 use havenplank::interface::{AttemptEnd, Nanos, RequestId, RouteClassId};
 use havenplank_sidecar::engine::Effect;
 use havenplank_sidecar::events::Event;
@@ -60,21 +60,21 @@
 
     fn record(&mut self, record: &Record) {
         let at = record.at;
-        match &record.what {
-            What::Effect(Effect::SendAttempt { .. }) => self.attempts.push(Attempt {
+        match &record.payload {
+            Payload::Effect(Effect::SendAttempt { .. }) => self.attempts.push(Attempt {
                 pod: record.pod.clone(),
                 sent: at,
                 end: None,
             }),
-            What::Event(Event::AttemptEnded {
+            Payload::Event(Event::AttemptEnded {
                 attempt,
                 end,
                 delivered,
                 ..
             }) => self.end_attempt(at, *attempt as usize, *end, *delivered),
-            What::Effect(Effect::Reject { .. }) => self.answer = Some((Answer::Rejected, at)),
-            What::Effect(Effect::Fail { .. }) => self.answer = Some((Answer::Failed, at)),
-            What::Event(Event::ClientLeft { .. }) => {
+            Payload::Effect(Effect::Reject { .. }) => self.answer = Some((Answer::Rejected, at)),
+            Payload::Effect(Effect::Fail { .. }) => self.answer = Some((Answer::Failed, at)),
+            Payload::Event(Event::ClientLeft { .. }) => {
                 self.answer.get_or_insert((Answer::ClientLeft, at));
             }
             _ => {}
@@ -99,14 +99,14 @@
     /// Longest that a request may last, in nanoseconds.
     longest_request: Nanos,
     /// Requests whose records end before they do.
-    pub torn: u64,
+    pub truncated: u64,
 }
 
 /// Returns the longest that a request of any source may last, in nanoseconds.
 pub fn longest_request(sources: &[Source]) -> Nanos {
     let classes = sources
         .iter()
-        .flat_map(|source| &source.terms.route_classes);
+        .flat_map(|source| &source.settings.route_classes);
     classes
         .map(|(_, class)| class.client_timeout)
         .max()
@@ -139,12 +139,12 @@
 
     /// Adds a record; returns the timeline of the request that it ended, if it did. Times are the file's.
     pub fn record(&mut self, record: &Record) -> Option<RequestTimeline> {
-        match &record.what {
-            What::Lost { records: 1.., .. } => {
+        match &record.payload {
+            Payload::Lost { records: 1.., .. } => {
                 self.drop_source(record.source);
                 None
             }
-            What::Event(Event::RequestArrived {
+            Payload::Event(Event::RequestArrived {
                 request,
                 attributes,
             }) => {
@@ -152,7 +152,7 @@
                 None
             }
             _ => {
-                let key = (record.source, record.hit()?);
+                let key = (record.source, record.request_id()?);
                 let timeline = self.open.get_mut(&key)?;
                 timeline.record(record);
                 if timeline.is_over() {
@@ -168,7 +168,7 @@
     fn drop_source(&mut self, source: usize) {
         let before = self.open.len();
         self.open.retain(|(of, _), _| *of != source);
-        self.torn += (before - self.open.len()) as u64;
+        self.truncated += (before - self.open.len()) as u64;
     }
 
     fn begin(&mut self, record: &Record, request: RequestId, route_class: RouteClassId) {
@@ -199,6 +199,6 @@
             let median = *began.select_nth_unstable(middle).1;
             self.open.retain(|_, timeline| timeline.began > median);
         }
-        self.torn += (before - self.open.len()) as u64;
+        self.truncated += (before - self.open.len()) as u64;
     }
 }
--- a/crates/trace/src/summary/exposure.rs
+++ b/crates/trace/src/summary/exposure.rs
@@ -2,7 +2,7 @@
 
 use super::{row_or_others, Summary};
 use crate::file::Reader;
-use crate::record::{PodSnapshot, Record, What};
+use crate::record::{Payload, PodSnapshot, Record};
 use crate::request_timelines::RequestTimelines;
 use havenplank::interface::{Build, ExposureSettings, Nanos, Phase, RouteClassId, Stage};
 use havenplank_sidecar::engine::Effect;
@@ -13,13 +13,13 @@
 
 /// The share of one sidecar's requests that an unreleased build got, in consecutive windows of the exposure settings.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Exposed {
+pub struct BuildExposure {
     /// Requests with an attempt to the build.
-    pub hits: u64,
+    pub exposed_requests: u64,
     /// All requests that arrived while it was unreleased.
-    pub taken: u64,
+    pub arrived_requests: u64,
     /// The largest part of its allowance that a window used, 1 for all of it.
-    pub most: f64,
+    pub max_allowance_used: f64,
     /// Windows in which requests arrived.
     pub windows: u64,
 }
@@ -47,12 +47,12 @@
         summary: &mut Summary,
     ) {
         let source = &reader.head.sources[record.source];
-        let settings = &source.terms.exposure;
+        let settings = &source.settings.exposure;
         let trial = trial_stage(reader, record.source);
         let build = trial.map_or(0, |stage| stage.build);
         let has_ended = record.at.saturating_sub(self.began) >= settings.window.max(1);
         if build != self.build || has_ended {
-            self.close(&source.terms.name, settings, summary);
+            self.close(&source.settings.name, settings, summary);
             self.began = record.at;
             self.build = build;
             self.least_cap = trial.map_or(1.0, |stage| stage.cap);
@@ -65,11 +65,11 @@
 
     fn count(&mut self, record: &Record, timelines: &RequestTimelines, per_class: bool) {
         let row = |class: RouteClassId| if per_class { class } else { 0 };
-        match &record.what {
-            What::Event(Event::RequestArrived { attributes, .. }) => {
+        match &record.payload {
+            Payload::Event(Event::RequestArrived { attributes, .. }) => {
                 *self.arrived.entry(row(attributes.route_class)).or_default() += 1.0;
             }
-            What::Effect(Effect::SendAttempt { request, .. }) => {
+            Payload::Effect(Effect::SendAttempt { request, .. }) => {
                 let Some(timeline) = timelines.get(record.source, *request) else {
                     return;
                 };
@@ -102,21 +102,21 @@
             return;
         }
         let key = (sidecar.to_string(), window.build);
-        let row = row_or_others(&mut summary.exposed, key, ("others".to_string(), 0));
-        row.hits += exposed as u64;
-        row.taken += arrived as u64;
+        let row = row_or_others(&mut summary.exposure, key, ("others".to_string(), 0));
+        row.exposed_requests += exposed as u64;
+        row.arrived_requests += arrived as u64;
         row.windows += 1;
         for (class, exposed) in &window.exposed {
             let arrived = window.arrived.get(class).copied().unwrap_or(0.0);
             let allowance = settings.free_attempts + window.least_cap * arrived;
-            row.most = row.most.max(exposed / allowance.max(1e-9));
+            row.max_allowance_used = row.max_allowance_used.max(exposed / allowance.max(1e-9));
         }
     }
 }
 
 /// Returns the stage in force at a source, unless its build is released.
 fn trial_stage<R: Read + Seek>(reader: &Reader<R>, source: usize) -> Option<Stage> {
-    let mut in_force = reader.standing.iter();
-    let found = in_force.find(|standing| standing.source == source)?;
+    let mut in_force = reader.stages_in_force.iter();
+    let found = in_force.find(|known| known.source == source)?;
     Some(found.stage).filter(|stage| stage.phase != Phase::Released)
 }
--- a/crates/trace/src/summary/figures.rs
+++ b/crates/trace/src/summary/figures.rs
@@ -14,19 +14,19 @@
 #[derive(Clone, Debug)]
 pub struct Figures {
     /// Requests.
-    pub hits: u64,
+    pub requests: u64,
     /// Requests with an answer of a pod.
     pub delivered: u64,
     /// Delivered requests within their latency objective.
     pub in_time: u64,
     /// Requests that the sidecar rejected.
-    pub bounced: u64,
+    pub rejected: u64,
     /// Requests that ended with an error.
-    pub errored: u64,
+    pub failed: u64,
     /// Requests whose client left before an answer.
-    pub left: u64,
+    pub client_left: u64,
     /// Attempts by how they ended; those without an end are not counted.
-    pub forwards: BTreeMap<&'static str, u64>,
+    pub attempts: BTreeMap<&'static str, u64>,
     /// Time from arrival to delivery, in microseconds, to three digits.
     pub latency: Option<Histogram<u32>>,
 }
@@ -38,13 +38,13 @@
             latency.auto(true);
         }
         Figures {
-            hits: 0,
+            requests: 0,
             delivered: 0,
             in_time: 0,
-            bounced: 0,
-            errored: 0,
-            left: 0,
-            forwards: BTreeMap::new(),
+            rejected: 0,
+            failed: 0,
+            client_left: 0,
+            attempts: BTreeMap::new(),
             latency,
         }
     }
@@ -53,7 +53,7 @@
 impl Figures {
     /// Counts a request; `target` is its latency objective in nanoseconds.
     pub(super) fn count_request(&mut self, timeline: &RequestTimeline, target: Nanos) {
-        self.hits += 1;
+        self.requests += 1;
         let Some((answer, at)) = timeline.answer else {
             return;
         };
@@ -66,15 +66,15 @@
                     latency.saturating_record(took / NANOS_PER_MICRO);
                 }
             }
-            Answer::Rejected => self.bounced += 1,
-            Answer::Failed => self.errored += 1,
-            Answer::ClientLeft => self.left += 1,
+            Answer::Rejected => self.rejected += 1,
+            Answer::Failed => self.failed += 1,
+            Answer::ClientLeft => self.client_left += 1,
         }
     }
 
     /// Counts an attempt.
     pub(super) fn count_attempt(&mut self, end: AttemptEnd) {
-        *self.forwards.entry(ended(end)).or_default() += 1;
+        *self.attempts.entry(attempt_end_name(end)).or_default() += 1;
     }
 
     /// Returns a quantile of the time to delivery, in milliseconds; 0 where nothing was delivered.
@@ -87,7 +87,7 @@
 }
 
 /// Returns the word for an attempt's end in summaries and in the JSON view.
-pub fn ended(end: AttemptEnd) -> &'static str {
+pub fn attempt_end_name(end: AttemptEnd) -> &'static str {
     match end {
         AttemptEnd::Served => "delivered",
         AttemptEnd::Failed => "error",
--- a/crates/trace/src/summary/mod.rs
+++ b/crates/trace/src/summary/mod.rs
@@ -3,11 +3,11 @@
 mod exposure;
 mod figures;
 
-pub use exposure::Exposed;
-pub use figures::{ended, vote_name, Figures};
+pub use exposure::BuildExposure;
+pub use figures::{attempt_end_name, vote_name, Figures};
 
 use crate::file::{Reader, TraceError};
-use crate::record::{Record, What};
+use crate::record::{Payload, Record};
 use crate::request_timelines::{Answer, RequestTimeline, RequestTimelines};
 use exposure::ExposureWindow;
 use havenplank::interface::{Build, Nanos};
@@ -29,13 +29,13 @@
     /// Records read.
     pub records: u64,
     /// Requests that arrived.
-    pub hits: u64,
+    pub requests: u64,
     /// Records that this program does not know.
     pub skipped: u64,
     /// Requests whose records end before they do: in flight at the end, or cut short by lost records.
     pub unfinished: u64,
     /// Requests that the recorder left out.
-    pub lost_hits: u64,
+    pub lost_requests: u64,
     /// Other records that the recorder lost.
     pub lost_records: u64,
     /// Time of the first record, in nanoseconds on the file's clock.
@@ -50,7 +50,7 @@
     /// would take most of the memory.
     pub spans: BTreeMap<(Nanos, Build), [u64; 5]>,
     /// Exposure by sidecar and build.
-    pub exposed: BTreeMap<(String, Build), Exposed>,
+    pub exposure: BTreeMap<(String, Build), BuildExposure>,
     /// Votes by build, stage and vote.
     pub votes: BTreeMap<(Build, usize, &'static str), u64>,
 }
@@ -68,7 +68,7 @@
     let length = last.saturating_sub(first);
     if span.is_some_and(|span| length / span.max(1) > MAX_SPANS) {
         let why = format!("more than {MAX_SPANS} spans; expected a longer one");
-        return Err(TraceError::Unfit(why));
+        return Err(TraceError::Unusable(why));
     }
     let mut summary = Summary {
         first,
@@ -92,9 +92,13 @@
         }
     };
     for (window, source) in windows.iter_mut().zip(&reader.head.sources) {
-        window.close(&source.terms.name, &source.terms.exposure, &mut summary);
+        window.close(
+            &source.settings.name,
+            &source.settings.exposure,
+            &mut summary,
+        );
     }
-    summary.unfinished = timelines.torn + timelines.in_flight() as u64;
+    summary.unfinished = timelines.truncated + timelines.in_flight() as u64;
     summary.skipped = reader.skipped();
     Ok((summary, damage))
 }
@@ -104,7 +108,7 @@
     reader: &'a Reader<R>,
     timeline: &RequestTimeline,
 ) -> (&'a str, Nanos) {
-    let settings = &reader.head.sources[timeline.source].terms;
+    let settings = &reader.head.sources[timeline.source].settings;
     match settings.route_classes.get(timeline.route_class) {
         Some((name, class)) => (name, class.latency_objective),
         None => (UNKNOWN_CLASS, 0),
@@ -121,13 +125,13 @@
 impl Summary {
     fn count_record(&mut self, record: &Record) {
         self.records += 1;
-        match &record.what {
-            What::Event(Event::RequestArrived { .. }) => self.hits += 1,
-            What::Lost { hits, records } => {
-                self.lost_hits += hits;
+        match &record.payload {
+            Payload::Event(Event::RequestArrived { .. }) => self.requests += 1,
+            Payload::Lost { requests, records } => {
+                self.lost_requests += requests;
                 self.lost_records += records;
             }
-            What::Effect(Effect::CastVote {
+            Payload::Effect(Effect::CastVote {
                 build, stage, vote, ..
             }) => {
                 let key = (*build, *stage, vote_name(*vote));
@@ -166,7 +170,7 @@
             self.build_row(pod.build, class).count_attempt(end);
             let key = (pod.name.clone(), pod.build);
             let ends = row_or_others(&mut self.pods, key, ("others".to_string(), 0));
-            *ends.entry(ended(end)).or_default() += 1;
+            *ends.entry(attempt_end_name(end)).or_default() += 1;
         }
     }
 
--- a/crates/trace/tests/common/mod.rs
+++ b/crates/trace/tests/common/mod.rs
@@ -8,7 +8,7 @@
 use havenplank_settings::{load, Given};
 use havenplank_sidecar::engine::{Effect, Engine, EngineSettings, RequestAttributes, EPOCH};
 use havenplank_trace::file::Reader;
-use havenplank_trace::recorder::{Limits, Recorder, Shelf, Writing};
+use havenplank_trace::recorder::{FileStore, Limits, Recorder, WriterHandle};
 use havenplank_trace::{Record, Source};
 use oorandom::Rand64;
 use std::io::{self, Cursor, Write};
@@ -21,7 +21,7 @@
 /// When the world began, in nanoseconds since 1970.
 pub const BASE: Nanos = 1_700_000_000 * S;
 
-pub fn terms(name: &str) -> EngineSettings {
+pub fn engine_settings(name: &str) -> EngineSettings {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/site.star");
     let given = Given::from([("name".to_string(), name.to_string())]);
     EngineSettings::from(&load(&file, &given).unwrap_or_else(|problems| panic!("{problems}")))
@@ -29,7 +29,7 @@
 
 /// One life of one sidecar.
 #[derive(Clone)]
-pub struct Life {
+pub struct SidecarRun {
     pub name: String,
     pub seed: u64,
     /// Since the world began.
@@ -43,16 +43,16 @@
     pub limits: Limits,
 }
 
-impl Life {
-    pub fn new(name: &str, seed: u64, lasts: Nanos) -> Life {
+impl SidecarRun {
+    pub fn new(name: &str, seed: u64, lasts: Nanos) -> SidecarRun {
         let limits = Limits {
-            share: 1.0,
-            queue: 64 << 20,
-            longest: 3 * S,
+            sample_share: 1.0,
+            queue_bytes: 64 << 20,
+            max_request_duration: 3 * S,
             file_bytes: u64::MAX,
             file_age: u64::MAX,
         };
-        Life {
+        SidecarRun {
             name: name.to_string(),
             seed,
             starts: 0,
@@ -70,18 +70,18 @@
     }
 
     pub fn source(&self) -> Source {
-        let wall = (BASE + self.starts).wrapping_add_signed(self.skew);
-        let (terms, life) = (terms(&self.name), self.seed ^ 0x5eed);
+        let wall_start = (BASE + self.starts).wrapping_add_signed(self.skew);
+        let (settings, incarnation) = (engine_settings(&self.name), self.seed ^ 0x5eed);
         Source {
-            terms,
+            settings,
             seed: self.seed,
-            life,
+            incarnation,
             part: 0,
-            began: EPOCH,
-            wall,
-            share: 1.0,
-            whole: true,
-            until: u64::MAX,
+            engine_start: EPOCH,
+            wall_start,
+            sample_share: 1.0,
+            is_complete: true,
+            records_end: u64::MAX,
         }
     }
 }
@@ -103,7 +103,7 @@
     }
 }
 
-impl Shelf for Memory {
+impl FileStore for Memory {
     fn open(&mut self, _part: u64) -> io::Result<Box<dyn Write + Send>> {
         let mut files = self.0.lock().unwrap();
         files.push(Vec::new());
@@ -111,13 +111,13 @@
     }
 }
 
-pub fn pod(n: u64, state: PodState, build: Build, life: u64) -> ListedEndpoint {
+pub fn pod(n: u64, state: PodState, build: Build, incarnation: u64) -> ListedEndpoint {
     ListedEndpoint {
         name: format!("searchnode{n}.krakow.example.org"),
         address: ([10, 20, 30, n as u8], 4000 + n as u16).into(),
         state,
         build,
-        incarnation: life,
+        incarnation,
         age: if build == 1 { 0 } else { 10 * S },
         zone: format!("serverhall-{}", n % 2 + 1),
         machine: "three-core".to_string(),
@@ -154,21 +154,21 @@
 }
 
 /// Lives through `life`, its engine recorded by `recorder`.
-pub fn live(life: &Life, recorder: Recorder) {
+pub fn run_engine(run: &SidecarRun, recorder: Recorder) {
     let mut engine =
-        Engine::new(EPOCH, life.seed, &terms(&life.name)).with_observer(Box::new(recorder));
-    let mut chance = Rand64::new(life.seed as u128);
+        Engine::new(EPOCH, run.seed, &engine_settings(&run.name)).with_observer(Box::new(recorder));
+    let mut chance = Rand64::new(run.seed as u128);
     engine.start(EPOCH);
     let mut first: Vec<ListedEndpoint> = (0..12).map(|n| pod(n, PodState::Running, 1, 1)).collect();
     first.extend((12..16).map(|n| pod(n, PodState::Running, 2, 1)));
     engine.update_endpoints(EPOCH, true, first);
-    let mut heard = life.starts.div_ceil(EVENT);
-    let mut due = heard * EVENT + chance.rand_range(0..life.notice + 1);
+    let mut heard = run.starts.div_ceil(EVENT);
+    let mut due = heard * EVENT + chance.rand_range(0..run.notice + 1);
     let mut out: Vec<(Nanos, u64, u32, AttemptEnd, Nanos)> = Vec::new();
     let step = MS;
-    for tick in 0..life.lasts / step {
-        let time = life.starts + tick * step + chance.rand_range(0..step / 2);
-        let now = life.own(time);
+    for tick in 0..run.lasts / step {
+        let time = run.starts + tick * step + chance.rand_range(0..step / 2);
+        let now = run.own(time);
         if engine.next_timer().is_some_and(|at| at <= now) {
             engine.run_timers(now);
         }
@@ -178,7 +178,7 @@
                 Event::Stage(stage) => engine.update_stage(now, stage),
             }
             heard += 1;
-            due = heard * EVENT + chance.rand_range(0..life.notice + 1);
+            due = heard * EVENT + chance.rand_range(0..run.notice + 1);
         }
         if tick % 5 == 0 {
             let group = (tick / 5 % 3) as usize;
@@ -267,24 +267,24 @@
     }
 }
 
-pub fn finish(writing: Writing) {
+pub fn finish(writing: WriterHandle) {
     assert!(writing.wait(Duration::from_secs(60)), "all is written");
 }
 
 /// The files of a life, in memory.
-pub fn files(life: &Life) -> Vec<Vec<u8>> {
+pub fn files(run: &SidecarRun) -> Vec<Vec<u8>> {
     let memory = Memory::default();
     let (recorder, writing) =
-        Recorder::start(life.source(), life.limits.clone(), Box::new(memory.clone()));
-    live(life, recorder);
+        Recorder::start(run.source(), run.limits.clone(), Box::new(memory.clone()));
+    run_engine(run, recorder);
     finish(writing);
     let files = std::mem::take(&mut *memory.0.lock().unwrap());
     files
 }
 
 /// The only file of a life.
-pub fn file(life: &Life) -> Vec<u8> {
-    let mut files = files(life);
+pub fn file(run: &SidecarRun) -> Vec<u8> {
+    let mut files = files(run);
     assert_eq!(files.len(), 1);
     files.remove(0)
 }
--- a/crates/trace/tests/files.rs
+++ b/crates/trace/tests/files.rs
@@ -7,14 +7,14 @@
 use havenplank_sidecar::engine::{Effect, EPOCH};
 use havenplank_sidecar::events::Event;
 use havenplank_trace::file::{Reader, MAGIC};
-use havenplank_trace::{replay, Head, Record, TraceError, What, Writer};
+use havenplank_trace::{replay, Head, Payload, Record, TraceError, Writer};
 use proptest::prelude::*;
 use std::io::Cursor;
 use std::path::Path;
 
 /// A short file of several blocks, with its records.
 fn short() -> (Vec<u8>, Vec<Record>) {
-    let bytes = file(&Life::new("sidecar-0", 13, 300 * MS));
+    let bytes = file(&SidecarRun::new("sidecar-0", 13, 300 * MS));
     let records = all(&bytes);
     let mut writer = Writer::new(Vec::new(), &open(&bytes).head, Vec::new()).unwrap();
     for (n, record) in records.iter().enumerate() {
@@ -29,8 +29,8 @@
 #[test]
 fn a_hit_that_goes_on_from_elsewhere_reads_as_written() {
     let (bytes, mut records) = short();
-    let at = records.iter().position(Record::begins_hit).unwrap();
-    let hit = records[at].hit().unwrap();
+    let at = records.iter().position(Record::is_arrival).unwrap();
+    let hit = records[at].request_id().unwrap();
     let known = PriorAttempt {
         pod: Some(1),
         ago: 40 * MS,
@@ -44,19 +44,23 @@
             may_have_run: false,
         },
     ];
-    let what = What::Event(Event::RequestResumed {
+    let payload = Payload::Event(Event::RequestResumed {
         request: hit,
         prior_attempts: past,
     });
     records.insert(
         at,
         Record {
-            what,
+            payload,
             pod: None,
             ..records[at].clone()
         },
     );
-    assert!(records[at].opens_hit() && records[at].hit() == Some(hit) && !records[at].begins_hit());
+    assert!(
+        records[at].begins_request()
+            && records[at].request_id() == Some(hit)
+            && !records[at].is_arrival()
+    );
     let mut writer = Writer::new(Vec::new(), &open(&bytes).head, Vec::new()).unwrap();
     records
         .iter()
@@ -75,7 +79,7 @@
     loop {
         match reader.record() {
             Ok(Some(record)) => records.push(record),
-            Ok(None) => return (records, reader.rebuilt.map(|error| error.to_string())),
+            Ok(None) => return (records, reader.index_error.map(|error| error.to_string())),
             Err(error) => return (records, Some(error.to_string())),
         }
     }
@@ -88,7 +92,7 @@
     assert!(index.len() >= 4 && read(&bytes) == (records.clone(), None));
     for length in 0..bytes.len() {
         let (found, amiss) = read(&bytes[..length]);
-        let whole = |entry: &&havenplank_trace::file::Entry| {
+        let whole = |entry: &&havenplank_trace::file::IndexEntry| {
             entry.offset as usize + 48 + entry.packed as usize <= length
         };
         let there: usize = index
@@ -146,7 +150,10 @@
 }
 
 fn head() -> Vec<u8> {
-    serde_json::to_vec(&Head::new(vec![Life::new("sidecar-0", 1, S).source()])).unwrap()
+    serde_json::to_vec(&Head::new(
+        vec![SidecarRun::new("sidecar-0", 1, S).source()],
+    ))
+    .unwrap()
 }
 
 /// A file of one block whose body is this.
@@ -210,7 +217,7 @@
     bytes[8] = 2;
     assert!(matches!(
         Reader::open(Cursor::new(&bytes)),
-        Err(TraceError::Major(2))
+        Err(TraceError::UnsupportedMajor(2))
     ));
     // Minor 7: a field of the greeting, a kind, a choice and a column that nobody knows, and a field of the body.
     let mut head: serde_json::Value = serde_json::from_slice(&head()).unwrap();
@@ -242,7 +249,7 @@
     let records: Vec<Record> = std::iter::from_fn(|| reader.record().unwrap()).collect();
     let times: Vec<u64> = records.iter().map(|record| record.at - EPOCH).collect();
     assert!(
-        reader.minor == 7 && times == [0, 15] && reader.skipped() == 2,
+        reader.minor_version == 7 && times == [0, 15] && reader.skipped() == 2,
         "{times:?} {}",
         reader.skipped()
     );
@@ -255,20 +262,20 @@
     let bytes = std::fs::read(path).unwrap();
     let reader = open(&bytes);
     assert!(
-        reader.minor == 0
-            && reader.rebuilt.is_none()
-            && reader.head.sources[0].terms.name == "sidecar-0"
+        reader.minor_version == 0
+            && reader.index_error.is_none()
+            && reader.head.sources[0].settings.name == "sidecar-0"
     );
     let records = all(&bytes);
-    let (mut hits, mut took, mut to_pod, mut listed) = (0, 0, 0, 0);
+    let (mut requests, mut took, mut to_pod, mut listed) = (0, 0, 0, 0);
     for record in &records {
-        match &record.what {
-            What::Event(Event::RequestArrived {
+        match &record.payload {
+            Payload::Event(Event::RequestArrived {
                 attributes: asked, ..
-            }) => hits += asked.remaining,
-            What::Event(Event::AttemptEnded { took: ns, .. }) => took += ns,
-            What::Event(Event::EndpointsListed { pods, .. }) => listed += pods.len(),
-            What::Effect(Effect::SendAttempt { .. }) => {
+            }) => requests += asked.remaining,
+            Payload::Event(Event::AttemptEnded { took: ns, .. }) => took += ns,
+            Payload::Event(Event::EndpointsListed { pods, .. }) => listed += pods.len(),
+            Payload::Effect(Effect::SendAttempt { .. }) => {
                 let name = record.pod.as_ref().map(|pod| pod.name.as_str());
                 to_pod += (name == Some("searchnode3.krakow.example.org")) as u32;
             }
@@ -276,7 +283,7 @@
         }
     }
     assert_eq!(
-        (records.len(), hits, took, to_pod, listed),
+        (records.len(), requests, took, to_pod, listed),
         (1671, 1_057_983_905_706, 11_772_410_187, 35, 21)
     );
 }
--- a/crates/trace/tests/wire.rs
+++ b/crates/trace/tests/from_adapter.rs
@@ -6,7 +6,7 @@
 use havenplank_adapter::instance::Instance;
 use havenplank_adapter::line::Line;
 use havenplank_adapter::session::Session;
-use havenplank_trace::{from_wire, replay, TraceError};
+use havenplank_trace::{from_adapter, replay, TraceError};
 use oorandom::Rand64;
 use std::collections::HashMap;
 use std::fmt::Write as _;
@@ -130,10 +130,10 @@
 #[test]
 fn a_day_on_the_pipes_plays_identically() {
     let (input, output) = pipes();
-    let sources = from_wire::sources(input.as_bytes()).unwrap();
+    let sources = from_adapter::sources(input.as_bytes()).unwrap();
     assert_eq!(sources.len(), 3, "two, and one that came back");
     let mut bytes = Vec::new();
-    from_wire::write(
+    from_adapter::write(
         input.as_bytes(),
         output.as_bytes(),
         sources.clone(),
@@ -143,15 +143,22 @@
     let (played, damage) = replay::replay(vec![open(&bytes)]).unwrap();
     assert!(damage.is_none());
     for (name, outcome) in &played {
-        assert!(outcome.differs.is_none(), "{name}: {:?}", outcome.differs);
+        assert!(
+            outcome.first_difference.is_none(),
+            "{name}: {:?}",
+            outcome.first_difference
+        );
     }
-    let hits: u64 = played.iter().map(|(_, outcome)| outcome.hits).sum();
+    let requests: u64 = played.iter().map(|(_, outcome)| outcome.requests).sum();
     let compared: u64 = played.iter().map(|(_, outcome)| outcome.compared).sum();
-    assert!(hits == 2_895 && compared > 4_000, "{hits} {compared}");
+    assert!(
+        requests == 2_895 && compared > 4_000,
+        "{requests} {compared}"
+    );
     // An answer that the adapter did not give is found.
     let other = output.replacen("\"patienceNs\":", "\"patienceNs\":1", 1);
     let mut bytes = Vec::new();
-    from_wire::write(
+    from_adapter::write(
         input.as_bytes(),
         other.as_bytes(),
         sources.clone(),
@@ -159,12 +166,14 @@
     )
     .unwrap();
     let (played, _) = replay::replay(vec![open(&bytes)]).unwrap();
-    assert!(played.iter().any(|(_, outcome)| outcome.differs.is_some()));
+    assert!(played
+        .iter()
+        .any(|(_, outcome)| outcome.first_difference.is_some()));
     // Pipes that do not belong together.
     let short: String = output
         .lines()
         .take(100)
         .fold(String::new(), |text, line| text + line + "\n");
-    let ends = from_wire::write(input.as_bytes(), short.as_bytes(), sources, Vec::new());
-    assert!(matches!(ends, Err(TraceError::Unfit(why)) if why.contains("batch")));
+    let ends = from_adapter::write(input.as_bytes(), short.as_bytes(), sources, Vec::new());
+    assert!(matches!(ends, Err(TraceError::Unusable(why)) if why.contains("batch")));
 }
--- a/crates/trace/tests/recorder.rs
+++ b/crates/trace/tests/recorder.rs
@@ -5,45 +5,51 @@
 use common::*;
 use havenplank_sidecar::engine::EPOCH;
 use havenplank_sidecar::events::Event;
-use havenplank_trace::recorder::{Folder, Recorder, Shelf};
-use havenplank_trace::{merge, replay, summary, Record, TraceError, What, Writer};
+use havenplank_trace::recorder::{FileStore, Folder, Recorder};
+use havenplank_trace::{merge, replay, summary, Payload, Record, TraceError, Writer};
 use std::collections::{HashMap, HashSet};
 use std::io::{self, Write};
 use std::sync::mpsc::{self, Receiver};
 use std::sync::{Arc, Mutex};
 
 /// The records by hit, and those of none.
-fn by_hit(records: &[Record]) -> (HashMap<u64, Vec<What>>, Vec<What>) {
-    let (mut hits, mut besides): (HashMap<u64, Vec<What>>, Vec<What>) = Default::default();
+fn by_hit(records: &[Record]) -> (HashMap<u64, Vec<Payload>>, Vec<Payload>) {
+    let (mut requests, mut besides): (HashMap<u64, Vec<Payload>>, Vec<Payload>) =
+        Default::default();
     for record in records {
-        match record.hit() {
-            Some(hit) => hits.entry(hit).or_default().push(record.what.clone()),
-            None => besides.push(record.what.clone()),
+        match record.request_id() {
+            Some(hit) => requests
+                .entry(hit)
+                .or_default()
+                .push(record.payload.clone()),
+            None => besides.push(record.payload.clone()),
         }
     }
-    (hits, besides)
+    (requests, besides)
 }
 
 #[test]
 fn a_sample_holds_each_hit_whole_and_everything_else() {
-    let life = Life::new("sidecar-0", 2, 8 * S);
-    let (all_hits, all_besides) = by_hit(&all(&file(&life)));
-    let mut sampled = life.clone();
-    sampled.limits.share = 0.25;
+    let run = SidecarRun::new("sidecar-0", 2, 8 * S);
+    let (all_hits, all_besides) = by_hit(&all(&file(&run)));
+    let mut sampled = run.clone();
+    sampled.limits.sample_share = 0.25;
     let bytes = file(&sampled);
-    let (hits, besides) = by_hit(&all(&bytes));
+    let (requests, besides) = by_hit(&all(&bytes));
     assert!(
-        (300..500).contains(&hits.len()),
+        (300..500).contains(&requests.len()),
         "{} of {}",
-        hits.len(),
+        requests.len(),
         all_hits.len()
     );
-    assert!(hits.iter().all(|(hit, records)| all_hits[hit] == *records));
+    assert!(requests
+        .iter()
+        .all(|(hit, records)| all_hits[hit] == *records));
     assert!(besides == all_besides);
     assert!(
         matches!(
             replay::replay(vec![open(&bytes)]),
-            Err(TraceError::Unfit(_))
+            Err(TraceError::Unusable(_))
         ),
         "not all hits are there"
     );
@@ -54,7 +60,7 @@
 
 struct Gated(Box<dyn Write + Send>, Arc<Mutex<Receiver<()>>>);
 
-impl Shelf for Gate {
+impl FileStore for Gate {
     fn open(&mut self, part: u64) -> io::Result<Box<dyn Write + Send>> {
         Ok(Box::new(Gated(self.0.open(part)?, self.1.clone())))
     }
@@ -72,12 +78,12 @@
 }
 
 /// A life whose disk stands still until it is over; its records.
-fn behind_a_gate(life: &Life) -> Vec<Record> {
+fn behind_a_gate(run: &SidecarRun) -> Vec<Record> {
     let (memory, (open, gate)) = (Memory::default(), mpsc::channel());
     let shelf = Gate(memory.clone(), Arc::new(Mutex::new(gate)));
-    let (recorder, writing) = Recorder::start(life.source(), life.limits.clone(), Box::new(shelf));
+    let (recorder, writing) = Recorder::start(run.source(), run.limits.clone(), Box::new(shelf));
     // The engine lives through this without waiting for the gate, or the test would not end.
-    live(life, recorder);
+    run_engine(run, recorder);
     drop(open);
     finish(writing);
     let bytes = memory.0.lock().unwrap()[0].clone();
@@ -86,31 +92,31 @@
 
 #[test]
 fn a_slow_disk_costs_whole_hits_which_are_counted() {
-    let mut life = Life::new("sidecar-0", 4, 30 * S);
-    let (every, besides) = by_hit(&all(&file(&life)));
-    life.limits.queue = 200 << 10;
-    let records = behind_a_gate(&life);
-    let (hits, found) = by_hit(&records);
-    let lost = |records: &[What]| -> (u64, u64) {
+    let mut run = SidecarRun::new("sidecar-0", 4, 30 * S);
+    let (every, besides) = by_hit(&all(&file(&run)));
+    run.limits.queue_bytes = 200 << 10;
+    let records = behind_a_gate(&run);
+    let (requests, found) = by_hit(&records);
+    let lost = |records: &[Payload]| -> (u64, u64) {
         records.iter().fold((0, 0), |sum, what| match what {
-            What::Lost { hits, records } => (sum.0 + hits, sum.1 + records),
+            Payload::Lost { requests, records } => (sum.0 + requests, sum.1 + records),
             _ => sum,
         })
     };
     assert!(
-        hits.len() > 500 && hits.len() < every.len(),
+        requests.len() > 500 && requests.len() < every.len(),
         "{} of {}",
-        hits.len(),
+        requests.len(),
         every.len()
     );
     assert!(
-        hits.iter().all(|(hit, records)| every[hit] == *records),
+        requests.iter().all(|(hit, records)| every[hit] == *records),
         "no hit in part"
     );
-    assert_eq!(lost(&found), ((every.len() - hits.len()) as u64, 0));
-    let told: Vec<&What> = found
+    assert_eq!(lost(&found), ((every.len() - requests.len()) as u64, 0));
+    let told: Vec<&Payload> = found
         .iter()
-        .filter(|what| !matches!(what, What::Lost { .. }))
+        .filter(|what| !matches!(what, Payload::Lost { .. }))
         .collect();
     assert!(
         told.len() == besides.len() && told.into_iter().eq(&besides),
@@ -120,23 +126,23 @@
 
 #[test]
 fn a_disk_that_stands_still_for_long_loses_blocks_and_says_so() {
-    let mut life = Life::new("sidecar-0", 4, 30 * S);
-    let every = all(&file(&life)).len();
-    life.limits.queue = 24 << 10;
-    let records = behind_a_gate(&life);
-    let (mut hits, mut lost) = (0, 0);
+    let mut run = SidecarRun::new("sidecar-0", 4, 30 * S);
+    let every = all(&file(&run)).len();
+    run.limits.queue_bytes = 24 << 10;
+    let records = behind_a_gate(&run);
+    let (mut requests, mut lost) = (0, 0);
     for record in &records {
-        if let What::Lost {
-            hits: h,
+        if let Payload::Lost {
+            requests: h,
             records: r,
-        } = record.what
+        } = record.payload
         {
-            (hits, lost) = (hits + h, lost + r);
+            (requests, lost) = (requests + h, lost + r);
         }
     }
     assert!(
-        lost > 0 && hits > 0 && records.len() < every,
-        "{hits} {lost}"
+        lost > 0 && requests > 0 && records.len() < every,
+        "{requests} {lost}"
     );
 }
 
@@ -145,7 +151,7 @@
 
 struct Failing(Box<dyn Write + Send>, Arc<Mutex<u32>>);
 
-impl Shelf for Fails {
+impl FileStore for Fails {
     fn open(&mut self, part: u64) -> io::Result<Box<dyn Write + Send>> {
         if (3..6).contains(&*self.1.lock().unwrap()) {
             *self.1.lock().unwrap() += 1;
@@ -180,11 +186,11 @@
 
 #[test]
 fn a_full_disk_breaks_the_file_off_and_another_goes_on() {
-    let life = Life::new("sidecar-0", 6, 12 * S);
+    let run = SidecarRun::new("sidecar-0", 6, 12 * S);
     let memory = Memory::default();
     let shelf = Fails(memory.clone(), Arc::default());
-    let (recorder, writing) = Recorder::start(life.source(), life.limits.clone(), Box::new(shelf));
-    live(&life, recorder);
+    let (recorder, writing) = Recorder::start(run.source(), run.limits.clone(), Box::new(shelf));
+    run_engine(&run, recorder);
     finish(writing);
     let files = memory.0.lock().unwrap().clone();
     assert_eq!(files.len(), 2);
@@ -199,7 +205,7 @@
     assert!(matches!(ends, Err(TraceError::Damage { .. })), "{ends:?}");
     let (summary, damage) = summary::summarise(&mut open(&files[1]), None).unwrap();
     assert!(
-        damage.is_none() && summary.lost_records > 0 && summary.lost_hits > 0,
+        damage.is_none() && summary.lost_records > 0 && summary.lost_requests > 0,
         "{summary:?}"
     );
     assert_eq!(open(&files[1]).head.sources[0].part, 1);
@@ -216,14 +222,14 @@
     ] {
         std::fs::write(folder.path().join(name), vec![0; 9_000]).unwrap();
     }
-    let mut life = Life::new("sidecar-0", 8, 20 * S);
-    life.limits.file_age = S;
+    let mut run = SidecarRun::new("sidecar-0", 8, 20 * S);
+    run.limits.file_age = S;
     let total = 60_000;
     for began in [1, 2] {
         let shelf = Folder::new(folder.path(), "sidecar-0", began, total).unwrap();
         let (recorder, writing) =
-            Recorder::start(life.source(), life.limits.clone(), Box::new(shelf));
-        live(&life, recorder);
+            Recorder::start(run.source(), run.limits.clone(), Box::new(shelf));
+        run_engine(&run, recorder);
         finish(writing);
     }
     let mut names: Vec<String> = std::fs::read_dir(folder.path())
@@ -257,25 +263,25 @@
     );
     for name in ours {
         assert!(open(&std::fs::read(folder.path().join(name)).unwrap())
-            .rebuilt
+            .index_error
             .is_none());
     }
 }
 
 #[test]
 fn a_recorder_that_is_killed_leaves_all_but_its_last_second() {
-    let life = Life::new("sidecar-0", 9, 6 * S);
-    let whole = all(&file(&life));
+    let run = SidecarRun::new("sidecar-0", 9, 6 * S);
+    let whole = all(&file(&run));
     // A kill is a file as it stands when nothing more is written: no last block, no index.
     let memory = Memory::default();
     let (recorder, writing) =
-        Recorder::start(life.source(), life.limits.clone(), Box::new(memory.clone()));
-    live(&life, recorder);
+        Recorder::start(run.source(), run.limits.clone(), Box::new(memory.clone()));
+    run_engine(&run, recorder);
     finish(writing);
     let bytes = memory.0.lock().unwrap()[0].clone();
     let last = open(&bytes).index.last().copied().unwrap();
     let mut reader = open(&bytes[..last.offset as usize + 100]);
-    assert!(reader.rebuilt.is_some());
+    assert!(reader.index_error.is_some());
     let mut found = Vec::new();
     let ended = loop {
         match reader.record() {
@@ -289,14 +295,14 @@
     );
     assert!(whole[..found.len()] == found[..] && found.len() > whole.len() * 3 / 4);
     assert!(whole.last().unwrap().at - found.last().unwrap().at <= 2 * S);
-    let begun: HashSet<u64> = found.iter().filter_map(Record::hit).collect();
+    let begun: HashSet<u64> = found.iter().filter_map(Record::request_id).collect();
     assert!(begun.len() > 800);
     let (played, damage) = replay::replay(vec![open(&bytes[..last.offset as usize])]).unwrap();
-    assert!(damage.is_none() && played[0].1.differs.is_none());
+    assert!(damage.is_none() && played[0].1.first_difference.is_none());
     // Nor is it a difference in a copy, which is closed, that the last call's effects were not written.
     let told = found
         .iter()
-        .rposition(|record| matches!(record.what, What::Event(Event::RequestArrived { .. })))
+        .rposition(|record| matches!(record.payload, Payload::Event(Event::RequestArrived { .. })))
         .unwrap();
     let mut writer = Writer::new(Vec::new(), &open(&bytes).head, Vec::new()).unwrap();
     found[..=told]
@@ -308,11 +314,11 @@
     merge::merge(vec![open(unclosed)], &mut merged).unwrap();
     for (file, same) in [(&ends[..], false), (unclosed, true), (&merged[..], true)] {
         let (played, _) = replay::replay(vec![open(file)]).unwrap();
-        assert_eq!(played[0].1.differs.is_none(), same);
+        assert_eq!(played[0].1.first_difference.is_none(), same);
     }
     let first = found
         .iter()
-        .find(|record| matches!(record.what, What::Event(Event::Started)))
+        .find(|record| matches!(record.payload, Payload::Event(Event::Started)))
         .unwrap();
     assert_eq!(first.at, EPOCH);
 }
--- a/crates/trace/tests/stored.rs
+++ b/crates/trace/tests/stored.rs
@@ -25,22 +25,22 @@
 fn the_head_of_a_stored_trace_reads_and_is_written_with_the_same_bytes() {
     let mut head = open().head;
     // Without an index the reader sets the end of what it found; the file states none.
-    head.sources[0].until = u64::MAX;
+    head.sources[0].records_end = u64::MAX;
     let written = serde_json::to_vec(&head).expect("a head is JSON");
     let stored = TRACE
         .windows(written.len())
         .any(|bytes| bytes == written.as_slice());
     assert!(stored, "{}", String::from_utf8_lossy(&written));
-    assert_eq!(head.settings, "ce6616b21f19e0b4");
+    assert_eq!(head.settings_hash, "ce6616b21f19e0b4");
     let [source] = head.sources.as_slice() else {
         panic!("{} sources", head.sources.len());
     };
     assert_eq!(
-        (source.terms.name.as_str(), source.seed),
+        (source.settings.name.as_str(), source.seed),
         ("sidecar-1", 5876099971135200)
     );
-    assert_eq!(source.terms.exposure.caps, [0.136, 0.425, 1.0, 1.0]);
-    assert_eq!(source.terms.votes.rollback_quorum, 1);
+    assert_eq!(source.settings.exposure.caps, [0.136, 0.425, 1.0, 1.0]);
+    assert_eq!(source.settings.votes.rollback_quorum, 1);
 }
 
 #[test]
@@ -68,9 +68,9 @@
     assert!(damage.is_none() && played.len() == 1);
     let (name, outcome) = played.remove(0);
     assert_eq!(
-        (name.as_str(), &outcome.differs, outcome.stopped),
+        (name.as_str(), &outcome.first_difference, outcome.stopped_at),
         ("sidecar-1", &None, None)
     );
-    let counts = (outcome.records, outcome.hits, outcome.compared);
+    let counts = (outcome.records, outcome.requests, outcome.compared);
     assert_eq!(counts, (RECORDS as u64, REQUESTS, DECISIONS));
 }
