--- a/crates/trace/src/anonymise.rs
+++ b/crates/trace/src/anonymise.rs
@@ -1,4 +1,5 @@
-//! Anonymises a trace: every name is replaced by a pseudonym, the same for the same name, that tells nothing of the name.
+//! Anonymises a trace: replaces every name by a pseudonym. Equal names have equal pseudonyms, and a pseudonym reveals
+//! nothing about its name.
 
 use crate::file::{Reader, TraceError, Writer};
 use crate::record::{Head, Payload, PodSnapshot, Record, StageInForce};
@@ -10,34 +11,37 @@
 use std::net::{IpAddr, Ipv6Addr, SocketAddr};
 use std::sync::Arc;
 
-/// Anonymised pods that are cached; past that the cache is cleared.
+/// Anonymised pods in the cache; a full cache is cleared.
 const MAX_CACHED_PODS: usize = 1 << 16;
 
-/// The key of the pseudonyms. Whoever has it can test whether a guessed name is in the trace.
+/// The key of the pseudonyms. With the key, a guessed name can be checked for being in the trace.
 pub type Key = [u8; 32];
 
-/// Bytes of the hash that a pseudonym shows, as two hexadecimal digits each.
+/// Bytes of the hash in a pseudonym, each written as two hexadecimal digits.
 const PSEUDONYM_BYTES: usize = 10;
 
 /// Returns a random key.
 ///
 /// # Errors
-/// The system has no random numbers to give.
+/// The operating system returns no random bytes.
 pub fn random_key() -> Result<Key, TraceError> {
     let mut key = [0; 32];
-    getrandom::fill(&mut key)
-        .map_err(|error| TraceError::Unusable(format!("no key to be drawn: {error}")))?;
+    getrandom::fill(&mut key).map_err(|error| {
+        TraceError::Unusable(format!(
+            "the operating system returned no random bytes for a key: {error}"
+        ))
+    })?;
     Ok(key)
 }
 
 struct Anonymiser {
     key: Key,
-    /// Pods that were anonymised before.
+    /// The anonymised form of each pod seen since the cache was cleared.
     pods: HashMap<Arc<PodSnapshot>, Arc<PodSnapshot>>,
 }
 
 impl Anonymiser {
-    /// Returns a keyed hash of a name; `kind` keeps equal names of different kinds apart.
+    /// Returns a keyed hash of a name; equal names of different `kind` have different hashes.
     fn hash(&self, kind: &str, name: &[u8]) -> [u8; 32] {
         let mut hash = blake3::Hasher::new_keyed(&self.key);
         hash.update(kind.as_bytes()).update(&[0]).update(name);
@@ -52,7 +56,7 @@
             .max(1)
     }
 
-    /// Returns a pseudonym for a name; all pseudonyms of a kind have one length.
+    /// Returns a pseudonym for a name; all pseudonyms of a kind have the same length.
     fn name(&self, kind: &str, name: &str) -> String {
         let digits: String = self.hash(kind, name.as_bytes())[..PSEUDONYM_BYTES]
             .iter()
@@ -61,13 +65,13 @@
         format!("{kind}-{digits}")
     }
 
-    /// Returns an address in the range for local use (fd00::/8), which belongs to nobody in public.
+    /// Returns an address in the IPv6 range for local use (fd00::/8), which is never assigned publicly.
     fn address(&self, address: SocketAddr) -> SocketAddr {
         let hash = self.hash("address", address.ip().to_string().as_bytes());
         let mut ip = [0xfd; 16];
         ip[1..].copy_from_slice(&hash[..15]);
         let port = u16::from_le_bytes([hash[15], hash[16]]) ^ address.port();
-        // Two ports of one address stay different.
+        // Different ports of one address remain different.
         SocketAddr::new(IpAddr::V6(Ipv6Addr::from(ip)), port)
     }
 
@@ -88,20 +92,23 @@
         endpoint.machine = self.name("machine", &endpoint.machine);
     }
 
-    fn pod(&mut self, card: &Arc<PodSnapshot>) -> Arc<PodSnapshot> {
-        if let Some(known) = self.pods.get(card) {
+    fn pod(&mut self, snapshot: &Arc<PodSnapshot>) -> Arc<PodSnapshot> {
+        if let Some(known) = self.pods.get(snapshot) {
             return known.clone();
         }
         if self.pods.len() >= MAX_CACHED_PODS {
             self.pods.clear();
         }
-        let (name, zone) = (self.name("pod", &card.name), self.name("zone", &card.zone));
+        let (name, zone) = (
+            self.name("pod", &snapshot.name),
+            self.name("zone", &snapshot.zone),
+        );
         let anonymised = Arc::new(PodSnapshot {
             name,
             zone,
-            ..(**card).clone()
+            ..(**snapshot).clone()
         });
-        self.pods.insert(card.clone(), anonymised.clone());
+        self.pods.insert(snapshot.clone(), anonymised.clone());
         anonymised
     }
 
@@ -123,7 +130,8 @@
                 .iter_mut()
                 .for_each(|(name, _)| *name = self.name("group", name));
         }
-        // The new head hashes the settings again, as a hash of the names themselves could be guessed.
+        // The new head has a new hash of the settings: with the hash of the original settings, guessed names could be
+        // checked.
         Head {
             anonymised: true,
             merged: head.merged,
@@ -132,7 +140,7 @@
     }
 
     fn record(&mut self, record: &mut Record) {
-        record.pod = record.pod.take().map(|card| self.pod(&card));
+        record.pod = record.pod.take().map(|snapshot| self.pod(&snapshot));
         match &mut record.payload {
             Payload::Event(Event::RequestArrived { attributes, .. }) => {
                 attributes.key = self.idempotency_key(attributes.key)
@@ -147,8 +155,8 @@
 }
 
 /// Copies a trace with pseudonyms in place of the names of sidecars, pods, zones, machines, route classes and tenants,
-/// of idempotency keys, addresses, pods' incarnations and log texts. Counts, times and the order of records stay, so
-/// that the copy replays as the trace does. Returns the number of records.
+/// of idempotency keys, addresses, pods' incarnations and log texts. Counts, times and the order of records do not
+/// change, so that the replay of the copy has the same result. Returns the number of records.
 ///
 /// # Errors
 /// Damage in the trace, after all records before it were copied; errors of the output.
--- a/crates/trace/src/columns/decoder.rs
+++ b/crates/trace/src/columns/decoder.rs
@@ -5,16 +5,17 @@
 use super::kind::blank_payload;
 use super::last_values::LastValues;
 use super::visit::visit_record;
-use super::{BlockBody, COLUMN_COUNT, KIND_COLUMN, OWN_TIME_COLUMN, SOURCE_COLUMN, TIME_COLUMN};
+use super::{BlockBody, COLUMN_COUNT, ENGINE_TIME_COLUMN, KIND_COLUMN, SOURCE_COLUMN, TIME_COLUMN};
 use crate::record::{PodSnapshot, Record, StageInForce};
 use havenplank::interface::{Nanos, PodId};
 use integer_encoding::VarInt;
 use std::sync::Arc;
 
-/// Bytes of text in one record at most; the largest endpoint list with names of usual length takes a quarter.
+/// The largest size of all texts of one record, in bytes. The largest endpoint list with names of usual length needs a
+/// quarter of it.
 const MAX_RECORD_TEXT_BYTES: usize = 16 << 20;
 
-/// Decodes one block, a record at a time.
+/// Decodes one block, one record at a time.
 pub struct BlockDecoder {
     bytes: Vec<u8>,
     /// For each column, the range of `bytes` that is not read yet.
@@ -27,19 +28,21 @@
     last_values: LastValues,
     at: Nanos,
     has_unknown_value: bool,
-    /// Bytes of text that the current record may still take: a forged one could name the same entry a million times.
+    /// Bytes of text that the current record may still have: a forged record could refer to the same dictionary entry a
+    /// million times.
     text_budget: usize,
-    /// Records that were skipped, as this program does not know their kind or a value in them.
+    /// Records that were skipped because this program does not know their kind or a value in them.
     pub skipped: u64,
 }
 
 impl BlockDecoder {
-    /// Takes a block's unpacked body; `first_at` is the time of its first record.
+    /// Creates a decoder of an uncompressed body; `first_at` is the time of its first record, in nanoseconds on the
+    /// file's clock.
     ///
     /// # Errors
-    /// Bytes that are not the body of a block.
+    /// The bytes are not the body of a block.
     pub fn new(bytes: Vec<u8>, first_at: Nanos) -> Result<BlockDecoder, postcard::Error> {
-        // Fields that a newer minor version adds at the end are left unread.
+        // Fields that a newer minor version adds at the end are ignored.
         let (body, _) = postcard::take_from_bytes::<BlockBody>(&bytes)?;
         let columns = column_ranges(&bytes, &body);
         let BlockBody {
@@ -67,7 +70,7 @@
     /// Returns the next record that this program knows; `None` at the block's end.
     ///
     /// # Errors
-    /// A block that does not follow the format, though its checksum is right.
+    /// The block does not follow the format, though its checksum is right.
     pub fn next(&mut self) -> Result<Option<Record>, ColumnError> {
         while self.has_more() {
             let (kind, mut record) = match self.next_header()? {
@@ -89,13 +92,14 @@
         start != end
     }
 
-    /// Reads kind, times and source of the next record; `None` where its kind is unknown and it is skipped.
+    /// Reads the kind, the times and the source of the next record; returns `None` where the kind is unknown and the
+    /// record is skipped.
     fn next_header(&mut self) -> Result<Option<(u16, Record)>, ColumnError> {
-        let (mut kind, mut step, mut source, mut own_offset) = (0, 0, 0, 0);
+        let (mut kind, mut step, mut source, mut engine_time_offset) = (0, 0, 0, 0);
         self.number(KIND_COLUMN, &mut kind)?;
         self.number(TIME_COLUMN, &mut step)?;
         self.number(SOURCE_COLUMN, &mut source)?;
-        self.delta(OWN_TIME_COLUMN, source, &mut own_offset)?;
+        self.delta(ENGINE_TIME_COLUMN, source, &mut engine_time_offset)?;
         let at = self.at.checked_add(step);
         self.at = at.ok_or(ColumnError::OutOfRange(TIME_COLUMN))?;
         let source = u16::try_from(source);
@@ -108,7 +112,7 @@
         };
         let record = Record {
             at: self.at,
-            engine_time: self.at.wrapping_add(own_offset),
+            engine_time: self.at.wrapping_add(engine_time_offset),
             source: usize::from(source),
             payload,
             pod: None,
@@ -117,7 +121,7 @@
     }
 }
 
-/// Returns where each column's bytes begin and end within the block; columns unknown to this program are left out.
+/// Returns where each column's bytes begin and end within the block; columns unknown to this program are ignored.
 fn column_ranges(bytes: &[u8], body: &BlockBody) -> Vec<(usize, usize)> {
     let mut ranges = vec![(0, 0); COLUMN_COUNT];
     let base = bytes.as_ptr() as usize;
@@ -186,7 +190,7 @@
         &mut self,
         column: u16,
         pod: &mut PodId,
-        card: &mut Option<Arc<PodSnapshot>>,
+        snapshot: &mut Option<Arc<PodSnapshot>>,
     ) -> Result<(), ColumnError> {
         let mut entry = 0;
         self.index(column, &mut entry)?;
@@ -195,7 +199,7 @@
             .get(entry)
             .ok_or(ColumnError::MissingEntry(column))?;
         *pod = found.pod;
-        *card = Some(found.clone());
+        *snapshot = Some(found.clone());
         Ok(())
     }
 
--- a/crates/trace/src/columns/encoder.rs
+++ b/crates/trace/src/columns/encoder.rs
@@ -5,14 +5,15 @@
 use super::kind::kind_number;
 use super::last_values::LastValues;
 use super::visit::visit_record;
-use super::{BlockBody, COLUMN_COUNT, KIND_COLUMN, OWN_TIME_COLUMN, SOURCE_COLUMN, TIME_COLUMN};
+use super::{BlockBody, COLUMN_COUNT, ENGINE_TIME_COLUMN, KIND_COLUMN, SOURCE_COLUMN, TIME_COLUMN};
 use crate::record::{PodSnapshot, Record, StageInForce};
 use havenplank::interface::{Nanos, PodId};
 use integer_encoding::VarInt;
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Encodes records into one block. It holds no more than the block does; its owner closes the block at a size.
+/// Encodes records into one block. Its memory is proportional to the size of the block, which the caller closes once it
+/// is full.
 pub struct BlockEncoder {
     columns: Vec<Vec<u8>>,
     last_values: LastValues,
@@ -24,13 +25,13 @@
     text_entries: HashMap<String, u64>,
     stages_in_force: Vec<StageInForce>,
     source: usize,
-    /// Unpacked bytes of the block so far, about.
+    /// The approximate size of the uncompressed block so far, in bytes.
     pub bytes: usize,
     /// Records encoded so far.
     pub records: u32,
-    /// Requests that begin in the block.
+    /// Requests that arrive in the block.
     pub requests: u32,
-    /// Records that other sidecars have as well.
+    /// Records of events that other sidecars receive as well.
     pub shared: u32,
     /// Time of the first record, in nanoseconds on the file's clock.
     pub first: Nanos,
@@ -61,7 +62,8 @@
         }
     }
 
-    /// Adds a record. Time never goes back within a block: an earlier record gets the time of the one before.
+    /// Adds a record. Time never goes back within a block: a record that is earlier than the previous one gets the time
+    /// of the previous one.
     pub fn put(&mut self, mut record: Record) {
         if self.records == 0 {
             self.first = record.at;
@@ -71,13 +73,13 @@
         let kind = kind_number(&record.payload);
         self.source = record.source;
         let source = record.source as u64;
-        // Encoding never fails: the errors of the visitor are the decoder's.
+        // Encoding never fails: only the decoder returns errors.
         let mut step = at - self.at;
         let _ = self.number(KIND_COLUMN, &mut (kind as u64));
         let _ = self.number(TIME_COLUMN, &mut step);
         let _ = self.number(SOURCE_COLUMN, &mut { source });
         let _ = self.delta(
-            OWN_TIME_COLUMN,
+            ENGINE_TIME_COLUMN,
             source,
             &mut record.engine_time.wrapping_sub(at),
         );
@@ -88,7 +90,7 @@
         self.shared += record.is_shared() as u32;
     }
 
-    /// Returns the unpacked body of the block.
+    /// Returns the uncompressed body of the block.
     pub fn body(&self) -> Vec<u8> {
         let columns = self
             .columns
@@ -110,14 +112,14 @@
 
 impl FieldVisitor for BlockEncoder {
     fn number(&mut self, column: u16, value: &mut u64) -> Result<(), ColumnError> {
-        let mut space = [0; 10];
-        let used = value.encode_var(&mut space);
-        self.columns[column as usize].extend_from_slice(&space[..used]);
+        let mut buffer = [0; 10];
+        let used = value.encode_var(&mut buffer);
+        self.columns[column as usize].extend_from_slice(&buffer[..used]);
         self.bytes += used;
         Ok(())
     }
 
-    /// Encodes whole thousandths, as most loads are, as an integer, and all other values by their bits.
+    /// Encodes a multiple of one thousandth, as most load values are, as an integer, and any other value by its bits.
     fn float(&mut self, column: u16, value: &mut f64) -> Result<(), ColumnError> {
         let thousandths = (*value * 1000.0).round();
         let fits = (0.0..1e15).contains(&thousandths) && thousandths / 1000.0 == *value;
@@ -132,57 +134,57 @@
 
     fn idempotency_key(&mut self, column: u16, value: &mut u64) -> Result<(), ColumnError> {
         let next = self.keys.len() as u64;
-        let mut place = *self.key_entries.entry(*value).or_insert(next);
-        if place == next {
+        let mut entry = *self.key_entries.entry(*value).or_insert(next);
+        if entry == next {
             self.keys.push(*value);
             self.bytes += 10;
         }
-        self.number(column, &mut place)
+        self.number(column, &mut entry)
     }
 
     fn text(&mut self, column: u16, value: &mut String) -> Result<(), ColumnError> {
-        let mut place = match self.text_entries.get(value.as_str()) {
-            Some(place) => *place,
+        let mut entry = match self.text_entries.get(value.as_str()) {
+            Some(entry) => *entry,
             None => {
-                let place = self.texts.len() as u64;
+                let entry = self.texts.len() as u64;
                 self.texts.push(value.clone());
-                self.text_entries.insert(value.clone(), place);
+                self.text_entries.insert(value.clone(), entry);
                 self.bytes += value.len() + 4;
-                place
+                entry
             }
         };
-        self.number(column, &mut place)
+        self.number(column, &mut entry)
     }
 
     fn pod(
         &mut self,
         column: u16,
         pod: &mut PodId,
-        card: &mut Option<Arc<PodSnapshot>>,
+        snapshot: &mut Option<Arc<PodSnapshot>>,
     ) -> Result<(), ColumnError> {
-        let nobody = || PodSnapshot {
+        let unnamed_pod = || PodSnapshot {
             pod: *pod,
             build: 0,
             name: String::new(),
             zone: String::new(),
         };
-        let card = card.get_or_insert_with(|| Arc::new(nobody()));
-        let place = (self.source, *pod);
+        let snapshot = snapshot.get_or_insert_with(|| Arc::new(unnamed_pod()));
+        let key = (self.source, *pod);
         let known = self
             .pod_entries
-            .get(&place)
-            .filter(|(known, _)| Arc::ptr_eq(known, card) || known == card);
-        let mut at = match known {
-            Some((_, at)) => *at,
+            .get(&key)
+            .filter(|(known, _)| Arc::ptr_eq(known, snapshot) || known == snapshot);
+        let mut entry = match known {
+            Some((_, entry)) => *entry,
             None => {
-                let at = self.pods.len() as u64;
-                self.pods.push((**card).clone());
-                self.pod_entries.insert(place, (card.clone(), at));
-                self.bytes += card.name.len() + card.zone.len() + 8;
-                at
+                let entry = self.pods.len() as u64;
+                self.pods.push((**snapshot).clone());
+                self.pod_entries.insert(key, (snapshot.clone(), entry));
+                self.bytes += snapshot.name.len() + snapshot.zone.len() + 8;
+                entry
             }
         };
-        self.number(column, &mut at)
+        self.number(column, &mut entry)
     }
 
     fn last_value(&mut self, column_and_slot: (u16, u64)) -> &mut u64 {
--- a/crates/trace/src/columns/error.rs
+++ b/crates/trace/src/columns/error.rs
@@ -1,6 +1,6 @@
-//! What can be wrong in the columns of a block whose checksum is right.
+//! The errors in the columns of a block whose checksum is right.
 
-/// A value in a column that does not fit the format; each names the number of its column.
+/// A value in a column that does not follow the format; each variant holds the number of the column.
 #[derive(Debug, thiserror::Error, PartialEq)]
 pub enum ColumnError {
     /// The column has fewer values than the records need.
--- a/crates/trace/src/columns/field_visitor.rs
+++ b/crates/trace/src/columns/field_visitor.rs
@@ -5,15 +5,16 @@
 use havenplank::interface::{PodId, RequestId};
 use std::sync::Arc;
 
-/// Pseudo-column of the newest request that a source named.
+/// Pseudo-column of [`FieldVisitor::last_value`]: the newest request id of each source. Values of pseudo-columns are
+/// not in the file.
 const NEWEST_REQUEST: u16 = 0;
 
-/// Visits the fields of a record, either to encode or to decode them. Both directions run the same code over a
-/// record, so what is written and what is read cannot differ.
+/// Visits the fields of a record, either to encode or to decode them. Encoder and decoder run the same code over a
+/// record, so that they cannot disagree on the format.
 pub(super) trait FieldVisitor {
     /// Visits an integer.
     fn number(&mut self, column: u16, value: &mut u64) -> Result<(), ColumnError>;
-    /// Visits a float, kept to the bit.
+    /// Visits a float; its exact bits are preserved.
     fn float(&mut self, column: u16, value: &mut f64) -> Result<(), ColumnError>;
     /// Visits an idempotency key, as an entry of the block's dictionary of keys.
     fn idempotency_key(&mut self, column: u16, value: &mut u64) -> Result<(), ColumnError>;
@@ -24,14 +25,14 @@
         &mut self,
         column: u16,
         pod: &mut PodId,
-        card: &mut Option<Arc<PodSnapshot>>,
+        snapshot: &mut Option<Arc<PodSnapshot>>,
     ) -> Result<(), ColumnError>;
-    /// Returns the value last seen in a column's slot, which the next one is encoded against.
-    fn last_value(&mut self, place: (u16, u64)) -> &mut u64;
-    /// Notes a value of a newer version: the reader skips the record once its fields are visited.
+    /// Returns the last value of a column's slot, from which the difference of the next value is encoded.
+    fn last_value(&mut self, column_and_slot: (u16, u64)) -> &mut u64;
+    /// Marks the record as having a value of a newer version: the decoder skips the record after visiting its fields.
     fn mark_unknown(&mut self);
 
-    /// Visits an integer by its difference from the last one in the same slot.
+    /// Visits an integer as its difference from the last one in the same slot.
     fn delta(&mut self, column: u16, slot: u64, value: &mut u64) -> Result<(), ColumnError> {
         let last = *self.last_value((column, slot));
         self.difference(column, last, value)?;
@@ -39,7 +40,7 @@
         Ok(())
     }
 
-    /// Visits an integer by its difference from an expected one.
+    /// Visits an integer as its difference from an expected value.
     fn difference(
         &mut self,
         column: u16,
@@ -52,7 +53,7 @@
         Ok(())
     }
 
-    /// Visits a request id, by how far it lies behind the newest that the source named before.
+    /// Visits a request id as its difference from the newest request id of the source so far.
     fn request_id(
         &mut self,
         column: u16,
@@ -91,7 +92,7 @@
         Ok(())
     }
 
-    /// Visits a flag: 0 is false, all else true.
+    /// Visits a flag: 0 is false, any other number is true.
     fn flag(&mut self, column: u16, value: &mut bool) -> Result<(), ColumnError> {
         let mut number = *value as u64;
         self.number(column, &mut number)?;
@@ -99,7 +100,7 @@
         Ok(())
     }
 
-    /// Visits a choice by its position in `variants`, to whose end minor versions may append.
+    /// Visits an enum value as its position in `variants`; minor versions may append variants at the end.
     fn variant<T: Copy + PartialEq>(
         &mut self,
         column: u16,
@@ -117,7 +118,7 @@
         Ok(())
     }
 
-    /// Visits whether there is a value, then the value itself with `visit`.
+    /// Visits a flag that says whether there is a value, then the value with `visit`. Decoding starts from `blank`.
     fn optional<T>(
         &mut self,
         column: u16,
@@ -135,7 +136,7 @@
     }
 }
 
-/// Maps signed integers of small size to small unsigned ones.
+/// Maps signed integers of small magnitude to small unsigned integers (zigzag encoding).
 fn zigzag(value: i64) -> u64 {
     ((value << 1) ^ (value >> 63)) as u64
 }
--- a/crates/trace/src/columns/kind.rs
+++ b/crates/trace/src/columns/kind.rs
@@ -1,4 +1,4 @@
-//! The number that each kind of record has in a file, and an empty payload of each kind to decode into.
+//! The kind numbers of records in a file, and an empty payload of each kind to decode into.
 
 use crate::record::Payload;
 use havenplank::interface::{
@@ -9,7 +9,7 @@
 use havenplank_sidecar::events::Event;
 use std::net::SocketAddr;
 
-/// A stage to decode into.
+/// An empty stage to decode into.
 pub(super) const BLANK_STAGE: Stage = Stage {
     build: 0,
     stage: 0,
@@ -18,10 +18,10 @@
     age: 0,
 };
 
-/// Returns the number of a record's kind. New kinds get new numbers, and none is ever reused.
+/// Returns the kind number of a payload. New kinds get new numbers, and a number is never reused.
 pub(super) fn kind_number(payload: &Payload) -> u16 {
     match payload {
-        Payload::Event(told) => match told {
+        Payload::Event(event) => match event {
             Event::Started => 1,
             Event::RequestArrived { .. } => 2,
             Event::SendPermission { .. } => 3,
@@ -52,7 +52,8 @@
     }
 }
 
-/// Returns an empty payload of a kind, whose fields the decoder fills; `None` for a kind of a newer version.
+/// Returns an empty payload of a kind, whose fields the decoder fills; `None` for an unknown kind, which a
+/// newer version may have written.
 pub(super) fn blank_payload(kind: u64) -> Option<Payload> {
     match kind {
         1..=14 => blank_event(kind).map(Payload::Event),
@@ -191,7 +192,7 @@
     })
 }
 
-/// Returns an endpoint to decode into.
+/// Returns an empty endpoint to decode into.
 pub(super) fn blank_endpoint() -> ListedEndpoint {
     ListedEndpoint {
         name: String::new(),
--- a/crates/trace/src/columns/last_values.rs
+++ b/crates/trace/src/columns/last_values.rs
@@ -1,11 +1,12 @@
-//! The value last seen in each column, which the next value is encoded against.
+//! The last value of each column, from which the difference of the next value is encoded.
 
 use std::collections::HashMap;
 
-/// Slots of a column that are stored side by side; a route class or source beyond them is found by hash.
+/// The number of slots of a column that are stored in a vector; higher slots, of further route classes or sources,
+/// are in a hash map.
 const DENSE_SLOTS: u64 = 64;
 
-/// What was last seen, by column and slot; 0 where nothing was.
+/// The last value of each column and slot; 0 where there was none.
 #[derive(Default)]
 pub(super) struct LastValues {
     dense: Vec<Vec<u64>>,
@@ -13,7 +14,7 @@
 }
 
 impl LastValues {
-    /// Returns the value of a column's slot, to be read or replaced.
+    /// Returns the last value of a column's slot, to be read or replaced.
     pub(super) fn entry(&mut self, (column, slot): (u16, u64)) -> &mut u64 {
         if slot >= DENSE_SLOTS {
             return self.sparse.entry((column, slot)).or_default();
--- a/crates/trace/src/columns/mod.rs
+++ b/crates/trace/src/columns/mod.rs
@@ -1,5 +1,5 @@
-//! The column codec: the body of a block, in which each field of each kind of record has a column of its own. Similar
-//! values so stand side by side, and a reader skips the columns that it does not know.
+//! The column codec: the body of a block, in which each field of each kind of record has its own column. Similar values
+//! are therefore adjacent, which helps the compression, and a reader skips the columns that it does not know.
 
 mod decoder;
 mod encoder;
@@ -16,21 +16,22 @@
 use crate::record::{PodSnapshot, StageInForce};
 use serde::{Deserialize, Serialize};
 
-/// Columns of a kind of record; the first of kind `n` is `n * COLUMNS_PER_KIND`.
+/// The number of columns of each kind of record; the first column of kind `n` is `n * COLUMNS_PER_KIND`.
 const COLUMNS_PER_KIND: u16 = 16;
-/// Columns that this program knows.
+/// The number of columns that this program knows.
 const COLUMN_COUNT: usize = 512;
 
-/// The number of each record's kind.
+/// The kind number of each record.
 const KIND_COLUMN: u16 = 0;
-/// Nanoseconds since the record before.
+/// Nanoseconds since the previous record.
 const TIME_COLUMN: u16 = 1;
 /// The index of the source in the head of the file.
 const SOURCE_COLUMN: u16 = 2;
-/// The engine's time, by its difference from the file's.
-const OWN_TIME_COLUMN: u16 = 3;
+/// The time on the engine's clock, as the difference from the time on the file's clock.
+const ENGINE_TIME_COLUMN: u16 = 3;
 
-/// What a block holds: its dictionaries, the stages in force before its first record, and its columns.
+/// The body of a block: its dictionaries, the stages in force before its first record, and its columns. The order of
+/// the fields is their order in the file.
 #[derive(Serialize, Deserialize)]
 struct BlockBody<'a> {
     pods: Vec<PodSnapshot>,
--- a/crates/trace/src/columns/visit.rs
+++ b/crates/trace/src/columns/visit.rs
@@ -15,11 +15,11 @@
 use havenplank_sidecar::events::Event;
 use std::sync::Arc;
 
-/// Attempts of a resumed request before it came here; no sidecar sends as many.
+/// The largest number of attempts of a resumed request on its previous sidecar; no sidecar sends as many.
 const MAX_PRIOR_ATTEMPTS: usize = 64;
-/// Pseudo-column of the time that the newest request of a source had left.
+/// Pseudo-column of [`FieldVisitor::last_value`]: the remaining time of the newest request of each source.
 const REMAINING_TIME: u16 = 1;
-/// Pseudo-column of the time at which an attempt was sent, kept until it ends.
+/// Pseudo-column of [`FieldVisitor::last_value`]: the time at which each attempt was sent.
 const SENT_TIME: u16 = 5;
 
 const ATTEMPT_ENDS: [AttemptEnd; 8] = [
@@ -47,7 +47,7 @@
     VoteReceipt::Rejected,
 ];
 
-/// Where and when the fields of one record stand.
+/// The columns, the source and the time of the record being visited.
 #[derive(Clone, Copy)]
 struct Context {
     /// The first column of the record's kind.
@@ -55,10 +55,10 @@
     /// Index of the record's source.
     source: u64,
     /// The record's time on the engine's clock, in nanoseconds.
-    own_time: Nanos,
+    engine_time: Nanos,
 }
 
-/// Visits all of a record but its kind, time and source, which the caller knows in both directions.
+/// Visits all fields of a record except its kind, times and source, which the caller has encoded or decoded already.
 pub(super) fn visit_record(
     visitor: &mut impl FieldVisitor,
     kind: u16,
@@ -68,7 +68,7 @@
     let context = Context {
         first: kind * COLUMNS_PER_KIND,
         source,
-        own_time: record.engine_time,
+        engine_time: record.engine_time,
     };
     match &mut record.payload {
         Payload::Event(event) => visit_event(visitor, context, event, &mut record.pod),
@@ -84,7 +84,7 @@
     visitor: &mut V,
     context: Context,
     event: &mut Event,
-    card: &mut Option<Arc<PodSnapshot>>,
+    snapshot: &mut Option<Arc<PodSnapshot>>,
 ) -> Result<(), ColumnError> {
     let first = context.first;
     match event {
@@ -130,7 +130,7 @@
             route_class,
             ago,
         } => {
-            visitor.pod(first, pod, card)?;
+            visitor.pod(first, pod, snapshot)?;
             visitor.index(first + 1, route_class)?;
             visitor.number(first + 2, ago)
         }
@@ -142,11 +142,11 @@
     visitor: &mut V,
     context: Context,
     effect: &mut Effect,
-    card: &mut Option<Arc<PodSnapshot>>,
+    snapshot: &mut Option<Arc<PodSnapshot>>,
 ) -> Result<(), ColumnError> {
     let Context { first, source, .. } = context;
     match effect {
-        send @ Effect::SendAttempt { .. } => visit_send(visitor, context, send, card),
+        send @ Effect::SendAttempt { .. } => visit_send(visitor, context, send, snapshot),
         Effect::CancelAttempt { request, attempt } => {
             visitor.request_id(first, source, request)?;
             visitor.number_u32(first + 1, attempt)
@@ -175,7 +175,7 @@
         }
         Effect::HealthCheck { check, pod } => {
             visitor.delta(first, 0, check)?;
-            visitor.pod(first + 1, pod, card)
+            visitor.pod(first + 1, pod, snapshot)
         }
         Effect::PollEndpoints => Ok(()),
         Effect::WatchEndpoints(on) => visitor.flag(first, on),
@@ -255,11 +255,11 @@
     visitor.number_u32(first + 1, attempt)?;
     visitor.variant(first + 2, end, &ATTEMPT_ENDS)?;
     let sent = *visitor.last_value((SENT_TIME, attempt_slot(source, *request, *attempt)));
-    // The duration is about the time since the attempt was sent, where the block knows that.
+    // The duration is about the time since the attempt was sent, if the attempt was sent in the same block.
     let expected = if sent == 0 {
         0
     } else {
-        context.own_time.wrapping_sub(sent)
+        context.engine_time.wrapping_sub(sent)
     };
     visitor.difference(first + 3, expected, took)?;
     visitor.flag(first + 4, delivered)?;
@@ -270,7 +270,7 @@
     visitor: &mut impl FieldVisitor,
     context: Context,
     effect: &mut Effect,
-    card: &mut Option<Arc<PodSnapshot>>,
+    snapshot: &mut Option<Arc<PodSnapshot>>,
 ) -> Result<(), ColumnError> {
     let Effect::SendAttempt {
         request,
@@ -284,17 +284,17 @@
     let Context { first, source, .. } = context;
     visitor.request_id(first, source, request)?;
     visitor.number_u32(first + 1, attempt)?;
-    visitor.pod(first + 2, pod, card)?;
+    visitor.pod(first + 2, pod, snapshot)?;
     let slot = attempt_slot(source, *request, *attempt);
-    *visitor.last_value((SENT_TIME, slot)) = context.own_time;
-    // Most attempts are sent when their request arrives, with all the time that it has left.
+    *visitor.last_value((SENT_TIME, slot)) = context.engine_time;
+    // Most attempts are sent when their request arrives, with a timeout of all its remaining time.
     let remaining = *visitor.last_value((REMAINING_TIME, source));
     *visitor.last_value((first + 3, source)) = remaining;
     visitor.delta(first + 3, source, timeout)
 }
 
-/// Returns the slot that holds the time of an attempt; slots of different attempts may collide, which costs bytes
-/// and no correctness.
+/// Returns the slot that holds the time at which an attempt was sent. Slots of different attempts may collide, which
+/// increases the size of the file but causes no error.
 fn attempt_slot(source: u64, request: RequestId, attempt: u32) -> u64 {
     request
         .wrapping_mul(64)
@@ -347,7 +347,7 @@
     visitor.float(column + 9, &mut endpoint.size)
 }
 
-/// Visits a load report: whether there is one, which of its fields are set as bits, then those fields.
+/// Visits a load report: a flag that says whether there is one, a bit for each field that is set, then those fields.
 fn visit_load<V: FieldVisitor>(
     visitor: &mut V,
     column: u16,
--- a/crates/trace/src/cut.rs
+++ b/crates/trace/src/cut.rs
@@ -1,4 +1,4 @@
-//! Cuts the part of a trace between two times.
+//! Copies the section of a trace between two times.
 
 use crate::file::{Reader, TraceError, Writer};
 use crate::record::{Head, Record};
@@ -6,25 +6,25 @@
 use havenplank::interface::Nanos;
 use std::io::{Read, Seek, Write};
 
-/// What a cut holds.
+/// The size of a cut.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Cut {
-    /// Requests that began between the times.
+    /// Requests that arrived between the times.
     pub requests: u64,
     /// Records copied.
     pub records: u64,
     /// Blocks that were read.
     pub blocks: usize,
-    /// Requests that the file does not follow to their end.
+    /// Requests whose end is not in the file.
     pub unfinished: usize,
 }
 
-/// Copies what lies from `from` to before `to`, in nanoseconds on the file's clock: requests that begin there, to
-/// their last record even where that comes later, and all else of that time. Returns the damage that ended the copy,
-/// if any did. Holds a block and the requests in flight.
+/// Copies the records from `from` (inclusive) to `to` (exclusive), in nanoseconds on the file's clock: all records of
+/// the requests that begin in this time, even those after `to`, and all records of this time that belong to no request.
+/// Returns the damage that ended the copy, if there was any. Keeps one block and the requests in flight in memory.
 ///
 /// # Errors
-/// No records between these times; errors of the output.
+/// There are no records between these times, or the output fails.
 pub fn cut<R: Read + Seek, W: Write>(
     reader: &mut Reader<R>,
     out: W,
@@ -51,13 +51,13 @@
         if cutter.is_past(&record) {
             break None;
         }
-        if cutter.takes(&record) {
+        if cutter.includes(&record) {
             output = output.put(record, &head, reader)?;
         }
     };
     let written = output.finish()?;
     if !written && damage.is_none() {
-        let why = "nothing was recorded within these times";
+        let why = "the trace has no records between the given times";
         return Err(TraceError::Unusable(why.into()));
     }
     let mut cut = cutter.cut;
@@ -67,14 +67,14 @@
 }
 
 /// Returns the head of the cut. A source that is cut at its end can still be replayed; one that lacks its beginning
-/// cannot. In a merged file the clock of the cut is not the source's own.
+/// cannot. In a merged file `to` is not a time of the source's clock, so `records_end` is not changed.
 fn cut_head<R: Read + Seek>(reader: &Reader<R>, from: Nanos, to: Nanos) -> Head {
     let mut head = reader.head.clone();
     let (first, last) = reader.span().unwrap_or((Nanos::MAX, 0));
-    let until = if head.merged { Nanos::MAX } else { to };
+    let records_end = if head.merged { Nanos::MAX } else { to };
     for source in &mut head.sources {
         source.is_complete &= from <= first && (!head.merged || last < to);
-        source.records_end = source.records_end.min(until);
+        source.records_end = source.records_end.min(records_end);
     }
     head
 }
@@ -100,22 +100,22 @@
     }
 
     /// Whether the record belongs to the cut; one that does is counted.
-    fn takes(&mut self, record: &Record) -> bool {
+    fn includes(&mut self, record: &Record) -> bool {
         if record.at < self.from {
             return false;
         }
         let is_within = record.at < self.to;
-        let is_taken = match record.request_id() {
+        let is_included = match record.request_id() {
             Some(_) if record.begins_request() => is_within,
             Some(request) => self.timelines.contains(record.source, request),
             None => is_within,
         };
-        if is_taken {
+        if is_included {
             self.timelines.record(record);
             self.cut.requests += record.is_arrival() as u64;
             self.cut.records += 1;
         }
-        is_taken
+        is_included
     }
 }
 
--- a/crates/trace/src/file/block_frame.rs
+++ b/crates/trace/src/file/block_frame.rs
@@ -2,14 +2,14 @@
 
 use super::IndexEntry;
 
-/// Bytes of a frame.
+/// The size of a frame in bytes.
 pub(super) const FRAME_BYTES: usize = 48;
-/// Tag of a block of records.
+/// The tag of a block of records.
 pub(super) const BLOCK_TAG: &[u8; 4] = b"HPbk";
-/// Tag of the index.
+/// The tag of the index.
 pub(super) const INDEX_TAG: &[u8; 4] = b"HPix";
 
-/// Returns the bytes of a frame; `checksum` is that of the bytes that follow it.
+/// Returns the bytes of a frame; `checksum` is the checksum of the bytes that follow the frame.
 pub(super) fn encode_frame(tag: &[u8; 4], entry: &IndexEntry, checksum: u32) -> [u8; FRAME_BYTES] {
     let mut frame = [0; FRAME_BYTES];
     let mut at = 0;
@@ -35,21 +35,22 @@
     frame
 }
 
-/// Reads an integer at an offset; 0 where the bytes end before.
+/// Reads a little-endian integer of 32 bits at an offset; returns 0 where the bytes end before its end.
 pub(super) fn u32_at(bytes: &[u8], at: usize) -> u32 {
     bytes[at..]
         .first_chunk()
         .map_or(0, |chunk| u32::from_le_bytes(*chunk))
 }
 
-/// Reads an integer at an offset; 0 where the bytes end before.
+/// Reads a little-endian integer of 64 bits at an offset; returns 0 where the bytes end before its end.
 pub(super) fn u64_at(bytes: &[u8], at: usize) -> u64 {
     bytes[at..]
         .first_chunk()
         .map_or(0, |chunk| u64::from_le_bytes(*chunk))
 }
 
-/// Returns the frame's tag, its entry and the checksum of what follows; `None` where it is no frame.
+/// Returns the frame's tag, its index entry and the checksum of the bytes that follow; `None` where the frame's own
+/// checksum is wrong.
 pub(super) fn decode_frame(
     bytes: &[u8; FRAME_BYTES],
     offset: u64,
--- a/crates/trace/src/file/block_writer.rs
+++ b/crates/trace/src/file/block_writer.rs
@@ -1,4 +1,4 @@
-//! Writes the parts of a trace file: head, blocks, index and trailer.
+//! Writes the head, the blocks, the index and the trailer of a trace file.
 
 use super::block_frame::{encode_frame, BLOCK_TAG, FRAME_BYTES, INDEX_TAG};
 use super::{
@@ -8,7 +8,7 @@
 use crate::record::Head;
 use std::io::{self, Write};
 
-/// The level of zstd that blocks are compressed with.
+/// The zstd level of the compression of blocks.
 const COMPRESSION_LEVEL: i32 = 3;
 
 /// Compresses blocks and appends them to a file.
@@ -22,26 +22,26 @@
     /// Writes the head of a file.
     ///
     /// # Errors
-    /// Errors of the output, or a head over 8 MiB.
+    /// The output fails, or the head is larger than 8 MiB.
     pub fn new(mut out: W, head: &Head) -> Result<BlockWriter<W>, TraceError> {
         let head = serde_json::to_vec(head).map_err(io::Error::from)?;
         if head.len() > MAX_BLOCK_BYTES {
             return Err(TraceError::Unusable(format!(
-                "a greeting of {} bytes; {MAX_BLOCK_BYTES} at most",
+                "the head has {} bytes; expected at most {MAX_BLOCK_BYTES}",
                 head.len()
             )));
         }
-        let mut greeting = MAGIC.to_vec();
-        greeting.extend(MAJOR_VERSION.to_le_bytes());
-        greeting.extend(MINOR_VERSION.to_le_bytes());
-        greeting.extend((head.len() as u32).to_le_bytes());
-        greeting.extend(head);
-        let sum = crc32fast::hash(&greeting);
-        greeting.extend(sum.to_le_bytes());
-        out.write_all(&greeting)?;
+        let mut bytes = MAGIC.to_vec();
+        bytes.extend(MAJOR_VERSION.to_le_bytes());
+        bytes.extend(MINOR_VERSION.to_le_bytes());
+        bytes.extend((head.len() as u32).to_le_bytes());
+        bytes.extend(head);
+        let checksum = crc32fast::hash(&bytes);
+        bytes.extend(checksum.to_le_bytes());
+        out.write_all(&bytes)?;
         Ok(BlockWriter {
             out,
-            offset: greeting.len() as u64,
+            offset: bytes.len() as u64,
             index: Vec::new(),
         })
     }
@@ -54,7 +54,7 @@
     ) -> Result<IndexEntry, TraceError> {
         if bytes.len() > MAX_BLOCK_BYTES {
             return Err(TraceError::Unusable(format!(
-                "a block of {} bytes; {MAX_BLOCK_BYTES} at most",
+                "the uncompressed block has {} bytes; expected at most {MAX_BLOCK_BYTES}",
                 bytes.len()
             )));
         }
@@ -73,11 +73,11 @@
         Ok(entry)
     }
 
-    /// Appends a block; one without records is left out.
+    /// Appends a block; a block without records is not written.
     ///
     /// # Errors
-    /// Errors of the output, after which the file is good up to the block before.
-    pub fn block(&mut self, block: &BlockEncoder) -> Result<(), TraceError> {
+    /// The output fails; the file is then intact up to the end of the previous block.
+    pub fn write_block(&mut self, block: &BlockEncoder) -> Result<(), TraceError> {
         if block.records == 0 {
             return Ok(());
         }
@@ -89,7 +89,7 @@
             at,
             ..
         } = *block;
-        let told = IndexEntry {
+        let summary = IndexEntry {
             offset: 0,
             packed: 0,
             unpacked: 0,
@@ -99,28 +99,28 @@
             first,
             last: at,
         };
-        let entry = self.append(BLOCK_TAG, told, &block.body())?;
+        let entry = self.append(BLOCK_TAG, summary, &block.body())?;
         self.index.push(entry);
         Ok(())
     }
 
     /// Returns the length of the file so far, in bytes.
-    pub fn bytes(&self) -> u64 {
+    pub fn bytes_written(&self) -> u64 {
         self.offset
     }
 
-    /// Passes what was written to the operating system, so that it survives the end of this process.
+    /// Passes the written bytes to the operating system, so that they survive the end of this process.
     ///
     /// # Errors
-    /// Errors of the output.
+    /// The output fails.
     pub fn flush(&mut self) -> io::Result<()> {
         self.out.flush()
     }
 
-    /// Writes the index. A file without it can be read as well, but is slower to open.
+    /// Writes the index and the trailer. A file without them can be read as well, but is slower to open.
     ///
     /// # Errors
-    /// Errors of the output.
+    /// The output fails.
     pub fn finish(mut self) -> Result<W, TraceError> {
         let offset = self.offset;
         let index = postcard::to_stdvec(&self.index).unwrap_or_default();
@@ -134,13 +134,13 @@
             first: 0,
             last: 0,
         };
-        // An index too large for its frame is left out: a reader rebuilds it.
+        // An index too large for its frame is not written: a reader rebuilds it.
         if index.len() <= MAX_BLOCK_BYTES {
             self.append(INDEX_TAG, blank, &index)?;
             let mut trailer = offset.to_le_bytes().to_vec();
             trailer.extend(TRAILER_MAGIC);
-            let sum = crc32fast::hash(&trailer);
-            trailer.extend(sum.to_le_bytes());
+            let checksum = crc32fast::hash(&trailer);
+            trailer.extend(checksum.to_le_bytes());
             self.out.write_all(&trailer)?;
         }
         self.out.flush()?;
--- a/crates/trace/src/file/error.rs
+++ b/crates/trace/src/file/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong with a trace file.
+//! The errors of trace files.
 
 use super::MAJOR_VERSION;
 use crate::columns::ColumnError;
@@ -10,78 +10,78 @@
     /// The input or the output failed.
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// The file is none of ours.
+    /// The file is not a trace file.
     #[error("byte 0: not a trace; expected a file that begins with \"HPTRACE\"")]
     NotATrace,
     /// The file has a major version that this program cannot read.
-    #[error("byte 8: major version {0}; expected {MAJOR_VERSION}, as this program reads no other")]
+    #[error("byte 8: major version {0} is not supported; expected {MAJOR_VERSION}")]
     UnsupportedMajor(u16),
-    /// The file is damaged; what comes before the damage was read.
+    /// The file is damaged; the records before the damage were read.
     #[error("byte {at}: {what}")]
     Damage {
-        /// Offset of the damaged part, in bytes from the start of the file.
+        /// The offset of the damage, in bytes from the start of the file.
         at: u64,
-        /// What is wrong there. The message has it already, so it is no `source`, which would be printed twice.
+        /// The kind of damage. The message has it already, so it is not a `source`, which would be printed again.
         what: DamageKind,
     },
-    /// Two files that do not go together, or one that the call cannot use.
+    /// The files cannot be combined, or the call cannot use a file.
     #[error("{0}")]
     Unusable(String),
 }
 
 impl TraceError {
-    /// Returns the error for damage at an offset.
+    /// Returns the error for damage at an offset in bytes.
     pub(super) fn damage(at: u64, what: impl Into<DamageKind>) -> TraceError {
         let what = what.into();
         TraceError::Damage { at, what }
     }
 }
 
-/// What is wrong at one place of a file.
+/// The kind of damage at one offset of a file.
 #[derive(Debug, thiserror::Error)]
 pub enum DamageKind {
     /// The head's length does not fit the file.
-    #[error("the greeting is cut off or its length is wrong")]
+    #[error("the head is cut off or its length is wrong")]
     HeadLength,
     /// The head's bytes were changed.
-    #[error("the greeting's checksum is wrong")]
+    #[error("the head's checksum is wrong")]
     HeadChecksum,
-    /// The head is not the JSON that its version asks for.
-    #[error("greeting: {0}")]
+    /// The head is not the JSON object that its version defines.
+    #[error("the head cannot be decoded: {0}")]
     Head(#[source] serde_json::Error),
     /// There is no frame where a block should begin.
-    #[error("not a block, or one that is cut off")]
+    #[error("expected a block, found other bytes or a block that is cut off")]
     NoBlock,
     /// The file ends within the block.
     #[error("the block is cut off")]
     BlockCutOff,
-    /// The block claims a size that no writer writes.
-    #[error("a block larger than any that is written")]
+    /// The frame states a size that no writer produces.
+    #[error("the frame states a block larger than any that a writer produces")]
     BlockTooLarge,
     /// The block's bytes were changed.
     #[error("the block's checksum is wrong")]
     BlockChecksum,
-    /// The frame of a block that the index names cannot be read.
-    #[error("the block's frame is wrong")]
+    /// The frame of a block in the index is cut off or its checksum is wrong.
+    #[error("the block's frame is damaged")]
     BlockFrame,
-    /// The block is another than the index says.
-    #[error("not the block that the index tells of")]
+    /// The block's frame differs from its index entry.
+    #[error("the block's frame does not match its index entry")]
     OtherBlock,
     /// The block does not decompress to its stated length.
-    #[error("the block {0}")]
+    #[error("the block cannot be decompressed: {0}")]
     Decompress(#[source] io::Error),
-    /// The dictionaries of the block cannot be read.
-    #[error("the block's body: {0}")]
+    /// The dictionaries of the block cannot be decoded.
+    #[error("the block's body cannot be decoded: {0}")]
     Body(#[source] postcard::Error),
-    /// A column of the block cannot be read.
+    /// A column of the block cannot be decoded.
     #[error("{0}")]
     Column(#[from] ColumnError),
     /// A record names a source that is not in the head.
-    #[error("a source that the greeting lacks")]
+    #[error("a record names a source that is not in the head")]
     UnknownSource,
 }
 
-/// Why the index at the end of a file cannot be used, so that it is rebuilt from the blocks.
+/// Why the index at the end of a file cannot be used. The reader then rebuilds the index from the blocks.
 #[derive(Debug, thiserror::Error)]
 pub enum IndexError {
     /// The writer did not close the file.
@@ -90,13 +90,13 @@
     /// The index or its trailer was changed.
     #[error("byte {at}: the index is damaged")]
     Damaged {
-        /// Offset of the trailer, in bytes.
+        /// The offset of the trailer, in bytes from the start of the file.
         at: u64,
     },
     /// The input failed.
     #[error("{0}")]
     Io(#[from] io::Error),
-    /// The index's block cannot be read.
+    /// The bytes of the index cannot be read or decompressed.
     #[error("{0}")]
     Block(#[from] TraceError),
 }
--- a/crates/trace/src/file/writer.rs
+++ b/crates/trace/src/file/writer.rs
@@ -6,7 +6,7 @@
 use crate::record::{Head, Record, StageInForce};
 use std::io::Write;
 
-/// Writes records to a file, block by block. Holds one block.
+/// Writes records to a file, block by block. Keeps one block in memory.
 pub struct Writer<W: Write> {
     blocks: BlockWriter<W>,
     block: BlockEncoder,
@@ -17,7 +17,7 @@
     /// Writes the head; `standing` holds the stages in force before the first record.
     ///
     /// # Errors
-    /// As [`BlockWriter::new`].
+    /// The same as of [`BlockWriter::new`].
     pub fn new(
         out: W,
         head: &Head,
@@ -30,10 +30,10 @@
         })
     }
 
-    /// Appends a record, and closes the block once it is full.
+    /// Appends a record, and writes the block once it is full.
     ///
     /// # Errors
-    /// Errors of the output.
+    /// The output fails.
     pub fn put(&mut self, record: Record) -> Result<(), TraceError> {
         update_stages(&mut self.stages_in_force, &record);
         self.block.put(record);
@@ -43,20 +43,20 @@
         Ok(())
     }
 
-    /// Closes the block.
+    /// Writes the open block and begins a new one.
     ///
     /// # Errors
-    /// Errors of the output.
+    /// The output fails.
     pub fn flush(&mut self) -> Result<(), TraceError> {
-        self.blocks.block(&self.block)?;
+        self.blocks.write_block(&self.block)?;
         self.block = BlockEncoder::new(self.stages_in_force.clone());
         Ok(())
     }
 
-    /// Closes the last block and writes the index.
+    /// Writes the last block and the index.
     ///
     /// # Errors
-    /// Errors of the output.
+    /// The output fails.
     pub fn finish(mut self) -> Result<W, TraceError> {
         self.flush()?;
         self.blocks.finish()
--- a/crates/trace/src/from_adapter.rs
+++ b/crates/trace/src/from_adapter.rs
@@ -1,4 +1,4 @@
-//! Makes a trace of a bench run from what the adapter read and wrote on its pipes.
+//! Converts a bench run to a trace, from the lines that the adapter read and wrote on its pipes.
 
 use crate::file::{TraceError, Writer};
 use crate::record::{Head, Payload, PodSnapshot, Record, Source};
@@ -20,78 +20,79 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// A request in flight.
+/// A request that is unanswered or has attempts in flight.
 struct InFlightRequest {
     id: RequestId,
     deadline: Nanos,
-    open: bool,
-    out: Vec<bool>,
+    /// Whether the request is unanswered.
+    is_open: bool,
+    /// For each attempt, whether it is in flight.
+    attempts_in_flight: Vec<bool>,
 }
 
-/// An instance that collects what it receives as events.
+/// An adapter instance that converts what it receives to events.
 struct RecordingInstance {
     now: Nanos,
     names: Names,
-    /// Taken by whoever numbers the sources.
-    fresh: Option<Box<Source>>,
-    number: usize,
-    /// Pods by name; grows with the pods ever listed.
+    /// The source of an instance that has just been attached; the caller takes it and assigns the source index.
+    new_source: Option<Box<Source>>,
+    /// Index of the source in the trace.
+    source: usize,
+    /// The ids of all pods that were ever listed, by name.
     pods: HashMap<String, PodId>,
-    cards: Vec<Arc<PodSnapshot>>,
-    /// Requests in flight by name; a request leaves once it is answered and its attempts have ended.
+    pod_snapshots: Vec<Arc<PodSnapshot>>,
+    /// Requests in flight by name; a request is removed once it is answered and its attempts have ended.
     requests: HashMap<String, InFlightRequest>,
-    next_hit: RequestId,
-    /// Votes and health checks are counted together, as an engine counts them.
-    calls: u64,
-    votes: VecDeque<u64>,
-    probes: HashMap<PodId, VecDeque<u64>>,
-    told: Vec<Event>,
+    next_request: RequestId,
+    /// The last id of a vote or health check: an engine numbers both with one counter.
+    call_count: u64,
+    pending_votes: VecDeque<u64>,
+    pending_checks: HashMap<PodId, VecDeque<u64>>,
+    events: Vec<Event>,
 }
 
 impl RecordingInstance {
-    /// Returns a record of now, with the pod that it names.
+    /// Returns a record of the current time, with the pod that it names.
     fn record(&self, payload: Payload) -> Record {
         let record = Record {
             at: self.now,
             engine_time: self.now,
-            source: self.number,
+            source: self.source,
             payload,
             pod: None,
         };
-        let pod = record.pod_id().and_then(|pod| self.cards.get(pod));
+        let pod = record.pod_id().and_then(|pod| self.pod_snapshots.get(pod));
         Record {
             pod: pod.cloned(),
             ..record
         }
     }
 
-    fn call(&mut self) -> u64 {
-        self.calls += 1;
-        self.calls
+    fn next_call_id(&mut self) -> u64 {
+        self.call_count += 1;
+        self.call_count
     }
 
-    fn sweep(&mut self, name: &str) {
-        if self
-            .requests
-            .get(name)
-            .is_some_and(|held| !held.open && !held.out.contains(&true))
-        {
+    fn remove_if_finished(&mut self, name: &str) {
+        if self.requests.get(name).is_some_and(|in_flight| {
+            !in_flight.is_open && !in_flight.attempts_in_flight.contains(&true)
+        }) {
             self.requests.remove(name);
         }
     }
 
-    fn id(&self, name: &str) -> RequestId {
-        // The replay reports a request that nobody knows.
+    fn request_id(&self, name: &str) -> RequestId {
+        // The replay reports a request id that the engine does not know as a difference.
         self.requests
             .get(name)
-            .map_or(RequestId::MAX, |held| held.id)
+            .map_or(RequestId::MAX, |in_flight| in_flight.id)
     }
 
-    fn close(&mut self, name: &str) {
-        if let Some(held) = self.requests.get_mut(name) {
-            held.open = false;
+    fn mark_answered(&mut self, name: &str) {
+        if let Some(in_flight) = self.requests.get_mut(name) {
+            in_flight.is_open = false;
         }
-        self.sweep(name);
+        self.remove_if_finished(name);
     }
 }
 
@@ -128,16 +129,16 @@
         RecordingInstance {
             now,
             names,
-            fresh: Some(Box::new(source)),
-            number: 0,
+            new_source: Some(Box::new(source)),
+            source: 0,
             pods: HashMap::new(),
-            cards: Vec::new(),
+            pod_snapshots: Vec::new(),
             requests: HashMap::new(),
-            next_hit: 0,
-            calls: 0,
-            votes: VecDeque::new(),
-            probes: HashMap::new(),
-            told: Vec::new(),
+            next_request: 0,
+            call_count: 0,
+            pending_votes: VecDeque::new(),
+            pending_checks: HashMap::new(),
+            events: Vec::new(),
         }
     }
 
@@ -154,275 +155,284 @@
     }
 
     fn start(&mut self) {
-        self.told.push(Event::Started);
+        self.events.push(Event::Started);
     }
 
-    fn update_endpoints(&mut self, whole: bool, rows: &[ListedPod]) {
-        let (mut pods, mut given) = (Vec::new(), Vec::new());
+    fn update_endpoints(&mut self, complete: bool, listed: &[ListedPod]) {
+        let (mut pods, mut pod_ids) = (Vec::new(), Vec::new());
         for ListedPod {
             pod,
             zone,
             machine,
-            endpoint: entry,
-        } in rows
+            endpoint,
+        } in listed
         {
-            let next = self.cards.len();
+            let next = self.pod_snapshots.len();
             let id = *self.pods.entry(pod.clone()).or_insert(next);
-            let card = Arc::new(PodSnapshot {
+            let snapshot = Arc::new(PodSnapshot {
                 pod: id,
-                build: entry.build,
+                build: endpoint.build,
                 name: pod.clone(),
                 zone: zone.clone(),
             });
-            match self.cards.get_mut(id) {
-                Some(known) => *known = card,
-                None => self.cards.push(card),
+            match self.pod_snapshots.get_mut(id) {
+                Some(known) => *known = snapshot,
+                None => self.pod_snapshots.push(snapshot),
             }
-            let age = match entry.started {
+            let age = match endpoint.started {
                 0 => 0,
                 started => self.now.saturating_sub(started).max(1),
             };
             pods.push(ListedEndpoint {
                 name: pod.clone(),
-                // The bench has none.
+                // The bench has no addresses.
                 address: SocketAddr::from(([0, 0, 0, 0], 0)),
-                state: entry.state,
-                build: entry.build,
-                incarnation: entry.started,
+                state: endpoint.state,
+                build: endpoint.build,
+                incarnation: endpoint.started,
                 age,
                 zone: zone.clone(),
                 machine: machine.clone(),
-                cell: entry.cell,
-                size: entry.size,
+                cell: endpoint.cell,
+                size: endpoint.size,
             });
-            given.push(Some(id));
+            pod_ids.push(Some(id));
         }
-        self.told.push(Event::EndpointsListed {
-            complete: whole,
+        self.events.push(Event::EndpointsListed {
+            complete,
             pods,
-            pod_ids: given,
+            pod_ids,
         });
     }
 
     fn endpoint_watch_failed(&mut self) {
-        self.told.push(Event::EndpointWatchFailed);
+        self.events.push(Event::EndpointWatchFailed);
     }
 
-    fn handle_request(&mut self, name: &str, hit: IncomingRequest) {
-        let id = self.next_hit;
-        self.next_hit += 1;
+    fn handle_request(&mut self, name: &str, request: IncomingRequest) {
+        let id = self.next_request;
+        self.next_request += 1;
         let IncomingRequest {
-            class: group,
+            class: route_class,
             tenant,
             key,
-            remaining: left,
+            remaining,
             cost_hint,
-            is_retry: repeat,
+            is_retry,
             ..
-        } = hit;
-        let held = InFlightRequest {
+        } = request;
+        let in_flight = InFlightRequest {
             id,
-            deadline: self.now.saturating_add(left),
-            open: true,
-            out: Vec::new(),
+            deadline: self.now.saturating_add(remaining),
+            is_open: true,
+            attempts_in_flight: Vec::new(),
         };
-        self.requests.insert(name.to_string(), held);
-        let asked = RequestAttributes {
-            route_class: group,
+        self.requests.insert(name.to_string(), in_flight);
+        let attributes = RequestAttributes {
+            route_class,
             tenant,
             key,
-            remaining: left,
+            remaining,
             cost_hint,
-            is_retry: repeat,
+            is_retry,
         };
-        self.told.push(Event::RequestArrived {
+        self.events.push(Event::RequestArrived {
             request: id,
-            attributes: asked,
+            attributes,
         });
     }
 
-    fn attempt_ended(&mut self, name: &str, nth: usize, outcome: AttemptOutcome) {
-        let Some(held) = self.requests.get_mut(name) else {
+    fn attempt_ended(&mut self, name: &str, attempt: usize, outcome: AttemptOutcome) {
+        let Some(in_flight) = self.requests.get_mut(name) else {
             return;
         };
-        let Some(out) = held.out.get_mut(nth).filter(|out| **out) else {
+        let Some(is_in_flight) = in_flight
+            .attempts_in_flight
+            .get_mut(attempt)
+            .filter(|is_in_flight| **is_in_flight)
+        else {
             return;
         };
-        *out = false;
+        *is_in_flight = false;
         let AttemptOutcome {
             end, took, load, ..
         } = outcome;
-        let passed = held.open && end == AttemptEnd::Served;
-        held.open &= !passed;
-        let (hit, nth) = (held.id, nth as u32);
-        self.told.push(Event::AttemptEnded {
-            request: hit,
-            attempt: nth,
+        let delivered = in_flight.is_open && end == AttemptEnd::Served;
+        in_flight.is_open &= !delivered;
+        let (request, attempt) = (in_flight.id, attempt as u32);
+        self.events.push(Event::AttemptEnded {
+            request,
+            attempt,
             end,
             took,
             load,
-            delivered: passed,
+            delivered,
         });
-        self.sweep(name);
+        self.remove_if_finished(name);
     }
 
     fn client_left(&mut self, name: &str) {
-        if let Some(hit) = self.requests.get(name).map(|held| held.id) {
-            self.told.push(Event::ClientLeft { request: hit });
-            self.close(name);
+        if let Some(request) = self.requests.get(name).map(|in_flight| in_flight.id) {
+            self.events.push(Event::ClientLeft { request });
+            self.mark_answered(name);
         }
     }
 
     fn timer_fired(&mut self, id: u64) {
-        // An engine counts its wakes from 1, the adapter from 0.
-        self.told.push(Event::TimerFired(id.saturating_add(1)));
+        // An engine numbers its timers from 1, the adapter from 0.
+        self.events.push(Event::TimerFired(id.saturating_add(1)));
     }
 
     fn update_stage(&mut self, stage: Stage) {
-        self.told.push(Event::StageChanged(stage));
+        self.events.push(Event::StageChanged(stage));
     }
 
-    fn vote_answered(&mut self, news: VoteReply) {
-        if let Some(vote) = self.votes.pop_front() {
-            self.told.push(Event::VoteAnswered { vote, reply: news });
+    fn vote_answered(&mut self, reply: VoteReply) {
+        if let Some(vote) = self.pending_votes.pop_front() {
+            self.events.push(Event::VoteAnswered { vote, reply });
         }
     }
 
     fn update_tally(&mut self, tally: Tally) {
-        self.told.push(Event::TallyReported(tally));
+        self.events.push(Event::TallyReported(tally));
     }
 
-    fn report_fault(&mut self, pod: &str, group: RouteClassId, ago: Nanos) {
+    fn report_fault(&mut self, pod: &str, route_class: RouteClassId, ago: Nanos) {
         if let Some(pod) = self.pods.get(pod).copied() {
-            self.told.push(Event::FaultReported {
+            self.events.push(Event::FaultReported {
                 pod,
-                route_class: group,
+                route_class,
                 ago,
             });
         }
     }
 
-    fn health_checked(&mut self, pod: &str, end: HealthCheckResult) {
+    fn health_checked(&mut self, pod: &str, result: HealthCheckResult) {
         let Some(pod) = self.pods.get(pod) else {
             return;
         };
-        if let Some(probe) = self.probes.get_mut(pod).and_then(VecDeque::pop_front) {
-            self.told.push(Event::HealthCheckEnded {
-                check: probe,
-                result: end,
-            });
+        if let Some(check) = self
+            .pending_checks
+            .get_mut(pod)
+            .and_then(VecDeque::pop_front)
+        {
+            self.events.push(Event::HealthCheckEnded { check, result });
         }
     }
 }
 
-/// Collects what the instances did as effects; actions of stopped instances are skipped.
+/// Converts the actions of the instances to effects; actions of stopped instances are skipped.
 struct ActionRecorder<'a> {
-    wire: &'a mut Session<RecordingInstance>,
-    done: Vec<(u64, Effect)>,
+    session: &'a mut Session<RecordingInstance>,
+    effects: Vec<(u64, Effect)>,
 }
 
 impl ActionRecorder<'_> {
-    fn by(&mut self, sidecar: u64, effect: impl FnOnce(&mut RecordingInstance) -> Effect) {
-        if let Some(Some(instance)) = self.wire.instances.get_mut(&sidecar) {
+    fn add_effect(&mut self, sidecar: u64, effect: impl FnOnce(&mut RecordingInstance) -> Effect) {
+        if let Some(Some(instance)) = self.session.instances.get_mut(&sidecar) {
             let effect = effect(instance);
-            self.done.push((sidecar, effect));
+            self.effects.push((sidecar, effect));
         }
     }
 }
 
 impl ActionListener for ActionRecorder<'_> {
-    fn attempt(&mut self, sidecar: u64, hit: &str, pod: &str, time_out: Nanos) {
-        self.by(sidecar, |instance| {
+    fn attempt(&mut self, sidecar: u64, request: &str, pod: &str, timeout: Nanos) {
+        self.add_effect(sidecar, |instance| {
             let pod = instance.pods.get(pod).copied().unwrap_or(PodId::MAX);
-            let Some(held) = instance.requests.get_mut(hit) else {
+            let Some(in_flight) = instance.requests.get_mut(request) else {
                 return Effect::SendAttempt {
                     request: RequestId::MAX,
                     attempt: 0,
                     pod,
-                    timeout: time_out,
+                    timeout,
                 };
             };
-            held.out.push(true);
+            in_flight.attempts_in_flight.push(true);
             Effect::SendAttempt {
-                request: held.id,
-                attempt: held.out.len() as u32 - 1,
+                request: in_flight.id,
+                attempt: in_flight.attempts_in_flight.len() as u32 - 1,
                 pod,
-                timeout: time_out,
+                timeout,
             }
         });
     }
 
-    fn cancel(&mut self, sidecar: u64, hit: &str, nth: u32) {
-        self.by(sidecar, |instance| Effect::CancelAttempt {
-            request: instance.id(hit),
-            attempt: nth,
+    fn cancel(&mut self, sidecar: u64, request: &str, attempt: u32) {
+        self.add_effect(sidecar, |instance| Effect::CancelAttempt {
+            request: instance.request_id(request),
+            attempt,
         });
     }
 
-    fn reject(&mut self, sidecar: u64, hit: &str, retry_after: Nanos) {
-        self.by(sidecar, |instance| {
-            let bounced = Effect::Reject {
-                request: instance.id(hit),
+    fn reject(&mut self, sidecar: u64, request: &str, retry_after: Nanos) {
+        self.add_effect(sidecar, |instance| {
+            let effect = Effect::Reject {
+                request: instance.request_id(request),
                 retry_after,
             };
-            instance.close(hit);
-            bounced
+            instance.mark_answered(request);
+            effect
         });
     }
 
-    fn fail(&mut self, sidecar: u64, hit: &str) {
-        self.by(sidecar, |instance| {
-            let late = instance
+    fn fail(&mut self, sidecar: u64, request: &str) {
+        self.add_effect(sidecar, |instance| {
+            let timed_out = instance
                 .requests
-                .get(hit)
-                .is_some_and(|held| instance.now >= held.deadline);
-            let errored = Effect::Fail {
-                request: instance.id(hit),
-                timed_out: late,
+                .get(request)
+                .is_some_and(|in_flight| instance.now >= in_flight.deadline);
+            let effect = Effect::Fail {
+                request: instance.request_id(request),
+                timed_out,
             };
-            instance.close(hit);
-            errored
+            instance.mark_answered(request);
+            effect
         });
     }
 
-    fn vote(&mut self, sidecar: u64, build: Build, stage: usize, voice: Vote) {
-        self.by(sidecar, |instance| {
-            let vote = instance.call();
-            instance.votes.push_back(vote);
+    fn vote(&mut self, sidecar: u64, build: Build, stage: usize, vote: Vote) {
+        self.add_effect(sidecar, |instance| {
+            let id = instance.next_call_id();
+            instance.pending_votes.push_back(id);
             Effect::CastVote {
-                id: vote,
+                id,
                 build,
                 stage,
-                vote: voice,
+                vote,
             }
         });
     }
 
     fn health_check(&mut self, sidecar: u64, pod: &str) {
-        self.by(sidecar, |instance| {
-            let (probe, pod) = (
-                instance.call(),
+        self.add_effect(sidecar, |instance| {
+            let (check, pod) = (
+                instance.next_call_id(),
                 instance.pods.get(pod).copied().unwrap_or(PodId::MAX),
             );
-            instance.probes.entry(pod).or_default().push_back(probe);
-            Effect::HealthCheck { check: probe, pod }
+            instance
+                .pending_checks
+                .entry(pod)
+                .or_default()
+                .push_back(check);
+            Effect::HealthCheck { check, pod }
         });
     }
 
     fn poll_endpoints(&mut self, sidecar: u64) {
-        self.by(sidecar, |_| Effect::PollEndpoints);
+        self.add_effect(sidecar, |_| Effect::PollEndpoints);
     }
 
     fn watch_endpoints(&mut self, sidecar: u64, on: bool) {
-        self.by(sidecar, |_| Effect::WatchEndpoints(on));
+        self.add_effect(sidecar, |_| Effect::WatchEndpoints(on));
     }
 
     fn log(&mut self, sidecar: u64, text: &str) {
-        self.by(sidecar, |_| Effect::Log(text.to_string()));
+        self.add_effect(sidecar, |_| Effect::Log(text.to_string()));
     }
 }
 
-fn unfit(error: WireError) -> TraceError {
+fn unusable(error: WireError) -> TraceError {
     TraceError::Unusable(error.to_string())
 }
 
@@ -450,41 +460,43 @@
             }
             self.number += 1;
             if !self.text.iter().all(u8::is_ascii_whitespace) {
-                return Line::read(self.number, &self.text).map(Some).map_err(unfit);
+                return Line::read(self.number, &self.text)
+                    .map(Some)
+                    .map_err(unusable);
             }
         }
     }
 }
 
-/// Returns every incarnation that begins in a run, in order, by a first pass over the adapter's input.
+/// Returns the source of every incarnation that starts in a run, in order, by a first pass over the adapter's input.
 ///
 /// # Errors
 /// A line that does not follow the adapter's protocol.
 pub fn sources(input: impl BufRead) -> Result<Vec<Source>, TraceError> {
-    let (mut lines, mut wire, mut sources) = (
+    let (mut lines, mut session, mut sources) = (
         Lines::new(input),
         Session::<RecordingInstance>::default(),
         Vec::new(),
     );
     while let Some(line) = lines.next()? {
         let sidecar = line.of().whole("sidecar").ok();
-        wire.line(line).map_err(unfit)?;
+        session.line(line).map_err(unusable)?;
         let instance = sidecar
-            .and_then(|sidecar| wire.instances.get_mut(&sidecar))
+            .and_then(|sidecar| session.instances.get_mut(&sidecar))
             .and_then(Option::as_mut);
         if let Some(instance) = instance {
-            sources.extend(instance.fresh.take().map(|source| *source));
-            instance.told.clear();
+            sources.extend(instance.new_source.take().map(|source| *source));
+            instance.events.clear();
         }
     }
     Ok(sources)
 }
 
-/// Writes the run as a trace, one source for each incarnation. Effects of a batch come after all its events. Returns
-/// the number of records.
+/// Writes the run as a trace, one source for each incarnation. The effects of a batch of input lines come after all
+/// events of the batch. Returns the number of records.
 ///
 /// # Errors
-/// A line that does not follow the adapter's protocol, or outputs that do not belong to the inputs.
+/// A line that does not follow the adapter's protocol, or an output that does not answer the batches of the input.
 pub fn write(
     input: impl BufRead,
     output: impl BufRead,
@@ -501,7 +513,7 @@
     };
     while let Some(line) = input.next()? {
         let sidecar = line.of().whole("sidecar").ok();
-        let batch = conversion.session.line(line).map_err(unfit)?;
+        let batch = conversion.session.line(line).map_err(unusable)?;
         if let Some(sidecar) = sidecar {
             conversion.write_events(sidecar)?;
         }
@@ -513,12 +525,12 @@
     Ok(conversion.records)
 }
 
-/// A bench run on its way into a trace.
+/// The conversion of a bench run to a trace.
 struct Conversion<O, W: Write> {
     output: Lines<O>,
     session: Session<RecordingInstance>,
     writer: Writer<W>,
-    /// Incarnations that have begun, each a source of the trace.
+    /// Incarnations that have started; each is a source of the trace.
     incarnations: usize,
     /// Records written.
     records: u64,
@@ -530,11 +542,11 @@
         let Some(Some(instance)) = self.session.instances.get_mut(&sidecar) else {
             return Ok(());
         };
-        if instance.fresh.take().is_some() {
-            instance.number = self.incarnations;
+        if instance.new_source.take().is_some() {
+            instance.source = self.incarnations;
             self.incarnations += 1;
         }
-        for event in std::mem::take(&mut instance.told) {
+        for event in std::mem::take(&mut instance.events) {
             self.writer.put(instance.record(Payload::Event(event)))?;
             self.records += 1;
         }
@@ -549,11 +561,11 @@
                 return Err(TraceError::Unusable(why));
             };
             let mut recorder = ActionRecorder {
-                wire: &mut self.session,
-                done: Vec::new(),
+                session: &mut self.session,
+                effects: Vec::new(),
             };
-            let answered = actions::read(&line, &mut recorder).map_err(unfit)?;
-            for (sidecar, effect) in recorder.done {
+            let answered = actions::read(&line, &mut recorder).map_err(unusable)?;
+            for (sidecar, effect) in recorder.effects {
                 if let Some(Some(instance)) = self.session.instances.get(&sidecar) {
                     self.writer.put(instance.record(Payload::Effect(effect)))?;
                     self.records += 1;
--- a/crates/trace/src/json_view.rs
+++ b/crates/trace/src/json_view.rs
@@ -1,5 +1,5 @@
-//! The JSON view: a record as one JSON object, with names in place of indices. Its words are a stable format, described
-//! in `docs/trace-format.md`, and do not follow the names in the code.
+//! The JSON view: a record as one JSON object, with names in place of indices. The keys and values are a stable format,
+//! described in `docs/trace-format.md`, and do not change with the names in the code.
 
 use crate::record::{Head, Payload, Record, StageInForce};
 use crate::summary::{attempt_end_name, vote_name};
@@ -12,12 +12,12 @@
 use havenplank_sidecar::events::Event;
 use serde_json::{json, Map, Value};
 
-/// Returns the stage in force at the start of a block, in the words of [`line()`].
+/// Returns the stage in force at the start of a block, with the keys of [`line()`].
 pub fn stage_in_force(in_force: &StageInForce) -> Value {
     json!({"source": in_force.source, "at": in_force.at, "in_force": stage(&in_force.stage)})
 }
 
-/// Returns one record; `at` is in nanoseconds on the file's clock, and other times name their unit.
+/// Returns one record. The key `at` is in nanoseconds on the file's clock; the keys of other times name their unit.
 pub fn line(record: &Record, head: &Head) -> Value {
     let settings = head
         .sources
@@ -76,8 +76,8 @@
             request,
             prior_attempts,
         } => {
-            let past: Vec<Value> = prior_attempts.iter().map(prior_attempt).collect();
-            ("resumed", json!({"hit": request, "past": past}))
+            let prior: Vec<Value> = prior_attempts.iter().map(prior_attempt).collect();
+            ("resumed", json!({"hit": request, "past": prior}))
         }
         Event::SendPermission {
             request,
@@ -145,8 +145,8 @@
             stage,
             vote,
         } => {
-            let voice = vote_name(*vote);
-            let fields = json!({"vote": id, "build": build, "stage": stage, "voice": voice});
+            let vote = vote_name(*vote);
+            let fields = json!({"vote": id, "build": build, "stage": stage, "voice": vote});
             ("vote", fields)
         }
         Effect::HealthCheck { check, .. } => ("probe", json!({"probe": check})),
@@ -278,7 +278,8 @@
         size,
     } = endpoint;
     json!({
-        "name": name, "address": address.to_string(), "state": pod_state_name(*state), "build": build, "life": incarnation,
-        "age_ns": age, "zone": zone, "machine": machine, "cell": cell, "size": size, "index": pod_id,
+        "name": name, "address": address.to_string(), "state": pod_state_name(*state), "build": build,
+        "life": incarnation, "age_ns": age, "zone": zone, "machine": machine, "cell": cell, "size": size,
+        "index": pod_id,
     })
 }
--- a/crates/trace/src/lib.rs
+++ b/crates/trace/src/lib.rs
@@ -1,5 +1,5 @@
-//! Traces: the requests and decisions of a sidecar in a compact file, recorded, read, cut, merged, anonymised, summarised
-//! and replayed. `docs/trace-format.md` describes the bytes.
+//! Traces: the requests and decisions of a sidecar in a compact file. This crate records, reads, cuts, merges,
+//! anonymises, summarises and replays them. `docs/trace-format.md` describes the bytes.
 
 #![warn(missing_docs)]
 #![warn(
@@ -24,7 +24,7 @@
 pub mod request_timelines;
 pub mod summary;
 
-/// The name of [`json_view`] in version 0.2, by which the tests of stored traces call it.
+/// The name of [`json_view`] in version 0.2, which the tests of stored traces still use.
 #[doc(hidden)]
 pub use json_view as show;
 
--- a/crates/trace/src/merge/clocks.rs
+++ b/crates/trace/src/merge/clocks.rs
@@ -1,4 +1,4 @@
-//! Aligns the clocks of sources by the events that they received alike.
+//! Aligns the clocks of sources by their shared events.
 
 use super::shared_events::{FirstReceived, SharedEvent};
 use crate::record::Source;
@@ -6,35 +6,37 @@
 use std::cmp::{Ordering, Reverse};
 use std::collections::HashMap;
 
-/// Points of which slopes are taken, each with each.
+/// The largest number of points between which slopes are computed; each point is paired with each later one.
 const MAX_POINTS: usize = 256;
-/// The fastest drift of a clock that is believed, in nanoseconds per nanosecond.
+/// The largest clock drift that is accepted, in nanoseconds per nanosecond.
 const MAX_DRIFT: f64 = 1e-3;
-/// Points and nanoseconds that a drift needs; with less only the offset is taken.
+/// The number of points from which a drift is computed; with fewer points only the offset is computed.
 const MIN_DRIFT_POINTS: usize = 8;
+/// The time span in nanoseconds from which a drift is computed; for a shorter one only the offset is computed.
 const MIN_DRIFT_SPAN_NS: f64 = 2e9;
 
-/// How the clock of a source is corrected, by an offset and a drift.
+/// The correction of a source's clock by an offset and a drift.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Clock {
     /// The sidecar's name.
     pub name: String,
-    /// Its incarnation.
+    /// The sidecar's incarnation.
     pub incarnation: u64,
-    /// Nanoseconds added to its wall clock at its first shared event.
+    /// Nanoseconds added to the wall clock at the first shared event.
     pub offset: i64,
-    /// Nanoseconds added for each nanosecond since then.
+    /// Nanoseconds added for each nanosecond since the first shared event.
     pub drift: f64,
-    /// Shared events that it was aligned by; 0 where it was left alone, or corrected as another incarnation of its name.
+    /// The number of shared events that the clock was aligned by; 0 where the clock was not corrected, or was corrected
+    /// like another incarnation of the same name.
     pub events: usize,
-    /// Half of these events lie within so many nanoseconds of their time in the other sources.
+    /// Half of the shared events are within this many nanoseconds of their time in the other sources.
     pub spread: Nanos,
-    /// Wall clock of its first shared event, in nanoseconds.
+    /// Wall clock time of the first shared event, in nanoseconds since 1970.
     from: i128,
 }
 
 impl Clock {
-    /// Corrects a time of the source's wall clock, in nanoseconds.
+    /// Returns the corrected time of a time on the source's wall clock, in nanoseconds since 1970.
     pub(super) fn at(&self, wall: i128) -> i128 {
         wall + self.offset as i128 + ((wall - self.from) as f64 * self.drift) as i128
     }
@@ -48,8 +50,8 @@
     }
 }
 
-/// Aligns the clocks: first the source with the most events, which is left alone; then, each time, the one that shares
-/// the most events with those aligned before.
+/// Aligns the clocks. The clock of the source with the most shared events is the reference and is not corrected. Then
+/// the remaining source that shares the most events with the aligned sources is aligned, until none remains.
 pub(super) fn align(sources: &[Source], received: &[FirstReceived]) -> Vec<Clock> {
     let mut clocks: Vec<Clock> = sources.iter().map(uncorrected).collect();
     let mut remaining: Vec<usize> = (0..sources.len()).collect();
@@ -59,7 +61,7 @@
         if let Some(correction) = fit(&mut points) {
             clocks[source].correct(&correction, points.len());
         } else if let Some(other) = other_incarnation(&clocks, &remaining, source) {
-            // Nothing in common, but another incarnation of the same sidecar on the same machine's clock.
+            // No event in common, but another incarnation of the same sidecar ran on the same machine's clock.
             let correction = Correction {
                 from: clocks[other].from,
                 offset: clocks[other].offset,
@@ -88,7 +90,7 @@
     }
 }
 
-/// Removes the source that shares the most events with those aligned; of equals the first.
+/// Removes and returns the source that shares the most events with the aligned sources; the first one of several.
 fn take_best(
     remaining: &mut Vec<usize>,
     received: &[FirstReceived],
@@ -106,7 +108,8 @@
     Some(remaining.remove(best))
 }
 
-/// Returns the time of each event that was aligned before: by the source's own clock, and by the aligned ones.
+/// Returns two times of each event that an aligned source received: by the source's own clock, and the median of the
+/// aligned clocks.
 fn common_points(
     received: &FirstReceived,
     aligned: &HashMap<SharedEvent, Vec<i128>>,
@@ -118,7 +121,7 @@
     received.iter().filter_map(point).collect()
 }
 
-/// Returns the aligned source of the same name that has the most events; of equals the last.
+/// Returns the aligned source of the same name that was aligned by the most events; the last one of several.
 fn other_incarnation(clocks: &[Clock], remaining: &[usize], source: usize) -> Option<usize> {
     (0..clocks.len())
         .filter(|other| *other != source && !remaining.contains(other))
@@ -126,17 +129,17 @@
         .max_by_key(|other| clocks[*other].events)
 }
 
-/// How a clock is to be corrected.
+/// An offset and a drift to correct a clock by.
 struct Correction {
-    /// Time from which the drift counts, in nanoseconds of the clock.
+    /// Time on the clock from which the drift applies, in nanoseconds since 1970.
     from: i128,
     offset: i64,
     drift: f64,
     spread: Nanos,
 }
 
-/// Returns the offset and drift that lay points, (own time, true time), on each other: the medians of the slopes and of
-/// the residuals (Theil and Sen), so that events received late have no weight. `None` without points.
+/// Fits an offset and a drift to points of (own time, aligned time): the medians of the slopes and of the residuals
+/// (the Theil-Sen estimator), so that events that were received late have no weight. Returns `None` without points.
 fn fit(points: &mut [(i128, i128)]) -> Option<Correction> {
     points.sort_unstable();
     let (first, last) = (points.first()?.0, points.last()?.0);
@@ -165,7 +168,8 @@
     })
 }
 
-/// Returns the slopes between points that lie a quarter of the span apart: nearer ones show their lateness, not drift.
+/// Returns the slopes between points that are at least a quarter of the span apart: the slope between nearer points
+/// depends on how late the events were received, not on the drift.
 fn slopes(points: &[(f64, f64)], span: f64) -> Vec<f64> {
     let mut slopes = Vec::new();
     for (index, a) in points.iter().enumerate() {
@@ -189,21 +193,22 @@
     use oorandom::Rand64;
 
     #[test]
-    fn offset_and_drift_are_found_among_late_hearings() {
-        let mut chance = Rand64::new(5);
-        // Ten minutes, an event each second, heard up to 40 ms late on both sides and now and then much later.
+    fn finds_offset_and_drift_when_some_events_arrive_late() {
+        let mut random = Rand64::new(5);
+        // Ten minutes with an event each second, received up to 40 ms late by both sides and sometimes 2 s later.
         let mut points: Vec<(i128, i128)> = (0..600)
             .map(|n| {
                 let own = 1_000_000_000_000i128 + n * 1_000_000_000;
-                let late = |chance: &mut Rand64| chance.rand_range(0..40_000_000) as i128;
-                let very = if chance.rand_range(0..20) == 0 {
+                let late = |random: &mut Rand64| random.rand_range(0..40_000_000) as i128;
+                let very_late = if random.rand_range(0..20) == 0 {
                     2_000_000_000
                 } else {
                     0
                 };
-                let told =
-                    own + 2_500_000_000 + n * 80_000 + late(&mut chance) - late(&mut chance) + very;
-                (own, told)
+                let aligned = own + 2_500_000_000 + n * 80_000 + late(&mut random)
+                    - late(&mut random)
+                    + very_late;
+                (own, aligned)
             })
             .collect();
         let Correction {
@@ -211,12 +216,12 @@
             offset,
             drift,
             spread,
-        } = fit(&mut points).expect("points enough");
+        } = fit(&mut points).expect("enough points");
         assert_eq!(from, 1_000_000_000_000);
         assert!((offset - 2_500_000_000).abs() < 10_000_000, "{offset}");
         assert!((drift - 80e-6).abs() < 10e-6, "{drift}");
         assert!((1_000_000..30_000_000).contains(&spread), "{spread}");
-        // Too few, or too close together, for a drift.
+        // These points are too few, and too close together, for a drift.
         assert_eq!(fit(&mut points[..5]).expect("points").drift, 0.0);
         assert!(fit(&mut []).is_none());
     }
--- a/crates/trace/src/merge/mod.rs
+++ b/crates/trace/src/merge/mod.rs
@@ -1,4 +1,4 @@
-//! Merges the traces of many sidecars into one, with clocks aligned by the events that all of them received.
+//! Merges the traces of many sidecars into one. The clocks are aligned by the events that several sidecars received.
 
 mod clocks;
 mod shared_events;
@@ -11,13 +11,14 @@
 use shared_events::{shared_events, wall_time, FirstReceived};
 use std::io::{Read, Seek, Write};
 
-/// Writes all records of all files to one, by time, and returns how each source's clock was corrected. Times of the
-/// outcome are nanoseconds since 1970 by the source with the most shared events. Records of one source keep their
-/// order, whatever the clocks say; equal times are ordered by source. Holds a block of each file.
+/// Writes all records of all files to one file, ordered by time, and returns how each source's clock was corrected.
+/// Times in the merged file are nanoseconds since 1970 by the clock of the source with the most shared events. Records
+/// of one source keep their order, whatever their corrected times are; records of equal time are ordered by source.
+/// Keeps one block of each file in memory.
 ///
 /// # Errors
-/// Files that do not go together, damage in any of them, and errors of the output. Damage in a block with shared events
-/// is found before anything is written.
+/// The files cannot be merged, a file is damaged, or the output fails. Damage in a block with shared events is found
+/// before anything is written.
 pub fn merge<R: Read + Seek, W: Write>(
     mut readers: Vec<Reader<R>>,
     out: W,
@@ -43,7 +44,7 @@
         input.advance(&clocks, &sources)?;
         inputs.push(input);
     }
-    // No record of a source is written with a time before that of the source's record before it.
+    // No record is written with a time before that of the previous record of its source.
     let mut last_written: Vec<Nanos> = vec![0; sources.len()];
     while let Some(index) = next_input(&inputs) {
         let Some(mut record) = inputs[index].next.take() else {
@@ -66,7 +67,8 @@
     if readers.iter().all(is_common) {
         return Ok(anonymised);
     }
-    let why = "some are anonymised and some are not: their names differ";
+    let why =
+        "some files are anonymised and some are not, so their names differ; expected all or none";
     Err(TraceError::Unusable(why.to_string()))
 }
 
@@ -77,7 +79,7 @@
     indices: Vec<Vec<usize>>,
 }
 
-/// Joins the parts of one incarnation, which have to be in order, to one source.
+/// Joins the parts of each incarnation, which must be in order, to one source.
 fn merge_sources<R: Read + Seek>(readers: &[Reader<R>]) -> Result<MergedSources, TraceError> {
     let mut merged = MergedSources {
         sources: Vec::new(),
@@ -94,7 +96,7 @@
     Ok(merged)
 }
 
-/// Returns the merged index of a source, which is a new one or the next part of a known one.
+/// Returns the merged index of a source, which is either new or the next part of a known incarnation.
 fn merge_source(
     sources: &mut Vec<Source>,
     last_parts: &mut Vec<u64>,
@@ -139,8 +141,8 @@
     Ok(received)
 }
 
-/// Returns the file whose next record comes first. The parts of an incarnation must not overtake each other: each waits
-/// for the files before it.
+/// Returns the index of the file whose next record is the earliest. The parts of an incarnation must be written in
+/// order: a part waits until all earlier files that have the same source are at their end.
 fn next_input<R>(inputs: &[Input<R>]) -> Option<usize> {
     let key = |index: usize| {
         let next = inputs[index].next.as_ref()?;
@@ -158,11 +160,11 @@
 /// One of the files to merge.
 struct Input<R> {
     reader: Reader<R>,
-    /// The merged index of each of its sources.
+    /// The merged index of each source of the file.
     indices: Vec<usize>,
-    /// The record to write next, with its merged source and time.
+    /// The record to write next, with its merged source index and its corrected time.
     next: Option<Record>,
-    /// The time of the last record of each merged source, before which none may come.
+    /// The time of the last record of each merged source; no later record of the source gets an earlier time.
     last: Vec<Nanos>,
 }
 
--- a/crates/trace/src/merge/shared_events.rs
+++ b/crates/trace/src/merge/shared_events.rs
@@ -1,4 +1,4 @@
-//! The events that several sidecars receive alike, by which their clocks are aligned.
+//! The events that several sidecars receive at about the same time, by which their clocks are aligned.
 
 use crate::file::{Reader, TraceError};
 use crate::record::{Payload, Record, Source};
@@ -8,15 +8,15 @@
 use std::collections::HashMap;
 use std::io::{Read, Seek};
 
-/// Shared events of a source that are compared; later ones are left out, as these are enough.
+/// The number of shared events of a source that are compared; later events are ignored, as these are enough.
 const MAX_EVENTS: usize = 4_096;
 
-/// An event that sidecars receive alike.
+/// An event that several sidecars receive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) enum SharedEvent {
-    /// A stage of the release.
+    /// A stage of a release.
     Stage { build: u64, stage: u64, phase: u64 },
-    /// A state of a pod's incarnation.
+    /// A state change of a pod's incarnation.
     Pod {
         name_hash: u64,
         incarnation: u64,
@@ -24,15 +24,15 @@
     },
 }
 
-/// When a source first received each shared event, in nanoseconds of its wall clock.
+/// When a source first received each shared event, in nanoseconds since 1970 on its wall clock.
 pub(super) type FirstReceived = HashMap<SharedEvent, i128>;
 
-/// Converts a time of a source's engine to its wall clock, in nanoseconds since 1970.
+/// Converts a time on the clock of a source's engine to its wall clock, in nanoseconds since 1970.
 pub(super) fn wall_time(source: &Source, own: Nanos) -> i128 {
     source.wall_start as i128 + own as i128 - source.engine_start as i128
 }
 
-/// Reads the shared events of each source of a file; blocks without such are not read.
+/// Reads the shared events of each source of a file; blocks without shared events are not read.
 pub(super) fn shared_events<R: Read + Seek>(
     reader: &mut Reader<R>,
 ) -> Result<Vec<FirstReceived>, TraceError> {
@@ -75,7 +75,7 @@
         Payload::Event(Event::StageChanged(stage)) => {
             received.entry(stage_event(stage)).or_insert(at);
         }
-        // A complete list has what was true before; only changes reach all sidecars at once.
+        // A complete list repeats earlier states; only changes reach all sidecars at about the same time.
         Payload::Event(Event::EndpointsListed {
             complete: false,
             pods,
@@ -105,7 +105,7 @@
     }
 }
 
-/// Hashes a text to the same number in every process.
+/// Returns a hash of a text that is the same in every process.
 fn hash(text: &str) -> u64 {
     let hash = blake3::hash(text.as_bytes());
     let start = hash.as_bytes().first_chunk();
--- a/crates/trace/src/record.rs
+++ b/crates/trace/src/record.rs
@@ -1,4 +1,4 @@
-//! What a trace holds: records, and the head that describes their sources.
+//! The content of a trace: records, and the head that describes their sources.
 
 use havenplank::interface::{Build, Nanos, PodId, RequestId, Stage};
 use havenplank_sidecar::engine::{Effect, EngineSettings};
@@ -6,52 +6,53 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// One event that a sidecar's engine received, or one effect that it asked for.
+/// One event that a sidecar's engine received, or one effect that the engine requested.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Record {
-    /// Time in nanoseconds on the file's clock: the engine's own in a file of one source, since 1970 in merged files.
+    /// Time in nanoseconds on the file's clock: the clock of the engine in the file of one source, nanoseconds since
+    /// 1970 in a merged file.
     pub at: Nanos,
-    /// Time in nanoseconds on the engine's own clock.
+    /// Time in nanoseconds on the engine's clock.
     pub engine_time: Nanos,
     /// Index of the source in the head.
     pub source: usize,
-    /// The payload.
+    /// The event, the effect, or the count of lost records.
     pub payload: Payload,
-    /// The pod that it names, as the pod was then.
+    /// The pod that the record names, in its state at that time.
     pub pod: Option<Arc<PodSnapshot>>,
 }
 
 /// The payload of a record.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Payload {
-    /// What the engine received.
+    /// An event that the engine received.
     Event(Event),
-    /// What the engine asked for.
+    /// An effect that the engine requested.
     Effect(Effect),
-    /// Records missing since the last payload of this kind. Where `records` is not 0, requests that began before and
-    /// whose end does not follow have lost records.
+    /// The number of records that are missing since the previous payload of this kind. Where `records` is not 0, a
+    /// request that began before this record and whose end does not follow it has lost records.
     Lost {
-        /// Requests that were left out with all their records.
+        /// Requests that the recorder omitted with all their records.
         requests: u64,
-        /// Other records.
+        /// Other lost records.
         records: u64,
     },
 }
 
-/// A pod as it was when a record named it.
+/// The state of a pod at the time when a record named it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PodSnapshot {
-    /// Its id in the engine of the source.
+    /// The pod's id in the engine of the source.
     pub pod: PodId,
-    /// The build that it ran.
+    /// The build that the pod ran.
     pub build: Build,
-    /// Its name in service discovery.
+    /// The pod's name in service discovery.
     pub name: String,
-    /// The zone that it ran in.
+    /// The zone that the pod ran in.
     pub zone: String,
 }
 
-/// The stage in force at a source, and since when.
+/// The stage in force at a source, and the time since which it is in force.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StageInForce {
     /// Index of the source in the head.
@@ -62,32 +63,34 @@
     pub stage: Stage,
 }
 
-/// One incarnation of one sidecar: from its start to its end.
+/// One incarnation of one sidecar: one process from its start to its end.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Source {
-    /// The settings of its engine.
+    /// The settings of the engine.
     #[serde(rename = "terms")]
     pub settings: EngineSettings,
-    /// Seed of the engine's random numbers.
+    /// The seed of the engine's random numbers.
     pub seed: u64,
-    /// The incarnation's number, which no other has: parts with the same one belong together.
+    /// The unique id of the incarnation. Files (parts) with the same sidecar name and the same id continue each other.
     #[serde(rename = "life")]
     pub incarnation: u64,
-    /// Number of the file among those of the incarnation, from 0.
+    /// The position of this file among the files of the incarnation, counted from 0.
     pub part: u64,
-    /// Time on the engine's clock when the engine was made, in nanoseconds.
+    /// Time on the engine's clock at which the engine was created, in nanoseconds.
     #[serde(rename = "began")]
     pub engine_start: Nanos,
-    /// Nanoseconds since 1970 when the engine was made.
+    /// Wall clock time at which the engine was created, in nanoseconds since 1970.
     #[serde(rename = "wall")]
     pub wall_start: Nanos,
-    /// Share of the requests that were recorded, 0 to 1.
+    /// The share of the requests that were recorded, 0 to 1.
     #[serde(rename = "share")]
     pub sample_share: f64,
-    /// Whether nothing is missing between the first and the last record but what [`Payload::Lost`] counts.
+    /// Whether the file holds all records between the first and the last one, except those that [`Payload::Lost`]
+    /// counts.
     #[serde(rename = "whole")]
     pub is_complete: bool,
-    /// Time on the engine's clock, in nanoseconds, from which records are missing, as the trace was cut.
+    /// Time on the engine's clock, in nanoseconds, from which on records are missing because the trace was cut or not
+    /// closed; `Nanos::MAX` where none are missing.
     #[serde(rename = "until", default = "no_end")]
     pub records_end: Nanos,
 }
@@ -99,17 +102,17 @@
 /// The head of a file.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Head {
-    /// Name and version of the program that wrote it.
+    /// Name and version of the program that wrote the file.
     pub program: String,
-    /// Hash of all sources' settings, as 16 hexadecimal digits.
+    /// The hash of all sources' settings, as 16 hexadecimal digits.
     #[serde(rename = "settings")]
     pub settings_hash: String,
     /// Whether names and log texts are pseudonyms.
     pub anonymised: bool,
-    /// Whether times are nanoseconds since 1970 in place of the engine's own.
+    /// Whether the times of records are nanoseconds since 1970; they are times of the engine's clock in other files.
     #[serde(default)]
     pub merged: bool,
-    /// The sources, which records name by their index.
+    /// The sources of the records; a record refers to its source by the index in this list.
     pub sources: Vec<Source>,
 }
 
@@ -180,7 +183,7 @@
         matches!(self.payload, Payload::Event(Event::RequestArrived { .. }))
     }
 
-    /// Whether this record is the first of a request: its arrival, or its resumption in front of it.
+    /// Whether this record is the first of a request: its arrival, or the resumption that comes before the arrival.
     pub fn begins_request(&self) -> bool {
         self.is_arrival() || matches!(self.payload, Payload::Event(Event::RequestResumed { .. }))
     }
@@ -196,7 +199,7 @@
         }
     }
 
-    /// Returns the stage that the record brings, if it brings one.
+    /// Returns the stage that the record announces, if it announces one.
     pub fn stage(&self) -> Option<Stage> {
         match &self.payload {
             Payload::Event(Event::StageChanged(stage)) => Some(*stage),
@@ -205,7 +208,7 @@
         }
     }
 
-    /// Whether other sidecars receive the same event at about the same time.
+    /// Whether other sidecars receive the same event at about the same time: endpoint lists and stage changes.
     pub fn is_shared(&self) -> bool {
         matches!(
             self.payload,
--- a/crates/trace/src/recorder.rs
+++ b/crates/trace/src/recorder.rs
@@ -1,4 +1,5 @@
-//! The recorder: observes an engine, compresses and writes in a thread of its own, and never delays a request.
+//! The recorder: observes an engine and encodes its events and effects in blocks. A separate thread compresses the
+//! blocks and writes them, so that a slow disk never delays a request.
 
 use crate::columns::BlockEncoder;
 use crate::file::{update_stages, BlockWriter, TraceError, FULL_BLOCK_BYTES, FULL_BLOCK_RECORDS};
@@ -16,21 +17,21 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Nanoseconds after which a block is closed: a kill loses no more than the open one.
+/// Age in nanoseconds at which a block is closed. A sidecar that is killed loses only its open block.
 const MAX_BLOCK_AGE: Nanos = 1_000_000_000;
-/// Spells in which hits were left out and that hits in flight may still belong to; no new spell ends while
-/// so many are held.
-const SPELLS: usize = 64;
+/// Ranges of omitted requests that the recorder remembers, because requests in flight may belong to them. Recording
+/// does not resume while it remembers this many.
+const MAX_OMITTED_RANGES: usize = 64;
 
-/// How much is recorded, and how much of it may wait for the disk.
+/// Limits of what is recorded, of the queue to the disk, and of the files.
 #[derive(Clone, Debug)]
 pub struct Limits {
-    /// Share of the requests that are recorded, 0 to 1, each with all its records.
+    /// The share of the requests that are recorded, 0 to 1. A recorded request has all its records.
     pub sample_share: f64,
-    /// Bytes of records that may wait for the disk. From half of it on new requests are left out, so that those in
-    /// flight have the rest.
+    /// Bytes of records that may wait for the disk. Once half of the queue is full, new requests are omitted, so that
+    /// the other half is free for the requests in flight.
     pub queue_bytes: usize,
-    /// Longest that a request may last, in nanoseconds.
+    /// The longest duration of a request, in nanoseconds.
     pub max_request_duration: Nanos,
     /// Size at which a file is closed, in bytes.
     pub file_bytes: u64,
@@ -38,45 +39,50 @@
     pub file_age: Nanos,
 }
 
-/// Where trace files are stored. Only the writing thread uses it, so it may block.
+/// Where trace files are stored. Only the writing thread calls it, so its methods may block.
 pub trait FileStore: Send {
-    /// Creates the file of a part.
+    /// Creates the file of a part; `part` counts the files of one recorder from 0.
     ///
     /// # Errors
-    /// Why no file can be created; the block that was to go there is lost and counted.
+    /// The file cannot be created. The block that was to be written to it is lost and counted.
     fn open(&mut self, part: u64) -> io::Result<Box<dyn Write + Send>>;
-    /// Is called when a file was closed, to delete old ones.
+    /// Is called after a file was closed; the store may then delete old files.
     fn closed(&mut self) {}
 }
 
-/// A folder that limits the total size of one sidecar's files by deleting the oldest closed ones.
+/// A folder of trace files. It limits the total size of one sidecar's files by deleting the oldest closed ones.
 pub struct Folder {
     folder: PathBuf,
     name: String,
     began: Nanos,
-    total: u64,
-    open: Option<PathBuf>,
+    max_total_bytes: u64,
+    open_file: Option<PathBuf>,
 }
 
 impl Folder {
-    /// Creates the folder if needed; `began` is in nanoseconds since 1970 and orders the files of several incarnations,
-    /// `total` is the limit in bytes.
+    /// Creates the folder if needed. `began` is the start of the incarnation in nanoseconds since 1970 and orders the
+    /// files of several incarnations.
     ///
     /// # Errors
-    /// A folder that cannot be made.
-    pub fn new(folder: &Path, name: &str, began: Nanos, total: u64) -> io::Result<Folder> {
+    /// The folder cannot be created.
+    pub fn new(
+        folder: &Path,
+        name: &str,
+        began: Nanos,
+        max_total_bytes: u64,
+    ) -> io::Result<Folder> {
         std::fs::create_dir_all(folder)?;
         Ok(Folder {
             folder: folder.to_path_buf(),
             name: name.to_string(),
             began,
-            total,
-            open: None,
+            max_total_bytes,
+            open_file: None,
         })
     }
 
-    /// The files of this sidecar, oldest first, whatever life wrote them.
-    fn files(&self) -> io::Result<Vec<(PathBuf, u64)>> {
+    /// Returns the files of all incarnations of this sidecar with their sizes in bytes, oldest first.
+    fn list_files(&self) -> io::Result<Vec<(PathBuf, u64)>> {
         let mut files = Vec::new();
         for entry in std::fs::read_dir(&self.folder)? {
             let entry = entry?;
@@ -86,12 +92,13 @@
                 .and_then(|stem| stem.to_str())
                 .unwrap_or_default();
             let mut parts = stem.rsplitn(3, '-');
-            let digits = |part: Option<&str>| {
+            let is_number = |part: Option<&str>| {
                 part.is_some_and(|part| part.bytes().all(|b| b.is_ascii_digit()))
             };
-            let ours =
-                digits(parts.next()) && digits(parts.next()) && parts.next() == Some(&self.name);
-            if ours && path.extension().is_some_and(|end| end == "hpt") {
+            let is_ours = is_number(parts.next())
+                && is_number(parts.next())
+                && parts.next() == Some(&self.name);
+            if is_ours && path.extension().is_some_and(|extension| extension == "hpt") {
                 files.push((path, entry.metadata()?.len()));
             }
         }
@@ -99,17 +106,17 @@
         Ok(files)
     }
 
-    fn drop_old(&self) -> io::Result<()> {
-        let files = self.files()?;
-        let mut all: u64 = files.iter().map(|(_, bytes)| bytes).sum();
+    fn delete_oldest(&self) -> io::Result<()> {
+        let files = self.list_files()?;
+        let mut total: u64 = files.iter().map(|(_, bytes)| bytes).sum();
         for (path, bytes) in files {
-            if all <= self.total {
+            if total <= self.max_total_bytes {
                 break;
             }
-            if Some(&path) != self.open.as_ref() {
+            if Some(&path) != self.open_file.as_ref() {
                 std::fs::remove_file(&path)?;
-                tracing::info!(file = %path.display(), bytes, "old trace dropped");
-                all -= bytes;
+                tracing::info!(file = %path.display(), bytes, "deleted an old trace file");
+                total -= bytes;
             }
         }
         Ok(())
@@ -122,95 +129,101 @@
             .folder
             .join(format!("{}-{:020}-{part:06}.hpt", self.name, self.began));
         let file = File::create_new(&path)?;
-        self.open = Some(path);
+        self.open_file = Some(path);
         Ok(Box::new(file))
     }
 
     fn closed(&mut self) {
-        self.open = None;
-        if let Err(error) = self.drop_old() {
-            tracing::warn!(%error, "old traces could not be dropped");
+        self.open_file = None;
+        if let Err(error) = self.delete_oldest() {
+            tracing::warn!(%error, "could not delete old trace files");
         }
     }
 }
 
-/// Counters that recorder and writing thread share.
+/// Counters that the recorder and the writing thread share.
 #[derive(Default)]
-struct Shared {
-    waiting: AtomicU64,
+struct SharedCounters {
+    /// Bytes of the blocks that wait for the disk.
+    waiting_bytes: AtomicU64,
+    /// Requests and records of blocks that could not be written, until the recorder adds them to its own counts.
     lost_requests: AtomicU64,
     lost_records: AtomicU64,
 }
 
-/// Waits for the writing thread.
+/// A handle to wait for the writing thread.
 pub struct WriterHandle {
     done: Receiver<()>,
 }
 
 impl WriterHandle {
-    /// Waits until everything is written, for a bounded time; false where the disk was slower.
-    pub fn wait(&self, most: Duration) -> bool {
-        // Nothing is ever sent: the end of the thread closes the channel.
-        self.done.recv_timeout(most) == Err(RecvTimeoutError::Disconnected)
+    /// Waits until all records are written, at most for `timeout`; returns false where the timeout has passed before.
+    pub fn wait(&self, timeout: Duration) -> bool {
+        // Nothing is ever sent on this channel: the end of the thread closes it.
+        self.done.recv_timeout(timeout) == Err(RecvTimeoutError::Disconnected)
     }
 }
 
-/// Records what an engine receives and asks for. Dropping it closes the trace.
+/// Records the events that an engine receives and the effects that it requests. Dropping the recorder closes the
+/// trace.
 pub struct Recorder {
     block: BlockEncoder,
     stages_in_force: Vec<StageInForce>,
-    cards: Vec<Option<Arc<PodSnapshot>>>,
-    /// Requests whose hash is below this are recorded; `None` for all.
-    below: Option<u64>,
-    queue: u64,
-    longest: Nanos,
-    /// Hits left out as the queue was half full: from the first to before the last, and when that was.
-    spells: VecDeque<(RequestId, Option<RequestId>, Nanos)>,
+    pod_snapshots: Vec<Option<Arc<PodSnapshot>>>,
+    /// Requests whose hash is below this are recorded; `None` where all requests are recorded.
+    sample_threshold: Option<u64>,
+    queue_bytes: u64,
+    max_request_duration: Nanos,
+    /// Requests omitted because the queue was half full: the id of the first, the id after the last (`None` while
+    /// requests are being omitted), and the time of the latest change to the range in nanoseconds.
+    omitted_ranges: VecDeque<(RequestId, Option<RequestId>, Nanos)>,
+    /// Requests and records that were lost since the last [`Payload::Lost`].
     lost: (u64, u64),
-    shared: Arc<Shared>,
+    shared: Arc<SharedCounters>,
     to_writer: Sender<BlockEncoder>,
 }
 
-/// Hashes a request id, so that a sample of the requests follows no pattern (the finaliser of SplitMix64).
-fn spread(hit: RequestId) -> u64 {
-    let mixed = (hit ^ hit >> 30).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+/// Hashes a request id with the finaliser of SplitMix64, so that a sample of the requests follows no pattern.
+fn hash_request_id(request: RequestId) -> u64 {
+    let mixed = (request ^ request >> 30).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let mixed = (mixed ^ mixed >> 27).wrapping_mul(0x94d0_49bb_1331_11eb);
     mixed ^ mixed >> 31
 }
 
 impl Recorder {
-    /// Starts the writing thread; sets `whole`, `share` and `part` of the source by the limits.
+    /// Starts the writing thread. Sets `sample_share` and `is_complete` of the source by the limits, and `part` to 0.
     pub fn start(
         mut source: Source,
         limits: Limits,
-        shelf: Box<dyn FileStore>,
+        store: Box<dyn FileStore>,
     ) -> (Recorder, WriterHandle) {
         let sample_share = limits.sample_share.clamp(0.0, 1.0);
         (source.sample_share, source.is_complete, source.part) =
             (sample_share, sample_share >= 1.0, 0);
-        let shared = Arc::new(Shared::default());
+        let shared = Arc::new(SharedCounters::default());
         let (to_writer, blocks) = mpsc::channel();
-        let (ends, done) = mpsc::channel();
-        let (counts, sizes) = (shared.clone(), (limits.file_bytes, limits.file_age));
+        let (thread_end, done) = mpsc::channel();
+        let (counters, file_limits) = (shared.clone(), (limits.file_bytes, limits.file_age));
         std::thread::spawn(move || {
             WritingThread {
                 source,
-                sizes,
-                shelf,
-                counts,
+                file_limits,
+                store,
+                counters,
                 open: None,
             }
             .run(blocks);
-            drop(ends);
+            drop(thread_end);
         });
         let recorder = Recorder {
             block: BlockEncoder::new(Vec::new()),
             stages_in_force: Vec::new(),
-            cards: Vec::new(),
-            below: (sample_share < 1.0).then_some((sample_share * u64::MAX as f64) as u64),
-            queue: limits.queue_bytes as u64,
-            longest: limits.max_request_duration,
-            spells: VecDeque::new(),
+            pod_snapshots: Vec::new(),
+            sample_threshold: (sample_share < 1.0)
+                .then_some((sample_share * u64::MAX as f64) as u64),
+            queue_bytes: limits.queue_bytes as u64,
+            max_request_duration: limits.max_request_duration,
+            omitted_ranges: VecDeque::new(),
             lost: (0, 0),
             shared,
             to_writer,
@@ -218,54 +231,62 @@
         (recorder, WriterHandle { done })
     }
 
-    fn waiting(&self) -> u64 {
-        self.shared.waiting.load(Ordering::Relaxed)
+    fn waiting_bytes(&self) -> u64 {
+        self.shared.waiting_bytes.load(Ordering::Relaxed)
     }
 
-    /// Whether a request is recorded: the same for all its records.
-    fn keeps(&self, hit: RequestId) -> bool {
-        let left_out = |spell: &(RequestId, Option<RequestId>, Nanos)| {
-            hit >= spell.0 && spell.1.is_none_or(|end| hit < end)
+    /// Whether a request is recorded; the answer is the same for all its records.
+    fn is_recorded(&self, request: RequestId) -> bool {
+        let is_omitted = |range: &(RequestId, Option<RequestId>, Nanos)| {
+            request >= range.0 && range.1.is_none_or(|end| request < end)
         };
-        self.below.is_none_or(|below| spread(hit) < below) && !self.spells.iter().any(left_out)
+        self.sample_threshold
+            .is_none_or(|sample_threshold| hash_request_id(request) < sample_threshold)
+            && !self.omitted_ranges.iter().any(is_omitted)
     }
 
-    fn begins(&mut self, now: Nanos, hit: RequestId) {
-        let longest = self.longest;
+    fn request_arrived(&mut self, now: Nanos, request: RequestId) {
+        let max_duration = self.max_request_duration;
         while self
-            .spells
+            .omitted_ranges
             .front()
-            .is_some_and(|(_, end, at)| end.is_some() && now > at + 2 * longest)
+            .is_some_and(|(_, end, at)| end.is_some() && now > at + 2 * max_duration)
         {
-            self.spells.pop_front();
+            self.omitted_ranges.pop_front();
         }
-        let waiting = self.waiting() + self.block.bytes as u64;
-        let leaves = |spells: &VecDeque<(RequestId, Option<RequestId>, Nanos)>| {
-            matches!(spells.back(), Some((_, None, _)))
+        let waiting = self.waiting_bytes() + self.block.bytes as u64;
+        let is_omitting = |omitted_ranges: &VecDeque<(RequestId, Option<RequestId>, Nanos)>| {
+            matches!(omitted_ranges.back(), Some((_, None, _)))
         };
-        if leaves(&self.spells) && waiting < self.queue / 4 && self.spells.len() < SPELLS {
-            if let Some((_, end, at)) = self.spells.back_mut() {
-                (*end, *at) = (Some(hit), now);
+        if is_omitting(&self.omitted_ranges)
+            && waiting < self.queue_bytes / 4
+            && self.omitted_ranges.len() < MAX_OMITTED_RANGES
+        {
+            if let Some((_, end, at)) = self.omitted_ranges.back_mut() {
+                (*end, *at) = (Some(request), now);
             }
-            tracing::info!(from_hit = hit, "trace goes on: the disk has caught up");
-        } else if !leaves(&self.spells) && waiting >= self.queue / 2 {
+            tracing::info!(
+                from_request = request,
+                "trace records new requests again; the disk has caught up"
+            );
+        } else if !is_omitting(&self.omitted_ranges) && waiting >= self.queue_bytes / 2 {
             tracing::warn!(
-                from_hit = hit,
+                from_request = request,
                 waiting,
-                "trace leaves hits out: the disk is slow"
+                "trace omits new requests; the disk is too slow"
             );
-            self.spells.push_back((hit, None, now));
+            self.omitted_ranges.push_back((request, None, now));
         }
-        if leaves(&self.spells) {
+        if is_omitting(&self.omitted_ranges) {
             self.lost.0 += 1;
         }
     }
 
-    fn card(&self, pod: Option<PodId>) -> Option<Arc<PodSnapshot>> {
-        self.cards.get(pod?)?.clone()
+    fn snapshot(&self, pod: Option<PodId>) -> Option<Arc<PodSnapshot>> {
+        self.pod_snapshots.get(pod?)?.clone()
     }
 
-    fn put(&mut self, now: Nanos, payload: Payload) {
+    fn record(&mut self, now: Nanos, payload: Payload) {
         let record = Record {
             at: now,
             engine_time: now,
@@ -273,32 +294,42 @@
             payload,
             pod: None,
         };
-        if record.request_id().is_some_and(|hit| !self.keeps(hit)) {
+        if record
+            .request_id()
+            .is_some_and(|request| !self.is_recorded(request))
+        {
             return;
         }
-        let pod = self.card(record.pod_id());
+        let pod = self.snapshot(record.pod_id());
         let record = Record { pod, ..record };
         update_stages(&mut self.stages_in_force, &record);
         self.block.put(record);
-        let old = now.saturating_sub(self.block.first) >= MAX_BLOCK_AGE;
-        if old || self.block.bytes >= FULL_BLOCK_BYTES || self.block.records >= FULL_BLOCK_RECORDS {
-            self.close(now);
+        let is_old = now.saturating_sub(self.block.first) >= MAX_BLOCK_AGE;
+        if is_old
+            || self.block.bytes >= FULL_BLOCK_BYTES
+            || self.block.records >= FULL_BLOCK_RECORDS
+        {
+            self.close_block(now);
         }
     }
 
-    fn close(&mut self, now: Nanos) {
-        let full = std::mem::replace(
+    fn close_block(&mut self, now: Nanos) {
+        let block = std::mem::replace(
             &mut self.block,
             BlockEncoder::new(self.stages_in_force.clone()),
         );
-        let bytes = full.bytes as u64;
-        if self.waiting() + bytes > self.queue {
-            self.lost.0 += full.requests as u64;
-            self.lost.1 += full.records as u64;
+        let bytes = block.bytes as u64;
+        if self.waiting_bytes() + bytes > self.queue_bytes {
+            self.lost.0 += block.requests as u64;
+            self.lost.1 += block.records as u64;
         } else {
-            self.shared.waiting.fetch_add(bytes, Ordering::Relaxed);
-            if self.to_writer.send(full).is_err() {
-                self.shared.waiting.fetch_sub(bytes, Ordering::Relaxed);
+            self.shared
+                .waiting_bytes
+                .fetch_add(bytes, Ordering::Relaxed);
+            if self.to_writer.send(block).is_err() {
+                self.shared
+                    .waiting_bytes
+                    .fetch_sub(bytes, Ordering::Relaxed);
             }
         }
         self.lost.0 += self.shared.lost_requests.swap(0, Ordering::Relaxed);
@@ -316,21 +347,22 @@
         }
     }
 
-    fn listed(&mut self, pods: &[ListedEndpoint], given: &[Option<PodId>]) {
+    fn update_pod_snapshots(&mut self, pods: &[ListedEndpoint], pod_ids: &[Option<PodId>]) {
         for (pod, id) in pods
             .iter()
-            .zip(given)
+            .zip(pod_ids)
             .filter_map(|(pod, id)| Some((pod, (*id)?)))
         {
-            if self.cards.len() <= id {
-                self.cards.resize(id + 1, None);
+            if self.pod_snapshots.len() <= id {
+                self.pod_snapshots.resize(id + 1, None);
             }
-            let same = |card: &Arc<PodSnapshot>| {
-                (card.build, &card.name, &card.zone) == (pod.build, &pod.name, &pod.zone)
+            let is_same = |snapshot: &Arc<PodSnapshot>| {
+                (snapshot.build, &snapshot.name, &snapshot.zone)
+                    == (pod.build, &pod.name, &pod.zone)
             };
-            if !self.cards[id].as_ref().is_some_and(same) {
+            if !self.pod_snapshots[id].as_ref().is_some_and(is_same) {
                 let (name, zone) = (pod.name.clone(), pod.zone.clone());
-                self.cards[id] = Some(Arc::new(PodSnapshot {
+                self.pod_snapshots[id] = Some(Arc::new(PodSnapshot {
                     pod: id,
                     build: pod.build,
                     name,
@@ -342,40 +374,39 @@
 }
 
 impl Observer for Recorder {
-    fn on_event(&mut self, now: Nanos, told: Event) {
-        match &told {
-            Event::RequestArrived { request: hit, .. } => self.begins(now, *hit),
-            Event::EndpointsListed {
-                pods,
-                pod_ids: given,
-                ..
-            } => self.listed(pods, given),
+    fn on_event(&mut self, now: Nanos, event: Event) {
+        match &event {
+            Event::RequestArrived { request, .. } => self.request_arrived(now, *request),
+            Event::EndpointsListed { pods, pod_ids, .. } => {
+                self.update_pod_snapshots(pods, pod_ids)
+            }
             _ => {}
         }
-        self.put(now, Payload::Event(told));
+        self.record(now, Payload::Event(event));
     }
 
     fn on_effect(&mut self, now: Nanos, effect: &Effect) {
-        self.put(now, Payload::Effect(effect.clone()));
+        self.record(now, Payload::Effect(effect.clone()));
     }
 }
 
 impl Drop for Recorder {
     fn drop(&mut self) {
         let now = self.block.at;
-        self.close(now);
+        self.close_block(now);
         if self.block.records > 0 {
-            self.close(now);
+            self.close_block(now);
         }
     }
 }
 
-/// The writing thread.
+/// The thread that compresses blocks and writes them to files.
 struct WritingThread {
     source: Source,
-    sizes: (u64, Nanos),
-    shelf: Box<dyn FileStore>,
-    counts: Arc<Shared>,
+    /// Size in bytes and age in nanoseconds at which a file is closed.
+    file_limits: (u64, Nanos),
+    store: Box<dyn FileStore>,
+    counters: Arc<SharedCounters>,
     /// The open file and the time of its first record.
     open: Option<(BlockWriter<Box<dyn Write + Send>>, Nanos)>,
 }
@@ -383,54 +414,58 @@
 impl WritingThread {
     fn run(mut self, blocks: Receiver<BlockEncoder>) {
         for block in blocks {
-            if let Err(error) = self.write(&block) {
-                tracing::warn!(%error, records = block.records, "a block of the trace is lost");
-                self.counts
+            if let Err(error) = self.write_block(&block) {
+                tracing::warn!(
+                    %error,
+                    records = block.records,
+                    "could not write a block of the trace; its records are lost"
+                );
+                self.counters
                     .lost_requests
                     .fetch_add(block.requests as u64, Ordering::Relaxed);
-                self.counts
+                self.counters
                     .lost_records
                     .fetch_add(block.records as u64, Ordering::Relaxed);
-                // The file may end in half a block, so what follows goes to another.
+                // The file may end within a block, so the next block is written to a new file.
                 if self.open.take().is_some() {
-                    self.shelf.closed();
+                    self.store.closed();
                 }
             }
-            self.counts
-                .waiting
+            self.counters
+                .waiting_bytes
                 .fetch_sub(block.bytes as u64, Ordering::Relaxed);
         }
-        if let Err(error) = self.close() {
-            tracing::warn!(%error, "the trace's index could not be written");
+        if let Err(error) = self.close_file() {
+            tracing::warn!(%error, "could not write the index of the trace");
         }
     }
 
-    fn write(&mut self, block: &BlockEncoder) -> Result<(), TraceError> {
-        let (sink, first) = match &mut self.open {
+    fn write_block(&mut self, block: &BlockEncoder) -> Result<(), TraceError> {
+        let (writer, first) = match &mut self.open {
             Some(open) => open,
             None => {
-                let file = self.shelf.open(self.source.part)?;
+                let file = self.store.open(self.source.part)?;
                 let head = Head::new(vec![self.source.clone()]);
                 self.source.part += 1;
                 self.open
                     .insert((BlockWriter::new(file, &head)?, block.first))
             }
         };
-        sink.block(block)?;
-        sink.flush()?;
-        let (bytes, age) = self.sizes;
-        if sink.bytes() >= bytes || block.at.saturating_sub(*first) >= age {
-            self.close()?;
+        writer.write_block(block)?;
+        writer.flush()?;
+        let (max_bytes, max_age) = self.file_limits;
+        if writer.bytes_written() >= max_bytes || block.at.saturating_sub(*first) >= max_age {
+            self.close_file()?;
         }
         Ok(())
     }
 
-    fn close(&mut self) -> Result<(), TraceError> {
-        let Some((sink, _)) = self.open.take() else {
+    fn close_file(&mut self) -> Result<(), TraceError> {
+        let Some((writer, _)) = self.open.take() else {
             return Ok(());
         };
-        let finished = sink.finish();
-        self.shelf.closed();
+        let finished = writer.finish();
+        self.store.closed();
         finished.map(drop)
     }
 }
--- a/crates/trace/src/replay.rs
+++ b/crates/trace/src/replay.rs
@@ -1,4 +1,4 @@
-//! Replays recorded events through an engine and compares every decision, record by record.
+//! Replays recorded events through an engine and compares every decision with the recorded one.
 
 use crate::file::{Reader, TraceError};
 use crate::record::{Payload, Record, Source};
@@ -8,11 +8,12 @@
 use std::collections::HashMap;
 use std::io::{Read, Seek};
 
-/// Different log texts of an anonymised trace that are remembered; past that the comparison begins anew.
-const MAX_TEXTS: usize = 1 << 16;
+/// The number of log texts of an anonymised trace whose pseudonyms are remembered; at this number all are forgotten and
+/// collected again.
+const MAX_PSEUDONYMS: usize = 1 << 16;
 
-/// Longest time between two records, one day: a sidecar's timers fire every few seconds, and the engine would count
-/// each of its windows in a longer one.
+/// The longest time between two records, one day. A sidecar's timers fire every few seconds, so a longer time is an
+/// error, and the engine would iterate over all its windows in that time.
 const MAX_CLOCK_STEP: Nanos = 86_400_000_000_000;
 
 /// The result of a replay.
@@ -24,22 +25,22 @@
     pub compared: u64,
     /// Records that were replayed.
     pub records: u64,
-    /// The first decision that differs, if one does.
+    /// The first decision that differs from the recorded one, if any.
     pub first_difference: Option<Difference>,
-    /// Time on the source's clock, in nanoseconds, from which records are missing; the replay ends there.
+    /// Time on the source's clock, in nanoseconds, from which on records are missing; the replay ended there.
     pub stopped_at: Option<Nanos>,
 }
 
 /// The first decision that differs from the recorded one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Difference {
-    /// Counted from 0 over the records of this source.
+    /// The number of the record, counted from 0 over the records of this source.
     pub record: u64,
     /// Time on the source's clock, in nanoseconds.
     pub at: Nanos,
-    /// What was recorded.
+    /// The recorded decision.
     pub recorded: String,
-    /// What the engine did now.
+    /// The decision of the engine in the replay.
     pub now: String,
 }
 
@@ -48,8 +49,8 @@
     engine: Engine,
     route_classes: usize,
     source: usize,
-    until: Nanos,
-    /// Pseudonyms by log text, of an anonymised trace.
+    records_end: Nanos,
+    /// Pseudonyms by log text, for an anonymised trace.
     pseudonyms: Option<HashMap<String, String>>,
     last: Nanos,
     /// The result so far.
@@ -57,19 +58,19 @@
 }
 
 impl Replay {
-    /// Starts an engine with the source's settings; `number` is the source's index in its file.
+    /// Creates an engine with the source's settings; `number` is the source's index in its file.
     ///
     /// # Errors
-    /// A source that cannot be replayed: sampled, cut, or without its beginning.
+    /// The source cannot be replayed: it is a sample, it lacks its beginning, or its settings are not valid.
     pub fn new(source: &Source, number: usize, anonymised: bool) -> Result<Replay, TraceError> {
         let name = &source.settings.name;
         if source.part != 0 || !source.is_complete {
             let why = if source.sample_share < 1.0 {
-                "holds a sample of hits"
+                "holds only a sample of the requests"
             } else {
-                "does not hold the beginning"
+                "lacks the beginning"
             };
-            let why = format!("{name}: cannot be played again, as the trace {why}");
+            let why = format!("{name}: cannot be replayed, because the trace {why}");
             return Err(TraceError::Unusable(why));
         }
         let EngineSettings {
@@ -83,14 +84,14 @@
             !route_classes.is_empty() && !exposure.caps.is_empty() && exposure.window > 0;
         if !is_complete || position.instances == 0 || position.zone >= zones.len() {
             return Err(TraceError::Unusable(format!(
-                "{name}: the greeting's terms are no sidecar's settings"
+                "{name}: the settings in the head are not valid settings of a sidecar"
             )));
         }
         Ok(Replay {
             route_classes: route_classes.len(),
             engine: Engine::new(source.engine_start, source.seed, &source.settings),
             source: number,
-            until: source.records_end,
+            records_end: source.records_end,
             pseudonyms: anonymised.then(Default::default),
             last: source.engine_start,
             outcome: Outcome::default(),
@@ -122,8 +123,8 @@
         }
     }
 
-    /// Whether an event names only what these settings have: a file may hold anything.
-    fn fits(&self, event: &Event) -> bool {
+    /// Whether the route classes and pods that an event names exist: a file may hold any number.
+    fn is_valid(&self, event: &Event) -> bool {
         match event {
             Event::RequestArrived { attributes, .. } => attributes.route_class < self.route_classes,
             Event::TallyReported(tally) => tally.class < self.route_classes,
@@ -141,12 +142,12 @@
         }
         let at = record.engine_time;
         if at < self.last || at - self.last > MAX_CLOCK_STEP {
-            let problem = "a clock that goes back or stands still for a day";
+            let problem = "the time goes back or advances by more than a day";
             self.compare(at, record, problem, false);
             return;
         }
         self.last = at;
-        if at >= self.until {
+        if at >= self.records_end {
             self.outcome.stopped_at = Some(at);
             return;
         }
@@ -160,8 +161,8 @@
 
     /// Passes an event to the engine and compares what the engine returns.
     fn event(&mut self, at: Nanos, event: Event) {
-        if !self.fits(&event) {
-            self.compare(at, event, "no such path group or pod", false);
+        if !self.is_valid(&event) {
+            self.compare(at, event, "no such route class or pod", false);
             return;
         }
         if matches!(event, Event::RequestArrived { .. }) {
@@ -193,7 +194,7 @@
         }
     }
 
-    /// Compares an effect with the one that the engine asks for next.
+    /// Compares a recorded effect with the next one that the engine requests.
     fn effect(&mut self, at: Nanos, effect: Effect) {
         let now = self.engine.next_effect();
         let is_same = now
@@ -202,12 +203,13 @@
         self.compare(at, effect, now, is_same);
     }
 
-    /// Whether two effects are the same; pseudonyms of log texts are where they stand for the same text.
+    /// Whether two effects are the same. In an anonymised trace, log texts are the same where equal texts have equal
+    /// pseudonyms.
     fn is_same_effect(&mut self, recorded: &Effect, now: &Effect) -> bool {
         if let (Some(pseudonyms), Effect::Log(recorded), Effect::Log(now)) =
             (&mut self.pseudonyms, recorded, now)
         {
-            if pseudonyms.len() >= MAX_TEXTS {
+            if pseudonyms.len() >= MAX_PSEUDONYMS {
                 pseudonyms.clear();
             }
             return pseudonyms
@@ -218,42 +220,43 @@
         recorded == now
     }
 
-    /// Goes on with the next part, in whose file the source has this index and until this time all records.
-    pub fn continue_with(&mut self, source: usize, until: Nanos) {
-        (self.source, self.until) = (source, until);
+    /// Continues with the next part. `source` is the index of the source in the file of the part; `records_end` is the
+    /// time from which on its records are missing.
+    pub fn continue_with(&mut self, source: usize, records_end: Nanos) {
+        (self.source, self.records_end) = (source, records_end);
     }
 
-    /// Ends the replay. Where the trace was closed, an effect that the engine still has is a difference, too.
+    /// Ends the replay. Where the trace was closed, an effect that the engine still requests is a difference as well.
     pub fn finish(mut self, closed: bool) -> Outcome {
         let at = self.last;
-        if closed && self.until == Nanos::MAX && !self.is_over() {
+        if closed && self.records_end == Nanos::MAX && !self.is_over() {
             if let Some(more) = self.engine.next_effect() {
-                self.compare(at, "nothing more", more, false);
+                self.compare(at, "no further effect", more, false);
             }
         }
         self.outcome
     }
 }
 
-/// The result of replaying files: name and outcome of each source, and where a file is damaged.
+/// The result of replaying files: the name and the outcome of each source, and the damage that ended the replay.
 pub type ReplayResult = (Vec<(String, Outcome)>, Option<TraceError>);
 
-/// One process of a sidecar, whose parts may be in several files.
+/// One process of a sidecar, whose records may be in several files, the parts.
 struct Incarnation {
     id: u64,
     name: String,
     /// The part that was replayed last.
     part: u64,
-    /// Whether the file of that part was closed by its writer.
+    /// Whether the writer closed the file of that part.
     is_closed: bool,
     replay: Replay,
 }
 
-/// Replays all sources of all files, the parts of an incarnation in order. Holds a block, and an engine for each
-/// source.
+/// Replays all sources of all files, the parts of an incarnation in order. Keeps one block and an engine for each
+/// source in memory.
 ///
 /// # Errors
-/// A source that cannot be replayed, or parts out of order.
+/// A source cannot be replayed, or the parts are not in order.
 pub fn replay<R: Read + Seek>(readers: Vec<Reader<R>>) -> Result<ReplayResult, TraceError> {
     let mut incarnations: Vec<Incarnation> = Vec::new();
     let mut damage = None;
@@ -275,7 +278,8 @@
     Ok((outcomes.collect(), damage))
 }
 
-/// Returns for each source of a file the index of its incarnation, which begins here or goes on from the part before.
+/// Returns for each source of a file the index of its incarnation, which starts with this part or continues an
+/// earlier one.
 fn find_or_start<R: Read + Seek>(
     incarnations: &mut Vec<Incarnation>,
     reader: &Reader<R>,
@@ -308,7 +312,7 @@
     Ok(indices)
 }
 
-/// Replays the records of one file; returns the damage at which it ends, if there is any.
+/// Replays the records of one file; returns the damage that ended it, if there is any.
 fn replay_file<R: Read + Seek>(
     incarnations: &mut [Incarnation],
     of_sources: &[usize],
--- a/crates/trace/src/request_timelines.rs
+++ b/crates/trace/src/request_timelines.rs
@@ -7,7 +7,8 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Requests in flight that are followed at once. Past it, those that should have ended long ago are dropped.
+/// Requests in flight that are tracked at the same time. At this number, requests that should have ended long ago are
+/// dropped.
 const MAX_IN_FLIGHT: usize = 1 << 20;
 
 /// How a request was answered.
@@ -19,35 +20,35 @@
     Rejected,
     /// The sidecar answered with an error.
     Failed,
-    /// The client left before it had an answer.
+    /// The client disconnected before it had an answer.
     ClientLeft,
 }
 
 /// One attempt of a request.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// The pod that it was sent to.
+    /// The pod that the attempt was sent to.
     pub pod: Option<Arc<PodSnapshot>>,
-    /// When it was sent, in nanoseconds.
+    /// When the attempt was sent, in nanoseconds.
     pub sent: Nanos,
-    /// How it ended, and when in nanoseconds; `None` while it is in flight.
+    /// How and when the attempt ended, in nanoseconds; `None` while it is in flight.
     pub end: Option<(AttemptEnd, Nanos)>,
 }
 
-/// What is known of one request.
+/// The attempts and the answer of one request.
 #[derive(Clone, Debug)]
 pub struct RequestTimeline {
-    /// Index of its source in the head.
+    /// Index of the source in the head.
     pub source: usize,
-    /// Its id, unique within the source.
+    /// The request's id, unique within the source.
     pub request: RequestId,
-    /// Its route class, an index into the source's settings.
+    /// The request's route class, an index into the source's settings.
     pub route_class: RouteClassId,
-    /// When it arrived, in nanoseconds.
+    /// When the request arrived, in nanoseconds.
     pub began: Nanos,
-    /// Its attempts in the order in which they were sent.
+    /// The attempts in the order in which they were sent.
     pub attempts: Vec<Attempt>,
-    /// How it was answered, and when in nanoseconds.
+    /// How and when the request was answered, in nanoseconds.
     pub answer: Option<(Answer, Nanos)>,
     /// Index of the attempt whose answer was delivered.
     pub delivered_by: Option<usize>,
@@ -92,17 +93,17 @@
     }
 }
 
-/// The timelines of all requests in flight. A request leaves once it is answered and its attempts have ended.
+/// The timelines of all requests in flight. A request is removed once it is answered and its attempts have ended.
 #[derive(Default)]
 pub struct RequestTimelines {
     open: HashMap<(usize, RequestId), RequestTimeline>,
-    /// Longest that a request may last, in nanoseconds.
+    /// The longest duration of a request, in nanoseconds.
     longest_request: Nanos,
-    /// Requests whose records end before they do.
+    /// Requests that were dropped before their end was read.
     pub truncated: u64,
 }
 
-/// Returns the longest that a request of any source may last, in nanoseconds.
+/// Returns the longest client timeout of any route class of the sources, in nanoseconds.
 pub fn longest_request(sources: &[Source]) -> Nanos {
     let classes = sources
         .iter()
@@ -114,7 +115,7 @@
 }
 
 impl RequestTimelines {
-    /// Returns no timelines yet, for the sources of a file.
+    /// Creates an empty set of timelines for the sources of a file.
     pub fn new(sources: &[Source]) -> RequestTimelines {
         RequestTimelines {
             longest_request: longest_request(sources),
@@ -137,7 +138,8 @@
         self.open.len()
     }
 
-    /// Adds a record; returns the timeline of the request that it ended, if it did. Times are the file's.
+    /// Adds a record; returns the timeline of the request that ends with it, if one does. Times are on the file's
+    /// clock.
     pub fn record(&mut self, record: &Record) -> Option<RequestTimeline> {
         match &record.payload {
             Payload::Lost { records: 1.., .. } => {
@@ -164,7 +166,7 @@
         }
     }
 
-    /// Drops the requests in flight of a source that lost records: their end may be among these.
+    /// Drops the requests in flight of a source that lost records: their ends may be among the lost records.
     fn drop_source(&mut self, source: usize) {
         let before = self.open.len();
         self.open.retain(|(of, _), _| *of != source);
@@ -187,7 +189,8 @@
         self.open.insert((record.source, request), timeline);
     }
 
-    /// Drops requests that should have ended long ago, and the older half where that leaves too many.
+    /// Drops the requests that began more than twice the longest duration ago; where too many remain, also drops the
+    /// older half.
     fn drop_oldest(&mut self, now: Nanos) {
         let before = self.open.len();
         let longest = self.longest_request;
--- a/crates/trace/src/summary/exposure.rs
+++ b/crates/trace/src/summary/exposure.rs
@@ -1,4 +1,4 @@
-//! How much of a sidecar's requests an unreleased build got, window by window.
+//! The share of a sidecar's requests that an unreleased build received, by exposure window.
 
 use super::{row_or_others, Summary};
 use crate::file::Reader;
@@ -11,14 +11,14 @@
 use std::io::{Read, Seek};
 use std::sync::Arc;
 
-/// The share of one sidecar's requests that an unreleased build got, in consecutive windows of the exposure settings.
+/// The requests of one sidecar that an unreleased build received, in consecutive windows of the exposure settings.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct BuildExposure {
     /// Requests with an attempt to the build.
     pub exposed_requests: u64,
-    /// All requests that arrived while it was unreleased.
+    /// All requests that arrived while the build was unreleased.
     pub arrived_requests: u64,
-    /// The largest part of its allowance that a window used, 1 for all of it.
+    /// The largest fraction of the exposure allowance that was used in any window; 1 is the complete allowance.
     pub max_allowance_used: f64,
     /// Windows in which requests arrived.
     pub windows: u64,
@@ -28,17 +28,18 @@
 #[derive(Default)]
 pub(super) struct ExposureWindow {
     began: Nanos,
-    /// Requests that arrived, by route class, or all under class 0 where the cap counts them together.
+    /// Requests that arrived, by route class; all under class 0 where the cap applies to all classes together.
     arrived: HashMap<RouteClassId, f64>,
     /// Requests with an attempt to the build on trial, by route class as above.
     exposed: HashMap<RouteClassId, f64>,
+    /// The lowest cap that was in force in the window.
     least_cap: f64,
-    /// The build on trial, 0 where there is none.
+    /// The build on trial; 0 where there is none.
     build: Build,
 }
 
 impl ExposureWindow {
-    /// Counts a record, and closes the window first where it has ended.
+    /// Counts a record. Closes the window before, where it has ended or the build on trial has changed.
     pub(super) fn record<R: Read + Seek>(
         &mut self,
         record: &Record,
@@ -58,7 +59,7 @@
             self.least_cap = trial.map_or(1.0, |stage| stage.cap);
         }
         let Some(stage) = trial else { return };
-        // A cap that is lowered within a window holds from then on, so the lower one counts.
+        // A cap that is lowered within a window applies from then on, so the window is compared with the lower cap.
         self.least_cap = self.least_cap.min(stage.cap);
         self.count(record, timelines, settings.per_class);
     }
@@ -88,7 +89,7 @@
         pod.as_ref().is_some_and(|pod| pod.build == self.build)
     }
 
-    /// Adds the window to the summary, and begins an empty one.
+    /// Adds the window to the summary and resets it.
     pub(super) fn close(
         &mut self,
         sidecar: &str,
--- a/crates/trace/src/summary/figures.rs
+++ b/crates/trace/src/summary/figures.rs
@@ -1,4 +1,4 @@
-//! Counts of requests and attempts, and the words for them.
+//! Counts of requests and attempts, and the names of attempt ends and votes in outputs.
 
 use crate::request_timelines::{Answer, RequestTimeline};
 use havenplank::interface::{AttemptEnd, Nanos, Vote};
@@ -6,8 +6,9 @@
 use std::collections::BTreeMap;
 
 const NANOS_PER_MICRO: Nanos = 1_000;
-/// Ten minutes, past which latencies count as this one.
+/// Ten minutes; a longer latency is counted as this one.
 const MAX_LATENCY_US: u64 = 600_000_000;
+/// Significant decimal digits of a latency in the histogram.
 const LATENCY_DIGITS: u8 = 3;
 
 /// Counts of requests and attempts.
@@ -15,19 +16,19 @@
 pub struct Figures {
     /// Requests.
     pub requests: u64,
-    /// Requests with an answer of a pod.
+    /// Requests that were answered by a pod.
     pub delivered: u64,
     /// Delivered requests within their latency objective.
     pub in_time: u64,
     /// Requests that the sidecar rejected.
     pub rejected: u64,
-    /// Requests that ended with an error.
+    /// Requests that the sidecar answered with an error.
     pub failed: u64,
-    /// Requests whose client left before an answer.
+    /// Requests whose client disconnected before an answer.
     pub client_left: u64,
-    /// Attempts by how they ended; those without an end are not counted.
+    /// Attempts by their end; attempts in flight are not counted.
     pub attempts: BTreeMap<&'static str, u64>,
-    /// Time from arrival to delivery, in microseconds, to three digits.
+    /// Time from arrival to delivery, in microseconds, to three significant digits.
     pub latency: Option<Histogram<u32>>,
 }
 
@@ -72,7 +73,7 @@
         }
     }
 
-    /// Counts an attempt.
+    /// Counts an attempt that has ended.
     pub(super) fn count_attempt(&mut self, end: AttemptEnd) {
         *self.attempts.entry(attempt_end_name(end)).or_default() += 1;
     }
@@ -86,7 +87,7 @@
     }
 }
 
-/// Returns the word for an attempt's end in summaries and in the JSON view.
+/// Returns the name of an attempt's end in summaries and in the JSON view.
 pub fn attempt_end_name(end: AttemptEnd) -> &'static str {
     match end {
         AttemptEnd::Served => "delivered",
@@ -100,9 +101,9 @@
     }
 }
 
-/// Returns the word for a vote in summaries and in the JSON view.
-pub fn vote_name(voice: Vote) -> &'static str {
-    match voice {
+/// Returns the name of a vote in summaries and in the JSON view.
+pub fn vote_name(vote: Vote) -> &'static str {
+    match vote {
         Vote::None => "none",
         Vote::Advance => "on",
         Vote::Hold => "hold",
--- a/crates/trace/src/summary/mod.rs
+++ b/crates/trace/src/summary/mod.rs
@@ -1,4 +1,4 @@
-//! Summarises a trace: figures by build, route class, pod and span of time.
+//! Summarises a trace: counts and latencies by build, route class, pod and time span.
 
 mod exposure;
 mod figures;
@@ -16,25 +16,25 @@
 use std::collections::BTreeMap;
 use std::io::{Read, Seek};
 
-/// Spans of one summary at most.
+/// The largest number of time spans of a summary.
 const MAX_SPANS: u64 = 10_000;
-/// Rows of a table at most; what comes after counts as "others".
+/// The largest number of rows of a table; further rows are added up in the row "others".
 const MAX_ROWS: usize = 20_000;
-/// The name of a route class that the settings lack.
+/// The name for a route class that is not in the settings.
 const UNKNOWN_CLASS: &str = "unknown";
 
-/// The figures of a trace, in rows by name.
+/// The counts and latencies of a trace, in tables.
 #[derive(Clone, Debug, Default)]
 pub struct Summary {
     /// Records read.
     pub records: u64,
     /// Requests that arrived.
     pub requests: u64,
-    /// Records that this program does not know.
+    /// Records that were skipped because this program does not know their kind or a value in them.
     pub skipped: u64,
-    /// Requests whose records end before they do: in flight at the end, or cut short by lost records.
+    /// Requests whose end is missing: in flight at the end of the file, or dropped because records were lost.
     pub unfinished: u64,
-    /// Requests that the recorder left out.
+    /// Requests that the recorder omitted.
     pub lost_requests: u64,
     /// Other records that the recorder lost.
     pub lost_records: u64,
@@ -42,12 +42,12 @@
     pub first: Nanos,
     /// Time of the last record, in nanoseconds on the file's clock.
     pub last: Nanos,
-    /// By build (0 where a request got no attempt) and route class.
+    /// Counts and latencies by build (0 where a request got no attempt) and route class.
     pub builds: BTreeMap<(Build, String), Figures>,
     /// Attempts by pod and its build, by how they ended.
     pub pods: BTreeMap<(String, Build), BTreeMap<&'static str, u64>>,
-    /// By start of the span and build: requests, delivered, in time, rejected, failed. Spans have no latencies, as these
-    /// would take most of the memory.
+    /// By start of the span and by build: the requests, and of these the delivered, the delivered in time, the rejected
+    /// and the failed. Spans have no latencies, which would need most of the memory.
     pub spans: BTreeMap<(Nanos, Build), [u64; 5]>,
     /// Exposure by sidecar and build.
     pub exposure: BTreeMap<(String, Build), BuildExposure>,
@@ -55,11 +55,11 @@
     pub votes: BTreeMap<(Build, usize, &'static str), u64>,
 }
 
-/// Reads a file to its end, or to the damage that is returned, and summarises it; `span` is the length of the spans in
-/// nanoseconds, without which there are none. Holds a block, the requests in flight, and the rows.
+/// Reads a file to its end, or to the damage that is returned, and summarises it. `span` is the length of the time
+/// spans in nanoseconds; `None` means no spans. Keeps one block, the requests in flight and the tables in memory.
 ///
 /// # Errors
-/// A span so short that the file has more than 10,000 of them.
+/// The span is so short that the file has more than 10,000 spans.
 pub fn summarise<R: Read + Seek>(
     reader: &mut Reader<R>,
     span: Option<Nanos>,
@@ -67,7 +67,7 @@
     let (first, last) = reader.span().unwrap_or_default();
     let length = last.saturating_sub(first);
     if span.is_some_and(|span| length / span.max(1) > MAX_SPANS) {
-        let why = format!("more than {MAX_SPANS} spans; expected a longer one");
+        let why = format!("the trace has more than {MAX_SPANS} spans; expected a longer span");
         return Err(TraceError::Unusable(why));
     }
     let mut summary = Summary {
@@ -115,7 +115,7 @@
     }
 }
 
-/// Returns the row of a key, or the one of all others where there are too many rows.
+/// Returns the row of a key, or the row `others` where the table is full.
 fn row_or_others<K: Ord, V: Default>(rows: &mut BTreeMap<K, V>, key: K, others: K) -> &mut V {
     let has_place = rows.len() < MAX_ROWS || rows.contains_key(&key);
     rows.entry(if has_place { key } else { others })
@@ -198,7 +198,7 @@
     }
 }
 
-/// Returns the build whose answer was delivered, else that of the last attempt; 0 without an attempt.
+/// Returns the build whose answer was delivered, otherwise the build of the last attempt; 0 without an attempt.
 fn answering_build(timeline: &RequestTimeline) -> Build {
     let delivering = timeline.delivered_by;
     let attempt = delivering
--- a/crates/trace/tests/files.rs
+++ b/crates/trace/tests/files.rs
@@ -172,7 +172,7 @@
 fn lying_lengths_and_bombs_are_refused() {
     let head = head();
     let (_, amiss) = read(&greeting(1, 0, &head, u32::MAX));
-    assert!(amiss.unwrap().contains("greeting"));
+    assert!(amiss.unwrap().contains("the head is cut off"));
     // A gigabyte of nothing in a few bytes: told as such, and told as less.
     let bomb = zstd::bulk::compress(&vec![0; 64 << 20], 19).unwrap();
     assert!(bomb.len() < 10_000);
