--- a/crates/cli/src/traces/replay.rs
+++ b/crates/cli/src/traces/replay.rs
@@ -42,8 +42,8 @@
         record,
         at,
         recorded,
-        now,
+        replayed,
     } = difference;
     println!("{name}: differs first at record {record}, time {at}:");
-    println!("  recorded {recorded}\n  now      {now}");
+    println!("  recorded {recorded}\n  now      {replayed}");
 }
--- a/crates/trace/fuzz/fuzz_targets/read.rs
+++ b/crates/trace/fuzz/fuzz_targets/read.rs
@@ -1,5 +1,5 @@
-//! Any file, and any block body whose checksums are right, is read or refused: no panic, no memory out of
-//! proportion. Run with: cargo +nightly fuzz run read --fuzz-dir crates/trace/fuzz -- -max_total_time=300
+//! Any file, and any block body with correct checksums, is read or rejected without a panic and with memory in
+//! proportion to the input. Run with: cargo +nightly fuzz run read --fuzz-dir crates/trace/fuzz -- -max_total_time=300
 
 #![no_main]
 
@@ -7,7 +7,7 @@
 use libfuzzer_sys::fuzz_target;
 use std::io::Cursor;
 
-const KEPT: &[u8] = include_bytes!("../../tests/files/version-1.0.hpt");
+const STORED: &[u8] = include_bytes!("../../tests/files/version-1.0.hpt");
 
 fn read(bytes: &[u8]) {
     let Ok(mut reader) = Reader::open(Cursor::new(bytes)) else {
@@ -21,10 +21,10 @@
     }
 }
 
-/// The kept file's greeting and one block with this body.
+/// Returns a file with the head of the stored file and one block with the given body.
 fn with_body(body: &[u8]) -> Vec<u8> {
-    let length = u32::from_le_bytes([KEPT[12], KEPT[13], KEPT[14], KEPT[15]]) as usize;
-    let mut bytes = KEPT[..16 + length + 4].to_vec();
+    let length = u32::from_le_bytes([STORED[12], STORED[13], STORED[14], STORED[15]]) as usize;
+    let mut bytes = STORED[..16 + length + 4].to_vec();
     let packed = zstd::bulk::compress(body, 1).unwrap_or_default();
     let mut frame = b"HPbk".to_vec();
     for number in [packed.len() as u32, body.len() as u32, 1, 0, 0] {
@@ -32,8 +32,8 @@
     }
     frame.extend([0; 16]);
     frame.extend(crc32fast::hash(&packed).to_le_bytes());
-    let sum = crc32fast::hash(&frame);
-    frame.extend(sum.to_le_bytes());
+    let checksum = crc32fast::hash(&frame);
+    frame.extend(checksum.to_le_bytes());
     bytes.extend(frame);
     bytes.extend(packed);
     bytes
--- a/crates/trace/src/columns/encoder.rs
+++ b/crates/trace/src/columns/encoder.rs
@@ -36,7 +36,7 @@
     /// Time of the first record, in nanoseconds on the file's clock.
     pub first: Nanos,
     /// Time of the last record, in nanoseconds on the file's clock.
-    pub at: Nanos,
+    pub last: Nanos,
 }
 
 impl BlockEncoder {
@@ -58,7 +58,7 @@
             requests: 0,
             shared: 0,
             first: 0,
-            at: 0,
+            last: 0,
         }
     }
 
@@ -67,14 +67,14 @@
     pub fn put(&mut self, mut record: Record) {
         if self.records == 0 {
             self.first = record.at;
-            self.at = record.at;
+            self.last = record.at;
         }
-        let at = record.at.max(self.at);
+        let at = record.at.max(self.last);
         let kind = kind_number(&record.payload);
         self.source = record.source;
         let source = record.source as u64;
         // Encoding never fails: only the decoder returns errors.
-        let mut step = at - self.at;
+        let mut step = at - self.last;
         let _ = self.number(KIND_COLUMN, &mut (kind as u64));
         let _ = self.number(TIME_COLUMN, &mut step);
         let _ = self.number(SOURCE_COLUMN, &mut { source });
@@ -84,7 +84,7 @@
             &mut record.engine_time.wrapping_sub(at),
         );
         let _ = visit_record(self, kind, source, &mut record);
-        self.at = at;
+        self.last = at;
         self.records += 1;
         self.requests += record.is_arrival() as u32;
         self.shared += record.is_shared() as u32;
--- a/crates/trace/src/cut.rs
+++ b/crates/trace/src/cut.rs
@@ -57,8 +57,8 @@
     };
     let written = output.finish()?;
     if !written && damage.is_none() {
-        let why = "the trace has no records between the given times";
-        return Err(TraceError::Unusable(why.into()));
+        let message = "the trace has no records between the given times";
+        return Err(TraceError::Unusable(message.into()));
     }
     let mut cut = cutter.cut;
     cut.blocks = reader.next_block() - first_block;
--- a/crates/trace/src/file/block_writer.rs
+++ b/crates/trace/src/file/block_writer.rs
@@ -86,7 +86,7 @@
             requests,
             shared,
             first,
-            at,
+            last,
             ..
         } = *block;
         let summary = IndexEntry {
@@ -97,7 +97,7 @@
             requests,
             shared,
             first,
-            last: at,
+            last,
         };
         let entry = self.append(BLOCK_TAG, summary, &block.body())?;
         self.index.push(entry);
--- a/crates/trace/src/from_adapter.rs
+++ b/crates/trace/src/from_adapter.rs
@@ -74,9 +74,11 @@
     }
 
     fn remove_if_finished(&mut self, name: &str) {
-        if self.requests.get(name).is_some_and(|in_flight| {
-            !in_flight.is_open && !in_flight.attempts_in_flight.contains(&true)
-        }) {
+        if self
+            .requests
+            .get(name)
+            .is_some_and(|pending| !pending.is_open && !pending.attempts_in_flight.contains(&true))
+        {
             self.requests.remove(name);
         }
     }
@@ -85,12 +87,12 @@
         // The replay reports a request id that the engine does not know as a difference.
         self.requests
             .get(name)
-            .map_or(RequestId::MAX, |in_flight| in_flight.id)
+            .map_or(RequestId::MAX, |pending| pending.id)
     }
 
     fn mark_answered(&mut self, name: &str) {
-        if let Some(in_flight) = self.requests.get_mut(name) {
-            in_flight.is_open = false;
+        if let Some(pending) = self.requests.get_mut(name) {
+            pending.is_open = false;
         }
         self.remove_if_finished(name);
     }
@@ -221,13 +223,13 @@
             is_retry,
             ..
         } = request;
-        let in_flight = InFlightRequest {
+        let pending = InFlightRequest {
             id,
             deadline: self.now.saturating_add(remaining),
             is_open: true,
             attempts_in_flight: Vec::new(),
         };
-        self.requests.insert(name.to_string(), in_flight);
+        self.requests.insert(name.to_string(), pending);
         let attributes = RequestAttributes {
             route_class,
             tenant,
@@ -243,10 +245,10 @@
     }
 
     fn attempt_ended(&mut self, name: &str, attempt: usize, outcome: AttemptOutcome) {
-        let Some(in_flight) = self.requests.get_mut(name) else {
+        let Some(pending) = self.requests.get_mut(name) else {
             return;
         };
-        let Some(is_in_flight) = in_flight
+        let Some(is_in_flight) = pending
             .attempts_in_flight
             .get_mut(attempt)
             .filter(|is_in_flight| **is_in_flight)
@@ -257,9 +259,9 @@
         let AttemptOutcome {
             end, took, load, ..
         } = outcome;
-        let delivered = in_flight.is_open && end == AttemptEnd::Served;
-        in_flight.is_open &= !delivered;
-        let (request, attempt) = (in_flight.id, attempt as u32);
+        let delivered = pending.is_open && end == AttemptEnd::Served;
+        pending.is_open &= !delivered;
+        let (request, attempt) = (pending.id, attempt as u32);
         self.events.push(Event::AttemptEnded {
             request,
             attempt,
@@ -272,7 +274,7 @@
     }
 
     fn client_left(&mut self, name: &str) {
-        if let Some(request) = self.requests.get(name).map(|in_flight| in_flight.id) {
+        if let Some(request) = self.requests.get(name).map(|pending| pending.id) {
             self.events.push(Event::ClientLeft { request });
             self.mark_answered(name);
         }
@@ -340,7 +342,7 @@
     fn attempt(&mut self, sidecar: u64, request: &str, pod: &str, timeout: Nanos) {
         self.add_effect(sidecar, |instance| {
             let pod = instance.pods.get(pod).copied().unwrap_or(PodId::MAX);
-            let Some(in_flight) = instance.requests.get_mut(request) else {
+            let Some(pending) = instance.requests.get_mut(request) else {
                 return Effect::SendAttempt {
                     request: RequestId::MAX,
                     attempt: 0,
@@ -348,10 +350,10 @@
                     timeout,
                 };
             };
-            in_flight.attempts_in_flight.push(true);
+            pending.attempts_in_flight.push(true);
             Effect::SendAttempt {
-                request: in_flight.id,
-                attempt: in_flight.attempts_in_flight.len() as u32 - 1,
+                request: pending.id,
+                attempt: pending.attempts_in_flight.len() as u32 - 1,
                 pod,
                 timeout,
             }
@@ -381,7 +383,7 @@
             let timed_out = instance
                 .requests
                 .get(request)
-                .is_some_and(|in_flight| instance.now >= in_flight.deadline);
+                .is_some_and(|pending| instance.now >= pending.deadline);
             let effect = Effect::Fail {
                 request: instance.request_id(request),
                 timed_out,
@@ -557,8 +559,8 @@
     fn write_answer(&mut self, batch: u64) -> Result<(), TraceError> {
         loop {
             let Some(line) = self.output.next()? else {
-                let why = format!("the output ends before its answer to batch {batch}");
-                return Err(TraceError::Unusable(why));
+                let message = format!("the output ends before its answer to batch {batch}");
+                return Err(TraceError::Unusable(message));
             };
             let mut recorder = ActionRecorder {
                 session: &mut self.session,
@@ -574,9 +576,9 @@
             match answered {
                 Some(answered) if answered == batch => return Ok(()),
                 Some(answered) => {
-                    let why =
+                    let message =
                         format!("the output answers batch {answered} where the input has {batch}");
-                    return Err(TraceError::Unusable(why));
+                    return Err(TraceError::Unusable(message));
                 }
                 None => {}
             }
--- a/crates/trace/src/merge/mod.rs
+++ b/crates/trace/src/merge/mod.rs
@@ -67,9 +67,9 @@
     if readers.iter().all(is_common) {
         return Ok(anonymised);
     }
-    let why =
+    let message =
         "some files are anonymised and some are not, so their names differ; expected all or none";
-    Err(TraceError::Unusable(why.to_string()))
+    Err(TraceError::Unusable(message.to_string()))
 }
 
 /// The sources of the merged file.
@@ -113,9 +113,9 @@
     };
     let last_part = last_parts[index];
     if part != last_part + 1 {
-        let why =
+        let message =
             format!("{name}: part {part} after part {last_part}; expected the files in order");
-        return Err(TraceError::Unusable(why));
+        return Err(TraceError::Unusable(message));
     }
     last_parts[index] = part;
     sources[index].is_complete &= source.is_complete;
@@ -174,8 +174,8 @@
         self.next = self.reader.record()?;
         if let Some(record) = &mut self.next {
             record.source = self.indices[record.source];
-            let own_wall = wall_time(&sources[record.source], record.engine_time);
-            let at = clocks[record.source].at(own_wall);
+            let own_wall_time = wall_time(&sources[record.source], record.engine_time);
+            let at = clocks[record.source].at(own_wall_time);
             let last = &mut self.last[record.source];
             *last = Nanos::try_from(at).unwrap_or(0).max(*last);
             record.at = *last;
--- a/crates/trace/src/recorder.rs
+++ b/crates/trace/src/recorder.rs
@@ -392,7 +392,7 @@
 
 impl Drop for Recorder {
     fn drop(&mut self) {
-        let now = self.block.at;
+        let now = self.block.last;
         self.close_block(now);
         if self.block.records > 0 {
             self.close_block(now);
@@ -454,7 +454,7 @@
         writer.write_block(block)?;
         writer.flush()?;
         let (max_bytes, max_age) = self.file_limits;
-        if writer.bytes_written() >= max_bytes || block.at.saturating_sub(*first) >= max_age {
+        if writer.bytes_written() >= max_bytes || block.last.saturating_sub(*first) >= max_age {
             self.close_file()?;
         }
         Ok(())
--- a/crates/trace/src/replay.rs
+++ b/crates/trace/src/replay.rs
@@ -41,7 +41,7 @@
     /// The recorded decision.
     pub recorded: String,
     /// The decision of the engine in the replay.
-    pub now: String,
+    pub replayed: String,
 }
 
 /// Replays one source.
@@ -52,7 +52,7 @@
     records_end: Nanos,
     /// Pseudonyms by log text, for an anonymised trace.
     pseudonyms: Option<HashMap<String, String>>,
-    last: Nanos,
+    last_time: Nanos,
     /// The result so far.
     pub outcome: Outcome,
 }
@@ -65,13 +65,13 @@
     pub fn new(source: &Source, number: usize, anonymised: bool) -> Result<Replay, TraceError> {
         let name = &source.settings.name;
         if source.part != 0 || !source.is_complete {
-            let why = if source.sample_share < 1.0 {
+            let message = if source.sample_share < 1.0 {
                 "holds only a sample of the requests"
             } else {
                 "lacks the beginning"
             };
-            let why = format!("{name}: cannot be replayed, because the trace {why}");
-            return Err(TraceError::Unusable(why));
+            let message = format!("{name}: cannot be replayed, because the trace {message}");
+            return Err(TraceError::Unusable(message));
         }
         let EngineSettings {
             route_classes,
@@ -93,7 +93,7 @@
             source: number,
             records_end: source.records_end,
             pseudonyms: anonymised.then(Default::default),
-            last: source.engine_start,
+            last_time: source.engine_start,
             outcome: Outcome::default(),
         })
     }
@@ -107,18 +107,18 @@
         &mut self,
         at: Nanos,
         recorded: impl std::fmt::Debug + PartialEq,
-        now: impl std::fmt::Debug,
+        replayed: impl std::fmt::Debug,
         same: bool,
     ) {
         self.outcome.compared += 1;
         if !same {
-            let (recorded, now) = (format!("{recorded:?}"), format!("{now:?}"));
+            let (recorded, replayed) = (format!("{recorded:?}"), format!("{replayed:?}"));
             let record = self.outcome.records;
             self.outcome.first_difference = Some(Difference {
                 record,
                 at,
                 recorded,
-                now,
+                replayed,
             });
         }
     }
@@ -141,12 +141,12 @@
             return;
         }
         let at = record.engine_time;
-        if at < self.last || at - self.last > MAX_CLOCK_STEP {
+        if at < self.last_time || at - self.last_time > MAX_CLOCK_STEP {
             let problem = "the time goes back or advances by more than a day";
             self.compare(at, record, problem, false);
             return;
         }
-        self.last = at;
+        self.last_time = at;
         if at >= self.records_end {
             self.outcome.stopped_at = Some(at);
             return;
@@ -174,9 +174,9 @@
                 pods,
                 pod_ids,
             } => {
-                let now = self.engine.update_endpoints(at, complete, pods);
-                let is_same = pod_ids == now;
-                self.compare(at, pod_ids, now, is_same);
+                let replayed = self.engine.update_endpoints(at, complete, pods);
+                let is_same = pod_ids == replayed;
+                self.compare(at, pod_ids, replayed, is_same);
             }
             Event::SendPermission {
                 allowed: recorded, ..
@@ -185,8 +185,8 @@
                 delivered: recorded,
                 ..
             } => {
-                let now = self.engine.replay(at, event.clone());
-                self.compare(at, event, now, Some(recorded) == now);
+                let replayed = self.engine.replay(at, event.clone());
+                self.compare(at, event, replayed, Some(recorded) == replayed);
             }
             _ => {
                 self.engine.replay(at, event);
@@ -196,28 +196,28 @@
 
     /// Compares a recorded effect with the next one that the engine requests.
     fn effect(&mut self, at: Nanos, effect: Effect) {
-        let now = self.engine.next_effect();
-        let is_same = now
+        let replayed = self.engine.next_effect();
+        let is_same = replayed
             .as_ref()
-            .is_some_and(|now| self.is_same_effect(&effect, now));
-        self.compare(at, effect, now, is_same);
+            .is_some_and(|replayed| self.is_same_effect(&effect, replayed));
+        self.compare(at, effect, replayed, is_same);
     }
 
     /// Whether two effects are the same. In an anonymised trace, log texts are the same where equal texts have equal
     /// pseudonyms.
-    fn is_same_effect(&mut self, recorded: &Effect, now: &Effect) -> bool {
-        if let (Some(pseudonyms), Effect::Log(recorded), Effect::Log(now)) =
-            (&mut self.pseudonyms, recorded, now)
+    fn is_same_effect(&mut self, recorded: &Effect, replayed: &Effect) -> bool {
+        if let (Some(pseudonyms), Effect::Log(recorded), Effect::Log(replayed)) =
+            (&mut self.pseudonyms, recorded, replayed)
         {
             if pseudonyms.len() >= MAX_PSEUDONYMS {
                 pseudonyms.clear();
             }
             return pseudonyms
-                .entry(now.clone())
+                .entry(replayed.clone())
                 .or_insert_with(|| recorded.clone())
                 == recorded;
         }
-        recorded == now
+        recorded == replayed
     }
 
     /// Continues with the next part. `source` is the index of the source in the file of the part; `records_end` is the
@@ -227,11 +227,11 @@
     }
 
     /// Ends the replay. Where the trace was closed, an effect that the engine still requests is a difference as well.
-    pub fn finish(mut self, closed: bool) -> Outcome {
-        let at = self.last;
-        if closed && self.records_end == Nanos::MAX && !self.is_over() {
-            if let Some(more) = self.engine.next_effect() {
-                self.compare(at, "no further effect", more, false);
+    pub fn finish(mut self, is_closed: bool) -> Outcome {
+        let at = self.last_time;
+        if is_closed && self.records_end == Nanos::MAX && !self.is_over() {
+            if let Some(effect) = self.engine.next_effect() {
+                self.compare(at, "no further effect", effect, false);
             }
         }
         self.outcome
--- a/crates/trace/src/request_timelines.rs
+++ b/crates/trace/src/request_timelines.rs
@@ -45,7 +45,7 @@
     /// The request's route class, an index into the source's settings.
     pub route_class: RouteClassId,
     /// When the request arrived, in nanoseconds.
-    pub began: Nanos,
+    pub arrived_at: Nanos,
     /// The attempts in the order in which they were sent.
     pub attempts: Vec<Attempt>,
     /// How and when the request was answered, in nanoseconds.
@@ -181,7 +181,7 @@
             source: record.source,
             request,
             route_class,
-            began: record.at,
+            arrived_at: record.at,
             attempts: Vec::new(),
             answer: None,
             delivered_by: None,
@@ -195,12 +195,16 @@
         let before = self.open.len();
         let longest = self.longest_request;
         self.open
-            .retain(|_, timeline| now.saturating_sub(timeline.began) <= 2 * longest);
+            .retain(|_, timeline| now.saturating_sub(timeline.arrived_at) <= 2 * longest);
         if self.open.len() >= MAX_IN_FLIGHT {
-            let mut began: Vec<Nanos> = self.open.values().map(|timeline| timeline.began).collect();
-            let middle = began.len() / 2;
-            let median = *began.select_nth_unstable(middle).1;
-            self.open.retain(|_, timeline| timeline.began > median);
+            let mut arrived_at: Vec<Nanos> = self
+                .open
+                .values()
+                .map(|timeline| timeline.arrived_at)
+                .collect();
+            let middle = arrived_at.len() / 2;
+            let median = *arrived_at.select_nth_unstable(middle).1;
+            self.open.retain(|_, timeline| timeline.arrived_at > median);
         }
         self.truncated += (before - self.open.len()) as u64;
     }
--- a/crates/trace/src/summary/exposure.rs
+++ b/crates/trace/src/summary/exposure.rs
@@ -27,13 +27,13 @@
 /// The open window of one source.
 #[derive(Default)]
 pub(super) struct ExposureWindow {
-    began: Nanos,
+    started_at: Nanos,
     /// Requests that arrived, by route class; all under class 0 where the cap applies to all classes together.
     arrived: HashMap<RouteClassId, f64>,
     /// Requests with an attempt to the build on trial, by route class as above.
     exposed: HashMap<RouteClassId, f64>,
     /// The lowest cap that was in force in the window.
-    least_cap: f64,
+    lowest_cap: f64,
     /// The build on trial; 0 where there is none.
     build: Build,
 }
@@ -51,16 +51,16 @@
         let settings = &source.settings.exposure;
         let trial = trial_stage(reader, record.source);
         let build = trial.map_or(0, |stage| stage.build);
-        let has_ended = record.at.saturating_sub(self.began) >= settings.window.max(1);
+        let has_ended = record.at.saturating_sub(self.started_at) >= settings.window.max(1);
         if build != self.build || has_ended {
             self.close(&source.settings.name, settings, summary);
-            self.began = record.at;
+            self.started_at = record.at;
             self.build = build;
-            self.least_cap = trial.map_or(1.0, |stage| stage.cap);
+            self.lowest_cap = trial.map_or(1.0, |stage| stage.cap);
         }
         let Some(stage) = trial else { return };
         // A cap that is lowered within a window applies from then on, so the window is compared with the lower cap.
-        self.least_cap = self.least_cap.min(stage.cap);
+        self.lowest_cap = self.lowest_cap.min(stage.cap);
         self.count(record, timelines, settings.per_class);
     }
 
@@ -109,7 +109,7 @@
         row.windows += 1;
         for (class, exposed) in &window.exposed {
             let arrived = window.arrived.get(class).copied().unwrap_or(0.0);
-            let allowance = settings.free_attempts + window.least_cap * arrived;
+            let allowance = settings.free_attempts + window.lowest_cap * arrived;
             row.max_allowance_used = row.max_allowance_used.max(exposed / allowance.max(1e-9));
         }
     }
--- a/crates/trace/src/summary/figures.rs
+++ b/crates/trace/src/summary/figures.rs
@@ -58,7 +58,7 @@
         let Some((answer, at)) = timeline.answer else {
             return;
         };
-        let took = at.saturating_sub(timeline.began);
+        let took = at.saturating_sub(timeline.arrived_at);
         match answer {
             Answer::Delivered => {
                 self.delivered += 1;
--- a/crates/trace/src/summary/mod.rs
+++ b/crates/trace/src/summary/mod.rs
@@ -67,8 +67,8 @@
     let (first, last) = reader.span().unwrap_or_default();
     let length = last.saturating_sub(first);
     if span.is_some_and(|span| length / span.max(1) > MAX_SPANS) {
-        let why = format!("the trace has more than {MAX_SPANS} spans; expected a longer span");
-        return Err(TraceError::Unusable(why));
+        let message = format!("the trace has more than {MAX_SPANS} spans; expected a longer span");
+        return Err(TraceError::Unusable(message));
     }
     let mut summary = Summary {
         first,
@@ -117,9 +117,8 @@
 
 /// Returns the row of a key, or the row `others` where the table is full.
 fn row_or_others<K: Ord, V: Default>(rows: &mut BTreeMap<K, V>, key: K, others: K) -> &mut V {
-    let has_place = rows.len() < MAX_ROWS || rows.contains_key(&key);
-    rows.entry(if has_place { key } else { others })
-        .or_default()
+    let has_room = rows.len() < MAX_ROWS || rows.contains_key(&key);
+    rows.entry(if has_room { key } else { others }).or_default()
 }
 
 impl Summary {
@@ -184,10 +183,10 @@
         let Some((answer, at)) = timeline.answer else {
             return;
         };
-        let since_first = timeline.began.saturating_sub(self.first);
+        let since_first = timeline.arrived_at.saturating_sub(self.first);
         let start = self.first.saturating_add(since_first / span * span);
         let is_delivered = answer == Answer::Delivered;
-        let is_in_time = is_delivered && at.saturating_sub(timeline.began) <= objective;
+        let is_in_time = is_delivered && at.saturating_sub(timeline.arrived_at) <= objective;
         let [requests, delivered, in_time, rejected, failed] =
             row_or_others(&mut self.spans, (start, build), (0, 0));
         *requests += 1;
--- a/crates/trace/tests/common/mod.rs
+++ b/crates/trace/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small world in virtual time around one engine, recorded in memory.
+//! Runs one engine with simulated clients, pods and services in virtual time, and records it in memory.
 
 #![allow(dead_code, clippy::unwrap_used)]
 
@@ -18,8 +18,8 @@
 
 pub const MS: Nanos = 1_000_000;
 pub const S: Nanos = 1_000 * MS;
-/// When the world began, in nanoseconds since 1970.
-pub const BASE: Nanos = 1_700_000_000 * S;
+/// Start of the simulation, in nanoseconds since 1970.
+pub const SIMULATION_START: Nanos = 1_700_000_000 * S;
 
 pub fn engine_settings(name: &str) -> EngineSettings {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../examples/site.star");
@@ -27,24 +27,26 @@
     EngineSettings::from(&load(&file, &given).unwrap_or_else(|problems| panic!("{problems}")))
 }
 
-/// One life of one sidecar.
+/// One incarnation of one sidecar in the simulation.
 #[derive(Clone)]
 pub struct SidecarRun {
     pub name: String,
     pub seed: u64,
-    /// Since the world began.
-    pub starts: Nanos,
-    pub lasts: Nanos,
-    /// By how much its clock is ahead, and how much faster it goes.
+    /// Start, in nanoseconds since the start of the simulation.
+    pub start: Nanos,
+    /// Duration in nanoseconds.
+    pub duration: Nanos,
+    /// How far the clock is ahead at the start, in nanoseconds.
     pub skew: i64,
+    /// How much faster than real time the clock runs, in nanoseconds per nanosecond.
     pub drift: f64,
-    /// Longest that shared events take to be heard.
-    pub notice: Nanos,
+    /// The longest delay until the sidecar receives a shared event, in nanoseconds.
+    pub max_notice_delay: Nanos,
     pub limits: Limits,
 }
 
 impl SidecarRun {
-    pub fn new(name: &str, seed: u64, lasts: Nanos) -> SidecarRun {
+    pub fn new(name: &str, seed: u64, duration: Nanos) -> SidecarRun {
         let limits = Limits {
             sample_share: 1.0,
             queue_bytes: 64 << 20,
@@ -55,22 +57,22 @@
         SidecarRun {
             name: name.to_string(),
             seed,
-            starts: 0,
-            lasts,
+            start: 0,
+            duration,
             skew: 0,
             drift: 0.0,
-            notice: 0,
+            max_notice_delay: 0,
             limits,
         }
     }
 
-    pub fn own(&self, time: Nanos) -> Nanos {
-        let since = time - self.starts;
-        EPOCH + (since as f64 * (1.0 + self.drift)) as Nanos
+    pub fn engine_time(&self, time: Nanos) -> Nanos {
+        let since_start = time - self.start;
+        EPOCH + (since_start as f64 * (1.0 + self.drift)) as Nanos
     }
 
     pub fn source(&self) -> Source {
-        let wall_start = (BASE + self.starts).wrapping_add_signed(self.skew);
+        let wall_start = (SIMULATION_START + self.start).wrapping_add_signed(self.skew);
         let (settings, incarnation) = (engine_settings(&self.name), self.seed ^ 0x5eed);
         Source {
             settings,
@@ -86,7 +88,7 @@
     }
 }
 
-/// Files in memory, in the order opened.
+/// A store that keeps the files in memory, in the order in which they were created.
 #[derive(Clone, Default)]
 pub struct Memory(pub Arc<Mutex<Vec<Vec<u8>>>>);
 
@@ -126,14 +128,16 @@
     }
 }
 
-/// The shared event of a number, which all sidecars hear of: a pod leaves or comes back, or a stage begins.
+/// An event that all sidecars receive: a pod disappears or comes back, or a stage begins.
 pub enum Event {
     Pod(ListedEndpoint),
     Stage(Stage),
 }
 
-pub const EVENT: Nanos = 350 * MS;
+/// Interval between two shared events.
+pub const EVENT_INTERVAL: Nanos = 350 * MS;
 
+/// Returns the shared event number `k`.
 pub fn event(k: u64) -> Event {
     if k % 8 == 3 {
         let stage = (k / 8 % 4) as usize;
@@ -153,44 +157,45 @@
     }
 }
 
-/// Lives through `life`, its engine recorded by `recorder`.
+/// Simulates a run of an engine that is observed by `recorder`.
 pub fn run_engine(run: &SidecarRun, recorder: Recorder) {
     let mut engine =
         Engine::new(EPOCH, run.seed, &engine_settings(&run.name)).with_observer(Box::new(recorder));
-    let mut chance = Rand64::new(run.seed as u128);
+    let mut random = Rand64::new(run.seed as u128);
     engine.start(EPOCH);
     let mut first: Vec<ListedEndpoint> = (0..12).map(|n| pod(n, PodState::Running, 1, 1)).collect();
     first.extend((12..16).map(|n| pod(n, PodState::Running, 2, 1)));
     engine.update_endpoints(EPOCH, true, first);
-    let mut heard = run.starts.div_ceil(EVENT);
-    let mut due = heard * EVENT + chance.rand_range(0..run.notice + 1);
-    let mut out: Vec<(Nanos, u64, u32, AttemptEnd, Nanos)> = Vec::new();
+    let mut next_event = run.start.div_ceil(EVENT_INTERVAL);
+    let mut due = next_event * EVENT_INTERVAL + random.rand_range(0..run.max_notice_delay + 1);
+    let mut in_flight: Vec<(Nanos, u64, u32, AttemptEnd, Nanos)> = Vec::new();
     let step = MS;
-    for tick in 0..run.lasts / step {
-        let time = run.starts + tick * step + chance.rand_range(0..step / 2);
-        let now = run.own(time);
+    for tick in 0..run.duration / step {
+        let time = run.start + tick * step + random.rand_range(0..step / 2);
+        let now = run.engine_time(time);
         if engine.next_timer().is_some_and(|at| at <= now) {
             engine.run_timers(now);
         }
         while due <= time {
-            match event(heard) {
+            match event(next_event) {
                 Event::Pod(pod) => drop(engine.update_endpoints(now, false, vec![pod])),
                 Event::Stage(stage) => engine.update_stage(now, stage),
             }
-            heard += 1;
-            due = heard * EVENT + chance.rand_range(0..run.notice + 1);
+            next_event += 1;
+            due = next_event * EVENT_INTERVAL + random.rand_range(0..run.max_notice_delay + 1);
         }
         if tick % 5 == 0 {
-            let group = (tick / 5 % 3) as usize;
-            let (tenant, key) = (Some((tick % 2) as usize), chance.rand_range(1..40) << 20);
-            let left = [2 * S, 3 * S, 3 * S][group] - 20 * MS - chance.rand_range(20_000..60_000);
+            let class = (tick / 5 % 3) as usize;
+            let (tenant, key) = (Some((tick % 2) as usize), random.rand_range(1..40) << 20);
+            let remaining =
+                [2 * S, 3 * S, 3 * S][class] - 20 * MS - random.rand_range(20_000..60_000);
             engine.handle_request(
                 now,
                 RequestAttributes {
-                    route_class: group,
+                    route_class: class,
                     tenant,
                     key,
-                    remaining: left,
+                    remaining,
                     cost_hint: None,
                     is_retry: false,
                 },
@@ -208,34 +213,34 @@
             engine.update_tally(now, &tally);
             engine.report_fault(now, "searchnode13.krakow.example.org", "query", S);
         }
-        while let Some(at) = out.iter().position(|(due, ..)| *due <= time) {
-            let (_, hit, nth, end, sent) = out.remove(at);
+        while let Some(at) = in_flight.iter().position(|(due, ..)| *due <= time) {
+            let (_, request, attempt, end, sent) = in_flight.remove(at);
             let load = LoadReport {
-                in_flight: Some((hit % 4) as f64),
+                in_flight: Some((request % 4) as f64),
                 cpu_utilization: Some(0.333),
                 ..LoadReport::default()
             };
-            engine.attempt_ended(now, hit, nth, end, now - sent + 30_000, Some(load));
+            engine.attempt_ended(now, request, attempt, end, now - sent + 30_000, Some(load));
         }
         while let Some(effect) = engine.next_effect() {
             match effect {
                 Effect::SendAttempt {
-                    request: hit,
-                    attempt: nth,
+                    request,
+                    attempt,
                     pod,
                     ..
                 } => {
-                    let may = engine.may_send(now, hit, nth);
-                    let fails = chance.rand_range(0..100) < if pod >= 12 { 30 } else { 2 };
-                    let end = match (may, fails) {
+                    let allowed = engine.may_send(now, request, attempt);
+                    let fails = random.rand_range(0..100) < if pod >= 12 { 30 } else { 2 };
+                    let end = match (allowed, fails) {
                         (false, _) => AttemptEnd::NotSent,
                         (_, true) => AttemptEnd::Failed,
                         _ => AttemptEnd::Served,
                     };
-                    out.push((
-                        time + chance.rand_range(8 * MS..50 * MS),
-                        hit,
-                        nth,
+                    in_flight.push((
+                        time + random.rand_range(8 * MS..50 * MS),
+                        request,
+                        attempt,
                         end,
                         now,
                     ));
@@ -250,10 +255,10 @@
                         },
                     );
                 }
-                Effect::HealthCheck { check: probe, .. } => {
+                Effect::HealthCheck { check, .. } => {
                     engine.health_check_ended(
                         now,
-                        probe,
+                        check,
                         HealthCheckResult {
                             end: AttemptEnd::Served,
                             took: MS,
@@ -267,22 +272,25 @@
     }
 }
 
-pub fn finish(writing: WriterHandle) {
-    assert!(writing.wait(Duration::from_secs(60)), "all is written");
+pub fn finish(writer_handle: WriterHandle) {
+    assert!(
+        writer_handle.wait(Duration::from_secs(60)),
+        "all records are written"
+    );
 }
 
-/// The files of a life, in memory.
+/// Returns the files of a run.
 pub fn files(run: &SidecarRun) -> Vec<Vec<u8>> {
     let memory = Memory::default();
-    let (recorder, writing) =
+    let (recorder, writer_handle) =
         Recorder::start(run.source(), run.limits.clone(), Box::new(memory.clone()));
     run_engine(run, recorder);
-    finish(writing);
+    finish(writer_handle);
     let files = std::mem::take(&mut *memory.0.lock().unwrap());
     files
 }
 
-/// The only file of a life.
+/// Returns the only file of a run.
 pub fn file(run: &SidecarRun) -> Vec<u8> {
     let mut files = files(run);
     assert_eq!(files.len(), 1);
--- a/crates/trace/tests/files.rs
+++ b/crates/trace/tests/files.rs
@@ -1,4 +1,5 @@
-//! Files cut off, flipped, lying, newer and older: read up to the damage, or refused, never made up.
+//! Files that are cut off, damaged, forged, newer or older are read up to the damage or rejected; a reader never
+//! returns records that were not written.
 
 mod common;
 
@@ -12,8 +13,8 @@
 use std::io::Cursor;
 use std::path::Path;
 
-/// A short file of several blocks, with its records.
-fn short() -> (Vec<u8>, Vec<Record>) {
+/// Returns a short file of several blocks, and its records.
+fn short_file() -> (Vec<u8>, Vec<Record>) {
     let bytes = file(&SidecarRun::new("sidecar-0", 13, 300 * MS));
     let records = all(&bytes);
     let mut writer = Writer::new(Vec::new(), &open(&bytes).head, Vec::new()).unwrap();
@@ -27,8 +28,8 @@
 }
 
 #[test]
-fn a_hit_that_goes_on_from_elsewhere_reads_as_written() {
-    let (bytes, mut records) = short();
+fn reads_a_resumed_request_as_written() {
+    let (bytes, mut records) = short_file();
     let at = records.iter().position(Record::is_arrival).unwrap();
     let hit = records[at].request_id().unwrap();
     let known = PriorAttempt {
@@ -36,7 +37,7 @@
         ago: 40 * MS,
         may_have_run: true,
     };
-    let past = vec![
+    let prior_attempts = vec![
         known,
         PriorAttempt {
             pod: None,
@@ -46,7 +47,7 @@
     ];
     let payload = Payload::Event(Event::RequestResumed {
         request: hit,
-        prior_attempts: past,
+        prior_attempts,
     });
     records.insert(
         at,
@@ -65,11 +66,11 @@
     records
         .iter()
         .for_each(|record| writer.put(record.clone()).unwrap());
-    let (found, amiss) = read(&writer.finish().unwrap());
-    assert!(amiss.is_none() && found == records);
+    let (found, error) = read(&writer.finish().unwrap());
+    assert!(error.is_none() && found == records);
 }
 
-/// All that can be read, and whether the reader said that anything is amiss.
+/// Returns all records that can be read, and the error or the reason for which the index was rebuilt, if any.
 fn read(bytes: &[u8]) -> (Vec<Record>, Option<String>) {
     let mut reader = match Reader::open(Cursor::new(bytes)) {
         Ok(reader) => reader,
@@ -86,44 +87,44 @@
 }
 
 #[test]
-fn cut_at_every_byte_it_reads_up_to_the_last_whole_block() {
-    let (bytes, records) = short();
+fn reads_up_to_the_last_complete_block_when_cut_off_at_any_byte() {
+    let (bytes, records) = short_file();
     let index = open(&bytes).index;
     assert!(index.len() >= 4 && read(&bytes) == (records.clone(), None));
     for length in 0..bytes.len() {
-        let (found, amiss) = read(&bytes[..length]);
-        let whole = |entry: &&havenplank_trace::file::IndexEntry| {
+        let (found, error) = read(&bytes[..length]);
+        let is_complete = |entry: &&havenplank_trace::file::IndexEntry| {
             entry.offset as usize + 48 + entry.packed as usize <= length
         };
-        let there: usize = index
+        let expected: usize = index
             .iter()
-            .take_while(whole)
+            .take_while(is_complete)
             .map(|entry| entry.records as usize)
             .sum();
-        assert!(amiss.is_some(), "{length}: silent");
+        assert!(error.is_some(), "cut off at {length}: no error");
         assert!(
-            found.len() == there && found[..] == records[..there],
-            "{length}: {} of {there}",
+            found.len() == expected && found[..] == records[..expected],
+            "cut off at {length}: {} of {expected}",
             found.len()
         );
     }
 }
 
 #[test]
-fn a_flipped_byte_is_told_and_nothing_is_made_up() {
-    let (bytes, records) = short();
+fn reports_a_changed_byte_and_returns_no_wrong_record() {
+    let (bytes, records) = short_file();
     for at in 0..bytes.len() {
         for bit in [0x01, 0x80] {
             let mut flipped = bytes.clone();
             flipped[at] ^= bit;
-            let (found, amiss) = read(&flipped);
-            assert!(amiss.is_some(), "byte {at}: silent");
-            assert!(records.starts_with(&found), "byte {at}: other records");
+            let (found, error) = read(&flipped);
+            assert!(error.is_some(), "byte {at}: no error");
+            assert!(records.starts_with(&found), "byte {at}: wrong records");
         }
     }
 }
 
-/// A frame as the format has it, its checksums right whatever it says.
+/// Returns a frame with correct checksums, whatever its content is.
 fn frame(packed: &[u8], unpacked: u32, tag: &[u8]) -> Vec<u8> {
     let mut frame = tag.to_vec();
     for number in [packed.len() as u32, unpacked, 1, 0, 0] {
@@ -132,20 +133,21 @@
     frame.extend(EPOCH.to_le_bytes());
     frame.extend(EPOCH.to_le_bytes());
     frame.extend(crc32fast::hash(packed).to_le_bytes());
-    let sum = crc32fast::hash(&frame);
-    frame.extend(sum.to_le_bytes());
+    let checksum = crc32fast::hash(&frame);
+    frame.extend(checksum.to_le_bytes());
     frame.extend(packed);
     frame
 }
 
-fn greeting(major: u16, minor: u16, head: &[u8], told: u32) -> Vec<u8> {
+/// Returns the head of a file with a correct checksum; `length` is the stated length of the JSON.
+fn head_bytes(major: u16, minor: u16, head: &[u8], length: u32) -> Vec<u8> {
     let mut bytes = MAGIC.to_vec();
     bytes.extend(major.to_le_bytes());
     bytes.extend(minor.to_le_bytes());
-    bytes.extend(told.to_le_bytes());
+    bytes.extend(length.to_le_bytes());
     bytes.extend(head);
-    let sum = crc32fast::hash(&bytes);
-    bytes.extend(sum.to_le_bytes());
+    let checksum = crc32fast::hash(&bytes);
+    bytes.extend(checksum.to_le_bytes());
     bytes
 }
 
@@ -156,10 +158,10 @@
     .unwrap()
 }
 
-/// A file of one block whose body is this.
+/// Returns a file of one block with the given body.
 fn with_body(body: &[u8]) -> Vec<u8> {
     let head = head();
-    let mut bytes = greeting(1, 0, &head, head.len() as u32);
+    let mut bytes = head_bytes(1, 0, &head, head.len() as u32);
     bytes.extend(frame(
         &zstd::bulk::compress(body, 3).unwrap(),
         body.len() as u32,
@@ -169,28 +171,28 @@
 }
 
 #[test]
-fn lying_lengths_and_bombs_are_refused() {
+fn rejects_wrong_lengths_and_decompression_bombs() {
     let head = head();
-    let (_, amiss) = read(&greeting(1, 0, &head, u32::MAX));
-    assert!(amiss.unwrap().contains("the head is cut off"));
-    // A gigabyte of nothing in a few bytes: told as such, and told as less.
+    let (_, error) = read(&head_bytes(1, 0, &head, u32::MAX));
+    assert!(error.unwrap().contains("the head is cut off"));
+    // A few kilobytes that decompress to 64 MiB of zeros, with the true length and with a shorter one in the frame.
     let bomb = zstd::bulk::compress(&vec![0; 64 << 20], 19).unwrap();
     assert!(bomb.len() < 10_000);
-    for told in [64 << 20, 1 << 20] {
-        let mut bytes = greeting(1, 0, &head, head.len() as u32);
-        bytes.extend(frame(&bomb, told, b"HPbk"));
-        let (found, amiss) = read(&bytes);
-        let amiss = amiss.unwrap();
+    for length in [64 << 20, 1 << 20] {
+        let mut bytes = head_bytes(1, 0, &head, head.len() as u32);
+        bytes.extend(frame(&bomb, length, b"HPbk"));
+        let (found, error) = read(&bytes);
+        let error = error.unwrap();
         assert!(
-            found.is_empty() && (amiss.contains("larger") || amiss.contains("length")),
-            "{amiss}"
+            found.is_empty() && (error.contains("larger") || error.contains("length")),
+            "{error}"
         );
     }
-    // Postcard's counts: a dictionary of 2^60 entries in nine bytes, and a list as long.
-    let (_, amiss) = read(&with_body(&[
+    // Counts in the postcard encoding: a dictionary of 2^60 entries in nine bytes, and a list that is about as long.
+    let (_, error) = read(&with_body(&[
         0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x0f,
     ]));
-    assert!(amiss.unwrap().contains("body"));
+    assert!(error.unwrap().contains("body"));
     let columns: &[(u16, &[u8])] = &[
         (0, &[6]),
         (1, &[0]),
@@ -201,25 +203,26 @@
     ];
     let empty: (Vec<u8>, Vec<u8>, Vec<u8>, Vec<u8>) = Default::default();
     let body = postcard::to_stdvec(&(empty, columns)).unwrap();
-    let (found, amiss) = read(&with_body(&body));
+    let (found, error) = read(&with_body(&body));
     assert!(
         found.is_empty()
-            && amiss
+            && error
                 .as_ref()
-                .is_some_and(|amiss| amiss.contains("column 97")),
-        "{amiss:?}"
+                .is_some_and(|error| error.contains("column 97")),
+        "{error:?}"
     );
 }
 
 #[test]
-fn newer_minor_versions_are_read_without_what_is_new_and_major_ones_refused() {
-    let (mut bytes, _) = short();
+fn skips_unknown_content_of_newer_minor_versions_and_rejects_newer_major_versions() {
+    let (mut bytes, _) = short_file();
     bytes[8] = 2;
     assert!(matches!(
         Reader::open(Cursor::new(&bytes)),
         Err(TraceError::UnsupportedMajor(2))
     ));
-    // Minor 7: a field of the greeting, a kind, a choice and a column that nobody knows, and a field of the body.
+    // Minor version 7 with an unknown field of the head, an unknown kind, an unknown enum value, unknown columns, and
+    // an unknown field of the body.
     let mut head: serde_json::Value = serde_json::from_slice(&head()).unwrap();
     head["colour"] = "blue".into();
     let head = serde_json::to_vec(&head).unwrap();
@@ -239,7 +242,7 @@
     ];
     let empty: (Vec<u8>, Vec<u8>, Vec<u8>, Vec<u8>) = Default::default();
     let body = postcard::to_stdvec(&(empty, columns, "new")).unwrap();
-    let mut bytes = greeting(1, 7, &head, head.len() as u32);
+    let mut bytes = head_bytes(1, 7, &head, head.len() as u32);
     bytes.extend(frame(
         &zstd::bulk::compress(&body, 3).unwrap(),
         body.len() as u32,
@@ -255,9 +258,9 @@
     );
 }
 
-/// A file that version 1.0 wrote: every later version of major 1 reads the same in it.
+/// Every version of major 1 must read the same from the file that version 1.0 wrote.
 #[test]
-fn the_kept_file_of_version_1_0_reads_as_ever() {
+fn reads_the_stored_file_of_version_1_0() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/files/version-1.0.hpt");
     let bytes = std::fs::read(path).unwrap();
     let reader = open(&bytes);
@@ -270,9 +273,9 @@
     let (mut requests, mut took, mut to_pod, mut listed) = (0, 0, 0, 0);
     for record in &records {
         match &record.payload {
-            Payload::Event(Event::RequestArrived {
-                attributes: asked, ..
-            }) => requests += asked.remaining,
+            Payload::Event(Event::RequestArrived { attributes, .. }) => {
+                requests += attributes.remaining
+            }
             Payload::Event(Event::AttemptEnded { took: ns, .. }) => took += ns,
             Payload::Event(Event::EndpointsListed { pods, .. }) => listed += pods.len(),
             Payload::Effect(Effect::SendAttempt { .. }) => {
@@ -291,10 +294,10 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 256, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Bodies whose checksums are right and whose content is not.
+    /// Bodies with correct checksums and changed content.
     #[test]
-    fn any_body_is_read_or_refused(changes in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 1..6)) {
-        let (bytes, _) = short();
+    fn reads_or_rejects_any_body(changes in prop::collection::vec((any::<prop::sample::Index>(), any::<u8>()), 1..6)) {
+        let (bytes, _) = short_file();
         let entry = open(&bytes).index[1];
         let from = entry.offset as usize + 48;
         let mut body = zstd::bulk::decompress(&bytes[from..from + entry.packed as usize], 1 << 20).unwrap();
@@ -305,15 +308,15 @@
         let changed = with_body(&body);
         read(&changed);
         let reader = Reader::open(Cursor::new(&changed[..])).unwrap();
-        // Calls that no sidecar was told, in orders that never were: played or found to differ.
+        // Events in orders that no sidecar ever received: replayed, or reported as a difference.
         let _ = replay::replay(vec![reader]);
     }
 
     #[test]
-    fn any_bytes_are_read_or_refused(bytes in prop::collection::vec(any::<u8>(), 0..600)) {
+    fn reads_or_rejects_any_bytes(bytes in prop::collection::vec(any::<u8>(), 0..600)) {
         read(&bytes);
         read(&with_body(&bytes));
-        let mut after = greeting(1, 0, &head(), head().len() as u32);
+        let mut after = head_bytes(1, 0, &head(), head().len() as u32);
         after.extend(&bytes);
         read(&after);
     }
--- a/crates/trace/tests/from_adapter.rs
+++ b/crates/trace/tests/from_adapter.rs
@@ -1,4 +1,4 @@
-//! A day as seen on the adapter's pipes becomes a trace, and plays through the engine as it did there.
+//! A bench run, taken from the adapter's pipes, is converted to a trace and replays with the decisions of the adapter.
 
 mod common;
 
@@ -13,15 +13,15 @@
 
 const SETUP: &str = r#"{"azs":["east","west"],"locality":"east","skus":["box"],"instances":2,"rank":0,"discovery":"automatic","classes":[{"name":"read","semantics":"free","onTimeNs":500000000,"giveUpNs":1000000000,"worth":1.0}],"limits":{"maxAttempts":3,"retryAfter":true,"maxRetryAfterNs":300000000},"rules":{"drainGraceNs":500000000,"coldShare":0.3,"warmUpNs":4000000000,"fallMultiple":2.0,"fallNs":1000000000},"familyInfo":{"control":"by_count","counts":"all","exposureWindowNs":2000000000,"free":1.0,"mostShares":[0.1,1.0],"ballotTtlNs":4000000000,"callTimeoutNs":1000000000}}"#;
 
-/// What goes in over some seconds, and what comes out: two instances, one of which restarts, pods that come
-/// and go under the same names, forwards that fail, a build on trial.
+/// Returns the input and the output of an adapter over some seconds: two instances, one of which restarts, pods that
+/// disappear and come back under the same names, attempts that fail, and a build on trial.
 fn pipes() -> (String, String) {
     let (mut input, mut output) = (String::new(), Vec::new());
-    let (mut wire, mut chance) = (Session::<Instance>::default(), Rand64::new(3));
-    // Hits that wait for their forward: when it ends, the line without its sidecar's number, and the sidecar.
-    let mut due: Vec<(u64, String)> = Vec::new();
-    let mut alarms: Vec<(u64, String)> = Vec::new();
-    let mut tries: HashMap<(String, String), u64> = HashMap::new();
+    let (mut session, mut random) = (Session::<Instance>::default(), Rand64::new(3));
+    // Input lines to send later, with the time at which they are due, in nanoseconds.
+    let mut due_lines: Vec<(u64, String)> = Vec::new();
+    let mut due_timers: Vec<(u64, String)> = Vec::new();
+    let mut attempts: HashMap<(String, String), u64> = HashMap::new();
     for turn in 0..1_500u64 {
         let now = 9 * S + turn * 4 * MS;
         let mut lines = vec![format!(
@@ -29,8 +29,8 @@
         )];
         if turn == 700 {
             lines.push(r#"{"verb":"POWER_OFF","sidecar":1}"#.to_string());
-            alarms.retain(|(_, line)| !line.contains("\"sidecar\":1"));
-            due.retain(|(_, line)| !line.contains("\"sidecar\":1"));
+            due_timers.retain(|(_, line)| !line.contains("\"sidecar\":1"));
+            due_lines.retain(|(_, line)| !line.contains("\"sidecar\":1"));
         }
         for sidecar in (0..2).filter(|sidecar| turn == 0 || turn == 800 && *sidecar == 1) {
             lines.push(format!(
@@ -38,7 +38,7 @@
                 5 + turn
             ));
         }
-        let up = |sidecar: u64| sidecar == 0 || !(700..=800).contains(&turn);
+        let is_running = |sidecar: u64| sidecar == 0 || !(700..=800).contains(&turn);
         if turn % 100 == 1 {
             let pod = |n: u64| {
                 let (build, az) = (1 + n / 4, if n.is_multiple_of(2) { "east" } else { "west" });
@@ -57,7 +57,7 @@
                 r#"{{"verb":"LIST","bank":0,"records":[{}]}}"#,
                 pods.join(",")
             ));
-            for sidecar in (0..2).filter(|sidecar| up(*sidecar)) {
+            for sidecar in (0..2).filter(|sidecar| is_running(*sidecar)) {
                 lines.push(format!(
                     r#"{{"verb":"ROSTER_CHANGE","sidecar":{sidecar},"how":"full","bank":0}}"#
                 ));
@@ -66,7 +66,7 @@
                 ));
             }
         }
-        for list in [&mut due, &mut alarms] {
+        for list in [&mut due_lines, &mut due_timers] {
             let ready: Vec<String> = list
                 .iter()
                 .filter(|(at, _)| *at <= now)
@@ -75,7 +75,7 @@
             list.retain(|(at, _)| *at > now);
             lines.extend(ready);
         }
-        for sidecar in (0..2).filter(|sidecar| up(*sidecar) && turn > 1) {
+        for sidecar in (0..2).filter(|sidecar| is_running(*sidecar) && turn > 1) {
             lines.push(format!(
                 r#"{{"verb":"KNOCK","sidecar":{sidecar},"opId":"h{turn}","grade":"read","graceNs":900000000,"entity":"e{}"}}"#,
                 turn % 7
@@ -86,37 +86,37 @@
         for (n, line) in lines.iter().enumerate() {
             input += line;
             input.push('\n');
-            if let Some(turn) = wire
+            if let Some(turn) = session
                 .line(Line::read(n as u64, line.as_bytes()).unwrap())
                 .unwrap()
             {
-                wire.reply(turn, &mut answer).unwrap();
+                session.reply(turn, &mut answer).unwrap();
             }
         }
         for line in String::from_utf8(answer.clone()).unwrap().lines() {
-            let said: serde_json::Value = serde_json::from_str(line).unwrap();
-            let sidecar = &said["sidecar"];
-            match said["verb"].as_str().unwrap() {
+            let action: serde_json::Value = serde_json::from_str(line).unwrap();
+            let sidecar = &action["sidecar"];
+            match action["verb"].as_str().unwrap() {
                 "ATTEMPT" => {
-                    let took = chance.rand_range(10..90) * MS;
-                    let bad = said["pod"].as_str().unwrap() > "p3" && chance.rand_range(0..3) == 0;
-                    let (ending, over) = if bad { (301, false) } else { (100, true) };
-                    let hit = &said["opId"];
-                    let tries = tries.entry((sidecar.to_string(), hit.to_string())).or_insert(0u64);
-                    *tries += 1;
-                    let tries = *tries - 1;
-                    due.push((now + took, format!(
-                        r#"{{"verb":"RETURNED","sidecar":{sidecar},"opId":{hit},"trial":{tries},"pod":{},"ending":{ending},"latencyNs":{took},"over":{over}}}"#,
-                        said["pod"]
+                    let took = random.rand_range(10..90) * MS;
+                    let is_failed = action["pod"].as_str().unwrap() > "p3" && random.rand_range(0..3) == 0;
+                    let (ending, over) = if is_failed { (301, false) } else { (100, true) };
+                    let request = &action["opId"];
+                    let count = attempts.entry((sidecar.to_string(), request.to_string())).or_insert(0u64);
+                    *count += 1;
+                    let attempt = *count - 1;
+                    due_lines.push((now + took, format!(
+                        r#"{{"verb":"RETURNED","sidecar":{sidecar},"opId":{request},"trial":{attempt},"pod":{},"ending":{ending},"latencyNs":{took},"over":{over}}}"#,
+                        action["pod"]
                     )));
                 }
-                "TIMER" => alarms.push((now + said["fromNowNs"].as_u64().unwrap(), format!(
+                "TIMER" => due_timers.push((now + action["fromNowNs"].as_u64().unwrap(), format!(
                     r#"{{"verb":"ALARM","sidecar":{sidecar},"keyBack":{}}}"#,
-                    said["keyBack"]
+                    action["keyBack"]
                 ))),
-                "VERDICT" => due.push((now + 20 * MS, format!(
+                "VERDICT" => due_lines.push((now + 20 * MS, format!(
                     r#"{{"verb":"ROLLOUT_STATE","sidecar":{sidecar},"ending":100,"release":2,"wave":1,"sense":{},"standing":0,"limitShare":0.5}}"#,
-                    said["sense"]
+                    action["sense"]
                 ))),
                 _ => {}
             }
@@ -128,10 +128,10 @@
 }
 
 #[test]
-fn a_day_on_the_pipes_plays_identically() {
+fn a_converted_bench_run_replays_without_a_difference() {
     let (input, output) = pipes();
     let sources = from_adapter::sources(input.as_bytes()).unwrap();
-    assert_eq!(sources.len(), 3, "two, and one that came back");
+    assert_eq!(sources.len(), 3, "two instances, and one that restarted");
     let mut bytes = Vec::new();
     from_adapter::write(
         input.as_bytes(),
@@ -140,40 +140,40 @@
         &mut bytes,
     )
     .unwrap();
-    let (played, damage) = replay::replay(vec![open(&bytes)]).unwrap();
+    let (outcomes, damage) = replay::replay(vec![open(&bytes)]).unwrap();
     assert!(damage.is_none());
-    for (name, outcome) in &played {
+    for (name, outcome) in &outcomes {
         assert!(
             outcome.first_difference.is_none(),
             "{name}: {:?}",
             outcome.first_difference
         );
     }
-    let requests: u64 = played.iter().map(|(_, outcome)| outcome.requests).sum();
-    let compared: u64 = played.iter().map(|(_, outcome)| outcome.compared).sum();
+    let requests: u64 = outcomes.iter().map(|(_, outcome)| outcome.requests).sum();
+    let compared: u64 = outcomes.iter().map(|(_, outcome)| outcome.compared).sum();
     assert!(
         requests == 2_895 && compared > 4_000,
         "{requests} {compared}"
     );
-    // An answer that the adapter did not give is found.
-    let other = output.replacen("\"patienceNs\":", "\"patienceNs\":1", 1);
+    // A changed answer of the adapter is reported as a difference.
+    let changed = output.replacen("\"patienceNs\":", "\"patienceNs\":1", 1);
     let mut bytes = Vec::new();
     from_adapter::write(
         input.as_bytes(),
-        other.as_bytes(),
+        changed.as_bytes(),
         sources.clone(),
         &mut bytes,
     )
     .unwrap();
-    let (played, _) = replay::replay(vec![open(&bytes)]).unwrap();
-    assert!(played
+    let (outcomes, _) = replay::replay(vec![open(&bytes)]).unwrap();
+    assert!(outcomes
         .iter()
         .any(|(_, outcome)| outcome.first_difference.is_some()));
-    // Pipes that do not belong together.
-    let short: String = output
+    // An output that ends too early is rejected.
+    let truncated: String = output
         .lines()
         .take(100)
         .fold(String::new(), |text, line| text + line + "\n");
-    let ends = from_adapter::write(input.as_bytes(), short.as_bytes(), sources, Vec::new());
-    assert!(matches!(ends, Err(TraceError::Unusable(why)) if why.contains("batch")));
+    let result = from_adapter::write(input.as_bytes(), truncated.as_bytes(), sources, Vec::new());
+    assert!(matches!(result, Err(TraceError::Unusable(message)) if message.contains("batch")));
 }
--- a/crates/trace/tests/stored.rs
+++ b/crates/trace/tests/stored.rs
@@ -1,10 +1,11 @@
-//! A trace that the release build of 0.2.0 recorded before any name in the code changed reads, shows and plays the same.
+//! A trace that the release build of 0.2.0 recorded, before any name in the code changed, is read, exported and
+//! replayed with the same results.
 
 use havenplank_trace::{replay, show, Reader};
 use std::io::Cursor;
 
-/// One sidecar of a day of seven seconds: a bad build on trial that is voted back. The process was killed at the end of
-/// the day, so the file has no index.
+/// One sidecar in an emulated run of seven seconds: a bad build on trial is rolled back by votes. The process was
+/// killed at the end of the run, so the file has no index.
 const TRACE: &[u8] = include_bytes!("fixtures/sidecar-1.hpt");
 /// What `trace export` of that build printed for [`TRACE`], compressed.
 const EXPORTED: &[u8] = include_bytes!("fixtures/sidecar-1.jsonl.zst");
@@ -24,7 +25,7 @@
 #[test]
 fn the_head_of_a_stored_trace_reads_and_is_written_with_the_same_bytes() {
     let mut head = open().head;
-    // Without an index the reader sets the end of what it found; the file states none.
+    // For a file without an index the reader sets the end of the records; the stored head has none.
     head.sources[0].records_end = u64::MAX;
     let written = serde_json::to_vec(&head).expect("a head is JSON");
     let stored = TRACE
@@ -44,7 +45,7 @@
 }
 
 #[test]
-fn the_json_view_of_a_stored_trace_is_the_text_that_was_printed_then() {
+fn the_json_view_of_a_stored_trace_equals_the_text_that_version_0_2_0_printed() {
     let (mut reader, text) = (open(), exported());
     let mut printed = text.lines();
     let mut count = 0;
@@ -54,7 +55,7 @@
         count += 1;
     }
     assert_eq!((count, printed.next()), (RECORDS, None));
-    let has = |what: &str| text.contains(&format!("\"{what}\""));
+    let has = |key: &str| text.contains(&format!("\"{key}\""));
     assert!(
         ["vote", "voted", "bounce", "error", "wake", "news", "may_go"]
             .into_iter()
@@ -64,9 +65,9 @@
 
 #[test]
 fn a_replay_of_a_stored_trace_takes_the_same_decisions() {
-    let (mut played, damage) = replay::replay(vec![open()]).expect("it plays");
-    assert!(damage.is_none() && played.len() == 1);
-    let (name, outcome) = played.remove(0);
+    let (mut outcomes, damage) = replay::replay(vec![open()]).expect("a replay");
+    assert!(damage.is_none() && outcomes.len() == 1);
+    let (name, outcome) = outcomes.remove(0);
     assert_eq!(
         (name.as_str(), &outcome.first_difference, outcome.stopped_at),
         ("sidecar-1", &None, None)
--- a/crates/trace/tests/tools.rs
+++ b/crates/trace/tests/tools.rs
@@ -1,4 +1,4 @@
-//! Cut, merge, anonymise, summarise and replay on recorded lives.
+//! Tests of cut, merge, anonymise, summarise and replay on recorded runs.
 
 mod common;
 
@@ -12,13 +12,15 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::io::Cursor;
 
+/// Replays the files of one run, which must not be damaged.
 fn replayed(files: &[Vec<u8>]) -> replay::Outcome {
     let readers = files.iter().map(|file| open(file)).collect();
-    let (mut played, damage) = replay::replay(readers).unwrap();
-    assert!(damage.is_none() && played.len() == 1);
-    played.remove(0).1
+    let (mut outcomes, damage) = replay::replay(readers).unwrap();
+    assert!(damage.is_none() && outcomes.len() == 1);
+    outcomes.remove(0).1
 }
 
+/// Returns a copy of a file with each record changed by `change`, which gets the number of the record.
 fn rewritten(file: &[u8], change: impl Fn(usize, &mut Record)) -> Vec<u8> {
     let head = open(file).head;
     let mut writer = Writer::new(Vec::new(), &head, Vec::new()).unwrap();
@@ -30,7 +32,7 @@
 }
 
 #[test]
-fn a_replay_does_the_same_and_names_the_first_difference() {
+fn replays_without_a_difference_and_reports_the_first_changed_decision() {
     let run = SidecarRun::new("sidecar-0", 7, 8 * S);
     let file = file(&run);
     let same = replayed(std::slice::from_ref(&file));
@@ -39,9 +41,9 @@
         "{same:?}"
     );
     assert!(same.requests == 1_600 && same.compared > 4_000, "{same:?}");
-    // What was recorded is found out where it is not what is done.
+    // A changed effect in the file is reported.
     let records = all(&file);
-    let nth = records
+    let changed = records
         .iter()
         .position(|r| {
             matches!(
@@ -50,55 +52,51 @@
             )
         })
         .unwrap();
-    let other = rewritten(&file, |n, record| {
-        if let (
-            true,
-            Payload::Effect(Effect::SendAttempt {
-                timeout: time_out, ..
-            }),
-        ) = (n == nth, &mut record.payload)
+    let altered = rewritten(&file, |n, record| {
+        if let (true, Payload::Effect(Effect::SendAttempt { timeout, .. })) =
+            (n == changed, &mut record.payload)
         {
-            *time_out += 1;
+            *timeout += 1;
         }
     });
     assert_eq!(
-        replayed(&[other])
+        replayed(&[altered])
             .first_difference
             .map(|differs| differs.record),
-        Some(nth as u64)
+        Some(changed as u64)
     );
-    // So is another constant in what decides.
+    // So is a difference that comes from another exposure cap in the settings.
     let mut reader = open(&file);
     reader.head.sources[0].settings.exposure.caps[0] = 0.3;
-    let (played, _) = replay::replay(vec![reader]).unwrap();
-    assert!(played[0].1.first_difference.is_some());
-    // And an effect that was left out at the end.
+    let (outcomes, _) = replay::replay(vec![reader]).unwrap();
+    assert!(outcomes[0].1.first_difference.is_some());
+    // So is an effect that is missing at the end.
     let last = records
         .iter()
         .rposition(|r| matches!(r.payload, Payload::Effect(_)))
         .unwrap();
     let mut writer = Writer::new(Vec::new(), &open(&file).head, Vec::new()).unwrap();
-    let short = records
+    let shortened = records
         .into_iter()
         .enumerate()
         .filter(|(n, _)| *n != last)
         .map(|(_, record)| record);
-    short.for_each(|record| writer.put(record).unwrap());
+    shortened.for_each(|record| writer.put(record).unwrap());
     assert!(replayed(&[writer.finish().unwrap()])
         .first_difference
         .is_some());
 }
 
 #[test]
-fn parts_play_in_order_and_a_cut_beginning_plays_to_its_end() {
+fn replays_parts_in_order_and_a_cut_to_its_end() {
     let mut run = SidecarRun::new("sidecar-0", 3, 6 * S);
     run.limits.file_age = 2 * S;
     let parts = files(&run);
     assert!(parts.len() >= 3, "{}", parts.len());
-    let whole = replayed(&parts);
+    let all_parts = replayed(&parts);
     assert!(
-        whole.first_difference.is_none() && whole.requests == 1_200,
-        "{whole:?}"
+        all_parts.first_difference.is_none() && all_parts.requests == 1_200,
+        "{all_parts:?}"
     );
     let later = replay::replay(vec![open(&parts[1])]);
     assert!(matches!(later, Err(TraceError::Unusable(_))));
@@ -106,42 +104,42 @@
     assert!(matches!(order, Err(TraceError::Unusable(_))));
     let mut beginning = Vec::new();
     cut::cut(&mut open(&parts[0]), &mut beginning, EPOCH, EPOCH + S).unwrap();
-    let played = replayed(&[beginning]);
+    let outcomes = replayed(&[beginning]);
     assert!(
-        played.first_difference.is_none()
-            && played.requests == 200
-            && played.stopped_at >= Some(EPOCH + S),
-        "{played:?}"
+        outcomes.first_difference.is_none()
+            && outcomes.requests == 200
+            && outcomes.stopped_at >= Some(EPOCH + S),
+        "{outcomes:?}"
     );
 }
 
 #[test]
-fn a_cut_holds_whole_hits_and_all_else_of_its_time() {
+fn cuts_complete_requests_and_all_other_records_of_the_time() {
     let file = file(&SidecarRun::new("sidecar-0", 5, 6 * S));
     let (from, to) = (EPOCH + 2 * S, EPOCH + 4 * S);
     let mut bytes = Vec::new();
     let mut reader = open(&file);
     let blocks = reader.index.len();
-    let (made, damage) = cut::cut(&mut reader, &mut bytes, from, to).unwrap();
+    let (cut, damage) = cut::cut(&mut reader, &mut bytes, from, to).unwrap();
     assert!(
-        damage.is_none() && made.blocks < blocks && made.unfinished == 0,
-        "{made:?} of {blocks}"
+        damage.is_none() && cut.blocks < blocks && cut.unfinished == 0,
+        "{cut:?} of {blocks}"
     );
     let requests: HashSet<u64> = all(&file)
         .iter()
         .filter(|record| record.is_arrival() && (from..to).contains(&record.at))
         .filter_map(Record::request_id)
         .collect();
-    let wanted: Vec<Record> = all(&file)
+    let expected: Vec<Record> = all(&file)
         .into_iter()
         .filter(|record| match record.request_id() {
             Some(hit) => requests.contains(&hit),
             None => (from..to).contains(&record.at),
         })
         .collect();
-    assert_eq!(requests.len() as u64, made.requests);
-    assert_eq!(all(&bytes), wanted);
-    // The stage in force comes with it though its news came before.
+    assert_eq!(requests.len() as u64, cut.requests);
+    assert_eq!(all(&bytes), expected);
+    // The cut has the stage in force although the stage began before the cut.
     assert!(open(&bytes).record().unwrap().is_some());
     let mut reader = open(&bytes);
     reader.record().unwrap();
@@ -153,23 +151,23 @@
 }
 
 #[test]
-fn twenty_sidecars_with_clocks_apart_merge_in_order() {
-    let mut chance = Rand64::new(11);
+fn merges_twenty_sidecars_with_different_clocks_in_order() {
+    let mut random = Rand64::new(11);
     let mut runs: Vec<SidecarRun> = (0..20)
         .map(|n| {
             let mut run = SidecarRun::new(&format!("sidecar-{n}"), 100 + n, 12 * S);
-            run.skew = chance.rand_range(0..6_000_000_000) as i64 - 3_000_000_000;
-            run.drift = (chance.rand_float() - 0.5) * 4e-4;
-            run.notice = 40 * MS;
+            run.skew = random.rand_range(0..6_000_000_000) as i64 - 3_000_000_000;
+            run.drift = (random.rand_float() - 0.5) * 4e-4;
+            run.max_notice_delay = 40 * MS;
             run
         })
         .collect();
-    // One restarts in the middle, on the same clock; another has the very same times as the first.
-    runs[4].lasts = 5 * S;
+    // One sidecar restarts in the middle on the same clock; another one has the same times as the first.
+    runs[4].duration = 5 * S;
     runs.push(SidecarRun {
         seed: 900,
-        starts: 6 * S,
-        lasts: 6 * S,
+        start: 6 * S,
+        duration: 6 * S,
         ..runs[4].clone()
     });
     runs.push(SidecarRun {
@@ -188,21 +186,28 @@
     let merged = all(&bytes);
     assert!(merged.windows(2).all(|two| two[0].at <= two[1].at));
     for (n, file) in files.iter().enumerate() {
-        let of = |record: &Record| {
+        let content = |record: &Record| {
             (
                 record.engine_time,
                 record.payload.clone(),
                 record.pod.clone(),
             )
         };
-        let (own, there): (Vec<_>, Vec<_>) = (
-            all(file).iter().map(of).collect(),
-            merged.iter().filter(|r| r.source == n).map(of).collect(),
+        let (recorded, found): (Vec<_>, Vec<_>) = (
+            all(file).iter().map(content).collect(),
+            merged
+                .iter()
+                .filter(|r| r.source == n)
+                .map(content)
+                .collect(),
+        );
+        assert!(
+            recorded == found,
+            "source {n}: the merged file has other records or another order"
         );
-        assert!(own == there, "source {n} keeps its records and their order");
     }
-    // What all were told at once now lies as close as the telling took.
-    let mut heard: HashMap<(u64, u64, u64), (Nanos, Nanos)> = HashMap::new();
+    // After the merge, a shared event is spread over no more than the delays with which the sidecars received it.
+    let mut received: HashMap<(u64, u64, u64), (Nanos, Nanos)> = HashMap::new();
     for record in merged.iter() {
         if let Payload::Event(Event::EndpointsListed {
             complete: false,
@@ -215,41 +220,41 @@
                 pods[0].incarnation,
                 pods[0].state as u64,
             );
-            let (first, last) = heard.entry(key).or_insert((record.at, record.at));
+            let (first, last) = received.entry(key).or_insert((record.at, record.at));
             (*first, *last) = ((*first).min(record.at), (*last).max(record.at));
         }
     }
-    let widest = heard
+    let widest = received
         .values()
         .map(|(first, last)| last - first)
         .max()
         .unwrap();
     assert!(
-        heard.len() > 25 && widest < 90 * MS,
+        received.len() > 25 && widest < 90 * MS,
         "{} events, {widest} ns",
-        heard.len()
+        received.len()
     );
-    let base = clocks.iter().position(|clock| clock.offset == 0).unwrap();
+    let reference = clocks.iter().position(|clock| clock.offset == 0).unwrap();
     for (clock, run) in clocks.iter().zip(&runs) {
         assert!(
-            (run.skew - runs[base].skew + clock.offset).abs() < 60_000_000,
+            (run.skew - runs[reference].skew + clock.offset).abs() < 60_000_000,
             "{clock:?}"
         );
     }
-    // It plays as its parts do, each source by itself.
-    let (played, _) = replay::replay(vec![open(&bytes)]).unwrap();
+    // Each source of the merged file replays without a difference.
+    let (outcomes, _) = replay::replay(vec![open(&bytes)]).unwrap();
     assert!(
-        played.len() == 22
-            && played
+        outcomes.len() == 22
+            && outcomes
                 .iter()
                 .all(|(_, outcome)| outcome.first_difference.is_none())
     );
-    // Parts of a life out of order are refused.
+    // Parts of an incarnation out of order are rejected.
     let wrong = merge::merge(vec![open(&files[0]), open(&files[0])], Vec::new());
     assert!(matches!(wrong, Err(TraceError::Unusable(_))));
 }
 
-/// Everything that a file says, unpacked: its greeting and each block's body.
+/// Returns all content of a file, uncompressed: the head, the body of each block, and the records as text.
 fn unpacked(bytes: &[u8]) -> Vec<u8> {
     let mut reader = open(bytes);
     let mut text = serde_json::to_vec(&reader.head).unwrap();
@@ -266,7 +271,7 @@
 }
 
 #[test]
-fn anonymised_traces_hold_no_name_and_play_the_same() {
+fn anonymised_traces_contain_no_name_and_replay_the_same() {
     let mut run = SidecarRun::new("Frontdoor-Krakow-1", 21, 6 * S);
     run.skew = 5;
     let file = file(&run);
@@ -299,8 +304,9 @@
                 }
             }
             Payload::Event(Event::RequestArrived {
-                attributes: asked, ..
-            }) => drop(keys.insert(asked.key)),
+                attributes: arrived,
+                ..
+            }) => drop(keys.insert(arrived.key)),
             Payload::Effect(Effect::Log(text)) => drop(names.insert(text)),
             _ => {}
         }
@@ -316,18 +322,16 @@
     assert!(names.len() > 30, "{names:?}");
     assert_eq!(found(&file).len(), names.len());
     assert_eq!(found(&bytes), Vec::<String>::new());
-    let veiled: HashSet<u64> = all(&bytes)
+    let pseudonym_keys: HashSet<u64> = all(&bytes)
         .into_iter()
         .filter_map(|record| match record.payload {
-            Payload::Event(Event::RequestArrived {
-                attributes: asked, ..
-            }) => Some(asked.key),
+            Payload::Event(Event::RequestArrived { attributes, .. }) => Some(attributes.key),
             _ => None,
         })
         .collect();
     assert!(
-        veiled.len() == keys.len() && veiled.is_disjoint(&keys),
-        "one stand-in for each key"
+        pseudonym_keys.len() == keys.len() && pseudonym_keys.is_disjoint(&keys),
+        "one pseudonym for each key"
     );
     let (before, after) = (
         replayed(std::slice::from_ref(&file)),
@@ -337,21 +341,22 @@
         after.first_difference.is_none() && after == before,
         "{after:?}"
     );
-    // Nothing of a name's length shows; another key gives other stand-ins, the same key the same.
-    let stand_ins = |bytes: &[u8]| -> Vec<String> {
+    // The pseudonyms do not show the length of a name. The same key gives the same pseudonyms, another key gives
+    // others.
+    let pseudonyms = |bytes: &[u8]| -> Vec<String> {
         all(bytes)
             .into_iter()
             .filter_map(|record| Some(record.pod?.name.clone()))
             .collect()
     };
-    let first = stand_ins(&bytes);
+    let first = pseudonyms(&bytes);
     assert!(first.iter().all(|name| name.len() == first[0].len()));
-    let again = |key| {
+    let pseudonyms_with = |key| {
         let mut bytes = Vec::new();
         anonymise::anonymise(&mut open(&file), &mut bytes, key).unwrap();
-        stand_ins(&bytes)
+        pseudonyms(&bytes)
     };
-    assert!(again([9; 32]) == first && again([8; 32]) != first);
+    assert!(pseudonyms_with([9; 32]) == first && pseudonyms_with([8; 32]) != first);
     assert_eq!(
         Reader::open(Cursor::new(bytes)).unwrap().head.sources[0]
             .settings
@@ -362,7 +367,7 @@
 }
 
 #[test]
-fn a_summary_counts_what_was_recorded() {
+fn a_summary_counts_the_recorded_requests_attempts_and_votes() {
     let file = file(&SidecarRun::new("sidecar-0", 5, 6 * S));
     let (summary, damage) = summary::summarise(&mut open(&file), Some(S)).unwrap();
     let records = all(&file);
@@ -374,9 +379,9 @@
         damage.is_none() && summary.requests == 1_200 && summary.records == records.len() as u64
     );
     assert_eq!(sum(|f| f.requests) + summary.unfinished, 1_200);
-    let delivered = count(&|what| {
+    let delivered = count(&|payload| {
         matches!(
-            what,
+            payload,
             Payload::Event(Event::AttemptEnded {
                 delivered: true,
                 ..
@@ -386,15 +391,15 @@
     assert!(sum(|f| f.delivered) == delivered && delivered > 1_000);
     assert_eq!(
         sum(|f| f.rejected),
-        count(&|what| matches!(what, Payload::Effect(Effect::Reject { .. })))
+        count(&|payload| matches!(payload, Payload::Effect(Effect::Reject { .. })))
     );
     assert_eq!(
         sum(|f| f.failed),
-        count(&|what| matches!(what, Payload::Effect(Effect::Fail { .. })))
+        count(&|payload| matches!(payload, Payload::Effect(Effect::Fail { .. })))
     );
-    let errors = count(&|what| {
+    let errors = count(&|payload| {
         matches!(
-            what,
+            payload,
             Payload::Event(Event::AttemptEnded {
                 end: AttemptEnd::Failed,
                 ..
