--- a/crates/trace/src/cut.rs
+++ b/crates/trace/src/cut.rs
@@ -2,7 +2,7 @@
 
 use crate::file::{Reader, TraceError, Writer};
 use crate::record::{Head, Record};
-use crate::request_timelines::{longest_request, RequestTimelines};
+use crate::request_timelines::{max_request_duration, RequestTimelines};
 use havenplank::interface::Nanos;
 use std::io::{Read, Seek, Write};
 
@@ -37,7 +37,7 @@
     let mut cutter = Cutter {
         from,
         to,
-        end: to.saturating_add(2 * longest_request(&head.sources)),
+        end: to.saturating_add(2 * max_request_duration(&head.sources)),
         timelines: RequestTimelines::new(&head.sources),
         cut: Cut::default(),
     };
--- a/crates/trace/src/from_adapter.rs
+++ b/crates/trace/src/from_adapter.rs
@@ -46,8 +46,11 @@
     next_request: RequestId,
     /// The last id of a vote or health check: an engine numbers both with one counter.
     call_count: u64,
+    /// Ids of the votes without a reply, in the order in which they were cast.
     pending_votes: VecDeque<u64>,
+    /// Ids of the health checks without a result, by pod, in the order in which they were sent.
     pending_checks: HashMap<PodId, VecDeque<u64>>,
+    /// Events that were not written to the trace yet.
     events: Vec<Event>,
 }
 
@@ -68,11 +71,13 @@
         }
     }
 
+    /// Returns the id of a new vote or health check.
     fn next_call_id(&mut self) -> u64 {
         self.call_count += 1;
         self.call_count
     }
 
+    /// Removes a request that is answered and has no attempts in flight.
     fn remove_if_finished(&mut self, name: &str) {
         if self
             .requests
--- a/crates/trace/src/merge/clocks.rs
+++ b/crates/trace/src/merge/clocks.rs
@@ -37,8 +37,8 @@
 
 impl Clock {
     /// Returns the corrected time of a time on the source's wall clock, in nanoseconds since 1970.
-    pub(super) fn at(&self, wall: i128) -> i128 {
-        wall + self.offset as i128 + ((wall - self.from) as f64 * self.drift) as i128
+    pub(super) fn corrected(&self, wall_time: i128) -> i128 {
+        wall_time + self.offset as i128 + ((wall_time - self.from) as f64 * self.drift) as i128
     }
 
     fn correct(&mut self, correction: &Correction, events: usize) {
@@ -71,7 +71,7 @@
             clocks[source].correct(&correction, 0);
         }
         for (event, own) in &received[source] {
-            let at = clocks[source].at(*own);
+            let at = clocks[source].corrected(*own);
             aligned.entry(*event).or_default().push(at);
         }
     }
--- a/crates/trace/src/merge/mod.rs
+++ b/crates/trace/src/merge/mod.rs
@@ -175,7 +175,7 @@
         if let Some(record) = &mut self.next {
             record.source = self.indices[record.source];
             let own_wall_time = wall_time(&sources[record.source], record.engine_time);
-            let at = clocks[record.source].at(own_wall_time);
+            let at = clocks[record.source].corrected(own_wall_time);
             let last = &mut self.last[record.source];
             *last = Nanos::try_from(at).unwrap_or(0).max(*last);
             record.at = *last;
--- a/crates/trace/src/record.rs
+++ b/crates/trace/src/record.rs
@@ -57,7 +57,7 @@
 pub struct StageInForce {
     /// Index of the source in the head.
     pub source: usize,
-    /// When the source received it, in nanoseconds on the file's clock.
+    /// When the source received the stage, in nanoseconds on the file's clock.
     pub at: Nanos,
     /// The stage.
     pub stage: Stage,
--- a/crates/trace/src/recorder.rs
+++ b/crates/trace/src/recorder.rs
@@ -106,6 +106,7 @@
         Ok(files)
     }
 
+    /// Deletes the oldest files, but not the open one, until the total size is within the limit.
     fn delete_oldest(&self) -> io::Result<()> {
         let files = self.list_files()?;
         let mut total: u64 = files.iter().map(|(_, bytes)| bytes).sum();
@@ -245,6 +246,8 @@
             && !self.omitted_ranges.iter().any(is_omitted)
     }
 
+    /// Decides, when a request arrives, whether new requests are omitted: from half of the queue on, until the queue is
+    /// less than a quarter full.
     fn request_arrived(&mut self, now: Nanos, request: RequestId) {
         let max_duration = self.max_request_duration;
         while self
@@ -282,6 +285,7 @@
         }
     }
 
+    /// Returns the latest snapshot of a listed pod.
     fn snapshot(&self, pod: Option<PodId>) -> Option<Arc<PodSnapshot>> {
         self.pod_snapshots.get(pod?)?.clone()
     }
@@ -313,6 +317,8 @@
         }
     }
 
+    /// Sends the open block to the writing thread, or counts its records as lost where the queue has no room for it.
+    /// The new block begins with the count of lost records, if there are any.
     fn close_block(&mut self, now: Nanos) {
         let block = std::mem::replace(
             &mut self.block,
@@ -394,6 +400,7 @@
     fn drop(&mut self) {
         let now = self.block.last;
         self.close_block(now);
+        // The new block has a record if records were lost.
         if self.block.records > 0 {
             self.close_block(now);
         }
@@ -440,6 +447,7 @@
         }
     }
 
+    /// Writes a block, and creates or closes its file where needed.
     fn write_block(&mut self, block: &BlockEncoder) -> Result<(), TraceError> {
         let (writer, first) = match &mut self.open {
             Some(open) => open,
--- a/crates/trace/src/replay.rs
+++ b/crates/trace/src/replay.rs
@@ -261,10 +261,10 @@
     let mut incarnations: Vec<Incarnation> = Vec::new();
     let mut damage = None;
     for mut reader in readers {
-        let of_sources = find_or_start(&mut incarnations, &reader)?;
-        damage = replay_file(&mut incarnations, &of_sources, &mut reader);
+        let incarnation_indices = find_or_start(&mut incarnations, &reader)?;
+        damage = replay_file(&mut incarnations, &incarnation_indices, &mut reader);
         let is_closed = reader.index_error.is_none() && damage.is_none();
-        for index in of_sources {
+        for index in incarnation_indices {
             incarnations[index].is_closed = is_closed;
         }
         if damage.is_some() {
@@ -315,13 +315,13 @@
 /// Replays the records of one file; returns the damage that ended it, if there is any.
 fn replay_file<R: Read + Seek>(
     incarnations: &mut [Incarnation],
-    of_sources: &[usize],
+    incarnation_indices: &[usize],
     reader: &mut Reader<R>,
 ) -> Option<TraceError> {
     loop {
         match reader.record() {
             Ok(Some(record)) => {
-                let index = of_sources[record.source];
+                let index = incarnation_indices[record.source];
                 incarnations[index].replay.record(record);
             }
             Ok(None) => return None,
--- a/crates/trace/src/request_timelines.rs
+++ b/crates/trace/src/request_timelines.rs
@@ -98,13 +98,13 @@
 pub struct RequestTimelines {
     open: HashMap<(usize, RequestId), RequestTimeline>,
     /// The longest duration of a request, in nanoseconds.
-    longest_request: Nanos,
+    max_request_duration: Nanos,
     /// Requests that were dropped before their end was read.
     pub truncated: u64,
 }
 
 /// Returns the longest client timeout of any route class of the sources, in nanoseconds.
-pub fn longest_request(sources: &[Source]) -> Nanos {
+pub fn max_request_duration(sources: &[Source]) -> Nanos {
     let classes = sources
         .iter()
         .flat_map(|source| &source.settings.route_classes);
@@ -118,7 +118,7 @@
     /// Creates an empty set of timelines for the sources of a file.
     pub fn new(sources: &[Source]) -> RequestTimelines {
         RequestTimelines {
-            longest_request: longest_request(sources),
+            max_request_duration: max_request_duration(sources),
             ..RequestTimelines::default()
         }
     }
@@ -193,9 +193,9 @@
     /// older half.
     fn drop_oldest(&mut self, now: Nanos) {
         let before = self.open.len();
-        let longest = self.longest_request;
+        let max_duration = self.max_request_duration;
         self.open
-            .retain(|_, timeline| now.saturating_sub(timeline.arrived_at) <= 2 * longest);
+            .retain(|_, timeline| now.saturating_sub(timeline.arrived_at) <= 2 * max_duration);
         if self.open.len() >= MAX_IN_FLIGHT {
             let mut arrived_at: Vec<Nanos> = self
                 .open
