--- a/crates/capacity/tests/tables.rs
+++ b/crates/capacity/tests/tables.rs
@@ -164,7 +164,7 @@
     );
     for text in [
         "path_group(...) is record 16385",
-        "16384 at most",
+        "expected at most 16384 records",
         "paths = [...]",
     ] {
         assert!(problem.found.contains(text), "{problem} lacks {text:?}");
--- a/crates/trace/src/record.rs
+++ b/crates/trace/src/record.rs
@@ -1,4 +1,4 @@
-//! What a trace holds: records, and the head that describes their sources.
+//! The content of a trace: records, and the head that describes their sources.
 
 use havenplank::interface::{Build, Nanos, PodId, RequestId, Stage};
 use havenplank_sidecar::engine::{Effect, EngineSettings};
@@ -6,103 +6,113 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// One event that a sidecar's engine received, or one effect that it asked for.
+/// One event that a sidecar's engine received, or one effect that the engine requested.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Record {
-    /// Time in nanoseconds on the file's clock: the engine's own in a file of one source, since 1970 in merged files.
+    /// Time in nanoseconds on the file's clock: the clock of the engine in the file of one source, nanoseconds since
+    /// 1970 in a merged file.
     pub at: Nanos,
-    /// Time in nanoseconds on the engine's own clock.
-    pub own: Nanos,
+    /// Time in nanoseconds on the engine's clock.
+    pub engine_time: Nanos,
     /// Index of the source in the head.
     pub source: usize,
-    /// The payload.
-    pub what: What,
-    /// The pod that it names, as the pod was then.
+    /// The event, the effect, or the count of lost records.
+    pub payload: Payload,
+    /// The pod that the record names, in its state at that time.
     pub pod: Option<Arc<PodSnapshot>>,
 }
 
 /// The payload of a record.
 #[derive(Clone, Debug, PartialEq)]
-pub enum What {
-    /// What the engine received.
+pub enum Payload {
+    /// An event that the engine received.
     Event(Event),
-    /// What the engine asked for.
+    /// An effect that the engine requested.
     Effect(Effect),
-    /// Records missing since the last payload of this kind. Where `records` is not 0, requests that began before and
-    /// whose end does not follow have lost records.
+    /// The number of records that are missing since the previous payload of this kind. Where `records` is not 0, a
+    /// request that began before this record and whose end does not follow it has lost records.
     Lost {
-        /// Requests that were left out with all their records.
-        hits: u64,
-        /// Other records.
+        /// Requests that the recorder omitted with all their records.
+        requests: u64,
+        /// Other lost records.
         records: u64,
     },
 }
 
-/// A pod as it was when a record named it.
+/// The state of a pod at the time when a record named it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PodSnapshot {
-    /// Its id in the engine of the source.
+    /// The pod's id in the engine of the source.
     pub pod: PodId,
-    /// The build that it ran.
+    /// The build that the pod ran.
     pub build: Build,
-    /// Its name in service discovery.
+    /// The pod's name in service discovery.
     pub name: String,
-    /// The zone that it ran in.
+    /// The zone that the pod ran in.
     pub zone: String,
 }
 
-/// The stage in force at a source, and since when.
+/// The stage in force at a source, and the time since which it is in force.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct StageInForce {
     /// Index of the source in the head.
     pub source: usize,
-    /// When the source received it, in nanoseconds on the file's clock.
+    /// When the source received the stage, in nanoseconds on the file's clock.
     pub at: Nanos,
     /// The stage.
     pub stage: Stage,
 }
 
-/// One incarnation of one sidecar: from its start to its end.
+/// One incarnation of one sidecar: one process from its start to its end.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Source {
-    /// The settings of its engine.
-    pub terms: EngineSettings,
-    /// Seed of the engine's random numbers.
+    /// The settings of the engine.
+    #[serde(rename = "terms")]
+    pub settings: EngineSettings,
+    /// The seed of the engine's random numbers.
     pub seed: u64,
-    /// The incarnation's number, which no other has: parts with the same one belong together.
-    pub life: u64,
-    /// Number of the file among those of the incarnation, from 0.
+    /// The unique id of the incarnation. Files (parts) with the same sidecar name and the same id continue each other.
+    #[serde(rename = "life")]
+    pub incarnation: u64,
+    /// The position of this file among the files of the incarnation, counted from 0.
     pub part: u64,
-    /// Time on the engine's clock when the engine was made, in nanoseconds.
-    pub began: Nanos,
-    /// Nanoseconds since 1970 when the engine was made.
-    pub wall: Nanos,
-    /// Share of the requests that were recorded, 0 to 1.
-    pub share: f64,
-    /// Whether nothing is missing between the first and the last record but what [`What::Lost`] counts.
-    pub whole: bool,
-    /// Time on the engine's clock, in nanoseconds, from which records are missing, as the trace was cut.
-    #[serde(default = "never")]
-    pub until: Nanos,
+    /// Time on the engine's clock at which the engine was created, in nanoseconds.
+    #[serde(rename = "began")]
+    pub engine_start: Nanos,
+    /// Wall clock time at which the engine was created, in nanoseconds since 1970.
+    #[serde(rename = "wall")]
+    pub wall_start: Nanos,
+    /// The share of the requests that were recorded, 0 to 1.
+    #[serde(rename = "share")]
+    pub sample_share: f64,
+    /// Whether the file holds all records between the first and the last one, except those that [`Payload::Lost`]
+    /// counts.
+    #[serde(rename = "whole")]
+    pub is_complete: bool,
+    /// Time on the engine's clock, in nanoseconds, from which on records are missing because the trace was cut or not
+    /// closed; `Nanos::MAX` where none are missing.
+    #[serde(rename = "until", default = "no_end")]
+    pub records_end: Nanos,
 }
 
-fn never() -> Nanos {
+fn no_end() -> Nanos {
     Nanos::MAX
 }
 
 /// The head of a file.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Head {
-    /// Name and version of the program that wrote it.
+    /// Name and version of the program that wrote the file.
     pub program: String,
-    /// Hash of all sources' settings, as 16 hexadecimal digits.
-    pub settings: String,
+    /// The hash of all sources' settings, as 16 hexadecimal digits.
+    #[serde(rename = "settings")]
+    pub settings_hash: String,
     /// Whether names and log texts are pseudonyms.
     pub anonymised: bool,
-    /// Whether times are nanoseconds since 1970 in place of the engine's own.
+    /// Whether the times of records are nanoseconds since 1970; they are times of the engine's clock in other files.
     #[serde(default)]
     pub merged: bool,
-    /// The sources, which records name by their index.
+    /// The sources of the records; a record refers to its source by the index in this list.
     pub sources: Vec<Source>,
 }
 
@@ -111,15 +121,15 @@
     pub fn new(sources: Vec<Source>) -> Head {
         let mut hash = blake3::Hasher::new();
         for source in &sources {
-            let settings = serde_json::to_vec(&source.terms).unwrap_or_default();
+            let settings = serde_json::to_vec(&source.settings).unwrap_or_default();
             hash.update(&(settings.len() as u64).to_le_bytes())
                 .update(&settings);
         }
-        let settings = hash.finalize().to_hex()[..16].to_string();
+        let settings_hash = hash.finalize().to_hex()[..16].to_string();
         let program = concat!("havenplank ", env!("CARGO_PKG_VERSION")).to_string();
         Head {
             program,
-            settings,
+            settings_hash,
             anonymised: false,
             merged: false,
             sources,
@@ -127,19 +137,21 @@
     }
 
     /// Converts nanoseconds since 1970 to the file's clock.
-    pub fn clock(&self, wall: Nanos) -> Nanos {
+    pub fn file_time(&self, wall_time: Nanos) -> Nanos {
         match self.sources.first().filter(|_| !self.merged) {
             Some(source) => source
-                .began
-                .saturating_add(wall.saturating_sub(source.wall)),
-            None => wall,
+                .engine_start
+                .saturating_add(wall_time.saturating_sub(source.wall_start)),
+            None => wall_time,
         }
     }
 
     /// Converts nanoseconds on the file's clock to nanoseconds since 1970.
-    pub fn wall(&self, at: Nanos) -> Nanos {
+    pub fn wall_time(&self, at: Nanos) -> Nanos {
         match self.sources.first().filter(|_| !self.merged) {
-            Some(source) => source.wall.saturating_add(at.saturating_sub(source.began)),
+            Some(source) => source
+                .wall_start
+                .saturating_add(at.saturating_sub(source.engine_start)),
             None => at,
         }
     }
@@ -147,16 +159,16 @@
 
 impl Record {
     /// Returns the request that the record belongs to, if it belongs to one.
-    pub fn hit(&self) -> Option<RequestId> {
-        match &self.what {
-            What::Event(
+    pub fn request_id(&self) -> Option<RequestId> {
+        match &self.payload {
+            Payload::Event(
                 Event::RequestArrived { request, .. }
                 | Event::RequestResumed { request, .. }
                 | Event::SendPermission { request, .. }
                 | Event::AttemptEnded { request, .. }
                 | Event::ClientLeft { request },
             )
-            | What::Effect(
+            | Payload::Effect(
                 Effect::SendAttempt { request, .. }
                 | Effect::CancelAttempt { request, .. }
                 | Effect::Reject { request, .. }
@@ -167,40 +179,40 @@
     }
 
     /// Whether a request arrives with this record.
-    pub fn begins_hit(&self) -> bool {
-        matches!(self.what, What::Event(Event::RequestArrived { .. }))
+    pub fn is_arrival(&self) -> bool {
+        matches!(self.payload, Payload::Event(Event::RequestArrived { .. }))
     }
 
-    /// Whether this record is the first of a request: its arrival, or its resumption in front of it.
-    pub fn opens_hit(&self) -> bool {
-        self.begins_hit() || matches!(self.what, What::Event(Event::RequestResumed { .. }))
+    /// Whether this record is the first of a request: its arrival, or the resumption that comes before the arrival.
+    pub fn begins_request(&self) -> bool {
+        self.is_arrival() || matches!(self.payload, Payload::Event(Event::RequestResumed { .. }))
     }
 
     /// Returns the id of the pod that the record names, if it names one.
-    pub fn pod_index(&self) -> Option<PodId> {
-        match &self.what {
-            What::Effect(Effect::SendAttempt { pod, .. } | Effect::HealthCheck { pod, .. }) => {
+    pub fn pod_id(&self) -> Option<PodId> {
+        match &self.payload {
+            Payload::Effect(Effect::SendAttempt { pod, .. } | Effect::HealthCheck { pod, .. }) => {
                 Some(*pod)
             }
-            What::Event(Event::FaultReported { pod, .. }) => Some(*pod),
+            Payload::Event(Event::FaultReported { pod, .. }) => Some(*pod),
             _ => None,
         }
     }
 
-    /// Returns the stage that the record brings, if it brings one.
+    /// Returns the stage that the record announces, if it announces one.
     pub fn stage(&self) -> Option<Stage> {
-        match &self.what {
-            What::Event(Event::StageChanged(stage)) => Some(*stage),
-            What::Event(Event::VoteAnswered { reply, .. }) => reply.stage,
+        match &self.payload {
+            Payload::Event(Event::StageChanged(stage)) => Some(*stage),
+            Payload::Event(Event::VoteAnswered { reply, .. }) => reply.stage,
             _ => None,
         }
     }
 
-    /// Whether other sidecars receive the same event at about the same time.
+    /// Whether other sidecars receive the same event at about the same time: endpoint lists and stage changes.
     pub fn is_shared(&self) -> bool {
         matches!(
-            self.what,
-            What::Event(Event::EndpointsListed { .. } | Event::StageChanged(_))
+            self.payload,
+            Payload::Event(Event::EndpointsListed { .. } | Event::StageChanged(_))
         )
     }
 }
--- a/crates/trace/src/replay.rs
+++ b/crates/trace/src/replay.rs
@@ -1,46 +1,47 @@
-//! Replays recorded events through an engine and compares every decision, record by record.
+//! Replays recorded events through an engine and compares every decision with the recorded one.
 
 use crate::file::{Reader, TraceError};
-use crate::record::{Record, Source, What};
+use crate::record::{Payload, Record, Source};
 use havenplank::interface::Nanos;
 use havenplank_sidecar::engine::{Effect, Engine, EngineSettings};
 use havenplank_sidecar::events::Event;
 use std::collections::HashMap;
 use std::io::{Read, Seek};
 
-/// Different log texts of an anonymised trace that are remembered; past that the comparison begins anew.
-const MAX_TEXTS: usize = 1 << 16;
+/// The number of log texts of an anonymised trace whose pseudonyms are remembered; at this number all are forgotten and
+/// collected again.
+const MAX_PSEUDONYMS: usize = 1 << 16;
 
-/// Longest time between two records, one day: a sidecar's timers fire every few seconds, and the engine would count
-/// each of its windows in a longer one.
+/// The longest time between two records, one day. A sidecar's timers fire every few seconds, so a longer time is an
+/// error, and the engine would iterate over all its windows in that time.
 const MAX_CLOCK_STEP: Nanos = 86_400_000_000_000;
 
 /// The result of a replay.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Outcome {
     /// Requests that arrived.
-    pub hits: u64,
+    pub requests: u64,
     /// Decisions that were compared.
     pub compared: u64,
     /// Records that were replayed.
     pub records: u64,
-    /// The first decision that differs, if one does.
-    pub differs: Option<Difference>,
-    /// Time on the source's clock, in nanoseconds, from which records are missing; the replay ends there.
-    pub stopped: Option<Nanos>,
+    /// The first decision that differs from the recorded one, if any.
+    pub first_difference: Option<Difference>,
+    /// Time on the source's clock, in nanoseconds, from which on records are missing; the replay ended there.
+    pub stopped_at: Option<Nanos>,
 }
 
 /// The first decision that differs from the recorded one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Difference {
-    /// Counted from 0 over the records of this source.
+    /// The number of the record, counted from 0 over the records of this source.
     pub record: u64,
     /// Time on the source's clock, in nanoseconds.
     pub at: Nanos,
-    /// What was recorded.
+    /// The recorded decision.
     pub recorded: String,
-    /// What the engine did now.
-    pub now: String,
+    /// The decision of the engine in the replay.
+    pub replayed: String,
 }
 
 /// Replays one source.
@@ -48,29 +49,29 @@
     engine: Engine,
     route_classes: usize,
     source: usize,
-    until: Nanos,
-    /// Pseudonyms by log text, of an anonymised trace.
+    records_end: Nanos,
+    /// Pseudonyms by log text, for an anonymised trace.
     pseudonyms: Option<HashMap<String, String>>,
-    last: Nanos,
+    last_time: Nanos,
     /// The result so far.
     pub outcome: Outcome,
 }
 
 impl Replay {
-    /// Starts an engine with the source's settings; `number` is the source's index in its file.
+    /// Creates an engine with the source's settings; `number` is the source's index in its file.
     ///
     /// # Errors
-    /// A source that cannot be replayed: sampled, cut, or without its beginning.
+    /// The source cannot be replayed: it is a sample, it lacks its beginning, or its settings are not valid.
     pub fn new(source: &Source, number: usize, anonymised: bool) -> Result<Replay, TraceError> {
-        let name = &source.terms.name;
-        if source.part != 0 || !source.whole {
-            let why = if source.share < 1.0 {
-                "holds a sample of hits"
+        let name = &source.settings.name;
+        if source.part != 0 || !source.is_complete {
+            let message = if source.sample_share < 1.0 {
+                "holds only a sample of the requests"
             } else {
-                "does not hold the beginning"
+                "lacks the beginning"
             };
-            let why = format!("{name}: cannot be played again, as the trace {why}");
-            return Err(TraceError::Unfit(why));
+            let message = format!("{name}: cannot be replayed, because the trace {message}");
+            return Err(TraceError::Unusable(message));
         }
         let EngineSettings {
             route_classes,
@@ -78,52 +79,52 @@
             position,
             zones,
             ..
-        } = &source.terms;
+        } = &source.settings;
         let is_complete =
             !route_classes.is_empty() && !exposure.caps.is_empty() && exposure.window > 0;
         if !is_complete || position.instances == 0 || position.zone >= zones.len() {
-            return Err(TraceError::Unfit(format!(
-                "{name}: the greeting's terms are no sidecar's settings"
+            return Err(TraceError::Unusable(format!(
+                "{name}: the settings in the head are not valid settings of a sidecar"
             )));
         }
         Ok(Replay {
             route_classes: route_classes.len(),
-            engine: Engine::new(source.began, source.seed, &source.terms),
+            engine: Engine::new(source.engine_start, source.seed, &source.settings),
             source: number,
-            until: source.until,
+            records_end: source.records_end,
             pseudonyms: anonymised.then(Default::default),
-            last: source.began,
+            last_time: source.engine_start,
             outcome: Outcome::default(),
         })
     }
 
     /// Whether the replay has ended, by a difference or by missing records.
     pub fn is_over(&self) -> bool {
-        self.outcome.differs.is_some() || self.outcome.stopped.is_some()
+        self.outcome.first_difference.is_some() || self.outcome.stopped_at.is_some()
     }
 
     fn compare(
         &mut self,
         at: Nanos,
         recorded: impl std::fmt::Debug + PartialEq,
-        now: impl std::fmt::Debug,
+        replayed: impl std::fmt::Debug,
         same: bool,
     ) {
         self.outcome.compared += 1;
         if !same {
-            let (recorded, now) = (format!("{recorded:?}"), format!("{now:?}"));
+            let (recorded, replayed) = (format!("{recorded:?}"), format!("{replayed:?}"));
             let record = self.outcome.records;
-            self.outcome.differs = Some(Difference {
+            self.outcome.first_difference = Some(Difference {
                 record,
                 at,
                 recorded,
-                now,
+                replayed,
             });
         }
     }
 
-    /// Whether an event names only what these settings have: a file may hold anything.
-    fn fits(&self, event: &Event) -> bool {
+    /// Whether the route classes and pods that an event names exist: a file may hold any number.
+    fn is_valid(&self, event: &Event) -> bool {
         match event {
             Event::RequestArrived { attributes, .. } => attributes.route_class < self.route_classes,
             Event::TallyReported(tally) => tally.class < self.route_classes,
@@ -139,33 +140,33 @@
         if record.source != self.source || self.is_over() {
             return;
         }
-        let at = record.own;
-        if at < self.last || at - self.last > MAX_CLOCK_STEP {
-            let problem = "a clock that goes back or stands still for a day";
+        let at = record.engine_time;
+        if at < self.last_time || at - self.last_time > MAX_CLOCK_STEP {
+            let problem = "the time goes back or advances by more than a day";
             self.compare(at, record, problem, false);
             return;
         }
-        self.last = at;
-        if at >= self.until {
-            self.outcome.stopped = Some(at);
+        self.last_time = at;
+        if at >= self.records_end {
+            self.outcome.stopped_at = Some(at);
             return;
         }
-        match record.what {
-            What::Event(event) => self.event(at, event),
-            What::Effect(effect) => self.effect(at, effect),
-            What::Lost { .. } => self.outcome.stopped = Some(at),
+        match record.payload {
+            Payload::Event(event) => self.event(at, event),
+            Payload::Effect(effect) => self.effect(at, effect),
+            Payload::Lost { .. } => self.outcome.stopped_at = Some(at),
         }
         self.outcome.records += 1;
     }
 
     /// Passes an event to the engine and compares what the engine returns.
     fn event(&mut self, at: Nanos, event: Event) {
-        if !self.fits(&event) {
-            self.compare(at, event, "no such path group or pod", false);
+        if !self.is_valid(&event) {
+            self.compare(at, event, "no such route class or pod", false);
             return;
         }
         if matches!(event, Event::RequestArrived { .. }) {
-            self.outcome.hits += 1;
+            self.outcome.requests += 1;
         }
         match event {
             Event::EndpointsListed {
@@ -173,9 +174,9 @@
                 pods,
                 pod_ids,
             } => {
-                let now = self.engine.update_endpoints(at, complete, pods);
-                let is_same = pod_ids == now;
-                self.compare(at, pod_ids, now, is_same);
+                let replayed = self.engine.update_endpoints(at, complete, pods);
+                let is_same = pod_ids == replayed;
+                self.compare(at, pod_ids, replayed, is_same);
             }
             Event::SendPermission {
                 allowed: recorded, ..
@@ -184,8 +185,8 @@
                 delivered: recorded,
                 ..
             } => {
-                let now = self.engine.replay(at, event.clone());
-                self.compare(at, event, now, Some(recorded) == now);
+                let replayed = self.engine.replay(at, event.clone());
+                self.compare(at, event, replayed, Some(recorded) == replayed);
             }
             _ => {
                 self.engine.replay(at, event);
@@ -193,75 +194,77 @@
         }
     }
 
-    /// Compares an effect with the one that the engine asks for next.
+    /// Compares a recorded effect with the next one that the engine requests.
     fn effect(&mut self, at: Nanos, effect: Effect) {
-        let now = self.engine.next_effect();
-        let is_same = now
+        let replayed = self.engine.next_effect();
+        let is_same = replayed
             .as_ref()
-            .is_some_and(|now| self.is_same_effect(&effect, now));
-        self.compare(at, effect, now, is_same);
+            .is_some_and(|replayed| self.is_same_effect(&effect, replayed));
+        self.compare(at, effect, replayed, is_same);
     }
 
-    /// Whether two effects are the same; pseudonyms of log texts are where they stand for the same text.
-    fn is_same_effect(&mut self, recorded: &Effect, now: &Effect) -> bool {
-        if let (Some(pseudonyms), Effect::Log(recorded), Effect::Log(now)) =
-            (&mut self.pseudonyms, recorded, now)
+    /// Whether two effects are the same. In an anonymised trace, log texts are the same where equal texts have equal
+    /// pseudonyms.
+    fn is_same_effect(&mut self, recorded: &Effect, replayed: &Effect) -> bool {
+        if let (Some(pseudonyms), Effect::Log(recorded), Effect::Log(replayed)) =
+            (&mut self.pseudonyms, recorded, replayed)
         {
-            if pseudonyms.len() >= MAX_TEXTS {
+            if pseudonyms.len() >= MAX_PSEUDONYMS {
                 pseudonyms.clear();
             }
             return pseudonyms
-                .entry(now.clone())
+                .entry(replayed.clone())
                 .or_insert_with(|| recorded.clone())
                 == recorded;
         }
-        recorded == now
+        recorded == replayed
     }
 
-    /// Goes on with the next part, in whose file the source has this index and until this time all records.
-    pub fn goes_on(&mut self, source: usize, until: Nanos) {
-        (self.source, self.until) = (source, until);
+    /// Continues with the next part. `source` is the index of the source in the file of the part; `records_end` is the
+    /// time from which on its records are missing.
+    pub fn continue_with(&mut self, source: usize, records_end: Nanos) {
+        (self.source, self.records_end) = (source, records_end);
     }
 
-    /// Ends the replay. Where the trace was closed, an effect that the engine still has is a difference, too.
-    pub fn finish(mut self, closed: bool) -> Outcome {
-        let at = self.last;
-        if closed && self.until == Nanos::MAX && !self.is_over() {
-            if let Some(more) = self.engine.next_effect() {
-                self.compare(at, "nothing more", more, false);
+    /// Ends the replay. Where the trace was closed, an effect that the engine still requests is a difference as well.
+    pub fn finish(mut self, is_closed: bool) -> Outcome {
+        let at = self.last_time;
+        if is_closed && self.records_end == Nanos::MAX && !self.is_over() {
+            if let Some(effect) = self.engine.next_effect() {
+                self.compare(at, "no further effect", effect, false);
             }
         }
         self.outcome
     }
 }
 
-/// The result of replaying files: name and outcome of each source, and where a file is damaged.
-pub type Played = (Vec<(String, Outcome)>, Option<TraceError>);
+/// The result of replaying files: the name and the outcome of each source, and the damage that ended the replay.
+pub type ReplayResult = (Vec<(String, Outcome)>, Option<TraceError>);
 
-/// One process of a sidecar, whose parts may be in several files.
+/// One process of a sidecar, whose records may be in several files, the parts.
 struct Incarnation {
     id: u64,
     name: String,
     /// The part that was replayed last.
     part: u64,
-    /// Whether the file of that part was closed by its writer.
+    /// Whether the writer closed the file of that part.
     is_closed: bool,
     replay: Replay,
 }
 
-/// Replays all sources of all files, the parts of an incarnation in order. Holds a block, and an engine for each
-/// source.
+/// Replays all sources of all files, the parts of an incarnation in order. Keeps one block and an engine for each
+/// source in memory.
 ///
 /// # Errors
-/// A source that cannot be replayed, or parts out of order.
-pub fn replay<R: Read + Seek>(readers: Vec<Reader<R>>) -> Result<Played, TraceError> {
+/// A source cannot be replayed, or the parts are not in order.
+pub fn replay<R: Read + Seek>(readers: Vec<Reader<R>>) -> Result<ReplayResult, TraceError> {
     let mut incarnations: Vec<Incarnation> = Vec::new();
     let mut damage = None;
     for mut reader in readers {
-        let of_sources = find_or_start(&mut incarnations, &reader)?;
-        damage = replay_file(&mut incarnations, &of_sources, &mut reader);
-        let is_closed = reader.rebuilt.is_none() && damage.is_none();
-        for index in of_sources {
+        let incarnation_indices = find_or_start(&mut incarnations, &reader)?;
+        damage = replay_file(&mut incarnations, &incarnation_indices, &mut reader);
+        let is_closed = reader.index_error.is_none() && damage.is_none();
+        for index in incarnation_indices {
             incarnations[index].is_closed = is_closed;
         }
         if damage.is_some() {
@@ -275,28 +278,31 @@
     Ok((outcomes.collect(), damage))
 }
 
-/// Returns for each source of a file the index of its incarnation, which begins here or goes on from the part before.
+/// Returns for each source of a file the index of its incarnation, which starts with this part or continues an
+/// earlier one.
 fn find_or_start<R: Read + Seek>(
     incarnations: &mut Vec<Incarnation>,
     reader: &Reader<R>,
 ) -> Result<Vec<usize>, TraceError> {
     let mut indices = Vec::new();
     for (number, source) in reader.head.sources.iter().enumerate() {
-        let name = &source.terms.name;
+        let name = &source.settings.name;
         let known = incarnations
             .iter()
-            .position(|known| known.id == source.life && known.name == *name)
+            .position(|known| known.id == source.incarnation && known.name == *name)
             .filter(|index| incarnations[*index].part + 1 == source.part);
         if let Some(index) = known {
             incarnations[index].part += 1;
-            incarnations[index].replay.goes_on(number, source.until);
+            incarnations[index]
+                .replay
+                .continue_with(number, source.records_end);
             indices.push(index);
             continue;
         }
         let replay = Replay::new(source, number, reader.head.anonymised)?;
         indices.push(incarnations.len());
         incarnations.push(Incarnation {
-            id: source.life,
+            id: source.incarnation,
             name: name.clone(),
             part: source.part,
             is_closed: false,
@@ -306,16 +312,16 @@
     Ok(indices)
 }
 
-/// Replays the records of one file; returns the damage at which it ends, if there is any.
+/// Replays the records of one file; returns the damage that ended it, if there is any.
 fn replay_file<R: Read + Seek>(
     incarnations: &mut [Incarnation],
-    of_sources: &[usize],
+    incarnation_indices: &[usize],
     reader: &mut Reader<R>,
 ) -> Option<TraceError> {
     loop {
         match reader.record() {
             Ok(Some(record)) => {
-                let index = of_sources[record.source];
+                let index = incarnation_indices[record.source];
                 incarnations[index].replay.record(record);
             }
             Ok(None) => return None,
--- a/crates/trace/src/request_timelines.rs
+++ b/crates/trace/src/request_timelines.rs
@@ -1,13 +1,14 @@
 //! Request timelines: the records of each request joined from its arrival to its end.
 
-use crate::record::{PodSnapshot, Record, Source, What};
+use crate::record::{Payload, PodSnapshot, Record, Source};
 use havenplank::interface::{AttemptEnd, Nanos, RequestId, RouteClassId};
 use havenplank_sidecar::engine::Effect;
 use havenplank_sidecar::events::Event;
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// Requests in flight that are followed at once. Past it, those that should have ended long ago are dropped.
+/// Requests in flight that are tracked at the same time. At this number, requests that should have ended long ago are
+/// dropped.
 const MAX_IN_FLIGHT: usize = 1 << 20;
 
 /// How a request was answered.
@@ -19,35 +20,35 @@
     Rejected,
     /// The sidecar answered with an error.
     Failed,
-    /// The client left before it had an answer.
+    /// The client disconnected before it had an answer.
     ClientLeft,
 }
 
 /// One attempt of a request.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// The pod that it was sent to.
+    /// The pod that the attempt was sent to.
     pub pod: Option<Arc<PodSnapshot>>,
-    /// When it was sent, in nanoseconds.
+    /// When the attempt was sent, in nanoseconds.
     pub sent: Nanos,
-    /// How it ended, and when in nanoseconds; `None` while it is in flight.
+    /// How and when the attempt ended, in nanoseconds; `None` while it is in flight.
     pub end: Option<(AttemptEnd, Nanos)>,
 }
 
-/// What is known of one request.
+/// The attempts and the answer of one request.
 #[derive(Clone, Debug)]
 pub struct RequestTimeline {
-    /// Index of its source in the head.
+    /// Index of the source in the head.
     pub source: usize,
-    /// Its id, unique within the source.
+    /// The request's id, unique within the source.
     pub request: RequestId,
-    /// Its route class, an index into the source's settings.
+    /// The request's route class, an index into the source's settings.
     pub route_class: RouteClassId,
-    /// When it arrived, in nanoseconds.
-    pub began: Nanos,
-    /// Its attempts in the order in which they were sent.
+    /// When the request arrived, in nanoseconds.
+    pub arrived_at: Nanos,
+    /// The attempts in the order in which they were sent.
     pub attempts: Vec<Attempt>,
-    /// How it was answered, and when in nanoseconds.
+    /// How and when the request was answered, in nanoseconds.
     pub answer: Option<(Answer, Nanos)>,
     /// Index of the attempt whose answer was delivered.
     pub delivered_by: Option<usize>,
@@ -60,21 +61,21 @@
 
     fn record(&mut self, record: &Record) {
         let at = record.at;
-        match &record.what {
-            What::Effect(Effect::SendAttempt { .. }) => self.attempts.push(Attempt {
+        match &record.payload {
+            Payload::Effect(Effect::SendAttempt { .. }) => self.attempts.push(Attempt {
                 pod: record.pod.clone(),
                 sent: at,
                 end: None,
             }),
-            What::Event(Event::AttemptEnded {
+            Payload::Event(Event::AttemptEnded {
                 attempt,
                 end,
                 delivered,
                 ..
             }) => self.end_attempt(at, *attempt as usize, *end, *delivered),
-            What::Effect(Effect::Reject { .. }) => self.answer = Some((Answer::Rejected, at)),
-            What::Effect(Effect::Fail { .. }) => self.answer = Some((Answer::Failed, at)),
-            What::Event(Event::ClientLeft { .. }) => {
+            Payload::Effect(Effect::Reject { .. }) => self.answer = Some((Answer::Rejected, at)),
+            Payload::Effect(Effect::Fail { .. }) => self.answer = Some((Answer::Failed, at)),
+            Payload::Event(Event::ClientLeft { .. }) => {
                 self.answer.get_or_insert((Answer::ClientLeft, at));
             }
             _ => {}
@@ -92,21 +93,21 @@
     }
 }
 
-/// The timelines of all requests in flight. A request leaves once it is answered and its attempts have ended.
+/// The timelines of all requests in flight. A request is removed once it is answered and its attempts have ended.
 #[derive(Default)]
 pub struct RequestTimelines {
     open: HashMap<(usize, RequestId), RequestTimeline>,
-    /// Longest that a request may last, in nanoseconds.
-    longest_request: Nanos,
-    /// Requests whose records end before they do.
-    pub torn: u64,
+    /// The longest duration of a request, in nanoseconds.
+    max_request_duration: Nanos,
+    /// Requests that were dropped before their end was read.
+    pub truncated: u64,
 }
 
-/// Returns the longest that a request of any source may last, in nanoseconds.
-pub fn longest_request(sources: &[Source]) -> Nanos {
+/// Returns the longest client timeout of any route class of the sources, in nanoseconds.
+pub fn max_request_duration(sources: &[Source]) -> Nanos {
     let classes = sources
         .iter()
-        .flat_map(|source| &source.terms.route_classes);
+        .flat_map(|source| &source.settings.route_classes);
     classes
         .map(|(_, class)| class.client_timeout)
         .max()
@@ -114,10 +115,10 @@
 }
 
 impl RequestTimelines {
-    /// Returns no timelines yet, for the sources of a file.
+    /// Creates an empty set of timelines for the sources of a file.
     pub fn new(sources: &[Source]) -> RequestTimelines {
         RequestTimelines {
-            longest_request: longest_request(sources),
+            max_request_duration: max_request_duration(sources),
             ..RequestTimelines::default()
         }
     }
@@ -137,14 +138,15 @@
         self.open.len()
     }
 
-    /// Adds a record; returns the timeline of the request that it ended, if it did. Times are the file's.
+    /// Adds a record; returns the timeline of the request that ends with it, if one does. Times are on the file's
+    /// clock.
     pub fn record(&mut self, record: &Record) -> Option<RequestTimeline> {
-        match &record.what {
-            What::Lost { records: 1.., .. } => {
+        match &record.payload {
+            Payload::Lost { records: 1.., .. } => {
                 self.drop_source(record.source);
                 None
             }
-            What::Event(Event::RequestArrived {
+            Payload::Event(Event::RequestArrived {
                 request,
                 attributes,
             }) => {
@@ -152,7 +154,7 @@
                 None
             }
             _ => {
-                let key = (record.source, record.hit()?);
+                let key = (record.source, record.request_id()?);
                 let timeline = self.open.get_mut(&key)?;
                 timeline.record(record);
                 if timeline.is_over() {
@@ -164,11 +166,11 @@
         }
     }
 
-    /// Drops the requests in flight of a source that lost records: their end may be among these.
+    /// Drops the requests in flight of a source that lost records: their ends may be among the lost records.
     fn drop_source(&mut self, source: usize) {
         let before = self.open.len();
         self.open.retain(|(of, _), _| *of != source);
-        self.torn += (before - self.open.len()) as u64;
+        self.truncated += (before - self.open.len()) as u64;
     }
 
     fn begin(&mut self, record: &Record, request: RequestId, route_class: RouteClassId) {
@@ -179,7 +181,7 @@
             source: record.source,
             request,
             route_class,
-            began: record.at,
+            arrived_at: record.at,
             attempts: Vec::new(),
             answer: None,
             delivered_by: None,
@@ -187,18 +189,23 @@
         self.open.insert((record.source, request), timeline);
     }
 
-    /// Drops requests that should have ended long ago, and the older half where that leaves too many.
+    /// Drops the requests that began more than twice the longest duration ago; where too many remain, also drops the
+    /// older half.
     fn drop_oldest(&mut self, now: Nanos) {
         let before = self.open.len();
-        let longest = self.longest_request;
+        let max_duration = self.max_request_duration;
         self.open
-            .retain(|_, timeline| now.saturating_sub(timeline.began) <= 2 * longest);
+            .retain(|_, timeline| now.saturating_sub(timeline.arrived_at) <= 2 * max_duration);
         if self.open.len() >= MAX_IN_FLIGHT {
-            let mut began: Vec<Nanos> = self.open.values().map(|timeline| timeline.began).collect();
-            let middle = began.len() / 2;
-            let median = *began.select_nth_unstable(middle).1;
-            self.open.retain(|_, timeline| timeline.began > median);
+            let mut arrived_at: Vec<Nanos> = self
+                .open
+                .values()
+                .map(|timeline| timeline.arrived_at)
+                .collect();
+            let middle = arrived_at.len() / 2;
+            let median = *arrived_at.select_nth_unstable(middle).1;
+            self.open.retain(|_, timeline| timeline.arrived_at > median);
         }
-        self.torn += (before - self.open.len()) as u64;
+        self.truncated += (before - self.open.len()) as u64;
     }
 }
--- a/crates/trace/src/summary/figures.rs
+++ b/crates/trace/src/summary/figures.rs
@@ -1,4 +1,4 @@
-//! Counts of requests and attempts, and the words for them.
+//! Counts of requests and attempts, and the names of attempt ends and votes in outputs.
 
 use crate::request_timelines::{Answer, RequestTimeline};
 use havenplank::interface::{AttemptEnd, Nanos, Vote};
@@ -6,28 +6,29 @@
 use std::collections::BTreeMap;
 
 const NANOS_PER_MICRO: Nanos = 1_000;
-/// Ten minutes, past which latencies count as this one.
+/// Ten minutes; a longer latency is counted as this one.
 const MAX_LATENCY_US: u64 = 600_000_000;
+/// Significant decimal digits of a latency in the histogram.
 const LATENCY_DIGITS: u8 = 3;
 
 /// Counts of requests and attempts.
 #[derive(Clone, Debug)]
 pub struct Figures {
     /// Requests.
-    pub hits: u64,
-    /// Requests with an answer of a pod.
+    pub requests: u64,
+    /// Requests that were answered by a pod.
     pub delivered: u64,
     /// Delivered requests within their latency objective.
     pub in_time: u64,
     /// Requests that the sidecar rejected.
-    pub bounced: u64,
-    /// Requests that ended with an error.
-    pub errored: u64,
-    /// Requests whose client left before an answer.
-    pub left: u64,
-    /// Attempts by how they ended; those without an end are not counted.
-    pub forwards: BTreeMap<&'static str, u64>,
-    /// Time from arrival to delivery, in microseconds, to three digits.
+    pub rejected: u64,
+    /// Requests that the sidecar answered with an error.
+    pub failed: u64,
+    /// Requests whose client disconnected before an answer.
+    pub client_left: u64,
+    /// Attempts by their end; attempts in flight are not counted.
+    pub attempts: BTreeMap<&'static str, u64>,
+    /// Time from arrival to delivery, in microseconds, to three significant digits.
     pub latency: Option<Histogram<u32>>,
 }
 
@@ -38,13 +39,13 @@
             latency.auto(true);
         }
         Figures {
-            hits: 0,
+            requests: 0,
             delivered: 0,
             in_time: 0,
-            bounced: 0,
-            errored: 0,
-            left: 0,
-            forwards: BTreeMap::new(),
+            rejected: 0,
+            failed: 0,
+            client_left: 0,
+            attempts: BTreeMap::new(),
             latency,
         }
     }
@@ -53,11 +54,11 @@
 impl Figures {
     /// Counts a request; `target` is its latency objective in nanoseconds.
     pub(super) fn count_request(&mut self, timeline: &RequestTimeline, target: Nanos) {
-        self.hits += 1;
+        self.requests += 1;
         let Some((answer, at)) = timeline.answer else {
             return;
         };
-        let took = at.saturating_sub(timeline.began);
+        let took = at.saturating_sub(timeline.arrived_at);
         match answer {
             Answer::Delivered => {
                 self.delivered += 1;
@@ -66,15 +67,15 @@
                     latency.saturating_record(took / NANOS_PER_MICRO);
                 }
             }
-            Answer::Rejected => self.bounced += 1,
-            Answer::Failed => self.errored += 1,
-            Answer::ClientLeft => self.left += 1,
+            Answer::Rejected => self.rejected += 1,
+            Answer::Failed => self.failed += 1,
+            Answer::ClientLeft => self.client_left += 1,
         }
     }
 
-    /// Counts an attempt.
+    /// Counts an attempt that has ended.
     pub(super) fn count_attempt(&mut self, end: AttemptEnd) {
-        *self.forwards.entry(ended(end)).or_default() += 1;
+        *self.attempts.entry(attempt_end_name(end)).or_default() += 1;
     }
 
     /// Returns a quantile of the time to delivery, in milliseconds; 0 where nothing was delivered.
@@ -86,8 +87,8 @@
     }
 }
 
-/// Returns the word for an attempt's end in summaries and in the JSON view.
-pub fn ended(end: AttemptEnd) -> &'static str {
+/// Returns the name of an attempt's end in summaries and in the JSON view.
+pub fn attempt_end_name(end: AttemptEnd) -> &'static str {
     match end {
         AttemptEnd::Served => "delivered",
         AttemptEnd::Failed => "error",
@@ -100,9 +101,9 @@
     }
 }
 
-/// Returns the word for a vote in summaries and in the JSON view.
-pub fn vote_name(voice: Vote) -> &'static str {
-    match voice {
+/// Returns the name of a vote in summaries and in the JSON view.
+pub fn vote_name(vote: Vote) -> &'static str {
+    match vote {
         Vote::None => "none",
         Vote::Advance => "on",
         Vote::Hold => "hold",
