--- a/crates/sidecar/src/attempt.rs
+++ b/crates/sidecar/src/attempt.rs
@@ -1,5 +1,5 @@
-//! Runs one attempt: takes a connection, checks once more that the attempt may be sent, exchanges request and response
-//! with the pod, and classifies the response.
+//! Runs one attempt: acquires a connection, checks once more that the attempt may be sent, exchanges request and
+//! response with the pod, and classifies the response.
 
 use crate::body::Body;
 use crate::dispatcher::{AttemptId, AttemptResult};
@@ -53,7 +53,7 @@
     sent: &'a Cell<bool>,
 }
 
-/// A response of a pod whose head has been read.
+/// A response whose head has been read, with the connection that its body arrives on.
 struct Exchange {
     connection: UpstreamConnection,
     response: Response<Incoming>,
--- a/crates/sidecar/src/connection.rs
+++ b/crates/sidecar/src/connection.rs
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Completes when the socket holds no unread request. An HTTP connection that is told to shut down before it has
+    /// Completes when the socket holds no unread request. An HTTP connection whose shutdown starts before it has
     /// read anything closes without reading a request that has already arrived.
     async fn no_unread_request(&self) {
         let unread = || {
--- a/crates/sidecar/src/daemon.rs
+++ b/crates/sidecar/src/daemon.rs
@@ -35,7 +35,7 @@
 const SHUTDOWN_MARGIN: Duration = Duration::from_secs(1);
 /// The shortest period at which idle connections to pods are closed.
 const MIN_SWEEP_PERIOD: Duration = Duration::from_millis(100);
-/// The header that tells pods how long an attempt may take, if the settings name no valid header.
+/// The header in which pods get the time that an attempt may take, if the settings name no valid header.
 const DEFAULT_TIMEOUT_HEADER: HeaderName = HeaderName::from_static("grpc-timeout");
 /// Combined with the seed, so that the two subscriptions draw different random numbers.
 const DISCOVERY_SEED: u64 = 1;
@@ -122,13 +122,13 @@
     Ok(())
 }
 
-/// The lines that the engine asks to send to the two services.
+/// The lines to send to service discovery and to the control plane.
 struct OutgoingLines {
     discovery: mpsc::Receiver<String>,
     control_plane: mpsc::Receiver<String>,
 }
 
-/// A sidecar whose tasks are not started yet.
+/// The parts of a sidecar whose tasks are not started yet.
 struct SidecarParts {
     shell: Rc<Shell>,
     lines: OutgoingLines,
@@ -261,10 +261,10 @@
     clients: tokio::task::JoinHandle<()>,
     /// Set to true when no more clients are to be accepted.
     stopping: watch::Sender<bool>,
-    /// Operators are served until the end: their connections are never told to shut down, and close when this is
+    /// Operators are served until the end: their connections get no shutdown signal, and close when this set is
     /// dropped.
     operators: JoinSet<()>,
-    /// Held so that the connections of operators do not take a dropped sender for a stop.
+    /// Kept alive, because a dropped sender would count as a shutdown signal for the connections of operators.
     _operators_stop: watch::Sender<bool>,
 }
 
--- a/crates/sidecar/src/dispatcher/pending.rs
+++ b/crates/sidecar/src/dispatcher/pending.rs
@@ -38,6 +38,6 @@
     pub(super) request: Rc<T::Request>,
     pub(super) responder: oneshot::Sender<T::Response>,
     /// The tasks of the request's attempts, indexed by attempt number; the engine numbers attempts in the order in
-    /// which it asks for them.
+    /// which it requests them.
     pub(super) attempts: Vec<AttemptTask>,
 }
--- a/crates/sidecar/src/distributor/writer.rs
+++ b/crates/sidecar/src/distributor/writer.rs
@@ -25,10 +25,11 @@
 pub(super) const REPLACE_TIMEOUT: Duration = Duration::from_secs(30);
 /// The newest version counts as found if peers announce no newer one for this time.
 const REPLACE_SETTLE_TIME: Duration = Duration::from_secs(2);
-/// The interval at which the replication is checked for a newer version meanwhile.
+/// The interval at which a writer that replaces another checks for a newer version of the peers.
 const REPLACE_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Holds the newest version received from peers, for a distributor that replaces a writer. A writer receives none.
+/// Holds the newest version received from peers, for a distributor that replaces a writer. A writer itself receives no
+/// versions.
 #[derive(Default)]
 pub(super) struct NewestVersion(RefCell<Option<Snapshot>>);
 
@@ -48,7 +49,7 @@
     epoch: u64,
     replication: Rc<Replication<NewestVersion>>,
     last_round: Option<RoundStatus>,
-    /// The newest version of the peers that was logged as newer than the store.
+    /// The last version of the peers that was logged as newer than the stored one.
     logged_announced: Option<Version>,
 }
 
@@ -150,7 +151,7 @@
         Ok(())
     }
 
-    /// Compiles and publishes the script at each reload signal, and logs the state of the polls; never returns.
+    /// Compiles and publishes the script at each reload signal, and logs the results of polls. Never returns.
     pub(super) async fn run(&mut self, reloads: &mut Signal) {
         let mut reports = interval(REPORT_PERIOD);
         loop {
--- a/crates/sidecar/src/engine/effect.rs
+++ b/crates/sidecar/src/engine/effect.rs
@@ -24,7 +24,7 @@
         /// The attempt's number within its request.
         attempt: u32,
     },
-    /// Send the final response that the request was rejected: it never ran, and a retry is harmless.
+    /// Send the final response that the request was rejected, so that a retry is harmless.
     Reject {
         /// The rejected request.
         request: RequestId,
--- a/crates/sidecar/src/engine/endpoints.rs
+++ b/crates/sidecar/src/engine/endpoints.rs
@@ -6,7 +6,7 @@
 use havenplank_line_protocol::endpoint_list::ListedEndpoint;
 
 impl Engine {
-    /// Applies an endpoint list: a `complete` one replaces the list before it, any other changes it. Returns the index
+    /// Applies an endpoint list: a `complete` one replaces the previous list, any other changes it. Returns the index
     /// of each pod in the list, which is valid as long as the pod is listed or has attempts in flight. The index is
     /// `None` for a pod beyond the limit of the pod registry.
     pub fn update_endpoints(
@@ -37,7 +37,7 @@
         pod_ids
     }
 
-    /// Records that service discovery could not be reached.
+    /// Records that the watch on the endpoint list failed.
     pub fn endpoint_watch_failed(&mut self, now: Nanos) {
         self.advance(now);
         self.observe(|| Event::EndpointWatchFailed);
--- a/crates/sidecar/src/engine/events.rs
+++ b/crates/sidecar/src/engine/events.rs
@@ -16,7 +16,7 @@
     RequestArrived {
         /// The id that the engine gave it.
         request: RequestId,
-        /// The properties of the request that the engine decides by.
+        /// The properties of the request that decisions depend on.
         attributes: RequestAttributes,
     },
     /// The next request to arrive is taken over from another sidecar, which may have sent attempts for it.
@@ -64,9 +64,9 @@
         /// The index of each pod; `None` for a pod beyond the limit of the pod registry.
         pod_ids: Vec<Option<PodId>>,
     },
-    /// Service discovery could not be reached.
+    /// The watch on the endpoint list failed.
     EndpointWatchFailed,
-    /// A release entered another stage.
+    /// The control plane announced the stage of a release.
     StageChanged(Stage),
     /// The control plane replied to a vote.
     VoteAnswered {
@@ -82,7 +82,7 @@
         /// The check's result.
         result: HealthCheckResult,
     },
-    /// The control plane sent the totals that it counted across sidecars.
+    /// The control plane sent its sampled count of the attempts of all sidecars to one build.
     TallyReported(Tally),
     /// A client reported a wrong response.
     FaultReported {
--- a/crates/sidecar/src/engine/host.rs
+++ b/crates/sidecar/src/engine/host.rs
@@ -1,5 +1,5 @@
-//! The engine's implementation of [`Host`], the interface that the router makes its decisions on: requests in flight,
-//! registered pods, timers and the queue of effects.
+//! The engine's implementation of [`Host`], the interface through which the router requests effects. Holds the requests
+//! in flight, the registered pods, the timers and the queue of effects.
 
 use super::effect::Effect;
 use super::request::{AttemptInFlight, InFlightRequest};
--- a/crates/sidecar/src/engine/lookups.rs
+++ b/crates/sidecar/src/engine/lookups.rs
@@ -20,10 +20,10 @@
     pub test_sums: TestSums,
 }
 
-/// Log-likelihood sums of the sequential test.
+/// The sums of log-likelihood ratios of the sequential test.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TestSums {
-    /// The sum over failed requests.
+    /// The sum over failed attempts.
     pub failures: f64,
     /// The sum over slow responses.
     pub slow: f64,
@@ -68,7 +68,7 @@
         requests.map(InFlightRequest::attempts_in_flight).sum()
     }
 
-    /// Returns how many pods the router has examined since the start.
+    /// Returns how many pods the router has visited since the start.
     pub fn visits(&self) -> PodVisits {
         self.router.visits()
     }
--- a/crates/sidecar/src/engine/mod.rs
+++ b/crates/sidecar/src/engine/mod.rs
@@ -28,7 +28,8 @@
 use host::EngineHost;
 
 /// The time at which an engine's clock starts, in nanoseconds. The engine computes start times of pods and stages by
-/// subtracting their ages from the clock; on a clock that starts lower, a start time below 0 would count as long ago.
+/// subtracting their ages from the clock. On a clock that starts near 0 such a time would fall below 0, and the pod or
+/// stage would count as started long ago.
 pub const EPOCH: Nanos = 1 << 50;
 
 /// Makes the decisions of one sidecar. Each method runs to its end without waiting and queues its effects for
@@ -122,8 +123,8 @@
     /// Replaces all routes. Requests in flight end by the rules that they began with.
     ///
     /// Returns the slot of each route, in the same order. The index of a slot is given to another route only after
-    /// every copy of the slot is dropped. A changed route keeps the statistics learnt under its name, because its pods
-    /// respond no differently than before the change.
+    /// every copy of the slot is dropped. A changed route keeps the learnt latencies and the exposure counts of its
+    /// name, because its pods respond no differently than before the change.
     pub fn set_routes(&mut self, now: Nanos, routes: &[(String, RouteClass)]) -> Vec<Slot> {
         self.advance(now);
         let (slots, changes) = self.slots.replace(routes);
@@ -137,7 +138,7 @@
         self.slots.in_force()
     }
 
-    /// Returns the number of slots.
+    /// Returns the numbers of slots, by state.
     pub fn slot_counts(&self) -> SlotCounts {
         self.slots.counts()
     }
--- a/crates/sidecar/src/engine/release.rs
+++ b/crates/sidecar/src/engine/release.rs
@@ -6,7 +6,7 @@
 use havenplank_line_protocol::control_plane::ClassTally;
 
 impl Engine {
-    /// Applies the stage that a release has entered.
+    /// Applies a stage that the control plane announced.
     pub fn update_stage(&mut self, now: Nanos, stage: Stage) {
         self.advance(now);
         self.observe(|| Event::StageChanged(stage));
@@ -27,8 +27,8 @@
         }
     }
 
-    /// Applies the totals that the control plane counted for a build in one route class. Returns false if the route
-    /// class is unknown.
+    /// Applies the control plane's sampled count of the attempts of all sidecars to a build in one route class. Returns
+    /// false if the route class is unknown.
     pub fn update_tally(&mut self, now: Nanos, tally: &ClassTally) -> bool {
         let Some(class) = self.route_class(&tally.class) else {
             return false;
--- a/crates/sidecar/src/engine/request.rs
+++ b/crates/sidecar/src/engine/request.rs
@@ -13,11 +13,11 @@
     pub route_class: RouteClassId,
     /// The index of the tenant that sent it; `None` for an unknown tenant.
     pub tenant: Option<usize>,
-    /// Hash of the key by which pods keep state; 0 for no key.
+    /// Hash of the request's idempotency key; 0 for no key.
     pub key: u64,
     /// Time until its client stops waiting, in nanoseconds.
     pub remaining: Nanos,
-    /// The processing time on a pod that the client states, in nanoseconds.
+    /// The client's estimate of the processing time on a pod, in nanoseconds.
     pub cost_hint: Option<Nanos>,
     /// Whether its client has sent the request before.
     pub is_retry: bool,
@@ -37,7 +37,7 @@
     }
 }
 
-/// An attempt that the engine has asked for and that has not ended.
+/// An attempt that the engine has requested and that has not ended.
 pub(super) struct AttemptInFlight {
     pub(super) pod: PodId,
     /// The pod's endpoint when it was chosen, to detect that the pod has changed since.
@@ -88,7 +88,7 @@
         number
     }
 
-    /// Returns whether the engine ever asked for an attempt with this number.
+    /// Returns whether the engine ever requested an attempt with this number.
     pub(super) fn has_attempt(&self, number: u32) -> bool {
         (number as usize) < self.attempts.len()
     }
--- a/crates/sidecar/src/headers.rs
+++ b/crates/sidecar/src/headers.rs
@@ -144,8 +144,8 @@
     }
 }
 
-/// Copies headers and path into one new allocation. Before that they are slices of the connection's read buffer, so a
-/// waiting request would keep all 8 KiB of that buffer in memory.
+/// Copies headers and path into one new allocation. The originals are slices of the connection's read buffer, so a
+/// waiting request that held them would keep all 8 KiB of that buffer in memory.
 pub fn detached_copy(headers: &HeaderMap, path: &str) -> (HeaderMap, Uri) {
     let length = path.len() + headers.values().map(HeaderValue::len).sum::<usize>();
     let mut memory = BytesMut::with_capacity(length);
--- a/crates/sidecar/src/health_check.rs
+++ b/crates/sidecar/src/health_check.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 use tokio::time::timeout;
 
-/// Checks the health of a pod. The whole check is limited by the connect timeout.
+/// Checks the health of a pod. The complete check is limited by the connect timeout.
 pub async fn check(shell: &Rc<Shell>, pod: PodId) -> HealthCheckResult {
     let began = Instant::now();
     let time = Duration::from_nanos(shell.site.upstream.connect_timeout);
--- a/crates/sidecar/src/listener.rs
+++ b/crates/sidecar/src/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts connections up to a limit until it is told to stop.
+//! Accepts connections up to a limit until it is stopped.
 
 use crate::connection::serve_connection;
 use crate::shell::Shell;
@@ -26,7 +26,8 @@
     pub source: std::io::Error,
 }
 
-/// Listens on an address. Returns the listener with its actual address, which differs where the system chose the port.
+/// Listens on an address. Returns the listener with its actual address, whose port is chosen by the system if the given
+/// port is 0.
 ///
 /// # Errors
 /// Fails if the address is in use or does not belong to this machine.
@@ -108,7 +109,7 @@
         }
     }
     for stream in take_queued_connections(listener) {
-        // If all slots are in use, the connection is closed unread, and its client can retry elsewhere.
+        // If all slots are in use, the connection is closed unread, and its client can retry at another sidecar.
         if let Ok(slot) = slots.clone().try_acquire_owned() {
             acceptor.serve(stream, Some(slot));
         }
--- a/crates/sidecar/src/membership.rs
+++ b/crates/sidecar/src/membership.rs
@@ -19,7 +19,7 @@
 use tokio::task::spawn_local;
 use tokio::time::{interval, MissedTickBehavior};
 
-/// Limit on the names in each list of [`MembershipStatus`] but the list of alive members. The counts include all
+/// Limit on the names in each list of [`MembershipStatus`], except the list of alive members. The counts include all
 /// members.
 const MAX_SHOWN_NAMES: usize = 32;
 /// The ping timeout as a fraction of the probe interval: 3 / 10.
@@ -51,7 +51,7 @@
     /// The handlers by kind of message, registered at the start. Each module that exchanges messages has one.
     handlers: RefCell<BTreeMap<u8, MessageHandler>>,
     views: RefCell<ViewExchange>,
-    /// The interval at which the own view is sent, each time to the next member.
+    /// The interval at which this member sends its view, each time to the next member.
     period: Duration,
 }
 
@@ -179,7 +179,7 @@
         }
     }
 
-    /// Once a period, updates the quorum state from the alive members and sends the own view to one member.
+    /// Once a period, updates the quorum state from the alive members and sends the view of this member to one other.
     async fn send_views(self: Rc<Self>) {
         let mut periods = interval(self.period);
         periods.set_missed_tick_behavior(MissedTickBehavior::Delay);
--- a/crates/sidecar/src/outcome.rs
+++ b/crates/sidecar/src/outcome.rs
@@ -4,7 +4,7 @@
 use crate::body::Body;
 use crate::prepared_request::{LocalReply, PreparedRequest, Protection};
 use crate::responses::{failed, rejected_with_retry_after, text_response};
-use crate::takeover_policy::may_promise_that_it_never_ran;
+use crate::takeover_policy::may_promise_harmless_retry;
 use bytes::Bytes;
 use havenplank::interface::Idempotency;
 use havenplank_takeover::record::Outcome;
@@ -22,7 +22,7 @@
 }
 
 /// Returns the response that goes to the client, and the outcome that backups keep. A rejection becomes a failure if
-/// the sidecar cannot promise that the request never ran.
+/// the sidecar cannot promise that a retry is harmless.
 pub async fn outcome_of(
     response: Response<Body>,
     request: &PreparedRequest,
@@ -30,8 +30,7 @@
     let idempotency = request.route.rules.idempotency;
     let retryable = idempotency != Idempotency::NonIdempotent;
     let protection = request.protection.as_ref().map(Protection::state);
-    let may_reject =
-        protection.is_none_or(|state| may_promise_that_it_never_ran(idempotency, state));
+    let may_reject = protection.is_none_or(|state| may_promise_harmless_retry(idempotency, state));
     match response.extensions().get::<LocalReply>() {
         Some(LocalReply::Rejected) if may_reject => (response, Outcome::Rejected),
         Some(LocalReply::Rejected) => (failed(false), Outcome::Failed { retryable }),
--- a/crates/sidecar/src/pod_registry.rs
+++ b/crates/sidecar/src/pod_registry.rs
@@ -39,8 +39,8 @@
 }
 
 /// Gives each pod an index. An index is given to another pod only after its pod is no longer listed, no attempt to that
-/// pod is in flight, and the router has processed a list since. So the table holds only the listed pods and the pods
-/// with attempts in flight.
+/// pod is in flight, and the router has processed a list since. So the registry holds only the listed pods and the
+/// pods with attempts in flight.
 #[derive(Default)]
 pub struct PodRegistry {
     by_name: HashMap<String, PodId>,
--- a/crates/sidecar/src/prepared_request.rs
+++ b/crates/sidecar/src/prepared_request.rs
@@ -38,7 +38,7 @@
 /// Marks a final response that the sidecar generated itself. It is stored as an extension of the response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LocalReply {
-    /// The response says that the request never ran.
+    /// The response says that a retry is harmless.
     Rejected,
     /// The response says that the request may have run.
     Failed,
--- a/crates/sidecar/src/protected_request.rs
+++ b/crates/sidecar/src/protected_request.rs
@@ -1,7 +1,7 @@
 //! Serves a request that other sidecars back up. The request is leased, its attempts are sent once the backups know of
-//! them (idempotent routes may announce them in the background instead), and only the sidecar that owns the request in
-//! the end responds. `havenplank-takeover` decides when each step is allowed; the decision module of the engine decides
-//! which step is next.
+//! them (idempotent routes may announce them in the background instead), and only the sidecar that finally owns the
+//! request responds. `havenplank-takeover` decides when each step is allowed; the router of the engine decides which
+//! step is next.
 
 use crate::backup_record::{self, BackedUpRequest};
 use crate::body::Body;
@@ -38,7 +38,7 @@
     spawn_local(async move {
         let _serving = serving;
         let response = serve_leased(&shell, &service, attributes, request).await;
-        // Fails if the client has disconnected; the outcome is stored at the backups all the same.
+        // Fails if the client has disconnected; the backups store the outcome nevertheless.
         let _ = responder.send(response);
     });
     response_receiver.await.unwrap_or_else(|_| failed(false))
--- a/crates/sidecar/src/proxy.rs
+++ b/crates/sidecar/src/proxy.rs
@@ -14,10 +14,10 @@
 use std::time::Instant;
 use tokio::sync::oneshot;
 
-/// The retry delay that a sidecar at its request limit tells clients, in nanoseconds.
+/// The retry delay that a sidecar at its request limit advises its clients, in nanoseconds.
 const RETRY_AFTER_AT_LIMIT: Nanos = 1_000_000_000;
 
-/// Tells the engine on drop that the client disconnected. Has no effect once the request has its final response.
+/// Notifies the engine on drop that the client disconnected. Has no effect once the request has its final response.
 struct ClientGuard {
     shell: Rc<Shell>,
     request: RequestId,
--- a/crates/sidecar/src/responses.rs
+++ b/crates/sidecar/src/responses.rs
@@ -27,7 +27,7 @@
 }
 
 /// Builds the response that a request was rejected, with a retry delay given in nanoseconds. The header holds whole
-/// seconds; the delay is rounded down, so that the client is not told to wait longer than was decided.
+/// seconds; the delay is rounded down, so that the client does not wait longer than was decided.
 pub fn rejected_with_retry_after<B: From<&'static str>>(retry_after: Nanos) -> Response<B> {
     rejected(Some(HeaderValue::from(retry_after / NANOS_PER_SECOND)))
 }
--- a/crates/sidecar/src/route_slots.rs
+++ b/crates/sidecar/src/route_slots.rs
@@ -1,4 +1,5 @@
-//! Assigns the indices of routes in the engine, and tracks which are in force and which are still held by a request.
+//! Assigns the indices of routes in the engine, and tracks which indices are in force and which are still held by a
+//! request or a route table.
 
 use havenplank::interface::{Nanos, RouteClass, RouteClassId};
 use havenplank::RouteClassChange;
@@ -32,15 +33,15 @@
 /// The free indices that a replacement of routes may reuse.
 struct FreeIndices {
     slots: Vec<RouteClassId>,
-    /// `None` until the first route needs a free bucket.
+    /// Free buckets; `None` until the first route needs one.
     buckets: Option<Vec<usize>>,
 }
 
-/// One version of a route.
+/// The table row of a slot: the version of a route that has the slot.
 struct Row {
     name: String,
     rules: RouteClass,
-    /// The index under which the router keeps the statistics of the route.
+    /// The index of the sliding window in which the router counts the exposure of the route.
     bucket: usize,
     in_force: bool,
     slot: Slot,
--- a/crates/sidecar/src/routes.rs
+++ b/crates/sidecar/src/routes.rs
@@ -1,5 +1,5 @@
 //! The route table: finds the route of a request by method and path. A table is immutable. It is built once for each
-//! configuration version and replaced as a whole.
+//! configuration version, and a new version replaces the complete table.
 //!
 //! If several routes match a request, the first one in the settings wins. In a configuration that changes while the
 //! sidecar runs, routes have no order, and the route with the most specific pattern wins. A lookup costs one hash of
@@ -19,7 +19,7 @@
 pub struct Route {
     /// The name.
     pub name: String,
-    /// The rules by which the router decides on requests of the route.
+    /// The rules for requests of the route, on which the router's decisions depend.
     pub rules: RouteClass,
     /// Whether and when requests are announced to backups.
     pub backup: BackupMode,
--- a/crates/sidecar/src/shell.rs
+++ b/crates/sidecar/src/shell.rs
@@ -1,4 +1,5 @@
-//! The state that all tasks of one sidecar share.
+//! The shell of a sidecar: the part around the engine, which performs the I/O. Holds the state that all tasks of the
+//! sidecar share.
 
 use crate::dispatcher::Dispatcher;
 use crate::membership::Membership;
@@ -31,7 +32,7 @@
     pub upstream: UpstreamConnections,
     /// The value of the `Via` header on requests to pods.
     pub via: HeaderValue,
-    /// The header that tells pods how long an attempt may take.
+    /// The header in which pods get the time that an attempt may take.
     pub timeout_header: HeaderName,
     /// The membership of sidecars; `None` if it is not configured.
     pub membership: Option<Rc<Membership>>,
@@ -49,7 +50,7 @@
     pub stopping: Cell<bool>,
 }
 
-/// One sidecar: the dispatcher of its engine, with the state that its tasks share as the transport.
+/// The shell of one sidecar: the dispatcher of its engine, with the shared state of the tasks as its transport.
 pub type Shell = Dispatcher<Sidecar>;
 
 impl Shell {
--- a/crates/sidecar/src/takeover_policy.rs
+++ b/crates/sidecar/src/takeover_policy.rs
@@ -22,12 +22,12 @@
     pub backed_up: bool,
 }
 
-/// Returns whether the client may be promised that its request never ran and that a retry is harmless.
+/// Returns whether the client may be promised that a retry of its request is harmless.
 ///
 /// The promise is unsafe if the client sent no key and the backups may still expect the request to be finished: if this
 /// sidecar were lost now, a backup would take the request over, and both the takeover and the client's retry would run.
 /// For a request that may be repeated, the promise is always allowed.
-pub fn may_promise_that_it_never_ran(idempotency: Idempotency, state: ProtectionState) -> bool {
+pub fn may_promise_harmless_retry(idempotency: Idempotency, state: ProtectionState) -> bool {
     let may_be_taken_over = !state.has_client_key && state.announced && state.backed_up;
     idempotency != Idempotency::NonIdempotent || !may_be_taken_over
 }
--- a/crates/sidecar/src/takeover_service/lease.rs
+++ b/crates/sidecar/src/takeover_service/lease.rs
@@ -16,7 +16,7 @@
     pub digest: u64,
     /// The encoded client request that backups keep.
     pub payload: &'a [u8],
-    /// Whether the client request must not run twice, even if it has to be rejected for that.
+    /// Whether the client request must not run twice. It is then rejected if its owner is uncertain.
     pub must_not_repeat: bool,
     /// Time left until the client's deadline, in nanoseconds.
     pub remaining: Nanos,
@@ -26,7 +26,7 @@
 enum Start {
     /// The reply is already known.
     Replied(LeaseReply),
-    /// The backups have been asked and must reply first.
+    /// The lease request was sent to the backups, which must reply first.
     Waiting,
     /// Another sidecar owns the client request and will report its outcome.
     Joined,
--- a/crates/sidecar/src/takeover_service/mod.rs
+++ b/crates/sidecar/src/takeover_service/mod.rs
@@ -1,5 +1,5 @@
 //! Runs the takeover of requests: connects the state machine of `havenplank-takeover` with the messages of the
-//! membership, and notifies the requests of this sidecar that wait for its decisions.
+//! membership, and notifies the requests of this sidecar that wait for decisions of the state machine.
 
 mod announcement;
 mod lease;
--- a/crates/sidecar/src/transport.rs
+++ b/crates/sidecar/src/transport.rs
@@ -93,7 +93,7 @@
 
 fn send_to_discovery(shell: &Rc<Shell>, line: String) {
     if shell.discovery_requests.try_send(line).is_err() {
-        // A separate task reports the failure, because the engine may still be in the call that asked for the line.
+        // A separate task reports the failure, because the engine may still be in the call that queued the line.
         let shell = shell.clone();
         spawn_local(async move { shell.call(|engine, now| engine.endpoint_watch_failed(now)) });
     }
--- a/crates/sidecar/src/upstream.rs
+++ b/crates/sidecar/src/upstream.rs
@@ -17,7 +17,7 @@
 
 type Sender = SendRequest<Full<Bytes>>;
 
-/// No connection could be taken in time: the pod is down, unreachable or at its connection limit.
+/// No connection could be acquired in time: the pod is down, unreachable or at its connection limit.
 #[derive(Debug)]
 pub struct NoConnection;
 
--- a/crates/sidecar/tests/common/mod.rs
+++ b/crates/sidecar/tests/common/mod.rs
@@ -201,7 +201,7 @@
         read_response(&mut stream).await
     }
 
-    /// Does the same in a new task.
+    /// Does the same as [`TestSidecar::request`] in a new task.
     pub fn spawn_request(self: &Rc<Self>, bytes: Vec<u8>) -> JoinHandle<(u16, String)> {
         let sidecar = self.clone();
         spawn_local(async move { sidecar.request(&bytes).await })
@@ -257,7 +257,7 @@
         pod
     }
 
-    /// Asks the sidecar to stop.
+    /// Signals the sidecar to stop.
     pub fn stop(&self) {
         let stop = self.stop.borrow_mut().take().expect("stop is called once");
         stop.send(()).expect("the sidecar runs");
--- a/crates/sidecar/tests/engine.rs
+++ b/crates/sidecar/tests/engine.rs
@@ -55,10 +55,10 @@
     let settings = settings();
     let mut engine = Engine::new(EPOCH, seed, &settings);
     engine.start(EPOCH);
-    let old = (0..6)
+    let pods = (0..6)
         .map(|n| listed_endpoint(n, 1, 1, 0))
         .chain((6..9).map(|n| listed_endpoint(n, 2, 1, 10 * S)));
-    engine.update_endpoints(EPOCH, true, old.collect());
+    engine.update_endpoints(EPOCH, true, pods.collect());
     engine.update_stage(
         EPOCH,
         Stage {
--- a/crates/sidecar/tests/routes.rs
+++ b/crates/sidecar/tests/routes.rs
@@ -17,8 +17,9 @@
 use std::path::Path;
 use std::sync::LazyLock;
 
-/// Nanoseconds in a millisecond and in a second.
+/// Nanoseconds in a millisecond.
 const MS: Nanos = 1_000_000;
+/// Nanoseconds in a second.
 const S: Nanos = 1_000 * MS;
 const METHODS: [&str; 3] = ["GET", "POST", "DELETE"];
 
--- a/crates/sidecar/tests/stored.rs
+++ b/crates/sidecar/tests/stored.rs
@@ -1,4 +1,4 @@
-//! Files that a sidecar of release 0.2.0 stored must still be readable, and the endpoint list must be written with the
+//! Files that a sidecar of version 0.2.0 stored must still be readable, and the endpoint list must be written with the
 //! same bytes. The files were stored before names in the code changed, so a rename that changes a file fails here.
 
 use havenplank::interface::{DedupScope, Idempotency, PodState, RouteClass};
--- a/crates/sidecar/tests/unit/backup_record.rs
+++ b/crates/sidecar/tests/unit/backup_record.rs
@@ -1,4 +1,4 @@
-//! The encoding of requests that sidecars send to each other must stay compatible with release 0.2.0. The expected
+//! The encoding of requests that sidecars send to each other must stay compatible with version 0.2.0. The expected
 //! bytes are written out by hand, so that a reordered field fails here.
 
 use super::{decode, encode, BackedUpRequest};
@@ -12,7 +12,7 @@
 use havenplank_takeover::record::Record;
 use hyper::header::{HeaderMap, HeaderValue};
 
-/// Route class, tenant, key, cost hint, method, path, headers, body: the field order of release 0.2.0.
+/// Route class, tenant, key, cost hint, method, path, headers, body: the field order of version 0.2.0.
 const REQUEST: &[u8] =
     b"\x06search\x01\x04acme\xac\x02\x01\x05\x03PUT\x06/a?b=1\x01\x03x-a\x02\xff!\x02hi";
 
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn encodes_a_request_in_the_field_order_of_release_0_2_0() {
+fn encodes_a_request_in_the_field_order_of_version_0_2_0() {
     let table = table();
     let request = request(&table);
     let protection = request.protection.as_ref().expect("protected");
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn decodes_a_request_of_release_0_2_0() {
+fn decodes_a_request_that_version_0_2_0_encoded() {
     let table = table();
     let BackedUpRequest {
         attributes: decoded,
--- a/crates/sidecar/tests/unit/outcome.rs
+++ b/crates/sidecar/tests/unit/outcome.rs
@@ -1,5 +1,5 @@
-//! The encoding of a response between sidecars must stay the one of version 0.2.0. The expected bytes are written by
-//! hand, so a changed struct or field order fails here.
+//! The encoding of responses that sidecars send to each other must stay compatible with version 0.2.0. The expected
+//! bytes are written out by hand, so that a changed struct or field order fails here.
 
 use super::{response_of, served_outcome};
 use crate::body::Body;
--- a/crates/sidecar/tests/unit/takeover_policy.rs
+++ b/crates/sidecar/tests/unit/takeover_policy.rs
@@ -1,6 +1,6 @@
 //! What a sidecar may promise about a request that other sidecars may take over.
 
-use super::{may_promise_that_it_never_ran, must_not_repeat, ProtectionState};
+use super::{may_promise_harmless_retry, must_not_repeat, ProtectionState};
 use havenplank::interface::{DedupScope, Idempotency, RouteClass};
 
 fn rules(idempotency: Idempotency, dedup_scope: DedupScope) -> RouteClass {
@@ -32,13 +32,13 @@
 }
 
 #[test]
-fn a_request_without_a_key_is_not_said_to_have_never_run_while_backups_may_take_it_over() {
+fn promises_no_harmless_retry_without_a_client_key_while_backups_may_take_the_request_over() {
     let exposed = ProtectionState {
         has_client_key: false,
         announced: true,
         backed_up: true,
     };
-    let may_promise = |state| may_promise_that_it_never_ran(Idempotency::NonIdempotent, state);
+    let may_promise = |state| may_promise_harmless_retry(Idempotency::NonIdempotent, state);
     assert!(!may_promise(exposed));
     assert!(may_promise(ProtectionState {
         has_client_key: true,
@@ -53,6 +53,6 @@
         ..exposed
     }));
     for idempotency in [Idempotency::Idempotent, Idempotency::Keyed] {
-        assert!(may_promise_that_it_never_ran(idempotency, exposed));
+        assert!(may_promise_harmless_retry(idempotency, exposed));
     }
 }
--- a/examples/common.star
+++ b/examples/common.star
@@ -1,4 +1,4 @@
-# What every sidecar of the code search has in common; site.star loads it.
+# The settings that all sidecars of a code-search service share; site.star loads this file.
 
 def search_group(name, paths, kind, target, timeout, benefit, **more):
     path_group(
--- a/examples/site.star
+++ b/examples/site.star
@@ -1,4 +1,4 @@
-# One sidecar of a code search. Run with: havenplank serve examples/site.star --given name=sidecar-0
+# One sidecar of a code-search service. Run with: havenplank serve examples/site.star --given name=sidecar-0
 load("common.star", "CAPS", "search_group")
 
 sidecar(
@@ -62,7 +62,7 @@
 )
 desk(address = given("desk", "127.0.0.1:7200"))
 
-# Hits and decisions for a later look; without a folder nothing is recorded.
+# Records requests and decisions for later analysis; without a folder nothing is recorded.
 trace(
     folder = given("trace", "") or None,
     share = float(given("trace_share", "1.0")),
--- a/src/admission.rs
+++ b/src/admission.rs
@@ -22,7 +22,7 @@
 const MAX_LATE_FRACTION: f64 = 0.25;
 /// The factor of each reduction of the limit.
 const REDUCTION: f64 = 0.9;
-/// The most reductions of the limit within one latency objective.
+/// The greatest number of reductions of the limit within one latency objective.
 const REDUCTIONS_PER_OBJECTIVE: Nanos = 4;
 /// What an answer in time adds to the limit while more than half of it is in use.
 const INCREASE: f64 = 0.2;
@@ -50,13 +50,15 @@
         }
     }
 
-    /// Whether a request is admitted. `priority` is from 0 to 1, which stands for the highest weight in force.
+    /// Whether a request is admitted. `priority` is the priority weight of its route class, divided by the greatest
+    /// priority weight in force: from 0 to 1.
     fn admits(&self, priority: f64) -> bool {
         let fraction = LOWEST_PRIORITY_FRACTION + (1.0 - LOWEST_PRIORITY_FRACTION) * priority;
         (self.in_flight as f64) < self.limit * fraction
     }
 
-    /// Records an attempt that ended. An attempt at a silent pod says nothing about the load.
+    /// Records an attempt that ended. An attempt at a silent pod says nothing about the load, so it does not count as
+    /// late.
     pub(crate) fn record_attempt_end(&mut self, now: Nanos, ended: &EndedAttempt) {
         let objective = ended.latency_objective;
         let answered = ended.outcome.end == AttemptEnd::Served;
--- a/src/endpoint_list.rs
+++ b/src/endpoint_list.rs
@@ -1,8 +1,8 @@
 //! The watch on the endpoint list: whether one is needed, and when a failed one is requested again.
 //!
-//! Inputs: failures of the watch. A failed watch may still be active or not, so it is requested again, after a
-//! delay that grows and is partly random. Risks: with long delays a stale list stays in use; with short ones
-//! many instances overload service discovery.
+//! Inputs: failures of the watch. It is unknown whether a failed watch is still active, so the watch is requested
+//! again, after a delay that grows and is partly random. Risks: with long delays a stale list stays in use; with
+//! short ones many instances overload service discovery.
 
 use crate::interface::{EndpointListSettings, Nanos};
 use crate::time::SECOND;
@@ -32,6 +32,7 @@
         self.settings.must_watch
     }
 
+    /// Records a received list, which ends the backoff.
     pub(crate) fn record_list(&mut self) {
         self.backoff = 0;
     }
--- a/src/exposure.rs
+++ b/src/exposure.rs
@@ -22,13 +22,13 @@
 /// The smallest fraction of a cap that is used. With less, the sequential test would get too few attempts to settle
 /// a doubt.
 const MIN_FRACTION: f64 = 0.4;
-/// The most keys that are remembered as answered by the newest build. Once there are as many, every key counts as
-/// answered by it.
+/// The greatest number of keys that are remembered as answered by the newest build. Once this number is reached, every
+/// key counts as answered by that build.
 const MAX_STICKY_KEYS: usize = 1 << 16;
 const FRACTION_UPDATE_INTERVAL: Nanos = SECOND;
 /// The factor of the used fraction at each update while the sequential test is in doubt.
 const DOUBT_FACTOR: f64 = 0.5;
-/// The factor of the used fraction at each other update.
+/// The factor of the used fraction at each update while the sequential test is not in doubt.
 const GROWTH_FACTOR: f64 = 2.0;
 
 /// The stage that the control plane announced last, with the time when it began.
@@ -96,9 +96,9 @@
         self.counts.attempts(now, build, class) as f64 + 1.0 <= limit
     }
 
-    /// Returns the fraction of the cap that may be used now. Without other builds, the complete cap. While other
-    /// builds can take the remaining attempts, the fraction in use, or 0 where this instance does not send to the
-    /// build on trial.
+    /// Returns the fraction of the cap that may be used now. Without other builds it is 1. While other builds can
+    /// take the remaining attempts it is the fraction in use, or 0 where this instance does not send to the build on
+    /// trial.
     fn usable_fraction(&self, other_builds: bool, sends_to_trial: bool) -> f64 {
         if other_builds {
             self.used_fraction * sends_to_trial as u8 as f64
@@ -144,8 +144,8 @@
 
 impl Router {
     /// Returns the cap of a build, or `None` where the build is not capped. A build newer than the announced one
-    /// counts as in its first stage; before any announcement, one newer than the oldest listed build. Where keys are
-    /// sticky the cap of such a build is 0, as requests with the keys that it answers could not be kept at it.
+    /// counts as in its first stage. Before any announcement, so does a build newer than the oldest listed one. Where
+    /// keys are sticky the cap of such a build is 0, as requests with the keys that it answers could not be kept at it.
     pub(crate) fn cap(&self, build: Build) -> Option<f64> {
         let first_cap = if self.exposure.settings.sticky_keys {
             0.0
@@ -176,7 +176,7 @@
         }
     }
 
-    /// Whether a request avoids the build on trial after an attempt that ended so.
+    /// Whether a request avoids the build on trial from now on, because an attempt at a capped build failed.
     pub(crate) fn avoids_trial_after(&self, attempt: &Attempt, end: AttemptEnd) -> bool {
         end.is_failure() && self.cap(attempt.endpoint.build).is_some()
     }
--- a/src/exposure/counts.rs
+++ b/src/exposure/counts.rs
@@ -11,8 +11,8 @@
 }
 
 /// The counts that the cap is compared with. A bucket is the window of one route class, or of all classes where the
-/// cap applies to all together. Successive classes of one name share a bucket: the cap counts by name, with whichever
-/// version of the rules a request arrived.
+/// cap applies to all together. Successive classes of one name share a bucket: the cap counts by name, whichever
+/// version of the rules a request arrived with.
 pub(crate) struct ExposureCounts {
     per_class: bool,
     window: Nanos,
--- a/src/interface/endpoint.rs
+++ b/src/interface/endpoint.rs
@@ -39,7 +39,7 @@
     pub zone: ZoneId,
     /// The index of the pod's machine type.
     pub machine_type: usize,
-    /// The cell of the pod: the pods of one cell drop repeats of each other's keyed requests.
+    /// The number of the pod's cell: the pods of one cell drop repeats of each other's keyed requests.
     pub cell: i64,
     /// The listed capacity, relative to a standard pod, which has 1.
     pub size: f64,
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -61,22 +61,22 @@
     /// For how long repeats of a keyed request are dropped, from the first attempt that may have run.
     #[cfg_attr(feature = "serde", serde(rename = "repeat_window"))]
     pub dedup_window: Nanos,
-    /// The latency up to which an answer earns the full priority weight.
+    /// The latency up to which an answer has its full value, the priority weight.
     #[cfg_attr(feature = "serde", serde(rename = "target_latency"))]
     pub latency_objective: Nanos,
     /// How long clients wait for an answer.
     pub client_timeout: Nanos,
-    /// The value of an answer, relative to the answers of other classes.
+    /// The value of an answer within the latency objective, relative to the answers of other classes.
     #[cfg_attr(feature = "serde", serde(rename = "benefit"))]
     pub priority_weight: f64,
-    /// The share of the priority weight that an answer after the latency objective still earns.
+    /// The value of an answer after the latency objective, as a fraction of the priority weight.
     #[cfg_attr(feature = "serde", serde(rename = "late_benefit"))]
     pub late_weight: f64,
     /// Answers are streamed.
     pub stream: bool,
 }
 
-/// The position of an instance in the fleet.
+/// The position of an instance, which is one sidecar, in the fleet.
 #[derive(Clone, Debug)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct FleetPosition {
@@ -92,7 +92,7 @@
 #[derive(Clone, Debug)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub struct AttemptSettings {
-    /// The most attempts that one request may have.
+    /// The greatest number of attempts that one request may have.
     #[cfg_attr(feature = "serde", serde(rename = "max_forwards"))]
     pub max_attempts: u32,
     /// Two attempts of one request may be in flight at once.
@@ -103,7 +103,8 @@
     /// The longest retry-after advice that clients follow; 0 where no advice reaches them.
     #[cfg_attr(feature = "serde", serde(rename = "max_come_back"))]
     pub max_retry_after: Nanos,
-    /// The cost of cross-zone traffic: the points lost when every attempt crosses zones once.
+    /// The cost of cross-zone traffic when every attempt crosses zones once; 0 where such traffic is free. The greater
+    /// the cost, the more the router prefers pods of its own zone.
     #[cfg_attr(feature = "serde", serde(rename = "cross_zone_price"))]
     pub cross_zone_cost: f64,
 }
@@ -159,13 +160,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[cfg_attr(feature = "serde", derive(serde::Serialize, serde::Deserialize))]
 pub enum ReleaseControl {
-    /// One vote moves a stage.
+    /// One vote is enough to move a release to another stage.
     #[cfg_attr(feature = "serde", serde(rename = "Any"))]
     AnyVote,
-    /// A stage moves once a stated number of votes are in force.
+    /// A release moves to another stage once the required number of votes are in force.
     #[cfg_attr(feature = "serde", serde(rename = "Count"))]
     Quorum,
-    /// Stages move after a fixed time unless a vote holds them.
+    /// A release moves to the next stage after a fixed time, unless a vote holds the stage.
     #[cfg_attr(feature = "serde", serde(rename = "Clock"))]
     Timed,
 }
@@ -182,7 +183,7 @@
     /// How long the reply to a vote may take.
     #[cfg_attr(feature = "serde", serde(rename = "call_time_out"))]
     pub call_timeout: Nanos,
-    /// The votes to advance that a move needs under [`ReleaseControl::Quorum`]; 0 where the number is unknown.
+    /// The votes to advance that the next stage needs under [`ReleaseControl::Quorum`]; 0 where the number is unknown.
     #[cfg_attr(feature = "serde", serde(default))]
     #[cfg_attr(feature = "serde", serde(rename = "on_needs"))]
     pub advance_quorum: usize,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,10 @@
 //! havenplank: the decisions of a sidecar that routes requests and votes on releases.
 //!
-//! A [`Router`] is built from [`interface::RouterSettings`]. Its host calls a method for each event and carries
-//! out the effects that the router requests through [`interface::Host`]. The router does no I/O, has no clock
-//! and draws its random numbers from a seed, so the same calls always give the same decisions. Each decision
-//! has a module of its own; the `router` module calls them in the order in which a request needs them.
+//! An instance is one sidecar of the fleet, and each instance has one [`Router`]. A router is built from
+//! [`interface::RouterSettings`]. Its host calls a method for each event and carries out the effects that the router
+//! requests through [`interface::Host`]. The router does no I/O, has no clock and draws its random numbers from a seed,
+//! so the same calls always give the same decisions. Each decision has a module of its own; the `router` module calls
+//! them in the order in which a request needs them.
 
 #![warn(missing_docs)]
 #![warn(
--- a/src/outlier.rs
+++ b/src/outlier.rs
@@ -16,7 +16,7 @@
 const FAILURES_TO_EJECT: u32 = 2;
 /// The longest duration of a first ejection. It doubles with each further failure.
 const EJECTION_TIME: Nanos = 500 * MILLISECOND;
-/// The most doublings of the ejection time.
+/// The greatest number of doublings of the ejection time.
 const MAX_DOUBLINGS: u32 = 4;
 /// The smallest fraction of the ejection time that an ejection lasts. The fraction is drawn at random between this one
 /// and 1.
@@ -30,7 +30,7 @@
 pub(crate) struct OutlierDetector {
     /// How long a pod may be silent before it counts as hung: the shortest latency objective.
     silence_limit: Nanos,
-    /// Most pods looked unhealthy at the last update.
+    /// Fewer than one in [`PANIC_DIVISOR`] pods were healthy at the last update.
     pub(crate) panic_mode: bool,
 }
 
--- a/src/pod_table.rs
+++ b/src/pod_table.rs
@@ -71,7 +71,7 @@
     pub(crate) subset: Vec<PodId>,
     /// The sum of the listed sizes of the group's pods.
     pub(crate) size: f64,
-    /// When the pod of the group that started last did so.
+    /// The latest start time among the pods of the group.
     pub(crate) latest_start: Nanos,
 }
 
@@ -172,8 +172,8 @@
     }
 
     /// Applies an endpoint list: the complete one, or the endpoints that changed. A pod that restarted or runs
-    /// another build becomes a new pod under its old index. Changes cost as much as the groups of the changed pods
-    /// are large, and leave the table as the complete list would.
+    /// another build becomes a new pod under its old index. The cost of changes is proportional to the size of the
+    /// groups of the changed pods. Afterwards the table is the same as after the complete list.
     pub(crate) fn apply(
         &mut self,
         is_complete: bool,
@@ -383,7 +383,7 @@
         self.slots.iter().flatten().filter(|pod| pod.is_running())
     }
 
-    /// Returns the pod that two random points select. `group_point`, from 0 to the sum of the groups' weights,
+    /// Returns the pod that two random numbers select. `group_point`, from 0 to the sum of the groups' weights,
     /// selects the group, and `pod_point`, from 0 to 1, the pod within the subset of the group.
     pub(crate) fn draw(
         &self,
@@ -406,7 +406,7 @@
         })
     }
 
-    /// Returns when the running pod of a build that started last did so.
+    /// Returns the latest start time among the running pods of a build.
     pub(crate) fn latest_start(&self, build: Build) -> Option<Nanos> {
         self.groups_of(build).map(|group| group.latest_start).max()
     }
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -12,7 +12,7 @@
 use crate::time::SECOND;
 use crate::window::SlidingWindow;
 
-/// The most retries per request received.
+/// The limit on retries, as a fraction of the requests received.
 const BUDGET_FRACTION: f64 = 0.2;
 /// The factor of the budget for a retry after an attempt that never ran: such an attempt cost the pods little.
 const NEVER_RAN_FACTOR: f64 = 2.0;
--- a/src/route_class.rs
+++ b/src/route_class.rs
@@ -79,9 +79,9 @@
         &mut self.latencies[class]
     }
 
-    /// The 90th percentile of the latency on a machine type; `None` before an attempt there has ended.
-    pub(crate) fn p90(&self, class: RouteClassId, machine: usize) -> Option<f64> {
-        self.latencies[class].p90.get(machine).copied()
+    /// Returns the 90th percentile of the latency on a machine type; `None` before an attempt there has ended.
+    pub(crate) fn p90(&self, class: RouteClassId, machine_type: usize) -> Option<f64> {
+        self.latencies[class].p90.get(machine_type).copied()
     }
 }
 
--- a/src/router.rs
+++ b/src/router.rs
@@ -291,7 +291,7 @@
         self.record_sticky_key(request.key, attempt, end);
     }
 
-    /// Gives the final answer to a request without a served attempt, even before the deadline.
+    /// Gives the final answer to a request that no attempt can serve any more. Does not wait for the deadline.
     fn reject_or_fail(&mut self, host: &mut dyn Host, request: &SharedRequest) {
         let request = request.borrow();
         if self.is_client_retry_harmless(host.now(), &request) {
@@ -342,11 +342,11 @@
         let window = || SlidingWindow::new(overload_window, WINDOW_SLICES);
         self.pods.apply(is_complete, endpoints, window);
         self.update_pods(host.now());
-        let on_trial = self.sequential_test.build;
+        let trial_build = self.sequential_test.build;
         let pods = &self.pods;
         self.exposure
             .counts
-            .retain_builds(|build| build >= on_trial || pods.count_of_build(build) > 0);
+            .retain_builds(|build| build >= trial_build || pods.count_of_build(build) > 0);
     }
 
     /// Handles a failed watch on the endpoint list: requests a new watch after a delay.
@@ -394,7 +394,7 @@
     /// Receives the control plane's sampled count of the attempts of all instances. No decision uses it.
     pub fn update_tally(&mut self, _host: &mut dyn Host, _tally: Tally) {}
 
-    /// Records a fault that a client found in a pod's answer. The request was sent the time `ago` before now.
+    /// Records a fault that a client found in a pod's answer. `ago` is the time since the pod sent that answer.
     pub fn report_fault(
         &mut self,
         host: &mut dyn Host,
--- a/src/selection.rs
+++ b/src/selection.rs
@@ -15,22 +15,23 @@
 use crate::time::SECOND;
 pub(crate) use subset::Subsetting;
 
-/// The inverse of the golden ratio. For any range of consecutive integers, the fractional parts of its multiples are
-/// spread evenly from 0 to 1. So the ranks of instances give evenly spread values, whichever instances share a zone.
-pub(crate) const GOLDEN_RATIO: f64 = 0.618_033_988_749_895;
+/// The inverse of the golden ratio. If consecutive integers are multiplied by it, the fractional parts of the products
+/// are spread evenly from 0 to 1. So the ranks of instances give evenly spread values, whichever instances share a
+/// zone.
+pub(crate) const INVERSE_GOLDEN_RATIO: f64 = 0.618_033_988_749_895;
 /// The load factor of the newest build's pods. A pod of an earlier build is preferred to a newest one only if its load
 /// is below this fraction of the newest pod's load.
 const NEWEST_BUILD_LOAD_FACTOR: f64 = 0.6;
-/// What each point of cross-zone cost adds to the load factor of pods in other zones.
+/// What a cross-zone cost of 1 adds to the load factor of pods in other zones.
 const CROSS_ZONE_LOAD_FACTOR: f64 = 12.0;
 /// The smallest fraction of their weight that the earlier build's pods keep: the sequential test needs answers of both
 /// builds.
 const MIN_EARLIER_FRACTION: f64 = 0.4;
 /// The probability that a drawn pod is accepted if its capacity equals the mean of its group.
 const ACCEPTANCE: f64 = 0.5;
-/// The upper end of the uniform distribution from 0 whose draw scales the demand for slow start. Its mean is 1.
+/// The demand for slow start is multiplied by a random number, uniform from 0 to this number: 1 on average.
 const MAX_DEMAND_FACTOR: f64 = 2.0;
-/// The most draws that are made to find two pods.
+/// The greatest number of draws that are made to find two pods.
 const MAX_DRAWS: u32 = 16;
 /// The weight of the latest answer in a pod's slowness.
 const SLOWNESS_LEARNING_RATE: f64 = 0.1;
@@ -138,7 +139,8 @@
         }
     }
 
-    /// Draws two pods with probabilities by their known capacity: two uniform draws often find two weak machines.
+    /// Draws two pods, each with a probability that grows with its known capacity: two uniform draws often find two
+    /// weak machines.
     fn draw_two(
         &mut self,
         now: Nanos,
@@ -146,8 +148,8 @@
         groups: &[WeightedGroup],
     ) -> Vec<PodId> {
         let total: f64 = groups.iter().map(|group| group.weight).sum();
-        // Drawn once per attempt. With a draw per pod, one of several pods that warm up would nearly always pass the
-        // check in `slow_start`.
+        // One draw for all pods of this call. With a draw per pod, one of several pods that warm up would nearly always
+        // pass the check in `slow_start`.
         let window_ratio =
             self.slow_start.settings.overload_window as f64 / RetryBudget::WINDOW as f64;
         let requests = self.retry_budget.requests(now) as f64;
@@ -223,7 +225,7 @@
                 .has_room(now, &mut self.pods, id, demand_draw)
     }
 
-    /// Returns the load that each attempt in flight puts on a pod: the slowness of the pod over its size and warmth.
+    /// Returns the load that each attempt in flight puts on a pod: its slowness divided by its size and its warmth.
     fn load_per_attempt(&self, now: Nanos, pod: &Pod) -> f64 {
         let idle = now.saturating_sub(pod.slowness_updated_at) as f64 / SLOWNESS_DECAY_TIME;
         let slowness = 1.0 + (pod.slowness - 1.0) * (-idle).exp();
--- a/src/selection/subset.rs
+++ b/src/selection/subset.rs
@@ -6,7 +6,7 @@
 //! warms up counts by its warmth. Inputs: rank, number of instances, pods, attempts in flight. Risk: where
 //! several instances have the same rank, some pods get more requests than others.
 
-use super::GOLDEN_RATIO;
+use super::INVERSE_GOLDEN_RATIO;
 use crate::interface::{FleetPosition, Nanos};
 use crate::outlier::OutlierDetector;
 use crate::pod_table::{PodGroup, PodTable};
@@ -17,8 +17,8 @@
 const MIN_INSTANCES_PER_POD: f64 = 25.0;
 /// The smallest number of healthy pods of a group in a subset. Fewer give the sequential test too little evidence.
 const MIN_SUBSET_SIZE: f64 = 4.0;
-/// The most attempts in flight from one instance per pod of its subset, on average: a burst from the instance must not
-/// fill a pod.
+/// The limit on attempts in flight from one instance per pod of its subset, on average: a burst from the instance must
+/// not fill a pod.
 const MAX_IN_FLIGHT_PER_POD: f64 = 0.125;
 /// The weight of the latest request in the mean number of attempts in flight.
 const IN_FLIGHT_LEARNING_RATE: f64 = 0.02;
@@ -47,7 +47,7 @@
         let pod_count = pods.count as f64;
         let min_subset_size = MIN_INSTANCES_PER_POD * pod_count / position.instances.max(1) as f64;
         let subset_size = min_subset_size.max(self.mean_in_flight / MAX_IN_FLIGHT_PER_POD);
-        let start = (position.rank as f64 * GOLDEN_RATIO).fract();
+        let start = (position.rank as f64 * INVERSE_GOLDEN_RATIO).fract();
         let mut groups = std::mem::take(&mut pods.groups);
         for group in &mut groups {
             let needed = (subset_size * group.pods.len() as f64 / pod_count).max(MIN_SUBSET_SIZE);
--- a/src/sequential_test.rs
+++ b/src/sequential_test.rs
@@ -24,9 +24,10 @@
 /// How many times as likely a lost connection or a timeout is on a bad build as on a good one. Connections and queues
 /// cause such failures, too.
 const TRANSPORT_FAILURE_ODDS_RATIO: f64 = 2.0;
-/// The same for errors and wrong answers. Good builds produce hardly any, so fewer of them may decide.
+/// How many times as likely an error or a wrong answer is on a bad build as on a good one. Good builds produce hardly
+/// any of them, so fewer may decide.
 const APPLICATION_ERROR_ODDS_RATIO: f64 = 4.0;
-/// The same for slow answers. Good builds differ in speed, too.
+/// How many times as likely a slow answer is on a bad build as on a good one. Good builds differ in speed, too.
 const SLOW_ODDS_RATIO: f64 = 5.0;
 /// The share of attempts above which slow answers of a build do not count: its pods may be slow because they are
 /// busier.
@@ -130,7 +131,7 @@
     pub(crate) bounds: Bounds,
     /// The build on trial: the newest one that the control plane announced.
     pub(crate) build: Build,
-    /// The factor by which this instance draws pods of the build on trial more often than their size says; 0 where
+    /// The factor by which the weight of the build's pods is raised when this instance draws pods at random; 0 where
     /// the instance is not in the sample that sends to the build.
     pub(crate) oversampling: f64,
     /// The attempts to the build that ended in this stage.
@@ -160,8 +161,9 @@
         }
     }
 
-    /// Returns the highest of the sums. The sum of slow answers is scaled down so that it must reach the bound of a
-    /// single instance with alpha itself, where that is higher: many instances see the same slow pods.
+    /// Returns the highest of the sums. Where the upper bound is below that of a single instance, the sum of slow
+    /// answers is scaled down so that it must reach the bound of a single instance: many instances see the same slow
+    /// pods.
     fn max_sum(&self) -> f64 {
         let single = Bounds::new(1, 1).reject;
         self.failure_sum
--- a/src/sequential_test/evidence.rs
+++ b/src/sequential_test/evidence.rs
@@ -3,7 +3,7 @@
 //! Inputs: the outcome of an attempt, its pod and the load. Four kinds of outcomes are not used: those of a pod
 //! that just started, which fails because it is cold; timeouts of a hung pod while other pods of its build
 //! answer; late answers while many answers are late, as that is due to load; and those of a pod that has already
-//! added a fraction of the bound, as machines fail by themselves, too. Risk: the verdict on a bad build with few
+//! added its limit to the sums, as machines fail whatever their build. Risk: the verdict on a bad build with few
 //! pods comes late.
 
 use super::periods::PeriodAnswer;
@@ -16,7 +16,7 @@
 
 /// A pod younger than this may fail because it is cold, whatever its build.
 const MIN_POD_AGE: Nanos = 3 * SECOND;
-/// The most that a single pod may add to the sums, as a fraction of the upper bound.
+/// The limit on what a single pod adds to the sums, as a fraction of the upper bound.
 const MAX_POD_EVIDENCE_FRACTION: f64 = 0.4;
 
 /// Whether an attempt counts as evidence at all. Only first attempts do: a request that fails again at another pod is
--- a/src/sequential_test/periods.rs
+++ b/src/sequential_test/periods.rs
@@ -30,13 +30,13 @@
 const PERIOD: Nanos = 4 * SECOND;
 /// From the start of a period, the time during which answers still show the effect of the period before.
 const SETTLING_TIME: Nanos = 2 * SECOND;
-/// The most that one round may add to the sum, as a fraction of the upper bound: no round decides alone.
+/// The limit on what one round adds to the sum, as a fraction of the upper bound: no round decides alone.
 const MAX_ROUND_FRACTION: f64 = 0.6;
 
 /// A period, counted from the start of the stage. The build on trial gets no requests in odd periods.
 #[derive(Clone, Copy, Default, PartialEq, Eq)]
 struct Period {
-    trial_began: Nanos,
+    stage_began: Nanos,
     index: u64,
 }
 
@@ -86,7 +86,7 @@
         self.round = Round::default();
     }
 
-    /// Updates the baseline; called while no build is on trial.
+    /// Updates the baseline. Must be called only while no build is on trial.
     pub(crate) fn learn_baseline(&mut self) {
         self.baseline_slow_fraction +=
             (self.slow_fraction - self.baseline_slow_fraction) * BASELINE_LEARNING_RATE;
@@ -107,14 +107,14 @@
 }
 
 impl SequentialTest {
-    /// Updates the period from the current time. `trial_began` is `None` where periods do not alternate. If several
+    /// Updates the period from the current time. `stage_began` is `None` where periods do not alternate. If several
     /// instances must agree (`shared_verdict`), an instance also counts rounds in which only other instances withheld
     /// the share.
-    fn advance_periods(&mut self, now: Nanos, trial_began: Option<Nanos>, shared_verdict: bool) {
-        self.periods.active &= trial_began.is_some();
-        let period = trial_began.map_or(Period::default(), |trial_began| Period {
-            trial_began,
-            index: now.saturating_sub(trial_began) / PERIOD,
+    fn advance_periods(&mut self, now: Nanos, stage_began: Option<Nanos>, shared_verdict: bool) {
+        self.periods.active &= stage_began.is_some();
+        let period = stage_began.map_or(Period::default(), |stage_began| Period {
+            stage_began,
+            index: now.saturating_sub(stage_began) / PERIOD,
         });
         if period == self.periods.period {
             return;
@@ -152,7 +152,7 @@
         let slow = answer.slow as u8 as f64;
         periods.slow_fraction += (slow - periods.slow_fraction) * learning_rate;
         let period = periods.period;
-        if answer.sent_at < period.trial_began + period.index * PERIOD + SETTLING_TIME {
+        if answer.sent_at < period.stage_began + period.index * PERIOD + SETTLING_TIME {
             return;
         }
         let counts = if period.withholds() {
@@ -170,10 +170,10 @@
     pub(crate) fn update_periods(&mut self, now: Nanos) {
         let alternates = self.on_trial() && self.exposure.settings.blue_green;
         let trial = self.announced.filter(|_| alternates);
-        let trial_began = trial.map(|announced| announced.began);
+        let stage_began = trial.map(|announced| announced.began);
         let shared_verdict = self.voting.settings.rollback_quorum > 1;
         self.sequential_test
-            .advance_periods(now, trial_began, shared_verdict);
+            .advance_periods(now, stage_began, shared_verdict);
     }
 
     /// Counts a request that the concurrency limit rejected as a slow answer, as it would have been one. Otherwise the
--- a/src/sequential_test/sampling.rs
+++ b/src/sequential_test/sampling.rs
@@ -1,7 +1,7 @@
-//! Which instances send to the build on trial, and by which factor more than the size of its pods says.
+//! Which instances send to the build on trial, and by which factor they raise the weight of its pods.
 //!
 //! If each of many instances sends a small share of its attempts to the build, none of them gets enough evidence,
-//! and a bad build stays. So only a sample of the instances sends to the build, each as much more as the cap and
+//! and a bad build stays. So only a sample of the instances sends to the build, each as much as the cap and
 //! [`MAX_APPLICATION_ERROR_SHARE`] allow, and the others send nothing. The pods get the same number of attempts,
 //! and fewer instances get more evidence each. Inputs: rank, build and number of instances, so that all instances
 //! compute the same sample without communication. Risk: where the rank is wrong, too many or too few instances
@@ -12,7 +12,7 @@
 use crate::interface::Nanos;
 use crate::retry::RetryBudget;
 use crate::router::Router;
-use crate::selection::GOLDEN_RATIO;
+use crate::selection::INVERSE_GOLDEN_RATIO;
 use crate::voting;
 
 /// The smallest number of instances in the sample per vote that a rollback needs.
@@ -27,9 +27,9 @@
         let share = self.pods.size_share(build);
         let fraction = self.sampled_fraction(now, share);
         let sequence_number = self.position.rank + build as usize * instances;
-        let sampled_in = (sequence_number as f64 * GOLDEN_RATIO).fract() < fraction;
+        let is_sampled = (sequence_number as f64 * INVERSE_GOLDEN_RATIO).fract() < fraction;
         let factor = ((1.0 - share) / (fraction - share).max(1e-9)).max(1.0);
-        self.sequential_test.oversampling = sampled_in as u8 as f64 * factor;
+        self.sequential_test.oversampling = is_sampled as u8 as f64 * factor;
         let deciding_instances = ((instances as f64 * fraction) as usize).max(needed);
         self.sequential_test.bounds = Bounds::new(deciding_instances, needed);
     }
--- a/src/voting.rs
+++ b/src/voting.rs
@@ -3,7 +3,7 @@
 //! Inputs: the sums of the sequential test, the time since the newest pod of the build started, the time to live
 //! of votes and how many calls the control plane accepts. A vote in force is renewed late in its time to live, at
 //! a random moment. Risks: an early vote to advance leaves too little time for votes against the build; a vote
-//! that cannot move the release takes calls from votes that can.
+//! that cannot move the release uses up calls that other votes need.
 
 use crate::interface::{
     Build, Nanos, Phase, ReleaseControl, Stage, Vote, VoteReceipt, VoteSettings,
@@ -14,7 +14,7 @@
 
 /// The shortest time that the build must have run in the stage before a vote to advance.
 pub(crate) const MIN_RUNNING_TIME_TO_ADVANCE: Nanos = 3 * SECOND;
-/// The same where this instance has hardly any evidence.
+/// The same shortest time where this instance has hardly any evidence.
 const MIN_RUNNING_TIME_WITHOUT_EVIDENCE: Nanos = 6 * SECOND;
 /// The time that the build has run in the stage after which doubt no longer delays a vote to advance.
 const MAX_DOUBT_DELAY: Nanos = 12 * SECOND;
