--- a/crates/sidecar/src/engine/lookups.rs
+++ b/crates/sidecar/src/engine/lookups.rs
@@ -23,7 +23,7 @@
 /// The sums of log-likelihood ratios of the sequential test.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TestSums {
-    /// The sum over failed attempts.
+    /// The sum over failures: failed attempts and reported wrong responses.
     pub failures: f64,
     /// The sum over slow responses.
     pub slow: f64,
--- a/crates/sidecar/src/shell.rs
+++ b/crates/sidecar/src/shell.rs
@@ -1,4 +1,4 @@
-//! The shell of a sidecar: the part around the engine, which performs the I/O. Holds the state that all tasks of the
+//! The shell of a sidecar: the part that performs the I/O around the engine. Holds the state that all tasks of the
 //! sidecar share.
 
 use crate::dispatcher::Dispatcher;
--- a/crates/sidecar/tests/proxy.rs
+++ b/crates/sidecar/tests/proxy.rs
@@ -273,7 +273,7 @@
             assert!(attempt.contains(stays), "{stays} not in {attempt}");
         }
         let reply =
-            b"HTTP/1.1 200 OK\r\nconnection: x-own\r\nx-own: 1\r\nx-pod: liar\r\ncontent-length: 0\r\n\r\n";
+            b"HTTP/1.1 200 OK\r\nconnection: x-own\r\nx-own: 1\r\nx-pod: forged\r\ncontent-length: 0\r\n\r\n";
         stream.write_all(reply).await.expect("answered");
         let (status, text) = pending_response.await.expect("done");
         assert!(
--- a/src/router.rs
+++ b/src/router.rs
@@ -417,7 +417,7 @@
         let running_for = now.saturating_sub(latest_start.max(began));
         let ballot = self
             .voting
-            .wanted(now, &self.sequential_test, stage, running_for);
+            .wanted_ballot(now, &self.sequential_test, stage, running_for);
         let Some(vote) = self.voting.take_due_vote(now, ballot) else {
             return;
         };
--- a/src/voting.rs
+++ b/src/voting.rs
@@ -67,7 +67,7 @@
 
     /// Returns the ballot that this instance wants in force. `running_for` is the time since the newest pod of the
     /// build started or the stage began, whichever was later.
-    pub(crate) fn wanted(
+    pub(crate) fn wanted_ballot(
         &mut self,
         now: Nanos,
         test: &SequentialTest,
