--- a/crates/sidecar/src/takeover_service/lease.rs
+++ b/crates/sidecar/src/takeover_service/lease.rs
@@ -16,7 +16,7 @@
     pub digest: u64,
     /// The encoded client request that backups keep.
     pub payload: &'a [u8],
-    /// Whether the client request must not run twice. It is then rejected if its owner is uncertain.
+    /// Whether the client request must not run twice. Such a request is rejected if its owner is uncertain.
     pub must_not_repeat: bool,
     /// Time left until the client's deadline, in nanoseconds.
     pub remaining: Nanos,
--- a/src/router.rs
+++ b/src/router.rs
@@ -291,7 +291,7 @@
         self.record_sticky_key(request.key, attempt, end);
     }
 
-    /// Gives the final answer to a request that no attempt can serve any more. Does not wait for the deadline.
+    /// Gives the final answer to a request that gets no further attempt, without waiting for its deadline.
     fn reject_or_fail(&mut self, host: &mut dyn Host, request: &SharedRequest) {
         let request = request.borrow();
         if self.is_client_retry_harmless(host.now(), &request) {
--- a/src/sequential_test/sampling.rs
+++ b/src/sequential_test/sampling.rs
@@ -19,8 +19,8 @@
 const MIN_SAMPLED_PER_VOTE: f64 = 2.0;
 
 impl Router {
-    /// Updates whether this instance sends to the build on trial, the factor for the weight of the build's pods, and the
-    /// bounds of the sequential test.
+    /// Updates whether this instance sends to the build on trial, the factor for the weight of the build's pods, and
+    /// the bounds of the sequential test.
     pub(crate) fn update_sampling(&mut self, now: Nanos) {
         let instances = self.position.instances;
         let needed = self.voting.settings.rollback_quorum;
