--- a/tests/common/notation.rs
+++ b/tests/common/notation.rs
@@ -1,11 +1,5 @@
-//! The notation of the scenarios in `tests/cases`. A command is a word, a name and `key=value` pairs. A line holds one
-//! or more commands, separated by semicolons; a line that begins with `#` is a comment.
-//!
-//! The commands: `group` adds a route class, `rules` sets the other settings, and `restart` starts a new router with
-//! them. Their keys and values follow the names in the settings file. `pod` lists a pod, `answer` changes how a pod
-//! answers, and `watch-failed` fails the watch on the endpoint list. `announce` announces a stage. `requests` schedules
-//! requests, `run` lets time pass, and `report-fault` reports wrong answers of a pod. `expect` checks a count of the
-//! host or a sum of the sequential test, and `reset-counts` resets the counts.
+//! The notation of the scenarios in `tests/cases`. A command is a word, a name and `key=value` pairs. A line has one
+//! or more commands, separated by semicolons.
 
 use super::scripted_host::{ScriptedHost, ScriptedPod};
 use havenplank::interface::{
@@ -25,9 +19,9 @@
 pub fn vote_word(vote: Vote) -> &'static str {
     match vote {
         Vote::None => "none",
-        Vote::Advance => "advance",
+        Vote::Advance => "on",
         Vote::Hold => "hold",
-        Vote::RollBack => "roll-back",
+        Vote::RollBack => "back",
     }
 }
 
@@ -42,7 +36,7 @@
         * unit) as Nanos
 }
 
-/// How a pod answers: the kind of the answer, and its latency. Written as `kind:latency`, such as `ok:20ms`.
+/// How a pod answers: the kind of the answer, and its latency.
 #[derive(Clone)]
 pub struct Answer {
     kind: String,
@@ -63,11 +57,11 @@
         match self.kind.as_str() {
             "ok" => AttemptEnd::Served,
             "error" => AttemptEnd::Failed,
-            "unreachable" => AttemptEnd::ConnectFailed,
-            "reject" => AttemptEnd::Rejected,
-            // Every fourth request fails at any pod, so the request is at fault and not the pod.
-            "fourth-fails" if request.is_multiple_of(4) => AttemptEnd::Failed,
-            "fourth-fails" => AttemptEnd::Served,
+            "dead" => AttemptEnd::ConnectFailed,
+            "full" => AttemptEnd::Rejected,
+            // Faulty requests: every fourth one fails at any pod.
+            "fourth" if request.is_multiple_of(4) => AttemptEnd::Failed,
+            "fourth" => AttemptEnd::Served,
             _ => AttemptEnd::TimedOut,
         }
     }
@@ -192,7 +186,7 @@
 
     fn stage(&self) -> Stage {
         let phase = match self.text("phase", "trial").as_str() {
-            "rolling-back" => Phase::RollingBack,
+            "back" => Phase::RollingBack,
             "released" => Phase::Released,
             "withdrawn" => Phase::Withdrawn,
             _ => Phase::Trial,
@@ -259,7 +253,7 @@
     host: ScriptedHost,
     router: Option<Router>,
     route_classes: Vec<RouteClass>,
-    /// The last `rules` command, applied at the next restart.
+    /// The last `rules` command.
     rules: String,
     /// The listed pods, in the order of their last change.
     endpoints: Vec<Endpoint>,
@@ -294,15 +288,15 @@
         let router = self.router.as_mut().unwrap();
         match words[0] {
             "pod" => self.change_pod(words[1], &pairs),
-            "answer" => {
+            "acts" => {
                 let pod = self.pod(words[1]);
                 self.host.pods[pod].answer = Answer::parse(words[2]);
             }
-            "announce" => router.update_stage(&mut self.host, pairs.stage()),
-            "requests" => self.schedule_requests(words[1].parse().unwrap(), &pairs),
-            "report-fault" => self.report_faults(words[1], pairs.number("times", 1.0) as u32),
-            "watch-failed" => router.endpoint_watch_failed(&mut self.host),
-            "reset-counts" => self.host.counts.clear(),
+            "news" => router.update_stage(&mut self.host, pairs.stage()),
+            "hits" => self.schedule_requests(words[1].parse().unwrap(), &pairs),
+            "flag" => self.report_faults(words[1], pairs.number("times", 1.0) as u32),
+            "list-failed" => router.endpoint_watch_failed(&mut self.host),
+            "forget" => self.host.counts.clear(),
             "run" => {
                 let until = self.host.now + duration(words[1]);
                 self.host.run_until(router, until);
@@ -314,7 +308,7 @@
 
     fn restart(&mut self) {
         let rules = Pairs::parse(&self.rules);
-        self.host.loses_replies = rules.flag("lose_replies");
+        self.host.loses_replies = rules.flag("unheard");
         self.host.clear_scheduled();
         let router = rules.router(self.host.now, self.route_classes.clone());
         let router = self.router.insert(router);
@@ -328,7 +322,7 @@
 
     fn change_pod(&mut self, name: &str, pairs: &Pairs) {
         let build = pairs.number("build", 1.0) as Build;
-        let answer = Answer::parse(&pairs.text("answer", "ok:20ms"));
+        let answer = Answer::parse(&pairs.text("acts", "ok:20ms"));
         let pod_script = ScriptedPod { answer, build };
         let pod = match self.names.iter().position(|known| known == name) {
             Some(pod) => {
@@ -376,11 +370,11 @@
     }
 
     fn expect(&self, command: &str, name: &str, comparison: &str, bound: &str) {
-        let (failure_sum, slow_sum, periods_sum) = self.router.as_ref().unwrap().sums();
+        let (sum, slow_sum, periods_sum) = self.router.as_ref().unwrap().sums();
         let value = match name {
-            "failure_sum" => failure_sum,
+            "sum" => sum,
             "slow_sum" => slow_sum,
-            "periods_sum" => periods_sum,
+            "slot_sum" => periods_sum,
             "open" => self.host.open_requests() as f64,
             name => self.host.count_of(name),
         };
--- a/tests/common/scripted_host.rs
+++ b/tests/common/scripted_host.rs
@@ -104,7 +104,7 @@
     fn end_attempt(&mut self, router: &mut Router, request: RequestId, number: usize) {
         let attempt = self.attempts.remove(&(request, number)).unwrap();
         if attempt.end == AttemptEnd::Served {
-            self.finish(request, "served");
+            self.finish(request, "delivered");
         }
         let outcome = AttemptOutcome {
             end: attempt.end,
@@ -134,13 +134,13 @@
     }
 
     fn count_attempt(&mut self, pod: PodId) {
-        let pod_count_name = format!("attempts:pod{pod}");
-        self.count("attempts");
+        let pod_count_name = format!("forwards:pod{pod}");
+        self.count("forwards");
         self.count(&pod_count_name);
         if self.counts[&pod_count_name] == 1.0 {
-            self.count("pods_used");
+            self.count("met");
         }
-        self.count(&format!("attempts:build{}", self.pods[pod].build));
+        self.count(&format!("forwards:build{}", self.pods[pod].build));
     }
 }
 
@@ -197,11 +197,11 @@
     }
 
     fn reject(&mut self, request: RequestId, _: Nanos) {
-        self.finish(request, "rejected");
+        self.finish(request, "bounced");
     }
 
     fn fail(&mut self, request: RequestId) {
-        self.finish(request, "failed");
+        self.finish(request, "errored");
     }
 
     fn cast_vote(&mut self, _: Build, _: usize, vote: Vote, on_done: Callback<VoteReply>) {
@@ -227,11 +227,11 @@
     }
 
     fn health_check(&mut self, _: PodId, _: Callback<HealthCheckResult>) {
-        self.count("health_checks");
+        self.count("probes");
     }
 
     fn poll_endpoints(&mut self) {
-        self.count("polls");
+        self.count("asks");
     }
 
     fn watch_endpoints(&mut self, _: bool) {
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -18,15 +18,12 @@
 }
 
 cases! {
-    "answers-no-later-than-the-deadline", "non-idempotent-never-twice", "keyed-retry-within-zone",
-    "keyed-retry-within-dedup-window", "draining-pods-get-no-attempts", "slow-start-allowance", "exposure-cap",
-    "exposure-after-restart", "exposure-idempotent-only-stage", "exposure-sticky-keys",
-    "exposure-of-rolled-back-build", "sequential-test-bounds", "sequential-test-keeps-evidence",
-    "sequential-test-slow-build", "sequential-test-hung-pods", "sequential-test-single-broken-pod",
-    "alternating-periods-caused-slowdown", "alternating-periods-unrelated-slowdown", "selection-with-few-requests",
-    "slow-start-with-few-requests", "vote-bounds-by-instances", "vote-any", "vote-quorum", "vote-timed",
-    "vote-unreachable-quorum", "vote-renewal", "endpoint-list-watch", "admission-limit", "outlier-panic-mode",
-    "retry-budget", "hedging", "subset-size", "sample-by-evidence",
+    "answered-in-time", "mutating-never-twice", "tagged-in-its-group", "tagged-in-its-window", "drained-pods",
+    "cold-budget", "exposure-cap", "exposure-restart", "exposure-guarded", "exposure-one-way",
+    "exposure-lowered", "judge-bounds", "judge-carries", "judge-slow", "judge-hung-pod",
+    "judge-blame", "judge-shared", "judge-control", "choice-thin", "cold-thin", "vote-many",
+    "vote-any", "vote-count", "vote-clock", "vote-unreachable", "vote-renewal", "list-asked", "limit", "panic", "retry-budget",
+    "second-copy", "kept-part", "seat-by-evidence",
 }
 
 /// Returns pods of the given builds that answer within 20 ms.
@@ -66,7 +63,7 @@
     let mut total = vec![0.0; pods];
     let mut cold = 0.0;
     let warm: Vec<Endpoint> = (0..pods).map(|pod| endpoint_of_pod(pod, 1, 0)).collect();
-    let sent = |host: &ScriptedHost, pod| host.count_of(&format!("attempts:pod{pod}"));
+    let sent = |host: &ScriptedHost, pod| host.count_of(&format!("forwards:pod{pod}"));
     for rank in 0..instances {
         let mut host = ScriptedHost::new(START);
         host.pods = pods_of_builds(&vec![1; pods + 1]);
@@ -117,7 +114,7 @@
         cap: 0.17,
         age: 0,
     };
-    let (mut sampled, mut total, mut on_trial) = (0, 0.0, 0.0);
+    let (mut sampled_in, mut total, mut on_trial) = (0, 0.0, 0.0);
     let mut most = 0.0f64;
     for rank in 0..instances {
         let mut host = ScriptedHost::new(START);
@@ -127,16 +124,16 @@
         router.update_stage(&mut host, stage);
         schedule_requests(&mut host, 100, "200ms");
         host.run_until(&mut router, START + duration("21s"));
-        let earlier = host.count_of("attempts:build1");
-        let trial = host.count_of("attempts:build2");
-        sampled += (trial > 0.0) as usize;
+        let earlier = host.count_of("forwards:build1");
+        let trial = host.count_of("forwards:build2");
+        sampled_in += (trial > 0.0) as usize;
         total += earlier + trial;
         on_trial += trial;
         most = most.max(trial / (earlier + trial));
     }
     assert!(
-        (33..=140).contains(&sampled),
-        "{sampled} of {instances} instances sent to the build"
+        (33..=140).contains(&sampled_in),
+        "{sampled_in} of {instances} instances sent to the build"
     );
     assert!(
         (0.07..=0.115).contains(&(on_trial / total)),
