--- a/crates/cli/src/bench.rs
+++ b/crates/cli/src/bench.rs
@@ -1,16 +1,16 @@
-//! `havenplank bench`: what the sidecar costs beside a bare proxy, and what it does past its maximum.
+//! `havenplank bench`: measures the cost of the sidecar compared with a bare proxy, and its behaviour under overload.
 //!
-//! Pods, bare proxy and sidecar are child processes, so that each one's CPU time and memory are its own.
+//! Pods, bare proxy and sidecar are child processes, so that CPU time and memory are measured for each of them.
 
 pub mod load;
 pub mod processes;
 
-pub use processes::part;
+pub use processes::run_part;
 
 use crate::{bench_capacity, bench_takeover, bench_trace, write_json};
 use anyhow::bail;
 use load::Load;
-use processes::{serve_node_list, Process};
+use processes::{serve_endpoint_list, Process};
 use serde_json::json;
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -22,8 +22,9 @@
 use tokio::task::{spawn_local, JoinSet, LocalSet};
 use tokio::time::{sleep, Instant};
 
+/// Number of pod processes.
 const PODS: usize = 4;
-/// Long times, so that hits may wait as long as a measurement of memory needs.
+/// Settings of the measured sidecar. The time-outs are long, since requests wait while memory is measured.
 const SETTINGS: &str = r#"
 sidecar(name = "bench", instances = 1, zones = ["z"], zone = "z", listen = "127.0.0.1:0", admin = "127.0.0.1:0")
 path_group(name = "all", paths = ["/*"], kind = "repeatable", target_latency = given("target", "60s"), client_timeout = "120s")
@@ -37,8 +38,8 @@
 trace(folder = given("trace", "") or None)
 "#;
 
-/// A sidecar of the bench's own settings, as a child process.
-fn sidecar(
+/// Starts a sidecar with `SETTINGS` as a child process.
+fn start_sidecar(
     nodes: SocketAddr,
     target: &str,
     trace: Option<&Path>,
@@ -52,11 +53,11 @@
         ("target", target.to_string()),
         ("trace", trace),
     ];
-    Process::sidecar(SETTINGS, &given, folder)
+    Process::start_sidecar(SETTINGS, &given, folder)
 }
 
-/// Bytes of all files of a folder.
-fn size_of(folder: &Path) -> anyhow::Result<u64> {
+/// Returns the total size of the files in a folder, in bytes.
+fn folder_bytes(folder: &Path) -> anyhow::Result<u64> {
     let mut sum = 0;
     for file in std::fs::read_dir(folder)? {
         sum += file?.metadata()?.len();
@@ -64,7 +65,7 @@
     Ok(sum)
 }
 
-/// One target at one rate over all rounds.
+/// Measurements of one target at one rate over all rounds.
 struct Row {
     name: &'static str,
     load: Rc<Load>,
@@ -74,30 +75,32 @@
 /// Arguments of `havenplank bench`.
 #[derive(clap::Args)]
 pub struct BenchArgs {
+    /// Bench to run; see the description above.
     #[arg(value_name = "BENCH")]
     bench: String,
-    /// Scale tests to run, of `capacity`; may be repeated, all of them where it is left out.
+    /// Scale test that `capacity` runs; may be repeated. By default all of them run.
     #[arg(long, value_enum, value_name = "PART")]
-    what: Vec<bench_capacity::Part>,
-    /// Smaller sizes of `capacity`, in a minute or two.
+    what: Vec<bench_capacity::ScaleTest>,
+    /// Run `capacity` at smaller sizes, which takes a minute or two.
     #[arg(long)]
     quick: bool,
-    /// Length of each measured turn.
+    /// Length of each measured turn, in seconds.
     #[arg(long, default_value_t = 4)]
     seconds: u64,
+    /// Number of rounds, in each of which every target has one turn.
     #[arg(long, default_value_t = 3)]
     rounds: u64,
-    /// Requests of the long recording.
+    /// Number of requests in the recording of `trace-file`.
     #[arg(long, default_value_t = 1_000_000)]
     hits: u64,
-    /// Sidecars killed, one after the other.
+    /// Number of sidecars that `takeover` kills, one after the other.
     #[arg(long, default_value_t = 200)]
     kills: usize,
     #[arg(long, value_name = "FILE")]
     json: Option<PathBuf>,
 }
 
-/// Runs the bench that the arguments name.
+/// Runs the bench that the arguments select.
 ///
 /// # Errors
 /// An unknown bench, processes that cannot be started, and a failed measurement.
@@ -117,39 +120,39 @@
     let folder = tempfile::tempdir()?;
     runtime.block_on(LocalSet::new().run_until(async {
         let kind = if what == "flood" { "small-pod" } else { "pod" };
-        let pods: Vec<Process> = (0..PODS).map(|_| Process::part(&[kind])).collect::<anyhow::Result<_>>()?;
+        let pods: Vec<Process> = (0..PODS).map(|_| Process::start_part(&[kind])).collect::<anyhow::Result<_>>()?;
         let addresses: Vec<SocketAddr> = pods.iter().map(|pod| pod.address).collect();
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let nodes = listener.local_addr()?;
-        spawn_local(serve_node_list(listener, processes::listed(&addresses)));
+        spawn_local(serve_endpoint_list(listener, processes::listed_pods(&addresses)));
         let names: Vec<String> = addresses.iter().map(ToString::to_string).collect();
         let mut args = vec!["bare"];
         args.extend(names.iter().map(String::as_str));
-        let bare = Process::part(&args)?;
+        let bare = Process::start_part(&args)?;
         let measured = match what {
             "proxy" => {
-                let sidecar = sidecar(nodes, "60s", None, folder.path())?;
+                let sidecar = start_sidecar(nodes, "60s", None, folder.path())?;
                 let mut measured = Vec::new();
                 for rate in [1_000.0, 8_000.0] {
-                    let parts = [("straight", &pods[0]), ("bare", &bare), ("sidecar", &sidecar)];
-                    measured.push(turns(rate, seconds, rounds, parts).await?);
+                    let targets = [("straight", &pods[0]), ("bare", &bare), ("sidecar", &sidecar)];
+                    measured.push(measure_in_turns(rate, seconds, rounds, targets).await?);
                 }
                 println!();
-                let memory = in_flights(&bare, &sidecar).await?;
+                let memory = measure_memory_of_both(&bare, &sidecar).await?;
                 json!({ "rates": measured, "memory": memory })
             }
             "trace" => {
                 let traces = folder.path().join("traces");
-                let without = sidecar(nodes, "60s", None, folder.path())?;
-                let recording = sidecar(nodes, "60s", Some(&traces), folder.path())?;
+                let without = start_sidecar(nodes, "60s", None, folder.path())?;
+                let recording = start_sidecar(nodes, "60s", Some(&traces), folder.path())?;
                 let mut measured = Vec::new();
                 for rate in [1_000.0, 8_000.0] {
-                    let parts = [("straight", &pods[0]), ("without", &without), ("recording", &recording)];
-                    let before = size_of(&traces)?;
-                    let mut turn = turns(rate, seconds, rounds, parts).await?;
-                    // The turn's hits, and those of the second that warmed up.
-                    let hits = rate * (seconds * rounds + 1) as f64;
-                    let bytes = (size_of(&traces)? - before) as f64 / hits;
+                    let targets = [("straight", &pods[0]), ("without", &without), ("recording", &recording)];
+                    let before = folder_bytes(&traces)?;
+                    let mut turn = measure_in_turns(rate, seconds, rounds, targets).await?;
+                    // The requests of the turns, and those of the one-second warm-up.
+                    let requests = rate * (seconds * rounds + 1) as f64;
+                    let bytes = (folder_bytes(&traces)? - before) as f64 / requests;
                     println!("bytes_a_hit {bytes:.1}");
                     turn["bytes_a_hit"] = json!(bytes);
                     measured.push(turn);
@@ -157,11 +160,11 @@
                 json!({ "rates": measured })
             }
             "memory" => {
-                let sidecar = sidecar(nodes, "60s", None, folder.path())?;
-                json!({ "memory": in_flights(&bare, &sidecar).await? })
+                let sidecar = start_sidecar(nodes, "60s", None, folder.path())?;
+                json!({ "memory": measure_memory_of_both(&bare, &sidecar).await? })
             }
             "flood" => {
-                let sidecar = sidecar(nodes, "400ms", None, folder.path())?;
+                let sidecar = start_sidecar(nodes, "400ms", None, folder.path())?;
                 flood(&sidecar, seconds).await?
             }
             _ => bail!("bench {what:?}: expected proxy, trace, trace-file, memory, flood, takeover, growth or capacity"),
@@ -173,21 +176,21 @@
     }))
 }
 
-/// Straight to a pod, and by two ways that are compared, in turns: a machine that slows meanwhile slows all
-/// three.
-async fn turns(
+/// Measures a pod without a proxy, and two proxies that are compared. The three take turns, so that a machine that
+/// slows down in between slows all three.
+async fn measure_in_turns(
     rate: f64,
     seconds: u64,
     rounds: u64,
-    parts: [(&'static str, &Process); 3],
+    targets: [(&'static str, &Process); 3],
 ) -> anyhow::Result<serde_json::Value> {
     let mut rows = Vec::new();
-    for (name, part) in parts {
-        // Connections and the limit's room are there before it counts.
-        let warm = Load::new(part.address)?;
-        warm.open_loop(rate, Duration::from_secs(1), 0).await;
-        let load = Load::new(part.address)?;
-        load.take_connections(&warm);
+    for (name, process) in targets {
+        // Before the measurement, the warm-up opens connections and lets the admission limit grow.
+        let warm_up = Load::new(process.address)?;
+        warm_up.open_loop(rate, Duration::from_secs(1), 0).await;
+        let load = Load::new(process.address)?;
+        load.take_connections(&warm_up);
         rows.push(Row {
             name,
             load,
@@ -195,12 +198,12 @@
         });
     }
     for _ in 0..rounds {
-        for ((_, part), row) in parts.iter().zip(&mut rows) {
-            let before = part.cpu_ns()?;
+        for ((_, process), row) in targets.iter().zip(&mut rows) {
+            let before = process.cpu_ns()?;
             row.load
                 .open_loop(rate, Duration::from_secs(seconds), 0)
                 .await;
-            row.cpu_ns += part.cpu_ns()? - before;
+            row.cpu_ns += process.cpu_ns()? - before;
         }
     }
     println!("\n{rate} hits/s, {rounds} rounds of {seconds} s each");
@@ -235,78 +238,84 @@
     }))
 }
 
-async fn in_flights(bare: &Process, sidecar: &Process) -> anyhow::Result<Vec<serde_json::Value>> {
+/// Measures the memory per request in flight of both proxies.
+async fn measure_memory_of_both(
+    bare: &Process,
+    sidecar: &Process,
+) -> anyhow::Result<Vec<serde_json::Value>> {
     Ok(vec![
-        in_flight("bare", bare).await?,
-        in_flight("sidecar", sidecar).await?,
+        measure_memory("bare", bare).await?,
+        measure_memory("sidecar", sidecar).await?,
     ])
 }
 
-/// Memory a hit that waits; 9,000 take 18,000 descriptors of a proxy, which is about what a process may have.
-/// The sidecar lets more in only as answers prove that there is room, so the count
-/// climbs with them.
-async fn in_flight(name: &str, part: &Process) -> anyhow::Result<serde_json::Value> {
+/// Measures the memory per request in flight. 9,000 requests take 18,000 descriptors of a proxy, which is about the
+/// limit of a process. The sidecar's admission limit grows only with successful responses, so the number of requests in
+/// flight is raised in step with them.
+async fn measure_memory(name: &str, process: &Process) -> anyhow::Result<serde_json::Value> {
     const HOLD_MS: u64 = 500;
-    const WAITS_MS: u64 = 8_000;
-    let load = Load::new(part.address)?;
+    const LONG_HOLD_MS: u64 = 8_000;
+    let load = Load::new(process.address)?;
     load.open_loop(100.0, Duration::from_secs(1), 0).await;
-    let before = part.resident_bytes()?;
-    let out = Rc::new(Cell::new(0u64));
+    let before = process.resident_bytes()?;
+    let in_flight = Rc::new(Cell::new(0u64));
     let mut measured = Vec::new();
-    for wanted in [1_000u64, 9_000] {
-        let began = Instant::now();
+    for target_count in [1_000u64, 9_000] {
+        let started = Instant::now();
         let mut tasks = JoinSet::new();
         loop {
-            // Less than what the limit may hold by now, lest the ramp be bounced; the bare proxy gets the same.
-            let holds = ((60.0 + 0.2 * load.succeeded.get() as f64) * 0.7) as u64;
-            if holds >= wanted {
+            // Stays below the probable admission limit, so that the sidecar rejects none of these requests. The bare
+            // proxy gets the same load.
+            let allowed = ((60.0 + 0.2 * load.succeeded.get() as f64) * 0.7) as u64;
+            if allowed >= target_count {
                 break;
             }
-            for _ in out.get()..holds {
-                let (load, out) = (load.clone(), out.clone());
-                out.set(out.get() + 1);
+            for _ in in_flight.get()..allowed {
+                let (load, in_flight) = (load.clone(), in_flight.clone());
+                in_flight.set(in_flight.get() + 1);
                 tasks.spawn_local(async move {
                     load.request(Instant::now(), HOLD_MS).await;
-                    out.set(out.get() - 1);
+                    in_flight.set(in_flight.get() - 1);
                 });
             }
             while tasks.try_join_next().is_some() {}
-            if began.elapsed() > Duration::from_secs(180) {
-                bail!("{name}: room for {holds} of {wanted} hits after 180 s");
+            if started.elapsed() > Duration::from_secs(180) {
+                bail!("{name}: ramp at {allowed} requests in flight after 180 s; expected {target_count}");
             }
             sleep(Duration::from_millis(10)).await;
         }
         while tasks.join_next().await.is_some() {}
-        for n in 0..wanted {
-            let (load, out) = (load.clone(), out.clone());
-            out.set(out.get() + 1);
+        for n in 0..target_count {
+            let (load, in_flight) = (load.clone(), in_flight.clone());
+            in_flight.set(in_flight.get() + 1);
             tasks.spawn_local(async move {
-                load.request(Instant::now(), WAITS_MS).await;
-                out.set(out.get() - 1);
+                load.request(Instant::now(), LONG_HOLD_MS).await;
+                in_flight.set(in_flight.get() - 1);
             });
-            // No faster than connections are accepted.
+            // Pauses let the proxy accept the new connections.
             if n % 50 == 0 {
                 sleep(Duration::from_millis(5)).await;
             }
         }
         sleep(Duration::from_millis(1_000)).await;
-        let held = out.get();
-        let bytes = part.resident_bytes()?.saturating_sub(before) / held.max(1);
-        println!("{name:<8} {held:>6} hits in flight: bytes_in_flight {bytes}");
+        let held = in_flight.get();
+        let bytes = process.resident_bytes()?.saturating_sub(before) / held.max(1);
+        println!("{name:<8} {held:>6} requests in flight: bytes_in_flight {bytes}");
         measured.push(json!({ "through": name, "hits_in_flight": held, "bytes_in_flight": bytes }));
         while tasks.join_next().await.is_some() {}
     }
     println!(
-        "{name:<8} bounced {} failed {}",
+        "{name:<8} rejected {} failed {}",
         load.rejected.get(),
         load.failed.get()
     );
     Ok(json!(measured))
 }
 
-/// Three times what it delivers, for a while: what is delivered, what bounced, and the memory meanwhile.
+/// Finds the highest rate that the sidecar delivers, then sends three times as much. Reports the counts of responses,
+/// their latency and the memory of the sidecar.
 async fn flood(sidecar: &Process, seconds: u64) -> anyhow::Result<serde_json::Value> {
-    // Pods that take 20 ms, and a closed loop of more than they can hold, tell what can be done.
+    // Pods hold a request for 20 ms. A closed loop of more clients than the pods have slots finds the highest rate.
     const HOLD_MS: u64 = 20;
     let length = Duration::from_secs(seconds);
     let before = sidecar.resident_bytes()?;
@@ -317,38 +326,39 @@
         let load = load.clone();
         clients.spawn_local(async move {
             while Instant::now() < until {
-                let bounced = load.rejected.get();
+                let rejected = load.rejected.get();
                 load.request(Instant::now(), HOLD_MS).await;
-                if load.rejected.get() > bounced {
+                if load.rejected.get() > rejected {
                     sleep(Duration::from_millis(20)).await;
                 }
             }
         });
     }
     while clients.join_next().await.is_some() {}
-    let most = load.succeeded.get() as f64 / length.as_secs_f64();
-    let flooded = Load::new(sidecar.address)?;
-    flooded.take_connections(&load);
+    let max_rate = load.succeeded.get() as f64 / length.as_secs_f64();
+    let overload = Load::new(sidecar.address)?;
+    overload.take_connections(&load);
     let peak = Rc::new(Cell::new(0u64));
-    let asked = flooded.clone();
-    let mut flood = spawn_local(async move { asked.open_loop(3.0 * most, length, HOLD_MS).await });
+    let sender = overload.clone();
+    let mut flood =
+        spawn_local(async move { sender.open_loop(3.0 * max_rate, length, HOLD_MS).await });
     loop {
         tokio::select! {
             _ = &mut flood => break,
             () = sleep(Duration::from_millis(100)) => peak.set(peak.get().max(sidecar.resident_bytes()?)),
         }
     }
-    let took = |quantile| flooded.quantile_us(quantile);
+    let took = |quantile| overload.quantile_us(quantile);
     sleep(Duration::from_secs(2)).await;
     let after = sidecar.resident_bytes()?;
     let (delivered, bounced, failed) = (
-        flooded.succeeded.get(),
-        flooded.rejected.get(),
-        flooded.failed.get(),
+        overload.succeeded.get(),
+        overload.rejected.get(),
+        overload.failed.get(),
     );
     println!(
-        "it can do {most:.0} hits/s; asked for {:.0}/s over {seconds} s:",
-        3.0 * most
+        "highest rate {max_rate:.0} requests/s; sent {:.0} requests/s for {seconds} s:",
+        3.0 * max_rate
     );
     println!(
         "delivered {delivered}, bounced {bounced}, failed {failed}, p50 {} us, p99 {} us",
@@ -360,7 +370,7 @@
         peak.get()
     );
     Ok(json!({
-        "can_do_per_s": most, "asked_per_s": 3.0 * most, "delivered": delivered, "bounced": bounced,
+        "can_do_per_s": max_rate, "asked_per_s": 3.0 * max_rate, "delivered": delivered, "bounced": bounced,
         "failed": failed, "took_p50_us": took(0.5), "took_p99_us": took(0.99),
         "memory_before_bytes": before, "memory_peak_bytes": peak.get(), "memory_after_bytes": after,
     }))
--- a/crates/cli/src/bench/load.rs
+++ b/crates/cli/src/bench/load.rs
@@ -1,5 +1,5 @@
-//! An open loop of requests to one target. A request's latency runs from when it was due, not from when it was
-//! sent, so that a target that stalls is charged for all that waited.
+//! Sends requests to one target at a steady rate. The latency of a request counts from the time at which it was due,
+//! not from the time at which it was sent, so that a stall of the target shows in the latency of every delayed request.
 
 use bytes::Bytes;
 use havenplank_capacity::samples;
@@ -17,20 +17,23 @@
 use tokio::task::{spawn_local, JoinSet};
 use tokio::time::{sleep_until, Instant};
 
+/// Upper bound of the latency histogram, in microseconds.
 const LONGEST_LATENCY_US: u64 = 600_000_000;
+/// Decimal digits of precision of the latency histogram.
 const SIGNIFICANT_DIGITS: u8 = 3;
 const TENANT_HEADER: &str = "x-customer";
-/// Steps through routes and tenants; a prime that divides neither count, so that all of them come by.
+/// Step between the routes, and between the tenants, of two consecutive requests. A prime that divides neither count,
+/// so that the requests go through all routes and all tenants.
 const MIX_STRIDE: usize = 7_919;
 
 type Sender = SendRequest<Empty<Bytes>>;
 
-/// Which routes and tenants the requests name.
+/// Routes and tenants of the requests.
 #[derive(Clone, Copy)]
 pub enum RequestMix {
     /// One path, no tenant.
     OnePath,
-    /// Sample routes and tenants, one after the other in strides.
+    /// Sample routes and tenants, in steps of `MIX_STRIDE`.
     Spread { routes: usize, tenants: usize },
 }
 
@@ -56,26 +59,34 @@
     }
 }
 
-/// Connections to one target, and what came back.
+/// Connections to one target, and the counts of its responses.
 pub struct Load {
     address: SocketAddr,
     mix: RequestMix,
     sent: Cell<usize>,
     idle: RefCell<Vec<Sender>>,
     latency_us: RefCell<Histogram<u64>>,
-    /// Answers with status 200.
+    /// Responses with status 200.
     pub succeeded: Cell<u64>,
-    /// Answers with status 503.
+    /// Responses with status 503.
     pub rejected: Cell<u64>,
-    /// Other answers, and broken connections.
+    /// Other responses, and broken connections.
     pub failed: Cell<u64>,
 }
 
 impl Load {
+    /// Returns a load of requests to one path, without connections.
+    ///
+    /// # Errors
+    /// Bounds that the histogram does not accept.
     pub fn new(address: SocketAddr) -> anyhow::Result<Rc<Load>> {
         Load::with_mix(address, RequestMix::OnePath)
     }
 
+    /// Returns a load of requests to the routes and tenants of `mix`, without connections.
+    ///
+    /// # Errors
+    /// Bounds that the histogram does not accept.
     pub fn with_mix(address: SocketAddr, mix: RequestMix) -> anyhow::Result<Rc<Load>> {
         let latency_us = Histogram::new_with_bounds(1, LONGEST_LATENCY_US, SIGNIFICANT_DIGITS)?;
         Ok(Rc::new(Load {
@@ -90,20 +101,20 @@
         }))
     }
 
-    /// Goes on with the connections of another load, and with the routes and tenants after its last.
+    /// Takes the idle connections of another load, and continues its sequence of routes and tenants.
     pub fn take_connections(&self, other: &Load) {
         self.idle.swap(&other.idle);
         self.sent.set(other.sent.get());
     }
 
-    /// Latency of the answers with status 200, in microseconds.
+    /// Returns a quantile of the latency of responses with status 200, in microseconds.
     pub fn quantile_us(&self, quantile: f64) -> u64 {
         self.latency_us.borrow().value_at_quantile(quantile)
     }
 
     async fn sender(&self) -> anyhow::Result<Sender> {
-        let kept = self.idle.borrow_mut().pop();
-        if let Some(mut sender) = kept {
+        let idle = self.idle.borrow_mut().pop();
+        if let Some(mut sender) = idle {
             if sender.ready().await.is_ok() {
                 return Ok(sender);
             }
@@ -128,7 +139,7 @@
         Ok(status)
     }
 
-    /// Sends one request that the pod holds for a while, and counts its answer.
+    /// Sends one request that the pod holds for `hold_ms`, and counts the response.
     pub async fn request(&self, due: Instant, hold_ms: u64) {
         let count = match self.status(hold_ms).await {
             Ok(200) => {
@@ -144,21 +155,21 @@
         count.set(count.get() + 1);
     }
 
-    /// Sends at a steady rate for a while, whatever comes back, and waits for the last answer.
+    /// Sends `rate` requests per second for `length`, however slow the responses are, then waits for the last response.
     pub async fn open_loop(self: &Rc<Self>, rate: f64, length: Duration, hold_ms: u64) {
-        let (began, mut open) = (Instant::now(), JoinSet::new());
+        let (started, mut in_flight) = (Instant::now(), JoinSet::new());
         let count = (rate * length.as_secs_f64()) as u64;
         for number in 0..count {
-            let due = began + Duration::from_secs_f64(number as f64 / rate);
+            let due = started + Duration::from_secs_f64(number as f64 / rate);
             if due > Instant::now() {
                 sleep_until(due).await;
             } else if number % 64 == 0 {
                 tokio::task::yield_now().await;
             }
             let load = self.clone();
-            open.spawn_local(async move { load.request(due, hold_ms).await });
-            while open.try_join_next().is_some() {}
+            in_flight.spawn_local(async move { load.request(due, hold_ms).await });
+            while in_flight.try_join_next().is_some() {}
         }
-        while open.join_next().await.is_some() {}
+        while in_flight.join_next().await.is_some() {}
     }
 }
--- a/crates/cli/src/bench/processes.rs
+++ b/crates/cli/src/bench/processes.rs
@@ -1,4 +1,4 @@
-//! Child processes of the benches: pods, bare proxy and sidecar, and the node list that the sidecar follows.
+//! Child processes of the benches (pods, bare proxy and sidecar), and the endpoint list that the sidecar watches.
 
 use anyhow::{bail, Context};
 use havenplank::interface::PodState;
@@ -14,12 +14,15 @@
 use tokio::runtime::{Builder, LocalOptions};
 use tokio::task::JoinSet;
 
-/// Requests that a small pod serves at once; with 20 ms a request four of them do 1,000 a second.
+/// Requests that a small pod serves at the same time. At 20 ms per request, four such pods serve 1,000 requests/s.
 const SMALL_POD_SLOTS: usize = 5;
 const ANY_PORT: &str = "127.0.0.1:0";
 
-/// Runs a measured part in this process, for the bench that started it, and prints the addresses it listens on.
-pub fn part(kind: &str, addresses: Vec<SocketAddr>) -> anyhow::Result<u8> {
+/// Runs pods or a bare proxy in this process, for the bench that started it. Prints the addresses on which they listen.
+///
+/// # Errors
+/// An unknown kind, and addresses that cannot be bound.
+pub fn run_part(kind: &str, addresses: Vec<SocketAddr>) -> anyhow::Result<u8> {
     let runtime = Builder::new_current_thread()
         .enable_all()
         .build_local(LocalOptions::default())?;
@@ -57,12 +60,12 @@
     Ok(0)
 }
 
-/// A child process that is ended with the bench.
+/// A child process. Dropping the value kills the process.
 pub struct Process {
     child: Child,
-    /// The first address that it listens on.
+    /// The first address on which the process listens.
     pub address: SocketAddr,
-    /// All addresses that it listens on.
+    /// All addresses on which the process listens.
     pub addresses: Vec<SocketAddr>,
 }
 
@@ -74,8 +77,8 @@
 }
 
 impl Process {
-    /// Starts this program as a measured part.
-    pub fn part(args: &[&str]) -> anyhow::Result<Process> {
+    /// Starts this program as pods or as a bare proxy, and waits until the process listens.
+    pub fn start_part(args: &[&str]) -> anyhow::Result<Process> {
         let program = std::env::current_exe()?;
         let mut child = Command::new(program)
             .args(["bench-part"])
@@ -83,18 +86,24 @@
             .stdout(Stdio::piped())
             .spawn()?;
         let mut line = String::new();
-        BufReader::new(child.stdout.take().context("its output")?).read_line(&mut line)?;
+        BufReader::new(
+            child
+                .stdout
+                .take()
+                .context("a part has no standard output")?,
+        )
+        .read_line(&mut line)?;
         let addresses: Vec<SocketAddr> = line
             .split_whitespace()
             .map(|address| {
                 address
                     .parse()
-                    .with_context(|| format!("a part said {line:?}"))
+                    .with_context(|| format!("a part printed {line:?}; expected addresses"))
             })
             .collect::<anyhow::Result<_>>()?;
         let address = *addresses
             .first()
-            .context("a part ended before it listened")?;
+            .context("a part printed no address; expected at least one")?;
         Ok(Process {
             child,
             address,
@@ -103,7 +112,7 @@
     }
 
     /// Starts a sidecar with this settings script, and waits until it listens.
-    pub fn sidecar(
+    pub fn start_sidecar(
         settings: &str,
         given: &[(&str, String)],
         folder: &Path,
@@ -119,12 +128,19 @@
             command.args(["--given", &format!("{name}={value}")]);
         }
         let mut child = command.stderr(Stdio::piped()).spawn()?;
-        let mut lines = BufReader::new(child.stderr.take().context("its log")?).lines();
+        let mut lines = BufReader::new(
+            child
+                .stderr
+                .take()
+                .context("the sidecar has no standard error")?,
+        )
+        .lines();
         let address = loop {
             let line = lines
                 .next()
                 .context("the sidecar ended before it listened")??;
-            let entry: serde_json::Value = serde_json::from_str(&line).context("its log")?;
+            let entry: serde_json::Value =
+                serde_json::from_str(&line).context("log of the sidecar")?;
             if entry["fields"]["message"] == "listening" {
                 break entry["fields"]["listen"]
                     .as_str()
@@ -132,7 +148,7 @@
                     .parse()?;
             }
         };
-        // Whatever it logs later must not fill its pipe.
+        // Later log lines are read and dropped: a full pipe would block the sidecar.
         std::thread::spawn(move || lines.for_each(drop));
         Ok(Process {
             child,
@@ -141,40 +157,40 @@
         })
     }
 
-    /// CPU time over all threads, in nanoseconds.
+    /// Returns the CPU time of all threads so far, in nanoseconds.
     pub fn cpu_ns(&self) -> anyhow::Result<u64> {
         let mut sum = 0;
         for task in std::fs::read_dir(format!("/proc/{}/task", self.child.id()))? {
             let text = std::fs::read_to_string(task?.path().join("schedstat"))?;
             let ns = text.split(' ').next().and_then(|ns| ns.parse::<u64>().ok());
-            sum += ns.context("schedstat: expected a number first")?;
+            sum += ns.context("schedstat: expected a number in the first field")?;
         }
         Ok(sum)
     }
 
-    /// Open files and sockets.
+    /// Returns the number of open files and sockets.
     pub fn open_descriptors(&self) -> anyhow::Result<usize> {
         Ok(std::fs::read_dir(format!("/proc/{}/fd", self.child.id()))?.count())
     }
 
-    /// Resident memory, in bytes.
+    /// Returns the resident memory, in bytes.
     pub fn resident_bytes(&self) -> anyhow::Result<u64> {
         let text = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()))?;
         let line = text
             .lines()
             .find_map(|line| line.strip_prefix("VmRSS:"))
-            .context("status: no VmRSS")?;
+            .context("status: found no line VmRSS")?;
         let kb: u64 = line
             .trim()
             .trim_end_matches(" kB")
             .parse()
-            .context("VmRSS: expected kB")?;
+            .context("VmRSS: expected a number of kB")?;
         Ok(kb * 1024)
     }
 }
 
-/// Running pods of one zone at these addresses.
-pub fn listed(addresses: &[SocketAddr]) -> Vec<ListedEndpoint> {
+/// Returns a list of running pods of one zone at these addresses.
+pub fn listed_pods(addresses: &[SocketAddr]) -> Vec<ListedEndpoint> {
     let pod = |(number, address): (usize, &SocketAddr)| ListedEndpoint {
         name: format!("pod-{number}"),
         address: *address,
@@ -190,13 +206,13 @@
     addresses.iter().enumerate().map(pod).collect()
 }
 
-/// Stands in for service discovery: sends the same list to every follower and keeps its connection open.
-pub async fn serve_node_list(listener: TcpListener, pods: Vec<ListedEndpoint>) {
+/// Emulates service discovery: sends the same list to every client and keeps the connection open.
+pub async fn serve_endpoint_list(listener: TcpListener, pods: Vec<ListedEndpoint>) {
     let mut text = greeting(endpoint_list::PROTOCOL, None);
     endpoint_list::write_list(&mut text, 1, true, &pods);
-    let mut open = Vec::new();
+    let mut connections = Vec::new();
     while let Ok((mut stream, _)) = listener.accept().await {
         let _ = stream.write_all(text.as_bytes()).await;
-        open.push(stream);
+        connections.push(stream);
     }
 }
--- a/crates/cli/src/bench_capacity.rs
+++ b/crates/cli/src/bench_capacity.rs
@@ -1,4 +1,4 @@
-//! `havenplank bench capacity`: the scale tests, printed as tables or written as JSON.
+//! `havenplank bench capacity`: runs the scale tests, prints their tables and writes them as JSON.
 
 use crate::{bench_proxy_capacity, write_json, USAGE};
 use anyhow::Context;
@@ -11,47 +11,49 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Sidecars to which a configuration spreads in the simulation.
+/// Numbers of sidecars that receive a configuration in the simulation, in a quick run.
 const QUICK_SIZES: &[usize] = &[100, 400];
+/// Numbers of sidecars that receive a configuration in the simulation, in a full run.
 const FULL_SIZES: &[usize] = &[100, 400, 1_600];
+/// Seed of the simulation.
 const SEED: u64 = 1;
 
-/// What a scale test measures.
+/// A scale test.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, ValueEnum)]
-pub enum Part {
-    /// Membership and standing of 50 to 1,600 sidecars on the simulated network.
+pub enum ScaleTest {
+    /// Membership and quorum state of 50 to 1,600 sidecars on the simulated network.
     Membership,
-    /// The same code over loopback sockets, as many as fit.
+    /// The same membership code over loopback sockets, with as many sidecars as fit on the machine.
     Sockets,
     /// One sidecar with up to 21,000 pods, 4,500 routes and 150,000 tenants.
     Tables,
-    /// The real proxy beside a bare one, with small tables and large ones.
+    /// The sidecar process compared with a bare proxy, with small and with large tables.
     Proxy,
-    /// What service discovery and the control plane send for 1,600 sidecars.
+    /// Traffic that service discovery and the control plane send for 1,600 sidecars.
     Discovery,
-    /// A change of configuration on its way to 1,600 sidecars.
+    /// Distribution of a changed configuration to 1,600 sidecars.
     Configuration,
 }
 
-/// Runs the named scale tests, or all of them, and prints each as it ends.
-pub fn bench(parts: &[Part], quick: bool, json: Option<&Path>) -> anyhow::Result<u8> {
-    let parts = if parts.is_empty() {
-        Part::value_variants()
+/// Runs the given scale tests, or all if none is given, and prints the tables of each as soon as it ends.
+pub fn bench(tests: &[ScaleTest], quick: bool, json: Option<&Path>) -> anyhow::Result<u8> {
+    let tests = if tests.is_empty() {
+        ScaleTest::value_variants()
     } else {
-        parts
+        tests
     };
     let mut sections = Vec::new();
-    for part in parts {
-        let progress = progress(*part);
-        let measured = measure(*part, quick);
-        progress.finish_and_clear();
-        match measured.with_context(|| format!("{part:?}")) {
+    for test in tests {
+        let spinner = start_spinner(*test);
+        let measured = measure(*test, quick);
+        spinner.finish_and_clear();
+        match measured.with_context(|| format!("{test:?}")) {
             Ok(measured) => {
                 measured.iter().for_each(|section| println!("{section}"));
                 sections.extend(measured);
             }
-            Err(refused) => {
-                eprintln!("havenplank: {refused:#}");
+            Err(error) => {
+                eprintln!("havenplank: {error:#}");
                 return Ok(USAGE);
             }
         }
@@ -62,12 +64,12 @@
     Ok(0)
 }
 
-/// A spinner on a terminal; nothing when standard error is piped.
-fn progress(part: Part) -> ProgressBar {
+/// Returns a spinner on a terminal, and a hidden bar if standard error is piped.
+fn start_spinner(test: ScaleTest) -> ProgressBar {
     if !std::io::stderr().is_terminal() {
         return ProgressBar::hidden();
     }
-    let bar = ProgressBar::new_spinner().with_message(format!("{part:?}"));
+    let bar = ProgressBar::new_spinner().with_message(format!("{test:?}"));
     if let Ok(style) = ProgressStyle::with_template("{spinner} {msg} {elapsed_precise}") {
         bar.set_style(style);
     }
@@ -75,10 +77,10 @@
     bar
 }
 
-/// One scale test in its quick or its full form.
-fn measure(part: Part, quick: bool) -> anyhow::Result<Vec<Section>> {
-    Ok(match part {
-        Part::Membership => {
+/// Runs one scale test in its quick or its full form.
+fn measure(test: ScaleTest, quick: bool) -> anyhow::Result<Vec<Section>> {
+    Ok(match test {
+        ScaleTest::Membership => {
             let options = if quick {
                 membership::Options::quick()
             } else {
@@ -86,7 +88,7 @@
             };
             membership::membership(&options)
         }
-        Part::Sockets => {
+        ScaleTest::Sockets => {
             let options = if quick {
                 membership_sockets::Options::quick()
             } else {
@@ -94,7 +96,7 @@
             };
             membership_sockets::membership_on_sockets(&options)?
         }
-        Part::Tables => {
+        ScaleTest::Tables => {
             let options = if quick {
                 tables::Options::quick()
             } else {
@@ -102,8 +104,8 @@
             };
             tables::tables(&options)?
         }
-        Part::Proxy => bench_proxy_capacity::measure(quick)?,
-        Part::Discovery => {
+        ScaleTest::Proxy => bench_proxy_capacity::measure(quick)?,
+        ScaleTest::Discovery => {
             let options = if quick {
                 discovery::Options::quick()
             } else {
@@ -111,7 +113,7 @@
             };
             discovery::discovery(&options)?
         }
-        Part::Configuration => {
+        ScaleTest::Configuration => {
             let sizes = if quick { QUICK_SIZES } else { FULL_SIZES };
             configuration::measure(sizes, SEED)
         }
--- a/crates/cli/src/bench_proxy_capacity.rs
+++ b/crates/cli/src/bench_proxy_capacity.rs
@@ -1,11 +1,11 @@
-//! `havenplank bench capacity --what proxy`: latency, CPU time and memory of a sidecar beside a bare proxy, with small
-//! tables and with large ones.
+//! `havenplank bench capacity --what proxy`: measures latency, CPU time and memory of a sidecar compared with a bare
+//! proxy, with small and with large tables.
 //!
 //! Both proxies are child processes in front of the same pods and get the same requests in turns. Each listed pod
-//! has a loopback address and a listener of its own; a few processes hold them all.
+//! has a loopback address and a listener of its own; a few processes serve all pods.
 
 use crate::bench::load::{Load, RequestMix};
-use crate::bench::processes::{serve_node_list, Process};
+use crate::bench::processes::{serve_endpoint_list, Process};
 use havenplank_capacity::report::{Point, Section, Series};
 use havenplank_capacity::samples;
 use havenplank_line_protocol::endpoint_list::ListedEndpoint;
@@ -16,19 +16,20 @@
 use tokio::runtime::Builder;
 use tokio::task::{spawn_local, LocalSet};
 
-/// The most that the sidecar may add at the 99th percentile, in microseconds.
+/// Limit of the latency that the sidecar adds to that of the bare proxy at the 99th percentile, in microseconds.
 const ADDED_P99_LIMIT_US: f64 = 2_300.0;
+/// Number of processes that serve the pods.
 const POD_PROCESSES: usize = 4;
-/// The bare proxy goes to so few pods that its connections stay open with tables of any size, so that it is the
-/// same reference for each.
+/// Number of pods behind the bare proxy: few, so that its connections stay open with tables of any size and it is the
+/// same reference for each size.
 const BARE_PROXY_PODS: usize = 16;
-/// The first pod's address; each further pod has the next one.
+/// Address of the first pod; each further pod has the next address.
 const FIRST_POD_ADDRESS: Ipv4Addr = Ipv4Addr::new(127, 1, 0, 1);
 const WARM_UP: Duration = Duration::from_secs(1);
-/// How long a started sidecar is left alone before its memory is read.
-const SETTLING: Duration = Duration::from_millis(500);
+/// Time without requests between the start of a sidecar and the reading of its idle memory.
+const SETTLING_TIME: Duration = Duration::from_millis(500);
 
-/// Entries of the tables that a sidecar routes by.
+/// Numbers of entries in the routing tables of a sidecar.
 #[derive(Clone, Copy)]
 struct TableSizes {
     routes: usize,
@@ -52,7 +53,7 @@
     pods: 5_000,
 };
 
-/// One steady rate, in rounds in which both proxies take their turn.
+/// One steady request rate, in rounds in which each of the two proxies has one turn.
 #[derive(Clone, Copy)]
 struct Turns {
     requests_per_s: f64,
@@ -60,6 +61,7 @@
     length: Duration,
 }
 
+/// Table sizes and request rates of one run.
 struct Plan {
     sizes: [TableSizes; 2],
     turns: [Turns; 2],
@@ -89,7 +91,7 @@
     }
 }
 
-/// What one proxy did at one rate.
+/// Measurements of one proxy at one rate.
 struct ProxyFigures {
     p50_us: f64,
     p99_us: f64,
@@ -101,26 +103,26 @@
     failed: u64,
 }
 
-/// Both proxies at one rate, with tables of one size.
+/// Measurements of both proxies at one rate, with tables of one size.
 struct Comparison {
     sizes: TableSizes,
     bare: ProxyFigures,
     sidecar: ProxyFigures,
 }
 
-/// Both proxies at all rates, with tables of one size.
-struct Measured {
+/// Measurements of both proxies at all rates, with tables of one size.
+struct SizeMeasurement {
     sizes: TableSizes,
     start_s: f64,
     idle_bytes: f64,
-    /// In the order of the plan's turns.
+    /// One entry per rate, in the order of the plan.
     by_rate: Vec<Comparison>,
 }
 
-/// Measures a sidecar beside a bare proxy; `quick` takes smaller tables and shorter turns.
+/// Measures a sidecar compared with a bare proxy; `quick` selects smaller tables and shorter turns.
 ///
 /// # Errors
-/// Processes that do not start, and listeners that cannot be had.
+/// Processes that do not start, and addresses that cannot be bound.
 pub fn measure(quick: bool) -> anyhow::Result<Vec<Section>> {
     let plan = Plan::new(quick);
     let runtime = Builder::new_current_thread().enable_all().build()?;
@@ -145,32 +147,32 @@
     Ok(std::iter::once(start).chain(rates).collect())
 }
 
-async fn measure_size(sizes: TableSizes, turns: &[Turns]) -> anyhow::Result<Measured> {
+async fn measure_size(sizes: TableSizes, turns: &[Turns]) -> anyhow::Result<SizeMeasurement> {
     let pod_processes = start_pods(sizes.pods)?;
     let pods: Vec<SocketAddr> = pod_processes
         .iter()
         .flat_map(|process| process.addresses.clone())
         .collect();
-    let bare = start_bare(&pods)?;
+    let bare = start_bare_proxy(&pods)?;
     let folder = tempfile::tempdir()?;
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let nodes = listener.local_addr()?.to_string();
-    spawn_local(serve_node_list(listener, listed(&pods)));
-    let began = Instant::now();
+    spawn_local(serve_endpoint_list(listener, listed_pods(&pods)));
+    let started = Instant::now();
     let settings = samples::script(sizes.routes, sizes.tenants);
-    let sidecar = Process::sidecar(
+    let sidecar = Process::start_sidecar(
         &settings,
         &[("nodes", nodes.clone()), ("desk", nodes)],
         folder.path(),
     )?;
-    let start_s = began.elapsed().as_secs_f64();
-    tokio::time::sleep(SETTLING).await;
+    let start_s = started.elapsed().as_secs_f64();
+    tokio::time::sleep(SETTLING_TIME).await;
     let idle_bytes = sidecar.resident_bytes()? as f64;
     let mut by_rate = Vec::new();
     for turns in turns {
         by_rate.push(compare(sizes, *turns, &bare, &sidecar).await?);
     }
-    Ok(Measured {
+    Ok(SizeMeasurement {
         sizes,
         start_s,
         idle_bytes,
@@ -178,16 +180,16 @@
     })
 }
 
-/// Starts processes that listen on one address for each pod.
+/// Starts the processes that serve the pods. Each pod listens on an address of its own.
 fn start_pods(count: usize) -> anyhow::Result<Vec<Process>> {
     let address = |number: usize| Ipv4Addr::from(u32::from(FIRST_POD_ADDRESS) + number as u32);
     let addresses: Vec<String> = (0..count)
         .map(|number| format!("{}:0", address(number)))
         .collect();
-    let start = |share: &[String]| {
+    let start = |chunk: &[String]| {
         let mut args = vec!["pods"];
-        args.extend(share.iter().map(String::as_str));
-        Process::part(&args)
+        args.extend(chunk.iter().map(String::as_str));
+        Process::start_part(&args)
     };
     addresses
         .chunks(count.div_ceil(POD_PROCESSES))
@@ -195,7 +197,7 @@
         .collect()
 }
 
-fn start_bare(pods: &[SocketAddr]) -> anyhow::Result<Process> {
+fn start_bare_proxy(pods: &[SocketAddr]) -> anyhow::Result<Process> {
     let pods: Vec<String> = pods
         .iter()
         .take(BARE_PROXY_PODS)
@@ -203,10 +205,10 @@
         .collect();
     let mut args = vec!["bare"];
     args.extend(pods.iter().map(String::as_str));
-    Process::part(&args)
+    Process::start_part(&args)
 }
 
-fn listed(addresses: &[SocketAddr]) -> Vec<ListedEndpoint> {
+fn listed_pods(addresses: &[SocketAddr]) -> Vec<ListedEndpoint> {
     let pod = |(number, address): (usize, &SocketAddr)| ListedEndpoint {
         address: *address,
         ..samples::pod(number)
@@ -214,7 +216,7 @@
     addresses.iter().enumerate().map(pod).collect()
 }
 
-/// Loads both proxies in turns, so that a machine that slows meanwhile slows both.
+/// Sends requests to both proxies in turns, so that a machine that slows down in between slows both.
 async fn compare(
     sizes: TableSizes,
     turns: Turns,
@@ -245,7 +247,7 @@
     })
 }
 
-/// A load whose connections are open.
+/// Returns a load whose connections are already open.
 async fn warmed_up(proxy: &Process, turns: Turns, mix: RequestMix) -> anyhow::Result<Rc<Load>> {
     let warm_up = Load::with_mix(proxy.address, mix)?;
     warm_up.open_loop(turns.requests_per_s, WARM_UP, 0).await;
@@ -270,9 +272,9 @@
     })
 }
 
-fn start_section(measured: &[Measured]) -> Section {
-    let series = |name: &str, value: fn(&Measured) -> f64| {
-        let point = |of_size: &Measured| Point {
+fn start_section(measured: &[SizeMeasurement]) -> Section {
+    let series = |name: &str, value: fn(&SizeMeasurement) -> f64| {
+        let point = |of_size: &SizeMeasurement| Point {
             size: of_size.sizes.routes as f64,
             value: value(of_size),
         };
@@ -287,13 +289,13 @@
         .iter()
         .map(|of_size| size_note(of_size.sizes))
         .collect();
-    notes.push("start: from its process's start to its log line that it listens".to_string());
+    notes.push("start: from the start of the process to its log line that it listens".to_string());
     notes.push(
-        "tables grow together, so a slope between two sizes is no cost of one more route"
+        "all tables grow together, so the slope between two sizes is not the cost of one more route"
             .to_string(),
     );
     notes.push(format!(
-        "each listed pod has its own loopback address and listener, held by {POD_PROCESSES} processes"
+        "each listed pod has its own loopback address and listener, served by {POD_PROCESSES} processes"
     ));
     Section {
         title: "Sidecar: start and idle memory".to_string(),
@@ -337,10 +339,10 @@
     )];
     notes.extend(comparisons.iter().flat_map(comparison_notes));
     notes.push(format!(
-        "the bare proxy goes to {BARE_PROXY_PODS} pods at each size"
+        "the bare proxy forwards to {BARE_PROXY_PODS} pods at each size"
     ));
     notes.push("the sidecar's CPU time includes its background work".to_string());
-    notes.push("no control plane answers the sidecar".to_string());
+    notes.push("no control plane responds to the sidecar".to_string());
     Section {
         title: format!("Sidecar beside a bare proxy at {requests_per_s} requests/s"),
         series: vec![
@@ -371,7 +373,7 @@
     comparison.sidecar.p99_us - comparison.bare.p99_us
 }
 
-/// Whether the limit was kept, and what came back.
+/// Returns notes on whether the latency limit was kept, and on the counts of responses.
 fn comparison_notes(comparison: &Comparison) -> Vec<String> {
     let routes = comparison.sizes.routes;
     let kept = if added_p99_us(comparison) <= ADDED_P99_LIMIT_US {
@@ -379,7 +381,7 @@
     } else {
         "beyond"
     };
-    let answers = |name: &str, figures: &ProxyFigures| {
+    let response_counts = |name: &str, figures: &ProxyFigures| {
         let ProxyFigures {
             succeeded,
             rejected,
@@ -390,7 +392,7 @@
     };
     vec![
         format!("at {routes} routes: added p99 {kept} its limit of {ADDED_P99_LIMIT_US} us"),
-        answers("bare proxy", &comparison.bare),
-        answers("sidecar", &comparison.sidecar),
+        response_counts("bare proxy", &comparison.bare),
+        response_counts("sidecar", &comparison.sidecar),
     ]
 }
--- a/crates/cli/src/bench_trace.rs
+++ b/crates/cli/src/bench_trace.rs
@@ -1,4 +1,4 @@
-//! `havenplank bench trace-file`: a long recording of an engine in virtual time, and what its tools take.
+//! `havenplank bench trace-file`: records an engine in virtual time, and measures the recording and the trace tools.
 
 use crate::write_json;
 use anyhow::{bail, Context};
@@ -18,12 +18,14 @@
 use std::process::{Command, Stdio};
 use std::time::{Duration, Instant};
 
-const MS: Nanos = 1_000_000;
-const S: Nanos = 1_000 * MS;
+const MILLISECOND: Nanos = 1_000_000;
+const SECOND: Nanos = 1_000 * MILLISECOND;
+/// Mean rate of the recorded requests, per second.
 const RATE: u64 = 2_000;
 const PODS: u64 = 16;
-/// Hits whose records are also written as JSON lines, to compare.
-const COMPARED: u64 = 100_000;
+/// Number of requests whose records are also written as JSON lines, to compare the sizes.
+const REQUESTS_AS_JSON: u64 = 100_000;
+/// Settings of the recorded engine.
 const SETTINGS: &str = r#"
 sidecar(name = "bench", instances = 1, zones = ["z"], zone = "z", listen = "127.0.0.1:0", admin = "127.0.0.1:0",
         customers = ["editors", "builds", "web"])
@@ -37,6 +39,7 @@
 desk(address = "127.0.0.1:1")
 "#;
 
+/// Returns the list of pods; with `release`, the last two run build 2.
 fn pods(release: bool) -> Vec<ListedEndpoint> {
     let pod = |n| ListedEndpoint {
         name: format!("pod-{n}"),
@@ -53,10 +56,11 @@
     (0..PODS).map(pod).collect()
 }
 
-/// Records a life of so many hits: a fiftieth of the forwards fail, every pod tells its load, keys are Zipf-like.
-fn live(terms: &EngineSettings, hits: u64, folder: &Path) -> anyhow::Result<PathBuf> {
+/// Records an engine that handles this many requests and returns the path of the trace. One in 50 attempts fails, every
+/// response reports the load of its pod, and the keys have a Zipf-like distribution.
+fn record_trace(terms: &EngineSettings, requests: u64, folder: &Path) -> anyhow::Result<PathBuf> {
     let until = u64::MAX;
-    let (terms, wall) = (terms.clone(), 1_700_000_000 * S);
+    let (terms, wall) = (terms.clone(), 1_700_000_000 * SECOND);
     let mut engine = Engine::new(EPOCH, 1, &terms);
     let source = Source {
         terms,
@@ -72,12 +76,12 @@
     let limits = Limits {
         share: 1.0,
         queue: 1 << 30,
-        longest: 3 * S,
+        longest: 3 * SECOND,
         file_bytes: u64::MAX,
         file_age: u64::MAX,
     };
-    let shelf = Folder::new(folder, "bench", wall, u64::MAX)?;
-    let (recorder, writing) = Recorder::start(source, limits, Box::new(shelf));
+    let trace_folder = Folder::new(folder, "bench", wall, u64::MAX)?;
+    let (recorder, writing) = Recorder::start(source, limits, Box::new(trace_folder));
     engine = engine.with_observer(Box::new(recorder));
     engine.start(EPOCH);
     engine.update_endpoints(EPOCH, true, pods(true));
@@ -88,29 +92,33 @@
             stage: 1,
             phase: Phase::Trial,
             cap: 0.5,
-            age: S,
+            age: SECOND,
         },
     );
-    let mut chance = Rand64::new(1);
-    // When, hit, forward, and when it was sent.
+    let mut rng = Rand64::new(1);
+    // Time of the end, request, attempt number, and time of sending.
     let mut due: BinaryHeap<Reverse<(Nanos, RequestId, u32, Nanos)>> = BinaryHeap::new();
     let (mut now, mut next) = (EPOCH, EPOCH);
-    let mut asked = 0;
-    while asked < hits || !due.is_empty() {
+    let mut started_requests = 0;
+    while started_requests < requests || !due.is_empty() {
         let wake = engine.next_timer().unwrap_or(Nanos::MAX);
         let end = due.peek().map_or(Nanos::MAX, |Reverse((at, ..))| *at);
-        let hit = if asked < hits { next } else { Nanos::MAX };
-        now = now.max(wake.min(end).min(hit));
+        let next_request = if started_requests < requests {
+            next
+        } else {
+            Nanos::MAX
+        };
+        now = now.max(wake.min(end).min(next_request));
         if wake <= now {
             engine.run_timers(now);
         } else if end <= now {
-            if let Some(Reverse((_, hit, nth, sent))) = due.pop() {
-                let end = if chance.rand_range(0..50) == 0 {
+            if let Some(Reverse((_, request_id, attempt_number, sent))) = due.pop() {
+                let end = if rng.rand_range(0..50) == 0 {
                     AttemptEnd::Failed
                 } else {
                     AttemptEnd::Served
                 };
-                let busy = chance.rand_range(0..1000) as f64 / 1000.0;
+                let busy = rng.rand_range(0..1000) as f64 / 1000.0;
                 let load = LoadReport {
                     in_flight: Some((busy * 8.0).round()),
                     cpu_utilization: Some(busy),
@@ -118,25 +126,27 @@
                 };
                 engine.attempt_ended(
                     now,
-                    hit,
-                    nth,
+                    request_id,
+                    attempt_number,
                     end,
-                    now - sent + chance.rand_range(20_000..90_000),
+                    now - sent + rng.rand_range(20_000..90_000),
                     Some(load),
                 );
             }
         } else {
-            asked += 1;
-            next += chance.rand_range(0..2 * S / RATE);
-            let group = [0, 0, 0, 1, 2][chance.rand_range(0..5) as usize];
+            started_requests += 1;
+            next += rng.rand_range(0..2 * SECOND / RATE);
+            let class = [0, 0, 0, 1, 2][rng.rand_range(0..5) as usize];
             let key =
-                ((chance.rand_float() * 10.0).exp() as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
-            let left = [2 * S, 3 * S, 3 * S][group] - 20 * MS - chance.rand_range(20_000..70_000);
-            let tenant = Some(chance.rand_range(0..3) as usize);
+                ((rng.rand_float() * 10.0).exp() as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
+            let left = [2 * SECOND, 3 * SECOND, 3 * SECOND][class]
+                - 20 * MILLISECOND
+                - rng.rand_range(20_000..70_000);
+            let tenant = Some(rng.rand_range(0..3) as usize);
             engine.handle_request(
                 now,
                 RequestAttributes {
-                    route_class: group,
+                    route_class: class,
                     tenant,
                     key,
                     remaining: left,
@@ -148,17 +158,17 @@
         while let Some(effect) = engine.next_effect() {
             match effect {
                 Effect::SendAttempt {
-                    request: hit,
-                    attempt: nth,
+                    request: request_id,
+                    attempt: attempt_number,
                     ..
                 } => {
                     let sent = now;
-                    now += chance.rand_range(5_000..40_000);
-                    engine.may_send(now, hit, nth);
+                    now += rng.rand_range(5_000..40_000);
+                    engine.may_send(now, request_id, attempt_number);
                     due.push(Reverse((
-                        now + chance.rand_range(8 * MS..50 * MS),
-                        hit,
-                        nth,
+                        now + rng.rand_range(8 * MILLISECOND..50 * MILLISECOND),
+                        request_id,
+                        attempt_number,
                         sent,
                     )));
                 }
@@ -180,7 +190,9 @@
     if !writing.wait(Duration::from_secs(600)) {
         bail!("the trace was not written within 600 s");
     }
-    let file = std::fs::read_dir(folder)?.next().context("a trace")??;
+    let file = std::fs::read_dir(folder)?
+        .next()
+        .context("the recording left no trace file")??;
     Ok(file.path())
 }
 
@@ -188,20 +200,20 @@
     Ok(Reader::open(BufReader::new(File::open(file)?))?)
 }
 
-/// Runs this program with these arguments: how long it took, and the most memory that it held.
-fn child(args: &[&str]) -> anyhow::Result<(Duration, u64)> {
-    let began = Instant::now();
+/// Runs this program with these arguments. Returns its run time and its peak resident memory in bytes.
+fn run_child(args: &[&str]) -> anyhow::Result<(Duration, u64)> {
+    let started = Instant::now();
     let mut child = Command::new(std::env::current_exe()?)
         .args(args)
         .stdout(Stdio::null())
         .spawn()?;
-    let mut most = 0;
+    let mut peak_bytes = 0;
     loop {
         if let Some(status) = child.try_wait()? {
             if !status.success() {
                 bail!("{args:?}: {status}");
             }
-            return Ok((began.elapsed(), most));
+            return Ok((started.elapsed(), peak_bytes));
         }
         let status =
             std::fs::read_to_string(format!("/proc/{}/status", child.id())).unwrap_or_default();
@@ -210,87 +222,93 @@
             .find_map(|line| line.strip_prefix("VmHWM:"))
             .unwrap_or_default();
         let kb: u64 = line.trim().trim_end_matches(" kB").parse().unwrap_or(0);
-        most = most.max(kb * 1024);
+        peak_bytes = peak_bytes.max(kb * 1024);
         std::thread::sleep(Duration::from_millis(2));
     }
 }
 
-pub fn bench(hits: u64, json: Option<&Path>) -> anyhow::Result<u8> {
+/// Records a trace of this many requests, prints its size and the cost of the tools, and writes them as JSON.
+///
+/// # Errors
+/// Files that cannot be written or read, and tools that fail.
+pub fn bench(requests: u64, json: Option<&Path>) -> anyhow::Result<u8> {
     let folder = tempfile::tempdir()?;
     let settings = folder.path().join("bench.star");
     std::fs::write(&settings, SETTINGS)?;
     let terms = EngineSettings::from(&load(&settings, &Given::new())?);
     let traces = folder.path().join("traces");
-    let began = Instant::now();
-    let file = live(&terms, hits, &traces)?;
+    let started = Instant::now();
+    let file = record_trace(&terms, requests, &traces)?;
     let bytes = std::fs::metadata(&file)?.len();
     println!(
-        "{hits} hits recorded in {:.1} s of decisions: {bytes} bytes",
-        began.elapsed().as_secs_f64()
+        "{requests} requests recorded in {:.1} s of decisions: {bytes} bytes",
+        started.elapsed().as_secs_f64()
     );
-    println!("bytes_a_hit {:.1}", bytes as f64 / hits as f64);
+    println!("bytes_a_hit {:.1}", bytes as f64 / requests as f64);
 
     let mut reader = open(&file)?;
     let mut lines = zstd::Encoder::new(Vec::new(), 3)?;
     let (mut compared, mut at) = (0, 0);
     while let Some(record) = reader.record()? {
         compared += record.begins_hit() as u64;
-        if compared > COMPARED {
+        if compared > REQUESTS_AS_JSON {
             break;
         }
         at = reader.read_to();
         writeln!(lines, "{}", json_view::line(&record, &reader.head))?;
     }
-    let as_json = lines.finish()?.len() as f64 / compared.clamp(1, COMPARED) as f64;
-    println!("as JSON lines under zstd: bytes_a_hit {as_json:.1}, over the first {at} blocks");
+    let as_json = lines.finish()?.len() as f64 / compared.clamp(1, REQUESTS_AS_JSON) as f64;
+    println!(
+        "as JSON lines compressed with zstd: bytes_a_hit {as_json:.1}, over the first {at} blocks"
+    );
 
-    let (began, mut records) = (Instant::now(), 0u64);
+    let (started, mut records) = (Instant::now(), 0u64);
     let mut reader = open(&file)?;
-    let opened = began.elapsed();
+    let open_time = started.elapsed();
     while reader.record()?.is_some() {
         records += 1;
     }
-    let whole = began.elapsed();
-    let (first, last) = reader.span().context("records")?;
+    let read_time = started.elapsed();
+    let (first, last) = reader.span().context("the trace has no records")?;
     let from = first + (last - first) / 2;
-    let began = Instant::now();
-    let (made, _) = cut::cut(&mut open(&file)?, Vec::new(), from, from + 10 * S)?;
-    let cutting = began.elapsed();
+    let started = Instant::now();
+    let (cut_result, _) = cut::cut(&mut open(&file)?, Vec::new(), from, from + 10 * SECOND)?;
+    let cut_time = started.elapsed();
     println!(
-        "opened in {:.2} ms; 10 s cut ({} hits) in {:.1} ms; {records} records read in {:.2} s",
-        opened.as_secs_f64() * 1e3,
-        made.hits,
-        cutting.as_secs_f64() * 1e3,
-        whole.as_secs_f64()
+        "opened in {:.2} ms; 10 s cut ({} requests) in {:.1} ms; {records} records read in {:.2} s",
+        open_time.as_secs_f64() * 1e3,
+        cut_result.hits,
+        cut_time.as_secs_f64() * 1e3,
+        read_time.as_secs_f64()
     );
 
     let path = file.display().to_string();
     let out = folder.path().join("cut.hpt").display().to_string();
-    let (_, cut_memory) = child(&[
+    let (_, cut_memory) = run_child(&[
         "trace", "cut", &path, "--from", "60s", "--to", "120s", "-o", &out,
     ])?;
-    let (summarised, memory) = child(&["trace", "summarise", &path])?;
+    let (summarise_time, memory) = run_child(&["trace", "summarise", &path])?;
     println!(
-        "summarised in {:.1} s within {memory} bytes; 60 s cut within {cut_memory} bytes",
-        summarised.as_secs_f64()
+        "summarised in {:.1} s with {memory} bytes of memory; 60 s cut with {cut_memory} bytes of memory",
+        summarise_time.as_secs_f64()
     );
 
-    let began = Instant::now();
+    let started = Instant::now();
     let (played, _) = replay::replay(vec![open(&file)?])?;
-    let replaying = began.elapsed().as_secs_f64();
-    let outcome = &played.first().context("a source")?.1;
-    let per_s = outcome.hits as f64 / replaying;
-    let same = outcome.differs.is_none() && outcome.hits == hits;
-    println!("replayed in {replaying:.1} s, {per_s:.0} hits/s, identical: {same}");
+    let replay_s = started.elapsed().as_secs_f64();
+    let outcome = &played.first().context("the trace has no source")?.1;
+    let per_s = outcome.hits as f64 / replay_s;
+    let identical = outcome.differs.is_none() && outcome.hits == requests;
+    println!("replayed in {replay_s:.1} s, {per_s:.0} requests/s, identical: {identical}");
     if let Some(file) = json {
         let value = json!({
-            "hits": hits, "records": records, "bytes": bytes, "bytes_a_hit": bytes as f64 / hits as f64,
-            "json_bytes_a_hit": as_json, "open_ms": opened.as_secs_f64() * 1e3,
-            "cut_10s_ms": cutting.as_secs_f64() * 1e3, "read_all_s": whole.as_secs_f64(),
-            "summarise_s": summarised.as_secs_f64(), "summarise_bytes": memory, "cut_bytes": cut_memory,
-            "replay_hits_per_s": per_s, "identical": same,
+            "hits": requests, "records": records, "bytes": bytes, "bytes_a_hit": bytes as f64 / requests as f64,
+            "json_bytes_a_hit": as_json, "open_ms": open_time.as_secs_f64() * 1e3,
+            "cut_10s_ms": cut_time.as_secs_f64() * 1e3, "read_all_s": read_time.as_secs_f64(),
+            "summarise_s": summarise_time.as_secs_f64(), "summarise_bytes": memory, "cut_bytes": cut_memory,
+            "replay_hits_per_s": per_s, "identical": identical,
         });
         write_json(file, &value)?;
     }
-    Ok(if same { 0 } else { crate::BROKEN })
+    Ok(if identical { 0 } else { crate::BROKEN })
 }
--- a/crates/cli/src/distribute.rs
+++ b/crates/cli/src/distribute.rs
@@ -1,4 +1,4 @@
-//! `havenplank distribute`: signals, log and runtime around the distributor of a configuration.
+//! `havenplank distribute`: runs the distributor of a configuration with signal handling, a log and a runtime.
 
 use anyhow::Context;
 use havenplank_settings::MembershipSettings;
@@ -10,51 +10,58 @@
 use tokio::runtime::LocalOptions;
 use tokio::signal::unix::{signal, SignalKind};
 
+/// Arguments of `havenplank distribute`.
 #[derive(clap::Args)]
-pub struct Distribute {
+pub struct DistributeArgs {
     /// The script with services, routes and tenants; read again at SIGHUP.
     script: PathBuf,
-    /// A value that the script reads with given(NAME, otherwise); may be repeated.
+    /// Value that the script reads with given(NAME, DEFAULT); may be repeated.
     #[arg(long, value_name = "NAME=VALUE")]
     given: Vec<String>,
-    /// Its name among the sidecars.
+    /// Name of the distributor among the sidecars.
     #[arg(long)]
     name: String,
-    /// Where peers reach it, for UDP and TCP.
+    /// Address to bind, for UDP and TCP.
     #[arg(long)]
     listen: SocketAddr,
-    /// Where peers reach it, if that is another address.
+    /// Address at which peers reach the distributor; by default the bound address.
     #[arg(long)]
     advertise: Option<SocketAddr>,
-    /// Sidecars to begin with; may be repeated.
+    /// Address of a sidecar to contact first; may be repeated.
     #[arg(long, value_name = "ADDRESS")]
     meet: Vec<SocketAddr>,
     /// File with the keys of the sidecars, read again at SIGHUP.
     #[arg(long)]
     keys: PathBuf,
-    /// Between two questions to a peer whether it lives; that of the sidecars.
+    /// Time between two pings to peers; must be that of the sidecars.
     #[arg(long, default_value = "500ms")]
     period: humantime::Duration,
-    /// Where operators look: GET /state.
+    /// Address to bind for operators, who query GET /state.
     #[arg(long, default_value = "127.0.0.1:0")]
     admin: SocketAddr,
-    /// Folder with all versions; a restart goes on from there.
+    /// Folder that stores all versions; a restarted distributor continues with them.
     #[arg(long)]
     store: PathBuf,
-    /// The epoch of its versions, where it is another than that of its store.
+    /// Epoch of the published versions; by default the stored epoch.
     #[arg(long, conflicts_with = "replace_writer")]
     epoch: Option<u64>,
-    /// Take the newest version from the sidecars and publish under the next epoch: the writer before is fenced off.
+    /// Fetch the newest version from the sidecars and publish under the next epoch, which fences off the previous
+    /// writer.
     #[arg(long)]
     replace_writer: bool,
 }
 
-pub fn distribute(args: Distribute) -> anyhow::Result<u8> {
-    let settings = settings_of(args)?;
+/// Runs the distributor until it is stopped by SIGTERM or SIGINT.
+///
+/// # Errors
+/// Invalid arguments, signals that cannot be handled, and faults of the distributor other than a bad script or a
+/// lower epoch, which give the exit status `USAGE`.
+pub fn distribute(args: DistributeArgs) -> anyhow::Result<u8> {
+    let settings = distributor_settings(args)?;
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build_local(LocalOptions::default())?;
-    let ended = runtime.block_on(async {
+    let result = runtime.block_on(async {
         let mut terminate = signal(SignalKind::terminate()).context("SIGTERM")?;
         let mut interrupt = signal(SignalKind::interrupt()).context("SIGINT")?;
         let name = settings.name.clone();
@@ -69,7 +76,7 @@
         };
         anyhow::Ok(run(settings, ready, stop).await)
     })?;
-    match ended {
+    match result {
         Ok(()) => Ok(0),
         Err(error @ (DistributorError::Script(_) | DistributorError::LowerEpoch { .. })) => {
             eprintln!("{error}");
@@ -79,13 +86,14 @@
     }
 }
 
-fn settings_of(args: Distribute) -> anyhow::Result<DistributorSettings> {
+fn distributor_settings(args: DistributeArgs) -> anyhow::Result<DistributorSettings> {
     let epoch = match (args.epoch, args.replace_writer) {
         (Some(number), _) => EpochChoice::Number(number),
         (None, true) => EpochChoice::ReplaceWriter,
         (None, false) => EpochChoice::AsStored,
     };
-    let period = u64::try_from(args.period.as_nanos()).context("--period: too long")?;
+    let period = u64::try_from(args.period.as_nanos())
+        .context("--period: expected less than 2^64 nanoseconds")?;
     let membership = MembershipSettings {
         listen: args.listen,
         advertise: args.advertise,
--- a/crates/cli/src/logging.rs
+++ b/crates/cli/src/logging.rs
@@ -12,10 +12,10 @@
     Json,
 }
 
-/// Starts logging, with colours on a terminal. Is called once.
+/// Starts logging, with colours on a terminal. Must be called only once, since it sets the global subscriber.
 ///
 /// # Errors
-/// Levels that do not parse.
+/// Levels that cannot be parsed.
 pub fn init(format: LogFormat, levels: &str) -> Result<(), ParseError> {
     let filter = EnvFilter::try_new(levels)?;
     let subscriber = tracing_subscriber::fmt()
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -25,7 +25,7 @@
 pub const DONE: u8 = 0;
 /// Exit status: the command failed.
 pub const FAILED: u8 = 1;
-/// Exit status: an invariant is broken, or a replay differs.
+/// Exit status: an invariant is violated, or a replayed decision differs from the recorded one.
 pub const BROKEN: u8 = 2;
 /// Exit status: bad usage or settings.
 pub const USAGE: u8 = 64;
@@ -34,13 +34,13 @@
 #[command(
     name = "havenplank",
     version,
-    about = "A request router and release judge"
+    about = "A request router that also votes on releases"
 )]
 struct Args {
-    /// Format of log lines, on standard error.
+    /// Format of the log lines on standard error.
     #[arg(long, value_enum, default_value_t = LogFormat::Text, global = true)]
     log_format: LogFormat,
-    /// Least level that is logged: error, warn, info, debug or trace, for single modules as well.
+    /// Lowest level that is logged: error, warn, info, debug or trace; may be set for single modules (MODULE=LEVEL).
     #[arg(long, value_name = "LEVEL", global = true)]
     log: Option<String>,
     #[command(subcommand)]
@@ -52,17 +52,17 @@
     /// Run a sidecar until it is stopped by SIGTERM or SIGINT.
     Serve {
         settings: PathBuf,
-        /// A value that the script reads with given(NAME, otherwise); may be repeated.
+        /// Value that the script reads with given(NAME, DEFAULT); may be repeated.
         #[arg(long, value_name = "NAME=VALUE")]
         given: Vec<String>,
-        /// Seed of the decisions' random numbers; drawn where it is left out.
+        /// Seed of the random numbers that the decisions use; by default the time of the start.
         #[arg(long)]
         seed: Option<u64>,
     },
-    /// Run a sidecar on the operators' platform, by the file that PROXY_CONFIG names.
+    /// Run a sidecar on the operators' platform, configured by the file that PROXY_CONFIG names.
     Platform,
     /// Compile a script of routes and tenants and distribute it to running sidecars.
-    Distribute(distribute::Distribute),
+    Distribute(distribute::DistributeArgs),
     /// Run one member of the membership protocol by itself, to test its network and key.
     #[command(alias = "fellow")]
     Member(member::MemberArgs),
@@ -72,16 +72,16 @@
         #[arg(long, value_name = "NAME=VALUE")]
         given: Vec<String>,
     },
-    /// Run a scenario: emulated peers here, sidecars as child processes, the invariants checked by the ledger of
-    /// what crossed the sockets.
+    /// Run a scenario with emulated peers in this process and sidecars as child processes, then check the invariants
+    /// over the ledger of what crossed the sockets.
     #[command(alias = "day")]
     Scenario(scenario::ScenarioArgs),
     /// Measure on loopback: proxy (added latency, CPU and memory per request), trace (cost of recording), memory
-    /// alone, flood (past the maximum), takeover (cost of leases, time to resume), growth (traffic between
-    /// 3 to 64 sidecars); trace-file: a long recording and its tools, in virtual time; capacity: scale tests of
-    /// what each part costs at several sizes, and how that grows.
+    /// (per request in flight), flood (overload), takeover (cost of leases, time to resume), growth (traffic between
+    /// 3 to 64 sidecars). trace-file measures a long recording and its tools in virtual time. capacity runs scale
+    /// tests: the cost of each component at several sizes, and how it grows with the size.
     Bench(bench::BenchArgs),
-    /// A process that the bench starts: pod, or bare with the pods' addresses.
+    /// Run a process for the bench: pod, small-pod, pods with addresses, or bare with the addresses of the pods.
     #[command(hide = true)]
     BenchPart {
         kind: String,
@@ -90,7 +90,7 @@
     /// Read, cut, merge, anonymise, summarise and replay recorded traces.
     Trace {
         #[command(subcommand)]
-        what: traces::TraceCommand,
+        command: traces::TraceCommand,
     },
     /// Check the invariants over a stored ledger.
     #[command(alias = "rules")]
@@ -102,7 +102,7 @@
 }
 
 impl Command {
-    /// Whether the command runs until it is stopped, and so logs at info.
+    /// Returns whether the command runs until it is stopped. Such a command logs at level info by default.
     fn is_long_running(&self) -> bool {
         matches!(
             self,
@@ -114,7 +114,7 @@
 fn main() -> ExitCode {
     let args = match Args::try_parse() {
         Ok(args) => args,
-        Err(error) => return usage(&error),
+        Err(error) => return exit_with_usage(&error),
     };
     let default_level = if args.command.is_long_running() {
         "info"
@@ -135,8 +135,8 @@
     }
 }
 
-/// Prints what is wrong with the command line. Help and version come here too and are no mistake.
-fn usage(error: &clap::Error) -> ExitCode {
+/// Prints the message of the argument parser. Clap reports help and version as errors too; these exit with `DONE`.
+fn exit_with_usage(error: &clap::Error) -> ExitCode {
     let _ = error.print();
     if error.use_stderr() {
         ExitCode::from(USAGE)
@@ -161,8 +161,8 @@
         Command::Check { settings, given } => settings::check(&settings, &given),
         Command::Scenario(args) => scenario::scenario(args),
         Command::Bench(args) => bench::run(args),
-        Command::BenchPart { kind, pods } => bench::part(&kind, pods),
-        Command::Trace { what } => traces::run(what),
+        Command::BenchPart { kind, pods } => bench::run_part(&kind, pods),
+        Command::Trace { command } => traces::run(command),
         Command::Verify { ledger, json } => verify::verify(&ledger, json.as_deref()),
     }
 }
@@ -172,5 +172,6 @@
 /// # Errors
 /// A file that cannot be written.
 pub fn write_json(file: &Path, value: &serde_json::Value) -> anyhow::Result<()> {
-    std::fs::write(file, format!("{value:#}\n")).with_context(|| format!("{}", file.display()))
+    std::fs::write(file, format!("{value:#}\n"))
+        .with_context(|| format!("cannot write {}", file.display()))
 }
--- a/crates/cli/src/member.rs
+++ b/crates/cli/src/member.rs
@@ -17,8 +17,9 @@
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::time::interval;
 
+/// Time between two log lines with the state of the member.
 const STATE_INTERVAL: Duration = Duration::from_secs(1);
-/// Times between two pings that are accepted, in milliseconds.
+/// Values of `--period` that are accepted, in milliseconds.
 const PERIOD_MS: RangeInclusive<u128> = 10..=60_000;
 
 /// Arguments of `havenplank member`.
@@ -32,22 +33,22 @@
     /// UDP address to bind.
     #[arg(long)]
     listen: SocketAddr,
-    /// Address at which others reach it; the bound one where left out.
+    /// Address at which other members reach this one; by default the bound address.
     #[arg(long)]
     advertise: Option<SocketAddr>,
-    /// Address of a member to join by; may be repeated.
+    /// Address of a member to contact first; may be repeated.
     #[arg(long = "meet")]
     meet: Vec<SocketAddr>,
     /// File with the members' keys, read again at SIGHUP.
     #[arg(long)]
     keys: PathBuf,
-    /// Time between two pings.
+    /// Time between two pings that this member sends.
     #[arg(long, default_value = "500ms")]
     period: humantime::Duration,
 }
 
 impl MemberArgs {
-    /// Returns what is wrong with the arguments, if anything is.
+    /// Returns a message about the first invalid argument, if there is one.
     fn problem(&self) -> Option<&'static str> {
         if self.name.is_empty() || self.name.len() > MAX_NAME_BYTES {
             return Some("--name: expected 1 to 64 bytes");
@@ -65,7 +66,7 @@
 /// Runs a member until it is stopped by SIGTERM or SIGINT.
 ///
 /// # Errors
-/// An address that cannot be bound, and signals that cannot be handled.
+/// An address that cannot be bound and signals that cannot be handled.
 pub fn member(args: MemberArgs) -> anyhow::Result<u8> {
     if let Some(problem) = args.problem() {
         eprintln!("havenplank: {problem}");
@@ -89,7 +90,7 @@
     let mut interrupt = signal(SignalKind::interrupt()).context("SIGINT")?;
     let mut reload = signal(SignalKind::hangup()).context("SIGHUP")?;
     let transport = bind(&args, keys).await?;
-    tracing::info!(name = args.name, listen = %transport.local_address()?, "fellow listening");
+    tracing::info!(name = args.name, listen = %transport.local_address()?, "member listening");
     tokio::task::spawn_local(transport.clone().run(|_, event| log_membership(event)));
     let mut state_interval = interval(STATE_INTERVAL);
     loop {
@@ -101,7 +102,7 @@
         }
     }
     transport.call(|node, _| node.leave());
-    tracing::info!("fellow left");
+    tracing::info!("left the group");
     Ok(DONE)
 }
 
@@ -130,14 +131,14 @@
     transport.await.with_context(|| args.listen.to_string())
 }
 
-/// Reads the keys again; keys that cannot be read leave the old ones in use.
+/// Reads the keys again. If they cannot be read, the old keys stay in use.
 fn reload_keys(transport: &Transport, file: &Path) {
     match read_keys(file) {
         Ok(keys) => {
             tracing::info!(keys = keys.len(), "keys read again");
             transport.call(|node, _| node.replace_keys(keys));
         }
-        Err(error) => tracing::warn!(why = %error, "keys refused, the old ones stay"),
+        Err(error) => tracing::warn!(why = %error, "keys rejected; the old keys stay in use"),
     }
 }
 
@@ -147,13 +148,13 @@
     }
 }
 
-/// Logs what the member believes beside what it sent and received.
+/// Logs the member's view of the group and its traffic counters.
 fn log_state(transport: &Transport) {
     transport.call(|node, _| {
         let alive = node.membership().alive();
-        let living: Vec<&str> = alive.map(|member| member.id.name.as_str()).collect();
+        let alive_names: Vec<&str> = alive.map(|member| member.id.name.as_str()).collect();
         tracing::info!(
-            living = living.join(","),
+            living = alive_names.join(","),
             slowness = node.membership().health_score(),
             sent = node.sent,
             sent_bytes = node.sent_bytes,
--- a/crates/cli/src/platform.rs
+++ b/crates/cli/src/platform.rs
@@ -1,4 +1,4 @@
-//! `havenplank platform`: the sidecar on the operators' platform, configured by its environment.
+//! `havenplank platform`: runs a sidecar on the operators' platform, configured by the file that PROXY_CONFIG names.
 
 use crate::USAGE;
 use anyhow::Context;
@@ -8,16 +8,16 @@
 use tokio::signal::unix::{signal, Signal, SignalKind};
 use tokio::sync::mpsc;
 
-/// The variable that names the configuration file.
+/// Environment variable with the path of the configuration file.
 const CONFIG_VARIABLE: &str = "PROXY_CONFIG";
-/// Commands that wait; signals of one kind merge by themselves.
+/// Capacity of the command queue. Few are enough, since pending signals of one kind merge into one.
 const COMMAND_QUEUE: usize = 4;
 
-/// Runs the sidecar until it is told to stop, and returns the exit code.
+/// Runs the sidecar until a signal stops it, and returns the exit code.
 pub fn platform() -> anyhow::Result<u8> {
     let Some(file) = std::env::var_os(CONFIG_VARIABLE).map(PathBuf::from) else {
         eprintln!(
-            "havenplank: {CONFIG_VARIABLE}: not set, expected the path of a configuration file"
+            "havenplank: {CONFIG_VARIABLE}: not set; expected the path of a configuration file"
         );
         return Ok(USAGE);
     };
@@ -28,7 +28,7 @@
 }
 
 async fn run(file: PathBuf) -> anyhow::Result<u8> {
-    // Before all else: a signal that comes while we start must not end us.
+    // Handlers are installed first, so that a signal during the start does not kill the process.
     let signals = Signals::install()?;
     let config = match Config::load(&file) {
         Ok(config) => config,
@@ -48,7 +48,7 @@
     Ok(0)
 }
 
-/// The signals that a sidecar obeys.
+/// The signals that control a sidecar.
 struct Signals {
     reload: Signal,
     terminate: Signal,
@@ -64,27 +64,27 @@
         })
     }
 
-    /// Waits for the next command; none where a reload found a configuration that is refused.
+    /// Waits for the next command. Returns `None` after a reload whose configuration was rejected.
     async fn next(&mut self, file: &Path) -> Option<Command> {
         tokio::select! {
             _ = self.terminate.recv() => Some(Command::Stop),
             _ = self.interrupt.recv() => Some(Command::Stop),
-            _ = self.reload.recv() => load_again(file),
+            _ = self.reload.recv() => reload_config(file),
         }
     }
 }
 
-fn load_again(file: &Path) -> Option<Command> {
+fn reload_config(file: &Path) -> Option<Command> {
     match Config::load(file) {
         Ok(config) => Some(Command::Reload(Box::new(config))),
         Err(reason) => {
-            tracing::warn!(%reason, "configuration refused, the old one stays");
+            tracing::warn!(%reason, "configuration rejected; the old one stays in force");
             None
         }
     }
 }
 
-/// Turns signals into commands until nobody takes them.
+/// Forwards signals as commands until the receiver is dropped.
 async fn forward_signals(mut signals: Signals, file: PathBuf, commands: mpsc::Sender<Command>) {
     loop {
         let Some(command) = signals.next(&file).await else {
--- a/crates/cli/src/scenario.rs
+++ b/crates/cli/src/scenario.rs
@@ -16,11 +16,12 @@
 
 const NANOS_PER_SECOND: u64 = 1_000_000_000;
 
-/// Reads a scenario; `None` after its mistakes were printed.
+/// Reads a scenario. Prints the mistakes of a bad file and returns `None`.
 fn read(file: &Path) -> anyhow::Result<Option<Scenario>> {
-    let text = std::fs::read_to_string(file).with_context(|| format!("{}", file.display()))?;
+    let text =
+        std::fs::read_to_string(file).with_context(|| format!("cannot read {}", file.display()))?;
     match scenario_file::read(&text) {
-        Ok(day) => Ok(Some(day)),
+        Ok(scenario) => Ok(Some(scenario)),
         Err(problems) => {
             problems
                 .iter()
@@ -38,22 +39,22 @@
     scenario: PathBuf,
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Write the outcome as JSON, too.
+    /// Also write the outcome as JSON to this file.
     #[arg(long, value_name = "FILE")]
     json: Option<PathBuf>,
-    /// Store the ledger and the sidecars' logs in this folder.
+    /// Store the ledger and the logs of the sidecars in this folder.
     #[arg(long, value_name = "DIR")]
     ledger: Option<PathBuf>,
     /// Let the sidecars record traces in this folder.
     #[arg(long, value_name = "DIR")]
     trace: Option<PathBuf>,
-    /// Run so many sidecars in place of the scenario's own number.
+    /// Number of sidecars; by default the scenario's.
     #[arg(long)]
     sidecars: Option<usize>,
-    /// Run so many pods in place of the scenario's own number.
+    /// Number of pods; by default the scenario's.
     #[arg(long)]
     pods: Option<usize>,
-    /// Requests per second.
+    /// Requests per second; by default the scenario's.
     #[arg(long)]
     rate: Option<f64>,
 }
@@ -61,55 +62,66 @@
 /// Runs a scenario, checks the invariants over its ledger and prints the outcome.
 ///
 /// # Errors
-/// Files that cannot be read or written, sidecars that cannot be started, and faults that the scenario did not make.
+/// Files that cannot be read or written, sidecars that cannot be started, and faults that the scenario does not
+/// contain.
 pub fn scenario(args: ScenarioArgs) -> anyhow::Result<u8> {
-    let Some(mut script) = read(&args.scenario)? else {
+    let Some(mut scenario) = read(&args.scenario)? else {
         return Ok(USAGE);
     };
-    script.sidecars = args.sidecars.unwrap_or(script.sidecars).max(1);
-    script.pods = args.pods.unwrap_or(script.pods).max(1);
-    script.rate = args.rate.unwrap_or(script.rate);
+    scenario.sidecars = args.sidecars.unwrap_or(scenario.sidecars).max(1);
+    scenario.pods = args.pods.unwrap_or(scenario.pods).max(1);
+    scenario.rate = args.rate.unwrap_or(scenario.rate);
     let folder = args.scenario.parent().unwrap_or(Path::new(""));
-    let settings_file = folder.join(&script.settings);
-    let given = scenario::settings_values(&script);
+    let settings_file = folder.join(&scenario.settings);
+    let given = scenario::settings_values(&scenario);
     let given = given.iter().map(|(name, value)| format!("{name}={value}"));
     let given: Vec<String> = given.collect();
     let Some(site) = settings::load(&settings_file, &given)? else {
         return Ok(USAGE);
     };
     let started = Instant::now();
-    let played = play(&args, &script, site, settings_file)?;
+    let outcome = run(&args, &scenario, site, settings_file)?;
     if let Some(folder) = &args.ledger {
-        ledger::write(folder, "day", &played.entries)?;
+        ledger::write(folder, "day", &outcome.entries)?;
     }
-    let verdicts = check(&played.entries)?;
-    report(&script, &played, args.seed, started.elapsed().as_secs_f64());
+    let verdicts = check(&outcome.entries)?;
+    print_outcome(
+        &scenario,
+        &outcome,
+        args.seed,
+        started.elapsed().as_secs_f64(),
+    );
     let broken = print_verdicts(&verdicts);
     if let Some(file) = &args.json {
-        write_json(file, &as_json(&script, &played, args.seed, &verdicts))?;
+        write_json(
+            file,
+            &outcome_json(&scenario, &outcome, args.seed, &verdicts),
+        )?;
     }
-    for trouble in &played.unexpected_faults {
-        println!("trouble: {trouble}");
+    for fault in &outcome.unexpected_faults {
+        println!("unexpected fault: {fault}");
     }
-    status(&played, broken)
+    status(&outcome, broken)
 }
 
-fn play(
+fn run(
     args: &ScenarioArgs,
-    script: &Scenario,
+    scenario: &Scenario,
     site: Site,
     settings: PathBuf,
 ) -> anyhow::Result<ScenarioOutcome> {
-    let temporary = tempfile::tempdir().context("a folder for lists and logs")?;
+    let temporary =
+        tempfile::tempdir().context("cannot create a temporary folder for lists and logs")?;
     let folder = args.ledger.as_deref().unwrap_or(temporary.path());
-    std::fs::create_dir_all(folder).with_context(|| format!("{}", folder.display()))?;
+    std::fs::create_dir_all(folder)
+        .with_context(|| format!("cannot create {}", folder.display()))?;
     let launch = Launch {
-        program: std::env::current_exe().context("this program's own path")?,
+        program: std::env::current_exe().context("cannot find the path of this program")?,
         settings,
         folder: folder.to_path_buf(),
         trace: args.trace.clone(),
     };
-    let bar = progress_bar(script.length / NANOS_PER_SECOND);
+    let bar = progress_bar(scenario.length / NANOS_PER_SECOND);
     let show_progress = |at: u64, line: String| {
         bar.set_position(at / NANOS_PER_SECOND);
         bar.set_message(line);
@@ -117,47 +129,49 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
-    let playing = scenario::run(script.clone(), site, launch, args.seed, show_progress);
-    let played = runtime.block_on(tokio::task::LocalSet::new().run_until(playing))?;
+    let running = scenario::run(scenario.clone(), site, launch, args.seed, show_progress);
+    let outcome = runtime.block_on(tokio::task::LocalSet::new().run_until(running))?;
     bar.finish_and_clear();
-    Ok(played)
+    Ok(outcome)
 }
 
-/// Returns a bar of so many seconds, hidden where standard error is no terminal.
+/// Returns a progress bar over the length of a scenario. `indicatif` hides the bar if standard error is no terminal.
 fn progress_bar(seconds: u64) -> ProgressBar {
     let style = ProgressStyle::with_template("{pos:>3}/{len} s {wide_msg}");
     ProgressBar::new(seconds).with_style(style.unwrap_or(ProgressStyle::default_bar()))
 }
 
-/// Returns the exit status: broken invariants first, then a ledger that proves nothing, then unexpected faults.
-fn status(played: &ScenarioOutcome, broken: usize) -> anyhow::Result<u8> {
-    let (lost, troubles) = (played.lost, played.unexpected_faults.len());
-    match (broken, lost, troubles) {
+/// Returns the exit status. Violated invariants take precedence, then an incomplete ledger, then unexpected faults.
+fn status(outcome: &ScenarioOutcome, broken: usize) -> anyhow::Result<u8> {
+    let (lost, faults) = (outcome.lost, outcome.unexpected_faults.len());
+    match (broken, lost, faults) {
         (0, 0, 0) => Ok(DONE),
-        (0, 0, _) => bail!("{troubles} troubles that the script did not make"),
-        (0, _, _) => bail!("{lost} entries did not fit into the ledger, so it proves nothing"),
+        (0, 0, _) => bail!("{faults} faults that the scenario does not contain"),
+        (0, _, _) => bail!(
+            "ledger incomplete: {lost} entries did not fit, so the invariants are not verified"
+        ),
         _ => Ok(BROKEN),
     }
 }
 
 /// Returns the priority weight delivered within the latency objective, as a share of the weight requested.
-fn service(fared: &[ClassOutcomes]) -> f64 {
+fn service_ratio(classes: &[ClassOutcomes]) -> f64 {
     let sum = |of: fn(&ClassOutcomes) -> u64| {
-        fared
+        classes
             .iter()
-            .map(|group| group.priority_weight * of(group) as f64)
+            .map(|class| class.priority_weight * of(class) as f64)
             .sum::<f64>()
     };
-    sum(|group| group.in_time) / sum(|group| group.requests).max(1e-9)
+    sum(|class| class.in_time) / sum(|class| class.requests).max(1e-9)
 }
 
-fn report(script: &Scenario, played: &ScenarioOutcome, seed: u64, took_s: f64) {
+fn print_outcome(scenario: &Scenario, outcome: &ScenarioOutcome, seed: u64, took_s: f64) {
     let Scenario {
         sidecars,
         pods,
         rate,
         ..
-    } = script;
+    } = scenario;
     println!(
         "{sidecars} sidecars, {pods} pods, {rate} hits/s, seed {seed}, played in {took_s:.1} s\n"
     );
@@ -173,7 +187,7 @@
         wrong,
         took_us,
         ..
-    } in &played.outcomes
+    } in &outcome.outcomes
     {
         let ms = |quantile| took_us.value_at_quantile(quantile) as f64 / 1e3;
         println!(
@@ -183,43 +197,43 @@
         );
     }
     let count = |of: fn(&LedgerEvent) -> bool| {
-        played
+        outcome
             .entries
             .iter()
             .filter(|entry| of(&entry.event))
             .count()
     };
     println!(
-        "\nservice {:.3}; {} tries by clients, {} forwards, {} turned away unseen, votes {:?}",
-        service(&played.outcomes),
-        played.attempts,
-        count(|seen| matches!(seen, LedgerEvent::Arrived { .. })),
-        count(|seen| matches!(seen, LedgerEvent::Unprocessed { .. })),
-        played.votes
+        "\nservice {:.3}; {} attempts by clients, {} attempts at pods, {} rejected unprocessed, votes {:?}",
+        service_ratio(&outcome.outcomes),
+        outcome.attempts,
+        count(|event| matches!(event, LedgerEvent::Arrived { .. })),
+        count(|event| matches!(event, LedgerEvent::Unprocessed { .. })),
+        outcome.votes
     );
-    for line in &played.release_log {
+    for line in &outcome.release_log {
         println!("{line}");
     }
 }
 
-fn as_json(
-    script: &Scenario,
-    played: &ScenarioOutcome,
+fn outcome_json(
+    scenario: &Scenario,
+    outcome: &ScenarioOutcome,
     seed: u64,
     verdicts: &[Verdict],
 ) -> serde_json::Value {
-    let group = |fared: &ClassOutcomes| {
-        let us = |quantile| fared.took_us.value_at_quantile(quantile);
+    let class_json = |class: &ClassOutcomes| {
+        let us = |quantile| class.took_us.value_at_quantile(quantile);
         json!({
-            "path_group": fared.route_class, "asked": fared.requests, "in_time": fared.in_time, "late": fared.late,
-            "bounced": fared.rejected, "errored": fared.failed, "left": fared.left, "wrong": fared.wrong,
+            "path_group": class.route_class, "asked": class.requests, "in_time": class.in_time, "late": class.late,
+            "bounced": class.rejected, "errored": class.failed, "left": class.left, "wrong": class.wrong,
             "took_p50_us": us(0.5), "took_p99_us": us(0.99),
         })
     };
     json!({
-        "sidecars": script.sidecars, "pods": script.pods, "rate_per_s": script.rate, "seed": seed,
-        "path_groups": played.outcomes.iter().map(group).collect::<Vec<_>>(),
-        "service": service(&played.outcomes), "tries": played.attempts, "votes": played.votes, "story": played.release_log, "troubles": played.unexpected_faults,
+        "sidecars": scenario.sidecars, "pods": scenario.pods, "rate_per_s": scenario.rate, "seed": seed,
+        "path_groups": outcome.outcomes.iter().map(class_json).collect::<Vec<_>>(),
+        "service": service_ratio(&outcome.outcomes), "tries": outcome.attempts, "votes": outcome.votes, "story": outcome.release_log, "troubles": outcome.unexpected_faults,
         "rules": verdicts,
     })
 }
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -1,4 +1,4 @@
-//! `havenplank serve`: signals, log, recorder and runtime around the sidecar library, nothing else.
+//! `havenplank serve`: runs the sidecar library with signal handling, a log, a trace recorder and a runtime.
 
 use anyhow::Context;
 use havenplank_settings::Site;
@@ -10,23 +10,25 @@
 use tokio::runtime::LocalOptions;
 use tokio::signal::unix::{signal, SignalKind};
 
-/// How long a stop waits for the trace's last blocks.
-const WRITES: Duration = Duration::from_secs(5);
+/// Longest time that a stopping sidecar waits until the last blocks of its trace are written.
+const TRACE_FLUSH_TIMEOUT: Duration = Duration::from_secs(5);
 
-fn wall() -> u64 {
+/// Returns the time since the Unix epoch, in nanoseconds.
+fn unix_time_ns() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .map_or(1, |since| since.as_nanos() as u64)
 }
 
-/// The recorder that the settings ask for, if they do.
-fn recorder(site: &Site, seed: u64) -> anyhow::Result<Option<(Recorder, Writing)>> {
+/// Starts the trace recorder that the settings configure; returns `None` if they configure none.
+fn start_recorder(site: &Site, seed: u64) -> anyhow::Result<Option<(Recorder, Writing)>> {
     let Some(trace) = &site.trace else {
         return Ok(None);
     };
-    let wall = wall();
+    let wall = unix_time_ns();
     let folder = Folder::new(&trace.folder, &site.name, wall, trace.total_bytes);
-    let folder = folder.with_context(|| format!("trace.folder: {}", trace.folder.display()))?;
+    let folder =
+        folder.with_context(|| format!("trace.folder: cannot open {}", trace.folder.display()))?;
     let (terms, life) = (
         EngineSettings::from(site),
         wall ^ (std::process::id() as u64) << 32,
@@ -57,9 +59,13 @@
     Ok(Some(Recorder::start(source, limits, Box::new(folder))))
 }
 
+/// Runs a sidecar until it is stopped by SIGTERM or SIGINT.
+///
+/// # Errors
+/// A trace folder that cannot be opened, an address that cannot be bound, and signals that cannot be handled.
 pub fn serve(site: Site, seed: Option<u64>) -> anyhow::Result<u8> {
-    let seed = seed.unwrap_or_else(wall);
-    let (witness, writing) = match recorder(&site, seed)? {
+    let seed = seed.unwrap_or_else(unix_time_ns);
+    let (observer, writing) = match start_recorder(&site, seed)? {
         Some((recorder, writing)) => (Some(Box::new(recorder) as Box<dyn Observer>), Some(writing)),
         None => (None, None),
     };
@@ -79,13 +85,14 @@
                 _ = interrupt.recv() => {}
             }
         };
-        havenplank_sidecar::serve(site, seed, witness, ready, stop).await?;
+        havenplank_sidecar::serve(site, seed, observer, ready, stop).await?;
         anyhow::Ok(())
     })?;
-    // The engine goes with the runtime's last task, and the recorder with the engine.
+    // The last task of the runtime owns the engine, and the engine owns the recorder. Dropping the runtime thus ends
+    // the recording, so that the last blocks get written.
     drop(runtime);
-    if writing.is_some_and(|writing| !writing.wait(WRITES)) {
-        tracing::warn!("the disk was too slow for the trace's last blocks");
+    if writing.is_some_and(|writing| !writing.wait(TRACE_FLUSH_TIMEOUT)) {
+        tracing::warn!("trace incomplete: its last blocks were not written before the time-out");
     }
     Ok(0)
 }
--- a/crates/cli/src/settings.rs
+++ b/crates/cli/src/settings.rs
@@ -5,7 +5,7 @@
 use havenplank_settings::{Given, Site};
 use std::path::Path;
 
-/// Loads a settings script with values for its `given`; `None` after its mistakes were printed.
+/// Loads a settings script with values for its `given` calls. Prints the mistakes of a bad script and returns `None`.
 ///
 /// # Errors
 /// A value that is not NAME=VALUE.
@@ -19,7 +19,7 @@
     }
 }
 
-/// Runs `havenplank check`: loads a settings script and prints what it holds, or its mistakes.
+/// Runs `havenplank check`: loads a settings script and prints the number of its path groups, or its mistakes.
 ///
 /// # Errors
 /// A value that is not NAME=VALUE.
@@ -35,7 +35,7 @@
     Ok(DONE)
 }
 
-/// Parses values for a script's `given`.
+/// Parses values for the `given` calls of a script.
 ///
 /// # Errors
 /// A value that is not NAME=VALUE.
--- a/crates/cli/src/traces/anonymise.rs
+++ b/crates/cli/src/traces/anonymise.rs
@@ -6,7 +6,8 @@
 use havenplank_trace::file::TraceError;
 use std::path::Path;
 
-/// Copies a trace with pseudonyms; `key_file` holds their key, or gets a new one.
+/// Copies a trace with pseudonyms. `key_file` holds the key from which they derive; a missing file is created with a
+/// new key.
 pub(super) fn anonymise(file: &Path, output: &Path, key_file: Option<&Path>) -> anyhow::Result<u8> {
     let mut reader = open(file)?;
     let key = read_or_create_key(key_file)?;
@@ -26,7 +27,7 @@
     Ok(status(file, damage))
 }
 
-/// Returns the key in `file`, which is created with a new key where it does not exist.
+/// Returns the key in `file`, which is created with a new key if it does not exist. Without a file, returns a new key.
 fn read_or_create_key(file: Option<&Path>) -> anyhow::Result<anonymise::Key> {
     let Some(file) = file else {
         return Ok(anonymise::draw_key()?);
@@ -34,20 +35,22 @@
     if !file.exists() {
         let key = anonymise::draw_key()?;
         let text: String = key.iter().map(|byte| format!("{byte:02x}")).collect();
-        std::fs::write(file, text + "\n").with_context(|| format!("{}", file.display()))?;
+        std::fs::write(file, text + "\n")
+            .with_context(|| format!("cannot write {}", file.display()))?;
         return Ok(key);
     }
-    let text = std::fs::read_to_string(file).with_context(|| format!("{}", file.display()))?;
+    let text =
+        std::fs::read_to_string(file).with_context(|| format!("cannot read {}", file.display()))?;
     let text = text.trim();
     let mut key = [0; 32];
-    let wanted = || format!("{}: line 1: expected 64 hexadecimal digits", file.display());
+    let invalid_key = || format!("{}: line 1: expected 64 hexadecimal digits", file.display());
     if text.len() != 64 || !text.is_ascii() {
-        bail!(wanted());
+        bail!(invalid_key());
     }
-    for (byte, at) in key.iter_mut().zip((0..64).step_by(2)) {
-        *byte = u8::from_str_radix(&text[at..at + 2], 16)
+    for (byte, start) in key.iter_mut().zip((0..64).step_by(2)) {
+        *byte = u8::from_str_radix(&text[start..start + 2], 16)
             .ok()
-            .with_context(wanted)?;
+            .with_context(invalid_key)?;
     }
     Ok(key)
 }
--- a/crates/cli/src/traces/cut.rs
+++ b/crates/cli/src/traces/cut.rs
@@ -1,16 +1,16 @@
-//! `havenplank trace cut`: copies the part of a trace between two times.
+//! `havenplank trace cut`: copies the section of a trace between two times.
 
 use super::files::{open, parse_time, status, write};
 use crate::USAGE;
 use havenplank_trace::cut::{self, Cut};
 use std::path::Path;
 
-/// Copies the requests that begin from `from` to before `to`, and all else of that time.
+/// Copies the requests that begin at `from` or later and before `to`, and all other records of that time.
 pub(super) fn cut(file: &Path, from: &str, to: &str, output: &Path) -> anyhow::Result<u8> {
     let mut reader = open(file)?;
     let (from, to) = (parse_time(&reader, from)?, parse_time(&reader, to)?);
     if from >= to {
-        eprintln!("havenplank: --from is not before --to");
+        eprintln!("havenplank: --from: expected a time before --to");
         return Ok(USAGE);
     }
     let (cut, damage) = write(output, |out| cut::cut(&mut reader, out, from, to))?;
@@ -23,7 +23,7 @@
     let all_blocks = reader.index.len();
     println!("{hits} hits, {records} records, {blocks} of {all_blocks} blocks read");
     if unfinished > 0 {
-        println!("{unfinished} hits are not followed to their end");
+        println!("{unfinished} requests have no recorded end");
     }
     Ok(status(file, damage))
 }
--- a/crates/cli/src/traces/drive.rs
+++ b/crates/cli/src/traces/drive.rs
@@ -10,7 +10,7 @@
 
 const NANOS_PER_SECOND: u64 = 1_000_000_000;
 
-/// Drives the recorded requests of one source, in real time.
+/// Sends the recorded requests of one source in real time, and prints the recorded figures beside the new ones.
 pub(super) fn drive(file: &Path, source: Option<&str>, json: Option<&Path>) -> anyhow::Result<u8> {
     let mut reader = open(file)?;
     let names = source_names(&reader);
@@ -18,13 +18,13 @@
         eprintln!("havenplank: --source: expected one of {}", names.join(", "));
         return Ok(USAGE);
     };
-    let driven = run(&mut reader, source)?;
+    let driven = run_drive(&mut reader, source)?;
     print_figures(&driven);
     for fault in &driven.unexpected_faults {
         eprintln!("{fault}");
     }
     if let Some(file) = json {
-        write_json(file, &as_json(&driven))?;
+        write_json(file, &outcome_json(&driven))?;
     }
     Ok(if driven.unexpected_faults.is_empty() {
         0
@@ -33,23 +33,24 @@
     })
 }
 
+/// Returns the names of the recorded sidecars, in the order of the sources.
 fn source_names(reader: &Opened) -> Vec<String> {
     let sources = reader.head.sources.iter();
     sources.map(|source| source.terms.name.clone()).collect()
 }
 
 /// Returns the index of the named source, or of the only one.
-fn source_index(names: &[String], wanted: Option<&str>) -> Option<usize> {
-    match wanted {
-        Some(wanted) => names.iter().position(|name| name == wanted),
+fn source_index(names: &[String], wanted_name: Option<&str>) -> Option<usize> {
+    match wanted_name {
+        Some(wanted_name) => names.iter().position(|name| name == wanted_name),
         None if names.len() == 1 => Some(0),
         None => None,
     }
 }
 
-fn run(reader: &mut Opened, source: usize) -> anyhow::Result<DriveOutcome> {
+fn run_drive(reader: &mut Opened, source: usize) -> anyhow::Result<DriveOutcome> {
     let folder = tempfile::tempdir()?;
-    let program = std::env::current_exe().context("this program's own path")?;
+    let program = std::env::current_exe().context("cannot find the path of this program")?;
     let bar = ProgressBar::new(0);
     let show_progress = |at: u64, end: u64| {
         bar.set_length(end / NANOS_PER_SECOND);
@@ -87,12 +88,12 @@
         }
     }
     println!(
-        "{} forwards ended as recorded, {} as their build's did then",
+        "{} attempts ended as recorded, {} like the last recorded attempt to their build",
         driven.as_recorded, driven.as_build
     );
 }
 
-fn as_json(driven: &DriveOutcome) -> Value {
+fn outcome_json(driven: &DriveOutcome) -> Value {
     json!({
         "recorded": figures_json(&driven.recorded), "driven": figures_json(&driven.driven),
         "as_recorded": driven.as_recorded, "as_build": driven.as_build,
--- a/crates/cli/src/traces/export.rs
+++ b/crates/cli/src/traces/export.rs
@@ -17,7 +17,7 @@
     Ok(status(file, damage))
 }
 
-/// Prints the records of one request, of the sidecar named `source` where one is named.
+/// Prints the records of one request, only those of the sidecar named `source` if a name is given.
 pub(super) fn show(file: &Path, request: u64, source: Option<&str>) -> anyhow::Result<u8> {
     let mut reader = open(file)?;
     let mut shown = 0;
@@ -31,7 +31,7 @@
         Ok(())
     })?;
     if shown == 0 {
-        eprintln!("{}: no records of hit {request}", file.display());
+        eprintln!("{}: no records of request {request}", file.display());
         return Ok(FAILED);
     }
     Ok(status(file, damage))
--- a/crates/cli/src/traces/files.rs
+++ b/crates/cli/src/traces/files.rs
@@ -1,4 +1,4 @@
-//! Opening, writing and reading trace files, and the times of the command line.
+//! Opens, writes and reads trace files, and parses the times on the command line.
 
 use anyhow::{bail, Context};
 use havenplank_trace::file::{TraceError, MAJOR, MINOR};
@@ -11,18 +11,21 @@
 /// A trace file open for reading.
 pub(super) type Opened = Reader<BufReader<File>>;
 
-/// Opens a trace, and says on standard error where its index is missing or its version newer.
+/// Opens a trace. Warns on standard error if its index is missing or its version is newer than this program's.
 pub(super) fn open(file: &Path) -> anyhow::Result<Opened> {
-    let opened = File::open(file).with_context(|| format!("{}", file.display()))?;
-    let reader =
-        Reader::open(BufReader::new(opened)).with_context(|| format!("{}", file.display()))?;
-    if let Some(why) = &reader.rebuilt {
-        eprintln!("{}: {why}; read by its blocks", file.display());
+    let opened = File::open(file).with_context(|| format!("cannot open {}", file.display()))?;
+    let reader = Reader::open(BufReader::new(opened))
+        .with_context(|| format!("cannot read {}", file.display()))?;
+    if let Some(reason) = &reader.rebuilt {
+        eprintln!(
+            "{}: {reason}; reading all blocks to rebuild the index",
+            file.display()
+        );
     }
     if reader.minor > MINOR {
         let minor = reader.minor;
         eprintln!(
-            "{}: version {MAJOR}.{minor} is newer; what is new in it is passed over",
+            "{}: version {MAJOR}.{minor} is newer than this program's; unknown records are skipped",
             file.display()
         );
     }
@@ -32,46 +35,49 @@
 /// Writes to a temporary file beside `file` and renames it once it is complete.
 pub(super) fn write<T>(
     file: &Path,
-    work: impl FnOnce(&mut BufWriter<File>) -> Result<T, TraceError>,
+    write_contents: impl FnOnce(&mut BufWriter<File>) -> Result<T, TraceError>,
 ) -> anyhow::Result<T> {
-    let mut beside = file.as_os_str().to_owned();
-    beside.push(".new");
-    let written = || -> anyhow::Result<T> {
-        let mut out = BufWriter::new(File::create(&beside)?);
-        let done = work(&mut out)?;
+    let mut temporary = file.as_os_str().to_owned();
+    temporary.push(".new");
+    let write_and_rename = || -> anyhow::Result<T> {
+        let mut out = BufWriter::new(File::create(&temporary)?);
+        let result = write_contents(&mut out)?;
         out.into_inner()?.sync_all()?;
-        std::fs::rename(&beside, file)?;
-        Ok(done)
+        std::fs::rename(&temporary, file)?;
+        Ok(result)
     };
-    written()
-        .inspect_err(|_| drop(std::fs::remove_file(&beside)))
-        .with_context(|| format!("{}", file.display()))
+    write_and_rename()
+        .inspect_err(|_| drop(std::fs::remove_file(&temporary)))
+        .with_context(|| format!("cannot write {}", file.display()))
 }
 
-/// Returns the exit status for a trace that was read up to its end or to some damage, which is printed.
+/// Returns the exit status for a trace that was read to its end or to a damaged place. Prints the damage.
 pub(super) fn status(file: &Path, damage: Option<TraceError>) -> u8 {
     match damage {
         Some(error) => {
-            eprintln!("{}: {error}; all before it was read", file.display());
+            eprintln!(
+                "{}: {error}; the records before the damage were read",
+                file.display()
+            );
             crate::FAILED
         }
         None => 0,
     }
 }
 
-/// Parses a span such as "10s" into nanoseconds; `None` where it is none.
+/// Parses a duration such as "10s" into nanoseconds; returns `None` if the text is no duration.
 pub(super) fn parse_span(text: &str) -> Option<u64> {
     u64::try_from(humantime::parse_duration(text).ok()?.as_nanos()).ok()
 }
 
-/// Parses a time of the command line into nanoseconds on the file's clock.
+/// Parses a time from the command line into nanoseconds on the file's clock. A duration counts from the first record.
 pub(super) fn parse_time(reader: &Opened, text: &str) -> anyhow::Result<u64> {
     let (first, _) = reader.span().unwrap_or_default();
     if let Some(since) = parse_span(text) {
         return Ok(first.saturating_add(since));
     }
     let Ok(at) = humantime::parse_rfc3339_weak(text) else {
-        bail!("{text:?}: expected a span since the beginning such as \"90s\", or a time such as 2026-12-01T08:30:00Z");
+        bail!("{text:?}: expected a duration since the first record such as \"90s\", or a time such as 2026-12-01T08:30:00Z");
     };
     let wall = at
         .duration_since(UNIX_EPOCH)
@@ -104,10 +110,10 @@
     }
 }
 
-/// Prints a text; a reader that closes the pipe early is no error.
+/// Prints a text. Returns no error if the reader of the pipe closes it early.
 pub(super) fn print(text: &str) -> anyhow::Result<()> {
     match std::io::stdout().write_all(text.as_bytes()) {
         Err(error) if error.kind() == std::io::ErrorKind::BrokenPipe => Ok(()),
-        written => Ok(written?),
+        result => Ok(result?),
     }
 }
--- a/crates/cli/src/traces/info.rs
+++ b/crates/cli/src/traces/info.rs
@@ -1,11 +1,11 @@
-//! `havenplank trace info`: prints what a trace holds.
+//! `havenplank trace info`: prints an overview of a trace.
 
 use super::files::{format_time, open, Opened};
 use havenplank_trace::file::{Entry, MAJOR};
 use havenplank_trace::{Head, Source};
 use std::path::Path;
 
-/// Prints version, sources, time span and counts, by head and index alone.
+/// Prints version, sources, time span and counts. Reads only the head and the index of the file.
 pub(super) fn info(file: &Path) -> anyhow::Result<u8> {
     let reader = open(file)?;
     print_head(&reader.head, reader.minor);
@@ -21,7 +21,7 @@
     let (program, settings) = (&head.program, &head.settings);
     println!("version {MAJOR}.{minor}, written by {program}, settings {settings}");
     if head.anonymised {
-        println!("anonymised: names are stand-ins");
+        println!("anonymised: names are pseudonyms");
     }
     head.sources.iter().for_each(print_source);
 }
@@ -35,19 +35,19 @@
         ", not all records"
     };
     println!(
-        "{name}: life {:016x} part {part}, seed {seed}, share {share}{note}",
+        "{name}: incarnation {:016x} part {part}, seed {seed}, share {share}{note}",
         source.life
     );
 }
 
 fn print_counts(reader: &Opened) {
     let sum = |of: fn(&Entry) -> u32| reader.index.iter().map(|e| of(e) as u64).sum::<u64>();
-    let (hits, records) = (sum(|e| e.hits), sum(|e| e.records));
-    let (packed, unpacked) = (sum(|e| e.packed), sum(|e| e.unpacked));
+    let (hits, records) = (sum(|entry| entry.hits), sum(|entry| entry.records));
+    let (packed, unpacked) = (sum(|entry| entry.packed), sum(|entry| entry.unpacked));
     let blocks = reader.index.len();
     println!("{hits} hits, {records} records in {blocks} blocks");
     println!("{packed} bytes packed, {unpacked} unpacked");
     if hits > 0 {
-        println!("{:.1} bytes a hit", packed as f64 / hits as f64);
+        println!("{:.1} bytes per request", packed as f64 / hits as f64);
     }
 }
--- a/crates/cli/src/traces/merge.rs
+++ b/crates/cli/src/traces/merge.rs
@@ -4,7 +4,7 @@
 use havenplank_trace::merge::{self, Clock};
 use std::path::{Path, PathBuf};
 
-/// Merges traces and prints by how much each source's clock was corrected.
+/// Merges traces and prints the correction of each source's clock.
 pub(super) fn merge(files: &[PathBuf], output: &Path) -> anyhow::Result<u8> {
     let readers = open_all(files)?;
     let clocks = write(output, |out| merge::merge(readers, out))?;
--- a/crates/cli/src/traces/mod.rs
+++ b/crates/cli/src/traces/mod.rs
@@ -1,4 +1,4 @@
-//! `havenplank trace`: tools for recorded traces, a module for each sub-command.
+//! `havenplank trace`: tools for recorded traces, with one module per sub-command.
 
 mod anonymise;
 mod cut;
@@ -14,11 +14,12 @@
 use clap::Subcommand;
 use std::path::PathBuf;
 
+/// Sub-commands of `havenplank trace`.
 #[derive(Subcommand)]
 pub enum TraceCommand {
-    /// Print what a trace holds, by its head and index.
+    /// Print an overview of a trace, from its head and index.
     Info { file: PathBuf },
-    /// Copy the part between two times: since the start of the trace ("90s"), or absolute (RFC 3339, UTC).
+    /// Copy the records between two times, each since the first record ("90s") or absolute (RFC 3339, UTC).
     Cut {
         file: PathBuf,
         #[arg(long)]
@@ -28,26 +29,28 @@
         #[arg(long, short, value_name = "FILE")]
         output: PathBuf,
     },
-    /// Merge traces into one, with clocks aligned by the events that all sidecars received; parts of a process in order.
+    /// Merge traces into one, with clocks aligned by the events that all sidecars received. The files of one process
+    /// must be given in order.
     Merge {
         #[arg(required = true)]
         files: Vec<PathBuf>,
         #[arg(long, short, value_name = "FILE")]
         output: PathBuf,
     },
-    /// Copy with pseudonyms for names, keys, addresses and log texts. The key is discarded.
+    /// Copy with pseudonyms for names, keys, addresses and log texts. Their key is discarded unless --key names a file.
     Anonymise {
         file: PathBuf,
         #[arg(long, short, value_name = "FILE")]
         output: PathBuf,
-        /// Use the key in this file, or store the new one there: several traces then share their pseudonyms.
+        /// Use the key in this file, which is created if it is missing. Traces with the same key get the same
+        /// pseudonyms.
         #[arg(long, value_name = "FILE")]
         key: Option<PathBuf>,
     },
-    /// Print figures by build, route class and pod, and by span of time where one is given.
+    /// Print figures by build, route class and pod, and by time span if --span is given.
     Summarise {
         file: PathBuf,
-        /// Length of a span, such as "10s".
+        /// Length of one time span, such as "10s".
         #[arg(long)]
         span: Option<String>,
         #[arg(long, value_name = "FILE")]
@@ -58,23 +61,23 @@
     /// Print all records of one request.
     Show {
         file: PathBuf,
-        /// The request's id.
+        /// Id of the request.
         #[arg(long)]
         hit: u64,
-        /// The sidecar's name, where the trace holds several.
+        /// Name of the sidecar; needed if the trace holds several.
         #[arg(long)]
         source: Option<String>,
     },
     /// Send one sidecar's recorded requests and faults to a real sidecar with emulated peers, in real time.
     Drive {
         file: PathBuf,
-        /// The sidecar's name, where the trace holds several.
+        /// Name of the sidecar; needed if the trace holds several.
         #[arg(long)]
         source: Option<String>,
         #[arg(long, value_name = "FILE")]
         json: Option<PathBuf>,
     },
-    /// Make a trace of a bench run, from what went into the adapter and what came out of it (by tee).
+    /// Make a trace of a bench run from copies of the adapter's input and output, as `tee` makes them.
     FromBench {
         input: PathBuf,
         output: PathBuf,
--- a/crates/cli/src/traces/replay.rs
+++ b/crates/cli/src/traces/replay.rs
@@ -5,7 +5,7 @@
 use havenplank_trace::replay::{self, Difference, Outcome};
 use std::path::PathBuf;
 
-/// Replays traces; the exit status says whether a decision differs.
+/// Replays traces. Returns `BROKEN` if a decision differs from the recorded one.
 pub(super) fn replay(files: &[PathBuf]) -> anyhow::Result<u8> {
     let (outcomes, damage) = replay::replay(open_all(files)?)?;
     let mut status = 0;
@@ -16,7 +16,7 @@
         }
     }
     if let Some(error) = damage {
-        eprintln!("{error}; all before it was played");
+        eprintln!("{error}; the records before the damage were replayed");
         status = status.max(FAILED);
     }
     Ok(status)
@@ -32,7 +32,7 @@
     } = outcome;
     println!("{name}: {hits} hits, {records} records, {compared} decisions compared");
     if let Some(at) = stopped {
-        println!("{name}: played up to {at}, from where records are missing");
+        println!("{name}: replayed up to {at}; the records after it are missing");
     }
     let Some(difference) = differs else {
         println!("{name}: identical");
--- a/crates/cli/src/traces/summarise.rs
+++ b/crates/cli/src/traces/summarise.rs
@@ -1,4 +1,4 @@
-//! `havenplank trace summarise`: figures of a trace as tables and as JSON.
+//! `havenplank trace summarise`: prints figures of a trace as tables and writes them as JSON.
 
 use super::files::{format_time, open, parse_span, print, status, Opened};
 use crate::write_json;
@@ -9,14 +9,14 @@
 use std::fmt::{self, Write};
 use std::path::Path;
 
-/// Prints the figures of a trace, by spans of time as well where `span` gives their length.
+/// Prints the figures of a trace, also by time spans if `span` gives their length.
 pub(super) fn summarise(
     file: &Path,
     span: Option<&str>,
     json: Option<&Path>,
 ) -> anyhow::Result<u8> {
     let mut reader = open(file)?;
-    let span = span.map(required_span).transpose()?;
+    let span = span.map(parse_required_span).transpose()?;
     let (summary, damage) = summary::summarise(&mut reader, span)?;
     print(&summary_text(&reader, &summary)?)?;
     if let Some(file) = json {
@@ -25,14 +25,14 @@
     Ok(status(file, damage))
 }
 
-fn required_span(text: &str) -> anyhow::Result<u64> {
+fn parse_required_span(text: &str) -> anyhow::Result<u64> {
     match parse_span(text) {
-        None | Some(0) => bail!("--span {text:?}: expected a span such as \"10s\""),
+        None | Some(0) => bail!("--span {text:?}: expected a duration above 0 such as \"10s\""),
         Some(span) => Ok(span),
     }
 }
 
-/// Formats the figures as one text, which is printed at once: its reader may stop early.
+/// Formats the figures as one text. One write prints it, so that a reader that closes the pipe early causes one error.
 fn summary_text(reader: &Opened, summary: &Summary) -> Result<String, fmt::Error> {
     let mut out = String::new();
     write_totals(&mut out, reader, summary)?;
@@ -50,13 +50,13 @@
     let (hits, records) = (summary.hits, summary.records);
     writeln!(out, "{first} to {last}: {hits} hits, {records} records")?;
     let notes = [
-        (summary.lost_hits, "hits were left out when recorded"),
-        (summary.lost_records, "records were lost when recorded"),
-        (summary.unfinished, "hits are not followed to their end"),
+        (summary.lost_hits, "requests were left out of the recording"),
         (
-            summary.skipped,
-            "records of a newer version were passed over",
+            summary.lost_records,
+            "records were lost during the recording",
         ),
+        (summary.unfinished, "requests have no recorded end"),
+        (summary.skipped, "records of a newer version were skipped"),
     ];
     for (count, note) in notes.iter().filter(|(count, _)| *count > 0) {
         writeln!(out, "{count} {note}")?;
@@ -77,7 +77,7 @@
             ..
         } = figures;
         let (p50, p99) = (figures.latency_ms(0.5), figures.latency_ms(0.99));
-        let ends = ends(&figures.forwards);
+        let ends = format_ends(&figures.forwards);
         writeln!(
             out,
             "{build:<6} {class:<14} {hits:>8} {delivered:>10} {in_time:>10} {bounced:>8} {errored:>8} {left:>8} {p50:>8.1} {p99:>8.1}  {ends}"
@@ -90,13 +90,13 @@
     writeln!(out, "\npod (build)          forwards by end")?;
     for ((pod, build), attempts) in &summary.pods {
         let pod = format!("{pod} ({build})");
-        writeln!(out, "{pod:<20} {}", ends(attempts))?;
+        writeln!(out, "{pod:<20} {}", format_ends(attempts))?;
     }
     Ok(())
 }
 
-/// Lists attempts by how they ended.
-fn ends(attempts: &BTreeMap<&'static str, u64>) -> String {
+/// Formats the counts of attempts by their end.
+fn format_ends(attempts: &BTreeMap<&'static str, u64>) -> String {
     let ends = attempts.iter().map(|(end, count)| format!("{end} {count}"));
     ends.collect::<Vec<_>>().join(", ")
 }
@@ -105,7 +105,7 @@
     if !summary.exposed.is_empty() {
         writeln!(
             out,
-            "\nsidecar (build)      exposed    taken   share  most of the cap in a window"
+            "\nsidecar (build)      exposed    taken   share  highest share of the cap in a window"
         )?;
     }
     for ((name, build), exposed) in &summary.exposed {
@@ -144,27 +144,27 @@
     Ok(())
 }
 
-/// Returns the figures as JSON, with units in the names of the fields.
+/// Returns the figures as JSON. The field names carry the units.
 fn summary_json(summary: &Summary) -> serde_json::Value {
-    let builds = summary.builds.iter().map(|((build, group), f)| {
+    let builds = summary.builds.iter().map(|((build, class), figures)| {
         json!({
-            "build": build, "path_group": group, "hits": f.hits, "delivered": f.delivered,
-            "in_time": f.in_time, "bounced": f.bounced, "errored": f.errored, "left": f.left,
-            "forwards": f.forwards, "p50_ms": f.latency_ms(0.5), "p99_ms": f.latency_ms(0.99),
+            "build": build, "path_group": class, "hits": figures.hits, "delivered": figures.delivered,
+            "in_time": figures.in_time, "bounced": figures.bounced, "errored": figures.errored, "left": figures.left,
+            "forwards": figures.forwards, "p50_ms": figures.latency_ms(0.5), "p99_ms": figures.latency_ms(0.99),
         })
     });
     let pods = summary
         .pods
         .iter()
         .map(|((pod, build), ends)| json!({"pod": pod, "build": build, "forwards": ends}));
-    let exposed = summary.exposed.iter().map(|((name, build), e)| {
+    let exposed = summary.exposed.iter().map(|((name, build), exposure)| {
         json!({
-            "sidecar": name, "build": build, "exposed": e.hits, "taken": e.taken, "windows": e.windows,
-            "most_of_cap": e.most,
+            "sidecar": name, "build": build, "exposed": exposure.hits, "taken": exposure.taken, "windows": exposure.windows,
+            "most_of_cap": exposure.most,
         })
     });
-    let votes = summary.votes.iter().map(|((build, stage, voice), count)| {
-        json!({"build": build, "stage": stage, "voice": voice, "votes": count})
+    let votes = summary.votes.iter().map(|((build, stage, vote), count)| {
+        json!({"build": build, "stage": stage, "voice": vote, "votes": count})
     });
     let spans = summary.spans.iter().map(
         |((at, build), [hits, delivered, in_time, bounced, errored])| {
--- a/crates/cli/src/verify.rs
+++ b/crates/cli/src/verify.rs
@@ -6,7 +6,7 @@
 use serde_json::json;
 use std::path::Path;
 
-/// Violations of an invariant that are printed.
+/// Number of violations that are printed for each invariant, at most.
 const MAX_PRINTED_CASES: usize = 5;
 
 /// Runs `havenplank verify`: checks the invariants over the ledger in a folder.
@@ -25,9 +25,9 @@
 /// Checks the invariants over a ledger.
 ///
 /// # Errors
-/// A ledger that the invariants cannot be checked by.
+/// A ledger over which the invariants cannot be checked.
 pub fn check(entries: &[Entry]) -> anyhow::Result<Vec<Verdict>> {
-    havenplank_invariants::check(entries).map_err(|what| anyhow::anyhow!("ledger: {what}"))
+    havenplank_invariants::check(entries).map_err(|error| anyhow::anyhow!("ledger: {error}"))
 }
 
 /// Prints each invariant with its first violations; returns how many invariants are broken.
--- a/crates/cli/tests/fellows.rs
+++ b/crates/cli/tests/fellows.rs
@@ -117,13 +117,13 @@
             all[0]
                 .told
                 .iter()
-                .any(|line| line.contains("fellow listening"))
+                .any(|line| line.contains("member listening"))
         })
         .await;
         let line = fellow
             .told
             .iter()
-            .find(|line| line.contains("fellow listening"))
+            .find(|line| line.contains("member listening"))
             .expect("that line");
         let at = line
             .split("listen=")
--- a/crates/cli/tests/program.rs
+++ b/crates/cli/tests/program.rs
@@ -387,7 +387,7 @@
     sidecar.says("listening");
     std::fs::write(&file, "{").expect("written");
     sidecar.signal("HUP");
-    let line = sidecar.says("configuration refused, the old one stays");
+    let line = sidecar.says("configuration rejected; the old one stays in force");
     assert!(line.contains("config.json"), "{line}");
     // Still the old desk; a vote that is out there when it is told to stop must not keep it from ending well.
     let (mut talk, _) = desk.accept().expect("a follower");
