--- a/crates/cli/src/bench.rs
+++ b/crates/cli/src/bench.rs
@@ -75,7 +75,7 @@
 /// Arguments of `havenplank bench`.
 #[derive(clap::Args)]
 pub struct BenchArgs {
-    /// Bench to run; see the description above.
+    /// Bench to run, one of those in the description.
     #[arg(value_name = "BENCH")]
     bench: String,
     /// Scale test that `capacity` runs; may be repeated. By default all of them run.
@@ -206,7 +206,7 @@
             row.cpu_ns += process.cpu_ns()? - before;
         }
     }
-    println!("\n{rate} hits/s, {rounds} rounds of {seconds} s each");
+    println!("\n{rate} requests/s, {rounds} rounds of {seconds} s each");
     println!("through      p50 us   p99 us  cpu us a hit  delivered  bounced  failed");
     let us = |row: &Row, quantile| row.load.quantile_us(quantile);
     let cpu = |row: &Row| row.cpu_ns as f64 / 1e3 / row.load.succeeded.get().max(1) as f64;
--- a/crates/cli/src/bench_trace.rs
+++ b/crates/cli/src/bench_trace.rs
@@ -294,9 +294,9 @@
     );
 
     let started = Instant::now();
-    let (played, _) = replay::replay(vec![open(&file)?])?;
+    let (outcomes, _) = replay::replay(vec![open(&file)?])?;
     let replay_s = started.elapsed().as_secs_f64();
-    let outcome = &played.first().context("the trace has no source")?.1;
+    let outcome = &outcomes.first().context("the trace has no source")?.1;
     let per_s = outcome.hits as f64 / replay_s;
     let identical = outcome.differs.is_none() && outcome.hits == requests;
     println!("replayed in {replay_s:.1} s, {per_s:.0} requests/s, identical: {identical}");
--- a/crates/cli/src/traces/cut.rs
+++ b/crates/cli/src/traces/cut.rs
@@ -21,7 +21,7 @@
         unfinished,
     } = cut;
     let all_blocks = reader.index.len();
-    println!("{hits} hits, {records} records, {blocks} of {all_blocks} blocks read");
+    println!("{hits} requests, {records} records, {blocks} of {all_blocks} blocks read");
     if unfinished > 0 {
         println!("{unfinished} requests have no recorded end");
     }
--- a/crates/cli/src/traces/files.rs
+++ b/crates/cli/src/traces/files.rs
@@ -79,16 +79,16 @@
     let Ok(at) = humantime::parse_rfc3339_weak(text) else {
         bail!("{text:?}: expected a duration since the first record such as \"90s\", or a time such as 2026-12-01T08:30:00Z");
     };
-    let wall = at
+    let unix_ns = at
         .duration_since(UNIX_EPOCH)
         .map_or(0, |since| since.as_nanos() as u64);
-    Ok(reader.head.clock(wall))
+    Ok(reader.head.clock(unix_ns))
 }
 
 /// Formats a time of the file, in nanoseconds on its clock, as RFC 3339 in UTC.
 pub(super) fn format_time(reader: &Opened, at: u64) -> String {
-    let wall = UNIX_EPOCH + Duration::from_nanos(reader.head.wall(at));
-    humantime::format_rfc3339_millis(wall).to_string()
+    let time = UNIX_EPOCH + Duration::from_nanos(reader.head.wall(at));
+    humantime::format_rfc3339_millis(time).to_string()
 }
 
 /// Opens several traces, in order.
--- a/crates/cli/src/traces/info.rs
+++ b/crates/cli/src/traces/info.rs
@@ -45,8 +45,8 @@
     let (hits, records) = (sum(|entry| entry.hits), sum(|entry| entry.records));
     let (packed, unpacked) = (sum(|entry| entry.packed), sum(|entry| entry.unpacked));
     let blocks = reader.index.len();
-    println!("{hits} hits, {records} records in {blocks} blocks");
-    println!("{packed} bytes packed, {unpacked} unpacked");
+    println!("{hits} requests, {records} records in {blocks} blocks");
+    println!("{packed} bytes compressed, {unpacked} uncompressed");
     if hits > 0 {
         println!("{:.1} bytes per request", packed as f64 / hits as f64);
     }
--- a/crates/cli/src/traces/mod.rs
+++ b/crates/cli/src/traces/mod.rs
@@ -64,7 +64,7 @@
         /// Id of the request.
         #[arg(long)]
         hit: u64,
-        /// Name of the sidecar; needed if the trace holds several.
+        /// Name of the sidecar; by default the records of all sidecars are printed.
         #[arg(long)]
         source: Option<String>,
     },
--- a/crates/cli/src/traces/replay.rs
+++ b/crates/cli/src/traces/replay.rs
@@ -30,7 +30,7 @@
         differs,
         stopped,
     } = outcome;
-    println!("{name}: {hits} hits, {records} records, {compared} decisions compared");
+    println!("{name}: {hits} requests, {records} records, {compared} decisions compared");
     if let Some(at) = stopped {
         println!("{name}: replayed up to {at}; the records after it are missing");
     }
--- a/crates/cli/src/traces/summarise.rs
+++ b/crates/cli/src/traces/summarise.rs
@@ -9,7 +9,7 @@
 use std::fmt::{self, Write};
 use std::path::Path;
 
-/// Prints the figures of a trace, also by time spans if `span` gives their length.
+/// Prints the figures of a trace; if `span` gives a length, prints them by time spans of that length as well.
 pub(super) fn summarise(
     file: &Path,
     span: Option<&str>,
@@ -48,7 +48,7 @@
     let first = format_time(reader, summary.first);
     let last = format_time(reader, summary.last);
     let (hits, records) = (summary.hits, summary.records);
-    writeln!(out, "{first} to {last}: {hits} hits, {records} records")?;
+    writeln!(out, "{first} to {last}: {hits} requests, {records} records")?;
     let notes = [
         (summary.lost_hits, "requests were left out of the recording"),
         (
@@ -134,11 +134,11 @@
             "\nfrom                      build     hits  delivered    in time  bounced  errored"
         )?;
     }
-    for ((at, build), [hits, delivered, in_time, bounced, errored]) in &summary.spans {
+    for ((at, build), [requests, delivered, in_time, rejected, failed]) in &summary.spans {
         let at = format_time(reader, *at);
         writeln!(
             out,
-            "{at:<25} {build:<5} {hits:>8} {delivered:>10} {in_time:>10} {bounced:>8} {errored:>8}"
+            "{at:<25} {build:<5} {requests:>8} {delivered:>10} {in_time:>10} {rejected:>8} {failed:>8}"
         )?;
     }
     Ok(())
@@ -167,10 +167,10 @@
         json!({"build": build, "stage": stage, "voice": vote, "votes": count})
     });
     let spans = summary.spans.iter().map(
-        |((at, build), [hits, delivered, in_time, bounced, errored])| {
+        |((at, build), [requests, delivered, in_time, rejected, failed])| {
             json!({
-                "at": at, "build": build, "hits": hits, "delivered": delivered, "in_time": in_time,
-                "bounced": bounced, "errored": errored,
+                "at": at, "build": build, "hits": requests, "delivered": delivered, "in_time": in_time,
+                "bounced": rejected, "errored": failed,
             })
         },
     );
--- a/crates/cli/tests/configuration.rs
+++ b/crates/cli/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! Configurations over processes of the program: six sidecars and a distributor, with relays between them.
+//! Distribution of configurations between processes: six sidecars and distributors, with relays between them.
 
 use havenplank::interface::PodState;
 use havenplank_emulator::relay::{NetworkFaults, Relays};
@@ -16,11 +16,14 @@
 use tokio::time::sleep;
 
 const SIDECARS: usize = 6;
-/// Relays 0 and up are the sidecars'; these are the distributors'.
-const FIRST: usize = SIDECARS;
-const SECOND: usize = SIDECARS + 1;
-const LOOK: Duration = Duration::from_millis(10);
+/// Relay of the first distributor. The relays before it are those of the sidecars.
+const FIRST_DISTRIBUTOR: usize = SIDECARS;
+/// Relay of the second distributor.
+const SECOND_DISTRIBUTOR: usize = SIDECARS + 1;
+/// Time between two checks of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
+/// Sidecars, their pods, and the relays between sidecars and distributors.
 struct Fleet {
     folder: PathBuf,
     relays: Relays,
@@ -28,29 +31,29 @@
     _pods: Rc<Pods>,
 }
 
-/// Runs with sidecars that know each other and have no configuration yet.
-fn test(work: impl AsyncFnOnce(Fleet)) {
+/// Starts sidecars that have joined each other and have no configuration yet, and runs `body` with them.
+fn run_test(body: impl AsyncFnOnce(Fleet)) {
     let folder = tempfile::tempdir().expect("a folder");
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .expect("a runtime");
     runtime.block_on(
-        LocalSet::new().run_until(async { work(Fleet::start(folder.path()).await).await }),
+        LocalSet::new().run_until(async { body(Fleet::start(folder.path()).await).await }),
     );
 }
 
-/// Waits until it holds.
-async fn until(what: &str, mut holds: impl AsyncFnMut() -> bool) {
+/// Waits until the condition holds.
+async fn wait_until(what: &str, mut condition: impl AsyncFnMut() -> bool) {
     let began = Instant::now();
-    while !holds().await {
-        assert!(began.elapsed() < STEP_TIMEOUT, "never came: {what}");
-        sleep(LOOK).await;
+    while !condition().await {
+        assert!(began.elapsed() < STEP_TIMEOUT, "timed out: {what}");
+        sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Two routes on paths of their own; which of them needs a key is swapped by every second version. `note` is a tenant, so
-/// that any two scripts differ.
+/// Returns a script of two routes with different paths. `swapped` decides which of the two needs a key. `note` is part
+/// of the name of a tenant, so that any two scripts differ.
 fn script(swapped: bool, note: &str) -> String {
     let keyed =
         "kind = \"keyed\", idempotency_window = \"30s\", latency_target = \"50ms\", deadline = \"60ms\"";
@@ -106,13 +109,14 @@
             sidecar
                 .wait_for_log("member joined", SIDECARS - 1)
                 .await
-                .expect("all meet");
+                .expect("all others joined");
         }
         fleet
     }
 
+    /// Starts the sidecar of this number, and waits until it listens.
     async fn launch(&self, id: usize) -> Sidecar {
-        let (folder, at, first) = (
+        let (folder, address, first_contact) = (
             self.folder.display(),
             self.relays.address(id),
             self.relays.address(0),
@@ -126,7 +130,7 @@
 votes(control = "any", life = "6s")
 nodes(address = "127.0.0.1:1", keep = "{folder}/pods")
 desk(address = "127.0.0.1:1")
-fellowship(listen = "127.0.0.1:0", advertise = "{at}", meet = ["{first}"], keys = "{folder}/keys", period = "200ms")
+fellowship(listen = "127.0.0.1:0", advertise = "{address}", meet = ["{first_contact}"], keys = "{folder}/keys", period = "200ms")
 configuration(keep = "{folder}/keep-{id}", fetch_bytes_per_s = "1MB", serve_bytes_per_s = "1MB")
 "#
         );
@@ -135,24 +139,27 @@
         let arguments = ["serve".to_string(), file.display().to_string()];
         let mut sidecar = Sidecar::spawn(Path::new(env!("CARGO_BIN_EXE_havenplank")), &arguments)
             .expect("a process");
-        sidecar.wait_for_log("admin=", 1).await.expect("it listens");
+        sidecar
+            .wait_for_log("admin=", 1)
+            .await
+            .expect("the process listens");
         sidecar.listen = sidecar
             .logged_address("admin=", "listen=")
-            .expect("its address");
+            .expect("an address");
         sidecar.admin = sidecar
             .logged_address("admin=", "admin=")
-            .expect("its admin address");
+            .expect("an admin address");
         self.relays.set_target(
             id,
             sidecar
                 .logged_address("fellowship", "listen=")
-                .expect("its peers' address"),
+                .expect("an address for peers"),
         );
         sidecar
     }
 
+    /// Replaces the script by a rename, as operators' tools do, so that no distributor reads half of it.
     fn write(&self, text: &str) {
-        // At once, as an operator's tools would.
         let (new, file) = (
             self.folder.join("fleet.star.new"),
             self.folder.join("fleet.star"),
@@ -162,7 +169,7 @@
             .expect("written");
     }
 
-    /// A process that may end at once, with a store of its own.
+    /// Starts a distributor with a store of its own, without waiting until it listens.
     fn spawn_distributor(&self, relay: usize, options: &[&str]) -> Sidecar {
         let folder = self.folder.display();
         let mut arguments: Vec<String> = format!(
@@ -178,12 +185,13 @@
         Sidecar::spawn(Path::new(env!("CARGO_BIN_EXE_havenplank")), &arguments).expect("a process")
     }
 
-    async fn distributor(&self, relay: usize, options: &[&str]) -> Sidecar {
+    /// Starts a distributor with a store of its own, and waits until it listens.
+    async fn start_distributor(&self, relay: usize, options: &[&str]) -> Sidecar {
         let mut distributor = self.spawn_distributor(relay, options);
         distributor
             .wait_for_log("distributor listening", 1)
             .await
-            .expect("it listens");
+            .expect("the process listens");
         let address = |name: &str| {
             distributor
                 .logged_address("distributor listening", name)
@@ -195,6 +203,7 @@
         distributor
     }
 
+    /// Returns the `configuration` section of a sidecar's state report.
     async fn configuration(&self, id: usize) -> Value {
         match state(self.sidecars[id].admin).await {
             Some(mut state) => state["configuration"].take(),
@@ -202,11 +211,11 @@
         }
     }
 
-    /// Waits until these have the version in force, and checks that all have the same digest.
-    async fn all_at(&self, ids: &[usize], version: &str) {
+    /// Waits until the version is in force at these sidecars, and checks that all have the same digest.
+    async fn wait_for_version_at(&self, ids: &[usize], version: &str) {
         let mut digests = Vec::new();
         for id in ids {
-            until(&format!("{version} at s-{id}"), async || {
+            wait_until(&format!("{version} at s-{id}"), async || {
                 self.configuration(*id).await["version"] == version
             })
             .await;
@@ -218,16 +227,17 @@
         );
     }
 
-    async fn everybody_at(&self, version: &str) {
+    /// Waits until the version is in force at all sidecars, and checks that all have the same digest.
+    async fn wait_for_version(&self, version: &str) {
         let all: Vec<usize> = (0..SIDECARS).collect();
-        self.all_at(&all, version).await;
+        self.wait_for_version_at(&all, version).await;
     }
 
-    /// The statuses of both paths at a sidecar, without a key.
-    async fn routed(&self, id: usize) -> (u16, u16) {
-        let at = self.sidecars[id].listen;
+    /// Sends a request without a key to each of the two paths of a sidecar, and returns the statuses.
+    async fn statuses_without_key(&self, id: usize) -> (u16, u16) {
+        let address = self.sidecars[id].listen;
         let status = async |path| {
-            send_without_key(at, path, "probe")
+            send_without_key(address, path, "probe")
                 .await
                 .map_or(0, |(status, _)| status)
         };
@@ -235,64 +245,74 @@
     }
 }
 
-/// What the distributor's polls say of its newest version.
-async fn writer(distributor: &Sidecar) -> Value {
+/// Returns the `writer` section of a distributor's state report, with its polls about the newest version.
+async fn writer_state(distributor: &Sidecar) -> Value {
     state(distributor.admin)
         .await
         .map_or(Value::Null, |mut state| state["writer"].take())
 }
 
 #[test]
-fn changes_are_in_force_everywhere_and_each_request_is_served_by_one_version_whole() {
-    test(async |fleet| {
-        assert_eq!(fleet.routed(0).await, (503, 503), "no configuration yet");
+fn changes_come_into_force_at_all_sidecars_and_each_request_is_served_by_a_single_version() {
+    run_test(async |fleet| {
+        assert_eq!(
+            fleet.statuses_without_key(0).await,
+            (503, 503),
+            "no configuration yet"
+        );
         fleet.write(&script(false, "0"));
-        let distributor = fleet.distributor(FIRST, &[]).await;
-        fleet.everybody_at("1.1").await;
-        assert_eq!(fleet.routed(3).await, (400, 200));
-        let over = Rc::new(Cell::new(false));
+        let distributor = fleet.start_distributor(FIRST_DISTRIBUTOR, &[]).await;
+        fleet.wait_for_version("1.1").await;
+        assert_eq!(fleet.statuses_without_key(3).await, (400, 200));
+        let is_over = Rc::new(Cell::new(false));
         let clients: Vec<_> = (0..SIDECARS * 2)
             .map(|n| {
-                let (at, path, over) = (
+                let (address, path, is_over) = (
                     fleet.sidecars[n / 2].listen,
                     ["/a", "/b"][n % 2],
-                    over.clone(),
+                    is_over.clone(),
                 );
                 spawn_local(async move {
-                    let mut seen = [0, 0];
-                    while !over.get() {
-                        // Under a version whole: refused for want of a key, or its deadline is longer than the work.
-                        match send_without_key(at, path, "load").await {
-                            Some((400, _)) => seen[0] += 1,
-                            Some((200, _)) => seen[1] += 1,
-                            other => panic!("{path} lost or served by a mixture: {other:?}"),
+                    let mut counts = [0, 0];
+                    while !is_over.get() {
+                        // A single version either rejects the request for lack of a key, or gives it a deadline that is
+                        // longer than the work.
+                        match send_without_key(address, path, "load").await {
+                            Some((400, _)) => counts[0] += 1,
+                            Some((200, _)) => counts[1] += 1,
+                            other => panic!(
+                                "{path}: lost, or served by a mixture of two versions: {other:?}"
+                            ),
                         }
                     }
-                    seen
+                    counts
                 })
             })
             .collect();
         for change in 1..=8 {
             fleet.write(&script(change % 2 == 1, &change.to_string()));
-            distributor.signal(Signal::HUP).expect("told");
-            fleet.everybody_at(&format!("1.{}", change + 1)).await;
-            let wanted = if change % 2 == 1 {
+            distributor.signal(Signal::HUP).expect("SIGHUP is sent");
+            fleet.wait_for_version(&format!("1.{}", change + 1)).await;
+            let expected = if change % 2 == 1 {
                 (200, 400)
             } else {
                 (400, 200)
             };
-            assert_eq!(fleet.routed(change % SIDECARS).await, wanted);
+            assert_eq!(
+                fleet.statuses_without_key(change % SIDECARS).await,
+                expected
+            );
         }
-        over.set(true);
+        is_over.set(true);
         for client in clients {
-            let seen = client.await.expect("a client");
+            let counts = client.await.expect("a client");
             assert!(
-                seen.iter().all(|count| *count > 0),
-                "both versions were seen: {seen:?}"
+                counts.iter().all(|count| *count > 0),
+                "not both versions served requests: {counts:?}"
             );
         }
-        until("a poll of all", async || {
-            let round = writer(&distributor).await["round"].take();
+        wait_until("a poll of all peers", async || {
+            let round = writer_state(&distributor).await["round"].take();
             round["version"] == "1.9" && round["have"] == 7 && round["of"] == 7
         })
         .await;
@@ -300,16 +320,16 @@
 }
 
 #[test]
-fn a_distributor_killed_before_and_after_its_write_goes_on_with_the_same_or_the_next_version() {
-    test(async |mut fleet| {
+fn a_distributor_killed_around_a_write_continues_with_the_same_or_the_next_version() {
+    run_test(async |mut fleet| {
         fleet.write(&script(false, "0"));
-        let mut distributor = fleet.distributor(FIRST, &[]).await;
-        fleet.everybody_at("1.1").await;
+        let mut distributor = fleet.start_distributor(FIRST_DISTRIBUTOR, &[]).await;
+        fleet.wait_for_version("1.1").await;
         for kill in 0..6u64 {
             fleet.write(&script(kill % 2 == 0, &format!("kill-{kill}")));
-            distributor.signal(Signal::HUP).expect("told");
+            distributor.signal(Signal::HUP).expect("SIGHUP is sent");
             match kill {
-                // Before anything, right after the write, and at whatever point lies between.
+                // Killed at once, after the version is stored, after it is published, and after other delays.
                 0 => {}
                 1 => distributor
                     .wait_for_log("stored version", 1)
@@ -322,170 +342,195 @@
                 later => sleep(Duration::from_millis(2 * later)).await,
             }
             distributor.signal(Signal::KILL).expect("killed");
-            distributor.wait_for_exit().await.expect("gone");
-            distributor = fleet.distributor(FIRST, &[]).await;
-            fleet.everybody_at(&format!("1.{}", kill + 2)).await;
-            // One that finds its script in force stores nothing anew, so that the next "stored" is that of a change.
+            distributor.wait_for_exit().await.expect("the process ends");
+            distributor = fleet.start_distributor(FIRST_DISTRIBUTOR, &[]).await;
+            fleet.wait_for_version(&format!("1.{}", kill + 2)).await;
+            // A distributor whose script is already in force stores no version, so the next "stored version" in the log
+            // belongs to the next change.
             distributor.signal(Signal::TERM).expect("stopped");
-            assert_eq!(distributor.exit_code().await.expect("over"), Some(0));
+            assert_eq!(
+                distributor.exit_code().await.expect("the process ends"),
+                Some(0)
+            );
             fleet.write(&script(kill % 2 == 0, &format!("kill-{kill}")));
-            distributor = fleet.distributor(FIRST, &[]).await;
+            distributor = fleet.start_distributor(FIRST_DISTRIBUTOR, &[]).await;
             distributor
                 .wait_for_log("the script has not changed", 1)
                 .await
-                .expect("nothing new");
+                .expect("no new version");
         }
-        // What a sidecar kept is in force at its next start, whoever else is there.
+        // The version that a sidecar keeps on disk is in force after its restart, also without contact to any peer.
         distributor.signal(Signal::KILL).expect("killed");
-        until("1.7 on disk", async || {
+        wait_until("1.7 on disk", async || {
             fleet.configuration(5).await["kept"] == "1.7"
         })
         .await;
         fleet.relays.isolate(5);
         fleet.sidecars[5].signal(Signal::KILL).expect("killed");
-        fleet.sidecars[5].wait_for_exit().await.expect("gone");
+        fleet.sidecars[5]
+            .wait_for_exit()
+            .await
+            .expect("the process ends");
         fleet.sidecars[5] = fleet.launch(5).await;
         assert_eq!(fleet.configuration(5).await["version"], "1.7");
-        assert_eq!(fleet.routed(5).await, (400, 200));
+        assert_eq!(fleet.statuses_without_key(5).await, (400, 200));
     });
 }
 
 #[test]
-fn a_stopped_sidecar_and_one_that_hears_nothing_end_where_all_others_are() {
-    test(async |fleet| {
+fn a_paused_sidecar_and_one_that_receives_nothing_catch_up_with_the_others() {
+    run_test(async |fleet| {
         fleet.relays.set_faults(NetworkFaults {
             loss: 0.1,
             duplicate: 0.2,
             delay: Duration::from_millis(20),
         });
         fleet.write(&script(false, "0"));
-        let distributor = fleet.distributor(FIRST, &[]).await;
-        fleet.everybody_at("1.1").await;
-        let (stopped, deaf) = (2, 4);
-        fleet.sidecars[stopped]
-            .signal(Signal::STOP)
-            .expect("stopped");
+        let distributor = fleet.start_distributor(FIRST_DISTRIBUTOR, &[]).await;
+        fleet.wait_for_version("1.1").await;
+        let (paused, cut_off) = (2, 4);
+        fleet.sidecars[paused].signal(Signal::STOP).expect("paused");
         (0..SIDECARS + 2)
-            .filter(|from| *from != deaf)
-            .for_each(|from| fleet.relays.cut(from, deaf));
+            .filter(|from| *from != cut_off)
+            .for_each(|from| fleet.relays.cut(from, cut_off));
         for change in 1..=10 {
             fleet.write(&script(change % 2 == 1, &change.to_string()));
-            distributor.signal(Signal::HUP).expect("told");
+            distributor.signal(Signal::HUP).expect("SIGHUP is sent");
             fleet
-                .all_at(&[0, 1, 3, 5], &format!("1.{}", change + 1))
+                .wait_for_version_at(&[0, 1, 3, 5], &format!("1.{}", change + 1))
                 .await;
         }
-        assert_eq!(fleet.configuration(deaf).await["version"], "1.1");
+        assert_eq!(fleet.configuration(cut_off).await["version"], "1.1");
         assert_eq!(
-            fleet.routed(deaf).await,
+            fleet.statuses_without_key(cut_off).await,
             (400, 200),
-            "what it had stays in force"
+            "the version that it has stays in force"
         );
         fleet.relays.heal();
-        fleet.sidecars[stopped]
+        fleet.sidecars[paused]
             .signal(Signal::CONT)
-            .expect("goes on");
-        fleet.everybody_at("1.11").await;
+            .expect("resumed");
+        fleet.wait_for_version("1.11").await;
     });
 }
 
 #[test]
-fn a_bad_script_is_refused_and_what_a_sidecar_cannot_take_in_leaves_the_version_before() {
-    test(async |fleet| {
+fn a_bad_script_is_rejected_and_a_version_that_sidecars_cannot_apply_leaves_the_previous_one_in_force(
+) {
+    run_test(async |fleet| {
         fleet
             .write("service(name = \"search\")\nroute(name = \"a\", service = \"serch\", paths = [\"a\"])\n");
-        let mut refused = fleet.spawn_distributor(FIRST, &[]);
-        assert_eq!(refused.exit_code().await.expect("over"), Some(64));
-        until("the mistake with its line", async || {
-            refused.count_log_lines("fleet.star:2: route.service") == 1
+        let mut rejected = fleet.spawn_distributor(FIRST_DISTRIBUTOR, &[]);
+        assert_eq!(
+            rejected.exit_code().await.expect("the process ends"),
+            Some(64)
+        );
+        wait_until("the mistake with its line", async || {
+            rejected.count_log_lines("fleet.star:2: route.service") == 1
         })
         .await;
         fleet.write(&script(false, "0"));
-        let mut distributor = fleet.distributor(FIRST, &[]).await;
-        fleet.everybody_at("1.1").await;
+        let mut distributor = fleet.start_distributor(FIRST_DISTRIBUTOR, &[]).await;
+        fleet.wait_for_version("1.1").await;
         fleet.write(&format!("{}nonsense(\n", script(true, "1")));
-        distributor.signal(Signal::HUP).expect("told");
+        distributor.signal(Signal::HUP).expect("SIGHUP is sent");
         distributor
             .wait_for_log("nothing published", 1)
             .await
-            .expect("refused");
-        // No sidecar has such a zone, nor a takeover: each says so, and the writer knows of all.
+            .expect("rejected");
+        // No sidecar has zone room-9, and none has a takeover section. Each sidecar reports its rejection, and the
+        // writer knows that all have rejected the version.
         for (number, bad) in [("1.2", "room-1\", \"room-9"), ("1.3", "")] {
             let text = match bad {
                 "" => script(true, "2").replace("/b\"],", "/b\"], backup = \"before-attempt\","),
                 zones => script(true, "2").replace("room-1", zones),
             };
             fleet.write(&text);
-            distributor.signal(Signal::HUP).expect("told");
-            until(&format!("{number} rejected"), async || {
+            distributor.signal(Signal::HUP).expect("SIGHUP is sent");
+            wait_until(&format!("{number} rejected"), async || {
                 fleet.configuration(1).await["rejected"]["version"] == number
             })
             .await;
             assert_eq!(fleet.configuration(1).await["version"], "1.1");
-            assert_eq!(fleet.routed(1).await, (400, 200));
+            assert_eq!(fleet.statuses_without_key(1).await, (400, 200));
         }
-        until("the writer knows who has rejected it", async || {
-            let round = writer(&distributor).await["round"].take();
-            let rejected = round["behind"].as_array().is_some_and(|behind| {
-                behind.len() == SIDECARS && behind.iter().all(|peer| peer["standing"] == "Rejected")
-            });
-            round["version"] == "1.3" && rejected
-        })
+        wait_until(
+            "the writer knows which sidecars rejected the version",
+            async || {
+                let round = writer_state(&distributor).await["round"].take();
+                let rejected = round["behind"].as_array().is_some_and(|behind| {
+                    behind.len() == SIDECARS
+                        && behind.iter().all(|peer| peer["standing"] == "Rejected")
+                });
+                round["version"] == "1.3" && rejected
+            },
+        )
         .await;
         fleet.write(&script(true, "3"));
-        distributor.signal(Signal::HUP).expect("told");
-        fleet.everybody_at("1.4").await;
-        assert_eq!(fleet.routed(1).await, (200, 400));
+        distributor.signal(Signal::HUP).expect("SIGHUP is sent");
+        fleet.wait_for_version("1.4").await;
+        assert_eq!(fleet.statuses_without_key(1).await, (200, 400));
         assert_eq!(fleet.configuration(1).await["rejected"], Value::Null);
     });
 }
 
 #[test]
-fn a_distributor_of_a_lower_epoch_changes_nothing_and_one_that_replaces_it_is_followed() {
-    test(async |fleet| {
+fn a_distributor_of_a_lower_epoch_changes_nothing_and_sidecars_follow_one_that_replaces_the_writer()
+{
+    run_test(async |fleet| {
         fleet.write(&script(false, "0"));
-        let mut first = fleet.distributor(FIRST, &["--epoch", "2"]).await;
-        fleet.everybody_at("2.1").await;
+        let mut first = fleet
+            .start_distributor(FIRST_DISTRIBUTOR, &["--epoch", "2"])
+            .await;
+        fleet.wait_for_version("2.1").await;
         fleet.write(&script(true, "1"));
-        let mut second = fleet.distributor(SECOND, &["--epoch", "1"]).await;
+        let mut second = fleet
+            .start_distributor(SECOND_DISTRIBUTOR, &["--epoch", "1"])
+            .await;
         second
             .wait_for_log("superseded", 1)
             .await
-            .expect("it hears of the higher epoch");
-        assert_eq!(writer(&second).await["superseded_by"], "2.1");
-        second.signal(Signal::HUP).expect("told");
-        fleet.everybody_at("2.1").await;
+            .expect("the second distributor learns of the higher epoch");
+        assert_eq!(writer_state(&second).await["superseded_by"], "2.1");
+        second.signal(Signal::HUP).expect("SIGHUP is sent");
+        fleet.wait_for_version("2.1").await;
         second.signal(Signal::TERM).expect("stopped");
-        assert_eq!(second.exit_code().await.expect("over"), Some(0));
-        let mut third = fleet.distributor(SECOND, &["--replace-writer"]).await;
-        fleet.everybody_at("3.2").await;
-        assert_eq!(fleet.routed(0).await, (200, 400));
+        assert_eq!(second.exit_code().await.expect("the process ends"), Some(0));
+        let mut third = fleet
+            .start_distributor(SECOND_DISTRIBUTOR, &["--replace-writer"])
+            .await;
+        fleet.wait_for_version("3.2").await;
+        assert_eq!(fleet.statuses_without_key(0).await, (200, 400));
         first
             .wait_for_log("superseded", 1)
             .await
-            .expect("it is replaced");
+            .expect("the first distributor is replaced");
         fleet.write(&script(false, "4"));
-        first.signal(Signal::HUP).expect("told");
+        first.signal(Signal::HUP).expect("SIGHUP is sent");
         first
             .wait_for_log("nothing published", 1)
             .await
-            .expect("it publishes no more");
-        third.signal(Signal::HUP).expect("told");
-        fleet.everybody_at("3.3").await;
-        assert_eq!(fleet.routed(0).await, (400, 200));
-        // One that has lost its store numbers anew: nobody follows it, and it says what to do.
+            .expect("the replaced distributor publishes nothing");
+        third.signal(Signal::HUP).expect("SIGHUP is sent");
+        fleet.wait_for_version("3.3").await;
+        assert_eq!(fleet.statuses_without_key(0).await, (400, 200));
+        // A distributor that has lost its store numbers its versions from 1 again. No sidecar follows it, and it logs
+        // what the operator must do.
         third.signal(Signal::TERM).expect("stopped");
-        assert_eq!(third.exit_code().await.expect("over"), Some(0));
-        std::fs::remove_dir_all(fleet.folder.join(format!("store-{SECOND}"))).expect("lost");
+        assert_eq!(third.exit_code().await.expect("the process ends"), Some(0));
+        std::fs::remove_dir_all(fleet.folder.join(format!("store-{SECOND_DISTRIBUTOR}")))
+            .expect("lost");
         fleet.write(&script(true, "5"));
-        let mut lost = fleet.distributor(SECOND, &["--epoch", "3"]).await;
+        let mut lost = fleet
+            .start_distributor(SECOND_DISTRIBUTOR, &["--epoch", "3"])
+            .await;
         lost.wait_for_log("start this one with --replace-writer", 1)
             .await
-            .expect("it hears of the newer one");
-        lost.signal(Signal::HUP).expect("told");
+            .expect("the distributor learns of the newer version");
+        lost.signal(Signal::HUP).expect("SIGHUP is sent");
         lost.wait_for_log("nothing published", 1)
             .await
-            .expect("refused");
-        fleet.everybody_at("3.3").await;
+            .expect("rejected");
+        fleet.wait_for_version("3.3").await;
     });
 }
--- a/crates/cli/tests/program.rs
+++ b/crates/cli/tests/program.rs
@@ -1,4 +1,5 @@
-//! The program as users run it: checks, exit codes, and a short day of faults for each of the five rules.
+//! The program as users run it: its checks, its exit codes, and a short scenario with faults for each of the five
+//! invariants.
 
 use std::io::{BufRead, Write};
 use std::path::{Path, PathBuf};
@@ -11,25 +12,35 @@
         .expect("the program runs")
 }
 
-fn said(output: &Output) -> String {
+/// Returns what the program printed on standard output, then on standard error.
+fn printed(output: &Output) -> String {
     String::from_utf8_lossy(&output.stdout).into_owned() + &String::from_utf8_lossy(&output.stderr)
 }
 
-fn day(rule: &str) -> PathBuf {
+/// Returns the path of the scenario that tests an invariant.
+fn scenario_file(invariant: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("tests/days")
-        .join(rule)
+        .join(invariant)
         .with_extension("day")
 }
 
-/// Plays the short day of a rule, which must be tested there and kept, as all others must.
-fn kept(rule: &str) {
+/// Runs the scenario of an invariant with recorded traces. All invariants must hold, and the given one must be tested.
+fn check_invariant(invariant: &str) {
     let folder = tempfile::tempdir().expect("a folder");
-    let (file, ledger) = (day(rule), folder.path().join("ledger"));
+    let (file, ledger) = (scenario_file(invariant), folder.path().join("ledger"));
     let traces = folder.path().join("traces");
-    let [day, kept, trace] = [&file, &ledger, &traces].map(|path| path.to_str().expect("a path"));
-    let output = run(&["scenario", day, "--ledger", kept, "--trace", trace]);
-    let text = said(&output);
+    let [scenario, ledger_folder, trace] =
+        [&file, &ledger, &traces].map(|path| path.to_str().expect("a path"));
+    let output = run(&[
+        "scenario",
+        scenario,
+        "--ledger",
+        ledger_folder,
+        "--trace",
+        trace,
+    ]);
+    let text = printed(&output);
     assert_eq!(output.status.code(), Some(0), "{text}");
     assert!(
         text.trim_end().ends_with("rules: 5 kept, 0 broken"),
@@ -37,15 +48,15 @@
     );
     let line = text
         .lines()
-        .find(|line| line.starts_with(&format!("rule {rule}")))
+        .find(|line| line.starts_with(&format!("rule {invariant}")))
         .unwrap_or_default();
     assert!(!line.contains(" 0 times tested"), "{line}");
     let again = run(&["verify", ledger.to_str().expect("a path")]);
-    assert_eq!(again.status.code(), Some(0), "{}", said(&again));
-    let traces = recorded(&traces);
-    if rule == "exposed" {
-        traced(folder.path(), &traces);
-        // The same ledger under figures that allow next to nothing must be found broken.
+    assert_eq!(again.status.code(), Some(0), "{}", printed(&again));
+    let traces = check_replay(&traces);
+    if invariant == "exposed" {
+        check_trace_tools(folder.path(), &traces);
+        // The same ledger under limits that allow almost nothing must violate an invariant.
         let file = ledger.join("day.ledger");
         let text = std::fs::read_to_string(&file).expect("a ledger");
         let strict = text.replacen(
@@ -55,24 +66,27 @@
         );
         assert_ne!(text, strict);
         std::fs::write(&file, strict).expect("written");
-        let broken = run(&["verify", ledger.to_str().expect("a path")]);
-        assert_eq!(broken.status.code(), Some(2), "{}", said(&broken));
+        let violated = run(&["verify", ledger.to_str().expect("a path")]);
+        assert_eq!(violated.status.code(), Some(2), "{}", printed(&violated));
     }
 }
 
-/// What the daemons recorded, which must play through the library as it did in them.
-fn recorded(folder: &Path) -> Vec<String> {
+/// Replays the traces that the sidecars recorded, which must give the recorded decisions. Returns their paths.
+fn check_replay(folder: &Path) -> Vec<String> {
     let files = std::fs::read_dir(folder).expect("a folder of traces");
     let path = |file: std::io::Result<std::fs::DirEntry>| {
         file.expect("a trace").path().display().to_string()
     };
     let mut files: Vec<String> = files.map(path).collect();
     files.sort();
-    assert!(files.len() >= 2, "one of each sidecar: {files:?}");
+    assert!(
+        files.len() >= 2,
+        "expected a trace of each sidecar: {files:?}"
+    );
     for file in &files {
         let replayed = run(&["trace", "replay", file]);
-        let text = said(&replayed);
-        // A killed sidecar may leave half a block, which is 1; a difference would be 2.
+        let text = printed(&replayed);
+        // A killed sidecar may leave half a block, which gives status 1; a different decision would give 2.
         assert!(
             matches!(replayed.status.code(), Some(0 | 1)) && text.contains("identical"),
             "{text}"
@@ -82,28 +96,34 @@
     files
 }
 
-/// The tools over two daemons' traces, and one of them against a daemon of its own.
-fn traced(folder: &Path, traces: &[String]) {
+/// Runs the trace tools over the traces of two sidecars, and drives a new sidecar with the requests of one of them.
+fn check_trace_tools(folder: &Path, traces: &[String]) {
     let path = |name: &str| folder.join(name).display().to_string();
-    let done = |args: &[&str]| {
+    let run_successfully = |args: &[&str]| {
         let output = run(args);
-        assert_eq!(output.status.code(), Some(0), "{args:?}: {}", said(&output));
-        said(&output)
+        assert_eq!(
+            output.status.code(),
+            Some(0),
+            "{args:?}: {}",
+            printed(&output)
+        );
+        printed(&output)
     };
-    let (merged, veiled, cut, out) = (path("merged"), path("veiled"), path("cut"), path("out"));
+    let (merged, pseudonyms, cut, out) =
+        (path("merged"), path("pseudonyms"), path("cut"), path("out"));
     let mut merge = vec!["trace", "merge"];
     merge.extend(traces.iter().map(String::as_str));
     merge.extend(["-o", &merged]);
-    assert!(done(&merge).contains("shared events"));
-    done(&["trace", "anonymise", &merged, "-o", &veiled]);
-    let replayed = done(&["trace", "replay", &veiled]);
+    assert!(run_successfully(&merge).contains("shared events"));
+    run_successfully(&["trace", "anonymise", &merged, "-o", &pseudonyms]);
+    let replayed = run_successfully(&["trace", "replay", &pseudonyms]);
     assert_eq!(
         replayed.matches(": identical").count(),
         traces.len(),
         "{replayed}"
     );
-    assert!(!done(&["trace", "export", &veiled]).contains("pod-0\""));
-    assert!(done(&[
+    assert!(!run_successfully(&["trace", "export", &pseudonyms]).contains("pod-0\""));
+    assert!(run_successfully(&[
         "trace",
         "summarise",
         &merged,
@@ -113,7 +133,7 @@
         &out
     ])
     .contains("query"));
-    assert!(done(&[
+    assert!(run_successfully(&[
         "trace",
         "show",
         &merged,
@@ -123,13 +143,13 @@
         "sidecar-1"
     ])
     .contains("\"forward\""));
-    done(&[
+    run_successfully(&[
         "trace", "cut", &traces[0], "--from", "0s", "--to", "3s", "-o", &cut,
     ]);
-    done(&["trace", "drive", &cut, "--json", &out]);
+    run_successfully(&["trace", "drive", &cut, "--json", &out]);
     let text = std::fs::read_to_string(&out).expect("figures");
     let figures: serde_json::Value = serde_json::from_str(&text).expect("figures");
-    let count = |side: &str, of: &str| figures[side][of].as_u64().unwrap_or_default();
+    let count = |side: &str, figure: &str| figures[side][figure].as_u64().unwrap_or_default();
     assert!(
         count("recorded", "hits") > 50 && count("recorded", "hits") == count("driven", "hits"),
         "{text}"
@@ -145,32 +165,32 @@
 }
 
 #[test]
-fn answered() {
-    kept("answered");
+fn each_request_gets_one_response_in_time_when_pods_hang_and_sidecars_are_killed() {
+    check_invariant("answered");
 }
 
 #[test]
-fn once() {
-    kept("once");
+fn no_request_takes_effect_twice_when_connections_break() {
+    check_invariant("once");
 }
 
 #[test]
-fn drains() {
-    kept("drains");
+fn draining_pods_get_no_new_requests_when_the_endpoint_list_is_late_or_missing() {
+    check_invariant("drains");
 }
 
 #[test]
-fn cold() {
-    kept("cold");
+fn cold_pods_are_not_overloaded_when_a_zone_returns_under_high_load() {
+    check_invariant("cold");
 }
 
 #[test]
-fn exposed() {
-    kept("exposed");
+fn exposure_stays_within_the_cap_when_sidecars_restart_and_the_control_plane_fails() {
+    check_invariant("exposed");
 }
 
 #[test]
-fn mistakes_are_told_and_exit_with_64() {
+fn mistakes_in_files_and_arguments_are_reported_with_exit_status_64() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = |name: &str, text: &str| {
         let file = folder.path().join(name);
@@ -178,36 +198,36 @@
         file.to_str().expect("a path").to_string()
     };
     let settings = path("bad.star", "votes(control = 'loud', life = '6s')\n");
-    let bad_day = path(
+    let bad_scenario = path(
         "bad.day",
         "length 3s\nsing 4\nat 3s for 1s pods two hang\nrate 30 40\n",
     );
-    let settings_checked = run(&["check", &settings]);
-    let text = said(&settings_checked);
+    let check_output = run(&["check", &settings]);
+    let text = printed(&check_output);
     assert!(
         text.contains(
             "bad.star:1: votes.control: found \"loud\"; expected one of any, count, clock"
         ),
         "{text}"
     );
-    let day_read = run(&["scenario", &bad_day]);
-    let text = said(&day_read);
-    for wanted in [
+    let scenario_output = run(&["scenario", &bad_scenario]);
+    let text = printed(&scenario_output);
+    for message in [
         "bad.day: line 2: column 6",
         "line 3: column 19",
         "line 4: column 8",
         "no work",
     ] {
-        assert!(text.contains(wanted), "{wanted} not in {text}");
+        assert!(text.contains(message), "{message} not in {text}");
     }
     for output in [
-        settings_checked,
-        day_read,
+        check_output,
+        scenario_output,
         run(&["serve", &settings]),
         run(&["sing"]),
         run(&[]),
     ] {
-        assert_eq!(output.status.code(), Some(64), "{}", said(&output));
+        assert_eq!(output.status.code(), Some(64), "{}", printed(&output));
     }
     assert_eq!(run(&["check", "/no/such.star"]).status.code(), Some(64));
     assert_eq!(
@@ -219,7 +239,7 @@
     assert_eq!(run(&["--help"]).status.code(), Some(0));
 }
 
-/// Commands that were renamed, with what they were called before.
+/// Renamed commands, each with its old name.
 const RENAMED: [(&str, &str); 3] = [
     ("scenario", "day"),
     ("verify", "rules"),
@@ -227,13 +247,13 @@
 ];
 
 #[test]
-fn renamed_commands_still_run_by_their_old_names_which_the_help_leaves_out() {
+fn renamed_commands_run_by_their_old_names_which_the_help_does_not_list() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = |name: &str| folder.path().join(name).display().to_string();
     let bad_scenario = path("bad.day");
     std::fs::write(&bad_scenario, "length 3s\nsing 4\n").expect("written");
     let member = ["--name", "", "--listen", "127.0.0.1:0", "--keys", "none"];
-    let help = said(&run(&["--help"]));
+    let help = printed(&run(&["--help"]));
     let listed = |name: &str| {
         help.lines()
             .any(|line| line.trim().split(' ').next() == Some(name))
@@ -246,56 +266,57 @@
         };
         let outputs = [name, old_name].map(|name| run(&[&[name], &arguments[..]].concat()));
         for output in &outputs {
-            assert_eq!(output.status.code(), Some(status), "{}", said(output));
-            assert!(said(output).contains(message), "{}", said(output));
+            assert_eq!(output.status.code(), Some(status), "{}", printed(output));
+            assert!(printed(output).contains(message), "{}", printed(output));
         }
-        assert_eq!(said(&outputs[0]), said(&outputs[1]));
+        assert_eq!(printed(&outputs[0]), printed(&outputs[1]));
         assert!(listed(name) && !listed(old_name), "{help}");
     }
 }
 
-/// The platform's sidecar as a process; what it logs is read line by line.
-struct Sidecar {
+/// A process of `havenplank platform`, whose log is read line by line.
+struct PlatformSidecar {
     process: std::process::Child,
     log: std::io::Lines<std::io::BufReader<std::process::ChildStderr>>,
-    told: String,
+    /// The log lines read so far.
+    log_text: String,
 }
 
-impl Sidecar {
-    fn start(file: &Path) -> Sidecar {
+impl PlatformSidecar {
+    fn start(file: &Path) -> PlatformSidecar {
         let mut command = Command::new(env!("CARGO_BIN_EXE_havenplank"));
         command
             .arg("platform")
             .env("PROXY_CONFIG", file)
             .stderr(std::process::Stdio::piped());
         let mut process = command.spawn().expect("the program starts");
-        let log = std::io::BufReader::new(process.stderr.take().expect("its log")).lines();
-        Sidecar {
+        let log = std::io::BufReader::new(process.stderr.take().expect("standard error")).lines();
+        PlatformSidecar {
             process,
             log,
-            told: String::new(),
+            log_text: String::new(),
         }
     }
 
-    /// Reads on to the line that says this; the end of the log without it fails.
-    fn says(&mut self, what: &str) -> String {
+    /// Reads the log up to a line that contains `what`, and returns that line. Panics if the log ends before.
+    fn wait_for_log(&mut self, what: &str) -> String {
         loop {
             let line = self
                 .log
                 .next()
-                .unwrap_or_else(|| panic!("no {what:?} in {}", self.told));
+                .unwrap_or_else(|| panic!("no {what:?} in {}", self.log_text));
             let line = line.expect("text");
-            self.told += &(line.clone() + "\n");
+            self.log_text += &(line.clone() + "\n");
             if line.contains(what) {
                 return line;
             }
         }
     }
 
-    /// What the fleet's bench asks of the one process: the C library linked dynamically, as its own library
-    /// is loaded in front of that, and no other program started, now or before. A child that has been waited
-    /// for shows as page faults of children, one that has not stands in the list.
-    fn is_one_process_linked_dynamically(&self) {
+    /// Checks what the benchmark of the platform requires. It preloads a library of its own, so the C library must be
+    /// linked dynamically. The sidecar must be one process that has never started another program: a child that has
+    /// been waited for shows in the page faults of children, any other child in the list of children.
+    fn assert_single_process_linked_dynamically(&self) {
         let read = |name: &str| {
             let file = format!("/proc/{}/{name}", self.process.id());
             std::fs::read_to_string(&file).unwrap_or_else(|error| panic!("{file}: {error}"))
@@ -305,8 +326,8 @@
             maps.lines().any(|line| line.contains("/libc.so")),
             "no C library among {maps}"
         );
-        let tasks =
-            std::fs::read_dir(format!("/proc/{}/task", self.process.id())).expect("its threads");
+        let tasks = std::fs::read_dir(format!("/proc/{}/task", self.process.id()))
+            .expect("a list of threads");
         for task in tasks {
             let task = task.expect("a thread").file_name();
             let children = read(&format!("task/{}/children", task.to_string_lossy()));
@@ -330,18 +351,20 @@
             .success());
     }
 
-    fn ends(mut self) -> Option<i32> {
-        let code = self.process.wait().expect("an end").code();
+    /// Waits until the process ends, and returns its exit code. Panics if the log reports a panic.
+    fn wait_for_exit(mut self) -> Option<i32> {
+        let code = self.process.wait().expect("the process ends").code();
         for line in self.log.by_ref() {
-            self.told += &(line.expect("text") + "\n");
+            self.log_text += &(line.expect("text") + "\n");
         }
-        assert!(!self.told.contains("panicked"), "{}", self.told);
+        assert!(!self.log_text.contains("panicked"), "{}", self.log_text);
         code
     }
 }
 
-impl Drop for Sidecar {
-    /// Where a check fails it must not live on: whoever reads the test's output would wait for it.
+impl Drop for PlatformSidecar {
+    /// Kills the process, also after a failed assertion. A process left running would keep the output of the test
+    /// open, and its reader would wait for ever.
     fn drop(&mut self) {
         let _ = self.process.kill();
         let _ = self.process.wait();
@@ -349,7 +372,7 @@
 }
 
 #[test]
-fn the_platforms_sidecar_starts_reloads_and_stops_as_its_page_says() {
+fn the_sidecar_on_the_platform_starts_reloads_and_stops_as_documented() {
     use havenplank_emulator::scripted::{configuration, entry};
     let folder = tempfile::tempdir().expect("a folder");
     let file = folder.path().join("config.json");
@@ -359,9 +382,9 @@
         .output();
     let unset = unset.expect("the program runs");
     assert!(
-        unset.status.code() == Some(64) && said(&unset).contains("PROXY_CONFIG"),
+        unset.status.code() == Some(64) && printed(&unset).contains("PROXY_CONFIG"),
         "{}",
-        said(&unset)
+        printed(&unset)
     );
     for (text, field) in [
         (None, "config.json"),
@@ -370,47 +393,54 @@
         if let Some(text) = text {
             std::fs::write(&file, text).expect("written");
         }
-        let mut refused = Sidecar::start(&file);
-        let line = refused.says("havenplank: ");
+        let mut rejected = PlatformSidecar::start(&file);
+        let line = rejected.wait_for_log("havenplank: ");
         assert!(
             line.contains("config.json") && line.contains(field),
             "{line}"
         );
-        assert_eq!(refused.ends(), Some(64));
+        assert_eq!(rejected.wait_for_exit(), Some(64));
     }
-    let [nodes, desk] =
+    let [discovery, control_plane] =
         [(); 2].map(|()| std::net::TcpListener::bind("127.0.0.1:0").expect("a port"));
-    let [nodes_at, desk_at] = [&nodes, &desk].map(|peer| peer.local_addr().expect("an address"));
-    let whole = configuration(nodes_at, desk_at, &[entry("p", nodes_at, 7, "active")]);
-    std::fs::write(&file, whole.to_string()).expect("written");
-    let mut sidecar = Sidecar::start(&file);
-    sidecar.says("listening");
+    let [discovery_address, control_plane_address] =
+        [&discovery, &control_plane].map(|peer| peer.local_addr().expect("an address"));
+    let config = configuration(
+        discovery_address,
+        control_plane_address,
+        &[entry("p", discovery_address, 7, "active")],
+    );
+    std::fs::write(&file, config.to_string()).expect("written");
+    let mut sidecar = PlatformSidecar::start(&file);
+    sidecar.wait_for_log("listening");
     std::fs::write(&file, "{").expect("written");
     sidecar.signal("HUP");
-    let line = sidecar.says("configuration rejected; the old one stays in force");
+    let line = sidecar.wait_for_log("configuration rejected; the old one stays in force");
     assert!(line.contains("config.json"), "{line}");
-    // Still the old desk; a vote that is out there when it is told to stop must not keep it from ending well.
-    let (mut talk, _) = desk.accept().expect("a follower");
-    let mut lines = std::io::BufReader::new(talk.try_clone().expect("a second handle")).lines();
+    // The old configuration is in force, and with it the same control plane. A vote without a reply must not keep the
+    // sidecar from a clean stop.
+    let (mut stream, _) = control_plane.accept().expect("a connection of the sidecar");
+    let mut lines = std::io::BufReader::new(stream.try_clone().expect("a second handle")).lines();
     assert!(lines
         .next()
         .expect("a line")
         .expect("text")
         .contains("follow"));
-    let news = r#"{"image": 7, "ring": 0, "progress": "canary", "ceiling": 0.5, "lag_ms": 9000}"#;
-    let told = format!(
+    let progress =
+        r#"{"image": 7, "ring": 0, "progress": "canary", "ceiling": 0.5, "lag_ms": 9000}"#;
+    let messages = format!(
         r#"{{"jsonrpc":"2.0","id":0,"result":true}}
-{{"jsonrpc":"2.0","method":"progress","params":{news}}}
+{{"jsonrpc":"2.0","method":"progress","params":{progress}}}
 "#
     );
-    talk.write_all(told.as_bytes()).expect("written");
+    stream.write_all(messages.as_bytes()).expect("written");
     assert!(lines
         .next()
         .expect("a line")
         .expect("text")
         .contains("castBallot"));
-    sidecar.is_one_process_linked_dynamically();
+    sidecar.assert_single_process_linked_dynamically();
     sidecar.signal("TERM");
-    sidecar.says("stopped");
-    assert_eq!(sidecar.ends(), Some(0));
+    sidecar.wait_for_log("stopped");
+    assert_eq!(sidecar.wait_for_exit(), Some(0));
 }
--- a/crates/cli/tests/takeover.rs
+++ b/crates/cli/tests/takeover.rs
@@ -1,4 +1,4 @@
-//! Work in hand over processes of the program: sidecars killed, paused and stopped in the middle of hits.
+//! Takeover of requests between sidecar processes that are killed, paused and stopped with requests in flight.
 
 use havenplank_emulator::relay::NetworkFaults;
 use havenplank_emulator::sidecar_processes::{
@@ -11,8 +11,8 @@
 use tokio::task::{spawn_local, LocalSet};
 use tokio::time::sleep;
 
-/// Runs with so many sidecars that know each other.
-fn test(many: usize, relayed: bool, work: impl AsyncFnOnce(SidecarGroup)) {
+/// Starts `count` sidecars that have joined each other, and runs `body` with them. If `relayed`, relays connect them.
+fn run_test(count: usize, relayed: bool, body: impl AsyncFnOnce(SidecarGroup)) {
     let folder = tempfile::tempdir().expect("a folder");
     let program = Path::new(env!("CARGO_BIN_EXE_havenplank"));
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -20,8 +20,8 @@
         .build()
         .expect("a runtime");
     runtime.block_on(LocalSet::new().run_until(async {
-        work(
-            SidecarGroup::start(program, folder.path(), many, relayed)
+        body(
+            SidecarGroup::start(program, folder.path(), count, relayed)
                 .await
                 .expect("sidecars"),
         )
@@ -30,38 +30,41 @@
 }
 
 #[test]
-fn work_of_a_killed_sidecar_is_finished_by_another_and_its_client_finds_the_answer_anywhere() {
-    test(4, true, async |mut group| {
-        let asked = group.start_requests(0, 16, 0).await.expect("hits");
+fn requests_of_a_killed_sidecar_are_finished_by_others_and_any_sidecar_returns_the_response() {
+    run_test(4, true, async |mut group| {
+        let pending = group
+            .start_requests(0, 16, 0)
+            .await
+            .expect("requests in flight");
         group.sidecars[0].signal(Signal::KILL).expect("killed");
-        let mut back = Vec::new();
-        for (n, asked) in asked.into_iter().enumerate() {
-            let (name, path) = (asked.name, asked.path);
+        let mut retries = Vec::new();
+        for (n, request) in pending.into_iter().enumerate() {
+            let (name, path) = (request.name, request.path);
             assert_eq!(
-                asked.answer.await.expect("a task"),
+                request.answer.await.expect("a task"),
                 None,
-                "{name}: killed in the middle"
+                "{name}: the connection broke when the sidecar was killed"
             );
-            // Some come back before the loss is noticed, some later, each to another sidecar.
-            let (at, after) = (
+            // Some clients retry before the loss is noticed and some later, each at another sidecar.
+            let (address, delay) = (
                 group.sidecars[1 + n % 3].listen,
                 Duration::from_millis(n as u64 % 4 * 400),
             );
-            let sent = name.clone();
+            let key = name.clone();
             let answer = spawn_local(async move {
-                sleep(after).await;
-                send_with_key(at, path, &sent, vec![7; 20])
+                sleep(delay).await;
+                send_with_key(address, path, &key, vec![7; 20])
                     .await
-                    .expect("an answer")
+                    .expect("a response")
             });
-            back.push((name, path, answer));
+            retries.push((name, path, answer));
         }
-        for (name, path, answer) in back {
+        for (name, path, answer) in retries {
             let (status, body) = answer.await.expect("a task");
             assert_eq!(group.pods.run_count(&name), 1, "{name} ran once");
             match path {
                 "/tagged" => assert_eq!((status, body), (200, format!("{name} done, 20 bytes"))),
-                // It ran, and nobody may run it again, so that all that can be said is that it may have.
+                // The request ran and may not run again, so the response only says that it may have run.
                 _ => assert_eq!(status, 502, "{name}: {body}"),
             }
         }
@@ -69,14 +72,17 @@
             .iter_mut()
             .map(|sidecar| sidecar.count_log_lines("request taken over"))
             .sum();
-        assert_eq!(taken, 16, "each once");
+        assert_eq!(taken, 16, "each request is taken over once");
     });
 }
 
 #[test]
-fn a_paused_sidecar_finds_its_right_lost_and_its_clients_get_the_answer_of_who_took_over() {
-    test(4, true, async |mut group| {
-        let asked = group.start_requests(2, 8, 0).await.expect("hits");
+fn a_paused_sidecar_finds_its_leases_lost_and_its_clients_get_the_response_of_the_new_owner() {
+    run_test(4, true, async |mut group| {
+        let pending = group
+            .start_requests(2, 8, 0)
+            .await
+            .expect("requests in flight");
         group.sidecars[2].signal(Signal::STOP).expect("paused");
         let began = Instant::now();
         while [0, 1, 3]
@@ -87,55 +93,55 @@
         {
             assert!(
                 began.elapsed() < STEP_TIMEOUT,
-                "not all was finished by the others"
+                "the other sidecars did not finish all requests"
             );
             sleep(Duration::from_millis(5)).await;
         }
-        group.sidecars[2].signal(Signal::CONT).expect("goes on");
-        for asked in asked {
-            let answer = asked.answer.await.expect("a task").expect("an answer");
+        group.sidecars[2].signal(Signal::CONT).expect("resumed");
+        for request in pending {
+            let answer = request.answer.await.expect("a task").expect("a response");
             assert_eq!(
-                group.pods.run_count(&asked.name),
+                group.pods.run_count(&request.name),
                 1,
                 "{} ran once",
-                asked.name
+                request.name
             );
-            // What the pods had answered lay in its sockets when it woke, and is as good.
+            // Responses of the pods may have waited in the sockets of the paused sidecar; it may return these as well.
             assert!(
-                answer.0 == 200 || asked.path == "/mutating",
+                answer.0 == 200 || request.path == "/mutating",
                 "{}: {answer:?}",
-                asked.name
+                request.name
             );
         }
     });
 }
 
 #[test]
-fn a_client_that_comes_back_joins_the_work_and_another_hit_under_its_key_is_refused() {
-    // Without relays, and with hits that no datagram takes.
-    test(4, false, async |group| {
+fn a_retry_joins_the_running_request_and_another_request_with_the_same_key_is_rejected() {
+    // Without relays, and with bodies of 20,000 bytes, which do not fit into a datagram.
+    run_test(4, false, async |group| {
         for path in ["/tagged", "/mutating"] {
             let name = format!("{}-twice", &path[1..]);
-            let all = (0..4).map(|id| {
-                let (at, name) = (group.sidecars[id].listen, name.clone());
+            let retries = (0..4).map(|id| {
+                let (address, name) = (group.sidecars[id].listen, name.clone());
                 spawn_local(async move {
                     sleep(Duration::from_millis(id as u64 * 60)).await;
-                    send_with_key(at, path, &name, vec![7; 20_000]).await
+                    send_with_key(address, path, &name, vec![7; 20_000]).await
                 })
             });
-            for answer in all.collect::<Vec<_>>() {
-                let wanted = (200, format!("{name} done, 20000 bytes"));
-                assert_eq!(answer.await.expect("a task"), Some(wanted));
+            for answer in retries.collect::<Vec<_>>() {
+                let expected = (200, format!("{name} done, 20000 bytes"));
+                assert_eq!(answer.await.expect("a task"), Some(expected));
             }
             assert_eq!(group.pods.run_count(&name), 1);
             let other = send_with_key(group.sidecars[3].listen, path, &name, vec![8; 20_000])
                 .await
-                .expect("an answer");
+                .expect("a response");
             assert_eq!(other.0, 422, "{other:?}");
         }
-        let at = group.sidecars[0].listen;
+        let address = group.sidecars[0].listen;
         assert_eq!(
-            send_with_key(at, "/behind", "query", Vec::new())
+            send_with_key(address, "/behind", "query", Vec::new())
                 .await
                 .map(|answer| answer.0),
             Some(200)
@@ -144,8 +150,8 @@
 }
 
 #[test]
-fn whatever_is_killed_at_whatever_moment_no_hit_runs_twice_and_each_client_gets_one_answer() {
-    test(6, true, async |mut group| {
+fn no_request_runs_twice_and_each_client_gets_one_response_when_sidecars_are_killed() {
+    run_test(6, true, async |mut group| {
         group
             .relays
             .as_ref()
@@ -156,42 +162,42 @@
                 ..NetworkFaults::default()
             });
         group.pods.work.set(Duration::from_millis(150));
-        let mut chance = Rand64::new(11);
+        let mut rng = Rand64::new(11);
         let mut answers = Vec::new();
         for n in 0..120 {
             let path = ["/tagged", "/mutating"][n % 2];
             let name = format!("{}-{n}", &path[1..]);
-            // Two at one moment die together in the middle, which may be a holder and its guardian.
+            // Kills one sidecar, and later two at the same moment, which may be the owner and a backup of a request.
             if n == 40 || n == 70 {
-                let many = if n == 40 { 1 } else { 2 };
-                (0..many).for_each(|k| {
+                let kill_count = if n == 40 { 1 } else { 2 };
+                (0..kill_count).for_each(|k| {
                     group.sidecars[n / 20 + k]
                         .signal(Signal::KILL)
                         .expect("killed")
                 });
             }
-            let ats: Vec<_> = group
+            let addresses: Vec<_> = group
                 .sidecars
                 .iter()
                 .map(|sidecar| sidecar.listen)
                 .collect();
-            let mut at = chance.rand_range(0..6) as usize;
+            let mut next = rng.rand_range(0..6) as usize;
             answers.push((
                 name.clone(),
                 spawn_local(async move {
-                    // A client tries one sidecar after the other, always with its key, until one has its answer.
+                    // The client tries one sidecar after the other with the same key, until a status is not 503.
                     loop {
-                        match send_with_key(ats[at % 6], path, &name, vec![1; 10]).await {
+                        match send_with_key(addresses[next % 6], path, &name, vec![1; 10]).await {
                             Some((status, _)) if status != 503 => return status,
                             _ => sleep(Duration::from_millis(30)).await,
                         }
-                        at += 1;
+                        next += 1;
                     }
                 }),
             ));
-            sleep(Duration::from_millis(chance.rand_range(1..10))).await;
+            sleep(Duration::from_millis(rng.rand_range(1..10))).await;
         }
-        let (mut delivered, mut errored) = (0, 0);
+        let (mut delivered, mut failed) = (0, 0);
         for (name, answer) in answers {
             let status = answer.await.expect("a task");
             let ran = group.pods.run_count(&name);
@@ -202,7 +208,7 @@
                     1,
                     "{name} was delivered but never ran"
                 ),
-                502 | 504 => errored += 1,
+                502 | 504 => failed += 1,
                 status => panic!("{name}: {status}"),
             }
         }
@@ -211,32 +217,35 @@
             .iter_mut()
             .map(|sidecar| sidecar.count_log_lines("request taken over"))
             .sum();
-        assert!(taken > 0, "the kills found no work in hand");
         assert!(
-            delivered >= 100 && delivered + errored == 120,
-            "{delivered} delivered, {errored} errored"
+            taken > 0,
+            "no request was taken over, so the kills hit no request in flight"
+        );
+        assert!(
+            delivered >= 100 && delivered + failed == 120,
+            "{delivered} delivered, {failed} failed"
         );
     });
 }
 
-/// Clients of these hits come back with their keys at these sidecars, by turns; the status of each.
-async fn back(
+/// Retries these requests with their keys at these sidecars in turn, and returns the status of each response.
+async fn retry_all(
     group: &SidecarGroup,
-    asked: Vec<PendingRequest>,
-    ats: &[usize],
+    pending: Vec<PendingRequest>,
+    ids: &[usize],
 ) -> Vec<(String, &'static str, u16)> {
     let mut answers = Vec::new();
-    for (n, asked) in asked.into_iter().enumerate() {
-        let (name, path, at) = (
-            asked.name,
-            asked.path,
-            group.sidecars[ats[n % ats.len()]].listen,
+    for (n, request) in pending.into_iter().enumerate() {
+        let (name, path, address) = (
+            request.name,
+            request.path,
+            group.sidecars[ids[n % ids.len()]].listen,
         );
-        let sent = name.clone();
+        let key = name.clone();
         let answer = spawn_local(async move {
-            send_with_key(at, path, &sent, vec![7; 20])
+            send_with_key(address, path, &key, vec![7; 20])
                 .await
-                .expect("an answer")
+                .expect("a response")
         });
         answers.push((name, path, answer));
     }
@@ -247,7 +256,8 @@
     statuses
 }
 
-fn once(group: &SidecarGroup, statuses: &[(String, &str, u16)]) {
+/// Checks that each request ran once, and that its status is 200, or 502 for a request that is not idempotent.
+fn assert_each_ran_once(group: &SidecarGroup, statuses: &[(String, &str, u16)]) {
     for (name, path, status) in statuses {
         assert_eq!(group.pods.run_count(name), 1, "{name} ran once");
         assert!(
@@ -258,16 +268,19 @@
 }
 
 #[test]
-fn a_guardian_that_dies_with_the_holder_and_one_that_dies_in_the_middle_of_a_takeover() {
-    test(6, true, async |mut group| {
-        let asked = group.start_requests(0, 12, 0).await.expect("hits");
-        // Two of six die together: three guardians of five others lose one at most.
+fn no_request_runs_twice_when_a_backup_dies_with_the_owner_and_another_dies_during_the_takeover() {
+    run_test(6, true, async |mut group| {
+        let pending = group
+            .start_requests(0, 12, 0)
+            .await
+            .expect("requests in flight");
+        // Two of six die together, so a request loses its owner and at most one of the 3 backups among the other five.
         [0, 1]
             .iter()
             .for_each(|id| group.sidecars[*id].signal(Signal::KILL).expect("killed"));
         let began = Instant::now();
-        let taking = loop {
-            assert!(began.elapsed() < STEP_TIMEOUT, "nobody took over");
+        let new_owner = loop {
+            assert!(began.elapsed() < STEP_TIMEOUT, "no sidecar took over");
             if let Some(id) =
                 (2..6).find(|id| group.sidecars[*id].count_log_lines("request taken over") > 0)
             {
@@ -275,11 +288,13 @@
             }
             sleep(Duration::from_millis(1)).await;
         };
-        group.sidecars[taking].signal(Signal::KILL).expect("killed");
-        let others: Vec<usize> = (2..6).filter(|id| *id != taking).collect();
-        let statuses = back(&group, asked, &others).await;
-        // With two of its three guardians dead work waits for ever, and its clients hear that it may have run, or that
-        // nobody can say and a retry does no harm.
+        group.sidecars[new_owner]
+            .signal(Signal::KILL)
+            .expect("killed");
+        let others: Vec<usize> = (2..6).filter(|id| *id != new_owner).collect();
+        let statuses = retry_all(&group, pending, &others).await;
+        // A request with two of its three backups dead is never taken over. The response to its client says that it may
+        // have run, or that its state is unknown and a retry is harmless.
         for (name, path, status) in &statuses {
             assert!(group.pods.run_count(name) <= 1, "{name} ran twice");
             assert!(
@@ -298,34 +313,43 @@
 }
 
 #[test]
-fn a_sidecar_cut_off_from_its_fellows_gives_its_work_up_and_one_way_is_enough() {
-    test(5, true, async |group| {
-        for (round, (id, sticky_keys)) in [(1, false), (2, true)].into_iter().enumerate() {
-            let asked = group.start_requests(id, 8, round).await.expect("hits");
+fn a_sidecar_cut_off_in_both_directions_or_in_one_gives_up_its_requests() {
+    run_test(5, true, async |group| {
+        for (round, (id, only_inbound)) in [(1, false), (2, true)].into_iter().enumerate() {
+            let pending = group
+                .start_requests(id, 8, round)
+                .await
+                .expect("requests in flight");
             let relays = group.relays.as_ref().expect("relays");
-            match sticky_keys {
+            match only_inbound {
                 true => (0..5)
                     .filter(|other| *other != id)
                     .for_each(|other| relays.cut(other, id)),
                 false => relays.isolate(id),
             }
-            // Its pods answer all the same, and its clients get that, or what the others made of it.
+            // The pods still respond to the cut-off sidecar. Its clients get that response or the one of a takeover.
             let mut statuses = Vec::new();
-            for asked in asked {
-                let (status, _) = asked.answer.await.expect("a task").expect("an answer");
-                statuses.push((asked.name, asked.path, status));
+            for request in pending {
+                let (status, _) = request.answer.await.expect("a task").expect("a response");
+                statuses.push((request.name, request.path, status));
             }
-            once(&group, &statuses);
-            // What it takes now nobody guards: counted, and served where pods drop a repeat. What must not run twice
-            // may be in hand elsewhere, for all that it knows.
-            for (path, wanted) in [("/tagged", (200, 1)), ("/mutating", (503, 0))] {
+            assert_each_ran_once(&group, &statuses);
+            // New requests get no backup and are counted as such. Keyed requests are served, since pods drop repeats.
+            // Non-idempotent ones are rejected, since another sidecar may already run them.
+            for (path, expected) in [("/tagged", (200, 1)), ("/mutating", (503, 0))] {
                 let name = format!("alone-{round}-{}", &path[1..]);
-                let alone = send_with_key(group.sidecars[id].listen, path, &name, vec![7; 20])
+                let response = send_with_key(group.sidecars[id].listen, path, &name, vec![7; 20])
                     .await
-                    .expect("an answer");
-                assert_eq!((alone.0, group.pods.run_count(&name)), wanted, "{path}");
+                    .expect("a response");
+                assert_eq!(
+                    (response.0, group.pods.run_count(&name)),
+                    expected,
+                    "{path}"
+                );
             }
-            let state = state(group.sidecars[id].admin).await.expect("its state");
+            let state = state(group.sidecars[id].admin)
+                .await
+                .expect("a state report");
             assert!(state["takeover"]["unguarded"].as_u64() > Some(0), "{state}");
             group.relays.as_ref().expect("relays").heal();
         }
@@ -333,15 +357,15 @@
 }
 
 #[test]
-fn a_fellowship_paused_one_after_the_other_under_late_and_repeated_letters_runs_nothing_twice() {
-    test(4, true, async |group| {
-        let late = NetworkFaults {
+fn no_request_runs_twice_when_all_sidecars_pause_in_turn_with_late_and_duplicated_datagrams() {
+    run_test(4, true, async |group| {
+        let faults = NetworkFaults {
             loss: 0.1,
             duplicate: 0.2,
             delay: Duration::from_millis(80),
         };
-        group.relays.as_ref().expect("relays").set_faults(late);
-        let ats: Vec<_> = group
+        group.relays.as_ref().expect("relays").set_faults(faults);
+        let addresses: Vec<_> = group
             .sidecars
             .iter()
             .map(|sidecar| sidecar.listen)
@@ -349,27 +373,29 @@
         let mut answers = Vec::new();
         for (n, sidecar) in group.sidecars.iter().enumerate() {
             for k in 0..6 {
-                let (path, at) = (["/tagged", "/mutating"][k % 2], ats[(n + k) % 4]);
+                let (path, address) = (["/tagged", "/mutating"][k % 2], addresses[(n + k) % 4]);
                 let name = format!("{}-{n}-{k}", &path[1..]);
-                let sent = name.clone();
+                let key = name.clone();
                 answers.push((
                     name,
                     path,
-                    spawn_local(async move { send_with_key(at, path, &sent, vec![7; 20]).await }),
+                    spawn_local(
+                        async move { send_with_key(address, path, &key, vec![7; 20]).await },
+                    ),
                 ));
             }
             sleep(Duration::from_millis(50)).await;
-            // Longer than a lease, and than a tenth of one.
-            for (span, rest) in [(60, 100), (900, 300)] {
+            // One pause is longer than a tenth of a lease, the other longer than a lease.
+            for (pause_ms, run_ms) in [(60, 100), (900, 300)] {
                 sidecar.signal(Signal::STOP).expect("paused");
-                sleep(Duration::from_millis(span)).await;
-                sidecar.signal(Signal::CONT).expect("goes on");
-                sleep(Duration::from_millis(rest)).await;
+                sleep(Duration::from_millis(pause_ms)).await;
+                sidecar.signal(Signal::CONT).expect("resumed");
+                sleep(Duration::from_millis(run_ms)).await;
             }
         }
         let mut delivered = 0;
         for (name, _, answer) in answers {
-            let (status, _) = answer.await.expect("a task").expect("an answer");
+            let (status, _) = answer.await.expect("a task").expect("a response");
             assert!(group.pods.run_count(&name) <= 1, "{name} ran twice");
             assert!([200, 502, 503, 504].contains(&status), "{name}: {status}");
             delivered += (status == 200) as usize;
@@ -379,54 +405,65 @@
 }
 
 #[test]
-fn a_rolling_restart_answers_what_was_taken_and_nobody_takes_it_over() {
-    test(4, true, async |mut group| {
+fn a_rolling_restart_responds_to_all_accepted_requests_without_a_takeover() {
+    run_test(4, true, async |mut group| {
         for id in 0..4 {
-            let asked = group.start_requests(id, 6, id).await.expect("hits");
+            let pending = group
+                .start_requests(id, 6, id)
+                .await
+                .expect("requests in flight");
             group.sidecars[id]
                 .signal(Signal::TERM)
-                .expect("told to stop");
-            for asked in asked {
-                let answer = asked.answer.await.expect("a task").expect("an answer");
+                .expect("SIGTERM is sent");
+            for request in pending {
+                let answer = request.answer.await.expect("a task").expect("a response");
                 assert_eq!(
-                    (answer.0, group.pods.run_count(&asked.name)),
+                    (answer.0, group.pods.run_count(&request.name)),
                     (200, 1),
                     "{}",
-                    asked.name
+                    request.name
                 );
             }
-            group.sidecars[id].wait_for_exit().await.expect("it ends");
+            group.sidecars[id]
+                .wait_for_exit()
+                .await
+                .expect("the process ends");
             let taken: usize = group
                 .sidecars
                 .iter_mut()
                 .map(|sidecar| sidecar.count_log_lines("request taken over"))
                 .sum();
             assert_eq!(taken, 0);
-            let next = group.launch(id).await.expect("its next life");
-            group.sidecars[id] = next;
-            // The first one has nobody but itself to meet; the others find it again by themselves.
+            let restarted = group.launch(id).await.expect("restarted");
+            group.sidecars[id] = restarted;
+            // Sidecar 0 has only its own address as the first contact; the others reconnect to it.
             group.sidecars[id]
                 .wait_for_log("member joined", 3)
                 .await
-                .expect("known again");
+                .expect("all others joined");
         }
     });
 }
 
 #[test]
-fn seven_of_ten_killed_at_once_leave_no_hit_that_runs_twice_and_none_without_an_answer() {
-    test(10, true, async |group| {
-        // Pods hold what arrives before the kill for longer than a client waits, so that none is answered before it
-        // however long the requests take to begin.
-        let usual = group.pods.work.replace(Duration::from_secs(20));
-        let mut asked = Vec::new();
+fn no_request_runs_twice_and_each_client_gets_a_response_when_seven_of_ten_are_killed_at_once() {
+    run_test(10, true, async |group| {
+        // Pods hold the requests that arrive before the kill for longer than a client waits. So none gets a response
+        // before the kill, however long the requests take to start.
+        let usual_work = group.pods.work.replace(Duration::from_secs(20));
+        let mut pending = Vec::new();
         for id in 0..7 {
-            asked.extend(group.start_requests(id, 4, 0).await.expect("hits"));
+            pending.extend(
+                group
+                    .start_requests(id, 4, 0)
+                    .await
+                    .expect("requests in flight"),
+            );
         }
         (0..7).for_each(|id| group.sidecars[id].signal(Signal::KILL).expect("killed"));
-        group.pods.work.set(usual);
-        let statuses = back(&group, asked, &[7, 8, 9]).await;
-        // Most work lost two of its three guardians: it may wait in vain, but nobody runs it again in doubt.
+        group.pods.work.set(usual_work);
+        let statuses = retry_all(&group, pending, &[7, 8, 9]).await;
+        // Most requests lost two of their three backups. These may never be taken over, but none may run again.
         for (name, path, status) in &statuses {
             assert_eq!(
                 group.pods.run_count(name),
