--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -78,8 +78,8 @@
     Scenario(scenario::ScenarioArgs),
     /// Measure on loopback: proxy (added latency, CPU and memory per request), trace (cost of recording), memory
     /// (per request in flight), flood (overload), takeover (cost of leases, time to resume), growth (traffic within
-    /// groups of 3 to 64 sidecars). trace-file measures a long recording and its tools in virtual time. capacity runs scale
-    /// tests: the cost of each component at several sizes, and how it grows with the size.
+    /// groups of 3 to 64 sidecars). trace-file measures a long recording and its tools in virtual time. capacity runs
+    /// scale tests: the cost of each component at several sizes, and how it grows with the size.
     Bench(bench::BenchArgs),
     /// Run a process for the bench: pod, small-pod, pods with addresses, or bare with the addresses of the pods.
     #[command(hide = true)]
--- a/crates/cli/tests/configuration.rs
+++ b/crates/cli/tests/configuration.rs
@@ -16,7 +16,7 @@
 use tokio::time::sleep;
 
 const SIDECARS: usize = 6;
-/// Relay of the first distributor. The relays before it are those of the sidecars.
+/// Relay of the first distributor. The relays from 0 up to this one are those of the sidecars.
 const FIRST_DISTRIBUTOR: usize = SIDECARS;
 /// Relay of the second distributor.
 const SECOND_DISTRIBUTOR: usize = SIDECARS + 1;
