--- a/crates/configuration/src/chunk.rs
+++ b/crates/configuration/src/chunk.rs
@@ -52,8 +52,8 @@
     pub body: Vec<u8>,
 }
 
-/// Builds a chunk of as many wanted buckets as fit, in the order wanted. `None` if none of the wanted buckets exists, or if
-/// there is not enough memory to compress them.
+/// Builds a chunk of as many wanted buckets as fit, in the given order. `None` if none of the wanted buckets exists, or
+/// if there is not enough memory to compress them.
 pub fn next_chunk(snapshot: &Snapshot, wanted: &[u16]) -> Option<Chunk> {
     let mut raw = Vec::new();
     let mut gathered: Vec<(u16, usize)> = Vec::new();
--- a/crates/configuration/src/interval.rs
+++ b/crates/configuration/src/interval.rs
@@ -80,7 +80,7 @@
         split_parts
     }
 
-    /// Returns the intervals below and above the name `own`; the whole interval and `None` if `own` is not in it.
+    /// Returns the intervals below and above the name `own`; the complete interval and `None` if `own` is not in it.
     fn split_at(&self, own: &str) -> (Option<Interval>, Option<Interval>) {
         if !self.contains(own) {
             return (Some(self.clone()), None);
--- a/crates/configuration/src/store.rs
+++ b/crates/configuration/src/store.rs
@@ -26,7 +26,7 @@
 const LOCK_FILE: &str = "lock";
 /// The extension of a file that is being written, before it is renamed to its final name.
 const UNFINISHED_EXTENSION: &str = "new";
-/// A log longer than this is folded into the snapshot; holds some ten thousand changes.
+/// A log longer than this is folded into the snapshot; it then holds some ten thousand changes.
 const COMPACT_LOG_BYTES: u64 = 2 << 20;
 /// Longest log that is read. No store writes a longer one, because the log is folded into the snapshot after the first
 /// delta past [`COMPACT_LOG_BYTES`].
--- a/crates/emulator/src/clients.rs
+++ b/crates/emulator/src/clients.rs
@@ -22,7 +22,7 @@
 use tokio::task::{spawn_local, JoinSet};
 use tokio::time::{sleep, sleep_until, timeout};
 
-/// Most attempts of one request, including the first.
+/// Maximum number of attempts of one request, including the first.
 const MAX_ATTEMPTS: u32 = 4;
 /// A connection idle for longer is not used again: the other side may be closing it.
 const MAX_IDLE: Duration = Duration::from_secs(1);
@@ -97,7 +97,7 @@
     }
 }
 
-/// A request that was drawn for a client; its retries repeat it.
+/// A request that was drawn at random for a client; each retry sends it again.
 struct ClientRequest {
     id: u64,
     /// Index of its route class.
@@ -157,7 +157,7 @@
     }
 }
 
-/// Sends a message and reads the whole answer.
+/// Sends a message and reads the complete answer.
 async fn exchange(sender: &mut Sender, message: Request<Full<Bytes>>) -> Reply {
     let response = match sender.try_send_request(message).await {
         Ok(response) => response,
--- a/crates/emulator/src/control_plane.rs
+++ b/crates/emulator/src/control_plane.rs
@@ -36,7 +36,7 @@
 const ROLLBACK_TIME: Nanos = 500 * MS;
 /// How often stages are evaluated, and how often a connection checks whether to announce one.
 const EVALUATION_INTERVAL: Duration = Duration::from_millis(50);
-/// How often the listener checks whether the control plane is to be unavailable.
+/// How often the listener checks whether the scenario has made the control plane unavailable.
 const AVAILABILITY_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 /// Longest line that a sidecar may send, in bytes.
 const MAX_LINE_BYTES: usize = 1024;
@@ -115,7 +115,7 @@
 }
 
 impl CallRate {
-    /// Counts a vote; returns false if it exceeds the allowed rate, where there is one.
+    /// Counts a vote; returns false if it exceeds the allowed rate, if there is one.
     fn admit(&mut self, now: Nanos, per_second: f64) -> bool {
         let leaked = (now - self.since) as f64 / 1e9 * per_second;
         self.level = (self.level - leaked).max(0.0) + 1.0;
@@ -140,7 +140,7 @@
     /// The last vote of each sidecar.
     votes: RefCell<HashMap<String, CastVote>>,
     calls: RefCell<CallRate>,
-    /// Whether nothing listens.
+    /// Whether the control plane is unavailable: nothing listens at its address.
     pub is_unavailable: Cell<bool>,
     /// Further delay of announcements, in nanoseconds.
     pub extra_announce_delay: Cell<Nanos>,
--- a/crates/emulator/src/drive/recording.rs
+++ b/crates/emulator/src/drive/recording.rs
@@ -11,7 +11,7 @@
 use std::collections::HashMap;
 use std::io::{Read, Seek};
 
-/// Most requests of one drive. A drive is held in memory, so a longer trace must be cut first.
+/// Maximum number of requests of one drive. A drive is held in memory, so a longer trace must be cut first.
 const MAX_REQUESTS: usize = 1_000_000;
 
 /// One attempt of a request.
--- a/crates/emulator/src/drive/requests.rs
+++ b/crates/emulator/src/drive/requests.rs
@@ -50,16 +50,20 @@
 
     /// Sends a request and counts its outcome.
     pub(super) async fn send(&self, replay: &Replay, recorded: &RecordedRequest) {
-        let terms = &replay.script.source.terms;
+        let settings = &replay.script.source.terms;
         let wait = Duration::from_nanos(recorded.attributes.remaining) + ANSWER_GRACE;
-        let exchange = self.exchange(terms, recorded);
+        let exchange = self.exchange(settings, recorded);
         let answer = timeout(wait, exchange).await.ok().flatten();
         count(&mut replay.counts.borrow_mut().driven, answer);
     }
 
-    async fn exchange(&self, terms: &EngineSettings, recorded: &RecordedRequest) -> Option<Answer> {
+    async fn exchange(
+        &self,
+        settings: &EngineSettings,
+        recorded: &RecordedRequest,
+    ) -> Option<Answer> {
         let mut sender = self.connection().await?;
-        let request = build_request(terms, recorded)?;
+        let request = build_request(settings, recorded)?;
         let response = sender.send_request(request).await.ok()?;
         let answer = Answer {
             status: response.status(),
@@ -85,7 +89,7 @@
 }
 
 fn build_request(
-    terms: &EngineSettings,
+    settings: &EngineSettings,
     recorded: &RecordedRequest,
 ) -> Option<Request<Full<Bytes>>> {
     let RecordedRequest {
@@ -93,7 +97,7 @@
         attributes,
         ..
     } = recorded;
-    let idempotency = terms
+    let idempotency = settings
         .route_classes
         .get(attributes.route_class)
         .map_or(Idempotency::Idempotent, |(_, rules)| rules.idempotency);
@@ -111,7 +115,7 @@
     if attributes.key != 0 {
         request = request.header("x-key", format!("{:x}", attributes.key));
     }
-    if let Some(name) = attributes.tenant.and_then(|at| terms.tenants.get(at)) {
+    if let Some(name) = attributes.tenant.and_then(|at| settings.tenants.get(at)) {
         request = request.header("x-customer", name);
     }
     if let Some(cost) = attributes.cost_hint {
--- a/crates/emulator/src/drive/runner.rs
+++ b/crates/emulator/src/drive/runner.rs
@@ -42,8 +42,12 @@
     let script = read_script(reader, number)?;
     let discovery = TcpListener::bind(ANY_PORT).await?;
     let control = TcpListener::bind(ANY_PORT).await?;
-    let terms = &script.source.terms;
-    let text = settings_script(terms, discovery.local_addr()?, control.local_addr()?);
+    let engine_settings = &script.source.terms;
+    let text = settings_script(
+        engine_settings,
+        discovery.local_addr()?,
+        control.local_addr()?,
+    );
     let settings = folder.join("drive.star");
     std::fs::write(&settings, text)?;
     let seed = script.source.seed;
--- a/crates/emulator/src/drive/script.rs
+++ b/crates/emulator/src/drive/script.rs
@@ -133,8 +133,8 @@
     }
 
     fn unlisted_pod(&self, build: Build, n: usize) -> ListedEndpoint {
-        let terms = &self.source.terms;
-        let machine = terms.machines.first().cloned();
+        let settings = &self.source.terms;
+        let machine = settings.machines.first().cloned();
         ListedEndpoint {
             name: format!("build-{build}-pod-{n}"),
             address: SocketAddr::from(([127, 0, 0, 1], 0)),
@@ -142,7 +142,7 @@
             build,
             incarnation: 1,
             age: 0,
-            zone: terms.zones.first().cloned().unwrap_or_default(),
+            zone: settings.zones.first().cloned().unwrap_or_default(),
             machine: machine.unwrap_or_else(|| "machine".to_string()),
             cell: n as i64,
             size: 1.0,
--- a/crates/emulator/src/drive/settings.rs
+++ b/crates/emulator/src/drive/settings.rs
@@ -9,18 +9,18 @@
 
 /// The settings script for a sidecar with these recorded settings.
 pub(super) fn settings_script(
-    terms: &EngineSettings,
+    settings: &EngineSettings,
     discovery: SocketAddr,
     control_plane: SocketAddr,
 ) -> String {
     let mut out = String::new();
-    write_sidecar(&mut out, terms);
-    write_route_classes(&mut out, terms);
-    write_limits(&mut out, terms);
-    write_pods(&mut out, terms);
-    write_exposure(&mut out, terms);
-    write_votes(&mut out, terms);
-    write_services(&mut out, terms, discovery, control_plane);
+    write_sidecar(&mut out, settings);
+    write_route_classes(&mut out, settings);
+    write_limits(&mut out, settings);
+    write_pods(&mut out, settings);
+    write_exposure(&mut out, settings);
+    write_votes(&mut out, settings);
+    write_services(&mut out, settings, discovery, control_plane);
     out
 }
 
@@ -41,13 +41,13 @@
     format!(", {name} = {all:?}")
 }
 
-fn write_sidecar(out: &mut String, terms: &EngineSettings) {
+fn write_sidecar(out: &mut String, settings: &EngineSettings) {
     let EngineSettings {
         name,
         position,
         zones,
         ..
-    } = terms;
+    } = settings;
     let zone = zones.get(position.zone).cloned().unwrap_or_default();
     let _ = writeln!(
         out,
@@ -55,13 +55,13 @@
          listen = \"127.0.0.1:0\", admin = \"127.0.0.1:0\"{}{})",
         position.instances,
         position.rank,
-        texts("machines", &terms.machines),
-        texts("customers", &terms.tenants),
+        texts("machines", &settings.machines),
+        texts("customers", &settings.tenants),
     );
 }
 
-fn write_route_classes(out: &mut String, terms: &EngineSettings) {
-    for (n, (name, rules)) in terms.route_classes.iter().enumerate() {
+fn write_route_classes(out: &mut String, settings: &EngineSettings) {
+    for (n, (name, rules)) in settings.route_classes.iter().enumerate() {
         let RouteClass {
             idempotency,
             dedup_scope,
@@ -85,8 +85,8 @@
     }
 }
 
-fn write_limits(out: &mut String, terms: &EngineSettings) {
-    let attempts = &terms.attempts;
+fn write_limits(out: &mut String, settings: &EngineSettings) {
+    let attempts = &settings.attempts;
     let _ = writeln!(
         out,
         "headers(timeout = \"grpc-timeout\", key = \"x-key\", customer = \"x-customer\", cost_hint = \"x-cost\")\n\
@@ -100,8 +100,8 @@
     );
 }
 
-fn write_pods(out: &mut String, terms: &EngineSettings) {
-    let pods = &terms.pods;
+fn write_pods(out: &mut String, settings: &EngineSettings) {
+    let pods = &settings.pods;
     let _ = writeln!(
         out,
         "pods(drain_grace = \"{}ns\", cold_share = {:?}, warm_up = \"{}ns\", fall_multiple = {:?}, \
@@ -115,8 +115,8 @@
     );
 }
 
-fn write_exposure(out: &mut String, terms: &EngineSettings) {
-    let exposure = &terms.exposure;
+fn write_exposure(out: &mut String, settings: &EngineSettings) {
+    let exposure = &settings.exposure;
     let _ = writeln!(
         out,
         "exposure(window = \"{}ns\", free = {:?}, per_group = {}, guarded_stages = {}, one_way = {}, beside = {}, \
@@ -131,8 +131,8 @@
     );
 }
 
-fn write_votes(out: &mut String, terms: &EngineSettings) {
-    let votes = &terms.votes;
+fn write_votes(out: &mut String, settings: &EngineSettings) {
+    let votes = &settings.votes;
     let _ = writeln!(
         out,
         "votes(control = {:?}, on_needs = {}, back_needs = {}, life = \"{}ns\", call_time_out = \"{}ns\", calls_per_s = {:?}, \
@@ -149,11 +149,11 @@
 
 fn write_services(
     out: &mut String,
-    terms: &EngineSettings,
+    settings: &EngineSettings,
     discovery: SocketAddr,
     control_plane: SocketAddr,
 ) {
-    let list = &terms.endpoint_list;
+    let list = &settings.endpoint_list;
     let _ = writeln!(
         out,
         "nodes(address = \"{discovery}\", must_ask = {}, ask_within = \"{}ns\")\ndesk(address = \"{control_plane}\")",
--- a/crates/emulator/src/endpoint_list.rs
+++ b/crates/emulator/src/endpoint_list.rs
@@ -24,7 +24,7 @@
     delay: Nanos,
     /// How often a connection looks for changes, in nanoseconds.
     interval: Nanos,
-    /// Whether nothing listens.
+    /// Whether the service is unavailable: nothing listens at its address.
     pub is_unavailable: Cell<bool>,
     /// Further delay of changes while the list is stale, in nanoseconds.
     pub extra_delay: Cell<Nanos>,
--- a/crates/emulator/src/fleet.rs
+++ b/crates/emulator/src/fleet.rs
@@ -35,7 +35,8 @@
     /// Every change of a pod's state with its time, in order; bounded by the scenario's builds and faults.
     /// Here `age` holds the time of the pod's start, or 0 for a warm pod.
     changes: RefCell<Vec<(Nanos, ListedEndpoint)>>,
-    /// By build: its faults, how long after the start of a pod they begin, and its factor on the shared slowdown.
+    /// By build: its faults, how long after the start of a pod they begin, and the factor by which the build would slow
+    /// all pods if it received all traffic.
     build_faults: RefCell<HashMap<Build, (Faults, Nanos, f64)>>,
     /// Factor by which a resource that all pods share slows them.
     shared_slowdown: Rc<Cell<f64>>,
@@ -91,7 +92,7 @@
             .insert(build, (faults, offer.fault_delay, offer.shared_slowdown));
     }
 
-    /// Starts a pod of a build; `warm` for one without a slow start, as if it had run for long.
+    /// Starts a pod of a build. A `warm` pod has no slow start, as if it had been running for a long time.
     ///
     /// # Errors
     /// No socket can be bound.
@@ -173,7 +174,7 @@
 
     /// Appends a change of a pod's state.
     fn record_change(&self, pod: &Pod, state: PodState, warm: bool) {
-        let age = if warm { 0 } else { pod.up_at.max(1) };
+        let age = if warm { 0 } else { pod.started_at.max(1) };
         let PodIdentity {
             name,
             incarnation,
--- a/crates/emulator/src/net.rs
+++ b/crates/emulator/src/net.rs
@@ -13,7 +13,7 @@
 /// The index of a host, in the order of joining.
 pub type Id = usize;
 
-/// Most datagrams that are buffered for a paused host; further ones are dropped, as by a full socket buffer.
+/// Maximum number of datagrams that are buffered for a paused host; further ones are dropped, as by a full socket buffer.
 const MAX_BUFFERED: usize = 512;
 
 /// A state machine with its codec, as the network runs it. All times are on the clock of its host.
@@ -164,7 +164,7 @@
     pub sent_bytes: u64,
     /// Datagrams that did not reach their receiver.
     pub lost: u64,
-    /// Records the delivery of each datagram, if set. Whoever sets it must empty it.
+    /// Records the delivery of each datagram, if set. The caller that sets it must also empty it.
     pub datagram_log: Option<Vec<DatagramEvent>>,
 }
 
@@ -240,7 +240,7 @@
         self.slots[id].host.as_ref()
     }
 
-    /// A host, unless it is dead; the time of its next timer is read again before the next step.
+    /// A host, unless it is dead. The caller may change its next timer, whose time is read again before the next step.
     pub fn host_mut(&mut self, id: Id) -> Option<&mut P> {
         self.touched.push(id);
         self.slots[id].host.as_mut()
--- a/crates/emulator/src/pod.rs
+++ b/crates/emulator/src/pod.rs
@@ -36,7 +36,7 @@
 const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 /// Header of a load report.
 const LOAD_REPORT_HEADER: &str = "endpoint-load-metrics";
-/// How often a pod checks whether it is to refuse connections.
+/// How often a pod checks whether it must refuse connections.
 const REFUSE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// The capacity of the machine that a pod runs on.
@@ -46,13 +46,13 @@
     pub cores: usize,
     /// Nanoseconds of work that a warm core does in a nanosecond.
     pub speed: f64,
-    /// Most requests that wait for a core; one more is rejected without running.
+    /// Maximum number of requests that wait for a core; one more is rejected without running.
     pub queue: usize,
     /// Share of its capacity that a pod has at its start.
     pub initial_capacity: f64,
     /// How long the slow start takes, in nanoseconds.
     pub warm_up: Nanos,
-    /// Most work that a warming pod can receive within the window without failing, as a multiple of its capacity.
+    /// Maximum work that a warming pod can receive within the window without failing, as a multiple of its capacity.
     pub overload_multiple: f64,
     /// The window over which that work is summed, in nanoseconds.
     pub overload_window: Nanos,
@@ -220,7 +220,7 @@
     /// The address that it listens on.
     pub address: SocketAddr,
     /// When it started.
-    pub up_at: Nanos,
+    pub started_at: Nanos,
     /// Faults that the scenario injects for a time.
     pub faults: RefCell<Faults>,
     /// Faults of its build.
@@ -305,7 +305,7 @@
             zone,
             cell,
         } = identity.clone();
-        let up_at = ledger.write(LedgerEvent::PodStarted {
+        let started_at = ledger.write(LedgerEvent::PodStarted {
             pod: name,
             incarnation,
             build,
@@ -317,7 +317,7 @@
             identity,
             machine,
             address: listener.local_addr()?,
-            up_at,
+            started_at,
             faults: RefCell::default(),
             build_faults: RefCell::new(build_faults),
             shared_slowdown,
@@ -349,7 +349,7 @@
 
     /// Time since the pod's start.
     pub fn age(&self) -> Nanos {
-        self.ledger.now().saturating_sub(self.up_at)
+        self.ledger.now().saturating_sub(self.started_at)
     }
 
     /// The share of its capacity that the pod has at its age.
@@ -363,7 +363,7 @@
         share > 0.0 && self.random.borrow_mut().rand_float() < share
     }
 
-    /// Counts work that reached the pod; a warming pod that receives too much fails for good.
+    /// Counts work that reached the pod; a warming pod that receives too much fails permanently.
     fn add_load(&self, work: Nanos) {
         let window = self.machine.overload_window;
         let now = self.ledger.now();
@@ -484,7 +484,7 @@
         drop(core);
     }
 
-    /// Whether the attempt is not a repeat that the pods of its scope drop.
+    /// Whether the attempt takes effect: it is not a repeat that the pods of its scope drop.
     fn is_first(&self, attempt: &Attempt) -> bool {
         let class = self.route_classes.get(attempt.route_class);
         let Some(class) = class.filter(|class| class.keyed) else {
@@ -498,7 +498,8 @@
         seen_keys.insert(self.ledger.now(), key, class.dedup_window)
     }
 
-    /// A successful answer with a load report; marked as wrong for the emulated client with the share of wrong answers.
+    /// A successful answer with a load report. The share [`Faults::wrong`] of answers is marked as wrong for the
+    /// emulated client.
     fn answer(&self, faults: &Faults) -> Response<Full<Bytes>> {
         let mut answer = success_response();
         let load = format!(
--- a/crates/emulator/src/relay.rs
+++ b/crates/emulator/src/relay.rs
@@ -22,7 +22,7 @@
 const ANY_PORT: SocketAddr = SocketAddr::new(IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 /// Size of the receive buffer, which holds the longest datagram, in bytes.
 const MAX_DATAGRAM_BYTES: usize = 65_536;
-/// Most datagrams that are delayed at one time; further ones are lost.
+/// Maximum number of datagrams that are delayed at one time; further ones are lost.
 const MAX_DELAYED: usize = 10_000;
 
 /// How often an open stream checks whether it has been cut.
--- a/crates/emulator/src/scenario.rs
+++ b/crates/emulator/src/scenario.rs
@@ -25,7 +25,7 @@
 const ANSWER_SLACK: Nanos = 20_000_000;
 /// Longest delay between sending something and its receipt by the other side, in nanoseconds.
 const TRANSIT: Nanos = 50_000_000;
-/// How often the fleet removes dead pods and updates how much pods slow each other.
+/// How often the fleet removes dead pods and updates the shared slowdown.
 const FLEET_UPDATE_INTERVAL: Duration = Duration::from_millis(200);
 /// How often progress is reported.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(1);
--- a/crates/emulator/src/scenario_file.rs
+++ b/crates/emulator/src/scenario_file.rs
@@ -29,7 +29,7 @@
     pub cores: usize,
     /// Nanoseconds of work that a warm core does in a nanosecond.
     pub speed: f64,
-    /// Most requests that wait for a core of a pod.
+    /// Maximum number of requests that wait for a core of a pod.
     pub queue: usize,
     /// Share of its capacity that a pod has at its start.
     pub initial_capacity: f64,
@@ -43,7 +43,7 @@
     pub stages: Vec<f64>,
     /// The builds that the control plane offers.
     pub offers: Vec<Offer>,
-    /// What moves stages: `any`, `count` or `clock`.
+    /// What advances stages: `any` (one vote), `count` (a quorum) or `clock` (time).
     pub control: String,
     /// Share of the sidecars whose votes advance a stage.
     pub advance_quorum: f64,
@@ -431,7 +431,7 @@
     Ok(())
 }
 
-/// Parses what moves stages, and the quorums.
+/// Parses what advances stages, and the quorums.
 fn control(scenario: &mut Scenario, input: &mut &str) -> ParseResult<()> {
     let kinds = alt(("any", "count", "clock")).context(expected("any, count or clock"));
     scenario.control = { kinds }.map(str::to_string).parse_next(input)?;
--- a/crates/emulator/src/scripted.rs
+++ b/crates/emulator/src/scripted.rs
@@ -151,9 +151,12 @@
         "share": 3.0, "born_ms": 0, "revision_no": build})
 }
 
-/// A line of the endpoint list; `whole` for a complete list, otherwise changes.
-pub fn list(seq: u64, whole: bool, hosts: &[Value]) -> String {
-    format!("{}\n", json!({"seq": seq, "whole": whole, "hosts": hosts}))
+/// A line of the endpoint list: the complete list if `complete` is set, otherwise changes.
+pub fn list(seq: u64, complete: bool, hosts: &[Value]) -> String {
+    format!(
+        "{}\n",
+        json!({"seq": seq, "whole": complete, "hosts": hosts})
+    )
 }
 
 /// The response head of a watch; its lines follow as chunks.
--- a/crates/invariants/src/check/exposed.rs
+++ b/crates/invariants/src/check/exposed.rs
@@ -34,7 +34,8 @@
     cap: f64,
 }
 
-/// A cap that was lowered. The one before may be used until a time, and attempts are counted from zero after it.
+/// A cap that was lowered. The previous cap may be used up to the time `until`; after it, attempts are counted from
+/// zero.
 #[derive(Clone, Copy)]
 struct LoweredCap {
     build: Build,
@@ -119,7 +120,8 @@
         requests.entry(counted).or_default().push_back(at);
     }
 
-    /// Records the stage that a sidecar was notified of; a cap before it was lowered may be used for the drain grace.
+    /// Records the stage that a sidecar was notified of. If the stage lowers the cap of its build, the previous cap may
+    /// still be used for the drain grace.
     pub(super) fn note_stage(
         &mut self,
         at: Nanos,
--- a/crates/line-protocol/src/backoff.rs
+++ b/crates/line-protocol/src/backoff.rs
@@ -15,7 +15,8 @@
 }
 
 impl Backoff {
-    /// Returns a backoff whose base delay grows from `first` up to `max`; `seed` determines the jitter.
+    /// Returns a backoff whose base delay doubles up to `max`; `seed` determines the jitter. The first base delay is
+    /// twice `first`, and after a [reset](Backoff::reset) it is `first`.
     pub fn new(seed: u64, first: Duration, max: Duration) -> Backoff {
         Backoff {
             random: Rand64::new(seed as u128),
@@ -25,7 +26,7 @@
         }
     }
 
-    /// Restarts at the first base delay, after a connection that proved stable.
+    /// Restarts at `first` as the base delay, after a connection that proved stable.
     pub fn reset(&mut self) {
         self.previous = None;
     }
--- a/crates/membership/src/quorum/mod.rs
+++ b/crates/membership/src/quorum/mod.rs
@@ -6,8 +6,8 @@
 //! is a voter until it leaves, or until more than half of all voters have missed it for [`Rules::eviction_delay`]
 //! (`eviction`). So a minority cannot shrink its voter table until it makes up a majority of that table.
 //!
-//! Of the three kinds of promise in docs/membership.md, the quorum state makes none of the first kind: it says what a
-//! sidecar knows, and leases say what it may do.
+//! docs/membership.md distinguishes three kinds of promise. The quorum state makes none of the first kind, which is
+//! safety: it says what a sidecar knows, and leases say what the sidecar may do.
 
 mod dispute;
 mod eviction;
--- a/crates/membership/src/quorum/state.rs
+++ b/crates/membership/src/quorum/state.rs
@@ -57,7 +57,7 @@
         self.since
     }
 
-    /// Takes in the state that is observed now. A worse state is entered at once, a better one after it has held for
+    /// Records the state that is observed now. A worse state is entered at once, a better one after it has held for
     /// `recovery_delay`.
     pub fn observe(
         &mut self,
--- a/crates/membership/src/rejection.rs
+++ b/crates/membership/src/rejection.rs
@@ -17,11 +17,11 @@
     Malformed,
     /// It is addressed to another member or to another incarnation of this one, or claims to be from this member.
     WrongReceiver,
-    /// Its sequence number was received before, or is too old to tell.
+    /// Its sequence number was received before, or is too old to tell whether it was.
     Repeated,
     /// It is from an incarnation that a later one has replaced.
     OldIncarnation,
-    /// No part of this process reads this kind of message.
+    /// No package in this process accepts this kind of message.
     UnknownKind,
     /// Its sender is not a living member or does not match the envelope, or it answers no pending ping.
     NotAMember,
--- a/crates/membership/tests/follow_ups.rs
+++ b/crates/membership/tests/follow_ups.rs
@@ -287,11 +287,11 @@
 /// Compares the messages and bytes that a seeded run carries, and the states in which it ends, with recorded ones.
 #[test]
 fn a_seeded_run_of_views_carries_the_recorded_messages_and_bytes() {
-    let conditions = NetworkFaults {
+    let faults = NetworkFaults {
         loss: 0.05,
         ..NetworkFaults::default()
     };
-    let mut net = Net::new(3, conditions);
+    let mut net = Net::new(3, faults);
     for id in 0..9 {
         let clock = Clock {
             began: id as Nanos * 77 * SECOND,
@@ -312,9 +312,9 @@
     let final_states: Vec<String> = net
         .ids()
         .filter_map(|id| net.host(id))
-        .map(|part| {
-            let quorum = part.views.quorum();
-            let rows = quorum.rows_visited() + part.node.membership().rows_visited();
+        .map(|sidecar| {
+            let quorum = sidecar.views.quorum();
+            let rows = quorum.rows_visited() + sidecar.node.membership().rows_visited();
             format!(
                 "{:?} since {} of {}, {rows} rows",
                 quorum.state(),
--- a/crates/membership/tests/simulated.rs
+++ b/crates/membership/tests/simulated.rs
@@ -100,8 +100,8 @@
     format!("s-{id:04}")
 }
 
-fn fleet(size: usize, seed: u64, conditions: NetworkFaults) -> Net<Sidecar> {
-    let mut net = Net::new(seed, conditions);
+fn fleet(size: usize, seed: u64, faults: NetworkFaults) -> Net<Sidecar> {
+    let mut net = Net::new(seed, faults);
     for id in 0..size {
         // Clocks that differ: they start at different times, and run up to a thousandth too fast or too slow.
         let clock = Clock {
@@ -122,7 +122,8 @@
             .filter(|other| **other != name(*id))
             .cloned()
             .collect();
-        net.host(*id).is_some_and(|part| part.names() == others)
+        net.host(*id)
+            .is_some_and(|sidecar| sidecar.names() == others)
     })
 }
 
@@ -192,15 +193,15 @@
         }
         // Datagrams that were sent to its first incarnation have no effect when they are replayed to the second.
         let now = net.own_time(5);
-        let part = net.host_mut(5).unwrap();
-        let (events, rejected_before) = (part.events.len(), part.node.rejected.total());
+        let sidecar = net.host_mut(5).unwrap();
+        let (events, rejected_before) = (sidecar.events.len(), sidecar.node.rejected.total());
         old_datagrams
             .iter()
-            .for_each(|bytes| part.receive_datagram(now, bytes));
+            .for_each(|bytes| sidecar.receive_datagram(now, bytes));
         assert_eq!(
             (
-                part.events.len(),
-                part.node.rejected.total() - rejected_before
+                sidecar.events.len(),
+                sidecar.node.rejected.total() - rejected_before
             ),
             (events, old_datagrams.len() as u64)
         );
@@ -282,13 +283,13 @@
     let old_datagrams = net.host(0).unwrap().arrived.clone();
     for id in [0, 1] {
         let now = net.own_time(id);
-        let part = net.host_mut(id).unwrap();
-        let events = part.events.len();
+        let sidecar = net.host_mut(id).unwrap();
+        let events = sidecar.events.len();
         old_datagrams
             .iter()
-            .for_each(|bytes| part.receive_datagram(now, bytes));
-        assert_eq!(part.events.len(), events);
-        while part.datagram().is_some() {}
+            .for_each(|bytes| sidecar.receive_datagram(now, bytes));
+        assert_eq!(sidecar.events.len(), events);
+        while sidecar.datagram().is_some() {}
     }
     assert!(
         net.host(0)
@@ -410,12 +411,12 @@
 fn seeded_runs_carry_the_recorded_messages_and_bytes() {
     let measured: Vec<String> = (0..4)
         .map(|seed| {
-            let conditions = NetworkFaults {
+            let faults = NetworkFaults {
                 loss: 0.1,
                 duplicate: 0.05,
                 delay: (100_000, 30_000_000),
             };
-            let mut net = fleet(12, seed, conditions);
+            let mut net = fleet(12, seed, faults);
             net.run(20 * SECOND, |_, _| {});
             net.kill(5);
             net.run(60 * SECOND, |_, _| {});
--- a/crates/platform/src/client_session.rs
+++ b/crates/platform/src/client_session.rs
@@ -20,7 +20,7 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, Sleep};
 
-/// When the process was told to stop; `None` until then.
+/// When the process was asked to stop; `None` until then.
 pub(crate) type StopTime = Option<Instant>;
 
 /// What ended a connection.
--- a/crates/platform/src/connection_slots.rs
+++ b/crates/platform/src/connection_slots.rs
@@ -107,7 +107,7 @@
     }
 
     /// Returns when to close the connection if nothing more is received; `None` while a request waits for its response.
-    /// `stopped_at` is when the process was told to stop.
+    /// `stopped_at` is when the process was asked to stop.
     pub fn closes_at(&self, stopped_at: Option<Instant>) -> Option<Instant> {
         match self.activity {
             Activity::Responding { write_by } => write_by,
--- a/crates/platform/src/discovery/watch.rs
+++ b/crates/platform/src/discovery/watch.rs
@@ -50,7 +50,7 @@
 }
 
 impl Received {
-    /// Returns the part of the message that [`super::watch_selection::WatchSelection`] decides by.
+    /// Returns the fields of the message that [`super::watch_selection::WatchSelection`] decides by.
     pub(super) fn message(&self) -> WatchMessage {
         match self {
             Received::KeepAlive => WatchMessage::KeepAlive,
--- a/crates/platform/src/limits.rs
+++ b/crates/platform/src/limits.rs
@@ -3,10 +3,11 @@
 
 use std::time::Duration;
 
-/// Initial span of the backoff between connections to discovery or the control plane; a delay is 50 to 100% of it.
-pub(crate) const INITIAL_RECONNECT_SPAN: Duration = Duration::from_millis(40);
-/// Largest span of that backoff.
-pub(crate) const MAX_RECONNECT_SPAN: Duration = Duration::from_millis(800);
+/// Base delay from which the backoff between connections to discovery or the control plane grows; an actual delay is 50
+/// to 100% of the base delay.
+pub(crate) const FIRST_RECONNECT_DELAY: Duration = Duration::from_millis(40);
+/// Limit on the base delay of that backoff.
+pub(crate) const MAX_RECONNECT_DELAY: Duration = Duration::from_millis(800);
 
 /// Limit on one update of the endpoint list.
 pub(crate) const MAX_LIST_UPDATE_BYTES: usize = 1 << 20;
--- a/crates/platform/src/pod_response/framing.rs
+++ b/crates/platform/src/pod_response/framing.rs
@@ -13,7 +13,7 @@
 }
 
 /// Returns how the end of the body is marked. Rejects two lengths or two framings, and a body that ends with the
-/// connection: it cannot be told from one that was cut off.
+/// connection: it cannot be distinguished from one that was cut off.
 pub(super) fn from_headers(headers: &HeaderMap) -> Result<Framing, ResponseError> {
     let lengths: Vec<&HeaderValue> = headers.get_all(CONTENT_LENGTH).iter().collect();
     let encodings: Vec<&HeaderValue> = headers.get_all(TRANSFER_ENCODING).iter().collect();
--- a/crates/platform/src/reconnect.rs
+++ b/crates/platform/src/reconnect.rs
@@ -1,6 +1,6 @@
 //! Keeps a connection to a service: reconnects whenever it ends, and moves it to a new address without a gap.
 
-use crate::limits::{INITIAL_RECONNECT_SPAN, MAX_RECONNECT_SPAN};
+use crate::limits::{FIRST_RECONNECT_DELAY, MAX_RECONNECT_DELAY};
 use havenplank_line_protocol::backoff::Backoff;
 use std::cell::{Cell, RefCell};
 use std::fmt::Display;
@@ -23,7 +23,7 @@
 
 /// Returns the backoff between connection attempts to discovery or the control plane.
 pub(crate) fn backoff(seed: u64) -> Backoff {
-    Backoff::new(seed, INITIAL_RECONNECT_SPAN, MAX_RECONNECT_SPAN)
+    Backoff::new(seed, FIRST_RECONNECT_DELAY, MAX_RECONNECT_DELAY)
 }
 
 /// Handle by which a session confirms that its service responds.
--- a/crates/platform/src/request_handler.rs
+++ b/crates/platform/src/request_handler.rs
@@ -32,7 +32,7 @@
     }
 }
 
-/// Guard of a request in flight. Dropping it tells the engine that the client is gone; no effect once the request has
+/// Guard of a request in flight. Dropping it reports to the engine that the client is gone; no effect once the request has
 /// ended.
 struct InFlightGuard {
     shell: Rc<Shell>,
--- a/crates/platform/src/request_reader.rs
+++ b/crates/platform/src/request_reader.rs
@@ -1,4 +1,4 @@
-//! Reads and validates complete client requests; a request is buffered whole so that it can be retried.
+//! Reads and validates complete client requests; a request is buffered completely so that it can be retried.
 
 use crate::client_connection::ClientConnection;
 use crate::id_claim::IdClaim;
--- a/crates/platform/src/service.rs
+++ b/crates/platform/src/service.rs
@@ -29,7 +29,7 @@
     Stop,
 }
 
-/// Runs one sidecar on the current thread until it is told to stop. Requires a tokio `LocalRuntime` with time and I/O.
+/// Runs one sidecar on the current thread until it is asked to stop. Requires a tokio `LocalRuntime` with time and I/O.
 /// `ready` is called with the listening address once the sidecar listens.
 ///
 /// # Errors
--- a/crates/platform/src/shell.rs
+++ b/crates/platform/src/shell.rs
@@ -27,7 +27,7 @@
     pub(crate) clients: ClientTable,
     pub(crate) pods: PodClient,
     pub(crate) votes: VoteQueue,
-    /// Whether the process was told to stop.
+    /// Whether the process was asked to stop.
     pub(crate) stopping: Cell<bool>,
 }
 
--- a/crates/takeover/src/rules.rs
+++ b/crates/takeover/src/rules.rs
@@ -13,8 +13,9 @@
     pub max_owned: usize,
     /// The maximum number of records kept for other sidecars. Further records are rejected.
     pub max_replicas: usize,
-    /// The limit on the total bytes of requests and answers in those records, as summed at the last wake-up. Above the
-    /// limit, new records are rejected, and an outcome is kept without the content of its answer.
+    /// The limit on the total bytes of requests and answers in those records: the sum at the last wake-up, plus the
+    /// records stored since then. Above the limit, new records are rejected, and an outcome is kept without the content
+    /// of its answer.
     pub max_replica_bytes: usize,
     /// How long a record is kept after its deadline, so that a client that retries still gets its answer.
     pub retention: Nanos,
--- a/crates/takeover/src/takeover.rs
+++ b/crates/takeover/src/takeover.rs
@@ -60,11 +60,12 @@
     /// Requests whose outcome this sidecar waits for. An entry is removed with the outcome or at the client's deadline.
     /// There is at most one entry per waiting client, and the listener bounds the number of clients.
     waiting: BTreeMap<RequestId, Waiting>,
-    /// By owner: the time until which this sidecar takes over none of its requests. Removed with the last record kept
-    /// for that owner.
+    /// By owner: the time until which this sidecar takes over none of its requests. An entry is removed once that time
+    /// has passed and no record is kept for that owner.
     granted_until: BTreeMap<MemberId, Nanos>,
     /// By owner: the value of `latest_epoch` when this sidecar last voted against that owner. An owner without an entry
-    /// has the current value, so an entry that was removed and added again never shows an earlier epoch.
+    /// has the current value, so an entry that was removed and added again never shows an earlier epoch. Removed with
+    /// the owner's entry in `granted_until`.
     epochs: BTreeMap<MemberId, u32>,
     /// The number of epochs begun so far, counted over all owners.
     latest_epoch: u32,
@@ -76,7 +77,7 @@
     effects: VecDeque<Effect>,
     /// Bytes of all records kept: summed at each wake-up, plus the records stored since then.
     replica_bytes: usize,
-    /// The number of claims that found too few backups.
+    /// The number of claims that failed because too few backups acknowledged them or [`Rules::max_owned`] was reached.
     pub unprotected: u64,
     /// The number of records that were rejected for lack of room.
     pub rejected_records: u64,
--- a/crates/takeover/src/takeover/claim.rs
+++ b/crates/takeover/src/takeover/claim.rs
@@ -1,5 +1,9 @@
-//! Claims of requests that arrived here. A claim ends in one of three ways: this sidecar owns the request, it joins a
-//! request that another sidecar owns, or the request is served without backups.
+//! Claims of requests that arrived here. A claim ends in one of these ways:
+//! - Enough backups acknowledge it: this sidecar owns the request.
+//! - Another sidecar owns the request: this sidecar joins it and waits for its outcome.
+//! - The outcome of the request is already known: it is the answer.
+//! - The idempotency key belongs to a different request: the request is rejected.
+//! - Too few backups acknowledge it: the request is served without backups or, with [`RequiredAcks::All`], rejected.
 
 use super::owner::{OwnedRequest, FIRST_VERSION};
 use super::{Effect, Takeover};
@@ -138,8 +142,8 @@
         self.replicate(now, request);
     }
 
-    /// Ends a claim without enough backups: joins the request of the other owner if there is one; otherwise the claim
-    /// fails.
+    /// Ends a claim without enough backups. If a backup has reported another owner, this sidecar joins the request of
+    /// that owner; otherwise the claim fails.
     pub(super) fn abandon_claim(&mut self, now: Nanos, request: RequestId) {
         let Some(owned) = self.owned.remove(&request) else {
             return;
--- a/crates/takeover/src/takeover/effect.rs
+++ b/crates/takeover/src/takeover/effect.rs
@@ -19,18 +19,21 @@
     /// More than half of the backups have stored the attempt with this index. Call
     /// [`Takeover::may_send`](crate::Takeover::may_send) right before the write.
     AttemptReady(RequestId, usize),
-    /// Another sidecar owns the request. Its answer will follow.
+    /// Another sidecar owns the request. [`Effect::Finished`] or [`Effect::Unknown`] follows, unless the client's
+    /// deadline passes first.
     Joined(RequestId),
-    /// Too few backups can be reached or have room: the request is served without backups.
+    /// Too few backups can be reached or have room, or this sidecar owns too many requests already: the request is
+    /// served without backups.
     Unprotected(RequestId),
-    /// Too few backups can be reached or have room, and the request may be in flight elsewhere and must not run twice:
-    /// reject it. Nothing was sent.
+    /// Too few backups can be reached or have room, or this sidecar owns too many requests already, and the request may
+    /// be in flight elsewhere and must not run twice: reject it. No attempt was sent to a pod.
     Uncertain(RequestId),
-    /// A different request with the same idempotency key is in flight.
+    /// The idempotency key belongs to a different request, which is in flight or finished: reject this one.
     KeyReused(RequestId),
     /// This sidecar now owns the request: finish it, taking its earlier attempts into account.
     TakenOver(Record),
-    /// Another sidecar now owns the request: send nothing more for it. Its answer will follow.
+    /// This sidecar no longer owns the request: send nothing more for it. If the new owner is known to have won,
+    /// [`Effect::Finished`] or [`Effect::Unknown`] follows, unless the client's deadline passes first.
     OwnershipLost(RequestId),
     /// The final outcome of a request that this sidecar waited for.
     Finished(RequestId, Outcome),
--- a/crates/takeover/src/takeover/owner.rs
+++ b/crates/takeover/src/takeover/owner.rs
@@ -265,7 +265,7 @@
     }
 
     /// Moves a request that is no longer owned here to the records kept for others. If this sidecar took the request
-    /// over, it is one of its backups, and the majorities of the other backups rely on its record. If the request
+    /// over, it is one of the request's backups, and a majority of the backups may depend on its record. If the request
     /// arrived here, a later claim may choose this sidecar as a backup, and this sidecar may be the only one of that
     /// majority that knows the request.
     pub(super) fn move_to_replicas(&mut self, now: Nanos, request: RequestId) -> Option<Record> {
--- a/crates/takeover/tests/common/mod.rs
+++ b/crates/takeover/tests/common/mod.rs
@@ -4,7 +4,8 @@
 
 /// Parses the lines of a fixture file, `name hex`, into bytes by name. Skips empty lines and those that begin with `#`.
 ///
-/// # Panics If a line has another form.
+/// # Panics
+/// If a line has another form.
 pub fn recorded_bytes(fixture: &str) -> BTreeMap<&str, Vec<u8>> {
     fixture
         .lines()
--- a/crates/takeover/tests/simulated.rs
+++ b/crates/takeover/tests/simulated.rs
@@ -246,8 +246,8 @@
                         self.written_attempts.remove(position);
                         self.takeover
                             .end_attempt(now, request, index, AttemptState::NeverRan);
-                        // When the request is rejected, the client is told that a retry does no harm, and may send it
-                        // again.
+                        // When the request is rejected, the answer says that a retry does no harm, and the client may
+                        // send it again.
                         match self.random.rand_float() < self.rejected_share {
                             true => self.takeover.finish(now, request, Outcome::Rejected),
                             false => drop(self.takeover.begin_attempt(now, request, "pod")),
@@ -290,8 +290,8 @@
 }
 
 impl Run {
-    fn new(sidecar_count: usize, seed: u64, weather: NetworkFaults) -> Run {
-        let mut net = Net::new(seed, weather);
+    fn new(sidecar_count: usize, seed: u64, faults: NetworkFaults) -> Run {
+        let mut net = Net::new(seed, faults);
         for id in 0..sidecar_count {
             let clock = Clock {
                 began: id as Nanos * 991 * S,
