--- a/crates/adapter/tests/wire.rs
+++ b/crates/adapter/tests/wire.rs
@@ -45,7 +45,7 @@
     let attempt_ended = r#"{"verb":"RETURNED","sidecar":0,"opId":"a","trial":0,"pod":"p1","ending":100,"latencyNs":9,"over":true}"#;
     let client_left = r#"{"verb":"HANGUP","sidecar":0,"opId":"a"}"#;
     let unknown_timer_fired = r#"{"verb":"ALARM","sidecar":0,"keyBack":"nobody's"}"#;
-    // An endpoint list is used before a later line of the same batch overwrites it. The second request finds a draining
+    // An endpoint list is used before a later line of the same round replaces it. The second request finds a draining
     // pod.
     let second_request = REQUEST.replace("\"a\"", "\"b\"");
     let instance_stopped = r#"{"verb":"POWER_OFF","sidecar":0}"#;
--- a/crates/configuration-simulation/tests/replication.rs
+++ b/crates/configuration-simulation/tests/replication.rs
@@ -4,8 +4,8 @@
 //! CI runs 100 seeds, from 0 on. `HAVENPLANK_SPREAD_SEEDS` sets another number of seeds, `HAVENPLANK_SPREAD_FIRST`
 //! another first seed. The seed alone reproduces a failure.
 //!
-//! Each of these guards was removed by hand, was seen to fail tests here, and was restored: an older complete snapshot
-//! does not replace a newer one (its three checks removed together); an equal version with another digest is a
+//! Each of these guards was once removed by hand; tests here failed, and the guard was restored: an older complete
+//! snapshot does not replace a newer one (its three checks removed together); an equal version with another digest is a
 //! conflict; the writer stops at a higher epoch; a lower epoch is rejected; an interval is counted only once; the part
 //! of a child does not contain the aggregator's own name; the periodic pull; the digest of a claim is checked; the
 //! digest of a result is checked; a rejected version does not count as in force; a silent source is replaced. A delta
@@ -563,7 +563,8 @@
     fleet.restart(13, Role::Writer { epoch: 2 }, cached);
     fleet.set_peers_everywhere();
     let newer = fleet.publish(13, 2).unwrap();
-    // The old writer does not know yet. Its next versions have higher numbers, but are superseded by the higher epoch.
+    // The old writer does not know yet that it has been replaced. Its next versions have higher numbers, but are
+    // superseded by the higher epoch.
     for _ in 0..5 {
         fleet.publish(WRITER, 1).unwrap();
     }
--- a/crates/configuration/examples/figures.rs
+++ b/crates/configuration/examples/figures.rs
@@ -13,7 +13,7 @@
 
 const TENANTS: usize = 150_000;
 const LOOKUPS: usize = 3_000_000;
-const APPLIES: u64 = 1_000;
+const APPLIED_DELTAS: u64 = 1_000;
 const PAGE_BYTES: usize = 4096;
 const SCRIPT: &str = r#"
 for n in range(400):
@@ -106,9 +106,9 @@
     let mut current = copy;
     let mut bytes = 0;
     let mut elapsed = std::time::Duration::ZERO;
-    for index in 0..APPLIES {
+    for index in 0..APPLIED_DELTAS {
         let change = Change::Put(tenant(index as usize * 149, 5_000).into());
-        let target = match &change {
+        let digest_after = match &change {
             Change::Put(record) => {
                 let mut digest = current.digest();
                 if let Some(old) = current.get(&record.key()) {
@@ -123,7 +123,7 @@
         let delta = Delta {
             from: current.version(),
             to,
-            digest: target,
+            digest: digest_after,
             changes: vec![change],
         };
         bytes = delta.encode().len();
@@ -134,7 +134,7 @@
     println!("one_tenant_delta_bytes {bytes}");
     println!(
         "apply_one_change_us {:.1}",
-        elapsed.as_secs_f64() * 1e6 / APPLIES as f64
+        elapsed.as_secs_f64() * 1e6 / APPLIED_DELTAS as f64
     );
     println!(
         "lookups_per_s_of_150000 {:.0}",
--- a/crates/configuration/src/delta.rs
+++ b/crates/configuration/src/delta.rs
@@ -9,7 +9,8 @@
 
 /// Longest encoded delta, in bytes: three times one with the 150,000 tenants of a planned fleet.
 pub const MAX_DELTA_BYTES: usize = 16 << 20;
-/// Smallest encoded size of one change, in bytes: the variant, the kind of record, the length of the name, and a name of one byte.
+/// Smallest encoded size of one change, in bytes: the variant, the kind of record, the length of the name, and a name
+/// of one byte.
 const MIN_CHANGE_BYTES: usize = 4;
 /// The number of the encoding that this release writes and reads.
 const FORMAT: u8 = 1;
--- a/crates/configuration/src/replication/poll.rs
+++ b/crates/configuration/src/replication/poll.rs
@@ -12,8 +12,8 @@
 use havenplank_membership::member::MemberId;
 use oorandom::Rand64;
 
-/// Maximum number of aggregators polled for one part: with 2 and 1% loss in each direction, one of 1,600 peers would count as
-/// silent in every second round.
+/// Maximum number of aggregators polled for one part: with 2 attempts and 1% loss in each direction, one of 1,600 peers
+/// would count as silent in every second round.
 const MAX_ATTEMPTS: usize = 3;
 /// Subtracted from the timeout of a poll for the network round-trip time, in milliseconds; at most half of the timeout.
 const RTT_MARGIN_MS: u32 = 400;
--- a/crates/configuration/tests/stored.rs
+++ b/crates/configuration/tests/stored.rs
@@ -205,7 +205,7 @@
     }
 }
 
-fn small_manifest() -> Manifest {
+fn empty_manifest() -> Manifest {
     Manifest {
         version: Version {
             epoch: 2,
@@ -219,7 +219,7 @@
 /// A message of each kind, in the order of the recorded ones; the fields of a message have distinct values.
 fn messages() -> Vec<(&'static str, Message)> {
     let delta = open_copy("distributor").deltas[1].encode();
-    let body = Chunk {
+    let chunk = Chunk {
         version: Version {
             epoch: 2,
             number: 7,
@@ -273,7 +273,7 @@
                 deltas: vec![delta, vec![1, 2]],
             },
         ),
-        ("manifest", Message::Manifest(small_manifest())),
+        ("manifest", Message::Manifest(empty_manifest())),
         (
             "want",
             Message::ChunkRequest {
@@ -281,7 +281,7 @@
                 buckets: vec![0, 3, 700],
             },
         ),
-        ("chunk", Message::Chunk(body)),
+        ("chunk", Message::Chunk(chunk)),
         (
             "unavailable",
             Message::Unavailable {
--- a/crates/emulator/src/control_plane.rs
+++ b/crates/emulator/src/control_plane.rs
@@ -356,7 +356,7 @@
         self.previous.set(self.released.replace(state.build));
     }
 
-    /// Starts pods until the build has the share of them that its stage requires.
+    /// Starts pods until the build has the share of all pods that its stage requires.
     async fn start_stage_pods(&self, build: Build, stage: usize) {
         let share = self.rules.shares.get(stage).copied().unwrap_or(1.0);
         for _ in self.fleet.running_of_build(build).len()..share_of(share, self.rules.total_pods) {
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,6 +1,6 @@
 //! Emulates what a sidecar communicates with: pods, endpoint list, control plane and clients, on loopback sockets.
 //!
-//! Each of them is a model that is served over a real socket and records what it sends and receives through one
+//! Each is a model that is served over a real socket and records what it sends and receives through one shared
 //! [`ledger_writer::LedgerWriter`]. [`scenario_file`] reads scenarios, which say what runs and which faults are
 //! injected; [`scenario`] runs one. All models run on one thread, within a `tokio` `LocalSet`.
 //!
--- a/crates/emulator/src/net.rs
+++ b/crates/emulator/src/net.rs
@@ -13,7 +13,8 @@
 /// The index of a host, in the order of joining.
 pub type Id = usize;
 
-/// Maximum number of datagrams that are buffered for a paused host; further ones are dropped, as by a full socket buffer.
+/// Maximum number of datagrams that are buffered for a paused host; further ones are dropped, as by a full socket
+/// buffer.
 const MAX_BUFFERED: usize = 512;
 
 /// A state machine with its codec, as the network runs it. All times are on the clock of its host.
--- a/crates/membership/src/swim/local_health.rs
+++ b/crates/membership/src/swim/local_health.rs
@@ -3,7 +3,7 @@
 
 use crate::Nanos;
 
-/// The highest score. Periods and time-outs are multiplied by the score plus 1.
+/// The highest score. Periods and timeouts are multiplied by the score plus 1.
 const WORST_SCORE: u32 = 8;
 
 /// How slow this member considers itself, from 0 for healthy to [`WORST_SCORE`].
--- a/crates/membership/src/swim/rules.rs
+++ b/crates/membership/src/swim/rules.rs
@@ -6,7 +6,7 @@
 
 /// Limits and durations of one [`Membership`](super::Membership).
 ///
-/// All time-outs belong to the promise of progress alone, not to safety: they determine how soon a member is noticed or
+/// All timeouts belong to the promise of progress alone, not to safety: they determine how soon a member is noticed or
 /// declared dead, never who may act.
 #[derive(Clone, Debug)]
 pub struct Rules {
--- a/crates/membership/src/swim/suspicion.rs
+++ b/crates/membership/src/swim/suspicion.rs
@@ -10,7 +10,7 @@
 const MIN_PERIODS_PER_TENFOLD: f64 = 5.0;
 /// How many times longer a member is suspected if no other member confirms the suspicion.
 const MAX_TIMEOUT_FACTOR: f64 = 6.0;
-/// Limit on the members whose independent suspicions shorten the time-out; further ones have no effect.
+/// Limit on the members whose independent suspicions shorten the timeout; further ones have no effect.
 const MAX_CONFIRMATIONS: usize = 3;
 
 /// Whether this update is a further suspicion, by another member, of the same incarnation after the same number of
@@ -72,7 +72,7 @@
             .schedule(due, Timer::SuspicionTimeout { id, refutations });
     }
 
-    /// Returns Lifeguard's time-out, which falls from the longest to the shortest with the logarithm of the number of
+    /// Returns Lifeguard's timeout, which falls from the longest to the shortest with the logarithm of the number of
     /// confirmations.
     fn suspicion_timeout(&self, confirmations: usize) -> Nanos {
         let members = self.members.count_alive() as f64 + 1.0;
--- a/crates/membership/src/swim/updates.rs
+++ b/crates/membership/src/swim/updates.rs
@@ -165,7 +165,7 @@
             .schedule(due, Timer::DeadExpiry(name.to_string()));
     }
 
-    /// Forgets a dead member, unless it has come back, or has died again, in the meantime.
+    /// Forgets a dead member, unless it has been alive again in the meantime.
     pub(super) fn forget_dead(&mut self, now: Nanos, name: &str) {
         let retention = self.rules.dead_retention;
         let is_expired = |known: &KnownMember| {
--- a/crates/membership/tests/follow_ups.rs
+++ b/crates/membership/tests/follow_ups.rs
@@ -1,4 +1,4 @@
-//! Whether a dispute ends once the two views agree again, and shows while they differ.
+//! Tests that a dispute is reported while two views differ, and ends once they agree again.
 
 use havenplank_emulator::net::{Clock, Host, Id, Nanos, Net, NetworkFaults};
 use havenplank_membership::keys::Key;
--- a/crates/membership/tests/frame.rs
+++ b/crates/membership/tests/frame.rs
@@ -1,4 +1,4 @@
-//! Which frames are opened and which are rejected.
+//! Tests which frames are opened and which are rejected.
 
 use havenplank_membership::frame::{
     max_body_bytes, open, seal, Channel, Envelope, MAX_DATAGRAM_BYTES,
--- a/crates/membership/tests/frames.rs
+++ b/crates/membership/tests/frames.rs
@@ -1,5 +1,5 @@
-//! Whether frames between sidecars are byte by byte those of the previous version, since sidecars of that version may
-//! run at the same time.
+//! Tests that frames between sidecars are byte for byte those of the previous version, since sidecars of that version
+//! may run at the same time.
 
 mod common;
 
--- a/crates/membership/tests/keys.rs
+++ b/crates/membership/tests/keys.rs
@@ -1,4 +1,4 @@
-//! How key files are read.
+//! Tests how key files are read.
 
 use havenplank_membership::keys::{read_keys, InvalidKey, Key, KeyFileError};
 use std::error::Error;
--- a/crates/membership/tests/port_pair.rs
+++ b/crates/membership/tests/port_pair.rs
@@ -1,4 +1,4 @@
-//! Whether UDP and TCP are bound to the same port, even if the first port chosen is taken for TCP.
+//! Tests that UDP and TCP are bound to the same port, even if the first port chosen is taken for TCP.
 
 use havenplank_membership::port_pair::PortPair;
 use std::net::{SocketAddr, TcpListener, UdpSocket};
--- a/crates/membership/tests/replay.rs
+++ b/crates/membership/tests/replay.rs
@@ -1,4 +1,4 @@
-//! Whether each sequence number is accepted once, in any order.
+//! Tests that each sequence number is accepted once, in any order.
 
 use havenplank_membership::replay::{ReplayWindow, REPLAY_WINDOW};
 use proptest::prelude::*;
--- a/crates/platform/src/attempt.rs
+++ b/crates/platform/src/attempt.rs
@@ -34,7 +34,7 @@
     written: Cell<bool>,
 }
 
-/// Runs one attempt and reports its result to the engine. On a time-out its connection is closed.
+/// Runs one attempt and reports its result to the engine. On a timeout its connection is closed.
 pub(crate) async fn send(
     shell: Rc<Shell>,
     request: Rc<PreparedRequest>,
--- a/crates/platform/src/attempt_outcome.rs
+++ b/crates/platform/src/attempt_outcome.rs
@@ -1,7 +1,7 @@
 //! Decides what the response of a pod, or the lack of one, means for an attempt and for its connection.
 //!
-//! It follows the table "what comes back" of the protocol. Tests: `tests/unit/attempt_outcome.rs`; over sockets
-//! `tests/protocol.rs`, `each_response_of_a_pod_has_its_outcome`, and `tests/races.rs`,
+//! The decisions follow the table "what comes back" of the protocol. Tests: `tests/unit/attempt_outcome.rs`; over
+//! sockets `tests/protocol.rs`, `each_response_of_a_pod_has_its_outcome`, and `tests/races.rs`,
 //! `a_request_on_a_kept_connection_that_is_closed_counts_as_may_have_run`.
 
 use crate::idle_timeout::ReuseOutcome;
--- a/crates/platform/src/control_plane/mod.rs
+++ b/crates/platform/src/control_plane/mod.rs
@@ -26,7 +26,7 @@
 }
 
 /// Queues a vote, and makes sure that the engine receives its result: rejected if it is not written, unknown if no
-/// reply comes within the time-out of the call.
+/// reply comes within the timeout of the call.
 pub(crate) fn cast_vote(shell: &Rc<Shell>, id: u64, build: Build, stage: usize, vote: Vote) {
     let queued_vote = QueuedVote {
         vote: id,
--- a/crates/platform/src/control_plane/session.rs
+++ b/crates/platform/src/control_plane/session.rs
@@ -120,7 +120,8 @@
         let mut last_line = Instant::now();
         loop {
             tokio::select! {
-                // Counts from the last line received, not from votes written: even to a silent service the sidecar sends one each second.
+                // Counts from the last line received, not from votes written: the sidecar sends a vote each second
+                // even to a silent service.
                 () = sleep_until(last_line + CONTROL_PLANE_SILENCE_LIMIT) => return Err(SessionError::Silent),
                 line = lines.next() => {
                     let Some(line) = line else { return Ok(()) };
--- a/crates/platform/src/health_check.rs
+++ b/crates/platform/src/health_check.rs
@@ -24,7 +24,7 @@
     }
 }
 
-/// Checks a pod within the connect time-out and reports the result to the engine.
+/// Checks a pod within the connect timeout and reports the result to the engine.
 pub(crate) async fn run(shell: Rc<Shell>, check: u64, pod: PodId) {
     let began = Instant::now();
     let checking = async {
--- a/crates/platform/src/idle_timeout.rs
+++ b/crates/platform/src/idle_timeout.rs
@@ -69,7 +69,7 @@
     }
 }
 
-/// The idle time-out, and the counts that it is derived from.
+/// The idle timeout, and the counts that it is derived from.
 pub struct IdleTimeout {
     max_timeout: Duration,
     ranges: [RangeCounts; RANGES],
--- a/crates/platform/src/limits.rs
+++ b/crates/platform/src/limits.rs
@@ -49,7 +49,7 @@
 pub(crate) const STATE_INTERVAL: Duration = Duration::from_secs(1);
 /// Timer interval by which the lateness of the event loop is measured.
 pub(crate) const LATENESS_PROBE_INTERVAL: Duration = Duration::from_millis(20);
-/// Time that a connection may need at a stop in addition to the longest client time-out: to read its request, and to
+/// Time that a connection may need at a stop in addition to the longest client timeout: to read its request, and to
 /// write and drain its response.
 pub(crate) const STOP_MARGIN: Duration = Duration::from_secs(3);
 /// Interval at which a stop checks for open client connections.
--- a/crates/platform/src/pod_pool.rs
+++ b/crates/platform/src/pod_pool.rs
@@ -16,7 +16,7 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 use tokio::time::timeout;
 
-/// Why no connection was available within the connect time-out.
+/// Why no connection was available within the connect timeout.
 #[derive(Debug, PartialEq)]
 pub(crate) enum AcquireError {
     /// The pod is down, unreachable or at its own connection limit.
@@ -124,7 +124,7 @@
         self.opened.get()
     }
 
-    /// Takes an idle connection out of the pool or opens one, within the connect time-out.
+    /// Takes an idle connection out of the pool or opens one, within the connect timeout.
     pub(crate) async fn acquire(
         &self,
         address: SocketAddr,
--- a/crates/platform/src/request_handler.rs
+++ b/crates/platform/src/request_handler.rs
@@ -32,8 +32,8 @@
     }
 }
 
-/// Guard of a request in flight. Dropping it reports to the engine that the client is gone; no effect once the request has
-/// ended.
+/// Guard of a request in flight. Dropping it reports to the engine that the client is gone; it has no effect once the
+/// request has ended.
 struct InFlightGuard {
     shell: Rc<Shell>,
     request: RequestId,
@@ -101,8 +101,8 @@
     let response = tokio::select! {
         // The engine dropping a request in flight is a fault; this response does not promise that it never ran.
         response = response => response.unwrap_or_else(|_| failed(false)),
-        // Watched here because the HTTP server sees the client's close only if no unread bytes precede it. Nobody
-        // reads this response.
+        // Watched here because the HTTP server sees the client's close only if no unread bytes precede it. The client
+        // is gone, so it does not read this response.
         () = client.stream.closed() => with_connection_close(failed(false)),
     };
     let is_stopping = in_flight.shell.stopping.get();
--- a/crates/platform/tests/list_races.rs
+++ b/crates/platform/tests/list_races.rs
@@ -88,7 +88,7 @@
             drop(next);
             last
         };
-        let dribble = async {
+        let send_slowly = async {
             // White space and the start of an object are not a message, however often they arrive.
             old.send(chunk("{")).await.unwrap();
             loop {
@@ -98,7 +98,7 @@
                 }
             }
         };
-        let mut last = tokio::select! { last = next => last, () = dribble => unreachable!() };
+        let mut last = tokio::select! { last = next => last, () = send_slowly => unreachable!() };
         let other = ScriptedServer::new().await.unwrap();
         let moved = entry("p", other.address().unwrap(), 7, "active");
         last.send(WATCH.to_string() + &chunk(&list(5, false, &[moved])))
--- a/crates/platform/tests/protocol.rs
+++ b/crates/platform/tests/protocol.rs
@@ -62,8 +62,8 @@
     run_test(async {
         // One request stays in flight throughout the test.
         let rig = Rig::new(|config| {
-            for group in config["settings"]["classes"].as_array_mut().unwrap() {
-                (group["onTimeNs"], group["giveUpNs"]) =
+            for class in config["settings"]["classes"].as_array_mut().unwrap() {
+                (class["onTimeNs"], class["giveUpNs"]) =
                     (json!(60_000_000_000u64), json!(90_000_000_000u64));
             }
         })
@@ -436,12 +436,13 @@
         let mut session = accept_follow(&rig.control_plane).await;
         let again: Value = serde_json::from_str(&session.line().await.unwrap()).unwrap();
         assert_eq!(again["params"], call["params"]);
-        let full = json!({"jsonrpc": "2.0", "id": again["id"], "error": {"code": 1, "message": "throttled"}});
-        session.send(format!("{full}\n")).await.unwrap();
+        let throttled = json!({"jsonrpc": "2.0", "id": again["id"], "error": {"code": 1, "message": "throttled"}});
+        session.send(format!("{throttled}\n")).await.unwrap();
         let third: Value = serde_json::from_str(&session.line().await.unwrap()).unwrap();
         assert_eq!(third["params"], call["params"]);
         assert_ne!(third["id"], again["id"]);
-        // No reply and no other line: votes that the sidecar writes each second do not count as a sign of life.
+        // No reply and no other line: votes that the sidecar writes each second do not show that the control
+        // plane is alive.
         session.line().await.unwrap();
         assert!(session.closes_in_time().await);
     });
@@ -589,7 +590,7 @@
         *config.pointer_mut(path).unwrap() = value;
         let error = Config::parse(config.to_string().as_bytes())
             .err()
-            .expect("refused")
+            .expect("the configuration is rejected")
             .to_string();
         assert!(error.contains(field), "{error}");
     }
--- a/crates/platform/tests/races.rs
+++ b/crates/platform/tests/races.rs
@@ -17,10 +17,10 @@
 
 const MS: Duration = Duration::from_millis(1);
 
-/// Sets client time-outs that do not run out during a test.
+/// Sets client timeouts that do not run out during a test.
 fn set_long_timeouts(config: &mut Value) {
-    for group in config["settings"]["classes"].as_array_mut().unwrap() {
-        (group["onTimeNs"], group["giveUpNs"]) = (json!(8_000_000_000u64), json!(9_000_000_000u64));
+    for class in config["settings"]["classes"].as_array_mut().unwrap() {
+        (class["onTimeNs"], class["giveUpNs"]) = (json!(8_000_000_000u64), json!(9_000_000_000u64));
     }
 }
 
@@ -456,7 +456,7 @@
 /// A pod whose accept queue is full, so that connecting to it hangs until the queue is drained.
 struct PodWithFullQueue {
     listener: std::net::TcpListener,
-    fill: Vec<TcpStream>,
+    queued: Vec<TcpStream>,
 }
 
 impl PodWithFullQueue {
@@ -468,23 +468,23 @@
             .unwrap();
         socket.listen(0).unwrap();
         let listener: std::net::TcpListener = socket.into();
-        let (address, mut fill) = (listener.local_addr().unwrap(), Vec::new());
+        let (address, mut queued) = (listener.local_addr().unwrap(), Vec::new());
         while let Ok(one) = TcpStream::connect_timeout(&address, 100 * MS) {
-            fill.push(one);
+            queued.push(one);
         }
-        PodWithFullQueue { listener, fill }
+        PodWithFullQueue { listener, queued }
     }
 
     /// Drains the queue and returns the listener for further connections.
     fn drain_queue(self) -> tokio::net::TcpListener {
-        for _ in &self.fill {
+        for _ in &self.queued {
             self.listener.accept().unwrap();
         }
         self.listener.set_nonblocking(true).unwrap();
         tokio::net::TcpListener::from_std(self.listener).unwrap()
     }
 
-    /// Starts a sidecar and sends a request that waits for its connection to this pod, with a long time-out.
+    /// Starts a sidecar and sends a request that waits for its connection to this pod, with a long timeout.
     async fn send_waiting_request(&self) -> (Rig, Connection) {
         let address = self.listener.local_addr().unwrap();
         let rig = Rig::new(|config| {
--- a/crates/takeover/src/record.rs
+++ b/crates/takeover/src/record.rs
@@ -47,7 +47,7 @@
 }
 
 impl Outcome {
-    /// Returns whether a new request with the same key may begin, because the client was told that it may retry.
+    /// Returns whether a new request with the same key may begin, because the answer says that the client may retry.
     pub fn allows_retry(&self) -> bool {
         matches!(
             self,
@@ -106,12 +106,12 @@
         self.payload.len() + answer
     }
 
-    /// Returns whether the same request may be claimed again, because the client was told that it may retry.
+    /// Returns whether the same request may be claimed again, because the answer says that the client may retry.
     pub fn allows_retry_of(&self, digest: u64) -> bool {
         self.digest == digest && self.outcome.as_ref().is_some_and(Outcome::allows_retry)
     }
 
-    /// Returns the smallest number of backups that is more than half of them.
+    /// Returns the smallest number of backups that is a majority: more than half.
     pub fn majority(&self) -> usize {
         self.backups.len() / 2 + 1
     }
--- a/crates/takeover/src/takeover/effect.rs
+++ b/crates/takeover/src/takeover/effect.rs
@@ -32,8 +32,9 @@
     KeyReused(RequestId),
     /// This sidecar now owns the request: finish it, taking its earlier attempts into account.
     TakenOver(Record),
-    /// This sidecar no longer owns the request: send nothing more for it. If the new owner is known to have won,
-    /// [`Effect::Finished`] or [`Effect::Unknown`] follows, unless the client's deadline passes first.
+    /// This sidecar no longer owns the request: send nothing more for it. If this sidecar waits for the outcome of
+    /// another owner, [`Effect::Finished`] or [`Effect::Unknown`] follows, unless the client's deadline passes first.
+    /// After a vote for a candidate it does not wait.
     OwnershipLost(RequestId),
     /// The final outcome of a request that this sidecar waited for.
     Finished(RequestId, Outcome),
--- a/crates/takeover/src/takeover/election.rs
+++ b/crates/takeover/src/takeover/election.rs
@@ -50,7 +50,7 @@
             return;
         };
         if !replica.record.confirmed {
-            // An unconfirmed record lists no attempt that this backup has to know, and another claim may follow.
+            // An unconfirmed record lists no attempt that this backup must know of, and another claim may follow.
             return self.drop_replica(request);
         }
         // A random delay is needed because all leases expire at once, and two simultaneous candidates both lose.
--- a/crates/takeover/src/takeover/owner.rs
+++ b/crates/takeover/src/takeover/owner.rs
@@ -275,7 +275,7 @@
         Some(record)
     }
 
-    /// Gives up a request to another owner and waits for its outcome.
+    /// Leaves a request to another owner and waits for its outcome.
     pub(super) fn lose_ownership(&mut self, now: Nanos, request: RequestId) {
         let Some(record) = self.move_to_replicas(now, request) else {
             return;
--- a/crates/takeover/src/takeover/waiter.rs
+++ b/crates/takeover/src/takeover/waiter.rs
@@ -129,8 +129,8 @@
     ) {
         self.finish_replica(request, term, &outcome);
         let owned = self.owned.get(&request);
-        // The outcome ends a request that is still unfinished here: its claim came too late, or this sidecar owns it and
-        // has only to pass the outcome to its backups.
+        // The outcome ends a request that is still unfinished here: either its claim came too late, or this sidecar
+        // owns it and only has to pass the outcome to its backups.
         let is_open = owned.is_some_and(|owned| owned.record.outcome.is_none());
         if is_open {
             self.apply_reported_outcome(now, request, term, outcome);
--- a/crates/takeover/tests/simulated.rs
+++ b/crates/takeover/tests/simulated.rs
@@ -37,7 +37,7 @@
     /// counts as one run of its request.
     written_attempts: Vec<RequestId>,
     /// Outcomes that this sidecar received from others.
-    answers: Vec<(RequestId, Outcome)>,
+    received_outcomes: Vec<(RequestId, Outcome)>,
     taken_over: Vec<(Nanos, RequestId)>,
     unprotected: usize,
     reused_keys: usize,
@@ -71,7 +71,7 @@
             random: Rand64::new((seed << 8 ^ id as u64) as u128),
             outgoing: VecDeque::new(),
             written_attempts: Vec::new(),
-            answers: Vec::new(),
+            received_outcomes: Vec::new(),
             taken_over: Vec::new(),
             unprotected: 0,
             reused_keys: 0,
@@ -161,7 +161,7 @@
                 }
                 Effect::Finished(request, outcome) => {
                     self.log_event(request, || format!("receives outcome {outcome:?}"));
-                    self.answers.push((request, outcome));
+                    self.received_outcomes.push((request, outcome));
                 }
                 Effect::Unprotected(request) => {
                     self.log_event(request, || "WRITTEN unprotected".to_string());
@@ -404,9 +404,9 @@
     }
 }
 
-/// Summarizes a message. A record appears as its owner, term, version, whether it is confirmed, the states of its
+/// Summarises a message. A record appears as its owner, term, version, whether it is confirmed, the states of its
 /// attempts and its outcome.
-fn summarize(message: &Message) -> (Option<RequestId>, String) {
+fn summarise(message: &Message) -> (Option<RequestId>, String) {
     let describe = |record: &Record| {
         let states: Vec<AttemptState> = record
             .attempts
@@ -480,7 +480,7 @@
     for datagram in net.datagram_log.iter_mut().flat_map(|log| log.drain(..)) {
         let (from, to, message): (MemberId, MemberId, Message) =
             postcard::from_bytes(&datagram.bytes).unwrap();
-        let (request, summary) = summarize(&message);
+        let (request, summary) = summarise(&message);
         let verb = match datagram.outcome {
             DatagramOutcome::Received | DatagramOutcome::Buffered | DatagramOutcome::Dropped => {
                 "arrives"
@@ -598,8 +598,8 @@
     run.log_event("all cuts are healed and all sidecars resume".to_string());
     run.net.heal();
     (0..sidecar_count).for_each(|id| run.net.unpause(id));
-    // Long attempts may follow each other far beyond the deadline. The run goes on until the last of them has ended and
-    // its record has expired.
+    // Long attempts may follow each other far beyond the deadline. The run continues until the last attempt has ended
+    // and its record has expired.
     run.run_until(if scenario == Scenario::LongAttempts {
         60 * S
     } else {
@@ -956,7 +956,7 @@
         for id in [1, 2] {
             let sidecar = run.net.host(id).unwrap();
             assert_eq!(
-                sidecar.answers,
+                sidecar.received_outcomes,
                 [(1, Outcome::Served(vec![1]))],
                 "seed {seed}, sidecar {id}"
             );
@@ -990,7 +990,7 @@
         assert_eq!(run.execution_counts.get(&1), Some(&1), "seed {seed}");
         let last_owner = run.net.host(((seed + 1) % 6) as Id).unwrap();
         assert_eq!(
-            last_owner.answers.last(),
+            last_owner.received_outcomes.last(),
             Some(&(1, Outcome::Served(vec![1]))),
             "seed {seed}"
         );
