--- a/crates/invariants/src/check/error.rs
+++ b/crates/invariants/src/check/error.rs
@@ -39,7 +39,8 @@
     },
     /// Something happened at a pod that never started.
     #[error(
-        "{event} at {pod} (life {life}), which never started; expected an entry \"pod_up\" before"
+        "{event} at {pod} (life {life}), which never started; expected an entry \"pod_up\" before",
+        life = incarnation
     )]
     UnknownPod {
         /// What the entry records.
@@ -47,16 +48,19 @@
         /// The pod's name.
         pod: String,
         /// The pod's incarnation.
-        life: u64,
+        incarnation: u64,
     },
     /// A pod rejected an attempt that it never received.
-    #[error("ask {ask} turned away by {pod} (life {life}); expected an entry that it arrived there before")]
+    #[error(
+        "ask {ask} turned away by {pod} (life {life}); expected an entry that it arrived there before",
+        life = incarnation
+    )]
     NeverArrived {
         /// The number of the request.
         ask: u64,
         /// The pod's name.
         pod: String,
         /// The pod's incarnation.
-        life: u64,
+        incarnation: u64,
     },
 }
--- a/crates/invariants/src/check/history.rs
+++ b/crates/invariants/src/check/history.rs
@@ -99,7 +99,7 @@
         self.pods.get(pod).ok_or_else(|| EntryError::UnknownPod {
             event,
             pod: pod.name.clone(),
-            life: pod.incarnation,
+            incarnation: pod.incarnation,
         })
     }
 
@@ -142,7 +142,7 @@
         let attempt = attempt.ok_or_else(|| EntryError::NeverArrived {
             ask,
             pod: pod.name.clone(),
-            life: pod.incarnation,
+            incarnation: pod.incarnation,
         })?;
         attempt.unprocessed = true;
         Ok(())
