--- a/crates/cli/src/bench.rs
+++ b/crates/cli/src/bench.rs
@@ -91,8 +91,8 @@
     #[arg(long, default_value_t = 3)]
     rounds: u64,
     /// Number of requests in the recording of `trace-file`.
-    #[arg(long, default_value_t = 1_000_000)]
-    hits: u64,
+    #[arg(long = "hits", value_name = "HITS", default_value_t = 1_000_000)]
+    requests: u64,
     /// Number of sidecars that `takeover` kills, one after the other.
     #[arg(long, default_value_t = 200)]
     kills: usize,
@@ -108,7 +108,7 @@
     let json = args.json.as_deref();
     match args.bench.as_str() {
         "capacity" => bench_capacity::bench(&args.what, args.quick, json),
-        "trace-file" => bench_trace::bench(args.hits, json),
+        "trace-file" => bench_trace::bench(args.requests, json),
         "takeover" => bench_takeover::bench(args.seconds, args.kills, json),
         "growth" => bench_takeover::growth(args.seconds, json),
         other => bench(other, args.seconds, args.rounds, json),
--- a/crates/cli/src/bench_takeover.rs
+++ b/crates/cli/src/bench_takeover.rs
@@ -184,9 +184,9 @@
     );
     let mut rows = Vec::new();
     for (mode, (times, cpu, bytes, failed)) in MODES.into_iter().zip(&totals_by_mode) {
-        let hits = times.len().max(1) as f64;
+        let requests = times.len().max(1) as f64;
         let (p50, p99) = (times.value_at_quantile(0.5), times.value_at_quantile(0.99));
-        let (cpu, bytes) = (*cpu as f64 * 1_000.0 / hits, *bytes as f64 / hits);
+        let (cpu, bytes) = (*cpu as f64 * 1_000.0 / requests, *bytes as f64 / requests);
         println!("{mode:>8} {p50:>9} {p99:>9} {cpu:>12.1} {bytes:>14.0} {failed:>11}");
         rows.push(json!({
             "guard": mode, "hits": times.len(), "p50_us": p50, "p99_us": p99, "cpu_us_a_hit": cpu,
--- a/crates/cli/src/traces/mod.rs
+++ b/crates/cli/src/traces/mod.rs
@@ -62,8 +62,8 @@
     Show {
         file: PathBuf,
         /// Id of the request.
-        #[arg(long)]
-        hit: u64,
+        #[arg(long = "hit", value_name = "HIT")]
+        request: u64,
         /// Name of the sidecar; by default the records of all sidecars are printed.
         #[arg(long)]
         source: Option<String>,
@@ -112,7 +112,11 @@
             summarise::summarise(&file, span.as_deref(), json.as_deref())
         }
         TraceCommand::Export { file } => export::export(&file),
-        TraceCommand::Show { file, hit, source } => export::show(&file, hit, source.as_deref()),
+        TraceCommand::Show {
+            file,
+            request,
+            source,
+        } => export::show(&file, request, source.as_deref()),
         TraceCommand::Drive { file, source, json } => {
             drive::drive(&file, source.as_deref(), json.as_deref())
         }
--- a/crates/emulator/src/control_plane.rs
+++ b/crates/emulator/src/control_plane.rs
@@ -247,7 +247,7 @@
             Phase::Trial => self.evaluate_trial(state, now).await,
             Phase::Released if self.rollback_is_voted(&state) => {
                 self.restore_previous().await;
-                self.roll_back(&state);
+                self.start_rollback(&state);
             }
             Phase::RollingBack if now >= state.since + ROLLBACK_TIME => {
                 self.drain_build(state.build);
@@ -286,7 +286,7 @@
         }
         let elapsed = now.saturating_sub(state.timed_from.unwrap_or(now));
         if self.rollback_is_voted(&state) {
-            self.roll_back(&state);
+            self.start_rollback(&state);
         } else if self.may_advance(&state, elapsed) {
             self.advance(&state).await;
         }
@@ -319,7 +319,7 @@
         }
     }
 
-    fn roll_back(&self, state: &ReleaseState) {
+    fn start_rollback(&self, state: &ReleaseState) {
         self.enter(state.build, state.stage, Phase::RollingBack);
     }
 
--- a/crates/platform/src/listener.rs
+++ b/crates/platform/src/listener.rs
@@ -24,7 +24,7 @@
             accepted = listener.accept() => match accepted {
                 Ok((stream, _)) => admit(&shell, stream, &stop).await,
                 Err(error) => {
-                    tracing::warn!(%error, "accept failed");
+                    tracing::warn!(%error, "could not accept a connection; retrying");
                     shell.clients.evict_one();
                     sleep(ACCEPT_ERROR_PAUSE).await;
                 }
