--- a/crates/invariants/tests/stored_ledger.rs
+++ b/crates/invariants/tests/stored_ledger.rs
@@ -11,6 +11,12 @@
 const LEDGER: &str = include_str!("fixtures/day.ledger");
 /// The output of `rules --json` of that build for [`LEDGER`].
 const VERDICTS: &str = include_str!("fixtures/verdicts.json");
+/// Entries that [`LEDGER`] lacks, as that build writes them.
+const OTHER_LINES: [&str; 3] = [
+    r#"{"at":36031940623,"seen":{"sidecar_stops":{"sidecar":"sidecar-1"}}}"#,
+    r#"{"at":16687440909,"seen":{"unseen":{"ask":11378,"pod":"pod-18","life":19}}}"#,
+    r#"{"at":16687440909,"seen":{"pod_fell":{"pod":"pod-18","life":19}}}"#,
+];
 
 fn entries() -> Vec<Entry> {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/fixtures");
@@ -68,6 +74,14 @@
     assert_eq!((differing, written.len()), (None, LEDGER.len()));
 }
 
+#[test]
+fn reads_and_writes_entries_that_the_stored_ledger_lacks_with_the_same_bytes() {
+    for line in OTHER_LINES {
+        let entry: Entry = serde_json::from_str(line).expect("an entry");
+        assert_eq!(serde_json::to_string(&entry).expect("JSON"), line);
+    }
+}
+
 #[test]
 fn returns_the_recorded_verdicts_for_a_stored_ledger() {
     let verdicts = check(&entries()).expect("a verdict");
